--- /dev/null
+++ b/proof/golden/message.go
@@ -0,0 +1,135 @@
+package golden
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/reflect/protoreflect"
+)
+
+// maximumDepth bounds how deep messages are filled; entries of a document nest three deep.
+const maximumDepth = 4
+
+// elements is how many elements a repeated field gets, so that an order can be told from its reverse.
+const elements = 2
+
+// Variant is a filled message; where the message has a oneof, Case names the alternative that is set.
+type Variant struct {
+	Case    string
+	Message protoreflect.Message
+}
+
+// Variants gives a message with every field set, once for each alternative of its oneof. The values depend on the numbers
+// of the fields alone, so that a renaming leaves them as they are.
+func Variants(kind protoreflect.MessageType) []Variant {
+	oneofs := kind.Descriptor().Oneofs()
+	if oneofs.Len() == 0 {
+		message := kind.New()
+		fill(message, nil, maximumDepth)
+		return []Variant{{Message: message}}
+	}
+	var variants []Variant
+	for place := range oneofs.Len() {
+		alternatives := oneofs.Get(place).Fields()
+		for alternative := range alternatives.Len() {
+			field := alternatives.Get(alternative)
+			message := kind.New()
+			fill(message, field, maximumDepth)
+			variants = append(variants, Variant{Case: string(field.Name()), Message: message})
+		}
+	}
+	return variants
+}
+
+// fill sets every field of a message, and of each oneof the chosen alternative, or the first where none was chosen.
+func fill(message protoreflect.Message, chosen protoreflect.FieldDescriptor, depth int) {
+	if depth == 0 {
+		return
+	}
+	fields := message.Descriptor().Fields()
+	for place := range fields.Len() {
+		field := fields.Get(place)
+		if !selected(field, chosen) {
+			continue
+		}
+		switch {
+		case field.IsMap():
+			entries := message.Mutable(field).Map()
+			key := value(field.MapKey(), nil, 0, depth).MapKey()
+			entries.Set(key, value(field.MapValue(), entries.NewValue, 0, depth))
+		case field.IsList():
+			list := message.Mutable(field).List()
+			for element := range elements {
+				list.Append(value(field, list.NewElement, element, depth))
+			}
+		default:
+			message.Set(field, value(field, func() protoreflect.Value { return message.NewField(field) }, 0, depth))
+		}
+	}
+}
+
+// selected tells whether a field is outside of every oneof, or the alternative to set.
+func selected(field, chosen protoreflect.FieldDescriptor) bool {
+	oneof := field.ContainingOneof()
+	if oneof == nil {
+		return true
+	}
+	if chosen != nil && chosen.ContainingOneof() == oneof {
+		return field == chosen
+	}
+	return field == oneof.Fields().Get(0)
+}
+
+// value gives the value of a field, or of one element of it.
+func value(field protoreflect.FieldDescriptor, blank func() protoreflect.Value, element, depth int) protoreflect.Value {
+	// Above 127, so that it takes more than one byte.
+	number := int64(field.Number())*1000 + int64(element)
+	switch field.Kind() {
+	case protoreflect.MessageKind:
+		made := blank()
+		fill(made.Message(), nil, depth-1)
+		return made
+	case protoreflect.BoolKind:
+		return protoreflect.ValueOfBool(true)
+	case protoreflect.StringKind:
+		return protoreflect.ValueOfString(fmt.Sprint("text", number))
+	case protoreflect.BytesKind:
+		return protoreflect.ValueOfBytes([]byte(fmt.Sprint("bytes", number)))
+	case protoreflect.Uint64Kind, protoreflect.Fixed64Kind:
+		return protoreflect.ValueOfUint64(uint64(number))
+	case protoreflect.Uint32Kind, protoreflect.Fixed32Kind:
+		return protoreflect.ValueOfUint32(uint32(number))
+	case protoreflect.Int64Kind, protoreflect.Sint64Kind, protoreflect.Sfixed64Kind:
+		return protoreflect.ValueOfInt64(-number)
+	case protoreflect.Int32Kind, protoreflect.Sint32Kind, protoreflect.Sfixed32Kind:
+		return protoreflect.ValueOfInt32(int32(-number))
+	case protoreflect.DoubleKind:
+		return protoreflect.ValueOfFloat64(float64(number) + 0.5)
+	case protoreflect.FloatKind:
+		return protoreflect.ValueOfFloat32(float32(number) + 0.5)
+	case protoreflect.EnumKind:
+		values := field.Enum().Values()
+		return protoreflect.ValueOfEnum(values.Get(values.Len() - 1).Number())
+	}
+	panic(fmt.Sprintf("%s: no value for a field of kind %s", field.FullName(), field.Kind()))
+}
+
+// Unknown tells whether a message, or one within it, holds fields that its description lacks.
+func Unknown(message protoreflect.Message) bool {
+	if len(message.GetUnknown()) > 0 {
+		return true
+	}
+	unknown := false
+	message.Range(func(field protoreflect.FieldDescriptor, held protoreflect.Value) bool {
+		switch {
+		case field.Kind() != protoreflect.MessageKind || field.IsMap():
+		case field.IsList():
+			for place := range held.List().Len() {
+				unknown = unknown || Unknown(held.List().Get(place).Message())
+			}
+		default:
+			unknown = Unknown(held.Message())
+		}
+		return !unknown
+	})
+	return unknown
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,176 @@
+package wire_test
+
+import (
+	"encoding/hex"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+	"google.golang.org/protobuf/reflect/protoregistry"
+
+	"wardtray/proof/golden"
+	"wardtray/wire"
+)
+
+const (
+	messagesFile    = "golden.txt"
+	descriptorsFile = "descriptors.txt"
+)
+
+// goldenNames gives, for a message or field that was renamed, the full name under which the golden files still know it.
+// Names do not travel, so a rename is harmless, but a renamed message or field must keep its bytes: a rename adds a line
+// here, for review, and leaves the golden files as they are. What is not here goes by its present name.
+var goldenNames = map[protoreflect.FullName]protoreflect.FullName{}
+
+// goldenPackage is the name of the protobuf package in the golden files, should the package be renamed.
+const goldenPackage = "wardtray.wire"
+
+// goldenName gives the name of a message or field in the golden files.
+func goldenName(descriptor protoreflect.Descriptor) string {
+	name := descriptor.FullName()
+	if kept, renamed := goldenNames[name]; renamed {
+		return string(kept)
+	}
+	if _, isMessage := descriptor.(protoreflect.MessageDescriptor); !isMessage {
+		return goldenName(descriptor.Parent()) + "." + string(descriptor.Name())
+	}
+	if parent, nested := descriptor.Parent().(protoreflect.MessageDescriptor); nested {
+		return goldenName(parent) + "." + string(descriptor.Name())
+	}
+	return goldenPackage + "." + string(descriptor.Name())
+}
+
+// messageTypes gives every message of the package, nested ones after their parents.
+func messageTypes(t *testing.T) []protoreflect.MessageType {
+	t.Helper()
+	var found []protoreflect.MessageType
+	var collect func(protoreflect.MessageDescriptors)
+	collect = func(descriptors protoreflect.MessageDescriptors) {
+		for place := range descriptors.Len() {
+			descriptor := descriptors.Get(place)
+			if descriptor.IsMapEntry() {
+				continue
+			}
+			kind, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
+			if err != nil {
+				t.Fatal(err)
+			}
+			found = append(found, kind)
+			collect(descriptor.Messages())
+		}
+	}
+	// Every file of the protobuf package, should the one that there is be divided.
+	protoregistry.GlobalFiles.RangeFilesByPackage(wire.File_wire_proto.Package(), func(file protoreflect.FileDescriptor) bool {
+		collect(file.Messages())
+		return true
+	})
+	if len(found) == 0 {
+		t.Fatal("no messages found")
+	}
+	return found
+}
+
+// goldenKey gives the key of a filled message in the golden file.
+func goldenKey(variant golden.Variant) string {
+	descriptor := variant.Message.Descriptor()
+	if variant.Case == "" {
+		return goldenName(descriptor)
+	}
+	return goldenName(descriptor.Fields().ByName(protoreflect.Name(variant.Case)))
+}
+
+// Every message, with every field set and each alternative of a oneof in turn, encodes to the bytes of the golden file.
+func TestMessagesKeepTheirBytes(t *testing.T) {
+	var lines []string
+	for _, kind := range messageTypes(t) {
+		for _, variant := range golden.Variants(kind) {
+			content, err := proto.MarshalOptions{Deterministic: true}.Marshal(variant.Message.Interface())
+			if err != nil {
+				t.Fatal(err)
+			}
+			lines = append(lines, fmt.Sprintf("%s %x", goldenKey(variant), content))
+		}
+	}
+	golden.Compare(t, messagesFile, text(lines))
+}
+
+// The bytes of the golden file are understood whole: no field is unknown, and they encode to the same bytes again.
+func TestGoldenBytesAreUnderstood(t *testing.T) {
+	unread := golden.Lines(t, messagesFile)
+	for _, kind := range messageTypes(t) {
+		for _, variant := range golden.Variants(kind) {
+			key := goldenKey(variant)
+			digits, found := unread[key]
+			if !found {
+				t.Errorf("%s is not in the golden file", key)
+				continue
+			}
+			delete(unread, key)
+			decodeAgain(t, kind, key, digits)
+		}
+	}
+	for key := range unread {
+		t.Errorf("%s is in the golden file, and there is no such message any more", key)
+	}
+}
+
+func decodeAgain(t *testing.T, kind protoreflect.MessageType, key, digits string) {
+	t.Helper()
+	content, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatalf("%s: %v", key, err)
+	}
+	message := kind.New()
+	if err := proto.Unmarshal(content, message.Interface()); err != nil {
+		t.Errorf("%s: %v", key, err)
+		return
+	}
+	if golden.Unknown(message) {
+		t.Errorf("%s: fields of the golden bytes are unknown", key)
+	}
+	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message.Interface())
+	if err != nil || string(again) != string(content) {
+		t.Errorf("%s: encodes to %x again, %v", key, again, err)
+	}
+}
+
+// Every field keeps its number, kind and cardinality under its name, so that two fields of one kind that change places,
+// which leaves all bytes as they were, are seen.
+func TestDescriptorsStay(t *testing.T) {
+	var lines []string
+	for _, kind := range messageTypes(t) {
+		fields := kind.Descriptor().Fields()
+		for place := range fields.Len() {
+			lines = append(lines, describe(fields.Get(place)))
+		}
+	}
+	golden.Compare(t, descriptorsFile, text(lines))
+}
+
+// describe gives the line of a field.
+func describe(field protoreflect.FieldDescriptor) string {
+	kind := field.Kind().String()
+	if message := field.Message(); message != nil && !field.IsMap() {
+		kind = goldenName(message)
+	}
+	line := fmt.Sprintf("%s %d %s %s", goldenName(field), field.Number(), kind, field.Cardinality())
+	if field.IsMap() {
+		line += fmt.Sprintf(" map of %s to %s", field.MapKey().Kind(), field.MapValue().Kind())
+	}
+	if field.IsPacked() {
+		line += " packed"
+	}
+	if oneof := field.ContainingOneof(); oneof != nil {
+		line += " of a oneof"
+	}
+	return line
+}
+
+// text gives lines in the order of the alphabet, since the order of messages in their file means nothing.
+func text(lines []string) string {
+	slices.Sort(lines)
+	return strings.Join(lines, "\n") + "\n"
+}
