--- a/proof/golden/message.go
+++ b/proof/golden/message.go
@@ -18,8 +18,8 @@
 	Message protoreflect.Message
 }
 
-// Variants gives a message with every field set, once for each alternative of its oneof. The values depend on the numbers
-// of the fields alone, so that a renaming leaves them as they are.
+// Variants gives a message with every field set, once for each alternative of its oneof. The values depend on the
+// numbers of the fields alone, so that a renaming leaves them as they are.
 func Variants(kind protoreflect.MessageType) []Variant {
 	oneofs := kind.Descriptor().Oneofs()
 	if oneofs.Len() == 0 {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -21,8 +21,8 @@
 )
 
 // goldenNames gives, for a message or field that was renamed, the full name under which the golden files still know it.
-// Names do not travel, so a rename is harmless, but a renamed message or field must keep its bytes: a rename adds a line
-// here, for review, and leaves the golden files as they are. What is not here goes by its present name.
+// Names do not travel, so a rename is harmless, but a renamed message or field must keep its bytes: a rename adds a
+// line here, for review, and leaves the golden files as they are. What is not here goes by its present name.
 var goldenNames = map[protoreflect.FullName]protoreflect.FullName{}
 
 // goldenPackage is the name of the protobuf package in the golden files, should the package be renamed.
@@ -63,7 +63,8 @@
 		}
 	}
 	// Every file of the protobuf package, should the one that there is be divided.
-	protoregistry.GlobalFiles.RangeFilesByPackage(wire.File_wire_proto.Package(), func(file protoreflect.FileDescriptor) bool {
+	protobufPackage := wire.File_wire_proto.Package()
+	protoregistry.GlobalFiles.RangeFilesByPackage(protobufPackage, func(file protoreflect.FileDescriptor) bool {
 		collect(file.Messages())
 		return true
 	})
