--- /dev/null
+++ b/config/golden_test.go
@@ -0,0 +1,51 @@
+package config
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"wardtray/proof/golden"
+)
+
+func encodeSpec(spec *Spec) ([]byte, error) { return spec.Encode(), nil }
+
+func encodeChange(change *Change) ([]byte, error) { return change.Encode(), nil }
+
+// The configuration document, with every key of every part of it, keeps its form, and is read back with nothing lost.
+func TestSpecKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "spec", encodeSpec)
+	wanted := &Spec{}
+	golden.Fill(wanted)
+	content := goldenContent(t, "spec.json")
+	// Operators' documents are read by Parse; what is kept on disk and sent to daemons by Decode.
+	for name, parse := range map[string]func([]byte) (*Spec, error){"Parse": Parse, "Decode": Decode} {
+		if read, err := parse(content); err != nil || !reflect.DeepEqual(read, wanted) {
+			t.Errorf("%s: %v, %+v", name, err, read)
+		}
+	}
+}
+
+// A change keeps its keys, and each is read into the field that wrote it.
+func TestChangeKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "change", encodeChange)
+	wanted := &Change{}
+	golden.Fill(wanted)
+	read, err := ParseChange(goldenContent(t, "change.json"))
+	if err != nil || !reflect.DeepEqual(read, wanted) {
+		t.Errorf("%v, %+v", err, read)
+	}
+}
+
+// A flaw keeps its keys.
+func TestFlawKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "flaw", golden.Marshal[Flaw]) }
+
+func goldenContent(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
--- /dev/null
+++ b/control/corehost/golden_test.go
@@ -0,0 +1,49 @@
+package corehost
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/valyala/fasthttp"
+
+	"wardtray/control/registry"
+	"wardtray/process/fault"
+	"wardtray/proof/golden"
+	"wardtray/transport"
+)
+
+// What operators read of a core and of runners keeps its keys.
+func TestStatusKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "status", golden.Marshal[Status])
+	golden.CompareJSON(t, "runner-line", golden.Marshal[RunnerLine])
+}
+
+// The counters of a transport keep their names.
+func TestWireCountersKeepTheirNames(t *testing.T) {
+	names := slices.Sorted(maps.Keys(WireCounters(&transport.Transport{})))
+	golden.Compare(t, "wire-counters.txt", strings.Join(names, "\n")+"\n")
+}
+
+// Each outcome of a runner's call keeps its HTTP status and its refusal.
+func TestRegistrationStatusesStay(t *testing.T) {
+	var lines strings.Builder
+	for _, outcome := range []registry.Outcome{registry.Taken, registry.Late, registry.Full, registry.Unheard} {
+		status, refusal := RegistrationStatus(outcome)
+		fmt.Fprintf(&lines, "%s %d %s\n", outcome, status, refusal.Encode())
+	}
+	golden.Compare(t, "registration-statuses.txt", lines.String())
+}
+
+// Each fault of reading a call keeps its HTTP status and its words.
+func TestFaultStatusesStay(t *testing.T) {
+	var lines strings.Builder
+	for _, kind := range []fault.Kind{fault.Malformed, fault.TooLarge} {
+		context := &fasthttp.RequestCtx{}
+		AnswerFault(context, fault.New(kind, "detail"))
+		fmt.Fprintf(&lines, "%s %d %s\n", kind, context.Response.StatusCode(), context.Response.Body())
+	}
+	golden.Compare(t, "fault-statuses.txt", lines.String())
+}
--- /dev/null
+++ b/request/speech/golden_test.go
@@ -0,0 +1,60 @@
+package speech
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/process/fault"
+	"wardtray/process/pressure"
+	"wardtray/proof/golden"
+	"wardtray/request/intake"
+)
+
+// goldenRun is one attempt with all that can be told of it.
+func goldenRun() (*intake.Request, Run) {
+	request := &intake.Request{ID: "request", Lane: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
+		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: []byte(`{"prompt":"text"}`)}
+	return request, Run{Runner: pressure.Runner{ID: "runner", Address: "127.0.0.1:8001"}, Daemon: "daemon", Epoch: 7,
+		Left: 1500 * time.Millisecond, After: 3, Tenant: "tenant"}
+}
+
+// What goes out to a runner, and the head of an answer, keep their headers.
+func TestHeadersKeepTheirNames(t *testing.T) {
+	request, run := goldenRun()
+	outgoing := strings.ReplaceAll(string(Own{}.Outgoing(request, run)), "\r\n", "\n")
+	golden.Compare(t, "outgoing.txt", outgoing+"\n")
+	status, headers := Own{}.Head(nil, request, run)
+	lines := fmt.Sprintln(status)
+	for _, header := range headers {
+		lines += header.Name + ": " + header.Value + "\n"
+	}
+	golden.Compare(t, "head.txt", lines)
+}
+
+// Each kind of refusal keeps its HTTP status.
+func TestRefusalsKeepTheirStatuses(t *testing.T) {
+	var lines strings.Builder
+	for _, kind := range slices.Sorted(maps.Keys(statuses)) {
+		fmt.Fprintf(&lines, "%s %d\n", kind, statuses[kind])
+	}
+	golden.Compare(t, "statuses.txt", lines.String())
+}
+
+// A refusal keeps its keys, and the event that ends a broken stream its form.
+func TestRefusalKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "refusal", golden.Marshal[Refusal])
+	broken := Own{}.Broken(4, Refusal{Kind: fault.RunFailed, Detail: "detail", Ran: "yes", Retry: time.Second})
+	golden.Compare(t, "broken.txt", string(broken))
+}
+
+// What a runner tells of its load keeps its keys, and so do the paths at which it is asked.
+func TestReportKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "report", golden.Marshal[pressure.Report])
+	if (Own{}).Identity() != "/identity" || (Own{}).Probe() != "/pressure" {
+		t.Errorf("asked at %s and %s", Own{}.Identity(), Own{}.Probe())
+	}
+}
--- /dev/null
+++ b/transport/link/golden_test.go
@@ -0,0 +1,12 @@
+package link
+
+import (
+	"testing"
+
+	"wardtray/proof/golden"
+)
+
+// What a runner says it is keeps its keys.
+func TestIdentityKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "identity", golden.Marshal[Identity])
+}
