--- a/edge/datahost/golden_test.go
+++ b/edge/datahost/golden_test.go
@@ -1,8 +1,18 @@
 package datahost
 
 import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"slices"
+	"strings"
 	"testing"
 
+	"github.com/valyala/fasthttp"
+
+	"wardtray/config/startup"
 	"wardtray/proof/golden"
 )
 
@@ -10,3 +20,30 @@
 func TestStatusKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
 }
+
+// The counters that a status holds by name keep their names.
+func TestCountersKeepTheirNames(t *testing.T) {
+	settings := &startup.Startup{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Fitness: "127.0.0.1:3", Zone: "zone",
+		Registered: true, Seeds: []string{"127.0.0.1:1"}}
+	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	context := &fasthttp.RequestCtx{}
+	host.status(context)
+	told := Status{}
+	if err := json.Unmarshal(context.Response.Body(), &told); err != nil {
+		t.Fatalf("%v: %s", err, context.Response.Body())
+	}
+	var lines strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(told.Index)) {
+		fmt.Fprintf(&lines, "index.%s\n", name)
+	}
+	for _, name := range slices.Sorted(maps.Keys(told.Links)) {
+		fmt.Fprintf(&lines, "links.%s\n", name)
+	}
+	for _, name := range slices.Sorted(maps.Keys(told.Wire)) {
+		fmt.Fprintf(&lines, "wire.%s\n", name)
+	}
+	golden.Compare(t, "counters.txt", lines.String())
+}
