--- a/control/core/node.go
+++ b/control/core/node.go
@@ -45,7 +45,12 @@
 
 // Counters are what a machine counts of its own work.
 type Counters struct {
-	Views, Commits, Accepted, Refused, Unknown, DiskFailures uint64
+	Views        uint64 `json:"Views"`
+	Commits      uint64 `json:"Commits"`
+	Accepted     uint64 `json:"Accepted"`
+	Refused      uint64 `json:"Refused"`
+	Unknown      uint64 `json:"Unknown"`
+	DiskFailures uint64 `json:"DiskFailures"`
 }
 
 // Node is one disk machine.
--- a/edge/director/director.go
+++ b/edge/director/director.go
@@ -85,7 +85,13 @@
 
 // Counters are what a daemon counts of its control side.
 type Counters struct {
-	Documents, Ticks, TickAsks, Confirmations, Polls, OldLists, OddDocuments uint64
+	Documents     uint64 `json:"Documents"`
+	Ticks         uint64 `json:"Ticks"`
+	TickAsks      uint64 `json:"TickAsks"`
+	Confirmations uint64 `json:"Confirmations"`
+	Polls         uint64 `json:"Polls"`
+	OldLists      uint64 `json:"OldLists"`
+	OddDocuments  uint64 `json:"OddDocuments"`
 }
 
 // Director is the machine.
--- a/process/pressure/book.go
+++ b/process/pressure/book.go
@@ -50,28 +50,33 @@
 
 // Runner is one runner as seen at a moment; it is a copy.
 type Runner struct {
-	ID, Address, Zone, Service, State string
-	Slots                             int
+	ID      string `json:"ID"`
+	Address string `json:"Address"`
+	Zone    string `json:"Zone"`
+	Service string `json:"Service"`
+	State   string `json:"State"`
+	Slots   int    `json:"Slots"`
 	// Load is how much work the runner seems to have: ours, and that of others by its own reports.
-	Load float64
+	Load float64 `json:"Load"`
 	// Sure is the same, but by the last report alone where that tells of a runner less than half full.
-	Sure float64
+	Sure float64 `json:"Sure"`
 	// InFlight is our own work on it.
-	InFlight int
+	InFlight int `json:"InFlight"`
 	// Told is when its newest word came, zero if none did; OthersWaiting is how many requests of others waited
 	// for their first event by that.
-	Told          time.Time
-	OthersWaiting int
+	Told          time.Time `json:"Told"`
+	OthersWaiting int       `json:"OthersWaiting"`
 	// Tokens and Room are its memory as last told; Room 0: not told.
-	Tokens, Room int
+	Tokens int `json:"Tokens"`
+	Room   int `json:"Room"`
 	// Limit is how much work of ours it may have now; it is low while the runner warms.
-	Limit   int
-	Warming bool
+	Limit   int  `json:"Limit"`
+	Warming bool `json:"Warming"`
 	// Usable is false while the runner is leaving, dark or refusing.
-	Usable bool
-	Reason string
+	Usable bool   `json:"Usable"`
+	Reason string `json:"Reason"`
 	// Until is the moment up to which it is left alone, if it is.
-	Until time.Time
+	Until time.Time `json:"Until"`
 }
 
 // ReasonLeaving is the reason of a runner that is draining or no longer listed.
--- a/request/award/award.go
+++ b/request/award/award.go
@@ -14,15 +14,16 @@
 // Prices weigh what a runner costs a prompt. All are in seconds, so that they add up.
 type Prices struct {
 	// TokenSeconds is the learned prefill time of one token that is not held.
-	TokenSeconds float64
+	TokenSeconds float64 `json:"TokenSeconds"`
 	// PlaceSeconds is for how long a request holds its place on a runner.
-	PlaceSeconds float64
+	PlaceSeconds float64 `json:"PlaceSeconds"`
 	// CrossZone is the price of taking work to another zone, ThousandAcross that of each thousand tokens beside.
-	CrossZone, ThousandAcross float64
+	CrossZone      float64 `json:"CrossZone"`
+	ThousandAcross float64 `json:"ThousandAcross"`
 	// Reread is the price of reading a thousand tokens of shared parts once more, beside the time it takes.
-	Reread float64
+	Reread float64 `json:"Reread"`
 	// Harm is how many times a second of others' waiting counts against one of our own.
-	Harm float64
+	Harm float64 `json:"Harm"`
 }
 
 // DefaultPrices hold until figures of one's own have come in.
@@ -30,26 +31,26 @@
 
 // Bid is what a prompt brings to the auction.
 type Bid struct {
-	Worth float64
+	Worth float64 `json:"Worth"`
 	// Patience is the time within which the first event earns its full worth.
-	Patience time.Duration
-	Waited   time.Duration
+	Patience time.Duration `json:"Patience"`
+	Waited   time.Duration `json:"Waited"`
 	// Deadline is how long the requester waits at all, from when the request came; 0: not told.
-	Deadline     time.Duration
-	PromptTokens int
+	Deadline     time.Duration `json:"Deadline"`
+	PromptTokens int           `json:"PromptTokens"`
 	// AnswerTokens is the most that the answer may hold; 0: not told.
-	AnswerTokens int
+	AnswerTokens int `json:"AnswerTokens"`
 	// Rank orders lanes under pressure, 0 first.
-	Rank int
+	Rank int `json:"Rank"`
 	// TenantRank orders tenants under pressure, 0 first; it goes before Rank.
-	TenantRank int
+	TenantRank int `json:"TenantRank"`
 	// Resumed tells that part of the answer was relayed already and the rest is wanted.
-	Resumed bool
-	Zone    string
+	Resumed bool   `json:"Resumed"`
+	Zone    string `json:"Zone"`
 	// InPurse is false when the lane already holds its share of the pool.
-	InPurse bool
+	InPurse bool `json:"InPurse"`
 	// Shut names runners that this request must not go to again.
-	Shut map[string]bool
+	Shut map[string]bool `json:"Shut"`
 }
 
 // Offer is a runner that may take the prompt.
@@ -57,15 +58,17 @@
 	pressure.Runner
 	// HeldTokens is how much of the prompt's opening the runner is taken to hold, by the index or as a home of
 	// the opening; Chance is how likely that is.
-	HeldTokens int
-	Chance     float64
+	HeldTokens int     `json:"HeldTokens"`
+	Chance     float64 `json:"Chance"`
 	// SharedTokens is how many tokens of the prompt others are likely to have sent as well.
-	SharedTokens int
+	SharedTokens int `json:"SharedTokens"`
 	// Prefill is how long the runner reads the prompt; Wait how long it reads others first. Harm is how long
 	// the reading keeps others waiting. All in seconds.
-	Prefill, Wait, Harm float64
+	Prefill float64 `json:"Prefill"`
+	Wait    float64 `json:"Wait"`
+	Harm    float64 `json:"Harm"`
 	// Coming is how many requests of other daemons the runner is likely to have that its words don't tell of yet.
-	Coming float64
+	Coming float64 `json:"Coming"`
 }
 
 // likely is how many tokens of the prompt the runner is likely to hold.
@@ -83,16 +86,16 @@
 
 // Step is what to do next.
 type Step struct {
-	Kind   Kind
-	Runner pressure.Runner
+	Kind   Kind            `json:"Kind"`
+	Runner pressure.Runner `json:"Runner"`
 	// HeldTokens and Predicted tell what the award was based on.
-	HeldTokens int
-	Predicted  time.Duration
-	Fault      fault.Kind
-	RetryAfter time.Duration
-	Reason     string
+	HeldTokens int           `json:"HeldTokens"`
+	Predicted  time.Duration `json:"Predicted"`
+	Fault      fault.Kind    `json:"Fault"`
+	RetryAfter time.Duration `json:"RetryAfter"`
+	Reason     string        `json:"Reason"`
 	// Urgency is what the runner is told, from 0, the most urgent, to 9; Unset stands for not telling.
-	Urgency int
+	Urgency int `json:"Urgency"`
 }
 
 // The urgencies told to runners.
@@ -154,12 +157,12 @@
 
 // Quote is an offer with its price.
 type Quote struct {
-	Offer Offer
+	Offer Offer `json:"Offer"`
 	// First is the predicted time to the first event, in seconds.
-	First float64
+	First float64 `json:"First"`
 	// Net is what the offer is worth: the less it costs, the more.
-	Net  float64
-	Full bool
+	Net  float64 `json:"Net"`
+	Full bool    `json:"Full"`
 }
 
 // Price gives each usable offer its price for a bid.
--- a/request/award/desk.go
+++ b/request/award/desk.go
@@ -92,7 +92,11 @@
 
 // DeskCounters are what a desk counts.
 type DeskCounters struct {
-	Passed, Waited, Refused, HeldTokens, PromptTokens uint64
+	Passed       uint64 `json:"Passed"`
+	Waited       uint64 `json:"Waited"`
+	Refused      uint64 `json:"Refused"`
+	HeldTokens   uint64 `json:"HeldTokens"`
+	PromptTokens uint64 `json:"PromptTokens"`
 }
 
 // NewDesk makes the desk of a pool.
