--- a/control/registry/registrar.go
+++ b/control/registry/registrar.go
@@ -60,7 +60,16 @@
 // Counters are what a registrar counts. Unconfirmed are the acknowledgements that were given before every
 // daemon had confirmed.
 type Counters struct {
-	Calls, Registered, Revived, Late, Silent, Drained, Gone, Unconfirmed, Refused, Repeated uint64
+	Calls       uint64 `json:"Calls"`
+	Registered  uint64 `json:"Registered"`
+	Revived     uint64 `json:"Revived"`
+	Late        uint64 `json:"Late"`
+	Silent      uint64 `json:"Silent"`
+	Drained     uint64 `json:"Drained"`
+	Gone        uint64 `json:"Gone"`
+	Unconfirmed uint64 `json:"Unconfirmed"`
+	Refused     uint64 `json:"Refused"`
+	Repeated    uint64 `json:"Repeated"`
 }
 
 // heard is the latest call of a runner that any core is known to have heard, and when we learned of it.
