--- a/process/fault/fault.go
+++ b/apierror/fault.go
@@ -1,6 +1,6 @@
 // Package fault names every error of wardtray. A fault has a kind, whose message says
 // what to do about it, and wraps the cause through cockroachdb/errors.
-package fault
+package apierror
 
 import (
 	"fmt"
--- a/process/fault/golden_test.go
+++ b/apierror/golden_test.go
@@ -1,4 +1,4 @@
-package fault
+package apierror
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 // The kinds travel to callers, and so do the remedies; both keep their words.
--- a/process/pressure/book.go
+++ b/balancer/load/book.go
@@ -1,7 +1,7 @@
 // Package pressure is what one daemon knows of the runners: who is listed, how loaded each seems,
 // how far a warming one may be used, and which are not to be used for now. State is in shards by
 // runner, each under its own lock.
-package pressure
+package load
 
 import (
 	"hash/fnv"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"wardtray/process/fault"
-	"wardtray/process/mechanism"
+	"wardtray/apierror"
+	"wardtray/features"
 	"wardtray/wire"
 )
 
@@ -117,7 +117,7 @@
 	begun  time.Time
 	shards [shardCount]*shard
 	// Without names the mechanisms that are switched off.
-	Without mechanism.Set
+	Without features.Set
 	// services are what is known of the services by their names.
 	servicesMutex sync.Mutex
 	services      map[string]service
@@ -313,11 +313,11 @@
 // Missed takes in that a runner's report could not be had, which pauses its use; it tells whether the
 // runner is to be taken for lost: another answers at its address, it is no longer listed either, or
 // several reports in a row have failed.
-func (book *Book) Missed(now time.Time, runner string, why fault.Kind) (lost bool) {
+func (book *Book) Missed(now time.Time, runner string, why apierror.Kind) (lost bool) {
 	book.change(runner, func(known *entry) {
 		known.misses++
 		book.eject(now, known, string(why))
-		lost = why == fault.WrongIdentity || !known.listed || known.misses >= missesBound
+		lost = why == apierror.WrongIdentity || !known.listed || known.misses >= missesBound
 	})
 	return lost
 }
@@ -369,7 +369,7 @@
 }
 
 func (book *Book) eject(now time.Time, known *entry, reason string) {
-	if !book.Without[mechanism.Ejection] {
+	if !book.Without[features.Ejection] {
 		known.fail(now, reason)
 	}
 }
@@ -434,7 +434,7 @@
 // warming limits the work on a new runner: one daemon with one request at first, then more of both.
 func (book *Book) warming(now time.Time, known *entry, limit int, daemons []string) (bool, int) {
 	cold := known.line.State == "cold"
-	if known.settled && !cold || book.Without[mechanism.WarmUp] {
+	if known.settled && !cold || book.Without[features.WarmUp] {
 		return false, limit
 	}
 	steps := 0
--- a/process/pressure/book_test.go
+++ b/balancer/load/book_test.go
@@ -1,4 +1,4 @@
-package pressure
+package load
 
 import (
 	"testing"
--- a/process/pressure/stale_test.go
+++ b/balancer/load/stale_test.go
@@ -1,11 +1,11 @@
-package pressure
+package load
 
 import (
 	"testing"
 	"time"
 
-	"wardtray/process/fault"
-	"wardtray/process/mechanism"
+	"wardtray/apierror"
+	"wardtray/features"
 	"wardtray/wire"
 )
 
@@ -22,7 +22,7 @@
 	if stale := book.Stale(later, time.Second, true); len(stale) != 1 || stale[0].ID != "busy" {
 		t.Fatal(stale)
 	}
-	if !book.Missed(later, "busy", fault.Unreachable) {
+	if !book.Missed(later, "busy", apierror.Unreachable) {
 		t.Fatal("it is not taken for lost")
 	}
 	book.Finish("busy", true)
@@ -63,7 +63,7 @@
 
 // A switched-off mechanism leaves failed runners and new ones to be used as any other.
 func TestEjectionAndWarmUpSwitchedOff(t *testing.T) {
-	for name, without := range map[string]mechanism.Set{"on": nil, "off": {mechanism.Ejection: true, mechanism.WarmUp: true}} {
+	for name, without := range map[string]features.Set{"on": nil, "off": {features.Ejection: true, features.WarmUp: true}} {
 		book := bookOf("old")
 		book.Without = without
 		later := begun.Add(time.Hour)
--- a/process/budget/budget.go
+++ b/balancer/retrybudget/budget.go
@@ -1,6 +1,6 @@
 // Package budget bounds how many requests to a pool are sent again, over all daemons together. Each
 // keeps its own part of the bound, so that the sum over all daemons keeps the whole.
-package budget
+package retrybudget
 
 import "time"
 
--- a/process/budget/slack_test.go
+++ b/balancer/retrybudget/slack_test.go
@@ -1,4 +1,4 @@
-package budget
+package retrybudget
 
 import (
 	"testing"
--- a/request/award/after.go
+++ b/balancer/scheduler/after.go
@@ -1,6 +1,6 @@
-package award
+package scheduler
 
-import "wardtray/process/fault"
+import "wardtray/apierror"
 
 // End names how an attempt at a run ended.
 type End string
@@ -22,7 +22,7 @@
 	// Again allows another attempt; Spends says that it must come out of the repeat budget.
 	Again, Spends bool
 	// Otherwise is the fault to tell if there is no other attempt; Ran tells whether it may have run.
-	Otherwise fault.Kind
+	Otherwise apierror.Kind
 	Ran       string
 }
 
@@ -40,14 +40,14 @@
 // verdicts is the whole rule of repeats. A lane that is not repeatable is never passed again once
 // its request may have started; nobody's is once an event was relayed.
 var verdicts = map[ending]Verdict{
-	{NotSent, false}: {Again: true, Otherwise: fault.NoRunner, Ran: DidNotRun},
-	{NotSent, true}:  {Again: true, Otherwise: fault.NoRunner, Ran: DidNotRun},
-	{PutBack, false}: {Again: true, Spends: true, Otherwise: fault.NoRunner, Ran: DidNotRun},
-	{PutBack, true}:  {Again: true, Spends: true, Otherwise: fault.NoRunner, Ran: DidNotRun},
-	{Doubt, false}:   {Otherwise: fault.OutcomeUnknown, Ran: Unknown},
-	{Doubt, true}:    {Again: true, Spends: true, Otherwise: fault.OutcomeUnknown, Ran: Unknown},
-	{Broken, false}:  {Otherwise: fault.RunFailed, Ran: Unknown},
-	{Broken, true}:   {Otherwise: fault.RunFailed, Ran: Unknown},
+	{NotSent, false}: {Again: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{NotSent, true}:  {Again: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{PutBack, false}: {Again: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{PutBack, true}:  {Again: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{Doubt, false}:   {Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
+	{Doubt, true}:    {Again: true, Spends: true, Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
+	{Broken, false}:  {Otherwise: apierror.RunFailed, Ran: Unknown},
+	{Broken, true}:   {Otherwise: apierror.RunFailed, Ran: Unknown},
 }
 
 // After gives what may follow an attempt that ended without success.
--- a/request/award/award.go
+++ b/balancer/scheduler/award.go
@@ -1,14 +1,14 @@
 // Package award decides: it is asked with all that is known about a request and the runners, and
 // says what to do next. It does nothing itself and keeps no time; the executor obeys.
-package award
+package scheduler
 
 import (
 	"math"
 	"math/rand"
 	"time"
 
-	"wardtray/process/fault"
-	"wardtray/process/pressure"
+	"wardtray/apierror"
+	"wardtray/balancer/load"
 )
 
 // Prices weigh what a runner costs a prompt. All are in seconds, so that they add up.
@@ -55,7 +55,7 @@
 
 // Offer is a runner that may take the prompt.
 type Offer struct {
-	pressure.Runner
+	load.Runner
 	// HeldTokens is how much of the prompt's opening the runner is taken to hold, by the index or as a home of
 	// the opening; Chance is how likely that is.
 	HeldTokens int     `json:"HeldTokens"`
@@ -86,12 +86,12 @@
 
 // Step is what to do next.
 type Step struct {
-	Kind   Kind            `json:"Kind"`
-	Runner pressure.Runner `json:"Runner"`
+	Kind   Kind        `json:"Kind"`
+	Runner load.Runner `json:"Runner"`
 	// HeldTokens and Predicted tell what the award was based on.
 	HeldTokens int           `json:"HeldTokens"`
 	Predicted  time.Duration `json:"Predicted"`
-	Fault      fault.Kind    `json:"Fault"`
+	Fault      apierror.Kind `json:"Fault"`
 	RetryAfter time.Duration `json:"RetryAfter"`
 	Reason     string        `json:"Reason"`
 	// Urgency is what the runner is told, from 0, the most urgent, to 9; Unset stands for not telling.
@@ -203,10 +203,10 @@
 }
 
 // Places is how much work a runner may have: its slots and a short queue.
-func Places(runner pressure.Runner) int { return runner.Slots + max(1, runner.Slots/2) }
+func Places(runner load.Runner) int { return runner.Slots + max(1, runner.Slots/2) }
 
 // full tells whether a runner may have no more work of ours now.
-func full(runner pressure.Runner) bool {
+func full(runner load.Runner) bool {
 	// Smoothed reports go on for seconds after a crowd has gone; nobody is turned away for those.
 	return runner.Sure >= float64(Places(runner)) || runner.InFlight >= runner.Limit
 }
@@ -316,7 +316,7 @@
 func noRunner(bid Bid, market Market) Step {
 	// A runner that is only paused or warming may come within the patience; without any there is nothing to wait for.
 	for _, offer := range market.Offers {
-		if offer.Reason != pressure.ReasonLeaving && !bid.Shut[offer.ID] && bid.Waited < bid.bound() {
+		if offer.Reason != load.ReasonLeaving && !bid.Shut[offer.ID] && bid.Waited < bid.bound() {
 			return Step{Kind: Wait, Reason: "every fit runner is paused or warming"}
 		}
 	}
@@ -324,11 +324,11 @@
 	// waitlist's own pace is all that is known.
 	retry := seconds(market.Prices.PlaceSeconds)
 	for _, offer := range market.Offers {
-		if offer.Reason != pressure.ReasonLeaving && offer.Until.After(market.Now) {
+		if offer.Reason != load.ReasonLeaving && offer.Until.After(market.Now) {
 			retry = min(retry, offer.Until.Sub(market.Now))
 		}
 	}
-	return Step{Kind: Refuse, Fault: fault.NoRunner, RetryAfter: max(leastComeback, retry), Reason: "no runner that the spec allows is fit"}
+	return Step{Kind: Refuse, Fault: apierror.NoRunner, RetryAfter: max(leastComeback, retry), Reason: "no runner that the spec allows is fit"}
 }
 
 // wait lets a prompt wait if its turn should come within its patience, and refuses it at once otherwise.
@@ -342,10 +342,10 @@
 	if bid.Waited+predicted <= bid.bound() || market.Patient && bid.Waited < bid.bound() {
 		return Step{Kind: Wait, Predicted: predicted, Reason: "every fit runner is full"}
 	}
-	step := Step{Kind: Refuse, Fault: fault.PatienceShort, Predicted: predicted, RetryAfter: max(time.Second, predicted-bid.bound()),
+	step := Step{Kind: Refuse, Fault: apierror.PatienceShort, Predicted: predicted, RetryAfter: max(time.Second, predicted-bid.bound()),
 		Reason: "the first event would come later than the lane's patience"}
 	if overPurse {
-		step.Fault, step.Reason = fault.PurseSpent, "the lane holds its share of the pool and others wait"
+		step.Fault, step.Reason = apierror.PurseSpent, "the lane holds its share of the pool and others wait"
 	}
 	return step
 }
--- a/request/award/award_test.go
+++ b/balancer/scheduler/award_test.go
@@ -1,4 +1,4 @@
-package award
+package scheduler
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"wardtray/process/fault"
-	"wardtray/process/kvblock"
-	"wardtray/process/pressure"
+	"wardtray/apierror"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
 	"wardtray/wire"
 )
 
@@ -17,7 +17,7 @@
 // stall is a desk with a book of its own; the scene lists every runner of the book.
 type stall struct {
 	*Desk
-	book    *pressure.Book
+	book    *load.Book
 	indexer *kvblock.Indexer
 	runners []*wire.Runner
 	now     time.Time
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := &stall{book: pressure.NewBook(begun, "d1"), indexer: indexer, now: begun}
+	made := &stall{book: load.NewBook(begun, "d1"), indexer: indexer, now: begun}
 	for number := range runners {
 		made.runners = append(made.runners, &wire.Runner{RunnerId: fmt.Sprintf("r%02d", number), Address: "x", Zone: "a", Service: "s", State: "ready"})
 	}
@@ -117,7 +117,7 @@
 		}
 	}
 	step, answered := stall.enter(stall.ticket("l", 1, 1, 100*time.Millisecond, "x"))
-	if !answered || step.Kind != Refuse || step.Fault != fault.PatienceShort || step.RetryAfter < time.Second {
+	if !answered || step.Kind != Refuse || step.Fault != apierror.PatienceShort || step.RetryAfter < time.Second {
 		t.Fatalf("short patience: %+v", step)
 	}
 	patient := stall.ticket("l", 1, 1, time.Minute, "x")
@@ -158,7 +158,7 @@
 	for _, ticket := range cheap {
 		select {
 		case step := <-ticket.Steps:
-			if step.Fault != fault.WaitlistFull {
+			if step.Fault != apierror.WaitlistFull {
 				t.Fatalf("a cheap one: %+v", step)
 			}
 			refused++
@@ -219,7 +219,7 @@
 	if err != nil {
 		bench.Fatal(err)
 	}
-	book := pressure.NewBook(begun, "d1")
+	book := load.NewBook(begun, "d1")
 	var runners []*wire.Runner
 	for number := range 18 {
 		runners = append(runners, &wire.Runner{RunnerId: fmt.Sprintf("r%02d", number), Zone: "a", State: "ready"})
--- a/request/award/desk.go
+++ b/balancer/scheduler/desk.go
@@ -1,4 +1,4 @@
-package award
+package scheduler
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
+	"wardtray/apierror"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
 	"wardtray/config"
-	"wardtray/process/fault"
-	"wardtray/process/kvblock"
-	"wardtray/process/mechanism"
-	"wardtray/process/pressure"
+	"wardtray/features"
 )
 
 // WaitlistLength bounds the prompts that wait at one daemon for one pool.
@@ -39,7 +39,7 @@
 // Field is what a desk decides about: the runners that the newest spec allows the pool, how many daemons
 // share them, and what operators tell of the pool.
 type Field struct {
-	Runners []pressure.Runner
+	Runners []load.Runner
 	Daemons int
 	Pool    config.Pool
 }
@@ -61,7 +61,7 @@
 type Desk struct {
 	mutex   sync.Mutex
 	scene   Scene
-	book    *pressure.Book
+	book    *load.Book
 	indexer *kvblock.Indexer
 	random  *rand.Rand
 	prices  Prices
@@ -86,7 +86,7 @@
 	// pace is what is learned of how fast answers come.
 	pace pace
 	// Without names the mechanisms that are switched off.
-	Without  mechanism.Set
+	Without  features.Set
 	Counters DeskCounters
 }
 
@@ -100,7 +100,7 @@
 }
 
 // NewDesk makes the desk of a pool.
-func NewDesk(scene Scene, book *pressure.Book, indexer *kvblock.Indexer, random *rand.Rand) *Desk {
+func NewDesk(scene Scene, book *load.Book, indexer *kvblock.Indexer, random *rand.Rand) *Desk {
 	return &Desk{scene: scene, book: book, indexer: indexer, random: random, prices: DefaultPrices, Choose: Sample, window: mostWindow, lanes: map[string]int{}, doubts: map[string]float64{},
 		forecast: newForecast(), quarters: 1, patiences: map[string]time.Duration{}}
 }
@@ -119,7 +119,7 @@
 		// The longest list gives up its least bid, which learns of it at once, whoever came last.
 		least := desk.waitlist[len(desk.waitlist)-1]
 		desk.waitlist = desk.waitlist[:len(desk.waitlist)-1]
-		desk.end(least, Step{Kind: Refuse, Fault: fault.WaitlistFull, RetryAfter: max(leastComeback, seconds(float64(len(desk.waitlist))*desk.prices.PlaceSeconds/max(1, desk.slots))), Reason: "too many better bids wait"})
+		desk.end(least, Step{Kind: Refuse, Fault: apierror.WaitlistFull, RetryAfter: max(leastComeback, seconds(float64(len(desk.waitlist))*desk.prices.PlaceSeconds/max(1, desk.slots))), Reason: "too many better bids wait"})
 	}
 	if !ticket.done {
 		desk.Counters.Waited++
@@ -206,7 +206,7 @@
 	defer desk.mutex.Unlock()
 	// Reports are too old to keep many daemons from filling a runner at once. What they put back is
 	// the one sign that is fresh, so it narrows what this daemon has under way, and each run that ends widens it.
-	if now.Sub(desk.narrowed) >= narrowEvery && !desk.Without[mechanism.Window] {
+	if now.Sub(desk.narrowed) >= narrowEvery && !desk.Without[features.Window] {
 		desk.narrowed = now
 		desk.window = max(leastWindow, min(desk.window, float64(desk.inFlight))*narrowBy)
 	}
@@ -260,7 +260,7 @@
 	market := desk.market(now)
 	soonest := mostComeback
 	for _, offer := range market.Offers {
-		if offer.Reason != pressure.ReasonLeaving {
+		if offer.Reason != load.ReasonLeaving {
 			soonest = min(soonest, offer.Until.Sub(now))
 		}
 	}
@@ -308,7 +308,7 @@
 		market.Slack = 1 - used/slots
 	}
 	market.Daemons = max(1, daemons)
-	market.Patient = desk.Without[mechanism.EarlyRefusal]
+	market.Patient = desk.Without[features.EarlyRefusal]
 	desk.survey(now, &market, field)
 	return market
 }
@@ -316,7 +316,7 @@
 // decide gives the next step of a ticket in a market.
 func (desk *Desk) decide(ticket *Ticket, market Market) Step {
 	step := Decide(ticket.Bid, market, Price(ticket.Bid, market.Offers, market.Prices), desk.Choose, desk.random)
-	if desk.Without[mechanism.Urgency] {
+	if desk.Without[features.Urgency] {
 		step.Urgency = Unset
 	}
 	return step
@@ -324,13 +324,13 @@
 
 // effective gives the prices but for those of mechanisms that are switched off.
 func (desk *Desk) effective(prices Prices) Prices {
-	if desk.Without[mechanism.RereadPrice] {
+	if desk.Without[features.RereadPrice] {
 		prices.Reread = 0
 	}
-	if desk.Without[mechanism.Harm] {
+	if desk.Without[features.Harm] {
 		prices.Harm = 0
 	}
-	if desk.Without[mechanism.ZonePreference] {
+	if desk.Without[features.ZonePreference] {
 		prices.CrossZone, prices.ThousandAcross = 0, 0
 	}
 	return prices
@@ -338,11 +338,11 @@
 
 // neverEmpty lets runners be used that are left alone, the soonest to come back first, where they are more
 // than a half: it is then more likely that something else is wrong, and a pool must not be emptied.
-func neverEmpty(runners []pressure.Runner) []pressure.Runner {
+func neverEmpty(runners []load.Runner) []load.Runner {
 	var alone []int
 	staying := 0
 	for place, runner := range runners {
-		if runner.Reason == pressure.ReasonLeaving {
+		if runner.Reason == load.ReasonLeaving {
 			continue
 		}
 		staying++
@@ -355,7 +355,7 @@
 		return runners
 	}
 	sort.Slice(alone, func(left, right int) bool { return runners[alone[left]].Until.Before(runners[alone[right]].Until) })
-	used := append([]pressure.Runner{}, runners...)
+	used := append([]load.Runner{}, runners...)
 	for _, place := range alone[:excess] {
 		used[place].Usable = true
 	}
--- a/request/award/forecast.go
+++ b/balancer/scheduler/forecast.go
@@ -1,11 +1,11 @@
-package award
+package scheduler
 
 import (
 	"math"
 	"time"
 
-	"wardtray/process/kvblock"
-	"wardtray/process/pressure"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
 )
 
 // Speeds are what is learned of a pool's engines, all in seconds.
@@ -110,7 +110,7 @@
 }
 
 // forget drops what is known of runners that are no more.
-func (forecast *forecast) forget(runners []pressure.Runner) {
+func (forecast *forecast) forget(runners []load.Runner) {
 	if len(forecast.tracks) <= 2*len(runners)+8 {
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 // others is how long other daemons' prompts keep a runner, by its last word and by what is usual.
-func (forecast *forecast) others(now time.Time, runner pressure.Runner, usual, each float64) float64 {
+func (forecast *forecast) others(now time.Time, runner load.Runner, usual, each float64) float64 {
 	if runner.Told.IsZero() {
 		return usual
 	}
--- a/request/award/forecast_test.go
+++ b/balancer/scheduler/forecast_test.go
@@ -1,4 +1,4 @@
-package award
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"wardtray/process/pressure"
+	"wardtray/balancer/load"
 )
 
 // The speeds of engines of several kinds are found within some hundred first events, though a third of them
@@ -37,10 +37,10 @@
 	}
 }
 
-func fleetOf(count int) []pressure.Runner {
-	var runners []pressure.Runner
+func fleetOf(count int) []load.Runner {
+	var runners []load.Runner
 	for number := range count {
-		runners = append(runners, pressure.Runner{ID: fmt.Sprintf("r%03d", number), Usable: true})
+		runners = append(runners, load.Runner{ID: fmt.Sprintf("r%03d", number), Usable: true})
 	}
 	return runners
 }
@@ -48,7 +48,7 @@
 // Every daemon ranks runners alike, each key has its own first, and a runner that goes moves only what was its own.
 func TestHomesAreAgreedAndStay(t *testing.T) {
 	runners, firsts, moved := fleetOf(20), map[string]int{}, 0
-	without := append(append([]pressure.Runner{}, runners[:7]...), runners[8:]...)
+	without := append(append([]load.Runner{}, runners[:7]...), runners[8:]...)
 	for key := range uint64(2000) {
 		first := rank(runners, key*0x9e3779b97f4a7c15)[0]
 		firsts[first]++
@@ -154,8 +154,8 @@
 // A runner whose memory is full is gone around.
 func TestFullMemoryIsGoneAround(t *testing.T) {
 	stall := newStall(t, 2)
-	stall.book.Reported(stall.now, "r00", pressure.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
-	stall.book.Reported(stall.now, "r01", pressure.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
+	stall.book.Reported(stall.now, "r00", load.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
+	stall.book.Reported(stall.now, "r01", load.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
 	for range 3 {
 		ticket := stall.ticket("l", 1, 1, time.Second)
 		ticket.Bid.PromptTokens = 10_000
--- a/request/award/golden_test.go
+++ b/balancer/scheduler/golden_test.go
@@ -1,9 +1,9 @@
-package award
+package scheduler
 
 import (
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 // What a data daemon's status tells of a desk keeps its keys.
--- a/request/award/outlook.go
+++ b/balancer/scheduler/outlook.go
@@ -1,13 +1,13 @@
-package award
+package scheduler
 
 import (
 	"math"
 	"sort"
 	"time"
 
-	"wardtray/process/kvblock"
-	"wardtray/process/mechanism"
-	"wardtray/process/pressure"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/features"
 )
 
 const (
@@ -39,14 +39,14 @@
 	forecast := desk.forecast
 	// One that is only left alone for a while keeps its side. If another took its place, the openings at home
 	// there would move as well.
-	var staying []pressure.Runner
+	var staying []load.Runner
 	for _, offer := range market.Offers {
-		if offer.Reason != pressure.ReasonLeaving {
+		if offer.Reason != load.ReasonLeaving {
 			staying = append(staying, offer.Runner)
 		}
 	}
 	forecast.forget(field.Runners)
-	if !desk.Without[mechanism.LongRunners] {
+	if !desk.Without[features.LongRunners] {
 		market.Long = longRunners(staying, desk.keep())
 	}
 	short := len(staying) - len(market.Long)
@@ -70,7 +70,7 @@
 // coming is how many requests of other daemons a runner is likely to have that its words don't tell of yet.
 //
 // Why by our own: all daemons agree on the homes of openings, so that where ours are, theirs are too.
-func (market *Market) coming(inFlight int, runner pressure.Runner) float64 {
+func (market *Market) coming(inFlight int, runner load.Runner) float64 {
 	others := float64(inFlight * (market.Daemons - 1))
 	// The more daemons, the more one of our own stands for, and the less it tells.
 	supposed := evenly * float64(market.Daemons)
@@ -91,7 +91,7 @@
 }
 
 // longRunners are those to which long prompts go first; all daemons agree on them by the runners' names.
-func longRunners(runners []pressure.Runner, quarters int) map[string]bool {
+func longRunners(runners []load.Runner, quarters int) map[string]bool {
 	long := map[string]bool{}
 	if len(runners) < leastFleet {
 		return long
@@ -104,7 +104,7 @@
 
 // rank orders runners by a hash of a key and their names, the same at every daemon. A runner that comes or
 // goes changes the order of no others.
-func rank(runners []pressure.Runner, key uint64) []string {
+func rank(runners []load.Runner, key uint64) []string {
 	type weighed struct {
 		id     string
 		weight uint64
@@ -153,7 +153,7 @@
 	long := desk.long(desk.forecast.speeds.Prefill(ticket.Bid.PromptTokens, shared))
 	priced := make([]Offer, len(market.Offers))
 	copy(priced, market.Offers)
-	var group []pressure.Runner
+	var group []load.Runner
 	set := make(map[string]bool, len(priced))
 	for _, offer := range priced {
 		set[offer.ID] = true
@@ -162,11 +162,11 @@
 		}
 	}
 	held := map[string]kvblock.Hold{}
-	if !desk.Without[mechanism.PrefixIndex] {
+	if !desk.Without[features.PrefixIndex] {
 		held = desk.indexer.Held(ticket.Keys, set)
 	}
 	chances := map[string]float64{}
-	if !desk.Without[mechanism.Homes] {
+	if !desk.Without[features.Homes] {
 		chances = desk.homeChances(ticket, market, group, shared)
 	}
 	for place := range priced {
@@ -194,7 +194,7 @@
 
 // homeChances gives for some runners of a group how likely they hold a prompt's opening because it goes there, whoever
 // sends it.
-func (desk *Desk) homeChances(ticket *Ticket, market *Market, group []pressure.Runner, shared int) map[string]float64 {
+func (desk *Desk) homeChances(ticket *Ticket, market *Market, group []load.Runner, shared int) map[string]float64 {
 	chances := map[string]float64{}
 	if shared == 0 || market.Daemons <= 1 {
 		return chances
@@ -235,7 +235,7 @@
 func (desk *Desk) predict(now time.Time, offer *Offer, promptTokens int, market *Market) {
 	forecast := desk.forecast
 	slow := forecast.track(offer.ID).slowness(now)
-	if desk.Without[mechanism.Slowness] {
+	if desk.Without[features.Slowness] {
 		slow = 1
 	}
 	whole, less := forecast.speeds.Prefill(promptTokens, 0), forecast.speeds.Prefill(promptTokens, offer.HeldTokens)
@@ -245,7 +245,7 @@
 		usual, each, pace = market.UsualLong, market.EachLong, 0
 	}
 	offer.Wait = forecast.own(now, offer.ID)*slow + forecast.others(now, offer.Runner, usual, each)*slow
-	if !desk.Without[mechanism.OthersEstimate] {
+	if !desk.Without[features.OthersEstimate] {
 		offer.Coming = market.coming(desk.inFlight, offer.Runner)
 	}
 	offer.Harm = pace * offer.Prefill * offer.Prefill / 2
--- a/request/award/pace.go
+++ b/balancer/scheduler/pace.go
@@ -1,4 +1,4 @@
-package award
+package scheduler
 
 import "time"
 
--- a/request/award/traffic.go
+++ b/balancer/scheduler/traffic.go
@@ -1,10 +1,10 @@
-package award
+package scheduler
 
 import (
 	"math"
 	"time"
 
-	"wardtray/process/kvblock"
+	"wardtray/balancer/kvblock"
 )
 
 const (
--- a/cmd/wtcore/main.go
+++ b/cmd/wtcore/main.go
@@ -2,9 +2,9 @@
 package main
 
 import (
-	"wardtray/config/startup"
+	"wardtray/config/process"
 	"wardtray/platform"
-	"wardtray/process/daemon"
+	"wardtray/service"
 )
 
 const help = `wtcore is the control plane of a wardtray fleet; it runs on each machine with a disk.
@@ -15,5 +15,5 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	daemon.Main("wtcore", help, startup.Needs{Folder: true, Adapters: platform.Settings("wtcore")}, platform.Core)
+	service.Main("wtcore", help, process.Needs{Folder: true, Adapters: platform.Settings("wtcore")}, platform.Core)
 }
--- a/cmd/wtctl/commands.go
+++ b/cmd/wtctl/commands.go
@@ -9,7 +9,7 @@
 
 	"wardtray/config/nginx"
 	"wardtray/control/operator"
-	"wardtray/request/intake"
+	"wardtray/proxy/admission"
 )
 
 // context is what every command works with; client and json are set once the flags are read.
@@ -78,12 +78,12 @@
 	tokens := command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").String()
 	prefix := command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").String()
 	known[command.FullCommand()] = func() (int, error) {
-		headers := map[string]string{intake.HeaderLane: *lane, intake.HeaderModel: *model, intake.HeaderRequest: "explain",
-			intake.HeaderPrompt: *tokens, intake.HeaderAnswer: "1"}
+		headers := map[string]string{admission.HeaderLane: *lane, admission.HeaderModel: *model, admission.HeaderRequest: "explain",
+			admission.HeaderPrompt: *tokens, admission.HeaderAnswer: "1"}
 		if *key != "" {
-			headers[intake.HeaderAuthorization] = "Bearer " + *key
+			headers[admission.HeaderAuthorization] = "Bearer " + *key
 		}
-		for name, value := range map[string]string{intake.HeaderAdapter: *adapter, intake.HeaderPrefix: *prefix} {
+		for name, value := range map[string]string{admission.HeaderAdapter: *adapter, admission.HeaderPrefix: *prefix} {
 			if value != "" {
 				headers[name] = value
 			}
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -13,10 +13,10 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/control/core"
+	"wardtray/control/node"
 	"wardtray/control/operator"
-	"wardtray/process/fault"
 )
 
 // The exit codes; wtctl --help tells them.
@@ -89,8 +89,8 @@
 
 // codeOf is the exit code of an error.
 func codeOf(err error) int {
-	codes := map[fault.Kind]int{fault.Unreachable: exitUnreachable, fault.BadStartup: exitUsage}
-	if code, known := codes[fault.Of(err).Kind]; known {
+	codes := map[apierror.Kind]int{apierror.Unreachable: exitUnreachable, apierror.BadStartup: exitUsage}
+	if code, known := codes[apierror.Of(err).Kind]; known {
 		return code
 	}
 	return exitRefused
@@ -111,7 +111,7 @@
 var outcomeCodes = map[string]int{"accepted": exitFine, "found": exitFine, "empty": exitFine, "refused": exitRefused, "unknown": exitUnknown, "pending": exitUnknown}
 
 // told prints an answer and gives the exit code that fits.
-func (here *context) told(reply core.Reply, err error) (int, error) {
+func (here *context) told(reply node.Reply, err error) (int, error) {
 	if err != nil {
 		return exitRefused, err
 	}
@@ -138,7 +138,7 @@
 func (here *context) print(value any) error {
 	encoder := json.NewEncoder(here.output)
 	encoder.SetIndent("", "  ")
-	return fault.Wrap(encoder.Encode(value), fault.Internal, "printing")
+	return apierror.Wrap(encoder.Encode(value), apierror.Internal, "printing")
 }
 
 // get prints the present spec, and its epoch to the errors.
@@ -163,14 +163,14 @@
 	// Kingpin hands a lone dash on as an empty argument.
 	if path == "-" || path == "" {
 		content, err := io.ReadAll(io.LimitReader(input, config.MaximumBytes+1))
-		return content, fault.Wrap(err, fault.BadStartup, "reading standard input")
+		return content, apierror.Wrap(err, apierror.BadStartup, "reading standard input")
 	}
 	content, err := os.ReadFile(path)
-	return content, fault.Wrap(err, fault.BadStartup, "reading the spec")
+	return content, apierror.Wrap(err, apierror.BadStartup, "reading the spec")
 }
 
 // sender is a call that sends a spec, or a change of it.
-type sender func(client *operator.Client, content []byte, change operator.Change) (core.Reply, error)
+type sender func(client *operator.Client, content []byte, change operator.Change) (node.Reply, error)
 
 // change reads a file and sends it, built on the epoch named or on the present one.
 func (here *context) change(send sender, path, base string, change operator.Change) (int, error) {
@@ -188,7 +188,7 @@
 		}
 		change.Base = reply.Epoch
 	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-		return exitUsage, fault.New(fault.BadStartup, "--base %q is no whole number", base)
+		return exitUsage, apierror.New(apierror.BadStartup, "--base %q is no whole number", base)
 	}
 	return here.told(send(here.client, content, change))
 }
--- a/cmd/wtctl/show.go
+++ b/cmd/wtctl/show.go
@@ -7,10 +7,10 @@
 	"sort"
 	"text/tabwriter"
 
+	"wardtray/apierror"
+	"wardtray/balancer/scheduler"
 	"wardtray/control/operator"
 	"wardtray/coordination/quota"
-	"wardtray/process/fault"
-	"wardtray/request/award"
 )
 
 // status prints one part of the fleet, or all, and warns of lost redundancy.
@@ -50,7 +50,7 @@
 	for _, warning := range warnings {
 		fmt.Fprintf(writer, "warning: %s\n", warning)
 	}
-	return exitFine, fault.Wrap(writer.Flush(), fault.Internal, "printing")
+	return exitFine, apierror.Wrap(writer.Flush(), apierror.Internal, "printing")
 }
 
 func showChain(output io.Writer, fleet operator.Fleet) {
@@ -211,16 +211,16 @@
 // explained prints the offers of an auction, the best first.
 func explained(output io.Writer, content []byte) error {
 	told := struct {
-		Step   award.Step
-		Quotes []award.Quote
-		Prices award.Prices
-		Bid    award.Bid
+		Step   scheduler.Step
+		Quotes []scheduler.Quote
+		Prices scheduler.Prices
+		Bid    scheduler.Bid
 	}{}
 	if err := json.Unmarshal(content, &told); err != nil {
-		return fault.Wrap(err, fault.Malformed, "the daemon's answer")
+		return apierror.Wrap(err, apierror.Malformed, "the daemon's answer")
 	}
 	fmt.Fprintf(output, "step: %s", told.Step.Kind)
-	if told.Step.Kind == award.Pass {
+	if told.Step.Kind == scheduler.Pass {
 		fmt.Fprintf(output, " to %s at %s", told.Step.Runner.ID, told.Step.Runner.Address)
 	}
 	if told.Step.Reason != "" {
@@ -235,5 +235,5 @@
 		fmt.Fprintf(writer, "%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", quote.Offer.ID, quote.Offer.Zone, quote.Offer.Load, quote.Offer.Slots,
 			quote.Offer.HeldTokens, quote.Net, quote.First, quote.Full)
 	}
-	return fault.Wrap(writer.Flush(), fault.Internal, "printing")
+	return apierror.Wrap(writer.Flush(), apierror.Internal, "printing")
 }
--- a/cmd/wtctl/show_test.go
+++ b/cmd/wtctl/show_test.go
@@ -8,12 +8,12 @@
 
 	"wardtray/control/operator"
 	"wardtray/coordination/quota"
-	"wardtray/edge/datahost"
+	"wardtray/dataplane/daemon"
 )
 
 // Each tenant has a line for all daemons together and one for each that had to do with it.
 func TestTenantsAreShownTogetherAndEach(t *testing.T) {
-	fleet := operator.Fleet{Datas: []datahost.Status{
+	fleet := operator.Fleet{Datas: []daemon.Status{
 		{Address: "d1", Tenants: map[string]quota.Usage{"a": {Used: 10, Refused: 2, Balance: 5, Demand: 3}}},
 		{Address: "d2", Tenants: map[string]quota.Usage{"a": {Used: 1}, "b": {Refused: 7}}},
 	}}
--- a/cmd/wtdata/main.go
+++ b/cmd/wtdata/main.go
@@ -2,9 +2,9 @@
 package main
 
 import (
-	"wardtray/config/startup"
+	"wardtray/config/process"
 	"wardtray/platform"
-	"wardtray/process/daemon"
+	"wardtray/service"
 )
 
 const help = `wtdata is the data plane of a wardtray fleet; it runs on every machine.
@@ -15,5 +15,5 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	daemon.Main("wtdata", help, startup.Needs{Platform: true, Adapters: platform.Settings("wtdata")}, platform.Data)
+	service.Main("wtdata", help, process.Needs{Platform: true, Adapters: platform.Settings("wtdata")}, platform.Data)
 }
--- a/cmd/wtproof/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -8,7 +8,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/proof/fleet"
+	"wardtray/verify/fleet"
 )
 
 // registerFleet adds the command that runs a deployment as real processes.
@@ -23,7 +23,7 @@
 	command.Flag("rate", "Requests a second; 0 for the deployment's own.").Default("0").Float64Var(&options.Rate)
 	command.Flag("folder", "Where startup files, data and logs go; a temporary one if empty.").StringVar(&options.Folder)
 	command.Flag("keep", "Keep the temporary folder.").BoolVar(&options.Keep)
-	command.Flag("binaries", "Where wtdata and wtcore are; beside wtproof if empty.").StringVar(&options.Binaries)
+	command.Flag("binaries", "Where wtdata and wtcore are; beside wtverify if empty.").StringVar(&options.Binaries)
 	known[command.FullCommand()] = func() error {
 		chosen := []string{*scenario}
 		if *scenario == "all" {
--- a/cmd/wtproof/main.go
+++ b/cmd/wtverify/main.go
@@ -1,4 +1,4 @@
-// Command wtproof proves a fleet: it starts one as real processes with stand-in runners, platform
+// Command wtverify proves a fleet: it starts one as real processes with stand-in runners, platform
 // and requesters, does harm to it, and checks what everybody saw.
 package main
 
@@ -9,15 +9,15 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/proof/hollow"
-	"wardtray/proof/model"
+	"wardtray/verify/modelcheck"
+	"wardtray/verify/scale"
 )
 
-// commands are the functions that run a command, by its full name. An error ends wtproof with exit code 1.
+// commands are the functions that run a command, by its full name. An error ends wtverify with exit code 1.
 type commands map[string]func() error
 
 func main() {
-	application := kingpin.New("wtproof", "Proves a wardtray fleet under failure.\n\nExample:\n  wtproof fleet guild --seconds 30\n  wtproof fleet ferries --scenario default --seed 7")
+	application := kingpin.New("wtverify", "Proves a wardtray fleet under failure.\n\nExample:\n  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7")
 	application.HelpFlag.Short('h')
 	known := commands{}
 	registerFleet(application, known)
@@ -28,9 +28,9 @@
 	registerBatches(application, known)
 	registerSpread(application, known)
 	registerScenarios(application, known)
-	search := model.Register(application)
+	search := modelcheck.Register(application)
 	known[search.Command] = func() error { return search.Run(os.Stdout) }
-	for name, run := range hollow.Register(application) {
+	for name, run := range scale.Register(application) {
 		known[name] = run
 	}
 	called := kingpin.MustParse(application.Parse(os.Args[1:]))
@@ -54,6 +54,6 @@
 }
 
 func end(err error) {
-	fmt.Fprintln(os.Stderr, "wtproof:", err)
+	fmt.Fprintln(os.Stderr, "wtverify:", err)
 	os.Exit(1)
 }
--- a/cmd/wtproof/measure.go
+++ b/cmd/wtverify/measure.go
@@ -6,8 +6,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/proof/place"
-	"wardtray/proof/sim"
+	"wardtray/verify/placement"
+	"wardtray/verify/simulation"
 )
 
 // registerPlace adds the command that measures placement.
@@ -19,20 +19,20 @@
 	seed := command.Flag("seed", "Seed.").Default("1").Int64()
 	hot := command.Flag("hot", "Part of the requests that carry one opening.").Default("0").Float64()
 	known[command.FullCommand()] = func() error {
-		setting := place.Settings[*deployment]
+		setting := placement.Settings[*deployment]
 		setting.Length, setting.Seed, setting.Hot = *length, *seed, *hot
-		return place.Table(os.Stdout, setting, *rates)
+		return placement.Table(os.Stdout, setting, *rates)
 	}
 }
 
 // registerBatches adds the command that measures placement on batching engines.
 func registerBatches(application *kingpin.Application, known commands) {
 	command := application.Command("batches", "Measure placement on engines that run requests in batches, in simulated time, beside other ways of choosing.")
-	deployment := command.Arg("deployment", "Which fleet and engines.").Required().Enum(place.DeploymentNames()...)
+	deployment := command.Arg("deployment", "Which fleet and engines.").Required().Enum(placement.DeploymentNames()...)
 	loads := command.Flag("load", "Times the usual load; may be given several times.").Default("0.7", "1", "1.3").Float64List()
-	ways := command.Flag("way", "Ways of choosing; may be given several times.").Default(place.ChoiceNames()...).Enums(place.ChoiceNames()...)
+	ways := command.Flag("way", "Ways of choosing; may be given several times.").Default(placement.ChoiceNames()...).Enums(placement.ChoiceNames()...)
 	seeds := command.Flag("seeds", "How many seeds are added up.").Default("2").Int()
-	play := place.Play{}
+	play := placement.Play{}
 	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&play.Length)
 	command.Flag("seed", "First seed.").Default("1").Int64Var(&play.Seed)
 	command.Flag("polls", "How old a runner's word may grow before it is asked; 0: never.").Default("1s").DurationVar(&play.Polls)
@@ -42,8 +42,8 @@
 	command.Flag("crash", "Part of the runners that crash for a third of the time.").Default("0").Float64Var(&play.Crash)
 	command.Flag("release", "Part of the runners that are replaced one after the other.").Default("0").Float64Var(&play.Release)
 	known[command.FullCommand()] = func() error {
-		play.Deployment = place.Deployments[*deployment]
-		return place.Report(os.Stdout, play, *loads, *ways, *seeds)
+		play.Deployment = placement.Deployments[*deployment]
+		return placement.Report(os.Stdout, play, *loads, *ways, *seeds)
 	}
 }
 
@@ -54,7 +54,7 @@
 	lanes := command.Flag("lanes", "Lanes of the spec that is sent.").Default("10").Int()
 	known[command.FullCommand()] = func() error {
 		for _, size := range *sizes {
-			spread, err := sim.MeasureSpread(1, size, *lanes)
+			spread, err := simulation.MeasureSpread(1, size, *lanes)
 			if err != nil {
 				return err
 			}
--- a/cmd/wtproof/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -11,15 +11,15 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/proof/history"
-	"wardtray/proof/sim"
+	"wardtray/verify/histories"
+	"wardtray/verify/simulation"
 )
 
 var (
 	// controlOnly are the deployments without their request paths.
-	controlOnly = map[string]sim.Shape{"guild": sim.Guild, "ferries": sim.Ferries}
+	controlOnly = map[string]simulation.Shape{"guild": simulation.Guild, "ferries": simulation.Ferries}
 	// withPath are the deployments with their request paths.
-	withPath = map[string]sim.Shape{"guild": sim.GuildPath, "ferries": sim.FerriesPath}
+	withPath = map[string]simulation.Shape{"guild": simulation.GuildPath, "ferries": simulation.FerriesPath}
 )
 
 // eachFault asks for every kind of fault, one kind at a time.
@@ -46,12 +46,12 @@
 	every := command.Flag("every", "About how often operators send a change.").Default("700ms").Duration()
 	faults := command.Flag("fault", "Only this kind of fault; may be given several times.").Strings()
 	known[command.FullCommand()] = func() error {
-		checkRange(*seeds, *atOnce, *faults, sim.FaultNames())
+		checkRange(*seeds, *atOnce, *faults, simulation.FaultNames())
 		if len(*faults) == 0 {
-			*faults = sim.FaultNames()
+			*faults = simulation.FaultNames()
 		}
-		endUnless(simulate(*seeds, func(seed int64) *sim.World {
-			return sim.PlayEvery(seed, controlOnly[*deployment], *faults, *atOnce, *every)
+		endUnless(simulate(*seeds, func(seed int64) *simulation.World {
+			return simulation.PlayEvery(seed, controlOnly[*deployment], *faults, *atOnce, *every)
 		}))
 		return nil
 	}
@@ -67,7 +67,7 @@
 	every := command.Flag("every", "About how often operators send a change.").Default("2s").Duration()
 	faults := command.Flag("fault", "Only this kind of fault; may be given several times, or each to play every kind by itself.").Strings()
 	known[command.FullCommand()] = func() error {
-		all := append(sim.FaultNames(), sim.RunnerFaultNames()...)
+		all := append(simulation.FaultNames(), simulation.RunnerFaultNames()...)
 		checkRange(*seeds, *atOnce, *faults, append(all, eachFault))
 		clean := true
 		plays := faultSets(*faults, all)
@@ -75,9 +75,9 @@
 			if len(plays) > 1 {
 				fmt.Printf("--- %s\n", names[0])
 			}
-			trial := sim.DefaultTrial
+			trial := simulation.DefaultTrial
 			trial.Faults, trial.AtOnce, trial.Every = names, *atOnce, *every
-			clean = simulate(*seeds, func(seed int64) *sim.World { return sim.Try(seed, withPath[*deployment], trial) }) && clean
+			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
 		}
 		endUnless(clean)
 		return nil
@@ -106,17 +106,17 @@
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds for each.", "16")
 	length := command.Flag("length", "For how long harm is done.").Default("40s").Duration()
-	only := command.Flag("rule", "Only this part; may be given several times. One of: "+strings.Join(sim.AttemptNames(), "; ")+".").Strings()
+	only := command.Flag("rule", "Only this part; may be given several times. One of: "+strings.Join(simulation.AttemptNames(), "; ")+".").Strings()
 	known[command.FullCommand()] = func() error {
-		checkRange(*seeds, 1, *only, sim.AttemptNames())
+		checkRange(*seeds, 1, *only, simulation.AttemptNames())
 		if len(*only) == 0 {
-			*only = sim.AttemptNames()
+			*only = simulation.AttemptNames()
 		}
 		clean := true
 		for _, name := range *only {
-			fmt.Printf("--- %s: %s\n", name, strings.Join(sim.Attempts[name].Faults, ", "))
-			trial := sim.Attempts[name].Trial(*length)
-			clean = simulate(*seeds, func(seed int64) *sim.World { return sim.Try(seed, withPath[*deployment], trial) }) && clean
+			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.Attempts[name].Faults, ", "))
+			trial := simulation.Attempts[name].Trial(*length)
+			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
 		}
 		endUnless(clean)
 		return nil
@@ -132,7 +132,7 @@
 }
 
 // simulate runs seeds side by side, prints every failure and the worst cases seen, and tells whether no rule was broken.
-func simulate(seeds seedRange, play func(seed int64) *sim.World) bool {
+func simulate(seeds seedRange, play func(seed int64) *simulation.World) bool {
 	waiting := make(chan int64)
 	var workers sync.WaitGroup
 	summary := &summary{clean: true, worst: newWorst()}
@@ -156,7 +156,7 @@
 }
 
 // add takes in a run that has ended; it prints what broke.
-func (summary *summary) add(world *sim.World) {
+func (summary *summary) add(world *simulation.World) {
 	summary.mutex.Lock()
 	defer summary.mutex.Unlock()
 	for _, line := range world.Check.Broken {
@@ -168,7 +168,7 @@
 	}
 	summary.awards += world.Check.Awards
 	if world.Traffic != nil {
-		summary.worst.add(history.Worst(world.Traffic.History))
+		summary.worst.add(histories.Worst(world.Traffic.History))
 		summary.worst.count(world.Traffic.Counts())
 	}
 	for _, order := range world.Check.Orders {
@@ -184,7 +184,7 @@
 // worst gathers the worst cases of many runs.
 type worst struct {
 	lengths map[string]time.Duration
-	margins history.Margins
+	margins histories.Margins
 	counts  map[string]int
 }
 
@@ -192,7 +192,7 @@
 	return &worst{lengths: map[string]time.Duration{}, counts: map[string]int{}}
 }
 
-func (worst *worst) add(margins history.Margins) {
+func (worst *worst) add(margins histories.Margins) {
 	worst.margins.Add(margins)
 	for rule, length := range map[string]time.Duration{"work against an acknowledged spec": worst.margins.Ignored, "work to a leaving runner": worst.margins.Leaving,
 		"work to a closed zone": worst.margins.Closed, "first answer after the machines' return": worst.margins.Return, "final answer after a loss could be known": worst.margins.Held} {
@@ -224,7 +224,7 @@
 // checkRange ends with exit code 2 where a seed range or a fault makes no sense.
 func checkRange(seeds seedRange, atOnce int, faults, known []string) {
 	wrong := func(format string, values ...any) {
-		fmt.Fprintf(os.Stderr, "wtproof: "+format+"\n", values...)
+		fmt.Fprintf(os.Stderr, "wtverify: "+format+"\n", values...)
 		os.Exit(2)
 	}
 	if seeds.from < 1 || seeds.count < 1 || seeds.count > 1_000_000 {
--- a/config/change.go
+++ b/config/change.go
@@ -6,21 +6,21 @@
 
 	"github.com/mailru/easyjson"
 
-	"wardtray/process/fault"
-	"wardtray/process/strict"
+	"wardtray/apierror"
+	"wardtray/strictjson"
 )
 
 // ParseChange reads a change strictly; Apply checks it.
 func ParseChange(content []byte) (*Change, error) {
 	if len(content) > MaximumBytes {
-		return nil, fault.New(fault.TooLarge, "a change of %d bytes; at most %d", len(content), MaximumBytes)
+		return nil, apierror.New(apierror.TooLarge, "a change of %d bytes; at most %d", len(content), MaximumBytes)
 	}
-	if err := strict.Check(content); err != nil {
+	if err := strictjson.Check(content); err != nil {
 		return nil, err
 	}
 	parsed := &Change{}
 	if err := easyjson.Unmarshal(content, parsed); err != nil {
-		return nil, fault.New(fault.Malformed, "%v", err)
+		return nil, apierror.New(apierror.Malformed, "%v", err)
 	}
 	return parsed, nil
 }
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -5,7 +5,7 @@
 	"math/rand"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 func TestChangeKeepsPlacesAndLeavesThePresentAlone(t *testing.T) {
@@ -35,7 +35,7 @@
 func TestBadChangesAreMalformed(t *testing.T) {
 	for name, text := range map[string]string{"nothing": "", "a list": "[]", "unknown": `{"add":{}}`, "twice": `{"upsert":{},"upsert":{}}`, "behind": `{}{}`,
 		"unknown list": `{"remove":{"lane":[]}}`, "wrong type": `{"remove":{"lanes":[1]}}`, "bad lane": `{"upsert":{"lanes":[{"name":"l","pols":"p"}]}}`} {
-		if _, err := ParseChange([]byte(text)); !fault.Is(err, fault.Malformed) {
+		if _, err := ParseChange([]byte(text)); !apierror.Is(err, apierror.Malformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 func encodeSpec(spec *Spec) ([]byte, error) { return spec.Encode(), nil }
--- a/config/nginx/nginx.go
+++ b/config/nginx/nginx.go
@@ -9,8 +9,8 @@
 
 	crossplane "github.com/nginxinc/nginx-go-crossplane"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/process/fault"
 )
 
 // Note is something that the reader of the result must know or decide.
@@ -38,7 +38,7 @@
 func Import(path string) (*config.Spec, []Note, error) {
 	payload, err := crossplane.Parse(path, &crossplane.ParseOptions{StopParsingOnError: true, CombineConfigs: true, SkipDirectiveContextCheck: true})
 	if err != nil {
-		return nil, nil, fault.New(fault.Malformed, "%v; mend this line and import again", err)
+		return nil, nil, apierror.New(apierror.Malformed, "%v; mend this line and import again", err)
 	}
 	reader := &importer{pools: map[string]bool{}, lanes: map[string]bool{}, spec: config.Spec{Zones: []config.Zone{{Name: "imported"}}}}
 	for _, config := range payload.Config {
@@ -48,7 +48,7 @@
 		reader.walk(config.Parsed, "", map[string]func(directive *crossplane.Directive, context string){"location": reader.location, "upstream": func(*crossplane.Directive, string) {}})
 	}
 	if len(reader.spec.Pools) == 0 || len(reader.spec.Lanes) == 0 {
-		return nil, nil, fault.New(fault.InvalidSpec, "%s has %d upstreams and %d locations that pass to one; a spec needs one of each", path, len(reader.spec.Pools), len(reader.spec.Lanes))
+		return nil, nil, apierror.New(apierror.InvalidSpec, "%s has %d upstreams and %d locations that pass to one; a spec needs one of each", path, len(reader.spec.Pools), len(reader.spec.Lanes))
 	}
 	reader.notes = append(reader.notes, Note{path, 1, "zone \"imported\" stands for all machines; name the real zones"})
 	return &reader.spec, reader.notes, nil
--- a/config/nginx/nginx_test.go
+++ b/config/nginx/nginx_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 func file(t *testing.T, text string) string {
@@ -51,10 +51,10 @@
 
 func TestBrokenFileGivesItsLineAndNothingElse(t *testing.T) {
 	made, notes, err := Import(file(t, "http {\n  upstream a {\n    server 10.0.0.1:80\n  }\n}\n"))
-	if made != nil || notes != nil || !fault.Is(err, fault.Malformed) || !strings.Contains(err.Error(), "nginx.conf:") {
+	if made != nil || notes != nil || !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), "nginx.conf:") {
 		t.Fatalf("%v %v %v", made, notes, err)
 	}
-	if _, _, err := Import(file(t, "events {}\n")); !fault.Is(err, fault.InvalidSpec) {
+	if _, _, err := Import(file(t, "events {}\n")); !apierror.Is(err, apierror.InvalidSpec) {
 		t.Fatal(err)
 	}
 }
--- a/config/pack.go
+++ b/config/pack.go
@@ -7,7 +7,7 @@
 
 	stateless "github.com/klauspost/compress/flate"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // Pack compresses a spec for its way to many daemons; a spec repeats itself a lot. It keeps no state between
@@ -24,10 +24,10 @@
 func Unpack(packed []byte) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaximumBytes+1))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Malformed, "unpacking a spec")
+		return nil, apierror.Wrap(err, apierror.Malformed, "unpacking a spec")
 	}
 	if len(content) > MaximumBytes {
-		return nil, fault.New(fault.TooLarge, "a packed spec of more than %d bytes", MaximumBytes)
+		return nil, apierror.New(apierror.TooLarge, "a packed spec of more than %d bytes", MaximumBytes)
 	}
 	return content, nil
 }
--- a/config/startup/flags.go
+++ b/config/process/flags.go
@@ -1,4 +1,4 @@
-package startup
+package process
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/process/fault"
-	"wardtray/process/mechanism"
+	"wardtray/apierror"
+	"wardtray/features"
 )
 
 // ExitBadStartup is the exit code for wrong settings or flags.
@@ -27,7 +27,7 @@
 	}
 	length, err := time.ParseDuration(text)
 	if err == nil && length > 10*time.Minute {
-		return 0, fault.New(fault.BadStartup, "too long")
+		return 0, apierror.New(apierror.BadStartup, "too long")
 	}
 	return length, err
 }
@@ -90,8 +90,8 @@
 }
 
 // WithoutMechanisms gives the mechanisms that are switched off.
-func (startup *Startup) WithoutMechanisms() mechanism.Set {
-	set, err := mechanism.Parse(startup.Without)
+func (startup *Startup) WithoutMechanisms() features.Set {
+	set, err := features.Parse(startup.Without)
 	if err != nil {
 		return nil // A checked startup names none that is unknown.
 	}
@@ -142,7 +142,7 @@
 		application.Flag("drain", "How long requests are still taken after SIGTERM.").StringVar(&given.Drain)
 	}
 	if _, err := application.Parse(arguments); err != nil {
-		return nil, fault.Wrap(err, fault.BadStartup, "flags")
+		return nil, apierror.Wrap(err, apierror.BadStartup, "flags")
 	}
 	read := func() (*Startup, error) { return Read(*file) }
 	if adapter != "" {
--- a/config/startup/golden_test.go
+++ b/config/process/golden_test.go
@@ -1,4 +1,4 @@
-package startup
+package process
 
 import (
 	"path/filepath"
@@ -7,7 +7,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 func encode(startup *Startup) ([]byte, error) { return easyjson.Marshal(startup) }
--- a/config/startup/startup.go
+++ b/config/process/startup.go
@@ -1,6 +1,6 @@
 // Package startup reads and checks what a process is told when it begins. Every fault is named
 // before any port or file is touched.
-package startup
+package process
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 
 	"github.com/mailru/easyjson"
 
-	"wardtray/process/fault"
-	"wardtray/process/mechanism"
-	"wardtray/process/strict"
+	"wardtray/apierror"
+	"wardtray/features"
+	"wardtray/strictjson"
 )
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename startup_easyjson.go startup.go
@@ -105,13 +105,13 @@
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadStartup, "reading %s", path)
+		return nil, apierror.Wrap(err, apierror.BadStartup, "reading %s", path)
 	}
-	if err := strict.Check(content); err != nil {
-		return nil, fault.New(fault.BadStartup, "%s: %s", path, fault.Of(err).Detail)
+	if err := strictjson.Check(content); err != nil {
+		return nil, apierror.New(apierror.BadStartup, "%s: %s", path, apierror.Of(err).Detail)
 	}
 	if err := easyjson.Unmarshal(content, startup); err != nil {
-		return nil, fault.Wrap(err, fault.BadStartup, "%s", path)
+		return nil, apierror.Wrap(err, apierror.BadStartup, "%s", path)
 	}
 	return startup, nil
 }
@@ -179,14 +179,14 @@
 		flaw.address("fitness", startup.Fitness)
 	}
 	startup.checkNumbers(flaw)
-	if _, err := mechanism.Parse(startup.Without); err != nil {
-		flaw("%s", fault.Of(err).Detail)
+	if _, err := features.Parse(startup.Without); err != nil {
+		flaw("%s", apierror.Of(err).Detail)
 	}
 	if !logLevels[startup.Log] {
 		flaw("log: %q is none of debug, info, warn, error", startup.Log)
 	}
 	if len(flaws) > 0 {
-		return fault.New(fault.BadStartup, "%s", strings.Join(flaws, "; "))
+		return apierror.New(apierror.BadStartup, "%s", strings.Join(flaws, "; "))
 	}
 	return nil
 }
--- a/config/startup/startup_test.go
+++ b/config/process/startup_test.go
@@ -1,4 +1,4 @@
-package startup
+package process
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 func parse(t *testing.T, needs Needs, arguments ...string) (*Startup, error) {
@@ -20,7 +20,7 @@
 
 func TestEveryFlawIsNamedAtOnce(t *testing.T) {
 	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0", "--seed", "x", "--seed", "x", "--platform", "ftp://y", "--drain", "soon", "--log", "loud")
-	if !fault.Is(err, fault.BadStartup) {
+	if !apierror.Is(err, apierror.BadStartup) {
 		t.Fatal(err)
 	}
 	for _, flaw := range []string{"address:", "http:", "zone:", "seeds[0]:", "seeds[1]:", "twice", "platform:", "drain:", "log:", "remedy"} {
@@ -44,20 +44,20 @@
 		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := parse(t, Needs{Platform: true}, append([]string{"--startup", path}, proper...)...); !fault.Is(err, fault.BadStartup) {
+		if _, err := parse(t, Needs{Platform: true}, append([]string{"--startup", path}, proper...)...); !apierror.Is(err, apierror.BadStartup) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestEachProgramHasItsOwnNeeds(t *testing.T) {
-	if _, err := parse(t, Needs{Folder: true}, proper...); !fault.Is(err, fault.BadStartup) {
+	if _, err := parse(t, Needs{Folder: true}, proper...); !apierror.Is(err, apierror.BadStartup) {
 		t.Error("wtcore without a folder")
 	}
 	if _, err := parse(t, Needs{Folder: true}, append([]string{"--folder", t.TempDir()}, proper...)...); err != nil {
 		t.Error(err)
 	}
-	if _, err := parse(t, Needs{Platform: true}, append([]string{"--folder", "x"}, proper...)...); !fault.Is(err, fault.BadStartup) {
+	if _, err := parse(t, Needs{Platform: true}, append([]string{"--folder", "x"}, proper...)...); !apierror.Is(err, apierror.BadStartup) {
 		t.Error("wtdata with a folder")
 	}
 	if _, err := parse(t, Needs{Platform: true}, append([]string{"--platform", "http://127.0.0.1:3/x"}, proper...)...); err != nil {
--- a/config/spec.go
+++ b/config/spec.go
@@ -10,8 +10,8 @@
 	"github.com/mailru/easyjson/jlexer"
 	"github.com/mailru/easyjson/jwriter"
 
-	"wardtray/process/fault"
-	"wardtray/process/strict"
+	"wardtray/apierror"
+	"wardtray/strictjson"
 )
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename spec_easyjson.go spec.go
@@ -252,14 +252,14 @@
 // Parse reads a spec strictly; it does not yet check it.
 func Parse(content []byte) (*Spec, error) {
 	if len(content) > MaximumBytes {
-		return nil, fault.New(fault.TooLarge, "a spec of %d bytes; at most %d", len(content), MaximumBytes)
+		return nil, apierror.New(apierror.TooLarge, "a spec of %d bytes; at most %d", len(content), MaximumBytes)
 	}
-	if err := strict.Check(content); err != nil {
+	if err := strictjson.Check(content); err != nil {
 		return nil, err
 	}
 	parsed := &Spec{}
 	if err := easyjson.Unmarshal(content, parsed); err != nil {
-		return nil, fault.New(fault.Malformed, "%v", err)
+		return nil, apierror.New(apierror.Malformed, "%v", err)
 	}
 	return parsed, nil
 }
@@ -268,7 +268,7 @@
 func Decode(content []byte) (*Spec, error) {
 	decoded := &Spec{}
 	if err := easyjson.Unmarshal(content, decoded); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "reading a spec that was checked before")
+		return nil, apierror.Wrap(err, apierror.Internal, "reading a spec that was checked before")
 	}
 	return decoded, nil
 }
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 const good = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
@@ -17,7 +17,7 @@
 		"wrong type": strings.Replace(good, `"worth":1`, `"worth":"1"`, 1), "no span": strings.Replace(good, `"1s"`, `"soon"`, 1),
 		"bad text": strings.Replace(good, `"m"`, "\"\xff\"", 1), "deep": strings.Repeat("[", 100),
 	} {
-		if _, err := Parse([]byte(text)); !fault.Is(err, fault.Malformed) {
+		if _, err := Parse([]byte(text)); !apierror.Is(err, apierror.Malformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/control/core/acknowledgement.go
+++ b/control/node/acknowledgement.go
@@ -1,9 +1,9 @@
-package core
+package node
 
 import (
 	"time"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 	"wardtray/wire"
 )
 
@@ -50,7 +50,7 @@
 
 func (node *Node) unknown(waiter *waiter) {
 	node.counters.Unknown++
-	reply := refusal(fault.OutcomeUnknown, 0, waiter.ask.Operation, "on its way; ask with: wtctl operation "+waiter.ask.Operation)
+	reply := refusal(apierror.OutcomeUnknown, 0, waiter.ask.Operation, "on its way; ask with: wtctl operation "+waiter.ask.Operation)
 	reply.Outcome = "unknown"
 	node.reply(waiter.ask, 504, reply)
 }
--- a/control/core/bounds.go
+++ b/control/node/bounds.go
@@ -1,11 +1,11 @@
-package core
+package node
 
 import (
 	"fmt"
 	"time"
 
+	"wardtray/apierror"
 	"wardtray/coordination/lease"
-	"wardtray/process/fault"
 )
 
 // Limits are the times that the platform grants, by the names of the product's settings; a zero one stands for the
@@ -136,7 +136,7 @@
 		{"grace: the handing over of all that a machine holds", bounds.CopyRepair(), bounds.Leave},
 	} {
 		if need.needed > need.limit {
-			return fault.New(fault.BadStartup, "%s", fmt.Sprintf("%s may take %v, more than %v", need.what, need.needed, need.limit))
+			return apierror.New(apierror.BadStartup, "%s", fmt.Sprintf("%s may take %v, more than %v", need.what, need.needed, need.limit))
 		}
 	}
 	return nil
--- a/control/core/calls_test.go
+++ b/control/node/calls_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"wardtray/coordination/chain"
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -24,7 +24,7 @@
 	for seed := int64(1); seed <= seeds; seed++ {
 		fleet := newTestFleet(t, seed, 3)
 		loss := fleet.random.Float64() * 0.2
-		fleet.lost = func(machine.Parcel) bool { return fleet.random.Float64() < loss }
+		fleet.lost = func(statemachine.Parcel) bool { return fleet.random.Float64() < loss }
 		trial := &callTrial{testFleet: fleet}
 		for round := range 12 {
 			trial.round(round)
@@ -190,7 +190,7 @@
 	}
 	// The last of the chain is silent to those before it, so that nothing is committed.
 	tail := fleet.at(head.node.View().Chain[2].Address)
-	fleet.lost = func(parcel machine.Parcel) bool {
+	fleet.lost = func(parcel statemachine.Parcel) bool {
 		return parcel.Envelope.GetChainHold() != nil && parcel.Envelope.From == tail.address
 	}
 	order := apply("first", 0, 5, "a")
--- a/control/core/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/drive"
-	"wardtray/coordination/machine"
+	"wardtray/control/storage"
 	"wardtray/coordination/snapshot"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -134,12 +134,12 @@
 	away.disk.stalled = true
 	// The disk takes what waits and has it synced a while later; what comes meanwhile waits for the next turn.
 	const delay = 340 * time.Millisecond
-	var taken []machine.Write
+	var taken []statemachine.Write
 	due := fleet.now
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
 		operator.tend(100 * time.Millisecond)
 		if !fleet.now.Before(due) {
-			drive.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) }, func(err error) { t.Fatal(err) })
+			storage.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) }, func(err error) { t.Fatal(err) })
 			taken, away.writes = away.writes, nil
 			due = fleet.now.Add(delay)
 		}
--- a/control/core/change.go
+++ b/control/node/change.go
@@ -1,11 +1,11 @@
-package core
+package node
 
 import (
 	"fmt"
 	"time"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/process/fault"
 	"wardtray/wire"
 )
 
@@ -29,7 +29,7 @@
 	}
 	call := &changeCall{node: node, message: message, latest: latest, refused: refused}
 	if message.HasBase && message.Base != latest.SpecEpoch {
-		call.refuse(now, 409, call.refusal(fault.StaleBase, fmt.Sprintf("built on epoch %d; the present one is %d", message.Base, latest.SpecEpoch)))
+		call.refuse(now, 409, call.refusal(apierror.StaleBase, fmt.Sprintf("built on epoch %d; the present one is %d", message.Base, latest.SpecEpoch)))
 		return
 	}
 	epoch, content, accepted := call.next(now)
@@ -39,11 +39,11 @@
 	entry := &wire.Entry{Operation: message.Operation, ChangesSpec: true, SpecEpoch: epoch, Spec: content}
 	// A sick disk would hold this change up for as long as it takes the others to notice.
 	if node.sick(now) {
-		call.refuse(now, 503, call.refusal(fault.DiskFailed, "the head's disk does not keep up"))
+		call.refuse(now, 503, call.refusal(apierror.DiskFailed, "the head's disk does not keep up"))
 		return
 	}
 	if err := node.chain.Enter(now, entry); err != nil {
-		found := fault.Of(err)
+		found := apierror.Of(err)
 		call.refuse(now, 503, call.refusal(found.Kind, found.Detail))
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // refusal is a refusal that names the present epoch.
-func (call *changeCall) refusal(kind fault.Kind, detail string) Reply {
+func (call *changeCall) refusal(kind apierror.Kind, detail string) Reply {
 	return refusal(kind, call.latest.SpecEpoch, call.message.Operation, detail)
 }
 
@@ -86,8 +86,8 @@
 	message, latest := call.message, call.latest
 	changed, flaws, err := call.node.changed(message, latest)
 	if err != nil {
-		found := fault.Of(err)
-		statuses := map[fault.Kind]int{fault.Malformed: 400, fault.TooLarge: 413, fault.InvalidSpec: 422}
+		found := apierror.Of(err)
+		statuses := map[apierror.Kind]int{apierror.Malformed: 400, apierror.TooLarge: 413, apierror.InvalidSpec: 422}
 		call.refuse(now, statuses[found.Kind], call.refusal(found.Kind, found.Detail))
 		return 0, nil, false
 	}
@@ -99,7 +99,7 @@
 		flaws = append(flaws, config.Flaw{Path: "epoch", Detail: fmt.Sprintf("%d is not above the present one, %d", message.Epoch, latest.SpecEpoch)})
 	}
 	if len(flaws) > 0 {
-		reply := call.refusal(fault.InvalidSpec, fmt.Sprintf("%d faults", len(flaws)))
+		reply := call.refusal(apierror.InvalidSpec, fmt.Sprintf("%d faults", len(flaws)))
 		reply.Flaws = flaws
 		call.refuse(now, 422, reply)
 		return 0, nil, false
@@ -107,7 +107,7 @@
 	content = changed.Encode()
 	// Named changes may grow a spec beyond what could be read again.
 	if len(content) > config.MaximumBytes {
-		call.refuse(now, 413, call.refusal(fault.TooLarge, fmt.Sprintf("the spec would have %d bytes; at most %d", len(content), config.MaximumBytes)))
+		call.refuse(now, 413, call.refusal(apierror.TooLarge, fmt.Sprintf("the spec would have %d bytes; at most %d", len(content), config.MaximumBytes)))
 		return 0, nil, false
 	}
 	return epoch, content, true
@@ -139,7 +139,7 @@
 		return next, flaws, nil
 	}
 	if len(latest.Spec) == 0 {
-		return nil, nil, fault.New(fault.InvalidSpec, "there is no spec yet whose zones could be closed")
+		return nil, nil, apierror.New(apierror.InvalidSpec, "there is no spec yet whose zones could be closed")
 	}
 	for place := range present.Zones {
 		if present.Zones[place].Name == message.Zone {
@@ -147,5 +147,5 @@
 			return present, present.Check(), nil
 		}
 	}
-	return nil, nil, fault.New(fault.InvalidSpec, "there is no zone %q", message.Zone)
+	return nil, nil, apierror.New(apierror.InvalidSpec, "there is no zone %q", message.Zone)
 }
--- a/control/core/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"math/rand"
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// A keeper that restarts has forgotten which daemons go by its word. Found by proof/model: it told the head that none did,
+// A keeper that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head that none did,
 // and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from its start.
 func TestARestartedKeeperCountsItsForgottenWords(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
--- a/control/core/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/drive"
-	"wardtray/coordination/machine"
+	"wardtray/control/storage"
 	"wardtray/coordination/snapshot"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -87,7 +87,7 @@
 	node     *Node
 	disk     *testDisk
 	store    *snapshot.Store
-	writes   []machine.Write
+	writes   []statemachine.Write
 	identity string
 	lives    int
 	founding bool
@@ -102,9 +102,9 @@
 	random  *rand.Rand
 	members []*testMember
 	seeds   []string
-	mail    []machine.Parcel
+	mail    []statemachine.Parcel
 	// lost decides which messages don't arrive.
-	lost func(parcel machine.Parcel) bool
+	lost func(parcel statemachine.Parcel) bool
 	// acknowledged is the greatest epoch that an operator was told of; every leader must have it.
 	acknowledged uint64
 }
@@ -130,7 +130,7 @@
 }
 
 func (fleet *testFleet) start(member *testMember) {
-	restored, err := drive.Restore(member.disk, func() string { return member.identity }, "test")
+	restored, err := storage.Restore(member.disk, func() string { return member.identity }, "test")
 	if err != nil {
 		fleet.t.Fatalf("%s does not start: %v", member.address, err)
 	}
@@ -142,7 +142,7 @@
 }
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
-func (fleet *testFleet) wantContiguous(member *testMember, restored drive.Restored) {
+func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Restored) {
 	memory := proto.Clone(restored.Memory).(*wire.Memory)
 	for _, record := range restored.Records {
 		Replay(memory, record)
@@ -233,7 +233,7 @@
 	}
 	writes := member.writes
 	member.writes = nil
-	drive.Carry(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
+	storage.Carry(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
 		func(error) { member.node.DiskFailed(fleet.now) })
 }
 
--- a/control/core/golden_test.go
+++ b/control/node/golden_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 func encodeReply(reply *Reply) ([]byte, error) { return reply.Encode(), nil }
--- a/control/core/node.go
+++ b/control/node/node.go
@@ -1,6 +1,6 @@
 // Package core is the control plane of one disk machine as a pure state machine: it puts together
 // chain, view, claim and rumor, takes operators' orders, and hands data daemons their ticks.
-package core
+package node
 
 import (
 	"math/rand"
@@ -13,9 +13,9 @@
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/lease"
-	"wardtray/coordination/machine"
 	"wardtray/coordination/peersampling"
 	"wardtray/coordination/quota"
+	"wardtray/coordination/statemachine"
 	"wardtray/coordination/view"
 	"wardtray/wire"
 )
@@ -57,7 +57,7 @@
 type Node struct {
 	startup  Startup
 	self     *wire.Member
-	outbox   *machine.Outbox
+	outbox   *statemachine.Outbox
 	random   *rand.Rand
 	handlers map[reflect.Type]func(now time.Time, envelope *wire.Envelope)
 
@@ -127,7 +127,7 @@
 	for _, record := range records {
 		Replay(memory, record)
 	}
-	node := &Node{life: random.Uint64(), holder: lease.NewHolder(random.Uint64()), startup: startup, bounds: BoundsFor(startup.Limits), random: random, outbox: machine.NewOutbox(), begun: now, lastTick: now,
+	node := &Node{life: random.Uint64(), holder: lease.NewHolder(random.Uint64()), startup: startup, bounds: BoundsFor(startup.Limits), random: random, outbox: statemachine.NewOutbox(), begun: now, lastTick: now,
 		self:  &wire.Member{Id: memory.Id, Address: startup.Address, Zone: startup.Zone, Http: startup.HTTP},
 		peers: map[string]*peer{}, brokenFrom: map[string]time.Time{}, asks: map[string]*ask{}}
 	node.head.daemons, node.head.commits = map[string]*daemon{}, map[uint64]time.Time{}
@@ -163,7 +163,7 @@
 }
 
 // Outbox gives what the driver has to carry out.
-func (node *Node) Outbox() *machine.Outbox { return node.outbox }
+func (node *Node) Outbox() *statemachine.Outbox { return node.outbox }
 
 // Chain gives the machine's part of the chain, for drivers, checkers and status pages.
 func (node *Node) Chain() *chain.Chain { return node.chain }
@@ -178,7 +178,7 @@
 func (node *Node) Self() *wire.Member { return node.self }
 
 // Drain gives messages, stamped with who sends them, and writes.
-func (node *Node) Drain() ([]machine.Parcel, []machine.Write) {
+func (node *Node) Drain() ([]statemachine.Parcel, []statemachine.Write) {
 	parcels, writes := node.outbox.Drain()
 	for _, parcel := range parcels {
 		parcel.Envelope.From, parcel.Envelope.Sender, parcel.Envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
--- a/control/core/operator.go
+++ b/control/node/operator.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/process/fault"
 	"wardtray/wire"
 )
 
@@ -50,15 +50,15 @@
 	return content
 }
 
-func refusal(kind fault.Kind, epoch uint64, operation, detail string) Reply {
+func refusal(kind apierror.Kind, epoch uint64, operation, detail string) Reply {
 	return Reply{Operation: operation, Outcome: "refused", Epoch: epoch, Kind: string(kind), Detail: detail,
-		Remedy: (&fault.Fault{Kind: kind}).Remedy()}
+		Remedy: (&apierror.Fault{Kind: kind}).Remedy()}
 }
 
 // Ask takes an operator's question; answer is called once. The token is that of Abandon; empty: it was answered at once.
 func (node *Node) Ask(now time.Time, message *wire.OperatorAsk, answer func(status int, body []byte)) (token string) {
 	if len(node.asks) >= maximumAsks {
-		answer(503, refusal(fault.Busy, 0, message.Operation, "too many questions wait here").Encode())
+		answer(503, refusal(apierror.Busy, 0, message.Operation, "too many questions wait here").Encode())
 		return ""
 	}
 	node.nonce++
@@ -117,12 +117,12 @@
 func (node *Node) giveUp(open *ask) {
 	if writes(open.message) && len(open.passed) > 0 {
 		node.counters.Unknown++
-		reply := refusal(fault.OutcomeUnknown, 0, open.message.Operation, "no answer in time; ask with: wtctl operation "+open.message.Operation)
+		reply := refusal(apierror.OutcomeUnknown, 0, open.message.Operation, "no answer in time; ask with: wtctl operation "+open.message.Operation)
 		reply.Outcome = "unknown"
 		node.finish(open.message.Token, 504, reply.Encode())
 		return
 	}
-	node.finish(open.message.Token, 503, refusal(fault.NoMajority, 0, open.message.Operation, "the chain gave no answer in time").Encode())
+	node.finish(open.message.Token, 503, refusal(apierror.NoMajority, 0, open.message.Operation, "the chain gave no answer in time").Encode())
 }
 
 func (node *Node) finish(token string, status int, body []byte) {
@@ -233,7 +233,7 @@
 	}
 	outcome := node.chain.Outcome(message.Operation)
 	if outcome == nil {
-		node.reply(message, 404, refusal(fault.NotFound, 0, message.Operation, "no accepted change has this id so far"))
+		node.reply(message, 404, refusal(apierror.NotFound, 0, message.Operation, "no accepted change has this id so far"))
 		return
 	}
 	if node.delivered(now, outcome.Sequence) {
--- a/control/core/registry.go
+++ b/control/node/registry.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"sort"
--- a/control/core/reserve_test.go
+++ b/control/node/reserve_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 )
 
 // A chain that shrank below its floor takes no changes, but it is the chain: where the one machine left in it loses
-// its disk, those of the last chain that took changes hold all that was acknowledged and go on. Found by proof/model
+// its disk, those of the last chain that took changes hold all that was acknowledged and go on. Found by verify/modelcheck
 // (restart-loss): the fleet stood still for good though a machine with everything was back.
 func TestTheLastChainThatTookChangesGoesOn(t *testing.T) {
 	t.Parallel()
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -12,10 +12,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wardtray/control/core"
-	"wardtray/control/corehost"
-	"wardtray/edge/datahost"
-	"wardtray/process/fault"
+	"wardtray/apierror"
+	"wardtray/control/node"
+	"wardtray/control/server"
+	"wardtray/dataplane/daemon"
 )
 
 const (
@@ -45,13 +45,13 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBody(body)
 	if err := client.http.DoTimeout(request, response, bound); err != nil {
-		return 0, nil, fault.Wrap(err, fault.Unreachable, "%s", address)
+		return 0, nil, apierror.Wrap(err, apierror.Unreachable, "%s", address)
 	}
 	return response.StatusCode(), append([]byte{}, response.Body()...), nil
 }
 
 // ask asks the cores in turn. Asking again is safe: an operation id has one outcome.
-func (client *Client) ask(method, path string, body []byte) (core.Reply, error) {
+func (client *Client) ask(method, path string, body []byte) (node.Reply, error) {
 	var last error
 	for _, address := range client.Cores {
 		_, content, err := client.call(method, address, path, body, answerBound)
@@ -59,21 +59,21 @@
 			last = err
 			continue
 		}
-		reply := core.Reply{}
+		reply := node.Reply{}
 		if err := json.Unmarshal(content, &reply); err != nil {
-			last = fault.Wrap(err, fault.Malformed, "the answer of %s", address)
+			last = apierror.Wrap(err, apierror.Malformed, "the answer of %s", address)
 			continue
 		}
 		return reply, nil
 	}
 	if last == nil {
-		last = fault.New(fault.BadStartup, "no core is named; give --core")
+		last = apierror.New(apierror.BadStartup, "no core is named; give --core")
 	}
-	return core.Reply{}, last
+	return node.Reply{}, last
 }
 
 // Get reads the present spec from the tail.
-func (client *Client) Get() (core.Reply, error) { return client.ask("GET", "/v1/spec", nil) }
+func (client *Client) Get() (node.Reply, error) { return client.ask("GET", "/v1/spec", nil) }
 
 // Change says on which epoch a change is built, under which operation id it goes, and which epoch the new
 // spec is to have (0: the next).
@@ -91,30 +91,30 @@
 }
 
 // Apply sends a whole spec.
-func (client *Client) Apply(content []byte, change Change) (core.Reply, error) {
+func (client *Client) Apply(content []byte, change Change) (node.Reply, error) {
 	return client.ask("PUT", change.path(), content)
 }
 
 // Change sends the entries to add, replace and remove.
-func (client *Client) Change(content []byte, change Change) (core.Reply, error) {
+func (client *Client) Change(content []byte, change Change) (node.Reply, error) {
 	return client.ask("PATCH", change.path(), content)
 }
 
 // Zone closes or opens a zone.
-func (client *Client) Zone(verb, zone, operation string) (core.Reply, error) {
+func (client *Client) Zone(verb, zone, operation string) (node.Reply, error) {
 	return client.ask("POST", "/v1/zones/"+url.PathEscape(zone)+"/"+verb+"?operation="+url.QueryEscape(operation), nil)
 }
 
 // Operation asks what became of a change.
-func (client *Client) Operation(operation string) (core.Reply, error) {
+func (client *Client) Operation(operation string) (node.Reply, error) {
 	return client.ask("GET", "/v1/operations/"+url.PathEscape(operation), nil)
 }
 
 // Fleet is the status of every process that answered.
 type Fleet struct {
-	Cores  []corehost.Status `json:"cores"`
-	Datas  []datahost.Status `json:"datas"`
-	Silent []string          `json:"silent,omitempty"`
+	Cores  []server.Status `json:"cores"`
+	Datas  []daemon.Status `json:"datas"`
+	Silent []string        `json:"silent,omitempty"`
 }
 
 // Status asks the whole fleet: the cores named, those of the view, and the daemons of the directory.
@@ -130,7 +130,7 @@
 			continue
 		}
 		asked[address] = true
-		status := corehost.Status{}
+		status := server.Status{}
 		if !client.one(address, &status) {
 			fleet.Silent = append(fleet.Silent, address)
 			continue
@@ -144,7 +144,7 @@
 		}
 	}
 	if len(fleet.Cores) == 0 {
-		return fleet, fault.New(fault.Unreachable, "none of %s answers", strings.Join(client.Cores, ", "))
+		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", strings.Join(client.Cores, ", "))
 	}
 	var mutex sync.Mutex
 	var waiting sync.WaitGroup
@@ -152,7 +152,7 @@
 		waiting.Add(1)
 		go func() {
 			defer waiting.Done()
-			status := datahost.Status{}
+			status := daemon.Status{}
 			answered := client.one(address, &status)
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -187,18 +187,18 @@
 	}
 	request.SetBody(body)
 	if err := client.http.DoTimeout(request, response, statusBound); err != nil {
-		return nil, fault.Wrap(err, fault.Unreachable, "%s", daemon)
+		return nil, apierror.Wrap(err, apierror.Unreachable, "%s", daemon)
 	}
 	content := append([]byte{}, response.Body()...)
 	if response.StatusCode() != 200 {
 		refusal := struct {
-			Kind   fault.Kind
+			Kind   apierror.Kind
 			Detail string
 		}{}
 		if err := json.Unmarshal(content, &refusal); err != nil || refusal.Kind == "" {
-			return nil, fault.New(fault.Unreachable, "%s answers %d", daemon, response.StatusCode())
+			return nil, apierror.New(apierror.Unreachable, "%s answers %d", daemon, response.StatusCode())
 		}
-		return nil, fault.New(refusal.Kind, "%s", refusal.Detail)
+		return nil, apierror.New(refusal.Kind, "%s", refusal.Detail)
 	}
 	return content, nil
 }
--- a/control/registry/book_test.go
+++ b/control/registry/book_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/prop"
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -94,14 +94,14 @@
 
 // pair are two exchanges whose messages reach each other.
 type pair struct {
-	boxes     [2]*machine.Outbox
+	boxes     [2]*statemachine.Outbox
 	exchanges [2]*Exchange
 }
 
 func newPair() *pair {
 	made := &pair{}
 	for place := range made.boxes {
-		made.boxes[place] = machine.NewOutbox()
+		made.boxes[place] = statemachine.NewOutbox()
 		made.exchanges[place] = NewExchange(made.boxes[place])
 	}
 	return made
--- a/control/registry/call.go
+++ b/control/registry/call.go
@@ -10,9 +10,9 @@
 
 	"github.com/mailru/easyjson"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/process/fault"
-	"wardtray/process/strict"
+	"wardtray/strictjson"
 	"wardtray/wire"
 )
 
@@ -53,14 +53,14 @@
 // Read reads a call strictly and checks it whole.
 func Read(id string, content []byte) (*wire.Runner, error) {
 	if len(content) > MaximumCall {
-		return nil, fault.New(fault.TooLarge, "a call has at most %d bytes", MaximumCall)
+		return nil, apierror.New(apierror.TooLarge, "a call has at most %d bytes", MaximumCall)
 	}
-	if err := strict.Check(content); err != nil {
+	if err := strictjson.Check(content); err != nil {
 		return nil, err
 	}
 	call := Call{}
 	if err := easyjson.Unmarshal(content, &call); err != nil {
-		return nil, fault.Wrap(err, fault.Malformed, "the call")
+		return nil, apierror.Wrap(err, apierror.Malformed, "the call")
 	}
 	return call.Line(id)
 }
@@ -82,7 +82,7 @@
 	flaw(!callStates[call.State], "state: %q is neither ready nor draining", call.State)
 	flaw(call.Cold < 0 || time.Duration(call.Cold) > maximumCold, "cold: wants 0s to %v", maximumCold)
 	if len(flaws) > 0 {
-		return nil, fault.New(fault.Malformed, "%s", strings.Join(flaws, "; "))
+		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(flaws, "; "))
 	}
 	line := &wire.Runner{RunnerId: id, Address: call.Address, Zone: call.Zone, Service: call.Service, Revision: call.Revision, Slots: call.Slots,
 		State: call.State, Call: call.Call}
--- a/control/registry/exchange.go
+++ b/control/registry/exchange.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -14,13 +14,13 @@
 // compared and what is missing goes both ways.
 type Exchange struct {
 	*Book
-	outbox   *machine.Outbox
+	outbox   *statemachine.Outbox
 	digested time.Time
 	asked    string
 }
 
 // NewExchange makes an exchange with an empty book.
-func NewExchange(outbox *machine.Outbox) *Exchange {
+func NewExchange(outbox *statemachine.Outbox) *Exchange {
 	return &Exchange{Book: NewBook(), outbox: outbox}
 }
 
--- a/control/registry/golden_test.go
+++ b/control/registry/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 func encodeCall(call *Call) ([]byte, error) { return easyjson.Marshal(call) }
--- a/control/registry/registrar.go
+++ b/control/registry/registrar.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -112,7 +112,7 @@
 }
 
 // NewRegistrar makes the registrar of a core that has just begun. The first nonce differs from life to life.
-func NewRegistrar(now time.Time, beat time.Duration, nonce uint64, outbox *machine.Outbox, surroundings Surroundings) *Registrar {
+func NewRegistrar(now time.Time, beat time.Duration, nonce uint64, outbox *statemachine.Outbox, surroundings Surroundings) *Registrar {
 	if beat <= 0 {
 		beat = DefaultBeat
 	}
--- a/control/registry/registrar_test.go
+++ b/control/registry/registrar_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"wardtray/coordination/machine"
-	"wardtray/process/fault"
+	"wardtray/apierror"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -16,7 +16,7 @@
 // desk is a registrar with what it sends and is told.
 type desk struct {
 	t         *testing.T
-	outbox    *machine.Outbox
+	outbox    *statemachine.Outbox
 	registrar *Registrar
 	daemons   []string
 	joined    bool
@@ -25,7 +25,7 @@
 }
 
 func newDesk(t *testing.T) *desk {
-	made := &desk{t: t, outbox: machine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: begun}
+	made := &desk{t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: begun}
 	made.registrar = NewRegistrar(begun, beat, 7, made.outbox, Surroundings{Daemons: func(time.Time) []string { return made.daemons },
 		Cores: func() []string { return []string{"c1"} }, Joined: func(time.Time) bool { return made.joined },
 		Isolated: func(time.Time) bool { return made.isolated }})
@@ -365,7 +365,7 @@
 		strings.Repeat(" ", MaximumCall) + good: "at most",
 	} {
 		_, err := Read("r", []byte(bad))
-		if err == nil || !fault.Is(err, fault.Malformed) && !fault.Is(err, fault.TooLarge) {
+		if err == nil || !apierror.Is(err, apierror.Malformed) && !apierror.Is(err, apierror.TooLarge) {
 			t.Errorf("%s: %v", bad, err)
 			continue
 		}
--- a/control/corehost/departure_test.go
+++ b/control/server/departure_test.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
-	"wardtray/config/startup"
-	"wardtray/transport/seam"
+	"wardtray/config/process"
+	"wardtray/transport/netio"
 	"wardtray/wire"
 )
 
@@ -40,7 +40,7 @@
 
 func newLone(t *testing.T) *lone {
 	t.Helper()
-	host, err := New(&startup.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	host, err := New(&process.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	host.mountRunners(routes)
 	routes.GET("/hold", func(context *fasthttp.RequestCtx) {
 		made.held <- struct{}{}
-		for !seam.Left(context.Conn()) {
+		for !netio.Left(context.Conn()) {
 			runtime.Gosched()
 		}
 		<-made.release
--- a/control/corehost/golden_test.go
+++ b/control/server/golden_test.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wardtray/apierror"
 	"wardtray/control/registry"
-	"wardtray/process/fault"
-	"wardtray/proof/golden"
 	"wardtray/transport"
+	"wardtray/verify/golden"
 )
 
 // What operators read of a core and of runners keeps its keys.
@@ -40,9 +40,9 @@
 // Each fault of reading a call keeps its HTTP status and its words.
 func TestFaultStatusesStay(t *testing.T) {
 	var lines strings.Builder
-	for _, kind := range []fault.Kind{fault.Malformed, fault.TooLarge} {
+	for _, kind := range []apierror.Kind{apierror.Malformed, apierror.TooLarge} {
 		context := &fasthttp.RequestCtx{}
-		AnswerFault(context, fault.New(kind, "detail"))
+		AnswerFault(context, apierror.New(kind, "detail"))
 		fmt.Fprintf(&lines, "%s %d %s\n", kind, context.Response.StatusCode(), context.Response.Body())
 	}
 	golden.Compare(t, "fault-statuses.txt", lines.String())
--- a/control/corehost/host.go
+++ b/control/server/host.go
@@ -1,6 +1,6 @@
-// Package corehost runs one core.Node as a process: its lock, its ticks, its disk, its sockets and
+// Package corehost runs one node.Node as a process: its lock, its ticks, its disk, its sockets and
 // its HTTP side.
-package corehost
+package server
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 
 	"github.com/fasthttp/router"
 
-	"wardtray/config/startup"
-	"wardtray/control/core"
-	"wardtray/control/drive"
-	"wardtray/coordination/machine"
+	"wardtray/apierror"
+	"wardtray/config/process"
+	"wardtray/control/node"
+	"wardtray/control/storage"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/snapshot"
-	"wardtray/process/fault"
+	"wardtray/coordination/statemachine"
 	"wardtray/transport"
 	"wardtray/wire"
 )
@@ -37,12 +37,12 @@
 type Host struct {
 	// Mount, where it is set, opens further paths beside the product's own.
 	Mount     func(routes *router.Router, host *Host)
-	startup   *startup.Startup
+	startup   *process.Startup
 	log       *slog.Logger
 	mutex     sync.Mutex
-	node      *core.Node
+	node      *node.Node
 	transport *transport.Transport
-	writes    *drive.Waitlist
+	writes    *storage.Waitlist
 	store     *snapshot.Store
 	begun     time.Time
 	lastView  uint64
@@ -58,16 +58,16 @@
 }
 
 // New opens the data folder and restores the node. Nothing is sent or answered yet.
-func New(startup *startup.Startup, log *slog.Logger) (*Host, error) {
+func New(startup *process.Startup, log *slog.Logger) (*Host, error) {
 	// Who can't remember must neither vote nor count as a copy, and ending again and again helps nobody.
 	if startup.Idle {
 		return &Host{startup: startup, log: log}, nil
 	}
 	if err := snapshot.MakeDirectory(startup.Folder, 0o750); err != nil {
-		return nil, fault.Wrap(err, fault.DiskFailed, "making the data folder")
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
 	}
-	restored, err := drive.RestoreWithin(diskPatience, func() (drive.Restored, error) {
-		return drive.Restore(snapshot.Directory(startup.Folder), identity, time.Now().UTC().Format("20060102T150405"))
+	restored, err := storage.RestoreWithin(diskPatience, func() (storage.Restored, error) {
+		return storage.Restore(snapshot.Directory(startup.Folder), identity, time.Now().UTC().Format("20060102T150405"))
 	})
 	if err != nil {
 		return nil, err
@@ -78,12 +78,12 @@
 	if restored.Fresh {
 		log.Info("blank folder; new identity", "id", restored.Memory.Id)
 	}
-	host := &Host{startup: startup, log: log, store: restored.Store, writes: drive.NewWaitlist(diskLength), begun: time.Now()}
+	host := &Host{startup: startup, log: log, store: restored.Store, writes: storage.NewWaitlist(diskLength), begun: time.Now()}
 	limits := limitsOf(startup)
 	if err := limits.Check(); err != nil {
 		log.Warn("the time limits are too short to be kept after every loss", "cause", err.Error())
 	}
-	host.node = core.New(time.Now(), core.Startup{Limits: limits, Address: startup.Address, HTTP: startup.HTTP, Zone: startup.Zone,
+	host.node = node.New(time.Now(), node.Startup{Limits: limits, Address: startup.Address, HTTP: startup.HTTP, Zone: startup.Zone,
 		Seeds: startup.Seeds, Founders: startup.Founders, Founding: !startup.Joins, Faults: startup.Faults, Beat: startup.BeatTime(),
 		Quotas: quota.Tolerance{Window: startup.QuotasWindow(), Excess: startup.Quotas.Excess, Slack: startup.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(Seed())))
 	host.transport = transport.New(startup.Address, startup.Zone, func(envelope *wire.Envelope) {
@@ -94,8 +94,8 @@
 	return host, nil
 }
 
-func limitsOf(startup *startup.Startup) core.Limits {
-	return core.Limits{Contact: startup.ContactTime(), Acknowledge: startup.AcknowledgeTime(), Apply: startup.ApplyTime(),
+func limitsOf(startup *process.Startup) node.Limits {
+	return node.Limits{Contact: startup.ContactTime(), Acknowledge: startup.AcknowledgeTime(), Apply: startup.ApplyTime(),
 		CatchUp: startup.CatchUpTime(), Grace: startup.GraceTime()}
 }
 
@@ -135,7 +135,7 @@
 			host.step(func(now time.Time) { host.node.Tick(now) })
 		case <-running.Done():
 			if leaveBy.IsZero() {
-				leaveBy = time.Now().Add(core.BoundsFor(limitsOf(host.startup)).Leave)
+				leaveBy = time.Now().Add(node.BoundsFor(limitsOf(host.startup)).Leave)
 				host.log.Info("leaving")
 				host.step(func(now time.Time) { host.node.Leave(now) })
 			}
@@ -144,7 +144,7 @@
 		}
 		if !leaveBy.IsZero() && (time.Now().After(leaveBy) || host.left()) {
 			host.log.Info("stopped", "left", host.left())
-			return fault.Wrap(server.Shutdown(), fault.Internal, "closing the HTTP side")
+			return apierror.Wrap(server.Shutdown(), apierror.Internal, "closing the HTTP side")
 		}
 	}
 }
@@ -181,11 +181,11 @@
 // carry is the disk's own thread; it never holds the node's lock while it writes.
 func (host *Host) carry() {
 	for first := range host.writes.Writes {
-		batch := []machine.Write{first}
+		batch := []statemachine.Write{first}
 		for len(host.writes.Writes) > 0 && len(batch) < 256 {
 			batch = append(batch, <-host.writes.Writes)
 		}
-		drive.Carry(host.store, batch, func(sequence uint64) {
+		storage.Carry(host.store, batch, func(sequence uint64) {
 			host.step(func(now time.Time) { host.node.Synced(now, sequence) })
 		}, func(err error) {
 			host.log.Error("disk failed", "cause", err.Error())
--- a/control/corehost/http.go
+++ b/control/server/http.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
+	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/control/core"
-	"wardtray/process/fault"
-	"wardtray/transport/seam"
+	"wardtray/control/node"
+	"wardtray/transport/netio"
 	"wardtray/wire"
 )
 
@@ -39,14 +39,14 @@
 	routes.GET("/v1/status", host.status)
 	routes.GET("/fitness", func(context *fasthttp.RequestCtx) { context.SetBodyString("fit\n") })
 	routes.NotFound = func(context *fasthttp.RequestCtx) {
-		Answer(context, 404, core.Reply{Outcome: "refused", Kind: string(fault.NotFound), Detail: string(context.Path())})
+		Answer(context, 404, node.Reply{Outcome: "refused", Kind: string(apierror.NotFound), Detail: string(context.Path())})
 	}
 	server := &fasthttp.Server{Handler: routes.Handler, Name: "wtcore", ReadTimeout: requestBound, WriteTimeout: requestBound,
 		IdleTimeout: time.Minute, MaxRequestBodySize: config.MaximumBytes + 1024, ReadBufferSize: 16 << 10, Concurrency: 1024,
 		CloseOnShutdown: true, NoDefaultDate: true}
 	listener, err := net.Listen("tcp", host.startup.HTTP)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadStartup, "listening on %s", host.startup.HTTP)
+		return nil, apierror.Wrap(err, apierror.BadStartup, "listening on %s", host.startup.HTTP)
 	}
 	go func() {
 		if err := server.Serve(listener); err != nil {
@@ -57,9 +57,9 @@
 }
 
 // Answer writes a reply with its remedy.
-func Answer(context *fasthttp.RequestCtx, status int, reply core.Reply) {
+func Answer(context *fasthttp.RequestCtx, status int, reply node.Reply) {
 	if reply.Kind != "" && reply.Remedy == "" {
-		reply.Remedy = (&fault.Fault{Kind: fault.Kind(reply.Kind)}).Remedy()
+		reply.Remedy = (&apierror.Fault{Kind: apierror.Kind(reply.Kind)}).Remedy()
 	}
 	content, err := json.Marshal(reply)
 	if err != nil {
@@ -97,31 +97,31 @@
 // Dropped refuses a call whose caller has left: it was read behind its close, as after a freeze, and a caller that still
 // wants something has called again. It tells whether it did.
 func Dropped(context *fasthttp.RequestCtx) bool {
-	if !seam.Left(context.Conn()) {
+	if !netio.Left(context.Conn()) {
 		return false
 	}
 	context.SetConnectionClose()
-	Answer(context, 503, core.Reply{Outcome: "refused", Kind: string(fault.RequesterGone), Detail: "the caller has closed its connection"})
+	Answer(context, 503, node.Reply{Outcome: "refused", Kind: string(apierror.RequesterGone), Detail: "the caller has closed its connection"})
 	return true
 }
 
 // Order puts an operator's question to the chain, whichever machine must answer it, and waits for at most
 // the bound. A change goes its way beyond that: its outcome is unknown then, and the same operation id sent
 // again, here or elsewhere, finds it.
-func (host *Host) Order(message *wire.OperatorAsk, bound time.Duration) (int, core.Reply) {
+func (host *Host) Order(message *wire.OperatorAsk, bound time.Duration) (int, node.Reply) {
 	timer := time.NewTimer(bound)
 	defer timer.Stop()
 	token, answers := host.ask(message)
 	select {
 	case got := <-answers:
-		reply := core.Reply{}
+		reply := node.Reply{}
 		if err := json.Unmarshal(got.body, &reply); err != nil {
-			return 500, core.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(fault.Internal), Detail: err.Error()}
+			return 500, node.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(apierror.Internal), Detail: err.Error()}
 		}
 		return got.status, reply
 	case <-timer.C:
 		host.abandon(token)
-		return 504, core.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(fault.OutcomeUnknown), Detail: "no answer in time"}
+		return 504, node.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(apierror.OutcomeUnknown), Detail: "no answer in time"}
 	}
 }
 
@@ -133,8 +133,8 @@
 		}
 		message, err := question(verb, context)
 		if err != nil {
-			found := fault.Of(err)
-			Answer(context, 400, core.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: found.Detail})
+			found := apierror.Of(err)
+			Answer(context, 400, node.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: found.Detail})
 			return
 		}
 		got := host.wait(context, message)
@@ -151,7 +151,7 @@
 // looks like one that left, and is told that the outcome is not known.
 func (host *Host) wait(context *fasthttp.RequestCtx, message *wire.OperatorAsk) answer {
 	left := make(chan struct{})
-	stop := seam.FromHTTP(context).Watch(func() { close(left) })
+	stop := netio.FromHTTP(context).Watch(func() { close(left) })
 	defer stop()
 	token, answers := host.ask(message)
 	select {
@@ -160,7 +160,7 @@
 	case <-left:
 		host.abandon(token)
 		context.SetConnectionClose()
-		return answer{504, core.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(fault.OutcomeUnknown), Detail: "the caller has closed its connection"}.Encode()}
+		return answer{504, node.Reply{Outcome: "unknown", Operation: message.Operation, Kind: string(apierror.OutcomeUnknown), Detail: "the caller has closed its connection"}.Encode()}
 	}
 }
 
@@ -176,7 +176,7 @@
 	// A message, and a record on a disk, can't hold other bytes than UTF-8: one such change could be neither passed on
 	// nor synced.
 	if len(message.Operation) > maximumOperation || !utf8.ValidString(message.Operation) || !utf8.ValidString(message.Zone) {
-		return nil, fault.New(fault.Malformed, "operation, zone: at most %d bytes of UTF-8", maximumOperation)
+		return nil, apierror.New(apierror.Malformed, "operation, zone: at most %d bytes of UTF-8", maximumOperation)
 	}
 	var err error
 	if message.Base, message.HasBase, err = number(context, "base"); err != nil {
@@ -187,7 +187,7 @@
 			return nil, err
 		}
 		if !message.HasBase {
-			return nil, fault.New(fault.Malformed, "base: a spec must name the epoch it was built on (0 for the first)")
+			return nil, apierror.New(apierror.Malformed, "base: a spec must name the epoch it was built on (0 for the first)")
 		}
 		message.Spec = append([]byte{}, context.PostBody()...)
 	}
@@ -202,7 +202,7 @@
 	}
 	value, err := strconv.ParseUint(string(text), 10, 64)
 	if err != nil {
-		return 0, false, fault.New(fault.Malformed, "%s: not a whole number", name)
+		return 0, false, apierror.New(apierror.Malformed, "%s: not a whole number", name)
 	}
 	return value, true, nil
 }
@@ -213,8 +213,8 @@
 	Address  string         `json:"address"`
 	Zone     string         `json:"zone"`
 	Uptime   string         `json:"uptime"`
-	Core     core.Status    `json:"core"`
-	Counters core.Counters  `json:"counters"`
+	Core     node.Status    `json:"core"`
+	Counters node.Counters  `json:"counters"`
 	Wire     map[string]any `json:"wire"`
 }
 
@@ -227,7 +227,7 @@
 	status.Wire = WireCounters(host.transport)
 	content, err := json.Marshal(status)
 	if err != nil {
-		Answer(context, 500, core.Reply{Outcome: "refused", Kind: string(fault.Internal), Detail: err.Error()})
+		Answer(context, 500, node.Reply{Outcome: "refused", Kind: string(apierror.Internal), Detail: err.Error()})
 		return
 	}
 	context.SetContentType("application/json")
--- a/control/corehost/http_test.go
+++ b/control/server/http_test.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import (
 	"io"
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wardtray/config/startup"
+	"wardtray/config/process"
 	"wardtray/wire"
 )
 
@@ -41,7 +41,7 @@
 }
 
 func TestOrderWaitsNoLongerThanItsBound(t *testing.T) {
-	host, err := New(&startup.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	host, err := New(&process.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/corehost/runners.go
+++ b/control/server/runners.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
-	"wardtray/control/core"
+	"wardtray/apierror"
+	"wardtray/control/node"
 	"wardtray/control/registry"
-	"wardtray/process/fault"
 	"wardtray/wire"
 )
 
@@ -30,17 +30,17 @@
 }
 
 // refusals are the outcomes that acknowledge nothing.
-var refusals = map[registry.Outcome]core.Reply{
-	registry.Full:    {Outcome: "refused", Kind: string(fault.Busy), Detail: "more runners are registered than this core remembers"},
-	registry.Unheard: {Outcome: "refused", Kind: string(fault.CutOff), Detail: "no daemon has confirmed it"},
+var refusals = map[registry.Outcome]node.Reply{
+	registry.Full:    {Outcome: "refused", Kind: string(apierror.Busy), Detail: "more runners are registered than this core remembers"},
+	registry.Unheard: {Outcome: "refused", Kind: string(apierror.CutOff), Detail: "no daemon has confirmed it"},
 }
 
 // RegistrationStatus gives the HTTP status of an outcome, and what to tell where it acknowledges nothing.
-func RegistrationStatus(outcome registry.Outcome) (status int, refusal core.Reply) {
+func RegistrationStatus(outcome registry.Outcome) (status int, refusal node.Reply) {
 	if refusal, refused := refusals[outcome]; refused {
 		return 503, refusal
 	}
-	return 200, core.Reply{}
+	return 200, node.Reply{}
 }
 
 // DroppedBeat refuses a runner's call whose caller has left, as Dropped does, unless it says that the runner leaves.
@@ -69,7 +69,7 @@
 	routes.DELETE("/v1/runners/{id}", func(context *fasthttp.RequestCtx) {
 		id, _ := context.UserValue("id").(string)
 		if !registry.CheckID(id) {
-			AnswerFault(context, fault.New(fault.Malformed, "id: wants up to 128 letters without blanks or slashes"))
+			AnswerFault(context, apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes"))
 			return
 		}
 		answerRunner(context, host.Deregister(id))
@@ -78,13 +78,13 @@
 
 // AnswerFault refuses what can't be read.
 func AnswerFault(context *fasthttp.RequestCtx, err error) {
-	found := fault.Of(err)
-	statuses := map[fault.Kind]int{fault.Malformed: 400, fault.TooLarge: 413}
+	found := apierror.Of(err)
+	statuses := map[apierror.Kind]int{apierror.Malformed: 400, apierror.TooLarge: 413}
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	Answer(context, statuses[found.Kind], core.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: detail})
+	Answer(context, statuses[found.Kind], node.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: detail})
 }
 
 func answerRunner(context *fasthttp.RequestCtx, outcome registry.Outcome) {
@@ -131,7 +131,7 @@
 	}
 	content, err := json.Marshal(map[string]any{"runners": lines})
 	if err != nil {
-		Answer(context, 500, core.Reply{Outcome: "refused", Kind: string(fault.Internal), Detail: err.Error()})
+		Answer(context, 500, node.Reply{Outcome: "refused", Kind: string(apierror.Internal), Detail: err.Error()})
 		return
 	}
 	context.SetContentType("application/json")
--- a/control/corehost/wire.go
+++ b/control/server/wire.go
@@ -1,4 +1,4 @@
-package corehost
+package server
 
 import "wardtray/transport"
 
--- a/control/drive/disk.go
+++ b/control/storage/disk.go
@@ -1,13 +1,13 @@
 // Package drive runs the pure state machines inside a process: it carries out their disk writes,
 // ticks them, and holds the lock under which they step.
-package drive
+package storage
 
 import (
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
+	"wardtray/apierror"
 	"wardtray/coordination/snapshot"
-	"wardtray/process/fault"
+	"wardtray/coordination/statemachine"
 )
 
 // carrier carries out one batch of writes.
@@ -24,7 +24,7 @@
 
 // Carry carries out writes in order on a store and tells of each that is synced. Records that come
 // together are synced together. After a failure nothing more is written until a whole memory is.
-func Carry(store *snapshot.Store, writes []machine.Write, synced func(sequence uint64), failed func(err error)) {
+func Carry(store *snapshot.Store, writes []statemachine.Write, synced func(sequence uint64), failed func(err error)) {
 	carrier := &carrier{store: store, synced: synced, failed: failed}
 	for _, write := range writes {
 		if write.Sweep {
@@ -58,7 +58,7 @@
 }
 
 // sweep reads all that is on disk.
-func (carrier *carrier) sweep(write machine.Write) {
+func (carrier *carrier) sweep(write statemachine.Write) {
 	carrier.sync()
 	if err := carrier.store.Verify(); err != nil {
 		carrier.fail(err)
@@ -68,7 +68,7 @@
 }
 
 // replace writes a whole memory, which mends what failed before.
-func (carrier *carrier) replace(write machine.Write) {
+func (carrier *carrier) replace(write statemachine.Write) {
 	carrier.sync()
 	content, err := proto.Marshal(write.Memory)
 	if err == nil {
@@ -83,10 +83,10 @@
 }
 
 // add lets a record wait for the next sync.
-func (carrier *carrier) add(write machine.Write) {
+func (carrier *carrier) add(write statemachine.Write) {
 	content, err := proto.Marshal(write.Record)
 	if err != nil {
-		carrier.fail(fault.Wrap(err, fault.Internal, "encoding a record"))
+		carrier.fail(apierror.Wrap(err, apierror.Internal, "encoding a record"))
 		return
 	}
 	carrier.records, carrier.last = append(carrier.records, content), write.Sequence
--- a/control/drive/drive_test.go
+++ b/control/storage/drive_test.go
@@ -1,14 +1,14 @@
-package drive
+package storage
 
 import (
 	"testing"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
-func record(sequence uint64) machine.Write {
-	return machine.Write{Sequence: sequence, Record: &wire.Record{Body: &wire.Record_View{View: &wire.View{Epoch: sequence}}}}
+func record(sequence uint64) statemachine.Write {
+	return statemachine.Write{Sequence: sequence, Record: &wire.Record{Body: &wire.Record_View{View: &wire.View{Epoch: sequence}}}}
 }
 
 // A write lost to a full waitlist must not be followed by a later one: a completion stands for all before it.
@@ -22,7 +22,7 @@
 	if waitlist.Offer(record(4)) {
 		t.Fatal("a write passed after a lost one")
 	}
-	if !waitlist.Offer(machine.Write{Sequence: 5, Memory: &wire.Memory{}}) || !waitlist.Offer(record(6)) {
+	if !waitlist.Offer(statemachine.Write{Sequence: 5, Memory: &wire.Memory{}}) || !waitlist.Offer(record(6)) {
 		t.Fatal("a whole memory did not mend it")
 	}
 }
--- a/control/drive/golden_test.go
+++ b/control/storage/golden_test.go
@@ -1,4 +1,4 @@
-package drive
+package storage
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
 	"wardtray/coordination/snapshot"
-	"wardtray/proof/golden"
+	"wardtray/coordination/statemachine"
+	"wardtray/verify/golden"
 	"wardtray/wire"
 )
 
@@ -44,9 +44,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writes := []machine.Write{{Sequence: 1, Memory: memory}}
+	writes := []statemachine.Write{{Sequence: 1, Memory: memory}}
 	for place, record := range records {
-		writes = append(writes, machine.Write{Sequence: uint64(place) + 2, Record: record})
+		writes = append(writes, statemachine.Write{Sequence: uint64(place) + 2, Record: record})
 	}
 	last := uint64(0)
 	Carry(restored.Store, writes, func(sequence uint64) { last = sequence }, func(err error) { t.Fatal(err) })
--- a/control/drive/restore.go
+++ b/control/storage/restore.go
@@ -1,12 +1,12 @@
-package drive
+package storage
 
 import (
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/apierror"
 	"wardtray/coordination/snapshot"
-	"wardtray/process/fault"
 	"wardtray/wire"
 )
 
@@ -38,10 +38,10 @@
 			return restored, nil
 		}
 	}
-	if fault.Is(err, fault.NoMemory) {
+	if apierror.Is(err, apierror.NoMemory) {
 		restored.Lost = err
 		if err := folder.SetAside(mark); err != nil {
-			return Restored{}, fault.Wrap(err, fault.DiskFailed, "setting the old memory aside")
+			return Restored{}, apierror.Wrap(err, apierror.DiskFailed, "setting the old memory aside")
 		}
 		store, _, err = snapshot.Open(folder)
 	}
@@ -51,7 +51,7 @@
 	restored.Store, restored.Fresh, restored.Memory = store, true, &wire.Memory{Id: identity()}
 	content, err := proto.Marshal(restored.Memory)
 	if err != nil {
-		return Restored{}, fault.Wrap(err, fault.Internal, "encoding the first memory")
+		return Restored{}, apierror.Wrap(err, apierror.Internal, "encoding the first memory")
 	}
 	return restored, store.Replace(content)
 }
@@ -64,7 +64,7 @@
 func RestoreWithin(bound time.Duration, restore func() (Restored, error)) (Restored, error) {
 	for begun := time.Now(); ; time.Sleep(restoreEvery) {
 		restored, err := restore()
-		if !fault.Is(err, fault.DiskFailed) || time.Since(begun) >= bound {
+		if !apierror.Is(err, apierror.DiskFailed) || time.Since(begun) >= bound {
 			return restored, err
 		}
 	}
@@ -73,22 +73,22 @@
 func decode(recovered snapshot.Recovered) (*wire.Memory, []*wire.Record, error) {
 	memory := &wire.Memory{}
 	if err := proto.Unmarshal(recovered.Memory, memory); err != nil {
-		return nil, nil, fault.Wrap(err, fault.NoMemory, "decoding the slot")
+		return nil, nil, apierror.Wrap(err, apierror.NoMemory, "decoding the slot")
 	}
 	var records []*wire.Record
 	for _, content := range recovered.Records {
 		record := &wire.Record{}
 		if err := proto.Unmarshal(content, record); err != nil {
-			return nil, nil, fault.Wrap(err, fault.NoMemory, "decoding the log")
+			return nil, nil, apierror.Wrap(err, apierror.NoMemory, "decoding the log")
 		}
 		records = append(records, record)
 	}
 	if memory.Id == "" || !viewWhole(memory.View) {
-		return nil, nil, fault.New(fault.NoMemory, "the slot holds no identity, or a view of nobody")
+		return nil, nil, apierror.New(apierror.NoMemory, "the slot holds no identity, or a view of nobody")
 	}
 	for _, record := range records {
 		if !viewWhole(record.GetView()) {
-			return nil, nil, fault.New(fault.NoMemory, "the log holds a view of nobody")
+			return nil, nil, apierror.New(apierror.NoMemory, "the log holds a view of nobody")
 		}
 	}
 	return memory, records, nil
--- a/control/drive/restore_test.go
+++ b/control/storage/restore_test.go
@@ -1,4 +1,4 @@
-package drive
+package storage
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/core"
-	"wardtray/coordination/machine"
+	"wardtray/apierror"
+	"wardtray/control/node"
 	"wardtray/coordination/snapshot"
-	"wardtray/process/fault"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -78,7 +78,7 @@
 		t.Fatalf("%v after %d tries: %+v", err, tries, restored)
 	}
 	folder.full = true
-	if _, err := RestoreWithin(0, func() (Restored, error) { return Restore(folder, identity, "m") }); !fault.Is(err, fault.DiskFailed) {
+	if _, err := RestoreWithin(0, func() (Restored, error) { return Restore(folder, identity, "m") }); !apierror.Is(err, apierror.DiskFailed) {
 		t.Fatalf("a full disk: %v", err)
 	}
 }
@@ -91,13 +91,13 @@
 		t.Fatal(err)
 	}
 	var synced []uint64
-	carry := func(writes ...machine.Write) {
+	carry := func(writes ...statemachine.Write) {
 		Carry(restored.Store, writes, func(sequence uint64) { synced = append(synced, sequence) }, func(err error) { t.Log(err) })
 	}
 	member := []*wire.Member{{Id: "a"}}
-	carry(record(1), machine.Write{Sequence: 2, Sweep: true},
-		machine.Write{Sequence: 3, Memory: &wire.Memory{Id: "fresh", View: &wire.View{Epoch: 2, Chain: member, Keepers: member}}},
-		machine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_Cleared{Cleared: 7}}})
+	carry(record(1), statemachine.Write{Sequence: 2, Sweep: true},
+		statemachine.Write{Sequence: 3, Memory: &wire.Memory{Id: "fresh", View: &wire.View{Epoch: 2, Chain: member, Keepers: member}}},
+		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_Cleared{Cleared: 7}}})
 	if len(synced) != 4 || synced[3] != 4 {
 		t.Fatalf("synced %v", synced)
 	}
@@ -147,12 +147,12 @@
 			t.Fatalf("fresh %v, lost %v", restored.Fresh, restored.Lost)
 		}
 		now := time.Unix(1_700_000_000, 0)
-		node := core.New(now, core.Startup{Address: "127.0.0.1:1", Zone: "a"}, restored.Memory, restored.Records, rand.New(rand.NewSource(1)))
+		control := node.New(now, node.Startup{Address: "127.0.0.1:1", Zone: "a"}, restored.Memory, restored.Records, rand.New(rand.NewSource(1)))
 		for range 20 {
 			now = now.Add(100 * time.Millisecond)
-			node.Tick(now)
-			_, writes := node.Drain()
-			Carry(restored.Store, writes, func(sequence uint64) { node.Synced(now, sequence) }, func(err error) { t.Fatal(err) })
+			control.Tick(now)
+			_, writes := control.Drain()
+			Carry(restored.Store, writes, func(sequence uint64) { control.Synced(now, sequence) }, func(err error) { t.Fatal(err) })
 		}
 	})
 }
--- a/control/drive/waitlist.go
+++ b/control/storage/waitlist.go
@@ -1,20 +1,22 @@
-package drive
+package storage
 
-import "wardtray/coordination/machine"
+import "wardtray/coordination/statemachine"
 
 // Waitlist holds the writes that a disk has not begun. It is bounded, and it never lets a write pass
 // that would follow a lost one: after an overflow it takes nothing until a whole memory comes, which
 // holds all that was lost. Offer is for one thread at a time; the disk's thread reads Writes.
 type Waitlist struct {
-	Writes chan machine.Write
+	Writes chan statemachine.Write
 	broken bool
 }
 
 // NewWaitlist makes one of a length.
-func NewWaitlist(length int) *Waitlist { return &Waitlist{Writes: make(chan machine.Write, length)} }
+func NewWaitlist(length int) *Waitlist {
+	return &Waitlist{Writes: make(chan statemachine.Write, length)}
+}
 
 // Offer tells whether the write was taken.
-func (waitlist *Waitlist) Offer(write machine.Write) bool {
+func (waitlist *Waitlist) Offer(write statemachine.Write) bool {
 	if waitlist.broken && write.Memory == nil {
 		return false
 	}
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
-	"wardtray/coordination/machine"
-	"wardtray/process/fault"
+	"wardtray/apierror"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -32,7 +32,7 @@
 // Chain is one member's part.
 type Chain struct {
 	self      string
-	outbox    *machine.Outbox
+	outbox    *statemachine.Outbox
 	address   func(member *wire.Member) string
 	committed func(now time.Time, sequence uint64)
 
@@ -64,7 +64,7 @@
 }
 
 // New restores a member from what its disk held.
-func New(self string, base *wire.Document, pending []*wire.Entry, outbox *machine.Outbox,
+func New(self string, base *wire.Document, pending []*wire.Entry, outbox *statemachine.Outbox,
 	address func(member *wire.Member) string, committed func(now time.Time, sequence uint64)) *Chain {
 	if base == nil {
 		base = &wire.Document{}
@@ -139,13 +139,13 @@
 // Enter takes a change at the head. The caller has validated it and holds the claim.
 func (chain *Chain) Enter(now time.Time, entry *wire.Entry) error {
 	if !chain.Head() {
-		return fault.New(fault.NoMajority, "not the head of the chain")
+		return apierror.New(apierror.NoMajority, "not the head of the chain")
 	}
 	if len(chain.view.Chain) < int(chain.view.Floor) {
-		return fault.New(fault.NoMajority, "the chain is shorter than %d members", chain.view.Floor)
+		return apierror.New(apierror.NoMajority, "the chain is shorter than %d members", chain.view.Floor)
 	}
 	if waiting := len(chain.history.pending); waiting >= MaximumPending || waiting > 0 && chain.history.pendingBytes+entryBytes(entry) > MaximumPendingBytes {
-		return fault.New(fault.Busy, "%d changes wait already", waiting)
+		return apierror.New(apierror.Busy, "%d changes wait already", waiting)
 	}
 	entry.Sequence, entry.View = chain.received+1, chain.view.Epoch
 	chain.append(now, entry)
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -18,8 +18,8 @@
 type row struct {
 	now     time.Time
 	chains  map[string]*Chain
-	outbox  map[string]*machine.Outbox
-	writes  map[string][]machine.Write
+	outbox  map[string]*statemachine.Outbox
+	writes  map[string][]statemachine.Write
 	mail    []letter
 	commits map[string]uint64
 }
@@ -30,7 +30,7 @@
 }
 
 func newRow(names ...string) *row {
-	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*machine.Outbox{}, writes: map[string][]machine.Write{}, commits: map[string]uint64{}}
+	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
 	for _, name := range names {
 		made.add(name)
 	}
@@ -39,7 +39,7 @@
 }
 
 func (row *row) add(name string) {
-	row.outbox[name] = machine.NewOutbox()
+	row.outbox[name] = statemachine.NewOutbox()
 	row.chains[name] = New(name, nil, nil, row.outbox[name], func(member *wire.Member) string { return member.Id },
 		func(_ time.Time, sequence uint64) { row.commits[name] = sequence })
 }
--- a/coordination/chain/example_test.go
+++ b/coordination/chain/example_test.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"wardtray/coordination/chain"
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
 // A chain of one: the driver hands in the time and the disk's completions and drains the outbox.
 func Example() {
-	now, outbox := time.Unix(0, 0), machine.NewOutbox()
+	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	single := chain.New("a", nil, nil, outbox, func(member *wire.Member) string { return member.Address },
 		func(_ time.Time, sequence uint64) { fmt.Println("committed", sequence) })
 	single.Adopt(now, &wire.View{Epoch: 1, Floor: 1, Chain: []*wire.Member{{Id: "a", Address: "127.0.0.1:1"}}})
--- a/coordination/chain/history_test.go
+++ b/coordination/chain/history_test.go
@@ -8,13 +8,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
-	"wardtray/process/fault"
+	"wardtray/apierror"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
 func lone(documents ...*wire.Document) *row {
-	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*machine.Outbox{}, writes: map[string][]machine.Write{}, commits: map[string]uint64{}}
+	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
 	made.add("a")
 	if len(documents) > 0 {
 		made.chains["a"] = New("a", documents[0], nil, made.outbox["a"], func(member *wire.Member) string { return member.Id }, func(_ time.Time, sequence uint64) { made.commits["a"] = sequence })
@@ -166,7 +166,7 @@
 	if err := chain.Enter(row.now, large(1, 2*MaximumPendingBytes)); err != nil {
 		t.Fatal(err)
 	}
-	if err := chain.Enter(row.now, large(2, 1)); !fault.Is(err, fault.Busy) {
+	if err := chain.Enter(row.now, large(2, 1)); !apierror.Is(err, apierror.Busy) {
 		t.Fatalf("taken beyond the bound: %v", err)
 	}
 	row.sync("a")
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := chain.Enter(row.now, large(6, 1)); !fault.Is(err, fault.Busy) {
+	if err := chain.Enter(row.now, large(6, 1)); !apierror.Is(err, apierror.Busy) {
 		t.Fatalf("taken beyond the bound: %v", err)
 	}
 }
--- a/coordination/gossip/rumor.go
+++ b/coordination/gossip/rumor.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -37,7 +37,7 @@
 // Store holds the registers of one process.
 type Store struct {
 	zone      string
-	outbox    *machine.Outbox
+	outbox    *statemachine.Outbox
 	random    *rand.Rand
 	partners  func() []Partner
 	changed   func(now time.Time, register *wire.Register)
@@ -47,7 +47,7 @@
 }
 
 // New makes an empty store. changed is told of each register that became newer.
-func New(zone string, outbox *machine.Outbox, random *rand.Rand, partners func() []Partner, changed func(now time.Time, register *wire.Register)) *Store {
+func New(zone string, outbox *statemachine.Outbox, random *rand.Rand, partners func() []Partner, changed func(now time.Time, register *wire.Register)) *Store {
 	return &Store{zone: zone, outbox: outbox, random: random, partners: partners, changed: changed,
 		registers: map[string]*wire.Register{}, hot: map[string]uint32{}}
 }
--- a/coordination/gossip/rumor_test.go
+++ b/coordination/gossip/rumor_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"wardtray/coordination/gossip"
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
 func Example() {
-	now, outbox := time.Unix(0, 0), machine.NewOutbox()
+	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	store := gossip.New("here", outbox, rand.New(rand.NewSource(1)), func() []gossip.Partner { return []gossip.Partner{{Address: "127.0.0.2:1", Zone: "here"}} },
 		func(_ time.Time, register *wire.Register) { fmt.Printf("%s is now %s\n", register.Key, register.Value) })
 	store.Put(now, &wire.Register{Key: "document", Epoch: 2, Value: []byte("new")}, gossip.Hops)
@@ -29,7 +29,7 @@
 type place struct {
 	name, zone string
 	store      *gossip.Store
-	outbox     *machine.Outbox
+	outbox     *statemachine.Outbox
 }
 
 // network is thirty stores in three zones, of which each knows some of the others.
@@ -59,7 +59,7 @@
 
 // add makes a store that fails the test when a register goes back or leaves its zone.
 func (network *network) add(number int, random *rand.Rand, fail func(format string, values ...any)) {
-	made := &place{name: fmt.Sprint("p", number), zone: zoneOf(number), outbox: machine.NewOutbox()}
+	made := &place{name: fmt.Sprint("p", number), zone: zoneOf(number), outbox: statemachine.NewOutbox()}
 	var partners []gossip.Partner
 	for range partnerCount {
 		if other := network.random.Intn(storeCount); other != number {
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Found by proof/model: a keeper confirmed what a daemon had, was killed and came back, and told the head that nobody
+// Found by verify/modelcheck: a keeper confirmed what a daemon had, was killed and came back, and told the head that nobody
 // relied on any word of its.
 func TestARestartedWitnessCountsForgottenWords(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
--- a/coordination/peersampling/cohort.go
+++ b/coordination/peersampling/cohort.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -26,7 +26,7 @@
 type Cohort struct {
 	self     *wire.CohortLine
 	seeds    []string
-	outbox   *machine.Outbox
+	outbox   *statemachine.Outbox
 	random   *rand.Rand
 	lines    map[string]*wire.CohortLine
 	asked    string
@@ -36,7 +36,7 @@
 }
 
 // New makes a view that knows only its seeds.
-func New(self *wire.CohortLine, seeds []string, outbox *machine.Outbox, random *rand.Rand) *Cohort {
+func New(self *wire.CohortLine, seeds []string, outbox *statemachine.Outbox, random *rand.Rand) *Cohort {
 	return &Cohort{self: self, seeds: seeds, outbox: outbox, random: random, lines: map[string]*wire.CohortLine{}, heard: map[string]time.Time{}}
 }
 
--- a/coordination/peersampling/cohort_test.go
+++ b/coordination/peersampling/cohort_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"wardtray/coordination/machine"
 	"wardtray/coordination/peersampling"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
 func Example() {
-	now, outbox := time.Unix(0, 0), machine.NewOutbox()
+	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	view := peersampling.New(&wire.CohortLine{Address: "127.0.0.1:1", Zone: "a"}, []string{"127.0.0.9:1"}, outbox, rand.New(rand.NewSource(1)))
 	view.Tick(now)
 	parcels, _ := outbox.Drain()
@@ -30,16 +30,16 @@
 	now      time.Time
 	names    []string
 	views    map[string]*peersampling.Cohort
-	outboxes map[string]*machine.Outbox
+	outboxes map[string]*statemachine.Outbox
 	gone     map[string]bool
 }
 
 func newCrowd() *crowd {
 	made := &crowd{random: rand.New(rand.NewSource(4)), now: time.Unix(0, 0), views: map[string]*peersampling.Cohort{},
-		outboxes: map[string]*machine.Outbox{}, gone: map[string]bool{}}
+		outboxes: map[string]*statemachine.Outbox{}, gone: map[string]bool{}}
 	for number := range 200 {
 		name := fmt.Sprintf("p%03d", number)
-		made.outboxes[name] = machine.NewOutbox()
+		made.outboxes[name] = statemachine.NewOutbox()
 		made.views[name] = peersampling.New(&wire.CohortLine{Address: name, Zone: fmt.Sprint(number % 4)}, []string{"p000"}, made.outboxes[name], rand.New(rand.NewSource(int64(number))))
 		made.names = append(made.names, name)
 	}
--- a/coordination/snapshot/golden_test.go
+++ b/coordination/snapshot/golden_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 const (
--- a/coordination/snapshot/power_test.go
+++ b/coordination/snapshot/power_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // powerSystem is a file system of one folder that keeps, over a loss of power, of each file what was synced with it
@@ -250,7 +250,7 @@
 	if errors.Is(err, errDied) {
 		return nil
 	}
-	if !begun && (fault.Is(err, fault.NoMemory) || recovered.Blank) {
+	if !begun && (apierror.Is(err, apierror.NoMemory) || recovered.Blank) {
 		return nil
 	}
 	if err != nil || recovered.Blank || !strings.HasPrefix(string(recovered.Memory), "m") {
@@ -358,7 +358,7 @@
 // setAsideFlaw tells what is wrong with a folder whose memory was being set aside; done tells whether that had ended.
 func setAsideFlaw(after *powerSystem, done bool) string {
 	_, recovered, err := Open(files{"folder", after})
-	if !fault.Is(err, fault.NoMemory) && (err != nil || !recovered.Blank) {
+	if !apierror.Is(err, apierror.NoMemory) && (err != nil || !recovered.Blank) {
 		return fmt.Sprintf("memory %q, %v", recovered.Memory, err)
 	}
 	if done && (!recovered.Blank || after.names["log.lost-earlier"] != nil || after.names["log.lost-mark"] == nil) {
--- a/coordination/snapshot/slots.go
+++ b/coordination/snapshot/slots.go
@@ -16,7 +16,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // Folder is the little of a file system that a Store needs; the simulator brings its own. Each call syncs all
@@ -82,7 +82,7 @@
 	store := &Store{folder: folder}
 	log, logFound, err := folder.Read("log")
 	if err != nil {
-		return nil, Recovered{}, fault.Wrap(err, fault.DiskFailed, "reading the log")
+		return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "reading the log")
 	}
 	slots, err := readSlots(folder)
 	if err != nil {
@@ -91,7 +91,7 @@
 	if !logFound {
 		// A slot alone may be a first start cut short or a lost log; both are answered by a new identity.
 		if slots[0].whole || slots[1].whole {
-			return nil, Recovered{}, fault.New(fault.NoMemory, "a slot without its log")
+			return nil, Recovered{}, apierror.New(apierror.NoMemory, "a slot without its log")
 		}
 		return store, Recovered{Blank: true}, nil
 	}
@@ -101,20 +101,20 @@
 	}
 	newest := newestSlot(slots, generation)
 	if newest == nil {
-		return nil, Recovered{}, fault.New(fault.NoMemory, "the slot of generation %d is damaged", generation)
+		return nil, Recovered{}, apierror.New(apierror.NoMemory, "the slot of generation %d is damaged", generation)
 	}
 	store.generation = newest.generation
 	recovered := Recovered{Memory: newest.memory}
 	if newest.generation > generation {
 		// Its own log was not begun, so nobody knows whether it was synced.
 		if err := folder.Truncate(newest.name, newest.length); err != nil {
-			return nil, Recovered{}, fault.Wrap(err, fault.DiskFailed, "syncing %s", newest.name)
+			return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "syncing %s", newest.name)
 		}
 		return store, recovered, store.beginLog()
 	}
 	recovered.Records, recovered.Torn, store.logged = records, len(log)-whole, int64(whole)
 	if err := folder.Truncate("log", store.logged); err != nil {
-		return nil, Recovered{}, fault.Wrap(err, fault.DiskFailed, "syncing the log without its torn end")
+		return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "syncing the log without its torn end")
 	}
 	return store, recovered, nil
 }
@@ -123,7 +123,7 @@
 	for place, name := range slotNames {
 		content, _, err := folder.Read(name)
 		if err != nil {
-			return slots, fault.Wrap(err, fault.DiskFailed, "reading %s", name)
+			return slots, apierror.Wrap(err, apierror.DiskFailed, "reading %s", name)
 		}
 		slots[place] = slot{name: name, length: int64(len(content))}
 		slots[place].generation, slots[place].memory, slots[place].whole = DecodeSlot(content)
@@ -149,7 +149,7 @@
 	store.broken = true
 	generation := store.generation + 1
 	if err := store.folder.Put(slotNames[generation%2], EncodeSlot(generation, memory)); err != nil {
-		return fault.Wrap(err, fault.DiskFailed, "writing a slot")
+		return apierror.Wrap(err, apierror.DiskFailed, "writing a slot")
 	}
 	store.generation = generation
 	if err := store.beginLog(); err != nil {
@@ -162,10 +162,10 @@
 func (store *Store) beginLog() error {
 	header := EncodeLogHeader(store.generation)
 	if err := store.folder.Put("log.new", header); err != nil {
-		return fault.Wrap(err, fault.DiskFailed, "beginning a log")
+		return apierror.Wrap(err, apierror.DiskFailed, "beginning a log")
 	}
 	if err := store.folder.Rename("log.new", "log"); err != nil {
-		return fault.Wrap(err, fault.DiskFailed, "putting a new log in place")
+		return apierror.Wrap(err, apierror.DiskFailed, "putting a new log in place")
 	}
 	store.logged = int64(len(header))
 	return nil
@@ -175,7 +175,7 @@
 // that every later Append fails too until a Replace has begun a new log.
 func (store *Store) Append(records ...[]byte) error {
 	if store.broken {
-		return fault.New(fault.DiskFailed, "an earlier write failed")
+		return apierror.New(apierror.DiskFailed, "an earlier write failed")
 	}
 	size := 0
 	for _, record := range records {
@@ -187,7 +187,7 @@
 	}
 	if err := store.folder.Append("log", content); err != nil {
 		store.broken = true
-		return fault.Wrap(err, fault.DiskFailed, "adding to the log")
+		return apierror.Wrap(err, apierror.DiskFailed, "adding to the log")
 	}
 	store.logged += int64(len(content))
 	return nil
@@ -197,22 +197,22 @@
 // no longer holds what was synced; as after a failed write, only a Replace is taken then.
 func (store *Store) Verify() error {
 	if store.broken {
-		return fault.New(fault.DiskFailed, "an earlier write failed")
+		return apierror.New(apierror.DiskFailed, "an earlier write failed")
 	}
 	generation, _, whole, err := store.readLog()
 	if err == nil && (generation != store.generation || int64(whole) != store.logged) {
-		err = fault.New(fault.NoMemory, "the log is another or shorter than was written")
+		err = apierror.New(apierror.NoMemory, "the log is another or shorter than was written")
 	}
 	if err == nil {
 		content, found, reading := store.folder.Read(slotNames[store.generation%2])
 		held, _, slotWhole := DecodeSlot(content)
 		if reading != nil || !found || !slotWhole || held != store.generation {
-			err = fault.New(fault.NoMemory, "the slot of generation %d is damaged", store.generation)
+			err = apierror.New(apierror.NoMemory, "the slot of generation %d is damaged", store.generation)
 		}
 	}
 	if err != nil {
 		store.broken = true
-		return fault.Wrap(err, fault.DiskFailed, "reading back what was synced")
+		return apierror.Wrap(err, apierror.DiskFailed, "reading back what was synced")
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 func (store *Store) readLog() (generation uint64, records [][]byte, whole int, err error) {
 	content, _, err := store.folder.Read("log")
 	if err != nil {
-		return 0, nil, 0, fault.Wrap(err, fault.DiskFailed, "reading the log")
+		return 0, nil, 0, apierror.Wrap(err, apierror.DiskFailed, "reading the log")
 	}
 	return DecodeLog(content)
 }
@@ -281,7 +281,7 @@
 // never synced. Damage before the end is a NoMemory fault.
 func DecodeLog(content []byte) (generation uint64, records [][]byte, whole int, err error) {
 	if len(content) < logHeader || string(content[:4]) != logMagic || crc32.Checksum(content[:12], table) != binary.BigEndian.Uint32(content[12:]) {
-		return 0, nil, 0, fault.New(fault.NoMemory, "the log's header is damaged")
+		return 0, nil, 0, apierror.New(apierror.NoMemory, "the log's header is damaged")
 	}
 	generation = binary.BigEndian.Uint64(content[4:])
 	whole = logHeader
@@ -290,7 +290,7 @@
 		if size == 0 {
 			// A torn write leaves nothing whole behind it; a whole record after a bad one means that synced bytes were damaged.
 			if wholeRecordIn(content[whole+1:]) {
-				return 0, nil, 0, fault.New(fault.NoMemory, "the log is damaged at byte %d", whole)
+				return 0, nil, 0, apierror.New(apierror.NoMemory, "the log is damaged at byte %d", whole)
 			}
 			return generation, records, whole, nil
 		}
--- a/coordination/snapshot/slots_test.go
+++ b/coordination/snapshot/slots_test.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // memoryFolder is a folder of which a crash keeps only what was synced, and perhaps a torn part of
@@ -140,7 +140,7 @@
 			folder.files[name] = append([]byte{}, whole...)
 			folder.files[name][place] ^= 0x55
 			_, recovered, err := Open(folder)
-			if !fault.Is(err, fault.NoMemory) {
+			if !apierror.Is(err, apierror.NoMemory) {
 				t.Fatalf("%s byte %d: memory %q, records %q, failure %v", name, place, recovered.Memory, recovered.Records, err)
 			}
 			damaged++
@@ -223,7 +223,7 @@
 		folder := &memoryFolder{files: map[string][]byte{"slot.0": first, "slot.1": second, "log": log}, crash: 1 << 30}
 		store, recovered, err := Open(folder)
 		if err != nil {
-			if !fault.Is(err, fault.NoMemory) {
+			if !apierror.Is(err, apierror.NoMemory) {
 				t.Fatal(err)
 			}
 			return
--- a/coordination/machine/machine.go
+++ b/coordination/statemachine/machine.go
@@ -2,7 +2,7 @@
 // pure state machine puts the messages it sends and the disk writes it wants. A part starts no
 // goroutine and reads no clock; a driver (a process, or the simulator) hands it the time,
 // messages, ticks and disk completions, then drains the outbox and carries it out.
-package machine
+package statemachine
 
 import (
 	"time"
--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/coordination/view"
 	"wardtray/wire"
 )
 
 // A lone founder agrees with itself; messages to its own address are handed straight back.
 func Example() {
-	now, outbox := time.Unix(0, 0), machine.NewOutbox()
+	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1"}
 	agent := view.NewAgent(now, "a", nil, nil, outbox, func(string) string { return self.Address },
 		func(_ time.Time, learned *wire.View) { fmt.Println("learned view", learned.Epoch) })
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -24,7 +24,7 @@
 // Agent is proposer, acceptor and learner in one.
 type Agent struct {
 	self    string
-	outbox  *machine.Outbox
+	outbox  *statemachine.Outbox
 	resolve func(id string) (address string)
 	learned func(now time.Time, view *wire.View)
 
@@ -54,7 +54,7 @@
 }
 
 // NewAgent restores an agent from what the disk held; current and vote may be nil.
-func NewAgent(now time.Time, self string, current *wire.View, vote *wire.Vote, outbox *machine.Outbox,
+func NewAgent(now time.Time, self string, current *wire.View, vote *wire.Vote, outbox *statemachine.Outbox,
 	resolve func(id string) string, learned func(now time.Time, view *wire.View)) *Agent {
 	if current == nil {
 		current = &wire.View{}
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/coordination/machine"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -19,7 +19,7 @@
 	now     time.Time
 	keepers []*wire.Member
 	agents  map[string]*Agent
-	outbox  map[string]*machine.Outbox
+	outbox  map[string]*statemachine.Outbox
 	disks   map[string]*disk
 	mail    []mail
 	learned map[uint64]*wire.View
@@ -40,7 +40,7 @@
 }
 
 func newTable(t *testing.T, seed int64) *table {
-	made := &table{random: rand.New(rand.NewSource(seed)), now: time.Unix(1_700_000_000, 0), agents: map[string]*Agent{}, outbox: map[string]*machine.Outbox{},
+	made := &table{random: rand.New(rand.NewSource(seed)), now: time.Unix(1_700_000_000, 0), agents: map[string]*Agent{}, outbox: map[string]*statemachine.Outbox{},
 		disks: map[string]*disk{}, learned: map[uint64]*wire.View{}, t: t, seed: seed, loss: int(seed % 4)}
 	for number := range 3 {
 		name := fmt.Sprint("k", number)
@@ -56,7 +56,7 @@
 
 // boot starts a keeper from what its disk holds.
 func (table *table) boot(name string) {
-	table.outbox[name] = machine.NewOutbox()
+	table.outbox[name] = statemachine.NewOutbox()
 	held := table.disks[name]
 	table.agents[name] = NewAgent(table.now, name, held.view, held.vote, table.outbox[name], func(id string) string { return id },
 		func(_ time.Time, view *wire.View) { table.learn(name, view) })
@@ -92,7 +92,7 @@
 }
 
 // send puts a message into the mail once or twice, unless it is lost.
-func (table *table) send(from string, parcel machine.Parcel) {
+func (table *table) send(from string, parcel statemachine.Parcel) {
 	for range 1 + table.random.Intn(2) {
 		if table.random.Intn(6) > table.loss {
 			table.mail = append(table.mail, mail{from: from, to: parcel.To, envelope: parcel.Envelope})
@@ -164,12 +164,12 @@
 
 // newFounders makes three agents without a view; found is called for each view that one of them learns.
 func newFounders(found func()) (*table, []*wire.Member) {
-	made := &table{now: time.Unix(0, 0), agents: map[string]*Agent{}, random: rand.New(rand.NewSource(1)), outbox: map[string]*machine.Outbox{}, disks: map[string]*disk{}}
+	made := &table{now: time.Unix(0, 0), agents: map[string]*Agent{}, random: rand.New(rand.NewSource(1)), outbox: map[string]*statemachine.Outbox{}, disks: map[string]*disk{}}
 	var founders []*wire.Member
 	for number := range 3 {
 		name := fmt.Sprint("k", number)
 		founders = append(founders, &wire.Member{Id: name, Address: name})
-		made.outbox[name] = machine.NewOutbox()
+		made.outbox[name] = statemachine.NewOutbox()
 		made.agents[name] = NewAgent(made.now, name, nil, nil, made.outbox[name], func(id string) string { return id },
 			func(time.Time, *wire.View) { found() })
 	}
--- a/edge/director/director.go
+++ b/dataplane/controller/director.go
@@ -7,7 +7,7 @@
 // confirmed on such questions that they know of nothing newer; no change is acknowledged before a majority of them
 // knows it and their older words are over. Or no core machine at all is to be reached, for the time that the settings
 // allow. See docs/control.md.
-package director
+package controller
 
 import (
 	"math/rand"
@@ -15,13 +15,13 @@
 	"time"
 
 	"wardtray/config"
-	"wardtray/control/core"
+	"wardtray/control/node"
 	"wardtray/control/registry"
 	"wardtray/coordination/election"
 	"wardtray/coordination/gossip"
-	"wardtray/coordination/machine"
 	"wardtray/coordination/peersampling"
 	"wardtray/coordination/quota"
+	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
@@ -47,7 +47,7 @@
 	// frozenAfter is after what pause a process takes it that it stood still itself: it has asked nobody meanwhile.
 	frozenAfter = 500 * time.Millisecond
 	// Staleness is for how long an answer is relied on, counted from its question.
-	Staleness = core.Staleness
+	Staleness = node.Staleness
 )
 
 // Startup is what a daemon is told of itself.
@@ -97,7 +97,7 @@
 // Director is the machine.
 type Director struct {
 	startup  Startup
-	outbox   *machine.Outbox
+	outbox   *statemachine.Outbox
 	random   *rand.Rand
 	cohort   *peersampling.Cohort
 	rumors   *gossip.Store
@@ -156,7 +156,7 @@
 	if startup.Staleness == 0 {
 		startup.Staleness = Staleness
 	}
-	director := &Director{startup: startup, life: random.Uint64(), outbox: machine.NewOutbox(), random: random, asks: map[uint64]time.Time{},
+	director := &Director{startup: startup, life: random.Uint64(), outbox: statemachine.NewOutbox(), random: random, asks: map[uint64]time.Time{},
 		confirmed: map[string]confirmation{}, begun: now, view: &wire.View{}, nonce: uint64(random.Int63())}
 	director.cohort = peersampling.New(&wire.CohortLine{Address: startup.Address, Zone: startup.Zone}, startup.Seeds, director.outbox, random)
 	director.rumors = gossip.New(startup.Zone, director.outbox, random, director.partners, director.onRegister)
@@ -167,7 +167,7 @@
 }
 
 // Drain gives messages, stamped with who sends them.
-func (director *Director) Drain() []machine.Parcel {
+func (director *Director) Drain() []statemachine.Parcel {
 	parcels, _ := director.outbox.Drain()
 	for _, parcel := range parcels {
 		parcel.Envelope.From, parcel.Envelope.Sender, parcel.Envelope.Zone = director.startup.Address, director.startup.Address, director.startup.Zone
--- a/edge/director/director_test.go
+++ b/dataplane/controller/director_test.go
@@ -1,4 +1,4 @@
-package director
+package controller
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/core"
+	"wardtray/control/node"
 	"wardtray/wire"
 )
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.Envelope{From: "x", Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: []*wire.Register{{Key: core.DocumentKey, Epoch: sequence, Value: value}}}}}
+	return &wire.Envelope{From: "x", Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: []*wire.Register{{Key: node.DocumentKey, Epoch: sequence, Value: value}}}}}
 }
 
 // keepers are the members of the views of these tests.
@@ -176,7 +176,7 @@
 	}
 }
 
-// Found by proof/sim: a daemon that was alone already was frozen, and went on as alone when it woke.
+// Found by verify/simulation: a daemon that was alone already was frozen, and went on as alone when it woke.
 func TestADaemonFrozenWhileAloneIsNotAlone(t *testing.T) {
 	director := withDocument(t, Startup{WithoutCore: time.Minute})
 	start := begun.Add(time.Second)
--- a/edge/director/dispatch.go
+++ b/dataplane/controller/dispatch.go
@@ -1,10 +1,10 @@
-package director
+package controller
 
 import (
 	"reflect"
 	"time"
 
-	"wardtray/control/core"
+	"wardtray/control/node"
 	"wardtray/wire"
 )
 
@@ -37,7 +37,7 @@
 			director.onTickCall(now, envelope.From, envelope.GetTickCall())
 		},
 		reflect.TypeFor[*wire.Envelope_DocumentAsk](): func(_ time.Time, envelope *wire.Envelope) {
-			register := director.rumors.Get(core.DocumentKey)
+			register := director.rumors.Get(node.DocumentKey)
 			if register != nil && register.Epoch > envelope.GetDocumentAsk().Sequence {
 				director.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: []*wire.Register{register}}}})
 			}
--- a/edge/director/document.go
+++ b/dataplane/controller/document.go
@@ -1,4 +1,4 @@
-package director
+package controller
 
 import (
 	"sort"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/core"
+	"wardtray/control/node"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/peersampling"
 	"wardtray/wire"
@@ -16,7 +16,7 @@
 
 // onRegister takes in what a rumor changed.
 func (director *Director) onRegister(now time.Time, register *wire.Register) {
-	if register.Key == core.DocumentKey {
+	if register.Key == node.DocumentKey {
 		director.onDocument(now, register)
 		return
 	}
--- a/edge/director/quotas.go
+++ b/dataplane/controller/quotas.go
@@ -1,4 +1,4 @@
-package director
+package controller
 
 import (
 	"time"
--- a/edge/datahost/framing_test.go
+++ b/dataplane/daemon/framing_test.go
@@ -1,4 +1,4 @@
-package datahost
+package daemon
 
 import "testing"
 
--- a/edge/datahost/golden_test.go
+++ b/dataplane/daemon/golden_test.go
@@ -1,4 +1,4 @@
-package datahost
+package daemon
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wardtray/config/startup"
-	"wardtray/proof/golden"
+	"wardtray/config/process"
+	"wardtray/verify/golden"
 )
 
 // What operators read of a data daemon keeps its keys.
@@ -23,7 +23,7 @@
 
 // The counters that a status holds by name keep their names.
 func TestCountersKeepTheirNames(t *testing.T) {
-	settings := &startup.Startup{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Fitness: "127.0.0.1:3", Zone: "zone",
+	settings := &process.Startup{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Fitness: "127.0.0.1:3", Zone: "zone",
 		Registered: true, Seeds: []string{"127.0.0.1:1"}}
 	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/edge/datahost/host.go
+++ b/dataplane/daemon/host.go
@@ -1,6 +1,6 @@
 // Package datahost runs the data plane of one machine as a process: the director under its lock, the
 // desks, the runners' book and index, and the HTTP side towards requesters.
-package datahost
+package daemon
 
 import (
 	"context"
@@ -14,23 +14,23 @@
 	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
-	"wardtray/config/startup"
-	"wardtray/control/core"
-	"wardtray/control/corehost"
-	"wardtray/coordination/machine"
+	"wardtray/apierror"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/balancer/retrybudget"
+	"wardtray/balancer/scheduler"
+	"wardtray/config/process"
+	"wardtray/control/node"
+	"wardtray/control/server"
 	"wardtray/coordination/quota"
-	"wardtray/edge/director"
-	"wardtray/edge/plane"
-	"wardtray/process/budget"
-	"wardtray/process/fault"
-	"wardtray/process/kvblock"
-	"wardtray/process/pressure"
-	"wardtray/process/tally"
-	"wardtray/request/award"
-	"wardtray/request/intake"
-	"wardtray/request/speech"
+	"wardtray/coordination/statemachine"
+	"wardtray/dataplane"
+	"wardtray/dataplane/controller"
+	"wardtray/metrics"
+	"wardtray/proxy/admission"
+	"wardtray/proxy/codec"
 	"wardtray/transport"
-	"wardtray/transport/seam"
+	"wardtray/transport/netio"
 	"wardtray/wire"
 )
 
@@ -50,15 +50,15 @@
 
 // Adapter puts the data plane onto a platform that fixes how requesters, runners and the machines' keepers speak.
 type Adapter struct {
-	Speech speech.Speech
+	Speech codec.Speech
 	// Fitness is the path at which fitness is asked for, over the startup's own address for it.
 	Fitness string
 }
 
 // Host is the process.
 type Host struct {
-	*plane.Plane
-	startup   *startup.Startup
+	*dataplane.Plane
+	startup   *process.Startup
 	adapter   *Adapter
 	log       *slog.Logger
 	transport *transport.Transport
@@ -68,44 +68,44 @@
 }
 
 // New makes the process with the product's own speech; nothing listens yet.
-func New(startup *startup.Startup, log *slog.Logger) (*Host, error) {
+func New(startup *process.Startup, log *slog.Logger) (*Host, error) {
 	return NewAdapted(startup, nil, log)
 }
 
 // NewAdapted makes the process on a platform; with a nil adapter everything is the product's own.
-func NewAdapted(startup *startup.Startup, adapter *Adapter, log *slog.Logger) (*Host, error) {
+func NewAdapted(startup *process.Startup, adapter *Adapter, log *slog.Logger) (*Host, error) {
 	host := &Host{startup: startup, adapter: adapter, log: log,
 		platform: &fasthttp.Client{ReadTimeout: pollBound, WriteTimeout: pollBound, MaxResponseBodySize: maximumList, MaxConnsPerHost: 4}}
 	var local net.Addr
 	if place, _, err := net.SplitHostPort(startup.Address); err == nil {
 		local = &net.TCPAddr{IP: net.ParseIP(place)}
 	}
-	var spoken speech.Speech
+	var spoken codec.Speech
 	if adapter != nil {
 		spoken = adapter.Speech
 	}
-	made, err := plane.New(seam.Real(local), plane.Startup{Speech: spoken, Repeats: repeats(startup), Without: startup.WithoutMechanisms(), Startup: director.Startup{Address: startup.Address, HTTP: startup.HTTP, Zone: startup.Zone, Seeds: startup.Seeds, Staleness: core.StalenessFor(startup.ApplyTime()),
+	made, err := dataplane.New(netio.Real(local), dataplane.Startup{Speech: spoken, Repeats: repeats(startup), Without: startup.WithoutMechanisms(), Startup: controller.Startup{Address: startup.Address, HTTP: startup.HTTP, Zone: startup.Zone, Seeds: startup.Seeds, Staleness: node.StalenessFor(startup.ApplyTime()),
 		WithoutCore: startup.WithoutCoreTime(), Registered: startup.Registered},
-		Workers: kvblock.DefaultWorkers, Random: rand.New(rand.NewSource(corehost.Seed())), Await: award.Await,
-		Send: func(parcels []machine.Parcel) { host.transport.Send(parcels) }, Poll: func() { go host.poll() }, Log: log})
+		Workers: kvblock.DefaultWorkers, Random: rand.New(rand.NewSource(server.Seed())), Await: scheduler.Await,
+		Send: func(parcels []statemachine.Parcel) { host.transport.Send(parcels) }, Poll: func() { go host.poll() }, Log: log})
 	if err != nil {
 		return nil, err
 	}
 	host.Plane = made
 	host.transport = transport.New(startup.Address, startup.Zone, func(envelope *wire.Envelope) {
-		host.Step(func(now time.Time, director *director.Director) { director.Receive(now, envelope) })
+		host.Step(func(now time.Time, director *controller.Director) { director.Receive(now, envelope) })
 	}, func(address string, tried time.Time) {
-		host.Step(func(now time.Time, director *director.Director) { director.Refused(now, address, tried) })
+		host.Step(func(now time.Time, director *controller.Director) { director.Refused(now, address, tried) })
 	})
 	return host, nil
 }
 
 // repeats gives the bound on what is sent again, as far as the settings name one.
-func repeats(startup *startup.Startup) budget.Settings {
+func repeats(startup *process.Startup) retrybudget.Settings {
 	if startup.Repeats.Share == 0 && startup.Repeats.Slack == 0 {
-		return budget.Settings{}
+		return retrybudget.Settings{}
 	}
-	return budget.Settings{Window: startup.RepeatsWindow(), Ratio: startup.Repeats.Share, Slack: float64(startup.Repeats.Slack)}
+	return retrybudget.Settings{Window: startup.RepeatsWindow(), Ratio: startup.Repeats.Share, Slack: float64(startup.Repeats.Slack)}
 }
 
 // poll reads the platform's list.
@@ -127,14 +127,14 @@
 	host.log.Info("started")
 	stopped, stop := context.WithCancel(context.Background())
 	defer stop()
-	host.Step(func(now time.Time, director *director.Director) { director.Tick(now) })
-	host.every(stopped, plane.TickEvery, func() {
-		host.Step(func(now time.Time, director *director.Director) { director.Tick(now) })
+	host.Step(func(now time.Time, director *controller.Director) { director.Tick(now) })
+	host.every(stopped, dataplane.TickEvery, func() {
+		host.Step(func(now time.Time, director *controller.Director) { director.Tick(now) })
 	})
-	host.every(stopped, plane.SettleEvery, host.Settle)
-	host.every(stopped, plane.PressureEvery, host.AskPressures)
-	host.every(stopped, plane.AgeEvery, host.Age)
-	host.every(stopped, plane.WatchEvery, host.Watch)
+	host.every(stopped, dataplane.SettleEvery, host.Settle)
+	host.every(stopped, dataplane.PressureEvery, host.AskPressures)
+	host.every(stopped, dataplane.AgeEvery, host.Age)
+	host.every(stopped, dataplane.WatchEvery, host.Watch)
 	<-running.Done()
 	return host.drain(server)
 }
@@ -164,7 +164,7 @@
 	by := begun.Add(length + finish)
 	host.Yard.StopBy.Store(&by)
 	host.Drain()
-	ticker := time.NewTicker(plane.SettleEvery)
+	ticker := time.NewTicker(dataplane.SettleEvery)
 	defer ticker.Stop()
 	for !host.Drained(length) && time.Since(begun) < length+finish {
 		<-ticker.C
@@ -181,7 +181,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
-	return fault.Wrap(err, fault.Internal, "closing the HTTP side")
+	return apierror.Wrap(err, apierror.Internal, "closing the HTTP side")
 }
 
 // closeFront ends the taking of requests for good, once the platform has had its time to send clients elsewhere. Where
@@ -204,24 +204,24 @@
 			host.malformed(context, errAmbiguous)
 			return
 		}
-		host.Yard.Serve(seam.FromHTTP(context))
+		host.Yard.Serve(netio.FromHTTP(context))
 	}
 	if host.adapter != nil {
 		return serve
 	}
 	routes := router.New()
 	routes.POST("/v1/stream", serve)
-	routes.POST("/v1/explain", func(context *fasthttp.RequestCtx) { host.Yard.Explain(seam.FromHTTP(context)) })
+	routes.POST("/v1/explain", func(context *fasthttp.RequestCtx) { host.Yard.Explain(netio.FromHTTP(context)) })
 	routes.GET("/fitness", host.fitness)
 	routes.GET("/v1/status", host.status)
-	routes.NotFound = func(context *fasthttp.RequestCtx) { host.refuse(context, fault.NotFound, string(context.Path())) }
+	routes.NotFound = func(context *fasthttp.RequestCtx) { host.refuse(context, apierror.NotFound, string(context.Path())) }
 	return routes.Handler
 }
 
 // serve opens the requesters' side, and where it has an address of its own the side for who asks for fitness.
 func (host *Host) serve() (*fasthttp.Server, error) {
 	server := &fasthttp.Server{Handler: host.handler(), Name: "wtdata", ReadTimeout: readBound, WriteTimeout: streamBound, IdleTimeout: time.Minute,
-		MaxRequestBodySize: intake.MaximumBody, ReadBufferSize: headerBound, Concurrency: 16384, CloseOnShutdown: true,
+		MaxRequestBodySize: admission.MaximumBody, ReadBufferSize: headerBound, Concurrency: 16384, CloseOnShutdown: true,
 		ErrorHandler: host.malformed}
 	if host.adapter != nil {
 		// The name and the date are the runner's to give, and a buffer for the longest header a connection would take too much memory.
@@ -265,18 +265,18 @@
 }
 
 // refuse gives a refusal to what never became a request.
-func (host *Host) refuse(context *fasthttp.RequestCtx, kind fault.Kind, detail string) {
-	host.Yard.Speech.Refuse(seam.FromHTTP(context), nil, speech.Refusal{Kind: kind, Detail: detail, Ran: award.DidNotRun, DidNotRun: true})
+func (host *Host) refuse(context *fasthttp.RequestCtx, kind apierror.Kind, detail string) {
+	host.Yard.Speech.Refuse(netio.FromHTTP(context), nil, codec.Refusal{Kind: kind, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true})
 }
 
 // malformed answers what could not be read as a request at all.
 func (host *Host) malformed(context *fasthttp.RequestCtx, err error) {
-	kind := fault.Malformed
+	kind := apierror.Malformed
 	if err == fasthttp.ErrBodyTooLarge {
-		kind = fault.TooLarge
+		kind = apierror.TooLarge
 	}
 	if _, tooSmall := err.(*fasthttp.ErrSmallBuffer); tooSmall {
-		kind = fault.TooLarge
+		kind = apierror.TooLarge
 	}
 	host.refuse(context, kind, err.Error())
 	context.SetConnectionClose()
@@ -297,25 +297,25 @@
 
 // Status is what /v1/status tells.
 type Status struct {
-	Program  string                `json:"program"`
-	Address  string                `json:"address"`
-	Zone     string                `json:"zone"`
-	Uptime   string                `json:"uptime"`
-	Epoch    uint64                `json:"epoch"`
-	Sequence uint64                `json:"sequence"`
-	Serving  bool                  `json:"serving"`
-	Draining bool                  `json:"draining"`
-	InFlight int64                 `json:"in_flight"`
-	View     uint64                `json:"view"`
-	Cohort   []string              `json:"cohort"`
-	Runners  []pressure.Runner     `json:"runners"`
-	Lanes    map[string]tally.Lane `json:"lanes"`
+	Program  string                  `json:"program"`
+	Address  string                  `json:"address"`
+	Zone     string                  `json:"zone"`
+	Uptime   string                  `json:"uptime"`
+	Epoch    uint64                  `json:"epoch"`
+	Sequence uint64                  `json:"sequence"`
+	Serving  bool                    `json:"serving"`
+	Draining bool                    `json:"draining"`
+	InFlight int64                   `json:"in_flight"`
+	View     uint64                  `json:"view"`
+	Cohort   []string                `json:"cohort"`
+	Runners  []load.Runner           `json:"runners"`
+	Lanes    map[string]metrics.Lane `json:"lanes"`
 	// Tenants are what was used of the quotas here, by the tenants' names.
 	Tenants   map[string]quota.Usage `json:"tenants,omitempty"`
 	Desks     map[string]any         `json:"desks"`
 	Index     map[string]uint64      `json:"index"`
 	Links     map[string]uint64      `json:"links"`
-	Director  director.Counters      `json:"director"`
+	Director  controller.Counters    `json:"director"`
 	Wire      map[string]any         `json:"wire"`
 	Directory int                    `json:"directory"`
 }
@@ -324,8 +324,8 @@
 	now, snapshot := time.Now(), host.Snapshot()
 	var cohort []string
 	var view uint64
-	var counters director.Counters
-	host.Look(func(director *director.Director) {
+	var counters controller.Counters
+	host.Look(func(director *controller.Director) {
 		for _, line := range director.Cohort() {
 			cohort = append(cohort, line.Address)
 		}
@@ -340,14 +340,14 @@
 			"dropped": pool.Dropped.Load(), "inferred_removals": pool.Inferred.Load()},
 		Links: map[string]uint64{"dials": links.Dials.Load(), "reused": links.Reused.Load(),
 			"wrong_identity": links.WrongIdentity.Load(), "unreachable": links.Unreachable.Load(), "lost": links.Lost.Load()},
-		Director: counters, Wire: corehost.WireCounters(host.transport), Directory: len(host.Daemons())}
-	host.Desks(func(pool string, desk *award.Desk) {
+		Director: counters, Wire: server.WireCounters(host.transport), Directory: len(host.Daemons())}
+	host.Desks(func(pool string, desk *scheduler.Desk) {
 		counters, waiting, lanes := desk.State()
 		status.Desks[pool] = map[string]any{"counters": counters, "waiting": waiting, "lanes": lanes, "prices": desk.Prices()}
 	})
 	content, err := json.Marshal(status)
 	if err != nil {
-		host.refuse(context, fault.Internal, err.Error())
+		host.refuse(context, apierror.Internal, err.Error())
 		return
 	}
 	context.SetContentType("application/json")
--- a/edge/datahost/stop_test.go
+++ b/dataplane/daemon/stop_test.go
@@ -1,4 +1,4 @@
-package datahost
+package daemon
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"wardtray/config/startup"
+	"wardtray/config/process"
 )
 
 const patient = 10 * time.Second
@@ -46,7 +46,7 @@
 // not run what comes on an open one, while it still finishes what it has. Found on the bench: where most daemons of a
 // zone stopped at once, clients were sent to them again, and requests taken six seconds after the order to stop were cut.
 func TestAStoppingDaemonClosesItsFront(t *testing.T) {
-	settings := &startup.Startup{Address: freeAddress(t), HTTP: freeAddress(t), Fitness: freeAddress(t), Zone: "a", Registered: true,
+	settings := &process.Startup{Address: freeAddress(t), HTTP: freeAddress(t), Fitness: freeAddress(t), Zone: "a", Registered: true,
 		Seeds: []string{"127.0.0.1:1"}, Drain: "100ms", Finish: "4s"}
 	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/edge/plane/golden_test.go
+++ b/dataplane/golden_test.go
@@ -1,9 +1,9 @@
-package plane
+package dataplane
 
 import (
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 // The platform's list of runners keeps its keys.
--- a/edge/plane/plane.go
+++ b/dataplane/plane.go
@@ -1,7 +1,7 @@
 // Package plane is the data plane of one machine without its sockets: the director under its lock, the
 // desks, the runners' book, index and links, and what is done with the platform's list. The process and
 // the simulator drive the same.
-package plane
+package dataplane
 
 import (
 	"bytes"
@@ -15,21 +15,21 @@
 	"sync/atomic"
 	"time"
 
-	"wardtray/coordination/machine"
+	"wardtray/apierror"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/balancer/retrybudget"
+	"wardtray/balancer/scheduler"
 	"wardtray/coordination/quota"
-	"wardtray/edge/director"
-	"wardtray/process/budget"
-	"wardtray/process/fault"
-	"wardtray/process/kvblock"
-	"wardtray/process/mechanism"
-	"wardtray/process/once"
-	"wardtray/process/pressure"
-	"wardtray/process/tally"
-	"wardtray/request/award"
-	"wardtray/request/course"
-	"wardtray/request/speech"
-	"wardtray/transport/link"
-	"wardtray/transport/seam"
+	"wardtray/coordination/statemachine"
+	"wardtray/dataplane/controller"
+	"wardtray/features"
+	"wardtray/metrics"
+	"wardtray/proxy"
+	"wardtray/proxy/codec"
+	"wardtray/proxy/dedup"
+	"wardtray/transport/connpool"
+	"wardtray/transport/netio"
 	"wardtray/wire"
 )
 
@@ -49,83 +49,83 @@
 
 // Startup is what a plane is given.
 type Startup struct {
-	director.Startup
+	controller.Startup
 	// Workers are the index's; without any, events are applied at once.
 	Workers int
-	// Repeats bounds what is sent again, over all daemons; the zero value stands for budget.Default.
-	Repeats budget.Settings
+	// Repeats bounds what is sent again, over all daemons; the zero value stands for retrybudget.Default.
+	Repeats retrybudget.Settings
 	// Without names the mechanisms that are switched off.
-	Without mechanism.Set
+	Without features.Set
 	// Speech is how requesters and runners speak; the product's own if it is not given.
-	Speech speech.Speech
+	Speech codec.Speech
 	Random *rand.Rand
-	Await  func(ctx context.Context, steps <-chan award.Step) (step award.Step, decided bool)
+	Await  func(ctx context.Context, steps <-chan scheduler.Step) (step scheduler.Step, decided bool)
 	// Send carries messages out; Poll begins to read the platform's list, whose outcome goes to Listed.
-	Send func(parcels []machine.Parcel)
+	Send func(parcels []statemachine.Parcel)
 	Poll func()
 	Log  *slog.Logger
 }
 
 // Plane is the whole.
 type Plane struct {
-	Yard    *course.Yard
-	world   seam.World
+	Yard    *proxy.Yard
+	world   netio.World
 	log     *slog.Logger
-	send    func(parcels []machine.Parcel)
+	send    func(parcels []statemachine.Parcel)
 	poll    func()
 	address string
 	begun   time.Time
 	// drainBegun is when a planned stop began.
 	drainBegun time.Time
-	snapshot   atomic.Pointer[director.Snapshot]
+	snapshot   atomic.Pointer[controller.Snapshot]
 	// renewed is closed, and made anew, when the snapshot may be relied on for longer than before.
 	renewed atomic.Pointer[chan struct{}]
 	daemons atomic.Pointer[[]string]
 
 	mutex    sync.Mutex
-	director *director.Director
+	director *controller.Director
 	runners  []*wire.Runner
 	epoch    uint64
 	serving  bool
 
 	deskMutex sync.RWMutex
 	random    *rand.Rand
-	desks     map[string]*award.Desk
+	desks     map[string]*scheduler.Desk
 	asking    sync.Map
-	without   mechanism.Set
+	without   features.Set
 }
 
 // New makes a plane that knows nothing yet.
-func New(world seam.World, startup Startup) (*Plane, error) {
+func New(world netio.World, startup Startup) (*Plane, error) {
 	now := world.Now()
 	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, startup.Workers)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "making the index")
+		return nil, apierror.Wrap(err, apierror.Internal, "making the index")
 	}
-	plane := &Plane{world: world, log: startup.Log, send: startup.Send, poll: startup.Poll, address: startup.Address, begun: now, random: startup.Random, desks: map[string]*award.Desk{}, without: startup.Without}
+	plane := &Plane{world: world, log: startup.Log, send: startup.Send, poll: startup.Poll, address: startup.Address, begun: now, random: startup.Random, desks: map[string]*scheduler.Desk{}, without: startup.Without}
 	if startup.Speech == nil {
-		startup.Speech = speech.Own{}
+		startup.Speech = codec.Own{}
 	}
-	memory := once.New()
+	memory := dedup.New()
 	startup.Quota = quota.NewHolder()
-	startup.Quota.OnDemand = startup.Without[mechanism.TokensAhead]
+	startup.Quota.OnDemand = startup.Without[features.TokensAhead]
 	startup.OnTaken = func(now time.Time, key []byte, dropped bool) {
-		if len(key) == len(once.Key{}) {
-			memory.Heard(now, once.Key(key), dropped)
+		if len(key) == len(dedup.Key{}) {
+			memory.Heard(now, dedup.Key(key), dropped)
 		}
 	}
-	plane.director = director.New(now, startup.Startup, rand.New(rand.NewSource(startup.Random.Int63())))
-	plane.snapshot.Store(&director.Snapshot{})
+	plane.director = controller.New(now, startup.Startup, rand.New(rand.NewSource(startup.Random.Int63())))
+	plane.snapshot.Store(&controller.Snapshot{})
 	plane.renew()
 	plane.daemons.Store(&[]string{startup.Address})
-	plane.Yard = &course.Yard{Name: startup.Address, Zone: startup.Zone, World: world, Begun: now, Speech: startup.Speech, Repeats: startup.Repeats, Await: startup.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
-		Daemons: func() []string { return *plane.daemons.Load() }, Book: pressure.NewBook(now, startup.Address), Indexer: indexer,
-		Links: link.New(world, startup.Speech.Identity()), Tally: tally.New(), Desk: plane.desk,
-		Once: memory, Tell: func(key once.Key, dropped bool) {
-			plane.Step(func(_ time.Time, director *director.Director) { director.TellTaken(key[:], dropped) })
+	plane.Yard = &proxy.Yard{Name: startup.Address, Zone: startup.Zone, World: world, Begun: now, Speech: startup.Speech, Repeats: startup.Repeats, Await: startup.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
+		Daemons: func() []string { return *plane.daemons.Load() }, Book: load.NewBook(now, startup.Address), Indexer: indexer,
+		Links: connpool.New(world, startup.Speech.Identity()), Tally: metrics.New(), Desk: plane.desk,
+		Once: memory, Tell: func(key dedup.Key, dropped bool) {
+			plane.Step(func(_ time.Time, director *controller.Director) { director.TellTaken(key[:], dropped) })
 		}}
 	plane.Yard.Quota, plane.Yard.AskQuota = startup.Quota, func() {
-		plane.Step(func(now time.Time, director *director.Director) { director.AskQuota(now) })
+		plane.Step(func(now time.Time, director *controller.Director) { director.AskQuota(now) })
 	}
 	plane.Yard.Without, plane.Yard.Book.Without = startup.Without, startup.Without
 	plane.Yard.Links.Foreign = startup.Speech.Foreign
@@ -134,7 +134,7 @@
 
 // Step runs one step of the director under its lock, then makes what it knows visible to requests and
 // carries out what it asks for.
-func (plane *Plane) Step(do func(now time.Time, director *director.Director)) {
+func (plane *Plane) Step(do func(now time.Time, director *controller.Director)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
 	now := plane.world.Now()
@@ -161,7 +161,7 @@
 func (plane *Plane) Drain() {
 	plane.drainBegun = plane.world.Now()
 	plane.Yard.Draining.Store(true)
-	plane.Step(func(_ time.Time, director *director.Director) { director.Leave() })
+	plane.Step(func(_ time.Time, director *controller.Director) { director.Leave() })
 }
 
 // Drained tells whether the platform has had a length of time to see that, and all that was read is answered.
@@ -179,11 +179,11 @@
 // Listed takes what the platform answered.
 func (plane *Plane) Listed(content []byte, read bool) {
 	runners, fine := readList(content)
-	plane.Step(func(now time.Time, director *director.Director) { director.Polled(now, runners, !read || !fine) })
+	plane.Step(func(now time.Time, director *controller.Director) { director.Polled(now, runners, !read || !fine) })
 }
 
 // follow hands on what changed and logs changes of state.
-func (plane *Plane) follow(now time.Time, snapshot director.Snapshot) {
+func (plane *Plane) follow(now time.Time, snapshot controller.Snapshot) {
 	if (len(snapshot.Runners) > 0 || snapshot.Registered) && !sameList(snapshot.Runners, plane.runners) {
 		plane.runners = snapshot.Runners
 		for _, gone := range plane.Yard.Book.List(now, snapshot.Runners) {
@@ -216,7 +216,7 @@
 }
 
 // Snapshot gives what requests go by now.
-func (plane *Plane) Snapshot() *director.Snapshot { return plane.snapshot.Load() }
+func (plane *Plane) Snapshot() *controller.Snapshot { return plane.snapshot.Load() }
 
 // Daemons gives who shares the work.
 func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
@@ -225,37 +225,37 @@
 func (plane *Plane) Begun() time.Time { return plane.begun }
 
 // Look runs something under the director's lock.
-func (plane *Plane) Look(do func(director *director.Director)) {
+func (plane *Plane) Look(do func(director *controller.Director)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
 	do(plane.director)
 }
 
 // desk gives the desk of a pool, made when it is first asked for.
-func (plane *Plane) desk(pool string) *award.Desk {
+func (plane *Plane) desk(pool string) *scheduler.Desk {
 	plane.deskMutex.RLock()
 	found := plane.desks[pool]
 	plane.deskMutex.RUnlock()
 	if found != nil {
 		return found
 	}
-	scene := func(now time.Time) award.Field {
+	scene := func(now time.Time) scheduler.Field {
 		snapshot, daemons := plane.snapshot.Load(), *plane.daemons.Load()
 		if snapshot.Book == nil || snapshot.Book.Pools[pool] == nil {
-			return award.Field{Daemons: 1}
+			return scheduler.Field{Daemons: 1}
 		}
-		var permitted []pressure.Runner
+		var permitted []load.Runner
 		for _, runner := range plane.Yard.Book.All(now, daemons) {
-			if course.Permits(snapshot.Book, snapshot.Book.Pools[pool], runner) {
+			if proxy.Permits(snapshot.Book, snapshot.Book.Pools[pool], runner) {
 				permitted = append(permitted, runner)
 			}
 		}
-		return award.Field{Runners: permitted, Daemons: len(daemons), Pool: *snapshot.Book.Pools[pool]}
+		return scheduler.Field{Runners: permitted, Daemons: len(daemons), Pool: *snapshot.Book.Pools[pool]}
 	}
 	plane.deskMutex.Lock()
 	defer plane.deskMutex.Unlock()
 	if plane.desks[pool] == nil {
-		made := award.NewDesk(scene, plane.Yard.Book, plane.Yard.Indexer, rand.New(rand.NewSource(plane.random.Int63())))
+		made := scheduler.NewDesk(scene, plane.Yard.Book, plane.Yard.Indexer, rand.New(rand.NewSource(plane.random.Int63())))
 		made.Without = plane.without
 		plane.desks[pool] = made
 	}
@@ -263,7 +263,7 @@
 }
 
 // Desks calls something for each desk, in the order of their pools' names.
-func (plane *Plane) Desks(do func(pool string, desk *award.Desk)) {
+func (plane *Plane) Desks(do func(pool string, desk *scheduler.Desk)) {
 	plane.deskMutex.RLock()
 	names := make([]string, 0, len(plane.desks))
 	for name := range plane.desks {
@@ -278,7 +278,7 @@
 
 // Settle looks at everybody who waits.
 func (plane *Plane) Settle() {
-	plane.Desks(func(_ string, desk *award.Desk) {
+	plane.Desks(func(_ string, desk *scheduler.Desk) {
 		if desk.Waiting() {
 			desk.Settle(plane.world.Now())
 		}
@@ -331,7 +331,7 @@
 
 // AskPressures asks every runner for its pressure whose word is no longer fresh, none twice at once.
 func (plane *Plane) AskPressures() {
-	if plane.without[mechanism.Reports] {
+	if plane.without[features.Reports] {
 		return
 	}
 	freshness := plane.freshness()
@@ -341,7 +341,7 @@
 }
 
 // askOnce asks a runner beside the caller's work, unless it is being asked already; unheard runs if it gives no answer.
-func (plane *Plane) askOnce(runner pressure.Runner, bound time.Duration, unheard func()) {
+func (plane *Plane) askOnce(runner load.Runner, bound time.Duration, unheard func()) {
 	if _, already := plane.asking.LoadOrStore(runner.ID, true); already {
 		return
 	}
@@ -358,7 +358,7 @@
 //
 // Why asked: a runner that reads a long prompt is as silent as a dark one, but it answers this at once.
 func (plane *Plane) Watch() {
-	if plane.without[mechanism.Watch] {
+	if plane.without[features.Watch] {
 		return
 	}
 	for _, runner := range plane.Yard.Links.Silent(silentBound) {
@@ -369,18 +369,18 @@
 }
 
 // ask asks a runner for its pressure within a bound; it tells whether there was an answer.
-func (plane *Plane) ask(runner pressure.Runner, bound time.Duration) bool {
+func (plane *Plane) ask(runner load.Runner, bound time.Duration) bool {
 	connection, err := plane.Yard.Links.Take(runner.ID, runner.Address)
 	if err != nil {
-		plane.missed(runner.ID, fault.Of(err))
+		plane.missed(runner.ID, apierror.Of(err))
 		return false
 	}
 	content, err := connection.Get(plane.Yard.Speech.Probe(), bound)
-	report := pressure.Report{}
+	report := load.Report{}
 	if err == nil {
 		report, err = plane.Yard.Speech.Report(content)
 	}
-	if fault.Is(err, fault.NotAnswered) {
+	if apierror.Is(err, apierror.NotAnswered) {
 		// Whoever refuses a question is there, and the connection is as good as before.
 		plane.Yard.Links.Keep(connection, 0)
 		plane.Yard.Book.ReportRefused(plane.world.Now(), runner.ID)
@@ -388,7 +388,7 @@
 	}
 	if err != nil {
 		_ = connection.Close()
-		plane.missed(runner.ID, fault.Of(err))
+		plane.missed(runner.ID, apierror.Of(err))
 		return false
 	}
 	plane.Yard.Links.Keep(connection, 0)
@@ -398,7 +398,7 @@
 
 // missed takes in that a runner did not tell its pressure. One that is surely gone is given up at once:
 // whoever waits for its answer learns of it now and not at the end of a patience.
-func (plane *Plane) missed(runner string, err *fault.Fault) {
+func (plane *Plane) missed(runner string, err *apierror.Fault) {
 	if plane.Yard.Book.Missed(plane.world.Now(), runner, err.Kind) {
 		plane.Yard.Links.Lose(runner)
 	}
--- a/process/mechanism/golden_test.go
+++ b/features/golden_test.go
@@ -1,10 +1,10 @@
-package mechanism
+package features
 
 import (
 	"strings"
 	"testing"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 // The mechanisms keep the names by which the settings switch them off.
--- a/process/mechanism/mechanism.go
+++ b/features/mechanism.go
@@ -1,12 +1,12 @@
 // Package mechanism lists the mechanisms by which a daemon decides, each of which can be switched off to measure what it
 // is worth. None of them changes what the rules promise. docs/decisions.md holds the measurements.
-package mechanism
+package features
 
 import (
 	"slices"
 	"strings"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // Name is the name of one mechanism.
@@ -69,7 +69,7 @@
 			continue
 		}
 		if !slices.Contains(All, Name(name)) {
-			return nil, fault.New(fault.BadStartup, "without: %q is none of %v", name, All)
+			return nil, apierror.New(apierror.BadStartup, "without: %q is none of %v", name, All)
 		}
 		set[Name(name)] = true
 	}
--- a/process/mechanism/mechanism_test.go
+++ b/features/mechanism_test.go
@@ -1,10 +1,10 @@
-package mechanism
+package features
 
 import (
 	"strings"
 	"testing"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 func TestParse(t *testing.T) {
@@ -15,7 +15,7 @@
 	if set, err := Parse(""); err != nil || len(set) != 0 {
 		t.Fatal(set, err)
 	}
-	if _, err := Parse("reports,nothing"); !fault.Is(err, fault.BadStartup) || !strings.Contains(err.Error(), `"nothing"`) {
+	if _, err := Parse("reports,nothing"); !apierror.Is(err, apierror.BadStartup) || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Fatal(err)
 	}
 	seen := map[Name]bool{}
--- a/process/tally/tally.go
+++ b/metrics/tally.go
@@ -1,6 +1,6 @@
 // Package tally counts what happens to requests, for each lane and each outcome, and how long the
 // first event took.
-package tally
+package metrics
 
 import (
 	"sync"
--- a/request/intake/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -1,11 +1,11 @@
-package intake
+package admission
 
 import (
 	"reflect"
 	"testing"
 	"time"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 )
 
 // The headers of a request keep their names, which stand here as requesters send them, and their meaning.
--- a/request/intake/intake.go
+++ b/proxy/admission/intake.go
@@ -1,5 +1,5 @@
 // Package intake reads a request whole and checks it before anything else happens to it.
-package intake
+package admission
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"github.com/mailru/easyjson"
 
-	"wardtray/process/fault"
-	"wardtray/process/strict"
-	"wardtray/transport/seam"
+	"wardtray/apierror"
+	"wardtray/strictjson"
+	"wardtray/transport/netio"
 )
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename intake_easyjson.go intake.go
@@ -74,7 +74,7 @@
 	Authority, Target string
 	Method            string
 	// Passed are the headers that go on to the runner as they came.
-	Passed []seam.Header
+	Passed []netio.Header
 	// Wait is how long the requester waits for the whole answer; 0: not told.
 	Wait time.Duration
 	// After is the id of the last event that the requester has of this stream already; 0: none.
@@ -124,7 +124,7 @@
 		}
 		number, err := strconv.Atoi(value)
 		if err != nil || number < 1 || number > count.most {
-			return nil, fault.New(fault.Malformed, "%s: %q is no count from 1 to %d", count.name, clip(value), count.most)
+			return nil, apierror.New(apierror.Malformed, "%s: %q is no count from 1 to %d", count.name, clip(value), count.most)
 		}
 		*count.to = number
 	}
@@ -141,17 +141,17 @@
 		return nil, err
 	}
 	if len(body) > MaximumBody {
-		return nil, fault.New(fault.TooLarge, "a body of %d bytes; at most %d", len(body), MaximumBody)
+		return nil, apierror.New(apierror.TooLarge, "a body of %d bytes; at most %d", len(body), MaximumBody)
 	}
-	if err := strict.Check(body); err != nil {
+	if err := strictjson.Check(body); err != nil {
 		return nil, err
 	}
 	parsed := &Body{}
 	if err := easyjson.Unmarshal(body, parsed); err != nil {
-		return nil, fault.New(fault.Malformed, "body: %v", err)
+		return nil, apierror.New(apierror.Malformed, "body: %v", err)
 	}
 	if parsed.Prompt == "" {
-		return nil, fault.New(fault.Malformed, "body: prompt is missing or empty")
+		return nil, apierror.New(apierror.Malformed, "body: prompt is missing or empty")
 	}
 	request.Body = body
 	return request, nil
@@ -160,16 +160,16 @@
 func one(header Header, name string, required bool) (string, error) {
 	values := header(name)
 	if len(values) > 1 {
-		return "", fault.New(fault.Malformed, "%s: given %d times", name, len(values))
+		return "", apierror.New(apierror.Malformed, "%s: given %d times", name, len(values))
 	}
 	if len(values) == 0 || values[0] == "" {
 		if required {
-			return "", fault.New(fault.Malformed, "%s: missing", name)
+			return "", apierror.New(apierror.Malformed, "%s: missing", name)
 		}
 		return "", nil
 	}
 	if len(values[0]) > MaximumName || !utf8.ValidString(values[0]) || strings.ContainsFunc(values[0], func(letter rune) bool { return letter < ' ' || letter == 0x7f }) {
-		return "", fault.New(fault.Malformed, "%s: wants 1 to %d bytes of UTF-8 without control characters", name, MaximumName)
+		return "", apierror.New(apierror.Malformed, "%s: wants 1 to %d bytes of UTF-8 without control characters", name, MaximumName)
 	}
 	return values[0], nil
 }
@@ -183,17 +183,17 @@
 			name, count, found := strings.Cut(pair, "=")
 			tokens, err := strconv.Atoi(count)
 			if !found || err != nil || name == "" || len(name) > MaximumPart || !utf8.ValidString(name) || tokens < 1 || tokens > MaximumTokens {
-				return fault.New(fault.Malformed, "%s: %q is no name=tokens", HeaderPrefix, clip(pair))
+				return apierror.New(apierror.Malformed, "%s: %q is no name=tokens", HeaderPrefix, clip(pair))
 			}
 			if len(request.Parts) >= MaximumParts {
-				return fault.New(fault.Malformed, "%s: more than %d parts", HeaderPrefix, MaximumParts)
+				return apierror.New(apierror.Malformed, "%s: more than %d parts", HeaderPrefix, MaximumParts)
 			}
 			total += tokens
 			request.Parts, request.PartTokens = append(request.Parts, name), append(request.PartTokens, tokens)
 		}
 	}
 	if total > request.PromptTokens {
-		return fault.New(fault.Malformed, "%s: its parts have %d tokens, the prompt only %d", HeaderPrefix, total, request.PromptTokens)
+		return apierror.New(apierror.Malformed, "%s: its parts have %d tokens, the prompt only %d", HeaderPrefix, total, request.PromptTokens)
 	}
 	return nil
 }
--- a/request/intake/intake_test.go
+++ b/proxy/admission/intake_test.go
@@ -1,11 +1,11 @@
-package intake
+package admission
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"wardtray/process/fault"
+	"wardtray/apierror"
 )
 
 // proper gives the headers of a proper request.
@@ -53,17 +53,17 @@
 		for header, values := range change {
 			changed[header] = values
 		}
-		if _, err := parse(changed, `{"prompt":"x"}`); !fault.Is(err, fault.Malformed) {
+		if _, err := parse(changed, `{"prompt":"x"}`); !apierror.Is(err, apierror.Malformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for name, body := range map[string]string{"nothing": "", "cut short": `{"prompt":"x`, "no prompt": `{}`, "empty": `{"prompt":""}`, "wrong type": `{"prompt":5}`,
 		"unknown field": `{"prompt":"x","y":1}`, "twice": `{"prompt":"x","prompt":"y"}`, "bad bytes": "{\"prompt\":\"\xc3\x28\"}", "more": `{"prompt":"x"} x`, "null": `null`} {
-		if _, err := parse(proper(), body); !fault.Is(err, fault.Malformed) {
+		if _, err := parse(proper(), body); !apierror.Is(err, apierror.Malformed) {
 			t.Errorf("body %s: %v", name, err)
 		}
 	}
-	if _, err := parse(proper(), `{"prompt":"`+strings.Repeat("x", MaximumBody)+`"}`); !fault.Is(err, fault.TooLarge) {
+	if _, err := parse(proper(), `{"prompt":"`+strings.Repeat("x", MaximumBody)+`"}`); !apierror.Is(err, apierror.TooLarge) {
 		t.Errorf("a large body: %v", err)
 	}
 }
--- a/request/course/answer.go
+++ b/proxy/answer.go
@@ -1,4 +1,4 @@
-package course
+package proxy
 
 import (
 	"io"
@@ -6,11 +6,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"wardtray/process/fault"
-	"wardtray/process/mechanism"
-	"wardtray/request/award"
-	"wardtray/request/speech"
-	"wardtray/request/stream"
+	"wardtray/apierror"
+	"wardtray/balancer/scheduler"
+	"wardtray/features"
+	"wardtray/proxy/codec"
+	"wardtray/proxy/stream"
 )
 
 const (
@@ -21,34 +21,34 @@
 )
 
 // answer reads up to the first event and gives "" when there is one.
-func (course *Course) answer() award.End {
+func (course *Course) answer() scheduler.End {
 	_ = course.connection.SetDeadline(course.now().Add(course.firstBound()))
 	if err := course.head(); err != nil {
 		course.blame("gave no answer")
-		return award.Doubt
+		return scheduler.Doubt
 	}
-	if course.word.Report != nil && !course.yard.Without[mechanism.LoadHeader] {
+	if course.word.Report != nil && !course.yard.Without[features.LoadHeader] {
 		course.yard.Book.AnswerTold(course.now(), course.step.Runner.ID, *course.word.Report)
 	}
 	if follow := follows[course.word.Said]; follow != nil {
 		return follow(course)
 	}
 	course.blame("gave an answer that tells nothing")
-	return award.Doubt
+	return scheduler.Doubt
 }
 
 // follows is what is done with what a head says.
-var follows = map[speech.Said]func(course *Course) award.End{
-	speech.Runs: (*Course).begin, speech.Ended: (*Course).whole, speech.Failed: (*Course).failed,
-	speech.PutBack: func(course *Course) award.End {
+var follows = map[codec.Said]func(course *Course) scheduler.End{
+	codec.Runs: (*Course).begin, codec.Ended: (*Course).whole, codec.Failed: (*Course).failed,
+	codec.PutBack: func(course *Course) scheduler.End {
 		course.keep()
 		course.desk.PutBack(course.now(), course.ticket, course.step)
-		return award.PutBack
+		return scheduler.PutBack
 	},
-	speech.Elsewhere: func(course *Course) award.End {
+	codec.Elsewhere: func(course *Course) scheduler.End {
 		// The address has gone over to another runner; whoever waits for the former one waits in vain.
 		course.yard.Book.Failed(course.now(), course.step.Runner.ID, "another runner answers at its address")
-		return award.PutBack
+		return scheduler.PutBack
 	},
 }
 
@@ -57,18 +57,18 @@
 	for range strayBound {
 		course.response = &fasthttp.Response{StreamBody: true, SkipBody: course.request.Method == fasthttp.MethodHead}
 		if err := course.response.ReadLimitBody(course.connection.Reader, -1); err != nil {
-			return fault.Wrap(err, fault.RunFailed, "reading the head of an answer")
+			return apierror.Wrap(err, apierror.RunFailed, "reading the head of an answer")
 		}
 		course.word = course.yard.Speech.Judge(course.response, course.request, course.run())
 		course.word.Closes = course.word.Closes || course.unfitForMore()
-		if course.word.Said != speech.Stray {
+		if course.word.Said != codec.Stray {
 			return nil
 		}
 		if err := course.skipStray(); err != nil {
 			return err
 		}
 	}
-	return fault.New(fault.RunFailed, "only answers to other requests came")
+	return apierror.New(apierror.RunFailed, "only answers to other requests came")
 }
 
 // unfitForMore tells whether no other request may follow on this connection: the runner may still read this one, or
@@ -80,13 +80,13 @@
 // skipStray reads an answer to another request to its end, behind which the one that is due begins.
 func (course *Course) skipStray() error {
 	if course.request.Method == fasthttp.MethodHead {
-		return fault.New(fault.RunFailed, "where the body of an answer to another request ends can't be told")
+		return apierror.New(apierror.RunFailed, "where the body of an answer to another request ends can't be told")
 	}
 	read, err := io.Copy(io.Discard, io.LimitReader(course.rest(), maximumAnswer))
 	if err == nil && read == maximumAnswer {
-		err = fault.New(fault.RunFailed, "it has more than %d bytes", maximumAnswer)
+		err = apierror.New(apierror.RunFailed, "it has more than %d bytes", maximumAnswer)
 	}
-	return fault.Wrap(err, fault.RunFailed, "reading an answer to another request")
+	return apierror.Wrap(err, apierror.RunFailed, "reading an answer to another request")
 }
 
 // rest is what is still to be read of an answer's body: nothing where it has none, or where its head was judged by it.
@@ -98,32 +98,32 @@
 }
 
 // begin reads the first event of a stream.
-func (course *Course) begin() award.End {
+func (course *Course) begin() scheduler.End {
 	course.reader = stream.NewReader(course.rest(), course.yard.Speech.Rules(), course.after)
 	first, err := course.reader.Next()
 	if err != nil {
 		course.blame("gave no first event")
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	course.first = first
 	return ""
 }
 
 // whole reads an answer that is no stream.
-func (course *Course) whole() award.End {
+func (course *Course) whole() scheduler.End {
 	// The answer has its head and some events already, and nothing but events can go on behind them.
 	if course.relayed {
 		course.yard.Book.Failed(course.now(), course.step.Runner.ID, "gave no events")
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	// A body of unknown length that ends with its connection can't be told from one that was cut.
 	if course.response.BodyStream() != nil && course.response.Header.ContentLength() < -1 {
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	body, err := io.ReadAll(io.LimitReader(course.rest(), maximumAnswer))
 	if err != nil || len(body) == maximumAnswer {
 		course.blame("broke off an answer")
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	course.reader, course.response.StreamBody = nil, false
 	course.body = body
@@ -131,11 +131,11 @@
 }
 
 // failed takes a failure of the runner's own: the run has ended and may be begun anew only where that does no harm.
-func (course *Course) failed() award.End {
+func (course *Course) failed() scheduler.End {
 	course.yard.Book.Failed(course.now(), course.step.Runner.ID, "failed a run")
 	// Nothing of a resumed stream's later failure may be passed on; the answer has its head already.
 	if course.lane.Repeatable && course.mayTry() {
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	return course.whole()
 }
--- a/request/course/answers_test.go
+++ b/proxy/answers_test.go
@@ -1,4 +1,4 @@
-package course
+package proxy
 
 import (
 	"bufio"
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
+	"wardtray/balancer/scheduler"
 	"wardtray/config"
-	"wardtray/edge/director"
-	"wardtray/process/once"
-	"wardtray/request/award"
-	"wardtray/request/speech"
-	"wardtray/transport/link"
-	"wardtray/transport/seam"
+	"wardtray/dataplane/controller"
+	"wardtray/proxy/codec"
+	"wardtray/proxy/dedup"
+	"wardtray/transport/connpool"
+	"wardtray/transport/netio"
 )
 
 // frozen has the daemon of a house stand still between its decision and the write, at the moment when it tells the
@@ -26,7 +26,7 @@
 	var slept atomic.Int64
 	clock := house.World.Now
 	house.World.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
-	house.Tell = func(_ once.Key, dropped bool) {
+	house.Tell = func(_ dedup.Key, dropped bool) {
 		if !dropped && slept.Load() == 0 {
 			slept.Store(int64(length))
 			meanwhile()
@@ -46,10 +46,10 @@
 		change func(house *house)
 	}{
 		"the lease has run out": {"once", func(house *house) {
-			house.snapshot = &director.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book, Until: house.World.Now().Add(-time.Second)}
+			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book, Until: house.World.Now().Add(-time.Second)}
 		}},
 		"the zone was closed": {"once", func(house *house) {
-			house.snapshot = &director.Snapshot{SpecEpoch: 2, Book: config.NewBook(closed), Until: house.World.Now().Add(time.Hour)}
+			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Book: config.NewBook(closed), Until: house.World.Now().Add(time.Hour)}
 		}},
 		"the deadline has passed": {"short", func(*house) {}},
 	} {
@@ -88,7 +88,7 @@
 			time.Sleep(30 * time.Millisecond)
 		})
 		// There is no other runner, and nothing went out to this one.
-		if status, body := house.post(t, "once"); status != 503 || !strings.Contains(body, award.DidNotRun) || runner.reached.Load() != 1 {
+		if status, body := house.post(t, "once"); status != 503 || !strings.Contains(body, scheduler.DidNotRun) || runner.reached.Load() != 1 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
 	}
@@ -139,16 +139,16 @@
 
 // smallBuffers has a house send with small buffers.
 func smallBuffers(house *house) {
-	world := seam.Real(nil)
+	world := netio.Real(nil)
 	dial := world.Dial
-	world.Dial = func(ctx context.Context, address string, terms seam.Terms) (seam.Conn, error) {
+	world.Dial = func(ctx context.Context, address string, terms netio.Terms) (netio.Conn, error) {
 		made, err := dial(ctx, address, terms)
 		if err == nil {
 			err = made.(interface{ SetWriteBuffer(bytes int) error }).SetWriteBuffer(smallBuffer)
 		}
 		return made, err
 	}
-	house.Links = link.New(world, speech.Own{}.Identity())
+	house.Links = connpool.New(world, codec.Own{}.Identity())
 }
 
 // A runner that answers before it has the whole request, and ends the connection, has decided: a request that must run
--- a/request/course/attempt.go
+++ b/proxy/attempt.go
@@ -1,15 +1,15 @@
-package course
+package proxy
 
 import (
 	"time"
 
+	"wardtray/apierror"
+	"wardtray/balancer/load"
+	"wardtray/balancer/scheduler"
 	"wardtray/config"
-	"wardtray/process/fault"
-	"wardtray/process/pressure"
-	"wardtray/process/tally"
-	"wardtray/request/award"
-	"wardtray/request/speech"
-	"wardtray/transport/link"
+	"wardtray/metrics"
+	"wardtray/proxy/codec"
+	"wardtray/transport/connpool"
 )
 
 const (
@@ -23,7 +23,7 @@
 )
 
 // allowed looks at the newest spec, the newest list and the deadline once more, at the moment before bytes go out.
-func (course *Course) allowed(identity link.Identity) bool {
+func (course *Course) allowed(identity connpool.Identity) bool {
 	snapshot, now := course.yard.Snapshot(), course.now()
 	course.checkedAt = now
 	if !now.Before(snapshot.Until) || snapshot.Book == nil || course.over() {
@@ -38,7 +38,7 @@
 		return false
 	}
 	runner, known := course.yard.Book.One(now, course.step.Runner.ID, course.yard.Daemons())
-	if !known || runner.Reason == pressure.ReasonLeaving || !Permits(snapshot.Book, pool, runner) {
+	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Book, pool, runner) {
 		return false
 	}
 	if !course.relayed && course.identify(snapshot.Book, lane) != nil {
@@ -53,19 +53,19 @@
 }
 
 // Permits tells whether a spec lets a pool use a runner.
-func Permits(book *config.Book, pool *config.Pool, runner pressure.Runner) bool {
+func Permits(book *config.Book, pool *config.Pool, runner load.Runner) bool {
 	return pool.Allows(runner.Service) && book.Open(runner.Zone)
 }
 
 // pass sends the request to the runner awarded and reads up to the first event. It gives "" when the
 // answer may be relayed, and otherwise how the attempt ended.
-func (course *Course) pass() award.End {
+func (course *Course) pass() scheduler.End {
 	runner := course.step.Runner
 	connection, err := course.yard.Links.TakeWithin(course.ctx, runner.ID, runner.Address, course.remaining())
 	if err != nil {
-		course.blame(string(fault.Of(err).Kind))
+		course.blame(string(apierror.Of(err).Kind))
 		course.countFree()
-		return award.NotSent
+		return scheduler.NotSent
 	}
 	course.connection = connection
 	if !course.allowed(connection.Identity) {
@@ -73,14 +73,14 @@
 			course.yard.Book.Failed(course.now(), runner.ID, "serves something else than listed")
 		}
 		course.countFree()
-		return award.NotSent
+		return scheduler.NotSent
 	}
 	if !course.awaited() {
 		course.returnUnused()
-		return award.NotSent
+		return scheduler.NotSent
 	}
 	if !course.mayRepeat() {
-		return award.NotSent
+		return scheduler.NotSent
 	}
 	if end := course.send(); end != "" {
 		course.countFree()
@@ -94,7 +94,7 @@
 }
 
 func (course *Course) countFree() {
-	course.yard.Tally.Count(course.lane.Name, func(lane *tally.Lane) { lane.FreeAttempts++ })
+	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.FreeAttempts++ })
 }
 
 // mayRepeat takes a second or later send out of the budget.
@@ -115,19 +115,19 @@
 		course.attempts = maximumAttempts
 		return false
 	}
-	course.yard.Tally.Count(course.lane.Name, func(lane *tally.Lane) { lane.Repeats++ })
+	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.Repeats++ })
 	return true
 }
 
 // run is this attempt in the words of a speech.
-func (course *Course) run() speech.Run {
-	return speech.Run{Runner: course.step.Runner, Daemon: course.yard.Name, Epoch: course.epoch, Left: course.remaining(), After: course.after,
+func (course *Course) run() codec.Run {
+	return codec.Run{Runner: course.step.Runner, Daemon: course.yard.Name, Epoch: course.epoch, Left: course.remaining(), After: course.after,
 		Urgency: course.step.Urgency, Weights: course.pool.Weights, Tenant: course.tenantName()}
 }
 
 // send writes the request out. A long one takes its time on the way, so that the last look comes again
 // before its last part: without that the runner has no request. It gives "" when the whole went out.
-func (course *Course) send() award.End {
+func (course *Course) send() scheduler.End {
 	course.to(sent)
 	course.sentAt = course.now()
 	content := course.yard.Speech.Outgoing(course.request, course.run())
@@ -139,10 +139,10 @@
 	written := course.write(content)
 	course.partial = written < len(content)
 	if course.partial && course.cutOff(written) {
-		return award.Doubt
+		return scheduler.Doubt
 	}
 	if course.partial && !course.answeredEarly() {
-		return award.NotSent
+		return scheduler.NotSent
 	}
 	course.sends++
 	course.connection.Sent(course.lane.Repeatable && course.mayTry())
--- a/request/speech/golden_test.go
+++ b/proxy/codec/golden_test.go
@@ -1,4 +1,4 @@
-package speech
+package codec
 
 import (
 	"fmt"
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"wardtray/process/fault"
-	"wardtray/process/pressure"
-	"wardtray/proof/golden"
-	"wardtray/request/intake"
+	"wardtray/apierror"
+	"wardtray/balancer/load"
+	"wardtray/proxy/admission"
+	"wardtray/verify/golden"
 )
 
 // goldenRun is one attempt with all that can be told of it.
-func goldenRun() (*intake.Request, Run) {
-	request := &intake.Request{ID: "request", Lane: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
+func goldenRun() (*admission.Request, Run) {
+	request := &admission.Request{ID: "request", Lane: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: []byte(`{"prompt":"text"}`)}
-	return request, Run{Runner: pressure.Runner{ID: "runner", Address: "127.0.0.1:8001"}, Daemon: "daemon", Epoch: 7,
+	return request, Run{Runner: load.Runner{ID: "runner", Address: "127.0.0.1:8001"}, Daemon: "daemon", Epoch: 7,
 		Left: 1500 * time.Millisecond, After: 3, Tenant: "tenant"}
 }
 
@@ -47,13 +47,13 @@
 // A refusal keeps its keys, and the event that ends a broken stream its form.
 func TestRefusalKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "refusal", golden.Marshal[Refusal])
-	broken := Own{}.Broken(4, Refusal{Kind: fault.RunFailed, Detail: "detail", Ran: "yes", Retry: time.Second})
+	broken := Own{}.Broken(4, Refusal{Kind: apierror.RunFailed, Detail: "detail", Ran: "yes", Retry: time.Second})
 	golden.Compare(t, "broken.txt", string(broken))
 }
 
 // What a runner tells of its load keeps its keys, and so do the paths at which it is asked.
 func TestReportKeepsItsKeys(t *testing.T) {
-	golden.CompareJSON(t, "report", golden.Marshal[pressure.Report])
+	golden.CompareJSON(t, "report", golden.Marshal[load.Report])
 	if (Own{}).Identity() != "/identity" || (Own{}).Probe() != "/pressure" {
 		t.Errorf("asked at %s and %s", Own{}.Identity(), Own{}.Probe())
 	}
