--- a/proof/sim/traffic.go
+++ b/verify/simulation/traffic.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"errors"
@@ -11,22 +11,22 @@
 	"time"
 
 	"wardtray/config"
-	"wardtray/proof/history"
-	"wardtray/proof/load"
-	"wardtray/proof/standin"
-	"wardtray/request/intake"
-	"wardtray/transport/seam"
+	"wardtray/proxy/admission"
+	"wardtray/transport/netio"
+	"wardtray/verify/emulator"
+	"wardtray/verify/histories"
+	"wardtray/verify/loadtest"
 )
 
 // Traffic is the request path of a world: requesters, runners, and what all of them saw.
 type Traffic struct {
 	world   *World
 	random  *rand.Rand
-	Mix     load.Mix
+	Mix     loadtest.Mix
 	Rate    float64
 	Hot     float64
-	History *history.History
-	judge   *history.Judge
+	History *histories.History
+	judge   *histories.Judge
 	number  int
 	crowds  int
 	stopped bool
@@ -46,14 +46,14 @@
 }
 
 // StartTraffic brings the request path in: so many runners, and requesters once Rate is above zero.
-func (world *World) StartTraffic(mix load.Mix, zones []string, runners int) *Traffic {
-	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: history.New(), fit: map[string]bool{},
+func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
+	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), fit: map[string]bool{},
 		ready: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
 	world.Traffic = traffic
 	traffic.History.Begun, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
-	traffic.judge = history.NewJudge(traffic.History, world.Check.known)
+	traffic.judge = histories.NewJudge(traffic.History, world.Check.known)
 	for number := range runners {
 		world.AddRunner(fmt.Sprintf("r%02d", number), zones[number%len(zones)])
 	}
@@ -72,7 +72,7 @@
 	traffic.judge.Violations = nil
 }
 
-func (traffic *Traffic) ran(run *history.Run) {
+func (traffic *Traffic) ran(run *histories.Run) {
 	traffic.History.Runs = append(traffic.History.Runs, run)
 	traffic.world.mark(uint64(len(run.Request) + len(run.Runner)))
 	traffic.judge.Ran(run)
@@ -84,7 +84,7 @@
 	for _, host := range traffic.world.Datas() {
 		traffic.fit[host.Address] = host.up && !host.frozen && host.plane.Fit()
 	}
-	traffic.world.After(standin.ListLag, traffic.look)
+	traffic.world.After(emulator.ListLag, traffic.look)
 }
 
 // sample notes again and again how much room the pool truly has.
@@ -106,7 +106,7 @@
 		}
 		listed[line.RunnerId] = world.Now.Sub(traffic.ready[line.RunnerId]) >= settledAllowance
 	}
-	room := history.Room{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
+	room := histories.Room{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.engine
 		well := host.up && !host.frozen && !engine.mute && !engine.partial && !engine.putsBack && !engine.fails && engine.garble == "" && engine.slow < 2
@@ -194,7 +194,7 @@
 
 // sendAgain has a requester send its request once more to the same daemon, at some moment during the
 // first's life or after it.
-func (traffic *Traffic) sendAgain(drawn load.Drawn, first *asker) {
+func (traffic *Traffic) sendAgain(drawn loadtest.Drawn, first *asker) {
 	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
 		if host := first.host; host != nil && host.up && first.life == host.life {
 			second := traffic.asker(drawn, first.record.Zone)
@@ -207,10 +207,10 @@
 // asker is one requester with its request.
 type asker struct {
 	traffic *Traffic
-	drawn   load.Drawn
+	drawn   loadtest.Drawn
 	headers map[string][]string
-	record  *history.Answer
-	ear     load.Ear
+	record  *histories.Answer
+	ear     loadtest.Ear
 	host    *Host
 	life    int
 	read    bool
@@ -223,16 +223,16 @@
 	tries   int
 }
 
-func (traffic *Traffic) asker(drawn load.Drawn, zone string) *asker {
+func (traffic *Traffic) asker(drawn loadtest.Drawn, zone string) *asker {
 	made := &asker{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
-		record: &history.Answer{Request: drawn.ID, Lane: drawn.Kind.Lane, Once: drawn.Kind.Once, Patience: drawn.Kind.Patience, Zone: zone, Sent: traffic.world.Now,
+		record: &histories.Answer{Request: drawn.ID, Lane: drawn.Kind.Lane, Once: drawn.Kind.Once, Patience: drawn.Kind.Patience, Zone: zone, Sent: traffic.world.Now,
 			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}}
 	made.ear.Record = made.record
 	traffic.judge.Asked(made.record)
 	return made
 }
 
-func (traffic *Traffic) ask(drawn load.Drawn, zone string, host *Host) *asker {
+func (traffic *Traffic) ask(drawn loadtest.Drawn, zone string, host *Host) *asker {
 	made := traffic.asker(drawn, zone)
 	made.send(host)
 	return made
@@ -330,19 +330,19 @@
 
 func (asker *asker) Last() {}
 
-func (asker *asker) head(status int, headers []seam.Header) {
+func (asker *asker) head(status int, headers []netio.Header) {
 	asker.record.Status = status
 	for _, header := range headers {
 		asker.record.RetryAfter = asker.record.RetryAfter || header.Name == "Retry-After"
-		if header.Name == intake.HeaderRunner {
+		if header.Name == admission.HeaderRunner {
 			asker.record.Head = header.Value
 		}
 	}
 }
 
-func (asker *asker) Answer(status int, headers []seam.Header, body []byte) {
+func (asker *asker) Answer(status int, headers []netio.Header, body []byte) {
 	asker.head(status, headers)
-	load.Refused(asker.record, body)
+	loadtest.Refused(asker.record, body)
 	if asker.leaving {
 		return
 	}
@@ -358,7 +358,7 @@
 	}
 }
 
-func (asker *asker) Stream(status int, headers []seam.Header, source io.ReadCloser) {
+func (asker *asker) Stream(status int, headers []netio.Header, source io.ReadCloser) {
 	asker.head(status, headers)
 	asker.relay(source)
 	// Not deferred: a process that ends in the middle closes nothing in order.
@@ -449,7 +449,7 @@
 // Fault records that something touches a daemon or a runner, and gives what ends it.
 func (traffic *Traffic) Fault(what string, host *Host, kills bool, knowable time.Duration) func() {
 	record, now := traffic.History, traffic.world.Now
-	fault := history.Fault{At: now, Until: now.Add(time.Hour), What: what, Kills: kills, Knowable: knowable}
+	fault := histories.Fault{At: now, Until: now.Add(time.Hour), What: what, Kills: kills, Knowable: knowable}
 	if host.engine != nil {
 		fault.Runner = host.engine.id
 	} else {
@@ -463,7 +463,7 @@
 // End asks for the state at the end and judges the whole.
 func (traffic *Traffic) End() {
 	world := traffic.world
-	final := history.Final{Asked: true, Known: map[string]uint64{}}
+	final := histories.Final{Asked: true, Known: map[string]uint64{}}
 	for _, host := range world.Cores() {
 		if host.node != nil {
 			document := host.node.Chain().Committed()
@@ -512,4 +512,4 @@
 // Summary tells the same in one line.
 func (traffic *Traffic) Summary() string { return fmt.Sprint(traffic.Counts()) }
 
-var _ seam.Requester = (*asker)(nil)
+var _ netio.Requester = (*asker)(nil)
--- a/proof/sim/world.go
+++ b/verify/simulation/world.go
@@ -1,7 +1,7 @@
 // Package sim is a seeded world in one thread: a network, clocks and disks on which the very state
 // machines of the daemons run, while faults are done to them and the rules are checked after each
 // step. The same seed gives the same run; a failure names its seed.
-package sim
+package simulation
 
 import (
 	"container/heap"
@@ -13,13 +13,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/core"
-	"wardtray/control/drive"
-	"wardtray/coordination/machine"
+	"wardtray/control/node"
+	"wardtray/control/storage"
 	"wardtray/coordination/snapshot"
-	"wardtray/edge/director"
-	"wardtray/edge/plane"
-	"wardtray/transport/seam"
+	"wardtray/coordination/statemachine"
+	"wardtray/dataplane"
+	"wardtray/dataplane/controller"
+	"wardtray/transport/netio"
 	"wardtray/wire"
 )
 
@@ -58,9 +58,9 @@
 	Address string
 	Zone    string
 	Core    bool
-	node    *core.Node
-	data    *director.Director
-	plane   *plane.Plane
+	node    *node.Node
+	data    *controller.Director
+	plane   *dataplane.Plane
 	engine  *engine
 	// strands are the pieces of work of this life that have begun and not ended.
 	strands []*strand
@@ -71,7 +71,7 @@
 	service string
 	disk    *disk
 	store   *snapshot.Store
-	writes  []machine.Write
+	writes  []statemachine.Write
 	writing bool
 	up      bool
 	life    int
@@ -105,10 +105,10 @@
 func (host *Host) Up() bool { return host.up }
 
 // Node gives a core's machine, Data a data daemon's.
-func (host *Host) Node() *core.Node { return host.node }
+func (host *Host) Node() *node.Node { return host.node }
 
 // Data gives a data daemon's machine.
-func (host *Host) Data() *director.Director { return host.data }
+func (host *Host) Data() *controller.Director { return host.data }
 
 // World is the whole simulation.
 type World struct {
@@ -243,7 +243,7 @@
 		return
 	}
 	host.disk.dying = false
-	restored, err := drive.Restore(host.disk, func() string {
+	restored, err := storage.Restore(host.disk, func() string {
 		world.identities++
 		return fmt.Sprintf("disk-%d-%s", world.identities, host.Address)
 	}, "")
@@ -262,7 +262,7 @@
 	// Only the very first start may found a fleet; a machine whose disk is lost later must not.
 	founding := !host.newcomer
 	host.newcomer = true
-	host.node = core.New(now, core.Startup{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
+	host.node = node.New(now, node.Startup{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
 		Founding: founding, Faults: world.Faults, Beat: callEvery},
 		restored.Memory, restored.Records, random)
 	world.tick(host, host.life)
@@ -298,7 +298,7 @@
 				host.node.Tick(now)
 				return
 			}
-			host.plane.Step(func(now time.Time, director *director.Director) { director.Tick(now) })
+			host.plane.Step(func(now time.Time, director *controller.Director) { director.Tick(now) })
 		})
 	}
 	world.After(tickEvery, func() { world.tick(host, life) })
@@ -327,7 +327,7 @@
 	})
 }
 
-func (world *World) finishWrite(host *Host, life int, batch []machine.Write) {
+func (world *World) finishWrite(host *Host, life int, batch []statemachine.Write) {
 	if !host.up || host.life != life {
 		return
 	}
@@ -337,7 +337,7 @@
 	}
 	host.writing = false
 	// The disk works on while the process is frozen; the process hears of it when it wakes.
-	drive.Carry(host.store, batch, func(sequence uint64) {
+	storage.Carry(host.store, batch, func(sequence uint64) {
 		world.on(host, life, func() { host.node.Synced(world.local(host), sequence) })
 	}, func(error) {
 		world.on(host, life, func() { host.node.DiskFailed(world.local(host)) })
@@ -345,7 +345,7 @@
 	world.write(host)
 }
 
-func (world *World) send(host *Host, parcels []machine.Parcel) {
+func (world *World) send(host *Host, parcels []statemachine.Parcel) {
 	for _, parcel := range parcels {
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(parcel.Envelope)
 		if err != nil {
@@ -396,7 +396,7 @@
 				from.node.Refused(world.local(from), to.Address, tried)
 				return
 			}
-			from.plane.Step(func(now time.Time, director *director.Director) { director.Refused(now, to.Address, tried) })
+			from.plane.Step(func(now time.Time, director *controller.Director) { director.Refused(now, to.Address, tried) })
 		})
 	})
 }
@@ -439,7 +439,7 @@
 			to.node.Receive(world.local(to), envelope)
 			return
 		}
-		to.plane.Step(func(now time.Time, director *director.Director) { director.Receive(now, envelope) })
+		to.plane.Step(func(now time.Time, director *controller.Director) { director.Receive(now, envelope) })
 	})
 }
 
@@ -460,7 +460,7 @@
 func (world *World) Power(host *Host) {
 	if host.Core && host.up && len(host.writes) > 0 {
 		host.disk.dying = true
-		drive.Carry(host.store, host.writes, func(uint64) {}, func(error) {})
+		storage.Carry(host.store, host.writes, func(uint64) {}, func(error) {})
 	}
 	host.dark = true
 	world.Kill(host)
@@ -544,27 +544,27 @@
 // bootData starts a data daemon as its process would.
 func (world *World) bootData(host *Host, random *rand.Rand) {
 	life := host.life
-	made, err := plane.New(seam.World{
+	made, err := dataplane.New(netio.World{
 		Now:  func() time.Time { return world.local(host) },
 		Go:   func(work func()) { world.spawn(host, work) },
 		Wait: world.wait,
-		Dial: func(ctx context.Context, address string, terms seam.Terms) (seam.Conn, error) {
+		Dial: func(ctx context.Context, address string, terms netio.Terms) (netio.Conn, error) {
 			return world.dial(ctx, host, address, terms)
 		},
-	}, plane.Startup{Startup: director.Startup{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.Callers != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
-		Send: func(parcels []machine.Parcel) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, life) }, Log: silent})
+	}, dataplane.Startup{Startup: controller.Startup{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.Callers != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
+		Send: func(parcels []statemachine.Parcel) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, life) }, Log: silent})
 	if err != nil {
 		panic(err)
 	}
 	host.plane = made
-	made.Look(func(director *director.Director) { host.data = director })
+	made.Look(func(director *controller.Director) { host.data = director })
 	if world.Traffic == nil {
 		return
 	}
-	world.every(host, life, plane.SettleEvery, made.Settle)
-	world.every(host, life, plane.PressureEvery, made.AskPressures)
-	world.every(host, life, plane.WatchEvery, made.Watch)
-	world.every(host, life, plane.AgeEvery, made.Age)
+	world.every(host, life, dataplane.SettleEvery, made.Settle)
+	world.every(host, life, dataplane.PressureEvery, made.AskPressures)
+	world.every(host, life, dataplane.WatchEvery, made.Watch)
+	world.every(host, life, dataplane.AgeEvery, made.Age)
 }
 
 // noteSure notes since when a data daemon has been sure of its spec.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	"wardtray/proof/golden"
+	"wardtray/verify/golden"
 	"wardtray/wire"
 )
 
