--- a/apierror/golden_test.go
+++ b/apierror/golden_test.go
@@ -19,7 +19,7 @@
 func TestKindsKeepTheirWords(t *testing.T) {
 	var lines strings.Builder
 	for _, kind := range slices.Sorted(maps.Keys(remedies)) {
-		fmt.Fprintf(&lines, "%s %s\n", kind, (&Fault{Kind: kind}).Remedy())
+		fmt.Fprintf(&lines, "%s %s\n", kind, (&Error{Code: kind}).Remedy())
 	}
 	golden.Compare(t, "kinds.txt", lines.String())
 }
@@ -38,13 +38,13 @@
 }
 
 // declaredKinds reads the constants of type Kind from the source, since they can't be listed at run time.
-func declaredKinds(t *testing.T) []Kind {
+func declaredKinds(t *testing.T) []Code {
 	t.Helper()
 	names, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kinds []Kind
+	var kinds []Code
 	for _, entry := range names {
 		if !strings.HasSuffix(entry.Name(), ".go") || strings.HasSuffix(entry.Name(), "_test.go") {
 			continue
@@ -64,15 +64,15 @@
 }
 
 // kindsOf gives the kinds that one declaration makes.
-func kindsOf(declared *ast.ValueSpec) []Kind {
-	if named, isName := declared.Type.(*ast.Ident); !isName || named.Name != "Kind" {
+func kindsOf(declared *ast.ValueSpec) []Code {
+	if named, isName := declared.Type.(*ast.Ident); !isName || named.Name != "Code" {
 		return nil
 	}
-	var kinds []Kind
+	var kinds []Code
 	for _, value := range declared.Values {
 		if literal, isLiteral := value.(*ast.BasicLit); isLiteral {
 			if text, err := strconv.Unquote(literal.Value); err == nil {
-				kinds = append(kinds, Kind(text))
+				kinds = append(kinds, Code(text))
 			}
 		}
 	}
--- a/balancer/kvblock/kvblock.go
+++ b/balancer/kvblock/kvblock.go
@@ -37,7 +37,7 @@
 }
 
 // TokenProcessor turns prompt parts into keys. The source's one first turns text into tokens; a
-// daemon sees no tokens, so that the requester's parts stand in for the chunks.
+// daemon sees no tokens, so that the client's parts stand in for the chunks.
 type TokenProcessor struct {
 	root uint64
 	mode cbor.EncMode
@@ -107,8 +107,8 @@
 				return
 			}
 			holders = made
-			if former, had, _ := shard.PeekOrAdd(key, made); had {
-				holders = former
+			if previous, had, _ := shard.PeekOrAdd(key, made); had {
+				holders = previous
 			}
 		}
 		holders.Add(runner, now)
--- a/balancer/kvblock/kvblock_test.go
+++ b/balancer/kvblock/kvblock_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var begun = time.Unix(1_700_000_000, 0)
+var started = time.Unix(1_700_000_000, 0)
 
 // The published test vectors of FNV-1a with 64 bits, which Go's fnv.New64a computes; the source calls it FNV-64a.
 func TestPublishedVectorsOfTheHash(t *testing.T) {
@@ -49,8 +49,8 @@
 		"other seed":    NewTokenProcessor("x").BlockKeys([]string{"system", "rheolau"}, extra),
 	} {
 		last := other[len(other)-1]
-		if former, found := different[last]; found {
-			t.Errorf("%s and %s share a key", former, name)
+		if previous, found := different[last]; found {
+			t.Errorf("%s and %s share a key", previous, name)
 		}
 		different[last] = name
 	}
@@ -78,7 +78,7 @@
 			holds[runner], set[runner] = map[int]bool{}, random.Intn(4) > 0
 			for place := range keys {
 				if random.Intn(3) > 0 {
-					made.Index.Add(begun, keys[place:place+1], runner)
+					made.Index.Add(started, keys[place:place+1], runner)
 					holds[runner][place] = true
 				}
 			}
@@ -101,14 +101,14 @@
 func TestBoundsOfTheTwoLevels(t *testing.T) {
 	made := indexer(t, 64, 2)
 	for number := range 1000 {
-		made.Index.Add(begun, made.Processor.BlockKeys([]string{fmt.Sprint(number)}, Extra{}), "r")
+		made.Index.Add(started, made.Processor.BlockKeys([]string{fmt.Sprint(number)}, Extra{}), "r")
 	}
 	if held := made.Index.Keys(); held > 64 {
 		t.Fatalf("%d keys", held)
 	}
 	key := made.Processor.BlockKeys([]string{"x"}, Extra{})
 	for number := range 5 {
-		made.Index.Add(begun, key, fmt.Sprint("r", number))
+		made.Index.Add(started, key, fmt.Sprint("r", number))
 	}
 	if holders := made.Index.Lookup(key, map[string]bool{"r0": true, "r3": true, "r4": true}); len(holders) != 1 || len(holders[0]) != 2 {
 		t.Fatalf("holders %v", holders)
@@ -126,7 +126,7 @@
 		made.Pool.Add(BlockStored{Runner: "r", Now: at, Keys: prompt(number), Tokens: []int{1000, 9000}})
 	}
 	for number := range 60 {
-		store(begun, number)
+		store(started, number)
 	}
 	if score(0) != 1 || score(59) != 2 {
 		t.Fatalf("room: the oldest scores %d, the newest %d", score(0), score(59))
@@ -139,8 +139,8 @@
 	if score(59) != 0 {
 		t.Fatal("a request that was put back still counts")
 	}
-	store(begun.Add(IdleAge), 70)
-	made.Pool.Add(Aged{Runner: "r", Now: begun.Add(IdleAge + time.Minute)})
+	store(started.Add(IdleAge), 70)
+	made.Pool.Add(Aged{Runner: "r", Now: started.Add(IdleAge + time.Minute)})
 	if score(58) != 1 || score(70) != 2 {
 		t.Fatalf("age: an old one scores %d, a fresh one %d", score(58), score(70))
 	}
@@ -167,7 +167,7 @@
 			runner := fmt.Sprint("r", number)
 			set[runner] = true
 			made.Pool.Add(BlockRemoved{Runner: runner, Keys: keys})
-			made.Pool.Add(BlockStored{Runner: runner, Now: begun, Keys: keys, Tokens: []int{1, 1}})
+			made.Pool.Add(BlockStored{Runner: runner, Now: started, Keys: keys, Tokens: []int{1, 1}})
 		}
 	}
 	made.Pool.Close()
@@ -194,7 +194,7 @@
 	for number := range 18 {
 		runner := fmt.Sprint("r", number)
 		set[runner] = true
-		made.Index.Add(begun, made.Processor.BlockKeys(parts[:1+number%6], Extra{}), runner)
+		made.Index.Add(started, made.Processor.BlockKeys(parts[:1+number%6], Extra{}), runner)
 	}
 	bench.ReportAllocs()
 	for bench.Loop() {
--- a/balancer/load/stale_test.go
+++ b/balancer/load/stale_test.go
@@ -12,7 +12,7 @@
 // A runner that is no longer listed is asked on while it has work of ours; else its loss would never be learned of.
 func TestUnlistedRunnerWithWorkIsAskedOn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book := NewBook(now, "d")
+	book := NewTable(now, "d")
 	book.List(now, []*wire.Runner{{RunnerId: "busy", State: "ready"}, {RunnerId: "idle", State: "ready"}})
 	book.Begin("busy")
 	if gone := book.List(now, nil); len(gone) != 1 || gone[0] != "idle" {
@@ -34,8 +34,8 @@
 // A refused question says that the runner is there. Where a service's runners refuse, they are not asked again for a
 // while, and those of another service are; one answer undoes that.
 func TestServicesWithoutReportsAreLeftAlone(t *testing.T) {
-	book := NewBook(begun, "d1")
-	book.List(begun, []*wire.Runner{{RunnerId: "a1", Zone: "a", State: "ready", Service: "a"}, {RunnerId: "a2", Zone: "a", State: "ready", Service: "a"},
+	book := NewTable(started, "d1")
+	book.List(started, []*wire.Runner{{RunnerId: "a1", Zone: "a", State: "ready", Service: "a"}, {RunnerId: "a2", Zone: "a", State: "ready", Service: "a"},
 		{RunnerId: "b1", Zone: "a", State: "ready", Service: "b"}})
 	asked := func(now time.Time) (names string) {
 		for _, runner := range book.Stale(now, time.Second, true) {
@@ -44,19 +44,19 @@
 		return names
 	}
 	for range missesBound + 1 {
-		book.ReportRefused(begun, "a1")
+		book.ReportRefused(started, "a1")
 	}
-	if found, _ := book.One(begun, "a1", nil); !found.Usable {
+	if found, _ := book.One(started, "a1", nil); !found.Usable {
 		t.Errorf("a runner that refuses a question is left alone: %+v", found)
 	}
-	if names := asked(begun.Add(2 * time.Second)); names != "b1 " {
+	if names := asked(started.Add(2 * time.Second)); names != "b1 " {
 		t.Errorf("asked: %s", names)
 	}
-	if names := asked(begun.Add(askAgain + time.Second)); names != "a1 a2 b1 " {
+	if names := asked(started.Add(askAgain + time.Second)); names != "a1 a2 b1 " {
 		t.Errorf("asked after a while: %s", names)
 	}
-	book.ReportGiven(begun, "a2", Report{Slots: 4})
-	if names := asked(begun.Add(3 * time.Second)); names != "a1 a2 b1 " {
+	book.ReportGiven(started, "a2", Report{Slots: 4})
+	if names := asked(started.Add(3 * time.Second)); names != "a1 a2 b1 " {
 		t.Errorf("asked after an answer: %s", names)
 	}
 }
@@ -66,7 +66,7 @@
 	for name, without := range map[string]features.Set{"on": nil, "off": {features.Ejection: true, features.WarmUp: true}} {
 		book := bookOf("old")
 		book.Without = without
-		later := begun.Add(time.Hour)
+		later := started.Add(time.Hour)
 		book.List(later, []*wire.Runner{{RunnerId: "old", State: "ready"}, {RunnerId: "new", State: "ready"}})
 		book.Failed(later, "old", "x")
 		old, _ := book.One(later, "old", nil)
@@ -79,10 +79,10 @@
 
 // Where a service's answers tell the load, or this daemon has no work for it, its runners are not asked.
 func TestOnlyWhatNoAnswerTellsIsAsked(t *testing.T) {
-	book := NewBook(begun, "d1")
-	book.List(begun, []*wire.Runner{{RunnerId: "a", State: "ready", Service: "a"}, {RunnerId: "b", State: "ready", Service: "b"}, {RunnerId: "c", State: "ready", Service: "c"}})
+	book := NewTable(started, "d1")
+	book.List(started, []*wire.Runner{{RunnerId: "a", State: "ready", Service: "a"}, {RunnerId: "b", State: "ready", Service: "b"}, {RunnerId: "c", State: "ready", Service: "c"}})
 	asked := func(reportsAlone bool) (names string) {
-		for _, runner := range book.Stale(begun.Add(time.Minute), time.Second, reportsAlone) {
+		for _, runner := range book.Stale(started.Add(time.Minute), time.Second, reportsAlone) {
 			names += runner.ID
 		}
 		return names
@@ -95,7 +95,7 @@
 	if names := asked(false); names != "ab" {
 		t.Errorf("before an answer asked: %s", names)
 	}
-	book.AnswerTold(begun, "a", Report{Slots: 4})
+	book.AnswerTold(started, "a", Report{Slots: 4})
 	if names := asked(false); names != "b" {
 		t.Errorf("once an answer told the load asked: %s", names)
 	}
--- a/balancer/load/book.go
+++ b/balancer/load/table.go
@@ -62,9 +62,9 @@
 	Sure float64 `json:"Sure"`
 	// InFlight is our own work on it.
 	InFlight int `json:"InFlight"`
-	// Told is when its newest word came, zero if none did; OthersWaiting is how many requests of others waited
+	// Reported is when its newest word came, zero if none did; OthersWaiting is how many requests of others waited
 	// for their first event by that.
-	Told          time.Time `json:"Told"`
+	Reported      time.Time `json:"Told"`
 	OthersWaiting int       `json:"OthersWaiting"`
 	// Tokens and Room are its memory as last told; Room 0: not told.
 	Tokens int `json:"Tokens"`
@@ -111,11 +111,11 @@
 	drained map[string]time.Time
 }
 
-// Book is all of them.
-type Book struct {
-	self   string
-	begun  time.Time
-	shards [shardCount]*shard
+// Table is all of them.
+type Table struct {
+	self    string
+	started time.Time
+	shards  [shardCount]*shard
 	// Without names the mechanisms that are switched off.
 	Without features.Set
 	// services are what is known of the services by their names.
@@ -132,23 +132,23 @@
 	refused  time.Time
 }
 
-// NewBook makes an empty book for the daemon at an address.
-func NewBook(now time.Time, self string) *Book {
-	book := &Book{self: self, begun: now, services: map[string]service{}}
+// NewTable makes an empty book for the daemon at an address.
+func NewTable(now time.Time, self string) *Table {
+	book := &Table{self: self, started: now, services: map[string]service{}}
 	for place := range book.shards {
 		book.shards[place] = &shard{entries: map[string]*entry{}, drained: map[string]time.Time{}}
 	}
 	return book
 }
 
-func (book *Book) shard(runner string) *shard {
+func (book *Table) shard(runner string) *shard {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(runner)) // Writing to a hash can't fail.
 	return book.shards[hash.Sum32()%shardCount]
 }
 
 // List takes the platform's list; it gives the runners that are gone for good.
-func (book *Book) List(now time.Time, runners []*wire.Runner) (gone []string) {
+func (book *Table) List(now time.Time, runners []*wire.Runner) (gone []string) {
 	listed := map[string]bool{}
 	for _, line := range runners {
 		listed[line.RunnerId] = true
@@ -162,7 +162,7 @@
 }
 
 // listRunner takes one line of the platform's list.
-func (book *Book) listRunner(now time.Time, line *wire.Runner) {
+func (book *Table) listRunner(now time.Time, line *wire.Runner) {
 	shard := book.shard(line.RunnerId)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -170,7 +170,7 @@
 	if known == nil {
 		known = &entry{first: now}
 		// A daemon that has just begun sees every runner for the first time, which does not make them cold.
-		known.settled = now.Sub(book.begun) < GraceAtStart && line.State == "ready"
+		known.settled = now.Sub(book.started) < GraceAtStart && line.State == "ready"
 		shard.entries[line.RunnerId] = known
 	}
 	// A runner that has begun to drain comes back under another identity only; a list that says otherwise
@@ -211,7 +211,7 @@
 }
 
 // ReportGiven takes a runner's answer to a question for its report.
-func (book *Book) ReportGiven(now time.Time, runner string, report Report) {
+func (book *Table) ReportGiven(now time.Time, runner string, report Report) {
 	name := ""
 	book.change(runner, func(known *entry) { name = known.line.Service })
 	book.changeService(name, func(known *service) { known.refusals = 0 })
@@ -219,7 +219,7 @@
 }
 
 // Reported takes a runner's word of its pressure.
-func (book *Book) Reported(now time.Time, runner string, report Report) {
+func (book *Table) Reported(now time.Time, runner string, report Report) {
 	book.change(runner, func(known *entry) {
 		// A runner that registered told its slots then, and its reports need not say them again.
 		if report.Slots == 0 {
@@ -251,7 +251,7 @@
 
 // ReportRefused takes in that a runner answered a question for its report with a refusal. That is no sign of its being
 // ill: a service whose runners give no reports is not asked again for a while.
-func (book *Book) ReportRefused(now time.Time, runner string) {
+func (book *Table) ReportRefused(now time.Time, runner string) {
 	name := ""
 	book.change(runner, func(known *entry) {
 		name, known.misses = known.line.Service, 0
@@ -260,7 +260,7 @@
 	book.changeService(name, func(known *service) { known.refusals, known.refused = known.refusals+1, now })
 }
 
-func (book *Book) changeService(name string, do func(known *service)) {
+func (book *Table) changeService(name string, do func(known *service)) {
 	book.servicesMutex.Lock()
 	defer book.servicesMutex.Unlock()
 	known := book.services[name]
@@ -270,7 +270,7 @@
 
 // worthAsking tells whether a service's runners are worth asking for their load: they answer that, this daemon has work
 // for them, and their answers to requests don't tell it. Where nothing but a report ever tells the load, all are.
-func (book *Book) worthAsking(now time.Time, name string, reportsAlone bool) bool {
+func (book *Table) worthAsking(now time.Time, name string, reportsAlone bool) bool {
 	book.servicesMutex.Lock()
 	defer book.servicesMutex.Unlock()
 	known := book.services[name]
@@ -284,7 +284,7 @@
 //
 // Why its service is not asked for it any more: a report says little of a moment later, among many daemons less than the
 // answers do, and each question has its price; docs/decisions.md.
-func (book *Book) AnswerTold(now time.Time, runner string, report Report) {
+func (book *Table) AnswerTold(now time.Time, runner string, report Report) {
 	name := ""
 	book.change(runner, func(known *entry) { name = known.line.Service })
 	book.changeService(name, func(known *service) { known.tells = true })
@@ -295,7 +295,7 @@
 // ones, and those no longer listed that still have work of ours, whose loss must be learned of as well.
 //
 // Those of services that are not worth asking are left out; reportsAlone says that nothing but a report tells a load.
-func (book *Book) Stale(now time.Time, bound time.Duration, reportsAlone bool) []Runner {
+func (book *Table) Stale(now time.Time, bound time.Duration, reportsAlone bool) []Runner {
 	var runners []Runner
 	for _, shard := range book.shards {
 		shard.mutex.Lock()
@@ -313,7 +313,7 @@
 // Missed takes in that a runner's report could not be had, which pauses its use; it tells whether the
 // runner is to be taken for lost: another answers at its address, it is no longer listed either, or
 // several reports in a row have failed.
-func (book *Book) Missed(now time.Time, runner string, why apierror.Kind) (lost bool) {
+func (book *Table) Missed(now time.Time, runner string, why apierror.Code) (lost bool) {
 	book.change(runner, func(known *entry) {
 		known.misses++
 		book.eject(now, known, string(why))
@@ -328,7 +328,7 @@
 	known.paused, known.reason = now.Add(known.pause), reason
 }
 
-func (book *Book) change(runner string, do func(known *entry)) {
+func (book *Table) change(runner string, do func(known *entry)) {
 	shard := book.shard(runner)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -338,7 +338,7 @@
 }
 
 // Begin takes up one place on a runner; Finish gives it back.
-func (book *Book) Begin(runner string) {
+func (book *Table) Begin(runner string) {
 	name := ""
 	book.change(runner, func(known *entry) {
 		known.inFlight++
@@ -349,12 +349,12 @@
 }
 
 // Answered notes that the first event of one of our requests has come.
-func (book *Book) Answered(runner string) {
+func (book *Table) Answered(runner string) {
 	book.change(runner, func(known *entry) { known.unanswered-- })
 }
 
 // Finish gives a place back; answered tells whether Answered was noted for it.
-func (book *Book) Finish(runner string, answered bool) {
+func (book *Table) Finish(runner string, answered bool) {
 	book.change(runner, func(known *entry) {
 		known.inFlight--
 		if !answered {
@@ -364,24 +364,24 @@
 }
 
 // Failed pauses the use of a runner, longer each time; Served ends that.
-func (book *Book) Failed(now time.Time, runner, reason string) {
+func (book *Table) Failed(now time.Time, runner, reason string) {
 	book.change(runner, func(known *entry) { book.eject(now, known, reason) })
 }
 
-func (book *Book) eject(now time.Time, known *entry, reason string) {
+func (book *Table) eject(now time.Time, known *entry, reason string) {
 	if !book.Without[features.Ejection] {
 		known.fail(now, reason)
 	}
 }
 
 // Served notes that a runner did its work.
-func (book *Book) Served(runner string) {
+func (book *Table) Served(runner string) {
 	book.change(runner, func(known *entry) { known.pause, known.paused = 0, time.Time{} })
 }
 
 // All gives every listed runner as it seems now, ordered by id. daemons are the addresses among
 // which a warming runner's work is divided.
-func (book *Book) All(now time.Time, daemons []string) []Runner {
+func (book *Table) All(now time.Time, daemons []string) []Runner {
 	var runners []Runner
 	for _, shard := range book.shards {
 		shard.mutex.Lock()
@@ -395,14 +395,14 @@
 }
 
 // One gives one runner as it seems now.
-func (book *Book) One(now time.Time, runner string, daemons []string) (found Runner, known bool) {
+func (book *Table) One(now time.Time, runner string, daemons []string) (found Runner, known bool) {
 	book.change(runner, func(held *entry) { found, known = book.view(now, held, daemons), true })
 	return found, known
 }
 
-func (book *Book) view(now time.Time, known *entry, daemons []string) Runner {
+func (book *Table) view(now time.Time, known *entry, daemons []string) Runner {
 	runner := Runner{ID: known.line.RunnerId, Address: known.line.Address, Zone: known.line.Zone, Service: known.line.Service,
-		State: known.line.State, Slots: initialSlots, InFlight: known.inFlight, Usable: true, Told: known.reported,
+		State: known.line.State, Slots: initialSlots, InFlight: known.inFlight, Usable: true, Reported: known.reported,
 		OthersWaiting: known.othersWaiting, Tokens: known.report.Tokens, Room: known.report.Room}
 	if known.line.Slots > 0 {
 		runner.Slots = int(known.line.Slots)
@@ -432,7 +432,7 @@
 }
 
 // warming limits the work on a new runner: one daemon with one request at first, then more of both.
-func (book *Book) warming(now time.Time, known *entry, limit int, daemons []string) (bool, int) {
+func (book *Table) warming(now time.Time, known *entry, limit int, daemons []string) (bool, int) {
 	cold := known.line.State == "cold"
 	if known.settled && !cold || book.Without[features.WarmUp] {
 		return false, limit
--- a/balancer/retrybudget/budget.go
+++ b/balancer/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package budget bounds how many requests to a pool are sent again, over all daemons together. Each
+// Package budget bounds how many requests to a backend are sent again, over all daemons together. Each
 // keeps its own part of the bound, so that the sum over all daemons keeps the whole.
 package retrybudget
 
@@ -25,14 +25,14 @@
 	remembered = 3
 )
 
-// Budget is one daemon's for one pool. It is not safe for several goroutines at once.
+// Budget is one daemon's for one backend. It is not safe for several goroutines at once.
 type Budget struct {
 	settings Settings
 	daemons  func() int
 	cell     time.Duration
-	begun    time.Time
+	started  time.Time
 	requests [cells + 1]int
-	repeats  [cells + 1]int
+	retries  [cells + 1]int
 	numbers  [cells + 1]int64
 	// most holds the greatest number of daemons seen in each of the last windows.
 	most        [remembered + 1]int
@@ -55,34 +55,34 @@
 //
 // Why not the time of day: it jumps by seconds, and a window would count twice or not at all.
 func (budget *Budget) since(now time.Time) int64 {
-	if budget.begun.IsZero() {
-		budget.begun = now
+	if budget.started.IsZero() {
+		budget.started = now
 	}
-	return int64(now.Sub(budget.begun))
+	return int64(now.Sub(budget.started))
 }
 
 func (budget *Budget) place(now time.Time) int {
 	number := budget.since(now) / int64(budget.cell)
 	place := int(number % (cells + 1))
 	if budget.numbers[place] != number {
-		budget.numbers[place], budget.requests[place], budget.repeats[place] = number, 0, 0
+		budget.numbers[place], budget.requests[place], budget.retries[place] = number, 0, 0
 	}
 	return place
 }
 
 // sums counts what lies in the last so many cells.
-func (budget *Budget) sums(now time.Time, length int64) (requests, repeats int) {
+func (budget *Budget) sums(now time.Time, length int64) (requests, retries int) {
 	oldest := budget.since(now)/int64(budget.cell) - length
 	for place, number := range budget.numbers {
 		// The cell that is leaving the window counts for repeats but not for requests, so that no window, however it lies, breaks the bound.
 		if number >= oldest {
-			repeats += budget.repeats[place]
+			retries += budget.retries[place]
 		}
 		if number > oldest {
 			requests += budget.requests[place]
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
 // sharers gives the most daemons that were seen within the last few windows.
@@ -111,7 +111,7 @@
 	}
 	sharers := budget.sharers(now)
 	// An earlier life of this process may have spent its part within the window.
-	if now.Sub(budget.begun) <= budget.settings.Window {
+	if now.Sub(budget.started) <= budget.settings.Window {
 		return 0
 	}
 	return slackPart * budget.settings.Slack / float64(sharers)
@@ -128,16 +128,16 @@
 func (budget *Budget) Repeat(now time.Time) bool {
 	place := budget.place(now)
 	slack := budget.slack(now)
-	requests, repeats := budget.sums(now, cells)
-	if float64(repeats+1) > budget.settings.Ratio*float64(requests)+slack {
+	requests, retries := budget.sums(now, cells)
+	if float64(retries+1) > budget.settings.Ratio*float64(requests)+slack {
 		return false
 	}
-	// Where requests cease, as when a whole pool puts back, the credit of the window before would be
+	// Where requests cease, as when a whole backend puts back, the credit of the window before would be
 	// spent in a window that has hardly any. Most of it must be of late.
-	requests, repeats = budget.sums(now, lately)
-	if float64(repeats+1) > max(1, budget.settings.Ratio*float64(requests))+slack {
+	requests, retries = budget.sums(now, lately)
+	if float64(retries+1) > max(1, budget.settings.Ratio*float64(requests))+slack {
 		return false
 	}
-	budget.repeats[place]++
+	budget.retries[place]++
 	return true
 }
--- a/balancer/retrybudget/budget_test.go
+++ b/balancer/retrybudget/retrybudget_test.go
@@ -28,7 +28,7 @@
 	properties.Property("bound", prop.ForAll(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		budget, now := New(Default, nil), time.Unix(1_700_000_000, 0)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range 3000 {
 			now = now.Add(time.Duration(random.Int63n(int64(20 * time.Millisecond))))
 			if random.Intn(1000) == 0 {
@@ -42,12 +42,12 @@
 			if !budget.Repeat(now) {
 				continue
 			}
-			repeats = append(repeats, now)
-			if float64(countInWindow(now, repeats)) > Default.Ratio*float64(countInWindow(now, requests)) {
+			retries = append(retries, now)
+			if float64(countInWindow(now, retries)) > Default.Ratio*float64(countInWindow(now, requests)) {
 				return false
 			}
 		}
-		return len(repeats) > 0
+		return len(retries) > 0
 	}, gen.Int64()))
 	properties.TestingRun(t)
 	if New(Default, nil).Repeat(time.Unix(1_700_000_000, 0)) {
--- a/balancer/retrybudget/slack_test.go
+++ b/balancer/retrybudget/slack_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// repeats tells how many repeats a budget gives at once.
-func repeats(budget *Budget, now time.Time) (count int) {
+// retries tells how many repeats a budget gives at once.
+func retries(budget *Budget, now time.Time) (count int) {
 	for budget.Repeat(now) {
 		count++
 	}
@@ -18,7 +18,7 @@
 func TestSlackIsSharedOut(t *testing.T) {
 	settings, now := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 58}, time.Unix(1_700_000_000, 0)
 	fresh := New(settings, func() int { return 9 })
-	if given := repeats(fresh, now); given != 0 {
+	if given := retries(fresh, now); given != 0 {
 		t.Fatalf("a daemon that has just begun gives %d", given)
 	}
 	now = now.Add(settings.Window + time.Second)
@@ -26,7 +26,7 @@
 	for range 9 {
 		budget := New(settings, func() int { return 9 })
 		budget.Request(now.Add(-settings.Window - time.Second))
-		sum += repeats(budget, now)
+		sum += retries(budget, now)
 	}
 	if sum == 0 || sum > 58 {
 		t.Fatalf("%d repeats from a slack of 58", sum)
@@ -39,11 +39,11 @@
 	budget := New(settings, func() int { return seen })
 	budget.Request(now)
 	now = now.Add(settings.Window + time.Second)
-	whole := repeats(budget, now)
+	whole := retries(budget, now)
 	seen = 1
 	for range 2 {
 		now = now.Add(settings.Window + time.Second)
-		if given := repeats(budget, now); given > whole {
+		if given := retries(budget, now); given > whole {
 			t.Fatalf("%d repeats after a cut, %d before", given, whole)
 		}
 	}
--- a/balancer/scheduler/forecast.go
+++ b/balancer/scheduler/forecast.go
@@ -8,7 +8,7 @@
 	"wardtray/balancer/load"
 )
 
-// Speeds are what is learned of a pool's engines, all in seconds.
+// Speeds are what is learned of a backend's engines, all in seconds.
 type Speeds struct {
 	// Overhead is the part of a first event's time that every request has; a prompt token takes Token, and
 	// Pair for each token before it that it is weighed against.
@@ -54,18 +54,18 @@
 
 // sent is one of our prompts at a runner from which no event has come yet.
 type sent struct {
-	ticket *Ticket
+	queuedRequest *QueuedRequest
 	// due is when its first event was reckoned to come; work is its own reading time.
 	due  time.Time
 	work float64
 }
 
-// track is what a desk knows of one runner from its own sends.
+// track is what a scheduler knows of one runner from its own sends.
 type track struct {
 	// free is when the prompts that we sent are read through.
 	free    time.Time
 	pending []sent
-	// slow is how many times slower than the pool's the runner's first events seem to come of late.
+	// slow is how many times slower than the backend's the runner's first events seem to come of late.
 	slow    float64
 	touched time.Time
 }
@@ -138,30 +138,30 @@
 
 // others is how long other daemons' prompts keep a runner, by its last word and by what is usual.
 func (forecast *forecast) others(now time.Time, runner load.Runner, usual, each float64) float64 {
-	if runner.Told.IsZero() {
+	if runner.Reported.IsZero() {
 		return usual
 	}
 	told := float64(runner.OthersWaiting) * each
-	old := now.Sub(runner.Told).Seconds()
+	old := now.Sub(runner.Reported).Seconds()
 	return usual + (told-usual)*math.Exp(-old/forgets)
 }
 
 // send notes a prompt that goes out.
-func (forecast *forecast) send(now time.Time, ticket *Ticket, runner string, work, wait float64) {
+func (forecast *forecast) send(now time.Time, queuedRequest *QueuedRequest, runner string, work, wait float64) {
 	track := forecast.track(runner)
 	begins := now
 	if track.free.After(begins) && len(track.pending) > 0 {
 		begins = track.free
 	}
 	track.free = begins.Add(seconds(work))
-	track.pending = append(track.pending, sent{ticket: ticket, due: now.Add(seconds(wait)), work: work})
+	track.pending = append(track.pending, sent{queuedRequest: queuedRequest, due: now.Add(seconds(wait)), work: work})
 }
 
 // first notes that a prompt's first event has come.
-func (forecast *forecast) first(now time.Time, ticket *Ticket, step Step, took time.Duration) {
+func (forecast *forecast) first(now time.Time, queuedRequest *QueuedRequest, step Decision, took time.Duration) {
 	track := forecast.track(step.Runner.ID)
 	for place, entry := range track.pending {
-		if entry.ticket != ticket {
+		if entry.queuedRequest != queuedRequest {
 			continue
 		}
 		track.pending = append(track.pending[:place], track.pending[place+1:]...)
@@ -169,7 +169,7 @@
 		track.free = track.free.Add(time.Duration(corrects * float64(late)))
 		break
 	}
-	forecast.speeds.learn(ticket.Bid.PromptTokens, step.HeldTokens, took.Seconds(), forecast.seen)
+	forecast.speeds.learn(queuedRequest.Requirements.PromptTokens, step.HeldTokens, took.Seconds(), forecast.seen)
 	forecast.seen++
 	track.slow = track.slowness(now)
 	track.touched = now
@@ -184,13 +184,13 @@
 }
 
 // drop notes that a prompt is gone from a runner, whether it was answered or not.
-func (forecast *forecast) drop(ticket *Ticket, runner string) {
+func (forecast *forecast) drop(queuedRequest *QueuedRequest, runner string) {
 	found := forecast.tracks[runner]
 	if found == nil {
 		return
 	}
 	for place, entry := range found.pending {
-		if entry.ticket == ticket {
+		if entry.queuedRequest == queuedRequest {
 			found.pending = append(found.pending[:place], found.pending[place+1:]...)
 			found.free = found.free.Add(-seconds(entry.work))
 			return
--- a/balancer/scheduler/forecast_test.go
+++ b/balancer/scheduler/forecast_test.go
@@ -74,16 +74,16 @@
 	chosen := map[string]int{}
 	for daemon := range 8 {
 		stall := newStall(t, 18)
-		stall.Desk.random = rand.New(rand.NewSource(int64(daemon)))
-		stall.Desk.forecast.seen = newcomer
-		scene := stall.Desk.scene
-		stall.Desk.scene = func(now time.Time) Field {
-			field := scene(now)
+		stall.Scheduler.random = rand.New(rand.NewSource(int64(daemon)))
+		stall.Scheduler.forecast.seen = newcomer
+		snapshot := stall.Scheduler.snapshot
+		stall.Scheduler.snapshot = func(now time.Time) Snapshot {
+			field := snapshot(now)
 			field.Daemons = 4
 			return field
 		}
-		ticket := stall.ticket("l", 1, 1, time.Second, "system", "family", "own")
-		step, _ := stall.enter(ticket)
+		queuedRequest := stall.queuedRequest("l", 1, 1, time.Second, "system", "family", "own")
+		step, _ := stall.enter(queuedRequest)
 		chosen[step.Runner.ID]++
 	}
 	if len(chosen) != 1 {
@@ -94,13 +94,13 @@
 // A short prompt goes around a runner that reads a long one of ours, and comes back once that is read.
 func TestShortPromptsGoAroundLongOnes(t *testing.T) {
 	stall := newStall(t, 3)
-	long := stall.ticket("survey", 1, 1, time.Second)
-	long.Bid.PromptTokens = 50_000
+	long := stall.queuedRequest("survey", 1, 1, time.Second)
+	long.Requirements.PromptTokens = 50_000
 	step, _ := stall.enter(long)
 	busy := step.Runner.ID
 	for range 6 {
-		short := stall.ticket("confirm", 1, 1, 400*time.Millisecond)
-		short.Bid.PromptTokens = 500
+		short := stall.queuedRequest("confirm", 1, 1, 400*time.Millisecond)
+		short.Requirements.PromptTokens = 500
 		if step, _ := stall.enter(short); step.Runner.ID == busy {
 			t.Fatal("a short prompt went behind a long one")
 		}
@@ -110,8 +110,8 @@
 // What can't be in time anywhere is told to let others go ahead, and what is read in no time to go ahead.
 func TestShortPromptsGoAheadOfLongOnes(t *testing.T) {
 	stall := newStall(t, 3)
-	late, soon := stall.ticket("l", 1, 1, 100*time.Millisecond), stall.ticket("l", 1, 1, 100*time.Millisecond)
-	late.Bid.PromptTokens, soon.Bid.PromptTokens = 100_000, 100
+	late, soon := stall.queuedRequest("l", 1, 1, 100*time.Millisecond), stall.queuedRequest("l", 1, 1, 100*time.Millisecond)
+	late.Requirements.PromptTokens, soon.Requirements.PromptTokens = 100_000, 100
 	if step, _ := stall.enter(late); step.Urgency != Behind {
 		t.Fatalf("a late one: %+v", step)
 	}
@@ -120,30 +120,30 @@
 	}
 }
 
-// With a deadline told, who finds every runner full waits past its patience, up to its part of the deadline.
+// With a deadline told, who finds every runner full waits past its latency target, up to its part of the deadline.
 func TestDeadlinesAreWaitedFor(t *testing.T) {
 	stall := newStall(t, 1)
 	for range 6 {
-		stall.enter(stall.ticket("l", 1, 1, time.Minute, "x"))
+		stall.enter(stall.queuedRequest("l", 1, 1, time.Minute, "x"))
 	}
-	ticket := stall.ticket("l", 1, 1, 100*time.Millisecond, "x")
-	ticket.Bid.Deadline = 20 * time.Second
-	if step, answered := stall.enter(ticket); answered {
+	queuedRequest := stall.queuedRequest("l", 1, 1, 100*time.Millisecond, "x")
+	queuedRequest.Requirements.Deadline = 20 * time.Second
+	if step, answered := stall.enter(queuedRequest); answered {
 		t.Fatalf("at once: %+v", step)
 	}
 	if !stall.Waiting() {
 		t.Fatal("nobody waits")
 	}
 	stall.now = stall.now.Add(5 * time.Second)
-	stall.Settle(stall.now)
+	stall.Rebalance(stall.now)
 	select {
-	case step := <-ticket.Steps:
+	case step := <-queuedRequest.Decisions:
 		t.Fatalf("past its patience: %+v", step)
 	default:
 	}
 	stall.now = stall.now.Add(10 * time.Second)
-	stall.Settle(stall.now)
-	if step := <-ticket.Steps; step.Kind != Refuse {
+	stall.Rebalance(stall.now)
+	if step := <-queuedRequest.Decisions; step.Kind != Reject {
 		t.Fatalf("past its part of the deadline: %+v", step)
 	}
 	if stall.Waiting() {
@@ -154,24 +154,24 @@
 // A runner whose memory is full is gone around.
 func TestFullMemoryIsGoneAround(t *testing.T) {
 	stall := newStall(t, 2)
-	stall.book.Reported(stall.now, "r00", load.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
-	stall.book.Reported(stall.now, "r01", load.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
+	stall.table.Reported(stall.now, "r00", load.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
+	stall.table.Reported(stall.now, "r01", load.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
 	for range 3 {
-		ticket := stall.ticket("l", 1, 1, time.Second)
-		ticket.Bid.PromptTokens = 10_000
-		if step, _ := stall.enter(ticket); step.Runner.ID != "r01" {
+		queuedRequest := stall.queuedRequest("l", 1, 1, time.Second)
+		queuedRequest.Requirements.PromptTokens = 10_000
+		if step, _ := stall.enter(queuedRequest); step.Runner.ID != "r01" {
 			t.Fatal("a prompt went where no memory is left")
 		}
 	}
 }
 
-// Where most runners are left alone, those soonest to come back are used all the same: a pool is never emptied.
-func TestPoolIsNeverEmptied(t *testing.T) {
+// Where most runners are left alone, those soonest to come back are used all the same: a backend is never emptied.
+func TestBackendIsNeverEmptied(t *testing.T) {
 	stall := newStall(t, 8)
 	for number := range 8 {
-		stall.book.Failed(stall.now, fmt.Sprintf("r%02d", number), "gave no answer")
+		stall.table.Failed(stall.now, fmt.Sprintf("r%02d", number), "gave no answer")
 	}
-	if step, answered := stall.enter(stall.ticket("l", 1, 1, time.Second, "x")); !answered || step.Kind != Pass {
+	if step, answered := stall.enter(stall.queuedRequest("l", 1, 1, time.Second, "x")); !answered || step.Kind != Dispatch {
 		t.Fatalf("%+v", step)
 	}
 }
@@ -179,14 +179,14 @@
 // The connections that a runner takes are shared out among the daemons.
 func TestConnectionsAreSharedOut(t *testing.T) {
 	stall := newStall(t, 1)
-	scene := stall.Desk.scene
-	stall.Desk.scene = func(now time.Time) Field {
-		field := scene(now)
+	snapshot := stall.Scheduler.snapshot
+	stall.Scheduler.snapshot = func(now time.Time) Snapshot {
+		field := snapshot(now)
 		field.Daemons, field.Pool.ConnectionLimit = 9, 30
 		return field
 	}
 	for place := range 4 {
-		_, answered := stall.enter(stall.ticket("l", 1, 1, time.Minute, "x"))
+		_, answered := stall.enter(stall.queuedRequest("l", 1, 1, time.Minute, "x"))
 		if answered != (place < 3) {
 			t.Fatalf("request %d: passed %v", place, answered)
 		}
--- a/balancer/scheduler/golden_test.go
+++ b/balancer/scheduler/golden_test.go
@@ -6,15 +6,15 @@
 	"wardtray/verify/golden"
 )
 
-// What a data daemon's status tells of a desk keeps its keys.
-func TestDeskStateKeepsItsKeys(t *testing.T) {
-	golden.CompareJSON(t, "counters", golden.Marshal[DeskCounters])
-	golden.CompareJSON(t, "prices", golden.Marshal[Prices])
+// What a data daemon's status tells of a scheduler keeps its keys.
+func TestSchedulerStateKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "counters", golden.Marshal[Counters])
+	golden.CompareJSON(t, "prices", golden.Marshal[CostWeights])
 }
 
 // What wtctl explain prints is made of these.
 func TestExplainedKeys(t *testing.T) {
-	golden.CompareJSON(t, "step", golden.Marshal[Step])
-	golden.CompareJSON(t, "quote", golden.Marshal[Quote])
-	golden.CompareJSON(t, "bid", golden.Marshal[Bid])
+	golden.CompareJSON(t, "step", golden.Marshal[Decision])
+	golden.CompareJSON(t, "quote", golden.Marshal[ScoredCandidate])
+	golden.CompareJSON(t, "bid", golden.Marshal[Requirements])
 }
--- a/balancer/scheduler/outlook.go
+++ b/balancer/scheduler/outlook.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// longTimes is how many times the least patience of a pool a prompt's reading takes that counts as long.
+	// longTimes is how many times the least latency target of a backend a prompt's reading takes that counts as long.
 	longTimes = 1.0
 	// longRoom is how many times the runners that long prompts need are kept for them.
 	longRoom = 1.3
@@ -35,34 +35,34 @@
 )
 
 // survey adds to a market what is forecast of the traffic.
-func (desk *Desk) survey(now time.Time, market *Market, field Field) {
-	forecast := desk.forecast
+func (scheduler *Scheduler) survey(now time.Time, schedulingContext *SchedulingContext, field Snapshot) {
+	forecast := scheduler.forecast
 	// One that is only left alone for a while keeps its side. If another took its place, the openings at home
 	// there would move as well.
 	var staying []load.Runner
-	for _, offer := range market.Offers {
-		if offer.Reason != load.ReasonLeaving {
-			staying = append(staying, offer.Runner)
+	for _, candidate := range schedulingContext.Candidates {
+		if candidate.Reason != load.ReasonLeaving {
+			staying = append(staying, candidate.Runner)
 		}
 	}
 	forecast.forget(field.Runners)
-	if !desk.Without[features.LongRunners] {
-		market.Long = longRunners(staying, desk.keep())
+	if !scheduler.Without[features.LongRunners] {
+		schedulingContext.Long = longRunners(staying, scheduler.keep())
 	}
-	short := len(staying) - len(market.Long)
+	short := len(staying) - len(schedulingContext.Long)
 	wait := func(of *sizes, runners int) (usual, each float64) {
-		busy := forecast.busy(now, of, market.Daemons, runners)
+		busy := forecast.busy(now, of, schedulingContext.Daemons, runners)
 		each = of.left()
 		// The mean wait of a single queue that serves one prompt after the other.
 		return busy / (1 - busy) * each, each
 	}
-	market.Usual, market.Each = wait(&forecast.short, max(1, short))
-	market.UsualLong, market.EachLong = wait(&forecast.long, max(1, len(market.Long)))
+	schedulingContext.Usual, schedulingContext.Each = wait(&forecast.short, max(1, short))
+	schedulingContext.UsualLong, schedulingContext.EachLong = wait(&forecast.long, max(1, len(schedulingContext.Long)))
 	if forecast.requests > 0 {
-		fleet := forecast.paceAt(now) * float64(market.Daemons)
-		market.Pace = fleet * forecast.short.count / forecast.requests / float64(max(1, short))
+		fleet := forecast.paceAt(now) * float64(schedulingContext.Daemons)
+		schedulingContext.Pace = fleet * forecast.short.count / forecast.requests / float64(max(1, short))
 		if read := fleet * forecast.tokens / forecast.requests / float64(max(1, len(staying))); read > 0 && field.Pool.Engine.MemoryTokens > 0 {
-			market.Kept = seconds(keptPart * float64(field.Pool.Engine.MemoryTokens) / read)
+			schedulingContext.Kept = seconds(keptPart * float64(field.Pool.Engine.MemoryTokens) / read)
 		}
 	}
 }
@@ -70,11 +70,11 @@
 // coming is how many requests of other daemons a runner is likely to have that its words don't tell of yet.
 //
 // Why by our own: all daemons agree on the homes of openings, so that where ours are, theirs are too.
-func (market *Market) coming(inFlight int, runner load.Runner) float64 {
-	others := float64(inFlight * (market.Daemons - 1))
+func (schedulingContext *SchedulingContext) coming(inFlight int, runner load.Runner) float64 {
+	others := float64(inFlight * (schedulingContext.Daemons - 1))
 	// The more daemons, the more one of our own stands for, and the less it tells.
-	supposed := evenly * float64(market.Daemons)
-	part := (float64(runner.InFlight) + supposed/float64(max(1, len(market.Offers)))) / (float64(inFlight) + supposed)
+	supposed := evenly * float64(schedulingContext.Daemons)
+	part := (float64(runner.InFlight) + supposed/float64(max(1, len(schedulingContext.Candidates)))) / (float64(inFlight) + supposed)
 	return max(0, others*part-(runner.Load-float64(runner.InFlight)))
 }
 
@@ -82,12 +82,12 @@
 //
 // Why quarters, and slowly: openings move when runners change sides, and each daemon's picture of the traffic
 // is its own. So coarse a measure is the same at nearly all of them.
-func (desk *Desk) keep() int {
-	wanted := 4 * longRoom * desk.forecast.longPart()
-	if math.Abs(wanted-float64(desk.quarters)) > keepsUntil {
-		desk.quarters = int(min(mostQuarters, math.Round(wanted)))
+func (scheduler *Scheduler) keep() int {
+	wanted := 4 * longRoom * scheduler.forecast.longPart()
+	if math.Abs(wanted-float64(scheduler.quarters)) > keepsUntil {
+		scheduler.quarters = int(min(mostQuarters, math.Round(wanted)))
 	}
-	return desk.quarters
+	return scheduler.quarters
 }
 
 // longRunners are those to which long prompts go first; all daemons agree on them by the runners' names.
@@ -135,58 +135,58 @@
 	return hash ^ hash>>33
 }
 
-// long tells whether a prompt takes so long to read that short ones behind it would lose their patience.
-func (desk *Desk) long(work float64) bool {
+// long tells whether a prompt takes so long to read that short ones behind it would lose their latency target.
+func (scheduler *Scheduler) long(work float64) bool {
 	least := time.Duration(math.MaxInt64)
-	for _, patience := range desk.patiences {
-		least = min(least, patience)
+	for _, latencyTarget := range scheduler.latencyTargets {
+		least = min(least, latencyTarget)
 	}
 	return work > longTimes*least.Seconds()
 }
 
-// offers fills in what each runner means for one prompt.
-func (desk *Desk) offers(now time.Time, ticket *Ticket, market *Market) []Offer {
-	if ticket.Bid.Patience > 0 {
-		desk.patiences[ticket.Lane] = ticket.Bid.Patience
+// candidates fills in what each runner means for one prompt.
+func (scheduler *Scheduler) candidates(now time.Time, queuedRequest *QueuedRequest, schedulingContext *SchedulingContext) []Candidate {
+	if queuedRequest.Requirements.LatencyTarget > 0 {
+		scheduler.latencyTargets[queuedRequest.Route] = queuedRequest.Requirements.LatencyTarget
 	}
-	shared := ticket.sharedTokens()
-	long := desk.long(desk.forecast.speeds.Prefill(ticket.Bid.PromptTokens, shared))
-	priced := make([]Offer, len(market.Offers))
-	copy(priced, market.Offers)
+	shared := queuedRequest.sharedTokens()
+	long := scheduler.long(scheduler.forecast.speeds.Prefill(queuedRequest.Requirements.PromptTokens, shared))
+	priced := make([]Candidate, len(schedulingContext.Candidates))
+	copy(priced, schedulingContext.Candidates)
 	var group []load.Runner
 	set := make(map[string]bool, len(priced))
-	for _, offer := range priced {
-		set[offer.ID] = true
-		if offer.Usable && market.Long[offer.ID] == (long && len(market.Long) > 0) {
-			group = append(group, offer.Runner)
+	for _, candidate := range priced {
+		set[candidate.ID] = true
+		if candidate.Usable && schedulingContext.Long[candidate.ID] == (long && len(schedulingContext.Long) > 0) {
+			group = append(group, candidate.Runner)
 		}
 	}
 	held := map[string]kvblock.Hold{}
-	if !desk.Without[features.PrefixIndex] {
-		held = desk.indexer.Held(ticket.Keys, set)
+	if !scheduler.Without[features.PrefixIndex] {
+		held = scheduler.indexer.Held(queuedRequest.Keys, set)
 	}
 	chances := map[string]float64{}
-	if !desk.Without[features.Homes] {
-		chances = desk.homeChances(ticket, market, group, shared)
+	if !scheduler.Without[features.Homes] {
+		chances = scheduler.homeChances(queuedRequest, schedulingContext, group, shared)
 	}
 	for place := range priced {
-		offer := &priced[place]
-		offer.SharedTokens = shared
-		if hold, found := held[offer.ID]; found {
-			offer.expect(now, hold, ticket.PartTokens, market.Kept)
+		candidate := &priced[place]
+		candidate.SharedTokens = shared
+		if hold, found := held[candidate.ID]; found {
+			candidate.expect(now, hold, queuedRequest.PartTokens, schedulingContext.Kept)
 		}
-		if chance := chances[offer.ID]; chance*float64(shared) > offer.Chance*float64(offer.HeldTokens) {
-			offer.HeldTokens, offer.Chance = shared, chance
+		if chance := chances[candidate.ID]; chance*float64(shared) > candidate.Chance*float64(candidate.HeldTokens) {
+			candidate.HeldTokens, candidate.Chance = shared, chance
 		}
-		desk.predict(now, offer, ticket.Bid.PromptTokens, market)
+		scheduler.predict(now, candidate, queuedRequest.Requirements.PromptTokens, schedulingContext)
 	}
 	return priced
 }
 
 // sharedTokens counts the tokens of all parts of a prompt but the last, which is its own.
-func (ticket *Ticket) sharedTokens() int {
+func (queuedRequest *QueuedRequest) sharedTokens() int {
 	shared := 0
-	for _, tokens := range ticket.PartTokens[:max(0, len(ticket.PartTokens)-1)] {
+	for _, tokens := range queuedRequest.PartTokens[:max(0, len(queuedRequest.PartTokens)-1)] {
 		shared += tokens
 	}
 	return shared
@@ -194,19 +194,19 @@
 
 // homeChances gives for some runners of a group how likely they hold a prompt's opening because it goes there, whoever
 // sends it.
-func (desk *Desk) homeChances(ticket *Ticket, market *Market, group []load.Runner, shared int) map[string]float64 {
+func (scheduler *Scheduler) homeChances(queuedRequest *QueuedRequest, schedulingContext *SchedulingContext, group []load.Runner, shared int) map[string]float64 {
 	chances := map[string]float64{}
-	if shared == 0 || market.Daemons <= 1 {
+	if shared == 0 || schedulingContext.Daemons <= 1 {
 		return chances
 	}
-	opening := home(ticket.Keys)
-	homes := 1 + int(spread*desk.forecast.openingPart(opening)*float64(len(group)))
+	opening := home(queuedRequest.Keys)
+	homes := 1 + int(spread*scheduler.forecast.openingPart(opening)*float64(len(group)))
 	if len(group) > 0 {
 		// A daemon can't see that others send the same. Even if each sends one at once, homes have places.
-		each := market.Daemons / Places(group[0])
-		if desk.forecast.seen < newcomer {
+		each := schedulingContext.Daemons / Places(group[0])
+		if scheduler.forecast.seen < newcomer {
 			// Daemons that begin together send the first of several openings at once.
-			each = 2 * market.Daemons / Places(group[0])
+			each = 2 * schedulingContext.Daemons / Places(group[0])
 		}
 		homes = max(homes, each)
 	}
@@ -221,44 +221,44 @@
 }
 
 // expect fills in what the index says that a runner holds of a prompt; kept is how long runners keep a part.
-func (offer *Offer) expect(now time.Time, hold kvblock.Hold, partTokens []int, kept time.Duration) {
+func (candidate *Candidate) expect(now time.Time, hold kvblock.Hold, partTokens []int, kept time.Duration) {
 	for _, tokens := range partTokens[:min(hold.Blocks, len(partTokens))] {
-		offer.HeldTokens += tokens
+		candidate.HeldTokens += tokens
 	}
-	offer.Chance = indexChance
+	candidate.Chance = indexChance
 	if kept > 0 {
-		offer.Chance *= math.Exp(-float64(now.Sub(hold.Used)) / float64(kept))
+		candidate.Chance *= math.Exp(-float64(now.Sub(hold.Used)) / float64(kept))
 	}
 }
 
 // predict fills in how long a runner would read a prompt and let it wait, and what that does to others.
-func (desk *Desk) predict(now time.Time, offer *Offer, promptTokens int, market *Market) {
-	forecast := desk.forecast
-	slow := forecast.track(offer.ID).slowness(now)
-	if desk.Without[features.Slowness] {
+func (scheduler *Scheduler) predict(now time.Time, candidate *Candidate, promptTokens int, schedulingContext *SchedulingContext) {
+	forecast := scheduler.forecast
+	slow := forecast.track(candidate.ID).slowness(now)
+	if scheduler.Without[features.Slowness] {
 		slow = 1
 	}
-	whole, less := forecast.speeds.Prefill(promptTokens, 0), forecast.speeds.Prefill(promptTokens, offer.HeldTokens)
-	offer.Prefill = (forecast.speeds.Overhead + whole - offer.Chance*(whole-less)) * slow
-	usual, each, pace := market.Usual, market.Each, market.Pace
-	if market.Long[offer.ID] {
-		usual, each, pace = market.UsualLong, market.EachLong, 0
+	whole, less := forecast.speeds.Prefill(promptTokens, 0), forecast.speeds.Prefill(promptTokens, candidate.HeldTokens)
+	candidate.Prefill = (forecast.speeds.Overhead + whole - candidate.Chance*(whole-less)) * slow
+	usual, each, pace := schedulingContext.Usual, schedulingContext.Each, schedulingContext.Pace
+	if schedulingContext.Long[candidate.ID] {
+		usual, each, pace = schedulingContext.UsualLong, schedulingContext.EachLong, 0
 	}
-	offer.Wait = forecast.own(now, offer.ID)*slow + forecast.others(now, offer.Runner, usual, each)*slow
-	if !desk.Without[features.OthersEstimate] {
-		offer.Coming = market.coming(desk.inFlight, offer.Runner)
+	candidate.Wait = forecast.own(now, candidate.ID)*slow + forecast.others(now, candidate.Runner, usual, each)*slow
+	if !scheduler.Without[features.OthersEstimate] {
+		candidate.Coming = schedulingContext.coming(scheduler.inFlight, candidate.Runner)
 	}
-	offer.Harm = pace * offer.Prefill * offer.Prefill / 2
+	candidate.Harm = pace * candidate.Prefill * candidate.Prefill / 2
 }
 
 // note takes in that a prompt goes out to a runner.
-func (desk *Desk) note(now time.Time, ticket *Ticket, step Step) {
-	shared := ticket.sharedTokens()
-	work := desk.forecast.speeds.Prefill(ticket.Bid.PromptTokens, min(step.HeldTokens, ticket.Bid.PromptTokens))
-	if !ticket.counted {
-		ticket.counted = true
-		usual := desk.forecast.speeds.Prefill(ticket.Bid.PromptTokens, shared)
-		desk.forecast.count(now, home(ticket.Keys), usual, ticket.Bid.PromptTokens-shared+ticket.Bid.AnswerTokens/2, desk.long(usual))
+func (scheduler *Scheduler) note(now time.Time, queuedRequest *QueuedRequest, step Decision) {
+	shared := queuedRequest.sharedTokens()
+	work := scheduler.forecast.speeds.Prefill(queuedRequest.Requirements.PromptTokens, min(step.HeldTokens, queuedRequest.Requirements.PromptTokens))
+	if !queuedRequest.counted {
+		queuedRequest.counted = true
+		usual := scheduler.forecast.speeds.Prefill(queuedRequest.Requirements.PromptTokens, shared)
+		scheduler.forecast.count(now, home(queuedRequest.Keys), usual, queuedRequest.Requirements.PromptTokens-shared+queuedRequest.Requirements.AnswerTokens/2, scheduler.long(usual))
 	}
-	desk.forecast.send(now, ticket, step.Runner.ID, work, step.Predicted.Seconds())
+	scheduler.forecast.send(now, queuedRequest, step.Runner.ID, work, step.Predicted.Seconds())
 }
--- a/balancer/scheduler/pace_test.go
+++ b/balancer/scheduler/pace_test.go
@@ -9,26 +9,26 @@
 func TestLongestFollowsThePace(t *testing.T) {
 	const most, token = 1000, 10 * time.Millisecond
 	stall := newStall(t, 1)
-	ticket := stall.ticket("l", 1, 1, time.Second, "a")
-	ticket.Bid.AnswerTokens = most
+	queuedRequest := stall.queuedRequest("l", 1, 1, time.Second, "a")
+	queuedRequest.Requirements.AnswerTokens = most
 	stall.Paced(0, time.Second)
 	stall.Paced(5, 0)
-	if longest := stall.Longest(ticket); longest != 0 {
+	if longest := stall.Longest(queuedRequest); longest != 0 {
 		t.Errorf("%v is told of what nobody has seen", longest)
 	}
 	near := func(what string, want time.Duration) {
 		t.Helper()
-		if longest := stall.Longest(ticket); longest < want*9/10 || longest > want*11/10 {
+		if longest := stall.Longest(queuedRequest); longest < want*9/10 || longest > want*11/10 {
 			t.Errorf("%s: %v instead of %v", what, longest, want)
 		}
 	}
 	stall.Paced(64, 64*token)
-	near("after the first stretch", ticket.Bid.Patience+most*token)
+	near("after the first stretch", queuedRequest.Requirements.LatencyTarget+most*token)
 	// One stretch spoils little; engines that have slowed down are noticed within a few.
 	stall.Paced(64, 2*64*token)
-	near("after an odd stretch", ticket.Bid.Patience+most*token)
+	near("after an odd stretch", queuedRequest.Requirements.LatencyTarget+most*token)
 	for range 40 {
 		stall.Paced(64, 3*64*token)
 	}
-	near("on slow engines", ticket.Bid.Patience+3*most*token)
+	near("on slow engines", queuedRequest.Requirements.LatencyTarget+3*most*token)
 }
--- a/balancer/scheduler/traffic.go
+++ b/balancer/scheduler/traffic.go
@@ -42,7 +42,7 @@
 	return sizes.square / sizes.work / 2
 }
 
-// traffic is a daemon's picture of what its pool is asked for. All daemons have requesters of the same
+// traffic is a daemon's picture of what its backend is asked for. All daemons have clients of the same
 // kinds, so that each takes its own part for a sample of the whole.
 type traffic struct {
 	long, short sizes
--- a/cmd/wtctl/commands.go
+++ b/cmd/wtctl/commands.go
@@ -71,14 +71,14 @@
 func (here *context) registerExplain(known commands, application *kingpin.Application) {
 	command := application.Command("explain", "Tell where a request would go and why, without sending it.")
 	daemon := command.Arg("daemon", "HTTP address of a wtdata.").Required().String()
-	lane := command.Flag("lane", "The lane.").Required().String()
+	route := command.Flag("lane", "The lane.").Required().String()
 	model := command.Flag("model", "The model.").Required().String()
 	adapter := command.Flag("adapter", "The adapter.").String()
 	key := command.Flag("key", "A tenant's key, where the lane needs one.").Envar("WTCTL_KEY").String()
 	tokens := command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").String()
 	prefix := command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").String()
 	known[command.FullCommand()] = func() (int, error) {
-		headers := map[string]string{admission.HeaderLane: *lane, admission.HeaderModel: *model, admission.HeaderRequest: "explain",
+		headers := map[string]string{admission.HeaderRoute: *route, admission.HeaderModel: *model, admission.HeaderRequest: "explain",
 			admission.HeaderPrompt: *tokens, admission.HeaderAnswer: "1"}
 		if *key != "" {
 			headers[admission.HeaderAuthorization] = "Bearer " + *key
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -52,15 +52,15 @@
 
 // run runs one command and gives the exit code.
 func run(arguments []string, input io.Reader, output, errors io.Writer) int {
-	ended := false
-	application := kingpin.New("wtctl", help).UsageWriter(output).ErrorWriter(errors).Terminate(func(int) { ended = true })
+	finished := false
+	application := kingpin.New("wtctl", help).UsageWriter(output).ErrorWriter(errors).Terminate(func(int) { finished = true })
 	application.HelpFlag.Short('h')
 	cores := application.Flag("core", "HTTP address of a wtcore; may be given several times, tried in order.").Short('c').Envar("WTCTL_CORE").Strings()
 	asJSON := application.Flag("json", "Print answers as JSON.").Bool()
 	here := &context{input: input, output: output, errors: errors}
 	known := here.register(application)
 	chosen, err := application.Parse(arguments)
-	if ended {
+	if finished {
 		return codeOfHelp(arguments)
 	}
 	if err != nil {
@@ -89,8 +89,8 @@
 
 // codeOf is the exit code of an error.
 func codeOf(err error) int {
-	codes := map[apierror.Kind]int{apierror.Unreachable: exitUnreachable, apierror.BadStartup: exitUsage}
-	if code, known := codes[apierror.Of(err).Kind]; known {
+	codes := map[apierror.Code]int{apierror.Unreachable: exitUnreachable, apierror.BadSettings: exitUsage}
+	if code, known := codes[apierror.Of(err).Code]; known {
 		return code
 	}
 	return exitRefused
@@ -163,10 +163,10 @@
 	// Kingpin hands a lone dash on as an empty argument.
 	if path == "-" || path == "" {
 		content, err := io.ReadAll(io.LimitReader(input, config.MaximumBytes+1))
-		return content, apierror.Wrap(err, apierror.BadStartup, "reading standard input")
+		return content, apierror.Wrap(err, apierror.BadSettings, "reading standard input")
 	}
 	content, err := os.ReadFile(path)
-	return content, apierror.Wrap(err, apierror.BadStartup, "reading the spec")
+	return content, apierror.Wrap(err, apierror.BadSettings, "reading the spec")
 }
 
 // sender is a call that sends a spec, or a change of it.
@@ -188,7 +188,7 @@
 		}
 		change.Base = reply.Epoch
 	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-		return exitUsage, apierror.New(apierror.BadStartup, "--base %q is no whole number", base)
+		return exitUsage, apierror.New(apierror.BadSettings, "--base %q is no whole number", base)
 	}
 	return here.told(send(here.client, content, change))
 }
--- a/cmd/wtctl/show.go
+++ b/cmd/wtctl/show.go
@@ -22,7 +22,7 @@
 	if here.json {
 		return exitFine, here.print(fleet)
 	}
-	parts := map[string]func(output io.Writer, fleet operator.Fleet){"chain": showChain, "view": showView, "cohort": showCohort,
+	parts := map[string]func(output io.Writer, fleet operator.FleetStatus){"chain": showChain, "view": showView, "cohort": showPartialView,
 		"runners": showRunners, "tenants": showTenants, "counters": showCounters}
 	writer := tabwriter.NewWriter(here.output, 0, 4, 2, ' ', 0)
 	if show := parts[part]; show != nil {
@@ -53,37 +53,37 @@
 	return exitFine, apierror.Wrap(writer.Flush(), apierror.Internal, "printing")
 }
 
-func showChain(output io.Writer, fleet operator.Fleet) {
+func showChain(output io.Writer, fleet operator.FleetStatus) {
 	fmt.Fprintln(output, "MACHINE\tZONE\tPLACE\tSYNCED\tCOMMITTED\tEPOCH\tCLAIM\tSICK\tID")
 	for _, core := range fleet.Cores {
 		state := core.Core
-		fmt.Fprintf(output, "%s\t%s\t%s\t%d\t%d\t%d\t%v\t%v\t%s\n", core.Address, core.Zone, state.Place, state.Synced, state.Committed, state.Epoch, state.Claim, state.Sick, state.ID)
+		fmt.Fprintf(output, "%s\t%s\t%s\t%d\t%d\t%d\t%v\t%v\t%s\n", core.Address, core.Zone, state.Place, state.Synced, state.Committed, state.Epoch, state.Claim, state.Unhealthy, state.ID)
 	}
 }
 
-func showView(output io.Writer, fleet operator.Fleet) {
+func showView(output io.Writer, fleet operator.FleetStatus) {
 	fmt.Fprintln(output, "SEEN BY\tVIEW\tFLEET\tCHAIN\tKEEPERS")
 	for _, core := range fleet.Cores {
-		chain, keepers := "", ""
+		chain, acceptors := "", ""
 		for _, member := range core.Core.Chain {
 			chain += member.Address + " "
 		}
-		for _, member := range core.Core.Keepers {
-			keepers += member.Address + " "
+		for _, member := range core.Core.Acceptors {
+			acceptors += member.Address + " "
 		}
-		fmt.Fprintf(output, "%s\t%d\t%s\t%s\t%s\n", core.Address, core.Core.View, core.Core.Fleet, chain, keepers)
+		fmt.Fprintf(output, "%s\t%d\t%s\t%s\t%s\n", core.Address, core.Core.View, core.Core.Fleet, chain, acceptors)
 	}
 }
 
-func showCohort(output io.Writer, fleet operator.Fleet) {
+func showPartialView(output io.Writer, fleet operator.FleetStatus) {
 	fmt.Fprintln(output, "DAEMON\tZONE\tEPOCH\tVIEW\tSERVING\tDRAINING\tIN FLIGHT\tNEIGHBOURS\tUPTIME")
 	for _, data := range fleet.Datas {
-		fmt.Fprintf(output, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%d\t%s\n", data.Address, data.Zone, data.Epoch, data.View, data.Serving, data.Draining, data.InFlight, len(data.Cohort), data.Uptime)
+		fmt.Fprintf(output, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%d\t%s\n", data.Address, data.Zone, data.Epoch, data.View, data.Serving, data.Draining, data.InFlight, len(data.PartialView), data.Uptime)
 	}
 }
 
 // showRunners prints what the daemons together know: in flight is the sum over all of them.
-func showRunners(output io.Writer, fleet operator.Fleet) {
+func showRunners(output io.Writer, fleet operator.FleetStatus) {
 	type line struct {
 		address, zone, service, state, reason string
 		load                                  float64
@@ -122,7 +122,7 @@
 
 // showTenants prints what each tenant with a quota has used and was refused, and what is held for it, at all daemons
 // together and at each.
-func showTenants(output io.Writer, fleet operator.Fleet) {
+func showTenants(output io.Writer, fleet operator.FleetStatus) {
 	sums := map[string]quota.Usage{}
 	for _, data := range fleet.Datas {
 		for name, usage := range data.Tenants {
@@ -154,29 +154,29 @@
 	fmt.Fprintf(output, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\n", tenant, daemon, usage.Used, usage.Refused, usage.Balance, usage.Demand)
 }
 
-// showCounters prints each lane's counts, summed over the daemons.
-func showCounters(output io.Writer, fleet operator.Fleet) {
+// showCounters prints each route's counts, summed over the daemons.
+func showCounters(output io.Writer, fleet operator.FleetStatus) {
 	type sum struct {
-		requests, done, early, late, repeats, held, prompt, across uint64
+		requests, done, early, late, retries, held, prompt, across uint64
 		ends                                                       map[string]uint64
 	}
 	sums := map[string]*sum{}
 	for _, data := range fleet.Datas {
-		for name, lane := range data.Lanes {
+		for name, route := range data.Routes {
 			known := sums[name]
 			if known == nil {
 				known = &sum{ends: map[string]uint64{}}
 				sums[name] = known
 			}
-			known.requests += lane.Requests
-			known.done += lane.Done
-			known.early += lane.Early
-			known.late += lane.Late
-			known.repeats += lane.Repeats
-			known.held += lane.HeldTokens
-			known.prompt += lane.PromptTokens
-			known.across += lane.BytesAcross
-			for end, count := range lane.Ends {
+			known.requests += route.Requests
+			known.done += route.Done
+			known.early += route.Early
+			known.late += route.Late
+			known.retries += route.Retries
+			known.held += route.HeldTokens
+			known.prompt += route.PromptTokens
+			known.across += route.BytesAcross
+			for end, count := range route.Ends {
 				known.ends[end] += count
 			}
 		}
@@ -193,7 +193,7 @@
 		if known.prompt > 0 {
 			share = 100 * float64(known.held) / float64(known.prompt)
 		}
-		fmt.Fprintf(output, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, known.requests, known.done, known.early, known.late, known.repeats, share, known.across, known.ends)
+		fmt.Fprintf(output, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, known.requests, known.done, known.early, known.late, known.retries, share, known.across, known.ends)
 	}
 	fmt.Fprintln(output, "PROCESS\tSENT\tDROPPED\tBAD FRAMES\tBYTES OUT\tOF THESE TO OTHER ZONES")
 	for _, core := range fleet.Cores {
@@ -211,29 +211,29 @@
 // explained prints the offers of an auction, the best first.
 func explained(output io.Writer, content []byte) error {
 	told := struct {
-		Step   scheduler.Step
-		Quotes []scheduler.Quote
-		Prices scheduler.Prices
-		Bid    scheduler.Bid
+		Step             scheduler.Decision
+		ScoredCandidates []scheduler.ScoredCandidate
+		Prices           scheduler.CostWeights
+		Requirements     scheduler.Requirements
 	}{}
 	if err := json.Unmarshal(content, &told); err != nil {
 		return apierror.Wrap(err, apierror.Malformed, "the daemon's answer")
 	}
 	fmt.Fprintf(output, "step: %s", told.Step.Kind)
-	if told.Step.Kind == scheduler.Pass {
+	if told.Step.Kind == scheduler.Dispatch {
 		fmt.Fprintf(output, " to %s at %s", told.Step.Runner.ID, told.Step.Runner.Address)
 	}
 	if told.Step.Reason != "" {
 		fmt.Fprintf(output, " (%s)", told.Step.Reason)
 	}
 	fmt.Fprintf(output, "\nprices: %.0f microseconds a token, %.2f s a place\nbid: worth %.0f, patience %v, within its purse %v\n", told.Prices.TokenSeconds*1e6,
-		told.Prices.PlaceSeconds, told.Bid.Worth, told.Bid.Patience, told.Bid.InPurse)
-	sort.SliceStable(told.Quotes, func(left, right int) bool { return told.Quotes[left].Net > told.Quotes[right].Net })
+		told.Prices.PlaceSeconds, told.Requirements.Value, told.Requirements.LatencyTarget, told.Requirements.WithinLimit)
+	sort.SliceStable(told.ScoredCandidates, func(left, right int) bool { return told.ScoredCandidates[left].Net > told.ScoredCandidates[right].Net })
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, "RUNNER\tZONE\tLOAD\tSLOTS\tHELD TOKENS\tNET\tFIRST EVENT\tFULL")
-	for _, quote := range told.Quotes {
-		fmt.Fprintf(writer, "%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", quote.Offer.ID, quote.Offer.Zone, quote.Offer.Load, quote.Offer.Slots,
-			quote.Offer.HeldTokens, quote.Net, quote.First, quote.Full)
+	for _, scored := range told.ScoredCandidates {
+		fmt.Fprintf(writer, "%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", scored.Candidate.ID, scored.Candidate.Zone, scored.Candidate.Load, scored.Candidate.Slots,
+			scored.Candidate.HeldTokens, scored.Net, scored.First, scored.Full)
 	}
 	return apierror.Wrap(writer.Flush(), apierror.Internal, "printing")
 }
--- a/cmd/wtctl/show_test.go
+++ b/cmd/wtctl/show_test.go
@@ -13,7 +13,7 @@
 
 // Each tenant has a line for all daemons together and one for each that had to do with it.
 func TestTenantsAreShownTogetherAndEach(t *testing.T) {
-	fleet := operator.Fleet{Datas: []daemon.Status{
+	fleet := operator.FleetStatus{Datas: []daemon.Status{
 		{Address: "d1", Tenants: map[string]quota.Usage{"a": {Used: 10, Refused: 2, Balance: 5, Demand: 3}}},
 		{Address: "d2", Tenants: map[string]quota.Usage{"a": {Used: 1}, "b": {Refused: 7}}},
 	}}
--- a/cmd/wtdata/main.go
+++ b/cmd/wtdata/main.go
@@ -1,4 +1,4 @@
-// Command wtdata is the data plane: it takes prompts from requesters and carries their streams.
+// Command wtdata is the data plane: it takes prompts from clients and carries their streams.
 package main
 
 import (
--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -1,5 +1,5 @@
 // Command wtverify proves a fleet: it starts one as real processes with stand-in runners, platform
-// and requesters, does harm to it, and checks what everybody saw.
+// and clients, does harm to it, and checks what everybody saw.
 package main
 
 import (
--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -37,7 +37,7 @@
 	command.Flag("seed", "First seed.").Default("1").Int64Var(&play.Seed)
 	command.Flag("polls", "How old a runner's word may grow before it is asked; 0: never.").Default("1s").DurationVar(&play.Polls)
 	command.Flag("hot", "Part of the hot lane's requests that carry one opening, for a third of the time.").Default("0").Float64Var(&play.Hot)
-	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&play.HotLane, "survey", "confirm")
+	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&play.HotRoute, "survey", "confirm")
 	command.Flag("slow", "Part of the runners that are three times slower for a third of the time.").Default("0").Float64Var(&play.Slow)
 	command.Flag("crash", "Part of the runners that crash for a third of the time.").Default("0").Float64Var(&play.Crash)
 	command.Flag("release", "Part of the runners that are replaced one after the other.").Default("0").Float64Var(&play.Release)
@@ -51,15 +51,15 @@
 func registerSpread(application *kingpin.Application, known commands) {
 	command := application.Command("spread", "Measure in simulated time how a change reaches cohorts of several sizes.")
 	sizes := command.Flag("daemons", "Size of a cohort; may be given several times.").Default("12", "100", "1000").Ints()
-	lanes := command.Flag("lanes", "Lanes of the spec that is sent.").Default("10").Int()
+	routes := command.Flag("lanes", "Lanes of the spec that is sent.").Default("10").Int()
 	known[command.FullCommand()] = func() error {
 		for _, size := range *sizes {
-			spread, err := simulation.MeasureSpread(1, size, *lanes)
+			spread, err := simulation.MeasureSpread(1, size, *routes)
 			if err != nil {
 				return err
 			}
 			fmt.Printf("%d daemons, %d lanes: half %v, 99%% %v, all %v after the commit; acknowledged %v after it was sent; in quiet %.1f messages, %.0f bytes (%.0f to other zones) a second and daemon; the change %.0f bytes a daemon\n",
-				size, *lanes, spread.Half, spread.Most, spread.All, spread.Acknowledged, spread.Messages, spread.Bytes, spread.AcrossBytes, spread.ChangeBytes)
+				size, *routes, spread.Half, spread.Most, spread.All, spread.Acknowledged, spread.Messages, spread.Bytes, spread.AcrossBytes, spread.ChangeBytes)
 		}
 		return nil
 	}
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -213,7 +213,7 @@
 	if len(worst.counts) == 0 {
 		return
 	}
-	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.margins.Repeated, worst.margins.Requests, worst.margins.Beside)
+	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.margins.Retried, worst.margins.Requests, worst.margins.Beside)
 	fmt.Print("  requests:")
 	for _, name := range sortedNames(worst.counts) {
 		fmt.Printf(" %s %d;", name, worst.counts[name])
--- a/config/annotations.go
+++ b/config/annotations.go
@@ -50,35 +50,35 @@
 	return names
 }
 
-// Lanes is a list of lanes that gives those read the worth and the purse that were left out.
-type Lanes []Lane
+// Routes is a list of routes that gives those read the worth and the concurrency limit that were left out.
+type Routes []Route
 
-// MarshalEasyJSON writes the lanes.
-func (lanes Lanes) MarshalEasyJSON(writer *jwriter.Writer) {
-	if lanes == nil {
+// MarshalEasyJSON writes the routes.
+func (routes Routes) MarshalEasyJSON(writer *jwriter.Writer) {
+	if routes == nil {
 		writer.RawString("null")
 		return
 	}
 	writer.RawByte('[')
-	for place := range lanes {
+	for place := range routes {
 		if place > 0 {
 			writer.RawByte(',')
 		}
-		lanes[place].MarshalEasyJSON(writer)
+		routes[place].MarshalEasyJSON(writer)
 	}
 	writer.RawByte(']')
 }
 
-// UnmarshalEasyJSON reads the lanes.
-func (lanes *Lanes) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
-	read := Lanes{}
+// UnmarshalEasyJSON reads the routes.
+func (routes *Routes) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
+	read := Routes{}
 	lexer.Delim('[')
 	for !lexer.IsDelim(']') {
-		lane := Lane{Worth: 1, Purse: 1}
-		lane.UnmarshalEasyJSON(lexer)
-		read = append(read, lane)
+		route := Route{Value: 1, ConcurrencyLimit: 1}
+		route.UnmarshalEasyJSON(lexer)
+		read = append(read, route)
 		lexer.WantComma()
 	}
 	lexer.Delim(']')
-	*lanes = read
+	*routes = read
 }
--- a/config/book_test.go
+++ b/config/catalog_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func routed(places ...string) *Book {
-	spec := &Spec{Pools: []Pool{{Name: "p"}}}
+func routed(places ...string) *Catalog {
+	spec := &Spec{Backends: []Pool{{Name: "p"}}}
 	for number, place := range places {
 		host, path, _ := strings.Cut(place, "/")
-		spec.Lanes = append(spec.Lanes, Lane{Name: fmt.Sprint(number), Pool: "p", Authority: host, PathPrefix: "/" + path})
+		spec.Routes = append(spec.Routes, Route{Name: fmt.Sprint(number), Pool: "p", Authority: host, PathPrefix: "/" + path})
 	}
-	return NewBook(spec)
+	return NewCatalog(spec)
 }
 
 func TestRouteIsTheLongestPrefixOfTheHost(t *testing.T) {
@@ -25,24 +25,24 @@
 	} {
 		host, path, _ := strings.Cut(asked, " ")
 		got := ""
-		if lane := book.Route(host, path); lane != nil {
-			got = lane.Name
+		if route := book.Match(host, path); route != nil {
+			got = route.Name
 		}
 		if got != want {
 			t.Errorf("%s goes to %q", asked, got)
 		}
 	}
-	if book.Route("", "") != nil {
+	if book.Match("", "") != nil {
 		t.Error("nothing has a lane")
 	}
 }
 
-// longestPrefix is the definition of a route: the lane of the host whose prefix of the path is the longest.
-func longestPrefix(spec *Spec, host, path string) (found *Lane) {
-	for place := range spec.Lanes {
-		lane := &spec.Lanes[place]
-		if lane.Authority == host && strings.HasPrefix(path, lane.PathPrefix) && (found == nil || len(lane.PathPrefix) > len(found.PathPrefix)) {
-			found = lane
+// longestPrefix is the definition of a route: the route of the host whose prefix of the path is the longest.
+func longestPrefix(spec *Spec, host, path string) (found *Route) {
+	for place := range spec.Routes {
+		route := &spec.Routes[place]
+		if route.Authority == host && strings.HasPrefix(path, route.PathPrefix) && (found == nil || len(route.PathPrefix) > len(found.PathPrefix)) {
+			found = route
 		}
 	}
 	return found
@@ -71,7 +71,7 @@
 		for range 50 {
 			host, asked := []string{"h", "k"}[random.Intn(2)], path(9)
 			want := longestPrefix(book.Spec, host, asked)
-			if got := book.Route(host, asked); got != want {
+			if got := book.Match(host, asked); got != want {
 				t.Fatalf("%v: %s%s goes to %v, not %v", places, host, asked, got, want)
 			}
 		}
@@ -79,23 +79,23 @@
 }
 
 func TestSplitGoesByItsWeights(t *testing.T) {
-	spec := &Spec{Pools: []Pool{{Name: "p"}, {Name: "q"}, {Name: "r"}}, Lanes: []Lane{{Name: "l", Split: []Share{
+	spec := &Spec{Backends: []Pool{{Name: "p"}, {Name: "q"}, {Name: "r"}}, Routes: []Route{{Name: "l", Split: []Share{
 		{Pool: "p", Weight: 60}, {Pool: "r", Weight: 0}, {Pool: "q", Weight: 10}, {Pool: "p", Weight: 30}}}, {Name: "m", Pool: "q"}, {Name: "n", Pool: "gone"}}}
-	book := NewBook(spec)
-	lane := book.Lanes["l"]
+	book := NewCatalog(spec)
+	route := book.Routes["l"]
 	names := ""
-	for _, pool := range book.PoolsOf(lane) {
-		names += pool.Name
+	for _, backend := range book.BackendsOf(route) {
+		names += backend.Name
 	}
 	if names != "pq" {
 		t.Errorf("the pools are %q", names)
 	}
 	for point, want := range map[float64]string{0: "p", 0.59: "p", 0.6: "q", 0.699: "q", 0.7: "p", 0.9999: "p", 1: "p"} {
-		if got := book.PoolAt(lane, point).Name; got != want {
+		if got := book.BackendAt(route, point).Name; got != want {
 			t.Errorf("%v goes to %s", point, got)
 		}
 	}
-	if book.PoolAt(book.Lanes["m"], 0.3).Name != "q" || book.PoolAt(book.Lanes["n"], 0.3) != nil || len(book.PoolsOf(book.Lanes["n"])) != 0 {
+	if book.BackendAt(book.Routes["m"], 0.3).Name != "q" || book.BackendAt(book.Routes["n"], 0.3) != nil || len(book.BackendsOf(book.Routes["n"])) != 0 {
 		t.Error("one pool, or one that is not there")
 	}
 }
@@ -108,7 +108,7 @@
 	book := routed(places...)
 	bench.ReportAllocs()
 	for bench.Loop() {
-		if book.Route("h3.example", "/p10/some/further/path") == nil {
+		if book.Match("h3.example", "/p10/some/further/path") == nil {
 			bench.Fatal("not found")
 		}
 	}
--- a/config/change.go
+++ b/config/change.go
@@ -36,13 +36,13 @@
 
 // Apply gives the spec that follows from another, which it does not touch, and every flaw of the change
 // and of the whole. What is replaced keeps its place; what is new comes last, in the order given.
-func (change *Change) Apply(present *Spec) (*Spec, []Flaw) {
+func (change *Change) Apply(present *Spec) (*Spec, []Problem) {
 	checker := &checker{}
 	origins := map[string]string{}
 	next := *present
 	next.Zones = merge(checker, origins, "zones", present.Zones, change.Upsert.Zones, change.Remove.Zones, func(zone *Zone) string { return zone.Name })
-	next.Pools = merge(checker, origins, "pools", present.Pools, change.Upsert.Pools, change.Remove.Pools, func(pool *Pool) string { return pool.Name })
-	next.Lanes = merge(checker, origins, "lanes", present.Lanes, change.Upsert.Lanes, change.Remove.Lanes, func(lane *Lane) string { return lane.Name })
+	next.Backends = merge(checker, origins, "pools", present.Backends, change.Upsert.Backends, change.Remove.Backends, func(backend *Pool) string { return backend.Name })
+	next.Routes = merge(checker, origins, "lanes", present.Routes, change.Upsert.Routes, change.Remove.Routes, func(route *Route) string { return route.Name })
 	next.Tenants = merge(checker, origins, "tenants", present.Tenants, change.Upsert.Tenants, change.Remove.Tenants, func(tenant *Tenant) string { return tenant.Name })
 	if change.Limits != nil {
 		next.Limits = *change.Limits
--- a/config/change_fuzz_test.go
+++ b/config/change_fuzz_test.go
@@ -29,6 +29,6 @@
 		if back, err := Parse(next.Encode()); err != nil || len(back.Check()) > 0 || len(Diff(next, back)) > 0 {
 			t.Fatalf("%s makes a spec that is not read back: %v", content, err)
 		}
-		NewBook(next)
+		NewCatalog(next)
 	})
 }
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -68,7 +68,7 @@
 		return drawn
 	}
 	for range 500 {
-		present, change := &Spec{Zones: []Zone{}, Pools: []Pool{}, Lanes: Lanes{}}, &Change{}
+		present, change := &Spec{Zones: []Zone{}, Backends: []Pool{}, Routes: Routes{}}, &Change{}
 		for _, name := range names() {
 			present.Zones = append(present.Zones, Zone{Name: name})
 		}
@@ -81,7 +81,7 @@
 			change.Remove.Zones, removed[name], clash = append(change.Remove.Zones, name), true, clash || upsert[name]
 		}
 		want := changedZones(present.Zones, change.Upsert.Zones, upsert, removed)
-		present.Pools, present.Lanes = []Pool{{Name: "p", Services: []string{"s"}}}, Lanes{{Name: "l", Pool: "p", Worth: 1, Purse: 1, Patience: Span(1e9)}}
+		present.Backends, present.Routes = []Pool{{Name: "p", Services: []string{"s"}}}, Routes{{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(1e9)}}
 		next, flaws := change.Apply(present)
 		if clash != (len(flaws) > 0) {
 			t.Fatalf("%+v: %v", change, flaws)
--- a/config/check.go
+++ b/config/check.go
@@ -8,24 +8,24 @@
 
 // The bounds of what an entry may hold.
 const (
-	MaximumAttempts    = 1000
-	MaximumRank        = 1000
-	MaximumWeight      = 1_000_000
-	MaximumConnections = 1_000_000
-	MaximumSlots       = 1_000_000
-	MaximumTokens      = 1 << 40
-	MaximumHeaderBytes = 1 << 20
-	MaximumBodyBytes   = 1 << 30
-	MaximumSpan        = 24 * time.Hour
-	MinimumPatience    = 10 * time.Millisecond
-	MaximumPatience    = time.Hour
-	maximumName        = 256
-	maximumServices    = 64
-	maximumAdapters    = 1024
-	maximumShares      = 64
-	maximumPath        = 1024
-	maximumKeys        = 10000
-	maximumKey         = 1024
+	MaximumAttempts      = 1000
+	MaximumRank          = 1000
+	MaximumWeight        = 1_000_000
+	MaximumConnections   = 1_000_000
+	MaximumSlots         = 1_000_000
+	MaximumTokens        = 1 << 40
+	MaximumHeaderBytes   = 1 << 20
+	MaximumBodyBytes     = 1 << 30
+	MaximumSpan          = 24 * time.Hour
+	MinimumLatencyTarget = 10 * time.Millisecond
+	MaximumLatencyTarget = time.Hour
+	maximumName          = 256
+	maximumServices      = 64
+	maximumAdapters      = 1024
+	maximumShares        = 64
+	maximumPath          = 1024
+	maximumKeys          = 10000
+	maximumKey           = 1024
 	// MaximumQuota bounds the rate and the burst of a quota.
 	MaximumQuota = 1e15
 	// maximumAnnotations bounds what one entry may carry for the operators' tools.
@@ -34,11 +34,11 @@
 
 // checker gathers the flaws of a spec.
 type checker struct {
-	flaws []Flaw
+	flaws []Problem
 }
 
 func (checker *checker) flaw(path, format string, values ...any) {
-	checker.flaws = append(checker.flaws, Flaw{Path: path, Detail: fmt.Sprintf(format, values...)})
+	checker.flaws = append(checker.flaws, Problem{Path: path, Detail: fmt.Sprintf(format, values...)})
 }
 
 func (checker *checker) count(path string, have, least, most int) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (checker *checker) span(path string, value Span, least, most time.Duration) {
+func (checker *checker) span(path string, value Duration, least, most time.Duration) {
 	if length := time.Duration(value); length < least || length > most {
 		checker.flaw(path, "wants %v to %v", least, most)
 	}
@@ -100,7 +100,7 @@
 }
 
 // Check lists every flaw, in the order of the document.
-func (spec *Spec) Check() []Flaw {
+func (spec *Spec) Check() []Problem {
 	checker := &checker{}
 	// A list left out is more likely forgotten than meant, and would take everything away. The same goes
 	// for one that is empty where zones are listed; who lists none has nothing that would be served there.
@@ -109,23 +109,23 @@
 		path                  string
 		missing               bool
 		entries, least, bound int
-	}{{"zones", spec.Zones == nil, len(spec.Zones), 0, MaximumZones}, {"pools", spec.Pools == nil, len(spec.Pools), least, MaximumPools},
-		{"lanes", spec.Lanes == nil, len(spec.Lanes), least, MaximumLanes}} {
+	}{{"zones", spec.Zones == nil, len(spec.Zones), 0, MaximumZones}, {"pools", spec.Backends == nil, len(spec.Backends), least, MaximumBackends},
+		{"lanes", spec.Routes == nil, len(spec.Routes), least, MaximumRoutes}} {
 		if list.missing {
 			checker.flaw(list.path, "is left out; write [] for none")
 			continue
 		}
 		checker.count(list.path, list.entries, list.least, list.bound)
 	}
-	zones, pools, lanes, routes := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
+	zones, backends, lanes, routes := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for place, zone := range spec.Zones {
 		checker.name(fmt.Sprintf("zones[%d]", place), zone.Name, zones)
 	}
-	for place := range spec.Pools {
-		checker.pool(fmt.Sprintf("pools[%d]", place), &spec.Pools[place], pools)
+	for place := range spec.Backends {
+		checker.backend(fmt.Sprintf("pools[%d]", place), &spec.Backends[place], backends)
 	}
-	for place := range spec.Lanes {
-		checker.lane(fmt.Sprintf("lanes[%d]", place), &spec.Lanes[place], pools, lanes, routes)
+	for place := range spec.Routes {
+		checker.route(fmt.Sprintf("lanes[%d]", place), &spec.Routes[place], backends, lanes, routes)
 	}
 	checker.tenants(spec)
 	checker.within("limits.header_bytes", spec.Limits.HeaderBytes, 0, MaximumHeaderBytes)
@@ -136,42 +136,42 @@
 	return checker.flaws
 }
 
-func (checker *checker) pool(path string, pool *Pool, pools map[string]bool) {
-	checker.name(path, pool.Name, pools)
-	if pool.Model != "" || pool.Weights != "" {
-		checker.text(path+".model", pool.Model)
-		checker.text(path+".weights", pool.Weights)
-	}
-	checker.count(path+".services", len(pool.Services), 1, maximumServices)
-	checker.count(path+".adapters", len(pool.Adapters), 0, maximumAdapters)
-	checker.distinct(path+".services", pool.Services)
-	checker.distinct(path+".adapters", pool.Adapters)
-	checker.within(path+".connection_limit", pool.ConnectionLimit, 0, MaximumConnections)
-	if pool.HealthPath != "" && !pathLike(pool.HealthPath) {
+func (checker *checker) backend(path string, backend *Pool, backends map[string]bool) {
+	checker.name(path, backend.Name, backends)
+	if backend.Model != "" || backend.Weights != "" {
+		checker.text(path+".model", backend.Model)
+		checker.text(path+".weights", backend.Weights)
+	}
+	checker.count(path+".services", len(backend.Services), 1, maximumServices)
+	checker.count(path+".adapters", len(backend.Adapters), 0, maximumAdapters)
+	checker.distinct(path+".services", backend.Services)
+	checker.distinct(path+".adapters", backend.Adapters)
+	checker.within(path+".connection_limit", backend.ConnectionLimit, 0, MaximumConnections)
+	if backend.HealthPath != "" && !pathLike(backend.HealthPath) {
 		checker.flaw(path+".health_path", "wants a path of at most %d bytes that begins with '/'", maximumPath)
 	}
-	checker.within(path+".engine.slots", pool.Engine.Slots, 0, MaximumSlots)
-	checker.within(path+".engine.memory_tokens", pool.Engine.MemoryTokens, 0, MaximumTokens)
-	checker.within(path+".engine.event_tokens", pool.Engine.EventTokens, 0, MaximumSlots)
-	checker.annotations(path+".annotations", pool.Annotations)
+	checker.within(path+".engine.slots", backend.Engine.Slots, 0, MaximumSlots)
+	checker.within(path+".engine.memory_tokens", backend.Engine.MemoryTokens, 0, MaximumTokens)
+	checker.within(path+".engine.event_tokens", backend.Engine.EventTokens, 0, MaximumSlots)
+	checker.annotations(path+".annotations", backend.Annotations)
 }
 
-func (checker *checker) lane(path string, lane *Lane, pools, lanes, routes map[string]bool) {
-	checker.name(path, lane.Name, lanes)
-	checker.destination(path, lane, pools)
-	if !(lane.Worth >= 1 && lane.Worth <= 1000) {
+func (checker *checker) route(path string, route *Route, backends, lanes, routes map[string]bool) {
+	checker.name(path, route.Name, lanes)
+	checker.destination(path, route, backends)
+	if !(route.Value >= 1 && route.Value <= 1000) {
 		checker.flaw(path+".worth", "wants 1 to 1000")
 	}
-	checker.span(path+".patience", lane.Patience, MinimumPatience, MaximumPatience)
-	if !(lane.Purse > 0 && lane.Purse <= 1) {
+	checker.span(path+".patience", route.LatencyTarget, MinimumLatencyTarget, MaximumLatencyTarget)
+	if !(route.ConcurrencyLimit > 0 && route.ConcurrencyLimit <= 1) {
 		checker.flaw(path+".purse", "wants more than 0, at most 1")
 	}
-	checker.route(path, lane, routes)
-	checker.span(path+".deadline", lane.Deadline, 0, MaximumSpan)
-	checker.within(path+".attempts", lane.Attempts, 0, MaximumAttempts)
-	checker.within(path+".rank", lane.Rank, 0, MaximumRank)
-	checker.span(path+".pause", lane.Pause, 0, MaximumSpan)
-	checker.annotations(path+".annotations", lane.Annotations)
+	checker.matchRules(path, route, routes)
+	checker.span(path+".deadline", route.Deadline, 0, MaximumSpan)
+	checker.within(path+".attempts", route.Attempts, 0, MaximumAttempts)
+	checker.within(path+".rank", route.Rank, 0, MaximumRank)
+	checker.span(path+".pause", route.Pause, 0, MaximumSpan)
+	checker.annotations(path+".annotations", route.Annotations)
 }
 
 // tenants checks the tenants, and that none has another's key.
@@ -220,49 +220,49 @@
 	checker.within(path+".uncounted_tokens", quota.UncountedTokens, 0, MaximumTokens)
 }
 
-// destination checks that a lane's requests have somewhere to go.
-func (checker *checker) destination(path string, lane *Lane, pools map[string]bool) {
-	if lane.Split == nil {
-		if !pools[lane.Pool] {
-			checker.flaw(path+".pool", "there is no pool %q", lane.Pool)
+// destination checks that a route's requests have somewhere to go.
+func (checker *checker) destination(path string, route *Route, backends map[string]bool) {
+	if route.Split == nil {
+		if !backends[route.Pool] {
+			checker.flaw(path+".pool", "there is no pool %q", route.Pool)
 		}
 		return
 	}
-	if lane.Pool != "" {
+	if route.Pool != "" {
 		checker.flaw(path+".split", "stands beside a pool; give one of the two")
 	}
-	checker.count(path+".split", len(lane.Split), 1, maximumShares)
+	checker.count(path+".split", len(route.Split), 1, maximumShares)
 	sum := 0
-	for place, share := range lane.Split {
+	for place, share := range route.Split {
 		here := fmt.Sprintf("%s.split[%d]", path, place)
-		if !pools[share.Pool] {
+		if !backends[share.Pool] {
 			checker.flaw(here+".pool", "there is no pool %q", share.Pool)
 		}
 		checker.within(here+".weight", share.Weight, 0, MaximumWeight)
 		sum += share.Weight
 	}
-	if len(lane.Split) > 0 && sum == 0 {
+	if len(route.Split) > 0 && sum == 0 {
 		checker.flaw(path+".split", "its weights sum to 0")
 	}
 }
 
-// route checks the host and path by which a lane is found.
-func (checker *checker) route(path string, lane *Lane, routes map[string]bool) {
-	if lane.Authority == "" && lane.PathPrefix == "" {
+// matchRules checks the host and path by which a route is found.
+func (checker *checker) matchRules(path string, route *Route, routes map[string]bool) {
+	if route.Authority == "" && route.PathPrefix == "" {
 		return
 	}
-	authority := Host(lane.Authority)
+	authority := Host(route.Authority)
 	if authority == "" || len(authority) > 256 || !visible(authority) || strings.Contains(authority, "/") {
 		checker.flaw(path+".authority", "wants the name of a host, of at most 256 bytes")
 	}
-	if !pathLike(lane.PathPrefix) || !strings.HasSuffix(lane.PathPrefix, "/") {
+	if !pathLike(route.PathPrefix) || !strings.HasSuffix(route.PathPrefix, "/") {
 		checker.flaw(path+".path_prefix", "wants a path of at most %d bytes that begins and ends with '/'", maximumPath)
 		return
 	}
-	if routes[authority+lane.PathPrefix] {
-		checker.flaw(path+".path_prefix", "another lane has %s%s", authority, lane.PathPrefix)
+	if routes[authority+route.PathPrefix] {
+		checker.flaw(path+".path_prefix", "another lane has %s%s", authority, route.PathPrefix)
 	}
-	routes[authority+lane.PathPrefix] = true
+	routes[authority+route.PathPrefix] = true
 }
 
 func pathLike(path string) bool {
--- a/config/diff.go
+++ b/config/diff.go
@@ -48,11 +48,11 @@
 	for place := range spec.Zones {
 		add("zone "+spec.Zones[place].Name, &spec.Zones[place])
 	}
-	for place := range spec.Pools {
-		add("pool "+spec.Pools[place].Name, &spec.Pools[place])
+	for place := range spec.Backends {
+		add("pool "+spec.Backends[place].Name, &spec.Backends[place])
 	}
-	for place := range spec.Lanes {
-		add("lane "+spec.Lanes[place].Name, &spec.Lanes[place])
+	for place := range spec.Routes {
+		add("lane "+spec.Routes[place].Name, &spec.Routes[place])
 	}
 	for place := range spec.Tenants {
 		shown := spec.Tenants[place]
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -39,7 +39,7 @@
 }
 
 // A flaw keeps its keys.
-func TestFlawKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "flaw", golden.Marshal[Flaw]) }
+func TestFlawKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "flaw", golden.Marshal[Problem]) }
 
 func goldenContent(t *testing.T, name string) []byte {
 	t.Helper()
--- a/config/keys_test.go
+++ b/config/keys_test.go
@@ -26,7 +26,7 @@
 
 const twoTenants = `[{"name":"a","keys":["` + firstKey + `","` + secondKey + `"],"quota":{"rate":100,"burst":50,"tokens":true,"uncounted_tokens":7}},{"name":"b","keys":["` + otherKey + `"],"rank":2}]`
 
-// A key opens its tenant's lanes, by the spec itself and by the copy that daemons get.
+// A key opens its tenant's routes, by the spec itself and by the copy that daemons get.
 func TestTenantOfAKey(t *testing.T) {
 	spec := specWithTenants(t, twoTenants)
 	if flaws := spec.Check(); len(flaws) > 0 {
@@ -36,19 +36,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, book := range map[string]*Book{"spec": NewBook(spec), "sealed": NewBook(sealed)} {
+	for name, book := range map[string]*Catalog{"spec": NewCatalog(spec), "sealed": NewCatalog(sealed)} {
 		for key, want := range map[string]string{firstKey: "a", secondKey: "a", otherKey: "b", "unknown": "", "": ""} {
-			tenant, known := book.TenantOf(key, book.Lanes["closed"])
+			tenant, known := book.TenantOf(key, book.Routes["closed"])
 			if known != (want != "") || known && tenant.Name != want {
 				t.Errorf("%s: key of %q gives %v, %v", name, want, tenant, known)
 			}
-			if _, known := book.TenantOf(key, book.Lanes["open"]); !known {
+			if _, known := book.TenantOf(key, book.Routes["open"]); !known {
 				t.Errorf("%s: a public lane is closed to the key of %q", name, want)
 			}
 		}
 	}
 	without := specWithTenants(t, "[]")
-	if tenant, known := NewBook(without).TenantOf("any", &without.Lanes[0]); tenant != nil || !known {
+	if tenant, known := NewCatalog(without).TenantOf("any", &without.Routes[0]); tenant != nil || !known {
 		t.Error("without tenants a key is asked for")
 	}
 }
@@ -113,11 +113,11 @@
 	if len(flaws) > 0 || len(next.Tenants) != 2 || next.Tenants[0].Name != "b" || next.Tenants[1].Name != "c" {
 		t.Fatalf("%v %v", flaws, next.Tenants)
 	}
-	book := NewBook(next)
-	if tenant, _ := book.TenantOf(otherKey, book.Lanes["closed"]); tenant == nil || tenant.Name != "c" {
+	book := NewCatalog(next)
+	if tenant, _ := book.TenantOf(otherKey, book.Routes["closed"]); tenant == nil || tenant.Name != "c" {
 		t.Errorf("the key that moved belongs to %v", tenant)
 	}
-	if _, known := book.TenantOf(firstKey, book.Lanes["closed"]); known {
+	if _, known := book.TenantOf(firstKey, book.Routes["closed"]); known {
 		t.Error("a removed tenant's key still opens a lane")
 	}
 	stolen, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"c","keys":["` + firstKey + `"]}]}}`))
--- a/config/nginx/nginx.go
+++ b/config/nginx/nginx.go
@@ -23,14 +23,14 @@
 // String gives the note with its place.
 func (note Note) String() string { return fmt.Sprintf("%s:%d: %s", note.File, note.Line, note.Text) }
 
-const defaultPatience = 60 * time.Second
+const defaultLatencyTarget = 60 * time.Second
 
 type importer struct {
-	spec  config.Spec
-	pools map[string]bool
-	lanes map[string]bool
-	notes []Note
-	file  string
+	spec     config.Spec
+	backends map[string]bool
+	routes   map[string]bool
+	notes    []Note
+	file     string
 }
 
 // Import reads a file and what it includes. A file that can't be read whole gives a Malformed fault
@@ -40,15 +40,15 @@
 	if err != nil {
 		return nil, nil, apierror.New(apierror.Malformed, "%v; mend this line and import again", err)
 	}
-	reader := &importer{pools: map[string]bool{}, lanes: map[string]bool{}, spec: config.Spec{Zones: []config.Zone{{Name: "imported"}}}}
+	reader := &importer{backends: map[string]bool{}, routes: map[string]bool{}, spec: config.Spec{Zones: []config.Zone{{Name: "imported"}}}}
 	for _, config := range payload.Config {
 		reader.file = config.File
 		// Locations name upstreams that may stand further down.
 		reader.walk(config.Parsed, "", map[string]func(directive *crossplane.Directive, context string){"upstream": reader.upstream})
 		reader.walk(config.Parsed, "", map[string]func(directive *crossplane.Directive, context string){"location": reader.location, "upstream": func(*crossplane.Directive, string) {}})
 	}
-	if len(reader.spec.Pools) == 0 || len(reader.spec.Lanes) == 0 {
-		return nil, nil, apierror.New(apierror.InvalidSpec, "%s has %d upstreams and %d locations that pass to one; a spec needs one of each", path, len(reader.spec.Pools), len(reader.spec.Lanes))
+	if len(reader.spec.Backends) == 0 || len(reader.spec.Routes) == 0 {
+		return nil, nil, apierror.New(apierror.InvalidSpec, "%s has %d upstreams and %d locations that pass to one; a spec needs one of each", path, len(reader.spec.Backends), len(reader.spec.Routes))
 	}
 	reader.notes = append(reader.notes, Note{path, 1, "zone \"imported\" stands for all machines; name the real zones"})
 	return &reader.spec, reader.notes, nil
@@ -114,12 +114,12 @@
 }
 
 func (reader *importer) upstream(directive *crossplane.Directive, _ string) {
-	pool := name(directive.Args[0], reader.pools)
-	if pool != directive.Args[0] {
-		reader.note(directive, "upstream %q is pool %q", directive.Args[0], pool)
+	backend := name(directive.Args[0], reader.backends)
+	if backend != directive.Args[0] {
+		reader.note(directive, "upstream %q is pool %q", directive.Args[0], backend)
 	}
-	reader.spec.Pools = append(reader.spec.Pools, config.Pool{Name: pool, Model: pool, Weights: "imported", Services: []string{pool}})
-	reader.note(directive, "pool %q: model, weights and service are placeholders; name the real ones", pool)
+	reader.spec.Backends = append(reader.spec.Backends, config.Pool{Name: backend, Model: backend, Weights: "imported", Services: []string{backend}})
+	reader.note(directive, "pool %q: model, weights and service are placeholders; name the real ones", backend)
 	for _, inside := range directive.Block {
 		if inside.Directive == "server" {
 			reader.note(inside, "server %s: who runs is said by the platform's list, not by the spec", strings.Join(inside.Args, " "))
@@ -131,15 +131,15 @@
 
 func (reader *importer) location(directive *crossplane.Directive, context string) {
 	path := directive.Args[len(directive.Args)-1]
-	lane := config.Lane{Worth: 1, Purse: 1, Patience: config.Span(defaultPatience)}
+	route := config.Route{Value: 1, ConcurrencyLimit: 1, LatencyTarget: config.Duration(defaultLatencyTarget)}
 	var rest []*crossplane.Directive
 	for _, inside := range directive.Block {
 		takes := map[string]func(){
 			"proxy_pass": func() {
 				target := strings.TrimPrefix(strings.TrimPrefix(inside.Args[0], "https://"), "http://")
 				target, _, _ = strings.Cut(target, "/")
-				if reader.pools[target] {
-					lane.Pool = target
+				if reader.backends[target] {
+					route.Pool = target
 				}
 			},
 			"proxy_read_timeout": func() {
@@ -151,7 +151,7 @@
 					rest = append(rest, inside)
 					return
 				}
-				lane.Patience = config.Span(length)
+				route.LatencyTarget = config.Duration(length)
 			},
 		}
 		if take := takes[inside.Directive]; take != nil {
@@ -160,14 +160,14 @@
 		}
 		rest = append(rest, inside)
 	}
-	if lane.Pool == "" {
+	if route.Pool == "" {
 		reader.none(directive, strings.TrimSpace(context))
 		return
 	}
-	lane.Name = name(path, reader.lanes)
-	reader.note(directive, "location %s is lane %q; its worth, purse and whether it may be repeated are yours to set", path, lane.Name)
+	route.Name = name(path, reader.routes)
+	reader.note(directive, "location %s is lane %q; its worth, purse and whether it may be repeated are yours to set", path, route.Name)
 	for _, inside := range rest {
 		reader.none(inside, "location "+path)
 	}
-	reader.spec.Lanes = append(reader.spec.Lanes, lane)
+	reader.spec.Routes = append(reader.spec.Routes, route)
 }
--- a/config/nginx/nginx_test.go
+++ b/config/nginx/nginx_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if flaws := made.Check(); len(flaws) > 0 || len(made.Lanes) != 2 || made.Lanes[0].Name != "chat" || made.Lanes[1].Name != "root" {
+	if flaws := made.Check(); len(flaws) > 0 || len(made.Routes) != 2 || made.Routes[0].Name != "chat" || made.Routes[1].Name != "root" {
 		t.Fatalf("%v %+v", flaws, made)
 	}
 	text := ""
--- a/config/process/flags.go
+++ b/config/process/flags.go
@@ -16,8 +16,8 @@
 	"wardtray/features"
 )
 
-// ExitBadStartup is the exit code for wrong settings or flags.
-const ExitBadStartup = 2
+// ExitBadSettings is the exit code for wrong settings or flags.
+const ExitBadSettings = 2
 
 const defaultDrain = 3 * time.Second
 
@@ -27,14 +27,14 @@
 	}
 	length, err := time.ParseDuration(text)
 	if err == nil && length > 10*time.Minute {
-		return 0, apierror.New(apierror.BadStartup, "too long")
+		return 0, apierror.New(apierror.BadSettings, "too long")
 	}
 	return length, err
 }
 
 // DrainTime gives the checked drain setting, or the default.
-func (startup *Startup) DrainTime() time.Duration {
-	length, err := parseDrain(startup.Drain)
+func (settings *Settings) DrainTime() time.Duration {
+	length, err := parseDrain(settings.Drain)
 	if err != nil {
 		return defaultDrain
 	}
@@ -50,48 +50,48 @@
 }
 
 // FinishTime gives the checked finish setting, or what holds by default.
-func (startup *Startup) FinishTime(otherwise time.Duration) time.Duration {
-	return span(startup.Finish, otherwise)
+func (settings *Settings) FinishTime(otherwise time.Duration) time.Duration {
+	return span(settings.Finish, otherwise)
 }
 
-// BeatTime gives how often runners call.
-func (startup *Startup) BeatTime() time.Duration { return span(startup.Beat, time.Second) }
+// HeartbeatTime gives how often runners call.
+func (settings *Settings) HeartbeatTime() time.Duration { return span(settings.Heartbeat, time.Second) }
 
 // ApplyTime gives within what time a change must be in force.
-func (startup *Startup) ApplyTime() time.Duration { return span(startup.Apply, 2*time.Second) }
+func (settings *Settings) ApplyTime() time.Duration { return span(settings.Apply, 2*time.Second) }
 
 // ContactTime gives how long machines must be cut off to count as out of touch.
-func (startup *Startup) ContactTime() time.Duration { return span(startup.Contact, 3*time.Second) }
+func (settings *Settings) ContactTime() time.Duration { return span(settings.Contact, 3*time.Second) }
 
 // AcknowledgeTime gives within what time a valid change must be acknowledged while the core is whole.
-func (startup *Startup) AcknowledgeTime() time.Duration {
-	return span(startup.Acknowledge, 4*time.Second)
+func (settings *Settings) AcknowledgeTime() time.Duration {
+	return span(settings.Acknowledge, 4*time.Second)
 }
 
 // CatchUpTime gives after what time a wtcore that is back, or new, no longer counts as lost.
-func (startup *Startup) CatchUpTime() time.Duration { return span(startup.CatchUp, 4*time.Second) }
+func (settings *Settings) CatchUpTime() time.Duration { return span(settings.CatchUp, 4*time.Second) }
 
 // GraceTime gives how long a wtcore may take to end after it was told to.
-func (startup *Startup) GraceTime() time.Duration { return span(startup.Grace, 8*time.Second) }
+func (settings *Settings) GraceTime() time.Duration { return span(settings.Grace, 8*time.Second) }
 
 // WithoutCoreTime gives how long a wtdata goes on serving while it reaches no wtcore at all.
-func (startup *Startup) WithoutCoreTime() time.Duration {
-	return span(startup.WithoutCore, 5*time.Minute)
+func (settings *Settings) WithoutCoreTime() time.Duration {
+	return span(settings.WithoutCore, 5*time.Minute)
 }
 
-// RepeatsWindow gives the window of the repeats.
-func (startup *Startup) RepeatsWindow() time.Duration {
-	return span(startup.Repeats.Window, 10*time.Second)
+// RetriesWindow gives the window of the repeats.
+func (settings *Settings) RetriesWindow() time.Duration {
+	return span(settings.Retries.Window, 10*time.Second)
 }
 
 // QuotasWindow gives the window over which quotas are counted.
-func (startup *Startup) QuotasWindow() time.Duration {
-	return span(startup.Quotas.Window, 10*time.Second)
+func (settings *Settings) QuotasWindow() time.Duration {
+	return span(settings.Quotas.Window, 10*time.Second)
 }
 
 // WithoutMechanisms gives the mechanisms that are switched off.
-func (startup *Startup) WithoutMechanisms() features.Set {
-	set, err := features.Parse(startup.Without)
+func (settings *Settings) WithoutMechanisms() features.Set {
+	set, err := features.Parse(settings.Without)
 	if err != nil {
 		return nil // A checked startup names none that is unknown.
 	}
@@ -100,17 +100,17 @@
 
 // FromCommandLine reads flags and file of a daemon, checks them, and gives the startup. On a fault
 // it prints every flaw and ends the process with ExitBadStartup.
-func FromCommandLine(name, help string, needs Needs) *Startup {
-	startup, err := Parse(name, help, needs, os.Args[1:], os.Exit)
+func FromCommandLine(name, help string, needs Needs) *Settings {
+	settings, err := Parse(name, help, needs, os.Args[1:], os.Exit)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		os.Exit(ExitBadStartup)
+		os.Exit(ExitBadSettings)
 	}
-	return startup
+	return settings
 }
 
 // Parse is FromCommandLine without the ending.
-func Parse(name, help string, needs Needs, arguments []string, terminate func(int)) (*Startup, error) {
+func Parse(name, help string, needs Needs, arguments []string, terminate func(int)) (*Settings, error) {
 	application := kingpin.New(name, help).UsageWriter(os.Stdout).ErrorWriter(io.Discard).Terminate(terminate)
 	application.HelpFlag.Short('h')
 	file := application.Flag("startup", "Startup file (JSON). Flags go over what it says.").Short('s').String()
@@ -119,7 +119,7 @@
 		application.Flag("adapter", "The platform whose settings file is read in the place of a startup file: "+strings.Join(slices.Sorted(maps.Keys(needs.Adapters)), ", ")+".").
 			EnumVar(&adapter, slices.Sorted(maps.Keys(needs.Adapters))...)
 	}
-	given := &Startup{}
+	given := &Settings{}
 	application.Flag("address", "Where other processes reach this one, ip:port.").StringVar(&given.Address)
 	application.Flag("http", "Where callers reach this one, ip:port.").StringVar(&given.HTTP)
 	application.Flag("zone", "The zone this machine stands in.").StringVar(&given.Zone)
@@ -142,43 +142,43 @@
 		application.Flag("drain", "How long requests are still taken after SIGTERM.").StringVar(&given.Drain)
 	}
 	if _, err := application.Parse(arguments); err != nil {
-		return nil, apierror.Wrap(err, apierror.BadStartup, "flags")
+		return nil, apierror.Wrap(err, apierror.BadSettings, "flags")
 	}
-	read := func() (*Startup, error) { return Read(*file) }
+	read := func() (*Settings, error) { return Read(*file) }
 	if adapter != "" {
 		read = needs.Adapters[adapter]
 	}
-	startup, err := read()
+	settings, err := read()
 	if err != nil {
 		return nil, err
 	}
-	startup.Adapter = adapter
+	settings.Adapter = adapter
 	for _, pair := range []struct{ to, from *string }{
-		{&startup.Address, &given.Address}, {&startup.HTTP, &given.HTTP}, {&startup.Zone, &given.Zone}, {&startup.Log, &given.Log},
-		{&startup.Folder, &given.Folder}, {&startup.Platform, &given.Platform}, {&startup.Drain, &given.Drain},
-		{&startup.Contact, &given.Contact}, {&startup.Acknowledge, &given.Acknowledge}, {&startup.CatchUp, &given.CatchUp},
-		{&startup.Grace, &given.Grace}, {&startup.WithoutCore, &given.WithoutCore},
-		{&startup.Without, &given.Without},
+		{&settings.Address, &given.Address}, {&settings.HTTP, &given.HTTP}, {&settings.Zone, &given.Zone}, {&settings.Log, &given.Log},
+		{&settings.Folder, &given.Folder}, {&settings.Platform, &given.Platform}, {&settings.Drain, &given.Drain},
+		{&settings.Contact, &given.Contact}, {&settings.Acknowledge, &given.Acknowledge}, {&settings.CatchUp, &given.CatchUp},
+		{&settings.Grace, &given.Grace}, {&settings.WithoutCore, &given.WithoutCore},
+		{&settings.Without, &given.Without},
 	} {
 		if *pair.from != "" {
 			*pair.to = *pair.from
 		}
 	}
 	if len(given.Seeds) > 0 {
-		startup.Seeds = given.Seeds
+		settings.Seeds = given.Seeds
 	}
 	if len(given.Founders) > 0 {
-		startup.Founders = given.Founders
+		settings.Founders = given.Founders
 	}
-	if len(startup.Founders) == 0 && !startup.Joins {
-		startup.Founders = startup.Seeds
+	if len(settings.Founders) == 0 && !settings.Joins {
+		settings.Founders = settings.Seeds
 	}
-	return startup, startup.Check(needs)
+	return settings, settings.Check(needs)
 }
 
 // Logger makes the log of a daemon: lines on standard error, for changes of state only.
-func (startup *Startup) Logger(name string) *slog.Logger {
+func (settings *Settings) Logger(name string) *slog.Logger {
 	levels := map[string]slog.Level{"debug": slog.LevelDebug, "warn": slog.LevelWarn, "error": slog.LevelError}
-	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: levels[startup.Log]})
-	return slog.New(handler).With("program", name, "address", startup.Address, "zone", startup.Zone)
+	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: levels[settings.Log]})
+	return slog.New(handler).With("program", name, "address", settings.Address, "zone", settings.Zone)
 }
--- a/config/process/golden_test.go
+++ b/config/process/golden_test.go
@@ -10,12 +10,12 @@
 	"wardtray/verify/golden"
 )
 
-func encode(startup *Startup) ([]byte, error) { return easyjson.Marshal(startup) }
+func encode(settings *Settings) ([]byte, error) { return easyjson.Marshal(settings) }
 
 // The startup file keeps its keys, and each is read into the field that wrote it.
-func TestStartupKeepsItsKeys(t *testing.T) {
+func TestSettingsKeepTheirKeys(t *testing.T) {
 	golden.CompareJSON(t, "startup", encode)
-	wanted := &Startup{}
+	wanted := &Settings{}
 	golden.Fill(wanted)
 	// These two are no keys of the file.
 	wanted.Idle, wanted.Adapter = false, ""
--- a/config/process/startup.go
+++ b/config/process/settings.go
@@ -17,15 +17,15 @@
 	"wardtray/strictjson"
 )
 
-//go:generate go tool easyjson -disallow_unknown_fields -output_filename startup_easyjson.go startup.go
+//go:generate go tool easyjson -disallow_unknown_fields -output_filename settings_easyjson.go settings.go
 
-// Startup is the content of a startup file; flags of the same names go over it.
+// Settings is the content of a startup file; flags of the same names go over it.
 //
 //easyjson:json
-type Startup struct {
+type Settings struct {
 	// Address is where other processes reach this one, as ip:port.
 	Address string `json:"address"`
-	// HTTP is where requesters or operators reach this one, as ip:port.
+	// HTTP is where clients or operators reach this one, as ip:port.
 	HTTP  string   `json:"http"`
 	Zone  string   `json:"zone"`
 	Seeds []string `json:"seeds"`
@@ -39,16 +39,16 @@
 	Drain string `json:"drain,omitempty"`
 	// Finish is how long after that what was taken may still take; by default two minutes.
 	Finish string `json:"finish,omitempty"`
-	// Fitness is where fitness is told, as ip:port, if not at http.
-	Fitness string `json:"fitness,omitempty"`
+	// Readiness is where fitness is told, as ip:port, if not at http.
+	Readiness string `json:"fitness,omitempty"`
 	// MemoryMegabytes is what the process may take; 0: whatever it needs.
 	MemoryMegabytes int `json:"memory_megabytes,omitempty"`
 	// Faults is how many disk machines may be lost at once; by default one.
 	Faults int `json:"faults,omitempty"`
 	// Joins says that this machine must not found a fleet, only join one: its disk may have been wiped.
 	Joins bool `json:"joins,omitempty"`
-	// Beat is how often runners call; by default 1s.
-	Beat string `json:"beat,omitempty"`
+	// Heartbeat is how often runners call; by default 1s.
+	Heartbeat string `json:"beat,omitempty"`
 	// Apply is within what time after its acknowledgement a change must be in force; by default 2s.
 	Apply string `json:"apply,omitempty"`
 	// Contact is how long machines must be cut off from each other to count as out of touch; by default 3s.
@@ -62,8 +62,8 @@
 	// WithoutCore is how long a wtdata goes on serving on the configuration that it has while it reaches no wtcore at
 	// all; by default 5m. With 0s it stops as soon as its lease is over.
 	WithoutCore string `json:"without_core,omitempty"`
-	// Repeats bound what is sent to a second runner, over all daemons.
-	Repeats Repeats `json:"repeats,omitempty"`
+	// Retries bound what is sent to a second runner, over all daemons.
+	Retries Retries `json:"repeats,omitempty"`
 	// Quotas say by how much the daemons together may exceed tenants' quotas.
 	Quotas Quotas `json:"quotas,omitempty"`
 	// Without names the mechanisms that are switched off for a measurement, separated by commas.
@@ -78,10 +78,10 @@
 	Log string `json:"log,omitempty"`
 }
 
-// Repeats bound the requests sent again in every window: so large a share of a pool's requests, and so many more.
+// Retries bound the requests sent again in every window: so large a share of a backend's requests, and so many more.
 //
 //easyjson:json
-type Repeats struct {
+type Retries struct {
 	Window string  `json:"window,omitempty"`
 	Share  float64 `json:"share,omitempty"`
 	Slack  int     `json:"slack,omitempty"`
@@ -98,22 +98,22 @@
 }
 
 // Read reads a file strictly; an empty path gives an empty startup.
-func Read(path string) (*Startup, error) {
-	startup := &Startup{}
+func Read(path string) (*Settings, error) {
+	settings := &Settings{}
 	if path == "" {
-		return startup, nil
+		return settings, nil
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadStartup, "reading %s", path)
+		return nil, apierror.Wrap(err, apierror.BadSettings, "reading %s", path)
 	}
 	if err := strictjson.Check(content); err != nil {
-		return nil, apierror.New(apierror.BadStartup, "%s: %s", path, apierror.Of(err).Detail)
+		return nil, apierror.New(apierror.BadSettings, "%s: %s", path, apierror.Of(err).Detail)
 	}
-	if err := easyjson.Unmarshal(content, startup); err != nil {
-		return nil, apierror.Wrap(err, apierror.BadStartup, "%s", path)
+	if err := easyjson.Unmarshal(content, settings); err != nil {
+		return nil, apierror.Wrap(err, apierror.BadSettings, "%s", path)
 	}
-	return startup, nil
+	return settings, nil
 }
 
 // Needs says which settings a program needs beside those that all need.
@@ -121,7 +121,7 @@
 	Folder   bool
 	Platform bool
 	// Adapters read the settings of platforms, by the name that --adapter gives.
-	Adapters map[string]func() (*Startup, error)
+	Adapters map[string]func() (*Settings, error)
 }
 
 const (
@@ -130,19 +130,19 @@
 )
 
 // checkLengths names every length of time that is none.
-func (startup *Startup) checkLengths(flaw flawWriter) {
-	if startup.Drain != "" {
-		if length, err := parseDrain(startup.Drain); err != nil || length < 0 {
-			flaw("drain: %q is no length of time from 0s to 10m", startup.Drain)
+func (settings *Settings) checkLengths(flaw flawWriter) {
+	if settings.Drain != "" {
+		if length, err := parseDrain(settings.Drain); err != nil || length < 0 {
+			flaw("drain: %q is no length of time from 0s to 10m", settings.Drain)
 		}
 	}
 	for _, length := range []struct {
 		name, text string
 		least      time.Duration
 	}{
-		{"finish", startup.Finish, 1}, {"beat", startup.Beat, 1}, {"apply", startup.Apply, 1}, {"repeats.window", startup.Repeats.Window, 1}, {"quotas.window", startup.Quotas.Window, 1},
-		{"contact", startup.Contact, 1}, {"acknowledge", startup.Acknowledge, 1}, {"catch_up", startup.CatchUp, 1},
-		{"grace", startup.Grace, 1}, {"without_core", startup.WithoutCore, 0},
+		{"finish", settings.Finish, 1}, {"beat", settings.Heartbeat, 1}, {"apply", settings.Apply, 1}, {"repeats.window", settings.Retries.Window, 1}, {"quotas.window", settings.Quotas.Window, 1},
+		{"contact", settings.Contact, 1}, {"acknowledge", settings.Acknowledge, 1}, {"catch_up", settings.CatchUp, 1},
+		{"grace", settings.Grace, 1}, {"without_core", settings.WithoutCore, 0},
 	} {
 		if length.text == "" {
 			continue
@@ -167,100 +167,100 @@
 }
 
 // Check gives one BadStartup fault that names every flaw.
-func (startup *Startup) Check(needs Needs) error {
+func (settings *Settings) Check(needs Needs) error {
 	var flaws []string
 	flaw := flawWriter(func(format string, values ...any) { flaws = append(flaws, fmt.Sprintf(format, values...)) })
-	startup.checkPlace(flaw)
-	startup.checkOthers(flaw)
-	startup.checkFolder(needs, flaw)
-	startup.checkPlatform(needs, flaw)
-	startup.checkLengths(flaw)
-	if startup.Fitness != "" {
-		flaw.address("fitness", startup.Fitness)
+	settings.checkPlace(flaw)
+	settings.checkOthers(flaw)
+	settings.checkFolder(needs, flaw)
+	settings.checkPlatform(needs, flaw)
+	settings.checkLengths(flaw)
+	if settings.Readiness != "" {
+		flaw.address("fitness", settings.Readiness)
 	}
-	startup.checkNumbers(flaw)
-	if _, err := features.Parse(startup.Without); err != nil {
+	settings.checkNumbers(flaw)
+	if _, err := features.Parse(settings.Without); err != nil {
 		flaw("%s", apierror.Of(err).Detail)
 	}
-	if !logLevels[startup.Log] {
-		flaw("log: %q is none of debug, info, warn, error", startup.Log)
+	if !logLevels[settings.Log] {
+		flaw("log: %q is none of debug, info, warn, error", settings.Log)
 	}
 	if len(flaws) > 0 {
-		return apierror.New(apierror.BadStartup, "%s", strings.Join(flaws, "; "))
+		return apierror.New(apierror.BadSettings, "%s", strings.Join(flaws, "; "))
 	}
 	return nil
 }
 
 // checkPlace names what is wrong with the process's own addresses and zone.
-func (startup *Startup) checkPlace(flaw flawWriter) {
-	flaw.address("address", startup.Address)
-	flaw.address("http", startup.HTTP)
-	if startup.Address != "" && startup.Address == startup.HTTP {
+func (settings *Settings) checkPlace(flaw flawWriter) {
+	flaw.address("address", settings.Address)
+	flaw.address("http", settings.HTTP)
+	if settings.Address != "" && settings.Address == settings.HTTP {
 		flaw("http: must differ from address")
 	}
-	if startup.Zone == "" || len(startup.Zone) > 64 || strings.ContainsAny(startup.Zone, "/ \t\n") {
+	if settings.Zone == "" || len(settings.Zone) > 64 || strings.ContainsAny(settings.Zone, "/ \t\n") {
 		flaw("zone: wants 1 to 64 letters without blanks or slashes")
 	}
 }
 
 // checkOthers names what is wrong with the addresses of seeds and founders.
-func (startup *Startup) checkOthers(flaw flawWriter) {
-	if len(startup.Seeds) < 1 || len(startup.Seeds) > 16 {
+func (settings *Settings) checkOthers(flaw flawWriter) {
+	if len(settings.Seeds) < 1 || len(settings.Seeds) > 16 {
 		flaw("seeds: wants 1 to 16 addresses, normally three")
 	}
 	seen := map[string]bool{}
-	for number, seed := range startup.Seeds {
+	for number, seed := range settings.Seeds {
 		flaw.address(fmt.Sprintf("seeds[%d]", number), seed)
 		if seen[seed] {
 			flaw("seeds[%d]: %q is there twice", number, seed)
 		}
 		seen[seed] = true
 	}
-	if len(startup.Founders) > 5 {
+	if len(settings.Founders) > 5 {
 		flaw("founders: at most 5")
 	}
-	for number, founder := range startup.Founders {
+	for number, founder := range settings.Founders {
 		flaw.address(fmt.Sprintf("founders[%d]", number), founder)
 	}
 }
 
 // checkFolder names a folder that is missing, needless, or none.
-func (startup *Startup) checkFolder(needs Needs, flaw flawWriter) {
-	if needs.Folder == (startup.Folder == "") && !startup.Idle {
+func (settings *Settings) checkFolder(needs Needs, flaw flawWriter) {
+	if needs.Folder == (settings.Folder == "") && !settings.Idle {
 		flaw("folder: wtcore needs one, wtdata must have none")
 	}
-	if needs.Folder && startup.Folder != "" {
-		if information, err := os.Stat(startup.Folder); err == nil && !information.IsDir() {
-			flaw("folder: %q is no folder", startup.Folder)
+	if needs.Folder && settings.Folder != "" {
+		if information, err := os.Stat(settings.Folder); err == nil && !information.IsDir() {
+			flaw("folder: %q is no folder", settings.Folder)
 		}
 	}
 }
 
 // checkPlatform names a platform's URL that is missing, needless, or none.
-func (startup *Startup) checkPlatform(needs Needs, flaw flawWriter) {
-	if !needs.Platform || startup.Registered && startup.Platform == "" {
-		if startup.Platform != "" {
+func (settings *Settings) checkPlatform(needs Needs, flaw flawWriter) {
+	if !needs.Platform || settings.Registered && settings.Platform == "" {
+		if settings.Platform != "" {
 			flaw("platform: only wtdata has one")
 		}
 		return
 	}
-	if parsed, err := url.Parse(startup.Platform); err != nil || parsed.Scheme != "http" || parsed.Host == "" {
-		flaw("platform: %q is no http URL", startup.Platform)
+	if parsed, err := url.Parse(settings.Platform); err != nil || parsed.Scheme != "http" || parsed.Host == "" {
+		flaw("platform: %q is no http URL", settings.Platform)
 	}
 }
 
 // checkNumbers names every number that is out of its range.
-func (startup *Startup) checkNumbers(flaw flawWriter) {
-	if startup.MemoryMegabytes < 0 || startup.MemoryMegabytes > 0 && startup.MemoryMegabytes < leastMegabytes {
+func (settings *Settings) checkNumbers(flaw flawWriter) {
+	if settings.MemoryMegabytes < 0 || settings.MemoryMegabytes > 0 && settings.MemoryMegabytes < leastMegabytes {
 		flaw("memory_megabytes: wants at least %d", leastMegabytes)
 	}
-	if startup.Faults < 0 || startup.Faults > mostFaults {
+	if settings.Faults < 0 || settings.Faults > mostFaults {
 		flaw("faults: wants 0 to %d", mostFaults)
 	}
-	if startup.Quotas.Excess < 0 || startup.Quotas.Excess > 1 || startup.Quotas.Slack < 0 {
+	if settings.Quotas.Excess < 0 || settings.Quotas.Excess > 1 || settings.Quotas.Slack < 0 {
 		flaw("quotas: wants an excess from 0 to 1 and a slack of 0 or more")
 	}
-	if startup.Repeats.Share < 0 || startup.Repeats.Share > 1 || startup.Repeats.Slack < 0 {
+	if settings.Retries.Share < 0 || settings.Retries.Share > 1 || settings.Retries.Slack < 0 {
 		flaw("repeats: wants a share from 0 to 1 and a slack of 0 or more")
 	}
 }
--- a/config/process/startup_easyjson.go
+++ b/config/process/settings_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson9e48c2f1DecodeWardtrayConfigProcess(in *jlexer.Lexer, out *Startup) {
+func easyjsonB229cf53DecodeWardtrayConfigProcess(in *jlexer.Lexer, out *Settings) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -131,7 +131,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Fitness = string(in.String())
+				out.Readiness = string(in.String())
 			}
 		case "memory_megabytes":
 			if in.IsNull() {
@@ -155,7 +155,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Beat = string(in.String())
+				out.Heartbeat = string(in.String())
 			}
 		case "apply":
 			if in.IsNull() {
@@ -197,7 +197,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Repeats).UnmarshalEasyJSON(in)
+				(out.Retries).UnmarshalEasyJSON(in)
 			}
 		case "quotas":
 			if in.IsNull() {
@@ -237,7 +237,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9e48c2f1EncodeWardtrayConfigProcess(out *jwriter.Writer, in Startup) {
+func easyjsonB229cf53EncodeWardtrayConfigProcess(out *jwriter.Writer, in Settings) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -306,10 +306,10 @@
 		out.RawString(prefix)
 		out.String(string(in.Finish))
 	}
-	if in.Fitness != "" {
+	if in.Readiness != "" {
 		const prefix string = ",\"fitness\":"
 		out.RawString(prefix)
-		out.String(string(in.Fitness))
+		out.String(string(in.Readiness))
 	}
 	if in.MemoryMegabytes != 0 {
 		const prefix string = ",\"memory_megabytes\":"
@@ -326,10 +326,10 @@
 		out.RawString(prefix)
 		out.Bool(bool(in.Joins))
 	}
-	if in.Beat != "" {
+	if in.Heartbeat != "" {
 		const prefix string = ",\"beat\":"
 		out.RawString(prefix)
-		out.String(string(in.Beat))
+		out.String(string(in.Heartbeat))
 	}
 	if in.Apply != "" {
 		const prefix string = ",\"apply\":"
@@ -364,7 +364,7 @@
 	if true {
 		const prefix string = ",\"repeats\":"
 		out.RawString(prefix)
-		(in.Repeats).MarshalEasyJSON(out)
+		(in.Retries).MarshalEasyJSON(out)
 	}
 	if true {
 		const prefix string = ",\"quotas\":"
@@ -390,29 +390,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Startup) MarshalJSON() ([]byte, error) {
+func (v Settings) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9e48c2f1EncodeWardtrayConfigProcess(&w, v)
+	easyjsonB229cf53EncodeWardtrayConfigProcess(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Startup) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9e48c2f1EncodeWardtrayConfigProcess(w, v)
+func (v Settings) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonB229cf53EncodeWardtrayConfigProcess(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Startup) UnmarshalJSON(data []byte) error {
+func (v *Settings) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9e48c2f1DecodeWardtrayConfigProcess(&r, v)
+	easyjsonB229cf53DecodeWardtrayConfigProcess(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Startup) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9e48c2f1DecodeWardtrayConfigProcess(l, v)
+func (v *Settings) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonB229cf53DecodeWardtrayConfigProcess(l, v)
 }
-func easyjson9e48c2f1DecodeWardtrayConfigProcess1(in *jlexer.Lexer, out *Repeats) {
+func easyjsonB229cf53DecodeWardtrayConfigProcess1(in *jlexer.Lexer, out *Retries) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -458,7 +458,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9e48c2f1EncodeWardtrayConfigProcess1(out *jwriter.Writer, in Repeats) {
+func easyjsonB229cf53EncodeWardtrayConfigProcess1(out *jwriter.Writer, in Retries) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -492,29 +492,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Repeats) MarshalJSON() ([]byte, error) {
+func (v Retries) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9e48c2f1EncodeWardtrayConfigProcess1(&w, v)
+	easyjsonB229cf53EncodeWardtrayConfigProcess1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Repeats) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9e48c2f1EncodeWardtrayConfigProcess1(w, v)
+func (v Retries) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjsonB229cf53EncodeWardtrayConfigProcess1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Repeats) UnmarshalJSON(data []byte) error {
+func (v *Retries) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9e48c2f1DecodeWardtrayConfigProcess1(&r, v)
+	easyjsonB229cf53DecodeWardtrayConfigProcess1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Repeats) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9e48c2f1DecodeWardtrayConfigProcess1(l, v)
+func (v *Retries) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjsonB229cf53DecodeWardtrayConfigProcess1(l, v)
 }
-func easyjson9e48c2f1DecodeWardtrayConfigProcess2(in *jlexer.Lexer, out *Quotas) {
+func easyjsonB229cf53DecodeWardtrayConfigProcess2(in *jlexer.Lexer, out *Quotas) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -560,7 +560,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9e48c2f1EncodeWardtrayConfigProcess2(out *jwriter.Writer, in Quotas) {
+func easyjsonB229cf53EncodeWardtrayConfigProcess2(out *jwriter.Writer, in Quotas) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -596,23 +596,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Quotas) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9e48c2f1EncodeWardtrayConfigProcess2(&w, v)
+	easyjsonB229cf53EncodeWardtrayConfigProcess2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Quotas) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9e48c2f1EncodeWardtrayConfigProcess2(w, v)
+	easyjsonB229cf53EncodeWardtrayConfigProcess2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Quotas) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9e48c2f1DecodeWardtrayConfigProcess2(&r, v)
+	easyjsonB229cf53DecodeWardtrayConfigProcess2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Quotas) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9e48c2f1DecodeWardtrayConfigProcess2(l, v)
+	easyjsonB229cf53DecodeWardtrayConfigProcess2(l, v)
 }
--- a/config/process/startup_test.go
+++ b/config/process/settings_test.go
@@ -11,7 +11,7 @@
 	"wardtray/apierror"
 )
 
-func parse(t *testing.T, needs Needs, arguments ...string) (*Startup, error) {
+func parse(t *testing.T, needs Needs, arguments ...string) (*Settings, error) {
 	t.Helper()
 	return Parse("x", "x", needs, arguments, func(int) { t.Fatal("the parser wanted to end the process") })
 }
@@ -20,7 +20,7 @@
 
 func TestEveryFlawIsNamedAtOnce(t *testing.T) {
 	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0", "--seed", "x", "--seed", "x", "--platform", "ftp://y", "--drain", "soon", "--log", "loud")
-	if !apierror.Is(err, apierror.BadStartup) {
+	if !apierror.Is(err, apierror.BadSettings) {
 		t.Fatal(err)
 	}
 	for _, flaw := range []string{"address:", "http:", "zone:", "seeds[0]:", "seeds[1]:", "twice", "platform:", "drain:", "log:", "remedy"} {
@@ -44,20 +44,20 @@
 		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := parse(t, Needs{Platform: true}, append([]string{"--startup", path}, proper...)...); !apierror.Is(err, apierror.BadStartup) {
+		if _, err := parse(t, Needs{Platform: true}, append([]string{"--startup", path}, proper...)...); !apierror.Is(err, apierror.BadSettings) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestEachProgramHasItsOwnNeeds(t *testing.T) {
-	if _, err := parse(t, Needs{Folder: true}, proper...); !apierror.Is(err, apierror.BadStartup) {
+	if _, err := parse(t, Needs{Folder: true}, proper...); !apierror.Is(err, apierror.BadSettings) {
 		t.Error("wtcore without a folder")
 	}
 	if _, err := parse(t, Needs{Folder: true}, append([]string{"--folder", t.TempDir()}, proper...)...); err != nil {
 		t.Error(err)
 	}
-	if _, err := parse(t, Needs{Platform: true}, append([]string{"--folder", "x"}, proper...)...); !apierror.Is(err, apierror.BadStartup) {
+	if _, err := parse(t, Needs{Platform: true}, append([]string{"--folder", "x"}, proper...)...); !apierror.Is(err, apierror.BadSettings) {
 		t.Error("wtdata with a folder")
 	}
 	if _, err := parse(t, Needs{Platform: true}, append([]string{"--platform", "http://127.0.0.1:3/x"}, proper...)...); err != nil {
@@ -66,9 +66,9 @@
 }
 
 func TestLengthsOfTime(t *testing.T) {
-	usual := &Startup{}
-	lengths := func(startup *Startup) []time.Duration {
-		return []time.Duration{startup.ContactTime(), startup.AcknowledgeTime(), startup.CatchUpTime(), startup.GraceTime(), startup.WithoutCoreTime()}
+	usual := &Settings{}
+	lengths := func(settings *Settings) []time.Duration {
+		return []time.Duration{settings.ContactTime(), settings.AcknowledgeTime(), settings.CatchUpTime(), settings.GraceTime(), settings.WithoutCoreTime()}
 	}
 	if want := []time.Duration{3 * time.Second, 4 * time.Second, 4 * time.Second, 8 * time.Second, 5 * time.Minute}; !slices.Equal(lengths(usual), want) {
 		t.Errorf("%v instead of %v by default", lengths(usual), want)
--- a/config/spec.go
+++ b/config/spec.go
@@ -1,4 +1,4 @@
-// Package config holds the spec, the one document that operators write: lanes, pools and zones. It is read by
+// Package config holds the spec, the one document that operators write: routes, backends and zones. It is read by
 // generated easyjson code, checked whole, and kept in one canonical form.
 package config
 
@@ -19,24 +19,26 @@
 const (
 	// MaximumBytes bounds a spec as sent.
 	MaximumBytes = 16 << 20
-	// MaximumLanes bounds a spec's lanes.
-	MaximumLanes = 50000
-	// MaximumPools bounds a spec's pools.
-	MaximumPools = 10000
+	// MaximumRoutes bounds a spec's routes.
+	MaximumRoutes = 50000
+	// MaximumBackends bounds a spec's backends.
+	MaximumBackends = 10000
 	// MaximumZones bounds a spec's zones.
 	MaximumZones = 64
 	// MaximumTenants bounds a spec's tenants.
 	MaximumTenants = 10000
 )
 
-// Span is a length of time, written as in "1.5s".
-type Span time.Duration
+// Duration is a length of time, written as in "1.5s".
+type Duration time.Duration
 
 // MarshalEasyJSON writes a span.
-func (span Span) MarshalEasyJSON(writer *jwriter.Writer) { writer.String(time.Duration(span).String()) }
+func (span Duration) MarshalEasyJSON(writer *jwriter.Writer) {
+	writer.String(time.Duration(span).String())
+}
 
 // UnmarshalEasyJSON reads a span.
-func (span *Span) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
+func (span *Duration) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
 	text := lexer.String()
 	if !lexer.Ok() {
 		return
@@ -46,21 +48,21 @@
 		lexer.AddError(fmt.Errorf("%q is no length of time; write it as in 1.5s", text))
 		return
 	}
-	*span = Span(length)
+	*span = Duration(length)
 }
 
 // Spec is the whole document.
 //
 //easyjson:json
 type Spec struct {
-	Zones []Zone `json:"zones"`
-	Pools []Pool `json:"pools"`
-	Lanes Lanes  `json:"lanes"`
-	// Tenants are whose keys open the lanes that are not public; without any, every lane is open to all.
+	Zones    []Zone `json:"zones"`
+	Backends []Pool `json:"pools"`
+	Routes   Routes `json:"lanes"`
+	// Tenants are whose keys open the routes that are not public; without any, every route is open to all.
 	Tenants []Tenant `json:"tenants,omitempty"`
 	// KeySalt is the secret under which the tenants' keys were hashed; see Seal. Operators leave it out.
 	KeySalt []byte `json:"key_salt,omitempty"`
-	// Limits hold for every requester.
+	// Limits hold for every client.
 	Limits Limits `json:"limits,omitempty"`
 	// Annotations are what the operators' tools keep beside the spec.
 	Annotations Annotations `json:"annotations,omitempty"`
@@ -74,7 +76,7 @@
 	Closed bool   `json:"closed"`
 }
 
-// Pool is the runners that serve one model with one set of weights; without them, any model.
+// Backend is the runners that serve one model with one set of weights; without them, any model.
 //
 //easyjson:json
 type Pool struct {
@@ -82,18 +84,18 @@
 	Model    string   `json:"model,omitempty"`
 	Weights  string   `json:"weights,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Services are the services of which runners may take this pool's work.
+	// Services are the services of which runners may take this backend's work.
 	Services []string `json:"services"`
 	// ConnectionLimit is how many connections one runner takes from all daemons together; 0: not told.
 	ConnectionLimit int `json:"connection_limit,omitempty"`
 	// HealthPath is where a runner answers whether it thinks that it is well; empty: nowhere.
 	HealthPath string `json:"health_path,omitempty"`
 	Engine     Engine `json:"engine,omitempty"`
-	// Annotations are what the operators' tools keep beside a pool; wardtray stores and gives them back unchanged.
+	// Annotations are what the operators' tools keep beside a backend; wardtray stores and gives them back unchanged.
 	Annotations Annotations `json:"annotations,omitempty"`
 }
 
-// Engine is what operators tell of the engines of a pool's runners; 0 stands for not told.
+// Engine is what operators tell of the engines of a backend's runners; 0 stands for not told.
 //
 //easyjson:json
 type Engine struct {
@@ -105,48 +107,48 @@
 	EventTokens int `json:"event_tokens,omitempty"`
 }
 
-// Lane is a kind of work.
+// Route is a kind of work.
 //
 //easyjson:json
-type Lane struct {
+type Route struct {
 	Name string `json:"name"`
 	Pool string `json:"pool,omitempty"`
-	// Worth weighs the lane against others; 1 to 1000, and 1 where it is left out.
-	Worth float64 `json:"worth"`
-	// Patience is how long until the first event may take.
-	Patience Span `json:"patience"`
-	// Purse is the share of the pool that the lane may hold while others wait; above 0, at most 1, and 1 where
+	// Value weighs the route against others; 1 to 1000, and 1 where it is left out.
+	Value float64 `json:"worth"`
+	// LatencyTarget is how long until the first event may take.
+	LatencyTarget Duration `json:"patience"`
+	// ConcurrencyLimit is the share of the backend that the route may hold while others wait; above 0, at most 1, and 1 where
 	// it is left out.
-	Purse float64 `json:"purse"`
-	// Repeatable says that a second run does no harm. Without it a prompt runs at most once.
-	Repeatable bool `json:"repeatable"`
-	// Authority and PathPrefix choose the lane of requests that name none: the host asked for, and the
+	ConcurrencyLimit float64 `json:"purse"`
+	// Idempotent says that a second run does no harm. Without it a prompt runs at most once.
+	Idempotent bool `json:"repeatable"`
+	// Authority and PathPrefix choose the route of requests that name none: the host asked for, and the
 	// longest prefix that begins the path.
 	Authority  string `json:"authority,omitempty"`
 	PathPrefix string `json:"path_prefix,omitempty"`
-	// Split divides the lane's requests over several pools, in the place of Pool.
+	// Split divides the route's requests over several backends, in the place of Backend.
 	Split []Share `json:"split,omitempty"`
-	// Deadline is the longest time that a request of the lane is held; 0: only the requester's own.
-	Deadline Span `json:"deadline,omitempty"`
+	// Deadline is the longest time that a request of the route is held; 0: only the client's own.
+	Deadline Duration `json:"deadline,omitempty"`
 	// Attempts is the most runners that one request may be sent to; 0: the product's own bound.
 	Attempts int `json:"attempts,omitempty"`
-	// Rank orders lanes under pressure, 0 first.
+	// Rank orders routes under pressure, 0 first.
 	Rank int `json:"rank,omitempty"`
 	// Resumable says that a stream may go on at another runner after its last whole event.
 	Resumable bool `json:"resumable,omitempty"`
 	// Pause is the longest time between two events with which a stream is still in time; 0: not told.
-	Pause Span `json:"pause,omitempty"`
-	// CancelOnDisconnect has a run cancelled when its requester closes the connection, also where it runs at most once;
-	// without it such a run goes on to its end, so that its outcome is known. Repeatable lanes always cancel.
+	Pause Duration `json:"pause,omitempty"`
+	// CancelOnDisconnect has a run cancelled when its client closes the connection, also where it runs at most once;
+	// without it such a run goes on to its end, so that its outcome is known. Repeatable routes always cancel.
 	CancelOnDisconnect bool `json:"cancel_on_disconnect,omitempty"`
-	// Public says that requests of the lane need no tenant's key.
+	// Public says that requests of the route need no tenant's key.
 	Public bool `json:"public,omitempty"`
-	// Annotations are what the operators' tools keep beside a lane; wardtray stores and gives them back unchanged.
+	// Annotations are what the operators' tools keep beside a route; wardtray stores and gives them back unchanged.
 	Annotations Annotations `json:"annotations,omitempty"`
 }
 
-// Cancels tells whether a run of the lane ends when its requester closes the connection.
-func (lane *Lane) Cancels() bool { return lane.Repeatable || lane.CancelOnDisconnect }
+// Cancels tells whether a run of the route ends when its client closes the connection.
+func (route *Route) Cancels() bool { return route.Idempotent || route.CancelOnDisconnect }
 
 // Tenant is a party whose requests carry its keys and count against its quota.
 //
@@ -158,7 +160,7 @@
 	Keys []string `json:"keys,omitempty"`
 	// KeyHashes stand in the place of Keys in what the daemons get; see Seal.
 	KeyHashes []KeyHash `json:"key_hashes,omitempty"`
-	// Rank orders tenants under pressure, 0 first; within a tenant its lanes' ranks do.
+	// Rank orders tenants under pressure, 0 first; within a tenant its routes' ranks do.
 	Rank  int   `json:"rank,omitempty"`
 	Quota Quota `json:"quota,omitempty"`
 	// Annotations are what the operators' tools keep beside a tenant; wardtray stores and gives them back unchanged.
@@ -192,7 +194,7 @@
 	return float64(tokens)
 }
 
-// Share is one pool's part of a lane.
+// Share is one backend's part of a route.
 //
 //easyjson:json
 type Share struct {
@@ -200,14 +202,14 @@
 	Weight int    `json:"weight"`
 }
 
-// Limits bound what a requester may send and how long it may take; 0 stands for the product's own.
+// Limits bound what a client may send and how long it may take; 0 stands for the product's own.
 //
 //easyjson:json
 type Limits struct {
-	HeaderBytes int  `json:"header_bytes,omitempty"`
-	BodyBytes   int  `json:"body_bytes,omitempty"`
-	HeaderTime  Span `json:"header_time,omitempty"`
-	IdleTime    Span `json:"idle_time,omitempty"`
+	HeaderBytes int      `json:"header_bytes,omitempty"`
+	BodyBytes   int      `json:"body_bytes,omitempty"`
+	HeaderTime  Duration `json:"header_time,omitempty"`
+	IdleTime    Duration `json:"idle_time,omitempty"`
 }
 
 // Change adds, replaces and removes entries of a spec by their names.
@@ -225,26 +227,26 @@
 //
 //easyjson:json
 type Entries struct {
-	Zones   []Zone   `json:"zones,omitempty"`
-	Pools   []Pool   `json:"pools,omitempty"`
-	Lanes   Lanes    `json:"lanes,omitempty"`
-	Tenants []Tenant `json:"tenants,omitempty"`
+	Zones    []Zone   `json:"zones,omitempty"`
+	Backends []Pool   `json:"pools,omitempty"`
+	Routes   Routes   `json:"lanes,omitempty"`
+	Tenants  []Tenant `json:"tenants,omitempty"`
 }
 
 // Names are what is removed. One that is not there is no flaw: it is gone, as was asked.
 //
 //easyjson:json
 type Names struct {
-	Zones   []string `json:"zones,omitempty"`
-	Pools   []string `json:"pools,omitempty"`
-	Lanes   []string `json:"lanes,omitempty"`
-	Tenants []string `json:"tenants,omitempty"`
+	Zones    []string `json:"zones,omitempty"`
+	Backends []string `json:"pools,omitempty"`
+	Routes   []string `json:"lanes,omitempty"`
+	Tenants  []string `json:"tenants,omitempty"`
 }
 
-// Flaw is one fault of a spec.
+// Problem is one fault of a spec.
 //
 //easyjson:json
-type Flaw struct {
+type Problem struct {
 	Path   string `json:"path"`
 	Detail string `json:"detail"`
 }
@@ -282,9 +284,9 @@
 	return content
 }
 
-// Allows tells whether a pool may use a service.
-func (pool *Pool) Allows(service string) bool {
-	for _, allowed := range pool.Services {
+// Allows tells whether a backend may use a service.
+func (backend *Pool) Allows(service string) bool {
+	for _, allowed := range backend.Services {
 		if allowed == service {
 			return true
 		}
@@ -292,15 +294,15 @@
 	return false
 }
 
-// Runs tells whether a pool serves a model; one that names none serves any.
-func (pool *Pool) Runs(model string) bool { return pool.Model == "" || pool.Model == model }
+// Runs tells whether a backend serves a model; one that names none serves any.
+func (backend *Pool) Runs(model string) bool { return backend.Model == "" || backend.Model == model }
 
-// Serves tells whether a pool has an adapter; no adapter at all is always served.
-func (pool *Pool) Serves(adapter string) bool {
+// Serves tells whether a backend has an adapter; no adapter at all is always served.
+func (backend *Pool) Serves(adapter string) bool {
 	if adapter == "" {
 		return true
 	}
-	for _, served := range pool.Adapters {
+	for _, served := range backend.Adapters {
 		if served == adapter {
 			return true
 		}
--- a/config/spec_easyjson.go
+++ b/config/spec_easyjson.go
@@ -325,17 +325,17 @@
 		case "pools":
 			if in.IsNull() {
 				in.Skip()
-				out.Pools = nil
+				out.Backends = nil
 			} else {
 				in.Delim('[')
-				if out.Pools == nil {
+				if out.Backends == nil {
 					if !in.IsDelim(']') {
-						out.Pools = make([]Pool, 0, 0)
+						out.Backends = make([]Pool, 0, 0)
 					} else {
-						out.Pools = []Pool{}
+						out.Backends = []Pool{}
 					}
 				} else {
-					out.Pools = (out.Pools)[:0]
+					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v8 Pool
@@ -344,7 +344,7 @@
 					} else {
 						(v8).UnmarshalEasyJSON(in)
 					}
-					out.Pools = append(out.Pools, v8)
+					out.Backends = append(out.Backends, v8)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -353,7 +353,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Lanes).UnmarshalEasyJSON(in)
+				(out.Routes).UnmarshalEasyJSON(in)
 			}
 		case "tenants":
 			if in.IsNull() {
@@ -438,11 +438,11 @@
 	{
 		const prefix string = ",\"pools\":"
 		out.RawString(prefix)
-		if in.Pools == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Backends == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v13, v14 := range in.Pools {
+			for v13, v14 := range in.Backends {
 				if v13 > 0 {
 					out.RawByte(',')
 				}
@@ -454,7 +454,7 @@
 	{
 		const prefix string = ",\"lanes\":"
 		out.RawString(prefix)
-		(in.Lanes).MarshalEasyJSON(out)
+		(in.Routes).MarshalEasyJSON(out)
 	}
 	if len(in.Tenants) != 0 {
 		const prefix string = ",\"tenants\":"
@@ -591,7 +591,7 @@
 func (v *Share) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig3(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig4(in *jlexer.Lexer, out *Quota) {
+func easyjson4ca8a529DecodeWardtrayConfig4(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -605,213 +605,122 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "rate":
+		case "name":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rate = float64(in.Float64())
+				out.Name = string(in.String())
 			}
-		case "burst":
+		case "pool":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Burst = float64(in.Float64())
+				out.Pool = string(in.String())
 			}
-		case "tokens":
+		case "worth":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Tokens = bool(in.Bool())
+				out.Value = float64(in.Float64())
 			}
-		case "uncounted_tokens":
+		case "patience":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.UncountedTokens = int(in.Int())
+				(out.LatencyTarget).UnmarshalEasyJSON(in)
 			}
-		default:
-			in.AddError(&jlexer.LexerError{
-				Offset: in.GetPos(),
-				Reason: "unknown field",
-				Data:   key,
-			})
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson4ca8a529EncodeWardtrayConfig4(out *jwriter.Writer, in Quota) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	if in.Rate != 0 {
-		const prefix string = ",\"rate\":"
-		first = false
-		out.RawString(prefix[1:])
-		out.Float64(float64(in.Rate))
-	}
-	if in.Burst != 0 {
-		const prefix string = ",\"burst\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Float64(float64(in.Burst))
-	}
-	if in.Tokens {
-		const prefix string = ",\"tokens\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Bool(bool(in.Tokens))
-	}
-	if in.UncountedTokens != 0 {
-		const prefix string = ",\"uncounted_tokens\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int(int(in.UncountedTokens))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Quota) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig4(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Quota) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig4(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Quota) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig4(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Quota) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig4(l, v)
-}
-func easyjson4ca8a529DecodeWardtrayConfig5(in *jlexer.Lexer, out *Pool) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "name":
+		case "purse":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Name = string(in.String())
+				out.ConcurrencyLimit = float64(in.Float64())
 			}
-		case "model":
+		case "repeatable":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Model = string(in.String())
+				out.Idempotent = bool(in.Bool())
 			}
-		case "weights":
+		case "authority":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Weights = string(in.String())
+				out.Authority = string(in.String())
 			}
-		case "adapters":
+		case "path_prefix":
 			if in.IsNull() {
 				in.Skip()
-				out.Adapters = nil
 			} else {
-				in.Delim('[')
-				if out.Adapters == nil {
-					if !in.IsDelim(']') {
-						out.Adapters = make([]string, 0, 4)
-					} else {
-						out.Adapters = []string{}
-					}
-				} else {
-					out.Adapters = (out.Adapters)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v19 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v19 = string(in.String())
-					}
-					out.Adapters = append(out.Adapters, v19)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.PathPrefix = string(in.String())
 			}
-		case "services":
+		case "split":
 			if in.IsNull() {
 				in.Skip()
-				out.Services = nil
+				out.Split = nil
 			} else {
 				in.Delim('[')
-				if out.Services == nil {
+				if out.Split == nil {
 					if !in.IsDelim(']') {
-						out.Services = make([]string, 0, 4)
+						out.Split = make([]Share, 0, 2)
 					} else {
-						out.Services = []string{}
+						out.Split = []Share{}
 					}
 				} else {
-					out.Services = (out.Services)[:0]
+					out.Split = (out.Split)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v20 string
+					var v19 Share
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v20 = string(in.String())
+						(v19).UnmarshalEasyJSON(in)
 					}
-					out.Services = append(out.Services, v20)
+					out.Split = append(out.Split, v19)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "connection_limit":
+		case "deadline":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ConnectionLimit = int(in.Int())
+				(out.Deadline).UnmarshalEasyJSON(in)
 			}
-		case "health_path":
+		case "attempts":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HealthPath = string(in.String())
+				out.Attempts = int(in.Int())
 			}
-		case "engine":
+		case "rank":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Engine).UnmarshalEasyJSON(in)
+				out.Rank = int(in.Int())
+			}
+		case "resumable":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Resumable = bool(in.Bool())
+			}
+		case "pause":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Pause).UnmarshalEasyJSON(in)
+			}
+		case "cancel_on_disconnect":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.CancelOnDisconnect = bool(in.Bool())
+			}
+		case "public":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Public = bool(in.Bool())
 			}
 		case "annotations":
 			if in.IsNull() {
@@ -833,7 +742,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig5(out *jwriter.Writer, in Pool) {
+func easyjson4ca8a529EncodeWardtrayConfig4(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -842,60 +751,89 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Name))
 	}
-	if in.Model != "" {
-		const prefix string = ",\"model\":"
+	if in.Pool != "" {
+		const prefix string = ",\"pool\":"
 		out.RawString(prefix)
-		out.String(string(in.Model))
+		out.String(string(in.Pool))
 	}
-	if in.Weights != "" {
-		const prefix string = ",\"weights\":"
+	{
+		const prefix string = ",\"worth\":"
 		out.RawString(prefix)
-		out.String(string(in.Weights))
+		out.Float64(float64(in.Value))
 	}
-	if len(in.Adapters) != 0 {
-		const prefix string = ",\"adapters\":"
+	{
+		const prefix string = ",\"patience\":"
 		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v21, v22 := range in.Adapters {
-				if v21 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v22))
-			}
-			out.RawByte(']')
-		}
+		(in.LatencyTarget).MarshalEasyJSON(out)
 	}
 	{
-		const prefix string = ",\"services\":"
+		const prefix string = ",\"purse\":"
 		out.RawString(prefix)
-		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
+		out.Float64(float64(in.ConcurrencyLimit))
+	}
+	{
+		const prefix string = ",\"repeatable\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Idempotent))
+	}
+	if in.Authority != "" {
+		const prefix string = ",\"authority\":"
+		out.RawString(prefix)
+		out.String(string(in.Authority))
+	}
+	if in.PathPrefix != "" {
+		const prefix string = ",\"path_prefix\":"
+		out.RawString(prefix)
+		out.String(string(in.PathPrefix))
+	}
+	if len(in.Split) != 0 {
+		const prefix string = ",\"split\":"
+		out.RawString(prefix)
+		{
 			out.RawByte('[')
-			for v23, v24 := range in.Services {
-				if v23 > 0 {
+			for v20, v21 := range in.Split {
+				if v20 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v24))
+				(v21).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.ConnectionLimit != 0 {
-		const prefix string = ",\"connection_limit\":"
+	if in.Deadline != 0 {
+		const prefix string = ",\"deadline\":"
 		out.RawString(prefix)
-		out.Int(int(in.ConnectionLimit))
+		(in.Deadline).MarshalEasyJSON(out)
 	}
-	if in.HealthPath != "" {
-		const prefix string = ",\"health_path\":"
+	if in.Attempts != 0 {
+		const prefix string = ",\"attempts\":"
 		out.RawString(prefix)
-		out.String(string(in.HealthPath))
+		out.Int(int(in.Attempts))
 	}
-	if true {
-		const prefix string = ",\"engine\":"
+	if in.Rank != 0 {
+		const prefix string = ",\"rank\":"
 		out.RawString(prefix)
-		(in.Engine).MarshalEasyJSON(out)
+		out.Int(int(in.Rank))
+	}
+	if in.Resumable {
+		const prefix string = ",\"resumable\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Resumable))
+	}
+	if in.Pause != 0 {
+		const prefix string = ",\"pause\":"
+		out.RawString(prefix)
+		(in.Pause).MarshalEasyJSON(out)
+	}
+	if in.CancelOnDisconnect {
+		const prefix string = ",\"cancel_on_disconnect\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.CancelOnDisconnect))
+	}
+	if in.Public {
+		const prefix string = ",\"public\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Public))
 	}
 	if len(in.Annotations) != 0 {
 		const prefix string = ",\"annotations\":"
@@ -906,29 +844,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Pool) MarshalJSON() ([]byte, error) {
+func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig5(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Pool) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig5(w, v)
+func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson4ca8a529EncodeWardtrayConfig4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Pool) UnmarshalJSON(data []byte) error {
+func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig5(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Pool) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig5(l, v)
+func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson4ca8a529DecodeWardtrayConfig4(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig6(in *jlexer.Lexer, out *Names) {
+func easyjson4ca8a529DecodeWardtrayConfig5(in *jlexer.Lexer, out *Quota) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -942,113 +880,29 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "zones":
+		case "rate":
 			if in.IsNull() {
 				in.Skip()
-				out.Zones = nil
 			} else {
-				in.Delim('[')
-				if out.Zones == nil {
-					if !in.IsDelim(']') {
-						out.Zones = make([]string, 0, 4)
-					} else {
-						out.Zones = []string{}
-					}
-				} else {
-					out.Zones = (out.Zones)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v25 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v25 = string(in.String())
-					}
-					out.Zones = append(out.Zones, v25)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Rate = float64(in.Float64())
 			}
-		case "pools":
+		case "burst":
 			if in.IsNull() {
 				in.Skip()
-				out.Pools = nil
 			} else {
-				in.Delim('[')
-				if out.Pools == nil {
-					if !in.IsDelim(']') {
-						out.Pools = make([]string, 0, 4)
-					} else {
-						out.Pools = []string{}
-					}
-				} else {
-					out.Pools = (out.Pools)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v26 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v26 = string(in.String())
-					}
-					out.Pools = append(out.Pools, v26)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Burst = float64(in.Float64())
 			}
-		case "lanes":
+		case "tokens":
 			if in.IsNull() {
 				in.Skip()
-				out.Lanes = nil
 			} else {
-				in.Delim('[')
-				if out.Lanes == nil {
-					if !in.IsDelim(']') {
-						out.Lanes = make([]string, 0, 4)
-					} else {
-						out.Lanes = []string{}
-					}
-				} else {
-					out.Lanes = (out.Lanes)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v27 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v27 = string(in.String())
-					}
-					out.Lanes = append(out.Lanes, v27)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Tokens = bool(in.Bool())
 			}
-		case "tenants":
+		case "uncounted_tokens":
 			if in.IsNull() {
 				in.Skip()
-				out.Tenants = nil
 			} else {
-				in.Delim('[')
-				if out.Tenants == nil {
-					if !in.IsDelim(']') {
-						out.Tenants = make([]string, 0, 4)
-					} else {
-						out.Tenants = []string{}
-					}
-				} else {
-					out.Tenants = (out.Tenants)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v28 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v28 = string(in.String())
-					}
-					out.Tenants = append(out.Tenants, v28)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.UncountedTokens = int(in.Int())
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -1064,109 +918,153 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig6(out *jwriter.Writer, in Names) {
+func easyjson4ca8a529EncodeWardtrayConfig5(out *jwriter.Writer, in Quota) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if len(in.Zones) != 0 {
-		const prefix string = ",\"zones\":"
+	if in.Rate != 0 {
+		const prefix string = ",\"rate\":"
 		first = false
 		out.RawString(prefix[1:])
-		{
-			out.RawByte('[')
-			for v29, v30 := range in.Zones {
-				if v29 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v30))
-			}
-			out.RawByte(']')
-		}
+		out.Float64(float64(in.Rate))
 	}
-	if len(in.Pools) != 0 {
-		const prefix string = ",\"pools\":"
+	if in.Burst != 0 {
+		const prefix string = ",\"burst\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		{
-			out.RawByte('[')
-			for v31, v32 := range in.Pools {
-				if v31 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v32))
-			}
-			out.RawByte(']')
-		}
+		out.Float64(float64(in.Burst))
 	}
-	if len(in.Lanes) != 0 {
-		const prefix string = ",\"lanes\":"
+	if in.Tokens {
+		const prefix string = ",\"tokens\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		{
-			out.RawByte('[')
-			for v33, v34 := range in.Lanes {
-				if v33 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v34))
-			}
-			out.RawByte(']')
-		}
+		out.Bool(bool(in.Tokens))
 	}
-	if len(in.Tenants) != 0 {
-		const prefix string = ",\"tenants\":"
+	if in.UncountedTokens != 0 {
+		const prefix string = ",\"uncounted_tokens\":"
 		if first {
 			first = false
 			out.RawString(prefix[1:])
 		} else {
 			out.RawString(prefix)
 		}
-		{
-			out.RawByte('[')
-			for v35, v36 := range in.Tenants {
-				if v35 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v36))
+		out.Int(int(in.UncountedTokens))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Quota) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson4ca8a529EncodeWardtrayConfig5(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Quota) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson4ca8a529EncodeWardtrayConfig5(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Quota) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson4ca8a529DecodeWardtrayConfig5(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Quota) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson4ca8a529DecodeWardtrayConfig5(l, v)
+}
+func easyjson4ca8a529DecodeWardtrayConfig6(in *jlexer.Lexer, out *Problem) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "path":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Path = string(in.String())
 			}
-			out.RawByte(']')
+		case "detail":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Detail = string(in.String())
+			}
+		default:
+			in.AddError(&jlexer.LexerError{
+				Offset: in.GetPos(),
+				Reason: "unknown field",
+				Data:   key,
+			})
 		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson4ca8a529EncodeWardtrayConfig6(out *jwriter.Writer, in Problem) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"path\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Path))
+	}
+	{
+		const prefix string = ",\"detail\":"
+		out.RawString(prefix)
+		out.String(string(in.Detail))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Names) MarshalJSON() ([]byte, error) {
+func (v Problem) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson4ca8a529EncodeWardtrayConfig6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Names) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Problem) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson4ca8a529EncodeWardtrayConfig6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Names) UnmarshalJSON(data []byte) error {
+func (v *Problem) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson4ca8a529DecodeWardtrayConfig6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Names) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Problem) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig6(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig7(in *jlexer.Lexer, out *Limits) {
+func easyjson4ca8a529DecodeWardtrayConfig7(in *jlexer.Lexer, out *Pool) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1180,29 +1078,101 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "header_bytes":
+		case "name":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HeaderBytes = int(in.Int())
+				out.Name = string(in.String())
 			}
-		case "body_bytes":
+		case "model":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.BodyBytes = int(in.Int())
+				out.Model = string(in.String())
 			}
-		case "header_time":
+		case "weights":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.HeaderTime).UnmarshalEasyJSON(in)
+				out.Weights = string(in.String())
 			}
-		case "idle_time":
+		case "adapters":
 			if in.IsNull() {
 				in.Skip()
+				out.Adapters = nil
 			} else {
-				(out.IdleTime).UnmarshalEasyJSON(in)
+				in.Delim('[')
+				if out.Adapters == nil {
+					if !in.IsDelim(']') {
+						out.Adapters = make([]string, 0, 4)
+					} else {
+						out.Adapters = []string{}
+					}
+				} else {
+					out.Adapters = (out.Adapters)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v22 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v22 = string(in.String())
+					}
+					out.Adapters = append(out.Adapters, v22)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "services":
+			if in.IsNull() {
+				in.Skip()
+				out.Services = nil
+			} else {
+				in.Delim('[')
+				if out.Services == nil {
+					if !in.IsDelim(']') {
+						out.Services = make([]string, 0, 4)
+					} else {
+						out.Services = []string{}
+					}
+				} else {
+					out.Services = (out.Services)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v23 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v23 = string(in.String())
+					}
+					out.Services = append(out.Services, v23)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "connection_limit":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ConnectionLimit = int(in.Int())
+			}
+		case "health_path":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.HealthPath = string(in.String())
+			}
+		case "engine":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Engine).UnmarshalEasyJSON(in)
+			}
+		case "annotations":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Annotations).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -1218,73 +1188,102 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig7(out *jwriter.Writer, in Limits) {
+func easyjson4ca8a529EncodeWardtrayConfig7(out *jwriter.Writer, in Pool) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.HeaderBytes != 0 {
-		const prefix string = ",\"header_bytes\":"
-		first = false
+	{
+		const prefix string = ",\"name\":"
 		out.RawString(prefix[1:])
-		out.Int(int(in.HeaderBytes))
+		out.String(string(in.Name))
 	}
-	if in.BodyBytes != 0 {
-		const prefix string = ",\"body_bytes\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
-		}
-		out.Int(int(in.BodyBytes))
+	if in.Model != "" {
+		const prefix string = ",\"model\":"
+		out.RawString(prefix)
+		out.String(string(in.Model))
 	}
-	if in.HeaderTime != 0 {
-		const prefix string = ",\"header_time\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
-		} else {
-			out.RawString(prefix)
+	if in.Weights != "" {
+		const prefix string = ",\"weights\":"
+		out.RawString(prefix)
+		out.String(string(in.Weights))
+	}
+	if len(in.Adapters) != 0 {
+		const prefix string = ",\"adapters\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v24, v25 := range in.Adapters {
+				if v24 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v25))
+			}
+			out.RawByte(']')
 		}
-		(in.HeaderTime).MarshalEasyJSON(out)
 	}
-	if in.IdleTime != 0 {
-		const prefix string = ",\"idle_time\":"
-		if first {
-			first = false
-			out.RawString(prefix[1:])
+	{
+		const prefix string = ",\"services\":"
+		out.RawString(prefix)
+		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
 		} else {
-			out.RawString(prefix)
+			out.RawByte('[')
+			for v26, v27 := range in.Services {
+				if v26 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v27))
+			}
+			out.RawByte(']')
 		}
-		(in.IdleTime).MarshalEasyJSON(out)
+	}
+	if in.ConnectionLimit != 0 {
+		const prefix string = ",\"connection_limit\":"
+		out.RawString(prefix)
+		out.Int(int(in.ConnectionLimit))
+	}
+	if in.HealthPath != "" {
+		const prefix string = ",\"health_path\":"
+		out.RawString(prefix)
+		out.String(string(in.HealthPath))
+	}
+	if true {
+		const prefix string = ",\"engine\":"
+		out.RawString(prefix)
+		(in.Engine).MarshalEasyJSON(out)
+	}
+	if len(in.Annotations) != 0 {
+		const prefix string = ",\"annotations\":"
+		out.RawString(prefix)
+		(in.Annotations).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Limits) MarshalJSON() ([]byte, error) {
+func (v Pool) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson4ca8a529EncodeWardtrayConfig7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Pool) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson4ca8a529EncodeWardtrayConfig7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Limits) UnmarshalJSON(data []byte) error {
+func (v *Pool) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson4ca8a529DecodeWardtrayConfig7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Pool) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig7(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig8(in *jlexer.Lexer, out *Lane) {
+func easyjson4ca8a529DecodeWardtrayConfig8(in *jlexer.Lexer, out *Names) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1298,129 +1297,114 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "name":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "pool":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Pool = string(in.String())
-			}
-		case "worth":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Worth = float64(in.Float64())
-			}
-		case "patience":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Patience).UnmarshalEasyJSON(in)
-			}
-		case "purse":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Purse = float64(in.Float64())
-			}
-		case "repeatable":
+		case "zones":
 			if in.IsNull() {
 				in.Skip()
+				out.Zones = nil
 			} else {
-				out.Repeatable = bool(in.Bool())
+				in.Delim('[')
+				if out.Zones == nil {
+					if !in.IsDelim(']') {
+						out.Zones = make([]string, 0, 4)
+					} else {
+						out.Zones = []string{}
+					}
+				} else {
+					out.Zones = (out.Zones)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v28 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v28 = string(in.String())
+					}
+					out.Zones = append(out.Zones, v28)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "authority":
+		case "pools":
 			if in.IsNull() {
 				in.Skip()
+				out.Backends = nil
 			} else {
-				out.Authority = string(in.String())
+				in.Delim('[')
+				if out.Backends == nil {
+					if !in.IsDelim(']') {
+						out.Backends = make([]string, 0, 4)
+					} else {
+						out.Backends = []string{}
+					}
+				} else {
+					out.Backends = (out.Backends)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v29 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v29 = string(in.String())
+					}
+					out.Backends = append(out.Backends, v29)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "path_prefix":
+		case "lanes":
 			if in.IsNull() {
 				in.Skip()
+				out.Routes = nil
 			} else {
-				out.PathPrefix = string(in.String())
+				in.Delim('[')
+				if out.Routes == nil {
+					if !in.IsDelim(']') {
+						out.Routes = make([]string, 0, 4)
+					} else {
+						out.Routes = []string{}
+					}
+				} else {
+					out.Routes = (out.Routes)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v30 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v30 = string(in.String())
+					}
+					out.Routes = append(out.Routes, v30)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "split":
+		case "tenants":
 			if in.IsNull() {
 				in.Skip()
-				out.Split = nil
+				out.Tenants = nil
 			} else {
 				in.Delim('[')
-				if out.Split == nil {
+				if out.Tenants == nil {
 					if !in.IsDelim(']') {
-						out.Split = make([]Share, 0, 2)
+						out.Tenants = make([]string, 0, 4)
 					} else {
-						out.Split = []Share{}
+						out.Tenants = []string{}
 					}
 				} else {
-					out.Split = (out.Split)[:0]
+					out.Tenants = (out.Tenants)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v37 Share
+					var v31 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v37).UnmarshalEasyJSON(in)
+						v31 = string(in.String())
 					}
-					out.Split = append(out.Split, v37)
+					out.Tenants = append(out.Tenants, v31)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "deadline":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Deadline).UnmarshalEasyJSON(in)
-			}
-		case "attempts":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Attempts = int(in.Int())
-			}
-		case "rank":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Rank = int(in.Int())
-			}
-		case "resumable":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Resumable = bool(in.Bool())
-			}
-		case "pause":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Pause).UnmarshalEasyJSON(in)
-			}
-		case "cancel_on_disconnect":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.CancelOnDisconnect = bool(in.Bool())
-			}
-		case "public":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Public = bool(in.Bool())
-			}
-		case "annotations":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Annotations).UnmarshalEasyJSON(in)
-			}
 		default:
 			in.AddError(&jlexer.LexerError{
 				Offset: in.GetPos(),
@@ -1435,131 +1419,109 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig8(out *jwriter.Writer, in Lane) {
+func easyjson4ca8a529EncodeWardtrayConfig8(out *jwriter.Writer, in Names) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"name\":"
+	if len(in.Zones) != 0 {
+		const prefix string = ",\"zones\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	if in.Pool != "" {
-		const prefix string = ",\"pool\":"
-		out.RawString(prefix)
-		out.String(string(in.Pool))
-	}
-	{
-		const prefix string = ",\"worth\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.Worth))
-	}
-	{
-		const prefix string = ",\"patience\":"
-		out.RawString(prefix)
-		(in.Patience).MarshalEasyJSON(out)
-	}
-	{
-		const prefix string = ",\"purse\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.Purse))
-	}
-	{
-		const prefix string = ",\"repeatable\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Repeatable))
+		{
+			out.RawByte('[')
+			for v32, v33 := range in.Zones {
+				if v32 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v33))
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.Authority != "" {
-		const prefix string = ",\"authority\":"
-		out.RawString(prefix)
-		out.String(string(in.Authority))
+	if len(in.Backends) != 0 {
+		const prefix string = ",\"pools\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('[')
+			for v34, v35 := range in.Backends {
+				if v34 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v35))
+			}
+			out.RawByte(']')
+		}
 	}
-	if in.PathPrefix != "" {
-		const prefix string = ",\"path_prefix\":"
-		out.RawString(prefix)
-		out.String(string(in.PathPrefix))
+	if len(in.Routes) != 0 {
+		const prefix string = ",\"lanes\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		{
+			out.RawByte('[')
+			for v36, v37 := range in.Routes {
+				if v36 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v37))
+			}
+			out.RawByte(']')
+		}
 	}
-	if len(in.Split) != 0 {
-		const prefix string = ",\"split\":"
-		out.RawString(prefix)
+	if len(in.Tenants) != 0 {
+		const prefix string = ",\"tenants\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
 		{
 			out.RawByte('[')
-			for v38, v39 := range in.Split {
+			for v38, v39 := range in.Tenants {
 				if v38 > 0 {
 					out.RawByte(',')
 				}
-				(v39).MarshalEasyJSON(out)
+				out.String(string(v39))
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.Deadline != 0 {
-		const prefix string = ",\"deadline\":"
-		out.RawString(prefix)
-		(in.Deadline).MarshalEasyJSON(out)
-	}
-	if in.Attempts != 0 {
-		const prefix string = ",\"attempts\":"
-		out.RawString(prefix)
-		out.Int(int(in.Attempts))
-	}
-	if in.Rank != 0 {
-		const prefix string = ",\"rank\":"
-		out.RawString(prefix)
-		out.Int(int(in.Rank))
-	}
-	if in.Resumable {
-		const prefix string = ",\"resumable\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Resumable))
-	}
-	if in.Pause != 0 {
-		const prefix string = ",\"pause\":"
-		out.RawString(prefix)
-		(in.Pause).MarshalEasyJSON(out)
-	}
-	if in.CancelOnDisconnect {
-		const prefix string = ",\"cancel_on_disconnect\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.CancelOnDisconnect))
-	}
-	if in.Public {
-		const prefix string = ",\"public\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Public))
-	}
-	if len(in.Annotations) != 0 {
-		const prefix string = ",\"annotations\":"
-		out.RawString(prefix)
-		(in.Annotations).MarshalEasyJSON(out)
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Lane) MarshalJSON() ([]byte, error) {
+func (v Names) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson4ca8a529EncodeWardtrayConfig8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Lane) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Names) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson4ca8a529EncodeWardtrayConfig8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Lane) UnmarshalJSON(data []byte) error {
+func (v *Names) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson4ca8a529DecodeWardtrayConfig8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Lane) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Names) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig8(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig9(in *jlexer.Lexer, out *Flaw) {
+func easyjson4ca8a529DecodeWardtrayConfig9(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1573,17 +1535,29 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "path":
+		case "header_bytes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Path = string(in.String())
+				out.HeaderBytes = int(in.Int())
 			}
-		case "detail":
+		case "body_bytes":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Detail = string(in.String())
+				out.BodyBytes = int(in.Int())
+			}
+		case "header_time":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.HeaderTime).UnmarshalEasyJSON(in)
+			}
+		case "idle_time":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.IdleTime).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.AddError(&jlexer.LexerError{
@@ -1599,44 +1573,70 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig9(out *jwriter.Writer, in Flaw) {
+func easyjson4ca8a529EncodeWardtrayConfig9(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
-	{
-		const prefix string = ",\"path\":"
+	if in.HeaderBytes != 0 {
+		const prefix string = ",\"header_bytes\":"
+		first = false
 		out.RawString(prefix[1:])
-		out.String(string(in.Path))
+		out.Int(int(in.HeaderBytes))
 	}
-	{
-		const prefix string = ",\"detail\":"
-		out.RawString(prefix)
-		out.String(string(in.Detail))
+	if in.BodyBytes != 0 {
+		const prefix string = ",\"body_bytes\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		out.Int(int(in.BodyBytes))
+	}
+	if in.HeaderTime != 0 {
+		const prefix string = ",\"header_time\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		(in.HeaderTime).MarshalEasyJSON(out)
+	}
+	if in.IdleTime != 0 {
+		const prefix string = ",\"idle_time\":"
+		if first {
+			first = false
+			out.RawString(prefix[1:])
+		} else {
+			out.RawString(prefix)
+		}
+		(in.IdleTime).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Flaw) MarshalJSON() ([]byte, error) {
+func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson4ca8a529EncodeWardtrayConfig9(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Flaw) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson4ca8a529EncodeWardtrayConfig9(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Flaw) UnmarshalJSON(data []byte) error {
+func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson4ca8a529DecodeWardtrayConfig9(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Flaw) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig9(l, v)
 }
 func easyjson4ca8a529DecodeWardtrayConfig10(in *jlexer.Lexer, out *Entries) {
@@ -1683,17 +1683,17 @@
 		case "pools":
 			if in.IsNull() {
 				in.Skip()
-				out.Pools = nil
+				out.Backends = nil
 			} else {
 				in.Delim('[')
-				if out.Pools == nil {
+				if out.Backends == nil {
 					if !in.IsDelim(']') {
-						out.Pools = make([]Pool, 0, 0)
+						out.Backends = make([]Pool, 0, 0)
 					} else {
-						out.Pools = []Pool{}
+						out.Backends = []Pool{}
 					}
 				} else {
-					out.Pools = (out.Pools)[:0]
+					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v41 Pool
@@ -1702,7 +1702,7 @@
 					} else {
 						(v41).UnmarshalEasyJSON(in)
 					}
-					out.Pools = append(out.Pools, v41)
+					out.Backends = append(out.Backends, v41)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1711,7 +1711,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Lanes).UnmarshalEasyJSON(in)
+				(out.Routes).UnmarshalEasyJSON(in)
 			}
 		case "tenants":
 			if in.IsNull() {
@@ -1773,7 +1773,7 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Pools) != 0 {
+	if len(in.Backends) != 0 {
 		const prefix string = ",\"pools\":"
 		if first {
 			first = false
@@ -1783,7 +1783,7 @@
 		}
 		{
 			out.RawByte('[')
-			for v45, v46 := range in.Pools {
+			for v45, v46 := range in.Backends {
 				if v45 > 0 {
 					out.RawByte(',')
 				}
@@ -1792,7 +1792,7 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Lanes) != 0 {
+	if len(in.Routes) != 0 {
 		const prefix string = ",\"lanes\":"
 		if first {
 			first = false
@@ -1800,7 +1800,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		(in.Lanes).MarshalEasyJSON(out)
+		(in.Routes).MarshalEasyJSON(out)
 	}
 	if len(in.Tenants) != 0 {
 		const prefix string = ",\"tenants\":"
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -64,28 +64,28 @@
 }
 
 const (
-	lane   = `"worth":1,`
-	pool   = `"services":["s"]`
-	target = `"pool":"p"`
-	whole  = `"zones":`
+	route   = `"worth":1,`
+	backend = `"services":["s"]`
+	target  = `"pool":"p"`
+	whole   = `"zones":`
 )
 
 // TestEveryFieldHasItsBounds breaks one field at a time; the path of the flaw names it.
 func TestEveryFieldHasItsBounds(t *testing.T) {
 	long := strings.Repeat("x", 257)
-	second := lane + `"patience":"1s","purse":1,"repeatable":false,"authority":"H.example:80","path_prefix":"/a/"},
+	second := route + `"patience":"1s","purse":1,"repeatable":false,"authority":"H.example:80","path_prefix":"/a/"},
 {"name":"m","pool":"p","authority":"h.EXAMPLE","path_prefix":"/a/",`
 	cases := []struct{ path, old, fresh string }{
-		{"lanes[0].authority", lane, lane + `"path_prefix":"/a/",`},
-		{"lanes[0].authority", lane, lane + `"authority":"a/b","path_prefix":"/a/",`},
-		{"lanes[0].authority", lane, lane + `"authority":"a b","path_prefix":"/a/",`},
-		{"lanes[0].authority", lane, lane + `"authority":"` + long + `","path_prefix":"/a/",`},
-		{"lanes[0].path_prefix", lane, lane + `"authority":"h",`},
-		{"lanes[0].path_prefix", lane, lane + `"authority":"h","path_prefix":"a/",`},
-		{"lanes[0].path_prefix", lane, lane + `"authority":"h","path_prefix":"/a",`},
-		{"lanes[0].path_prefix", lane, lane + `"authority":"h","path_prefix":"/a b/",`},
-		{"lanes[0].path_prefix", lane, lane + `"authority":"h","path_prefix":"/` + strings.Repeat("x", 1024) + `/",`},
-		{"lanes[1].path_prefix", lane, second},
+		{"lanes[0].authority", route, route + `"path_prefix":"/a/",`},
+		{"lanes[0].authority", route, route + `"authority":"a/b","path_prefix":"/a/",`},
+		{"lanes[0].authority", route, route + `"authority":"a b","path_prefix":"/a/",`},
+		{"lanes[0].authority", route, route + `"authority":"` + long + `","path_prefix":"/a/",`},
+		{"lanes[0].path_prefix", route, route + `"authority":"h",`},
+		{"lanes[0].path_prefix", route, route + `"authority":"h","path_prefix":"a/",`},
+		{"lanes[0].path_prefix", route, route + `"authority":"h","path_prefix":"/a",`},
+		{"lanes[0].path_prefix", route, route + `"authority":"h","path_prefix":"/a b/",`},
+		{"lanes[0].path_prefix", route, route + `"authority":"h","path_prefix":"/` + strings.Repeat("x", 1024) + `/",`},
+		{"lanes[1].path_prefix", route, second},
 		{"lanes[0].pool", target, `"attempts":1`},
 		{"lanes[0].split", target, `"pool":"p","split":[{"pool":"p","weight":1}]`},
 		{"lanes[0].split", target, `"split":[]`},
@@ -94,32 +94,32 @@
 		{"lanes[0].split[0].weight", target, `"split":[{"pool":"p","weight":-1},{"pool":"p","weight":3}]`},
 		{"lanes[0].split[0].weight", target, `"split":[{"pool":"p","weight":1000001}]`},
 		{"lanes[0].split", target, `"split":[` + strings.Repeat(`{"pool":"p","weight":1},`, 64) + `{"pool":"p","weight":1}]`},
-		{"lanes[0].deadline", lane, lane + `"deadline":"-1s",`},
-		{"lanes[0].deadline", lane, lane + `"deadline":"25h",`},
-		{"lanes[0].attempts", lane, lane + `"attempts":-1,`},
-		{"lanes[0].attempts", lane, lane + `"attempts":1001,`},
-		{"lanes[0].rank", lane, lane + `"rank":-1,`},
-		{"lanes[0].rank", lane, lane + `"rank":1001,`},
-		{"lanes[0].pause", lane, lane + `"pause":"-1ms",`},
-		{"lanes[0].pause", lane, lane + `"pause":"25h",`},
+		{"lanes[0].deadline", route, route + `"deadline":"-1s",`},
+		{"lanes[0].deadline", route, route + `"deadline":"25h",`},
+		{"lanes[0].attempts", route, route + `"attempts":-1,`},
+		{"lanes[0].attempts", route, route + `"attempts":1001,`},
+		{"lanes[0].rank", route, route + `"rank":-1,`},
+		{"lanes[0].rank", route, route + `"rank":1001,`},
+		{"lanes[0].pause", route, route + `"pause":"-1ms",`},
+		{"lanes[0].pause", route, route + `"pause":"25h",`},
 		{"lanes[0].patience", `"1s"`, `"9ms"`},
 		{"lanes[0].patience", `"1s"`, `"61m"`},
-		{"lanes[0].worth", lane, `"worth":0,`},
-		{"lanes[0].worth", lane, `"worth":1001,`},
+		{"lanes[0].worth", route, `"worth":0,`},
+		{"lanes[0].worth", route, `"worth":1001,`},
 		{"lanes[0].purse", `"purse":0.5`, `"purse":0`},
 		{"lanes[0].purse", `"purse":0.5`, `"purse":1.1`},
 		{"lanes[0].name", `"name":"l"`, `"name":"` + long + `"`},
 		{"lanes[0].name", `"name":"l"`, `"name":"a/b"`},
-		{"lanes[0].annotations", lane, lane + `"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"},`},
-		{"lanes[0].annotations." + long, lane, lane + `"annotations":{"` + long + `":1},`},
+		{"lanes[0].annotations", route, route + `"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"},`},
+		{"lanes[0].annotations." + long, route, route + `"annotations":{"` + long + `":1},`},
 		{"pools[0].model", `"model":"m",`, ``},
 		{"pools[0].weights", `"weights":"w",`, ``},
-		{"pools[0].connection_limit", pool, pool + `,"connection_limit":-1`},
-		{"pools[0].health_path", pool, pool + `,"health_path":"health"`},
-		{"pools[0].engine.slots", pool, pool + `,"engine":{"slots":-1}`},
-		{"pools[0].engine.memory_tokens", pool, pool + `,"engine":{"memory_tokens":-1}`},
-		{"pools[0].engine.event_tokens", pool, pool + `,"engine":{"event_tokens":-1}`},
-		{"pools[0].annotations", pool, pool + `,"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"}`},
+		{"pools[0].connection_limit", backend, backend + `,"connection_limit":-1`},
+		{"pools[0].health_path", backend, backend + `,"health_path":"health"`},
+		{"pools[0].engine.slots", backend, backend + `,"engine":{"slots":-1}`},
+		{"pools[0].engine.memory_tokens", backend, backend + `,"engine":{"memory_tokens":-1}`},
+		{"pools[0].engine.event_tokens", backend, backend + `,"engine":{"event_tokens":-1}`},
+		{"pools[0].annotations", backend, backend + `,"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"}`},
 		{"limits.header_bytes", whole, `"limits":{"header_bytes":-1},` + whole},
 		{"limits.body_bytes", whole, `"limits":{"body_bytes":-1},` + whole},
 		{"limits.header_time", whole, `"limits":{"header_time":"-1s"},` + whole},
@@ -136,35 +136,35 @@
 
 func TestWhatIsLeftOutHasItsDefault(t *testing.T) {
 	parsed := with(t, `"worth":1,"patience":"1s","purse":0.5,`, `"patience":"1s",`)
-	if len(parsed.Check()) > 0 || parsed.Lanes[0].Worth != 1 || parsed.Lanes[0].Purse != 1 {
-		t.Fatalf("%v %+v", parsed.Check(), parsed.Lanes[0])
+	if len(parsed.Check()) > 0 || parsed.Routes[0].Value != 1 || parsed.Routes[0].ConcurrencyLimit != 1 {
+		t.Fatalf("%v %+v", parsed.Check(), parsed.Routes[0])
 	}
 	bare := with(t, `"model":"m","weights":"w",`, ``)
-	if len(bare.Check()) > 0 || !bare.Pools[0].Runs("any") {
+	if len(bare.Check()) > 0 || !bare.Backends[0].Runs("any") {
 		t.Fatalf("a pool of any model: %v", bare.Check())
 	}
-	if named := with(t, whole, whole); named.Pools[0].Runs("any") || !named.Pools[0].Runs("m") {
+	if named := with(t, whole, whole); named.Backends[0].Runs("any") || !named.Backends[0].Runs("m") {
 		t.Fatal("a pool of one model serves another")
 	}
 	empty, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[]}`))
 	if err != nil || len(empty.Check()) > 0 {
 		t.Fatalf("a spec that holds nothing on purpose: %v %v", err, empty.Check())
 	}
-	if !NewBook(empty).Open("anywhere") || NewBook(parsed).Open("anywhere") || !NewBook(parsed).Open("a") {
+	if !NewCatalog(empty).Open("anywhere") || NewCatalog(parsed).Open("anywhere") || !NewCatalog(parsed).Open("a") {
 		t.Fatal("a spec without zones leaves all open, one with zones only those it names")
 	}
 }
 
 func TestAnnotationsComeBackAsTheyCame(t *testing.T) {
 	text := `{"z":1.50,"a":{"x":[1, 2],"b":null},"m":"é\u0041"}`
-	parsed := with(t, lane, lane+`"annotations":`+text+`,`)
+	parsed := with(t, route, route+`"annotations":`+text+`,`)
 	for range 20 {
 		again, err := Parse(parsed.Encode())
 		if err != nil || string(again.Encode()) != string(parsed.Encode()) {
 			t.Fatalf("another form each time: %v", err)
 		}
 		for name, want := range map[string]string{"z": "1.50", "a": `{"x":[1, 2],"b":null}`, "m": `"é\u0041"`} {
-			if got := string(again.Lanes[0].Annotations[name]); got != want {
+			if got := string(again.Routes[0].Annotations[name]); got != want {
 				t.Fatalf("%s is %s", name, got)
 			}
 		}
--- a/control/node/acknowledgement.go
+++ b/control/node/acknowledgement.go
@@ -9,14 +9,14 @@
 
 // waiter is an operator whose change is on its way.
 type waiter struct {
-	ask      *wire.OperatorAsk
+	ask      *wire.OperatorRequest
 	sequence uint64
 	epoch    uint64
 	until    time.Time
 	view     uint64
 }
 
-func (node *Node) await(now time.Time, message *wire.OperatorAsk, sequence, epoch uint64) {
+func (node *Node) await(now time.Time, message *wire.OperatorRequest, sequence, epoch uint64) {
 	for _, waiter := range node.head.waiters {
 		if waiter.ask.Token == message.Token {
 			return
@@ -63,23 +63,23 @@
 	}
 }
 
-// delivered tells whether a committed change may be acknowledged: a majority of the keepers knows it, and no lease from
+// delivered tells whether a committed change may be acknowledged: a majority of the acceptors knows it, and no lease from
 // before can still run at a daemon that does not, whether the head granted it, the head before it, or a majority of
-// keepers. Only daemons of the directory get leases, so where all of them are known to have the change none can.
+// acceptors. Only daemons of the directory get leases, so where all of them are known to have the change none can.
 func (node *Node) delivered(now time.Time, sequence uint64) bool {
 	document := node.chain.Committed()
-	if document.Sequence < sequence || node.head.begun.IsZero() {
+	if document.Sequence < sequence || node.head.started.IsZero() {
 		return false
 	}
 	// A chain that shrank since the change came in has fewer copies than a change needs.
-	if current := node.agent.Current(); len(current.Chain) < int(current.Floor) || node.growing(now) {
+	if current := node.agent.Current(); len(current.Chain) < int(current.MinReplicas) || node.growing(now) {
 		return false
 	}
 	if !node.mostKnow(sequence) {
 		return false
 	}
 	return node.allDaemonsKnow(document, sequence) ||
-		node.keepersClear(now, sequence) && node.formerLeasesOver(now, document, sequence) && node.leasesOver(now, sequence)
+		node.acceptorsClear(now, sequence) && node.previousLeasesOver(now, document, sequence) && node.leasesOver(now, sequence)
 }
 
 // allDaemonsKnow tells whether every daemon that may hold a lease knows a sequence, or has ended since it was committed.
@@ -88,15 +88,15 @@
 	return found && node.allHarmless(document, sequence, committed)
 }
 
-// formerLeasesOver tells whether no lease of the head before this one can run at a daemon that does not know a
-// sequence. It may have granted one to anybody in the directory, or in the one before, until this reign began.
-func (node *Node) formerLeasesOver(now time.Time, document *wire.Document, sequence uint64) bool {
-	return now.Sub(node.head.begun) >= node.leaseLength() || node.allHarmless(document, sequence, node.head.begun)
+// previousLeasesOver tells whether no lease of the head before this one can run at a daemon that does not know a
+// sequence. It may have granted one to anybody in the directory, or in the one before, until this term began.
+func (node *Node) previousLeasesOver(now time.Time, document *wire.Document, sequence uint64) bool {
+	return now.Sub(node.head.started) >= node.leaseLength() || node.allHarmless(document, sequence, node.head.started)
 }
 
 // allHarmless tells whether every daemon of a document's directory, and of the one before, is harmless.
 func (node *Node) allHarmless(document *wire.Document, sequence uint64, since time.Time) bool {
-	for _, directory := range [][]*wire.Member{document.Directory, document.FormerDirectory} {
+	for _, directory := range [][]*wire.Member{document.Directory, document.PreviousDirectory} {
 		for _, member := range directory {
 			if !node.harmless(member.Address, sequence, since) {
 				return false
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -49,17 +49,17 @@
 }
 
 // Bounds are the times that the control side derives from the limits. The time of a lease is none of them: its holder
-// and its keepers must count alike, also while their settings differ for a while, so it is a constant (lease.Term).
+// and its acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.Term).
 type Bounds struct {
 	// Suspicion is after what silence a machine counts as gone.
 	Suspicion time.Duration
-	// Sick is for how long a write may wait before a machine says that its disk fails.
-	Sick time.Duration
+	// Unhealthy is for how long a write may wait before a machine says that its disk fails.
+	Unhealthy time.Duration
 	// Broken is for how long one side of a link of the chain must not hear the other before one of them is taken out.
 	Broken time.Duration
 	// Frozen is after what pause a process takes it that it stood still itself, rather than that all others fell silent.
 	Frozen time.Duration
-	// Stagger is how long each keeper lets those before it propose a view first.
+	// Stagger is how long each acceptor lets those before it propose a view first.
 	Stagger time.Duration
 	// DaemonLease is for how long a daemon may rely on a lease, counted from its question.
 	DaemonLease time.Duration
@@ -74,7 +74,7 @@
 
 const (
 	usualSuspicion = 700 * time.Millisecond
-	leastSuspicion = 2*beatEvery + 100*time.Millisecond
+	leastSuspicion = 2*heartbeatEvery + 100*time.Millisecond
 	usualStagger   = 400 * time.Millisecond
 	usualStarting  = 2 * time.Second
 	leastStagger   = 200 * time.Millisecond
@@ -87,9 +87,9 @@
 	suspicion := max(leastSuspicion, min(usualSuspicion, repair*7/40, limits.Contact*7/30))
 	return Bounds{
 		Suspicion:   suspicion,
-		Sick:        suspicion,
+		Unhealthy:   suspicion,
 		Broken:      suspicion,
-		Frozen:      suspicion - beatEvery,
+		Frozen:      suspicion - heartbeatEvery,
 		Stagger:     max(leastStagger, min(usualStagger, repair/10)),
 		DaemonLease: StalenessFor(limits.Apply),
 		QuotaTerm:   limits.Acknowledge,
@@ -100,7 +100,7 @@
 }
 
 // Detection is after what time at most the loss of a machine is known.
-func (bounds Bounds) Detection() time.Duration { return bounds.Suspicion + beatEvery }
+func (bounds Bounds) Detection() time.Duration { return bounds.Suspicion + heartbeatEvery }
 
 // ViewChange is how long the agreement on a view takes at most where one proposer fails, disks and links being well.
 func (bounds Bounds) ViewChange() time.Duration { return 2 * bounds.Stagger }
@@ -110,10 +110,10 @@
 	return bounds.Detection() + bounds.Stagger + lease.Term + claimAgain
 }
 
-// SeatRepair is after what time at most a machine that has just started has the seat of a keeper that was lost no
+// SeatRepair is after what time at most a machine that has just started has the seat of a acceptor that was lost no
 // later: it is heard and told the view, says so, and a view is agreed.
 func (bounds Bounds) SeatRepair() time.Duration {
-	return bounds.Detection() + 2*beatEvery + bounds.ViewChange()
+	return bounds.Detection() + 2*heartbeatEvery + bounds.ViewChange()
 }
 
 // CopyRepair is after what time at most it has a place in the chain too: it learns the document and a view is agreed.
@@ -136,7 +136,7 @@
 		{"grace: the handing over of all that a machine holds", bounds.CopyRepair(), bounds.Leave},
 	} {
 		if need.needed > need.limit {
-			return apierror.New(apierror.BadStartup, "%s", fmt.Sprintf("%s may take %v, more than %v", need.what, need.needed, need.limit))
+			return apierror.New(apierror.BadSettings, "%s", fmt.Sprintf("%s may take %v, more than %v", need.what, need.needed, need.limit))
 		}
 	}
 	return nil
@@ -144,17 +144,17 @@
 
 // The periods, time limits and sizes of the control plane that depend on no setting.
 const (
-	beatEvery     = 200 * time.Millisecond
-	claimEvery    = 200 * time.Millisecond
-	claimAgain    = 40 * time.Millisecond
-	learnEvery    = 300 * time.Millisecond
-	learnedEvery  = time.Second
-	forgetBound   = 5 * time.Minute
-	logLimit      = 4 << 20
-	sweepEvery    = 5 * time.Second
-	maximumCohort = 64
+	heartbeatEvery     = 200 * time.Millisecond
+	claimEvery         = 200 * time.Millisecond
+	claimAgain         = 40 * time.Millisecond
+	learnEvery         = 300 * time.Millisecond
+	learnedEvery       = time.Second
+	forgetBound        = 5 * time.Minute
+	logLimit           = 4 << 20
+	sweepEvery         = 5 * time.Second
+	maximumPartialView = 64
 	// leaveSettling is how long at least a machine that leaves waits for views that others began before they heard of it.
-	leaveSettling = 2 * beatEvery
+	leaveSettling = 2 * heartbeatEvery
 
 	// leastChain is how long a chain may always grow.
 	leastChain = 5
@@ -172,7 +172,7 @@
 	// leaseMargin is what the head waits beyond that, for clocks that drift.
 	leaseMargin   = 100 * time.Millisecond
 	directoryWait = 300 * time.Millisecond
-	// callAfter is how long rumors have to bring a change to everybody before the head calls those who lack it.
+	// callAfter is how long gossip have to bring a change to everybody before the head calls those who lack it.
 	callAfter   = 40 * time.Millisecond
 	callEvery   = 100 * time.Millisecond
 	absentBound = 60 * time.Second
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -56,8 +56,8 @@
 func requireOrder(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	for what, holds := range map[string]bool{
-		"two beats within a suspicion":                   2*beatEvery < bounds.Suspicion,
-		"a frozen process knows before it suspects":      bounds.Frozen+beatEvery <= bounds.Suspicion,
+		"two beats within a suspicion":                   2*heartbeatEvery < bounds.Suspicion,
+		"a frozen process knows before it suspects":      bounds.Frozen+heartbeatEvery <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
 		"a holder's lease ends before a keeper's":        lease.Held < lease.Term,
 		"a lease asked for again before it ends":         2*claimEvery < lease.Held,
