--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -20,11 +20,11 @@
 	if testing.Short() {
 		seeds = 8
 	}
-	confirmed, refused, repeated := 0, 0, 0
+	confirmed, refused, retried := 0, 0, 0
 	for seed := int64(1); seed <= seeds; seed++ {
 		fleet := newTestFleet(t, seed, 3)
 		loss := fleet.random.Float64() * 0.2
-		fleet.lost = func(statemachine.Parcel) bool { return fleet.random.Float64() < loss }
+		fleet.lost = func(statemachine.Message) bool { return fleet.random.Float64() < loss }
 		trial := &callTrial{testFleet: fleet}
 		for round := range 12 {
 			trial.round(round)
@@ -33,11 +33,11 @@
 			accepted, turnedAway := call.answers()
 			confirmed += min(1, accepted)
 			refused += min(1, turnedAway)
-			repeated += accepted - min(1, accepted)
+			retried += accepted - min(1, accepted)
 		}
 	}
-	t.Logf("%d orders confirmed, %d refused, %d confirmed again", confirmed, refused, repeated)
-	if confirmed < 20 || refused < 20 || repeated < 20 {
+	t.Logf("%d orders confirmed, %d refused, %d confirmed again", confirmed, refused, retried)
+	if confirmed < 20 || refused < 20 || retried < 20 {
 		t.Error("too little was put to the test")
 	}
 }
@@ -45,7 +45,7 @@
 // callTrial plays callers that send their orders again while heads die.
 type callTrial struct {
 	*testFleet
-	calls []*repeatedCall
+	calls []*retriedCall
 	// epoch is the one that orders are built on, dead the machine that is down.
 	epoch uint64
 	dead  *testMember
@@ -55,7 +55,7 @@
 func (trial *callTrial) round(round int) {
 	for number := range 2 + trial.random.Intn(3) {
 		name := fmt.Sprintf("o%d.%d", round, number)
-		trial.calls = append(trial.calls, &repeatedCall{order: apply(name, trial.epoch, trial.epoch+1, "lane"+name)})
+		trial.calls = append(trial.calls, &retriedCall{order: apply(name, trial.epoch, trial.epoch+1, "lane"+name)})
 	}
 	for range 400 {
 		trial.harm()
@@ -92,13 +92,13 @@
 	}
 }
 
-// repeatedCall is an order with the answers to its copies.
-type repeatedCall struct {
-	order  *wire.OperatorAsk
+// retriedCall is an order with the answers to its copies.
+type retriedCall struct {
+	order  *wire.OperatorRequest
 	copies []*given
 }
 
-func (call *repeatedCall) answers() (accepted, refused int) {
+func (call *retriedCall) answers() (accepted, refused int) {
 	for _, answer := range call.copies {
 		switch {
 		case answer.status == 200:
@@ -111,7 +111,7 @@
 }
 
 // wantOneOutcome wants no order both confirmed or in effect and refused, and none confirmed beside another on its base.
-func (fleet *testFleet) wantOneOutcome(calls []*repeatedCall) {
+func (fleet *testFleet) wantOneOutcome(calls []*retriedCall) {
 	byBase := map[uint64]string{}
 	for _, call := range calls {
 		accepted, refused := call.answers()
@@ -162,7 +162,7 @@
 }
 
 // wantAccepted sends an order until it is acknowledged; no copy may be refused.
-func (fleet *testFleet) wantAccepted(member *testMember, order *wire.OperatorAsk, epoch uint64) {
+func (fleet *testFleet) wantAccepted(member *testMember, order *wire.OperatorRequest, epoch uint64) {
 	fleet.t.Helper()
 	answer := fleet.send(member, order)
 	fleet.until("an acknowledgement", 20*time.Second, func() bool {
@@ -190,8 +190,8 @@
 	}
 	// The last of the chain is silent to those before it, so that nothing is committed.
 	tail := fleet.at(head.node.View().Chain[2].Address)
-	fleet.lost = func(parcel statemachine.Parcel) bool {
-		return parcel.Envelope.GetChainHold() != nil && parcel.Envelope.From == tail.address
+	fleet.lost = func(parcel statemachine.Message) bool {
+		return parcel.Envelope.GetChainAck() != nil && parcel.Envelope.From == tail.address
 	}
 	order := apply("first", 0, 5, "a")
 	first := fleet.send(others[0], order)
@@ -250,12 +250,12 @@
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 1, "a"))
-	refused := &wire.OperatorAsk{Verb: "change", Operation: "refused", Spec: []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`)}
+	refused := &wire.OperatorRequest{Verb: "change", Operation: "refused", Spec: []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`)}
 	if got := lone.send(refused); got.status != 422 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
-	late := &wire.OperatorAsk{}
-	*late = wire.OperatorAsk{Verb: refused.Verb, Operation: refused.Operation, Spec: refused.Spec, Token: refused.Token, Origin: refused.Origin}
+	late := &wire.OperatorRequest{}
+	*late = wire.OperatorRequest{Verb: refused.Verb, Operation: refused.Operation, Spec: refused.Spec, Token: refused.Token, Origin: refused.Origin}
 	for number := range 3 * refusalWindow {
 		if got := lone.send(apply(fmt.Sprint("stale", number), 0, 9, "c")); got.status != 409 {
 			t.Fatalf("%d %+v", got.status, got.reply)
@@ -278,7 +278,7 @@
 		}
 	}
 	// The same order as a question of its own is another matter.
-	if got := lone.send(&wire.OperatorAsk{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}); got.status != 200 {
+	if got := lone.send(&wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}); got.status != 200 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 }
@@ -326,8 +326,8 @@
 	if late, refused := refusals.see("a/2/1"); late || refused {
 		t.Error("another life goes by the window of the one before")
 	}
-	for life := range 2 * maximumOrigins {
-		refusals.see(fmt.Sprintf("b/%d/1", life))
+	for incarnation := range 2 * maximumOrigins {
+		refusals.see(fmt.Sprintf("b/%d/1", incarnation))
 	}
 	if len(refusals.origins) > maximumOrigins {
 		t.Errorf("%d lives are remembered", len(refusals.origins))
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -24,7 +24,7 @@
 	}
 	for seed := int64(1); seed <= 3; seed++ {
 		fleet := newTestFleet(t, seed, 3)
-		operator := &testOperator{fleet: fleet, name: "o", lanes: 10}
+		operator := &testOperator{fleet: fleet, name: "o", routes: 10}
 		trial := &catchUpTrial{fleet: fleet, operator: operator, every: changes / 5, moved: fleet.now}
 		for operator.number < changes {
 			trial.step()
@@ -152,10 +152,10 @@
 func TestLogStaysBoundedOverRestarts(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 5, 3)
-	operator := &testOperator{fleet: fleet, name: "o", lanes: 800}
+	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
-	for life := range uint64(12) {
-		fleet.until("changes", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(life+1) })
+	for incarnation := range uint64(12) {
+		fleet.until("changes", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
 		fleet.until("its return", 10*time.Second, func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() })
@@ -169,7 +169,7 @@
 }
 
 // All lose their power just after a member has joined the chain, before it was sent what was committed since it
-// learned the document; it comes back first, with a keeper outside the chain. It must not lead with its old state.
+// learned the document; it comes back first, with a acceptor outside the chain. It must not lead with its old state.
 func TestJoinerDoesNotLeadAlone(t *testing.T) {
 	t.Parallel()
 	for _, wiped := range []bool{false, true} {
@@ -180,11 +180,11 @@
 			fleet.seeds = append(fleet.seeds, address)
 			lines = append(lines, &wire.Member{Id: name, Address: address, Zone: address})
 		}
-		view := &wire.View{Epoch: 5, Fleet: "f", Floor: 1, HeadSince: 1, Chain: lines[:2], Keepers: lines}
+		view := &wire.View{Epoch: 5, Fleet: "f", MinReplicas: 1, HeadTerm: 1, Chain: lines[:2], Acceptors: lines}
 		document := func(epoch uint64) *wire.Document {
 			return &wire.Document{Sequence: epoch, SpecEpoch: epoch, Spec: whole("a")}
 		}
-		for _, memory := range []*wire.Memory{{Document: document(10)}, {Document: document(4), Incomplete: true}, {Document: document(3)}} {
+		for _, memory := range []*wire.DurableState{{Document: document(10)}, {Document: document(4), Incomplete: true}, {Document: document(3)}} {
 			line := lines[len(fleet.members)]
 			memory.Id, memory.View = line.Id, view
 			member := &testMember{address: line.Address, identity: line.Id, disk: newTestDisk()}
--- a/control/node/change.go
+++ b/control/node/change.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-func (node *Node) serveChange(now time.Time, message *wire.OperatorAsk) {
+func (node *Node) serveChange(now time.Time, message *wire.OperatorRequest) {
 	if !node.leads(now, message) {
 		return
 	}
@@ -38,13 +38,13 @@
 	}
 	entry := &wire.Entry{Operation: message.Operation, ChangesSpec: true, SpecEpoch: epoch, Spec: content}
 	// A sick disk would hold this change up for as long as it takes the others to notice.
-	if node.sick(now) {
+	if node.unhealthy(now) {
 		call.refuse(now, 503, call.refusal(apierror.DiskFailed, "the head's disk does not keep up"))
 		return
 	}
 	if err := node.chain.Enter(now, entry); err != nil {
 		found := apierror.Of(err)
-		call.refuse(now, 503, call.refusal(found.Kind, found.Detail))
+		call.refuse(now, 503, call.refusal(found.Code, found.Detail))
 		return
 	}
 	node.counters.Accepted++
@@ -54,14 +54,14 @@
 // changeCall is one call for a change, at the head.
 type changeCall struct {
 	node    *Node
-	message *wire.OperatorAsk
+	message *wire.OperatorRequest
 	latest  *wire.Document
 	// refused tells that a copy of this call was refused before, so that it must not be taken any more.
 	refused bool
 }
 
 // refusal is a refusal that names the present epoch.
-func (call *changeCall) refusal(kind apierror.Kind, detail string) Reply {
+func (call *changeCall) refusal(kind apierror.Code, detail string) Reply {
 	return refusal(kind, call.latest.SpecEpoch, call.message.Operation, detail)
 }
 
@@ -87,8 +87,8 @@
 	changed, flaws, err := call.node.changed(message, latest)
 	if err != nil {
 		found := apierror.Of(err)
-		statuses := map[apierror.Kind]int{apierror.Malformed: 400, apierror.TooLarge: 413, apierror.InvalidSpec: 422}
-		call.refuse(now, statuses[found.Kind], call.refusal(found.Kind, found.Detail))
+		statuses := map[apierror.Code]int{apierror.Malformed: 400, apierror.TooLarge: 413, apierror.InvalidSpec: 422}
+		call.refuse(now, statuses[found.Code], call.refusal(found.Code, found.Detail))
 		return 0, nil, false
 	}
 	epoch = latest.SpecEpoch + 1
@@ -96,7 +96,7 @@
 		epoch = message.Epoch
 	}
 	if message.HasEpoch && message.Epoch <= latest.SpecEpoch {
-		flaws = append(flaws, config.Flaw{Path: "epoch", Detail: fmt.Sprintf("%d is not above the present one, %d", message.Epoch, latest.SpecEpoch)})
+		flaws = append(flaws, config.Problem{Path: "epoch", Detail: fmt.Sprintf("%d is not above the present one, %d", message.Epoch, latest.SpecEpoch)})
 	}
 	if len(flaws) > 0 {
 		reply := call.refusal(apierror.InvalidSpec, fmt.Sprintf("%d faults", len(flaws)))
@@ -114,7 +114,7 @@
 }
 
 // changed gives the spec that an order asks for, and its flaws.
-func (node *Node) changed(message *wire.OperatorAsk, latest *wire.Document) (*config.Spec, []config.Flaw, error) {
+func (node *Node) changed(message *wire.OperatorRequest, latest *wire.Document) (*config.Spec, []config.Problem, error) {
 	if message.Verb == "apply" {
 		parsed, err := config.Parse(message.Spec)
 		if err != nil {
@@ -122,7 +122,7 @@
 		}
 		return parsed, parsed.Check(), nil
 	}
-	present := &config.Spec{Zones: []config.Zone{}, Pools: []config.Pool{}, Lanes: config.Lanes{}}
+	present := &config.Spec{Zones: []config.Zone{}, Backends: []config.Pool{}, Routes: config.Routes{}}
 	if len(latest.Spec) > 0 {
 		read, err := config.Decode(latest.Spec)
 		if err != nil {
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -49,17 +49,17 @@
 // coreMachine is one machine of a fleet: a process, where one runs, and its disk.
 type coreMachine struct {
 	address, zone string
-	life          int
+	incarnation   int
 	node          *Node
 	writes        []write
 	// diskTime is how long a write takes beyond a step.
 	diskTime time.Duration
-	memory   *wire.Memory
+	memory   *wire.DurableState
 	records  []*wire.Record
 	// dark says that the machine is gone, so that nothing refuses a connection to it.
-	dark    bool
-	endedAt time.Time
-	leaveBy time.Time
+	dark       bool
+	finishedAt time.Time
+	leaveBy    time.Time
 }
 
 // write is one that the disk has under way.
@@ -68,7 +68,7 @@
 	done     time.Time
 }
 
-// newFleet founds a fleet, the first three machines as founders, and runs it until it leads with all keepers.
+// newFleet founds a fleet, the first three machines as founders, and runs it until it leads with all acceptors.
 func newFleet(t *testing.T, faults, count int) *fleet {
 	t.Helper()
 	fleet := &fleet{t: t, now: time.Unix(1_700_000_000, 0), faults: faults, every: changeEvery, acked: map[string]uint64{}}
@@ -100,16 +100,16 @@
 
 // start starts the process of a machine on what its disk holds.
 func (fleet *fleet) start(machine *coreMachine, founding bool) {
-	machine.life++
+	machine.incarnation++
 	if machine.memory == nil {
-		machine.memory = &wire.Memory{Id: fmt.Sprintf("%s#%d", machine.address, machine.life)}
+		machine.memory = &wire.DurableState{Id: fmt.Sprintf("%s#%d", machine.address, machine.incarnation)}
 	}
-	seed := int64(len(machine.address)) + int64(slices.Index(fleet.machines, machine))*100 + int64(machine.life)
-	startup := Startup{Address: machine.address, Zone: machine.zone, Seeds: fleet.running(), Faults: fleet.faults}
+	seed := int64(len(machine.address)) + int64(slices.Index(fleet.machines, machine))*100 + int64(machine.incarnation)
+	settings := Settings{Address: machine.address, Zone: machine.zone, Seeds: fleet.running(), Faults: fleet.faults}
 	if founding {
-		startup.Founding, startup.Seeds, startup.Founders = true, fleet.seeds, fleet.seeds
+		settings.Founding, settings.Seeds, settings.Founders = true, fleet.seeds, fleet.seeds
 	}
-	machine.node = New(fleet.now, startup, machine.memory, machine.records, rand.New(rand.NewSource(seed)))
+	machine.node = New(fleet.now, settings, machine.memory, machine.records, rand.New(rand.NewSource(seed)))
 	machine.writes = nil
 }
 
@@ -126,7 +126,7 @@
 
 // end ends the process of a machine at once.
 func (fleet *fleet) end(machine *coreMachine) {
-	machine.node, machine.writes, machine.endedAt, machine.leaveBy = nil, nil, fleet.now, time.Time{}
+	machine.node, machine.writes, machine.finishedAt, machine.leaveBy = nil, nil, fleet.now, time.Time{}
 }
 
 // remove takes a machine away for good, as a loss of power does.
@@ -184,20 +184,20 @@
 	return leader
 }
 
-// whole tells whether somebody leads under a view of live members with all copies and all keepers.
+// whole tells whether somebody leads under a view of live members with all copies and all acceptors.
 func (fleet *fleet) whole() bool {
 	leader := fleet.leader()
 	if leader == nil {
 		return false
 	}
 	current := leader.node.View()
-	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Keepers...) {
+	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Acceptors...) {
 		machine := fleet.machine(member.Id)
 		if machine == nil || machine.node.View().Epoch != current.Epoch {
 			return false
 		}
 	}
-	return len(current.Keepers) == 2*fleet.faults+1 && len(current.Chain) >= fleet.faults+1
+	return len(current.Acceptors) == 2*fleet.faults+1 && len(current.Chain) >= fleet.faults+1
 }
 
 func (fleet *fleet) run(length time.Duration) {
@@ -209,14 +209,14 @@
 // runUntil runs until a condition holds, and tells how long that took; too long is a fault.
 func (fleet *fleet) runUntil(most time.Duration, what string, holds func() bool) time.Duration {
 	fleet.t.Helper()
-	begun := fleet.now
+	started := fleet.now
 	for !holds() {
-		if fleet.now.Sub(begun) >= most {
+		if fleet.now.Sub(started) >= most {
 			fleet.t.Fatalf("no %s after %v: %s", what, most, fleet.state())
 		}
 		fleet.step()
 	}
-	return fleet.now.Sub(begun)
+	return fleet.now.Sub(started)
 }
 
 // state describes every machine, for a failure.
@@ -229,7 +229,7 @@
 		}
 		current := machine.node.View()
 		text += fmt.Sprintf("\n  %s leads %v leaving %v view %d chain %v keepers %v", machine.address, machine.node.Leading(fleet.now),
-			!machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain), ids(current.Keepers))
+			!machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain), ids(current.Acceptors))
 	}
 	return text
 }
@@ -309,7 +309,7 @@
 	}
 	for _, write := range writes {
 		if write.Memory != nil {
-			machine.memory, machine.records = proto.Clone(write.Memory).(*wire.Memory), nil
+			machine.memory, machine.records = proto.Clone(write.Memory).(*wire.DurableState), nil
 		}
 		if write.Record != nil {
 			machine.records = append(machine.records, proto.Clone(write.Record).(*wire.Record))
@@ -335,7 +335,7 @@
 		return
 	}
 	operation := fmt.Sprintf("change-%d", fleet.changes)
-	ask := &wire.OperatorAsk{Verb: "apply", Operation: operation, Spec: whole("l")}
+	ask := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: whole("l")}
 	running[fleet.changes%len(running)].node.Ask(fleet.now, ask, func(status int, body []byte) {
 		reply := Reply{}
 		if err := json.Unmarshal(body, &reply); err != nil {
--- a/control/node/confirmation.go
+++ b/control/node/confirmation.go
@@ -7,16 +7,16 @@
 	"wardtray/wire"
 )
 
-// formerKeepers are the keepers of a view before the present one, whose words to daemons may be relied on until a
-// moment. No members stands for keepers that this machine never heard of.
-type formerKeepers struct {
+// previousAcceptors are the acceptors of a view before the present one, whose words to daemons may be relied on until a
+// moment. No members stands for acceptors that this machine never heard of.
+type previousAcceptors struct {
 	members []*wire.Member
 	until   time.Time
 }
 
 // leaseLength is for how long a daemon's lease may run, counted from whenever it was granted, with a margin for
 // clocks that drift.
-func (node *Node) leaseLength() time.Duration { return node.startup.Staleness + leaseMargin }
+func (node *Node) leaseLength() time.Duration { return node.settings.Staleness + leaseMargin }
 
 // newestOf gives the newest sequence of a history, committed or not.
 func newestOf(committed *wire.Document, pending []*wire.Entry) uint64 {
@@ -31,10 +31,10 @@
 	return min(node.heldAtStart, newestOf(node.chain.Committed(), node.chain.Pending()))
 }
 
-// confirms tells whether this machine, as a keeper, tells a daemon that it knows of nothing newer. A keeper that has
+// confirms tells whether this machine, as a acceptor, tells a daemon that it knows of nothing newer. A acceptor that has
 // voted for the next view confirms nothing in this one, as it grants no lease to the head: a daemon's majority in this
 // view so ends when the next one is chosen.
-func (node *Node) confirms(now time.Time, daemon string, message *wire.TickAsk) bool {
+func (node *Node) confirms(now time.Time, daemon string, message *wire.DaemonLeaseRequest) bool {
 	current := node.agent.Current()
 	if !node.inDirectory(node.newestDirectory(), daemon) || message.View != current.Epoch || node.agent.Newest().Epoch != current.Epoch || node.agent.Voted() || !keeps(current, node.self.Id) {
 		node.witness.Heard(daemon, message.Sequence)
@@ -43,21 +43,21 @@
 	return node.witness.Confirm(now, daemon, message.Sequence, node.heldSinceStart())
 }
 
-// rememberKeepers keeps the keepers of the view that ends in mind for as long as a daemon may rely on their word.
-func (node *Node) rememberKeepers(now time.Time, former, current *wire.View) {
-	kept := node.formerKeepers[:0]
-	for _, group := range node.formerKeepers {
+// rememberAcceptors keeps the acceptors of the view that ends in mind for as long as a daemon may rely on their word.
+func (node *Node) rememberAcceptors(now time.Time, previous, current *wire.View) {
+	kept := node.previousAcceptors[:0]
+	for _, group := range node.previousAcceptors {
 		if now.Before(group.until) {
 			kept = append(kept, group)
 		}
 	}
-	node.formerKeepers = kept
-	group := formerKeepers{until: now.Add(node.leaseLength())}
-	if current.Epoch == former.Epoch+1 {
-		group.members = former.Keepers
+	node.previousAcceptors = kept
+	group := previousAcceptors{until: now.Add(node.leaseLength())}
+	if current.Epoch == previous.Epoch+1 {
+		group.members = previous.Acceptors
 	}
-	if former.Epoch > 0 && !(current.Epoch == former.Epoch+1 && sameMembers(former.Keepers, current.Keepers)) {
-		node.formerKeepers = append(node.formerKeepers, group)
+	if previous.Epoch > 0 && !(current.Epoch == previous.Epoch+1 && sameMembers(previous.Acceptors, current.Acceptors)) {
+		node.previousAcceptors = append(node.previousAcceptors, group)
 	}
 }
 
@@ -73,24 +73,24 @@
 	return true
 }
 
-// mostKnow tells whether a majority of the keepers knows a sequence, so that no majority confirms less from now on.
+// mostKnow tells whether a majority of the acceptors knows a sequence, so that no majority confirms less from now on.
 func (node *Node) mostKnow(sequence uint64) bool {
-	keepers, knowing := node.agent.Current().Keepers, 0
-	for _, keeper := range keepers {
-		if node.head.ledger.Knows(keeper.Id, sequence) {
+	acceptors, knowing := node.agent.Current().Acceptors, 0
+	for _, acceptor := range acceptors {
+		if node.head.ledger.Knows(acceptor.Id, sequence) {
 			knowing++
 		}
 	}
-	return knowing >= view.Majority(len(keepers))
+	return knowing >= view.Majority(len(acceptors))
 }
 
-// keepersClear tells whether no majority of keepers, of this view or of one that ended a moment ago, can have a daemon
+// acceptorsClear tells whether no majority of acceptors, of this view or of one that ended a moment ago, can have a daemon
 // rely on less than a sequence.
-func (node *Node) keepersClear(now time.Time, sequence uint64) bool {
-	if !node.mostClear(now, node.agent.Current().Keepers, sequence) {
+func (node *Node) acceptorsClear(now time.Time, sequence uint64) bool {
+	if !node.mostClear(now, node.agent.Current().Acceptors, sequence) {
 		return false
 	}
-	for _, group := range node.formerKeepers {
+	for _, group := range node.previousAcceptors {
 		if now.Before(group.until) && !node.mostClear(now, group.members, sequence) {
 			return false
 		}
@@ -98,21 +98,21 @@
 	return true
 }
 
-// mostClear tells whether a majority of some keepers knows a sequence, with all older words of theirs over.
-func (node *Node) mostClear(now time.Time, keepers []*wire.Member, sequence uint64) bool {
+// mostClear tells whether a majority of some acceptors knows a sequence, with all older words of theirs over.
+func (node *Node) mostClear(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
-	for _, keeper := range keepers {
-		if node.head.ledger.Clear(now, keeper.Id, sequence) {
+	for _, acceptor := range acceptors {
+		if node.head.ledger.Clear(now, acceptor.Id, sequence) {
 			count++
 		}
 	}
-	return count >= view.Majority(len(keepers))
+	return count >= view.Majority(len(acceptors))
 }
 
 // absent lists the daemons of the directory that hold no lease of this head's; only a head that has led for longer
 // than any lease can tell.
 func (node *Node) absent(now time.Time) []string {
-	if !node.leading(now) || now.Sub(node.head.begun) < node.leaseLength() {
+	if !node.leading(now) || now.Sub(node.head.started) < node.leaseLength() {
 		return nil
 	}
 	var absent []string
@@ -134,8 +134,8 @@
 	if head == node.self.Id {
 		return node.absent(now)
 	}
-	if peer := node.peers[head]; peer != nil && node.fresh(now, head) && peer.beat.View == current.Epoch {
-		return peer.beat.Absent
+	if peer := node.peers[head]; peer != nil && node.fresh(now, head) && peer.heartbeat.View == current.Epoch {
+		return peer.heartbeat.UnleasedDaemons
 	}
 	return nil
 }
--- a/control/node/directory.go
+++ b/control/node/directory.go
@@ -10,7 +10,7 @@
 // tendDirectory lets daemons into the directory, and those long absent out. The next change enters only when the
 // last is delivered, which takes most of the old directory as well as most of the new one.
 func (node *Node) tendDirectory(now time.Time) {
-	if !node.leading(now) || len(node.chain.Pending()) > 0 || node.sick(now) {
+	if !node.leading(now) || len(node.chain.Pending()) > 0 || node.unhealthy(now) {
 		return
 	}
 	document := node.chain.Committed()
@@ -37,7 +37,7 @@
 	}
 	var arrived []*wire.Member
 	for address, known := range node.head.daemons {
-		if !inside[address] && known.asks >= 2 && !known.leaving && now.Sub(known.asked) < node.startup.Staleness {
+		if !inside[address] && known.asks >= 2 && !known.leaving && now.Sub(known.asked) < node.settings.Staleness {
 			arrived = append(arrived, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
 		}
 	}
@@ -47,7 +47,7 @@
 func (node *Node) withoutAbsent(now time.Time, directory []*wire.Member) []*wire.Member {
 	var present []*wire.Member
 	for _, member := range directory {
-		last := node.head.begun
+		last := node.head.started
 		if known := node.head.daemons[member.Address]; known != nil && known.asked.After(last) {
 			last = known.asked
 		}
--- a/control/node/disk.go
+++ b/control/node/disk.go
@@ -10,16 +10,16 @@
 )
 
 // Replay folds one record of the log into a memory.
-func Replay(memory *wire.Memory, record *wire.Record) {
+func Replay(memory *wire.DurableState, record *wire.Record) {
 	replays := map[reflect.Type]func(){
 		reflect.TypeFor[*wire.Record_Entry](): func() { memory.Pending = append(memory.Pending, record.GetEntry()) },
 		reflect.TypeFor[*wire.Record_Document](): func() {
 			memory.Document, memory.Pending, memory.Incomplete = record.GetDocument(), nil, record.Incomplete
 		},
-		reflect.TypeFor[*wire.Record_Complete](): func() { memory.Incomplete = false },
-		reflect.TypeFor[*wire.Record_Vote]():     func() { memory.Vote = record.GetVote() },
-		reflect.TypeFor[*wire.Record_View]():     func() { memory.View = record.GetView() },
-		reflect.TypeFor[*wire.Record_Cleared]():  func() { memory.Cleared = record.GetCleared() },
+		reflect.TypeFor[*wire.Record_Complete]():      func() { memory.Incomplete = false },
+		reflect.TypeFor[*wire.Record_AcceptorState](): func() { memory.AcceptorState = record.GetAcceptorState() },
+		reflect.TypeFor[*wire.Record_View]():          func() { memory.View = record.GetView() },
+		reflect.TypeFor[*wire.Record_ClearedTerm]():   func() { memory.ClearedTerm = record.GetClearedTerm() },
 	}
 	if replay := replays[reflect.TypeOf(record.Body)]; replay != nil {
 		replay()
@@ -36,8 +36,8 @@
 }
 
 // Memory gives all that this machine must not forget.
-func (node *Node) Memory() *wire.Memory {
-	memory := &wire.Memory{Id: node.self.Id, View: node.agent.Current(), Vote: node.agent.Vote(), Founding: node.founding, Cleared: node.cleared}
+func (node *Node) Memory() *wire.DurableState {
+	memory := &wire.DurableState{Id: node.self.Id, View: node.agent.Current(), AcceptorState: node.agent.Vote(), Founding: node.founding, ClearedTerm: node.cleared}
 	node.chain.Memory(memory)
 	return memory
 }
@@ -53,8 +53,8 @@
 	node.diskFailed, node.replacing = true, false
 }
 
-func (node *Node) sick(now time.Time) bool {
-	return node.diskFailed || node.outbox.Oldest(now) > node.bounds.Sick
+func (node *Node) unhealthy(now time.Time) bool {
+	return node.diskFailed || node.outbox.Oldest(now) > node.bounds.Unhealthy
 }
 
 // tendDisk begins a new slot when the log is long, or when the disk must be tried again.
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -19,20 +19,20 @@
 
 // handleChain enters what members of the chain say to each other.
 func (node *Node) handleChain() {
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainPass) {
-		node.chain.Pass(now, envelope.Sender, body.ChainPass)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
+		node.chain.Pass(now, envelope.Sender, body.ChainForward)
 	})
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainHold) {
-		node.chain.Hold(now, envelope.Sender, body.ChainHold)
-		node.chain.Aligned(now, envelope.Sender, body.ChainHold)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainAck) {
+		node.chain.Hold(now, envelope.Sender, body.ChainAck)
+		node.chain.Aligned(now, envelope.Sender, body.ChainAck)
 	})
-	on(node, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnAsk) {
+	on(node, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
 		// What a tail has, every member before it has, so in its own view all of it is committed; and what
 		// was learned in a view counts only until the next.
-		node.chain.Teach(envelope.From, body.LearnAsk)
+		node.chain.Teach(envelope.From, body.LearnRequest)
 	})
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnAnswer) {
-		node.chain.Learned(now, body.LearnAnswer)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
+		node.chain.Learned(now, body.LearnResponse)
 	})
 }
 
@@ -54,72 +54,74 @@
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccepted) {
 		node.agent.Accepted(now, envelope.Sender, body.ViewAccepted)
 	})
-	on(node, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRefused) {
-		node.agent.Refused(body.ViewRefused)
+	on(node, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
+		node.agent.Refused(body.ViewRejected)
 	})
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewNews) {
-		node.agent.Learn(now, body.ViewNews.View)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
+		node.agent.Learn(now, body.ViewUpdate.View)
 	})
-	on(node, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewAsk) {
+	on(node, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewRequest) {
 		node.agent.Tell(envelope.From)
 	})
 }
 
 // handleLeases enters questions for leases, heartbeats and operators' calls.
 func (node *Node) handleLeases() {
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ClaimAsk) {
-		node.onClaimAsk(now, envelope, body.ClaimAsk)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
+		node.onClaimAsk(now, envelope, body.LeaderLeaseRequest)
 	})
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ClaimGrant) {
-		node.onClaimGrant(now, envelope.Sender, body.ClaimGrant)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
+		node.onClaimGrant(now, envelope.Sender, body.LeaderLeaseGrant)
 	})
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Beat) { node.onBeat(now, body.Beat) })
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorAsk) {
-		node.onOperatorAsk(now, body.OperatorAsk)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
+		node.onHeartbeat(now, body.Heartbeat)
 	})
-	on(node, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorAnswer) {
-		node.onOperatorAnswer(body.OperatorAnswer)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorRequest) {
+		node.onOperatorAsk(now, body.OperatorRequest)
 	})
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_TickAsk) {
-		node.onTickAsk(now, envelope, body.TickAsk)
+	on(node, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorResponse) {
+		node.onOperatorAnswer(body.OperatorResponse)
+	})
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_DaemonLeaseRequest) {
+		node.onTickAsk(now, envelope, body.DaemonLeaseRequest)
 	})
 }
 
 // handleDocuments enters what spreads the document and the peers.
 func (node *Node) handleDocuments() {
-	on(node, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentAsk) {
-		if register := node.rumors.Get(DocumentKey); register != nil && register.Epoch > body.DocumentAsk.Sequence {
-			node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: []*wire.Register{register}}}})
+	on(node, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
+		if register := node.gossip.Get(DocumentKey); register != nil && register.Epoch > body.DocumentRequest.Sequence {
+			node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{register}}}})
 		}
 	})
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Rumor) {
-		node.rumors.Rumor(now, body.Rumor)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
+		node.gossip.Rumor(now, body.GossipMessage)
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Digest) {
-		node.rumors.Digest(now, envelope.From, envelope.Zone, body.Digest)
+		node.gossip.Digest(now, envelope.From, envelope.Zone, body.Digest)
 		// A daemon that reads a platform's list keeps no book and tells 0.
-		if body.Digest.Runners != 0 {
-			node.registrar.Compare(now, envelope.From, body.Digest.Runners)
+		if body.Digest.RunnersChecksum != 0 {
+			node.registrar.Compare(now, envelope.From, body.Digest.RunnersChecksum)
 		}
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
-		node.cohort.Shuffle(now, envelope.From, body.Shuffle)
+		node.partialView.Shuffle(now, envelope.From, body.Shuffle)
 	})
 }
 
 // handleRunners enters what cores and daemons say of runners.
 func (node *Node) handleRunners() {
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerNews) {
-		node.registrar.News(now, envelope.From, body.RunnerNews)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdate) {
+		node.registrar.News(now, envelope.From, body.RunnerUpdate)
 	})
-	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerNewsHeld) {
-		node.registrar.Held(now, envelope.From, body.RunnerNewsHeld)
+	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdateAck) {
+		node.registrar.Held(now, envelope.From, body.RunnerUpdateAck)
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerDigest) {
 		node.registrar.Digest(now, envelope.From, body.RunnerDigest)
 	})
-	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_RunnersHeard) {
-		node.registrar.Heard(now, body.RunnersHeard)
+	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_RunnerHeartbeats) {
+		node.registrar.Heard(now, body.RunnerHeartbeats)
 	})
 }
 
--- a/control/node/document.go
+++ b/control/node/document.go
@@ -29,18 +29,18 @@
 	node.head.commits[sequence] = now
 	node.witness.Knows(sequence)
 	node.publish(now)
-	// The keepers must know before the change may be acknowledged; they should not wait for the next round.
+	// The acceptors must know before the change may be acknowledged; they should not wait for the next round.
 	node.lastClaim = time.Time{}
 	node.tendClaim(now)
 }
 
-// publish puts the committed document among the rumors, without what only the chain needs.
+// publish puts the committed document among the gossip, without what only the chain needs.
 func (node *Node) publish(now time.Time) {
 	document := node.chain.Committed()
 	carried := &wire.Document{Sequence: document.Sequence, SpecEpoch: document.SpecEpoch, PackedSpec: node.packed(document), Directory: document.Directory}
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(carried)
 	if err == nil {
-		node.rumors.Put(now, &wire.Register{Key: DocumentKey, Epoch: document.Sequence, Value: value}, gossip.Hops)
+		node.gossip.Put(now, &wire.GossipEntry{Key: DocumentKey, Epoch: document.Sequence, Value: value}, gossip.Hops)
 	}
 }
 
@@ -52,10 +52,10 @@
 	return node.packedSpec
 }
 
-// partners gives whom rumors go to: the directory's daemons, the neighbours and the disk machines.
-func (node *Node) partners() []gossip.Partner {
+// partners gives whom gossip go to: the directory's daemons, the neighbours and the disk machines.
+func (node *Node) partners() []gossip.Peer {
 	zones := map[string]string{}
-	for _, line := range node.cohort.Lines() {
+	for _, line := range node.partialView.Peers() {
 		zones[line.Address] = line.Zone
 	}
 	for _, member := range node.chain.Committed().Directory {
@@ -65,9 +65,9 @@
 		zones[node.addressOf(member)] = member.Zone
 	}
 	delete(zones, node.self.Address)
-	partners := make([]gossip.Partner, 0, len(zones))
+	partners := make([]gossip.Peer, 0, len(zones))
 	for address, zone := range zones {
-		partners = append(partners, gossip.Partner{Address: address, Zone: zone})
+		partners = append(partners, gossip.Peer{Address: address, Zone: zone})
 	}
 	sort.Slice(partners, func(left, right int) bool { return partners[left].Address < partners[right].Address })
 	return partners
--- a/control/node/election.go
+++ b/control/node/election.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if node.agent.Voted() {
-		// A keeper that has voted grants no claims, so a vote left open must be brought to its end by somebody.
+		// A acceptor that has voted grants no claims, so a vote left open must be brought to its end by somebody.
 		if node.votedSince.IsZero() {
 			node.votedSince = now
 		}
@@ -35,7 +35,7 @@
 	}
 	node.votedSince = time.Time{}
 	// Whoever has just begun has heard nobody yet, which says nothing about them.
-	if now.Sub(node.begun) < node.bounds.Suspicion {
+	if now.Sub(node.started) < node.bounds.Suspicion {
 		return
 	}
 	wanted := node.mended(now)
@@ -52,14 +52,14 @@
 	}
 }
 
-// turn gives how long this keeper lets others go first: nothing for the first live one in order.
+// turn gives how long this acceptor lets others go first: nothing for the first live one in order.
 func (node *Node) turn(now time.Time) time.Duration {
 	rank := time.Duration(0)
-	for _, keeper := range node.agent.Current().Keepers {
-		if keeper.Id == node.self.Id {
+	for _, acceptor := range node.agent.Current().Acceptors {
+		if acceptor.Id == node.self.Id {
 			break
 		}
-		if node.fresh(now, keeper.Id) {
+		if node.fresh(now, acceptor.Id) {
 			rank++
 		}
 	}
@@ -74,18 +74,18 @@
 	founders := []*wire.Member{node.self}
 	for _, peer := range node.peers {
 		if node.founder(peer.member.Address) {
-			if !peer.beat.Blank || now.Sub(peer.heard) >= node.bounds.Suspicion {
+			if !peer.heartbeat.Blank || now.Sub(peer.heard) >= node.bounds.Suspicion {
 				return
 			}
 			founders = append(founders, peer.member)
 		}
 	}
 	sort.Slice(founders, func(left, right int) bool { return founders[left].Address < founders[right].Address })
-	if len(founders) != len(node.startup.Founders) {
+	if len(founders) != len(node.settings.Founders) {
 		return
 	}
 	// One proposer is enough; the others come in only if its attempts fail for long.
-	if founders[0].Id != node.self.Id && now.Sub(node.begun) < 5*time.Second {
+	if founders[0].Id != node.self.Id && now.Sub(node.started) < 5*time.Second {
 		return
 	}
 	node.lastMend = now
@@ -94,10 +94,10 @@
 		fleet[place] = byte(node.random.Intn(256))
 	}
 	node.agent.Found(now, &wire.View{Epoch: 1, Fleet: hex.EncodeToString(fleet), Chain: founders,
-		Keepers: founders[:min(len(founders), node.keeperCount())], Floor: node.floor(0, len(founders)), HeadSince: 1}, founders)
+		Acceptors: founders[:min(len(founders), node.acceptorCount())], MinReplicas: node.floor(0, len(founders)), HeadTerm: 1}, founders)
 }
 
-func keeps(current *wire.View, id string) bool { return holds(current.Keepers, id) }
+func keeps(current *wire.View, id string) bool { return holds(current.Acceptors, id) }
 
 func holds(members []*wire.Member, id string) bool {
 	for _, member := range members {
@@ -115,7 +115,7 @@
 }
 
 func (node *Node) founder(address string) bool {
-	for _, founder := range node.startup.Founders {
+	for _, founder := range node.settings.Founders {
 		if founder == address {
 			return true
 		}
@@ -128,18 +128,18 @@
 	node.wantSince, node.votedSince = time.Time{}, time.Time{}
 	node.brokenFrom = map[string]time.Time{}
 	node.keeper.Learn(now, current)
-	node.rememberKeepers(now, node.lastView, current)
+	node.rememberAcceptors(now, node.lastView, current)
 	node.lastView = current
 	node.chain.Adopt(now, current)
 	node.initialSynced = node.chain.Synced()
-	if current.HeadSince != node.head.reign {
-		node.head.begun, node.head.reign = time.Time{}, current.HeadSince
+	if current.HeadTerm != node.head.term {
+		node.head.started, node.head.term = time.Time{}, current.HeadTerm
 	}
 	node.failWaiters(now)
 	// Neither the new head nor whoever could join should wait for a round.
-	node.lastClaim, node.lastBeat, node.lastLearn = time.Time{}, time.Time{}, time.Time{}
+	node.lastClaim, node.lastHeartbeat, node.lastLearn = time.Time{}, time.Time{}, time.Time{}
 	node.tendKeeping(now)
 	node.tendClaim(now)
-	node.tendBeats(now)
+	node.tendHeartbeats(now)
 	node.tendLearning(now)
 }
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -83,14 +83,14 @@
 
 // testMember is one machine of a testFleet.
 type testMember struct {
-	address  string
-	node     *Node
-	disk     *testDisk
-	store    *snapshot.Store
-	writes   []statemachine.Write
-	identity string
-	lives    int
-	founding bool
+	address      string
+	node         *Node
+	disk         *testDisk
+	store        *snapshot.Store
+	writes       []statemachine.Write
+	identity     string
+	incarnations int
+	founding     bool
 }
 
 func (member *testMember) up() bool { return member.node != nil }
@@ -102,9 +102,9 @@
 	random  *rand.Rand
 	members []*testMember
 	seeds   []string
-	mail    []statemachine.Parcel
+	mail    []statemachine.Message
 	// lost decides which messages don't arrive.
-	lost func(parcel statemachine.Parcel) bool
+	lost func(parcel statemachine.Message) bool
 	// acknowledged is the greatest epoch that an operator was told of; every leader must have it.
 	acknowledged uint64
 }
@@ -135,15 +135,15 @@
 		fleet.t.Fatalf("%s does not start: %v", member.address, err)
 	}
 	fleet.wantContiguous(member, restored)
-	member.lives++
+	member.incarnations++
 	member.store, member.writes = restored.Store, nil
-	member.node = New(fleet.now, Startup{Address: member.address, Zone: member.address, Seeds: fleet.seeds, Founders: fleet.seeds, Founding: member.founding},
+	member.node = New(fleet.now, Settings{Address: member.address, Zone: member.address, Seeds: fleet.seeds, Founders: fleet.seeds, Founding: member.founding},
 		restored.Memory, restored.Records, rand.New(rand.NewSource(fleet.random.Int63())))
 }
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
-func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Restored) {
-	memory := proto.Clone(restored.Memory).(*wire.Memory)
+func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
+	memory := proto.Clone(restored.Memory).(*wire.DurableState)
 	for _, record := range restored.Records {
 		Replay(memory, record)
 	}
@@ -256,18 +256,18 @@
 				names += " " + member.Id
 			}
 			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v", member.address, member.identity, view.Epoch, names,
-				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.sick(fleet.now))
+				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.unhealthy(fleet.now))
 		}
 	}
 }
 
 // send has a machine take an order; the answer is filled in once there is one.
-func (fleet *testFleet) send(member *testMember, order *wire.OperatorAsk) *given {
+func (fleet *testFleet) send(member *testMember, order *wire.OperatorRequest) *given {
 	given := &given{}
 	if member == nil || !member.up() {
 		return given
 	}
-	member.node.Ask(fleet.now, proto.Clone(order).(*wire.OperatorAsk), func(status int, body []byte) {
+	member.node.Ask(fleet.now, proto.Clone(order).(*wire.OperatorRequest), func(status int, body []byte) {
 		given.status = status
 		if err := json.Unmarshal(body, &given.reply); err != nil {
 			panic(err)
@@ -280,11 +280,11 @@
 type testOperator struct {
 	fleet *testFleet
 	name  string
-	// lanes is how many routes each configuration has.
-	lanes  int
+	// routes is how many routes each configuration has.
+	routes int
 	number uint64
 	turn   int
-	order  *wire.OperatorAsk
+	order  *wire.OperatorRequest
 	copies []*given
 	sent   time.Time
 	next   time.Time
@@ -298,7 +298,7 @@
 			return
 		}
 		operator.next = fleet.now.Add(every)
-		operator.order = apply(fmt.Sprintf("%s%d", operator.name, operator.number+1), operator.number, operator.number+1, lanes(operator.lanes)...)
+		operator.order = apply(fmt.Sprintf("%s%d", operator.name, operator.number+1), operator.number, operator.number+1, routes(operator.routes)...)
 		operator.copies, operator.sent = nil, time.Time{}
 	}
 	for _, copy := range operator.copies {
@@ -325,8 +325,8 @@
 	}
 }
 
-// lanes gives names of routes; each takes a quarter of a kilobyte in a configuration.
-func lanes(count int) []string {
+// routes gives names of routes; each takes a quarter of a kilobyte in a configuration.
+func routes(count int) []string {
 	names := []string{"lane"}
 	for number := range count {
 		names = append(names, fmt.Sprintf("lane%d%s", number, strings.Repeat("x", 180)))
--- a/control/node/heartbeat.go
+++ b/control/node/heartbeat.go
@@ -25,7 +25,7 @@
 	if peer == nil {
 		return false
 	}
-	for _, id := range peer.beat.Heard {
+	for _, id := range peer.heartbeat.Reachable {
 		if id == whom {
 			return true
 		}
@@ -34,25 +34,25 @@
 }
 
 type peer struct {
-	member *wire.Member
-	beat   *wire.Beat
-	heard  time.Time
+	member    *wire.Member
+	heartbeat *wire.Heartbeat
+	heard     time.Time
 	// initialSynced is how far it had synced when it first told that it acts under the view of its last beat.
 	initialSynced uint64
 	// gone tells that its process is dead for sure.
 	gone bool
 }
 
-func (node *Node) tendBeats(now time.Time) {
-	if now.Sub(node.lastBeat) < beatEvery {
+func (node *Node) tendHeartbeats(now time.Time) {
+	if now.Sub(node.lastHeartbeat) < heartbeatEvery {
 		return
 	}
-	node.lastBeat = now
+	node.lastHeartbeat = now
 	current := node.agent.Current()
-	beat := &wire.Beat{Member: node.self, View: current.Epoch, Fleet: current.Fleet, Blank: current.Epoch == 0,
-		Sick: node.sick(now), Synced: node.chain.Synced(), LearnedView: node.chain.LearnedView(), Leaving: node.leaving(), Heard: node.heard(now), Absent: node.absent(now), Incomplete: node.chain.Incomplete()}
+	heartbeat := &wire.Heartbeat{Member: node.self, View: current.Epoch, Fleet: current.Fleet, Blank: current.Epoch == 0,
+		Unhealthy: node.unhealthy(now), Synced: node.chain.Synced(), LearnedView: node.chain.LearnedView(), Decommissioning: node.leaving(), Reachable: node.heard(now), UnleasedDaemons: node.absent(now), Incomplete: node.chain.Incomplete()}
 	for _, address := range node.coreAddresses() {
-		node.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Beat{Beat: beat}})
+		node.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: heartbeat}})
 	}
 	for id, peer := range node.peers {
 		if now.Sub(peer.heard) > forgetBound {
@@ -76,17 +76,17 @@
 // coreAddresses lists every address where a disk machine may be.
 func (node *Node) coreAddresses() []string {
 	found := map[string]bool{}
-	for _, seed := range append(append([]string{}, node.startup.Seeds...), node.startup.Founders...) {
+	for _, seed := range append(append([]string{}, node.settings.Seeds...), node.settings.Founders...) {
 		found[seed] = true
 	}
 	for _, peer := range node.peers {
 		found[peer.member.Address] = true
 	}
 	current := node.agent.Current()
-	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Keepers...) {
+	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Acceptors...) {
 		found[node.addressOf(member)] = true
 	}
-	for _, line := range node.cohort.Lines() {
+	for _, line := range node.partialView.Peers() {
 		if line.Core {
 			found[line.Address] = true
 		}
@@ -100,33 +100,33 @@
 	return addresses
 }
 
-func (node *Node) onBeat(now time.Time, beat *wire.Beat) {
-	if beat.Member == nil || beat.Member.Id == "" || beat.Member.Id == node.self.Id || len(node.peers) >= maximumCohort && node.peers[beat.Member.Id] == nil {
+func (node *Node) onHeartbeat(now time.Time, heartbeat *wire.Heartbeat) {
+	if heartbeat.Member == nil || heartbeat.Member.Id == "" || heartbeat.Member.Id == node.self.Id || len(node.peers) >= maximumPartialView && node.peers[heartbeat.Member.Id] == nil {
 		return
 	}
 	current := node.agent.Current()
 	// A machine of another fleet, say one that was founded apart in a test, is none of ours.
-	if beat.Fleet != "" && current.Fleet != "" && beat.Fleet != current.Fleet {
+	if heartbeat.Fleet != "" && current.Fleet != "" && heartbeat.Fleet != current.Fleet {
 		return
 	}
 	// An address has one machine; a new identity there means that the old one is gone for good.
 	for id, peer := range node.peers {
-		if peer.member.Address == beat.Member.Address && id != beat.Member.Id {
+		if peer.member.Address == heartbeat.Member.Address && id != heartbeat.Member.Id {
 			delete(node.peers, id)
 		}
 	}
-	former := node.peers[beat.Member.Id]
-	initialSynced := beat.Synced
-	if former != nil && former.beat.View == beat.View {
-		initialSynced = former.initialSynced
+	previous := node.peers[heartbeat.Member.Id]
+	initialSynced := heartbeat.Synced
+	if previous != nil && previous.heartbeat.View == heartbeat.View {
+		initialSynced = previous.initialSynced
 	}
-	node.peers[beat.Member.Id] = &peer{member: beat.Member, beat: beat, heard: now, initialSynced: initialSynced}
+	node.peers[heartbeat.Member.Id] = &peer{member: heartbeat.Member, heartbeat: heartbeat, heard: now, initialSynced: initialSynced}
 	// Whoever hears less or is about to leave may have to be replaced at once.
-	if former != nil && (len(former.beat.Heard) != len(beat.Heard) || former.beat.Leaving != beat.Leaving || former.beat.Sick != beat.Sick) {
+	if previous != nil && (len(previous.heartbeat.Reachable) != len(heartbeat.Reachable) || previous.heartbeat.Decommissioning != heartbeat.Decommissioning || previous.heartbeat.Unhealthy != heartbeat.Unhealthy) {
 		defer node.tendView(now)
 	}
-	if beat.View < current.Epoch {
-		node.agent.Tell(beat.Member.Address)
+	if heartbeat.View < current.Epoch {
+		node.agent.Tell(heartbeat.Member.Address)
 	}
 }
 
--- a/control/node/leadership.go
+++ b/control/node/leadership.go
@@ -11,22 +11,22 @@
 
 // headState is what the head of the chain keeps for as long as it leads.
 type headState struct {
-	// When this machine first held the claim in its reign as head, the view in which that reign began, and up
+	// When this machine first held the claim in its term as head, the view in which that term began, and up
 	// to where history must be committed before it may promise anything.
-	begun       time.Time
-	reign       uint64
+	started     time.Time
+	term        uint64
 	mark        uint64
 	waiters     []*waiter
 	parked      []parked
 	daemons     map[string]*daemon
 	firstDaemon time.Time
 	refused     refusals
-	// ledger is what the keepers told of the sequences that they know.
-	ledger *lease.Ledger
+	// ledger is what the acceptors told of the sequences that they know.
+	ledger *lease.ProgressTracker
 	// When recent sequences were first seen committed here.
 	commits map[uint64]time.Time
 	// issuer divides the tenants' quotas, by the limits of the spec of an epoch; nil until a daemon first asks.
-	issuer      *quota.Issuer
+	issuer      *quota.Allocator
 	limitsEpoch uint64
 }
 
@@ -37,17 +37,17 @@
 		return
 	}
 	node.lastClaim = now
-	ask := &wire.ClaimAsk{View: current.Epoch, Nonce: node.holder.Ask(now, current.Epoch)}
+	ask := &wire.LeaderLeaseRequest{View: current.Epoch, Nonce: node.holder.Ask(now, current.Epoch)}
 	// A head whose own history is not settled does not know yet what was acknowledged before it.
 	if node.leading(now) {
 		ask.Committed = node.chain.Committed().Sequence
 	}
-	for _, keeper := range current.Keepers {
-		node.outbox.Send(node.addressOf(keeper), &wire.Envelope{Body: &wire.Envelope_ClaimAsk{ClaimAsk: ask}})
+	for _, acceptor := range current.Acceptors {
+		node.outbox.Send(node.addressOf(acceptor), &wire.Envelope{Body: &wire.Envelope_LeaderLeaseRequest{LeaderLeaseRequest: ask}})
 	}
 }
 
-func (node *Node) onClaimAsk(now time.Time, envelope *wire.Envelope, message *wire.ClaimAsk) {
+func (node *Node) onClaimAsk(now time.Time, envelope *wire.Envelope, message *wire.LeaderLeaseRequest) {
 	current := node.agent.Current()
 	if message.View < current.Epoch {
 		node.agent.Tell(envelope.From)
@@ -64,12 +64,12 @@
 	}
 	known := node.witness.Known()
 	outstanding := node.witness.Outstanding(now, known)
-	node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_ClaimGrant{ClaimGrant: &wire.ClaimGrant{
-		View: message.View, Nonce: message.Nonce, Known: known, ConfirmedMilliseconds: roundedUp(outstanding)}}})
+	node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_LeaderLeaseGrant{LeaderLeaseGrant: &wire.LeaderLeaseGrant{
+		View: message.View, Nonce: message.Nonce, KnownSequence: known, ConfirmedMilliseconds: roundedUp(outstanding)}}})
 }
 
-// tendKeeping seeks proof that the heads before this reign act no more, and notes on the disk that none does,
-// so that a keeper that restarts may grant at once.
+// tendKeeping seeks proof that the heads before this term act no more, and notes on the disk that none does,
+// so that a acceptor that restarts may grant at once.
 func (node *Node) tendKeeping(now time.Time) {
 	current := node.agent.Current()
 	if !keeps(current, node.self.Id) {
@@ -78,9 +78,9 @@
 	for _, address := range node.keeper.Rivals(now) {
 		node.agent.Tell(address)
 	}
-	if reign := node.keeper.Reign(); reign != node.cleared && node.keeper.Allows(now, false) {
-		node.cleared = reign
-		node.outbox.Persist(now, &wire.Record{Body: &wire.Record_Cleared{Cleared: reign}}, func(time.Time) {})
+	if term := node.keeper.Term(); term != node.cleared && node.keeper.Allows(now, false) {
+		node.cleared = term
+		node.outbox.Persist(now, &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: term}}, func(time.Time) {})
 	}
 }
 
@@ -92,9 +92,9 @@
 	if !node.chain.Head() || node.agent.Newest().Epoch > current.Epoch || !node.holder.Valid(now, current.Epoch) {
 		return false
 	}
-	// A claim that runs out for a while lets nobody else act; only a new reign does.
-	if node.head.begun.IsZero() {
-		node.head.begun, node.head.mark = now, node.chain.Latest().Sequence
+	// A claim that runs out for a while lets nobody else act; only a new term does.
+	if node.head.started.IsZero() {
+		node.head.started, node.head.mark = now, node.chain.Latest().Sequence
 		node.head.daemons = map[string]*daemon{}
 		node.head.firstDaemon = time.Time{}
 		node.head.issuer = nil
@@ -108,13 +108,13 @@
 	return uint32((length + time.Millisecond - 1) / time.Millisecond)
 }
 
-// onClaimGrant takes in a keeper's grant and its word on what it knows to be committed.
-func (node *Node) onClaimGrant(now time.Time, keeper string, message *wire.ClaimGrant) {
+// onClaimGrant takes in a acceptor's grant and its word on what it knows to be committed.
+func (node *Node) onClaimGrant(now time.Time, acceptor string, message *wire.LeaderLeaseGrant) {
 	current := node.agent.Current()
-	if !keeps(current, keeper) {
+	if !keeps(current, acceptor) {
 		return
 	}
-	node.holder.Grant(now, keeper, message.View, message.Nonce, view.Majority(len(current.Keepers)))
-	node.head.ledger.Note(keeper, message.Known, now.Add(time.Duration(message.ConfirmedMilliseconds)*time.Millisecond))
+	node.holder.Grant(now, acceptor, message.View, message.Nonce, view.Majority(len(current.Acceptors)))
+	node.head.ledger.Note(acceptor, message.KnownSequence, now.Add(time.Duration(message.ConfirmedMilliseconds)*time.Millisecond))
 	node.answerWaiters(now)
 }
--- a/control/node/leases.go
+++ b/control/node/leases.go
@@ -11,14 +11,14 @@
 func StalenessFor(apply time.Duration) time.Duration { return min(Staleness, apply/2) }
 
 type daemon struct {
-	zone     string
-	http     string
-	sequence uint64
-	granted  time.Time
-	asked    time.Time
-	asks     int
-	life     uint64
-	leaving  bool
+	zone        string
+	http        string
+	sequence    uint64
+	granted     time.Time
+	asked       time.Time
+	asks        int
+	incarnation uint64
+	leaving     bool
 	// gone is when nobody listened at its address any more; its process, and all that it relied on, ended before.
 	gone time.Time
 }
@@ -29,7 +29,7 @@
 		return
 	}
 	known, document := node.head.daemons[address], node.chain.Committed()
-	if known == nil && (holds(document.Directory, address) || holds(document.FormerDirectory, address)) {
+	if known == nil && (holds(document.Directory, address) || holds(document.PreviousDirectory, address)) {
 		known = &daemon{}
 		node.head.daemons[address] = known
 	}
@@ -56,16 +56,16 @@
 	node.lastCall = now
 	for _, member := range document.Directory {
 		if known := node.head.daemons[member.Address]; known == nil || known.sequence < document.Sequence {
-			node.outbox.Send(member.Address, &wire.Envelope{Body: &wire.Envelope_TickCall{TickCall: &wire.TickCall{Sequence: document.Sequence}}})
+			node.outbox.Send(member.Address, &wire.Envelope{Body: &wire.Envelope_DaemonLeasePrompt{DaemonLeasePrompt: &wire.DaemonLeasePrompt{Sequence: document.Sequence}}})
 		}
 	}
 }
 
-// onTickAsk answers a data daemon: the head grants a lease, a keeper confirms what the daemon has, and everybody
+// onTickAsk answers a data daemon: the head grants a lease, a acceptor confirms what the daemon has, and everybody
 // tells a newer view.
-func (node *Node) onTickAsk(now time.Time, envelope *wire.Envelope, message *wire.TickAsk) {
+func (node *Node) onTickAsk(now time.Time, envelope *wire.Envelope, message *wire.DaemonLeaseRequest) {
 	current := node.agent.Newest()
-	grant := &wire.TickGrant{Nonce: message.Nonce, ViewEpoch: current.Epoch, Runners: node.registrar.Sum(), Starting: now.Sub(node.begun) < node.bounds.Starting}
+	grant := &wire.DaemonLeaseGrant{Nonce: message.Nonce, ViewEpoch: current.Epoch, RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
 	if message.View < current.Epoch {
 		grant.View = current
 	}
@@ -79,33 +79,33 @@
 		grant.Confirmed = node.confirms(now, envelope.From, message)
 		grant.Sequence = node.witness.Known()
 	}
-	node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_TickGrant{TickGrant: grant}})
+	node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_DaemonLeaseGrant{DaemonLeaseGrant: grant}})
 	node.answerWaiters(now)
 }
 
 // grantLease notes what a daemon knows, and grants it a lease if it stands in the directory. The next head waits for
 // all of the directory, and so for whoever may hold a lease of this one's.
-func (node *Node) grantLease(now time.Time, address string, message *wire.TickAsk, grant *wire.TickGrant) {
+func (node *Node) grantLease(now time.Time, address string, message *wire.DaemonLeaseRequest, grant *wire.DaemonLeaseGrant) {
 	known := node.head.daemons[address]
 	if known == nil {
 		if len(node.head.daemons) >= MaximumDaemons {
 			return
 		}
-		known = &daemon{life: message.Life}
+		known = &daemon{incarnation: message.Incarnation}
 		node.head.daemons[address] = known
 	}
 	if node.head.firstDaemon.IsZero() {
 		node.head.firstDaemon = now
 	}
 	// A new life shows that the old one's process, with its lease, has ended.
-	if known.life != message.Life {
-		known.life, known.granted, known.asks = message.Life, time.Time{}, 0
+	if known.incarnation != message.Incarnation {
+		known.incarnation, known.granted, known.asks = message.Incarnation, time.Time{}, 0
 	}
 	// A daemon that began anew knows less than it once confirmed, so the last word counts, not the greatest.
-	known.zone, known.http, known.sequence, known.asked, known.leaving = message.Zone, message.Http, message.Sequence, now, message.Leaving
+	known.zone, known.http, known.sequence, known.asked, known.leaving = message.Zone, message.Http, message.Sequence, now, message.Draining
 	known.asks++
 	if document := node.chain.Committed(); node.inDirectory(document, address) {
 		known.granted = now
-		grant.Granted, grant.Sequence, grant.Milliseconds = true, document.Sequence, uint32(node.startup.Staleness.Milliseconds())
+		grant.Granted, grant.Sequence, grant.Milliseconds = true, document.Sequence, uint32(node.settings.Staleness.Milliseconds())
 	}
 }
--- a/control/node/membership.go
+++ b/control/node/membership.go
@@ -9,37 +9,37 @@
 )
 
 // ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
-func (node *Node) ChainLimit() int { return max(leastChain, 2*node.startup.Faults+1) }
+func (node *Node) ChainLimit() int { return max(leastChain, 2*node.settings.Faults+1) }
 
 // floor gives the fewest copies that a change needs: one more than may be lost, but not more than there
 // ever were. It only rises.
 func (node *Node) floor(present uint32, members int) uint32 {
-	return max(present, uint32(min(node.startup.Faults+1, members)))
+	return max(present, uint32(min(node.settings.Faults+1, members)))
 }
 
-// silentTo tells whether a member is gone: most keepers are heard to say that they don't hear it, and none that it does.
+// silentTo tells whether a member is gone: most acceptors are heard to say that they don't hear it, and none that it does.
 // Whoever was cut off itself hears no such majority when it comes back, and so takes nobody out.
 func (node *Node) silentTo(now time.Time, id string) bool {
 	current, silent := node.agent.Current(), 0
-	for _, keeper := range current.Keepers {
-		if keeper.Id == id || !node.fresh(now, keeper.Id) {
+	for _, acceptor := range current.Acceptors {
+		if acceptor.Id == id || !node.fresh(now, acceptor.Id) {
 			continue
 		}
-		if node.hears(now, keeper.Id, id) {
+		if node.hears(now, acceptor.Id, id) {
 			return false
 		}
 		silent++
 	}
-	return silent >= view.Majority(len(current.Keepers))
+	return silent >= view.Majority(len(current.Acceptors))
 }
 
 // lost tells whether a member is no longer there, or of no use: nobody hears it, or its disk fails.
 func (node *Node) lost(now time.Time, id string) bool {
 	if id == node.self.Id {
-		return node.sick(now)
+		return node.unhealthy(now)
 	}
 	peer := node.peers[id]
-	return node.silentTo(now, id) || peer != nil && node.fresh(now, id) && peer.beat.Sick
+	return node.silentTo(now, id) || peer != nil && node.fresh(now, id) && peer.heartbeat.Unhealthy
 }
 
 // leaves tells whether a member that is heard is about to stop by order.
@@ -48,7 +48,7 @@
 		return node.leaving()
 	}
 	peer := node.peers[id]
-	return peer != nil && node.fresh(now, id) && peer.beat.Leaving
+	return peer != nil && node.fresh(now, id) && peer.heartbeat.Decommissioning
 }
 
 // unfit tells whether a machine should be given no place.
@@ -66,7 +66,7 @@
 		next.Chain = append(next.Chain, joiner)
 		changed = true
 	}
-	next.Floor = node.floor(current.Floor, node.staying(now, next.Chain))
+	next.MinReplicas = node.floor(current.MinReplicas, node.staying(now, next.Chain))
 	// Whoever is left holds all that was acknowledged. A chain below its floor takes no changes, but
 	// it teaches those who come back; waiting for a lost member instead would stop it for good.
 	if len(next.Chain) == 0 || !node.holdsAll(current.Chain, next.Chain) {
@@ -75,28 +75,28 @@
 			next.Chain, changed = survivors, true
 		}
 	}
-	next.Reserve = reserveOf(current, next)
-	keepers, replaced := node.mendedKeepers(now, next.Chain)
-	next.Keepers = keepers
+	next.LastWritableChain = reserveOf(current, next)
+	acceptors, replaced := node.mendedAcceptors(now, next.Chain)
+	next.Acceptors = acceptors
 	if !changed && !replaced {
 		return nil
 	}
-	next.HeadSince, next.FormerHead, next.FormerSince = current.HeadSince, current.FormerHead, current.FormerSince
+	next.HeadTerm, next.PreviousHead, next.PreviousTerm = current.HeadTerm, current.PreviousHead, current.PreviousTerm
 	if next.Chain[0].Id != current.Chain[0].Id {
-		next.HeadSince, next.FormerHead, next.FormerSince = next.Epoch, current.Chain[0], current.HeadSince
+		next.HeadTerm, next.PreviousHead, next.PreviousTerm = next.Epoch, current.Chain[0], current.HeadTerm
 	}
 	return next
 }
 
 // reserveOf gives the members of the last chain that took changes, for as long as the chain is shorter than its floor.
 func reserveOf(current, next *wire.View) []*wire.Member {
-	if len(next.Chain) >= int(next.Floor) {
+	if len(next.Chain) >= int(next.MinReplicas) {
 		return nil
 	}
-	if len(current.Chain) >= int(current.Floor) {
+	if len(current.Chain) >= int(current.MinReplicas) {
 		return current.Chain
 	}
-	return current.Reserve
+	return current.LastWritableChain
 }
 
 // survivors gives the machines that may go on where every member of a chain that was too short to take changes has
@@ -110,7 +110,7 @@
 		}
 	}
 	var survivors []*wire.Member
-	for _, member := range current.Reserve {
+	for _, member := range current.LastWritableChain {
 		if !holds(current.Chain, member.Id) && node.fresh(now, member.Id) && !node.unfit(now, member.Id) {
 			survivors = append(survivors, member)
 		}
@@ -141,7 +141,7 @@
 		return !node.chain.Incomplete()
 	}
 	peer := node.peers[id]
-	return peer != nil && !peer.beat.Incomplete
+	return peer != nil && !peer.heartbeat.Incomplete
 }
 
 // staying counts the members that do not leave; copies that are about to go must not raise the floor.
@@ -171,7 +171,7 @@
 func (node *Node) withoutLeaving(now time.Time, members []*wire.Member) []*wire.Member {
 	least := 1
 	if node.successors(now, node.agent.Current().Chain) > 0 {
-		least = max(least, int(node.agent.Current().Floor))
+		least = max(least, int(node.agent.Current().MinReplicas))
 	}
 	for _, leaver := range members {
 		if !node.leaves(now, leaver.Id) {
@@ -214,10 +214,10 @@
 		return node.chain.Synced(), node.initialSynced, true
 	}
 	peer := node.peers[id]
-	if peer == nil || peer.beat.View != node.agent.Current().Epoch {
+	if peer == nil || peer.heartbeat.View != node.agent.Current().Epoch {
 		return 0, 0, false
 	}
-	return peer.beat.Synced, peer.initialSynced, true
+	return peer.heartbeat.Synced, peer.initialSynced, true
 }
 
 // without gives the members but one.
@@ -285,7 +285,7 @@
 		}
 		member, learned := node.self, node.chain.LearnedView()
 		if id != node.self.Id {
-			member, learned = node.peers[id].member, node.peers[id].beat.LearnedView
+			member, learned = node.peers[id].member, node.peers[id].heartbeat.LearnedView
 		}
 		// Copies in many zones outlive the loss of one.
 		if learned == current.Epoch && node.hears(now, id, tail) && node.hears(now, tail, id) &&
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -27,12 +27,12 @@
 	return newest
 }
 
-// pick gives a running machine by its role in the newest view, the head of the chain or another keeper, but none of some.
+// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of some.
 func (fleet *fleet) pick(role string, besides ...*coreMachine) *coreMachine {
 	newest := fleet.newest()
 	members := newest.Chain
 	if role == "other" {
-		members = without(newest.Keepers, newest.Chain[0].Id)
+		members = without(newest.Acceptors, newest.Chain[0].Id)
 	}
 	for _, member := range members {
 		if machine := fleet.machine(member.Id); machine != nil && !slices.Contains(besides, machine) {
@@ -43,10 +43,10 @@
 	return nil
 }
 
-func (fleet *fleet) otherKeeper() *coreMachine { return fleet.pick("other") }
+func (fleet *fleet) otherAcceptor() *coreMachine { return fleet.pick("other") }
 
-// keepersWithout counts the keepers that know a view without a machine.
-func (fleet *fleet) keepersWithout(id string) (count int) {
+// acceptorsWithout counts the acceptors that know a view without a machine.
+func (fleet *fleet) acceptorsWithout(id string) (count int) {
 	for _, machine := range fleet.machines {
 		if machine.node == nil {
 			continue
@@ -59,15 +59,15 @@
 	return count
 }
 
-// A keeper that leaves ends only once a view without it is known to those who stay.
-func TestALeavingKeeperPassesItsSeatOnBeforeItEnds(t *testing.T) {
+// A acceptor that leaves ends only once a view without it is known to those who stay.
+func TestALeavingAcceptorPassesItsSeatOnBeforeItEnds(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"head", "other"} {
 		t.Run(role, func(t *testing.T) {
 			fleet := newFleet(t, 1, 4)
 			leaver := fleet.leader()
 			if role == "other" {
-				leaver = fleet.otherKeeper()
+				leaver = fleet.otherAcceptor()
 			}
 			id := leaver.node.Self().Id
 			// One that stays knows the new view only when its slow disk does.
@@ -81,7 +81,7 @@
 			if took >= fleetGrace-time.Second {
 				t.Fatalf("it ended only after %v", took)
 			}
-			knowing := fleet.keepersWithout(id)
+			knowing := fleet.acceptorsWithout(id)
 			if knowing < 2*fleet.faults+1 {
 				t.Fatalf("%d keepers know a view without it: %s", knowing, fleet.state())
 			}
@@ -118,7 +118,7 @@
 	fleet := newFleet(t, 1, cores)
 	lost := fleet.leader()
 	if first > 0 {
-		lost = fleet.otherKeeper()
+		lost = fleet.otherAcceptor()
 	}
 	fleet.remove(lost)
 	fleet.run(time.Second)
@@ -157,7 +157,7 @@
 					fleet.run(fleetCatchUp / 2)
 					leaver := fleet.leader()
 					if shape.role == "other" {
-						leaver = fleet.otherKeeper()
+						leaver = fleet.otherAcceptor()
 					}
 					fleet.stop(leaver)
 					fleet.run(moment)
@@ -204,14 +204,14 @@
 	fleet.requireServing(servingBound)
 }
 
-// A keeper that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
-func TestAKeeperThatIsSilentForAMomentDoesNoHarm(t *testing.T) {
+// A acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
+func TestAnAcceptorThatIsSilentForAMomentDoesNoHarm(t *testing.T) {
 	t.Parallel()
 	for silence := 300 * time.Millisecond; silence <= 1500*time.Millisecond; silence += momentStep {
 		fleet := newFleet(t, 1, 5)
 		fleet.gap = 0
 		for range 5 {
-			machine := fleet.otherKeeper()
+			machine := fleet.otherAcceptor()
 			machine.dark = true
 			fleet.run(silence)
 			machine.dark = false
@@ -237,10 +237,10 @@
 	t.Parallel()
 	for moment := time.Duration(0); moment <= fleetCatchUp; moment += 4 * momentStep {
 		fleet := newFleet(t, 2, 8)
-		if keepers := len(fleet.leader().node.View().Keepers); keepers != 5 {
-			t.Fatalf("%d keepers", keepers)
+		if acceptors := len(fleet.leader().node.View().Acceptors); acceptors != 5 {
+			t.Fatalf("%d keepers", acceptors)
 		}
-		first, second := fleet.leader(), fleet.otherKeeper()
+		first, second := fleet.leader(), fleet.otherAcceptor()
 		fleet.remove(first)
 		fleet.remove(second)
 		fleet.run(time.Second)
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -1,5 +1,5 @@
 // Package core is the control plane of one disk machine as a pure state machine: it puts together
-// chain, view, claim and rumor, takes operators' orders, and hands data daemons their ticks.
+// chain, view, claim and gossip message, takes operators' orders, and hands data daemons their ticks.
 package node
 
 import (
@@ -20,16 +20,16 @@
 	"wardtray/wire"
 )
 
-// Startup is what a machine is told of itself.
-type Startup struct {
+// Settings is what a machine is told of itself.
+type Settings struct {
 	Address string
 	HTTP    string
 	Zone    string
 	Seeds   []string
 	// Founders are the addresses of the first disk machines; all must be there for the first view.
 	Founders []string
-	// Beat is how often runners call; 0 stands for the registry's own.
-	Beat time.Duration
+	// Heartbeat is how often runners call; 0 stands for the registry's own.
+	Heartbeat time.Duration
 	// Founding tells that this is the very first start of the whole fleet. A machine whose disk was lost later
 	// starts without it and never founds anything.
 	Founding bool
@@ -55,7 +55,7 @@
 
 // Node is one disk machine.
 type Node struct {
-	startup  Startup
+	settings Settings
 	self     *wire.Member
 	outbox   *statemachine.Outbox
 	random   *rand.Rand
@@ -63,34 +63,34 @@
 
 	agent  *view.Agent
 	chain  *chain.Chain
-	holder *lease.Holder
-	keeper *lease.Keeper
-	rumors *gossip.Store
-	// witness is what this machine, as a keeper, has told daemons.
+	holder *lease.Lessee
+	keeper *lease.Lessor
+	gossip *gossip.Store
+	// witness is what this machine, as a acceptor, has told daemons.
 	witness *lease.Witness
 	// heldAtStart is the newest sequence that the disk held when this process began.
 	heldAtStart uint64
-	// formerKeepers are those of the views that ended within the last lease.
-	formerKeepers []formerKeepers
-	lastView      *wire.View
-	directorySet  addressSet
-	cohort        *peersampling.Cohort
-
-	peers      map[string]*peer
-	begun      time.Time
-	lastTick   time.Time
-	lastBeat   time.Time
-	lastClaim  time.Time
-	lastLearn  time.Time
-	lastMend   time.Time
-	wantSince  time.Time
-	votedSince time.Time
-	brokenFrom map[string]time.Time
-	logged     int64
-	swept      time.Time
-	replacing  bool
-	founding   bool
-	// cleared is the last reign of which the disk says that the heads before it act no more.
+	// previousAcceptors are those of the views that ended within the last lease.
+	previousAcceptors []previousAcceptors
+	lastView          *wire.View
+	directorySet      addressSet
+	partialView       *peersampling.PartialView
+
+	peers         map[string]*peer
+	started       time.Time
+	lastTick      time.Time
+	lastHeartbeat time.Time
+	lastClaim     time.Time
+	lastLearn     time.Time
+	lastMend      time.Time
+	wantSince     time.Time
+	votedSince    time.Time
+	brokenFrom    map[string]time.Time
+	logged        int64
+	swept         time.Time
+	replacing     bool
+	founding      bool
+	// cleared is the last term of which the disk says that the heads before it act no more.
 	cleared    uint64
 	lastCall   time.Time
 	diskFailed bool
@@ -106,47 +106,47 @@
 	packedEpoch uint64
 
 	registrar *registry.Registrar
-	// The newest document that a rumor brought, without its spec.
+	// The newest document that a gossip message brought, without its spec.
 	rumored *wire.Document
 	// received is when the last message of another process came.
 	received time.Time
 
 	head headState
 	asks map[string]*ask
-	// life is drawn anew by each process, and nonce numbers its questions.
-	life, nonce uint64
+	// incarnation is drawn anew by each process, and nonce numbers its questions.
+	incarnation, nonce uint64
 }
 
 // New restores a machine from its memory; memory.Id must be set.
-func New(now time.Time, startup Startup, memory *wire.Memory, records []*wire.Record, random *rand.Rand) *Node {
-	memory = proto.Clone(memory).(*wire.Memory)
-	startup.Faults = max(1, startup.Faults)
-	if startup.Staleness == 0 {
-		startup.Staleness = BoundsFor(startup.Limits).DaemonLease
+func New(now time.Time, settings Settings, memory *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
+	memory = proto.Clone(memory).(*wire.DurableState)
+	settings.Faults = max(1, settings.Faults)
+	if settings.Staleness == 0 {
+		settings.Staleness = BoundsFor(settings.Limits).DaemonLease
 	}
 	for _, record := range records {
 		Replay(memory, record)
 	}
-	node := &Node{life: random.Uint64(), holder: lease.NewHolder(random.Uint64()), startup: startup, bounds: BoundsFor(startup.Limits), random: random, outbox: statemachine.NewOutbox(), begun: now, lastTick: now,
-		self:  &wire.Member{Id: memory.Id, Address: startup.Address, Zone: startup.Zone, Http: startup.HTTP},
+	node := &Node{incarnation: random.Uint64(), holder: lease.NewLessee(random.Uint64()), settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now, lastTick: now,
+		self:  &wire.Member{Id: memory.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP},
 		peers: map[string]*peer{}, brokenFrom: map[string]time.Time{}, asks: map[string]*ask{}}
 	node.head.daemons, node.head.commits = map[string]*daemon{}, map[uint64]time.Time{}
-	node.head.ledger = lease.NewLedger()
+	node.head.ledger = lease.NewProgressTracker()
 	node.witness = lease.NewWitness(node.leaseLength())
 	node.heldAtStart = newestOf(memory.Document, memory.Pending)
 	node.chain = chain.New(memory.Id, memory.Document, memory.Pending, node.outbox, node.addressOf, node.onCommit)
 	node.chain.RestoreIncomplete(memory.Incomplete)
-	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.Vote, node.outbox, node.resolve, node.onView)
-	node.cohort = peersampling.New(&wire.CohortLine{Address: startup.Address, Zone: startup.Zone, Core: true}, startup.Seeds, node.outbox, random)
-	node.rumors = gossip.New(startup.Zone, node.outbox, random, node.partners, func(time.Time, *wire.Register) {})
+	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.AcceptorState, node.outbox, node.resolve, node.onView)
+	node.partialView = peersampling.New(&wire.PeerDescriptor{Address: settings.Address, Zone: settings.Zone, Core: true}, settings.Seeds, node.outbox, random)
+	node.gossip = gossip.New(settings.Zone, node.outbox, random, node.partners, func(time.Time, *wire.GossipEntry) {})
 	node.rumored, node.registrar = &wire.Document{}, node.newRegistrar(now)
 	node.table()
 	if memory.Document != nil && memory.Document.Sequence > 0 {
 		node.publish(now)
 	}
-	node.founding, node.cleared, node.logged = memory.Founding, memory.Cleared, recordBytes(records)
-	node.keeper = lease.Restore(now, node.agent.Current(), memory.Cleared)
-	if startup.Founding && !memory.Founding && node.agent.Current().Epoch == 0 {
+	node.founding, node.cleared, node.logged = memory.Founding, memory.ClearedTerm, recordBytes(records)
+	node.keeper = lease.Restore(now, node.agent.Current(), memory.ClearedTerm)
+	if settings.Founding && !memory.Founding && node.agent.Current().Epoch == 0 {
 		// A founder that is killed before there is a view must still be one when it starts again.
 		node.founding, node.replacing = true, true
 		node.outbox.Replace(now, node.Memory(), func(time.Time) { node.replacing, node.diskFailed = false, false })
@@ -155,7 +155,7 @@
 	if current := node.agent.Current(); current.Epoch > 0 {
 		// Which views ended a moment before this process began is not known.
 		node.witness.Restarted(now)
-		node.formerKeepers = []formerKeepers{{until: now.Add(node.leaseLength())}}
+		node.previousAcceptors = []previousAcceptors{{until: now.Add(node.leaseLength())}}
 		node.chain.Adopt(now, current)
 		node.initialSynced = node.chain.Synced()
 	}
@@ -178,15 +178,15 @@
 func (node *Node) Self() *wire.Member { return node.self }
 
 // Drain gives messages, stamped with who sends them, and writes.
-func (node *Node) Drain() ([]statemachine.Parcel, []statemachine.Write) {
+func (node *Node) Drain() ([]statemachine.Message, []statemachine.Write) {
 	parcels, writes := node.outbox.Drain()
 	for _, parcel := range parcels {
 		parcel.Envelope.From, parcel.Envelope.Sender, parcel.Envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
 		// Whoever has heard of a view acts in none before it, even while its disk is still busy with that.
 		parcel.Envelope.Epoch = node.agent.Newest().Epoch
-		// Digests of rumors go to everybody in turn, so that the sum of the runners needs no rounds of its own.
+		// Digests of gossip go to everybody in turn, so that the sum of the runners needs no rounds of its own.
 		if digest := parcel.Envelope.GetDigest(); digest != nil {
-			digest.Runners = node.registrar.Sum()
+			digest.RunnersChecksum = node.registrar.Checksum()
 		}
 	}
 	for _, write := range writes {
@@ -205,10 +205,10 @@
 	for _, peer := range node.peers {
 		if peer.member.Address == address && !peer.gone && peer.heard.Before(tried) {
 			peer.gone = true
-			node.lastBeat = time.Time{}
+			node.lastHeartbeat = time.Time{}
 		}
 	}
-	node.tendBeats(now)
+	node.tendHeartbeats(now)
 	node.tendView(now)
 }
 
@@ -232,7 +232,7 @@
 	}
 	node.lastTick = now
 	node.tendDisk(now)
-	node.tendBeats(now)
+	node.tendHeartbeats(now)
 	node.tendKeeping(now)
 	node.tendClaim(now)
 	node.tendView(now)
@@ -240,8 +240,8 @@
 	node.tendLearning(now)
 	node.tendDirectory(now)
 	node.tendDelivery(now)
-	node.cohort.Tick(now)
-	node.rumors.Tick(now)
+	node.partialView.Tick(now)
+	node.gossip.Tick(now)
 	node.registrar.Tick(now)
 	node.serveParked(now)
 	node.answerWaiters(now)
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -10,20 +10,20 @@
 
 // Found by the simulator: a machine that restarted numbered its questions from 1 again, and the head's
 // answer to a question of its earlier life was given to another operator's change.
-func TestQuestionsOfTwoLivesDiffer(t *testing.T) {
+func TestQuestionsOfTwoIncarnationsDiffer(t *testing.T) {
 	t.Parallel()
 	tokens := map[string]bool{}
-	for life := range 2 {
-		node := New(time.Unix(0, 0), Startup{Address: "127.0.0.1:1", Zone: "a"}, &wire.Memory{Id: "same"}, nil, rand.New(rand.NewSource(int64(life))))
+	for incarnation := range 2 {
+		node := New(time.Unix(0, 0), Settings{Address: "127.0.0.1:1", Zone: "a"}, &wire.DurableState{Id: "same"}, nil, rand.New(rand.NewSource(int64(incarnation))))
 		answers := 0
-		node.Ask(time.Unix(0, 0), &wire.OperatorAsk{Verb: "get"}, func(int, []byte) { answers++ })
+		node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
 		for token := range node.asks {
 			if tokens[token] {
 				t.Fatalf("token %s again", token)
 			}
 			tokens[token] = true
 			// An answer to a question that nobody asked in this life changes nothing.
-			node.onOperatorAnswer(&wire.OperatorAnswer{Token: "same/1", Status: 200, Body: []byte("{}")})
+			node.onOperatorAnswer(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
 			if answers != 0 {
 				t.Fatal("a stranger's answer was given")
 			}
@@ -34,7 +34,7 @@
 	}
 }
 
-// pair is a node under test beside another keeper that only says what a test wants.
+// pair is a node under test beside another acceptor that only says what a test wants.
 type pair struct {
 	node        *Node
 	self, other *wire.Member
@@ -49,10 +49,10 @@
 		pair.now = pair.now.Add(50 * time.Millisecond)
 		pair.node.Tick(pair.now)
 		// The other lives, or a view without it would end the matter.
-		pair.hear(&wire.Envelope{Body: &wire.Envelope_Beat{Beat: &wire.Beat{Member: pair.other, View: 3, Fleet: "f", Heard: []string{"a", "b"}}}})
-		pair.node.Receive(pair.now, &wire.Envelope{From: "d", Body: &wire.Envelope_TickAsk{TickAsk: &wire.TickAsk{Nonce: 1}}})
+		pair.hear(&wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: &wire.Heartbeat{Member: pair.other, View: 3, Fleet: "f", Reachable: []string{"a", "b"}}}})
+		pair.node.Receive(pair.now, &wire.Envelope{From: "d", Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1}}})
 		if otherAnswers {
-			pair.hear(&wire.Envelope{Body: &wire.Envelope_ChainHold{ChainHold: &wire.ChainHold{View: 3, Synced: 5, Committed: 5}}})
+			pair.hear(&wire.Envelope{Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{View: 3, Synced: 5, Committed: 5}}})
 		}
 		for range 3 {
 			pair.drain()
@@ -73,11 +73,11 @@
 		pair.node.Synced(pair.now, write.Sequence)
 	}
 	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetTickGrant(); grant != nil && grant.Granted {
+		if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && grant.Granted {
 			pair.grants++
 		}
-		if asked := parcel.Envelope.GetClaimAsk(); asked != nil && parcel.To == pair.other.Address {
-			pair.hear(&wire.Envelope{Body: &wire.Envelope_ClaimGrant{ClaimGrant: &wire.ClaimGrant{View: asked.View, Nonce: asked.Nonce}}})
+		if asked := parcel.Envelope.GetLeaderLeaseRequest(); asked != nil && parcel.To == pair.other.Address {
+			pair.hear(&wire.Envelope{Body: &wire.Envelope_LeaderLeaseGrant{LeaderLeaseGrant: &wire.LeaderLeaseGrant{View: asked.View, Nonce: asked.Nonce}}})
 		}
 		if parcel.To == pair.self.Address {
 			pair.node.Receive(pair.now, parcel.Envelope)
@@ -91,9 +91,9 @@
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
 	self, other := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}, &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
-	memory := &wire.Memory{Id: "a", View: &wire.View{Epoch: 3, Fleet: "f", Floor: 1, Chain: []*wire.Member{self, other}, Keepers: []*wire.Member{self, other, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}},
+	memory := &wire.DurableState{Id: "a", View: &wire.View{Epoch: 3, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self, other}, Acceptors: []*wire.Member{self, other, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}},
 		Document: &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}}, Pending: []*wire.Entry{{Sequence: 5, ChangesSpec: true, SpecEpoch: 5, Operation: "o"}}}
-	node := New(now, Startup{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
+	node := New(now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	pair := &pair{node: node, self: self, other: other, now: now}
 	pair.run(4*time.Second, false)
 	if !node.holder.Valid(pair.now, 3) {
--- a/control/node/operator.go
+++ b/control/node/operator.go
@@ -13,13 +13,13 @@
 
 // parked is a question that this machine must answer but can't yet.
 type parked struct {
-	message *wire.OperatorAsk
+	message *wire.OperatorRequest
 	until   time.Time
 }
 
 // ask is an operator's question that came in at this machine.
 type ask struct {
-	message *wire.OperatorAsk
+	message *wire.OperatorRequest
 	answer  func(status int, body []byte)
 	until   time.Time
 	sent    time.Time
@@ -31,14 +31,14 @@
 
 // Reply is the shape of every answer to an operator.
 type Reply struct {
-	Operation string          `json:"operation,omitempty"`
-	Outcome   string          `json:"outcome"`
-	Epoch     uint64          `json:"epoch"`
-	Kind      string          `json:"kind,omitempty"`
-	Detail    string          `json:"detail,omitempty"`
-	Remedy    string          `json:"remedy,omitempty"`
-	Flaws     []config.Flaw   `json:"flaws,omitempty"`
-	Spec      json.RawMessage `json:"spec,omitempty"`
+	Operation string           `json:"operation,omitempty"`
+	Outcome   string           `json:"outcome"`
+	Epoch     uint64           `json:"epoch"`
+	Kind      string           `json:"kind,omitempty"`
+	Detail    string           `json:"detail,omitempty"`
+	Remedy    string           `json:"remedy,omitempty"`
+	Flaws     []config.Problem `json:"flaws,omitempty"`
+	Spec      json.RawMessage  `json:"spec,omitempty"`
 }
 
 // Encode gives a reply as it is written.
@@ -50,19 +50,19 @@
 	return content
 }
 
-func refusal(kind apierror.Kind, epoch uint64, operation, detail string) Reply {
+func refusal(kind apierror.Code, epoch uint64, operation, detail string) Reply {
 	return Reply{Operation: operation, Outcome: "refused", Epoch: epoch, Kind: string(kind), Detail: detail,
-		Remedy: (&apierror.Fault{Kind: kind}).Remedy()}
+		Remedy: (&apierror.Error{Code: kind}).Remedy()}
 }
 
 // Ask takes an operator's question; answer is called once. The token is that of Abandon; empty: it was answered at once.
-func (node *Node) Ask(now time.Time, message *wire.OperatorAsk, answer func(status int, body []byte)) (token string) {
+func (node *Node) Ask(now time.Time, message *wire.OperatorRequest, answer func(status int, body []byte)) (token string) {
 	if len(node.asks) >= maximumAsks {
 		answer(503, refusal(apierror.Busy, 0, message.Operation, "too many questions wait here").Encode())
 		return ""
 	}
 	node.nonce++
-	message.Token = fmt.Sprintf("%s/%x/%d", node.self.Id, node.life, node.nonce)
+	message.Token = fmt.Sprintf("%s/%x/%d", node.self.Id, node.incarnation, node.nonce)
 	message.Origin = node.self.Address
 	node.asks[message.Token] = &ask{message: message, answer: answer, until: now.Add(askBound), passed: map[string]bool{}}
 	node.tendAsks(now)
@@ -109,7 +109,7 @@
 			continue
 		}
 		open.passed[target.Id] = true
-		node.outbox.Send(node.addressOf(target), &wire.Envelope{Body: &wire.Envelope_OperatorAsk{OperatorAsk: open.message}})
+		node.outbox.Send(node.addressOf(target), &wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
 	}
 }
 
@@ -132,17 +132,17 @@
 	}
 }
 
-func (node *Node) onOperatorAsk(now time.Time, message *wire.OperatorAsk) {
+func (node *Node) onOperatorAsk(now time.Time, message *wire.OperatorRequest) {
 	if message.Origin != node.self.Address {
 		node.serve(now, message)
 	}
 }
 
-func writes(message *wire.OperatorAsk) bool {
+func writes(message *wire.OperatorRequest) bool {
 	return message.Verb != "get" && message.Verb != "operation"
 }
 
-func (node *Node) onOperatorAnswer(message *wire.OperatorAnswer) {
+func (node *Node) onOperatorAnswer(message *wire.OperatorResponse) {
 	open := node.asks[message.Token]
 	if open == nil {
 		return
@@ -156,18 +156,18 @@
 }
 
 // reply sends an answer to where the question came in.
-func (node *Node) reply(message *wire.OperatorAsk, status int, reply Reply) {
+func (node *Node) reply(message *wire.OperatorRequest, status int, reply Reply) {
 	if message.Origin == node.self.Address {
 		node.finish(message.Token, status, reply.Encode())
 		return
 	}
-	node.outbox.Send(message.Origin, &wire.Envelope{Body: &wire.Envelope_OperatorAnswer{OperatorAnswer: &wire.OperatorAnswer{
+	node.outbox.Send(message.Origin, &wire.Envelope{Body: &wire.Envelope_OperatorResponse{OperatorResponse: &wire.OperatorResponse{
 		Token: message.Token, Status: uint32(status), Body: reply.Encode()}}})
 }
 
 // serve answers as head or tail; whoever is neither stays silent, and the asker tries again.
-func (node *Node) serve(now time.Time, message *wire.OperatorAsk) {
-	verbs := map[string]func(now time.Time, message *wire.OperatorAsk){
+func (node *Node) serve(now time.Time, message *wire.OperatorRequest) {
+	verbs := map[string]func(now time.Time, message *wire.OperatorRequest){
 		"get": node.serveGet, "operation": node.serveOperation,
 		"apply": node.serveChange, "change": node.serveChange, "close": node.serveChange, "open": node.serveChange,
 	}
@@ -178,7 +178,7 @@
 
 // park keeps a question until this machine can answer it. Without that it would wait until its asker
 // sends it again.
-func (node *Node) park(now time.Time, message *wire.OperatorAsk) {
+func (node *Node) park(now time.Time, message *wire.OperatorRequest) {
 	for _, parked := range node.head.parked {
 		if parked.message.Token == message.Token {
 			return
@@ -211,7 +211,7 @@
 // answers tells whether this machine could answer any question now: as head.
 func (node *Node) answers(now time.Time) bool { return node.leading(now) }
 
-func (node *Node) serveGet(now time.Time, message *wire.OperatorAsk) {
+func (node *Node) serveGet(now time.Time, message *wire.OperatorRequest) {
 	if !node.chain.Head() {
 		return
 	}
@@ -227,7 +227,7 @@
 	node.reply(message, 200, reply)
 }
 
-func (node *Node) serveOperation(now time.Time, message *wire.OperatorAsk) {
+func (node *Node) serveOperation(now time.Time, message *wire.OperatorRequest) {
 	if !node.leads(now, message) {
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 // leads tells whether this machine may answer a question as head; a head that may not yet parks it.
-func (node *Node) leads(now time.Time, message *wire.OperatorAsk) bool {
+func (node *Node) leads(now time.Time, message *wire.OperatorRequest) bool {
 	leading := node.leading(now)
 	if !leading && node.chain.Head() {
 		node.park(now, message)
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -22,9 +22,9 @@
 
 func newLone() *lone {
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
-	memory := &wire.Memory{Id: "a", View: &wire.View{Epoch: 1, Fleet: "f", Floor: 1, Chain: []*wire.Member{self}, Keepers: []*wire.Member{self}}}
+	memory := &wire.DurableState{Id: "a", View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}}}
 	lone := &lone{now: time.Unix(1_700_000_000, 0)}
-	lone.node = New(lone.now, Startup{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
+	lone.node = New(lone.now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	lone.run(4 * time.Second)
 	return lone
 }
@@ -58,7 +58,7 @@
 }
 
 // send gives the answer once there is one; its status is 0 before.
-func (lone *lone) send(ask *wire.OperatorAsk) *given {
+func (lone *lone) send(ask *wire.OperatorRequest) *given {
 	given := &given{}
 	lone.node.Ask(lone.now, ask, func(status int, body []byte) {
 		given.status = status
@@ -75,29 +75,29 @@
 	reply  Reply
 }
 
-func whole(lanes ...string) []byte {
+func whole(routes ...string) []byte {
 	var list []string
-	for _, lane := range lanes {
-		list = append(list, fmt.Sprintf(`{"name":%q,"pool":"p","patience":"1s","repeatable":false}`, lane))
+	for _, route := range routes {
+		list = append(list, fmt.Sprintf(`{"name":%q,"pool":"p","patience":"1s","repeatable":false}`, route))
 	}
 	return []byte(`{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[` + strings.Join(list, ",") + `]}`)
 }
 
-func apply(operation string, base, epoch uint64, lanes ...string) *wire.OperatorAsk {
-	return &wire.OperatorAsk{Verb: "apply", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: whole(lanes...)}
+func apply(operation string, base, epoch uint64, routes ...string) *wire.OperatorRequest {
+	return &wire.OperatorRequest{Verb: "apply", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: whole(routes...)}
 }
 
-func change(operation string, base, epoch uint64, content string) *wire.OperatorAsk {
-	return &wire.OperatorAsk{Verb: "change", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: []byte(content)}
+func change(operation string, base, epoch uint64, content string) *wire.OperatorRequest {
+	return &wire.OperatorRequest{Verb: "change", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: []byte(content)}
 }
 
-func (lone *lone) lanes(t *testing.T) (names string) {
+func (lone *lone) routes(t *testing.T) (names string) {
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, lane := range held.Lanes {
-		names += lane.Name
+	for _, route := range held.Routes {
+		names += route.Name
 	}
 	return names
 }
@@ -106,7 +106,7 @@
 	t.Parallel()
 	lone := newLone()
 	for _, step := range []struct {
-		ask    *wire.OperatorAsk
+		ask    *wire.OperatorRequest
 		status int
 		epoch  uint64
 		path   string
@@ -115,7 +115,7 @@
 		{apply("first", 0, 7, "a"), 200, 7, ""},
 		{apply("same", 7, 7, "b"), 422, 7, "epoch"},
 		{apply("below", 7, 3, "b"), 422, 7, "epoch"},
-		{&wire.OperatorAsk{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true, Spec: whole("b")}, 422, 7, "epoch"},
+		{&wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true, Spec: whole("b")}, 422, 7, "epoch"},
 		{apply("stale and below", 3, 3, "b"), 409, 7, ""},
 		{apply("next", 7, 0, "b"), 200, 8, ""},
 		{change("leap", 8, 900, `{"remove":{"lanes":["b"]},"upsert":{"lanes":[{"name":"c","pool":"p","patience":"1s"}]}}`), 200, 900, ""},
@@ -129,7 +129,7 @@
 			t.Errorf("%s: %d %+v", step.ask.Operation, got.status, got.reply)
 		}
 	}
-	if got := lone.lanes(t); got != "c" || lone.node.Chain().Committed().SpecEpoch != 900 {
+	if got := lone.routes(t); got != "c" || lone.node.Chain().Committed().SpecEpoch != 900 {
 		t.Errorf("the lanes are %s", got)
 	}
 }
@@ -156,12 +156,12 @@
 			t.Errorf("%s: %d %+v", name, got.status, got.reply)
 		}
 	}
-	if got := lone.lanes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
+	if got := lone.routes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
 		t.Fatalf("the lanes are %s after refusals", got)
 	}
 	got := lone.send(change("fine", 1, 0, `{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`))
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
-	if err != nil || got.status != 200 || lone.lanes(t) != "bcd" || held.Lanes[0].Pool != "q" || held.Limits.BodyBytes != 5 || held.Lanes[0].Worth != 1 {
+	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" || held.Limits.BodyBytes != 5 || held.Routes[0].Value != 1 {
 		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, held)
 	}
 }
@@ -176,7 +176,7 @@
 	under := lone.send(apply("under way", 1, 5, "b"))
 	stale := lone.send(apply("stale", 1, 0, "c"))
 	invalid := lone.send(change("invalid", 5, 0, `{"remove":{"pools":["p"]}}`))
-	read := lone.send(&wire.OperatorAsk{Verb: "get"})
+	read := lone.send(&wire.OperatorRequest{Verb: "get"})
 	lone.run(600 * time.Millisecond)
 	if under.status != 0 || stale.status != 0 || invalid.status != 0 {
 		t.Fatalf("answered before anything is on the disk: %d %d %d", under.status, stale.status, invalid.status)
@@ -197,13 +197,13 @@
 	lone := newLone()
 	lone.send(apply("first", 0, 0, "a"))
 	lone.now = lone.now.Add(3 * time.Second)
-	read, changed := lone.send(&wire.OperatorAsk{Verb: "get"}), lone.send(apply("second", 1, 0, "b"))
+	read, changed := lone.send(&wire.OperatorRequest{Verb: "get"}), lone.send(apply("second", 1, 0, "b"))
 	if read.status != 0 || changed.status != 0 {
 		t.Fatalf("answered without a claim: %d %d", read.status, changed.status)
 	}
 	lone.run(50 * time.Millisecond)
-	if read.status != 200 || lone.lanes(t) != "b" {
-		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.lanes(t))
+	if read.status != 200 || lone.routes(t) != "b" {
+		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.routes(t))
 	}
 	lone.run(Staleness + leaseMargin)
 	if changed.status != 200 {
--- a/control/node/quotas.go
+++ b/control/node/quotas.go
@@ -12,16 +12,16 @@
 // granted no lease is given none.
 func (node *Node) shares(now time.Time, daemon string, report *wire.QuotaReport, leased bool) *wire.QuotaGrant {
 	node.refreshIssuer(now)
-	if len(report.Claims) == 0 {
+	if len(report.Tenants) == 0 {
 		node.head.issuer.Release(now, daemon)
 		return nil
 	}
 	if !leased {
 		return nil
 	}
-	claims := make([]quota.Claim, 0, len(report.Claims))
-	for _, claim := range report.Claims {
-		claims = append(claims, quota.Claim{Tenant: claim.Tenant, Balance: claim.Balance, Capacity: claim.Capacity,
+	claims := make([]quota.TenantReport, 0, len(report.Tenants))
+	for _, claim := range report.Tenants {
+		claims = append(claims, quota.TenantReport{Tenant: claim.Tenant, Balance: claim.Balance, Capacity: claim.Capacity,
 			Rate: claim.Rate, Filled: claim.Filled, Returned: claim.Returned,
 			Demand: claim.Demand, Want: claim.Want, Need: claim.Need})
 	}
@@ -32,17 +32,17 @@
 	return grant
 }
 
-// refreshIssuer makes the issuer of this reign where there is none yet, and gives it the limits of the committed spec.
+// refreshIssuer makes the issuer of this term where there is none yet, and gives it the limits of the committed spec.
 func (node *Node) refreshIssuer(now time.Time) {
 	document := node.chain.Committed()
 	if node.head.issuer == nil {
 		var expected []string
-		for _, directory := range [][]*wire.Member{document.Directory, document.FormerDirectory} {
+		for _, directory := range [][]*wire.Member{document.Directory, document.PreviousDirectory} {
 			for _, member := range directory {
 				expected = append(expected, member.Address)
 			}
 		}
-		node.head.issuer = quota.NewIssuer(now, node.bounds.QuotaTerm, expected)
+		node.head.issuer = quota.NewAllocator(now, node.bounds.QuotaTerm, expected)
 		node.head.limitsEpoch = 0
 	}
 	if node.head.limitsEpoch == document.SpecEpoch || len(document.Spec) == 0 {
@@ -56,7 +56,7 @@
 	limits := map[string]quota.Limit{}
 	for place := range spec.Tenants {
 		if held := spec.Tenants[place].Quota; held.Limits() {
-			limits[spec.Tenants[place].Name] = node.startup.Quotas.Limit(held.Rate, held.Burst)
+			limits[spec.Tenants[place].Name] = node.settings.Quotas.Limit(held.Rate, held.Burst)
 		}
 	}
 	node.head.issuer.SetLimits(now, limits)
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -12,30 +12,30 @@
 
 // reporter is a data daemon that asks for a lease and for shares of a quota.
 type reporter struct {
-	address string
-	nonce   uint64
-	life    uint64
-	claim   *wire.QuotaClaim
+	address     string
+	nonce       uint64
+	incarnation uint64
+	claim       *wire.QuotaTenantReport
 }
 
 // ask sends a question to the head and gives the answer, which is handled in the same step.
-func (fleet *testFleet) ask(reporter *reporter) *wire.TickGrant {
+func (fleet *testFleet) ask(reporter *reporter) *wire.DaemonLeaseGrant {
 	head := fleet.leader()
 	if head == nil {
 		return nil
 	}
 	reporter.nonce++
-	question := &wire.TickAsk{Nonce: reporter.nonce, Sequence: head.node.Chain().Committed().Sequence, Zone: "z", Life: reporter.life, View: head.node.View().Epoch, Quota: &wire.QuotaReport{}}
+	question := &wire.DaemonLeaseRequest{Nonce: reporter.nonce, Sequence: head.node.Chain().Committed().Sequence, Zone: "z", Incarnation: reporter.incarnation, View: head.node.View().Epoch, Quota: &wire.QuotaReport{}}
 	if reporter.claim != nil {
-		question.Quota.Claims = []*wire.QuotaClaim{reporter.claim}
+		question.Quota.Tenants = []*wire.QuotaTenantReport{reporter.claim}
 	}
 	fleet.drain(head)
-	head.node.Receive(fleet.now, &wire.Envelope{From: reporter.address, Sender: reporter.address, Body: &wire.Envelope_TickAsk{TickAsk: question}})
+	head.node.Receive(fleet.now, &wire.Envelope{From: reporter.address, Sender: reporter.address, Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question}})
 	parcels, writes := head.node.Drain()
 	head.writes = append(head.writes, writes...)
-	var answer *wire.TickGrant
+	var answer *wire.DaemonLeaseGrant
 	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetTickGrant(); grant != nil && parcel.To == reporter.address {
+		if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && parcel.To == reporter.address {
 			answer = grant
 			continue
 		}
@@ -61,7 +61,7 @@
 
 // tokens reports a need and gives what the daemon is given.
 func (fleet *testFleet) tokens(reporter *reporter, need float64) float64 {
-	reporter.claim = &wire.QuotaClaim{Tenant: "t", Demand: 100, Need: need}
+	reporter.claim = &wire.QuotaTenantReport{Tenant: "t", Demand: 100, Need: need}
 	defer func() { reporter.claim = nil }()
 	grant := fleet.ask(reporter)
 	if grant == nil || grant.Quota == nil || len(grant.Quota.Shares) != 1 {
@@ -73,8 +73,8 @@
 // The head gives daemons tokens of a tenant's quota, and another head none of them a second time.
 func TestTheHeadIssuesQuotas(t *testing.T) {
 	fleet := newTestFleet(t, 3, 3)
-	first, second := &reporter{address: "d1", life: 1}, &reporter{address: "d2", life: 2}
-	operator := fleet.send(fleet.members[0], &wire.OperatorAsk{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
+	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
+	operator := fleet.send(fleet.members[0], &wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
 	fleet.leased(first, second)
 	fleet.until("the spec is acknowledged", 10*time.Second, func() bool {
 		if fleet.now.UnixMilli()%100 == 0 {
@@ -83,7 +83,7 @@
 		}
 		return operator.status == 200
 	})
-	// A new head's pool fills from nothing, at the rate, up to the burst and the tolerance.
+	// A new head's backend fills from nothing, at the rate, up to the burst and the tolerance.
 	for range 60 {
 		fleet.run(100 * time.Millisecond)
 		fleet.ask(first)
@@ -113,7 +113,7 @@
 func TestOnlyLeasedDaemonsGetShares(t *testing.T) {
 	fleet := newTestFleet(t, 4, 3)
 	fleet.until("a head", 20*time.Second, func() bool { return fleet.leader() != nil })
-	stranger := &reporter{address: "d9", life: 9, claim: &wire.QuotaClaim{Tenant: "t", Need: 10}}
+	stranger := &reporter{address: "d9", incarnation: 9, claim: &wire.QuotaTenantReport{Tenant: "t", Need: 10}}
 	if grant := fleet.ask(stranger); grant == nil || grant.Granted || grant.Quota != nil {
 		t.Errorf("%v", grant)
 	}
--- a/control/node/receive_fuzz_test.go
+++ b/control/node/receive_fuzz_test.go
@@ -17,14 +17,14 @@
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
 	other := &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
 	third := &wire.Member{Id: "c", Address: "127.0.0.3:1", Zone: "c"}
-	view := &wire.View{Epoch: 3, Fleet: "f", Floor: 1, Chain: []*wire.Member{self, other}, Keepers: []*wire.Member{self, other, third}}
+	view := &wire.View{Epoch: 3, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self, other}, Acceptors: []*wire.Member{self, other, third}}
 	document := &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}}
-	startup := Startup{Address: self.Address, Zone: "a", Seeds: []string{other.Address}}
-	founding := startup
+	settings := Settings{Address: self.Address, Zone: "a", Seeds: []string{other.Address}}
+	founding := settings
 	founding.Founding = true
 	return []*Node{
-		New(now, founding, &wire.Memory{Id: "a"}, nil, rand.New(rand.NewSource(1))),
-		New(now, startup, &wire.Memory{Id: "a", View: view, Document: document}, nil, rand.New(rand.NewSource(1))),
+		New(now, founding, &wire.DurableState{Id: "a"}, nil, rand.New(rand.NewSource(1))),
+		New(now, settings, &wire.DurableState{Id: "a", View: view, Document: document}, nil, rand.New(rand.NewSource(1))),
 	}
 }
 
--- a/control/node/refusals.go
+++ b/control/node/refusals.go
@@ -9,7 +9,7 @@
 	// refusalWindow is how many questions of one life of a machine are told apart; a copy of an older one is late.
 	refusalWindow = 4 * maximumAsks
 	// maximumOrigins bounds the lives of machines whose questions are told apart.
-	maximumOrigins = 4 * maximumCohort
+	maximumOrigins = 4 * maximumPartialView
 )
 
 // refusals remembers which copies of an order were refused, so that a late copy of one is never taken after its
--- a/control/node/registry.go
+++ b/control/node/registry.go
@@ -15,7 +15,7 @@
 
 // newRegistrar makes the part of a core that takes runners' calls.
 func (node *Node) newRegistrar(now time.Time) *registry.Registrar {
-	return registry.NewRegistrar(now, node.startup.Beat, node.nonce, node.outbox, registry.Surroundings{
+	return registry.NewRegistrar(now, node.settings.Heartbeat, node.nonce, node.outbox, registry.Environment{
 		Daemons: node.daemonAddresses, Cores: node.coreAddresses, Joined: node.joined, Isolated: node.isolated})
 }
 
@@ -43,7 +43,7 @@
 		found[member.Address] = true
 	}
 	for address, known := range node.head.daemons {
-		if now.Sub(known.asked) < node.startup.Staleness {
+		if now.Sub(known.asked) < node.settings.Staleness {
 			found[address] = true
 		}
 	}
@@ -62,11 +62,11 @@
 // directory gives the daemons of the newest directory that this machine knows.
 func (node *Node) directory() []*wire.Member { return node.newestDirectory().Directory }
 
-// newestDirectory gives the newest document that this machine knows of, from its own history or from a rumor; of one that
-// a rumor brought it holds the sequence and the directory alone.
+// newestDirectory gives the newest document that this machine knows of, from its own history or from a gossip message; of one that
+// a gossip message brought it holds the sequence and the directory alone.
 func (node *Node) newestDirectory() *wire.Document {
 	document := node.chain.Committed()
-	register := node.rumors.Get(DocumentKey)
+	register := node.gossip.Get(DocumentKey)
 	if register == nil || register.Epoch <= document.Sequence {
 		return document
 	}
@@ -80,15 +80,15 @@
 	return node.rumored
 }
 
-// joined tells whether this machine hears most of the chain and the keepers, itself among them.
+// joined tells whether this machine hears most of the chain and the acceptors, itself among them.
 func (node *Node) joined(now time.Time) bool {
 	current := node.agent.Current()
 	members := map[string]bool{}
-	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Keepers...) {
+	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Acceptors...) {
 		members[member.Id] = true
 	}
 	if len(members) == 0 {
-		return len(node.startup.Founders) <= 1 || len(node.peers) > 0
+		return len(node.settings.Founders) <= 1 || len(node.peers) > 0
 	}
 	fresh := 0
 	for id := range members {
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -14,17 +14,17 @@
 	Fleet     string         `json:"fleet"`
 	Place     string         `json:"place"`
 	Chain     []MemberStatus `json:"chain"`
-	Keepers   []MemberStatus `json:"keepers"`
+	Acceptors []MemberStatus `json:"keepers"`
 	Daemons   []MemberStatus `json:"daemons"`
 	Synced    uint64         `json:"synced"`
 	Committed uint64         `json:"committed"`
 	Epoch     uint64         `json:"epoch"`
 	Pending   int            `json:"pending"`
 	// Asks is how many questions of operators wait for an answer here.
-	Asks    int  `json:"asks"`
-	Claim   bool `json:"claim"`
-	Leading bool `json:"leading"`
-	Sick    bool `json:"sick"`
+	Asks      int  `json:"asks"`
+	Claim     bool `json:"claim"`
+	Leading   bool `json:"leading"`
+	Unhealthy bool `json:"sick"`
 	// Runners counts the runners' calls.
 	Runners registry.Counters `json:"runners"`
 	// Warnings name what the fleet can no longer bear to lose.
@@ -33,13 +33,13 @@
 
 // MemberStatus is one line about another process.
 type MemberStatus struct {
-	ID       string `json:"id,omitempty"`
-	Address  string `json:"address"`
-	HTTP     string `json:"http,omitempty"`
-	Zone     string `json:"zone"`
-	Heard    bool   `json:"heard"`
-	Sequence uint64 `json:"sequence,omitempty"`
-	Sick     bool   `json:"sick,omitempty"`
+	ID        string `json:"id,omitempty"`
+	Address   string `json:"address"`
+	HTTP      string `json:"http,omitempty"`
+	Zone      string `json:"zone"`
+	Heard     bool   `json:"heard"`
+	Sequence  uint64 `json:"sequence,omitempty"`
+	Unhealthy bool   `json:"sick,omitempty"`
 }
 
 // Status gives the present state for operators.
@@ -47,23 +47,23 @@
 	current, document := node.agent.Current(), node.chain.Committed()
 	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: node.placeName(), Synced: node.chain.Synced(),
 		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: len(node.asks),
-		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Sick: node.sick(now), Runners: node.registrar.Counters()}
+		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Unhealthy: node.unhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
 		line := MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)}
 		if peer := node.peers[member.Id]; peer != nil {
-			line.Sequence, line.Sick = peer.beat.Synced, peer.beat.Sick
+			line.Sequence, line.Unhealthy = peer.heartbeat.Synced, peer.heartbeat.Unhealthy
 		} else if member.Id == node.self.Id {
-			line.Sequence, line.Sick = node.chain.Synced(), node.sick(now)
+			line.Sequence, line.Unhealthy = node.chain.Synced(), node.unhealthy(now)
 		}
 		status.Chain = append(status.Chain, line)
 	}
-	for _, member := range current.Keepers {
-		status.Keepers = append(status.Keepers, MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)})
+	for _, member := range current.Acceptors {
+		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)})
 	}
 	for _, member := range document.Directory {
 		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
 		if known := node.head.daemons[member.Address]; known != nil {
-			line.Heard, line.Sequence = now.Sub(known.asked) < node.startup.Staleness, known.sequence
+			line.Heard, line.Sequence = now.Sub(known.asked) < node.settings.Staleness, known.sequence
 		}
 		status.Daemons = append(status.Daemons, line)
 	}
@@ -95,22 +95,22 @@
 			live++
 		}
 	}
-	if live <= int(current.Floor) && current.Floor > 1 {
+	if live <= int(current.MinReplicas) && current.MinReplicas > 1 {
 		warnings = append(warnings, "the chain has no copy to spare: the loss of one more disk machine stops changes")
 	}
 	if live == 1 {
 		warnings = append(warnings, "there is one live copy of the control state")
 	}
-	keepers := 0
-	for _, keeper := range current.Keepers {
-		if node.fresh(now, keeper.Id) {
-			keepers++
+	acceptors := 0
+	for _, acceptor := range current.Acceptors {
+		if node.fresh(now, acceptor.Id) {
+			acceptors++
 		}
 	}
-	if keepers < len(current.Keepers) || len(current.Keepers) < node.keeperCount() {
+	if acceptors < len(current.Acceptors) || len(current.Acceptors) < node.acceptorCount() {
 		warnings = append(warnings, "not all keepers are live: the loss of one more stops the mending of the chain")
 	}
-	if !spread(current.Keepers) {
+	if !spread(current.Acceptors) {
 		warnings = append(warnings, "most keepers stand in one zone")
 	}
 	sort.Strings(warnings)
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -67,7 +67,7 @@
 		return reply, nil
 	}
 	if last == nil {
-		last = apierror.New(apierror.BadStartup, "no core is named; give --core")
+		last = apierror.New(apierror.BadSettings, "no core is named; give --core")
 	}
 	return node.Reply{}, last
 }
@@ -110,16 +110,16 @@
 	return client.ask("GET", "/v1/operations/"+url.PathEscape(operation), nil)
 }
 
-// Fleet is the status of every process that answered.
-type Fleet struct {
+// FleetStatus is the status of every process that answered.
+type FleetStatus struct {
 	Cores  []server.Status `json:"cores"`
 	Datas  []daemon.Status `json:"datas"`
 	Silent []string        `json:"silent,omitempty"`
 }
 
 // Status asks the whole fleet: the cores named, those of the view, and the daemons of the directory.
-func (client *Client) Status() (Fleet, error) {
-	fleet := Fleet{}
+func (client *Client) Status() (FleetStatus, error) {
+	fleet := FleetStatus{}
 	asked := map[string]bool{}
 	daemons := map[string]bool{}
 	pending := append([]string{}, client.Cores...)
@@ -136,7 +136,7 @@
 			continue
 		}
 		fleet.Cores = append(fleet.Cores, status)
-		for _, member := range append(status.Core.Chain, status.Core.Keepers...) {
+		for _, member := range append(status.Core.Chain, status.Core.Acceptors...) {
 			pending = append(pending, member.HTTP)
 		}
 		for _, member := range status.Core.Daemons {
@@ -192,7 +192,7 @@
 	content := append([]byte{}, response.Body()...)
 	if response.StatusCode() != 200 {
 		refusal := struct {
-			Kind   apierror.Kind
+			Kind   apierror.Code
 			Detail string
 		}{}
 		if err := json.Unmarshal(content, &refusal); err != nil || refusal.Kind == "" {
--- a/control/registry/begin_test.go
+++ b/control/registry/begin_test.go
@@ -11,7 +11,7 @@
 // of one was told of it as live by a core that had been frozen while it left.
 func TestWhoBeginsLearnsWhoIsGone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	teacher, beginner := NewBook(), NewBook()
+	teacher, beginner := NewTable(), NewTable()
 	teacher.Take(now, []*wire.Runner{{RunnerId: "left", State: "gone", Call: 9, Address: "r1"}, {RunnerId: "there", State: "ready", Call: 3, Address: "r2"}})
 	news, _ := teacher.compare(now, beginner.digest(true))
 	beginner.Take(now, news)
@@ -21,7 +21,7 @@
 			t.Fatal("uses a runner that is gone, by the word of one that missed its end")
 		}
 	}
-	if beginner.Sum() != teacher.Sum() {
+	if beginner.Checksum() != teacher.Checksum() {
 		t.Fatal("the sums of the live lines differ")
 	}
 	// Whoever knows some lines has been there before and is not taught the gone ones.
--- a/control/registry/call.go
+++ b/control/registry/call.go
@@ -42,7 +42,7 @@
 	// State is ready, or draining ahead of a planned end.
 	State string `json:"state"`
 	// Cold is for how long it is still slow after its start.
-	Cold config.Span `json:"cold,omitempty"`
+	Cold config.Duration `json:"cold,omitempty"`
 	// Call goes up with every call of one life, so that a late one can be told.
 	Call uint64 `json:"call"`
 }
@@ -87,7 +87,7 @@
 	line := &wire.Runner{RunnerId: id, Address: call.Address, Zone: call.Zone, Service: call.Service, Revision: call.Revision, Slots: call.Slots,
 		State: call.State, Call: call.Call}
 	if cold := uint32(time.Duration(call.Cold) / time.Millisecond); call.State == Ready && cold > 0 {
-		line.State, line.ColdMilliseconds = Cold, cold
+		line.State, line.SlowStartMilliseconds = Cold, cold
 	}
 	return line, nil
 }
--- a/control/registry/registrar.go
+++ b/control/registry/registrar.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// DefaultBeat is how often runners are taken to call where the settings say nothing.
-	DefaultBeat = time.Second
-	// quietBeats is how many beats a runner may miss before it is called silent, and relayBeats how many
+	// DefaultHeartbeat is how often runners are taken to call where the settings say nothing.
+	DefaultHeartbeat = time.Second
+	// quietHeartbeats is how many beats a runner may miss before it is called silent, and relayBeats how many
 	// more where it was last heard by another core.
-	quietBeats = 3.5
-	relayBeats = 1.0
-	// graceBeats is for how long a core that has begun, or was frozen, calls nobody silent.
-	graceBeats = 5
-	// drainingBeats is after how long an unheard runner that drains is taken to have ended.
-	drainingBeats = 20
+	quietHeartbeats = 3.5
+	relayHeartbeats = 1.0
+	// graceHeartbeats is for how long a core that has begun, or was frozen, calls nobody silent.
+	graceHeartbeats = 5
+	// drainingHeartbeats is after how long an unheard runner that drains is taken to have ended.
+	drainingHeartbeats = 20
 	// crowdFactor is how much longer the patience is where most runners seem silent at once.
 	crowdFactor = 3
 	crowdLeast  = 4
@@ -27,9 +27,9 @@
 	// half of them.
 	confirmBound = 400 * time.Millisecond
 	loneBound    = 750 * time.Millisecond
-	repeatEvery  = 100 * time.Millisecond
-	repeatSlowly = 300 * time.Millisecond
-	repeatBound  = 2 * time.Second
+	retryEvery   = 100 * time.Millisecond
+	retrySlowly  = 300 * time.Millisecond
+	retryBound   = 2 * time.Second
 	// maximumRounds bounds the news of leaving runners that are under way at once.
 	maximumRounds = 1024
 	coldSlack     = time.Second
@@ -47,8 +47,8 @@
 	Unheard Outcome = "unheard"
 )
 
-// Surroundings are what a registrar is told of its core.
-type Surroundings struct {
+// Environment are what a registrar is told of its core.
+type Environment struct {
 	// Daemons gives the data daemons that must know who leaves, Cores the other cores.
 	Daemons func(now time.Time) []string
 	Cores   func() []string
@@ -69,7 +69,7 @@
 	Gone        uint64 `json:"Gone"`
 	Unconfirmed uint64 `json:"Unconfirmed"`
 	Refused     uint64 `json:"Refused"`
-	Repeated    uint64 `json:"Repeated"`
+	Retried     uint64 `json:"Repeated"`
 }
 
 // heard is the latest call of a runner that any core is known to have heard, and when we learned of it.
@@ -84,7 +84,7 @@
 // round is the news of one leaving runner on its way to every daemon.
 type round struct {
 	runner    string
-	begun     time.Time
+	started   time.Time
 	sent      time.Time
 	waiting   map[string]bool
 	confirmed int
@@ -95,8 +95,8 @@
 // Registrar takes the runners' calls at one core.
 type Registrar struct {
 	*Exchange
-	beat         time.Duration
-	surroundings Surroundings
+	heartbeat    time.Duration
+	surroundings Environment
 	heard        map[string]*heard
 	rounds       map[uint64]*round
 	// spread are the leaving runners of which this core itself has told every daemon.
@@ -112,12 +112,12 @@
 }
 
 // NewRegistrar makes the registrar of a core that has just begun. The first nonce differs from life to life.
-func NewRegistrar(now time.Time, beat time.Duration, nonce uint64, outbox *statemachine.Outbox, surroundings Surroundings) *Registrar {
-	if beat <= 0 {
-		beat = DefaultBeat
+func NewRegistrar(now time.Time, heartbeat time.Duration, nonce uint64, outbox *statemachine.Outbox, surroundings Environment) *Registrar {
+	if heartbeat <= 0 {
+		heartbeat = DefaultHeartbeat
 	}
-	return &Registrar{Exchange: NewExchange(outbox), beat: beat, surroundings: surroundings, heard: map[string]*heard{}, rounds: map[uint64]*round{}, spread: map[string]bool{},
-		nonce: nonce, graceUntil: now.Add(graceBeats * beat)}
+	return &Registrar{Exchange: NewExchange(outbox), heartbeat: heartbeat, surroundings: surroundings, heard: map[string]*heard{}, rounds: map[uint64]*round{}, spread: map[string]bool{},
+		nonce: nonce, graceUntil: now.Add(graceHeartbeats * heartbeat)}
 }
 
 // Counters gives what was counted.
@@ -216,7 +216,7 @@
 	}
 	known, told := registrar.coldFor(now, line.RunnerId), time.Duration(0)
 	if line.State == Cold {
-		told = time.Duration(line.ColdMilliseconds) * time.Millisecond
+		told = time.Duration(line.SlowStartMilliseconds) * time.Millisecond
 	}
 	return (known-told).Abs() > coldSlack || (known == 0 || told == 0) && (known-told).Abs() > leastCold
 }
@@ -273,7 +273,7 @@
 	}
 	registrar.nonce++
 	registrar.spread[line.RunnerId] = true
-	round := &round{runner: line.RunnerId, begun: now, sent: now, waiting: map[string]bool{}, answers: []func(outcome Outcome){answer}}
+	round := &round{runner: line.RunnerId, started: now, sent: now, waiting: map[string]bool{}, answers: []func(outcome Outcome){answer}}
 	registrar.rounds[registrar.nonce] = round
 	for _, daemon := range registrar.surroundings.Daemons(now) {
 		round.waiting[daemon] = true
@@ -282,7 +282,7 @@
 	registrar.tell(registrar.nonce, round)
 	for _, core := range registrar.surroundings.Cores() {
 		if !round.waiting[core] {
-			registrar.send(core, &wire.RunnerNews{Runners: []*wire.Runner{line}})
+			registrar.send(core, &wire.RunnerUpdate{Runners: []*wire.Runner{line}})
 		}
 	}
 	registrar.settle(now, registrar.nonce, round)
@@ -294,7 +294,7 @@
 	if line == nil {
 		return
 	}
-	news := &wire.RunnerNews{Runners: []*wire.Runner{line}, Nonce: nonce}
+	news := &wire.RunnerUpdate{Runners: []*wire.Runner{line}, Nonce: nonce}
 	for _, address := range names(round.waiting) {
 		registrar.send(address, news)
 	}
@@ -310,7 +310,7 @@
 }
 
 // Held takes a daemon's word that it knows of a leaving runner.
-func (registrar *Registrar) Held(now time.Time, from string, message *wire.RunnerNewsHeld) {
+func (registrar *Registrar) Held(now time.Time, from string, message *wire.RunnerUpdateAck) {
 	round := registrar.rounds[message.Nonce]
 	if round == nil || !round.waiting[from] {
 		return
@@ -323,8 +323,8 @@
 // settle answers a round that every daemon has confirmed, or whose time is over, and ends it when it has
 // nothing left to do.
 func (registrar *Registrar) settle(now time.Time, nonce uint64, round *round) {
-	passed, complete, outcome := now.Sub(round.begun), len(round.waiting) == 0, Taken
-	if complete || passed >= repeatBound {
+	passed, complete, outcome := now.Sub(round.started), len(round.waiting) == 0, Taken
+	if complete || passed >= retryBound {
 		delete(registrar.rounds, nonce)
 	}
 	if round.answers == nil || !complete && passed < confirmBound {
@@ -365,7 +365,7 @@
 
 // Heard takes in which calls another core has heard of. Why: a core passes on what it heard of others too,
 // so that two cores that can't talk to each other do not call each other's runners silent.
-func (registrar *Registrar) Heard(now time.Time, message *wire.RunnersHeard) {
+func (registrar *Registrar) Heard(now time.Time, message *wire.RunnerHeartbeats) {
 	for _, version := range message.Calls {
 		if registrar.Line(version.RunnerId) != nil && version.Call > registrar.latest(version.RunnerId) {
 			registrar.note(now, version.RunnerId, version.Call, false)
@@ -375,7 +375,7 @@
 
 // News joins what another process told; a runner that another core calls silent, but that has called
 // since, is told of at once.
-func (registrar *Registrar) News(now time.Time, from string, message *wire.RunnerNews) {
+func (registrar *Registrar) News(now time.Time, from string, message *wire.RunnerUpdate) {
 	for _, line := range registrar.Exchange.News(now, from, message) {
 		known := registrar.heard[line.RunnerId]
 		if line.State == Silent && known != nil && known.call > line.Call && now.Sub(known.at) <= registrar.quietBound(known) {
@@ -417,7 +417,7 @@
 	if len(registrar.unsent) == 0 {
 		return
 	}
-	news := &wire.RunnerNews{Runners: registrar.unsent}
+	news := &wire.RunnerUpdate{Runners: registrar.unsent}
 	registrar.unsent = nil
 	for _, address := range registrar.around(now) {
 		registrar.send(address, news)
@@ -440,13 +440,13 @@
 	sort.Slice(nonces, func(left, right int) bool { return nonces[left] < nonces[right] })
 	for _, nonce := range nonces {
 		round := registrar.rounds[nonce]
-		every := repeatEvery
+		every := retryEvery
 		if round.answers == nil {
-			every = repeatSlowly
+			every = retrySlowly
 		}
 		if now.Sub(round.sent) >= every {
 			round.sent = now
-			registrar.counters.Repeated++
+			registrar.counters.Retried++
 			registrar.tell(nonce, round)
 		}
 		registrar.settle(now, nonce, round)
@@ -455,11 +455,11 @@
 
 // tellHeard tells the other cores which runners have called since this was last told.
 func (registrar *Registrar) tellHeard(now time.Time) {
-	if now.Sub(registrar.told) < registrar.beat/2 {
+	if now.Sub(registrar.told) < registrar.heartbeat/2 {
 		return
 	}
 	registrar.told = now
-	message := &wire.RunnersHeard{}
+	message := &wire.RunnerHeartbeats{}
 	for _, id := range names(registrar.heard) {
 		if known := registrar.heard[id]; known.call > known.told {
 			known.told = known.call
@@ -470,7 +470,7 @@
 		return
 	}
 	for _, core := range registrar.surroundings.Cores() {
-		registrar.outbox.Send(core, &wire.Envelope{Body: &wire.Envelope_RunnersHeard{RunnersHeard: message}})
+		registrar.outbox.Send(core, &wire.Envelope{Body: &wire.Envelope_RunnerHeartbeats{RunnerHeartbeats: message}})
 	}
 }
 
@@ -479,7 +479,7 @@
 	// count is how many runners are live and don't drain; direct is how many of them this core hears itself.
 	count, direct int
 	// quiet have not been heard for their bound, longQuiet not for several times as long; ended have drained long enough.
-	quiet, longQuiet, ended []string
+	quiet, longQuiet, finished []string
 }
 
 // look calls runners silent of which no core has heard for long.
@@ -503,7 +503,7 @@
 	for _, id := range quiet {
 		registrar.silence(now, id)
 	}
-	for _, id := range found.ended {
+	for _, id := range found.finished {
 		registrar.setState(now, id, Gone)
 	}
 }
@@ -540,8 +540,8 @@
 	known := registrar.lastHeard(now, line)
 	passed, bound := now.Sub(known.at), registrar.quietBound(known)
 	if line.State == Draining {
-		if passed > drainingBeats*registrar.beat {
-			survey.ended = append(survey.ended, id)
+		if passed > drainingHeartbeats*registrar.heartbeat {
+			survey.finished = append(survey.finished, id)
 		}
 		return
 	}
@@ -572,11 +572,11 @@
 }
 
 func (registrar *Registrar) quietBound(known *heard) time.Duration {
-	beats := quietBeats
+	heartbeats := quietHeartbeats
 	if !known.directly {
-		beats += relayBeats
+		heartbeats += relayHeartbeats
 	}
-	return time.Duration(beats * float64(registrar.beat))
+	return time.Duration(heartbeats * float64(registrar.heartbeat))
 }
 
 // silence calls a runner silent.
--- a/control/registry/registrar_test.go
+++ b/control/registry/registrar_test.go
@@ -11,10 +11,10 @@
 	"wardtray/wire"
 )
 
-const beat = time.Second
+const heartbeat = time.Second
 
-// desk is a registrar with what it sends and is told.
-type desk struct {
+// scheduler is a registrar with what it sends and is told.
+type scheduler struct {
 	t         *testing.T
 	outbox    *statemachine.Outbox
 	registrar *Registrar
@@ -24,9 +24,9 @@
 	now       time.Time
 }
 
-func newDesk(t *testing.T) *desk {
-	made := &desk{t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: begun}
-	made.registrar = NewRegistrar(begun, beat, 7, made.outbox, Surroundings{Daemons: func(time.Time) []string { return made.daemons },
+func newScheduler(t *testing.T) *scheduler {
+	made := &scheduler{t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: started}
+	made.registrar = NewRegistrar(started, heartbeat, 7, made.outbox, Environment{Daemons: func(time.Time) []string { return made.daemons },
 		Cores: func() []string { return []string{"c1"} }, Joined: func(time.Time) bool { return made.joined },
 		Isolated: func(time.Time) bool { return made.isolated }})
 	return made
@@ -43,11 +43,11 @@
 }
 
 // call gives where the outcome of a call will stand.
-func (desk *desk) call(line *wire.Runner) *Outcome {
+func (scheduler *scheduler) call(line *wire.Runner) *Outcome {
 	got := new(Outcome)
-	desk.registrar.Register(desk.now, line, func(outcome Outcome) {
+	scheduler.registrar.Register(scheduler.now, line, func(outcome Outcome) {
 		if *got != "" {
-			desk.t.Error("answered twice")
+			scheduler.t.Error("answered twice")
 		}
 		*got = outcome
 	})
@@ -55,125 +55,125 @@
 }
 
 // pass lets time go by, in ticks, without what is sent.
-func (desk *desk) pass(length time.Duration) {
-	for end := desk.now.Add(length); desk.now.Before(end); {
-		desk.now = desk.now.Add(50 * time.Millisecond)
-		desk.registrar.Tick(desk.now)
+func (scheduler *scheduler) pass(length time.Duration) {
+	for end := scheduler.now.Add(length); scheduler.now.Before(end); {
+		scheduler.now = scheduler.now.Add(50 * time.Millisecond)
+		scheduler.registrar.Tick(scheduler.now)
 	}
 }
 
 // news gives what was sent to each address since this was last asked.
-func (desk *desk) news() map[string][]*wire.RunnerNews {
-	news := map[string][]*wire.RunnerNews{}
-	parcels, _ := desk.outbox.Drain()
+func (scheduler *scheduler) news() map[string][]*wire.RunnerUpdate {
+	news := map[string][]*wire.RunnerUpdate{}
+	parcels, _ := scheduler.outbox.Drain()
 	for _, parcel := range parcels {
-		if told := parcel.Envelope.GetRunnerNews(); told != nil {
+		if told := parcel.Envelope.GetRunnerUpdate(); told != nil {
 			news[parcel.To] = append(news[parcel.To], told)
 		}
 	}
 	return news
 }
 
-func (desk *desk) held(from string, nonce uint64) {
-	desk.registrar.Held(desk.now, from, &wire.RunnerNewsHeld{Nonce: nonce})
+func (scheduler *scheduler) held(from string, nonce uint64) {
+	scheduler.registrar.Held(scheduler.now, from, &wire.RunnerUpdateAck{Nonce: nonce})
 }
 
-func (desk *desk) state(id string) string { return desk.registrar.Line(id).GetState() }
+func (scheduler *scheduler) state(id string) string { return scheduler.registrar.Line(id).GetState() }
 
-func TestRepeatedCallsSendNothing(t *testing.T) {
-	desk := newDesk(t)
-	got := desk.call(ready("r1", 1))
+func TestRetriedCallsSendNothing(t *testing.T) {
+	scheduler := newScheduler(t)
+	got := scheduler.call(ready("r1", 1))
 	if *got != "" {
 		t.Fatal("acknowledged before anybody else was told")
 	}
-	desk.pass(50 * time.Millisecond)
-	if news := desk.news(); *got != Taken || len(news["d0"]) != 1 || len(news["d1"]) != 1 || len(news["c1"]) != 1 {
+	scheduler.pass(50 * time.Millisecond)
+	if news := scheduler.news(); *got != Taken || len(news["d0"]) != 1 || len(news["d1"]) != 1 || len(news["c1"]) != 1 {
 		t.Fatal(news)
 	}
 	for number := range 10 {
-		desk.pass(beat)
-		desk.call(ready("r1", uint64(number+2)))
+		scheduler.pass(heartbeat)
+		scheduler.call(ready("r1", uint64(number+2)))
 	}
-	if news := desk.news(); len(news) != 0 {
+	if news := scheduler.news(); len(news) != 0 {
 		t.Fatal(news)
 	}
 	moved := ready("r1", 20)
 	moved.Slots = 9
-	desk.call(moved)
-	desk.pass(50 * time.Millisecond)
-	if news := desk.news(); len(news["d0"]) != 1 || news["d0"][0].Runners[0].Slots != 9 {
+	scheduler.call(moved)
+	scheduler.pass(50 * time.Millisecond)
+	if news := scheduler.news(); len(news["d0"]) != 1 || news["d0"][0].Runners[0].Slots != 9 {
 		t.Fatal(news)
 	}
 }
 
 func TestLateCallsChangeNothing(t *testing.T) {
-	desk := newDesk(t)
-	desk.call(ready("r1", 5))
+	scheduler := newScheduler(t)
+	scheduler.call(ready("r1", 5))
 	late := ready("r1", 5)
 	late.Address = "10.0.0.9:9"
-	if got := desk.call(late); *got != Late || desk.registrar.Line("r1").Address == late.Address {
+	if got := scheduler.call(late); *got != Late || scheduler.registrar.Line("r1").Address == late.Address {
 		t.Fatal(*got)
 	}
-	desk.daemons = nil
-	desk.call(draining("r1", 6))
+	scheduler.daemons = nil
+	scheduler.call(draining("r1", 6))
 	for call := uint64(4); call < 9; call++ {
-		if got := desk.call(ready("r1", call)); *got == "" || desk.state("r1") != Draining {
-			t.Fatal(call, *got, desk.state("r1"))
+		if got := scheduler.call(ready("r1", call)); *got == "" || scheduler.state("r1") != Draining {
+			t.Fatal(call, *got, scheduler.state("r1"))
 		}
 	}
-	desk.registrar.Deregister(desk.now, "r1", func(Outcome) {})
-	if got := desk.call(ready("r1", 100)); *got != Late || desk.state("r1") != Gone {
-		t.Fatal(*got, desk.state("r1"))
+	scheduler.registrar.Deregister(scheduler.now, "r1", func(Outcome) {})
+	if got := scheduler.call(ready("r1", 100)); *got != Late || scheduler.state("r1") != Gone {
+		t.Fatal(*got, scheduler.state("r1"))
 	}
 }
 
 // The calm way: the acknowledgement comes with the last daemon's word, at once.
 func TestDrainingIsAcknowledgedOnceAllKnow(t *testing.T) {
-	desk := newDesk(t)
-	desk.call(ready("r1", 1))
-	desk.pass(50 * time.Millisecond)
-	desk.news()
-	got := desk.call(draining("r1", 2))
-	news := desk.news()
+	scheduler := newScheduler(t)
+	scheduler.call(ready("r1", 1))
+	scheduler.pass(50 * time.Millisecond)
+	scheduler.news()
+	got := scheduler.call(draining("r1", 2))
+	news := scheduler.news()
 	if *got != "" || len(news["d0"]) != 1 || len(news["d1"]) != 1 || news["c1"][0].Nonce != 0 {
 		t.Fatal(*got, news)
 	}
 	nonce := news["d0"][0].Nonce
-	desk.held("d0", nonce)
-	desk.held("d0", nonce)
-	desk.held("stranger", nonce)
+	scheduler.held("d0", nonce)
+	scheduler.held("d0", nonce)
+	scheduler.held("stranger", nonce)
 	if *got != "" {
 		t.Fatal("acknowledged before d1 knew")
 	}
-	desk.held("d1", nonce)
-	if *got != Taken || desk.registrar.Counters().Unconfirmed != 0 {
+	scheduler.held("d1", nonce)
+	if *got != Taken || scheduler.registrar.Counters().Unconfirmed != 0 {
 		t.Fatal(*got)
 	}
 	// Its later calls are answered at once.
-	if again := desk.call(draining("r1", 3)); *again != Taken || len(desk.news()) != 0 {
+	if again := scheduler.call(draining("r1", 3)); *again != Taken || len(scheduler.news()) != 0 {
 		t.Fatal(*again)
 	}
 }
 
 // A daemon that does not answer is told again and again; the runner is not kept waiting for it.
-func TestDrainingIsRepeatedToWhoDoesNotConfirm(t *testing.T) {
-	desk := newDesk(t)
-	got := desk.call(draining("r1", 1))
-	again := desk.call(draining("r1", 2))
-	nonce := desk.news()["d0"][0].Nonce
-	desk.held("d0", nonce)
-	desk.pass(confirmBound - 50*time.Millisecond)
-	if news := desk.news(); *got != "" || len(news["d0"]) != 0 || len(news["d1"]) < 3 {
+func TestDrainingIsRetriedToWhoDoesNotConfirm(t *testing.T) {
+	scheduler := newScheduler(t)
+	got := scheduler.call(draining("r1", 1))
+	again := scheduler.call(draining("r1", 2))
+	nonce := scheduler.news()["d0"][0].Nonce
+	scheduler.held("d0", nonce)
+	scheduler.pass(confirmBound - 50*time.Millisecond)
+	if news := scheduler.news(); *got != "" || len(news["d0"]) != 0 || len(news["d1"]) < 3 {
 		t.Fatal(*got, news)
 	}
-	desk.pass(100 * time.Millisecond)
-	if *got != Taken || *again != Taken || desk.registrar.Counters().Unconfirmed != 1 {
+	scheduler.pass(100 * time.Millisecond)
+	if *got != Taken || *again != Taken || scheduler.registrar.Counters().Unconfirmed != 1 {
 		t.Fatal(*got, *again)
 	}
-	desk.news()
-	desk.pass(repeatBound)
-	if told := len(desk.news()["d1"]); told < 4 || len(desk.registrar.rounds) != 0 {
-		t.Fatal(told, len(desk.registrar.rounds))
+	scheduler.news()
+	scheduler.pass(retryBound)
+	if told := len(scheduler.news()["d1"]); told < 4 || len(scheduler.registrar.rounds) != 0 {
+		t.Fatal(told, len(scheduler.registrar.rounds))
 	}
 }
 
@@ -184,21 +184,21 @@
 		answers int
 		outcome Outcome
 	}{"none": {true, 0, Unheard}, "few, alone": {false, 1, Unheard}, "few": {true, 1, Unheard}, "most, alone": {false, 2, Taken}} {
-		desk := newDesk(t)
-		desk.daemons, desk.joined = []string{"d0", "d1", "d2"}, trial.joined
-		got := desk.call(draining("r1", 1))
-		nonce := desk.news()["d0"][0].Nonce
-		for _, daemon := range desk.daemons[:trial.answers] {
-			desk.held(daemon, nonce)
+		scheduler := newScheduler(t)
+		scheduler.daemons, scheduler.joined = []string{"d0", "d1", "d2"}, trial.joined
+		got := scheduler.call(draining("r1", 1))
+		nonce := scheduler.news()["d0"][0].Nonce
+		for _, daemon := range scheduler.daemons[:trial.answers] {
+			scheduler.held(daemon, nonce)
 		}
-		desk.pass(900 * time.Millisecond)
+		scheduler.pass(900 * time.Millisecond)
 		if *got != trial.outcome {
 			t.Errorf("%s: %q", name, *got)
 		}
 		// Found by the simulator: the call after a refused one was acknowledged at once, with no daemon told.
 		if trial.outcome == Unheard {
-			again := desk.call(draining("r1", 2))
-			desk.pass(confirmBound)
+			again := scheduler.call(draining("r1", 2))
+			scheduler.pass(confirmBound)
 			if *again != "" {
 				t.Errorf("%s, again: %q", name, *again)
 			}
@@ -207,19 +207,19 @@
 }
 
 func TestCoreThatHearsNobodyTakesNoCalls(t *testing.T) {
-	desk := newDesk(t)
-	desk.isolated = true
-	if got := desk.call(ready("r1", 1)); *got != Unheard || desk.registrar.Line("r1") != nil {
+	scheduler := newScheduler(t)
+	scheduler.isolated = true
+	if got := scheduler.call(ready("r1", 1)); *got != Unheard || scheduler.registrar.Line("r1") != nil {
 		t.Fatal(*got)
 	}
-	desk.registrar.Deregister(desk.now, "r1", func(outcome Outcome) {
+	scheduler.registrar.Deregister(scheduler.now, "r1", func(outcome Outcome) {
 		if outcome != Unheard {
 			t.Error(outcome)
 		}
 	})
-	desk.isolated = false
-	got := desk.call(ready("r1", 1))
-	desk.pass(50 * time.Millisecond)
+	scheduler.isolated = false
+	got := scheduler.call(ready("r1", 1))
+	scheduler.pass(50 * time.Millisecond)
 	if *got != Taken {
 		t.Fatal(*got)
 	}
@@ -228,45 +228,45 @@
 // A core that knows only by another's news that a runner drains asks the daemons itself before it
 // acknowledges: the other may have died in the middle.
 func TestDrainingHeardOfIsSpreadAnew(t *testing.T) {
-	desk := newDesk(t)
-	desk.registrar.News(desk.now, "c1", &wire.RunnerNews{Runners: []*wire.Runner{draining("r1", 3)}})
-	got := desk.call(draining("r1", 4))
-	nonce := desk.news()["d0"][0].Nonce
+	scheduler := newScheduler(t)
+	scheduler.registrar.News(scheduler.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{draining("r1", 3)}})
+	got := scheduler.call(draining("r1", 4))
+	nonce := scheduler.news()["d0"][0].Nonce
 	if *got != "" {
 		t.Fatal("acknowledged on another's word")
 	}
-	desk.held("d0", nonce)
-	desk.held("d1", nonce)
+	scheduler.held("d0", nonce)
+	scheduler.held("d1", nonce)
 	if *got != Taken {
 		t.Fatal(*got)
 	}
 }
 
 // calls has some runners call for a length of time.
-func (desk *desk) calls(length time.Duration, call *uint64, ids ...string) {
-	for end := desk.now.Add(length); desk.now.Before(end); {
+func (scheduler *scheduler) calls(length time.Duration, call *uint64, ids ...string) {
+	for end := scheduler.now.Add(length); scheduler.now.Before(end); {
 		*call++
 		for _, id := range ids {
-			desk.call(ready(id, *call))
+			scheduler.call(ready(id, *call))
 		}
-		desk.pass(beat)
+		scheduler.pass(heartbeat)
 	}
 }
 
 func TestSilenceAndComingBack(t *testing.T) {
-	desk, call := newDesk(t), uint64(0)
-	desk.calls(8*time.Second, &call, "r1", "r2", "r3")
-	desk.calls(2*time.Second, &call, "r1", "r2")
-	if desk.state("r3") != Ready {
+	scheduler, call := newScheduler(t), uint64(0)
+	scheduler.calls(8*time.Second, &call, "r1", "r2", "r3")
+	scheduler.calls(2*time.Second, &call, "r1", "r2")
+	if scheduler.state("r3") != Ready {
 		t.Fatal("silent too early")
 	}
-	desk.calls(2*time.Second, &call, "r1", "r2")
-	if desk.state("r3") != Silent || desk.state("r1") != Ready || desk.registrar.Counters().Silent != 1 {
-		t.Fatal(desk.state("r3"), desk.state("r1"))
+	scheduler.calls(2*time.Second, &call, "r1", "r2")
+	if scheduler.state("r3") != Silent || scheduler.state("r1") != Ready || scheduler.registrar.Counters().Silent != 1 {
+		t.Fatal(scheduler.state("r3"), scheduler.state("r1"))
 	}
-	desk.calls(time.Second, &call, "r1", "r2", "r3")
-	if desk.state("r3") != Ready || desk.registrar.Counters().Revived != 1 {
-		t.Fatal(desk.state("r3"))
+	scheduler.calls(time.Second, &call, "r1", "r2", "r3")
+	if scheduler.state("r3") != Ready || scheduler.registrar.Counters().Revived != 1 {
+		t.Fatal(scheduler.state("r3"))
 	}
 }
 
@@ -274,13 +274,13 @@
 // cores nor most runners; nor most runners at once before long.
 func TestSilenceIsNotCalledByWhoCannotKnow(t *testing.T) {
 	lines := []*wire.Runner{ready("r1", 1), ready("r2", 1), ready("r3", 1)}
-	fresh := newDesk(t)
-	fresh.registrar.News(fresh.now, "c1", &wire.RunnerNews{Runners: lines})
-	fresh.pass(graceBeats*beat - 100*time.Millisecond)
+	fresh := newScheduler(t)
+	fresh.registrar.News(fresh.now, "c1", &wire.RunnerUpdate{Runners: lines})
+	fresh.pass(graceHeartbeats*heartbeat - 100*time.Millisecond)
 	if fresh.state("r1") != Ready {
 		t.Error("silent by a core that has just begun")
 	}
-	still, call := newDesk(t), uint64(0)
+	still, call := newScheduler(t), uint64(0)
 	still.calls(8*time.Second, &call, "r1", "r2", "r3")
 	still.now = still.now.Add(time.Minute)
 	still.registrar.Resume(still.now)
@@ -288,14 +288,14 @@
 	if still.state("r1") != Ready {
 		t.Error("silent by a core that stood still")
 	}
-	alone, call := newDesk(t), uint64(0)
+	alone, call := newScheduler(t), uint64(0)
 	alone.calls(8*time.Second, &call, "r1", "r2", "r3")
 	alone.joined = false
 	alone.pass(time.Minute)
 	if alone.state("r1") != Ready {
 		t.Error("silent by a core that is cut off")
 	}
-	crowd, call := newDesk(t), uint64(0)
+	crowd, call := newScheduler(t), uint64(0)
 	ids := []string{}
 	for number := range 8 {
 		ids = append(ids, fmt.Sprint("r", number))
@@ -314,45 +314,45 @@
 // A core that no runner calls learns from the others who calls them; and where one of them was wrong, who
 // hears the runner says so at once.
 func TestOtherCoresHearToo(t *testing.T) {
-	desk := newDesk(t)
-	desk.registrar.News(desk.now, "c1", &wire.RunnerNews{Runners: []*wire.Runner{ready("r1", 1), ready("r2", 1)}})
+	scheduler := newScheduler(t)
+	scheduler.registrar.News(scheduler.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{ready("r1", 1), ready("r2", 1)}})
 	for call := uint64(2); call < 14; call++ {
-		desk.registrar.Heard(desk.now, &wire.RunnersHeard{Calls: []*wire.RunnerVersion{{RunnerId: "r1", Call: call}}})
-		desk.pass(beat)
+		scheduler.registrar.Heard(scheduler.now, &wire.RunnerHeartbeats{Calls: []*wire.RunnerVersion{{RunnerId: "r1", Call: call}}})
+		scheduler.pass(heartbeat)
 	}
-	if desk.state("r1") != Ready || desk.state("r2") != Silent {
-		t.Fatal(desk.state("r1"), desk.state("r2"))
+	if scheduler.state("r1") != Ready || scheduler.state("r2") != Silent {
+		t.Fatal(scheduler.state("r1"), scheduler.state("r2"))
 	}
-	desk.news()
-	desk.registrar.News(desk.now, "c1", &wire.RunnerNews{Runners: []*wire.Runner{changed(ready("r1", 1), Silent, 10)}})
-	desk.pass(50 * time.Millisecond)
-	if news := desk.news(); desk.state("r1") != Ready || len(news["d0"]) != 1 || news["d0"][0].Runners[0].Call != 13 {
-		t.Fatal(desk.state("r1"), news)
+	scheduler.news()
+	scheduler.registrar.News(scheduler.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{changed(ready("r1", 1), Silent, 10)}})
+	scheduler.pass(50 * time.Millisecond)
+	if news := scheduler.news(); scheduler.state("r1") != Ready || len(news["d0"]) != 1 || news["d0"][0].Runners[0].Call != 13 {
+		t.Fatal(scheduler.state("r1"), news)
 	}
 }
 
 func TestAddressBelongsToTheLastThatCalled(t *testing.T) {
-	desk := newDesk(t)
-	desk.call(ready("r1", 5))
+	scheduler := newScheduler(t)
+	scheduler.call(ready("r1", 5))
 	taker := ready("r2", 1)
 	taker.Address = ready("r1", 1).Address
-	desk.call(taker)
-	if desk.state("r1") != Silent || desk.state("r2") != Ready {
-		t.Fatal(desk.state("r1"), desk.state("r2"))
+	scheduler.call(taker)
+	if scheduler.state("r1") != Silent || scheduler.state("r2") != Ready {
+		t.Fatal(scheduler.state("r1"), scheduler.state("r2"))
 	}
 	// A call of the former one that was long on its way displaces the present one until that calls again.
-	desk.call(ready("r1", 6))
+	scheduler.call(ready("r1", 6))
 	again := ready("r2", 2)
 	again.Address = taker.Address
-	desk.call(again)
-	if desk.state("r1") != Silent || desk.state("r2") != Ready {
-		t.Fatal(desk.state("r1"), desk.state("r2"))
+	scheduler.call(again)
+	if scheduler.state("r1") != Silent || scheduler.state("r2") != Ready {
+		t.Fatal(scheduler.state("r1"), scheduler.state("r2"))
 	}
 }
 
 func TestCallsAreReadStrictly(t *testing.T) {
 	good := `{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"ready","cold":"1.5s","call":3}`
-	if line, err := Read("r", []byte(good)); err != nil || line.State != Cold || line.ColdMilliseconds != 1500 {
+	if line, err := Read("r", []byte(good)); err != nil || line.State != Cold || line.SlowStartMilliseconds != 1500 {
 		t.Fatal(line, err)
 	}
 	for bad, named := range map[string]string{
--- a/control/registry/book.go
+++ b/control/registry/table.go
@@ -22,34 +22,34 @@
 	since, coldUntil time.Time
 }
 
-// Book is what one process knows of the registered runners.
-type Book struct {
-	entries map[string]*entry
-	sum     uint64
-	pruned  time.Time
+// Table is what one process knows of the registered runners.
+type Table struct {
+	entries  map[string]*entry
+	checksum uint64
+	pruned   time.Time
 	// The list as last given, and when the next of its runners is no longer cold.
 	list     []*wire.Runner
 	listed   bool
 	warmNext time.Time
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{entries: map[string]*entry{}, list: []*wire.Runner{}} }
+// NewTable makes an empty book.
+func NewTable() *Table { return &Table{entries: map[string]*entry{}, list: []*wire.Runner{}} }
 
 // Line gives what is known of a runner, or nil.
-func (book *Book) Line(id string) *wire.Runner {
+func (book *Table) Line(id string) *wire.Runner {
 	if held := book.entries[id]; held != nil {
 		return held.line
 	}
 	return nil
 }
 
-// Sum tells what all live lines add up to; two books with one sum hold the same live runners.
-func (book *Book) Sum() uint64 { return book.sum }
+// Checksum tells what all live lines add up to; two books with one sum hold the same live runners.
+func (book *Table) Checksum() uint64 { return book.checksum }
 
 // Take joins lines into the book. It gives those that changed it, and our own line of each runner of which
 // an older one came.
-func (book *Book) Take(now time.Time, lines []*wire.Runner) (taken, newer []*wire.Runner) {
+func (book *Table) Take(now time.Time, lines []*wire.Runner) (taken, newer []*wire.Runner) {
 	for _, line := range lines {
 		if _, known := stages[line.GetState()]; !known || line.RunnerId == "" {
 			continue
@@ -72,17 +72,17 @@
 	return taken, newer
 }
 
-func (book *Book) put(now time.Time, line *wire.Runner) {
+func (book *Table) put(now time.Time, line *wire.Runner) {
 	if held := book.entries[line.RunnerId]; held != nil {
-		book.sum -= weight(held.line)
+		book.checksum -= weight(held.line)
 	}
-	book.sum += weight(line)
-	book.entries[line.RunnerId] = &entry{line: line, since: now, coldUntil: now.Add(time.Duration(line.ColdMilliseconds) * time.Millisecond)}
+	book.checksum += weight(line)
+	book.entries[line.RunnerId] = &entry{line: line, since: now, coldUntil: now.Add(time.Duration(line.SlowStartMilliseconds) * time.Millisecond)}
 	book.listed = false
 }
 
 // makeRoom forgets the runner that has been gone or silent for longest; it tells whether there was one.
-func (book *Book) makeRoom() bool {
+func (book *Table) makeRoom() bool {
 	oldest := ""
 	for id, held := range book.entries {
 		if !live[held.line.State] && (oldest == "" || held.since.Before(book.entries[oldest].since) || held.since.Equal(book.entries[oldest].since) && id < oldest) {
@@ -94,7 +94,7 @@
 }
 
 // Prune forgets runners that have been gone or silent for long.
-func (book *Book) Prune(now time.Time) {
+func (book *Table) Prune(now time.Time) {
 	if now.Sub(book.pruned) < pruneEvery {
 		return
 	}
@@ -108,17 +108,17 @@
 
 // told gives a line as it is told to others: with the time that its runner is still cold. Why: clocks of two
 // processes are never compared, so what is left is told as a length of time.
-func (book *Book) told(now time.Time, held *entry) *wire.Runner {
+func (book *Table) told(now time.Time, held *entry) *wire.Runner {
 	if held.line.State != Cold {
 		return held.line
 	}
 	line := changed(held.line, Cold, held.line.Call)
-	line.ColdMilliseconds = uint32(max(0, held.coldUntil.Sub(now)/time.Millisecond))
+	line.SlowStartMilliseconds = uint32(max(0, held.coldUntil.Sub(now)/time.Millisecond))
 	return line
 }
 
 // coldFor tells for how long a runner is still cold by what is known.
-func (book *Book) coldFor(now time.Time, id string) time.Duration {
+func (book *Table) coldFor(now time.Time, id string) time.Duration {
 	held := book.entries[id]
 	if held == nil || held.line.State != Cold {
 		return 0
@@ -128,7 +128,7 @@
 
 // Runners lists the live runners by id, each ready, cold or draining; the list is another one only when
 // something in it changed.
-func (book *Book) Runners(now time.Time) []*wire.Runner {
+func (book *Table) Runners(now time.Time) []*wire.Runner {
 	if book.listed && (book.warmNext.IsZero() || now.Before(book.warmNext)) {
 		return book.list
 	}
@@ -152,7 +152,7 @@
 }
 
 // All lists every line by id, also of runners that are gone or silent.
-func (book *Book) All(now time.Time) []*wire.Runner {
+func (book *Table) All(now time.Time) []*wire.Runner {
 	list := make([]*wire.Runner, 0, len(book.entries))
 	for _, id := range book.ids() {
 		list = append(list, book.told(now, book.entries[id]))
@@ -160,7 +160,7 @@
 	return list
 }
 
-func (book *Book) ids() []string {
+func (book *Table) ids() []string {
 	ids := make([]string, 0, len(book.entries))
 	for id := range book.entries {
 		ids = append(ids, id)
@@ -170,8 +170,8 @@
 }
 
 // digest tells which version of each live line is held here.
-func (book *Book) digest(answerWanted bool) *wire.RunnerDigest {
-	digest := &wire.RunnerDigest{AnswerWanted: answerWanted}
+func (book *Table) digest(answerWanted bool) *wire.RunnerDigest {
+	digest := &wire.RunnerDigest{ResponseWanted: answerWanted}
 	for _, id := range book.ids() {
 		if line := book.entries[id].line; live[line.State] {
 			digest.Versions = append(digest.Versions, &wire.RunnerVersion{RunnerId: id, State: line.State, Call: line.Call})
@@ -181,7 +181,7 @@
 }
 
 // compare gives the lines that the sender of a digest lacks, and tells whether it holds any that we lack.
-func (book *Book) compare(now time.Time, digest *wire.RunnerDigest) (news []*wire.Runner, lacking bool) {
+func (book *Table) compare(now time.Time, digest *wire.RunnerDigest) (news []*wire.Runner, lacking bool) {
 	theirs := map[string]*wire.RunnerVersion{}
 	for _, version := range digest.Versions {
 		theirs[version.RunnerId] = version
--- a/control/registry/book_test.go
+++ b/control/registry/table_test.go
@@ -15,7 +15,7 @@
 	"wardtray/wire"
 )
 
-var begun = time.Unix(1_700_000_000, 0)
+var started = time.Unix(1_700_000_000, 0)
 
 var states = []string{Ready, Cold, Draining, Gone, Silent}
 
@@ -33,8 +33,8 @@
 	return lines
 }
 
-func same(left, right *Book) bool {
-	if left.Sum() != right.Sum() || len(left.entries) != len(right.entries) {
+func same(left, right *Table) bool {
+	if left.Checksum() != right.Checksum() || len(left.entries) != len(right.entries) {
 		return false
 	}
 	for id := range left.entries {
@@ -45,10 +45,10 @@
 	return true
 }
 
-func joined(groups ...[]*wire.Runner) *Book {
-	book := NewBook()
+func joined(groups ...[]*wire.Runner) *Table {
+	book := NewTable()
 	for _, group := range groups {
-		book.Take(begun, group)
+		book.Take(started, group)
 	}
 	return book
 }
@@ -77,10 +77,10 @@
 	}, gen.Int64()))
 	properties.Property("gone and draining are for good", prop.ForAll(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		book := NewBook()
+		book := NewTable()
 		reached := map[string]int{}
 		for _, line := range anyLines(random) {
-			book.Take(begun, []*wire.Runner{line})
+			book.Take(started, []*wire.Runner{line})
 			stage := stages[book.Line(line.RunnerId).State]
 			if stage < reached[line.RunnerId] {
 				return false
@@ -117,7 +117,7 @@
 			for _, parcel := range parcels {
 				count, moved = count+1, true
 				to := pair.exchanges[1-place]
-				if news := parcel.Envelope.GetRunnerNews(); news != nil {
+				if news := parcel.Envelope.GetRunnerUpdate(); news != nil {
 					to.News(now, "other", news)
 				}
 				if digest := parcel.Envelope.GetRunnerDigest(); digest != nil {
@@ -140,75 +140,75 @@
 		random := rand.New(rand.NewSource(seed))
 		pair := newPair()
 		for _, exchange := range pair.exchanges {
-			exchange.Take(begun, anyLines(random))
+			exchange.Take(started, anyLines(random))
 		}
 		left, right := pair.exchanges[0], pair.exchanges[1]
-		left.Compare(begun, "other", right.Sum())
-		if pair.carry(begun) > 6 {
+		left.Compare(started, "other", right.Checksum())
+		if pair.carry(started) > 6 {
 			return false
 		}
-		right.Compare(begun, "other", left.Sum())
-		return pair.carry(begun) <= 6 && left.Sum() == right.Sum() && func() bool {
-			left.Compare(begun.Add(time.Minute), "other", right.Sum())
-			return pair.carry(begun) == 0
+		right.Compare(started, "other", left.Checksum())
+		return pair.carry(started) <= 6 && left.Checksum() == right.Checksum() && func() bool {
+			left.Compare(started.Add(time.Minute), "other", right.Checksum())
+			return pair.carry(started) == 0
 		}()
 	}, gen.Int64()))
 	properties.TestingRun(t)
 }
 
 func TestListIsAnotherOneOnlyWhenSomethingChanged(t *testing.T) {
-	book := NewBook()
-	cold := &wire.Runner{RunnerId: "b", State: Cold, ColdMilliseconds: 2000, Call: 1, Address: "x"}
-	book.Take(begun, []*wire.Runner{{RunnerId: "a", State: Ready, Call: 1, Address: "y"}, cold})
-	first := book.Runners(begun)
+	book := NewTable()
+	cold := &wire.Runner{RunnerId: "b", State: Cold, SlowStartMilliseconds: 2000, Call: 1, Address: "x"}
+	book.Take(started, []*wire.Runner{{RunnerId: "a", State: Ready, Call: 1, Address: "y"}, cold})
+	first := book.Runners(started)
 	if len(first) != 2 || first[1].State != Cold {
 		t.Fatal(first)
 	}
-	book.Take(begun.Add(time.Second), []*wire.Runner{cold})
-	if again := book.Runners(begun.Add(1999 * time.Millisecond)); &again[0] != &first[0] {
+	book.Take(started.Add(time.Second), []*wire.Runner{cold})
+	if again := book.Runners(started.Add(1999 * time.Millisecond)); &again[0] != &first[0] {
 		t.Fatal("another list without a change")
 	}
-	warm := book.Runners(begun.Add(2 * time.Second))
+	warm := book.Runners(started.Add(2 * time.Second))
 	if &warm[0] == &first[0] || warm[1].State != Ready || first[1].State != Cold {
 		t.Fatal(warm)
 	}
 	// What is told to others later is what is left then.
-	if told := book.All(begun.Add(500 * time.Millisecond))[1]; told.State != Cold || told.ColdMilliseconds != 1500 {
+	if told := book.All(started.Add(500 * time.Millisecond))[1]; told.State != Cold || told.SlowStartMilliseconds != 1500 {
 		t.Fatal(told)
 	}
-	book.Take(begun, []*wire.Runner{{RunnerId: "a", State: Draining, Call: 2}, {RunnerId: "b", State: Silent, Call: 2}})
-	if left := book.Runners(begun.Add(3 * time.Second)); len(left) != 1 || left[0].State != Draining {
+	book.Take(started, []*wire.Runner{{RunnerId: "a", State: Draining, Call: 2}, {RunnerId: "b", State: Silent, Call: 2}})
+	if left := book.Runners(started.Add(3 * time.Second)); len(left) != 1 || left[0].State != Draining {
 		t.Fatal(left)
 	}
-	book.Take(begun, []*wire.Runner{{RunnerId: "a", State: Gone, Call: 2}})
-	if left := book.Runners(begun.Add(3 * time.Second)); left == nil || len(left) != 0 {
+	book.Take(started, []*wire.Runner{{RunnerId: "a", State: Gone, Call: 2}})
+	if left := book.Runners(started.Add(3 * time.Second)); left == nil || len(left) != 0 {
 		t.Fatal(left)
 	}
-	book.Prune(begun.Add(remembered - time.Second))
+	book.Prune(started.Add(remembered - time.Second))
 	if book.Line("a") == nil {
 		t.Fatal("forgotten too early")
 	}
-	book.Prune(begun.Add(remembered + time.Second))
+	book.Prune(started.Add(remembered + time.Second))
 	if book.Line("a") != nil || book.Line("b") != nil {
 		t.Fatal("never forgotten")
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	book := NewBook()
+	book := NewTable()
 	for number := range MaximumRunners + 10 {
-		book.Take(begun.Add(time.Duration(number)), []*wire.Runner{{RunnerId: fmt.Sprint("g", number), State: Gone}})
+		book.Take(started.Add(time.Duration(number)), []*wire.Runner{{RunnerId: fmt.Sprint("g", number), State: Gone}})
 	}
 	if len(book.entries) != MaximumRunners || book.Line("g0") != nil || book.Line(fmt.Sprint("g", MaximumRunners+9)) == nil {
 		t.Fatal(len(book.entries))
 	}
 	for number := range MaximumRunners + 10 {
-		book.Take(begun, []*wire.Runner{{RunnerId: fmt.Sprint("r", number), State: Ready}})
+		book.Take(started, []*wire.Runner{{RunnerId: fmt.Sprint("r", number), State: Ready}})
 	}
-	if len(book.entries) != MaximumRunners || len(book.Runners(begun)) != MaximumRunners {
+	if len(book.entries) != MaximumRunners || len(book.Runners(started)) != MaximumRunners {
 		t.Fatal(len(book.entries))
 	}
-	book.Take(begun, []*wire.Runner{{RunnerId: "", State: Ready}, {RunnerId: "odd", State: "odd"}})
+	book.Take(started, []*wire.Runner{{RunnerId: "", State: Ready}, {RunnerId: "odd", State: "odd"}})
 	if book.Line("odd") != nil {
 		t.Fatal("an odd line was taken")
 	}
--- a/control/server/departure_test.go
+++ b/control/server/departure_test.go
@@ -33,18 +33,18 @@
 // lone is a core machine without a chain, behind a server of its own. What comes over a connection behind a call of
 // /hold is read when that is released.
 type lone struct {
-	*Host
+	*Server
 	address       string
 	held, release chan struct{}
 }
 
 func newLone(t *testing.T) *lone {
 	t.Helper()
-	host, err := New(&process.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	host, err := New(&process.Settings{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := &lone{Host: host, held: make(chan struct{}, 8), release: make(chan struct{})}
+	made := &lone{Server: host, held: make(chan struct{}, 8), release: make(chan struct{})}
 	routes := router.New()
 	routes.PUT("/v1/spec", host.order("apply"))
 	routes.GET("/v1/spec", host.order("get"))
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
 }
 
-func beat(id, state string) string {
+func heartbeat(id, state string) string {
 	return callOf("PUT", "/v1/runners/"+id, fmt.Sprintf(`{"address":"10.0.0.9:80","zone":"a","service":"s","slots":4,"state":%q,"call":1}`, state))
 }
 
@@ -106,12 +106,12 @@
 // true whenever they are read.
 func TestCallsReadBehindTheirCloseAreDropped(t *testing.T) {
 	lone := newLone(t)
-	lone.behind(t, beat("ready", "ready"))
+	lone.behind(t, heartbeat("ready", "ready"))
 	lone.behind(t, callOf("PUT", "/v1/spec?base=0", "{}"))
 	lone.behind(t, callOf("GET", "/v1/spec", ""))
-	lone.behind(t, beat("draining", "draining"))
+	lone.behind(t, heartbeat("draining", "draining"))
 	close(lone.release)
-	if _, err := io.WriteString(lone.dial(t), beat("later", "ready")); err != nil {
+	if _, err := io.WriteString(lone.dial(t), heartbeat("later", "ready")); err != nil {
 		t.Fatal(err)
 	}
 	known := map[string]bool{}
@@ -155,10 +155,10 @@
 // A read that was given up at its bound is forgotten as well.
 func TestReadsGivenUpAreForgotten(t *testing.T) {
 	lone := newLone(t)
-	if status, _ := lone.Order(&wire.OperatorAsk{Verb: "get"}, time.Millisecond); status != 504 || lone.asks() != 0 {
+	if status, _ := lone.Order(&wire.OperatorRequest{Verb: "get"}, time.Millisecond); status != 504 || lone.asks() != 0 {
 		t.Errorf("%d, %d wait", status, lone.asks())
 	}
-	if status, _ := lone.Order(&wire.OperatorAsk{Verb: "apply", HasBase: true}, time.Millisecond); status != 504 || lone.asks() != 1 {
+	if status, _ := lone.Order(&wire.OperatorRequest{Verb: "apply", HasBase: true}, time.Millisecond); status != 504 || lone.asks() != 1 {
 		t.Errorf("%d, %d wait", status, lone.asks())
 	}
 }
--- a/control/server/golden_test.go
+++ b/control/server/golden_test.go
@@ -18,7 +18,7 @@
 // What operators read of a core and of runners keeps its keys.
 func TestStatusKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
-	golden.CompareJSON(t, "runner-line", golden.Marshal[RunnerLine])
+	golden.CompareJSON(t, "runner-line", golden.Marshal[RunnerStatus])
 }
 
 // The counters of a transport keep their names.
@@ -40,7 +40,7 @@
 // Each fault of reading a call keeps its HTTP status and its words.
 func TestFaultStatusesStay(t *testing.T) {
 	var lines strings.Builder
-	for _, kind := range []apierror.Kind{apierror.Malformed, apierror.TooLarge} {
+	for _, kind := range []apierror.Code{apierror.Malformed, apierror.TooLarge} {
 		context := &fasthttp.RequestCtx{}
 		AnswerFault(context, apierror.New(kind, "detail"))
 		fmt.Fprintf(&lines, "%s %d %s\n", kind, context.Response.StatusCode(), context.Response.Body())
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -24,7 +24,7 @@
 )
 
 // serve opens the operators' side.
-func (host *Host) serve() (*fasthttp.Server, error) {
+func (host *Server) serve() (*fasthttp.Server, error) {
 	routes := router.New()
 	routes.GET("/v1/spec", host.order("get"))
 	routes.PUT("/v1/spec", host.order("apply"))
@@ -44,9 +44,9 @@
 	server := &fasthttp.Server{Handler: routes.Handler, Name: "wtcore", ReadTimeout: requestBound, WriteTimeout: requestBound,
 		IdleTimeout: time.Minute, MaxRequestBodySize: config.MaximumBytes + 1024, ReadBufferSize: 16 << 10, Concurrency: 1024,
 		CloseOnShutdown: true, NoDefaultDate: true}
-	listener, err := net.Listen("tcp", host.startup.HTTP)
+	listener, err := net.Listen("tcp", host.settings.HTTP)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadStartup, "listening on %s", host.startup.HTTP)
+		return nil, apierror.Wrap(err, apierror.BadSettings, "listening on %s", host.settings.HTTP)
 	}
 	go func() {
 		if err := server.Serve(listener); err != nil {
@@ -59,7 +59,7 @@
 // Answer writes a reply with its remedy.
 func Answer(context *fasthttp.RequestCtx, status int, reply node.Reply) {
 	if reply.Kind != "" && reply.Remedy == "" {
-		reply.Remedy = (&apierror.Fault{Kind: apierror.Kind(reply.Kind)}).Remedy()
+		reply.Remedy = (&apierror.Error{Code: apierror.Code(reply.Kind)}).Remedy()
 	}
 	content, err := json.Marshal(reply)
 	if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // ask puts a question to the chain; its answer comes within the bound of the control plane, unless it is abandoned.
-func (host *Host) ask(message *wire.OperatorAsk) (token string, _ <-chan answer) {
+func (host *Server) ask(message *wire.OperatorRequest) (token string, _ <-chan answer) {
 	// Without an id of its own an operation could neither be asked for nor told from a repeat.
 	if message.Operation == "" && message.Verb != "get" {
 		message.Operation = identity()
@@ -90,7 +90,7 @@
 }
 
 // abandon tells the node that nobody waits for an answer any more.
-func (host *Host) abandon(token string) {
+func (host *Server) abandon(token string) {
 	host.step(func(time.Time) { host.node.Abandon(token) })
 }
 
@@ -101,14 +101,14 @@
 		return false
 	}
 	context.SetConnectionClose()
-	Answer(context, 503, node.Reply{Outcome: "refused", Kind: string(apierror.RequesterGone), Detail: "the caller has closed its connection"})
+	Answer(context, 503, node.Reply{Outcome: "refused", Kind: string(apierror.ClientGone), Detail: "the caller has closed its connection"})
 	return true
 }
 
 // Order puts an operator's question to the chain, whichever machine must answer it, and waits for at most
 // the bound. A change goes its way beyond that: its outcome is unknown then, and the same operation id sent
 // again, here or elsewhere, finds it.
-func (host *Host) Order(message *wire.OperatorAsk, bound time.Duration) (int, node.Reply) {
+func (host *Server) Order(message *wire.OperatorRequest, bound time.Duration) (int, node.Reply) {
 	timer := time.NewTimer(bound)
 	defer timer.Stop()
 	token, answers := host.ask(message)
@@ -126,7 +126,7 @@
 }
 
 // order turns a request into a question to the chain and waits for the answer.
-func (host *Host) order(verb string) fasthttp.RequestHandler {
+func (host *Server) order(verb string) fasthttp.RequestHandler {
 	return func(context *fasthttp.RequestCtx) {
 		if Dropped(context) {
 			return
@@ -134,7 +134,7 @@
 		message, err := question(verb, context)
 		if err != nil {
 			found := apierror.Of(err)
-			Answer(context, 400, node.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: found.Detail})
+			Answer(context, 400, node.Reply{Outcome: "refused", Kind: string(found.Code), Detail: found.Detail})
 			return
 		}
 		got := host.wait(context, message)
@@ -149,7 +149,7 @@
 
 // wait asks a question and waits for its answer, no longer than its operator is there. Who only ended its sending side
 // looks like one that left, and is told that the outcome is not known.
-func (host *Host) wait(context *fasthttp.RequestCtx, message *wire.OperatorAsk) answer {
+func (host *Server) wait(context *fasthttp.RequestCtx, message *wire.OperatorRequest) answer {
 	left := make(chan struct{})
 	stop := netio.FromHTTP(context).Watch(func() { close(left) })
 	defer stop()
@@ -165,8 +165,8 @@
 }
 
 // question reads what an operator asks.
-func question(verb string, context *fasthttp.RequestCtx) (*wire.OperatorAsk, error) {
-	message := &wire.OperatorAsk{Verb: verb, Operation: string(context.QueryArgs().Peek("operation"))}
+func question(verb string, context *fasthttp.RequestCtx) (*wire.OperatorRequest, error) {
+	message := &wire.OperatorRequest{Verb: verb, Operation: string(context.QueryArgs().Peek("operation"))}
 	if named, found := context.UserValue("operation").(string); found {
 		message.Operation = named
 	}
@@ -218,11 +218,11 @@
 	Wire     map[string]any `json:"wire"`
 }
 
-func (host *Host) status(context *fasthttp.RequestCtx) {
+func (host *Server) status(context *fasthttp.RequestCtx) {
 	host.mutex.Lock()
 	now := time.Now()
-	status := Status{Program: "wtcore", Address: host.startup.Address, Zone: host.startup.Zone,
-		Uptime: now.Sub(host.begun).Round(time.Millisecond).String(), Core: host.node.Status(now), Counters: host.node.Counters()}
+	status := Status{Program: "wtcore", Address: host.settings.Address, Zone: host.settings.Zone,
+		Uptime: now.Sub(host.started).Round(time.Millisecond).String(), Core: host.node.Status(now), Counters: host.node.Counters()}
 	host.mutex.Unlock()
 	status.Wire = WireCounters(host.transport)
 	content, err := json.Marshal(status)
--- a/control/server/http_test.go
+++ b/control/server/http_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestQuestionsAreReadStrictly(t *testing.T) {
-	read := func(verb, query string) (*wire.OperatorAsk, error) {
+	read := func(verb, query string) (*wire.OperatorRequest, error) {
 		context := &fasthttp.RequestCtx{}
 		context.Request.SetRequestURI("/v1/spec?" + query)
 		context.Request.SetBodyString("{}")
@@ -41,12 +41,12 @@
 }
 
 func TestOrderWaitsNoLongerThanItsBound(t *testing.T) {
-	host, err := New(&process.Startup{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	host, err := New(&process.Settings{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	// There is no chain and nothing ticks, so that no answer can come.
-	status, reply := host.Order(&wire.OperatorAsk{Verb: "apply", HasBase: true}, time.Millisecond)
+	status, reply := host.Order(&wire.OperatorRequest{Verb: "apply", HasBase: true}, time.Millisecond)
 	if status != 504 || reply.Outcome != "unknown" || reply.Operation == "" {
 		t.Errorf("%d %+v", status, reply)
 	}
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -14,16 +14,16 @@
 )
 
 // Register takes a runner's call and waits, well under a second, until it may be acknowledged.
-func (host *Host) Register(line *wire.Runner) registry.Outcome {
+func (host *Server) Register(line *wire.Runner) registry.Outcome {
 	return host.await(func(now time.Time, answer func(outcome registry.Outcome)) { host.node.Register(now, line, answer) })
 }
 
 // Deregister ends a runner's life in the registry and waits likewise.
-func (host *Host) Deregister(id string) registry.Outcome {
+func (host *Server) Deregister(id string) registry.Outcome {
 	return host.await(func(now time.Time, answer func(outcome registry.Outcome)) { host.node.Deregister(now, id, answer) })
 }
 
-func (host *Host) await(do func(now time.Time, answer func(outcome registry.Outcome))) registry.Outcome {
+func (host *Server) await(do func(now time.Time, answer func(outcome registry.Outcome))) registry.Outcome {
 	outcomes := make(chan registry.Outcome, 1)
 	host.step(func(now time.Time) { do(now, func(outcome registry.Outcome) { outcomes <- outcome }) })
 	return <-outcomes
@@ -43,16 +43,16 @@
 	return 200, node.Reply{}
 }
 
-// DroppedBeat refuses a runner's call whose caller has left, as Dropped does, unless it says that the runner leaves.
+// DroppedHeartbeat refuses a runner's call whose caller has left, as Dropped does, unless it says that the runner leaves.
 //
 // Why: a runner that got no answer has called elsewhere, or crashed, and its old call would make it seem heard of now.
 // That it leaves is true whenever it is read.
-func DroppedBeat(context *fasthttp.RequestCtx, line *wire.Runner) bool {
+func DroppedHeartbeat(context *fasthttp.RequestCtx, line *wire.Runner) bool {
 	return line.State != registry.Draining && Dropped(context)
 }
 
 // mountRunners opens the runners' side.
-func (host *Host) mountRunners(routes *router.Router) {
+func (host *Server) mountRunners(routes *router.Router) {
 	routes.GET("/v1/runners", host.listRunners)
 	routes.PUT("/v1/runners/{id}", func(context *fasthttp.RequestCtx) {
 		id, _ := context.UserValue("id").(string)
@@ -61,7 +61,7 @@
 			AnswerFault(context, err)
 			return
 		}
-		if DroppedBeat(context, line) {
+		if DroppedHeartbeat(context, line) {
 			return
 		}
 		answerRunner(context, host.Register(line))
@@ -79,12 +79,12 @@
 // AnswerFault refuses what can't be read.
 func AnswerFault(context *fasthttp.RequestCtx, err error) {
 	found := apierror.Of(err)
-	statuses := map[apierror.Kind]int{apierror.Malformed: 400, apierror.TooLarge: 413}
+	statuses := map[apierror.Code]int{apierror.Malformed: 400, apierror.TooLarge: 413}
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	Answer(context, statuses[found.Kind], node.Reply{Outcome: "refused", Kind: string(found.Kind), Detail: detail})
+	Answer(context, statuses[found.Code], node.Reply{Outcome: "refused", Kind: string(found.Code), Detail: detail})
 }
 
 func answerRunner(context *fasthttp.RequestCtx, outcome registry.Outcome) {
@@ -98,8 +98,8 @@
 	context.SetBodyString(`{"outcome":"` + string(outcome) + `"}`)
 }
 
-// RunnerLine is one runner as /v1/runners lists it.
-type RunnerLine struct {
+// RunnerStatus is one runner as /v1/runners lists it.
+type RunnerStatus struct {
 	Runner   string `json:"runner"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -112,20 +112,20 @@
 }
 
 // Runners lists every registered runner, also those that are gone or silent.
-func (host *Host) Runners() []*wire.Runner {
+func (host *Server) Runners() []*wire.Runner {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	return host.node.Runners(time.Now())
 }
 
-func (host *Host) listRunners(context *fasthttp.RequestCtx) {
+func (host *Server) listRunners(context *fasthttp.RequestCtx) {
 	known := host.Runners()
-	lines := make([]RunnerLine, 0, len(known))
+	lines := make([]RunnerStatus, 0, len(known))
 	for _, runner := range known {
-		line := RunnerLine{Runner: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, Revision: runner.Revision,
+		line := RunnerStatus{Runner: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, Revision: runner.Revision,
 			Slots: runner.Slots, State: runner.State, Call: runner.Call}
-		if runner.ColdMilliseconds > 0 {
-			line.Cold = (time.Duration(runner.ColdMilliseconds) * time.Millisecond).String()
+		if runner.SlowStartMilliseconds > 0 {
+			line.Cold = (time.Duration(runner.SlowStartMilliseconds) * time.Millisecond).String()
 		}
 		lines = append(lines, line)
 	}
--- a/control/server/host.go
+++ b/control/server/server.go
@@ -33,18 +33,18 @@
 	diskPatience = 5 * time.Second
 )
 
-// Host is the process.
-type Host struct {
+// Server is the process.
+type Server struct {
 	// Mount, where it is set, opens further paths beside the product's own.
-	Mount     func(routes *router.Router, host *Host)
-	startup   *process.Startup
+	Mount     func(routes *router.Router, host *Server)
+	settings  *process.Settings
 	log       *slog.Logger
 	mutex     sync.Mutex
 	node      *node.Node
 	transport *transport.Transport
-	writes    *storage.Waitlist
+	writes    *storage.WriteQueue
 	store     *snapshot.Store
-	begun     time.Time
+	started   time.Time
 	lastView  uint64
 }
 
@@ -58,16 +58,16 @@
 }
 
 // New opens the data folder and restores the node. Nothing is sent or answered yet.
-func New(startup *process.Startup, log *slog.Logger) (*Host, error) {
+func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
 	// Who can't remember must neither vote nor count as a copy, and ending again and again helps nobody.
-	if startup.Idle {
-		return &Host{startup: startup, log: log}, nil
+	if settings.Idle {
+		return &Server{settings: settings, log: log}, nil
 	}
-	if err := snapshot.MakeDirectory(startup.Folder, 0o750); err != nil {
+	if err := snapshot.MakeDirectory(settings.Folder, 0o750); err != nil {
 		return nil, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
 	}
-	restored, err := storage.RestoreWithin(diskPatience, func() (storage.Restored, error) {
-		return storage.Restore(snapshot.Directory(startup.Folder), identity, time.Now().UTC().Format("20060102T150405"))
+	restored, err := storage.RestoreWithin(diskPatience, func() (storage.Recovery, error) {
+		return storage.Restore(snapshot.Directory(settings.Folder), identity, time.Now().UTC().Format("20060102T150405"))
 	})
 	if err != nil {
 		return nil, err
@@ -78,15 +78,15 @@
 	if restored.Fresh {
 		log.Info("blank folder; new identity", "id", restored.Memory.Id)
 	}
-	host := &Host{startup: startup, log: log, store: restored.Store, writes: storage.NewWaitlist(diskLength), begun: time.Now()}
-	limits := limitsOf(startup)
+	host := &Server{settings: settings, log: log, store: restored.Store, writes: storage.NewWriteQueue(diskLength), started: time.Now()}
+	limits := limitsOf(settings)
 	if err := limits.Check(); err != nil {
 		log.Warn("the time limits are too short to be kept after every loss", "cause", err.Error())
 	}
-	host.node = node.New(time.Now(), node.Startup{Limits: limits, Address: startup.Address, HTTP: startup.HTTP, Zone: startup.Zone,
-		Seeds: startup.Seeds, Founders: startup.Founders, Founding: !startup.Joins, Faults: startup.Faults, Beat: startup.BeatTime(),
-		Quotas: quota.Tolerance{Window: startup.QuotasWindow(), Excess: startup.Quotas.Excess, Slack: startup.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(Seed())))
-	host.transport = transport.New(startup.Address, startup.Zone, func(envelope *wire.Envelope) {
+	host.node = node.New(time.Now(), node.Settings{Limits: limits, Address: settings.Address, HTTP: settings.HTTP, Zone: settings.Zone,
+		Seeds: settings.Seeds, Founders: settings.Founders, Founding: !settings.Joins, Faults: settings.Faults, Heartbeat: settings.HeartbeatTime(),
+		Quotas: quota.Tolerance{Window: settings.QuotasWindow(), Excess: settings.Quotas.Excess, Slack: settings.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(Seed())))
+	host.transport = transport.New(settings.Address, settings.Zone, func(envelope *wire.Envelope) {
 		host.step(func(now time.Time) { host.node.Receive(now, envelope) })
 	}, func(address string, tried time.Time) {
 		host.step(func(now time.Time) { host.node.Refused(now, address, tried) })
@@ -94,9 +94,9 @@
 	return host, nil
 }
 
-func limitsOf(startup *process.Startup) node.Limits {
-	return node.Limits{Contact: startup.ContactTime(), Acknowledge: startup.AcknowledgeTime(), Apply: startup.ApplyTime(),
-		CatchUp: startup.CatchUpTime(), Grace: startup.GraceTime()}
+func limitsOf(settings *process.Settings) node.Limits {
+	return node.Limits{Contact: settings.ContactTime(), Acknowledge: settings.AcknowledgeTime(), Apply: settings.ApplyTime(),
+		CatchUp: settings.CatchUpTime(), Grace: settings.GraceTime()}
 }
 
 func identity() string {
@@ -109,8 +109,8 @@
 
 // Run serves until the context ends, and then until others have taken over what this machine holds, nobody is there to
 // do so, or its grace is nearly over.
-func (host *Host) Run(running context.Context) error {
-	if host.startup.Idle {
+func (host *Server) Run(running context.Context) error {
+	if host.settings.Idle {
 		host.log.Warn("no disk on this machine: standing by")
 		<-running.Done()
 		return nil
@@ -135,7 +135,7 @@
 			host.step(func(now time.Time) { host.node.Tick(now) })
 		case <-running.Done():
 			if leaveBy.IsZero() {
-				leaveBy = time.Now().Add(node.BoundsFor(limitsOf(host.startup)).Leave)
+				leaveBy = time.Now().Add(node.BoundsFor(limitsOf(host.settings)).Leave)
 				host.log.Info("leaving")
 				host.step(func(now time.Time) { host.node.Leave(now) })
 			}
@@ -149,14 +149,14 @@
 	}
 }
 
-func (host *Host) left() bool {
+func (host *Server) left() bool {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	return host.node.Left(time.Now())
 }
 
 // step runs one step of the node under its lock and hands on what it asks for.
-func (host *Host) step(do func(now time.Time)) {
+func (host *Server) step(do func(now time.Time)) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
 	do(time.Now())
@@ -179,7 +179,7 @@
 }
 
 // carry is the disk's own thread; it never holds the node's lock while it writes.
-func (host *Host) carry() {
+func (host *Server) carry() {
 	for first := range host.writes.Writes {
 		batch := []statemachine.Write{first}
 		for len(host.writes.Writes) > 0 && len(batch) < 256 {
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -28,8 +28,8 @@
 var dataFiles = []string{"log", "slot.0", "slot.1"}
 
 // goldenMemory gives a memory with every field set, and a record of each kind.
-func goldenMemory() (*wire.Memory, []*wire.Record) {
-	memory := golden.Variants((&wire.Memory{}).ProtoReflect().Type())[0].Message.Interface().(*wire.Memory)
+func goldenMemory() (*wire.DurableState, []*wire.Record) {
+	memory := golden.Variants((&wire.DurableState{}).ProtoReflect().Type())[0].Message.Interface().(*wire.DurableState)
 	var records []*wire.Record
 	for _, variant := range golden.Variants((&wire.Record{}).ProtoReflect().Type()) {
 		records = append(records, variant.Message.Interface().(*wire.Record))
@@ -38,7 +38,7 @@
 }
 
 // writeData lets the present code write a first memory, then another, then records.
-func writeData(t *testing.T, folder Folder, memory *wire.Memory, records []*wire.Record) {
+func writeData(t *testing.T, folder Folder, memory *wire.DurableState, records []*wire.Record) {
 	t.Helper()
 	restored, err := Restore(folder, identity, "mark")
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // text gives the memory and the records as the golden file of a folder holds them: their bytes, deterministically.
-func text(t *testing.T, memory *wire.Memory, records []*wire.Record) string {
+func text(t *testing.T, memory *wire.DurableState, records []*wire.Record) string {
 	t.Helper()
 	var lines strings.Builder
 	add := func(name string, message proto.Message) {
--- a/control/storage/restore.go
+++ b/control/storage/restore.go
@@ -16,10 +16,10 @@
 	SetAside(mark string) error
 }
 
-// Restored is what a data folder gave.
-type Restored struct {
+// Recovery is what a data folder gave.
+type Recovery struct {
 	Store   *snapshot.Store
-	Memory  *wire.Memory
+	Memory  *wire.DurableState
 	Records []*wire.Record
 	// Fresh tells that the identity is new; Lost is why an older memory was set aside, if one was.
 	Fresh bool
@@ -28,8 +28,8 @@
 
 // Restore reads a data folder back. A blank one gets a new identity, and so does one whose memory
 // can't be trusted: an identity lives on its disk and ends with it.
-func Restore(folder Folder, identity func() string, mark string) (Restored, error) {
-	restored := Restored{}
+func Restore(folder Folder, identity func() string, mark string) (Recovery, error) {
+	restored := Recovery{}
 	store, recovered, err := snapshot.Open(folder)
 	if err == nil && !recovered.Blank {
 		restored.Store = store
@@ -41,17 +41,17 @@
 	if apierror.Is(err, apierror.NoMemory) {
 		restored.Lost = err
 		if err := folder.SetAside(mark); err != nil {
-			return Restored{}, apierror.Wrap(err, apierror.DiskFailed, "setting the old memory aside")
+			return Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "setting the old memory aside")
 		}
 		store, _, err = snapshot.Open(folder)
 	}
 	if err != nil {
-		return Restored{}, err
+		return Recovery{}, err
 	}
-	restored.Store, restored.Fresh, restored.Memory = store, true, &wire.Memory{Id: identity()}
+	restored.Store, restored.Fresh, restored.Memory = store, true, &wire.DurableState{Id: identity()}
 	content, err := proto.Marshal(restored.Memory)
 	if err != nil {
-		return Restored{}, apierror.Wrap(err, apierror.Internal, "encoding the first memory")
+		return Recovery{}, apierror.Wrap(err, apierror.Internal, "encoding the first memory")
 	}
 	return restored, store.Replace(content)
 }
@@ -61,17 +61,17 @@
 
 // RestoreWithin restores again and again while the disk fails, say because it is full, up to a bound. Why: a
 // process that ends over it is started again all the same, and costs its machine the other roles' time.
-func RestoreWithin(bound time.Duration, restore func() (Restored, error)) (Restored, error) {
-	for begun := time.Now(); ; time.Sleep(restoreEvery) {
+func RestoreWithin(bound time.Duration, restore func() (Recovery, error)) (Recovery, error) {
+	for started := time.Now(); ; time.Sleep(restoreEvery) {
 		restored, err := restore()
-		if !apierror.Is(err, apierror.DiskFailed) || time.Since(begun) >= bound {
+		if !apierror.Is(err, apierror.DiskFailed) || time.Since(started) >= bound {
 			return restored, err
 		}
 	}
 }
 
-func decode(recovered snapshot.Recovered) (*wire.Memory, []*wire.Record, error) {
-	memory := &wire.Memory{}
+func decode(recovered snapshot.Recovered) (*wire.DurableState, []*wire.Record, error) {
+	memory := &wire.DurableState{}
 	if err := proto.Unmarshal(recovered.Memory, memory); err != nil {
 		return nil, nil, apierror.Wrap(err, apierror.NoMemory, "decoding the slot")
 	}
@@ -96,5 +96,5 @@
 
 // viewWhole tells whether a view, if there is one, has somebody in it.
 func viewWhole(view *wire.View) bool {
-	return view.GetEpoch() == 0 || len(view.GetChain()) > 0 && len(view.GetKeepers()) > 0
+	return view.GetEpoch() == 0 || len(view.GetChain()) > 0 && len(view.GetAcceptors()) > 0
 }
--- a/control/storage/restore_test.go
+++ b/control/storage/restore_test.go
@@ -68,7 +68,7 @@
 	}
 	folder.full = true
 	tries := 0
-	restored, err := RestoreWithin(time.Minute, func() (Restored, error) {
+	restored, err := RestoreWithin(time.Minute, func() (Recovery, error) {
 		if tries++; tries == 3 {
 			folder.full = false
 		}
@@ -78,7 +78,7 @@
 		t.Fatalf("%v after %d tries: %+v", err, tries, restored)
 	}
 	folder.full = true
-	if _, err := RestoreWithin(0, func() (Restored, error) { return Restore(folder, identity, "m") }); !apierror.Is(err, apierror.DiskFailed) {
+	if _, err := RestoreWithin(0, func() (Recovery, error) { return Restore(folder, identity, "m") }); !apierror.Is(err, apierror.DiskFailed) {
 		t.Fatalf("a full disk: %v", err)
 	}
 }
@@ -96,13 +96,13 @@
 	}
 	member := []*wire.Member{{Id: "a"}}
 	carry(record(1), statemachine.Write{Sequence: 2, Sweep: true},
-		statemachine.Write{Sequence: 3, Memory: &wire.Memory{Id: "fresh", View: &wire.View{Epoch: 2, Chain: member, Keepers: member}}},
-		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_Cleared{Cleared: 7}}})
+		statemachine.Write{Sequence: 3, Memory: &wire.DurableState{Id: "fresh", View: &wire.View{Epoch: 2, Chain: member, Acceptors: member}}},
+		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 7}}})
 	if len(synced) != 4 || synced[3] != 4 {
 		t.Fatalf("synced %v", synced)
 	}
 	again, err := Restore(folder, identity, "m")
-	if err != nil || again.Fresh || again.Memory.View.Epoch != 2 || len(again.Records) != 1 || again.Records[0].GetCleared() != 7 {
+	if err != nil || again.Fresh || again.Memory.View.Epoch != 2 || len(again.Records) != 1 || again.Records[0].GetClearedTerm() != 7 {
 		t.Fatalf("%v: %+v", err, again)
 	}
 	folder.full = true
@@ -124,12 +124,12 @@
 		return content
 	}
 	member := []*wire.Member{{Id: "a", Address: "127.0.0.1:1", Zone: "a"}}
-	view := &wire.View{Epoch: 3, Fleet: "f", Floor: 1, Chain: member, Keepers: member}
+	view := &wire.View{Epoch: 3, Fleet: "f", MinReplicas: 1, Chain: member, Acceptors: member}
 	entry := &wire.Entry{Sequence: 5, ChangesSpec: true, SpecEpoch: 5, Operation: "o", Spec: []byte("{}")}
-	fuzz.Add(encode(&wire.Memory{Id: "a", View: view, Document: &wire.Document{Sequence: 4, SpecEpoch: 4}, Pending: []*wire.Entry{entry}, Vote: &wire.Vote{Instance: 4}}),
+	fuzz.Add(encode(&wire.DurableState{Id: "a", View: view, Document: &wire.Document{Sequence: 4, SpecEpoch: 4}, Pending: []*wire.Entry{entry}, AcceptorState: &wire.AcceptorState{Instance: 4}}),
 		encode(&wire.Record{Body: &wire.Record_View{View: view}}), encode(&wire.Record{Body: &wire.Record_Entry{Entry: entry}}))
-	fuzz.Add(encode(&wire.Memory{Id: "a"}), encode(&wire.Record{Body: &wire.Record_Document{Document: &wire.Document{Sequence: 9, Outcomes: []*wire.Outcome{{Operation: "o"}}}}}),
-		encode(&wire.Record{Body: &wire.Record_Vote{Vote: &wire.Vote{Instance: 1, Value: view}}}))
+	fuzz.Add(encode(&wire.DurableState{Id: "a"}), encode(&wire.Record{Body: &wire.Record_Document{Document: &wire.Document{Sequence: 9, Outcomes: []*wire.Outcome{{Operation: "o"}}}}}),
+		encode(&wire.Record{Body: &wire.Record_AcceptorState{AcceptorState: &wire.AcceptorState{Instance: 1, Value: view}}}))
 	fuzz.Add([]byte{}, []byte{1}, []byte{2})
 	fuzz.Fuzz(func(t *testing.T, memory, first, second []byte) {
 		log := snapshot.EncodeLogHeader(1)
@@ -147,7 +147,7 @@
 			t.Fatalf("fresh %v, lost %v", restored.Fresh, restored.Lost)
 		}
 		now := time.Unix(1_700_000_000, 0)
-		control := node.New(now, node.Startup{Address: "127.0.0.1:1", Zone: "a"}, restored.Memory, restored.Records, rand.New(rand.NewSource(1)))
+		control := node.New(now, node.Settings{Address: "127.0.0.1:1", Zone: "a"}, restored.Memory, restored.Records, rand.New(rand.NewSource(1)))
 		for range 20 {
 			now = now.Add(100 * time.Millisecond)
 			control.Tick(now)
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -141,8 +141,8 @@
 	if !chain.Head() {
 		return apierror.New(apierror.NoMajority, "not the head of the chain")
 	}
-	if len(chain.view.Chain) < int(chain.view.Floor) {
-		return apierror.New(apierror.NoMajority, "the chain is shorter than %d members", chain.view.Floor)
+	if len(chain.view.Chain) < int(chain.view.MinReplicas) {
+		return apierror.New(apierror.NoMajority, "the chain is shorter than %d members", chain.view.MinReplicas)
 	}
 	if waiting := len(chain.history.pending); waiting >= MaximumPending || waiting > 0 && chain.history.pendingBytes+entryBytes(entry) > MaximumPendingBytes {
 		return apierror.New(apierror.Busy, "%d changes wait already", waiting)
@@ -214,7 +214,7 @@
 	chain.passed = max(chain.passed, chain.successorSynced)
 	if chain.passed < committed.Sequence {
 		chain.passed = committed.Sequence
-		chain.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ChainPass{ChainPass: &wire.ChainPass{
+		chain.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ChainForward{ChainForward: &wire.ChainForward{
 			View: chain.view.Epoch, Document: committed}}})
 	}
 	underWay := 0
@@ -228,7 +228,7 @@
 		underWay += entryBytes(entry)
 		if entry.Sequence > chain.passed {
 			chain.passed = entry.Sequence
-			chain.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ChainPass{ChainPass: &wire.ChainPass{
+			chain.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ChainForward{ChainForward: &wire.ChainForward{
 				View: chain.view.Epoch, Entry: entry}}})
 		}
 	}
@@ -237,13 +237,13 @@
 // hold tells the predecessor how far this member is.
 func (chain *Chain) hold() {
 	if predecessor := chain.predecessor(); predecessor != nil {
-		chain.outbox.Send(chain.address(predecessor), &wire.Envelope{Body: &wire.Envelope_ChainHold{ChainHold: &wire.ChainHold{
+		chain.outbox.Send(chain.address(predecessor), &wire.Envelope{Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{
 			View: chain.view.Epoch, Synced: chain.synced, Committed: chain.history.committed.Sequence}}})
 	}
 }
 
 // Pass takes what the predecessor sends.
-func (chain *Chain) Pass(now time.Time, sender string, message *wire.ChainPass) {
+func (chain *Chain) Pass(now time.Time, sender string, message *wire.ChainForward) {
 	predecessor := chain.predecessor()
 	if message.View != chain.view.Epoch || predecessor == nil || predecessor.Id != sender {
 		return
@@ -263,7 +263,7 @@
 }
 
 // Hold takes the successor's word of how far it is.
-func (chain *Chain) Hold(now time.Time, sender string, message *wire.ChainHold) {
+func (chain *Chain) Hold(now time.Time, sender string, message *wire.ChainAck) {
 	successor := chain.successor()
 	if message.View != chain.view.Epoch || successor == nil || successor.Id != sender {
 		return
@@ -285,13 +285,13 @@
 	// What came since then was committed by nobody before the view began, so a successor that follows at a distance
 	// while changes go on need not catch up with it first.
 	if successor != nil && chain.aligned && chain.successorSynced >= chain.mark {
-		chain.outbox.Send(chain.address(successor), &wire.Envelope{Body: &wire.Envelope_ChainHold{ChainHold: &wire.ChainHold{
+		chain.outbox.Send(chain.address(successor), &wire.Envelope{Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{
 			View: chain.view.Epoch, Synced: chain.mark, Committed: chain.history.committed.Sequence}}})
 	}
 }
 
 // Aligned takes the predecessor's word that this member has all it had.
-func (chain *Chain) Aligned(now time.Time, sender string, message *wire.ChainHold) {
+func (chain *Chain) Aligned(now time.Time, sender string, message *wire.ChainAck) {
 	predecessor := chain.predecessor()
 	if message.View != chain.view.Epoch || predecessor == nil || predecessor.Id != sender || message.Synced > chain.synced {
 		return
@@ -340,19 +340,19 @@
 	if chain.learnedView == chain.view.Epoch {
 		held = chain.synced
 	}
-	chain.outbox.Send(tail, &wire.Envelope{Body: &wire.Envelope_LearnAsk{LearnAsk: &wire.LearnAsk{View: chain.view.Epoch, Sequence: held}}})
+	chain.outbox.Send(tail, &wire.Envelope{Body: &wire.Envelope_LearnRequest{LearnRequest: &wire.LearnRequest{View: chain.view.Epoch, Sequence: held}}})
 }
 
 // Teach answers a member outside the chain; only a tail with a valid claim may call it.
-func (chain *Chain) Teach(reply string, message *wire.LearnAsk) {
+func (chain *Chain) Teach(reply string, message *wire.LearnRequest) {
 	if message.View == chain.view.Epoch && chain.Tail() && (message.Sequence == 0 || message.Sequence < chain.history.committed.Sequence) {
-		chain.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_LearnAnswer{LearnAnswer: &wire.LearnAnswer{
+		chain.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_LearnResponse{LearnResponse: &wire.LearnResponse{
 			View: chain.view.Epoch, Document: chain.history.committed}}})
 	}
 }
 
 // Learned takes the tail's document in place of everything this member held.
-func (chain *Chain) Learned(now time.Time, message *wire.LearnAnswer) {
+func (chain *Chain) Learned(now time.Time, message *wire.LearnResponse) {
 	if message.View != chain.view.Epoch || chain.Inside() || message.Document == nil {
 		return
 	}
@@ -398,7 +398,7 @@
 
 // Memory fills in this member's part of a whole memory. Documents and entries are never changed, so that the
 // disk's thread may read them while this member goes on.
-func (chain *Chain) Memory(memory *wire.Memory) {
+func (chain *Chain) Memory(memory *wire.DurableState) {
 	memory.Document = chain.history.committed
 	memory.Pending = append([]*wire.Entry{}, chain.history.pending...)
 	memory.Incomplete = chain.incomplete
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-var begun = time.Unix(1_700_000_000, 0)
+var started = time.Unix(1_700_000_000, 0)
 
 // row is a chain whose members are stepped by hand.
 type row struct {
@@ -30,7 +30,7 @@
 }
 
 func newRow(names ...string) *row {
-	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
+	made := &row{now: started, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
 	for _, name := range names {
 		made.add(name)
 	}
@@ -46,7 +46,7 @@
 
 // adopt tells all members a view.
 func (row *row) adopt(epoch uint64, names ...string) {
-	view := &wire.View{Epoch: epoch, Floor: 1}
+	view := &wire.View{Epoch: epoch, MinReplicas: 1}
 	for _, name := range names {
 		view.Chain = append(view.Chain, &wire.Member{Id: name, Address: name})
 	}
@@ -88,17 +88,17 @@
 
 func (row *row) hand(letter letter) {
 	chain, envelope := row.chains[letter.to], letter.envelope
-	if pass := envelope.GetChainPass(); pass != nil {
+	if pass := envelope.GetChainForward(); pass != nil {
 		chain.Pass(row.now, letter.from, pass)
 	}
-	if hold := envelope.GetChainHold(); hold != nil {
+	if hold := envelope.GetChainAck(); hold != nil {
 		chain.Hold(row.now, letter.from, hold)
 		chain.Aligned(row.now, letter.from, hold)
 	}
-	if ask := envelope.GetLearnAsk(); ask != nil {
+	if ask := envelope.GetLearnRequest(); ask != nil {
 		chain.Teach(letter.from, ask)
 	}
-	if answer := envelope.GetLearnAnswer(); answer != nil {
+	if answer := envelope.GetLearnResponse(); answer != nil {
 		chain.Learned(row.now, answer)
 	}
 }
--- a/coordination/chain/example_test.go
+++ b/coordination/chain/example_test.go
@@ -14,7 +14,7 @@
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	single := chain.New("a", nil, nil, outbox, func(member *wire.Member) string { return member.Address },
 		func(_ time.Time, sequence uint64) { fmt.Println("committed", sequence) })
-	single.Adopt(now, &wire.View{Epoch: 1, Floor: 1, Chain: []*wire.Member{{Id: "a", Address: "127.0.0.1:1"}}})
+	single.Adopt(now, &wire.View{Epoch: 1, MinReplicas: 1, Chain: []*wire.Member{{Id: "a", Address: "127.0.0.1:1"}}})
 	if err := single.Enter(now, &wire.Entry{ChangesSpec: true, SpecEpoch: 1, Operation: "first", Spec: []byte("{}")}); err != nil {
 		panic(err)
 	}
--- a/coordination/chain/history.go
+++ b/coordination/chain/history.go
@@ -70,11 +70,11 @@
 // foldWithoutOutcomes folds all but the outcome of a changed configuration.
 func foldWithoutOutcomes(document *wire.Document, entry *wire.Entry) *wire.Document {
 	folded := &wire.Document{Sequence: entry.Sequence, SpecEpoch: document.SpecEpoch, Spec: document.Spec,
-		Directory: document.Directory, FormerDirectory: document.FormerDirectory, Outcomes: document.Outcomes}
+		Directory: document.Directory, PreviousDirectory: document.PreviousDirectory, Outcomes: document.Outcomes}
 	if entry.ChangesSpec {
 		folded.SpecEpoch, folded.Spec = entry.SpecEpoch, entry.Spec
 	} else {
-		folded.Directory, folded.FormerDirectory = entry.Directory, document.Directory
+		folded.Directory, folded.PreviousDirectory = entry.Directory, document.Directory
 	}
 	return folded
 }
