--- a/coordination/chain/history_test.go
+++ b/coordination/chain/history_test.go
@@ -14,7 +14,7 @@
 )
 
 func lone(documents ...*wire.Document) *row {
-	made := &row{now: begun, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
+	made := &row{now: started, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{}, writes: map[string][]statemachine.Write{}, commits: map[string]uint64{}}
 	made.add("a")
 	if len(documents) > 0 {
 		made.chains["a"] = New("a", documents[0], nil, made.outbox["a"], func(member *wire.Member) string { return member.Id }, func(_ time.Time, sequence uint64) { made.commits["a"] = sequence })
@@ -213,7 +213,7 @@
 
 func passes(mail []letter) (count int) {
 	for _, letter := range mail {
-		if pass := letter.envelope.GetChainPass(); pass != nil && pass.Entry != nil {
+		if pass := letter.envelope.GetChainForward(); pass != nil && pass.Entry != nil {
 			count++
 		}
 	}
@@ -273,7 +273,7 @@
 	enterAt(t, row, "a", 2)
 	row.adopt(3, "a", "b")
 	row.deliver()
-	if memory := new(wire.Memory); joiner.Incomplete() {
+	if memory := new(wire.DurableState); joiner.Incomplete() {
 		joiner.Memory(memory)
 		if !memory.Incomplete {
 			t.Fatal("a whole memory says nothing of it")
--- a/coordination/election/duty_test.go
+++ b/coordination/election/election_test.go
@@ -30,7 +30,7 @@
 	random *rand.Rand
 	now    time.Time
 	order  []string
-	duties map[string]*election.Duty
+	duties map[string]*election.Election
 	// greatest is the epoch that each process took last.
 	greatest map[string]uint64
 	// last held the duty last; takeovers counts how often another held it than before.
@@ -40,7 +40,7 @@
 
 func newProcesses(seed int64) *processes {
 	made := &processes{random: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), order: []string{"a", "b", "c"},
-		duties: map[string]*election.Duty{}, greatest: map[string]uint64{}}
+		duties: map[string]*election.Election{}, greatest: map[string]uint64{}}
 	for _, name := range made.order {
 		made.duties[name] = election.New(made.now, name)
 		made.duties[name].Order(made.order)
--- a/coordination/gossip/rumor.go
+++ b/coordination/gossip/gossip.go
@@ -22,14 +22,14 @@
 	Fanout = 3
 	// Hops is how many times news is passed on.
 	Hops = 4
-	// MaximumRegisters bounds what others can make us remember.
-	MaximumRegisters = 4096
-	mendHops         = 2
-	digestEvery      = 500 * time.Millisecond
+	// MaximumEntries bounds what others can make us remember.
+	MaximumEntries = 4096
+	mendHops       = 2
+	digestEvery    = 500 * time.Millisecond
 )
 
-// Partner is a process to talk to.
-type Partner struct {
+// Peer is a process to talk to.
+type Peer struct {
 	Address string
 	Zone    string
 }
@@ -39,21 +39,21 @@
 	zone      string
 	outbox    *statemachine.Outbox
 	random    *rand.Rand
-	partners  func() []Partner
-	changed   func(now time.Time, register *wire.Register)
-	registers map[string]*wire.Register
+	partners  func() []Peer
+	changed   func(now time.Time, register *wire.GossipEntry)
+	registers map[string]*wire.GossipEntry
 	hot       map[string]uint32
 	digested  time.Time
 }
 
 // New makes an empty store. changed is told of each register that became newer.
-func New(zone string, outbox *statemachine.Outbox, random *rand.Rand, partners func() []Partner, changed func(now time.Time, register *wire.Register)) *Store {
+func New(zone string, outbox *statemachine.Outbox, random *rand.Rand, partners func() []Peer, changed func(now time.Time, register *wire.GossipEntry)) *Store {
 	return &Store{zone: zone, outbox: outbox, random: random, partners: partners, changed: changed,
-		registers: map[string]*wire.Register{}, hot: map[string]uint32{}}
+		registers: map[string]*wire.GossipEntry{}, hot: map[string]uint32{}}
 }
 
 // Newer tells whether the left order is greater.
-func Newer(leftEpoch, leftCount uint64, leftWriter string, right *wire.Register) bool {
+func Newer(leftEpoch, leftCount uint64, leftWriter string, right *wire.GossipEntry) bool {
 	if right == nil {
 		return true
 	}
@@ -67,15 +67,15 @@
 }
 
 // Get gives a register, or nil.
-func (store *Store) Get(key string) *wire.Register { return store.registers[key] }
+func (store *Store) Get(key string) *wire.GossipEntry { return store.registers[key] }
 
 // Put takes a register in if it is newer, and spreads it.
-func (store *Store) Put(now time.Time, register *wire.Register, hops uint32) bool {
+func (store *Store) Put(now time.Time, register *wire.GossipEntry, hops uint32) bool {
 	held := store.registers[register.Key]
 	if !Newer(register.Epoch, register.Count, register.Writer, held) {
 		return false
 	}
-	if held == nil && len(store.registers) >= MaximumRegisters {
+	if held == nil && len(store.registers) >= MaximumEntries {
 		return false
 	}
 	store.registers[register.Key] = register
@@ -120,7 +120,7 @@
 	keys := slices.Sorted(maps.Keys(store.hot))
 	// One frame for each partner and hop count, in a fixed order, so that a seeded run repeats.
 	for _, partner := range store.some(partners) {
-		byHops := map[uint32][]*wire.Register{}
+		byHops := map[uint32][]*wire.GossipEntry{}
 		for _, key := range keys {
 			if scoped(key, partner.Zone) {
 				byHops[store.hot[key]] = append(byHops[store.hot[key]], store.registers[key])
@@ -128,8 +128,8 @@
 		}
 		for hops := uint32(Hops); hops > 0; hops-- {
 			if len(byHops[hops]) > 0 {
-				store.outbox.Send(partner.Address, &wire.Envelope{Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{
-					Registers: byHops[hops], Hops: hops - 1}}})
+				store.outbox.Send(partner.Address, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{
+					Entries: byHops[hops], Hops: hops - 1}}})
 			}
 		}
 	}
@@ -138,19 +138,19 @@
 
 // some chooses partners: our own zone first, and one beyond it, so that few bytes cross zones but
 // no zone depends on another's goodwill alone.
-func (store *Store) some(partners []Partner) []Partner {
+func (store *Store) some(partners []Peer) []Peer {
 	near, far := store.parted(partners)
-	shuffle := func(list []Partner) {
+	shuffle := func(list []Peer) {
 		store.random.Shuffle(len(list), func(left, right int) { list[left], list[right] = list[right], list[left] })
 	}
 	shuffle(near)
 	shuffle(far)
 	chosen := near[:min(len(near), Fanout-1)]
-	return append(append([]Partner{}, chosen...), far[:min(len(far), Fanout-len(chosen))]...)
+	return append(append([]Peer{}, chosen...), far[:min(len(far), Fanout-len(chosen))]...)
 }
 
 // parted gives the partners of our own zone, and the others.
-func (store *Store) parted(partners []Partner) (near, far []Partner) {
+func (store *Store) parted(partners []Peer) (near, far []Peer) {
 	for _, partner := range partners {
 		if partner.Zone == store.zone {
 			near = append(near, partner)
@@ -162,20 +162,20 @@
 }
 
 func (store *Store) sendDigest(address, zone string, wanted bool) {
-	digest := &wire.Digest{AnswerWanted: wanted}
+	digest := &wire.Digest{ResponseWanted: wanted}
 	keys := slices.Sorted(maps.Keys(store.registers))
 	for _, key := range keys {
 		register := store.registers[key]
 		if scoped(key, zone) {
-			digest.Lines = append(digest.Lines, &wire.DigestLine{Key: key, Epoch: register.Epoch, Count: register.Count, Writer: register.Writer})
+			digest.Entries = append(digest.Entries, &wire.DigestEntry{Key: key, Epoch: register.Epoch, Count: register.Count, Writer: register.Writer})
 		}
 	}
 	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Digest{Digest: digest}})
 }
 
-// Rumor takes in what a partner passed on.
-func (store *Store) Rumor(now time.Time, message *wire.Rumor) {
-	for _, register := range message.Registers {
+// Gossip message takes in what a partner passed on.
+func (store *Store) Rumor(now time.Time, message *wire.GossipMessage) {
+	for _, register := range message.Entries {
 		if scoped(register.Key, store.zone) {
 			store.Put(now, register, min(message.Hops, Hops))
 		}
@@ -185,31 +185,31 @@
 
 // Digest sends back what the partner lacks and, if asked, our own digest where it holds more.
 func (store *Store) Digest(_ time.Time, from, zone string, message *wire.Digest) {
-	theirs := map[string]*wire.DigestLine{}
+	theirs := map[string]*wire.DigestEntry{}
 	lacking := false
-	for _, line := range message.Lines {
+	for _, line := range message.Entries {
 		theirs[line.Key] = line
 		held := store.registers[line.Key]
 		if scoped(line.Key, store.zone) && Newer(line.Epoch, line.Count, line.Writer, held) {
 			lacking = true
 		}
 	}
-	var fresh []*wire.Register
+	var fresh []*wire.GossipEntry
 	keys := slices.Sorted(maps.Keys(store.registers))
 	for _, key := range keys {
 		register, line := store.registers[key], theirs[key]
 		if !scoped(key, zone) {
 			continue
 		}
-		if line == nil || Newer(register.Epoch, register.Count, register.Writer, &wire.Register{Epoch: line.Epoch, Count: line.Count, Writer: line.Writer}) {
+		if line == nil || Newer(register.Epoch, register.Count, register.Writer, &wire.GossipEntry{Epoch: line.Epoch, Count: line.Count, Writer: line.Writer}) {
 			fresh = append(fresh, register)
 		}
 	}
 	if len(fresh) > 0 {
-		// Whoever missed a rumor is likely not alone, so what a digest finds is passed on a little too.
-		store.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: fresh, Hops: mendHops}}})
+		// Whoever missed a gossip message is likely not alone, so what a digest finds is passed on a little too.
+		store.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: fresh, Hops: mendHops}}})
 	}
-	if lacking && message.AnswerWanted {
+	if lacking && message.ResponseWanted {
 		store.sendDigest(from, zone, false)
 	}
 }
--- a/coordination/gossip/rumor_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -13,10 +13,12 @@
 
 func Example() {
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
-	store := gossip.New("here", outbox, rand.New(rand.NewSource(1)), func() []gossip.Partner { return []gossip.Partner{{Address: "127.0.0.2:1", Zone: "here"}} },
-		func(_ time.Time, register *wire.Register) { fmt.Printf("%s is now %s\n", register.Key, register.Value) })
-	store.Put(now, &wire.Register{Key: "document", Epoch: 2, Value: []byte("new")}, gossip.Hops)
-	store.Put(now, &wire.Register{Key: "document", Epoch: 1, Value: []byte("old")}, gossip.Hops)
+	store := gossip.New("here", outbox, rand.New(rand.NewSource(1)), func() []gossip.Peer { return []gossip.Peer{{Address: "127.0.0.2:1", Zone: "here"}} },
+		func(_ time.Time, register *wire.GossipEntry) {
+			fmt.Printf("%s is now %s\n", register.Key, register.Value)
+		})
+	store.Put(now, &wire.GossipEntry{Key: "document", Epoch: 2, Value: []byte("new")}, gossip.Hops)
+	store.Put(now, &wire.GossipEntry{Key: "document", Epoch: 1, Value: []byte("old")}, gossip.Hops)
 	store.Tick(now)
 	parcels, _ := outbox.Drain()
 	fmt.Println("first message to", parcels[0].To)
@@ -60,15 +62,15 @@
 // add makes a store that fails the test when a register goes back or leaves its zone.
 func (network *network) add(number int, random *rand.Rand, fail func(format string, values ...any)) {
 	made := &place{name: fmt.Sprint("p", number), zone: zoneOf(number), outbox: statemachine.NewOutbox()}
-	var partners []gossip.Partner
+	var partners []gossip.Peer
 	for range partnerCount {
 		if other := network.random.Intn(storeCount); other != number {
-			partners = append(partners, gossip.Partner{Address: fmt.Sprint("p", other), Zone: zoneOf(other)})
+			partners = append(partners, gossip.Peer{Address: fmt.Sprint("p", other), Zone: zoneOf(other)})
 		}
 	}
 	greatest := map[string]uint64{}
-	made.store = gossip.New(made.zone, made.outbox, random, func() []gossip.Partner { return partners },
-		func(_ time.Time, register *wire.Register) {
+	made.store = gossip.New(made.zone, made.outbox, random, func() []gossip.Peer { return partners },
+		func(_ time.Time, register *wire.GossipEntry) {
 			if register.Epoch < greatest[register.Key] {
 				fail("%s went back on %s", made.name, register.Key)
 			}
@@ -91,7 +93,7 @@
 			continue
 		}
 		to := network.places[parcel.To]
-		if message := parcel.Envelope.GetRumor(); message != nil {
+		if message := parcel.Envelope.GetGossipMessage(); message != nil {
 			to.store.Rumor(network.now, message)
 		}
 		if message := parcel.Envelope.GetDigest(); message != nil {
@@ -105,8 +107,8 @@
 	for step := range 600 {
 		network.now = network.now.Add(50 * time.Millisecond)
 		if step < 200 && step%10 == 0 {
-			network.places["p0"].store.Put(network.now, &wire.Register{Key: "document", Epoch: uint64(step + 1)}, gossip.Hops)
-			network.places["p3"].store.Put(network.now, &wire.Register{Key: "z/z0/list", Epoch: uint64(step + 1)}, gossip.Hops)
+			network.places["p0"].store.Put(network.now, &wire.GossipEntry{Key: "document", Epoch: uint64(step + 1)}, gossip.Hops)
+			network.places["p3"].store.Put(network.now, &wire.GossipEntry{Key: "z/z0/list", Epoch: uint64(step + 1)}, gossip.Hops)
 		}
 		for _, name := range network.names {
 			network.places[name].store.Tick(network.now)
@@ -119,7 +121,7 @@
 
 // Thirty stores in three zones, half of the messages lost, half of the partners unknown to each: all
 // end with the greatest of every register, zone registers never leave their zone, and nobody goes back.
-func TestDigestsMendWhatRumorsMiss(t *testing.T) {
+func TestDigestsRepairWhatGossipMisses(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		network := newNetwork(t, seed)
 		network.run()
--- a/coordination/lease/example_test.go
+++ b/coordination/lease/example_test.go
@@ -9,7 +9,7 @@
 
 func Example() {
 	now := time.Unix(0, 0)
-	holder := lease.NewHolder(1234)
+	holder := lease.NewLessee(1234)
 	nonce := holder.Ask(now, 1)
 	holder.Grant(now.Add(10*time.Millisecond), "first keeper", 1, nonce, 2)
 	fmt.Println("one of three:", holder.Valid(now.Add(20*time.Millisecond), 1))
--- a/coordination/lease/claim.go
+++ b/coordination/lease/leader.go
@@ -3,7 +3,7 @@
 // A holder counts its claim from the moment it asked, on its own clock, and a keeper grants only
 // after it got the question; so a holder always thinks its claim over before any keeper does, and
 // no clocks need agree. A keeper that has voted for the next view grants no more in the old one, and
-// grants to the head of a new reign only once the claims of the heads before it are over. Between them
+// grants to the head of a new term only once the claims of the heads before it are over. Between them
 // these two rules keep two heads from acting at the same time.
 package lease
 
@@ -19,8 +19,8 @@
 // Held is for how long a holder relies on a grant. The rest of the Term is left for drifting clocks.
 const Held = 480 * time.Millisecond
 
-// Holder is the side that wants the claim.
-type Holder struct {
+// Lessee is the side that wants the claim.
+type Lessee struct {
 	view   uint64
 	nonce  uint64
 	rounds map[uint64]*round
@@ -33,13 +33,13 @@
 	grants map[string]bool
 }
 
-// NewHolder makes a holder whose rounds are numbered from a random start. Why: an answer to a question
+// NewLessee makes a holder whose rounds are numbered from a random start. Why: an answer to a question
 // of an earlier life of the same machine must not be taken for one to a question of this life.
-func NewHolder(start uint64) *Holder { return &Holder{nonce: start} }
+func NewLessee(start uint64) *Lessee { return &Lessee{nonce: start} }
 
 // Ask begins a new round in a view and gives its nonce. An answer counts for its own round, so that answers
 // slower than the next question are of use as well.
-func (holder *Holder) Ask(now time.Time, view uint64) uint64 {
+func (holder *Lessee) Ask(now time.Time, view uint64) uint64 {
 	if view != holder.view || holder.rounds == nil {
 		holder.until, holder.rounds = time.Time{}, map[uint64]*round{}
 	}
@@ -55,7 +55,7 @@
 }
 
 // Grant counts a keeper's answer; majority is how many of the view's keepers are needed.
-func (holder *Holder) Grant(_ time.Time, keeper string, view, nonce uint64, majority int) {
+func (holder *Lessee) Grant(_ time.Time, keeper string, view, nonce uint64, majority int) {
 	round := holder.rounds[nonce]
 	if view != holder.view || round == nil {
 		return
@@ -70,19 +70,19 @@
 }
 
 // Valid tells whether the claim may be acted under at this very moment.
-func (holder *Holder) Valid(now time.Time, view uint64) bool {
+func (holder *Lessee) Valid(now time.Time, view uint64) bool {
 	return view == holder.view && now.Before(holder.until)
 }
 
-// Keeper is the side that grants. A reign is a row of views under one head; within it that machine alone
-// asks, so that only the heads before the reign have to be waited for. Their claims are over a Term after
-// the keeper learned of the reign, or sooner where each of them is proven to act no more: it told that it has
-// taken over the reign itself, or nobody listens at its address any longer.
-type Keeper struct {
-	reign   uint64
+// Lessor is the side that grants. A term is a row of views under one head; within it that machine alone
+// asks, so that only the heads before the term have to be waited for. Their claims are over a Term after
+// the keeper learned of the term, or sooner where each of them is proven to act no more: it told that it has
+// taken over the term itself, or nobody listens at its address any longer.
+type Lessor struct {
+	term    uint64
 	learned time.Time
 	clear   time.Time
-	// rivals are the heads before this reign whose claims may still run; unknown tells that there may be others.
+	// rivals are the heads before this term whose claims may still run; unknown tells that there may be others.
 	rivals  []*wire.Member
 	unknown bool
 	head    *wire.Member
@@ -91,62 +91,62 @@
 }
 
 // Restore gives a keeper that begins with a view, which its disk says is cleared or not.
-func Restore(now time.Time, view *wire.View, cleared uint64) *Keeper {
-	keeper := &Keeper{unknown: true}
+func Restore(now time.Time, view *wire.View, cleared uint64) *Lessor {
+	keeper := &Lessor{unknown: true}
 	keeper.Learn(now, view)
-	if keeper.reign > 0 && keeper.reign == cleared {
+	if keeper.term > 0 && keeper.term == cleared {
 		keeper.clear = now
 	}
 	return keeper
 }
 
 // Learn takes in a newer view.
-func (keeper *Keeper) Learn(now time.Time, view *wire.View) {
-	if view.GetEpoch() == 0 || view.HeadSince == keeper.reign && keeper.reign > 0 {
+func (keeper *Lessor) Learn(now time.Time, view *wire.View) {
+	if view.GetEpoch() == 0 || view.HeadTerm == keeper.term && keeper.term > 0 {
 		return
 	}
-	former := keeper.head
-	// Heads of reigns that this keeper never heard of may hold claims too.
-	known := former != nil && view.FormerHead != nil && view.FormerHead.Id == former.Id && view.FormerSince == keeper.reign
+	previous := keeper.head
+	// Heads of terms that this keeper never heard of may hold claims too.
+	known := previous != nil && view.PreviousHead != nil && view.PreviousHead.Id == previous.Id && view.PreviousTerm == keeper.term
 	if now.Before(keeper.clear) {
 		known = known && !keeper.unknown
 	} else {
 		keeper.rivals = nil
 	}
-	// A head that leaves in order tells of the new reign before this keeper has synced its view.
-	if known && keeper.headActs < view.HeadSince {
-		keeper.rivals = append(keeper.rivals, former)
+	// A head that leaves in order tells of the new term before this keeper has synced its view.
+	if known && keeper.headActs < view.HeadTerm {
+		keeper.rivals = append(keeper.rivals, previous)
 	}
 	keeper.unknown = !known
-	keeper.reign, keeper.learned, keeper.clear, keeper.head = view.HeadSince, now, now.Add(Term), view.Chain[0]
+	keeper.term, keeper.learned, keeper.clear, keeper.head = view.HeadTerm, now, now.Add(Term), view.Chain[0]
 	keeper.headActs = 0
-	if view.HeadSince == 1 || known && len(keeper.rivals) == 0 {
+	if view.HeadTerm == 1 || known && len(keeper.rivals) == 0 {
 		keeper.clear = now
 	}
 }
 
-// Reign gives the view in which the present reign began.
-func (keeper *Keeper) Reign() uint64 { return keeper.reign }
+// Term gives the view in which the present term began.
+func (keeper *Lessor) Term() uint64 { return keeper.term }
 
 // Heard takes in that a machine acts under a view by now.
-func (keeper *Keeper) Heard(now time.Time, id string, epoch uint64) {
+func (keeper *Lessor) Heard(now time.Time, id string, epoch uint64) {
 	if keeper.head != nil && id == keeper.head.Id {
 		keeper.headActs = max(keeper.headActs, epoch)
 	}
-	if len(keeper.rivals) > 0 && epoch >= keeper.reign {
+	if len(keeper.rivals) > 0 && epoch >= keeper.term {
 		keeper.settle(now, func(rival *wire.Member) bool { return rival.Id == id })
 	}
 }
 
 // Refused takes in that nobody listened at an address when it was tried at a moment.
-func (keeper *Keeper) Refused(now time.Time, address string, tried time.Time) {
-	// Before the reign was learned a new life of the same machine may still have got a claim.
+func (keeper *Lessor) Refused(now time.Time, address string, tried time.Time) {
+	// Before the term was learned a new life of the same machine may still have got a claim.
 	if len(keeper.rivals) > 0 && tried.After(keeper.learned) {
 		keeper.settle(now, func(rival *wire.Member) bool { return rival.Address == address })
 	}
 }
 
-func (keeper *Keeper) settle(now time.Time, proven func(rival *wire.Member) bool) {
+func (keeper *Lessor) settle(now time.Time, proven func(rival *wire.Member) bool) {
 	var left []*wire.Member
 	for _, rival := range keeper.rivals {
 		if !proven(rival) {
@@ -160,7 +160,7 @@
 }
 
 // Rivals gives the addresses of the heads whose claims may still run.
-func (keeper *Keeper) Rivals(now time.Time) []string {
+func (keeper *Lessor) Rivals(now time.Time) []string {
 	var addresses []string
 	if now.Before(keeper.clear) {
 		for _, rival := range keeper.rivals {
@@ -170,8 +170,8 @@
 	return addresses
 }
 
-// Allows tells whether the head of the present reign may be granted a claim, given whether this keeper has
+// Allows tells whether the head of the present term may be granted a claim, given whether this keeper has
 // voted for the next view.
-func (keeper *Keeper) Allows(now time.Time, voted bool) bool {
+func (keeper *Lessor) Allows(now time.Time, voted bool) bool {
 	return !voted && keeper.head != nil && !now.Before(keeper.clear)
 }
--- a/coordination/lease/claim_test.go
+++ b/coordination/lease/leader_test.go
@@ -16,8 +16,8 @@
 // one is one of five machines, each of which may be head, and a keeper as well.
 type one struct {
 	id      string
-	holder  *Holder
-	keeper  *Keeper
+	holder  *Lessee
+	keeper  *Lessor
 	view    uint64
 	voted   bool
 	cleared uint64
@@ -42,13 +42,13 @@
 	return &wire.Member{Id: fmt.Sprint("m", place), Address: fmt.Sprint("m", place)}
 }
 
-// made gives a view with its reigns.
+// made gives a view with its terms.
 func made(epoch uint64) *wire.View {
-	view := &wire.View{Epoch: 1, HeadSince: 1, Chain: []*wire.Member{member(heads[0])}}
+	view := &wire.View{Epoch: 1, HeadTerm: 1, Chain: []*wire.Member{member(heads[0])}}
 	for next := uint64(2); next <= epoch; next++ {
 		head := member(heads[int(next-1)%len(heads)])
 		if head.Id != view.Chain[0].Id {
-			view.FormerHead, view.FormerSince, view.HeadSince = view.Chain[0], view.HeadSince, next
+			view.PreviousHead, view.PreviousTerm, view.HeadTerm = view.Chain[0], view.HeadTerm, next
 		}
 		view.Epoch, view.Chain = next, []*wire.Member{head}
 	}
@@ -80,10 +80,10 @@
 }
 
 func newTrial(seed int64) *trial {
-	begun := time.Unix(1_700_000_000, 0)
-	trial := &trial{random: rand.New(rand.NewSource(seed)), now: begun, newest: 1, last: -1, lastAt: begun, votes: 40}
+	started := time.Unix(1_700_000_000, 0)
+	trial := &trial{random: rand.New(rand.NewSource(seed)), now: started, newest: 1, last: -1, lastAt: started, votes: 40}
 	for place := range 5 {
-		trial.machines = append(trial.machines, &one{id: member(place).Id, holder: NewHolder(0), keeper: Restore(begun, made(1), 0), view: 1, up: true})
+		trial.machines = append(trial.machines, &one{id: member(place).Id, holder: NewLessee(0), keeper: Restore(started, made(1), 0), view: 1, up: true})
 	}
 	return trial
 }
@@ -139,7 +139,7 @@
 func (trial *trial) act(place int, machine *one) {
 	if !machine.up {
 		if trial.random.Intn(20) == 0 {
-			machine.up, machine.holder, machine.keeper = true, NewHolder(trial.random.Uint64()), Restore(trial.now, made(machine.view), machine.cleared)
+			machine.up, machine.holder, machine.keeper = true, NewLessee(trial.random.Uint64()), Restore(trial.now, made(machine.view), machine.cleared)
 		}
 		return
 	}
@@ -152,7 +152,7 @@
 		machine.deaf = false
 	}
 	if machine.keeper.Allows(trial.now, false) {
-		machine.cleared = machine.keeper.Reign()
+		machine.cleared = machine.keeper.Term()
 	}
 	trial.tryOther(machine)
 	if machine.heads(place) && trial.random.Intn(4) == 0 {
@@ -278,7 +278,7 @@
 }
 
 func TestGrantsOfOtherRoundsDoNotCount(t *testing.T) {
-	holder, now := NewHolder(7), time.Unix(1_700_000_000, 0)
+	holder, now := NewLessee(7), time.Unix(1_700_000_000, 0)
 	first := holder.Ask(now, 1)
 	second := holder.Ask(now, 1)
 	holder.Grant(now, "b", 1, first, 2)
@@ -293,54 +293,54 @@
 	}
 }
 
-// A keeper grants in a new reign before its Term is over only with proof of every head that may still act.
+// A keeper grants in a new term before its Term is over only with proof of every head that may still act.
 func TestWhatProvesThatAHeadActsNoMore(t *testing.T) {
-	begun := time.Unix(1_700_000_000, 0)
-	reign := func(epoch, since uint64, head string, former string, formerSince uint64) *wire.View {
-		return &wire.View{Epoch: epoch, HeadSince: since, Chain: []*wire.Member{{Id: head, Address: head}}, FormerHead: &wire.Member{Id: former, Address: former}, FormerSince: formerSince}
+	started := time.Unix(1_700_000_000, 0)
+	term := func(epoch, since uint64, head string, previous string, previousSince uint64) *wire.View {
+		return &wire.View{Epoch: epoch, HeadTerm: since, Chain: []*wire.Member{{Id: head, Address: head}}, PreviousHead: &wire.Member{Id: previous, Address: previous}, PreviousTerm: previousSince}
 	}
-	first, second, third := reign(5, 5, "a", "z", 1), reign(6, 6, "b", "a", 5), reign(7, 7, "c", "b", 6)
-	long, moment := begun.Add(time.Hour), time.Millisecond
+	first, second, third := term(5, 5, "a", "z", 1), term(6, 6, "b", "a", 5), term(7, 7, "c", "b", 6)
+	long, moment := started.Add(time.Hour), time.Millisecond
 	for name, one := range map[string]struct {
-		do     func(keeper *Keeper)
+		do     func(keeper *Lessor)
 		allows bool
 	}{
-		"nothing":                         {func(keeper *Keeper) { keeper.Learn(long, second) }, false},
-		"the former head moved on":        {func(keeper *Keeper) { keeper.Learn(long, second); keeper.Heard(long, "a", 6) }, true},
-		"the former head is where it was": {func(keeper *Keeper) { keeper.Learn(long, second); keeper.Heard(long, "a", 5) }, false},
-		"another moved on":                {func(keeper *Keeper) { keeper.Learn(long, second); keeper.Heard(long, "x", 6) }, false},
-		"nobody listens":                  {func(keeper *Keeper) { keeper.Learn(long, second); keeper.Refused(long, "a", long.Add(moment)) }, true},
-		"nobody listened before":          {func(keeper *Keeper) { keeper.Learn(long, second); keeper.Refused(long, "a", long.Add(-moment)) }, false},
-		"a reign was missed":              {func(keeper *Keeper) { keeper.Learn(long, third); keeper.Heard(long, "b", 7) }, false},
-		"two reigns, one head moved on": {func(keeper *Keeper) {
+		"nothing":                         {func(keeper *Lessor) { keeper.Learn(long, second) }, false},
+		"the former head moved on":        {func(keeper *Lessor) { keeper.Learn(long, second); keeper.Heard(long, "a", 6) }, true},
+		"the former head is where it was": {func(keeper *Lessor) { keeper.Learn(long, second); keeper.Heard(long, "a", 5) }, false},
+		"another moved on":                {func(keeper *Lessor) { keeper.Learn(long, second); keeper.Heard(long, "x", 6) }, false},
+		"nobody listens":                  {func(keeper *Lessor) { keeper.Learn(long, second); keeper.Refused(long, "a", long.Add(moment)) }, true},
+		"nobody listened before":          {func(keeper *Lessor) { keeper.Learn(long, second); keeper.Refused(long, "a", long.Add(-moment)) }, false},
+		"a reign was missed":              {func(keeper *Lessor) { keeper.Learn(long, third); keeper.Heard(long, "b", 7) }, false},
+		"two reigns, one head moved on": {func(keeper *Lessor) {
 			keeper.Learn(long, second)
 			keeper.Learn(long, third)
 			keeper.Heard(long, "b", 7)
 		}, false},
-		"two reigns, both moved on": {func(keeper *Keeper) {
+		"two reigns, both moved on": {func(keeper *Lessor) {
 			keeper.Learn(long, second)
 			keeper.Learn(long, third)
 			keeper.Heard(long, "b", 7)
 			keeper.Heard(long, "a", 7)
 		}, true},
-		"one known, then one missed": {func(keeper *Keeper) {
+		"one known, then one missed": {func(keeper *Lessor) {
 			keeper.Learn(long, second)
-			keeper.Learn(long, reign(8, 8, "d", "c", 7))
+			keeper.Learn(long, term(8, 8, "d", "c", 7))
 			keeper.Heard(long, "a", 8)
 		}, false},
-		"the same head, but a reign later": {func(keeper *Keeper) { keeper.Learn(long, reign(9, 9, "b", "a", 8)); keeper.Heard(long, "a", 9) }, false},
-		"a reign missed, then the next": {func(keeper *Keeper) {
+		"the same head, but a reign later": {func(keeper *Lessor) { keeper.Learn(long, term(9, 9, "b", "a", 8)); keeper.Heard(long, "a", 9) }, false},
+		"a reign missed, then the next": {func(keeper *Lessor) {
 			keeper.Learn(long, third)
-			keeper.Learn(long, reign(8, 8, "d", "c", 7))
+			keeper.Learn(long, term(8, 8, "d", "c", 7))
 			keeper.Heard(long, "c", 8)
 		}, false},
-		"one more view of the same reign":      {func(keeper *Keeper) { keeper.Learn(long, reign(6, 5, "a", "z", 1)) }, true},
-		"a start with another reign on disk":   {func(keeper *Keeper) { *keeper = *Restore(long, second, 5) }, false},
-		"a start with the same reign on disk":  {func(keeper *Keeper) { *keeper = *Restore(long, second, 6) }, true},
-		"a start without anything on the disk": {func(keeper *Keeper) { *keeper = *Restore(long, second, 0) }, false},
+		"one more view of the same reign":      {func(keeper *Lessor) { keeper.Learn(long, term(6, 5, "a", "z", 1)) }, true},
+		"a start with another reign on disk":   {func(keeper *Lessor) { *keeper = *Restore(long, second, 5) }, false},
+		"a start with the same reign on disk":  {func(keeper *Lessor) { *keeper = *Restore(long, second, 6) }, true},
+		"a start without anything on the disk": {func(keeper *Lessor) { *keeper = *Restore(long, second, 0) }, false},
 	} {
-		keeper := Restore(begun, first, 0)
-		if keeper.Allows(begun.Add(Term-moment), false) || !keeper.Allows(begun.Add(Term), false) {
+		keeper := Restore(started, first, 0)
+		if keeper.Allows(started.Add(Term-moment), false) || !keeper.Allows(started.Add(Term), false) {
 			t.Fatal("a Term after the start, and not before")
 		}
 		if one.do(keeper); keeper.Allows(long, false) != one.allows || keeper.Allows(long, true) {
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// Ledger is what the head knows of the keepers' words: which sequence each of them knows to be committed, and from
+// ProgressTracker is what the head knows of the keepers' words: which sequence each of them knows to be committed, and from
 // when on no daemon relies on its word about an older one.
-type Ledger struct {
+type ProgressTracker struct {
 	notices map[string][]notice
 }
 
@@ -105,11 +105,11 @@
 // maximumNotices bounds what is kept of one keeper; the oldest notices go first.
 const maximumNotices = 64
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger { return &Ledger{notices: map[string][]notice{}} }
+// NewProgressTracker makes an empty ledger.
+func NewProgressTracker() *ProgressTracker { return &ProgressTracker{notices: map[string][]notice{}} }
 
 // Note takes in that a keeper knows a sequence, and that its words on older ones are over at a moment.
-func (ledger *Ledger) Note(keeper string, known uint64, over time.Time) {
+func (ledger *ProgressTracker) Note(keeper string, known uint64, over time.Time) {
 	notices := ledger.notices[keeper]
 	// A word that is over sooner and reaches as far makes an earlier one needless.
 	for len(notices) > 0 && notices[len(notices)-1].known <= known && !over.After(notices[len(notices)-1].clear) {
@@ -123,7 +123,7 @@
 }
 
 // Knows tells whether a keeper knows a sequence.
-func (ledger *Ledger) Knows(keeper string, sequence uint64) bool {
+func (ledger *ProgressTracker) Knows(keeper string, sequence uint64) bool {
 	for _, notice := range ledger.notices[keeper] {
 		if notice.known >= sequence {
 			return true
@@ -133,7 +133,7 @@
 }
 
 // Clear tells whether a keeper knows a sequence and no daemon relies on its word about an older one any more.
-func (ledger *Ledger) Clear(now time.Time, keeper string, sequence uint64) bool {
+func (ledger *ProgressTracker) Clear(now time.Time, keeper string, sequence uint64) bool {
 	for _, notice := range ledger.notices[keeper] {
 		if notice.known >= sequence && !now.Before(notice.clear) {
 			return true
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -56,7 +56,7 @@
 // A later word about a newer sequence must not put off what was clear for an older one before.
 func TestALedgerKeepsTheSoonestWord(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	ledger := NewLedger()
+	ledger := NewProgressTracker()
 	if ledger.Clear(now, "k", 0) {
 		t.Fatal("clear without a word")
 	}
--- a/coordination/peersampling/cohort_test.go
+++ b/coordination/peersampling/partialview_test.go
@@ -13,12 +13,12 @@
 
 func Example() {
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
-	view := peersampling.New(&wire.CohortLine{Address: "127.0.0.1:1", Zone: "a"}, []string{"127.0.0.9:1"}, outbox, rand.New(rand.NewSource(1)))
+	view := peersampling.New(&wire.PeerDescriptor{Address: "127.0.0.1:1", Zone: "a"}, []string{"127.0.0.9:1"}, outbox, rand.New(rand.NewSource(1)))
 	view.Tick(now)
 	parcels, _ := outbox.Drain()
 	fmt.Println("asks its seed:", parcels[0].To)
-	view.Shuffle(now, "127.0.0.9:1", &wire.Shuffle{Answer: true, Lines: []*wire.CohortLine{{Address: "127.0.0.9:1", Zone: "b"}, {Address: "127.0.0.2:1", Zone: "a"}}})
-	fmt.Println("knows", len(view.Lines()), "neighbours")
+	view.Shuffle(now, "127.0.0.9:1", &wire.Shuffle{Response: true, Peers: []*wire.PeerDescriptor{{Address: "127.0.0.9:1", Zone: "b"}, {Address: "127.0.0.2:1", Zone: "a"}}})
+	fmt.Println("knows", len(view.Peers()), "neighbours")
 	// Output:
 	// asks its seed: 127.0.0.9:1
 	// knows 2 neighbours
@@ -29,18 +29,18 @@
 	random   *rand.Rand
 	now      time.Time
 	names    []string
-	views    map[string]*peersampling.Cohort
+	views    map[string]*peersampling.PartialView
 	outboxes map[string]*statemachine.Outbox
 	gone     map[string]bool
 }
 
 func newCrowd() *crowd {
-	made := &crowd{random: rand.New(rand.NewSource(4)), now: time.Unix(0, 0), views: map[string]*peersampling.Cohort{},
+	made := &crowd{random: rand.New(rand.NewSource(4)), now: time.Unix(0, 0), views: map[string]*peersampling.PartialView{},
 		outboxes: map[string]*statemachine.Outbox{}, gone: map[string]bool{}}
 	for number := range 200 {
 		name := fmt.Sprintf("p%03d", number)
 		made.outboxes[name] = statemachine.NewOutbox()
-		made.views[name] = peersampling.New(&wire.CohortLine{Address: name, Zone: fmt.Sprint(number % 4)}, []string{"p000"}, made.outboxes[name], rand.New(rand.NewSource(int64(number))))
+		made.views[name] = peersampling.New(&wire.PeerDescriptor{Address: name, Zone: fmt.Sprint(number % 4)}, []string{"p000"}, made.outboxes[name], rand.New(rand.NewSource(int64(number))))
 		made.names = append(made.names, name)
 	}
 	return made
@@ -79,7 +79,7 @@
 	for len(open) > 0 {
 		next := open[0]
 		open = open[1:]
-		for _, line := range crowd.views[next].Lines() {
+		for _, line := range crowd.views[next].Peers() {
 			if !seen[line.Address] && !crowd.gone[line.Address] {
 				seen[line.Address] = true
 				open = append(open, line.Address)
@@ -105,10 +105,10 @@
 	}
 	stale := 0
 	for _, name := range crowd.names[:100] {
-		if lines := crowd.views[name].Lines(); len(lines) > peersampling.Size {
+		if lines := crowd.views[name].Peers(); len(lines) > peersampling.Size {
 			t.Fatalf("%s knows %d", name, len(lines))
 		}
-		for _, line := range crowd.views[name].Lines() {
+		for _, line := range crowd.views[name].Peers() {
 			if crowd.gone[line.Address] {
 				stale++
 			}
--- a/coordination/quota/issuer.go
+++ b/coordination/quota/allocator.go
@@ -7,11 +7,11 @@
 	// requests larger than what a daemon holds and for daemons whose demand has just begun.
 	lentRate     = 0.95
 	lentCapacity = 0.6
-	// reserve is the part of the capacity that the pool keeps for requests that wait.
+	// reserve is the part of the capacity that the backend keeps for requests that wait.
 	reserve = 0.1
 	// expiryMargin is what is waited beyond the end of a share, for clocks that drift.
 	expiryMargin = 100 * time.Millisecond
-	// oversize is the part of the capacity at which the pool serves a need larger than it can ever hold.
+	// oversize is the part of the capacity at which the backend serves a need larger than it can ever hold.
 	oversize = 0.25
 	// sweepEvery is how often shares are looked through for daemons that are silent.
 	sweepEvery = 250 * time.Millisecond
@@ -24,7 +24,7 @@
 	// rate and exposure bound the rate and the balance; exposure includes what its capacity lets it fill up to.
 	rate, exposure, demand float64
 	// silent is from when on it may fill its balance itself, and until when all that it holds is void. taken is what was
-	// taken off the pool for that, up to the moment takenTo.
+	// taken off the backend for that, up to the moment takenTo.
 	silent, until, takenTo time.Time
 	taken                  float64
 }
@@ -32,7 +32,7 @@
 // account is one tenant's, at the issuer.
 type account struct {
 	limit Limit
-	// balance is the pool's, as of at, which filled at a rate of at most the limit's.
+	// balance is the backend's, as of at, which filled at a rate of at most the limit's.
 	balance float64
 	at      time.Time
 	lent    map[string]*lent
@@ -41,10 +41,10 @@
 	swept                  time.Time
 }
 
-// Issuer divides the limits of tenants among daemons for as long as its host leads.
-type Issuer struct {
-	term  time.Duration
-	begun time.Time
+// Allocator divides the limits of tenants among daemons for as long as its host leads.
+type Allocator struct {
+	term    time.Duration
+	started time.Time
 	// reported are the daemons that have reported to this issuer; once all that are expected have, none can hold anything
 	// that it does not know of.
 	reported map[string]bool
@@ -57,10 +57,10 @@
 	Answers, Short uint64
 }
 
-// NewIssuer makes the issuer of a host that has just begun to lead, whose predecessor issues nothing any more. Shares
+// NewAllocator makes the issuer of a host that has just begun to lead, whose predecessor issues nothing any more. Shares
 // count for a term from the question they answer. expected are the daemons that may hold shares of the predecessor's.
-func NewIssuer(now time.Time, term time.Duration, expected []string) *Issuer {
-	issuer := &Issuer{term: term, begun: now, reported: map[string]bool{}, expected: map[string]bool{}, accounts: map[string]*account{}, tenants: map[string][]string{}}
+func NewAllocator(now time.Time, term time.Duration, expected []string) *Allocator {
+	issuer := &Allocator{term: term, started: now, reported: map[string]bool{}, expected: map[string]bool{}, accounts: map[string]*account{}, tenants: map[string][]string{}}
 	for _, daemon := range expected {
 		issuer.expected[daemon] = true
 	}
@@ -68,10 +68,10 @@
 }
 
 // Term is for how long a share counts, from the question that it answers.
-func (issuer *Issuer) Term() time.Duration { return issuer.term }
+func (issuer *Allocator) Term() time.Duration { return issuer.term }
 
 // SetLimits takes the limits of all tenants; one that is not named has none, and needs no shares.
-func (issuer *Issuer) SetLimits(now time.Time, limits map[string]Limit) {
+func (issuer *Allocator) SetLimits(now time.Time, limits map[string]Limit) {
 	for tenant, limit := range limits {
 		known := issuer.accounts[tenant]
 		if known == nil {
@@ -95,11 +95,11 @@
 }
 
 // knowsAll tells whether no daemon can hold a share that this issuer does not know of.
-func (issuer *Issuer) knowsAll(now time.Time) bool {
+func (issuer *Allocator) knowsAll(now time.Time) bool {
 	if issuer.complete {
 		return true
 	}
-	issuer.complete = now.Sub(issuer.begun) >= issuer.term+expiryMargin || issuer.allReported()
+	issuer.complete = now.Sub(issuer.started) >= issuer.term+expiryMargin || issuer.allReported()
 	if issuer.complete {
 		for _, known := range issuer.accounts {
 			known.balance += known.limit.Start
@@ -109,7 +109,7 @@
 	return issuer.complete
 }
 
-func (issuer *Issuer) allReported() bool {
+func (issuer *Allocator) allReported() bool {
 	for daemon := range issuer.expected {
 		if !issuer.reported[daemon] {
 			return false
@@ -119,14 +119,14 @@
 }
 
 // Release takes in that a daemon's process has ended, and with it all that it held.
-func (issuer *Issuer) Release(now time.Time, daemon string) {
+func (issuer *Allocator) Release(now time.Time, daemon string) {
 	issuer.reported[daemon] = true
 	issuer.takeBack(now, daemon, map[string]bool{})
 	delete(issuer.tenants, daemon)
 }
 
 // takeBack ends what a daemon was lent of the tenants that it no longer names.
-func (issuer *Issuer) takeBack(now time.Time, daemon string, named map[string]bool) {
+func (issuer *Allocator) takeBack(now time.Time, daemon string, named map[string]bool) {
 	for _, tenant := range issuer.tenants[daemon] {
 		if known := issuer.accounts[tenant]; known != nil && !named[tenant] {
 			issuer.fill(now, known)
@@ -136,7 +136,7 @@
 }
 
 // Report takes in what a daemon holds, whose claims cover all its tenants, and answers what it holds from now on.
-func (issuer *Issuer) Report(now time.Time, daemon string, claims []Claim) []Share {
+func (issuer *Allocator) Report(now time.Time, daemon string, claims []TenantReport) []Share {
 	issuer.reported[daemon] = true
 	named := make(map[string]bool, len(claims))
 	for _, claim := range claims {
@@ -156,7 +156,7 @@
 }
 
 // answer takes one claim and gives the share that follows.
-func (issuer *Issuer) answer(now time.Time, known *account, daemon string, claim Claim) Share {
+func (issuer *Allocator) answer(now time.Time, known *account, daemon string, claim TenantReport) Share {
 	issuer.sweep(now, known)
 	issuer.fill(now, known)
 	if known.lent[daemon] == nil && len(known.lent) >= maximumDaemons {
@@ -182,8 +182,8 @@
 }
 
 // share is what a daemon holds from now on. Where not all shares are known, nothing is added to what it holds but tokens
-// of the pool. What is taken from it is free for others once it reports without it.
-func (known *account) share(claim Claim, knowsAll bool) Share {
+// of the backend. What is taken from it is free for others once it reports without it.
+func (known *account) share(claim TenantReport, knowsAll bool) Share {
 	share := Share{Tenant: claim.Tenant}
 	if known.limit.Rate <= 0 {
 		return share
@@ -208,17 +208,17 @@
 	return share
 }
 
-// draw gives as much of a need as the pool has.
+// draw gives as much of a need as the backend has.
 func (known *account) draw(need float64) float64 {
-	// One request larger than the whole capacity could never be served; it waits for a full pool and leaves a debt.
+	// One request larger than the whole capacity could never be served; it waits for a full backend and leaves a debt.
 	if need > known.limit.Capacity && known.balance >= oversize*known.limit.Capacity {
 		return need
 	}
 	return max(0, min(need, known.balance))
 }
 
-// reconcile settles what a daemon has filled by itself with what was taken off the pool for it.
-func (known *account) reconcile(now time.Time, daemon string, claim Claim) {
+// reconcile settles what a daemon has filled by itself with what was taken off the backend for it.
+func (known *account) reconcile(now time.Time, daemon string, claim TenantReport) {
 	held := known.lent[daemon]
 	if held == nil {
 		return
@@ -227,7 +227,7 @@
 	known.balance += held.taken - claim.Filled
 }
 
-// take takes off the pool what a silent daemon may have filled by now.
+// take takes off the backend what a silent daemon may have filled by now.
 func (known *account) take(now time.Time, held *lent) {
 	if held.until.Before(now) {
 		now = held.until
@@ -240,8 +240,8 @@
 	}
 }
 
-// sweep looks for silent daemons: what they may fill is taken off the pool, and what is over is taken back.
-func (issuer *Issuer) sweep(now time.Time, known *account) {
+// sweep looks for silent daemons: what they may fill is taken off the backend, and what is over is taken back.
+func (issuer *Allocator) sweep(now time.Time, known *account) {
 	if now.Sub(known.swept) < sweepEvery {
 		return
 	}
@@ -255,8 +255,8 @@
 	}
 }
 
-// fill brings the pool up to a moment.
-func (issuer *Issuer) fill(now time.Time, known *account) {
+// fill brings the backend up to a moment.
+func (issuer *Allocator) fill(now time.Time, known *account) {
 	passed := now.Sub(known.at).Seconds()
 	if passed <= 0 {
 		return
@@ -271,7 +271,7 @@
 	known.cap()
 }
 
-// cap keeps the pool and all that is lent within the capacity.
+// cap keeps the backend and all that is lent within the capacity.
 func (known *account) cap() {
 	known.balance = min(known.balance, max(0, known.limit.Capacity-known.exposure))
 }
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -21,13 +21,13 @@
 var testTolerance = Tolerance{Window: 8 * time.Second, Excess: 0.1, Slack: 140_000}
 
 type message struct {
-	at     time.Time
-	daemon int
-	life   int
-	number uint64
-	claims []Claim
-	shares []Share
-	answer bool
+	at          time.Time
+	daemon      int
+	incarnation int
+	number      uint64
+	claims      []TenantReport
+	shares      []Share
+	answer      bool
 }
 
 type waiting struct {
@@ -37,11 +37,11 @@
 }
 
 type testDaemon struct {
-	holder   *Holder
-	life     int
-	number   uint64
-	reported time.Time
-	waiting  []*waiting
+	holder      *Limiter
+	incarnation int
+	number      uint64
+	reported    time.Time
+	waiting     []*waiting
 	// rate is how many requests come a second; down, cut and frozen last until these moments.
 	rate                float64
 	down, cut, frozen   time.Time
@@ -58,7 +58,7 @@
 type testFleet struct {
 	random   *rand.Rand
 	now      time.Time
-	issuer   *Issuer
+	issuer   *Allocator
 	headless time.Time
 	daemons  []*testDaemon
 	messages []message
@@ -71,12 +71,12 @@
 func newFleet(seed int64, daemons int, rate, demand, meanCost float64) *testFleet {
 	fleet := &testFleet{random: rand.New(rand.NewSource(seed)), now: time.Unix(1000, 0), rate: rate, burst: rate, meanCost: meanCost}
 	for range daemons {
-		fleet.daemons = append(fleet.daemons, &testDaemon{holder: NewHolder()})
+		fleet.daemons = append(fleet.daemons, &testDaemon{holder: NewLimiter()})
 	}
-	// Requesters are few and each stays with one daemon, so that shares of the demand are uneven.
-	requesters := max(4, daemons/2)
-	for range requesters {
-		fleet.daemons[fleet.random.Intn(daemons)].rate += demand / meanCost / float64(requesters)
+	// Clients are few and each stays with one daemon, so that shares of the demand are uneven.
+	clients := max(4, daemons/2)
+	for range clients {
+		fleet.daemons[fleet.random.Intn(daemons)].rate += demand / meanCost / float64(clients)
 	}
 	fleet.lead()
 	return fleet
@@ -88,7 +88,7 @@
 	for number := range fleet.daemons {
 		expected = append(expected, fmt.Sprint(number))
 	}
-	fleet.issuer = NewIssuer(fleet.now, testTerm, expected)
+	fleet.issuer = NewAllocator(fleet.now, testTerm, expected)
 	fleet.limit()
 }
 
@@ -123,11 +123,11 @@
 	}
 	daemon.number++
 	daemon.reported = fleet.now
-	claims := daemon.holder.Claims(fleet.now, daemon.number)
+	claims := daemon.holder.TenantReports(fleet.now, daemon.number)
 	if fleet.now.Before(daemon.cut) && daemon.cutOut {
 		return
 	}
-	fleet.send(message{daemon: number, life: daemon.life, number: daemon.number, claims: claims})
+	fleet.send(message{daemon: number, incarnation: daemon.incarnation, number: daemon.number, claims: claims})
 }
 
 func (fleet *testFleet) deliver(delivered message) {
@@ -137,10 +137,10 @@
 			return
 		}
 		shares := fleet.issuer.Report(fleet.now, fmt.Sprint(delivered.daemon), delivered.claims)
-		fleet.send(message{daemon: delivered.daemon, life: delivered.life, number: delivered.number, shares: shares, answer: true})
+		fleet.send(message{daemon: delivered.daemon, incarnation: delivered.incarnation, number: delivered.number, shares: shares, answer: true})
 		return
 	}
-	if daemon.life != delivered.life || fleet.now.Before(daemon.down) || fleet.now.Before(daemon.cut) && daemon.cutIn {
+	if daemon.incarnation != delivered.incarnation || fleet.now.Before(daemon.down) || fleet.now.Before(daemon.cut) && daemon.cutIn {
 		return
 	}
 	daemon.holder.Granted(fleet.now, delivered.number, testTerm, delivered.shares)
@@ -297,8 +297,8 @@
 		until := fleet.now.Add(time.Duration(fleet.random.Intn(7000)) * time.Millisecond)
 		switch fleet.random.Intn(3) {
 		case 0:
-			daemon.holder, daemon.waiting, daemon.down = NewHolder(), nil, until
-			daemon.life++
+			daemon.holder, daemon.waiting, daemon.down = NewLimiter(), nil, until
+			daemon.incarnation++
 		case 1:
 			daemon.cut = until
 			daemon.cutIn, daemon.cutOut = fleet.random.Intn(3) > 0, fleet.random.Intn(3) > 0
@@ -391,9 +391,9 @@
 // A process that is known to have ended gives back at once what it held.
 func TestReleaseGivesBackAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	issuer := NewIssuer(now, testTerm, nil)
+	issuer := NewAllocator(now, testTerm, nil)
 	issuer.SetLimits(now, map[string]Limit{tenantName: {Rate: 100, Capacity: 1000}})
-	given := issuer.Report(now, "a", []Claim{{Tenant: tenantName, Demand: 100, Need: 900}})
+	given := issuer.Report(now, "a", []TenantReport{{Tenant: tenantName, Demand: 100, Need: 900}})
 	if given[0].Tokens != 900 {
 		t.Fatalf("given %+v", given)
 	}
@@ -407,10 +407,10 @@
 // An answer counts once, and only if it is the newest report's.
 func TestOldAnswersAreVoid(t *testing.T) {
 	now := time.Unix(1000, 0)
-	holder := NewHolder()
+	holder := NewLimiter()
 	holder.Offer(now, tenantName, 10)
-	holder.Claims(now, 1)
-	holder.Claims(now, 2)
+	holder.TenantReports(now, 1)
+	holder.TenantReports(now, 2)
 	share := []Share{{Tenant: tenantName, Tokens: 100, Capacity: 100}}
 	if holder.Granted(now, 1, testTerm, share) || holder.Take(now, tenantName, 1) {
 		t.Error("the answer to a report that another one followed counts")
--- a/coordination/quota/holder.go
+++ b/coordination/quota/limiter.go
@@ -77,8 +77,8 @@
 	Demand  float64 `json:"demand"`
 }
 
-// Holder is a daemon's shares. It is safe for use by many requests at once.
-type Holder struct {
+// Limiter is a daemon's shares. It is safe for use by many requests at once.
+type Limiter struct {
 	mutex  sync.Mutex
 	shares map[string]*share
 	// number and asked are of the newest report, whose answer alone counts, and claimed what it said; answered tells that
@@ -86,18 +86,18 @@
 	number   uint64
 	asked    time.Time
 	answered bool
-	claimed  map[string]Claim
+	claimed  map[string]TenantReport
 	changed  chan struct{}
 	// OnDemand holds nothing ahead of the demand: each request waits for its tokens.
 	OnDemand bool
 }
 
-// NewHolder makes a holder without shares.
-func NewHolder() *Holder {
-	return &Holder{shares: map[string]*share{}, answered: true, changed: make(chan struct{})}
+// NewLimiter makes a holder without shares.
+func NewLimiter() *Limiter {
+	return &Limiter{shares: map[string]*share{}, answered: true, changed: make(chan struct{})}
 }
 
-func (holder *Holder) share(now time.Time, tenant string) *share {
+func (holder *Limiter) share(now time.Time, tenant string) *share {
 	found := holder.shares[tenant]
 	if found == nil {
 		found = &share{demand: average{at: now, span: demandSpan}, steady: average{at: now, span: steadySpan}}
@@ -142,7 +142,7 @@
 }
 
 // Offer notes that a request asks for so much, whether it is served or not.
-func (holder *Holder) Offer(now time.Time, tenant string, cost float64) {
+func (holder *Limiter) Offer(now time.Time, tenant string, cost float64) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	share := holder.share(now, tenant)
@@ -155,7 +155,7 @@
 }
 
 // Take uses so much of a tenant's share; it tells whether there was as much.
-func (holder *Holder) Take(now time.Time, tenant string, cost float64) bool {
+func (holder *Limiter) Take(now time.Time, tenant string, cost float64) bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	share := holder.share(now, tenant)
@@ -169,7 +169,7 @@
 
 // Return gives back what a request took that has surely not run. What the share has no room for any more is lost, rather
 // than counted twice.
-func (holder *Holder) Return(now time.Time, tenant string, cost float64) {
+func (holder *Limiter) Return(now time.Time, tenant string, cost float64) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	share := holder.share(now, tenant)
@@ -178,7 +178,7 @@
 }
 
 // Refused counts a request that is refused, and tells when another try may help.
-func (holder *Holder) Refused(now time.Time, tenant string, cost float64) time.Duration {
+func (holder *Limiter) Refused(now time.Time, tenant string, cost float64) time.Duration {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	share := holder.share(now, tenant)
@@ -191,7 +191,7 @@
 }
 
 // Need notes that a request waits for so much, until done is called.
-func (holder *Holder) Need(now time.Time, tenant string, cost float64) (done func()) {
+func (holder *Limiter) Need(now time.Time, tenant string, cost float64) (done func()) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	holder.share(now, tenant).need += cost
@@ -203,40 +203,40 @@
 }
 
 // Short tells whether the issuer had less for this tenant a moment ago than was needed, so that waiting is of no use.
-func (holder *Holder) Short(now time.Time, tenant string) bool {
+func (holder *Limiter) Short(now time.Time, tenant string) bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	return now.Before(holder.share(now, tenant).shortUntil)
 }
 
 // Awaits tells whether the answer to a report is still to be expected, so that another one would only make it void.
-func (holder *Holder) Awaits(now time.Time) bool {
+func (holder *Limiter) Awaits(now time.Time) bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	return !holder.answered && now.Sub(holder.asked) < AnswerBound
 }
 
 // Blank tells whether the holder has never had anything to do with any tenant.
-func (holder *Holder) Blank() bool {
+func (holder *Limiter) Blank() bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	return len(holder.shares) == 0
 }
 
 // Changed gives a channel that is closed when the next answer has come.
-func (holder *Holder) Changed() <-chan struct{} {
+func (holder *Limiter) Changed() <-chan struct{} {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	return holder.changed
 }
 
-// Claims gives the report that goes out under a number, greater than all before it. Answers to earlier ones are void
+// TenantReports gives the report that goes out under a number, greater than all before it. Answers to earlier ones are void
 // from then on.
-func (holder *Holder) Claims(now time.Time, number uint64) []Claim {
+func (holder *Limiter) TenantReports(now time.Time, number uint64) []TenantReport {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
-	holder.number, holder.asked, holder.claimed = number, now, map[string]Claim{}
-	claims := make([]Claim, 0, len(holder.shares))
+	holder.number, holder.asked, holder.claimed = number, now, map[string]TenantReport{}
+	claims := make([]TenantReport, 0, len(holder.shares))
 	for tenant := range holder.shares {
 		share := holder.share(now, tenant)
 		if share.idle() && share.balance == 0 && share.rate == 0 && share.capacity == 0 {
@@ -253,7 +253,7 @@
 }
 
 // claim reports the share, and gives back what it has no use for.
-func (share *share) claim(tenant string, onDemand bool) Claim {
+func (share *share) claim(tenant string, onDemand bool) TenantReport {
 	want := share.want()
 	if onDemand {
 		want = 0
@@ -264,13 +264,13 @@
 	}
 	returned := max(0, share.balance-max(keep, share.need))
 	share.balance -= returned
-	return Claim{Tenant: tenant, Balance: share.balance, Capacity: share.capacity, Rate: share.rate, Filled: share.filled, Returned: returned,
+	return TenantReport{Tenant: tenant, Balance: share.balance, Capacity: share.capacity, Rate: share.rate, Filled: share.filled, Returned: returned,
 		Demand: share.steady.value, Want: want, Need: max(0, share.need-share.balance)}
 }
 
 // Granted takes the answer to the report with a number, which counts for a term from when that went out; it tells
 // whether it was the newest report's.
-func (holder *Holder) Granted(now time.Time, number uint64, term time.Duration, shares []Share) bool {
+func (holder *Limiter) Granted(now time.Time, number uint64, term time.Duration, shares []Share) bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	if number != holder.number || holder.answered {
@@ -286,7 +286,7 @@
 }
 
 // granted takes one share of an answer to a claim.
-func (share *share) granted(now time.Time, given Share, claim Claim, until time.Time) {
+func (share *share) granted(now time.Time, given Share, claim TenantReport, until time.Time) {
 	// What has filled or was given back since the report counts up to the new capacity only: the issuer reckons with no
 	// more.
 	share.balance = min(share.balance, max(claim.Balance, given.Capacity)) + given.Tokens
@@ -301,7 +301,7 @@
 }
 
 // Usage gives what was counted of each tenant.
-func (holder *Holder) Usage(now time.Time) map[string]Usage {
+func (holder *Limiter) Usage(now time.Time) map[string]Usage {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	counted := make(map[string]Usage, len(holder.shares))
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,18 +1,18 @@
 // Package quota enforces limits on what tenants use over many daemons together, without asking anybody for each request.
 //
-// One issuer keeps a pool of tokens for each tenant, which fills at the tenant's rate. Daemons report every moment what
+// One issuer keeps a backend of tokens for each tenant, which fills at the tenant's rate. Daemons report every moment what
 // they hold and are asked for, and are given tokens ahead of their demand; a request that finds too few waits for the
-// answer to a report that goes out at once. What the daemons hold and what the pool holds never add up to more than the
+// answer to a report that goes out at once. What the daemons hold and what the backend holds never add up to more than the
 // tenant's capacity, so that in any span of time no more can be used than the capacity and what the rate yields in that
 // span, whoever is cut off, frozen or killed meanwhile.
 //
 // With its tokens each daemon is lent a part of the rate, by which its own tokens fill up while the issuer is silent: the
-// parts add up to no more than the rate, and the issuer takes off its pool what daemons that are silent may have filled.
+// parts add up to no more than the rate, and the issuer takes off its backend what daemons that are silent may have filled.
 //
 // A report makes all earlier answers void, and each answer counts from its question, for a term. A daemon that falls silent
 // keeps what it holds for that term and loses it then; only after that, by the issuer's clock and with a margin, is it
 // given to others. A new issuer knows nothing of what its predecessor lent: until every daemon has reported, or a term has
-// passed, its pool fills by the rates of those alone that have reported.
+// passed, its backend fills by the rates of those alone that have reported.
 //
 // The state machines do no I/O and read no clock. docs/quotas.md weighs the ways.
 package quota
@@ -21,7 +21,7 @@
 
 // Limit is what one tenant may use over all daemons together, in tokens or requests.
 type Limit struct {
-	// Rate is how much a second, and Capacity how much at once. Start is what the pool of a new issuer begins with, once
+	// Rate is how much a second, and Capacity how much at once. Start is what the backend of a new issuer begins with, once
 	// no daemon can hold anything that it does not know of.
 	Rate, Capacity, Start float64
 }
@@ -52,8 +52,8 @@
 	return Limit{Rate: rate, Capacity: burst + usedTolerance*exceeding, Start: startTolerance * exceeding}
 }
 
-// Claim is what a daemon reports of one tenant.
-type Claim struct {
+// TenantReport is what a daemon reports of one tenant.
+type TenantReport struct {
 	Tenant string
 	// Balance is what it holds, which fills up to Capacity at Rate while the issuer is silent. Filled is what it has
 	// filled so since the last answer, and Returned what it has just given up.
--- a/coordination/snapshot/power_test.go
+++ b/coordination/snapshot/power_test.go
@@ -244,13 +244,13 @@
 }
 
 // reopened reads a folder back and wants it to hold all that was told as synced, and nothing that was not asked for.
-func reopened(t *testing.T, system *powerSystem, kept *kept, begun bool, where ...any) *Store {
+func reopened(t *testing.T, system *powerSystem, kept *kept, started bool, where ...any) *Store {
 	t.Helper()
 	store, recovered, err := Open(files{"folder", system})
 	if errors.Is(err, errDied) {
 		return nil
 	}
-	if !begun && (apierror.Is(err, apierror.NoMemory) || recovered.Blank) {
+	if !started && (apierror.Is(err, apierror.NoMemory) || recovered.Blank) {
 		return nil
 	}
 	if err != nil || recovered.Blank || !strings.HasPrefix(string(recovered.Memory), "m") {
@@ -283,9 +283,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		begun := false
+		started := false
 		if store.Replace([]byte("m")) == nil {
-			begun = true
+			started = true
 			before.script(store, first)
 		}
 		whole := system.left >= 0
@@ -296,7 +296,7 @@
 			starts = append(starts, system.afterPower(chosen))
 		}
 		for start, system := range starts {
-			tried += dieAgain(t, system, before, begun, "died at step", died, "start", start)
+			tried += dieAgain(t, system, before, started, "died at step", died, "start", start)
 		}
 		if whole {
 			break
@@ -307,13 +307,13 @@
 
 // dieAgain starts a store on what a death left behind and lets the power go at each step of its life; it gives the
 // number of ends that were tried.
-func dieAgain(t *testing.T, start *powerSystem, before kept, begun bool, where ...any) (tried int) {
+func dieAgain(t *testing.T, start *powerSystem, before kept, started bool, where ...any) (tried int) {
 	t.Helper()
 	for again := 0; again < 40; again++ {
 		next := start.clone()
 		next.left = again
 		after := before
-		store := reopened(t, next, &after, begun, append(where, "again at", again)...)
+		store := reopened(t, next, &after, started, append(where, "again at", again)...)
 		if store != nil {
 			after.script(store, "xryrz")
 		}
@@ -321,7 +321,7 @@
 		next.left = manySteps
 		for chosen := range next.ways() {
 			last := after
-			reopened(t, next.afterPower(chosen), &last, begun, append(where, "power gone at", again, "names", chosen)...)
+			reopened(t, next.afterPower(chosen), &last, started, append(where, "power gone at", again, "names", chosen)...)
 			tried++
 		}
 		if finished {
--- a/coordination/snapshot/slots_test.go
+++ b/coordination/snapshot/slots_test.go
@@ -100,7 +100,7 @@
 		if err := store.Replace([]byte("m")); err != nil {
 			t.Fatal(err)
 		}
-		for life := 0; life < 4; life++ {
+		for incarnation := 0; incarnation < 4; incarnation++ {
 			folder.crash = random.Intn(30)
 			synced, asked = writeUntilCrash(random, store, synced, asked)
 			folder.crash = 1 << 30
--- a/coordination/statemachine/machine.go
+++ b/coordination/statemachine/outbox.go
@@ -10,8 +10,8 @@
 	"wardtray/wire"
 )
 
-// Parcel is a message on its way to an address.
-type Parcel struct {
+// Message is a message on its way to an address.
+type Message struct {
 	To       string
 	Envelope *wire.Envelope
 }
@@ -21,15 +21,15 @@
 type Write struct {
 	Sequence uint64
 	Record   *wire.Record
-	Memory   *wire.Memory
+	Memory   *wire.DurableState
 	// Sweep asks, in the place of both, to read everything back.
 	Sweep bool
 }
 
 // Outbox gathers what one step of a machine asks of its driver.
 type Outbox struct {
-	Parcels []Parcel
-	Writes  []Write
+	Messages []Message
+	Writes   []Write
 
 	next    uint64
 	waiting []waiting
@@ -46,7 +46,7 @@
 
 // Send puts a message into the outbox.
 func (outbox *Outbox) Send(to string, envelope *wire.Envelope) {
-	outbox.Parcels = append(outbox.Parcels, Parcel{To: to, Envelope: envelope})
+	outbox.Messages = append(outbox.Messages, Message{To: to, Envelope: envelope})
 }
 
 // Persist asks for a record to be synced; then runs once it is, and never if it is not.
@@ -56,7 +56,7 @@
 
 // Replace asks for a whole memory to be written to the other slot. The memory must hold all that
 // was asked before, for its completion completes the earlier writes too.
-func (outbox *Outbox) Replace(now time.Time, memory *wire.Memory, then func(now time.Time)) {
+func (outbox *Outbox) Replace(now time.Time, memory *wire.DurableState, then func(now time.Time)) {
 	outbox.ask(now, Write{Memory: memory}, then)
 }
 
@@ -90,8 +90,8 @@
 }
 
 // Drain hands over what has gathered and empties the outbox.
-func (outbox *Outbox) Drain() ([]Parcel, []Write) {
-	parcels, writes := outbox.Parcels, outbox.Writes
-	outbox.Parcels, outbox.Writes = nil, nil
+func (outbox *Outbox) Drain() ([]Message, []Write) {
+	parcels, writes := outbox.Messages, outbox.Writes
+	outbox.Messages, outbox.Writes = nil, nil
 	return parcels, writes
 }
--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -15,7 +15,7 @@
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1"}
 	agent := view.NewAgent(now, "a", nil, nil, outbox, func(string) string { return self.Address },
 		func(_ time.Time, learned *wire.View) { fmt.Println("learned view", learned.Epoch) })
-	agent.Found(now, &wire.View{Epoch: 1, Fleet: "f", Chain: []*wire.Member{self}, Keepers: []*wire.Member{self}}, []*wire.Member{self})
+	agent.Found(now, &wire.View{Epoch: 1, Fleet: "f", Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}}, []*wire.Member{self})
 	for agent.Current().Epoch == 0 {
 		parcels, writes := outbox.Drain()
 		for _, write := range writes {
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -1,5 +1,5 @@
 // Package view agrees the next view of a fleet: who is in the chain, in which order, and who keeps
-// views. The keepers of one view agree the next by single-decree Paxos, one instance for each view
+// views. The acceptors of one view agree the next by single-decree Paxos, one instance for each view
 // epoch; there is no leader and no log. The first view is agreed by all founders together.
 //
 // An Agent is a pure state machine. Give it messages and completions; drain its outbox.
@@ -30,7 +30,7 @@
 
 	current *wire.View
 	since   time.Time
-	vote    *wire.Vote
+	vote    *wire.AcceptorState
 	attempt *attempt
 	// patience is how long the present attempt may take; zero: none was made at this view yet.
 	patience time.Duration
@@ -43,24 +43,24 @@
 
 type attempt struct {
 	instance  uint64
-	ballot    *wire.Ballot
+	ballot    *wire.ProposalNumber
 	acceptors []*wire.Member
 	quorum    int
 	value     *wire.View
 	promises  map[string]*wire.ViewPromise
 	accepts   map[string]bool
 	voting    bool
-	begun     time.Time
+	started   time.Time
 }
 
 // NewAgent restores an agent from what the disk held; current and vote may be nil.
-func NewAgent(now time.Time, self string, current *wire.View, vote *wire.Vote, outbox *statemachine.Outbox,
+func NewAgent(now time.Time, self string, current *wire.View, vote *wire.AcceptorState, outbox *statemachine.Outbox,
 	resolve func(id string) string, learned func(now time.Time, view *wire.View)) *Agent {
 	if current == nil {
 		current = &wire.View{}
 	}
 	if vote == nil || vote.Instance != current.Epoch+1 {
-		vote = &wire.Vote{Instance: current.Epoch + 1}
+		vote = &wire.AcceptorState{Instance: current.Epoch + 1}
 	}
 	return &Agent{self: self, outbox: outbox, resolve: resolve, learned: learned, current: current, newest: current, since: now, vote: vote}
 }
@@ -76,20 +76,20 @@
 func (agent *Agent) Since() time.Time { return agent.since }
 
 // Vote gives the acceptor's state, for a whole memory.
-func (agent *Agent) Vote() *wire.Vote { return agent.vote }
+func (agent *Agent) Vote() *wire.AcceptorState { return agent.vote }
 
-// Voted tells whether this keeper has voted for the next view.
+// Voted tells whether this acceptor has voted for the next view.
 func (agent *Agent) Voted() bool { return agent.vote.Value != nil }
 
 // Busy tells whether an attempt of this agent's is under way, or a promise or vote of its own, which a new attempt
 // would only make worthless.
 func (agent *Agent) Busy(now time.Time) bool {
-	return agent.syncing > 0 || agent.attempt != nil && now.Sub(agent.attempt.begun) < agent.patience
+	return agent.syncing > 0 || agent.attempt != nil && now.Sub(agent.attempt.started) < agent.patience
 }
 
-// Propose begins an attempt at the next view among the present keepers.
+// Propose begins an attempt at the next view among the present acceptors.
 func (agent *Agent) Propose(now time.Time, value *wire.View) {
-	agent.begin(now, value, agent.current.Keepers, Majority(len(agent.current.Keepers)))
+	agent.begin(now, value, agent.current.Acceptors, Majority(len(agent.current.Acceptors)))
 }
 
 // Found begins an attempt at the first view. Every founder must vote, so that no part of a fleet
@@ -105,12 +105,12 @@
 	agent.round = max(agent.round, agent.vote.GetPromised().GetRound()) + 1
 	agent.patience = min(max(Patience, 2*agent.patience), mostPatience)
 	agent.attempt = &attempt{
-		instance: agent.current.Epoch + 1, ballot: &wire.Ballot{Round: agent.round, Proposer: agent.self},
-		acceptors: acceptors, quorum: quorum, value: value, begun: now,
+		instance: agent.current.Epoch + 1, ballot: &wire.ProposalNumber{Round: agent.round, Proposer: agent.self},
+		acceptors: acceptors, quorum: quorum, value: value, started: now,
 		promises: map[string]*wire.ViewPromise{}, accepts: map[string]bool{},
 	}
 	agent.toAcceptors(&wire.Envelope{Body: &wire.Envelope_ViewPrepare{ViewPrepare: &wire.ViewPrepare{
-		Instance: agent.attempt.instance, Ballot: agent.attempt.ballot}}})
+		Instance: agent.attempt.instance, Proposal: agent.attempt.ballot}}})
 }
 
 func (agent *Agent) toAcceptors(envelope *wire.Envelope) {
@@ -124,7 +124,7 @@
 }
 
 // compare orders ballots by round, then proposer.
-func compare(left, right *wire.Ballot) int {
+func compare(left, right *wire.ProposalNumber) int {
 	if left.GetRound() != right.GetRound() {
 		if left.GetRound() < right.GetRound() {
 			return -1
@@ -149,14 +149,14 @@
 		agent.Tell(reply)
 		return true
 	}
-	agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewAsk{ViewAsk: &wire.ViewAsk{Epoch: agent.current.Epoch}}})
+	agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewRequest{ViewRequest: &wire.ViewRequest{Epoch: agent.current.Epoch}}})
 	return true
 }
 
 // Tell sends the present view to an address.
 func (agent *Agent) Tell(address string) {
 	if agent.current.Epoch > 0 {
-		agent.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ViewNews{ViewNews: &wire.ViewNews{View: agent.current}}})
+		agent.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ViewUpdate{ViewUpdate: &wire.ViewUpdate{View: agent.current}}})
 	}
 }
 
@@ -165,28 +165,28 @@
 	if agent.stale(message.Instance, reply) {
 		return
 	}
-	if compare(message.Ballot, agent.vote.Promised) < 0 {
+	if compare(message.Proposal, agent.vote.Promised) < 0 {
 		agent.refuse(reply)
 		return
 	}
-	agent.vote = &wire.Vote{Instance: message.Instance, Promised: message.Ballot, Accepted: agent.vote.Accepted, Value: agent.vote.Value}
+	agent.vote = &wire.AcceptorState{Instance: message.Instance, Promised: message.Proposal, Accepted: agent.vote.Accepted, Value: agent.vote.Value}
 	promised := agent.vote
 	agent.syncing++
-	agent.outbox.Persist(now, &wire.Record{Body: &wire.Record_Vote{Vote: promised}}, func(time.Time) {
+	agent.outbox.Persist(now, &wire.Record{Body: &wire.Record_AcceptorState{AcceptorState: promised}}, func(time.Time) {
 		agent.syncing--
 		agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewPromise{ViewPromise: &wire.ViewPromise{
-			Instance: message.Instance, Ballot: message.Ballot, Accepted: promised.Accepted, Value: promised.Value}}})
+			Instance: message.Instance, Proposal: message.Proposal, Accepted: promised.Accepted, Value: promised.Value}}})
 	})
 }
 
 func (agent *Agent) refuse(reply string) {
-	agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewRefused{ViewRefused: &wire.ViewRefused{
+	agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewRejected{ViewRejected: &wire.ViewRejected{
 		Instance: agent.vote.Instance, Promised: agent.vote.Promised}}})
 }
 
 // Promise counts an acceptor's answer and, once there are enough, asks for votes.
 func (agent *Agent) Promise(_ time.Time, sender string, message *wire.ViewPromise) {
-	attempt := agent.running(message.Instance, message.Ballot)
+	attempt := agent.running(message.Instance, message.Proposal)
 	if attempt == nil || attempt.voting || !attempt.has(sender) {
 		return
 	}
@@ -206,7 +206,7 @@
 	}
 	attempt.voting = true
 	agent.toAcceptors(&wire.Envelope{Body: &wire.Envelope_ViewAccept{ViewAccept: &wire.ViewAccept{
-		Instance: attempt.instance, Ballot: attempt.ballot, Value: attempt.value}}})
+		Instance: attempt.instance, Proposal: attempt.ballot, Value: attempt.value}}})
 }
 
 // Accept votes for a value unless a greater ballot was promised.
@@ -214,22 +214,22 @@
 	if agent.stale(message.Instance, reply) {
 		return
 	}
-	if compare(message.Ballot, agent.vote.Promised) < 0 {
+	if compare(message.Proposal, agent.vote.Promised) < 0 {
 		agent.refuse(reply)
 		return
 	}
-	agent.vote = &wire.Vote{Instance: message.Instance, Promised: message.Ballot, Accepted: message.Ballot, Value: message.Value}
+	agent.vote = &wire.AcceptorState{Instance: message.Instance, Promised: message.Proposal, Accepted: message.Proposal, Value: message.Value}
 	agent.syncing++
-	agent.outbox.Persist(now, &wire.Record{Body: &wire.Record_Vote{Vote: agent.vote}}, func(time.Time) {
+	agent.outbox.Persist(now, &wire.Record{Body: &wire.Record_AcceptorState{AcceptorState: agent.vote}}, func(time.Time) {
 		agent.syncing--
 		agent.outbox.Send(reply, &wire.Envelope{Body: &wire.Envelope_ViewAccepted{ViewAccepted: &wire.ViewAccepted{
-			Instance: message.Instance, Ballot: message.Ballot}}})
+			Instance: message.Instance, Proposal: message.Proposal}}})
 	})
 }
 
 // Accepted counts votes; with enough of them the view is chosen.
 func (agent *Agent) Accepted(now time.Time, sender string, message *wire.ViewAccepted) {
-	attempt := agent.running(message.Instance, message.Ballot)
+	attempt := agent.running(message.Instance, message.Proposal)
 	if attempt == nil || !attempt.voting || !attempt.has(sender) {
 		return
 	}
@@ -246,13 +246,13 @@
 func (agent *Agent) announce(attempt *attempt) {
 	for _, acceptor := range attempt.acceptors {
 		if acceptor.Id != agent.self {
-			agent.outbox.Send(agent.addressOf(acceptor), &wire.Envelope{Body: &wire.Envelope_ViewNews{ViewNews: &wire.ViewNews{View: attempt.value}}})
+			agent.outbox.Send(agent.addressOf(acceptor), &wire.Envelope{Body: &wire.Envelope_ViewUpdate{ViewUpdate: &wire.ViewUpdate{View: attempt.value}}})
 		}
 	}
 }
 
 // Refused makes the next attempt begin above the ballot that beat this one.
-func (agent *Agent) Refused(message *wire.ViewRefused) {
+func (agent *Agent) Refused(message *wire.ViewRejected) {
 	agent.round = max(agent.round, message.Promised.GetRound())
 }
 
@@ -270,11 +270,11 @@
 		if view.Epoch <= agent.current.Epoch {
 			return
 		}
-		former := agent.current
+		previous := agent.current
 		agent.current, agent.since, agent.attempt, agent.patience = view, done, nil, 0
-		agent.vote = &wire.Vote{Instance: view.Epoch + 1}
+		agent.vote = &wire.AcceptorState{Instance: view.Epoch + 1}
 		told := map[string]bool{}
-		for _, group := range [][]*wire.Member{former.Chain, former.Keepers, view.Chain, view.Keepers} {
+		for _, group := range [][]*wire.Member{previous.Chain, previous.Acceptors, view.Chain, view.Acceptors} {
 			for _, member := range group {
 				if member.Id != agent.self && !told[member.Id] {
 					told[member.Id] = true
@@ -293,7 +293,7 @@
 	return member.Address
 }
 
-func (agent *Agent) running(instance uint64, ballot *wire.Ballot) *attempt {
+func (agent *Agent) running(instance uint64, ballot *wire.ProposalNumber) *attempt {
 	if agent.attempt == nil || agent.attempt.instance != instance || compare(agent.attempt.ballot, ballot) != 0 {
 		return nil
 	}
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -12,26 +12,26 @@
 	"wardtray/wire"
 )
 
-// table is three keepers that propose against each other over a network that loses, repeats and
+// table is three acceptors that propose against each other over a network that loses, repeats and
 // reorders, while any of them may lose its power between two writes.
 type table struct {
-	random  *rand.Rand
-	now     time.Time
-	keepers []*wire.Member
-	agents  map[string]*Agent
-	outbox  map[string]*statemachine.Outbox
-	disks   map[string]*disk
-	mail    []mail
-	learned map[uint64]*wire.View
-	t       *testing.T
-	seed    int64
+	random    *rand.Rand
+	now       time.Time
+	acceptors []*wire.Member
+	agents    map[string]*Agent
+	outbox    map[string]*statemachine.Outbox
+	disks     map[string]*disk
+	mail      []mail
+	learned   map[uint64]*wire.View
+	t         *testing.T
+	seed      int64
 	// How many of six messages are lost.
 	loss int
 }
 
 type disk struct {
 	view *wire.View
-	vote *wire.Vote
+	vote *wire.AcceptorState
 }
 
 type mail struct {
@@ -44,17 +44,17 @@
 		disks: map[string]*disk{}, learned: map[uint64]*wire.View{}, t: t, seed: seed, loss: int(seed % 4)}
 	for number := range 3 {
 		name := fmt.Sprint("k", number)
-		made.keepers = append(made.keepers, &wire.Member{Id: name, Address: name})
+		made.acceptors = append(made.acceptors, &wire.Member{Id: name, Address: name})
 	}
-	first := &wire.View{Epoch: 1, Fleet: "f", Keepers: made.keepers, Chain: made.keepers}
-	for _, keeper := range made.keepers {
-		made.disks[keeper.Id] = &disk{view: first}
-		made.boot(keeper.Id)
+	first := &wire.View{Epoch: 1, Fleet: "f", Acceptors: made.acceptors, Chain: made.acceptors}
+	for _, acceptor := range made.acceptors {
+		made.disks[acceptor.Id] = &disk{view: first}
+		made.boot(acceptor.Id)
 	}
 	return made
 }
 
-// boot starts a keeper from what its disk holds.
+// boot starts a acceptor from what its disk holds.
 func (table *table) boot(name string) {
 	table.outbox[name] = statemachine.NewOutbox()
 	held := table.disks[name]
@@ -69,7 +69,7 @@
 	table.learned[view.Epoch] = view
 }
 
-// drain sends a keeper's messages and carries out its writes, of which the power may cut off the rest.
+// drain sends a acceptor's messages and carries out its writes, of which the power may cut off the rest.
 func (table *table) drain(name string) {
 	outbox := table.outbox[name]
 	for {
@@ -92,7 +92,7 @@
 }
 
 // send puts a message into the mail once or twice, unless it is lost.
-func (table *table) send(from string, parcel statemachine.Parcel) {
+func (table *table) send(from string, parcel statemachine.Message) {
 	for range 1 + table.random.Intn(2) {
 		if table.random.Intn(6) > table.loss {
 			table.mail = append(table.mail, mail{from: from, to: parcel.To, envelope: parcel.Envelope})
@@ -102,7 +102,7 @@
 
 // store writes a record.
 func (disk *disk) store(record *wire.Record) {
-	if vote := record.GetVote(); vote != nil {
+	if vote := record.GetAcceptorState(); vote != nil {
 		disk.vote = vote
 	}
 	if view := record.GetView(); view != nil {
@@ -111,7 +111,7 @@
 }
 
 func (table *table) deliver(mail mail) {
-	// Views name chain members that are no keepers; nobody stands behind those here.
+	// Views name chain members that are no acceptors; nobody stands behind those here.
 	if table.agents[mail.to] == nil {
 		return
 	}
@@ -121,7 +121,7 @@
 
 func kindOf(envelope *wire.Envelope) int {
 	held := []bool{envelope.GetViewPrepare() != nil, envelope.GetViewPromise() != nil, envelope.GetViewAccept() != nil, envelope.GetViewAccepted() != nil,
-		envelope.GetViewRefused() != nil, envelope.GetViewNews() != nil, envelope.GetViewAsk() != nil}
+		envelope.GetViewRejected() != nil, envelope.GetViewUpdate() != nil, envelope.GetViewRequest() != nil}
 	for kind, is := range held {
 		if is {
 			return kind
@@ -130,23 +130,23 @@
 	return len(held) - 1
 }
 
-// Whatever three keepers propose against each other, no two learn different views of one epoch.
-func TestKeepersNeverDisagree(t *testing.T) {
+// Whatever three acceptors propose against each other, no two learn different views of one epoch.
+func TestAcceptorsNeverDisagree(t *testing.T) {
 	views := 0
 	for seed := int64(1); seed <= 600; seed++ {
 		table := newTable(t, seed)
 		for step := range 1500 {
 			table.now = table.now.Add(time.Millisecond)
 			if table.random.Intn(30) == 0 {
-				name := table.keepers[table.random.Intn(3)].Id
+				name := table.acceptors[table.random.Intn(3)].Id
 				current := table.agents[name].Current()
-				table.agents[name].Propose(table.now, &wire.View{Epoch: current.Epoch + 1, Fleet: "f", Keepers: table.keepers,
+				table.agents[name].Propose(table.now, &wire.View{Epoch: current.Epoch + 1, Fleet: "f", Acceptors: table.acceptors,
 					Chain: []*wire.Member{{Id: fmt.Sprint(name, "-", step)}}})
 				table.drain(name)
 				continue
 			}
 			if table.random.Intn(30) == 0 {
-				table.boot(table.keepers[table.random.Intn(3)].Id)
+				table.boot(table.acceptors[table.random.Intn(3)].Id)
 			}
 			if len(table.mail) > 0 {
 				place := table.random.Intn(len(table.mail))
@@ -201,7 +201,7 @@
 	for silent := range 4 {
 		learned := 0
 		table, founders := newFounders(func() { learned++ })
-		table.agents["k0"].Found(table.now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Keepers: founders}, founders)
+		table.agents["k0"].Found(table.now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}, founders)
 		for range 20 {
 			table.exchange(founders, fmt.Sprint("k", silent))
 		}
@@ -218,21 +218,21 @@
 		func() { agent.Promise(table.now, mail.from, envelope.GetViewPromise()) },
 		func() { agent.Accept(table.now, mail.from, envelope.GetViewAccept()) },
 		func() { agent.Accepted(table.now, mail.from, envelope.GetViewAccepted()) },
-		func() { agent.Refused(envelope.GetViewRefused()) },
-		func() { agent.Learn(table.now, envelope.GetViewNews().GetView()) },
+		func() { agent.Refused(envelope.GetViewRejected()) },
+		func() { agent.Learn(table.now, envelope.GetViewUpdate().GetView()) },
 		func() { agent.Tell(mail.from) },
 	}
 	takes[kindOf(envelope)]()
 }
 
-// What a keeper says must be on its disk first, or a power cut would let it say the contrary.
+// What a acceptor says must be on its disk first, or a power cut would let it say the contrary.
 func TestNothingIsToldBeforeItIsSynced(t *testing.T) {
 	table := newTable(t, 1)
-	agent, outbox, ballot := table.agents["k0"], table.outbox["k0"], &wire.Ballot{Round: 1, Proposer: "k1"}
+	agent, outbox, ballot := table.agents["k0"], table.outbox["k0"], &wire.ProposalNumber{Round: 1, Proposer: "k1"}
 	for name, ask := range map[string]func(){
-		"promise": func() { agent.Prepare(table.now, "k1", &wire.ViewPrepare{Instance: 2, Ballot: ballot}) },
+		"promise": func() { agent.Prepare(table.now, "k1", &wire.ViewPrepare{Instance: 2, Proposal: ballot}) },
 		"vote": func() {
-			agent.Accept(table.now, "k1", &wire.ViewAccept{Instance: 2, Ballot: ballot, Value: &wire.View{Epoch: 2, Fleet: "f"}})
+			agent.Accept(table.now, "k1", &wire.ViewAccept{Instance: 2, Proposal: ballot, Value: &wire.View{Epoch: 2, Fleet: "f"}})
 		},
 	} {
 		ask()
--- a/dataplane/controller/dispatch.go
+++ b/dataplane/controller/dispatch.go
@@ -8,54 +8,54 @@
 	"wardtray/wire"
 )
 
-func (director *Director) table() {
-	director.handlers = map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
+func (controller *Controller) table() {
+	controller.handlers = map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
 		reflect.TypeFor[*wire.Envelope_Shuffle](): func(now time.Time, envelope *wire.Envelope) {
-			director.cohort.Shuffle(now, envelope.From, envelope.GetShuffle())
+			controller.partialView.Shuffle(now, envelope.From, envelope.GetShuffle())
 		},
-		reflect.TypeFor[*wire.Envelope_Rumor](): func(now time.Time, envelope *wire.Envelope) {
-			director.rumors.Rumor(now, envelope.GetRumor())
+		reflect.TypeFor[*wire.Envelope_GossipMessage](): func(now time.Time, envelope *wire.Envelope) {
+			controller.gossip.Rumor(now, envelope.GetGossipMessage())
 		},
 		reflect.TypeFor[*wire.Envelope_Digest](): func(now time.Time, envelope *wire.Envelope) {
-			director.rumors.Digest(now, envelope.From, envelope.Zone, envelope.GetDigest())
+			controller.gossip.Digest(now, envelope.From, envelope.Zone, envelope.GetDigest())
 			// A daemon whose book is empty tells 0, and so does one that keeps none; the former asks for itself.
-			if sum := envelope.GetDigest().Runners; sum != 0 {
-				director.compareRunners(now, envelope.From, sum)
+			if sum := envelope.GetDigest().RunnersChecksum; sum != 0 {
+				controller.compareRunners(now, envelope.From, sum)
 			}
 		},
-		reflect.TypeFor[*wire.Envelope_RunnerNews](): func(now time.Time, envelope *wire.Envelope) {
-			director.registry.News(now, envelope.From, envelope.GetRunnerNews())
-			director.onRunnersLearned(now, envelope.From, envelope.GetRunnerNews())
+		reflect.TypeFor[*wire.Envelope_RunnerUpdate](): func(now time.Time, envelope *wire.Envelope) {
+			controller.registry.News(now, envelope.From, envelope.GetRunnerUpdate())
+			controller.onRunnersLearned(now, envelope.From, envelope.GetRunnerUpdate())
 		},
 		reflect.TypeFor[*wire.Envelope_RunnerDigest](): func(now time.Time, envelope *wire.Envelope) {
-			director.registry.Digest(now, envelope.From, envelope.GetRunnerDigest())
+			controller.registry.Digest(now, envelope.From, envelope.GetRunnerDigest())
 		},
-		reflect.TypeFor[*wire.Envelope_TickGrant](): func(now time.Time, envelope *wire.Envelope) {
-			director.onTickGrant(now, envelope.From, envelope.Sender, envelope.GetTickGrant())
+		reflect.TypeFor[*wire.Envelope_DaemonLeaseGrant](): func(now time.Time, envelope *wire.Envelope) {
+			controller.onTickGrant(now, envelope.From, envelope.Sender, envelope.GetDaemonLeaseGrant())
 		},
-		reflect.TypeFor[*wire.Envelope_TickCall](): func(now time.Time, envelope *wire.Envelope) {
-			director.onTickCall(now, envelope.From, envelope.GetTickCall())
+		reflect.TypeFor[*wire.Envelope_DaemonLeasePrompt](): func(now time.Time, envelope *wire.Envelope) {
+			controller.onTickCall(now, envelope.From, envelope.GetDaemonLeasePrompt())
 		},
-		reflect.TypeFor[*wire.Envelope_DocumentAsk](): func(_ time.Time, envelope *wire.Envelope) {
-			register := director.rumors.Get(node.DocumentKey)
-			if register != nil && register.Epoch > envelope.GetDocumentAsk().Sequence {
-				director.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_Rumor{Rumor: &wire.Rumor{Registers: []*wire.Register{register}}}})
+		reflect.TypeFor[*wire.Envelope_DocumentRequest](): func(_ time.Time, envelope *wire.Envelope) {
+			register := controller.gossip.Get(node.DocumentKey)
+			if register != nil && register.Epoch > envelope.GetDocumentRequest().Sequence {
+				controller.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{register}}}})
 			}
 		},
-		reflect.TypeFor[*wire.Envelope_Taken](): func(now time.Time, envelope *wire.Envelope) {
-			if director.startup.OnTaken != nil && envelope.Zone == director.startup.Zone {
-				director.startup.OnTaken(now, envelope.GetTaken().Key, envelope.GetTaken().Dropped)
+		reflect.TypeFor[*wire.Envelope_RequestDispatched](): func(now time.Time, envelope *wire.Envelope) {
+			if controller.settings.OnTaken != nil && envelope.Zone == controller.settings.Zone {
+				controller.settings.OnTaken(now, envelope.GetRequestDispatched().Key, envelope.GetRequestDispatched().NotExecuted)
 			}
 		},
-		reflect.TypeFor[*wire.Envelope_ViewNews](): func(_ time.Time, envelope *wire.Envelope) {
-			director.learnView(envelope.GetViewNews().View)
+		reflect.TypeFor[*wire.Envelope_ViewUpdate](): func(_ time.Time, envelope *wire.Envelope) {
+			controller.learnView(envelope.GetViewUpdate().View)
 		},
 	}
 }
 
 // Receive takes one message.
-func (director *Director) Receive(now time.Time, envelope *wire.Envelope) {
-	if handle := director.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
+func (controller *Controller) Receive(now time.Time, envelope *wire.Envelope) {
+	if handle := controller.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
 		handle(now, envelope)
 	}
 }
--- a/dataplane/controller/document.go
+++ b/dataplane/controller/document.go
@@ -14,70 +14,70 @@
 	"wardtray/wire"
 )
 
-// onRegister takes in what a rumor changed.
-func (director *Director) onRegister(now time.Time, register *wire.Register) {
+// onRegister takes in what a gossip message changed.
+func (controller *Controller) onRegister(now time.Time, register *wire.GossipEntry) {
 	if register.Key == node.DocumentKey {
-		director.onDocument(now, register)
+		controller.onDocument(now, register)
 		return
 	}
-	if register.Key == director.listKey() {
-		director.onList(now, register)
+	if register.Key == controller.listKey() {
+		controller.onList(now, register)
 		return
 	}
-	if id, found := strings.CutPrefix(register.Key, "z/"+director.startup.Zone+"/beat/"); found {
-		director.duty.Heard(now, id)
+	if id, found := strings.CutPrefix(register.Key, "z/"+controller.settings.Zone+"/beat/"); found {
+		controller.election.Heard(now, id)
 	}
 }
 
-func (director *Director) onDocument(now time.Time, register *wire.Register) {
+func (controller *Controller) onDocument(now time.Time, register *wire.GossipEntry) {
 	document := &wire.Document{}
-	if proto.Unmarshal(register.Value, document) != nil || document.Sequence <= director.sequence {
-		director.counters.OddDocuments++
+	if proto.Unmarshal(register.Value, document) != nil || document.Sequence <= controller.sequence {
+		controller.counters.OddDocuments++
 		return
 	}
-	if document.SpecEpoch != director.specEpoch {
+	if document.SpecEpoch != controller.specEpoch {
 		content, err := config.Unpack(document.PackedSpec)
 		if err != nil {
-			director.counters.OddDocuments++
+			controller.counters.OddDocuments++
 			return
 		}
 		parsed, err := config.Parse(content)
 		if err != nil {
-			director.counters.OddDocuments++
+			controller.counters.OddDocuments++
 			return
 		}
-		director.book = config.NewBook(parsed)
+		controller.catalog = config.NewCatalog(parsed)
 	}
-	director.counters.Documents++
-	director.sequence, director.specEpoch, director.directory = document.Sequence, document.SpecEpoch, document.Directory
+	controller.counters.Documents++
+	controller.sequence, controller.specEpoch, controller.directory = document.Sequence, document.SpecEpoch, document.Directory
 	var order []string
 	for _, member := range document.Directory {
-		if member.Zone == director.startup.Zone {
+		if member.Zone == controller.settings.Zone {
 			order = append(order, member.Address)
 		}
 	}
-	director.duty.Order(order)
+	controller.election.Order(order)
 	// The head waits for this word before it acknowledges the change; it should not wait for the next round.
-	if len(director.view.Chain) > 0 {
-		director.askTicks(now, []string{director.view.Chain[0].Address})
+	if len(controller.view.Chain) > 0 {
+		controller.askTicks(now, []string{controller.view.Chain[0].Address})
 	}
 }
 
-// partners gives whom rumors go to: neighbours first, and the directory where neighbours are few.
-func (director *Director) partners() []gossip.Partner {
+// partners gives whom gossip go to: neighbours first, and the directory where neighbours are few.
+func (controller *Controller) partners() []gossip.Peer {
 	zones := map[string]string{}
-	for _, line := range director.cohort.Lines() {
+	for _, line := range controller.partialView.Peers() {
 		zones[line.Address] = line.Zone
 	}
-	if len(director.directory) <= 2*peersampling.Size {
-		for _, member := range director.directory {
+	if len(controller.directory) <= 2*peersampling.Size {
+		for _, member := range controller.directory {
 			zones[member.Address] = member.Zone
 		}
 	}
-	delete(zones, director.startup.Address)
-	partners := make([]gossip.Partner, 0, len(zones))
+	delete(zones, controller.settings.Address)
+	partners := make([]gossip.Peer, 0, len(zones))
 	for address, zone := range zones {
-		partners = append(partners, gossip.Partner{Address: address, Zone: zone})
+		partners = append(partners, gossip.Peer{Address: address, Zone: zone})
 	}
 	sort.Slice(partners, func(left, right int) bool { return partners[left].Address < partners[right].Address })
 	return partners
--- a/dataplane/controller/receive_fuzz_test.go
+++ b/dataplane/controller/receive_fuzz_test.go
@@ -28,25 +28,25 @@
 	fuzz.Add(news)
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
 		for _, registered := range []bool{false, true} {
-			director := New(begun, Startup{Address: "d0", Zone: "a", Seeds: []string{"127.0.0.1:1"}, Registered: registered}, rand.New(rand.NewSource(1)))
-			director.Receive(begun, document(t, 3))
-			receiveAll(t, director, content)
+			controller := New(started, Settings{Address: "d0", Zone: "a", Seeds: []string{"127.0.0.1:1"}, Registered: registered}, rand.New(rand.NewSource(1)))
+			controller.Receive(started, document(t, 3))
+			receiveAll(t, controller, content)
 		}
 	})
 }
 
 // receiveAll lets a daemon receive all frames of a stream, and tick after each and at the end.
-func receiveAll(t *testing.T, director *Director, content []byte) {
+func receiveAll(t *testing.T, controller *Controller, content []byte) {
 	t.Helper()
-	now, reader := begun, bufio.NewReader(bytes.NewReader(content))
+	now, reader := started, bufio.NewReader(bytes.NewReader(content))
 	for whole := true; whole; {
 		envelope, _, err := frame.Decode(reader)
 		if whole = err == nil; whole {
-			director.Receive(now, envelope)
+			controller.Receive(now, envelope)
 		}
 		now = now.Add(100 * time.Millisecond)
-		director.Tick(now)
-		for _, parcel := range director.Drain() {
+		controller.Tick(now)
+		for _, parcel := range controller.Drain() {
 			if _, err := frame.Encode(parcel.Envelope); err != nil {
 				t.Fatal(err)
 			}
--- a/dataplane/daemon/golden_test.go
+++ b/dataplane/daemon/golden_test.go
@@ -23,7 +23,7 @@
 
 // The counters that a status holds by name keep their names.
 func TestCountersKeepTheirNames(t *testing.T) {
-	settings := &process.Startup{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Fitness: "127.0.0.1:3", Zone: "zone",
+	settings := &process.Settings{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Readiness: "127.0.0.1:3", Zone: "zone",
 		Registered: true, Seeds: []string{"127.0.0.1:1"}}
 	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
--- a/dataplane/daemon/stop_test.go
+++ b/dataplane/daemon/stop_test.go
@@ -46,18 +46,18 @@
 // not run what comes on an open one, while it still finishes what it has. Found on the bench: where most daemons of a
 // zone stopped at once, clients were sent to them again, and requests taken six seconds after the order to stop were cut.
 func TestAStoppingDaemonClosesItsFront(t *testing.T) {
-	settings := &process.Startup{Address: freeAddress(t), HTTP: freeAddress(t), Fitness: freeAddress(t), Zone: "a", Registered: true,
+	settings := &process.Settings{Address: freeAddress(t), HTTP: freeAddress(t), Readiness: freeAddress(t), Zone: "a", Registered: true,
 		Seeds: []string{"127.0.0.1:1"}, Drain: "100ms", Finish: "4s"}
 	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	running, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- host.Run(running) }()
+	finished := make(chan error, 1)
+	go func() { finished <- host.Run(running) }()
 	open := connect(t, settings.HTTP, true)
 	defer open.Close()
-	host.Yard.InFlight.Add(1)
+	host.Handler.InFlight.Add(1)
 	stop()
 	connect(t, settings.HTTP, false)
 	fmt.Fprint(open, "POST /v1/stream HTTP/1.1\r\nHost: x\r\nWardtray-Lane: l\r\nWardtray-Model: m\r\nWardtray-Request: r\r\n"+
@@ -71,13 +71,13 @@
 		t.Fatalf("%d %v %s", answer.StatusCode, answer.Header, body)
 	}
 	select {
-	case err := <-ended:
+	case err := <-finished:
 		t.Fatalf("ended beside an unfinished request: %v", err)
 	default:
 	}
-	host.Yard.InFlight.Add(-1)
+	host.Handler.InFlight.Add(-1)
 	select {
-	case err := <-ended:
+	case err := <-finished:
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/dataplane/plane.go
+++ b/dataplane/dataplane.go
@@ -1,5 +1,5 @@
-// Package plane is the data plane of one machine without its sockets: the director under its lock, the
-// desks, the runners' book, index and links, and what is done with the platform's list. The process and
+// Package plane is the data plane of one machine without its sockets: the controller under its lock, the
+// schedulers, the runners' book, index and links, and what is done with the platform's list. The process and
 // the simulator drive the same.
 package dataplane
 
@@ -47,106 +47,106 @@
 	watchBound  = 250 * time.Millisecond
 )
 
-// Startup is what a plane is given.
-type Startup struct {
-	controller.Startup
+// Settings is what a plane is given.
+type Settings struct {
+	controller.Settings
 	// Workers are the index's; without any, events are applied at once.
 	Workers int
-	// Repeats bounds what is sent again, over all daemons; the zero value stands for retrybudget.Default.
-	Repeats retrybudget.Settings
+	// Retries bounds what is sent again, over all daemons; the zero value stands for retrybudget.Default.
+	Retries retrybudget.Settings
 	// Without names the mechanisms that are switched off.
 	Without features.Set
-	// Speech is how requesters and runners speak; the product's own if it is not given.
-	Speech codec.Speech
+	// Codec is how clients and runners speak; the product's own if it is not given.
+	Codec  codec.Codec
 	Random *rand.Rand
-	Await  func(ctx context.Context, steps <-chan scheduler.Step) (step scheduler.Step, decided bool)
+	Await  func(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool)
 	// Send carries messages out; Poll begins to read the platform's list, whose outcome goes to Listed.
-	Send func(parcels []statemachine.Parcel)
+	Send func(parcels []statemachine.Message)
 	Poll func()
 	Log  *slog.Logger
 }
 
 // Plane is the whole.
 type Plane struct {
-	Yard    *proxy.Yard
-	world   netio.World
-	log     *slog.Logger
-	send    func(parcels []statemachine.Parcel)
-	poll    func()
-	address string
-	begun   time.Time
-	// drainBegun is when a planned stop began.
-	drainBegun time.Time
-	snapshot   atomic.Pointer[controller.Snapshot]
+	Handler     *proxy.Handler
+	environment netio.Environment
+	log         *slog.Logger
+	send        func(parcels []statemachine.Message)
+	poll        func()
+	address     string
+	started     time.Time
+	// drainStarted is when a planned stop began.
+	drainStarted time.Time
+	snapshot     atomic.Pointer[controller.Snapshot]
 	// renewed is closed, and made anew, when the snapshot may be relied on for longer than before.
 	renewed atomic.Pointer[chan struct{}]
 	daemons atomic.Pointer[[]string]
 
-	mutex    sync.Mutex
-	director *controller.Director
-	runners  []*wire.Runner
-	epoch    uint64
-	serving  bool
-
-	deskMutex sync.RWMutex
-	random    *rand.Rand
-	desks     map[string]*scheduler.Desk
-	asking    sync.Map
-	without   features.Set
+	mutex   sync.Mutex
+	machine *controller.Controller
+	runners []*wire.Runner
+	epoch   uint64
+	serving bool
+
+	schedulerMutex sync.RWMutex
+	random         *rand.Rand
+	schedulers     map[string]*scheduler.Scheduler
+	asking         sync.Map
+	without        features.Set
 }
 
 // New makes a plane that knows nothing yet.
-func New(world netio.World, startup Startup) (*Plane, error) {
-	now := world.Now()
-	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, startup.Workers)
+func New(environment netio.Environment, settings Settings) (*Plane, error) {
+	now := environment.Now()
+	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, settings.Workers)
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Internal, "making the index")
 	}
-	plane := &Plane{world: world, log: startup.Log, send: startup.Send, poll: startup.Poll, address: startup.Address, begun: now, random: startup.Random, desks: map[string]*scheduler.Desk{}, without: startup.Without}
-	if startup.Speech == nil {
-		startup.Speech = codec.Own{}
+	plane := &Plane{environment: environment, log: settings.Log, send: settings.Send, poll: settings.Poll, address: settings.Address, started: now, random: settings.Random, schedulers: map[string]*scheduler.Scheduler{}, without: settings.Without}
+	if settings.Codec == nil {
+		settings.Codec = codec.Native{}
 	}
 	memory := dedup.New()
-	startup.Quota = quota.NewHolder()
-	startup.Quota.OnDemand = startup.Without[features.TokensAhead]
-	startup.OnTaken = func(now time.Time, key []byte, dropped bool) {
+	settings.Quota = quota.NewLimiter()
+	settings.Quota.OnDemand = settings.Without[features.TokensAhead]
+	settings.OnTaken = func(now time.Time, key []byte, dropped bool) {
 		if len(key) == len(dedup.Key{}) {
 			memory.Heard(now, dedup.Key(key), dropped)
 		}
 	}
-	plane.director = controller.New(now, startup.Startup, rand.New(rand.NewSource(startup.Random.Int63())))
+	plane.machine = controller.New(now, settings.Settings, rand.New(rand.NewSource(settings.Random.Int63())))
 	plane.snapshot.Store(&controller.Snapshot{})
 	plane.renew()
-	plane.daemons.Store(&[]string{startup.Address})
-	plane.Yard = &proxy.Yard{Name: startup.Address, Zone: startup.Zone, World: world, Begun: now, Speech: startup.Speech, Repeats: startup.Repeats, Await: startup.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
-		Daemons: func() []string { return *plane.daemons.Load() }, Book: load.NewBook(now, startup.Address), Indexer: indexer,
-		Links: connpool.New(world, startup.Speech.Identity()), Tally: metrics.New(), Desk: plane.desk,
+	plane.daemons.Store(&[]string{settings.Address})
+	plane.Handler = &proxy.Handler{Name: settings.Address, Zone: settings.Zone, Environment: environment, Started: now, Codec: settings.Codec, Retries: settings.Retries, Await: settings.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
+		Daemons: func() []string { return *plane.daemons.Load() }, Loads: load.NewTable(now, settings.Address), Indexer: indexer,
+		Connections: connpool.New(environment, settings.Codec.Identity()), Metrics: metrics.New(), Scheduler: plane.scheduler,
 		Once: memory, Tell: func(key dedup.Key, dropped bool) {
-			plane.Step(func(_ time.Time, director *controller.Director) { director.TellTaken(key[:], dropped) })
+			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.TellTaken(key[:], dropped) })
 		}}
-	plane.Yard.Quota, plane.Yard.AskQuota = startup.Quota, func() {
-		plane.Step(func(now time.Time, director *controller.Director) { director.AskQuota(now) })
+	plane.Handler.Quota, plane.Handler.AskQuota = settings.Quota, func() {
+		plane.Step(func(now time.Time, machine *controller.Controller) { machine.AskQuota(now) })
 	}
-	plane.Yard.Without, plane.Yard.Book.Without = startup.Without, startup.Without
-	plane.Yard.Links.Foreign = startup.Speech.Foreign
+	plane.Handler.Without, plane.Handler.Loads.Without = settings.Without, settings.Without
+	plane.Handler.Connections.Foreign = settings.Codec.Foreign
 	return plane, nil
 }
 
-// Step runs one step of the director under its lock, then makes what it knows visible to requests and
+// Step runs one step of the controller under its lock, then makes what it knows visible to requests and
 // carries out what it asks for.
-func (plane *Plane) Step(do func(now time.Time, director *controller.Director)) {
+func (plane *Plane) Step(do func(now time.Time, machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
-	now := plane.world.Now()
-	do(now, plane.director)
-	plane.send(plane.director.Drain())
-	snapshot := plane.director.Snapshot(now)
-	former := plane.snapshot.Swap(&snapshot)
+	now := plane.environment.Now()
+	do(now, plane.machine)
+	plane.send(plane.machine.Drain())
+	snapshot := plane.machine.Snapshot(now)
+	previous := plane.snapshot.Swap(&snapshot)
 	plane.follow(now, snapshot)
-	if snapshot.Until.After(former.Until) {
+	if snapshot.Until.After(previous.Until) {
 		close(*plane.renew())
 	}
-	if plane.director.WantsPoll() {
+	if plane.machine.WantsPoll() {
 		plane.poll()
 	}
 }
@@ -159,36 +159,36 @@
 
 // Drain begins a planned stop: fitness fails, and what comes yet is still taken.
 func (plane *Plane) Drain() {
-	plane.drainBegun = plane.world.Now()
-	plane.Yard.Draining.Store(true)
-	plane.Step(func(_ time.Time, director *controller.Director) { director.Leave() })
+	plane.drainStarted = plane.environment.Now()
+	plane.Handler.Draining.Store(true)
+	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.Leave() })
 }
 
 // Drained tells whether the platform has had a length of time to see that, and all that was read is answered.
 func (plane *Plane) Drained(length time.Duration) bool {
-	return plane.world.Now().Sub(plane.drainBegun) >= length && plane.Yard.InFlight.Load() == 0
+	return plane.environment.Now().Sub(plane.drainStarted) >= length && plane.Handler.InFlight.Load() == 0
 }
 
-// Fit tells whether requesters should be sent here.
+// Fit tells whether clients should be sent here.
 func (plane *Plane) Fit() bool {
 	snapshot := plane.Snapshot()
-	// Who knows no runner serves nobody; requesters do better elsewhere until it has heard of some.
-	return !plane.Yard.Draining.Load() && plane.world.Now().Before(snapshot.Until) && snapshot.Book != nil && (len(snapshot.Runners) > 0 || len(snapshot.Book.Lanes) == 0)
+	// Who knows no runner serves nobody; clients do better elsewhere until it has heard of some.
+	return !plane.Handler.Draining.Load() && plane.environment.Now().Before(snapshot.Until) && snapshot.Catalog != nil && (len(snapshot.Runners) > 0 || len(snapshot.Catalog.Routes) == 0)
 }
 
 // Listed takes what the platform answered.
 func (plane *Plane) Listed(content []byte, read bool) {
 	runners, fine := readList(content)
-	plane.Step(func(now time.Time, director *controller.Director) { director.Polled(now, runners, !read || !fine) })
+	plane.Step(func(now time.Time, machine *controller.Controller) { machine.Polled(now, runners, !read || !fine) })
 }
 
 // follow hands on what changed and logs changes of state.
 func (plane *Plane) follow(now time.Time, snapshot controller.Snapshot) {
 	if (len(snapshot.Runners) > 0 || snapshot.Registered) && !sameList(snapshot.Runners, plane.runners) {
 		plane.runners = snapshot.Runners
-		for _, gone := range plane.Yard.Book.List(now, snapshot.Runners) {
-			plane.Yard.Indexer.Pool.Add(kvblock.RunnerGone{Runner: gone})
-			plane.Yard.Links.Forget(gone)
+		for _, gone := range plane.Handler.Loads.List(now, snapshot.Runners) {
+			plane.Handler.Indexer.Pool.Add(kvblock.RunnerGone{Runner: gone})
+			plane.Handler.Connections.Forget(gone)
 		}
 	}
 	if snapshot.SpecEpoch != plane.epoch {
@@ -200,7 +200,7 @@
 		plane.log.Info("serving", "serving", serving)
 	}
 	var daemons []string
-	for _, member := range plane.director.Directory() {
+	for _, member := range plane.machine.Directory() {
 		daemons = append(daemons, member.Address)
 	}
 	if len(daemons) == 0 {
@@ -221,80 +221,80 @@
 // Daemons gives who shares the work.
 func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
 
-// Begun gives when this plane was made.
-func (plane *Plane) Begun() time.Time { return plane.begun }
+// Started gives when this plane was made.
+func (plane *Plane) Started() time.Time { return plane.started }
 
-// Look runs something under the director's lock.
-func (plane *Plane) Look(do func(director *controller.Director)) {
+// Look runs something under the controller's lock.
+func (plane *Plane) Look(do func(machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
-	do(plane.director)
+	do(plane.machine)
 }
 
-// desk gives the desk of a pool, made when it is first asked for.
-func (plane *Plane) desk(pool string) *scheduler.Desk {
-	plane.deskMutex.RLock()
-	found := plane.desks[pool]
-	plane.deskMutex.RUnlock()
+// scheduler gives the scheduler of a backend, made when it is first asked for.
+func (plane *Plane) scheduler(backend string) *scheduler.Scheduler {
+	plane.schedulerMutex.RLock()
+	found := plane.schedulers[backend]
+	plane.schedulerMutex.RUnlock()
 	if found != nil {
 		return found
 	}
-	scene := func(now time.Time) scheduler.Field {
+	scene := func(now time.Time) scheduler.Snapshot {
 		snapshot, daemons := plane.snapshot.Load(), *plane.daemons.Load()
-		if snapshot.Book == nil || snapshot.Book.Pools[pool] == nil {
-			return scheduler.Field{Daemons: 1}
+		if snapshot.Catalog == nil || snapshot.Catalog.Backends[backend] == nil {
+			return scheduler.Snapshot{Daemons: 1}
 		}
 		var permitted []load.Runner
-		for _, runner := range plane.Yard.Book.All(now, daemons) {
-			if proxy.Permits(snapshot.Book, snapshot.Book.Pools[pool], runner) {
+		for _, runner := range plane.Handler.Loads.All(now, daemons) {
+			if proxy.Permits(snapshot.Catalog, snapshot.Catalog.Backends[backend], runner) {
 				permitted = append(permitted, runner)
 			}
 		}
-		return scheduler.Field{Runners: permitted, Daemons: len(daemons), Pool: *snapshot.Book.Pools[pool]}
+		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Pool: *snapshot.Catalog.Backends[backend]}
 	}
-	plane.deskMutex.Lock()
-	defer plane.deskMutex.Unlock()
-	if plane.desks[pool] == nil {
-		made := scheduler.NewDesk(scene, plane.Yard.Book, plane.Yard.Indexer, rand.New(rand.NewSource(plane.random.Int63())))
+	plane.schedulerMutex.Lock()
+	defer plane.schedulerMutex.Unlock()
+	if plane.schedulers[backend] == nil {
+		made := scheduler.NewScheduler(scene, plane.Handler.Loads, plane.Handler.Indexer, rand.New(rand.NewSource(plane.random.Int63())))
 		made.Without = plane.without
-		plane.desks[pool] = made
+		plane.schedulers[backend] = made
 	}
-	return plane.desks[pool]
+	return plane.schedulers[backend]
 }
 
-// Desks calls something for each desk, in the order of their pools' names.
-func (plane *Plane) Desks(do func(pool string, desk *scheduler.Desk)) {
-	plane.deskMutex.RLock()
-	names := make([]string, 0, len(plane.desks))
-	for name := range plane.desks {
+// Schedulers calls something for each scheduler, in the order of their backends' names.
+func (plane *Plane) Schedulers(do func(backend string, desk *scheduler.Scheduler)) {
+	plane.schedulerMutex.RLock()
+	names := make([]string, 0, len(plane.schedulers))
+	for name := range plane.schedulers {
 		names = append(names, name)
 	}
-	plane.deskMutex.RUnlock()
+	plane.schedulerMutex.RUnlock()
 	sort.Strings(names)
 	for _, name := range names {
-		do(name, plane.desk(name))
+		do(name, plane.scheduler(name))
 	}
 }
 
 // Settle looks at everybody who waits.
 func (plane *Plane) Settle() {
-	plane.Desks(func(_ string, desk *scheduler.Desk) {
+	plane.Schedulers(func(_ string, desk *scheduler.Scheduler) {
 		if desk.Waiting() {
-			desk.Settle(plane.world.Now())
+			desk.Rebalance(plane.environment.Now())
 		}
 	})
 }
 
 // Age lets the index forget what was not used for long.
 func (plane *Plane) Age() {
-	now := plane.world.Now()
-	for _, runner := range plane.Yard.Book.All(now, nil) {
-		plane.Yard.Indexer.Pool.Add(kvblock.Aged{Runner: runner.ID, Now: now})
+	now := plane.environment.Now()
+	for _, runner := range plane.Handler.Loads.All(now, nil) {
+		plane.Handler.Indexer.Pool.Add(kvblock.Aged{Runner: runner.ID, Now: now})
 	}
 }
 
-// ListLine is one runner as the platform lists it.
-type ListLine struct {
+// ListedRunner is one runner as the platform lists it.
+type ListedRunner struct {
 	RunnerID string `json:"runner_id"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -304,7 +304,7 @@
 
 // readList reads the platform's list; it tells whether there is anything to go by.
 func readList(content []byte) (runners []*wire.Runner, fine bool) {
-	var lines []ListLine
+	var lines []ListedRunner
 	// An empty list is more likely a platform in trouble than a fleet without runners, and acting on it would stop all service.
 	if err := json.NewDecoder(bytes.NewReader(content)).Decode(&lines); err != nil || len(lines) == 0 {
 		return nil, false
@@ -326,7 +326,7 @@
 // Why longer among many daemons: the runners are asked by all of them together, and a word that no answer brought
 // is too old for a decision a moment later anyway. Silent runners are found by those who wait for them.
 func (plane *Plane) freshness() time.Duration {
-	return plane.Yard.Speech.Fresh() * time.Duration(max(fewDaemons, len(plane.Daemons()))) / fewDaemons
+	return plane.Handler.Codec.Fresh() * time.Duration(max(fewDaemons, len(plane.Daemons()))) / fewDaemons
 }
 
 // AskPressures asks every runner for its pressure whose word is no longer fresh, none twice at once.
@@ -335,7 +335,7 @@
 		return
 	}
 	freshness := plane.freshness()
-	for _, runner := range plane.Yard.Book.Stale(plane.world.Now(), freshness, freshness == 0) {
+	for _, runner := range plane.Handler.Loads.Stale(plane.environment.Now(), freshness, freshness == 0) {
 		plane.askOnce(runner, pressureBound, func() {})
 	}
 }
@@ -345,7 +345,7 @@
 	if _, already := plane.asking.LoadOrStore(runner.ID, true); already {
 		return
 	}
-	plane.world.Go(func() {
+	plane.environment.Go(func() {
 		defer plane.asking.Delete(runner.ID)
 		if !plane.ask(runner, bound) {
 			unheard()
@@ -361,29 +361,29 @@
 	if plane.without[features.Watch] {
 		return
 	}
-	for _, runner := range plane.Yard.Links.Silent(silentBound) {
-		if known, found := plane.Yard.Book.One(plane.world.Now(), runner, nil); found {
-			plane.askOnce(known, watchBound, func() { plane.Yard.Links.Hurry(runner, silentBound) })
+	for _, runner := range plane.Handler.Connections.Silent(silentBound) {
+		if known, found := plane.Handler.Loads.One(plane.environment.Now(), runner, nil); found {
+			plane.askOnce(known, watchBound, func() { plane.Handler.Connections.Hurry(runner, silentBound) })
 		}
 	}
 }
 
 // ask asks a runner for its pressure within a bound; it tells whether there was an answer.
 func (plane *Plane) ask(runner load.Runner, bound time.Duration) bool {
-	connection, err := plane.Yard.Links.Take(runner.ID, runner.Address)
+	connection, err := plane.Handler.Connections.Take(runner.ID, runner.Address)
 	if err != nil {
 		plane.missed(runner.ID, apierror.Of(err))
 		return false
 	}
-	content, err := connection.Get(plane.Yard.Speech.Probe(), bound)
+	content, err := connection.Get(plane.Handler.Codec.Probe(), bound)
 	report := load.Report{}
 	if err == nil {
-		report, err = plane.Yard.Speech.Report(content)
+		report, err = plane.Handler.Codec.Report(content)
 	}
 	if apierror.Is(err, apierror.NotAnswered) {
 		// Whoever refuses a question is there, and the connection is as good as before.
-		plane.Yard.Links.Keep(connection, 0)
-		plane.Yard.Book.ReportRefused(plane.world.Now(), runner.ID)
+		plane.Handler.Connections.Keep(connection, 0)
+		plane.Handler.Loads.ReportRefused(plane.environment.Now(), runner.ID)
 		return true
 	}
 	if err != nil {
@@ -391,15 +391,15 @@
 		plane.missed(runner.ID, apierror.Of(err))
 		return false
 	}
-	plane.Yard.Links.Keep(connection, 0)
-	plane.Yard.Book.ReportGiven(plane.world.Now(), runner.ID, report)
+	plane.Handler.Connections.Keep(connection, 0)
+	plane.Handler.Loads.ReportGiven(plane.environment.Now(), runner.ID, report)
 	return true
 }
 
 // missed takes in that a runner did not tell its pressure. One that is surely gone is given up at once:
 // whoever waits for its answer learns of it now and not at the end of a patience.
-func (plane *Plane) missed(runner string, err *apierror.Fault) {
-	if plane.Yard.Book.Missed(plane.world.Now(), runner, err.Kind) {
-		plane.Yard.Links.Lose(runner)
+func (plane *Plane) missed(runner string, err *apierror.Error) {
+	if plane.Handler.Loads.Missed(plane.environment.Now(), runner, err.Code) {
+		plane.Handler.Connections.Lose(runner)
 	}
 }
--- a/dataplane/golden_test.go
+++ b/dataplane/golden_test.go
@@ -7,4 +7,6 @@
 )
 
 // The platform's list of runners keeps its keys.
-func TestListKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "list-line", golden.Marshal[ListLine]) }
+func TestListKeepsItsKeys(t *testing.T) {
+	golden.CompareJSON(t, "list-line", golden.Marshal[ListedRunner])
+}
--- a/features/mechanism.go
+++ b/features/features.go
@@ -9,57 +9,57 @@
 	"wardtray/apierror"
 )
 
-// Name is the name of one mechanism.
-type Name string
+// Feature is the name of one mechanism.
+type Feature string
 
 // The mechanisms.
 const (
 	// Reports asks runners for their load at regular times.
-	Reports Name = "reports"
+	Reports Feature = "reports"
 	// Watch asks runners that are waited for in silence whether they are there at all.
-	Watch Name = "watch"
+	Watch Feature = "watch"
 	// LoadHeader takes in the load that runners tell in their answers.
-	LoadHeader Name = "load-header"
+	LoadHeader Feature = "load-header"
 	// PrefixIndex remembers which runner was sent which prefix.
-	PrefixIndex Name = "prefix-index"
+	PrefixIndex Feature = "prefix-index"
 	// Homes gives each opening runners on which all daemons agree.
-	Homes Name = "homes"
+	Homes Feature = "homes"
 	// OthersEstimate reckons what other daemons send to a runner beyond what it tells.
-	OthersEstimate Name = "others-estimate"
+	OthersEstimate Feature = "others-estimate"
 	// LongRunners keeps some runners for prompts that take long to read.
-	LongRunners Name = "long-runners"
+	LongRunners Feature = "long-runners"
 	// Harm counts how long a prompt's reading keeps others waiting.
-	Harm Name = "harm"
+	Harm Feature = "harm"
 	// RereadPrice counts what it costs to read shared parts again, beside the time.
-	RereadPrice Name = "reread-price"
+	RereadPrice Feature = "reread-price"
 	// Slowness follows how much slower than the others a runner answers.
-	Slowness Name = "slowness"
+	Slowness Feature = "slowness"
 	// ZonePreference counts the way into another zone.
-	ZonePreference Name = "zone-preference"
+	ZonePreference Feature = "zone-preference"
 	// Urgency tells runners which requests go first.
-	Urgency Name = "urgency"
+	Urgency Feature = "urgency"
 	// Window bounds a daemon's concurrent requests by what runners put back.
-	Window Name = "window"
+	Window Feature = "window"
 	// EarlyRefusal refuses requests whose turn would come too late, rather than letting them wait.
-	EarlyRefusal Name = "early-refusal"
+	EarlyRefusal Feature = "early-refusal"
 	// Ejection leaves runners alone for a while after a failure.
-	Ejection Name = "ejection"
+	Ejection Feature = "ejection"
 	// WarmUp sends new runners little at first.
-	WarmUp Name = "warm-up"
+	WarmUp Feature = "warm-up"
 	// EarlyRetry begins a repeatable request anew elsewhere before its time is over.
-	EarlyRetry Name = "early-retry"
+	EarlyRetry Feature = "early-retry"
 	// Resumption goes on with a broken stream at another runner.
-	Resumption Name = "resumption"
+	Resumption Feature = "resumption"
 	// TokensAhead holds tokens of quotas ahead of the demand.
-	TokensAhead Name = "tokens-ahead"
+	TokensAhead Feature = "tokens-ahead"
 )
 
 // All lists them in the order of docs/decisions.md.
-var All = []Name{Reports, Watch, LoadHeader, PrefixIndex, Homes, OthersEstimate, LongRunners, Harm, RereadPrice, Slowness, ZonePreference,
+var All = []Feature{Reports, Watch, LoadHeader, PrefixIndex, Homes, OthersEstimate, LongRunners, Harm, RereadPrice, Slowness, ZonePreference,
 	Urgency, Window, EarlyRefusal, Ejection, WarmUp, EarlyRetry, Resumption, TokensAhead}
 
 // Set holds the mechanisms that are switched off; the nil set holds none.
-type Set map[Name]bool
+type Set map[Feature]bool
 
 // Parse gives the set of some names, separated by commas; an unknown one is a fault that lists all.
 func Parse(text string) (Set, error) {
@@ -68,10 +68,10 @@
 		if name == "" {
 			continue
 		}
-		if !slices.Contains(All, Name(name)) {
-			return nil, apierror.New(apierror.BadStartup, "without: %q is none of %v", name, All)
+		if !slices.Contains(All, Feature(name)) {
+			return nil, apierror.New(apierror.BadSettings, "without: %q is none of %v", name, All)
 		}
-		set[Name(name)] = true
+		set[Feature(name)] = true
 	}
 	return set, nil
 }
--- a/features/mechanism_test.go
+++ b/features/features_test.go
@@ -15,10 +15,10 @@
 	if set, err := Parse(""); err != nil || len(set) != 0 {
 		t.Fatal(set, err)
 	}
-	if _, err := Parse("reports,nothing"); !apierror.Is(err, apierror.BadStartup) || !strings.Contains(err.Error(), `"nothing"`) {
+	if _, err := Parse("reports,nothing"); !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Fatal(err)
 	}
-	seen := map[Name]bool{}
+	seen := map[Feature]bool{}
 	for _, name := range All {
 		if seen[name] {
 			t.Errorf("%s is listed twice", name)
--- a/metrics/tally.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package tally counts what happens to requests, for each lane and each outcome, and how long the
+// Package tally counts what happens to requests, for each route and each outcome, and how long the
 // first event took.
 package metrics
 
@@ -11,8 +11,8 @@
 var bounds = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond,
 	time.Second, 3 * time.Second, 10 * time.Second, time.Hour}
 
-// Lane is the count of one lane.
-type Lane struct {
+// RouteMetrics is the count of one route.
+type RouteMetrics struct {
 	Requests uint64            `json:"requests"`
 	Done     uint64            `json:"done"`
 	Ends     map[string]uint64 `json:"ends,omitempty"`
@@ -20,7 +20,7 @@
 	Late     uint64            `json:"refused_late"`
 	// QuotaSpent counts requests refused because their tenant had used up its quota.
 	QuotaSpent   uint64            `json:"refused_by_quota"`
-	Repeats      uint64            `json:"repeats"`
+	Retries      uint64            `json:"repeats"`
 	FreeAttempts uint64            `json:"attempts_not_sent"`
 	HeldTokens   uint64            `json:"held_tokens"`
 	PromptTokens uint64            `json:"prompt_tokens"`
@@ -31,61 +31,61 @@
 	Resumed uint64 `json:"resumed"`
 }
 
-// Tally holds the counts of a process.
-type Tally struct {
-	mutex sync.Mutex
-	lanes map[string]*Lane
+// Registry holds the counts of a process.
+type Registry struct {
+	mutex  sync.Mutex
+	routes map[string]*RouteMetrics
 }
 
-// MaximumLanes bounds the lanes counted apart; further ones are counted together as "other".
-const MaximumLanes = 4096
+// MaximumRoutes bounds the routes counted apart; further ones are counted together as "other".
+const MaximumRoutes = 4096
 
 // New makes an empty tally.
-func New() *Tally { return &Tally{lanes: map[string]*Lane{}} }
+func New() *Registry { return &Registry{routes: map[string]*RouteMetrics{}} }
 
-// Count changes a lane's counts under the lock.
-func (tally *Tally) Count(name string, change func(lane *Lane)) {
-	tally.mutex.Lock()
-	defer tally.mutex.Unlock()
-	lane := tally.lanes[name]
-	if lane == nil {
-		if len(tally.lanes) >= MaximumLanes {
+// Count changes a route's counts under the lock.
+func (metrics *Registry) Count(name string, change func(route *RouteMetrics)) {
+	metrics.mutex.Lock()
+	defer metrics.mutex.Unlock()
+	route := metrics.routes[name]
+	if route == nil {
+		if len(metrics.routes) >= MaximumRoutes {
 			name = "other"
 		}
-		lane = tally.lanes[name]
+		route = metrics.routes[name]
 	}
-	if lane == nil {
-		lane = &Lane{Ends: map[string]uint64{}, FirstEvents: map[string]uint64{}}
-		tally.lanes[name] = lane
+	if route == nil {
+		route = &RouteMetrics{Ends: map[string]uint64{}, FirstEvents: map[string]uint64{}}
+		metrics.routes[name] = route
 	}
-	change(lane)
+	change(route)
 }
 
 // First counts a first event's time.
-func (lane *Lane) First(length time.Duration) {
+func (route *RouteMetrics) First(length time.Duration) {
 	for _, bound := range bounds {
 		if length <= bound {
-			lane.FirstEvents["<="+bound.String()]++
+			route.FirstEvents["<="+bound.String()]++
 			return
 		}
 	}
 }
 
-// Lanes gives a copy of all counts.
-func (tally *Tally) Lanes() map[string]Lane {
-	tally.mutex.Lock()
-	defer tally.mutex.Unlock()
-	lanes := map[string]Lane{}
-	for name, lane := range tally.lanes {
-		copied := *lane
+// Routes gives a copy of all counts.
+func (metrics *Registry) Routes() map[string]RouteMetrics {
+	metrics.mutex.Lock()
+	defer metrics.mutex.Unlock()
+	routes := map[string]RouteMetrics{}
+	for name, route := range metrics.routes {
+		copied := *route
 		copied.Ends, copied.FirstEvents = map[string]uint64{}, map[string]uint64{}
-		for end, count := range lane.Ends {
+		for end, count := range route.Ends {
 			copied.Ends[end] = count
 		}
-		for bound, count := range lane.FirstEvents {
+		for bound, count := range route.FirstEvents {
 			copied.FirstEvents[bound] = count
 		}
-		lanes[name] = copied
+		routes[name] = copied
 	}
-	return lanes
+	return routes
 }
--- a/proxy/admission/intake.go
+++ b/proxy/admission/admission.go
@@ -15,7 +15,7 @@
 	"wardtray/transport/netio"
 )
 
-//go:generate go tool easyjson -disallow_unknown_fields -output_filename intake_easyjson.go intake.go
+//go:generate go tool easyjson -disallow_unknown_fields -output_filename admission_easyjson.go admission.go
 
 // Limits of a request; docs/interface.md tells them to callers.
 const (
@@ -24,13 +24,13 @@
 	MaximumPart   = 128
 	MaximumTokens = 4_000_000
 	MaximumName   = 256
-	// MaximumWait bounds how long a requester may say that it waits, in milliseconds.
+	// MaximumWait bounds how long a client may say that it waits, in milliseconds.
 	MaximumWait = 3_600_000
 )
 
 // Names of the headers.
 const (
-	HeaderLane    = "Wardtray-Lane"
+	HeaderRoute   = "Wardtray-Lane"
 	HeaderModel   = "Wardtray-Model"
 	HeaderAdapter = "Wardtray-Adapter"
 	HeaderRequest = "Wardtray-Request"
@@ -65,19 +65,19 @@
 
 // Request is a checked request.
 type Request struct {
-	ID, Lane, Model, Adapter   string
+	ID, Route, Model, Adapter  string
 	PromptTokens, AnswerTokens int
 	Parts                      []string
 	PartTokens                 []int
 	Body                       []byte
-	// Authority and Target choose the lane where Lane is empty; Target is the path with its query, as sent.
+	// Authority and Target choose the route where Route is empty; Target is the path with its query, as sent.
 	Authority, Target string
 	Method            string
 	// Passed are the headers that go on to the runner as they came.
 	Passed []netio.Header
-	// Wait is how long the requester waits for the whole answer; 0: not told.
+	// Wait is how long the client waits for the whole answer; 0: not told.
 	Wait time.Duration
-	// After is the id of the last event that the requester has of this stream already; 0: none.
+	// After is the id of the last event that the client has of this stream already; 0: none.
 	After int
 	// Key is the secret by which a tenant is known; empty: none came. TokensTold says that the request itself told how many
 	// tokens it has.
@@ -98,7 +98,7 @@
 		to       *string
 		required bool
 	}{
-		{HeaderLane, &request.Lane, true}, {HeaderModel, &request.Model, true},
+		{HeaderRoute, &request.Route, true}, {HeaderModel, &request.Model, true},
 		{HeaderAdapter, &request.Adapter, false}, {HeaderRequest, &request.ID, true},
 	} {
 		value, err := one(header, text.name, text.required)
--- a/proxy/admission/intake_easyjson.go
+++ b/proxy/admission/admission_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson89507610DecodeWardtrayProxyAdmission(in *jlexer.Lexer, out *Body) {
+func easyjsonEf7a56cdDecodeWardtrayProxyAdmission(in *jlexer.Lexer, out *Body) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -51,7 +51,7 @@
 		in.Consumed()
 	}
 }
-func easyjson89507610EncodeWardtrayProxyAdmission(out *jwriter.Writer, in Body) {
+func easyjsonEf7a56cdEncodeWardtrayProxyAdmission(out *jwriter.Writer, in Body) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -66,23 +66,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Body) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson89507610EncodeWardtrayProxyAdmission(&w, v)
+	easyjsonEf7a56cdEncodeWardtrayProxyAdmission(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Body) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson89507610EncodeWardtrayProxyAdmission(w, v)
+	easyjsonEf7a56cdEncodeWardtrayProxyAdmission(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Body) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson89507610DecodeWardtrayProxyAdmission(&r, v)
+	easyjsonEf7a56cdDecodeWardtrayProxyAdmission(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Body) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson89507610DecodeWardtrayProxyAdmission(l, v)
+	easyjsonEf7a56cdDecodeWardtrayProxyAdmission(l, v)
 }
--- a/proxy/admission/intake_test.go
+++ b/proxy/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 // proper gives the headers of a proper request.
 func proper() map[string][]string {
-	return map[string][]string{HeaderLane: {"l"}, HeaderModel: {"m"}, HeaderRequest: {"r"}, HeaderPrompt: {"100"}, HeaderAnswer: {"10"},
+	return map[string][]string{HeaderRoute: {"l"}, HeaderModel: {"m"}, HeaderRequest: {"r"}, HeaderPrompt: {"100"}, HeaderAnswer: {"10"},
 		HeaderPrefix: {"system=40, rheolau=20", "more=40"}}
 }
 
@@ -41,7 +41,7 @@
 
 func TestImproperRequestsAreNamed(t *testing.T) {
 	headers := map[string]map[string][]string{
-		"no lane": {HeaderLane: nil}, "lane twice": {HeaderLane: {"a", "b"}}, "bad bytes": {HeaderModel: {"\xff"}}, "control": {HeaderRequest: {"a\x01"}},
+		"no lane": {HeaderRoute: nil}, "lane twice": {HeaderRoute: {"a", "b"}}, "bad bytes": {HeaderModel: {"\xff"}}, "control": {HeaderRequest: {"a\x01"}},
 		"long": {HeaderRequest: {strings.Repeat("x", 300)}}, "no count": {HeaderPrompt: nil}, "zero": {HeaderAnswer: {"0"}}, "negative": {HeaderPrompt: {"-5"}},
 		"absurd": {HeaderPrompt: {"99999999999999999999"}}, "words": {HeaderPrompt: {"many"}}, "prefix too long": {HeaderPrefix: {"a=101"}},
 		"prefix without count": {HeaderPrefix: {"a"}}, "prefix without name": {HeaderPrefix: {"=5"}}, "empty part": {HeaderPrefix: {"a=1,,b=1"}},
@@ -71,9 +71,9 @@
 func FuzzParse(fuzz *testing.F) {
 	fuzz.Add("l", "100", "system=40, more=20", []byte(`{"prompt":"x"}`))
 	fuzz.Add("l", "-1", "=,=", []byte(`{"prompt":5}`))
-	fuzz.Fuzz(func(t *testing.T, lane, count, prefix string, body []byte) {
+	fuzz.Fuzz(func(t *testing.T, route, count, prefix string, body []byte) {
 		headers := proper()
-		headers[HeaderLane], headers[HeaderPrompt], headers[HeaderPrefix] = []string{lane}, []string{count}, []string{prefix}
+		headers[HeaderRoute], headers[HeaderPrompt], headers[HeaderPrefix] = []string{route}, []string{count}, []string{prefix}
 		request, err := Parse(func(name string) []string { return headers[name] }, body)
 		if err != nil {
 			return
--- a/proxy/admission/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -8,7 +8,7 @@
 	"wardtray/verify/golden"
 )
 
-// The headers of a request keep their names, which stand here as requesters send them, and their meaning.
+// The headers of a request keep their names, which stand here as clients send them, and their meaning.
 func TestHeadersKeepTheirMeaning(t *testing.T) {
 	headers := map[string][]string{"Wardtray-Lane": {"lane"}, "Wardtray-Model": {"model"}, "Wardtray-Adapter": {"adapter"},
 		"Wardtray-Request": {"request"}, "Wardtray-Prompt-Tokens": {"100"}, "Wardtray-Answer-Tokens": {"10"},
@@ -16,7 +16,7 @@
 		"Authorization": {"Bearer key"}}
 	body := []byte(`{"prompt":"text"}`)
 	read, err := Parse(func(name string) []string { return headers[name] }, body)
-	wanted := &Request{Lane: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
+	wanted := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: body,
 		Wait: 1500 * time.Millisecond, After: 7, Key: "key", TokensTold: true}
 	if err != nil || !reflect.DeepEqual(read, wanted) {
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -21,50 +21,50 @@
 )
 
 // answer reads up to the first event and gives "" when there is one.
-func (course *Course) answer() scheduler.End {
-	_ = course.connection.SetDeadline(course.now().Add(course.firstBound()))
-	if err := course.head(); err != nil {
-		course.blame("gave no answer")
-		return scheduler.Doubt
+func (exchange *Exchange) answer() scheduler.AttemptOutcome {
+	_ = exchange.connection.SetDeadline(exchange.now().Add(exchange.firstBound()))
+	if err := exchange.head(); err != nil {
+		exchange.blame("gave no answer")
+		return scheduler.Ambiguous
 	}
-	if course.word.Report != nil && !course.yard.Without[features.LoadHeader] {
-		course.yard.Book.AnswerTold(course.now(), course.step.Runner.ID, *course.word.Report)
+	if exchange.word.Report != nil && !exchange.handler.Without[features.LoadHeader] {
+		exchange.handler.Loads.AnswerTold(exchange.now(), exchange.step.Runner.ID, *exchange.word.Report)
 	}
-	if follow := follows[course.word.Said]; follow != nil {
-		return follow(course)
+	if follow := follows[exchange.word.Disposition]; follow != nil {
+		return follow(exchange)
 	}
-	course.blame("gave an answer that tells nothing")
-	return scheduler.Doubt
+	exchange.blame("gave an answer that tells nothing")
+	return scheduler.Ambiguous
 }
 
 // follows is what is done with what a head says.
-var follows = map[codec.Said]func(course *Course) scheduler.End{
-	codec.Runs: (*Course).begin, codec.Ended: (*Course).whole, codec.Failed: (*Course).failed,
-	codec.PutBack: func(course *Course) scheduler.End {
-		course.keep()
-		course.desk.PutBack(course.now(), course.ticket, course.step)
-		return scheduler.PutBack
+var follows = map[codec.Disposition]func(exchange *Exchange) scheduler.AttemptOutcome{
+	codec.Runs: (*Exchange).begin, codec.Finished: (*Exchange).whole, codec.Failed: (*Exchange).failed,
+	codec.NotExecuted: func(exchange *Exchange) scheduler.AttemptOutcome {
+		exchange.keep()
+		exchange.scheduler.PutBack(exchange.now(), exchange.queuedRequest, exchange.step)
+		return scheduler.NotExecuted
 	},
-	codec.Elsewhere: func(course *Course) scheduler.End {
+	codec.Elsewhere: func(exchange *Exchange) scheduler.AttemptOutcome {
 		// The address has gone over to another runner; whoever waits for the former one waits in vain.
-		course.yard.Book.Failed(course.now(), course.step.Runner.ID, "another runner answers at its address")
-		return scheduler.PutBack
+		exchange.handler.Loads.Failed(exchange.now(), exchange.step.Runner.ID, "another runner answers at its address")
+		return scheduler.NotExecuted
 	},
 }
 
 // head reads the head of the answer that belongs to this request; what is late for another is read and dropped.
-func (course *Course) head() error {
+func (exchange *Exchange) head() error {
 	for range strayBound {
-		course.response = &fasthttp.Response{StreamBody: true, SkipBody: course.request.Method == fasthttp.MethodHead}
-		if err := course.response.ReadLimitBody(course.connection.Reader, -1); err != nil {
+		exchange.response = &fasthttp.Response{StreamBody: true, SkipBody: exchange.request.Method == fasthttp.MethodHead}
+		if err := exchange.response.ReadLimitBody(exchange.connection.Reader, -1); err != nil {
 			return apierror.Wrap(err, apierror.RunFailed, "reading the head of an answer")
 		}
-		course.word = course.yard.Speech.Judge(course.response, course.request, course.run())
-		course.word.Closes = course.word.Closes || course.unfitForMore()
-		if course.word.Said != codec.Stray {
+		exchange.word = exchange.handler.Codec.Judge(exchange.response, exchange.request, exchange.run())
+		exchange.word.Closes = exchange.word.Closes || exchange.unfitForMore()
+		if exchange.word.Disposition != codec.Stray {
 			return nil
 		}
-		if err := course.skipStray(); err != nil {
+		if err := exchange.skipStray(); err != nil {
 			return err
 		}
 	}
@@ -73,16 +73,16 @@
 
 // unfitForMore tells whether no other request may follow on this connection: the runner may still read this one, or
 // a late second answer to it has a length and no body, which nobody could tell from one with a body.
-func (course *Course) unfitForMore() bool {
-	return course.partial || course.request.Method == fasthttp.MethodHead
+func (exchange *Exchange) unfitForMore() bool {
+	return exchange.partial || exchange.request.Method == fasthttp.MethodHead
 }
 
 // skipStray reads an answer to another request to its end, behind which the one that is due begins.
-func (course *Course) skipStray() error {
-	if course.request.Method == fasthttp.MethodHead {
+func (exchange *Exchange) skipStray() error {
+	if exchange.request.Method == fasthttp.MethodHead {
 		return apierror.New(apierror.RunFailed, "where the body of an answer to another request ends can't be told")
 	}
-	read, err := io.Copy(io.Discard, io.LimitReader(course.rest(), maximumAnswer))
+	read, err := io.Copy(io.Discard, io.LimitReader(exchange.rest(), maximumAnswer))
 	if err == nil && read == maximumAnswer {
 		err = apierror.New(apierror.RunFailed, "it has more than %d bytes", maximumAnswer)
 	}
@@ -90,66 +90,66 @@
 }
 
 // rest is what is still to be read of an answer's body: nothing where it has none, or where its head was judged by it.
-func (course *Course) rest() io.Reader {
-	if body := course.response.BodyStream(); body != nil {
+func (exchange *Exchange) rest() io.Reader {
+	if body := exchange.response.BodyStream(); body != nil {
 		return body
 	}
 	return http.NoBody
 }
 
 // begin reads the first event of a stream.
-func (course *Course) begin() scheduler.End {
-	course.reader = stream.NewReader(course.rest(), course.yard.Speech.Rules(), course.after)
-	first, err := course.reader.Next()
+func (exchange *Exchange) begin() scheduler.AttemptOutcome {
+	exchange.reader = stream.NewReader(exchange.rest(), exchange.handler.Codec.Rules(), exchange.after)
+	first, err := exchange.reader.Next()
 	if err != nil {
-		course.blame("gave no first event")
-		return scheduler.Doubt
+		exchange.blame("gave no first event")
+		return scheduler.Ambiguous
 	}
-	course.first = first
+	exchange.first = first
 	return ""
 }
 
 // whole reads an answer that is no stream.
-func (course *Course) whole() scheduler.End {
+func (exchange *Exchange) whole() scheduler.AttemptOutcome {
 	// The answer has its head and some events already, and nothing but events can go on behind them.
-	if course.relayed {
-		course.yard.Book.Failed(course.now(), course.step.Runner.ID, "gave no events")
-		return scheduler.Doubt
+	if exchange.relayed {
+		exchange.handler.Loads.Failed(exchange.now(), exchange.step.Runner.ID, "gave no events")
+		return scheduler.Ambiguous
 	}
 	// A body of unknown length that ends with its connection can't be told from one that was cut.
-	if course.response.BodyStream() != nil && course.response.Header.ContentLength() < -1 {
-		return scheduler.Doubt
+	if exchange.response.BodyStream() != nil && exchange.response.Header.ContentLength() < -1 {
+		return scheduler.Ambiguous
 	}
-	body, err := io.ReadAll(io.LimitReader(course.rest(), maximumAnswer))
+	body, err := io.ReadAll(io.LimitReader(exchange.rest(), maximumAnswer))
 	if err != nil || len(body) == maximumAnswer {
-		course.blame("broke off an answer")
-		return scheduler.Doubt
+		exchange.blame("broke off an answer")
+		return scheduler.Ambiguous
 	}
-	course.reader, course.response.StreamBody = nil, false
-	course.body = body
+	exchange.reader, exchange.response.StreamBody = nil, false
+	exchange.body = body
 	return ""
 }
 
 // failed takes a failure of the runner's own: the run has ended and may be begun anew only where that does no harm.
-func (course *Course) failed() scheduler.End {
-	course.yard.Book.Failed(course.now(), course.step.Runner.ID, "failed a run")
+func (exchange *Exchange) failed() scheduler.AttemptOutcome {
+	exchange.handler.Loads.Failed(exchange.now(), exchange.step.Runner.ID, "failed a run")
 	// Nothing of a resumed stream's later failure may be passed on; the answer has its head already.
-	if course.lane.Repeatable && course.mayTry() {
-		return scheduler.Doubt
+	if exchange.route.Idempotent && exchange.mayTry() {
+		return scheduler.Ambiguous
 	}
-	return course.whole()
+	return exchange.whole()
 }
 
 // keep puts the connection back after an answer that was read whole.
-func (course *Course) keep() {
-	if course.word.Closes || course.connection == nil {
+func (exchange *Exchange) keep() {
+	if exchange.word.Closes || exchange.connection == nil {
 		return
 	}
-	_ = course.connection.SetDeadline(course.now().Add(tailBound))
+	_ = exchange.connection.SetDeadline(exchange.now().Add(tailBound))
 	// What is left of a longer body would be taken for the head of the next answer.
-	if read, err := io.Copy(io.Discard, io.LimitReader(course.rest(), lastPart)); err != nil || read == lastPart {
+	if read, err := io.Copy(io.Discard, io.LimitReader(exchange.rest(), lastPart)); err != nil || read == lastPart {
 		return
 	}
-	course.yard.Links.Keep(course.connection, course.word.Keep)
-	course.connection = nil
+	exchange.handler.Connections.Keep(exchange.connection, exchange.word.Keep)
+	exchange.connection = nil
 }
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -24,8 +24,8 @@
 // zone of a request that must run at most once.
 func frozen(house *house, length time.Duration, meanwhile func()) {
 	var slept atomic.Int64
-	clock := house.World.Now
-	house.World.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
+	clock := house.Environment.Now
+	house.Environment.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
 	house.Tell = func(_ dedup.Key, dropped bool) {
 		if !dropped && slept.Load() == 0 {
 			slept.Store(int64(length))
@@ -35,35 +35,35 @@
 }
 
 // After a freeze between decision and write everything that the decision rests on is checked again: nothing goes out
-// under a lease that has run out, a spec that has changed, or to a requester that waits no more.
+// under a lease that has run out, a spec that has changed, or to a client that waits no more.
 func TestFreezeBetweenDecisionAndWrite(t *testing.T) {
 	closed, err := config.Parse([]byte(`{"zones":[{"name":"a","closed":true}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false},{"name":"short","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false,"deadline":"150ms"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, trial := range map[string]struct {
-		lane   string
+		route  string
 		change func(house *house)
 	}{
 		"the lease has run out": {"once", func(house *house) {
-			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book, Until: house.World.Now().Add(-time.Second)}
+			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog, Until: house.Environment.Now().Add(-time.Second)}
 		}},
 		"the zone was closed": {"once", func(house *house) {
-			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Book: config.NewBook(closed), Until: house.World.Now().Add(time.Hour)}
+			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(closed), Until: house.Environment.Now().Add(time.Hour)}
 		}},
 		"the deadline has passed": {"short", func(*house) {}},
 	} {
 		runner := start(t, "r1", events(1, done(1), true))
 		house := build(t, runner)
 		frozen(house, 400*time.Millisecond, func() { trial.change(house) })
-		status, body := house.post(t, trial.lane)
+		status, body := house.post(t, trial.route)
 		if status == 200 || runner.reached.Load() != 0 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
 	}
 }
 
-// A connection of the pool that its runner closes, or over which it sends something, while the daemon is frozen
+// A connection of the backend that its runner closes, or over which it sends something, while the daemon is frozen
 // between taking it and writing is not written to.
 func TestConnectionEndsDuringAFreeze(t *testing.T) {
 	for name, ends := range map[string]func(connection net.Conn){
@@ -139,16 +139,16 @@
 
 // smallBuffers has a house send with small buffers.
 func smallBuffers(house *house) {
-	world := netio.Real(nil)
-	dial := world.Dial
-	world.Dial = func(ctx context.Context, address string, terms netio.Terms) (netio.Conn, error) {
+	environment := netio.Real(nil)
+	dial := environment.Dial
+	environment.Dial = func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
 		made, err := dial(ctx, address, terms)
 		if err == nil {
 			err = made.(interface{ SetWriteBuffer(bytes int) error }).SetWriteBuffer(smallBuffer)
 		}
 		return made, err
 	}
-	house.Links = connpool.New(world, codec.Own{}.Identity())
+	house.Connections = connpool.New(environment, codec.Native{}.Identity())
 }
 
 // A runner that answers before it has the whole request, and ends the connection, has decided: a request that must run
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -23,168 +23,168 @@
 )
 
 // allowed looks at the newest spec, the newest list and the deadline once more, at the moment before bytes go out.
-func (course *Course) allowed(identity connpool.Identity) bool {
-	snapshot, now := course.yard.Snapshot(), course.now()
-	course.checkedAt = now
-	if !now.Before(snapshot.Until) || snapshot.Book == nil || course.over() {
+func (exchange *Exchange) allowed(identity connpool.Identity) bool {
+	snapshot, now := exchange.handler.Snapshot(), exchange.now()
+	exchange.checkedAt = now
+	if !now.Before(snapshot.Until) || snapshot.Catalog == nil || exchange.over() {
 		return false
 	}
-	lane := laneOf(snapshot.Book, course.request)
-	if lane == nil || lane.Name != course.lane.Name {
+	route := routeOf(snapshot.Catalog, exchange.request)
+	if route == nil || route.Name != exchange.route.Name {
 		return false
 	}
-	pool := poolOf(snapshot.Book, lane, course.request)
-	if pool == nil || pool.Name != course.pool.Name || pool.Model != "" && pool.Model != course.request.Model || !pool.Serves(course.request.Adapter) {
+	backend := backendOf(snapshot.Catalog, route, exchange.request)
+	if backend == nil || backend.Name != exchange.backend.Name || backend.Model != "" && backend.Model != exchange.request.Model || !backend.Serves(exchange.request.Adapter) {
 		return false
 	}
-	runner, known := course.yard.Book.One(now, course.step.Runner.ID, course.yard.Daemons())
-	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Book, pool, runner) {
+	runner, known := exchange.handler.Loads.One(now, exchange.step.Runner.ID, exchange.handler.Daemons())
+	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Catalog, backend, runner) {
 		return false
 	}
-	if !course.relayed && course.identify(snapshot.Book, lane) != nil {
+	if !exchange.relayed && exchange.identify(snapshot.Catalog, route) != nil {
 		return false
 	}
-	course.epoch = snapshot.SpecEpoch
+	exchange.epoch = snapshot.SpecEpoch
 	// Where runners are not asked who they are, every request states whom it means, and another one turns it away.
-	if course.yard.Speech.Identity() == "" {
+	if exchange.handler.Codec.Identity() == "" {
 		return true
 	}
-	return identity.RunnerID == runner.ID && pool.Allows(identity.Service) && identity.Model == pool.Model && identity.Weights == pool.Weights
+	return identity.RunnerID == runner.ID && backend.Allows(identity.Service) && identity.Model == backend.Model && identity.Weights == backend.Weights
 }
 
-// Permits tells whether a spec lets a pool use a runner.
-func Permits(book *config.Book, pool *config.Pool, runner load.Runner) bool {
-	return pool.Allows(runner.Service) && book.Open(runner.Zone)
+// Permits tells whether a spec lets a backend use a runner.
+func Permits(catalog *config.Catalog, backend *config.Pool, runner load.Runner) bool {
+	return backend.Allows(runner.Service) && catalog.Open(runner.Zone)
 }
 
 // pass sends the request to the runner awarded and reads up to the first event. It gives "" when the
 // answer may be relayed, and otherwise how the attempt ended.
-func (course *Course) pass() scheduler.End {
-	runner := course.step.Runner
-	connection, err := course.yard.Links.TakeWithin(course.ctx, runner.ID, runner.Address, course.remaining())
+func (exchange *Exchange) pass() scheduler.AttemptOutcome {
+	runner := exchange.step.Runner
+	connection, err := exchange.handler.Connections.TakeWithin(exchange.ctx, runner.ID, runner.Address, exchange.remaining())
 	if err != nil {
-		course.blame(string(apierror.Of(err).Kind))
-		course.countFree()
+		exchange.blame(string(apierror.Of(err).Code))
+		exchange.countFree()
 		return scheduler.NotSent
 	}
-	course.connection = connection
-	if !course.allowed(connection.Identity) {
-		if course.yard.Speech.Identity() != "" && (!course.pool.Allows(connection.Identity.Service) || connection.Identity.Weights != course.pool.Weights) {
-			course.yard.Book.Failed(course.now(), runner.ID, "serves something else than listed")
+	exchange.connection = connection
+	if !exchange.allowed(connection.Identity) {
+		if exchange.handler.Codec.Identity() != "" && (!exchange.backend.Allows(connection.Identity.Service) || connection.Identity.Weights != exchange.backend.Weights) {
+			exchange.handler.Loads.Failed(exchange.now(), runner.ID, "serves something else than listed")
 		}
-		course.countFree()
+		exchange.countFree()
 		return scheduler.NotSent
 	}
-	if !course.awaited() {
-		course.returnUnused()
+	if !exchange.awaited() {
+		exchange.returnUnused()
 		return scheduler.NotSent
 	}
-	if !course.mayRepeat() {
+	if !exchange.mayRetry() {
 		return scheduler.NotSent
 	}
-	if end := course.send(); end != "" {
-		course.countFree()
+	if end := exchange.send(); end != "" {
+		exchange.countFree()
 		return end
 	}
-	if end := course.answer(); end != "" {
+	if end := exchange.answer(); end != "" {
 		return end
 	}
-	course.to(relaying)
+	exchange.to(relaying)
 	return ""
 }
 
-func (course *Course) countFree() {
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.FreeAttempts++ })
+func (exchange *Exchange) countFree() {
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.FreeAttempts++ })
 }
 
-// mayRepeat takes a second or later send out of the budget.
-func (course *Course) mayRepeat() bool {
-	budget := course.yard.budget(course.pool.Name)
+// mayRetry takes a second or later send out of the budget.
+func (exchange *Exchange) mayRetry() bool {
+	budget := exchange.handler.budget(exchange.backend.Name)
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	if course.sends == 0 {
+	if exchange.sends == 0 {
 		// An attempt that ends before its last byte is no send, and its request counts once.
-		if !course.counted {
-			course.counted = true
-			budget.budget.Request(course.now())
+		if !exchange.counted {
+			exchange.counted = true
+			budget.budget.Request(exchange.now())
 		}
 		return true
 	}
-	if !budget.budget.Repeat(course.now()) {
+	if !budget.budget.Repeat(exchange.now()) {
 		// Without budget no later attempt can go out either, so the final answer is given now.
-		course.attempts = maximumAttempts
+		exchange.attempts = maximumAttempts
 		return false
 	}
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.Repeats++ })
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Retries++ })
 	return true
 }
 
 // run is this attempt in the words of a speech.
-func (course *Course) run() codec.Run {
-	return codec.Run{Runner: course.step.Runner, Daemon: course.yard.Name, Epoch: course.epoch, Left: course.remaining(), After: course.after,
-		Urgency: course.step.Urgency, Weights: course.pool.Weights, Tenant: course.tenantName()}
+func (exchange *Exchange) run() codec.Run {
+	return codec.Run{Runner: exchange.step.Runner, Daemon: exchange.handler.Name, Epoch: exchange.epoch, Left: exchange.remaining(), After: exchange.after,
+		Urgency: exchange.step.Urgency, Weights: exchange.backend.Weights, Tenant: exchange.tenantName()}
 }
 
 // send writes the request out. A long one takes its time on the way, so that the last look comes again
 // before its last part: without that the runner has no request. It gives "" when the whole went out.
-func (course *Course) send() scheduler.End {
-	course.to(sent)
-	course.sentAt = course.now()
-	content := course.yard.Speech.Outgoing(course.request, course.run())
-	if course.key != nil && !course.told {
-		course.told = true
-		course.yard.Tell(*course.key, false)
-	}
-	course.bind()
-	written := course.write(content)
-	course.partial = written < len(content)
-	if course.partial && course.cutOff(written) {
-		return scheduler.Doubt
-	}
-	if course.partial && !course.answeredEarly() {
+func (exchange *Exchange) send() scheduler.AttemptOutcome {
+	exchange.to(sent)
+	exchange.sentAt = exchange.now()
+	content := exchange.handler.Codec.Outgoing(exchange.request, exchange.run())
+	if exchange.key != nil && !exchange.told {
+		exchange.told = true
+		exchange.handler.Tell(*exchange.key, false)
+	}
+	exchange.bind()
+	written := exchange.write(content)
+	exchange.partial = written < len(content)
+	if exchange.partial && exchange.cutOff(written) {
+		return scheduler.Ambiguous
+	}
+	if exchange.partial && !exchange.answeredEarly() {
 		return scheduler.NotSent
 	}
-	course.sends++
-	course.connection.Sent(course.lane.Repeatable && course.mayTry())
-	course.desk.Sent(course.sentAt, course.ticket, course.step)
+	exchange.sends++
+	exchange.connection.Sent(exchange.route.Idempotent && exchange.mayTry())
+	exchange.scheduler.Sent(exchange.sentAt, exchange.queuedRequest, exchange.step)
 	return ""
 }
 
 // write gives the bytes of a request to the system and tells how many of them that took.
-func (course *Course) write(content []byte) int {
-	if course.now().Sub(course.checkedAt) >= recheckAfter && !course.recheck() {
+func (exchange *Exchange) write(content []byte) int {
+	if exchange.now().Sub(exchange.checkedAt) >= recheckAfter && !exchange.recheck() {
 		return 0
 	}
 	bound := writeBound
-	if left := course.remaining(); left > 0 {
+	if left := exchange.remaining(); left > 0 {
 		bound = min(bound, left)
 	}
-	_ = course.connection.SetDeadline(course.now().Add(bound))
+	_ = exchange.connection.SetDeadline(exchange.now().Add(bound))
 	before := 0
 	if len(content) > 4*lastPart {
-		written, err := course.connection.Write(content[:len(content)-lastPart])
-		if err != nil || !course.allowed(course.connection.Identity) || !course.awaited() {
+		written, err := exchange.connection.Write(content[:len(content)-lastPart])
+		if err != nil || !exchange.allowed(exchange.connection.Identity) || !exchange.awaited() {
 			return written
 		}
 		before = written
 	}
 	// What was not even taken over whole by our own system no runner can have read whole. After that a failure
 	// to write tells nothing of what the runner got, and reading the answer decides.
-	written, _ := course.connection.Write(content[before:])
+	written, _ := exchange.connection.Write(content[before:])
 	return before + written
 }
 
 // recheck tells whether the decision still holds after a pause between it and the write: the spec, the runner and
-// the deadline are as they were, the requester is still there, and the runner has neither closed the connection nor
+// the deadline are as they were, the client is still there, and the runner has neither closed the connection nor
 // sent anything over it.
-func (course *Course) recheck() bool {
-	return course.allowed(course.connection.Identity) && course.connection.Quiet() && course.awaited()
+func (exchange *Exchange) recheck() bool {
+	return exchange.allowed(exchange.connection.Identity) && exchange.connection.Quiet() && exchange.awaited()
 }
 
 // answeredEarly tells whether the runner has answered a request that it did not get whole. It may have run what it
 // got, so that its answer decides, and not the failure to write.
-func (course *Course) answeredEarly() bool {
-	_ = course.connection.SetDeadline(course.now().Add(earlyAnswerBound))
-	_, err := course.connection.Reader.Peek(1)
+func (exchange *Exchange) answeredEarly() bool {
+	_ = exchange.connection.SetDeadline(exchange.now().Add(earlyAnswerBound))
+	_, err := exchange.connection.Reader.Peek(1)
 	return err == nil
 }
--- a/proxy/codec/speech.go
+++ b/proxy/codec/codec.go
@@ -1,4 +1,4 @@
-// Package speech is how one kind of requesters and runners speak: how a request is read, how an answer is
+// Package speech is how one kind of clients and runners speak: how a request is read, how an answer is
 // given, what goes out to a runner and what its answer says. The executor knows no protocol; it is given a
 // speech. The product's own is Own.
 package codec
@@ -21,7 +21,7 @@
 
 // Refusal is every answer that is not a stream.
 type Refusal struct {
-	Kind    apierror.Kind `json:"kind"`
+	Kind    apierror.Code `json:"kind"`
 	Detail  string        `json:"detail"`
 	Remedy  string        `json:"remedy"`
 	Ran     string        `json:"ran"`
@@ -38,9 +38,9 @@
 	Runner load.Runner
 	Daemon string
 	Epoch  uint64
-	// Left is how long the requester still waits; 0: not told.
+	// Left is how long the client still waits; 0: not told.
 	Left time.Duration
-	// After is the id of the last event that the requester has; 0: none.
+	// After is the id of the last event that the client has; 0: none.
 	After int
 	// Urgency is from 0, the most urgent, to 9; 5 is nothing special.
 	Urgency int
@@ -49,30 +49,30 @@
 	Tenant string
 }
 
-// Said is what the head of a runner's answer says.
-type Said string
+// Disposition is what the head of a runner's answer says.
+type Disposition string
 
 // What a head may say.
 const (
 	// Runs: a stream of events follows.
-	Runs Said = "runs"
-	// Ended: the run has ended, in an answer that is no stream and is passed on whole.
-	Ended Said = "ended"
+	Runs Disposition = "runs"
+	// Finished: the run has ended, in an answer that is no stream and is passed on whole.
+	Finished Disposition = "ended"
 	// Failed: the run has ended in a failure of the runner's own.
-	Failed Said = "failed"
-	// PutBack: the request did not run and will not.
-	PutBack Said = "put back"
+	Failed Disposition = "failed"
+	// NotExecuted: the request did not run and will not.
+	NotExecuted Disposition = "put back"
 	// Elsewhere: another runner answers at this address; the request did not run.
-	Elsewhere Said = "elsewhere"
+	Elsewhere Disposition = "elsewhere"
 	// Stray: the answer belongs to another request.
-	Stray Said = "stray"
+	Stray Disposition = "stray"
 	// Unclear: nothing can be told from it.
-	Unclear Said = "unclear"
+	Unclear Disposition = "unclear"
 )
 
-// Word is all that a head tells.
-type Word struct {
-	Said Said
+// ResponseHead is all that a head tells.
+type ResponseHead struct {
+	Disposition Disposition
 	// Report is what it tells of the runner's load, if it does.
 	Report *load.Report
 	// Keep is how long the connection may stay idle; 0: not told. Closes says that it may not.
@@ -80,12 +80,12 @@
 	Closes bool
 }
 
-// Speech is how one kind of requesters and runners speak. It keeps no state and decides nothing.
-type Speech interface {
+// Codec is how one kind of clients and runners speak. It keeps no state and decides nothing.
+type Codec interface {
 	// Read reads a request and gives the first fault found.
-	Read(requester netio.Requester) (*admission.Request, error)
+	Read(client netio.Client) (*admission.Request, error)
 	// Refuse gives the final answer to a request that has no stream; request is nil where none could be read.
-	Refuse(requester netio.Requester, request *admission.Request, refusal Refusal)
+	Refuse(client netio.Client, request *admission.Request, refusal Refusal)
 	// Head gives the status and the headers with which a runner's answer is passed on.
 	Head(response *fasthttp.Response, request *admission.Request, run Run) (int, []netio.Header)
 	// Broken gives what ends a stream that is not whole; nothing: it is only broken off.
@@ -93,7 +93,7 @@
 	// Outgoing gives the bytes of a request to a runner.
 	Outgoing(request *admission.Request, run Run) []byte
 	// Judge tells what the head of a runner's answer says.
-	Judge(response *fasthttp.Response, request *admission.Request, run Run) Word
+	Judge(response *fasthttp.Response, request *admission.Request, run Run) ResponseHead
 	// Rules are what the events of a run keep to.
 	Rules() stream.Rules
 	// Identity is the path at which a runner says who it is, asked on each new connection; empty: who is
@@ -108,31 +108,31 @@
 	Foreign(response *fasthttp.Response) bool
 }
 
-// Own is wardtray's own speech; docs/interface.md.
-type Own struct{}
+// Native is wardtray's own speech; docs/interface.md.
+type Native struct{}
 
-var statuses = map[apierror.Kind]int{
-	apierror.Malformed: 400, apierror.TooLarge: 413, apierror.UnknownLane: 404, apierror.UnknownModel: 404, apierror.UnknownAdapter: 404,
-	apierror.UnknownKey: 401, apierror.QuotaSpent: 429, apierror.PurseSpent: 429, apierror.PatienceShort: 429, apierror.WaitlistFull: 429, apierror.NoRunner: 503, apierror.NotServing: 503,
-	apierror.OutcomeUnknown: 504, apierror.RunFailed: 502, apierror.AlreadyTaken: 409, apierror.RequesterGone: 499, apierror.NotFound: 404, apierror.Internal: 500,
+var statuses = map[apierror.Code]int{
+	apierror.Malformed: 400, apierror.TooLarge: 413, apierror.UnknownRoute: 404, apierror.UnknownModel: 404, apierror.UnknownAdapter: 404,
+	apierror.UnknownKey: 401, apierror.QuotaSpent: 429, apierror.ConcurrencyLimitReached: 429, apierror.LatencyTargetMissed: 429, apierror.QueueFull: 429, apierror.NoRunner: 503, apierror.NotServing: 503,
+	apierror.OutcomeUnknown: 504, apierror.RunFailed: 502, apierror.AlreadyTaken: 409, apierror.ClientGone: 499, apierror.NotFound: 404, apierror.Internal: 500,
 }
 
 // Read reads headers and body.
-func (Own) Read(requester netio.Requester) (*admission.Request, error) {
-	return admission.Parse(requester.Header, requester.Body())
+func (Native) Read(client netio.Client) (*admission.Request, error) {
+	return admission.Parse(client.Header, client.Body())
 }
 
 // Refuse writes a refusal.
-func (Own) Refuse(requester netio.Requester, _ *admission.Request, refusal Refusal) {
+func (Native) Refuse(client netio.Client, _ *admission.Request, refusal Refusal) {
 	headers := []netio.Header{{Name: "Content-Type", Value: "application/json"}}
 	if refusal.Retry > 0 {
 		headers = append(headers, netio.Header{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(refusal.Retry.Seconds())))})
 	}
-	requester.Answer(statuses[refusal.Kind], headers, refusal.encode())
+	client.Answer(statuses[refusal.Kind], headers, refusal.encode())
 }
 
 func (refusal Refusal) encode() []byte {
-	refusal.RetryMS, refusal.Remedy = refusal.Retry.Milliseconds(), (&apierror.Fault{Kind: refusal.Kind}).Remedy()
+	refusal.RetryMS, refusal.Remedy = refusal.Retry.Milliseconds(), (&apierror.Error{Code: refusal.Kind}).Remedy()
 	content, err := json.Marshal(refusal)
 	if err != nil {
 		return []byte(`{"kind":"internal"}`)
@@ -141,25 +141,25 @@
 }
 
 // Head names the runner and the epoch.
-func (Own) Head(_ *fasthttp.Response, _ *admission.Request, run Run) (int, []netio.Header) {
+func (Native) Head(_ *fasthttp.Response, _ *admission.Request, run Run) (int, []netio.Header) {
 	return 200, []netio.Header{{Name: "Content-Type", Value: "text/event-stream"}, {Name: "Cache-Control", Value: "no-store"},
 		{Name: admission.HeaderRunner, Value: run.Runner.ID}, {Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)}}
 }
 
 // Broken gives an error event.
-func (Own) Broken(last int, refusal Refusal) []byte {
+func (Native) Broken(last int, refusal Refusal) []byte {
 	return stream.Event{ID: last + 1, Name: "error", Data: refusal.encode()}.Bytes()
 }
 
 // Outgoing gives the request as docs/interface.md says.
-func (Own) Outgoing(request *admission.Request, run Run) []byte {
+func (Native) Outgoing(request *admission.Request, run Run) []byte {
 	outgoing := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(outgoing)
 	outgoing.Header.SetMethod("POST")
 	outgoing.SetRequestURI("/run")
 	outgoing.Header.SetHost(run.Runner.Address)
 	outgoing.Header.SetContentType("application/json")
-	for _, header := range []netio.Header{{Name: admission.HeaderLane, Value: request.Lane}, {Name: admission.HeaderModel, Value: request.Model},
+	for _, header := range []netio.Header{{Name: admission.HeaderRoute, Value: request.Route}, {Name: admission.HeaderModel, Value: request.Model},
 		{Name: admission.HeaderAdapter, Value: request.Adapter}, {Name: admission.HeaderRequest, Value: request.ID}, {Name: admission.HeaderRunner, Value: run.Runner.ID},
 		{Name: admission.HeaderDaemon, Value: run.Daemon}, {Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)},
 		{Name: admission.HeaderPrompt, Value: strconv.Itoa(request.PromptTokens)}, {Name: admission.HeaderAnswer, Value: strconv.Itoa(request.AnswerTokens)},
@@ -191,34 +191,34 @@
 }
 
 // Judge takes only the runner's own word that it did not start as that.
-func (Own) Judge(response *fasthttp.Response, _ *admission.Request, _ Run) Word {
+func (Native) Judge(response *fasthttp.Response, _ *admission.Request, _ Run) ResponseHead {
 	if response.StatusCode() == 200 {
-		return Word{Said: Runs}
+		return ResponseHead{Disposition: Runs}
 	}
 	said := putBack{}
 	if err := json.Unmarshal(response.Body(), &said); err == nil && said.Started != nil && !*said.Started {
-		return Word{Said: PutBack}
+		return ResponseHead{Disposition: NotExecuted}
 	}
-	return Word{Said: Unclear}
+	return ResponseHead{Disposition: Unclear}
 }
 
 // Rules are counted events.
-func (Own) Rules() stream.Rules { return stream.Rules{Counted: true} }
+func (Native) Rules() stream.Rules { return stream.Rules{Counted: true} }
 
 // Identity is asked on each connection.
-func (Own) Identity() string { return "/identity" }
+func (Native) Identity() string { return "/identity" }
 
 // Probe is where a runner tells its pressure.
-func (Own) Probe() string { return "/pressure" }
+func (Native) Probe() string { return "/pressure" }
 
 // Fresh is no time at all: nothing but a probe tells a runner's pressure.
-func (Own) Fresh() time.Duration { return 0 }
+func (Native) Fresh() time.Duration { return 0 }
 
 // Report reads it.
-func (Own) Report(content []byte) (load.Report, error) {
+func (Native) Report(content []byte) (load.Report, error) {
 	report := load.Report{}
 	return report, apierror.Wrap(json.Unmarshal(content, &report), apierror.Unreachable, "its pressure is no JSON")
 }
 
 // Foreign can't be told: answers name no request.
-func (Own) Foreign(*fasthttp.Response) bool { return false }
+func (Native) Foreign(*fasthttp.Response) bool { return false }
--- a/proxy/codec/speech_test.go
+++ b/proxy/codec/codec_test.go
@@ -27,27 +27,27 @@
 
 // Nothing but the runner's own word says that a request did not start.
 func TestOwnAnswersAreJudged(t *testing.T) {
-	for raw, want := range map[string]Said{
+	for raw, want := range map[string]Disposition{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n":                                      Runs,
-		"HTTP/1.1 503 x\r\nContent-Length: 17\r\n\r\n{\"started\":false}":                            PutBack,
-		"HTTP/1.1 429 x\r\nContent-Length: 17\r\n\r\n{\"started\":false}":                            PutBack,
+		"HTTP/1.1 503 x\r\nContent-Length: 17\r\n\r\n{\"started\":false}":                            NotExecuted,
+		"HTTP/1.1 429 x\r\nContent-Length: 17\r\n\r\n{\"started\":false}":                            NotExecuted,
 		"HTTP/1.1 503 x\r\nContent-Length: 16\r\n\r\n{\"started\":true}":                             Unclear,
 		"HTTP/1.1 503 x\r\nContent-Length: 2\r\n\r\n{}":                                              Unclear,
 		"HTTP/1.1 503 x\r\nContent-Length: 17\r\n\r\n{\"started\":":                                  Unclear,
 		"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n":                                                Unclear,
 		"HTTP/1.1 500 x\r\nContent-Length: 4\r\n\r\noops":                                            Unclear,
 		"HTTP/1.1 204 x\r\n\r\n":                                                                     Unclear,
-		"HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n11\r\n{\"started\":false}\r\n0\r\n\r\n": PutBack,
+		"HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n11\r\n{\"started\":false}\r\n0\r\n\r\n": NotExecuted,
 	} {
-		if word := (Own{}).Judge(response(t, raw), &admission.Request{}, Run{}); word.Said != want {
-			t.Errorf("%q: %q instead of %q", raw, word.Said, want)
+		if word := (Native{}).Judge(response(t, raw), &admission.Request{}, Run{}); word.Disposition != want {
+			t.Errorf("%q: %q instead of %q", raw, word.Disposition, want)
 		}
 	}
 }
 
 // What goes out is read back as the request that came, with what concerns this attempt.
 func TestOwnOutgoing(t *testing.T) {
-	request := &admission.Request{ID: "r", Lane: "l", Model: "m", Adapter: "cy", PromptTokens: 100, AnswerTokens: 10, Parts: []string{"a", "b"}, PartTokens: []int{30, 20}, Body: []byte(`{"prompt":"x"}`)}
+	request := &admission.Request{ID: "r", Route: "l", Model: "m", Adapter: "cy", PromptTokens: 100, AnswerTokens: 10, Parts: []string{"a", "b"}, PartTokens: []int{30, 20}, Body: []byte(`{"prompt":"x"}`)}
 	for name, trial := range map[string]struct {
 		run    Run
 		wanted map[string]string
@@ -56,7 +56,7 @@
 			admission.HeaderEpoch: "7", admission.HeaderWait: "", admission.HeaderAfter: "", admission.HeaderAdapter: "cy", admission.HeaderPrompt: "100"}},
 		"resumed, with a bound": {Run{Runner: load.Runner{ID: "r1", Address: "10.0.0.1:80"}, Left: 1500 * time.Millisecond, After: 3}, map[string]string{admission.HeaderWait: "1500", admission.HeaderAfter: "3"}},
 	} {
-		reader := bufio.NewReader(strings.NewReader(string(Own{}.Outgoing(request, trial.run))))
+		reader := bufio.NewReader(strings.NewReader(string(Native{}.Outgoing(request, trial.run))))
 		read, err := http.ReadRequest(reader)
 		if err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 			}
 		}
 		again, err := admission.Parse(func(name string) []string { return read.Header.Values(name) }, request.Body)
-		if err != nil || again.ID != "r" || again.Lane != "l" || strings.Join(again.Parts, " ") != "a b" || again.After != trial.run.After || again.Wait != trial.run.Left || read.Method != "POST" || read.URL.Path != "/run" {
+		if err != nil || again.ID != "r" || again.Route != "l" || strings.Join(again.Parts, " ") != "a b" || again.After != trial.run.After || again.Wait != trial.run.Left || read.Method != "POST" || read.URL.Path != "/run" {
 			t.Errorf("%s: %+v %v", name, again, err)
 		}
 	}
@@ -76,14 +76,14 @@
 func TestOwnRefusals(t *testing.T) {
 	for kind, status := range statuses {
 		context := &fasthttp.RequestCtx{}
-		Own{}.Refuse(netio.FromHTTP(context), nil, Refusal{Kind: kind, Detail: "why", Ran: "unknown", Retry: 1200 * time.Millisecond})
+		Native{}.Refuse(netio.FromHTTP(context), nil, Refusal{Kind: kind, Detail: "why", Ran: "unknown", Retry: 1200 * time.Millisecond})
 		told := Refusal{}
 		if err := json.Unmarshal(context.Response.Body(), &told); err != nil || context.Response.StatusCode() != status || told.Kind != kind || told.Detail != "why" || told.Remedy == "" ||
 			told.RetryMS != 1200 || string(context.Response.Header.Peek("Retry-After")) != "2" {
 			t.Errorf("%s: %s %v", kind, context.Response.String(), err)
 		}
 	}
-	event := string(Own{}.Broken(4, Refusal{Kind: apierror.RunFailed}))
+	event := string(Native{}.Broken(4, Refusal{Kind: apierror.RunFailed}))
 	if !strings.HasPrefix(event, "id: 5\nevent: error\ndata: {") || !strings.HasSuffix(event, "}\n\n") {
 		t.Error(event)
 	}
--- a/proxy/codec/golden_test.go
+++ b/proxy/codec/golden_test.go
@@ -16,7 +16,7 @@
 
 // goldenRun is one attempt with all that can be told of it.
 func goldenRun() (*admission.Request, Run) {
-	request := &admission.Request{ID: "request", Lane: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
+	request := &admission.Request{ID: "request", Route: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: []byte(`{"prompt":"text"}`)}
 	return request, Run{Runner: load.Runner{ID: "runner", Address: "127.0.0.1:8001"}, Daemon: "daemon", Epoch: 7,
 		Left: 1500 * time.Millisecond, After: 3, Tenant: "tenant"}
@@ -25,9 +25,9 @@
 // What goes out to a runner, and the head of an answer, keep their headers.
 func TestHeadersKeepTheirNames(t *testing.T) {
 	request, run := goldenRun()
-	outgoing := strings.ReplaceAll(string(Own{}.Outgoing(request, run)), "\r\n", "\n")
+	outgoing := strings.ReplaceAll(string(Native{}.Outgoing(request, run)), "\r\n", "\n")
 	golden.Compare(t, "outgoing.txt", outgoing+"\n")
-	status, headers := Own{}.Head(nil, request, run)
+	status, headers := Native{}.Head(nil, request, run)
 	lines := fmt.Sprintln(status)
 	for _, header := range headers {
 		lines += header.Name + ": " + header.Value + "\n"
@@ -47,14 +47,14 @@
 // A refusal keeps its keys, and the event that ends a broken stream its form.
 func TestRefusalKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "refusal", golden.Marshal[Refusal])
-	broken := Own{}.Broken(4, Refusal{Kind: apierror.RunFailed, Detail: "detail", Ran: "yes", Retry: time.Second})
+	broken := Native{}.Broken(4, Refusal{Kind: apierror.RunFailed, Detail: "detail", Ran: "yes", Retry: time.Second})
 	golden.Compare(t, "broken.txt", string(broken))
 }
 
 // What a runner tells of its load keeps its keys, and so do the paths at which it is asked.
 func TestReportKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "report", golden.Marshal[load.Report])
-	if (Own{}).Identity() != "/identity" || (Own{}).Probe() != "/pressure" {
-		t.Errorf("asked at %s and %s", Own{}.Identity(), Own{}.Probe())
+	if (Native{}).Identity() != "/identity" || (Native{}).Probe() != "/pressure" {
+		t.Errorf("asked at %s and %s", Native{}.Identity(), Native{}.Probe())
 	}
 }
--- a/proxy/dedup/once.go
+++ b/proxy/dedup/dedup.go
@@ -1,4 +1,4 @@
-// Package once remembers which requests of lanes that run at most once were taken, and how they ended,
+// Package once remembers which requests of routes that run at most once were taken, and how they ended,
 // so that the same request sent again is not run again. State is in shards, each under its own lock.
 package dedup
 
@@ -28,12 +28,12 @@
 	shardCount = 8
 )
 
-// Key stands for a lane and a request's id.
+// Key stands for a route and a request's id.
 type Key [16]byte
 
 // KeyOf gives the key of a request.
-func KeyOf(lane, request string) (key Key) {
-	sum := sha256.Sum256([]byte(lane + "\x00" + request))
+func KeyOf(route, request string) (key Key) {
+	sum := sha256.Sum256([]byte(route + "\x00" + request))
 	copy(key[:], sum[:])
 	return key
 }
@@ -50,22 +50,22 @@
 	order   *list.List
 }
 
-// Memory is all of it.
-type Memory struct{ shards [shardCount]*shard }
+// Table is all of it.
+type Table struct{ shards [shardCount]*shard }
 
 // New makes an empty memory.
-func New() *Memory {
-	memory := &Memory{}
+func New() *Table {
+	memory := &Table{}
 	for place := range memory.shards {
 		memory.shards[place] = &shard{entries: map[Key]*list.Element{}, order: list.New()}
 	}
 	return memory
 }
 
-func (memory *Memory) shard(key Key) *shard { return memory.shards[int(key[0])%shardCount] }
+func (memory *Table) shard(key Key) *shard { return memory.shards[int(key[0])%shardCount] }
 
 // Begin takes a request, unless it is known already; then it gives what is known.
-func (memory *Memory) Begin(now time.Time, key Key) (known State, fresh bool) {
+func (memory *Table) Begin(now time.Time, key Key) (known State, fresh bool) {
 	shard := memory.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // Look gives what is known of a request, "" if nothing is.
-func (memory *Memory) Look(key Key) State {
+func (memory *Table) Look(key Key) State {
 	shard := memory.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // End notes how a request ended.
-func (memory *Memory) End(now time.Time, key Key, state State) {
+func (memory *Table) End(now time.Time, key Key, state State) {
 	shard := memory.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // Drop forgets a request that surely did not run.
-func (memory *Memory) Drop(key Key) {
+func (memory *Table) Drop(key Key) {
 	shard := memory.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -108,7 +108,7 @@
 }
 
 // Heard takes another daemon's word that it has sent a request, or that this surely did not run.
-func (memory *Memory) Heard(now time.Time, key Key, dropped bool) {
+func (memory *Table) Heard(now time.Time, key Key, dropped bool) {
 	shard := memory.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -128,7 +128,7 @@
 }
 
 // Count tells how many requests are remembered.
-func (memory *Memory) Count() int {
+func (memory *Table) Count() int {
 	count := 0
 	for _, shard := range memory.shards {
 		shard.mutex.Lock()
--- a/proxy/dedup/once_test.go
+++ b/proxy/dedup/dedup_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var begun = time.Unix(1_700_000_000, 0)
+var started = time.Unix(1_700_000_000, 0)
 
 // Whatever is done in whatever order, a key is taken at most once between two words that it did not run.
 func TestTakenOnceUntilDropped(t *testing.T) {
@@ -17,7 +17,7 @@
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	properties.Property("at most once", prop.ForAll(func(steps []int) bool {
-		memory, now, taken := New(), begun, map[Key]bool{}
+		memory, now, taken := New(), started, map[Key]bool{}
 		for _, step := range steps {
 			key := KeyOf("lane", string(rune('a'+step%3)))
 			now = now.Add(time.Second)
@@ -47,27 +47,27 @@
 
 func TestOthersWordAndBounds(t *testing.T) {
 	memory, key := New(), KeyOf("ruling", "r1")
-	memory.Heard(begun, key, false)
-	if known, fresh := memory.Begin(begun, key); fresh || known != Elsewhere {
+	memory.Heard(started, key, false)
+	if known, fresh := memory.Begin(started, key); fresh || known != Elsewhere {
 		t.Fatalf("taken by another: %q, %v", known, fresh)
 	}
-	memory.Heard(begun, key, true)
-	if _, fresh := memory.Begin(begun, key); !fresh {
+	memory.Heard(started, key, true)
+	if _, fresh := memory.Begin(started, key); !fresh {
 		t.Fatal("dropped by the other and still taken")
 	}
-	memory.Heard(begun, key, true)
-	if known, fresh := memory.Begin(begun, key); fresh || known != Running {
+	memory.Heard(started, key, true)
+	if known, fresh := memory.Begin(started, key); fresh || known != Running {
 		t.Fatalf("another's word took away our own: %q, %v", known, fresh)
 	}
 	if KeyOf("ruling", "r1") == KeyOf("rulin", "gr1") {
 		t.Fatal("two requests share a key")
 	}
-	memory.End(begun, key, Unknown)
-	if _, fresh := memory.Begin(begun.Add(Keep+time.Second), key); !fresh {
+	memory.End(started, key, Unknown)
+	if _, fresh := memory.Begin(started.Add(Keep+time.Second), key); !fresh {
 		t.Fatal("remembered for longer than said")
 	}
 	for number := range 2 * Limit * shardCount {
-		memory.Begin(begun, KeyOf("lane", string(rune(number))))
+		memory.Begin(started, KeyOf("lane", string(rune(number))))
 	}
 	if memory.Count() > Limit*shardCount {
 		t.Fatalf("%d remembered", memory.Count())
--- a/proxy/departure_test.go
+++ b/proxy/departure_test.go
@@ -40,10 +40,10 @@
 // within wants a signal soon.
 func within(t *testing.T, what string, signal <-chan struct{}) {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	select {
 	case <-signal:
-		if took := time.Since(begun); took > soonBound {
+		if took := time.Since(started); took > soonBound {
 			t.Errorf("%s took %v", what, took)
 		}
 	case <-time.After(patientBound):
@@ -53,30 +53,30 @@
 
 // holding is runners' work that goes on until it is released; each run is told of in begun, and in cut where its
 // connection ends before that.
-type holding struct{ begun, cut, release chan struct{} }
+type holding struct{ started, cut, release chan struct{} }
 
 func hold() *holding {
-	return &holding{begun: make(chan struct{}, 16), cut: make(chan struct{}, 16), release: make(chan struct{})}
+	return &holding{started: make(chan struct{}, 16), cut: make(chan struct{}, 16), release: make(chan struct{})}
 }
 
 // answer begins to work, gives a text first where there is one, and goes on with a script once it is released.
 func (holding *holding) answer(first string, then func(net.Conn, *http.Request)) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
 		_, _ = io.WriteString(connection, first)
-		holding.begun <- struct{}{}
-		ended := make(chan struct{})
+		holding.started <- struct{}{}
+		finished := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(finished)
 			_, _ = connection.Read(make([]byte, 1))
 		}()
 		select {
 		case <-holding.release:
-		case <-ended:
+		case <-finished:
 			holding.cut <- struct{}{}
 			return
 		}
 		_ = connection.SetReadDeadline(time.Now())
-		<-ended
+		<-finished
 		_ = connection.SetReadDeadline(time.Time{})
 		then(connection, request)
 	}
@@ -96,7 +96,7 @@
 }
 
 // ask sends a request over a connection of its own, on which nothing is read yet.
-func (house *house) ask(t *testing.T, lane, id string) *net.TCPConn {
+func (house *house) ask(t *testing.T, route, id string) *net.TCPConn {
 	t.Helper()
 	connection, err := net.Dial("tcp", house.address)
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	t.Cleanup(func() { _ = connection.Close() })
 	fmt.Fprintf(connection, "POST /v1/stream HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: m\r\n%s: %s\r\n%s: 100\r\n%s: 10\r\nContent-Length: 14\r\n\r\n{\"prompt\":\"x\"}",
-		admission.HeaderLane, lane, admission.HeaderModel, admission.HeaderRequest, id, admission.HeaderPrompt, admission.HeaderAnswer)
+		admission.HeaderRoute, route, admission.HeaderModel, admission.HeaderRequest, id, admission.HeaderPrompt, admission.HeaderAnswer)
 	return connection.(*net.TCPConn)
 }
 
@@ -118,10 +118,10 @@
 func (house *house) nothingHeld(t *testing.T) {
 	t.Helper()
 	eventually(t, "nothing is in flight", func() bool { return house.InFlight.Load() == 0 })
-	if _, waiting, lanes := house.Desk("p").State(); waiting != 0 || len(lanes) != 0 {
-		t.Errorf("%d wait, places held by %v", waiting, lanes)
+	if _, waiting, routes := house.Scheduler("p").State(); waiting != 0 || len(routes) != 0 {
+		t.Errorf("%d wait, places held by %v", waiting, routes)
 	}
-	for _, runner := range house.Book.All(time.Now(), []string{"d"}) {
+	for _, runner := range house.Loads.All(time.Now(), []string{"d"}) {
 		if runner.InFlight != 0 {
 			t.Errorf("%s has %d of ours in flight", runner.ID, runner.InFlight)
 		}
@@ -130,7 +130,7 @@
 
 // blamed tells whether a runner is left alone.
 func (house *house) blamed(runner string) bool {
-	found, _ := house.Book.One(time.Now(), runner, []string{"d"})
+	found, _ := house.Loads.One(time.Now(), runner, []string{"d"})
 	return !found.Usable
 }
 
@@ -142,13 +142,13 @@
 		house := build(t, runner)
 		house.allow(t, `{"name":"patient","pool":"p","worth":1,"patience":"60s","repeatable":true}`)
 		working := house.ask(t, "patient", "working")
-		within(t, name+": the first request is worked on", works.begun)
-		house.Book.Reported(time.Now(), "r1", load.Report{Running: 1, Waiting: 1, Slots: 1})
+		within(t, name+": the first request is worked on", works.started)
+		house.Loads.Reported(time.Now(), "r1", load.Report{Running: 1, Waiting: 1, Slots: 1})
 		var waiting []*net.TCPConn
 		for number := range 3 {
 			waiting = append(waiting, house.ask(t, "patient", fmt.Sprint("waiting", number)))
 		}
-		queue := func() int { _, waiting, _ := house.Desk("p").State(); return waiting }
+		queue := func() int { _, waiting, _ := house.Scheduler("p").State(); return waiting }
 		eventually(t, "the others wait", func() bool { return queue() == 3 })
 		for _, client := range waiting {
 			leave(client)
@@ -166,14 +166,14 @@
 	}
 }
 
-// allow adds a lane to the house's spec.
-func (house *house) allow(t *testing.T, lane string) {
+// allow adds a route to the house's spec.
+func (house *house) allow(t *testing.T, route string) {
 	t.Helper()
-	parsed, err := config.Parse([]byte(`{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[` + lane + `]}`))
+	parsed, err := config.Parse([]byte(`{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[` + route + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: config.NewBook(parsed), Until: time.Now().Add(time.Hour)}
+	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
 }
 
 // A runner at work is let go when the client leaves, before its first event as well as behind it, and is not blamed.
@@ -181,7 +181,7 @@
 	for name, trial := range map[string]struct {
 		first string
 		then  func(net.Conn, *http.Request)
-		lane  string
+		route string
 		extra string
 	}{
 		"before the first event":         {"", events(1, done(1), true), "free", ""},
@@ -196,8 +196,8 @@
 		if trial.extra != "" {
 			house.allow(t, trial.extra)
 		}
-		client := house.ask(t, trial.lane, "q")
-		within(t, name+": the runner works", works.begun)
+		client := house.ask(t, trial.route, "q")
+		within(t, name+": the runner works", works.started)
 		if trial.first != "" {
 			// The client has seen the event before it leaves.
 			if _, err := io.ReadAtLeast(client, make([]byte, 4096), len("HTTP/1.1 200")); err != nil {
@@ -232,7 +232,7 @@
 		runner := start(t, "r1", works.answer(trial.first, trial.then))
 		house := build(t, runner)
 		client := house.ask(t, "once", "booking")
-		within(t, name+": the runner works", works.begun)
+		within(t, name+": the runner works", works.started)
 		_ = client.Close()
 		<-house.departures
 		close(works.release)
@@ -248,12 +248,12 @@
 
 // noticing tells when its house has learned that the client has left.
 type noticing struct {
-	netio.Requester
+	netio.Client
 	departures chan<- struct{}
 }
 
 func (noticing noticing) Watch(left func()) (stop func()) {
-	return noticing.Requester.Watch(func() {
+	return noticing.Client.Watch(func() {
 		left()
 		noticing.departures <- struct{}{}
 	})
@@ -263,7 +263,7 @@
 func TestWaitForASureSpecEndsWithTheClient(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book}
+	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 	waits := make(chan struct{}, 8)
 	house.Renewed = func() <-chan struct{} {
 		waits <- struct{}{}
@@ -271,10 +271,10 @@
 	}
 	client := house.ask(t, "once", "q")
 	<-waits
-	begun := time.Now()
+	started := time.Now()
 	_ = client.Close()
 	house.nothingHeld(t)
-	if took := time.Since(begun); took > soonBound {
+	if took := time.Since(started); took > soonBound {
 		t.Errorf("it waited %v more", took)
 	}
 	// What was not sent may be sent again.
@@ -286,19 +286,19 @@
 // A connection that is being made is given up with the client.
 func TestDialEndsWithTheClient(t *testing.T) {
 	house := build(t, start(t, "r1", events(1, done(1), true)))
-	world := netio.Real(nil)
-	dials, ended := make(chan struct{}), make(chan struct{})
-	world.Dial = func(ctx context.Context, _ string, _ netio.Terms) (netio.Conn, error) {
+	environment := netio.Real(nil)
+	dials, finished := make(chan struct{}), make(chan struct{})
+	environment.Dial = func(ctx context.Context, _ string, _ netio.Timeouts) (netio.Conn, error) {
 		close(dials)
 		<-ctx.Done()
-		close(ended)
+		close(finished)
 		return nil, ctx.Err()
 	}
-	house.Links = connpool.New(world, "")
+	house.Connections = connpool.New(environment, "")
 	client := house.ask(t, "free", "q")
 	within(t, "a connection is being made", dials)
 	_ = client.Close()
-	within(t, "the dial ends", ended)
+	within(t, "the dial ends", finished)
 	house.nothingHeld(t)
 	if house.blamed("r1") {
 		t.Error("the runner is blamed")
@@ -308,8 +308,8 @@
 // Nobody looks for another runner for a client that has left.
 func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
 	for name, trial := range map[string]struct {
-		lane, first string
-		then        func(net.Conn, *http.Request)
+		route, first string
+		then         func(net.Conn, *http.Request)
 	}{
 		"put back": {"once", "", putsBack},
 		"in doubt": {"free", "", hangsUp},
@@ -319,8 +319,8 @@
 		script := works.answer(trial.first, trial.then)
 		first, second := start(t, "r1", script, events(1, done(1), true)), start(t, "r2", script, events(1, done(1), true))
 		house := build(t, first, second)
-		client := house.ask(t, trial.lane, "q")
-		within(t, name+": the runner works", works.begun)
+		client := house.ask(t, trial.route, "q")
+		within(t, name+": the runner works", works.started)
 		_ = client.Close()
 		<-house.departures
 		close(works.release)
@@ -336,26 +336,26 @@
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
 	// Why no watch: the process has just woken from a freeze and its poller has not told of the close yet.
-	for _, lane := range []string{"once", "free"} {
-		house.Serve(&departed{lane: lane, body: []byte(`{"prompt":"x"}`)})
+	for _, route := range []string{"once", "free"} {
+		house.Serve(&departed{route: route, body: []byte(`{"prompt":"x"}`)})
 		house.nothingHeld(t)
 		if runner.reached.Load() != 0 {
-			t.Errorf("%s: the runner was reached", lane)
+			t.Errorf("%s: the runner was reached", route)
 		}
-		if state := house.Once.Look(dedup.KeyOf(lane, "q")); state != "" {
-			t.Errorf("%s: remembered as %q", lane, state)
+		if state := house.Once.Look(dedup.KeyOf(route, "q")); state != "" {
+			t.Errorf("%s: remembered as %q", route, state)
 		}
 	}
 	// The connection that was made for it serves the next.
-	dials := house.Links.Counters.Dials.Load()
-	if status, body := house.send(t, "once", "q"); status != 200 || house.Links.Counters.Dials.Load() != dials {
-		t.Errorf("sent again: %d %s, %d new connections", status, body, house.Links.Counters.Dials.Load()-dials)
+	dials := house.Connections.Counters.Dials.Load()
+	if status, body := house.send(t, "once", "q"); status != 200 || house.Connections.Counters.Dials.Load() != dials {
+		t.Errorf("sent again: %d %s, %d new connections", status, body, house.Connections.Counters.Dials.Load()-dials)
 	}
 }
 
-// departed is a requester that has left before its request was read.
+// departed is a client that has left before its request was read.
 type departed struct {
-	lane   string
+	route  string
 	body   []byte
 	status int
 }
@@ -367,7 +367,7 @@
 func (departed *departed) Target() string { return "/v1/stream" }
 
 func (departed *departed) Header(name string) []string {
-	value := map[string]string{admission.HeaderLane: departed.lane, admission.HeaderModel: "m", admission.HeaderRequest: "q", admission.HeaderPrompt: "100", admission.HeaderAnswer: "10"}[name]
+	value := map[string]string{admission.HeaderRoute: departed.route, admission.HeaderModel: "m", admission.HeaderRequest: "q", admission.HeaderPrompt: "100", admission.HeaderAnswer: "10"}[name]
 	if value == "" {
 		return nil
 	}
@@ -397,7 +397,7 @@
 	works := hold()
 	house := build(t, start(t, "r1", works.answer("", events(1, done(1), true))))
 	client := house.ask(t, "free", "q")
-	within(t, "the runner works", works.begun)
+	within(t, "the runner works", works.started)
 	_ = client.CloseWrite()
 	within(t, "the runner is let go", works.cut)
 	response, err := io.ReadAll(client)
@@ -411,8 +411,8 @@
 	runner := start(t, "r1", events(3, done(3), true))
 	house := build(t, runner)
 	for number := range 200 {
-		lane := []string{"free", "once", "resumed"}[number%3]
-		client := house.ask(t, lane, fmt.Sprint("q", number))
+		route := []string{"free", "once", "resumed"}[number%3]
+		client := house.ask(t, route, fmt.Sprint("q", number))
 		for range number {
 			runtime.Gosched()
 		}
