--- a/proxy/course_test.go
+++ b/proxy/exchange_test.go
@@ -29,16 +29,16 @@
 	"wardtray/wire"
 )
 
-// plainSpeech takes a success that names no events for a whole answer, as platforms do whose answers are not all streams.
-type plainSpeech struct{ codec.Speech }
+// plainCodec takes a success that names no events for a whole answer, as platforms do whose answers are not all streams.
+type plainCodec struct{ codec.Codec }
 
-func (plain plainSpeech) Judge(response *fasthttp.Response, request *admission.Request, run codec.Run) codec.Word {
+func (plain plainCodec) Judge(response *fasthttp.Response, request *admission.Request, run codec.Run) codec.ResponseHead {
 	if response.StatusCode() == 500 {
-		return codec.Word{Said: codec.Failed}
+		return codec.ResponseHead{Disposition: codec.Failed}
 	}
-	word := plain.Speech.Judge(response, request, run)
-	if word.Said == codec.Runs && string(response.Header.ContentType()) != "text/event-stream" {
-		word.Said = codec.Ended
+	word := plain.Codec.Judge(response, request, run)
+	if word.Disposition == codec.Runs && string(response.Header.ContentType()) != "text/event-stream" {
+		word.Disposition = codec.Finished
 	}
 	return word
 }
@@ -122,7 +122,7 @@
 
 // house is a daemon's request side over scripted runners.
 type house struct {
-	*Yard
+	*Handler
 	address  string
 	snapshot *controller.Snapshot
 	told     []bool
@@ -144,21 +144,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := &house{departures: make(chan struct{}, 1024), snapshot: &controller.Snapshot{SpecEpoch: 1, Book: config.NewBook(parsed), Until: now.Add(time.Hour)}}
-	book := load.NewBook(now, "d")
+	made := &house{departures: make(chan struct{}, 1024), snapshot: &controller.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: now.Add(time.Hour)}}
+	table := load.NewTable(now, "d")
 	var lines []*wire.Runner
 	for _, runner := range runners {
 		lines = append(lines, &wire.Runner{RunnerId: runner.id, Address: runner.address, Zone: "a", Service: "s", State: "ready"})
 	}
-	book.List(now, lines)
+	table.List(now, lines)
 	daemons := func() []string { return []string{"d"} }
-	desk := scheduler.NewDesk(func(now time.Time) scheduler.Field {
-		return scheduler.Field{Runners: book.All(now, daemons()), Daemons: 1}
-	}, book, indexer, rand.New(rand.NewSource(1)))
-	made.Yard = &Yard{Name: "d", Zone: "a", Snapshot: func() *controller.Snapshot { return made.snapshot }, Daemons: daemons, Book: book,
-		World: netio.Real(nil), Renewed: func() <-chan struct{} { return nil }, Await: scheduler.Await,
+	desk := scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
+		return scheduler.Snapshot{Runners: table.All(now, daemons()), Daemons: 1}
+	}, table, indexer, rand.New(rand.NewSource(1)))
+	made.Handler = &Handler{Name: "d", Zone: "a", Snapshot: func() *controller.Snapshot { return made.snapshot }, Daemons: daemons, Loads: table,
+		Environment: netio.Real(nil), Renewed: func() <-chan struct{} { return nil }, Await: scheduler.Await,
 		Once: dedup.New(), Tell: func(_ dedup.Key, dropped bool) { made.told = append(made.told, dropped) },
-		Indexer: indexer, Links: connpool.New(netio.Real(nil), codec.Own{}.Identity()), Speech: codec.Own{}, Tally: metrics.New(), Desk: func(string) *scheduler.Desk { return desk }}
+		Indexer: indexer, Connections: connpool.New(netio.Real(nil), codec.Native{}.Identity()), Codec: codec.Native{}, Metrics: metrics.New(), Scheduler: func(string) *scheduler.Scheduler { return desk }}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,32 +181,32 @@
 	}
 }
 
-func (house *house) post(t *testing.T, lane string) (status int, body string) {
+func (house *house) post(t *testing.T, route string) (status int, body string) {
 	house.number++
-	return house.send(t, lane, fmt.Sprint("r", house.number))
+	return house.send(t, route, fmt.Sprint("r", house.number))
 }
 
-func (house *house) send(t *testing.T, lane, id string) (status int, body string) {
-	return house.sendWith(t, lane, id, nil)
+func (house *house) send(t *testing.T, route, id string) (status int, body string) {
+	return house.sendWith(t, route, id, nil)
 }
 
 // sendBody sends a prompt.
-func (house *house) sendBody(t *testing.T, lane, prompt string) (status int, body string) {
+func (house *house) sendBody(t *testing.T, route, prompt string) (status int, body string) {
 	house.number++
-	return house.sendAll(t, lane, fmt.Sprint("r", house.number), prompt, nil)
+	return house.sendAll(t, route, fmt.Sprint("r", house.number), prompt, nil)
 }
 
 // sendWith sends further headers, where they are not empty.
-func (house *house) sendWith(t *testing.T, lane, id string, more map[string]string) (status int, body string) {
-	return house.sendAll(t, lane, id, "x", more)
+func (house *house) sendWith(t *testing.T, route, id string, more map[string]string) (status int, body string) {
+	return house.sendAll(t, route, id, "x", more)
 }
 
-func (house *house) sendAll(t *testing.T, lane, id, prompt string, more map[string]string) (status int, body string) {
+func (house *house) sendAll(t *testing.T, route, id, prompt string, more map[string]string) (status int, body string) {
 	request, err := http.NewRequest("POST", "http://"+house.address+"/v1/stream", strings.NewReader(`{"prompt":"`+prompt+`"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, value := range map[string]string{admission.HeaderLane: lane, admission.HeaderModel: "m", admission.HeaderRequest: id, admission.HeaderPrompt: "100", admission.HeaderAnswer: "10"} {
+	for name, value := range map[string]string{admission.HeaderRoute: route, admission.HeaderModel: "m", admission.HeaderRequest: id, admission.HeaderPrompt: "100", admission.HeaderAnswer: "10"} {
 		request.Header.Set(name, value)
 	}
 	for name, value := range more {
@@ -234,7 +234,7 @@
 	}
 }
 
-// What a runner puts back goes to another, also on a lane that runs at most once: it surely did not start.
+// What a runner puts back goes to another, also on a route that runs at most once: it surely did not start.
 func TestPutBackGoesElsewhere(t *testing.T) {
 	first, second := start(t, "r1", putsBack, events(1, done(1), true)), start(t, "r2", putsBack, events(1, done(1), true))
 	house := build(t, first, second)
@@ -253,8 +253,8 @@
 	}
 }
 
-// A once lane's doubt is told as unknown, and no other runner ever sees the request.
-func TestDoubtIsNeverRepeatedOnOnceLanes(t *testing.T) {
+// A once route's doubt is told as unknown, and no other runner ever sees the request.
+func TestDoubtIsNeverRetriedOnOnceRoutes(t *testing.T) {
 	for name, step := range map[string]func(net.Conn, *http.Request){"hangs up": hangsUp, "fails": fails, "empty stream": events(0, "", false)} {
 		first, second := start(t, "r1", step), start(t, "r2", step)
 		house := build(t, first, second)
@@ -265,8 +265,8 @@
 	}
 }
 
-// A repeatable lane's doubt is repeated within the budget, and an answer in doubt stays one.
-func TestDoubtIsRepeatedWithinTheBudget(t *testing.T) {
+// A repeatable route's doubt is repeated within the budget, and an answer in doubt stays one.
+func TestDoubtIsRetriedWithinTheBudget(t *testing.T) {
 	first, second := start(t, "r1", hangsUp), start(t, "r2", hangsUp)
 	house := build(t, first, second)
 	if status, body := house.post(t, "free"); status != 504 || !strings.Contains(body, `"ran":"unknown"`) || first.reached.Load() != 1 || second.reached.Load() != 1 {
@@ -286,12 +286,12 @@
 		"break": "", "skip": "id: 4\nevent: token\ndata: {}\n\n" + done(4), "repeat": "id: 2\nevent: token\ndata: {}\n\n" + done(2),
 		"false count": "id: 3\nevent: done\ndata: {\"events\":5}\n\n", "strange": "id: 3\nevent: other\ndata: {}\n\n", "no number": "id: x\nevent: token\ndata: {}\n\n",
 	} {
-		for _, lane := range []string{"once", "free"} {
+		for _, route := range []string{"once", "free"} {
 			other := start(t, "r2", events(2, last, last != ""))
 			house := build(t, start(t, "r1", events(2, last, last != "")), other)
-			status, body := house.post(t, lane)
+			status, body := house.post(t, route)
 			if status != 200 || !strings.Contains(body, "id: 3\nevent: error") || strings.Contains(body, "event: done") || strings.Count(body, "event: token") != 2 {
-				t.Errorf("%s, %s: %d %s", name, lane, status, body)
+				t.Errorf("%s, %s: %d %s", name, route, status, body)
 			}
 		}
 	}
@@ -305,38 +305,40 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Book: config.NewBook(parsed), Until: time.Now().Add(time.Hour)}
+			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
 		}
 	}
 	text := `{"zones":[{"name":"a","closed":%v}],"pools":[{"name":"p","model":"m","weights":%q,"services":[%q]}],"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false}]}`
 	for name, disturb := range map[string]func(house *house){
-		"stale spec":   func(house *house) { house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book} },
+		"stale spec": func(house *house) {
+			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+		},
 		"closed zone":  change(fmt.Sprintf(text, true, "w", "s")),
 		"other serves": change(fmt.Sprintf(text, false, "w", "t")),
 		"new weights":  change(fmt.Sprintf(text, false, "v", "s")),
 		"draining": func(house *house) {
-			house.Book.List(time.Now(), []*wire.Runner{{RunnerId: "r1", Zone: "a", Service: "s", State: "draining"}})
+			house.Loads.List(time.Now(), []*wire.Runner{{RunnerId: "r1", Zone: "a", Service: "s", State: "draining"}})
 		},
 	} {
 		runner := start(t, "r1", events(1, done(1), true))
 		house := build(t, runner)
 		// The change comes between the award and the send: the connection is being made meanwhile.
-		course := &Course{yard: house.Yard, ctx: context.Background(), state: bidding, lane: *house.snapshot.Book.Lanes["once"], pool: *house.snapshot.Book.Pools["p"],
-			request: &admission.Request{Lane: "once", Model: "m"}, desk: house.Desk("p"), ticket: &scheduler.Ticket{Lane: "once"}}
-		course.step = scheduler.Step{Kind: scheduler.Pass, Runner: load.Runner{ID: "r1", Address: runner.address}}
-		course.to(passing)
+		exchange := &Exchange{handler: house.Handler, ctx: context.Background(), state: bidding, route: *house.snapshot.Catalog.Routes["once"], backend: *house.snapshot.Catalog.Backends["p"],
+			request: &admission.Request{Route: "once", Model: "m"}, scheduler: house.Scheduler("p"), queuedRequest: &scheduler.QueuedRequest{Route: "once"}}
+		exchange.step = scheduler.Decision{Kind: scheduler.Dispatch, Runner: load.Runner{ID: "r1", Address: runner.address}}
+		exchange.to(passing)
 		disturb(house)
-		if end := course.pass(); end != scheduler.NotSent || runner.reached.Load() != 0 {
+		if end := exchange.pass(); end != scheduler.NotSent || runner.reached.Load() != 0 {
 			t.Errorf("%s: %q, the runner saw %d", name, end, runner.reached.Load())
 		}
 	}
 }
 
-// The same request sent again on a lane that runs at most once: it is taken again only if it surely did not run.
+// The same request sent again on a route that runs at most once: it is taken again only if it surely did not run.
 func TestSameRequestAgain(t *testing.T) {
 	for name, trial := range map[string]struct {
 		script []func(net.Conn, *http.Request)
-		lane   string
+		route  string
 		second int
 		body   string
 		runs   int64
@@ -349,13 +351,13 @@
 	} {
 		runner := start(t, "r1", trial.script...)
 		house := build(t, runner)
-		house.send(t, trial.lane, "same")
-		house.Book.Served("r1")
-		status, body := house.send(t, trial.lane, "same")
+		house.send(t, trial.route, "same")
+		house.Loads.Served("r1")
+		status, body := house.send(t, trial.route, "same")
 		if status != trial.second || !strings.Contains(body, trial.body) || runner.reached.Load() != trial.runs {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
-		if told := map[string][]bool{"after put back": {false, true, false}, "on the other kind": nil}; name == "after put back" || trial.lane == "free" {
+		if told := map[string][]bool{"after put back": {false, true, false}, "on the other kind": nil}; name == "after put back" || trial.route == "free" {
 			if fmt.Sprint(house.told) != fmt.Sprint(told[name]) {
 				t.Errorf("%s: the zone was told %v", name, house.told)
 			}
@@ -368,16 +370,16 @@
 func TestLongRequestsAreLookedAtAgain(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
-	connection, err := house.Links.Take("r1", runner.address)
+	connection, err := house.Connections.Take("r1", runner.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	course := &Course{yard: house.Yard, ctx: context.Background(), state: bidding, lane: *house.snapshot.Book.Lanes["once"], pool: *house.snapshot.Book.Pools["p"], connection: connection,
-		request: &admission.Request{Lane: "once", Model: "m", Body: make([]byte, 100<<10)}, desk: house.Desk("p"), ticket: &scheduler.Ticket{Lane: "once"}}
-	course.step = scheduler.Step{Kind: scheduler.Pass, Runner: load.Runner{ID: "r1", Address: runner.address}}
-	course.to(passing)
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book}
-	if end := course.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
+	exchange := &Exchange{handler: house.Handler, ctx: context.Background(), state: bidding, route: *house.snapshot.Catalog.Routes["once"], backend: *house.snapshot.Catalog.Backends["p"], connection: connection,
+		request: &admission.Request{Route: "once", Model: "m", Body: make([]byte, 100<<10)}, scheduler: house.Scheduler("p"), queuedRequest: &scheduler.QueuedRequest{Route: "once"}}
+	exchange.step = scheduler.Decision{Kind: scheduler.Dispatch, Runner: load.Runner{ID: "r1", Address: runner.address}}
+	exchange.to(passing)
+	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+	if end := exchange.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
 		t.Fatalf("a long request went out whole under a spec that is not surely present; the runner saw %d", runner.reached.Load())
 	}
 }
@@ -385,9 +387,9 @@
 func TestImproperRequestsAreTypedAndSurelyNotRun(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
-	for lane, want := range map[string]int{"nowhere": 404, "": 400} {
-		if status, body := house.post(t, lane); status != want || !strings.Contains(body, scheduler.DidNotRun) || !strings.Contains(body, "remedy") {
-			t.Errorf("lane %q: %d %s", lane, status, body)
+	for route, want := range map[string]int{"nowhere": 404, "": 400} {
+		if status, body := house.post(t, route); status != want || !strings.Contains(body, scheduler.DidNotRun) || !strings.Contains(body, "remedy") {
+			t.Errorf("lane %q: %d %s", route, status, body)
 		}
 	}
 	house.snapshot = &controller.Snapshot{}
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -20,88 +20,88 @@
 )
 
 // comeback reckons when another try may help.
-func (course *Course) comeback(kind apierror.Kind) time.Duration {
-	reckons := map[apierror.Kind]func() time.Duration{
+func (exchange *Exchange) comeback(kind apierror.Code) time.Duration {
+	reckons := map[apierror.Code]func() time.Duration{
 		// A silence lasts, as far as can be known, about as long again as it has lasted.
 		apierror.NotServing: func() time.Duration {
 			// Another daemon is there at once for what comes to one that stops.
-			if course.yard.Draining.Load() {
+			if exchange.handler.Draining.Load() {
 				return elsewhereAfter
 			}
-			until := course.yard.Snapshot().Until
+			until := exchange.handler.Snapshot().Until
 			// One that has just begun is sure of its spec within a moment; there is no silence to reckon by yet.
-			if until.Before(course.yard.Begun) {
-				return max(controller.AskEvery, usualStart-course.now().Sub(course.yard.Begun))
+			if until.Before(exchange.handler.Started) {
+				return max(controller.AskEvery, usualStart-exchange.now().Sub(exchange.handler.Started))
 			}
-			return min(longestSilence, max(controller.AskEvery, course.now().Sub(until)))
+			return min(longestSilence, max(controller.AskEvery, exchange.now().Sub(until)))
 		},
-		apierror.NoRunner:       func() time.Duration { return course.desk.Comeback(course.now(), course.ticket) },
-		apierror.OutcomeUnknown: func() time.Duration { return course.desk.Comeback(course.now(), course.ticket) },
+		apierror.NoRunner:       func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
+		apierror.OutcomeUnknown: func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
 	}
 	reckon := reckons[kind]
-	if reckon == nil || kind == apierror.OutcomeUnknown && !course.lane.Repeatable {
+	if reckon == nil || kind == apierror.OutcomeUnknown && !exchange.route.Idempotent {
 		return 0
 	}
 	return reckon()
 }
 
 // ran keeps a doubt once there is one, and what is known of the request from before.
-func (course *Course) ran(said string) string {
-	if word := ranWords[course.said]; word != "" {
+func (exchange *Exchange) ran(said string) string {
+	if word := ranWords[exchange.said]; word != "" {
 		return word
 	}
 	// What was relayed did run.
-	if course.doubted || course.relayed {
+	if exchange.ambiguous || exchange.relayed {
 		return scheduler.Unknown
 	}
 	return said
 }
 
-// refusedStep counts and tells what the desk decided.
-func (course *Course) refusedStep() *codec.Refusal {
-	late := course.now().Sub(course.begun) > 50*time.Millisecond
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) {
+// refusedStep counts and tells what the scheduler decided.
+func (exchange *Exchange) refusedStep() *codec.Refusal {
+	late := exchange.now().Sub(exchange.started) > 50*time.Millisecond
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) {
 		if late {
-			lane.Late++
+			route.Late++
 		} else {
-			lane.Early++
+			route.Early++
 		}
 	})
-	return course.refusal(course.step.Fault, course.step.Reason, scheduler.DidNotRun, course.step.RetryAfter)
+	return exchange.refusal(exchange.step.Fault, exchange.step.Reason, scheduler.DidNotRun, exchange.step.RetryAfter)
 }
 
-// refusalOf tells what a fault means for the requester.
-func (course *Course) refusalOf(err error) *codec.Refusal {
+// refusalOf tells what a fault means for the client.
+func (exchange *Exchange) refusalOf(err error) *codec.Refusal {
 	found := apierror.Of(err)
-	return course.refusal(found.Kind, found.Detail, scheduler.DidNotRun, course.comeback(found.Kind))
+	return exchange.refusal(found.Code, found.Detail, scheduler.DidNotRun, exchange.comeback(found.Code))
 }
 
 // refusal gives what to tell of a request that gets no stream, or no more of one.
-func (course *Course) refusal(kind apierror.Kind, detail, ran string, retry time.Duration) *codec.Refusal {
-	ran = course.ran(ran)
-	// Whatever ended this attempt, an earlier one may have run, and that is what the requester must know.
-	if course.doubted && kind != apierror.RequesterGone {
+func (exchange *Exchange) refusal(kind apierror.Code, detail, ran string, retry time.Duration) *codec.Refusal {
+	ran = exchange.ran(ran)
+	// Whatever ended this attempt, an earlier one may have run, and that is what the client must know.
+	if exchange.ambiguous && kind != apierror.ClientGone {
 		kind = apierror.OutcomeUnknown
 	}
-	if course.relayed && kind != apierror.RequesterGone {
+	if exchange.relayed && kind != apierror.ClientGone {
 		kind, retry = apierror.RunFailed, 0
 	}
-	return &codec.Refusal{Kind: kind, Detail: detail, Ran: ran, Retry: retry, DidNotRun: ran == scheduler.DidNotRun, Late: course.over()}
+	return &codec.Refusal{Kind: kind, Detail: detail, Ran: ran, Retry: retry, DidNotRun: ran == scheduler.DidNotRun, Late: exchange.over()}
 }
 
 // refuse ends a course without a stream.
-func (course *Course) refuse(refusal codec.Refusal) {
-	course.to(ended)
+func (exchange *Exchange) refuse(refusal codec.Refusal) {
+	exchange.to(finished)
 	if refusal.DidNotRun {
-		course.uncharge()
+		exchange.uncharge()
 	}
-	course.settle(map[bool]dedup.State{true: "", false: dedup.Unknown}[refusal.DidNotRun])
-	if course.desk != nil {
-		course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.Ends[string(refusal.Kind)]++ })
+	exchange.settle(map[bool]dedup.State{true: "", false: dedup.Unknown}[refusal.DidNotRun])
+	if exchange.scheduler != nil {
+		exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Ends[string(refusal.Kind)]++ })
 	}
-	if course.left() {
-		course.requester.Last()
+	if exchange.left() {
+		exchange.client.Last()
 	}
-	course.yard.Speech.Refuse(course.requester, course.request, refusal)
-	course.close()
+	exchange.handler.Codec.Refuse(exchange.client, exchange.request, refusal)
+	exchange.close()
 }
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -17,11 +17,11 @@
 // errBrokenOff ends an answer that is not whole.
 var errBrokenOff = errors.New("the run broke off")
 
-// relay is the body of an answer: whole events, each passed on as it comes, out of one run or, where the lane
+// relay is the body of an answer: whole events, each passed on as it comes, out of one run or, where the route
 // may be resumed, out of several that go on behind one another.
 type relay struct {
-	course  *Course
-	pending []byte
+	exchange *Exchange
+	pending  []byte
 	// ending is what follows when pending is through: nil while the run goes on; conclude then ends the course, once.
 	ending    error
 	conclude  func()
@@ -43,7 +43,7 @@
 	return count, nil
 }
 
-// Close is called when the answer is through, or its requester gone.
+// Close is called when the answer is through, or its client gone.
 func (relay *relay) Close() error {
 	if relay.ending == nil {
 		relay.leftBehind()
@@ -52,12 +52,12 @@
 	return nil
 }
 
-// leftBehind ends a run whose requester has gone, or has it go on to its end where that is worth knowing.
+// leftBehind ends a run whose client has gone, or has it go on to its end where that is worth knowing.
 func (relay *relay) leftBehind() {
-	course := relay.course
-	course.leave()
-	if course.lane.Cancels() {
-		relay.conclude = func() { course.finish(endGone, false) }
+	exchange := relay.exchange
+	exchange.leave()
+	if exchange.route.Cancels() {
+		relay.conclude = func() { exchange.finish(endGone, false) }
 		return
 	}
 	for relay.ending == nil {
@@ -74,12 +74,12 @@
 
 // fetch takes the next event, and those that wait behind it.
 func (relay *relay) fetch() {
-	course := relay.course
+	exchange := relay.exchange
 	relay.pending = relay.pending[:0]
-	for event := course.first; ; course.first.Raw = nil {
-		if event = course.first; event.Raw == nil {
-			_ = course.connection.SetDeadline(course.now().Add(course.pauseBound()))
-			next, err := course.reader.Next()
+	for event := exchange.first; ; exchange.first.Raw = nil {
+		if event = exchange.first; event.Raw == nil {
+			_ = exchange.connection.SetDeadline(exchange.now().Add(exchange.pauseBound()))
+			next, err := exchange.reader.Next()
 			if err != nil {
 				relay.stopped(err)
 				return
@@ -87,15 +87,15 @@
 			event = next
 		}
 		relay.pending = append(relay.pending, event.Raw...)
-		course.after = event.ID
-		course.pace()
-		course.across += len(event.Raw)
-		if event.Done() && course.yard.Speech.Rules().Counted {
+		exchange.after = event.ID
+		exchange.pace()
+		exchange.across += len(event.Raw)
+		if event.Done() && exchange.handler.Codec.Rules().Counted {
 			relay.whole()
 			return
 		}
-		if len(relay.pending) >= pieceSize || !course.reader.Ready() {
-			course.first.Raw = nil
+		if len(relay.pending) >= pieceSize || !exchange.reader.Ready() {
+			exchange.first.Raw = nil
 			return
 		}
 	}
@@ -103,115 +103,115 @@
 
 // whole ends a run that gave its own end.
 func (relay *relay) whole() {
-	relay.ending, relay.conclude = io.EOF, func() { relay.course.finish(endDone, true) }
+	relay.ending, relay.conclude = io.EOF, func() { relay.exchange.finish(endDone, true) }
 }
 
 // stopped looks what may follow a run that gives no more events.
 func (relay *relay) stopped(err error) {
-	course := relay.course
+	exchange := relay.exchange
 	if err == io.EOF {
 		relay.whole()
 		return
 	}
-	if course.left() {
-		relay.conclude, relay.ending = func() { course.finish(endGone, false) }, errBrokenOff
+	if exchange.left() {
+		relay.conclude, relay.ending = func() { exchange.finish(endGone, false) }, errBrokenOff
 		return
 	}
-	course.blame("broke off a stream")
-	verdict := course.following(scheduler.Broken)
+	exchange.blame("broke off a stream")
+	verdict := exchange.following(scheduler.Broken)
 	refusal := &codec.Refusal{Kind: verdict.Otherwise, Detail: apierror.Of(err).Detail, Ran: verdict.Ran}
-	relay.conclude = func() { course.finish(string(apierror.RunFailed), false) }
-	if verdict.Again && course.mayTry() && !course.over() {
-		refusal = course.resume()
+	relay.conclude = func() { exchange.finish(string(apierror.RunFailed), false) }
+	if verdict.Retry && exchange.mayTry() && !exchange.over() {
+		refusal = exchange.resume()
 		if refusal == nil {
 			return
 		}
-		relay.conclude = func() { course.abandon(refusal.Kind) }
+		relay.conclude = func() { exchange.abandon(refusal.Kind) }
 	}
 	relay.ending = errBrokenOff
 	// A speech that tells in its own words that the stream is not whole ends it in order.
-	if told := course.yard.Speech.Broken(course.after, *refusal); len(told) > 0 {
+	if told := exchange.handler.Codec.Broken(exchange.after, *refusal); len(told) > 0 {
 		relay.pending, relay.ending = append(relay.pending, told...), io.EOF
 	}
 }
 
 // resume has the run go on at another runner behind the last whole event that was relayed; otherwise it tells why not.
-func (course *Course) resume() *codec.Refusal {
-	course.drop()
-	// The first event came long ago; the rest is bid for anew, with the patience and the time that are left.
-	shut := course.ticket.Bid.Shut
-	course.draw()
-	shut[course.step.Runner.ID] = true
-	course.ticket.Bid.Shut, course.ticket.Bid.Deadline = shut, course.remaining()
-	refusal := course.obtain(scheduler.Broken)
+func (exchange *Exchange) resume() *codec.Refusal {
+	exchange.drop()
+	// The first event came long ago; the rest is bid for anew, with the latency target and the time that are left.
+	shut := exchange.queuedRequest.Requirements.Shut
+	exchange.draw()
+	shut[exchange.step.Runner.ID] = true
+	exchange.queuedRequest.Requirements.Shut, exchange.queuedRequest.Requirements.Deadline = shut, exchange.remaining()
+	refusal := exchange.obtain(scheduler.Broken)
 	if refusal == nil {
-		course.firstSeen()
-		course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.Resumed++ })
+		exchange.firstSeen()
+		exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Resumed++ })
 	}
 	return refusal
 }
 
 // abandon ends a course that was relayed in part and holds no runner any more.
-func (course *Course) abandon(kind apierror.Kind) {
-	course.to(ended)
-	course.settle(dedup.Unknown)
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) { lane.Ends[string(kind)]++ })
-	course.close()
+func (exchange *Exchange) abandon(kind apierror.Code) {
+	exchange.to(finished)
+	exchange.settle(dedup.Unknown)
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Ends[string(kind)]++ })
+	exchange.close()
 }
 
 // pacedEvents is after how many events the pace of an answer is taken in.
 const pacedEvents = 4
 
 // pace counts an event that is relayed, and takes in how long the last few took.
-func (course *Course) pace() {
-	course.events++
-	if course.pacedAt.IsZero() {
-		course.paced, course.pacedAt = course.events, course.now()
+func (exchange *Exchange) pace() {
+	exchange.events++
+	if exchange.pacedAt.IsZero() {
+		exchange.paced, exchange.pacedAt = exchange.events, exchange.now()
 		return
 	}
-	if fresh := course.events - course.paced; fresh >= pacedEvents {
-		now := course.now()
-		course.desk.Paced(fresh*course.eventTokens(), now.Sub(course.pacedAt))
-		course.paced, course.pacedAt = course.events, now
+	if fresh := exchange.events - exchange.paced; fresh >= pacedEvents {
+		now := exchange.now()
+		exchange.scheduler.Paced(fresh*exchange.eventTokens(), now.Sub(exchange.pacedAt))
+		exchange.paced, exchange.pacedAt = exchange.events, now
 	}
 }
 
 // eventTokens is how many tokens an event stands for.
-func (course *Course) eventTokens() int { return max(1, course.pool.Engine.EventTokens) }
+func (exchange *Exchange) eventTokens() int { return max(1, exchange.backend.Engine.EventTokens) }
 
 // relay passes the run on, beginning with the event that showed that it runs.
-func (course *Course) relay() {
-	course.firstSeen()
-	if course.yard.Draining.Load() {
-		course.requester.Last()
-	}
-	status, headers := course.yard.Speech.Head(course.response, course.request, course.run())
-	if course.reader == nil {
-		course.requester.Answer(status, headers, course.body)
-		course.finish(endDone, true)
+func (exchange *Exchange) relay() {
+	exchange.firstSeen()
+	if exchange.handler.Draining.Load() {
+		exchange.client.Last()
+	}
+	status, headers := exchange.handler.Codec.Head(exchange.response, exchange.request, exchange.run())
+	if exchange.reader == nil {
+		exchange.client.Answer(status, headers, exchange.body)
+		exchange.finish(endDone, true)
 		return
 	}
-	course.relayed = true
-	course.requester.Stream(status, headers, &relay{course: course})
+	exchange.relayed = true
+	exchange.client.Stream(status, headers, &relay{exchange: exchange})
 }
 
-func (course *Course) firstSeen() {
-	if course.connection != nil {
-		course.connection.Answered()
+func (exchange *Exchange) firstSeen() {
+	if exchange.connection != nil {
+		exchange.connection.Answered()
 	}
-	took, runner := course.now().Sub(course.sentAt), course.step.Runner
+	took, runner := exchange.now().Sub(exchange.sentAt), exchange.step.Runner
 	// A failure of the runner's own is passed on, and is no reason to send it more at once.
-	if course.word.Said != codec.Failed {
-		course.yard.Book.Served(runner.ID)
-	}
-	course.desk.First(course.ticket, course.step, took)
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) {
-		lane.First(course.now().Sub(course.begun))
-		lane.HeldTokens += uint64(course.step.HeldTokens)
-		lane.PromptTokens += uint64(course.request.PromptTokens)
-		if runner.Zone != course.yard.Zone {
-			lane.OtherZone++
-			lane.BytesAcross += uint64(len(course.request.Body))
+	if exchange.word.Disposition != codec.Failed {
+		exchange.handler.Loads.Served(runner.ID)
+	}
+	exchange.scheduler.First(exchange.queuedRequest, exchange.step, took)
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) {
+		route.First(exchange.now().Sub(exchange.started))
+		route.HeldTokens += uint64(exchange.step.HeldTokens)
+		route.PromptTokens += uint64(exchange.request.PromptTokens)
+		if runner.Zone != exchange.handler.Zone {
+			route.OtherZone++
+			route.BytesAcross += uint64(len(exchange.request.Body))
 		}
 	})
 }
@@ -220,29 +220,29 @@
 var outcomes = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
 
 // finish ends a course that was relayed.
-func (course *Course) finish(end string, ran bool) {
-	course.to(ended)
+func (exchange *Exchange) finish(end string, ran bool) {
+	exchange.to(finished)
 	if whole := ran; whole {
-		if course.reader != nil && course.yard.Speech.Rules().Counted {
-			_ = course.connection.SetDeadline(course.now().Add(tailBound))
-			whole = course.reader.End()
+		if exchange.reader != nil && exchange.handler.Codec.Rules().Counted {
+			_ = exchange.connection.SetDeadline(exchange.now().Add(tailBound))
+			whole = exchange.reader.End()
 		}
-		if whole && !course.word.Closes {
-			course.yard.Links.Keep(course.connection, course.word.Keep)
-			course.connection = nil
+		if whole && !exchange.word.Closes {
+			exchange.handler.Connections.Keep(exchange.connection, exchange.word.Keep)
+			exchange.connection = nil
 		}
-		course.desk.Learn(0, 0, course.now().Sub(course.sentAt))
+		exchange.scheduler.Learn(0, 0, exchange.now().Sub(exchange.sentAt))
 	}
-	course.settle(outcomes[ran])
-	course.drop()
-	course.yard.Tally.Count(course.lane.Name, func(lane *metrics.Lane) {
-		lane.Ends[end]++
+	exchange.settle(outcomes[ran])
+	exchange.drop()
+	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) {
+		route.Ends[end]++
 		if end == endDone {
-			lane.Done++
+			route.Done++
 		}
-		if course.step.Runner.Zone != course.yard.Zone {
-			lane.BytesAcross += uint64(course.across)
+		if exchange.step.Runner.Zone != exchange.handler.Zone {
+			route.BytesAcross += uint64(exchange.across)
 		}
 	})
-	course.close()
+	exchange.close()
 }
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -55,10 +55,10 @@
 	return strings.Join(found, " ")
 }
 
-// A stream of a lane that may be resumed goes on behind its last whole event, at runners that have not had it yet.
+// A stream of a route that may be resumed goes on behind its last whole event, at runners that have not had it yet.
 func TestBrokenStreamGoesOnAtAnotherRunner(t *testing.T) {
 	for name, trial := range map[string]struct {
-		lane    string
+		route   string
 		scripts [][]func(net.Conn, *http.Request)
 		ids     string
 		whole   bool
@@ -80,7 +80,7 @@
 			runners[place] = start(t, fmt.Sprint("r", place), script...)
 		}
 		house := build(t, runners...)
-		status, body := house.post(t, trial.lane)
+		status, body := house.post(t, trial.route)
 		sends := int64(0)
 		for _, runner := range runners {
 			sends += runner.reached.Load()
@@ -109,7 +109,7 @@
 func TestNothingButEventsFollowsEvents(t *testing.T) {
 	first, second := start(t, "r1", goesOn("a", 2, 5), plainly), start(t, "r2", goesOn("a", 2, 5), plainly)
 	house := build(t, first, second)
-	house.Speech = plainSpeech{house.Speech}
+	house.Codec = plainCodec{house.Codec}
 	if status, body := house.post(t, "resumed"); status != 200 || strings.Contains(body, "all of it") || !strings.Contains(body, "event: error") {
 		t.Errorf("%d %s", status, body)
 	}
@@ -119,17 +119,17 @@
 func TestFailingRunnerIsLeftAlone(t *testing.T) {
 	failing := start(t, "r1", fails)
 	house := build(t, failing)
-	house.Speech = plainSpeech{house.Speech}
-	begun := time.Now()
+	house.Codec = plainCodec{house.Codec}
+	started := time.Now()
 	if status, body := house.post(t, "once"); status != 200 || !strings.Contains(body, "oh") {
 		t.Errorf("%d %s", status, body)
 	}
-	if runner, _ := house.Book.One(begun, "r1", house.Daemons()); runner.Usable || failing.reached.Load() != 1 {
+	if runner, _ := house.Loads.One(started, "r1", house.Daemons()); runner.Usable || failing.reached.Load() != 1 {
 		t.Errorf("the runner is still used: %+v", runner)
 	}
 }
 
-// The lane's deadline and the requester's, the sooner of the two, end whatever is waited for.
+// The route's deadline and the client's, the sooner of the two, end whatever is waited for.
 func TestDeadlineEndsEveryWait(t *testing.T) {
 	silent := func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) }
 	stalls := func(connection net.Conn, _ *http.Request) {
@@ -138,10 +138,10 @@
 		_, _ = io.Copy(io.Discard, connection)
 	}
 	for name, trial := range map[string]struct {
-		script     func(net.Conn, *http.Request)
-		lane, wait string
-		status     int
-		says       string
+		script      func(net.Conn, *http.Request)
+		route, wait string
+		status      int
+		says        string
 	}{
 		"silent, the lane's":       {silent, "short", "", 504, `"ran":"unknown"`},
 		"silent, the requester's":  {silent, "once", "150", 504, `"ran":"unknown"`},
@@ -151,39 +151,39 @@
 		"stalled, may be resumed":  {stalls, "resumed", "150", 200, "event: error"},
 	} {
 		house := build(t, start(t, "r1", trial.script))
-		begun := time.Now()
-		status, body := house.sendWith(t, trial.lane, "d", map[string]string{admission.HeaderWait: trial.wait})
-		if took := time.Since(begun); status != trial.status || !strings.Contains(body, trial.says) || took < 140*time.Millisecond || took > 2*time.Second {
+		started := time.Now()
+		status, body := house.sendWith(t, trial.route, "d", map[string]string{admission.HeaderWait: trial.wait})
+		if took := time.Since(started); status != trial.status || !strings.Contains(body, trial.says) || took < 140*time.Millisecond || took > 2*time.Second {
 			t.Errorf("%s: %d %s after %v", name, status, body, took)
 		}
 	}
 }
 
-// A stream that breaks long after its patience is still gone on with, also where a moment has to be waited for its next runner.
+// A stream that breaks long after its latency target is still gone on with, also where a moment has to be waited for its next runner.
 func TestLongStreamGoesOnAfterAWait(t *testing.T) {
 	second := start(t, "r2", goesOn("b", 9, 5))
 	var passed atomic.Int64
 	var daemon *house
 	first := start(t, "r1", func(connection net.Conn, request *http.Request) {
 		passed.Store(int64(time.Minute))
-		now := daemon.World.Now()
-		daemon.Book.List(now, []*wire.Runner{{RunnerId: "r1", Address: connection.LocalAddr().String(), Zone: "a", Service: "s", State: "ready"},
+		now := daemon.Environment.Now()
+		daemon.Loads.List(now, []*wire.Runner{{RunnerId: "r1", Address: connection.LocalAddr().String(), Zone: "a", Service: "s", State: "ready"},
 			{RunnerId: "r2", Address: second.address, Zone: "a", Service: "s", State: "ready"}})
-		daemon.Book.Failed(now, "r2", "failed a moment ago")
+		daemon.Loads.Failed(now, "r2", "failed a moment ago")
 		daemon.credit(now)
 		goesOn("a", 2, 5)(connection, request)
 	})
 	daemon = build(t, first)
-	daemon.World.Now = func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
-	ticker, ended := time.NewTicker(5*time.Millisecond), make(chan struct{})
+	daemon.Environment.Now = func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
+	ticker, finished := time.NewTicker(5*time.Millisecond), make(chan struct{})
 	defer ticker.Stop()
-	defer close(ended)
+	defer close(finished)
 	go func() {
 		for {
 			select {
 			case <-ticker.C:
-				daemon.Desk("p").Settle(daemon.World.Now())
-			case <-ended:
+				daemon.Scheduler("p").Rebalance(daemon.Environment.Now())
+			case <-finished:
 				return
 			}
 		}
@@ -199,21 +199,21 @@
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
 	sure := house.snapshot
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Book: sure.Book}
-	begun := time.Now()
-	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(begun) > sureBound/2 {
-		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(begun))
+	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
+	started := time.Now()
+	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(started) > sureBound/2 {
+		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(started))
 	}
 	house.snapshot = sure
-	var terms []netio.Terms
-	world := netio.Real(nil)
-	world.Dial = func(_ context.Context, _ string, given netio.Terms) (netio.Conn, error) {
+	var terms []netio.Timeouts
+	environment := netio.Real(nil)
+	environment.Dial = func(_ context.Context, _ string, given netio.Timeouts) (netio.Conn, error) {
 		terms = append(terms, given)
 		return nil, io.ErrClosedPipe
 	}
-	house.Links = connpool.New(world, codec.Own{}.Identity())
+	house.Connections = connpool.New(environment, codec.Native{}.Identity())
 	house.sendWith(t, "once", "dials", map[string]string{admission.HeaderWait: "100"})
-	house.Book.Served("r1")
+	house.Loads.Served("r1")
 	house.send(t, "once", "dials in peace")
 	if len(terms) != 2 || terms[0].Dial > 100*time.Millisecond || terms[0].Dial <= 0 || terms[1].Dial <= 100*time.Millisecond {
 		t.Errorf("terms of dialing: %+v", terms)
@@ -223,7 +223,7 @@
 // A request that waits for a sure spec goes on at the renewal, not at a poll some time after it.
 func TestRenewalEndsTheWaitForASureSpec(t *testing.T) {
 	house := build(t, start(t, "r1", events(1, done(1), true)))
-	unsure := &controller.Snapshot{SpecEpoch: 1, Book: house.snapshot.Book}
+	unsure := &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 	sure := house.snapshot
 	var present atomic.Pointer[controller.Snapshot]
 	present.Store(unsure)
@@ -231,7 +231,7 @@
 	var woken time.Duration
 	house.Snapshot = present.Load
 	house.Renewed = func() <-chan struct{} { return renewed }
-	house.World.Wait = func(_ context.Context, length time.Duration, channel <-chan struct{}) {
+	house.Environment.Wait = func(_ context.Context, length time.Duration, channel <-chan struct{}) {
 		if channel != (<-chan struct{})(renewed) {
 			t.Error("the wait does not end with the renewal")
 		}
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -24,12 +24,12 @@
 	} {
 		runner := start(t, "r1", events(3, done(3), true))
 		house := build(t, runner)
-		house.Desk("p").Paced(answer, answer*trial.token)
+		house.Scheduler("p").Paced(answer, answer*trial.token)
 		house.Draining.Store(trial.draining)
 		if by := time.Now().Add(trial.left); trial.draining && trial.left != 0 {
 			house.StopBy.Store(&by)
 		}
-		// The lane's patience is 2 s, within which the first event may come.
+		// The route's latency target is 2 s, within which the first event may come.
 		status, body := house.post(t, "once")
 		if status != trial.status || (runner.reached.Load() > 0) != (status == 200) {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
--- a/proxy/stream/stream.go
+++ b/proxy/stream/stream.go
@@ -48,10 +48,10 @@
 
 // Reader reads the events of one run.
 type Reader struct {
-	source *bufio.Reader
-	rules  Rules
-	last   int
-	ended  bool
+	source   *bufio.Reader
+	rules    Rules
+	last     int
+	finished bool
 }
 
 // NewReader reads from the body of a runner's answer; last is the id after which it begins.
@@ -71,7 +71,7 @@
 
 // Ready tells whether a whole event is here already, so that taking it makes nobody wait.
 func (reader *Reader) Ready() bool {
-	if reader.ended || reader.source.Buffered() == 0 {
+	if reader.finished || reader.source.Buffered() == 0 {
 		return false
 	}
 	held, _ := reader.source.Peek(reader.source.Buffered())
@@ -88,7 +88,7 @@
 // Next gives the next event, or io.EOF after a run that ended whole. Anything out of order, too long or cut
 // short is a RunFailed fault.
 func (reader *Reader) Next() (Event, error) {
-	if reader.ended {
+	if reader.finished {
 		if reader.rules.Counted {
 			return Event{}, apierror.New(apierror.RunFailed, "something follows the last event")
 		}
@@ -100,7 +100,7 @@
 	}
 	// A comment, or a line of the runner's own, is passed on and counts for nothing. What follows the last blank line
 	// belongs to the body and is passed on with it, in its order.
-	if !reader.rules.Counted && (event.id == nil || !reader.ended && event.empty()) {
+	if !reader.rules.Counted && (event.id == nil || !reader.finished && event.empty()) {
 		event.ID = reader.last
 		return event, nil
 	}
@@ -112,7 +112,7 @@
 	event := Event{}
 	for {
 		line, err := reader.takeLine(&event)
-		if err != nil || reader.ended {
+		if err != nil || reader.finished {
 			return event, err
 		}
 		if len(line) > 0 {
@@ -129,11 +129,11 @@
 // takeLine adds the next line to an event's own bytes and gives it without its end. Where the end of the body is the end
 // of the run, it marks the reader as ended, and gives io.EOF if the event has no bytes.
 func (reader *Reader) takeLine(event *Event) ([]byte, error) {
-	begun := len(event.Raw)
+	started := len(event.Raw)
 	raw, err := reader.line(event.Raw)
 	event.Raw = raw
 	if err == io.EOF && !reader.rules.Counted {
-		reader.ended = true
+		reader.finished = true
 		if len(event.Raw) == 0 {
 			return nil, io.EOF
 		}
@@ -145,7 +145,7 @@
 	if len(event.Raw) > MaximumEvent {
 		return nil, apierror.New(apierror.RunFailed, "an event of more than %d bytes", MaximumEvent)
 	}
-	return bytes.TrimRight(raw[begun:], "\r\n"), nil
+	return bytes.TrimRight(raw[started:], "\r\n"), nil
 }
 
 // add takes in one line of an event.
@@ -189,7 +189,7 @@
 		if err := json.Unmarshal(event.Data, &said); err != nil || said.Events != event.ID-1 {
 			return Event{}, apierror.New(apierror.RunFailed, "the last event speaks of %d events; %d came", said.Events, event.ID-1)
 		}
-		reader.ended = true
+		reader.finished = true
 	}
 	return event, nil
 }
@@ -202,13 +202,13 @@
 
 // line puts the next line with its end behind what was read before.
 func (reader *Reader) line(raw []byte) ([]byte, error) {
-	for begun := len(raw); ; {
+	for started := len(raw); ; {
 		part, err := reader.source.ReadSlice('\n')
 		raw = append(raw, part...)
 		if err != bufio.ErrBufferFull {
 			return raw, err
 		}
-		if len(raw)-begun > MaximumEvent {
+		if len(raw)-started > MaximumEvent {
 			return raw, apierror.New(apierror.RunFailed, "a line of more than %d bytes", MaximumEvent)
 		}
 	}
--- a/proxy/stream/stream_fuzz_test.go
+++ b/proxy/stream/stream_fuzz_test.go
@@ -39,7 +39,7 @@
 }
 
 // checkEvents holds what was read to the bytes that it was read from.
-func checkEvents(t *testing.T, content []byte, events []Event, rules Rules, last int, ended bool) {
+func checkEvents(t *testing.T, content []byte, events []Event, rules Rules, last int, finished bool) {
 	t.Helper()
 	rest := content
 	for _, event := range events {
@@ -54,7 +54,7 @@
 		}
 		rest = rest[len(event.Raw):]
 	}
-	if ended && !rules.Counted && len(rest) > 0 {
+	if finished && !rules.Counted && len(rest) > 0 {
 		t.Fatalf("%q: %q was left out", content, rest)
 	}
 }
--- a/proxy/stream/stream_test.go
+++ b/proxy/stream/stream_test.go
@@ -44,7 +44,7 @@
 		// What Ready tells must not change what follows.
 		ready := reader.Ready()
 		event, err := reader.Next()
-		if ready && err != nil && apierror.Of(err).Kind != apierror.RunFailed {
+		if ready && err != nil && apierror.Of(err).Code != apierror.RunFailed {
 			return events, fmt.Errorf("an event was ready, and then: %w", err)
 		}
 		if err != nil {
--- a/proxy/taken.go
+++ b/proxy/taken.go
@@ -10,41 +10,41 @@
 
 // take notes a request that must run at most once, before anything else can be said of it; it gives what
 // is known if it was sent before.
-func (course *Course) take() dedup.State {
-	if course.request.Fresh {
+func (exchange *Exchange) take() dedup.State {
+	if exchange.request.Fresh {
 		return ""
 	}
-	key := dedup.KeyOf(course.request.Lane, course.request.ID)
-	if course.said = course.yard.Once.Look(key); course.said != "" {
-		return course.said
+	key := dedup.KeyOf(exchange.request.Route, exchange.request.ID)
+	if exchange.said = exchange.handler.Once.Look(key); exchange.said != "" {
+		return exchange.said
 	}
-	book := course.yard.Snapshot().Book
-	if book == nil {
+	catalog := exchange.handler.Snapshot().Catalog
+	if catalog == nil {
 		return ""
 	}
-	if lane := laneOf(book, course.request); lane == nil || lane.Repeatable {
+	if route := routeOf(catalog, exchange.request); route == nil || route.Idempotent {
 		return ""
 	}
-	known, fresh := course.yard.Once.Begin(course.now(), key)
+	known, fresh := exchange.handler.Once.Begin(exchange.now(), key)
 	if fresh {
-		course.key = &key
+		exchange.key = &key
 	}
-	course.said = known
+	exchange.said = known
 	return known
 }
 
 // settle notes how a request that must run at most once ended.
-func (course *Course) settle(state dedup.State) {
-	if course.key == nil {
+func (exchange *Exchange) settle(state dedup.State) {
+	if exchange.key == nil {
 		return
 	}
 	if state != "" {
-		course.yard.Once.End(course.now(), *course.key, state)
+		exchange.handler.Once.End(exchange.now(), *exchange.key, state)
 		return
 	}
 	// What surely did not run may be sent again, here and elsewhere in the zone.
-	course.yard.Once.Drop(*course.key)
-	if course.told {
-		course.yard.Tell(*course.key, true)
+	exchange.handler.Once.Drop(*exchange.key)
+	if exchange.told {
+		exchange.handler.Tell(*exchange.key, true)
 	}
 }
--- a/proxy/tenant_test.go
+++ b/proxy/tenant_test.go
@@ -15,17 +15,17 @@
 )
 
 // tenants gives a house two tenants, of which one has a quota; it answers each question for tokens by a function.
-func (house *house) tenants(t *testing.T, issue func(claims []quota.Claim) []quota.Share) {
+func (house *house) tenants(t *testing.T, issue func(claims []quota.TenantReport) []quota.Share) {
 	t.Helper()
-	spec := *house.snapshot.Book.Spec
+	spec := *house.snapshot.Catalog.Spec
 	spec.Tenants = []config.Tenant{{Name: "limited", Keys: []string{"limited-key"}, Quota: config.Quota{Rate: 1000, Burst: 1000, Tokens: true}},
 		{Name: "free", Keys: []string{"free-key"}}}
-	house.snapshot = &controller.Snapshot{SpecEpoch: 2, Book: config.NewBook(&spec), Until: time.Now().Add(time.Hour)}
+	house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(&spec), Until: time.Now().Add(time.Hour)}
 	var number atomic.Uint64
-	house.Quota = quota.NewHolder()
+	house.Quota = quota.NewLimiter()
 	house.AskQuota = func() {
 		now, asked := time.Now(), number.Add(1)
-		claims := house.Quota.Claims(now, asked)
+		claims := house.Quota.TenantReports(now, asked)
 		if issue != nil {
 			house.Quota.Granted(now, asked, time.Minute, issue(claims))
 		}
@@ -44,7 +44,7 @@
 	events(1, done(1), true)(connection, request)
 }
 
-func TestOnlyKnownKeysOpenALane(t *testing.T) {
+func TestOnlyKnownKeysOpenARoute(t *testing.T) {
 	kept := &headers{}
 	runner := start(t, "r1", kept.answer)
 	house := build(t, runner)
@@ -72,15 +72,15 @@
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
 	house.tenants(t, nil)
-	former := house.World.Now
-	revoked := *house.snapshot.Book.Spec
+	previous := house.Environment.Now
+	revoked := *house.snapshot.Catalog.Spec
 	revoked.Tenants = revoked.Tenants[:1]
 	var looks atomic.Int64
 	snapshot := house.Snapshot
 	house.Snapshot = func() *controller.Snapshot {
 		// The first looks find the key, those directly before the write the newer spec.
 		if looks.Add(1) > 5 {
-			return &controller.Snapshot{SpecEpoch: 3, Book: config.NewBook(&revoked), Until: former().Add(time.Hour)}
+			return &controller.Snapshot{SpecEpoch: 3, Catalog: config.NewCatalog(&revoked), Until: previous().Add(time.Hour)}
 		}
 		return snapshot()
 	}
@@ -98,7 +98,7 @@
 	second := start(t, "r2", events(1, done(1), true))
 	house := build(t, runner, second)
 	var given float64
-	house.tenants(t, func(claims []quota.Claim) []quota.Share {
+	house.tenants(t, func(claims []quota.TenantReport) []quota.Share {
 		given += claims[0].Need
 		return []quota.Share{{Tenant: "limited", Tokens: claims[0].Need, Capacity: 1000}}
 	})
@@ -117,19 +117,21 @@
 // A spent quota is told at once, with a promise that nothing ran and a time to come back.
 func TestASpentQuotaIsARefusal(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
-	for name, issue := range map[string]func([]quota.Claim) []quota.Share{
-		"the issuer has none":  func([]quota.Claim) []quota.Share { return []quota.Share{{Tenant: "limited", Rate: 100, Capacity: 50}} },
+	for name, issue := range map[string]func([]quota.TenantReport) []quota.Share{
+		"the issuer has none": func([]quota.TenantReport) []quota.Share {
+			return []quota.Share{{Tenant: "limited", Rate: 100, Capacity: 50}}
+		},
 		"the issuer is silent": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			house := build(t, runner)
 			house.tenants(t, issue)
-			begun := time.Now()
+			started := time.Now()
 			status, body := house.sendWith(t, "free", "spent", withKey("limited-key"))
 			if status != 429 || !strings.Contains(body, scheduler.DidNotRun) || !strings.Contains(body, "quota_spent") || !strings.Contains(body, "retry_after_ms") {
 				t.Errorf("%d %s", status, body)
 			}
-			if took := time.Since(begun); took > 2*quotaWait {
+			if took := time.Since(started); took > 2*quotaWait {
 				t.Errorf("the refusal took %v", took)
 			}
 			if usage := house.Quota.Usage(time.Now())["limited"]; usage.Refused != 110 || usage.Used != 0 {
@@ -146,7 +148,7 @@
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
 	runner := start(t, "r1", putsBack)
 	house := build(t, runner)
-	house.tenants(t, func(claims []quota.Claim) []quota.Share {
+	house.tenants(t, func(claims []quota.TenantReport) []quota.Share {
 		return []quota.Share{{Tenant: "limited", Tokens: claims[0].Need, Capacity: 1000}}
 	})
 	if status, body := house.sendWith(t, "free", "back", withKey("limited-key")); status != 503 || !strings.Contains(body, scheduler.DidNotRun) {
--- a/service/daemon.go
+++ b/service/daemon.go
@@ -25,7 +25,7 @@
 
 // Reloader is a host that takes changed settings while it runs.
 type Reloader interface {
-	Reload(settings *process.Startup)
+	Reload(settings *process.Settings)
 }
 
 // memoryShare is the part of the memory given that the runtime's own limit leaves to itself; the rest is for
@@ -33,7 +33,7 @@
 const memoryShare = 0.7
 
 // Main is the whole of a daemon's program.
-func Main[Made Host](name, help string, needs process.Needs, construct func(*process.Startup, *slog.Logger) (Made, error)) {
+func Main[Made Host](name, help string, needs process.Needs, construct func(*process.Settings, *slog.Logger) (Made, error)) {
 	settings := process.FromCommandLine(name, help, needs)
 	running, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -42,8 +42,8 @@
 	}
 	container := dig.New()
 	for _, provide := range []any{
-		func() *process.Startup { return settings },
-		func(settings *process.Startup) *slog.Logger { return settings.Logger(name) },
+		func() *process.Settings { return settings },
+		func(settings *process.Settings) *slog.Logger { return settings.Logger(name) },
 		construct,
 	} {
 		if err := container.Provide(provide); err != nil {
@@ -51,7 +51,7 @@
 		}
 	}
 	if err := container.Invoke(func(host Made, log *slog.Logger) error {
-		go reload(running, any(host), log, func() (*process.Startup, error) { return process.Parse(name, help, needs, os.Args[1:], os.Exit) })
+		go reload(running, any(host), log, func() (*process.Settings, error) { return process.Parse(name, help, needs, os.Args[1:], os.Exit) })
 		return host.Run(running)
 	}); err != nil {
 		end(name, dig.RootCause(err))
@@ -59,7 +59,7 @@
 }
 
 // reload reads the settings again at each SIGHUP. Wrong ones are named and change nothing.
-func reload(running context.Context, host any, log *slog.Logger, read func() (*process.Startup, error)) {
+func reload(running context.Context, host any, log *slog.Logger, read func() (*process.Settings, error)) {
 	changes := make(chan os.Signal, 1)
 	signal.Notify(changes, syscall.SIGHUP)
 	for {
@@ -80,11 +80,11 @@
 	}
 }
 
-var codes = map[apierror.Kind]int{apierror.BadStartup: process.ExitBadStartup}
+var codes = map[apierror.Code]int{apierror.BadSettings: process.ExitBadSettings}
 
 func end(name string, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-	code, found := codes[apierror.Of(err).Kind]
+	code, found := codes[apierror.Of(err).Code]
 	if !found {
 		code = 1
 	}
--- a/strictjson/strict.go
+++ b/strictjson/strictjson.go
@@ -40,12 +40,12 @@
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
 	walker := &walker{}
-	for ended := false; !ended; {
+	for finished := false; !finished; {
 		token, err := decoder.Token()
 		if err != nil {
 			return apierror.New(apierror.Malformed, "at byte %d: %v", decoder.InputOffset(), err)
 		}
-		if ended, err = walker.take(token); err != nil {
+		if finished, err = walker.take(token); err != nil {
 			return err
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // take follows one token; it tells whether the document's value has ended with it.
-func (walker *walker) take(token json.Token) (ended bool, err error) {
+func (walker *walker) take(token json.Token) (finished bool, err error) {
 	top := walker.top()
 	if name, isName := token.(string); isName && top != nil && top.object && !top.keyed {
 		return false, top.takeName(name)
--- a/transport/connpool/link.go
+++ b/transport/connpool/connpool.go
@@ -47,7 +47,7 @@
 	netio.Conn
 	Reader   *bufio.Reader
 	Identity Identity
-	links    *Links
+	links    *Pool
 	address  string
 	idle     time.Time
 	// keep is how long the runner lets it stay idle, by its latest word; 0: not told. ends says that it may not.
@@ -88,7 +88,7 @@
 const livelyBound = time.Second
 
 func (connection *Connection) touch() {
-	now := connection.links.world.Now()
+	now := connection.links.environment.Now()
 	connection.heard.Store(&now)
 }
 
@@ -118,9 +118,9 @@
 	busy  []*Connection
 }
 
-// Links holds the connections of all runners.
-type Links struct {
-	world netio.World
+// Pool holds the connections of all runners.
+type Pool struct {
+	environment netio.Environment
 	// identity is the path at which runners say who they are; empty: they are not asked.
 	identity string
 	shelves  sync.Map
@@ -132,22 +132,24 @@
 
 // New makes an empty set of connections into a world, on which runners are asked at a path who they are.
 // With no path every request has to state whom it means.
-func New(world netio.World, identity string) *Links { return &Links{world: world, identity: identity} }
+func New(environment netio.Environment, identity string) *Pool {
+	return &Pool{environment: environment, identity: identity}
+}
 
-func (links *Links) shelf(runner string) *shelf {
+func (links *Pool) shelf(runner string) *shelf {
 	found, _ := links.shelves.LoadOrStore(runner, &shelf{})
 	return found.(*shelf)
 }
 
 // Take gives a connection to the runner of this identity at this address, or a fault that says that
 // no byte of work has been sent.
-func (links *Links) Take(runner, address string) (*Connection, error) {
+func (links *Pool) Take(runner, address string) (*Connection, error) {
 	return links.TakeWithin(context.Background(), runner, address, 0)
 }
 
 // TakeWithin does the same for somebody who waits no longer than a context lasts, and than a bound; 0: who has no bound
 // of its own.
-func (links *Links) TakeWithin(ctx context.Context, runner, address string, bound time.Duration) (*Connection, error) {
+func (links *Pool) TakeWithin(ctx context.Context, runner, address string, bound time.Duration) (*Connection, error) {
 	shelf := links.shelf(runner)
 	shelf.mutex.Lock()
 	for len(shelf.idle) > 0 {
@@ -155,7 +157,7 @@
 		connection := shelf.idle[last]
 		shelf.idle = shelf.idle[:last]
 		// A connection that the other side has closed would leave us in doubt about work sent over it.
-		if connection.address == address && links.world.Now().Sub(connection.idle) < connection.idleBound() && connection.Quiet() {
+		if connection.address == address && links.environment.Now().Sub(connection.idle) < connection.idleBound() && connection.Quiet() {
 			shelf.busy = append(shelf.busy, connection)
 			shelf.mutex.Unlock()
 			links.Counters.Reused.Add(1)
@@ -187,14 +189,14 @@
 	return min(idleBound, connection.keep-keepMargin)
 }
 
-func (links *Links) dial(ctx context.Context, runner, address string, bound time.Duration) (*Connection, error) {
+func (links *Pool) dial(ctx context.Context, runner, address string, bound time.Duration) (*Connection, error) {
 	links.Counters.Dials.Add(1)
 	dialing, asking := dialBound, identityBound
 	if bound > 0 {
 		dialing = min(dialing, bound)
 	}
-	begun := links.world.Now()
-	raw, err := links.world.Dial(ctx, address, netio.Terms{Dial: dialing, Untaken: untakenBound})
+	started := links.environment.Now()
+	raw, err := links.environment.Dial(ctx, address, netio.Timeouts{Dial: dialing, Untaken: untakenBound})
 	if err != nil {
 		links.countUnreachable(ctx)
 		return nil, apierror.Wrap(err, apierror.Unreachable, "runner %s at %s", runner, address)
@@ -207,7 +209,7 @@
 		return connection, nil
 	}
 	if bound > 0 {
-		asking = min(asking, bound-links.world.Now().Sub(begun))
+		asking = min(asking, bound-links.environment.Now().Sub(started))
 	}
 	connection.Bind(ctx)
 	content, err := connection.Get(links.identity, asking)
@@ -231,7 +233,7 @@
 }
 
 // countUnreachable counts a runner that could not be reached, unless nobody wanted to reach it any more.
-func (links *Links) countUnreachable(ctx context.Context) {
+func (links *Pool) countUnreachable(ctx context.Context) {
 	if ctx.Err() == nil {
 		links.Counters.Unreachable.Add(1)
 	}
@@ -239,13 +241,13 @@
 
 // Keep puts a connection back whose last answer has been read whole; the runner lets it stay idle for so
 // long (0: that answer did not tell, and what an earlier one told holds).
-func (links *Links) Keep(connection *Connection, idle time.Duration) {
+func (links *Pool) Keep(connection *Connection, idle time.Duration) {
 	_ = connection.SetDeadline(time.Time{})
 	stands := connection.unbind()
 	if idle > 0 {
 		connection.keep = idle
 	}
-	connection.idle = links.world.Now()
+	connection.idle = links.environment.Now()
 	shelf := links.shelf(connection.Identity.RunnerID)
 	shelf.mutex.Lock()
 	defer shelf.mutex.Unlock()
@@ -282,8 +284,8 @@
 //
 // Why not those over which it answered a moment ago: a runner that leaves, or that only fails to tell its
 // load, ends its streams in order, and cutting them would lose what was nearly done.
-func (links *Links) Lose(runner string) {
-	shelf, now := links.shelf(runner), links.world.Now()
+func (links *Pool) Lose(runner string) {
+	shelf, now := links.shelf(runner), links.environment.Now()
 	shelf.mutex.Lock()
 	defer shelf.mutex.Unlock()
 	var lively []*Connection
@@ -301,15 +303,15 @@
 }
 
 // abort ends a connection under its user.
-func (links *Links) abort(connection *Connection) {
+func (links *Pool) abort(connection *Connection) {
 	links.Counters.Lost.Add(1)
 	_ = connection.Conn.Close()
 }
 
 // Silent lists the runners for whose first event somebody has waited for so long without a byte on any of
 // the runner's connections: they may be dark, or only busy.
-func (links *Links) Silent(bound time.Duration) []string {
-	now := links.world.Now()
+func (links *Pool) Silent(bound time.Duration) []string {
+	now := links.environment.Now()
 	var silent []string
 	links.shelves.Range(func(runner, held any) bool {
 		if held.(*shelf).silent(now, bound) {
@@ -339,8 +341,8 @@
 // elsewhere.
 //
 // Why only those: one that can't be repeated has nothing to gain, and the runner may answer yet.
-func (links *Links) Hurry(runner string, bound time.Duration) {
-	shelf, now := links.shelf(runner), links.world.Now()
+func (links *Pool) Hurry(runner string, bound time.Duration) {
+	shelf, now := links.shelf(runner), links.environment.Now()
 	shelf.mutex.Lock()
 	defer shelf.mutex.Unlock()
 	for _, connection := range shelf.busy {
@@ -351,7 +353,7 @@
 }
 
 // Forget closes what is kept idle of a runner that is no longer listed.
-func (links *Links) Forget(runner string) {
+func (links *Pool) Forget(runner string) {
 	shelf := links.shelf(runner)
 	shelf.mutex.Lock()
 	defer shelf.mutex.Unlock()
@@ -372,7 +374,7 @@
 	request.Header.SetMethod("GET")
 	request.SetRequestURI(path)
 	request.Header.SetHost(connection.RemoteAddr().String())
-	if err := connection.SetDeadline(connection.links.world.Now().Add(bound)); err != nil {
+	if err := connection.SetDeadline(connection.links.environment.Now().Add(bound)); err != nil {
 		return nil, apierror.Wrap(err, apierror.Unreachable, "setting a deadline")
 	}
 	writer := bufio.NewWriter(connection)
--- a/transport/connpool/link_test.go
+++ b/transport/connpool/connpool_test.go
@@ -39,7 +39,7 @@
 // A gone runner's address that another now has: no connection to it is given out, new or kept.
 func TestReusedAddressGetsNobodyElsesWork(t *testing.T) {
 	address := free(t)
-	former := runner(t, "old", address)
+	previous := runner(t, "old", address)
 	links := New(netio.Real(nil), "/identity")
 	connection, err := links.Take("old", address)
 	if err != nil || connection.Identity.Service != "s" {
@@ -50,7 +50,7 @@
 		t.Fatalf("a kept connection was not used again: %v", err)
 	}
 	links.Keep(connection, 0)
-	former.Crash()
+	previous.Crash()
 	// The end of the connection reaches this side a moment after the crash; reading waits for it.
 	_ = connection.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := connection.Reader.ReadByte(); err == nil {
@@ -90,9 +90,9 @@
 			}
 		}
 	}()
-	now, world := time.Now(), netio.Real(nil)
-	world.Now = func() time.Time { return now }
-	links := New(world, "")
+	now, environment := time.Now(), netio.Real(nil)
+	environment.Now = func() time.Time { return now }
+	links := New(environment, "")
 	silent, err := links.Take("r", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -131,9 +131,9 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	now, world := time.Now(), netio.Real(nil)
-	world.Now = func() time.Time { return now }
-	links := New(world, "")
+	now, environment := time.Now(), netio.Real(nil)
+	environment.Now = func() time.Time { return now }
+	links := New(environment, "")
 	var taken []*Connection
 	for _, again := range []bool{true, false} {
 		connection, err := links.Take("r", listener.Addr().String())
@@ -220,10 +220,10 @@
 		"kept for less than the rest": {"Keep-Alive: timeout=1\r\n", 0, 600 * time.Millisecond, 2},
 	} {
 		address := host(t, plain+trial.headers+"\r\n{}")
-		world := netio.Real(nil)
+		environment := netio.Real(nil)
 		var passed time.Duration
-		world.Now = func() time.Time { return time.Now().Add(passed) }
-		links := New(world, "")
+		environment.Now = func() time.Time { return time.Now().Add(passed) }
+		links := New(environment, "")
 		connection, err := links.Take("r", address)
 		if err != nil {
 			t.Fatal(err)
@@ -269,18 +269,18 @@
 	address := free(t)
 	runner(t, "r1", address)
 	for name, trial := range map[string]struct {
-		end   func(links *Links, connection *Connection, leave func())
+		end   func(links *Pool, connection *Connection, leave func())
 		dials uint64
 	}{
-		"kept, then the context ends": {func(links *Links, connection *Connection, leave func()) {
+		"kept, then the context ends": {func(links *Pool, connection *Connection, leave func()) {
 			links.Keep(connection, 0)
 			leave()
 		}, 1},
-		"the context ends, then it is put back": {func(links *Links, connection *Connection, leave func()) {
+		"the context ends, then it is put back": {func(links *Pool, connection *Connection, leave func()) {
 			leave()
 			links.Keep(connection, 0)
 		}, 2},
-		"closed": {func(_ *Links, connection *Connection, leave func()) {
+		"closed": {func(_ *Pool, connection *Connection, leave func()) {
 			_ = connection.Close()
 			leave()
 		}, 2},
@@ -310,9 +310,9 @@
 	}
 	defer listener.Close()
 	ctx, leave := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(finished)
 		silent, err := listener.Accept()
 		if err != nil {
 			return
@@ -322,17 +322,17 @@
 		leave()
 		_, _ = io.Copy(io.Discard, silent)
 	}()
-	begun, links := time.Now(), New(netio.Real(nil), "/identity")
+	started, links := time.Now(), New(netio.Real(nil), "/identity")
 	if _, err := links.TakeWithin(ctx, "r1", listener.Addr().String(), 0); err == nil {
 		t.Error("a connection to nobody known was given")
 	}
-	if took := time.Since(begun); took > identityBound/2 {
+	if took := time.Since(started); took > identityBound/2 {
 		t.Errorf("it took %v", took)
 	}
 	if unreachable := links.Counters.Unreachable.Load(); unreachable != 0 {
 		t.Errorf("the runner is counted as unreachable %d times", unreachable)
 	}
-	<-ended
+	<-finished
 }
 
 // answering gives the address of a runner that answers every request with a status.
@@ -361,14 +361,14 @@
 
 // A refused question is an answer: the runner is there, and the connection serves on. Any other status is none.
 func TestRefusedQuestions(t *testing.T) {
-	for status, want := range map[string]apierror.Kind{"400 Bad Request": apierror.NotAnswered, "404 Not Found": apierror.NotAnswered, "500 Internal Server Error": apierror.Unreachable} {
+	for status, want := range map[string]apierror.Code{"400 Bad Request": apierror.NotAnswered, "404 Not Found": apierror.NotAnswered, "500 Internal Server Error": apierror.Unreachable} {
 		address := answering(t, status)
 		links := New(netio.Real(nil), "")
 		connection, err := links.Take("r", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := connection.Get("/-/report", time.Second); apierror.Of(err).Kind != want {
+		if _, err := connection.Get("/-/report", time.Second); apierror.Of(err).Code != want {
 			t.Errorf("%s: %v", status, err)
 		}
 		if want != apierror.NotAnswered {
--- a/transport/frame/frame.go
+++ b/transport/frame/frame.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// Edition is the edition of the messages that this build speaks. It understands every one since Oldest.
-	Edition = 1
-	// Oldest is the least edition that this build still understands.
-	Oldest = 1
+	// Version is the edition of the messages that this build speaks. It understands every one since Oldest.
+	Version = 1
+	// OldestVersion is the least edition that this build still understands.
+	OldestVersion = 1
 	// Maximum bounds a frame.
 	Maximum = 24 << 20
 	header  = 8
@@ -24,13 +24,13 @@
 
 // Encode gives the bytes of a frame: "WT", edition, a zero, the length, the envelope.
 func Encode(envelope *wire.Envelope) ([]byte, error) {
-	envelope.Edition = Edition
+	envelope.ProtocolVersion = Version
 	size := proto.Size(envelope)
 	if size > Maximum {
 		return nil, apierror.New(apierror.TooLarge, "a frame of %d bytes; at most %d", size, Maximum)
 	}
 	content := make([]byte, header, header+size)
-	content[0], content[1], content[2] = 'W', 'T', Edition
+	content[0], content[1], content[2] = 'W', 'T', Version
 	binary.BigEndian.PutUint32(content[4:], uint32(size))
 	content, err := proto.MarshalOptions{}.MarshalAppend(content, envelope)
 	return content, apierror.Wrap(err, apierror.BadFrame, "encoding")
@@ -50,8 +50,8 @@
 		return nil, 0, apierror.New(apierror.BadFrame, "not a wardtray frame")
 	}
 	// A newer edition only adds fields, which decoding skips; an older one than Oldest lacks what we need.
-	if head[2] < Oldest {
-		return nil, 0, apierror.New(apierror.BadFrame, "edition %d is older than %d", head[2], Oldest)
+	if head[2] < OldestVersion {
+		return nil, 0, apierror.New(apierror.BadFrame, "edition %d is older than %d", head[2], OldestVersion)
 	}
 	size := binary.BigEndian.Uint32(head[4:])
 	if size > Maximum {
--- a/transport/frame/frame_test.go
+++ b/transport/frame/frame_test.go
@@ -14,7 +14,7 @@
 )
 
 func encoded(t testing.TB) []byte {
-	content, err := Encode(&wire.Envelope{From: "127.0.0.1:1", Epoch: 7, Body: &wire.Envelope_TickAsk{TickAsk: &wire.TickAsk{Nonce: 3}}})
+	content, err := Encode(&wire.Envelope{From: "127.0.0.1:1", Epoch: 7, Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 3}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	}
 	reader := bufio.NewReader(bytes.NewReader(append(append([]byte{}, whole...), whole...)))
 	for range 2 {
-		if envelope, _, err := Decode(reader); err != nil || envelope.GetTickAsk().GetNonce() != 3 {
+		if envelope, _, err := Decode(reader); err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 3 {
 			t.Fatalf("two frames in a row: %v", err)
 		}
 	}
@@ -50,10 +50,10 @@
 	newer := encoded(t)
 	newer = protowire.AppendTag(newer, 900, protowire.BytesType)
 	newer = protowire.AppendString(newer, "from the next edition")
-	newer[2] = Edition + 1
+	newer[2] = Version + 1
 	newer[7] = byte(len(newer) - header)
 	envelope, _, err := Decode(bufio.NewReader(bytes.NewReader(newer)))
-	if err != nil || envelope.GetTickAsk().GetNonce() != 3 {
+	if err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 3 {
 		t.Fatalf("a frame of the next edition: %v", err)
 	}
 	passed, err := proto.Marshal(envelope)
@@ -68,9 +68,9 @@
 	older = protowire.AppendString(older, "127.0.0.2:1")
 	older = protowire.AppendTag(older, 26, protowire.BytesType)
 	older = protowire.AppendBytes(older, ask)
-	content := append([]byte{'W', 'T', Oldest, 0, 0, 0, 0, byte(len(older))}, older...)
+	content := append([]byte{'W', 'T', OldestVersion, 0, 0, 0, 0, byte(len(older))}, older...)
 	envelope, _, err = Decode(bufio.NewReader(bytes.NewReader(content)))
-	if err != nil || envelope.GetTickAsk().GetNonce() != 9 || envelope.GetTickAsk().GetZone() != "" {
+	if err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 9 || envelope.GetDaemonLeaseRequest().GetZone() != "" {
 		t.Fatalf("an older encoding: %v", err)
 	}
 }
--- a/transport/frame/golden_test.go
+++ b/transport/frame/golden_test.go
@@ -19,7 +19,7 @@
 // goldenEnvelope is one envelope whose frame is pinned; the bytes of every message are pinned beside package wire.
 func goldenEnvelope() *wire.Envelope {
 	return &wire.Envelope{Epoch: 300, From: "127.0.0.1:7001", Sender: "sender", Zone: "zone",
-		Body: &wire.Envelope_TickAsk{TickAsk: &wire.TickAsk{Nonce: 7}}}
+		Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 7}}}
 }
 
 // A frame keeps its header, its length and its envelope.
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	wanted := goldenEnvelope()
-	wanted.Edition = 1
+	wanted.ProtocolVersion = 1
 	reader := bufio.NewReader(bytes.NewReader(append(append([]byte{}, content...), content...)))
 	for range 2 {
 		envelope, size, err := Decode(reader)
--- a/transport/listen.go
+++ b/transport/listen.go
@@ -14,14 +14,14 @@
 
 // ListenTCP opens a port. One that an earlier life still holds is tried again for a moment.
 func ListenTCP(address string) (net.Listener, error) {
-	begun := time.Now()
+	started := time.Now()
 	for {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
 			return listener, nil
 		}
-		if time.Since(begun) > listenBound {
-			return nil, apierror.Wrap(err, apierror.BadStartup, "listening on %s", address)
+		if time.Since(started) > listenBound {
+			return nil, apierror.Wrap(err, apierror.BadSettings, "listening on %s", address)
 		}
 		time.Sleep(listenAgain)
 	}
--- a/transport/netio/departure.go
+++ b/transport/netio/departure.go
@@ -40,9 +40,9 @@
 	}
 	// The server's bound on reading the request has no meaning for the wait.
 	_ = connection.SetReadDeadline(time.Time{})
-	ended := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(finished)
 		closed := false
 		// It ends with an error where the watch is stopped.
 		_ = raw.Read(func(descriptor uintptr) bool {
@@ -55,7 +55,7 @@
 	}()
 	return func() {
 		_ = connection.SetReadDeadline(time.Unix(1, 0))
-		<-ended
+		<-finished
 		_ = connection.SetReadDeadline(time.Time{})
 	}
 }
--- a/transport/netio/departure_test.go
+++ b/transport/netio/departure_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if conn, err = Real(nil).Dial(context.Background(), listener.Addr().String(), Terms{Dial: time.Second, Untaken: time.Second}); err != nil {
+	if conn, err = Real(nil).Dial(context.Background(), listener.Addr().String(), Timeouts{Dial: time.Second, Untaken: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	if far, err = listener.Accept(); err != nil {
@@ -214,12 +214,12 @@
 func TestWaitsEndWithTheirContext(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
-	world, begun := Real(nil), time.Now()
+	world, started := Real(nil), time.Now()
 	world.Wait(ctx, patientBound, nil)
-	if _, err := world.Dial(ctx, "127.0.0.1:1", Terms{Dial: patientBound, Untaken: time.Second}); err == nil {
+	if _, err := world.Dial(ctx, "127.0.0.1:1", Timeouts{Dial: patientBound, Untaken: time.Second}); err == nil {
 		t.Error("a connection for nobody was made")
 	}
-	if took := time.Since(begun); took > patientBound/2 {
+	if took := time.Since(started); took > patientBound/2 {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/transport/netio/seam.go
+++ b/transport/netio/netio.go
@@ -1,5 +1,5 @@
 // Package seam is all through which the request path meets the world: a clock, work beside one's own,
-// connections to runners, and the requester's side of an answer. The process gives the real ones, the
+// connections to runners, and the client's side of an answer. The process gives the real ones, the
 // simulator its own; below the hosts nothing else tells the time, starts a tick or dials.
 package netio
 
@@ -21,30 +21,30 @@
 	Bind(ctx context.Context) (release func() bool)
 }
 
-// Terms are what a connection has to keep.
-type Terms struct {
+// Timeouts are what a connection has to keep.
+type Timeouts struct {
 	// Dial is how long making the connection may take.
 	Dial time.Duration
 	// Untaken is for how long bytes may be on their way before the connection is aborted.
 	Untaken time.Duration
 }
 
-// World is what a process is given of the world.
-type World struct {
+// Environment is what a process is given of the world.
+type Environment struct {
 	Now func() time.Time
 	// Go begins work beside the caller's.
 	Go func(work func())
 	// Wait lets a length of time pass, or less where a channel is closed or a context ends meanwhile.
 	Wait func(ctx context.Context, length time.Duration, woken <-chan struct{})
 	// Dial makes a connection that keeps the terms, unless the context ends before it stands.
-	Dial func(ctx context.Context, address string, terms Terms) (Conn, error)
+	Dial func(ctx context.Context, address string, terms Timeouts) (Conn, error)
 }
 
 // Header is one line of an answer's head.
 type Header struct{ Name, Value string }
 
-// Requester is the side of a request that asked.
-type Requester interface {
+// Client is the side of a request that asked.
+type Client interface {
 	Method() string
 	// Authority is the host that the request names.
 	Authority() string
@@ -60,10 +60,10 @@
 	// Stream begins an answer whose body is read from a source and passed on as it comes. A source that
 	// fails ends the answer so that it does not look whole; it is closed at the end, whatever that is.
 	Stream(status int, headers []Header, source io.ReadCloser)
-	// Left tells whether the requester has closed its connection by now, also behind bytes that nobody has read yet.
+	// Left tells whether the client has closed its connection by now, also behind bytes that nobody has read yet.
 	// It looks at the connection itself, which costs a system call.
 	Left() bool
-	// Watch calls a function once, beside the caller's work, as soon as the requester closes its connection. stop ends
+	// Watch calls a function once, beside the caller's work, as soon as the client closes its connection. stop ends
 	// the watch: when it returns no call is under way or will be made.
 	Watch(left func()) (stop func())
 	// Last says that no other request should come over this connection.
--- a/transport/netio/real.go
+++ b/transport/netio/real.go
@@ -12,8 +12,8 @@
 )
 
 // Real is the world of a process whose connections leave from an address; nil leaves that to the system.
-func Real(local net.Addr) World {
-	return World{Now: time.Now, Go: func(work func()) { go work() }, Wait: wait, Dial: func(ctx context.Context, address string, terms Terms) (Conn, error) {
+func Real(local net.Addr) Environment {
+	return Environment{Now: time.Now, Go: func(work func()) { go work() }, Wait: wait, Dial: func(ctx context.Context, address string, terms Timeouts) (Conn, error) {
 		dialer := net.Dialer{Timeout: terms.Dial, LocalAddr: local, Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			outer := raw.Control(func(descriptor uintptr) { err = keep(int(descriptor), terms) })
@@ -46,7 +46,7 @@
 // The system goes on sending what a closed, or killed, sender left behind. Work that was given up
 // would reach its runner when a cut heals, long after the zone was closed or the runner left. With no time to
 // linger every end is an abort, and bytes that are not taken in time end the connection.
-func keep(descriptor int, terms Terms) error {
+func keep(descriptor int, terms Timeouts) error {
 	if err := unix.SetsockoptLinger(descriptor, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1, Linger: 0}); err != nil {
 		return err
 	}
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,5 +1,5 @@
 // Package transport carries envelopes between processes over TCP. Sending never blocks: each
-// address has a bounded waitlist and one connection, and what can't be carried is dropped and
+// address has a bounded queue and one connection, and what can't be carried is dropped and
 // counted, as the state machines above expect of a network.
 package transport
 
@@ -22,7 +22,7 @@
 )
 
 const (
-	waitlistLength  = 256
+	queueLength     = 256
 	bufferLength    = 4 << 10
 	maximumInbound  = 4096
 	maximumOutbound = 4096
@@ -146,7 +146,7 @@
 }
 
 // Send hands parcels over for carrying.
-func (transport *Transport) Send(parcels []statemachine.Parcel) {
+func (transport *Transport) Send(parcels []statemachine.Message) {
 	for _, parcel := range parcels {
 		if !transport.offer(parcel) {
 			transport.Counters.Dropped.Add(1)
@@ -154,20 +154,20 @@
 	}
 }
 
-func (transport *Transport) offer(parcel statemachine.Parcel) bool {
+func (transport *Transport) offer(parcel statemachine.Message) bool {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
-	waitlist := transport.senders[parcel.To]
-	if waitlist == nil {
+	queue := transport.senders[parcel.To]
+	if queue == nil {
 		if len(transport.senders) >= maximumOutbound || transport.context.Err() != nil {
 			return false
 		}
-		waitlist = make(chan *wire.Envelope, waitlistLength)
-		transport.senders[parcel.To] = waitlist
-		go transport.write(parcel.To, waitlist)
+		queue = make(chan *wire.Envelope, queueLength)
+		transport.senders[parcel.To] = queue
+		go transport.write(parcel.To, queue)
 	}
 	select {
-	case waitlist <- parcel.Envelope:
+	case queue <- parcel.Envelope:
 		return true
 	default:
 		return false
@@ -190,21 +190,21 @@
 type sender struct {
 	transport *Transport
 	address   string
-	waitlist  chan *wire.Envelope
+	queue     chan *wire.Envelope
 	// hung tells that the present connection was ended by the peer.
 	hung       chan struct{}
 	connection net.Conn
 	writer     *bufio.Writer
 }
 
-func (transport *Transport) write(address string, waitlist chan *wire.Envelope) {
-	sender := &sender{transport: transport, address: address, waitlist: waitlist}
+func (transport *Transport) write(address string, queue chan *wire.Envelope) {
+	sender := &sender{transport: transport, address: address, queue: queue}
 	defer sender.shut()
 	idle := time.NewTimer(idleBound)
 	defer idle.Stop()
 	for {
 		select {
-		case envelope := <-waitlist:
+		case envelope := <-queue:
 			idle.Reset(idleBound)
 			sender.carry(envelope)
 		case <-sender.hung:
@@ -214,7 +214,7 @@
 		case <-transport.context.Done():
 			return
 		case <-idle.C:
-			if transport.retire(address, waitlist) {
+			if transport.retire(address, queue) {
 				return
 			}
 			idle.Reset(idleBound)
@@ -254,7 +254,7 @@
 		return
 	}
 	if sender.connection == nil && !sender.dial() {
-		transport.Counters.Dropped.Add(uint64(1 + flush(sender.waitlist)))
+		transport.Counters.Dropped.Add(uint64(1 + flush(sender.queue)))
 		transport.pause(pauseAfterFail)
 		return
 	}
@@ -262,7 +262,7 @@
 		_ = sender.connection.SetWriteDeadline(time.Now().Add(writeBound))
 	}
 	_, err = sender.writer.Write(content)
-	if err == nil && len(sender.waitlist) == 0 {
+	if err == nil && len(sender.queue) == 0 {
 		err = sender.writer.Flush()
 	}
 	if err != nil {
@@ -298,21 +298,21 @@
 	return &net.TCPAddr{IP: net.ParseIP(host)}
 }
 
-func (transport *Transport) retire(address string, waitlist chan *wire.Envelope) bool {
+func (transport *Transport) retire(address string, queue chan *wire.Envelope) bool {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
-	if len(waitlist) > 0 {
+	if len(queue) > 0 {
 		return false
 	}
 	delete(transport.senders, address)
 	return true
 }
 
-func flush(waitlist chan *wire.Envelope) int {
+func flush(queue chan *wire.Envelope) int {
 	dropped := 0
 	for {
 		select {
-		case <-waitlist:
+		case <-queue:
 			dropped++
 		default:
 			return dropped
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -47,8 +47,8 @@
 	return listener.Addr().String()
 }
 
-func parcel(to string) []statemachine.Parcel {
-	return []statemachine.Parcel{{To: to, Envelope: &wire.Envelope{Body: &wire.Envelope_TickCall{TickCall: &wire.TickCall{Sequence: 1}}}}}
+func parcel(to string) []statemachine.Message {
+	return []statemachine.Message{{To: to, Envelope: &wire.Envelope{Body: &wire.Envelope_DaemonLeasePrompt{DaemonLeasePrompt: &wire.DaemonLeasePrompt{Sequence: 1}}}}}
 }
 
 func within[Value any](t *testing.T, channel <-chan Value, what string) Value {
@@ -75,7 +75,7 @@
 		t.Fatalf("%v", found)
 	}
 	again := listen(t, other.address)
-	for begun := time.Now(); time.Since(begun) < patient; {
+	for started := time.Now(); time.Since(started) < patient; {
 		one.Send(parcel(again.address))
 		select {
 		case <-again.received:
@@ -94,9 +94,9 @@
 	}
 	defer deaf.Close()
 	one, other := listen(t, free(t)), listen(t, free(t))
-	large := &wire.Envelope{Body: &wire.Envelope_ChainPass{ChainPass: &wire.ChainPass{Entry: &wire.Entry{Spec: make([]byte, 1<<20)}}}}
+	large := &wire.Envelope{Body: &wire.Envelope_ChainForward{ChainForward: &wire.ChainForward{Entry: &wire.Entry{Spec: make([]byte, 1<<20)}}}}
 	for range 40 {
-		one.Send([]statemachine.Parcel{{To: deaf.Addr().String(), Envelope: large}})
+		one.Send([]statemachine.Message{{To: deaf.Addr().String(), Envelope: large}})
 	}
 	one.Send(parcel(free(t)))
 	for number := range 100 {
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -25,7 +25,7 @@
 	State    string `json:"state"`
 }
 
-// Platform keeps the list of runners and hands requesters to daemons of their zone.
+// Platform keeps the list of runners and hands clients to daemons of their zone.
 type Platform struct {
 	record  *histories.History
 	mutex   sync.Mutex
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -46,7 +46,7 @@
 	Adapters                                         []string
 	nature                                           Nature
 	record                                           *histories.History
-	begun                                            time.Time
+	started                                          time.Time
 	server                                           *fasthttp.Server
 	listener                                         net.Listener
 	stopped                                          chan struct{}
@@ -77,7 +77,7 @@
 
 // Start opens a runner at its address.
 func Start(runner *Runner, nature Nature, record *histories.History) error {
-	runner.nature, runner.record, runner.begun = nature, record, time.Now()
+	runner.nature, runner.record, runner.started = nature, record, time.Now()
 	runner.stopped, runner.connections = make(chan struct{}), map[net.Conn]bool{}
 	runner.cache = NewCache[string](nature.CacheTokens)
 	runner.slots = make(chan struct{}, nature.Slots)
@@ -108,7 +108,7 @@
 
 // Free gives how many of its slots are free, and how many it has; a runner that is dark or cold has none.
 func (runner *Runner) Free() (free, slots int) {
-	if runner.Dark.Load() || time.Since(runner.begun) < runner.nature.ColdTime {
+	if runner.Dark.Load() || time.Since(runner.started) < runner.nature.ColdTime {
 		return 0, 0
 	}
 	runner.mutex.Lock()
@@ -205,10 +205,10 @@
 	header := func(name string) string { return string(context.Request.Header.Peek(name)) }
 	epoch, _ := strconv.ParseUint(header(admission.HeaderEpoch), 10, 64)
 	now := time.Now()
-	run := &histories.Run{At: now, Request: header(admission.HeaderRequest), Lane: header(admission.HeaderLane), Pool: runner.Pool,
+	run := &histories.Run{At: now, Request: header(admission.HeaderRequest), Route: header(admission.HeaderRoute), Pool: runner.Pool,
 		Model: header(admission.HeaderModel), Weights: runner.Weights, Runner: runner.ID,
 		Wanted: header(admission.HeaderRunner), Service: runner.Service, Zone: runner.Zone, Daemon: header(admission.HeaderDaemon),
-		Epoch: epoch, Started: started, Beside: runner.active, Cold: now.Sub(runner.begun) < runner.nature.ColdTime, Room: runner.nature.Slots}
+		Epoch: epoch, Started: started, Beside: runner.active, Cold: now.Sub(runner.started) < runner.nature.ColdTime, Room: runner.nature.Slots}
 	if run.Cold {
 		run.Room = max(1, runner.nature.Slots/runner.nature.ColdFactor)
 	}
@@ -250,7 +250,7 @@
 }
 
 // watch notes when the connection of a run ends, and closes a channel then.
-func (runner *Runner) watch(context *fasthttp.RequestCtx, run *histories.Run) (ended <-chan struct{}, stop func()) {
+func (runner *Runner) watch(context *fasthttp.RequestCtx, run *histories.Run) (finished <-chan struct{}, stop func()) {
 	cut := make(chan struct{})
 	return cut, netio.FromHTTP(context).Watch(func() {
 		runner.record.Change(func(*histories.History) { run.Cut = time.Now() })
@@ -262,7 +262,7 @@
 	runner.mutex.Lock()
 	runner.active--
 	runner.mutex.Unlock()
-	runner.record.Change(func(*histories.History) { run.Ended = time.Now() })
+	runner.record.Change(func(*histories.History) { run.Finished = time.Now() })
 }
 
 // wait lets time pass as an engine's work does, unless the runner is stopped or the run's connection ends.
@@ -296,7 +296,7 @@
 	runner.Cached.Add(int64(cached))
 	runner.Prompted.Add(int64(prompt))
 	prefill := time.Duration(prompt-cached) * runner.nature.TokenTime
-	if time.Since(runner.begun) < runner.nature.ColdTime {
+	if time.Since(runner.started) < runner.nature.ColdTime {
 		prefill *= time.Duration(runner.nature.ColdFactor)
 	}
 	going := runner.wait(prefill, cut)
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -45,15 +45,15 @@
 
 // Program is one process of the fleet.
 type Program struct {
-	Name    string
-	Kind    string
-	Machine *Machine
-	Startup process.Startup
-	file    string
-	log     string
-	mutex   sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
+	Name     string
+	Kind     string
+	Machine  *Machine
+	Settings process.Settings
+	file     string
+	log      string
+	mutex    sync.Mutex
+	command  *exec.Cmd
+	finished chan struct{}
 }
 
 // Machine is one machine.
@@ -95,10 +95,10 @@
 	}
 	platform := fmt.Sprintf("127.%d.250.1:9000", shape.Net)
 	for _, machine := range fleet.Machines {
-		machine.Data = &Program{Name: machine.Name + ".data", Kind: "wtdata", Machine: machine, Startup: process.Startup{
+		machine.Data = &Program{Name: machine.Name + ".data", Kind: "wtdata", Machine: machine, Settings: process.Settings{
 			Address: machine.IP + ":7200", HTTP: machine.IP + ":8200", Zone: machine.Zone, Seeds: seeds, Platform: "http://" + platform + "/runners", Drain: "2s"}}
 		if machine.Disk {
-			machine.Core = &Program{Name: machine.Name + ".core", Kind: "wtcore", Machine: machine, Startup: process.Startup{
+			machine.Core = &Program{Name: machine.Name + ".core", Kind: "wtcore", Machine: machine, Settings: process.Settings{
 				Address: machine.IP + ":7100", HTTP: machine.IP + ":8100", Zone: machine.Zone, Seeds: seeds, Folder: filepath.Join(folder, machine.Name)}}
 		}
 	}
@@ -111,7 +111,7 @@
 	fleet.Record.Daemons = len(fleet.Machines)
 	daemons := map[string][]string{}
 	for _, machine := range fleet.Machines {
-		daemons[machine.Zone] = append(daemons[machine.Zone], machine.Data.Startup.HTTP)
+		daemons[machine.Zone] = append(daemons[machine.Zone], machine.Data.Settings.HTTP)
 	}
 	var err error
 	fleet.Platform, err = emulator.NewPlatform(platform, daemons, fleet.Record, seed)
@@ -121,7 +121,7 @@
 func (fleet *Fleet) write(program *Program) error {
 	program.file = filepath.Join(fleet.Folder, program.Name+".json")
 	program.log = filepath.Join(fleet.Folder, program.Name+".log")
-	content, err := json.MarshalIndent(program.Startup, "", "  ")
+	content, err := json.MarshalIndent(program.Settings, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -175,12 +175,12 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	program.command, program.ended = command, make(chan struct{})
-	ended := program.ended
+	program.command, program.finished = command, make(chan struct{})
+	finished := program.finished
 	go func() {
 		// A process that was killed ends with an error that says just that.
 		_ = command.Wait()
-		close(ended)
+		close(finished)
 	}()
 	return nil
 }
@@ -194,18 +194,18 @@
 	}
 }
 
-// Ended is closed when the process has ended.
-func (program *Program) Ended() <-chan struct{} {
+// Finished is closed when the process has ended.
+func (program *Program) Finished() <-chan struct{} {
 	program.mutex.Lock()
 	defer program.mutex.Unlock()
-	return program.ended
+	return program.finished
 }
 
 // Kill ends a process at once and waits for its end.
 func (program *Program) Kill() {
 	program.Signal(syscall.SIGKILL)
-	if ended := program.Ended(); ended != nil {
-		<-ended
+	if finished := program.Finished(); finished != nil {
+		<-finished
 	}
 }
 
@@ -229,12 +229,12 @@
 	zone := number % len(fleet.Shape.Zones)
 	fleet.mutex.Lock()
 	fleet.retired++
-	life := fleet.retired
+	incarnation := fleet.retired
 	fleet.mutex.Unlock()
 	if weights == "" {
 		weights = fleet.Shape.Mix.Weights
 	}
-	runner := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, life), Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
+	runner := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, incarnation), Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
 		Zone: fleet.Shape.Zones[zone], Service: fleet.Shape.Mix.Service, Model: fleet.Shape.Mix.Model, Weights: weights, Pool: fleet.Shape.Mix.Pool}
 	if err := emulator.Start(runner, emulator.DefaultNature, fleet.Record); err != nil {
 		return nil, err
@@ -297,7 +297,7 @@
 func (fleet *Fleet) Fault(what string, program *Program, kills bool, length time.Duration) {
 	fault := histories.Fault{At: time.Now(), Until: time.Now().Add(length), What: what, Kills: kills}
 	if program != nil && program.Kind == "wtdata" {
-		fault.Daemon = program.Startup.HTTP
+		fault.Daemon = program.Settings.HTTP
 	}
 	fleet.Record.Change(func(record *histories.History) { record.Faults = append(record.Faults, fault) })
 }
@@ -309,7 +309,7 @@
 	fleet.Record.Change(func(record *histories.History) { record.Faults = append(record.Faults, fault) })
 }
 
-// Sample notes how much room the pool truly has, until it is told to stop.
+// Sample notes how much room the backend truly has, until it is told to stop.
 func (fleet *Fleet) Sample(running context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -377,7 +377,7 @@
 
 func (fleet *Fleet) order(order *histories.Order, program *Program, method, path string, body []byte) {
 	order.Sent = time.Now()
-	reply, err := fleet.call(method, program.Startup.HTTP, path, body)
+	reply, err := fleet.call(method, program.Settings.HTTP, path, body)
 	order.Got, order.HTTPStatus, order.Outcome, order.Epoch = time.Now(), reply.Status, reply.Outcome, reply.Epoch
 	if err != nil {
 		order.Outcome = "unknown"
@@ -387,7 +387,7 @@
 
 // Get reads the present spec through a core.
 func (fleet *Fleet) Get(program *Program) (Reply, error) {
-	return fleet.call("GET", program.Startup.HTTP, "/v1/spec", nil)
+	return fleet.call("GET", program.Settings.HTTP, "/v1/spec", nil)
 }
 
 // Finish asks what the fleet says at the end, for the checker.
@@ -397,12 +397,12 @@
 		return fmt.Errorf("asking for the spec at the end: status %d, %v", reply.Status, err)
 	}
 	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
-	held := struct{ Lanes []struct{ Name string } }{}
+	held := struct{ Routes []struct{ Name string } }{}
 	if err := json.Unmarshal(reply.Spec, &held); err != nil {
 		return err
 	}
-	for _, lane := range held.Lanes {
-		final.Lanes = append(final.Lanes, lane.Name)
+	for _, route := range held.Routes {
+		final.Routes = append(final.Routes, route.Name)
 	}
 	var operations []string
 	fleet.Record.Change(func(record *histories.History) {
@@ -411,7 +411,7 @@
 		}
 	})
 	for _, operation := range operations {
-		reply, err := fleet.call("GET", program.Startup.HTTP, "/v1/operations/"+operation, nil)
+		reply, err := fleet.call("GET", program.Settings.HTTP, "/v1/operations/"+operation, nil)
 		if err != nil {
 			return err
 		}
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -16,7 +16,7 @@
 	Kinds                                          map[string]int
 	First                                          map[string][]time.Duration
 	CacheShare                                     float64
-	Repeats                                        int
+	Retries                                        int
 }
 
 // Measure takes figures from a record.
@@ -29,7 +29,7 @@
 		seen := map[string]bool{}
 		for _, run := range record.Runs {
 			if seen[run.Request] {
-				figures.Repeats++
+				figures.Retries++
 			}
 			seen[run.Request] = true
 		}
@@ -53,10 +53,10 @@
 		}
 	}
 	if answer.Kind != "" {
-		figures.Kinds[answer.Lane+" "+answer.Kind]++
+		figures.Kinds[answer.Route+" "+answer.Kind]++
 	}
 	if answer.Done {
-		figures.First[answer.Lane] = append(figures.First[answer.Lane], answer.First)
+		figures.First[answer.Route] = append(figures.First[answer.Route], answer.First)
 	}
 }
 
@@ -92,18 +92,18 @@
 	figures := fleet.Measure()
 	fmt.Fprintf(output, "requests %d: done %d, refused %d, unknown %d, broken off %d, lost with a killed daemon %d\n",
 		figures.Requests, figures.Done, figures.Refused, figures.Unknown, figures.Broken, figures.Lost)
-	fmt.Fprintf(output, "prompt tokens found in runners' caches: %.0f%%; repeats: %d\n", 100*figures.CacheShare, figures.Repeats)
+	fmt.Fprintf(output, "prompt tokens found in runners' caches: %.0f%%; repeats: %d\n", 100*figures.CacheShare, figures.Retries)
 	margins := histories.Worst(fleet.Record)
 	fmt.Fprintf(output, "worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
-		margins.Ignored.Round(time.Millisecond), margins.Leaving.Round(time.Millisecond), margins.Closed.Round(time.Millisecond), margins.Return.Round(time.Millisecond), margins.Repeated, margins.Requests)
-	lanes := make([]string, 0, len(figures.First))
-	for lane := range figures.First {
-		lanes = append(lanes, lane)
+		margins.Ignored.Round(time.Millisecond), margins.Leaving.Round(time.Millisecond), margins.Closed.Round(time.Millisecond), margins.Return.Round(time.Millisecond), margins.Retried, margins.Requests)
+	routes := make([]string, 0, len(figures.First))
+	for route := range figures.First {
+		routes = append(routes, route)
 	}
-	sort.Strings(lanes)
-	for _, lane := range lanes {
-		lengths := figures.First[lane]
-		fmt.Fprintf(output, "  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n", lane, len(lengths),
+	sort.Strings(routes)
+	for _, route := range routes {
+		lengths := figures.First[route]
+		fmt.Fprintf(output, "  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n", route, len(lengths),
 			Quantile(lengths, 0.5).Round(time.Millisecond), Quantile(lengths, 0.95).Round(time.Millisecond), Quantile(lengths, 1).Round(time.Millisecond))
 	}
 	kinds := make([]string, 0, len(figures.Kinds))
@@ -119,7 +119,7 @@
 			fmt.Fprintf(output, "  order %-12s %-6s %-10s epoch %d in %v\n", order.Operation, order.Verb, order.Outcome, order.Epoch, order.Got.Sub(order.Sent).Round(time.Millisecond))
 		}
 		for _, fault := range record.Faults {
-			fmt.Fprintf(output, "  at %6.2fs %s\n", fault.At.Sub(record.Begun).Seconds(), fault.What)
+			fmt.Fprintf(output, "  at %6.2fs %s\n", fault.At.Sub(record.Started).Seconds(), fault.What)
 		}
 	})
 	if len(violations) == 0 {
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -33,22 +33,22 @@
 	Random  *rand.Rand
 	Options Options
 	// Factor multiplies the rate of requests.
-	Factor func() float64
-	factor float64
-	begun  time.Time
+	Factor  func() float64
+	factor  float64
+	started time.Time
 }
 
 // Scenario is a named course of faults during the load.
 type Scenario struct {
 	Help string
-	// Hot is the part of the requests that carry one and the same opening, Leaves that whose requesters leave early.
+	// Hot is the part of the requests that carry one and the same opening, Leaves that whose clients leave early.
 	Hot, Leaves float64
 	Run         func(stage *Stage) error
 }
 
 // At waits until so many seconds of the load have passed.
 func (stage *Stage) At(seconds float64) {
-	waitUntil(stage.begun.Add(time.Duration(seconds * float64(time.Second))))
+	waitUntil(stage.started.Add(time.Duration(seconds * float64(time.Second))))
 }
 
 // waitUntil waits for a moment, which may have passed.
@@ -107,7 +107,7 @@
 
 // bringUp waits for the first view, applies the first spec and lets runners warm up.
 func (fleet *Fleet) bringUp(folder string, output io.Writer) error {
-	begun := time.Now()
+	started := time.Now()
 	// A slow machine may take its time; the bounds of the rules are measured elsewhere.
 	if !Await(patience, func() bool {
 		reply, err := fleet.Get(fleet.Cores()[0])
@@ -116,16 +116,16 @@
 		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", patience, folder)
 	}
 	var first *histories.Order
-	for first == nil || first.Outcome == "unknown" && time.Since(begun) < patience {
+	for first == nil || first.Outcome == "unknown" && time.Since(started) < patience {
 		first = fleet.Apply(fleet.Cores()[len(fleet.Cores())-1], "first", 0, "")
 	}
 	if first.Outcome != "accepted" {
 		return fmt.Errorf("the first spec was not accepted: %+v", first)
 	}
 	fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n", fleet.Shape.Name,
-		len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners, time.Since(begun).Round(time.Millisecond))
+		len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners, time.Since(started).Round(time.Millisecond))
 	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be fit.
-	waitUntil(begun.Add(6 * time.Second))
+	waitUntil(started.Add(6 * time.Second))
 	return nil
 }
 
@@ -135,7 +135,7 @@
 	if rate == 0 {
 		rate = fleet.Shape.Rate
 	}
-	stage := &Stage{Fleet: fleet, Random: rand.New(rand.NewSource(options.Seed)), Options: options, factor: 1, begun: time.Now()}
+	stage := &Stage{Fleet: fleet, Random: rand.New(rand.NewSource(options.Seed)), Options: options, factor: 1, started: time.Now()}
 	stage.Factor = func() float64 {
 		value := 1.0
 		fleet.Record.Change(func(*histories.History) { value = stage.factor })
@@ -164,7 +164,7 @@
 func (stage *Stage) secondsToReturn() (seconds int) {
 	stage.Record.Change(func(record *histories.History) {
 		for _, back := range record.Returns {
-			until := back.At.Add(histories.ReturnBound).Sub(stage.begun).Seconds()
+			until := back.At.Add(histories.ReturnBound).Sub(stage.started).Seconds()
 			seconds = max(seconds, int(math.Ceil(until)))
 		}
 	})
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -34,7 +34,7 @@
 	"many-routes":      {Help: "thousands of lanes are added at once", Run: manyRoutes},
 	"zones-closed":     {Help: "zones are closed and opened again", Run: zonesClosed},
 	"rolling-restart":  {Help: "every wtdata and wtcore is restarted by SIGTERM, one after the other", Run: rollingRestart},
-	"requesters-leave": {Help: "half of the requesters leave early, while a crowd comes, a runner is dark and daemons are frozen", Leaves: 0.5, Run: requestersLeave},
+	"requesters-leave": {Help: "half of the requesters leave early, while a crowd comes, a runner is dark and daemons are frozen", Leaves: 0.5, Run: clientsLeave},
 	"fault-at-the-end": {Help: "power is lost everywhere directly after an acknowledgement, at the very end", Run: faultAtTheEnd},
 }
 
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// change applies a spec with a marker lane through a core, on the present epoch.
+// change applies a spec with a marker route through a core, on the present epoch.
 func (stage *Stage) change(core *Program, operation string) *histories.Order {
 	return stage.Apply(core, operation, stage.present(), "lane-"+operation)
 }
@@ -100,11 +100,11 @@
 func addressReused(stage *Stage) error {
 	const number = 6
 	stage.span(0.2)
-	former := stage.Runners[number]
-	stage.Harm("a stranger takes over runner 6's address", former, 5*time.Second, 0)
-	former.Crash()
-	stranger := &emulator.Runner{ID: "stranger", Address: former.Address, Zone: former.Zone, Service: "somebody-elses", Model: former.Model,
-		Weights: former.Weights, Pool: former.Pool}
+	previous := stage.Runners[number]
+	stage.Harm("a stranger takes over runner 6's address", previous, 5*time.Second, 0)
+	previous.Crash()
+	stranger := &emulator.Runner{ID: "stranger", Address: previous.Address, Zone: previous.Zone, Service: "somebody-elses", Model: previous.Model,
+		Weights: previous.Weights, Pool: previous.Pool}
 	if err := emulator.Start(stranger, emulator.DefaultNature, stage.Record); err != nil {
 		return err
 	}
@@ -143,11 +143,11 @@
 func (stage *Stage) replaceAt(number int) error {
 	stage.Fleet.mutex.Lock()
 	stage.Fleet.retired++
-	life := stage.Fleet.retired
-	former := stage.Fleet.Runners[number]
+	incarnation := stage.Fleet.retired
+	previous := stage.Fleet.Runners[number]
 	stage.Fleet.mutex.Unlock()
-	fresh := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, life), Address: fmt.Sprintf("127.%d.%d.%d:9100", stage.Shape.Net, 150+number%len(stage.Shape.Zones), number+1),
-		Zone: former.Zone, Service: former.Service, Model: former.Model, Weights: former.Weights, Pool: former.Pool}
+	fresh := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, incarnation), Address: fmt.Sprintf("127.%d.%d.%d:9100", stage.Shape.Net, 150+number%len(stage.Shape.Zones), number+1),
+		Zone: previous.Zone, Service: previous.Service, Model: previous.Model, Weights: previous.Weights, Pool: previous.Pool}
 	if err := emulator.Start(fresh, emulator.DefaultNature, stage.Record); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func requestersLeave(stage *Stage) error {
+func clientsLeave(stage *Stage) error {
 	const dark = 2
 	stage.span(0.1)
 	stage.Harm(fmt.Sprintf("runner %d goes dark", dark), stage.Runners[dark], time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
@@ -219,7 +219,7 @@
 	core := stage.Cores()[1]
 	stage.Fault(core.Name+" loses its disk", core, false, 5*time.Second)
 	core.Kill()
-	if err := os.RemoveAll(core.Startup.Folder); err != nil {
+	if err := os.RemoveAll(core.Settings.Folder); err != nil {
 		return err
 	}
 	stage.change(stage.Cores()[0], "without-it")
@@ -234,15 +234,15 @@
 
 // swap replaces a control machine by a blank one at a new address.
 func (stage *Stage) swap(number int) error {
-	former := stage.Cores()[number]
-	stage.Fault(former.Name+" swapped for a blank one at a new address", former, false, 5*time.Second)
-	former.Kill()
-	machine := former.Machine
-	settings := former.Startup
+	previous := stage.Cores()[number]
+	stage.Fault(previous.Name+" swapped for a blank one at a new address", previous, false, 5*time.Second)
+	previous.Kill()
+	machine := previous.Machine
+	settings := previous.Settings
 	settings.Address = fmt.Sprintf("127.%d.%d.%d:7100", stage.Shape.Net, 200, number+1)
 	settings.HTTP = fmt.Sprintf("127.%d.%d.%d:8100", stage.Shape.Net, 200, number+1)
 	settings.Folder = filepath.Join(stage.Folder, machine.Name+"-swapped")
-	machine.Core = &Program{Name: machine.Name + ".core-swapped", Kind: "wtcore", Machine: machine, Startup: settings}
+	machine.Core = &Program{Name: machine.Name + ".core-swapped", Kind: "wtcore", Machine: machine, Settings: settings}
 	if err := stage.write(machine.Core); err != nil {
 		return err
 	}
@@ -353,7 +353,7 @@
 
 func storm(stage *Stage) error {
 	var waiting sync.WaitGroup
-	until := stage.begun.Add(time.Duration(float64(stage.Options.Seconds)*0.9) * time.Second)
+	until := stage.started.Add(time.Duration(float64(stage.Options.Seconds)*0.9) * time.Second)
 	for operator := range 2 {
 		waiting.Add(1)
 		go func() {
@@ -399,7 +399,7 @@
 	for place, program := range programs {
 		stage.span(0.05 + 0.9*float64(place)/float64(len(programs)))
 		program.Signal(syscall.SIGTERM)
-		<-program.Ended()
+		<-program.Finished()
 		if err := stage.Start(program); err != nil {
 			return err
 		}
--- a/verify/histories/check.go
+++ b/verify/histories/check.go
@@ -14,10 +14,10 @@
 	SpecBound    = 2 * time.Second
 	ZoneBound    = 5 * time.Second
 	ReturnBound  = 12 * time.Second
-	RepeatWindow = 10 * time.Second
-	RepeatShare  = 0.2
-	// RepeatLittle is the brief's "plus a little": one unlucky request at each of a few daemons.
-	RepeatLittle = 3
+	RetryWindow  = 10 * time.Second
+	RetryShare   = 0.2
+	// RetryLittle is the brief's "plus a little": one unlucky request at each of a few daemons.
+	RetryLittle = 3
 	// ColdLittle is how much more than its true room a cold runner may get: daemons that have not heard of
 	// one another yet may each send one.
 	ColdLittle = 2
@@ -32,12 +32,12 @@
 	overtaking = 1500 * time.Millisecond
 	// wayBound is how long news of a reset may be on its way.
 	wayBound = 100 * time.Millisecond
-	// LeftBound is how long after its requester has left a request may reach a runner, or be worked on.
+	// LeftBound is how long after its client has left a request may reach a runner, or be worked on.
 	LeftBound = 500 * time.Millisecond
 	// Unseen is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second and smoothed.
 	Unseen = 2 * time.Second
-	// Ample is the free part of a pool beside which no request can be refused for want of room. It is
-	// the slack in which lanes may go beyond their purse.
+	// Ample is the free part of a backend beside which no request can be refused for want of room. It is
+	// the slack in which routes may go beyond their concurrency limit.
 	Ample = 0.25
 )
 
@@ -70,14 +70,14 @@
 	},
 	"ran-after-refusal": func(judge *Judge, run *Run, broken broken) {
 		for _, answer := range judge.answers[run.Request] {
-			// A requester that sends its request anew after this word asks for another run.
+			// A client that sends its request anew after this word asks for another run.
 			if run.Started && answer.Ran == didNotRun && !judge.again(answer) {
 				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner, answer.Kind)
 			}
 		}
 	},
 	"not-allowed": func(judge *Judge, run *Run, broken broken) {
-		if !judge.permitted(run.Daemon, run.At, SpecBound, func(book *config.Book) bool { return allows(book, run) }) {
+		if !judge.permitted(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
 			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service, run.Runner)
 		}
 	},
@@ -92,9 +92,9 @@
 		}
 	},
 	"change-ignored": func(judge *Judge, run *Run, broken broken) {
-		if !judge.permitted(run.Daemon, run.At, SpecBound, func(book *config.Book) bool { return serves(book, run) }) {
-			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec", run.Request, run.Lane, run.Weights, run.Daemon,
-				judge.outdated(run.At, func(book *config.Book) bool { return serves(book, run) }))
+		if !judge.permitted(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
+			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec", run.Request, run.Route, run.Weights, run.Daemon,
+				judge.outdated(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
 	"slipped-back": func(judge *Judge, run *Run, broken broken) {
@@ -107,7 +107,7 @@
 		}
 	},
 	"closed-zone": func(judge *Judge, run *Run, broken broken) {
-		open := func(book *config.Book) bool { return book.Open(run.Zone) }
+		open := func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }
 		if !judge.permitted(run.Daemon, run.At, ZoneBound, open) {
 			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, judge.outdated(run.At, open))
 		}
@@ -138,22 +138,22 @@
 	return false
 }
 
-func allows(book *config.Book, run *Run) bool {
-	for _, pool := range book.Pools {
-		if pool.Allows(run.Service) {
+func allows(catalog *config.Catalog, run *Run) bool {
+	for _, backend := range catalog.Backends {
+		if backend.Allows(run.Service) {
 			return true
 		}
 	}
 	return false
 }
 
-func serves(book *config.Book, run *Run) bool {
-	lane := book.Lanes[run.Lane]
-	if lane == nil {
+func serves(catalog *config.Catalog, run *Run) bool {
+	route := catalog.Routes[run.Route]
+	if route == nil {
 		return false
 	}
-	pool := book.Pools[lane.Pool]
-	return pool != nil && pool.Model == run.Model && pool.Weights == run.Weights
+	backend := catalog.Backends[route.Pool]
+	return backend != nil && backend.Model == run.Model && backend.Weights == run.Weights
 }
 
 // late gives how long before a run its runner was known to leave.
@@ -167,7 +167,7 @@
 	return longest
 }
 
-// onAnswer is judged whenever a requester has its whole answer.
+// onAnswer is judged whenever a client has its whole answer.
 var onAnswer = map[string]func(judge *Judge, answer *Answer, broken broken){
 	"ran-after-refusal": func(judge *Judge, answer *Answer, broken broken) {
 		for _, run := range judge.runs[answer.Request] {
@@ -220,7 +220,7 @@
 			broken("%s was refused as taken already by %s, though it had surely not run", answer.Request, answer.Daemon)
 		}
 		// Whose time has passed is refused for that.
-		if answer.Lost || answer.Gone || answer.Done || answer.Again || answer.Bound > 0 && !answer.given().Before(answer.Begun.Add(answer.Bound-answer.Bound/ClockPart)) {
+		if answer.Lost || answer.Gone || answer.Done || answer.Again || answer.Bound > 0 && !answer.given().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockPart)) {
 			return
 		}
 		check := mistakes[answer.Kind]
@@ -232,7 +232,7 @@
 			return
 		}
 		if why := check(judge, answer); why != "" {
-			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Lane, answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
+			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route, answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
 		}
 	},
 	"no-return-time": func(_ *Judge, answer *Answer, broken broken) {
@@ -260,11 +260,11 @@
 		}
 	},
 	"past-deadline": func(judge *Judge, answer *Answer, broken broken) {
-		if answer.Bound == 0 || answer.Begun.IsZero() || answer.Lost || answer.Gone || judge.touched(answer.Daemon, answer.Sent, answer.Got) {
+		if answer.Bound == 0 || answer.Started.IsZero() || answer.Lost || answer.Gone || judge.touched(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if late := answer.given().Sub(answer.Begun.Add(answer.Bound)); late > DeadlineLittle+answer.Bound/ClockPart {
-			broken("%s of %s was answered with %d %q (%s) %v after its %v had passed", answer.Request, answer.Lane, answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
+		if late := answer.given().Sub(answer.Started.Add(answer.Bound)); late > DeadlineLittle+answer.Bound/ClockPart {
+			broken("%s of %s was answered with %d %q (%s) %v after its %v had passed", answer.Request, answer.Route, answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
 		}
 	},
 }
@@ -306,7 +306,7 @@
 
 // held gives how long after its cause could be known a request got its final answer.
 func (judge *Judge) held(answer *Answer) time.Duration {
-	known := answer.Sent.Add(answer.Patience)
+	known := answer.Sent.Add(answer.LatencyTarget)
 	for _, run := range judge.runs[answer.Request] {
 		fault, found := judge.runnerFault(run.Runner, run.At, answer.Got)
 		if !found {
@@ -320,7 +320,7 @@
 		at := begin.Add(fault.Knowable)
 		if fault.Until.Sub(begin) < fault.Knowable {
 			// What was over before anybody could know of it shows only by the answer that does not come.
-			at = run.At.Add(2 * answer.Patience)
+			at = run.At.Add(2 * answer.LatencyTarget)
 		}
 		// A request that may be repeated is still being tried while its patience lasts.
 		if at.After(known) || answer.Once {
@@ -344,7 +344,7 @@
 	"already_taken":   func(*Judge, *Answer) string { return "it was sent only once" },
 }
 
-// ampleRoom finds a refusal for want of room beside a pool that had plenty all the while.
+// ampleRoom finds a refusal for want of room beside a backend that had plenty all the while.
 func ampleRoom(judge *Judge, answer *Answer) string {
 	if room := judge.room(answer.Sent.Add(-Unseen), answer.Got); room >= Ample {
 		return "a good part of the pool was free all the while"
@@ -385,10 +385,10 @@
 	return "nothing was done to its runner"
 }
 
-// inSpec finds a request refused as unknown although every spec that could be in force has its lane.
+// inSpec finds a request refused as unknown although every spec that could be in force has its route.
 func inSpec(judge *Judge, answer *Answer) string {
 	for _, era := range judge.candidates(answer.Daemon, answer.Got, SpecBound) {
-		if era.book.Lanes[answer.Lane] == nil {
+		if era.catalog.Routes[answer.Route] == nil {
 			return ""
 		}
 	}
@@ -399,7 +399,7 @@
 var atEnd = map[string]func(judge *Judge, broken broken){
 	"refused-in-effect": refusedInEffect,
 	"two-on-one-base":   twoOnOneBase,
-	"repeats":           repeats,
+	"repeats":           retries,
 	"forgotten":         forgotten,
 	"down":              down,
 }
@@ -417,15 +417,15 @@
 }
 
 func refusedInEffect(judge *Judge, broken broken) {
-	history, lanes := judge.history, map[string]bool{}
-	for _, lane := range history.Final.Lanes {
-		lanes[lane] = true
+	history, routes := judge.history, map[string]bool{}
+	for _, route := range history.Final.Routes {
+		routes[route] = true
 	}
 	for _, order := range history.Orders {
 		if order.Outcome != "refused" {
 			continue
 		}
-		if order.Marker != "" && lanes[order.Marker] {
+		if order.Marker != "" && routes[order.Marker] {
 			broken("%s was refused and its lane %q is in effect", order.Operation, order.Marker)
 		}
 		if epoch, known := history.Final.Known[order.Operation]; known {
@@ -450,13 +450,13 @@
 	}
 }
 
-// RepeatPeak looks at every window. It gives the most repeats beyond what the rule allows anywhere, and
+// RetryPeak looks at every window. It gives the most repeats beyond what the rule allows anywhere, and
 // both counts of the window that used up most of its allowance.
-func RepeatPeak(history *History, pool string) (over float64, repeated, requests int) {
+func RetryPeak(history *History, backend string) (over float64, retried, requests int) {
 	used := -1.0
 	type send struct {
-		at     time.Time
-		repeat bool
+		at    time.Time
+		retry bool
 	}
 	var sends []send
 	seen, asked := map[string]int{}, map[string][]time.Time{}
@@ -464,10 +464,10 @@
 		asked[answer.Request] = append(asked[answer.Request], answer.Sent)
 	}
 	for _, run := range history.Runs {
-		if run.Pool != pool {
+		if run.Pool != backend {
 			continue
 		}
-		// What a requester itself sends again is another request, not a repeat of ours.
+		// What a client itself sends again is another request, not a repeat of ours.
 		asks := 0
 		for _, at := range asked[run.Request] {
 			if !at.After(run.At) {
@@ -478,38 +478,38 @@
 		seen[run.Request]++
 	}
 	over = -1e9
-	start, windowRepeats, windowRequests := 0, 0, 0
+	start, windowRetries, windowRequests := 0, 0, 0
 	for _, last := range sends {
-		if last.repeat {
-			windowRepeats++
+		if last.retry {
+			windowRetries++
 		} else {
 			windowRequests++
 		}
-		for last.at.Sub(sends[start].at) > RepeatWindow {
-			if sends[start].repeat {
-				windowRepeats--
+		for last.at.Sub(sends[start].at) > RetryWindow {
+			if sends[start].retry {
+				windowRetries--
 			} else {
 				windowRequests--
 			}
 			start++
 		}
-		allowed := RepeatShare*float64(windowRequests) + RepeatLittle
-		over = max(over, float64(windowRepeats)-allowed)
-		if part := float64(windowRepeats) / allowed; part > used {
-			used, repeated, requests = part, windowRepeats, windowRequests
+		allowed := RetryShare*float64(windowRequests) + RetryLittle
+		over = max(over, float64(windowRetries)-allowed)
+		if part := float64(windowRetries) / allowed; part > used {
+			used, retried, requests = part, windowRetries, windowRequests
 		}
 	}
-	return over, repeated, requests
+	return over, retried, requests
 }
 
-func repeats(judge *Judge, broken broken) {
-	pools := map[string]bool{}
+func retries(judge *Judge, broken broken) {
+	backends := map[string]bool{}
 	for _, run := range judge.history.Runs {
-		pools[run.Pool] = true
+		backends[run.Pool] = true
 	}
-	for pool := range pools {
-		if over, repeated, requests := RepeatPeak(judge.history, pool); over > 0 {
-			broken("pool %s: %d repeats to %d requests within ten seconds", pool, repeated, requests)
+	for backend := range backends {
+		if over, retried, requests := RetryPeak(judge.history, backend); over > 0 {
+			broken("pool %s: %d repeats to %d requests within ten seconds", backend, retried, requests)
 		}
 	}
 }
--- a/verify/histories/check_test.go
+++ b/verify/histories/check_test.go
@@ -9,11 +9,11 @@
 
 // clean gives a small history in which nothing is wrong.
 func clean() *History {
-	begun := time.Unix(1000, 0)
-	at := func(seconds float64) time.Time { return begun.Add(time.Duration(seconds * float64(time.Second))) }
-	history := &History{Begun: begun, Zones: []string{"a"}, Service: "good", Weights: "w"}
-	document := &config.Spec{Zones: []config.Zone{{Name: "a"}, {Name: "b"}}, Pools: []config.Pool{{Name: "p", Model: "m", Weights: "w", Services: []string{"good"}}},
-		Lanes: []config.Lane{{Name: "l", Pool: "p"}, {Name: "k", Pool: "p"}}}
+	started := time.Unix(1000, 0)
+	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
+	history := &History{Started: started, Zones: []string{"a"}, Service: "good", Weights: "w"}
+	document := &config.Spec{Zones: []config.Zone{{Name: "a"}, {Name: "b"}}, Backends: []config.Pool{{Name: "p", Model: "m", Weights: "w", Services: []string{"good"}}},
+		Routes: []config.Route{{Name: "l", Pool: "p"}, {Name: "k", Pool: "p"}}}
 	history.Orders = []*Order{
 		{Operation: "first", Verb: "apply", HasBase: true, Spec: document, Sent: at(0), Got: at(0.1), Outcome: "accepted", Epoch: 1},
 		{Operation: "closing", Verb: "close", Zone: "b", Sent: at(20), Got: at(20.1), Outcome: "accepted", Epoch: 2},
@@ -25,17 +25,17 @@
 		if number >= 21 {
 			epoch = 2
 		}
-		run := &Run{At: at(float64(number)), Request: request, Lane: "l", Pool: "p", Model: "m", Weights: "w", Runner: "r1", Wanted: "r1", Service: "good", Zone: "a", Daemon: "d1",
-			Epoch: epoch, Started: true, Ended: at(float64(number) + 0.5), Whole: true, Events: 2, Room: 10}
+		run := &Run{At: at(float64(number)), Request: request, Route: "l", Pool: "p", Model: "m", Weights: "w", Runner: "r1", Wanted: "r1", Service: "good", Zone: "a", Daemon: "d1",
+			Epoch: epoch, Started: true, Finished: at(float64(number) + 0.5), Whole: true, Events: 2, Room: 10}
 		history.Runs = append(history.Runs, run)
-		history.Answers = append(history.Answers, &Answer{Request: request, Lane: "l", Once: true, Daemon: "d1", Zone: "a", Patience: 3 * time.Second, Sent: at(float64(number)), Got: at(float64(number) + 0.6),
+		history.Answers = append(history.Answers, &Answer{Request: request, Route: "l", Once: true, Daemon: "d1", Zone: "a", LatencyTarget: 3 * time.Second, Sent: at(float64(number)), Got: at(float64(number) + 0.6),
 			Status: 200, IDs: []int{1, 2, 3}, Runs: []string{"x", "x", "x"}, Done: true})
 	}
 	for number := range 400 {
 		history.Rooms = append(history.Rooms, Room{At: at(float64(number) / 10), Free: map[string]int{"a": 4, "b": 4}, Slots: map[string]int{"a": 8, "b": 8}})
 	}
 	history.Returns = []Return{{At: at(18)}}
-	history.Final = Final{Asked: true, Epoch: 2, Lanes: []string{"lane"}, Known: map[string]uint64{"first": 1, "closing": 2}}
+	history.Final = Final{Asked: true, Epoch: 2, Routes: []string{"lane"}, Known: map[string]uint64{"first": 1, "closing": 2}}
 	return history
 }
 
@@ -47,8 +47,8 @@
 
 // Each check names its rule, and no other, on a history broken in its one way.
 func TestEveryRuleIsNamedOnABrokenHistory(t *testing.T) {
-	begun := time.Unix(1000, 0)
-	at := func(seconds float64) time.Time { return begun.Add(time.Duration(seconds * float64(time.Second))) }
+	started := time.Unix(1000, 0)
+	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
 	breaks := map[string]func(history *History){
 		"run-twice": func(history *History) {
 			again := *history.Runs[3]
@@ -73,7 +73,7 @@
 		"slipped-back": func(history *History) {
 			history.Runs[10].Epoch = 2
 		},
-		"refused-in-effect": func(history *History) { history.Final.Lanes = append(history.Final.Lanes, "lost-lane") },
+		"refused-in-effect": func(history *History) { history.Final.Routes = append(history.Final.Routes, "lost-lane") },
 		"two-on-one-base": func(history *History) {
 			history.Orders[2].Outcome, history.Orders[2].Epoch, history.Orders[2].Base = "accepted", 2, 0
 			history.Final.Known["losing"] = 2
@@ -96,7 +96,7 @@
 		"forgotten": func(history *History) { delete(history.Final.Known, "closing") },
 		"down":      func(history *History) { history.Zones = append(history.Zones, "b") },
 		"turned-away": func(history *History) {
-			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 404, Kind: "unknown_lane", Lane: "l", Daemon: "d1", Sent: at(3), Got: at(3)})
+			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 404, Kind: "unknown_lane", Route: "l", Daemon: "d1", Sent: at(3), Got: at(3)})
 		},
 		"no-return-time": func(history *History) {
 			history.Rooms = nil
@@ -110,7 +110,7 @@
 		"resumed":        func(history *History) { history.Runs[3].After = 2 },
 		"left-requester": func(history *History) { history.Answers[3].Left = at(2.2) },
 		"past-deadline": func(history *History) {
-			history.Answers[3].Begun, history.Answers[3].Bound, history.Answers[3].Last = at(3), 300*time.Millisecond, at(3.5)
+			history.Answers[3].Started, history.Answers[3].Bound, history.Answers[3].Last = at(3), 300*time.Millisecond, at(3.5)
 		},
 	}
 	for _, rule := range Rules {
@@ -174,8 +174,8 @@
 // A daemon that has had no path to the core goes by what it had when it lost that, and by nothing older; it alone, and
 // no longer than it is without the core.
 func TestDaemonWithoutTheCore(t *testing.T) {
-	begun := time.Unix(1000, 0)
-	at := func(seconds float64) time.Time { return begun.Add(time.Duration(seconds * float64(time.Second))) }
+	started := time.Unix(1000, 0)
+	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
 	for name, trial := range map[string]struct {
 		daemon      string
 		from, until float64
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sentAfterLeaving gives how long after its requester had left a request was sent to its runner.
+// sentAfterLeaving gives how long after its client had left a request was sent to its runner.
 //
 // Where only its arrival is known, bytes that left in time and were held up on their way to a runner in trouble are
 // excused, for as long as a daemon leaves them on their way. Trouble of the daemon excuses nothing: it looks once more
@@ -25,7 +25,7 @@
 	return late
 }
 
-// sameMachine tells whether two addresses are one daemon's: requesters know it by another port than runners do.
+// sameMachine tells whether two addresses are one daemon's: clients know it by another port than runners do.
 func sameMachine(left, right string) bool {
 	leftMachine, _, _ := strings.Cut(left, ":")
 	rightMachine, _, _ := strings.Cut(right, ":")
@@ -43,7 +43,7 @@
 	return count > 1
 }
 
-// Departed judges whether anybody still works for a requester that has left, at a moment by which its daemon has had
+// Departed judges whether anybody still works for a client that has left, at a moment by which its daemon has had
 // LeftBound to learn of that. Runs that must come to their end are none of these; a daemon in trouble within that time
 // is excused.
 func (judge *Judge) Departed(answer *Answer, until time.Time) {
@@ -73,5 +73,5 @@
 
 // overBy tells whether a run had ended, or its daemon had let go of it, by a moment.
 func (run *Run) overBy(at time.Time) bool {
-	return !run.Ended.IsZero() && !run.Ended.After(at) || !run.Cut.IsZero() && !run.Cut.After(at)
+	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Cut.IsZero() && !run.Cut.After(at)
 }
--- a/verify/histories/departure_test.go
+++ b/verify/histories/departure_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// What a requester that has left may still cost: what was under way, for half a second, and what must run to its end.
-func TestWorkForRequestersThatLeft(t *testing.T) {
-	begun := time.Unix(1000, 0)
-	at := func(seconds float64) time.Time { return begun.Add(time.Duration(seconds * float64(time.Second))) }
+// What a client that has left may still cost: what was under way, for half a second, and what must run to its end.
+func TestWorkForClientsThatLeft(t *testing.T) {
+	started := time.Unix(1000, 0)
+	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
 	for name, trial := range map[string]struct {
 		change func(history *History, run *Run, answer *Answer)
 		broken bool
 	}{
-		"ended in time":       {func(_ *History, run *Run, _ *Answer) { run.Ended = at(3.55) }, false},
-		"cut in time":         {func(_ *History, run *Run, _ *Answer) { run.Cut, run.Ended = at(3.3), at(9) }, false},
-		"cut too late":        {func(_ *History, run *Run, _ *Answer) { run.Cut, run.Ended = at(3.7), at(9) }, true},
-		"never cut":           {func(_ *History, run *Run, _ *Answer) { run.Ended = at(9) }, true},
-		"not over yet":        {func(_ *History, run *Run, _ *Answer) { run.Ended = time.Time{} }, true},
-		"must run to its end": {func(_ *History, run *Run, answer *Answer) { run.Ended, answer.Cancels = at(9), false }, false},
-		"by another daemon":   {func(_ *History, run *Run, _ *Answer) { run.Ended, run.Daemon = at(9), "d2" }, false},
+		"ended in time":       {func(_ *History, run *Run, _ *Answer) { run.Finished = at(3.55) }, false},
+		"cut in time":         {func(_ *History, run *Run, _ *Answer) { run.Cut, run.Finished = at(3.3), at(9) }, false},
+		"cut too late":        {func(_ *History, run *Run, _ *Answer) { run.Cut, run.Finished = at(3.7), at(9) }, true},
+		"never cut":           {func(_ *History, run *Run, _ *Answer) { run.Finished = at(9) }, true},
+		"not over yet":        {func(_ *History, run *Run, _ *Answer) { run.Finished = time.Time{} }, true},
+		"must run to its end": {func(_ *History, run *Run, answer *Answer) { run.Finished, answer.Cancels = at(9), false }, false},
+		"by another daemon":   {func(_ *History, run *Run, _ *Answer) { run.Finished, run.Daemon = at(9), "d2" }, false},
 		"by its daemon at another port": {func(_ *History, run *Run, answer *Answer) {
-			run.Ended, run.Daemon, answer.Daemon = at(9), "127.40.1.4:7200", "127.40.1.4:8200"
+			run.Finished, run.Daemon, answer.Daemon = at(9), "127.40.1.4:7200", "127.40.1.4:8200"
 		}, true},
-		"sent in time":  {func(_ *History, run *Run, answer *Answer) { answer.Left, run.Ended = at(2.6), at(3.05) }, false},
+		"sent in time":  {func(_ *History, run *Run, answer *Answer) { answer.Left, run.Finished = at(2.6), at(3.05) }, false},
 		"sent too late": {func(_ *History, _ *Run, answer *Answer) { answer.Left = at(2.4) }, true},
 		"a daemon in trouble": {func(history *History, run *Run, _ *Answer) {
-			run.Ended = at(9)
+			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.9), Until: at(3.2), Daemon: run.Daemon}}
 		}, false},
 		"a daemon in trouble before": {func(history *History, run *Run, _ *Answer) {
-			run.Ended = at(9)
+			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.5), Until: at(3.05), Daemon: run.Daemon}}
 		}, true},
 		"a runner in trouble": {func(history *History, run *Run, _ *Answer) {
-			run.Ended = at(9)
+			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.9), Until: at(3.2), Runner: run.Runner}}
 		}, true},
 		"known to be sent in time": {func(_ *History, run *Run, answer *Answer) { answer.Left, run.Sent = at(2.1), at(2.0) }, false},
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -1,4 +1,4 @@
-// Package history records what requesters, runners, the platform and operators saw, and checks it
+// Package history records what clients, runners, the platform and operators saw, and checks it
 // against what must never happen. A checker that is given a broken history must name the rule; its
 // tests break one for every rule.
 package histories
@@ -15,7 +15,7 @@
 	// At is when the request reached the runner's machine.
 	At      time.Time
 	Request string
-	Lane    string
+	Route   string
 	Pool    string
 	Model   string
 	Weights string
@@ -31,10 +31,10 @@
 	// Sent is when its daemon sent the request, where that is known, and Cut when the daemon let go of the run, or at the
 	// latest when the end of its connection reached the runner; zero where that did not happen while the run went on.
 	Sent, Cut time.Time
-	// Ended is when the run was over; Whole tells that its last event went out, after Events others.
-	Ended  time.Time
-	Whole  bool
-	Events int
+	// Finished is when the run was over; Whole tells that its last event went out, after Events others.
+	Finished time.Time
+	Whole    bool
+	Events   int
 	// Name is what its events call it; After is the id of the event behind which it began.
 	Name  string
 	After int
@@ -45,21 +45,21 @@
 	Room   int
 }
 
-// Answer is what a requester got.
+// Answer is what a client got.
 type Answer struct {
-	Request    string
-	Lane       string
-	Once       bool
-	Patience   time.Duration
-	Daemon     string
-	Zone       string
-	Sent, Got  time.Time
-	First      time.Duration
-	Status     int
-	Kind       string
-	Detail     string
-	Ran        string
-	RetryAfter bool
+	Request       string
+	Route         string
+	Once          bool
+	LatencyTarget time.Duration
+	Daemon        string
+	Zone          string
+	Sent, Got     time.Time
+	First         time.Duration
+	Status        int
+	Kind          string
+	Detail        string
+	Ran           string
+	RetryAfter    bool
 	// IDs and Runs are the ids of the events and the runs that they name.
 	IDs  []int
 	Runs []string
@@ -67,10 +67,10 @@
 	Done, Error bool
 	// Lost tells that the connection broke without an answer; Sure that the request had been sent.
 	Lost, Sure bool
-	// Gone tells that the requester itself hung up, and Left when its close reached the machine of its daemon.
+	// Gone tells that the client itself hung up, and Left when its close reached the machine of its daemon.
 	Gone bool
 	Left time.Time
-	// Cancels tells that a run on the request's lane is to end when its requester leaves.
+	// Cancels tells that a run on the request's route is to end when its client leaves.
 	Cancels bool
 	// Again tells that the same request had been sent before.
 	Again bool
@@ -79,8 +79,8 @@
 	Head      string
 	// Last is when the last event came. Begun is when the daemon had the whole request, and Bound how long after
 	// that it may be held; 0: as long as it takes.
-	Last, Begun time.Time
-	Bound       time.Duration
+	Last, Started time.Time
+	Bound         time.Duration
 }
 
 // Order is one operator's change.
@@ -90,7 +90,7 @@
 	Zone      string
 	Base      uint64
 	HasBase   bool
-	// Marker is a lane that only this order's spec has.
+	// Marker is a route that only this order's spec has.
 	Marker string
 	// Spec is the whole document of an apply, Change that of a change of named entries.
 	Spec       *config.Spec
@@ -131,7 +131,7 @@
 // Return tells that all machines were back after a time of being down.
 type Return struct{ At time.Time }
 
-// Room is how the pool truly was at a moment: the slots, and those free, of the runners of each zone
+// Room is how the backend truly was at a moment: the slots, and those free, of the runners of each zone
 // that are well, listed and warm.
 type Room struct {
 	At    time.Time
@@ -142,7 +142,7 @@
 // Final is what the fleet said at the end.
 type Final struct {
 	Epoch   uint64
-	Lanes   []string
+	Routes  []string
 	Known   map[string]uint64
 	Missing []string
 	Asked   bool
@@ -150,10 +150,10 @@
 
 // History is everything.
 type History struct {
-	mutex sync.Mutex
-	Begun time.Time
-	Zones []string
-	// Service and Weights are those of the pool's runners.
+	mutex   sync.Mutex
+	Started time.Time
+	Zones   []string
+	// Service and Weights are those of the backend's runners.
 	Service, Weights string
 	// Daemons is how many there are.
 	Daemons int
@@ -170,7 +170,7 @@
 }
 
 // New begins a history.
-func New() *History { return &History{Begun: time.Now()} }
+func New() *History { return &History{Started: time.Now()} }
 
 // Change runs under the history's lock.
 func (history *History) Change(change func(history *History)) {
--- a/verify/histories/judge.go
+++ b/verify/histories/judge.go
@@ -57,7 +57,7 @@
 	for _, answer := range history.Answers {
 		judge.Departed(answer, answer.Left.Add(LeftBound))
 	}
-	judge.Ended()
+	judge.Finished()
 	return judge.Violations
 }
 
@@ -95,8 +95,8 @@
 	judge.each(bind(onAnswer, answer))
 }
 
-// Ended judges what only the whole history shows.
-func (judge *Judge) Ended() {
+// Finished judges what only the whole history shows.
+func (judge *Judge) Finished() {
 	judge.learn()
 	judge.each(atEnd)
 }
@@ -112,7 +112,7 @@
 // era is a spec, and when it was sent and acknowledged; the latter is zero where nobody was told.
 type era struct {
 	epoch     uint64
-	book      *config.Book
+	catalog   *config.Catalog
 	sent, got time.Time
 }
 
@@ -171,7 +171,7 @@
 			}
 			present = &turned
 		}
-		one := era{epoch: change.epoch, book: config.NewBook(present), sent: change.order.Sent}
+		one := era{epoch: change.epoch, catalog: config.NewCatalog(present), sent: change.order.Sent}
 		if change.order.Outcome == "accepted" {
 			one.got = change.order.Got
 		}
@@ -214,9 +214,9 @@
 	return fit
 }
 
-func (judge *Judge) permitted(daemon string, at time.Time, bound time.Duration, permits func(book *config.Book) bool) bool {
+func (judge *Judge) permitted(daemon string, at time.Time, bound time.Duration, permits func(catalog *config.Catalog) bool) bool {
 	for _, era := range judge.candidates(daemon, at, bound) {
-		if permits(era.book) {
+		if permits(era.catalog) {
 			return true
 		}
 	}
@@ -224,11 +224,11 @@
 }
 
 // outdated gives for how long a piece of work at a moment was against the acknowledged specs.
-func (judge *Judge) outdated(at time.Time, permits func(book *config.Book) bool) time.Duration {
+func (judge *Judge) outdated(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
 	longest := time.Duration(0)
 	for place := len(judge.timeline) - 1; place >= 0; place-- {
 		era := judge.timeline[place]
-		if permits(era.book) && !era.sent.After(at) {
+		if permits(era.catalog) && !era.sent.After(at) {
 			break
 		}
 		if !era.got.IsZero() && era.got.Before(at) {
@@ -258,17 +258,17 @@
 	return Fault{}, false
 }
 
-// takes tells whether a spec lets the pool use its runners at all.
-func (judge *Judge) takes(book *config.Book) bool {
-	for _, pool := range book.Pools {
-		if pool.Allows(judge.history.Service) && pool.Weights == judge.history.Weights {
+// takes tells whether a spec lets the backend use its runners at all.
+func (judge *Judge) takes(catalog *config.Catalog) bool {
+	for _, backend := range catalog.Backends {
+		if backend.Allows(judge.history.Service) && backend.Weights == judge.history.Weights {
 			return true
 		}
 	}
 	return false
 }
 
-// room gives the least part of the pool's slots that was free over a span of time, in zones that were
+// room gives the least part of the backend's slots that was free over a span of time, in zones that were
 // open all the while; 0 where nobody looked.
 func (judge *Judge) room(from, until time.Time) float64 {
 	least, seen := 1.0, false
@@ -279,7 +279,7 @@
 		for zone, count := range room.Free {
 			open := true
 			for _, era := range eras {
-				open = open && era.book.Open(zone) && judge.takes(era.book)
+				open = open && era.catalog.Open(zone) && judge.takes(era.catalog)
 			}
 			if open {
 				free, slots = free+count, slots+room.Slots[zone]
--- a/verify/histories/margins.go
+++ b/verify/histories/margins.go
@@ -20,8 +20,8 @@
 	Held time.Duration
 	// Beside is the most work beside which a cold runner got more.
 	Beside int
-	// Repeated and Requests are of the ten seconds that were worst for the rule of repeats.
-	Repeated, Requests int
+	// Retried and Requests are of the ten seconds that were worst for the rule of repeats.
+	Retried, Requests int
 }
 
 // Worst gives the margins of a history.
@@ -31,12 +31,12 @@
 	margins := Margins{}
 	judge := NewJudge(history, history.Final.Known)
 	judge.learn()
-	pools := map[string]bool{}
+	backends := map[string]bool{}
 	for _, run := range history.Runs {
-		pools[run.Pool] = true
+		backends[run.Pool] = true
 		margins.Leaving = max(margins.Leaving, judge.late(run))
-		margins.Ignored = max(margins.Ignored, judge.outdated(run.At, func(book *config.Book) bool { return serves(book, run) && allows(book, run) }))
-		margins.Closed = max(margins.Closed, judge.outdated(run.At, func(book *config.Book) bool { return book.Open(run.Zone) }))
+		margins.Ignored = max(margins.Ignored, judge.outdated(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
+		margins.Closed = max(margins.Closed, judge.outdated(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
 		if run.Cold {
 			margins.Beside = max(margins.Beside, run.Beside)
 		}
@@ -58,20 +58,20 @@
 		}
 		margins.Return = max(margins.Return, first)
 	}
-	for pool := range pools {
-		_, repeated, requests := RepeatPeak(history, pool)
-		margins.repeats(repeated, requests)
+	for backend := range backends {
+		_, retried, requests := RetryPeak(history, backend)
+		margins.retries(retried, requests)
 	}
 	return margins
 }
 
-// repeats keeps the worse of two windows.
-func (margins *Margins) repeats(repeated, requests int) {
-	used := func(repeated, requests int) float64 {
-		return float64(repeated) / (RepeatShare*float64(requests) + RepeatLittle)
+// retries keeps the worse of two windows.
+func (margins *Margins) retries(retried, requests int) {
+	used := func(retried, requests int) float64 {
+		return float64(retried) / (RetryShare*float64(requests) + RetryLittle)
 	}
-	if used(repeated, requests) > used(margins.Repeated, margins.Requests) {
-		margins.Repeated, margins.Requests = repeated, requests
+	if used(retried, requests) > used(margins.Retried, margins.Requests) {
+		margins.Retried, margins.Requests = retried, requests
 	}
 }
 
@@ -82,5 +82,5 @@
 		*mine = max(*mine, others)
 	}
 	margins.Beside = max(margins.Beside, other.Beside)
-	margins.repeats(other.Repeated, other.Requests)
+	margins.retries(other.Retried, other.Requests)
 }
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -1,4 +1,4 @@
-// Package load has requesters: seeded mixes of the two deployments, sent as separate streams.
+// Package load has clients: seeded mixes of the two deployments, sent as separate streams.
 package loadtest
 
 import (
@@ -27,7 +27,7 @@
 	Record *histories.History
 	// Hot is the part of requests that carry one and the same opening.
 	Hot float64
-	// Leaves is the part of the requesters that close their connections at some moment, whatever they have got by then.
+	// Leaves is the part of the clients that close their connections at some moment, whatever they have got by then.
 	Leaves float64
 
 	mutex   sync.Mutex
@@ -67,10 +67,10 @@
 	load.waiting.Wait()
 }
 
-// latestLeave is how long after sending its request a requester that leaves does so at the latest.
+// latestLeave is how long after sending its request a client that leaves does so at the latest.
 const latestLeave = time.Second
 
-// draw gives the next request, the zone that it comes from, and when its requester leaves; 0: it stays.
+// draw gives the next request, the zone that it comes from, and when its client leaves; 0: it stays.
 func (load *Load) draw() (Drawn, string, time.Duration) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -86,7 +86,7 @@
 
 func (load *Load) one() {
 	drawn, zone, leaves := load.draw()
-	record := &histories.Answer{Request: drawn.ID, Lane: drawn.Kind.Lane, Once: drawn.Kind.Once, Patience: drawn.Kind.Patience, Zone: zone, Sent: time.Now(), Resumable: drawn.Kind.Resumable,
+	record := &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: time.Now(), Resumable: drawn.Kind.Resumable,
 		Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}
 	staying, leave := context.WithCancel(context.Background())
 	defer leave()
@@ -94,7 +94,7 @@
 		timer := time.AfterFunc(leaves, leave)
 		defer timer.Stop()
 	}
-	// A requester whose connection was never made may go to another daemon: nothing of it was read.
+	// A client whose connection was never made may go to another daemon: nothing of it was read.
 	for range 5 {
 		record.Daemon = load.Pick(zone)
 		if record.Daemon == "" {
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -15,29 +15,29 @@
 
 // Kind is one kind of work of a mix.
 type Kind struct {
-	Lane string
+	Route string
 	// Share is its part of the requests.
 	Share float64
 	Once  bool
-	// Worth, Patience and Purse are its lane's terms.
-	Worth    float64
-	Patience time.Duration
-	Purse    float64
+	// Value, Patience and Concurrency limit are its route's terms.
+	Value            float64
+	LatencyTarget    time.Duration
+	ConcurrencyLimit float64
 	// Opening is the number of shared parts, OpeningTokens the tokens of each; Own the tokens of the rest.
 	Opening, OpeningTokens, Own, Answer int
 	// Families is how many different openings there are.
 	Families int
 	Text     string
-	// Resumable says that its lane's streams may go on at another runner, after pauses of at most Pause.
+	// Resumable says that its route's streams may go on at another runner, after pauses of at most Pause.
 	Resumable bool
-	// Cancel says that its lane's runs end when their requesters leave, also where they run at most once.
+	// Cancel says that its route's runs end when their clients leave, also where they run at most once.
 	Cancel bool
 	Pause  time.Duration
-	// Wait is about how long its requesters wait at all, where they tell it; Deadline is the longest that its lane holds a request.
+	// Wait is about how long its clients wait at all, where they tell it; Deadline is the longest that its route holds a request.
 	Wait, Deadline time.Duration
 }
 
-// Mix is the work of one deployment, and the pool that does it.
+// Mix is the work of one deployment, and the backend that does it.
 type Mix struct {
 	Model, Pool, Weights, Service string
 	Kinds                         []Kind
@@ -45,16 +45,16 @@
 
 // Guild is the fibre guild's mix: survey summaries lead, chats in Welsh and English and confirmations are close.
 var Guild = Mix{Model: "cynorthwyydd", Pool: "booking", Weights: "w-2026-11", Service: "booking-runners", Kinds: []Kind{
-	{Lane: "survey", Share: 0.42, Worth: 1, Patience: 20 * time.Second, Purse: 0.5, Opening: 6, OpeningTokens: 500, Own: 600, Answer: 120, Families: 24, Text: "Write up the survey of the duct and its joints."},
-	{Lane: "chat", Share: 0.31, Worth: 4, Patience: 4 * time.Second, Purse: 0.4, Opening: 3, OpeningTokens: 400, Own: 120, Answer: 60, Families: 12, Text: "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te."},
-	{Lane: "confirm", Share: 0.27, Once: true, Worth: 10, Patience: 3 * time.Second, Purse: 0.4, Opening: 2, OpeningTokens: 400, Own: 80, Answer: 30, Families: 4, Text: "Confirm the slot on Thursday at ten."},
+	{Route: "survey", Share: 0.42, Value: 1, LatencyTarget: 20 * time.Second, ConcurrencyLimit: 0.5, Opening: 6, OpeningTokens: 500, Own: 600, Answer: 120, Families: 24, Text: "Write up the survey of the duct and its joints."},
+	{Route: "chat", Share: 0.31, Value: 4, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 3, OpeningTokens: 400, Own: 120, Answer: 60, Families: 12, Text: "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te."},
+	{Route: "confirm", Share: 0.27, Once: true, Value: 10, LatencyTarget: 3 * time.Second, ConcurrencyLimit: 0.4, Opening: 2, OpeningTokens: 400, Own: 80, Answer: 30, Families: 4, Text: "Confirm the slot on Thursday at ten."},
 }}
 
 // Ferries is the ferry company's mix: counter queries and reconciliations lead, rulings come a little behind.
 var Ferries = Mix{Model: "tocyn", Pool: "ticketing", Weights: "t-7", Service: "ticket-runners", Kinds: []Kind{
-	{Lane: "counter", Share: 0.40, Worth: 5, Patience: 4 * time.Second, Purse: 0.4, Opening: 3, OpeningTokens: 400, Own: 100, Answer: 50, Families: 10, Text: "What does a car and four cost on the evening crossing?"},
-	{Lane: "reconcile", Share: 0.33, Worth: 1, Patience: 20 * time.Second, Purse: 0.5, Opening: 6, OpeningTokens: 500, Own: 800, Answer: 110, Families: 16, Text: "Reconcile the manifest with the tickets."},
-	{Lane: "ruling", Share: 0.27, Once: true, Worth: 8, Patience: 4 * time.Second, Purse: 0.4, Opening: 4, OpeningTokens: 400, Own: 200, Answer: 40, Families: 6, Text: "Rule on the refund of the cancelled crossing."},
+	{Route: "counter", Share: 0.40, Value: 5, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 3, OpeningTokens: 400, Own: 100, Answer: 50, Families: 10, Text: "What does a car and four cost on the evening crossing?"},
+	{Route: "reconcile", Share: 0.33, Value: 1, LatencyTarget: 20 * time.Second, ConcurrencyLimit: 0.5, Opening: 6, OpeningTokens: 500, Own: 800, Answer: 110, Families: 16, Text: "Reconcile the manifest with the tickets."},
+	{Route: "ruling", Share: 0.27, Once: true, Value: 8, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 4, OpeningTokens: 400, Own: 200, Answer: 40, Families: 6, Text: "Rule on the refund of the cancelled crossing."},
 }}
 
 // Lasting is the mix with longer answers, which may be resumed wherever they may be repeated.
@@ -68,17 +68,17 @@
 	return mix
 }
 
-// Hurried is the mix whose requesters tell how long they wait, and whose lanes have a longest time of their own.
+// Hurried is the mix whose clients tell how long they wait, and whose routes have a longest time of their own.
 func (mix Mix) Hurried() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
 	for place := range mix.Kinds {
 		kind := &mix.Kinds[place]
-		kind.Wait, kind.Deadline = kind.Patience/2, kind.Patience
+		kind.Wait, kind.Deadline = kind.LatencyTarget/2, kind.LatencyTarget
 	}
 	return mix
 }
 
-// Cancelling is the mix with longer answers, whose runs all end when their requesters leave, also those that run at most
+// Cancelling is the mix with longer answers, whose runs all end when their clients leave, also those that run at most
 // once.
 func (mix Mix) Cancelling() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
@@ -88,18 +88,18 @@
 	return mix
 }
 
-// Spec is the deployment's, with one more lane for each marker.
+// Spec is the deployment's, with one more route for each marker.
 func (mix Mix) Spec(zones []string, markers ...string) *config.Spec {
-	made := &config.Spec{Pools: []config.Pool{{Name: mix.Pool, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}}}}
+	made := &config.Spec{Backends: []config.Pool{{Name: mix.Pool, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}}}}
 	for _, zone := range zones {
 		made.Zones = append(made.Zones, config.Zone{Name: zone})
 	}
 	for _, kind := range mix.Kinds {
-		made.Lanes = append(made.Lanes, config.Lane{Name: kind.Lane, Pool: mix.Pool, Worth: kind.Worth, Patience: config.Span(kind.Patience), Purse: kind.Purse, Repeatable: !kind.Once,
-			Resumable: kind.Resumable, CancelOnDisconnect: kind.Cancel, Pause: config.Span(kind.Pause), Deadline: config.Span(kind.Deadline)})
+		made.Routes = append(made.Routes, config.Route{Name: kind.Route, Pool: mix.Pool, Value: kind.Value, LatencyTarget: config.Duration(kind.LatencyTarget), ConcurrencyLimit: kind.ConcurrencyLimit, Idempotent: !kind.Once,
+			Resumable: kind.Resumable, CancelOnDisconnect: kind.Cancel, Pause: config.Duration(kind.Pause), Deadline: config.Duration(kind.Deadline)})
 	}
 	for _, marker := range markers {
-		made.Lanes = append(made.Lanes, config.Lane{Name: marker, Pool: mix.Pool, Worth: 1, Patience: config.Span(5 * time.Second), Purse: 0.1, Repeatable: true})
+		made.Routes = append(made.Routes, config.Route{Name: marker, Pool: mix.Pool, Value: 1, LatencyTarget: config.Duration(5 * time.Second), ConcurrencyLimit: 0.1, Idempotent: true})
 	}
 	return made
 }
@@ -109,7 +109,7 @@
 	Kind   Kind
 	Family int
 	ID     string
-	// Wait is how long its requester waits; 0: not told.
+	// Wait is how long its client waits; 0: not told.
 	Wait time.Duration
 }
 
@@ -136,7 +136,7 @@
 	if random.Float64() < hot {
 		drawn.Family = 0
 	}
-	// Some requesters tell nothing, and then the lane's own bound holds.
+	// Some clients tell nothing, and then the route's own bound holds.
 	if kind := drawn.Kind; kind.Wait > 0 && random.Intn(4) > 0 {
 		drawn.Wait = (kind.Wait/8 + time.Duration(random.Int63n(int64(2*kind.Wait)))).Round(time.Millisecond)
 	}
@@ -146,9 +146,9 @@
 // Parts gives the names and tokens of the prompt's opening.
 func (drawn Drawn) Parts() (names []string, tokens []int) {
 	for place := range drawn.Kind.Opening {
-		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Lane, drawn.Family, place)
+		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Family, place)
 		if place == 0 {
-			name = drawn.Kind.Lane + "-system"
+			name = drawn.Kind.Route + "-system"
 		}
 		names, tokens = append(names, name), append(tokens, drawn.Kind.OpeningTokens)
 	}
@@ -162,7 +162,7 @@
 
 // Headers gives the request's headers.
 func (drawn Drawn) Headers(model string) map[string][]string {
-	headers := map[string][]string{admission.HeaderLane: {drawn.Kind.Lane}, admission.HeaderModel: {model}, admission.HeaderRequest: {drawn.ID},
+	headers := map[string][]string{admission.HeaderRoute: {drawn.Kind.Route}, admission.HeaderModel: {model}, admission.HeaderRequest: {drawn.ID},
 		admission.HeaderPrompt: {strconv.Itoa(drawn.PromptTokens())}, admission.HeaderAnswer: {strconv.Itoa(drawn.Kind.Answer)}}
 	if drawn.Wait > 0 {
 		headers[admission.HeaderWait] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
@@ -183,7 +183,7 @@
 	return content
 }
 
-// Ear reads a stream's lines as a requester does, believing nothing but what it reads.
+// Ear reads a stream's lines as a client does, believing nothing but what it reads.
 type Ear struct {
 	Record *histories.Answer
 	name   string
--- a/verify/modelcheck/act.go
+++ b/verify/modelcheck/act.go
@@ -17,7 +17,7 @@
 
 // actions lists what may happen next, in a fixed order.
 func (world *world) actions() []Action {
-	if world.ended || world.judge.broken != "" {
+	if world.finished || world.judge.broken != "" {
 		return nil
 	}
 	var actions []Action
@@ -170,7 +170,7 @@
 		return true
 	}
 	leader := world.leader()
-	if leader == nil || len(leader.node.View().Keepers) < 2*faults+1 {
+	if leader == nil || len(leader.node.View().Acceptors) < 2*faults+1 {
 		return false
 	}
 	live := map[string]bool{}
@@ -179,7 +179,7 @@
 			live[host.disk.memory.Id] = true
 		}
 	}
-	for _, member := range append(slices.Clone(leader.node.View().Chain), leader.node.View().Keepers...) {
+	for _, member := range append(slices.Clone(leader.node.View().Chain), leader.node.View().Acceptors...) {
 		if !live[member.Id] {
 			return false
 		}
@@ -235,7 +235,7 @@
 	},
 	Start: func(world *world, host *host, _ string) {
 		world.boot(host)
-		world.step(host, host.life, 0, func() { world.tickHost(host) })
+		world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
 	},
 	Freeze: func(_ *world, host *host, _ string) { host.frozen = true },
 	Wake:   func(world *world, host *host, _ string) { world.wake(host) },
@@ -243,7 +243,7 @@
 	Heal:   func(world *world, _ *host, _ string) { world.cutOff = map[string]bool{} },
 	Leave: func(world *world, host *host, _ string) {
 		host.leaving = true
-		world.step(host, host.life, 0, func() { host.node.Leave(world.now) })
+		world.step(host, host.incarnation, 0, func() { host.node.Leave(world.now) })
 	},
 	Stop: func(world *world, host *host, _ string) {
 		world.end(host, false)
@@ -279,24 +279,24 @@
 	world.sent[place] = true
 	world.judge.asked[place] = world.judge.acknowledged()
 	host := world.byName[question.Via]
-	world.step(host, host.life, 0, func() {
+	world.step(host, host.incarnation, 0, func() {
 		host.node.Ask(world.now, question.ask(), func(status int, body []byte) { world.judge.answer(place, status, body) })
 	})
 }
 
 // ask gives the message of a question.
-func (question Question) ask() *wire.OperatorAsk {
+func (question Question) ask() *wire.OperatorRequest {
 	if question.Verb == "get" {
-		return &wire.OperatorAsk{Verb: "get"}
+		return &wire.OperatorRequest{Verb: "get"}
 	}
 	spec := fmt.Sprintf(`{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`, question.Operation)
-	return &wire.OperatorAsk{Verb: question.Verb, Operation: question.Operation, Base: question.Base, HasBase: true, Spec: []byte(spec)}
+	return &wire.OperatorRequest{Verb: question.Verb, Operation: question.Operation, Base: question.Base, HasBase: true, Spec: []byte(spec)}
 }
 
 // blackout takes the power from everything, the disk from one machine, and starts all again. Those who come back must
 // lead with all that was acknowledged.
 func (world *world) blackout(lost *host) {
-	world.ended = true
+	world.finished = true
 	world.cutOff = map[string]bool{}
 	for _, host := range world.hosts {
 		world.end(host, true)
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -11,7 +11,7 @@
 // disk is what a machine's data folder holds: a whole memory and the records after it. Torn and damaged files are the
 // business of the tests of package snapshot; here a write is either carried out or lost.
 type disk struct {
-	memory  *wire.Memory
+	memory  *wire.DurableState
 	records []*wire.Record
 	// operations are the changes that it holds, committed or not.
 	operations map[string]bool
@@ -27,7 +27,7 @@
 	disk.digest.add(messageDigest(write.Memory))
 	disk.digest.add(messageDigest(write.Record))
 	if write.Memory != nil {
-		disk.memory, disk.records = proto.Clone(write.Memory).(*wire.Memory), nil
+		disk.memory, disk.records = proto.Clone(write.Memory).(*wire.DurableState), nil
 		disk.take(disk.memory.Document, disk.memory.Pending)
 	}
 	if write.Record == nil {
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -24,7 +24,7 @@
 	// Exhausted tells that there is no further state within the depth.
 	Exhausted bool
 	// Acknowledged counts the states in which a change was acknowledged, Ended those after a blackout.
-	Acknowledged, Ended int
+	Acknowledged, Finished int
 	// Broken is the property that did not hold, and Trace the actions that led there.
 	Broken string
 	Trace  []Action
@@ -33,7 +33,7 @@
 // String gives the counts in one line.
 func (result Result) String() string {
 	return fmt.Sprintf("%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, exhausted %v; %d states with a change acknowledged, %d recoveries",
-		result.States, result.Transitions, result.Again, result.Runs, result.Deepest, result.Complete, result.Exhausted, result.Acknowledged, result.Ended)
+		result.States, result.Transitions, result.Again, result.Runs, result.Deepest, result.Complete, result.Exhausted, result.Acknowledged, result.Finished)
 }
 
 // stateNode is one state that was seen: how to get there, and what was not tried from there yet.
@@ -204,8 +204,8 @@
 	if len(world.judge.accepted) > 0 {
 		explorer.result.Acknowledged++
 	}
-	if world.ended {
-		explorer.result.Ended++
+	if world.finished {
+		explorer.result.Finished++
 	}
 }
 
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -77,7 +77,7 @@
 
 var (
 	timeType = reflect.TypeFor[time.Time]()
-	bookType = reflect.TypeFor[config.Book]()
+	bookType = reflect.TypeFor[config.Catalog]()
 )
 
 // walks fold in values of each kind. Functions and channels say nothing that another field does not.
@@ -225,10 +225,10 @@
 type source struct{ state uint64 }
 
 // newRandom gives a random source for one life of a machine.
-func newRandom(name string, life int) *rand.Rand {
+func newRandom(name string, incarnation int) *rand.Rand {
 	sum := digestSeed
 	sum.addText(name)
-	sum.add(uint64(life))
+	sum.add(uint64(incarnation))
 	return rand.New(&source{state: uint64(sum)})
 }
 
--- a/verify/modelcheck/judge.go
+++ b/verify/modelcheck/judge.go
@@ -175,7 +175,7 @@
 
 // sending checks what a machine is about to teach.
 func (judge *judge) sending(host *host, envelope *wire.Envelope) {
-	answer := envelope.GetLearnAnswer()
+	answer := envelope.GetLearnResponse()
 	if answer == nil || answer.View < judge.newest {
 		return
 	}
@@ -213,7 +213,7 @@
 func (judge *judge) lookAtDaemon(host *host) {
 	now := judge.world.now
 	judge.noteReach(host)
-	snapshot := host.director.Snapshot(now)
+	snapshot := host.machine.Snapshot(now)
 	if !now.Before(snapshot.Until) {
 		return
 	}
@@ -304,9 +304,9 @@
 
 func (judge *judge) acceptedAs(question Question, epoch uint64) {
 	operation := question.Operation
-	if former, found := judge.accepted[operation]; found {
-		if former.Epoch != epoch {
-			judge.fail("P2", "%s was acknowledged as epoch %d and %d", operation, former.Epoch, epoch)
+	if previous, found := judge.accepted[operation]; found {
+		if previous.Epoch != epoch {
+			judge.fail("P2", "%s was acknowledged as epoch %d and %d", operation, previous.Epoch, epoch)
 		}
 		return
 	}
--- a/verify/modelcheck/model_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -42,12 +42,12 @@
 }
 
 func search(t *testing.T, scenario Scenario, seed int64) {
-	begun, output := time.Now(), &strings.Builder{}
+	started, output := time.Now(), &strings.Builder{}
 	held, err := Print(output, []Scenario{scenario}, Options{States: scenario.States / raceShare, Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s(%v)", output, time.Since(begun).Round(time.Millisecond))
+	t.Logf("%s(%v)", output, time.Since(started).Round(time.Millisecond))
 	if !held {
 		t.Error("a property does not hold; the actions above lead there")
 	}
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -12,7 +12,7 @@
 // prepared is a founded fleet: what its disks hold.
 type prepared struct {
 	scenario *Scenario
-	memories map[string]*wire.Memory
+	memories map[string]*wire.DurableState
 	// identity is how many identities were given to disks so far.
 	identity int
 }
@@ -59,7 +59,7 @@
 		}
 	}
 	world.wait(int(settled / step))
-	memories := map[string]*wire.Memory{}
+	memories := map[string]*wire.DurableState{}
 	for _, host := range world.hosts {
 		if host.core && host.ran {
 			host.disk.shorten()
@@ -83,7 +83,7 @@
 // allAward tells whether every daemon may award work.
 func (world *world) allAward() bool {
 	for _, host := range world.hosts {
-		if !host.core && host.up && !world.now.Before(host.director.Until(world.now)) {
+		if !host.core && host.up && !world.now.Before(host.machine.Until(world.now)) {
 			return false
 		}
 	}
@@ -99,7 +99,7 @@
 		memory := prepared.memories[host.name]
 		if memory != nil {
 			host.ran = true
-			host.disk.memory = proto.Clone(memory).(*wire.Memory)
+			host.disk.memory = proto.Clone(memory).(*wire.DurableState)
 			host.disk.shorten()
 			host.disk.digest.add(messageDigest(memory))
 		}
--- a/verify/modelcheck/scenarios.go
+++ b/verify/modelcheck/scenarios.go
@@ -2,12 +2,12 @@
 
 // The kinds of messages that belong together.
 var (
-	operatorKinds = []string{"OperatorAsk", "OperatorAnswer"}
-	chainKinds    = []string{"ChainPass", "ChainHold"}
-	viewKinds     = []string{"ViewPrepare", "ViewPromise", "ViewAccept", "ViewAccepted", "ViewRefused", "ViewNews"}
-	leaseKinds    = []string{"ClaimAsk", "ClaimGrant"}
-	learnKinds    = []string{"LearnAsk", "LearnAnswer"}
-	daemonKinds   = []string{"TickAsk", "TickGrant", "TickCall"}
+	operatorKinds = []string{"OperatorRequest", "OperatorResponse"}
+	chainKinds    = []string{"ChainForward", "ChainAck"}
+	viewKinds     = []string{"ViewPrepare", "ViewPromise", "ViewAccept", "ViewAccepted", "ViewRejected", "ViewUpdate"}
+	leaseKinds    = []string{"LeaderLeaseRequest", "LeaderLeaseGrant"}
+	learnKinds    = []string{"LearnRequest", "LearnResponse"}
+	daemonKinds   = []string{"DaemonLeaseRequest", "DaemonLeaseGrant", "DaemonLeasePrompt"}
 )
 
 func kinds(groups ...[]string) []string {
@@ -109,7 +109,7 @@
 		Name: "keepers", Help: "daemons that hear the head no more go by the keepers' word, against late words, keepers that begin anew and changes",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
 		Sends:    []Question{leftAtFirst},
-		Explored: []string{"Rumor", "TickGrant", "ClaimGrant"}, Budget: map[Verb]int{Cut: 2, Crash: 1, Freeze: 1, Hold: 2, Wait: 4},
+		Explored: []string{"GossipMessage", "DaemonLeaseGrant", "LeaderLeaseGrant"}, Budget: map[Verb]int{Cut: 2, Crash: 1, Freeze: 1, Hold: 2, Wait: 4},
 		Cuts:  [][]string{{"daemon1", "core3"}, {"daemon1", "core2", "core3"}},
 		Links: [][2]string{{"core1", "daemon1"}, {"core1", "core3"}}, Targets: []string{"core2", "core3", "daemon1"}, Depth: 60, States: 8000,
 	},
@@ -117,7 +117,7 @@
 		Name: "keeper-back", Help: "a keeper that was away and is not in the chain yet comes back, and speaks to a daemon that hears the head no more",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", Before: 1,
 		Sends:    []Question{{Verb: "apply", Operation: "left", Base: 2, Via: "core1", After: -1}},
-		Explored: []string{"TickAsk", "TickGrant", "ClaimAsk", "ClaimGrant", "LearnAnswer"}, Budget: map[Verb]int{Cut: 2, Crash: 2, Hold: 2, Drop: 1, Wait: 3},
+		Explored: []string{"DaemonLeaseRequest", "DaemonLeaseGrant", "LeaderLeaseRequest", "LeaderLeaseGrant", "LearnResponse"}, Budget: map[Verb]int{Cut: 2, Crash: 2, Hold: 2, Drop: 1, Wait: 3},
 		Cuts: [][]string{{"daemon1", "core3"}}, Links: [][2]string{{"core1", "daemon1"}}, Targets: []string{"core2", "core3"}, Depth: 60, States: 8000,
 	},
 }
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -17,10 +17,10 @@
 
 // host is one machine of the model.
 type host struct {
-	name string
-	zone string
-	core bool
-	life int
+	name        string
+	zone        string
+	core        bool
+	incarnation int
 	// ran tells that its process was ever started; a later start founds nothing.
 	ran    bool
 	up     bool
@@ -30,11 +30,11 @@
 	// dark tells that nothing at all answers; a machine that is not up and not dark refuses connections.
 	dark bool
 	// gone tells that the machine left by order and was taken away.
-	gone     bool
-	leaving  bool
-	node     *node.Node
-	director *controller.Director
-	disk     *disk
+	gone    bool
+	leaving bool
+	node    *node.Node
+	machine *controller.Controller
+	disk    *disk
 	// document and view are those of this host that were checked last.
 	document *wire.Document
 	view     *wire.View
@@ -61,7 +61,7 @@
 type world struct {
 	scenario *Scenario
 	now      time.Time
-	begun    time.Time
+	started  time.Time
 	hosts    []*host
 	byName   map[string]*host
 	explored map[string]bool
@@ -74,13 +74,13 @@
 	budget   map[Verb]int
 	sent     []bool
 	identity int
-	ended    bool
+	finished bool
 	judge    *judge
 }
 
 func newWorld(scenario *Scenario) *world {
-	begun := time.Unix(1_700_000_000, 0)
-	world := &world{scenario: scenario, now: begun, begun: begun, byName: map[string]*host{}, explored: map[string]bool{}, smooth: true,
+	started := time.Unix(1_700_000_000, 0)
+	world := &world{scenario: scenario, now: started, started: started, byName: map[string]*host{}, explored: map[string]bool{}, smooth: true,
 		cutOff: map[string]bool{}, budget: map[Verb]int{}, sent: make([]bool, len(scenario.Sends))}
 	for _, kind := range scenario.Explored {
 		world.explored[kind] = true
@@ -120,30 +120,30 @@
 	first := !host.ran
 	host.ran, host.up, host.dark, host.frozen, host.leaving = true, true, false, false, false
 	host.writes, host.backlog, host.booted = nil, nil, world.now
-	host.life++
-	random := newRandom(host.name, host.life)
+	host.incarnation++
+	random := newRandom(host.name, host.incarnation)
 	if !host.core {
-		host.director = controller.New(world.now, controller.Startup{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Registered: true,
+		host.machine = controller.New(world.now, controller.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Registered: true,
 			WithoutCore: withoutCore}, random)
 		return
 	}
 	if host.disk.memory == nil {
 		world.identity++
-		host.disk.memory = &wire.Memory{Id: fmt.Sprintf("disk%d-%s", world.identity, host.name)}
+		host.disk.memory = &wire.DurableState{Id: fmt.Sprintf("disk%d-%s", world.identity, host.name)}
 	}
 	founding := first && strings.Contains(strings.Join(world.founders(), " "), host.name)
-	host.node = node.New(world.now, node.Startup{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Founders: world.founders(),
+	host.node = node.New(world.now, node.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Founders: world.founders(),
 		Founding: founding, Faults: faults}, host.disk.memory, host.disk.records, random)
 }
 
 // step runs one step of a host's machine, takes over what that asks for, and checks what it may have broken.
 // digest stands for what the step does.
-func (world *world) step(host *host, life int, digest uint64, do func()) {
-	if !host.up || host.life != life {
+func (world *world) step(host *host, incarnation int, digest uint64, do func()) {
+	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.frozen {
-		host.backlog = append(host.backlog, delayed{digest: digest, do: func() { world.step(host, life, digest, do) }})
+		host.backlog = append(host.backlog, delayed{digest: digest, do: func() { world.step(host, incarnation, digest, do) }})
 		return
 	}
 	do()
@@ -153,7 +153,7 @@
 
 func (world *world) drain(host *host) {
 	if !host.core {
-		for _, parcel := range host.director.Drain() {
+		for _, parcel := range host.machine.Drain() {
 			world.route(host, parcel)
 		}
 		return
@@ -165,9 +165,9 @@
 		world.route(host, parcel)
 	}
 	if len(host.writes) > 0 && !world.exploresDisks() {
-		life := host.life
+		incarnation := host.incarnation
 		world.later(func() {
-			if host.up && host.life == life {
+			if host.up && host.incarnation == incarnation {
 				world.sync(host)
 			}
 		})
@@ -188,7 +188,7 @@
 }
 
 // route sends a message on its way: among those explored, or at once.
-func (world *world) route(from *host, parcel statemachine.Parcel) {
+func (world *world) route(from *host, parcel statemachine.Message) {
 	target := world.byName[parcel.To]
 	if target == nil || world.parted(from.name, target.name) {
 		return
@@ -228,12 +228,12 @@
 	if err := proto.Unmarshal([]byte(message.content), envelope); err != nil {
 		panic(err)
 	}
-	world.step(target, target.life, message.digest, func() {
+	world.step(target, target.incarnation, message.digest, func() {
 		if target.core {
 			target.node.Receive(world.now, envelope)
 			return
 		}
-		target.director.Receive(world.now, envelope)
+		target.machine.Receive(world.now, envelope)
 	})
 }
 
@@ -242,17 +242,17 @@
 	if to.dark {
 		return
 	}
-	life, tried := from.life, world.now
+	incarnation, tried := from.incarnation, world.now
 	world.later(func() {
 		if to.up || world.parted(from.name, to.name) {
 			return
 		}
-		world.step(from, life, digestOf("refused "+to.name), func() {
+		world.step(from, incarnation, digestOf("refused "+to.name), func() {
 			if from.core {
 				from.node.Refused(world.now, to.name, tried)
 				return
 			}
-			from.director.Refused(world.now, to.name, tried)
+			from.machine.Refused(world.now, to.name, tried)
 		})
 	})
 }
@@ -276,7 +276,7 @@
 		host.disk.carry(write)
 	}
 	last := writes[len(writes)-1].Sequence
-	world.step(host, host.life, last, func() { host.node.Synced(world.now, last) })
+	world.step(host, host.incarnation, last, func() { host.node.Synced(world.now, last) })
 }
 
 // tick lets one step of time pass and ticks every process.
@@ -285,7 +285,7 @@
 	for _, host := range world.hosts {
 		// A frozen process misses its ticks.
 		if host.up && !host.frozen {
-			world.step(host, host.life, 0, func() { world.tickHost(host) })
+			world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
 			world.settle()
 		}
 	}
@@ -296,7 +296,7 @@
 		host.node.Tick(world.now)
 		return
 	}
-	host.director.Tick(world.now)
+	host.machine.Tick(world.now)
 }
 
 // wait lets time pass while every message is delivered and every write synced.
@@ -331,7 +331,7 @@
 // end stops a process; what waited for its disk is lost.
 func (world *world) end(host *host, dark bool) {
 	host.up, host.dark, host.frozen, host.writes, host.backlog = false, dark, false, nil, nil
-	host.node, host.director = nil, nil
+	host.node, host.machine = nil, nil
 	world.lose(func(message message) bool { return message.to == host.name })
 	if dark {
 		return
@@ -384,13 +384,13 @@
 }
 
 func (world *world) addHost(sum *digest, walker *walker, host *host) {
-	sum.addText(fmt.Sprint(host.life, host.ran, host.up, host.frozen, host.dark, host.gone, host.leaving))
+	sum.addText(fmt.Sprint(host.incarnation, host.ran, host.up, host.frozen, host.dark, host.gone, host.leaving))
 	sum.addTime(world.now, host.booted)
 	for _, delayed := range host.backlog {
 		sum.add(delayed.digest)
 	}
 	sum.add(walker.walk(reflect.ValueOf(host.node)))
-	sum.add(walker.walk(reflect.ValueOf(host.director)))
+	sum.add(walker.walk(reflect.ValueOf(host.machine)))
 	if host.core {
 		sum.add(uint64(host.disk.digest))
 	}
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -201,7 +201,7 @@
 	batch.waiting = batch.waiting[1:]
 	batch.running = append(batch.running, next)
 	if !next.began {
-		held := batch.cache.Use(next.job.ticket.Keys, next.job.ticket.PartTokens)
+		held := batch.cache.Use(next.job.queuedRequest.Keys, next.job.queuedRequest.PartTokens)
 		next.read = min(held, next.prompt-1)
 		next.job.held = next.read
 	}
@@ -221,18 +221,18 @@
 		return
 	}
 	batch.write(now, decoding)
-	begun := batch.advance(now, parts)
-	ended := batch.removeEnded(now)
+	started := batch.advance(now, parts)
+	finished := batch.removeFinished(now)
 	batch.evict()
-	for _, one := range ended {
+	for _, one := range finished {
 		one.gone = true
 		one.finished(one.began && one.written >= one.job.answer)
 	}
 	batch.dropExpired(now)
 	batch.step()
 	// The first events are given out once the next step is planned, the latest arrival first.
-	for place := len(begun) - 1; place >= 0; place-- {
-		begun[place].first()
+	for place := len(started) - 1; place >= 0; place-- {
+		started[place].first()
 	}
 }
 
@@ -251,7 +251,7 @@
 }
 
 // advance counts what was read of each prompt; it gives the sequences that have now written their first token, by arrival.
-func (batch *batch) advance(now time.Time, parts map[*sequence]int) (begun []*sequence) {
+func (batch *batch) advance(now time.Time, parts map[*sequence]int) (started []*sequence) {
 	reading := slices.SortedFunc(maps.Keys(parts), func(left, right *sequence) int { return left.arrival - right.arrival })
 	for _, one := range reading {
 		if one.read += parts[one]; one.read < one.prompt || one.gone {
@@ -260,28 +260,28 @@
 		if !one.began && one.written == 0 {
 			one.lastEvent = now
 			one.written = 1
-			begun = append(begun, one)
+			started = append(started, one)
 		}
 		one.began = true
 	}
-	return begun
+	return started
 }
 
-// removeEnded takes those out of the running that are whole or past their deadline, and gives them.
-func (batch *batch) removeEnded(now time.Time) (ended []*sequence) {
+// removeFinished takes those out of the running that are whole or past their deadline, and gives them.
+func (batch *batch) removeFinished(now time.Time) (finished []*sequence) {
 	kept := batch.running[:0]
 	for _, one := range batch.running {
 		if one.gone {
 			continue
 		}
 		if one.began && one.written >= one.job.answer || one.expired(now) {
-			ended = append(ended, one)
+			finished = append(finished, one)
 			continue
 		}
 		kept = append(kept, one)
 	}
 	batch.running = kept
-	return ended
+	return finished
 }
 
 // evict sends the least urgent back to the waiting until the rest fits in memory.
@@ -316,7 +316,7 @@
 }
 
 func (one *sequence) expired(now time.Time) bool {
-	return now.Sub(one.job.begun) > one.job.lane.Deadline
+	return now.Sub(one.job.started) > one.job.route.Deadline
 }
 
 // die loses everything that runs or waits.
--- a/verify/placement/choices.go
+++ b/verify/placement/choices.go
@@ -8,15 +8,15 @@
 )
 
 // two takes the better of two drawn by lot.
-func two(worth func(quote scheduler.Quote) float64) scheduler.Choice {
-	return func(_ scheduler.Bid, quotes []scheduler.Quote, random *rand.Rand) int {
+func two(value func(scored scheduler.ScoredCandidate) float64) scheduler.Picker {
+	return func(_ scheduler.Requirements, scoredCandidates []scheduler.ScoredCandidate, random *rand.Rand) int {
 		best, drawn := -1, 0
-		for _, place := range random.Perm(len(quotes)) {
-			if quotes[place].Full || drawn == 2 {
+		for _, place := range random.Perm(len(scoredCandidates)) {
+			if scoredCandidates[place].Full || drawn == 2 {
 				continue
 			}
 			drawn++
-			if best < 0 || worth(quotes[place]) > worth(quotes[best]) {
+			if best < 0 || value(scoredCandidates[place]) > value(scoredCandidates[best]) {
 				best = place
 			}
 		}
@@ -25,10 +25,10 @@
 }
 
 // Choices are the baselines; any other name is wardtray's own choice.
-var Choices = map[string]scheduler.Choice{
+var Choices = map[string]scheduler.Picker{
 	"random":       Ways["random"],
 	"least-loaded": Ways["least-loaded"],
-	"two-choices":  two(func(quote scheduler.Quote) float64 { return -quote.Offer.Load }),
+	"two-choices":  two(func(scored scheduler.ScoredCandidate) float64 { return -scored.Candidate.Load }),
 	"index-only":   Ways["index-only"],
 }
 
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -1,4 +1,4 @@
-// Package place measures placement in simulated time: the daemons' own desks, books and indexes award
+// Package place measures placement in simulated time: the daemons' own schedulers, books and indexes award
 // a seeded mix to model runners, beside baselines that price otherwise.
 package placement
 
@@ -18,15 +18,15 @@
 	"wardtray/wire"
 )
 
-// greatest takes the offer of the whole pool that is worth most, equal ones by lot.
-func greatest(worth func(quote scheduler.Quote, random *rand.Rand) float64) scheduler.Choice {
-	return func(_ scheduler.Bid, quotes []scheduler.Quote, random *rand.Rand) int {
+// greatest takes the offer of the whole backend that is worth most, equal ones by lot.
+func greatest(value func(scored scheduler.ScoredCandidate, random *rand.Rand) float64) scheduler.Picker {
+	return func(_ scheduler.Requirements, scoredCandidates []scheduler.ScoredCandidate, random *rand.Rand) int {
 		best, most := -1, 0.0
-		for _, place := range random.Perm(len(quotes)) {
-			if quotes[place].Full {
+		for _, place := range random.Perm(len(scoredCandidates)) {
+			if scoredCandidates[place].Full {
 				continue
 			}
-			if here := worth(quotes[place], random); best < 0 || here > most {
+			if here := value(scoredCandidates[place], random); best < 0 || here > most {
 				best, most = place, here
 			}
 		}
@@ -35,11 +35,13 @@
 }
 
 // Ways are wardtray's own way of choosing and the baselines.
-var Ways = map[string]scheduler.Choice{
+var Ways = map[string]scheduler.Picker{
 	"wardtray":     scheduler.Sample,
-	"random":       greatest(func(_ scheduler.Quote, random *rand.Rand) float64 { return random.Float64() }),
-	"least-loaded": greatest(func(quote scheduler.Quote, _ *rand.Rand) float64 { return -quote.Offer.Load }),
-	"index-only":   greatest(func(quote scheduler.Quote, _ *rand.Rand) float64 { return float64(quote.Offer.HeldTokens) }),
+	"random":       greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
+	"least-loaded": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load }),
+	"index-only": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 {
+		return float64(scored.Candidate.HeldTokens)
+	}),
 }
 
 // Setting is one measurement.
@@ -56,7 +58,7 @@
 	Nature  emulator.Nature
 }
 
-// Result is what one lane, or all together, got.
+// Result is what one route, or all together, got.
 type Result struct {
 	Requests, Done, Early, Late, PutBack, NoBudget, Across int
 	Cached, Prompted                                       int
@@ -90,18 +92,18 @@
 }
 
 type daemon struct {
-	budget  *retrybudget.Budget
-	zone    string
-	book    *load.Book
-	desk    *scheduler.Desk
-	tickets map[*scheduler.Ticket]*job
-	order   []*job
+	budget    *retrybudget.Budget
+	zone      string
+	table     *load.Table
+	scheduler *scheduler.Scheduler
+	tickets   map[*scheduler.QueuedRequest]*job
+	order     []*job
 }
 
 type job struct {
-	kind   loadtest.Kind
-	ticket *scheduler.Ticket
-	begun  time.Time
+	kind          loadtest.Kind
+	queuedRequest *scheduler.QueuedRequest
+	started       time.Time
 }
 
 type stage struct {
@@ -114,12 +116,12 @@
 	results map[string]*Result
 }
 
-// Measure plays a setting and gives results for each lane and, under "", for all.
+// Measure plays a setting and gives results for each route and, under "", for all.
 func Measure(setting Setting) (map[string]*Result, error) {
 	stage := &stage{setting: setting, world: simulation.NewWorld(setting.Seed), random: rand.New(rand.NewSource(setting.Seed)),
 		engines: map[string]*engine{}, results: map[string]*Result{"": {}}}
 	for _, kind := range setting.Mix.Kinds {
-		stage.results[kind.Lane] = &Result{}
+		stage.results[kind.Route] = &Result{}
 	}
 	var lines []*wire.Runner
 	for number := range setting.Runners {
@@ -137,13 +139,13 @@
 		if err != nil {
 			return nil, err
 		}
-		made := &daemon{budget: retrybudget.New(retrybudget.Default, nil), zone: setting.Zones[number%len(setting.Zones)], book: load.NewBook(stage.world.Now, name), tickets: map[*scheduler.Ticket]*job{}}
-		made.book.List(stage.world.Now, lines)
-		made.desk = scheduler.NewDesk(func(now time.Time) scheduler.Field {
-			return scheduler.Field{Runners: made.book.All(now, names), Daemons: len(names)}
+		made := &daemon{budget: retrybudget.New(retrybudget.Default, nil), zone: setting.Zones[number%len(setting.Zones)], table: load.NewTable(stage.world.Now, name), tickets: map[*scheduler.QueuedRequest]*job{}}
+		made.table.List(stage.world.Now, lines)
+		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
+			return scheduler.Snapshot{Runners: made.table.All(now, names), Daemons: len(names)}
 		},
-			made.book, indexer, rand.New(rand.NewSource(stage.random.Int63())))
-		made.desk.Choose = Ways[setting.Way]
+			made.table, indexer, rand.New(rand.NewSource(stage.random.Int63())))
+		made.scheduler.Picker = Ways[setting.Way]
 		stage.daemons = append(stage.daemons, made)
 	}
 	stage.observe()
@@ -153,9 +155,9 @@
 	return stage.results, nil
 }
 
-// both changes the results of a lane and of all.
-func (stage *stage) both(lane string, change func(result *Result)) {
-	change(stage.results[lane])
+// both changes the results of a route and of all.
+func (stage *stage) both(route string, change func(result *Result)) {
+	change(stage.results[route])
 	change(stage.results[""])
 }
 
@@ -177,7 +179,7 @@
 		var read func()
 		read = func() {
 			for _, engine := range stage.list {
-				one.book.Reported(world.Now, engine.id, engine.reports[0])
+				one.table.Reported(world.Now, engine.id, engine.reports[0])
 			}
 			world.After(250*time.Millisecond, read)
 		}
@@ -187,7 +189,7 @@
 
 func (stage *stage) settle() {
 	for _, one := range stage.daemons {
-		one.desk.Settle(stage.world.Now)
+		one.scheduler.Rebalance(stage.world.Now)
 		stage.steps(one)
 	}
 	stage.world.After(20*time.Millisecond, stage.settle)
@@ -210,35 +212,35 @@
 	kind := drawn.Kind
 	one := stage.daemons[stage.random.Intn(len(stage.daemons))]
 	parts, tokens := drawn.Parts()
-	ticket := &scheduler.Ticket{Lane: kind.Lane, Purse: kind.Purse, Steps: make(chan scheduler.Step, 1), PartTokens: tokens,
-		Keys: keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
-		Bid:  scheduler.Bid{Worth: kind.Worth, Patience: kind.Patience, PromptTokens: drawn.PromptTokens(), Zone: one.zone, Shut: map[string]bool{}}}
-	stage.both(kind.Lane, func(result *Result) { result.Requests++ })
+	queuedRequest := &scheduler.QueuedRequest{Route: kind.Route, ConcurrencyLimit: kind.ConcurrencyLimit, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens,
+		Keys:         keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
+		Requirements: scheduler.Requirements{Value: kind.Value, LatencyTarget: kind.LatencyTarget, PromptTokens: drawn.PromptTokens(), Zone: one.zone, Shut: map[string]bool{}}}
+	stage.both(kind.Route, func(result *Result) { result.Requests++ })
 	one.budget.Request(stage.world.Now)
-	stage.enter(one, &job{kind: kind, ticket: ticket, begun: stage.world.Now})
+	stage.enter(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
 }
 
 var keys = kvblock.NewTokenProcessor(kvblock.DefaultSeed)
 
 func (stage *stage) enter(one *daemon, job *job) {
 	one.order = append(one.order, job)
-	one.desk.Enter(stage.world.Now, job.ticket)
+	one.scheduler.Schedule(stage.world.Now, job.queuedRequest)
 	stage.steps(one)
 }
 
-// steps obeys whatever a desk has decided.
+// steps obeys whatever a scheduler has decided.
 func (stage *stage) steps(one *daemon) {
 	waiting := one.order
 	one.order = nil
 	for _, job := range waiting {
 		select {
-		case step := <-job.ticket.Steps:
-			if step.Kind == scheduler.Pass {
+		case step := <-job.queuedRequest.Decisions:
+			if step.Kind == scheduler.Dispatch {
 				stage.pass(one, job, step)
 				continue
 			}
-			late := stage.world.Now.Sub(job.begun) > 50*time.Millisecond
-			stage.both(job.kind.Lane, func(result *Result) {
+			late := stage.world.Now.Sub(job.started) > 50*time.Millisecond
+			stage.both(job.kind.Route, func(result *Result) {
 				if late {
 					result.Late++
 				} else {
@@ -251,24 +253,24 @@
 	}
 }
 
-func (stage *stage) pass(one *daemon, job *job, step scheduler.Step) {
+func (stage *stage) pass(one *daemon, job *job, step scheduler.Decision) {
 	engine, nature := stage.engines[step.Runner.ID], stage.setting.Nature
 	sent := stage.world.Now
-	one.desk.Sent(sent, job.ticket, step)
+	one.scheduler.Sent(sent, job.queuedRequest, step)
 	if engine.active >= nature.Slots+nature.PutBackAbove {
-		one.desk.PutBack(sent, job.ticket, step)
-		one.desk.Release(sent, job.ticket, engine.id)
-		job.ticket.Bid.Shut[engine.id] = true
-		stage.both(job.kind.Lane, func(result *Result) { result.PutBack++ })
+		one.scheduler.PutBack(sent, job.queuedRequest, step)
+		one.scheduler.Release(sent, job.queuedRequest, engine.id)
+		job.queuedRequest.Requirements.Shut[engine.id] = true
+		stage.both(job.kind.Route, func(result *Result) { result.PutBack++ })
 		if !one.budget.Repeat(sent) {
-			stage.both(job.kind.Lane, func(result *Result) { result.NoBudget++ })
+			stage.both(job.kind.Route, func(result *Result) { result.NoBudget++ })
 			return
 		}
 		stage.enter(one, job)
 		return
 	}
 	engine.active++
-	stage.both(job.kind.Lane, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
+	stage.both(job.kind.Route, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
 	run := func() { stage.run(one, job, step, engine, sent) }
 	if engine.running < nature.Slots {
 		run()
@@ -278,11 +280,11 @@
 }
 
 // run lets an engine work: prefills one after the other, answers side by side.
-func (stage *stage) run(one *daemon, job *job, step scheduler.Step, engine *engine, sent time.Time) {
+func (stage *stage) run(one *daemon, job *job, step scheduler.Decision, engine *engine, sent time.Time) {
 	world, nature := stage.world, stage.setting.Nature
 	engine.running++
-	cached := engine.cache.Use(job.ticket.Keys, job.ticket.PartTokens)
-	prompt := job.ticket.Bid.PromptTokens
+	cached := engine.cache.Use(job.queuedRequest.Keys, job.queuedRequest.PartTokens)
+	prompt := job.queuedRequest.Requirements.PromptTokens
 	begin := world.Now
 	if engine.free.After(begin) {
 		begin = engine.free
@@ -290,9 +292,9 @@
 	first := begin.Add(time.Duration(prompt-cached) * nature.TokenTime)
 	engine.free = first
 	world.At(first, func() {
-		one.desk.First(job.ticket, step, world.Now.Sub(sent))
-		stage.both(job.kind.Lane, func(result *Result) {
-			result.First = append(result.First, world.Now.Sub(job.begun))
+		one.scheduler.First(job.queuedRequest, step, world.Now.Sub(sent))
+		stage.both(job.kind.Route, func(result *Result) {
+			result.First = append(result.First, world.Now.Sub(job.started))
 			result.Cached += cached
 			result.Prompted += prompt
 			if engine.zone != one.zone {
@@ -302,9 +304,9 @@
 		world.After(time.Duration(job.kind.Answer)*nature.AnswerTime, func() {
 			engine.running--
 			engine.active--
-			stage.both(job.kind.Lane, func(result *Result) { result.Done++ })
-			one.desk.Learn(0, 0, world.Now.Sub(sent))
-			one.desk.Release(world.Now, job.ticket, engine.id)
+			stage.both(job.kind.Route, func(result *Result) { result.Done++ })
+			one.scheduler.Learn(0, 0, world.Now.Sub(sent))
+			one.scheduler.Release(world.Now, job.queuedRequest, engine.id)
 			if len(engine.waiting) > 0 && engine.running < nature.Slots {
 				next := engine.waiting[0]
 				engine.waiting = engine.waiting[1:]
--- a/verify/placement/place_test.go
+++ b/verify/placement/place_test.go
@@ -70,15 +70,15 @@
 	}
 }
 
-// At twice what the fleet can do: every lane still gets some, what is worth more gets more of what it
+// At twice what the fleet can do: every route still gets some, what is worth more gets more of what it
 // asks for, and nearly all refusals come at the door.
 func TestOverloadIsSharedAndToldEarly(t *testing.T) {
 	t.Parallel()
 	results := measure(t, "guild", "wardtray", 500, 0)
-	share := func(lane string) float64 { return float64(results[lane].Done) / float64(results[lane].Requests) }
-	for lane, result := range results {
-		if share(lane) < 0.1 {
-			t.Errorf("%s starves: %d of %d done", lane, result.Done, result.Requests)
+	share := func(route string) float64 { return float64(results[route].Done) / float64(results[route].Requests) }
+	for route, result := range results {
+		if share(route) < 0.1 {
+			t.Errorf("%s starves: %d of %d done", route, result.Done, result.Requests)
 		}
 	}
 	if dear, cheap := results["confirm"].Quantile(0.5), results["survey"].Quantile(0.5); dear*2 > cheap {
