--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -20,7 +20,7 @@
 // Play is one measurement of a deployment.
 type Play struct {
 	Deployment Deployment
-	// Load multiplies the lanes' rates.
+	// Load multiplies the routes' rates.
 	Load   float64
 	Length time.Duration
 	Seed   int64
@@ -28,18 +28,18 @@
 	// Polls is how old a runner's word may grow before it is asked; 0: never.
 	Polls time.Duration
 	// Hot is the part of HotLane's requests that carry one opening, from a third to two thirds of the time.
-	Hot     float64
-	HotLane string
+	Hot      float64
+	HotRoute string
 	// Slow is the part of the runners that are three times slower, Crash of those that crash, in the same time.
 	Slow, Crash float64
 	// Release is the part of the runners that are replaced one after the other from the beginning on.
 	Release float64
 }
 
-// Earned is what one lane, or all together, earned.
+// Earned is what one route, or all together, earned.
 type Earned struct {
 	Requests, InTime, Late, Refused, Lost, Sends, Across int
-	Owed, Worth                                          float64
+	Owed, Value                                          float64
 	// Large and LargeServed count the largest tenth.
 	Large, LargeServed int
 	// Shared are the tokens of shared parts, Reread those read though some runner kept them.
@@ -52,7 +52,7 @@
 }
 
 // Share is the part of what is owed that was earned.
-func (earned *Earned) Share() float64 { return earned.Worth / max(1e-9, earned.Owed) }
+func (earned *Earned) Share() float64 { return earned.Value / max(1e-9, earned.Owed) }
 
 // The prices of rereading a thousand tokens, of a probe and of a gigabyte between zones, in worth.
 const (
@@ -63,7 +63,7 @@
 
 // Net is the same less the prices.
 func (earned *Earned) Net() float64 {
-	return (earned.Worth - rereadPrice*float64(earned.Reread)/1000 - probePrice*float64(earned.Probes) - acrossPrice*earned.AcrossBytes/1e9) / max(1e-9, earned.Owed)
+	return (earned.Value - rereadPrice*float64(earned.Reread)/1000 - probePrice*float64(earned.Probes) - acrossPrice*earned.AcrossBytes/1e9) / max(1e-9, earned.Owed)
 }
 
 // Worst is the same over the worst three seconds of which a good part was owed.
@@ -87,50 +87,50 @@
 }
 
 type order struct {
-	lane    LaneWork
-	ticket  *scheduler.Ticket
-	begun   time.Time
-	answer  int
-	held    int
-	worth   float64
-	late    float64
-	large   bool
-	sends   int
-	firstAt time.Time
+	route         RouteWork
+	queuedRequest *scheduler.QueuedRequest
+	started       time.Time
+	answer        int
+	held          int
+	value         float64
+	late          float64
+	large         bool
+	sends         int
+	firstAt       time.Time
 }
 
 type desked struct {
 	name, zone string
-	book       *load.Book
-	desk       *scheduler.Desk
+	table      *load.Table
+	scheduler  *scheduler.Scheduler
 	budget     *retrybudget.Budget
 	order      []*order
 }
 
 type fleet struct {
-	play    Play
-	world   *simulation.World
-	random  *rand.Rand
-	begun   time.Time
-	batches map[string]*batch
-	list    []*batch
-	lines   []*wire.Runner
-	daemons []*desked
-	clients []*desked
-	names   []string
-	kept    map[kvblock.BlockKey]bool
-	sizes   map[string][][]int
-	weights map[string][]float64
-	results map[string]*Earned
-	mean    map[string]float64
-	largest map[string]float64
-	lives   int
-}
-
-// Run plays it; results are by lane and, under "", for all.
+	play         Play
+	world        *simulation.World
+	random       *rand.Rand
+	started      time.Time
+	batches      map[string]*batch
+	list         []*batch
+	lines        []*wire.Runner
+	daemons      []*desked
+	clients      []*desked
+	names        []string
+	kept         map[kvblock.BlockKey]bool
+	sizes        map[string][][]int
+	weights      map[string][]float64
+	results      map[string]*Earned
+	mean         map[string]float64
+	largest      map[string]float64
+	incarnations int
+}
+
+// Run plays it; results are by route and, under "", for all.
 func (play Play) Run() (map[string]*Earned, error) {
 	world := simulation.NewWorld(play.Seed)
-	fleet := &fleet{play: play, world: world, random: rand.New(rand.NewSource(play.Seed)), begun: world.Now, batches: map[string]*batch{}, kept: map[kvblock.BlockKey]bool{},
+	fleet := &fleet{play: play, world: world, random: rand.New(rand.NewSource(play.Seed)), started: world.Now, batches: map[string]*batch{}, kept: map[kvblock.BlockKey]bool{},
 		sizes: map[string][][]int{}, weights: map[string][]float64{}, results: map[string]*Earned{"": {Window: map[int][2]float64{}}}, mean: map[string]float64{}, largest: map[string]float64{}}
 	for number := range play.Deployment.Runners {
 		fleet.add(fmt.Sprint("z", number%play.Deployment.Zones))
@@ -151,9 +151,9 @@
 
 func (fleet *fleet) add(zone string) {
 	figures := fleet.play.Deployment.Engine
-	made := &batch{id: fmt.Sprintf("r%03d", fleet.lives), zone: zone, figures: figures, slow: 1, world: fleet.world,
+	made := &batch{id: fmt.Sprintf("r%03d", fleet.incarnations), zone: zone, figures: figures, slow: 1, world: fleet.world,
 		cache: emulator.NewCache[kvblock.BlockKey](figures.MemoryTokens * 3 / 4)}
-	fleet.lives++
+	fleet.incarnations++
 	fleet.batches[made.id] = made
 	fleet.list = append(fleet.list, made)
 	fleet.lines = append(fleet.lines, &wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)})
@@ -161,34 +161,34 @@
 
 // prepare draws the shared parts and reckons what is large.
 func (fleet *fleet) prepare() {
-	for _, lane := range fleet.play.Deployment.Lanes {
-		fleet.results[lane.Name] = &Earned{Window: map[int][2]float64{}}
-		for _, shared := range lane.Chain {
+	for _, route := range fleet.play.Deployment.Routes {
+		fleet.results[route.Name] = &Earned{Window: map[int][2]float64{}}
+		for _, shared := range route.Chain {
 			tokens := make([]int, shared.Things)
 			for place := range tokens {
 				tokens[place] = shared.Tokens.draw(fleet.random)
 			}
-			fleet.sizes[lane.Name] = append(fleet.sizes[lane.Name], tokens)
+			fleet.sizes[route.Name] = append(fleet.sizes[route.Name], tokens)
 		}
-		weights, sum := make([]float64, lane.Chain[len(lane.Chain)-1].Things), 0.0
+		weights, sum := make([]float64, route.Chain[len(route.Chain)-1].Things), 0.0
 		for place := range weights {
-			sum += math.Pow(float64(place+1), -lane.Chain[len(lane.Chain)-1].Skew)
+			sum += math.Pow(float64(place+1), -route.Chain[len(route.Chain)-1].Skew)
 			weights[place] = sum
 		}
-		fleet.weights[lane.Name] = weights
+		fleet.weights[route.Name] = weights
 		var sizes []float64
 		total := 0.0
 		for range 2000 {
-			size := float64(lane.Prompt.draw(fleet.random)) + 10*float64(lane.Events.draw(fleet.random)*fleet.play.Deployment.Engine.Stride)
+			size := float64(route.Prompt.draw(fleet.random)) + 10*float64(route.Events.draw(fleet.random)*fleet.play.Deployment.Engine.Stride)
 			sizes = append(sizes, size)
 			total += size
 		}
 		sort.Float64s(sizes)
 		shared := 0.0
-		for _, part := range lane.Chain {
+		for _, part := range route.Chain {
 			shared += part.Tokens.Mean
 		}
-		fleet.mean[lane.Name], fleet.largest[lane.Name] = total/2000+shared, sizes[1800]+shared
+		fleet.mean[route.Name], fleet.largest[route.Name] = total/2000+shared, sizes[1800]+shared
 	}
 }
 
@@ -197,20 +197,20 @@
 	for number := range play.Deployment.Daemons {
 		fleet.names = append(fleet.names, fmt.Sprint("d", number))
 	}
-	pool := config.Pool{Engine: config.Engine{Slots: play.Deployment.Engine.Slots, MemoryTokens: play.Deployment.Engine.MemoryTokens, EventTokens: play.Deployment.Engine.Stride}}
+	backend := config.Pool{Engine: config.Engine{Slots: play.Deployment.Engine.Slots, MemoryTokens: play.Deployment.Engine.MemoryTokens, EventTokens: play.Deployment.Engine.Stride}}
 	for number, name := range fleet.names {
 		indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 100_000, kvblock.DefaultRunners, 0)
 		if err != nil {
 			return err
 		}
-		made := &desked{name: name, zone: fmt.Sprint("z", number%play.Deployment.Zones), book: load.NewBook(fleet.world.Now, name),
+		made := &desked{name: name, zone: fmt.Sprint("z", number%play.Deployment.Zones), table: load.NewTable(fleet.world.Now, name),
 			budget: retrybudget.New(retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}, func() int { return len(fleet.names) })}
-		made.book.List(fleet.world.Now, fleet.lines)
-		made.desk = scheduler.NewDesk(func(now time.Time) scheduler.Field {
-			return scheduler.Field{Runners: made.book.All(now, fleet.names), Daemons: len(fleet.names), Pool: pool}
-		}, made.book, indexer, rand.New(rand.NewSource(fleet.random.Int63())))
+		made.table.List(fleet.world.Now, fleet.lines)
+		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
+			return scheduler.Snapshot{Runners: made.table.All(now, fleet.names), Daemons: len(fleet.names), Pool: backend}
+		}, made.table, indexer, rand.New(rand.NewSource(fleet.random.Int63())))
 		if choice := Choices[play.Way]; choice != nil {
-			made.desk.Choose = choice
+			made.scheduler.Picker = choice
 		}
 		fleet.daemons = append(fleet.daemons, made)
 	}
@@ -249,9 +249,9 @@
 	for _, daemon := range fleet.daemons {
 		var ask func()
 		ask = func() {
-			for _, runner := range daemon.book.Stale(fleet.world.Now, fleet.play.Polls, true) {
+			for _, runner := range daemon.table.Stale(fleet.world.Now, fleet.play.Polls, true) {
 				if batch := fleet.batches[runner.ID]; batch != nil && !batch.dark && len(batch.reports) > 0 {
-					daemon.book.Reported(fleet.world.Now, runner.ID, batch.reports[0])
+					daemon.table.Reported(fleet.world.Now, runner.ID, batch.reports[0])
 					fleet.results[""].Probes++
 				}
 			}
@@ -263,8 +263,8 @@
 
 func (fleet *fleet) settle() {
 	for _, daemon := range fleet.daemons {
-		if daemon.desk.Waiting() {
-			daemon.desk.Settle(fleet.world.Now)
+		if daemon.scheduler.Waiting() {
+			daemon.scheduler.Rebalance(fleet.world.Now)
 			fleet.steps(daemon)
 		}
 	}
@@ -346,25 +346,25 @@
 		for _, line := range fleet.lines {
 			lines = append(lines, &wire.Runner{RunnerId: line.RunnerId, Zone: line.Zone, Service: line.Service, State: line.State, Slots: line.Slots})
 		}
-		daemon.book.List(fleet.world.Now, lines)
+		daemon.table.List(fleet.world.Now, lines)
 	}
 }
 
 func (fleet *fleet) middle() bool {
-	since := fleet.world.Now.Sub(fleet.begun)
+	since := fleet.world.Now.Sub(fleet.started)
 	return since >= fleet.play.Length/3 && since < 2*fleet.play.Length/3
 }
 
 // arrive lets clumps of requests come in a zone, in a wave.
 func (fleet *fleet) arrive(zone int) {
-	since := fleet.world.Now.Sub(fleet.begun)
+	since := fleet.world.Now.Sub(fleet.started)
 	if since > fleet.play.Length {
 		return
 	}
 	const clump, swing, period = 3.0, 0.15, 11.0
 	total := 0.0
-	for _, lane := range fleet.play.Deployment.Lanes {
-		total += lane.Rate
+	for _, route := range fleet.play.Deployment.Routes {
+		total += route.Rate
 	}
 	rate := total * fleet.play.Load / float64(fleet.play.Deployment.Zones) * (1 + swing*math.Sin(2*math.Pi*(since.Seconds()/period+float64(zone)/float64(fleet.play.Deployment.Zones))))
 	fleet.world.After(time.Duration(fleet.random.ExpFloat64()*clump/rate*float64(time.Second)), func() {
@@ -377,47 +377,47 @@
 }
 
 func (fleet *fleet) request(daemon *desked, total float64) {
-	lanes := fleet.play.Deployment.Lanes
-	point, lane := fleet.random.Float64()*total, lanes[len(lanes)-1]
-	for _, candidate := range lanes {
+	routes := fleet.play.Deployment.Routes
+	point, route := fleet.random.Float64()*total, routes[len(routes)-1]
+	for _, candidate := range routes {
 		if point -= candidate.Rate; point < 0 {
-			lane = candidate
+			route = candidate
 			break
 		}
 	}
-	weights := fleet.weights[lane.Name]
+	weights := fleet.weights[route.Name]
 	thing := sort.SearchFloat64s(weights, fleet.random.Float64()*weights[len(weights)-1])
-	if fleet.middle() && lane.Name == fleet.play.HotLane && fleet.random.Float64() < fleet.play.Hot {
+	if fleet.middle() && route.Name == fleet.play.HotRoute && fleet.random.Float64() < fleet.play.Hot {
 		thing = 7
 	}
 	var parts []string
 	var tokens []int
 	prompt := 0
-	for place, sizes := range fleet.sizes[lane.Name] {
+	for place, sizes := range fleet.sizes[route.Name] {
 		here := thing % len(sizes)
-		parts = append(parts, fmt.Sprint(lane.Name, place, "-", here))
+		parts = append(parts, fmt.Sprint(route.Name, place, "-", here))
 		tokens = append(tokens, sizes[here])
 		prompt += sizes[here]
 	}
 	shared := prompt
-	own := lane.Prompt.draw(fleet.random)
-	answer := lane.Events.draw(fleet.random) * fleet.play.Deployment.Engine.Stride
+	own := route.Prompt.draw(fleet.random)
+	answer := route.Events.draw(fleet.random) * fleet.play.Deployment.Engine.Stride
 	parts, tokens, prompt = append(parts, fmt.Sprint("own", fleet.random.Int63())), append(tokens, own), prompt+own
 	size := float64(prompt + 10*answer)
-	scale := min(4, 0.3+0.7*size/fleet.mean[lane.Name])
-	made := &order{lane: lane, begun: fleet.world.Now, answer: answer, worth: lane.Worth * scale, late: lane.Late * scale, large: size > fleet.largest[lane.Name]}
-	made.ticket = &scheduler.Ticket{Lane: lane.Name, Purse: 1, Steps: make(chan scheduler.Step, 1), PartTokens: tokens, Keys: keys.BlockKeys(parts, kvblock.Extra{}),
-		Bid: scheduler.Bid{Worth: lane.Worth, Patience: lane.Aim, Deadline: lane.Deadline, PromptTokens: prompt, AnswerTokens: answer, Rank: lane.Rank, Zone: daemon.zone, Shut: map[string]bool{}}}
+	scale := min(4, 0.3+0.7*size/fleet.mean[route.Name])
+	made := &order{route: route, started: fleet.world.Now, answer: answer, value: route.Value * scale, late: route.Late * scale, large: size > fleet.largest[route.Name]}
+	made.queuedRequest = &scheduler.QueuedRequest{Route: route.Name, ConcurrencyLimit: 1, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens, Keys: keys.BlockKeys(parts, kvblock.Extra{}),
+		Requirements: scheduler.Requirements{Value: route.Value, LatencyTarget: route.Aim, Deadline: route.Deadline, PromptTokens: prompt, AnswerTokens: answer, Rank: route.Rank, Zone: daemon.zone, Shut: map[string]bool{}}}
 	fleet.both(made, func(earned *Earned) {
 		earned.Requests++
-		earned.Owed += made.worth
+		earned.Owed += made.value
 		earned.Shared += shared
 		if made.large {
 			earned.Large++
 		}
-		window := int(made.begun.Sub(fleet.begun) / windowLength)
+		window := int(made.started.Sub(fleet.started) / windowLength)
 		cell := earned.Window[window]
-		cell[0] += made.worth
+		cell[0] += made.value
 		earned.Window[window] = cell
 	})
 	daemon.budget.Request(fleet.world.Now)
@@ -425,13 +425,13 @@
 }
 
 func (fleet *fleet) both(made *order, change func(earned *Earned)) {
-	change(fleet.results[made.lane.Name])
+	change(fleet.results[made.route.Name])
 	change(fleet.results[""])
 }
 
 func (fleet *fleet) enter(daemon *desked, made *order) {
 	daemon.order = append(daemon.order, made)
-	daemon.desk.Enter(fleet.world.Now, made.ticket)
+	daemon.scheduler.Schedule(fleet.world.Now, made.queuedRequest)
 	fleet.steps(daemon)
 }
 
@@ -440,8 +440,8 @@
 	daemon.order = nil
 	for _, made := range waiting {
 		select {
-		case step := <-made.ticket.Steps:
-			if step.Kind == scheduler.Pass {
+		case step := <-made.queuedRequest.Decisions:
+			if step.Kind == scheduler.Dispatch {
 				fleet.pass(daemon, made, step)
 				continue
 			}
@@ -453,9 +453,9 @@
 }
 
 // again sends a request once more, or gives it up.
-func (fleet *fleet) again(daemon *desked, made *order, step scheduler.Step, free bool) {
-	daemon.desk.Release(fleet.world.Now, made.ticket, step.Runner.ID)
-	made.ticket.Bid.Shut[step.Runner.ID] = true
+func (fleet *fleet) again(daemon *desked, made *order, step scheduler.Decision, free bool) {
+	daemon.scheduler.Release(fleet.world.Now, made.queuedRequest, step.Runner.ID)
+	made.queuedRequest.Requirements.Shut[step.Runner.ID] = true
 	made.sends++
 	if made.sends > 3 || !free && !daemon.budget.Repeat(fleet.world.Now) {
 		fleet.both(made, func(earned *Earned) { earned.Lost++ })
@@ -472,26 +472,26 @@
 	fleet  *fleet
 	daemon *desked
 	made   *order
-	step   scheduler.Step
+	step   scheduler.Decision
 	batch  *batch
 	at     time.Time
 }
 
-func (fleet *fleet) pass(daemon *desked, made *order, step scheduler.Step) {
+func (fleet *fleet) pass(daemon *desked, made *order, step scheduler.Decision) {
 	world := fleet.world
 	batch := fleet.batches[step.Runner.ID]
 	fleet.both(made, func(earned *Earned) { earned.Sends++ })
 	if batch == nil || batch.dark {
-		daemon.book.Failed(world.Now, step.Runner.ID, "unreachable")
+		daemon.table.Failed(world.Now, step.Runner.ID, "unreachable")
 		world.After(time.Millisecond, func() { fleet.again(daemon, made, step, true) })
 		return
 	}
 	sent := &send{fleet: fleet, daemon: daemon, made: made, step: step, batch: batch, at: world.Now}
-	daemon.desk.Sent(sent.at, made.ticket, step)
-	one := &sequence{job: made, urgency: step.Urgency, prompt: made.ticket.Bid.PromptTokens, first: sent.first}
+	daemon.scheduler.Sent(sent.at, made.queuedRequest, step)
+	one := &sequence{job: made, urgency: step.Urgency, prompt: made.queuedRequest.Requirements.PromptTokens, first: sent.first}
 	one.finished = func(whole bool) { sent.finished(one, whole) }
 	if !batch.take(one) {
-		daemon.desk.PutBack(sent.at, made.ticket, step)
+		daemon.scheduler.PutBack(sent.at, made.queuedRequest, step)
 		fleet.again(daemon, made, step, false)
 	}
 }
@@ -501,17 +501,17 @@
 	fleet, daemon, made, batch := send.fleet, send.daemon, send.made, send.batch
 	now := fleet.world.Now
 	made.firstAt = now
-	daemon.book.Served(batch.id)
+	daemon.table.Served(batch.id)
 	report := batch.report()
 	report.Room, report.Tokens = 0, 0
-	daemon.book.Reported(now, batch.id, report)
-	daemon.desk.First(made.ticket, send.step, now.Sub(send.at))
+	daemon.table.Reported(now, batch.id, report)
+	daemon.scheduler.First(made.queuedRequest, send.step, now.Sub(send.at))
 	reread := fleet.reread(made)
 	fleet.both(made, func(earned *Earned) {
-		earned.First = append(earned.First, now.Sub(made.begun))
+		earned.First = append(earned.First, now.Sub(made.started))
 		if batch.zone != daemon.zone {
 			earned.Across++
-			earned.AcrossBytes += 1000 + float64(made.ticket.Bid.PromptTokens) + 80*float64(made.answer)/float64(batch.figures.Stride)
+			earned.AcrossBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(made.answer)/float64(batch.figures.Stride)
 		}
 		earned.Reread += reread
 	})
@@ -520,9 +520,9 @@
 // reread counts the tokens of a prompt that some runner had read before and this one has read anew.
 func (fleet *fleet) reread(made *order) int {
 	reread, held := 0, made.held
-	for place, key := range made.ticket.Keys[:len(made.ticket.Keys)-1] {
-		if held -= made.ticket.PartTokens[place]; held < 0 && fleet.kept[key] {
-			reread += made.ticket.PartTokens[place]
+	for place, key := range made.queuedRequest.Keys[:len(made.queuedRequest.Keys)-1] {
+		if held -= made.queuedRequest.PartTokens[place]; held < 0 && fleet.kept[key] {
+			reread += made.queuedRequest.PartTokens[place]
 		}
 		fleet.kept[key] = true
 	}
@@ -533,15 +533,15 @@
 func (send *send) finished(one *sequence, whole bool) {
 	fleet, daemon, made := send.fleet, send.daemon, send.made
 	now := fleet.world.Now
-	inTime := one.worstPause <= made.lane.Pause && made.firstAt.Sub(made.begun) <= made.lane.Aim
-	window := int(made.begun.Sub(fleet.begun) / windowLength)
+	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.Aim
+	window := int(made.started.Sub(fleet.started) / windowLength)
 	fleet.both(made, func(earned *Earned) { earned.end(made, window, whole, inTime) })
 	if whole {
-		daemon.desk.Learn(0, 0, now.Sub(send.at))
+		daemon.scheduler.Learn(0, 0, now.Sub(send.at))
 	} else if !one.began {
-		daemon.book.Failed(now, send.batch.id, "gave no first event")
+		daemon.table.Failed(now, send.batch.id, "gave no first event")
 	}
-	daemon.desk.Release(now, made.ticket, send.batch.id)
+	daemon.scheduler.Release(now, made.queuedRequest, send.batch.id)
 	fleet.steps(daemon)
 }
 
@@ -552,7 +552,7 @@
 		earned.Lost++
 	} else if inTime {
 		earned.InTime++
-		value = made.worth
+		value = made.value
 	} else {
 		earned.Late++
 		value = made.late
@@ -560,7 +560,7 @@
 	if whole && made.large {
 		earned.LargeServed++
 	}
-	earned.Worth += value
+	earned.Value += value
 	cell := earned.Window[window]
 	cell[1] += value
 	earned.Window[window] = cell
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -56,10 +56,10 @@
 	if ours[""].Share() < reports[""].Share()+0.1 {
 		t.Errorf("earned %.3f, by reports %.3f", ours[""].Share(), reports[""].Share())
 	}
-	for lane, earned := range ours {
+	for route, earned := range ours {
 		served := earned.InTime + earned.Late
 		if 2*earned.LargeServed*earned.Requests < served*earned.Large {
-			t.Errorf("%q: %d of %d large ones served, %d of %d in all", lane, earned.LargeServed, earned.Large, served, earned.Requests)
+			t.Errorf("%q: %d of %d large ones served, %d of %d in all", route, earned.LargeServed, earned.Large, served, earned.Requests)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 func TestTroublesOfBatches(t *testing.T) {
 	t.Parallel()
 	troubles := map[string]func(play *Play){
-		"hot":     func(play *Play) { play.Hot, play.HotLane = 0.28, "confirm" },
+		"hot":     func(play *Play) { play.Hot, play.HotRoute = 0.28, "confirm" },
 		"slow":    func(play *Play) { play.Slow = 0.15 },
 		"crash":   func(play *Play) { play.Crash = 0.2 },
 		"release": func(play *Play) { play.Release = 0.45 },
--- a/verify/placement/report.go
+++ b/verify/placement/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Report plays every way over some seeds and prints a line for each lane.
+// Report plays every way over some seeds and prints a line for each route.
 func Report(output io.Writer, play Play, loads []float64, ways []string, seeds int) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, "LOAD\tWAY\tLANE\tREQUESTS\tWORTH\tNET\tWORST 3 S\tIN TIME\tLATE\tREFUSED\tLOST\tLARGE SERVED\tREREAD\tSENDS\tACROSS\tFIRST 50%\t95%\t99%")
@@ -20,10 +20,10 @@
 			if err != nil {
 				return err
 			}
-			for _, lane := range slices.Sorted(maps.Keys(sums)) {
-				earned := sums[lane]
-				name := lane
-				if lane == "" {
+			for _, route := range slices.Sorted(maps.Keys(sums)) {
+				earned := sums[route]
+				name := route
+				if route == "" {
 					name = "all"
 				}
 				part := func(count int) string {
@@ -59,11 +59,11 @@
 		if failures[place] != nil {
 			return nil, failures[place]
 		}
-		for lane, earned := range results {
-			if sums[lane] == nil {
-				sums[lane] = &Earned{Window: map[int][2]float64{}}
+		for route, earned := range results {
+			if sums[route] == nil {
+				sums[route] = &Earned{Window: map[int][2]float64{}}
 			}
-			sums[lane].add(place, earned)
+			sums[route].add(place, earned)
 		}
 	}
 	return sums, nil
@@ -78,7 +78,7 @@
 	earned.Sends += other.Sends
 	earned.Across += other.Across
 	earned.Owed += other.Owed
-	earned.Worth += other.Worth
+	earned.Value += other.Value
 	earned.Large += other.Large
 	earned.LargeServed += other.LargeServed
 	earned.Shared += other.Shared
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -31,7 +31,7 @@
 	return names
 }
 
-// Table measures every way at every rate and prints a line for each lane.
+// Table measures every way at every rate and prints a line for each route.
 func Table(output io.Writer, setting Setting, rates []float64) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, "RATE\tWAY\tLANE\tREQUESTS\tDONE\tEARLY\tLATE\tPUT BACK\tNO BUDGET\tCACHED\tFIRST 50%\t95%\t99%\tACROSS ZONES\tMOST AT ONCE")
@@ -42,10 +42,10 @@
 			if err != nil {
 				return err
 			}
-			for _, lane := range slices.Sorted(maps.Keys(results)) {
-				result := results[lane]
-				name := lane
-				if lane == "" {
+			for _, route := range slices.Sorted(maps.Keys(results)) {
+				result := results[route]
+				name := route
+				if route == "" {
 					name = "all"
 				}
 				fmt.Fprintf(writer, "%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n", rate, way, name, result.Requests, result.Done, result.Early,
--- a/verify/scale/command.go
+++ b/verify/scale/command.go
@@ -27,11 +27,11 @@
 
 // runCommand holds the flags of a run.
 type runCommand struct {
-	options                 Options
-	daemons, runners, lanes *[]int
-	phases                  *[]string
-	mebibytes               *uint64
-	output, plot            *string
+	options                  Options
+	daemons, runners, routes *[]int
+	phases                   *[]string
+	mebibytes                *uint64
+	output, plot             *string
 }
 
 func registerRun(command *kingpin.CmdClause) (string, func() error) {
@@ -42,8 +42,8 @@
 	made.runners = run.Flag("runners", "Runners known to each fleet; may be given several times, each with each size.").Default("0").Ints()
 	run.Flag("listed", "Runners are read from a list by one daemon of each zone, in place of calling the cores.").BoolVar(&options.Listed)
 	run.Flag("cores", "How many wtcores, each in a region of its own.").Default("3").IntVar(&options.Cores)
-	made.lanes = run.Flag("lanes", "Lanes of the spec, one a tenant; may be given several times.").Default("320").Ints()
-	run.Flag("pools", "Pools of the spec, one a model.").Default("36").IntVar(&options.Pools)
+	made.routes = run.Flag("lanes", "Lanes of the spec, one a tenant; may be given several times.").Default("320").Ints()
+	run.Flag("pools", "Pools of the spec, one a model.").Default("36").IntVar(&options.Backends)
 	made.phases = run.Flag("phase", "What is done after the quiet; may be given several times, or all, or none.").Default("all").Enums(append(PhaseNames(), "all", "none")...)
 	run.Flag("quiet", "For how long each fleet is left alone.").Default("8s").DurationVar(&options.Quiet)
 	run.Flag("founding", "How long a fleet may take to come up.").Default("40s").DurationVar(&options.Founding)
@@ -79,8 +79,8 @@
 	options.Program, options.Binaries, options.Phases = program, folder, command.chosen()
 	options.Memory, options.Output = *command.mebibytes<<20, os.Stderr
 	results := NewResults("wtverify " + strings.Join(os.Args[1:], " "))
-	for _, point := range cross(*command.lanes, *command.runners, *command.daemons) {
-		options.Lanes, options.Runners, options.Daemons = point[0], point[1], point[2]
+	for _, point := range cross(*command.routes, *command.runners, *command.daemons) {
+		options.Routes, options.Runners, options.Daemons = point[0], point[1], point[2]
 		measured, err := Measure(options)
 		if err != nil {
 			return err
--- a/verify/scale/daemon.go
+++ b/verify/scale/daemon.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	// queueBound is how many messages wait for one daemon at most, as in the transport's waitlist.
+	// queueBound is how many messages wait for one daemon at most, as in the transport's queue.
 	queueBound = 512
 	turnEvery  = 5 * time.Millisecond
 	frameHead  = 8
 )
 
-// daemon is a hollow one: a real director with a real transport towards the cores.
+// daemon is a hollow one: a real controller with a real transport towards the cores.
 type daemon struct {
-	place    *Place
-	worker   *worker
-	director *controller.Director
-	wire     *transport.Transport
-	up       bool
-	life     int
-	due      time.Time
-	queued   int
+	place       *Place
+	worker      *worker
+	machine     *controller.Controller
+	wire        *transport.Transport
+	up          bool
+	incarnation int
+	due         time.Time
+	queued      int
 	// documents and epoch are what this life has taken in.
 	documents uint64
 	epoch     uint64
@@ -53,11 +53,11 @@
 // item is one piece of a worker's work: a frame or an envelope for a daemon, or something to do.
 type item struct {
 	daemon *daemon
-	// life is that of the connection that an envelope came by.
-	life     int
-	frame    []byte
-	envelope *wire.Envelope
-	do       func()
+	// incarnation is that of the connection that an envelope came by.
+	incarnation int
+	frame       []byte
+	envelope    *wire.Envelope
+	do          func()
 }
 
 // worker owns some daemons and runs all their steps on one thread, so that none needs a lock.
@@ -168,10 +168,10 @@
 		work.do()
 		return
 	}
-	if !work.daemon.up || work.envelope != nil && work.daemon.life != work.life {
+	if !work.daemon.up || work.envelope != nil && work.daemon.incarnation != work.incarnation {
 		return
 	}
-	begun := threadTime()
+	started := threadTime()
 	envelope := work.envelope
 	if envelope == nil {
 		worker.bytes.Reset(work.frame)
@@ -183,7 +183,7 @@
 		}
 		envelope = decoded
 	}
-	worker.step(work.daemon, kindOf(envelope), begun, func(now time.Time) { work.daemon.director.Receive(now, envelope) })
+	worker.step(work.daemon, kindOf(envelope), started, func(now time.Time) { work.daemon.machine.Receive(now, envelope) })
 }
 
 // ticks lets every daemon whose time has come do what is due.
@@ -202,7 +202,7 @@
 		for !now.Before(daemon.due) {
 			daemon.due = daemon.due.Add(dataplane.TickEvery)
 		}
-		worker.step(daemon, "tick", threadTime(), daemon.director.Tick)
+		worker.step(daemon, "tick", threadTime(), daemon.machine.Tick)
 		now = worker.host.now()
 		if daemon.watched {
 			daemon.lease.note(worker.remaining(daemon, now), monotonic())
@@ -211,31 +211,31 @@
 }
 
 // step runs one step of a daemon, carries out what it asks for and books the processor time.
-func (worker *worker) step(daemon *daemon, kind string, begun time.Duration, do func(now time.Time)) {
+func (worker *worker) step(daemon *daemon, kind string, started time.Duration, do func(now time.Time)) {
 	now := worker.host.now()
 	do(now)
-	worker.send(daemon, daemon.director.Drain())
-	if daemon.director.WantsPoll() {
+	worker.send(daemon, daemon.machine.Drain())
+	if daemon.machine.WantsPoll() {
 		worker.host.poll(now, daemon)
-		worker.send(daemon, daemon.director.Drain())
+		worker.send(daemon, daemon.machine.Drain())
 	}
-	ended := threadTime()
-	worker.book(kind, ended-begun)
-	if documents := daemon.director.Counters().Documents; documents != daemon.documents {
+	finished := threadTime()
+	worker.book(kind, finished-started)
+	if documents := daemon.machine.Counters().Documents; documents != daemon.documents {
 		daemon.documents = documents
 		// From the first document on, a machine that carries thousands has more to do than at full speed it could.
 		if !worker.host.documented.Swap(true) {
 			worker.host.setPace(worker.host.plan.Slow)
 		}
-		if epoch := daemon.director.Snapshot(now).SpecEpoch; epoch != daemon.epoch {
+		if epoch := daemon.machine.Snapshot(now).SpecEpoch; epoch != daemon.epoch {
 			daemon.epoch = epoch
 			worker.arrivals[epoch] = append(worker.arrivals[epoch], monotonic())
 		}
 	}
 	if daemon.witness {
-		begun = threadTime()
-		daemon.director.Snapshot(now)
-		worker.book("snapshot", threadTime()-begun)
+		started = threadTime()
+		daemon.machine.Snapshot(now)
+		worker.book("snapshot", threadTime()-started)
 	}
 }
 
@@ -260,8 +260,8 @@
 	count.Bytes += uint64(size)
 }
 
-func (worker *worker) send(daemon *daemon, parcels []statemachine.Parcel) {
-	var toCores []statemachine.Parcel
+func (worker *worker) send(daemon *daemon, parcels []statemachine.Message) {
+	var toCores []statemachine.Message
 	for _, parcel := range parcels {
 		target := worker.host.places[parcel.To]
 		if target == nil || worker.host.cut(daemon.place, target) {
@@ -270,7 +270,7 @@
 		kind := kindOf(parcel.Envelope)
 		if target.Core {
 			worker.count(kind, "to cores", border(daemon.place, target), frameHead+proto.Size(parcel.Envelope))
-			if parcel.Envelope.GetTickAsk() != nil && !isHead(daemon.director.View(), parcel.To) {
+			if parcel.Envelope.GetDaemonLeaseRequest() != nil && !isHead(daemon.machine.View(), parcel.To) {
 				worker.searches++
 			}
 			toCores = append(toCores, parcel)
@@ -295,7 +295,7 @@
 }
 
 // fromCore takes what a core sent to a daemon; it runs on the transport's own goroutine.
-func (worker *worker) fromCore(daemon *daemon, life int, envelope *wire.Envelope) {
+func (worker *worker) fromCore(daemon *daemon, incarnation int, envelope *wire.Envelope) {
 	worker.put(item{do: func() {
 		if sender := worker.host.places[envelope.From]; sender != nil {
 			if worker.host.cut(daemon.place, sender) {
@@ -303,7 +303,7 @@
 			}
 			worker.count(kindOf(envelope), "from cores", border(daemon.place, sender), frameHead+proto.Size(envelope))
 		}
-		worker.take(item{daemon: daemon, life: life, envelope: envelope})
+		worker.take(item{daemon: daemon, incarnation: incarnation, envelope: envelope})
 	}})
 }
 
@@ -317,21 +317,21 @@
 	}
 	now := worker.host.now()
 	daemon.up, daemon.dark, daemon.documents, daemon.epoch, daemon.lease = true, false, 0, 0, newLeaseWatch(monotonic())
-	daemon.life++
-	life := daemon.life
+	daemon.incarnation++
+	incarnation := daemon.incarnation
 	daemon.due = now.Add(time.Duration(worker.random.Int63n(int64(dataplane.TickEvery))))
-	daemon.director = controller.New(now, controller.Startup{Address: daemon.place.Address, HTTP: daemon.place.Address, Zone: daemon.place.Zone, Seeds: worker.host.seeds, Registered: !worker.host.plan.Listed},
+	daemon.machine = controller.New(now, controller.Settings{Address: daemon.place.Address, HTTP: daemon.place.Address, Zone: daemon.place.Zone, Seeds: worker.host.seeds, Registered: !worker.host.plan.Listed},
 		rand.New(rand.NewSource(worker.random.Int63())))
-	daemon.wire = transport.New(daemon.place.Address, daemon.place.Zone, func(envelope *wire.Envelope) { worker.fromCore(daemon, life, envelope) },
-		func(address string, tried time.Time) { worker.refused(daemon, life, address, tried) })
+	daemon.wire = transport.New(daemon.place.Address, daemon.place.Zone, func(envelope *wire.Envelope) { worker.fromCore(daemon, incarnation, envelope) },
+		func(address string, tried time.Time) { worker.refused(daemon, incarnation, address, tried) })
 	return daemon.wire.Listen()
 }
 
 // refused tells a daemon that nobody listened at an address; it runs on the transport's own goroutine.
-func (worker *worker) refused(daemon *daemon, life int, address string, tried time.Time) {
+func (worker *worker) refused(daemon *daemon, incarnation int, address string, tried time.Time) {
 	worker.put(item{do: func() {
-		if daemon.up && daemon.life == life {
-			worker.step(daemon, "refused", threadTime(), func(now time.Time) { daemon.director.Refused(now, address, tried) })
+		if daemon.up && daemon.incarnation == incarnation {
+			worker.step(daemon, "refused", threadTime(), func(now time.Time) { daemon.machine.Refused(now, address, tried) })
 		}
 	}})
 }
@@ -340,7 +340,7 @@
 func (worker *worker) darken(daemon *daemon) error {
 	if daemon.up {
 		daemon.up, daemon.dark = false, true
-		daemon.life++
+		daemon.incarnation++
 	}
 	return nil
 }
@@ -357,7 +357,7 @@
 
 // remaining gives for how long of the machine's time a daemon may still award work.
 func (worker *worker) remaining(daemon *daemon, now time.Time) time.Duration {
-	until := daemon.director.Until(now)
+	until := daemon.machine.Until(now)
 	if !until.After(now) {
 		return 0
 	}
@@ -370,9 +370,9 @@
 		return
 	}
 	daemon.up, daemon.dark = false, false
-	daemon.life++
+	daemon.incarnation++
 	daemon.wire.Close()
-	daemon.director, daemon.wire = nil, nil
+	daemon.machine, daemon.wire = nil, nil
 }
 
 func kindOf(envelope *wire.Envelope) string {
--- a/verify/scale/faults.go
+++ b/verify/scale/faults.go
@@ -39,13 +39,13 @@
 // check refuses a plan whose moments or share make no sense.
 func (plan FaultPlan) check() error {
 	if plan.Lose < 0 || plan.Lose > mostLost {
-		return apierror.New(apierror.BadStartup, "--lose %v: give a share from 0 to %v", plan.Lose, mostLost)
+		return apierror.New(apierror.BadSettings, "--lose %v: give a share from 0 to %v", plan.Lose, mostLost)
 	}
 	if plan.KillHead && plan.HeadBack <= plan.KillAt {
-		return apierror.New(apierror.BadStartup, "--head-back %v is not after --kill-at %v", plan.HeadBack, plan.KillAt)
+		return apierror.New(apierror.BadSettings, "--head-back %v is not after --kill-at %v", plan.HeadBack, plan.KillAt)
 	}
 	if plan.Lose > 0 && plan.LostBack <= plan.LoseAt {
-		return apierror.New(apierror.BadStartup, "--lost-back %v is not after --lose-at %v", plan.LostBack, plan.LoseAt)
+		return apierror.New(apierror.BadSettings, "--lost-back %v is not after --lose-at %v", plan.LostBack, plan.LoseAt)
 	}
 	return nil
 }
@@ -95,15 +95,15 @@
 
 // faultRun is a run with faults while it goes on.
 type faultRun struct {
-	fleet  *fleet
-	plan   FaultPlan
-	begun  time.Duration
-	head   *coreProcess
-	lost   []string
-	stages []stage
-	last   observation
-	since  time.Duration
-	notes  []string
+	fleet   *fleet
+	plan    FaultPlan
+	started time.Duration
+	head    *coreProcess
+	lost    []string
+	stages  []stage
+	last    observation
+	since   time.Duration
+	notes   []string
 	// Moments of the steady time.
 	firstFault, headLost, headActs time.Duration
 }
@@ -117,8 +117,8 @@
 	fleet.client = operator.New(run.operatorCores())
 	fleet.order(Order{Verb: "watch"})
 	changes := newChangeLog(fleet, run.plan.Every)
-	run.begun = monotonic()
-	run.last, run.since = fleet.observe(), run.begun
+	run.started = monotonic()
+	run.last, run.since = fleet.observe(), run.started
 	run.waitUntil(run.plan.begin())
 	run.close(stageBefore, fleet.options.Daemons)
 	run.harm()
@@ -145,7 +145,7 @@
 }
 
 func (run *faultRun) waitUntil(moment time.Duration) {
-	if left := run.begun + moment - monotonic(); left > 0 {
+	if left := run.started + moment - monotonic(); left > 0 {
 		pause(left)
 	}
 }
@@ -441,21 +441,21 @@
 	defer log.waiting.Done()
 	ticker := time.NewTicker(log.every)
 	defer ticker.Stop()
-	begun := monotonic()
+	started := monotonic()
 	for {
 		select {
 		case <-log.stopped:
 			return
 		case <-ticker.C:
-			log.send(begun)
+			log.send(started)
 		}
 	}
 }
 
-func (log *changeLog) send(begun time.Duration) {
+func (log *changeLog) send(started time.Duration) {
 	sent := monotonic()
 	reply, took, err := log.fleet.change()
-	record := ChangeRecord{At: (sent - begun).Seconds(), Seconds: took.Seconds(), Outcome: reply.Outcome, sent: sent, answered: monotonic()}
+	record := ChangeRecord{At: (sent - started).Seconds(), Seconds: took.Seconds(), Outcome: reply.Outcome, sent: sent, answered: monotonic()}
 	if err != nil {
 		record.Outcome = "unanswered"
 	}
--- a/verify/scale/faults_test.go
+++ b/verify/scale/faults_test.go
@@ -21,7 +21,7 @@
 	told := &strings.Builder{}
 	plan := FaultPlan{KillHead: true, Power: true, Lose: 0.5, KillAt: 2 * time.Second, LoseAt: 2 * time.Second, HeadBack: 6 * time.Second, LostBack: 6 * time.Second,
 		Every: 500 * time.Millisecond, Settled: 2 * time.Second}
-	run, err := Measure(Options{Daemons: 12, Cores: 3, Lanes: 4, Pools: 2, Processors: 2, CoreProcessors: 2, Memory: 4 << 30, Seed: 1, Network: 200 + os.Getpid()%50,
+	run, err := Measure(Options{Daemons: 12, Cores: 3, Routes: 4, Backends: 2, Processors: 2, CoreProcessors: 2, Memory: 4 << 30, Seed: 1, Network: 200 + os.Getpid()%50,
 		Quiet: time.Second, Founding: 2 * time.Minute, Faults: plan, Bound: 4 * time.Minute, Binaries: folder, Folder: t.TempDir(), Output: told})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, told)
--- a/verify/scale/fleet.go
+++ b/verify/scale/fleet.go
@@ -28,10 +28,10 @@
 	Daemons int
 	Runners int
 	// Listed tells that runners are read from a list by one daemon of each zone; otherwise they call the cores.
-	Listed bool
-	Cores  int
-	Lanes  int
-	Pools  int
+	Listed   bool
+	Cores    int
+	Routes   int
+	Backends int
 	// Processors bounds the processors that all hosts together use, CoreProcessors those of one core.
 	Processors     int
 	CoreProcessors int
@@ -106,7 +106,7 @@
 	decoder, encoder := json.NewDecoder(input), json.NewEncoder(output)
 	plan := Plan{}
 	if err := decoder.Decode(&plan); err != nil {
-		return apierror.Wrap(err, apierror.BadStartup, "the plan of a hollow host")
+		return apierror.Wrap(err, apierror.BadSettings, "the plan of a hollow host")
 	}
 	host, err := newHost(plan)
 	if err != nil {
@@ -142,7 +142,7 @@
 	http     *http.Client
 	epoch    uint64
 	mark     int
-	begun    time.Time
+	started  time.Time
 	told     time.Time
 	exceeded bool
 	// pace is how many times slower than the machine's the daemons' clocks run now.
@@ -156,7 +156,7 @@
 	if options.Program == "" {
 		count = 1
 	}
-	fleet := &fleet{options: options, begun: time.Now(), pace: options.Slow, http: &http.Client{Timeout: 10 * time.Second}}
+	fleet := &fleet{options: options, started: time.Now(), pace: options.Slow, http: &http.Client{Timeout: 10 * time.Second}}
 	places := corePlaces(options.Network, options.Cores)
 	var addresses, seeds []string
 	for _, place := range places {
@@ -168,13 +168,13 @@
 	fleet.client = operator.New(addresses)
 	for number, place := range places {
 		made := &coreProcess{place: place, file: filepath.Join(options.Folder, fmt.Sprintf("core-%d.json", number))}
-		content, err := json.Marshal(process.Startup{Address: place.Address, HTTP: place.HTTP, Zone: place.Zone, Seeds: seeds,
+		content, err := json.Marshal(process.Settings{Address: place.Address, HTTP: place.HTTP, Zone: place.Zone, Seeds: seeds,
 			Folder: filepath.Join(options.Folder, fmt.Sprintf("core-%d", number)), Log: "warn"})
 		if err == nil {
 			err = os.WriteFile(made.file, content, 0o640)
 		}
 		if err != nil {
-			return nil, apierror.Wrap(err, apierror.BadStartup, "a core's startup file")
+			return nil, apierror.Wrap(err, apierror.BadSettings, "a core's startup file")
 		}
 		fleet.cores = append(fleet.cores, made)
 	}
@@ -212,18 +212,18 @@
 		return apierror.Wrap(err, apierror.Internal, "a hollow host's output")
 	}
 	if err := command.Start(); err != nil {
-		return apierror.Wrap(err, apierror.BadStartup, "starting a hollow host")
+		return apierror.Wrap(err, apierror.BadSettings, "starting a hollow host")
 	}
 	made := &outside{command: command, encoder: json.NewEncoder(input), decoder: json.NewDecoder(bufio.NewReader(output)), input: input}
 	fleet.hosts = append(fleet.hosts, made)
-	return apierror.Wrap(made.encoder.Encode(plan), apierror.BadStartup, "the plan of a hollow host")
+	return apierror.Wrap(made.encoder.Encode(plan), apierror.BadSettings, "the plan of a hollow host")
 }
 
 // startCore begins a wtcore.
 func (fleet *fleet) startCore(process *coreProcess) error {
 	log, err := os.OpenFile(process.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
-		return apierror.Wrap(err, apierror.BadStartup, "a core's log")
+		return apierror.Wrap(err, apierror.BadSettings, "a core's log")
 	}
 	defer log.Close()
 	command := exec.Command(filepath.Join(fleet.options.Binaries, "wtcore"), "--startup", process.file)
@@ -232,7 +232,7 @@
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	command.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", fleet.options.CoreProcessors))
 	if err := command.Start(); err != nil {
-		return apierror.Wrap(err, apierror.BadStartup, "starting wtcore")
+		return apierror.Wrap(err, apierror.BadSettings, "starting wtcore")
 	}
 	process.command = command
 	return nil
@@ -379,7 +379,7 @@
 
 // tell shows progress.
 func (fleet *fleet) tell(format string, values ...any) {
-	fmt.Fprintf(fleet.options.Output, "%6.1fs  %s\n", time.Since(fleet.begun).Seconds(), fmt.Sprintf(format, values...))
+	fmt.Fprintf(fleet.options.Output, "%6.1fs  %s\n", time.Since(fleet.started).Seconds(), fmt.Sprintf(format, values...))
 }
 
 // resident is the memory of all processes together.
@@ -399,22 +399,22 @@
 
 // await asks until something holds or the time is up, shows progress and ends what takes too much memory.
 func (fleet *fleet) await(length time.Duration, what string, holds func() (bool, string)) (time.Duration, bool) {
-	begun := time.Now()
+	started := time.Now()
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for {
 		held, state := holds()
 		if held {
-			return time.Since(begun), true
+			return time.Since(started), true
 		}
 		if hosts, cores := fleet.resident(); hosts+cores > fleet.options.Memory {
 			fleet.exceeded = true
 			fleet.tell("%s: ended, %d MiB are more than --memory", what, (hosts+cores)>>20)
-			return time.Since(begun), false
+			return time.Since(started), false
 		}
-		if time.Since(begun) > length {
+		if time.Since(started) > length {
 			fleet.tell("%s: not within %v; %s", what, length, state)
-			return time.Since(begun), false
+			return time.Since(started), false
 		}
 		if time.Since(fleet.told) > 2*time.Second {
 			fleet.told = time.Now()
@@ -427,10 +427,10 @@
 // change sends a spec built on the newest epoch that this fleet's operator knows.
 func (fleet *fleet) change() (node.Reply, time.Duration, error) {
 	fleet.mark++
-	begun := time.Now()
-	reply, err := fleet.client.Apply(fleetSpec(fleet.options.Lanes, fleet.options.Pools, fleet.mark),
+	started := time.Now()
+	reply, err := fleet.client.Apply(fleetSpec(fleet.options.Routes, fleet.options.Backends, fleet.mark),
 		operator.Change{Base: fleet.epoch, Operation: fmt.Sprintf("change-%d-%d", fleet.options.Seed, fleet.mark)})
-	took := time.Since(begun)
+	took := time.Since(started)
 	if err == nil && reply.Outcome == "accepted" {
 		fleet.epoch = reply.Epoch
 	}
--- a/verify/scale/founding.go
+++ b/verify/scale/founding.go
@@ -25,7 +25,7 @@
 // together; later ones come one by one.
 func (fleet *fleet) startAll() error {
 	if report := fleet.order(Order{Verb: "begin"}); report.Failure != "" {
-		return apierror.New(apierror.BadStartup, "%s", report.Failure)
+		return apierror.New(apierror.BadSettings, "%s", report.Failure)
 	}
 	for _, process := range fleet.cores {
 		if err := fleet.startCore(process); err != nil {
--- a/verify/scale/hollow_test.go
+++ b/verify/scale/hollow_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("%v: %s", err, output)
 	}
 	told := &strings.Builder{}
-	run, err := Measure(Options{Daemons: 9, Runners: 6, Cores: 3, Lanes: 4, Pools: 2, Processors: 2, CoreProcessors: 2, Memory: 4 << 30, Seed: 1, Network: 100 + os.Getpid()%100,
+	run, err := Measure(Options{Daemons: 9, Runners: 6, Cores: 3, Routes: 4, Backends: 2, Processors: 2, CoreProcessors: 2, Memory: 4 << 30, Seed: 1, Network: 100 + os.Getpid()%100,
 		Quiet: time.Second, Founding: 2 * time.Minute, Phases: []string{"change", "runners"}, Bound: 4 * time.Minute, Binaries: folder, Folder: t.TempDir(), Output: told})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, told)
--- a/verify/scale/host.go
+++ b/verify/scale/host.go
@@ -151,9 +151,9 @@
 
 // setPace lets the daemons' time go on so many times slower than the machine's.
 func (host *host) setPace(slow float64) {
-	former := host.clock.Load()
-	if former.slow != slow {
-		host.clock.CompareAndSwap(former, &pace{since: time.Now(), from: host.now(), slow: slow})
+	previous := host.clock.Load()
+	if previous.slow != slow {
+		host.clock.CompareAndSwap(previous, &pace{since: time.Now(), from: host.now(), slow: slow})
 	}
 }
 
@@ -240,9 +240,9 @@
 	return side != nil && (*side)[from.Region] != (*side)[to.Region]
 }
 
-// poll answers a director that wants to read the platform's list.
+// poll answers a controller that wants to read the platform's list.
 func (host *host) poll(now time.Time, daemon *daemon) {
-	daemon.director.Polled(now, host.runners, len(host.runners) == 0)
+	daemon.machine.Polled(now, host.runners, len(host.runners) == 0)
 }
 
 // verbs are what a host can be asked to do.
@@ -414,7 +414,7 @@
 		return
 	}
 	now := worker.host.now()
-	snapshot := daemon.director.Snapshot(now)
+	snapshot := daemon.machine.Snapshot(now)
 	if known := len(snapshot.Runners); report.Asked == 0 || known < report.Least {
 		report.Least = known
 	}
@@ -457,7 +457,7 @@
 func (host *host) join() error {
 	listener, err := net.Listen("tcp", linkAddress(host.plan.Network, host.plan.Host))
 	if err != nil {
-		return apierror.Wrap(err, apierror.BadStartup, "listening for other hosts")
+		return apierror.Wrap(err, apierror.BadSettings, "listening for other hosts")
 	}
 	host.listener = listener
 	go func() {
--- a/verify/scale/layout.go
+++ b/verify/scale/layout.go
@@ -1,5 +1,5 @@
 // Package hollow runs thousands of hollow daemons on one machine against real wtcores: each carries
-// the real coordination and control parts (director, rumors, cohort, duties) and no traffic. It measures
+// the real coordination and control parts (controller, gossip, partial view, duties) and no traffic. It measures
 // what a daemon and a core cost at several sizes, so that slopes can be told from one size to the next.
 //
 // Between daemons travel real encoded frames, carried within a process or over one connection between
@@ -79,23 +79,23 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", network, linkPart, host+1, linkPort)
 }
 
-// fleetSpec is a spec with so many tenants' lanes over so many models' pools; mark tells one from another.
-func fleetSpec(lanes, pools, mark int) []byte {
+// fleetSpec is a spec with so many tenants' routes over so many models' backends; mark tells one from another.
+func fleetSpec(routes, backends, mark int) []byte {
 	made := &config.Spec{}
 	for _, zone := range Zones() {
 		made.Zones = append(made.Zones, config.Zone{Name: zone.Name})
 	}
-	for number := range pools {
-		made.Pools = append(made.Pools, config.Pool{Name: fmt.Sprintf("pool-%02d", number), Model: fmt.Sprintf("model-%02d", number),
+	for number := range backends {
+		made.Backends = append(made.Backends, config.Pool{Name: fmt.Sprintf("pool-%02d", number), Model: fmt.Sprintf("model-%02d", number),
 			Weights: fmt.Sprintf("w-%02d", number), Services: []string{fmt.Sprintf("runners-%02d", number)}})
 	}
-	for number := range lanes {
-		worth := float64(1 + number%10)
+	for number := range routes {
+		value := float64(1 + number%10)
 		if number == 0 {
-			worth = float64(1 + mark%1000)
+			value = float64(1 + mark%1000)
 		}
-		made.Lanes = append(made.Lanes, config.Lane{Name: fmt.Sprintf("tenant-%03d", number), Pool: fmt.Sprintf("pool-%02d", number%pools),
-			Worth: worth, Patience: config.Span(4e9), Purse: 0.5, Repeatable: number%3 != 0})
+		made.Routes = append(made.Routes, config.Route{Name: fmt.Sprintf("tenant-%03d", number), Pool: fmt.Sprintf("pool-%02d", number%backends),
+			Value: value, LatencyTarget: config.Duration(4e9), ConcurrencyLimit: 0.5, Idempotent: number%3 != 0})
 	}
 	return made.Encode()
 }
--- a/verify/scale/lines.go
+++ b/verify/scale/lines.go
@@ -48,7 +48,7 @@
 	"storm":       func(run Run) float64 { return float64(run.Daemons) },
 	"runners":     func(run Run) float64 { return float64(run.Runners) },
 	"listed":      func(run Run) float64 { return float64(run.Runners) },
-	"lanes":       func(run Run) float64 { return float64(run.Lanes) },
+	"lanes":       func(run Run) float64 { return float64(run.Routes) },
 	"award":       func(run Run) float64 { return float64(run.Runners) },
 	"index":       func(run Run) float64 { return float64(run.Prefixes) },
 	"spread":      func(run Run) float64 { return float64(run.Daemons) },
@@ -116,12 +116,12 @@
 	}
 }
 
-// withoutRumors gives a daemon's bytes, sent and from cores, but for documents and what else rumors carry, in KiB.
-func withoutRumors(phase string) func(run Run) (float64, bool) {
+// withoutGossip gives a daemon's bytes, sent and from cores, but for documents and what else gossip carry, in KiB.
+func withoutGossip(phase string) func(run Run) (float64, bool) {
 	return func(run Run) (float64, bool) {
 		all, found := run.figure(phase, "daemon.bytes_all")
-		rumors, _ := run.figure(phase, "kind.Rumor.bytes")
-		return (all - rumors) / 1024, found
+		gossip, _ := run.figure(phase, "kind.Rumor.bytes")
+		return (all - gossip) / 1024, found
 	}
 }
 
@@ -238,7 +238,7 @@
 		mechanism: "questions for a lease to the keepers and the rest of the chain: by their number, not by the fleet's"},
 	{role: "data daemon", what: "messages sent while no head acts", unit: "/s", series: "silent-head", phase: stageSilent, value: atFullSpeed(figure(stageSilent, "daemon.messages", 1)), aim: aimDaemons, today: today,
 		mechanism: "as above, the first 0.4 s included, in which the head is still waited for"},
-	{role: "data daemon", what: "bytes of it without documents, sent and from cores", unit: "KiB/s", series: "silent-head", phase: stageSilent, value: atFullSpeed(withoutRumors(stageSilent)), aim: aimDaemons, today: today, bound: boundBytes / 1024,
+	{role: "data daemon", what: "bytes of it without documents, sent and from cores", unit: "KiB/s", series: "silent-head", phase: stageSilent, value: atFullSpeed(withoutGossip(stageSilent)), aim: aimDaemons, today: today, bound: boundBytes / 1024,
 		mechanism: "as above"},
 	{role: "data daemon", what: "bytes with a change each second and half of the daemons dark, sent and from cores", unit: "KiB/s", series: "silent-head", phase: stageDegraded, value: atFullSpeed(withChanges(figure(stageDegraded, "daemon.bytes_all", 1.0/1024))), aim: aimDaemons, today: today, bound: boundBytes / 1024,
 		design: designDocument, mechanism: "the whole document, directory included, two times a change; a change each second is 2.3 times what is aimed at"},
@@ -366,8 +366,8 @@
 	{"registry", "runners that a book remembers", aimRunners, registry.MaximumRunners, "runners", designRegistry, "a greater bound costs memory in proportion; books by pool"},
 	{"data daemon", "prefixes in an index", aimPrefixes, kvblock.DefaultKeys, "keys", designIndex, "each daemon keeps the share whose home is near it"},
 	{"head", "operations whose outcome is remembered for a day", 37000, chain.MaximumOutcomes, "operations", designOutcomes, "outcomes kept for a time instead of a number, on disk"},
-	{"all", "registers of rumors", 1 + aimMachines, gossip.MaximumRegisters, "registers", "", "the document and what a zone tells"},
-	{"data daemon", "requests that wait at a daemon for one pool, one second's worth", aimRequests / aimDaemons, scheduler.WaitlistLength, "requests", "", "a second of the daemon's whole share fits many times"},
+	{"all", "registers of rumors", 1 + aimMachines, gossip.MaximumEntries, "registers", "", "the document and what a zone tells"},
+	{"data daemon", "requests that wait at a daemon for one pool, one second's worth", aimRequests / aimDaemons, scheduler.QueueLength, "requests", "", "a second of the daemon's whole share fits many times"},
 	{"data daemon", "reports read from runners by each daemon in our own speech, in which no answer brings one", aimRunners / dataplane.PressureEvery.Seconds(), boundBytes / 300, "reads/s", designReports, "only the runners that a daemon sends to, or their own word with each answer; the bound is 26 KiB/s at 300 bytes a read"},
 	// Why 12: a word counts for so much longer as there are more daemons than that.
 	{"data daemon", "reports read from runners by each daemon where a word counts for 2 s", aimRunners / (2 * aimDaemons / 12.0), boundBytes / 300, "reads/s", designReports, "the more daemons, the less often each asks"},
--- a/verify/scale/observe.go
+++ b/verify/scale/observe.go
@@ -83,9 +83,9 @@
 }
 
 // since gives what a histogram counted after an earlier state of it.
-func (late lateness) since(former lateness) lateness {
+func (late lateness) since(previous lateness) lateness {
 	for place := range late.Buckets {
-		late.Buckets[place] -= former.Buckets[place]
+		late.Buckets[place] -= previous.Buckets[place]
 	}
 	return late
 }
--- a/verify/scale/page.go
+++ b/verify/scale/page.go
@@ -173,8 +173,8 @@
 			today = short(max(0, fit.At(line.today)))
 		}
 		earlier := "not measured"
-		if former, fitted := FitPoints(line.points(before)); fitted {
-			reached, _ := line.reach(before, former)
+		if previous, fitted := FitPoints(line.points(before)); fitted {
+			reached, _ := line.reach(before, previous)
 			earlier = short(reached)
 		}
 		fmt.Fprintf(text, "| %s | %s, %s | %s | ±%.0f%% | %s | %s | %s | %s | %s | %s | %s |\n", line.role, line.what, line.unit, fit.grows(), 100*fit.Scatter, today, told, boundText(line.bound),
@@ -423,8 +423,8 @@
 	for name, table := range tables {
 		begin, end := "<!-- table "+name+" -->\n", "<!-- end "+name+" -->"
 		before, rest, found := strings.Cut(page, begin)
-		_, after, ended := strings.Cut(rest, end)
-		if !found || !ended {
+		_, after, finished := strings.Cut(rest, end)
+		if !found || !finished {
 			return "", apierror.New(apierror.Malformed, "the page has no place for the table %q", name)
 		}
 		page = before + begin + table + end + after
--- a/verify/scale/path.go
+++ b/verify/scale/path.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return runs, err
 		}
-		add(Run{Daemons: size, Lanes: 10}, "spread", map[string]float64{"half": spread.Half.Seconds(), "most": spread.Most.Seconds(), "all": spread.All.Seconds(),
+		add(Run{Daemons: size, Routes: 10}, "spread", map[string]float64{"half": spread.Half.Seconds(), "most": spread.Most.Seconds(), "all": spread.All.Seconds(),
 			"acknowledged": spread.Acknowledged.Seconds(), "messages": spread.Messages, "bytes": spread.Bytes, "bytes_other_zone": spread.AcrossBytes, "change.bytes": spread.ChangeBytes})
 	}
 	for _, rate := range options.Rates {
@@ -75,55 +75,55 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	do()
-	begun, count := threadTime(), 0
-	for threadTime()-begun < time.Second/3 || count < 3 {
+	started, count := threadTime(), 0
+	for threadTime()-started < time.Second/3 || count < 3 {
 		do()
 		count++
 	}
-	return (threadTime() - begun).Seconds() * 1e6 / float64(count)
+	return (threadTime() - started).Seconds() * 1e6 / float64(count)
 }
 
-// poolsOfFleet is how many pools the runners are divided among: one a model.
-const poolsOfFleet = 36
+// backendsOfFleet is how many backends the runners are divided among: one a model.
+const backendsOfFleet = 36
 
-// measureAward prices one award among a pool's part of so many runners, as a plane asks for them.
+// measureAward prices one award among a backend's part of so many runners, as a plane asks for them.
 func measureAward(count int) map[string]float64 {
 	now := time.Unix(1_700_000_000, 0)
 	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, 0)
 	if err != nil {
 		return nil
 	}
-	book := load.NewBook(now, "daemon")
+	table := load.NewTable(now, "daemon")
 	var listed []*wire.Runner
 	for number := range count {
 		listed = append(listed, &wire.Runner{RunnerId: fmt.Sprintf("runner-%05d", number), Zone: Zones()[number%len(Zones())].Name, State: "ready",
-			Service: fmt.Sprintf("runners-%02d", number%min(poolsOfFleet, max(1, count/18)))})
+			Service: fmt.Sprintf("runners-%02d", number%min(backendsOfFleet, max(1, count/18)))})
 	}
-	book.List(now, listed)
-	scene := func(now time.Time) scheduler.Field {
-		field := scheduler.Field{Daemons: 1}
-		for _, runner := range book.All(now, []string{"daemon"}) {
+	table.List(now, listed)
+	snapshot := func(now time.Time) scheduler.Snapshot {
+		field := scheduler.Snapshot{Daemons: 1}
+		for _, runner := range table.All(now, []string{"daemon"}) {
 			if runner.Service == "runners-00" {
 				field.Runners = append(field.Runners, runner)
 			}
 		}
 		return field
 	}
-	desk := scheduler.NewDesk(scene, book, indexer, rand.New(rand.NewSource(1)))
+	desk := scheduler.NewScheduler(snapshot, table, indexer, rand.New(rand.NewSource(1)))
 	keys := indexer.Processor.BlockKeys([]string{"a", "b", "c"}, kvblock.Extra{})
 	refused := 0
 	whole := timed(func() {
-		ticket := &scheduler.Ticket{Lane: "lane", Purse: 1, Keys: keys, PartTokens: []int{1, 1, 1}, Steps: make(chan scheduler.Step, 1), Bid: scheduler.Bid{Worth: 1, Patience: time.Second, PromptTokens: 100}}
-		desk.Enter(now, ticket)
-		step := <-ticket.Steps
-		if step.Kind != scheduler.Pass {
+		queuedRequest := &scheduler.QueuedRequest{Route: "lane", ConcurrencyLimit: 1, Keys: keys, PartTokens: []int{1, 1, 1}, Decisions: make(chan scheduler.Decision, 1), Requirements: scheduler.Requirements{Value: 1, LatencyTarget: time.Second, PromptTokens: 100}}
+		desk.Schedule(now, queuedRequest)
+		step := <-queuedRequest.Decisions
+		if step.Kind != scheduler.Dispatch {
 			refused++
 			return
 		}
-		desk.Release(now, ticket, step.Runner.ID)
+		desk.Release(now, queuedRequest, step.Runner.ID)
 	})
-	line, _ := json.Marshal(book.All(now, nil)[0])
-	return map[string]float64{"microseconds": whole, "scene.microseconds": timed(func() { scene(now) }), "refused": float64(refused), "status.bytes_per_runner": float64(len(line))}
+	line, _ := json.Marshal(table.All(now, nil)[0])
+	return map[string]float64{"microseconds": whole, "scene.microseconds": timed(func() { snapshot(now) }), "refused": float64(refused), "status.bytes_per_runner": float64(len(line))}
 }
 
 // measureIndex fills an index with so many prefixes, each held by one runner, and looks one prompt up.
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	tokens := []int{1, 1, 1, 1}
-	begun := processTime()
+	started := processTime()
 	for number := 0; number < count; number += partsOfPrompt {
 		keys := make([]kvblock.BlockKey, partsOfPrompt)
 		for place := range keys {
@@ -151,7 +151,7 @@
 		}
 		indexer.Pool.Add(kvblock.BlockStored{Runner: fmt.Sprintf("runner-%05d", number/partsOfPrompt%max(1, count/400)), Now: now, Keys: keys, Tokens: tokens})
 	}
-	filled := processTime() - begun
+	filled := processTime() - started
 	figures := map[string]float64{"keys": float64(indexer.Index.Keys()), "bytes": float64(held() - before), "fill.microseconds_per_key": filled.Seconds() * 1e6 / float64(count)}
 	figures["bytes_per_key"] = figures["bytes"] / max(1, figures["keys"])
 	set := map[string]bool{}
--- a/verify/scale/run.go
+++ b/verify/scale/run.go
@@ -73,8 +73,8 @@
 	Runners   int   `json:"runners"`
 	Listed    bool  `json:"listed,omitempty"`
 	Cores     int   `json:"cores"`
-	Lanes     int   `json:"lanes"`
-	Pools     int   `json:"pools"`
+	Routes    int   `json:"lanes"`
+	Backends  int   `json:"pools"`
 	Seed      int64 `json:"seed"`
 	Processes int   `json:"processes"`
 	// Slow is how many times slower the daemons' clocks ran than the cores'.
@@ -171,7 +171,7 @@
 	if options.Folder == "" {
 		folder, err := os.MkdirTemp("", "hollow")
 		if err != nil {
-			return run, apierror.Wrap(err, apierror.BadStartup, "a folder for the cores")
+			return run, apierror.Wrap(err, apierror.BadSettings, "a folder for the cores")
 		}
 		defer os.RemoveAll(folder)
 		options.Folder = folder
@@ -205,10 +205,10 @@
 
 // prepared checks the options, fills in what they leave open, and gives a run that tells of them.
 func prepared(options *Options) (Run, error) {
-	run := Run{Daemons: options.Daemons, Runners: options.Runners, Listed: options.Listed, Cores: options.Cores, Lanes: options.Lanes, Pools: options.Pools, Seed: options.Seed}
+	run := Run{Daemons: options.Daemons, Runners: options.Runners, Listed: options.Listed, Cores: options.Cores, Routes: options.Routes, Backends: options.Backends, Seed: options.Seed}
 	for _, name := range options.Phases {
 		if _, found := phases[name]; !found {
-			return run, apierror.New(apierror.BadStartup, "there is no phase %q; give some of %s", name, strings.Join(PhaseNames(), ", "))
+			return run, apierror.New(apierror.BadSettings, "there is no phase %q; give some of %s", name, strings.Join(PhaseNames(), ", "))
 		}
 	}
 	if err := options.Faults.check(); err != nil {
@@ -244,9 +244,9 @@
 }
 
 // perform runs a phase, or tells why it was left out.
-func (fleet *fleet) perform(name string, former Phase) Phase {
+func (fleet *fleet) perform(name string, previous Phase) Phase {
 	made := phases[name]
-	if fleet.exceeded || former.Upset || time.Since(fleet.begun) > fleet.options.Bound {
+	if fleet.exceeded || previous.Upset || time.Since(fleet.started) > fleet.options.Bound {
 		return Phase{Name: name, Notes: []string{"not measured: the run was at its bound of time or memory, or upset"}}
 	}
 	if made.prompt && fleet.options.Slow > slowest {
@@ -381,19 +381,19 @@
 	const operators, length = 4, 5 * time.Second
 	var mutex sync.Mutex
 	var waiting sync.WaitGroup
-	begun := time.Now()
+	started := time.Now()
 	for number := range operators {
 		waiting.Add(1)
 		go func() {
 			defer waiting.Done()
 			client := operator.New([]string{fleet.cores[number%len(fleet.cores)].place.HTTP})
-			for attempt := 0; time.Since(begun) < length; attempt++ {
+			for attempt := 0; time.Since(started) < length; attempt++ {
 				present, err := client.Get()
 				if err != nil {
 					continue
 				}
 				sent := time.Now()
-				reply, err := client.Apply(fleetSpec(fleet.options.Lanes, fleet.options.Pools, 1000*number+attempt),
+				reply, err := client.Apply(fleetSpec(fleet.options.Routes, fleet.options.Backends, 1000*number+attempt),
 					operator.Change{Base: present.Epoch, Operation: fmt.Sprintf("storm-%d-%d-%d", fleet.options.Seed, number, attempt)})
 				took := time.Since(sent)
 				mutex.Lock()
@@ -411,7 +411,7 @@
 		}()
 	}
 	waiting.Wait()
-	phase.Figures["accepted.per_second"] = phase.Figures["storm.accepted"] / time.Since(begun).Seconds()
+	phase.Figures["accepted.per_second"] = phase.Figures["storm.accepted"] / time.Since(started).Seconds()
 	fleet.refresh()
 	took, _ := fleet.serve(10 * time.Second)
 	phase.Figures["recovered.seconds"] = took.Seconds()
@@ -543,13 +543,13 @@
 	}
 }
 
-// lesserRegions chooses half of the regions such that most keepers are in the others: those keep the chain, and the
+// lesserRegions chooses half of the regions such that most acceptors are in the others: those keep the chain, and the
 // cores of the lesser part can neither agree nor claim anything.
 func (fleet *fleet) lesserRegions() map[int]bool {
 	greater, lesser := map[int]bool{}, map[int]bool{}
-	for _, keeper := range fleet.leader().Core.Keepers {
+	for _, acceptor := range fleet.leader().Core.Acceptors {
 		for _, process := range fleet.cores {
-			if process.place.Address == keeper.Address && len(greater) < 2 {
+			if process.place.Address == acceptor.Address && len(greater) < 2 {
 				greater[process.place.Region] = true
 			}
 		}
--- a/verify/scale/runners.go
+++ b/verify/scale/runners.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// runnerBeat is how often a hollow runner calls a core.
-const runnerBeat = time.Second
+// runnerHeartbeat is how often a hollow runner calls a core.
+const runnerHeartbeat = time.Second
 
 // crowd is the hollow runners: each calls the cores in turn, as real ones do, and nothing else.
 type crowd struct {
@@ -38,22 +38,22 @@
 }
 
 // add begins a runner's life.
-func (crowd *crowd) add(number, life int) *hollowRunner {
-	runner := &hollowRunner{id: fmt.Sprintf("runner-%05d-%d", number, life), number: number}
+func (crowd *crowd) add(number, incarnation int) *hollowRunner {
+	runner := &hollowRunner{id: fmt.Sprintf("runner-%05d-%d", number, incarnation), number: number}
 	crowd.mutex.Lock()
 	crowd.runners[runner.id] = runner
 	crowd.mutex.Unlock()
 	delay := time.Duration(0)
-	if life == 0 {
-		delay = time.Duration(number) * runnerBeat / perBeat
+	if incarnation == 0 {
+		delay = time.Duration(number) * runnerHeartbeat / perHeartbeat
 	}
 	crowd.waiting.Add(1)
 	go crowd.live(runner, delay)
 	return runner
 }
 
-// perBeat is how many runners begin their lives in one beat.
-const perBeat = 300
+// perHeartbeat is how many runners begin their lives in one beat.
+const perHeartbeat = 300
 
 // live calls until the runner is gone.
 func (crowd *crowd) live(runner *hollowRunner, delay time.Duration) {
@@ -73,7 +73,7 @@
 			return
 		}
 		crowd.say(runner, "ready")
-		timer.Reset(runnerBeat)
+		timer.Reset(runnerHeartbeat)
 	}
 }
 
@@ -86,15 +86,15 @@
 	zones := Zones()
 	body := fmt.Sprintf(`{"address":"10.%d.%d.%d:9100","zone":%q,"service":"runners-%02d","slots":16,"state":%q,"call":%d}`,
 		runner.number>>16&255, runner.number>>8&255, runner.number&255, zones[runner.number%len(zones)].Name, runner.number%36, state, runner.call)
-	begun := time.Now()
+	started := time.Now()
 	for attempt := range crowd.cores {
 		crowd.calls.Add(1)
 		if crowd.put("PUT", crowd.cores[(runner.number+attempt)%len(crowd.cores)], runner.id, body) {
-			return time.Since(begun), true
+			return time.Since(started), true
 		}
 		crowd.failed.Add(1)
 	}
-	return time.Since(begun), false
+	return time.Since(started), false
 }
 
 func (crowd *crowd) put(method, core, id, body string) bool {
@@ -159,11 +159,11 @@
 		phase.Notes = append(phase.Notes, "not measured: no registered runners")
 		return
 	}
-	life := int(time.Since(fleet.begun).Milliseconds())
+	incarnation := int(time.Since(fleet.started).Milliseconds())
 	replace := func(runners []*hollowRunner) {
 		for _, runner := range runners {
-			life++
-			fleet.crowd.add(runner.number, life)
+			incarnation++
+			fleet.crowd.add(runner.number, incarnation)
 		}
 	}
 	left := fleet.crowd.some(leaving)
--- a/verify/simulation/apart.go
+++ b/verify/simulation/apart.go
@@ -17,8 +17,8 @@
 // separation is how a data daemon stands to the core: since when it has had no path both ways to any core machine that
 // runs, is not frozen and itself reaches more than half of the core; and the last such time that is over.
 type separation struct {
-	since, former, ended time.Time
-	record               *histories.Apart
+	since, previous, finished time.Time
+	record                    *histories.Apart
 }
 
 // topologyChanged says that links, machines or processes are other than before.
@@ -78,7 +78,7 @@
 		return
 	}
 	if !apart {
-		separation.former, separation.ended = separation.since, world.Now
+		separation.previous, separation.finished = separation.since, world.Now
 		separation.since = time.Time{}
 		if separation.record != nil {
 			separation.record.Until = world.Now.Add(regainBound)
@@ -109,10 +109,10 @@
 		checker.worst("older news used without the core", length)
 		return length <= world.WithoutCore+leaseBound
 	}
-	back := world.Now.Sub(separation.ended)
-	if separation.ended.IsZero() || back > regainBound {
+	back := world.Now.Sub(separation.finished)
+	if separation.finished.IsZero() || back > regainBound {
 		return false
 	}
 	checker.worst("older news used after the core was back", back)
-	return separation.ended.Sub(separation.former) <= world.WithoutCore+leaseBound
+	return separation.finished.Sub(separation.previous) <= world.WithoutCore+leaseBound
 }
--- a/verify/simulation/callers.go
+++ b/verify/simulation/callers.go
@@ -22,27 +22,27 @@
 
 // Callers are runners that register themselves at the cores, with what is known of each life.
 type Callers struct {
-	world *World
-	lives int
-	Lives []*callerLife
+	world        *World
+	incarnations int
+	Incarnations []*callerIncarnation
 	// Events is about how often one of them leaves, crashes, or is replaced; none while it is 0.
 	Events time.Duration
 	// Kept is from when on a runner that calls must be listed by every daemon that awards work, after its first
 	// acknowledgement; 0: no daemon must, since cores are cut apart.
 	Kept time.Duration
-	byID map[string]*callerLife
+	byID map[string]*callerIncarnation
 	// Acks and Refusals count the answers to calls.
 	Acks, Refusals int
 }
 
-// callerLife is one life of a runner.
-type callerLife struct {
+// callerIncarnation is one life of a runner.
+type callerIncarnation struct {
 	callers *Callers
 	id      string
 	address string
 	zone    string
 	service string
-	begun   time.Time
+	started time.Time
 	call    uint64
 	core    int
 	state   string
@@ -51,12 +51,12 @@
 	wait uint64
 	// known is when a call was first acknowledged, left when it was that it drains or is gone, ended when it
 	// stopped without a word or with one.
-	known, left, ended time.Time
+	known, left, finished time.Time
 }
 
 // StartCallers brings in so many runners.
 func (world *World) StartCallers(count int, zones []string) *Callers {
-	callers := &Callers{world: world, byID: map[string]*callerLife{}}
+	callers := &Callers{world: world, byID: map[string]*callerIncarnation{}}
 	world.Callers = callers
 	for number := range count {
 		callers.begin(fmt.Sprintf("10.9.0.%d:80", number), zones[number%len(zones)], "s")
@@ -65,48 +65,48 @@
 }
 
 func (callers *Callers) begin(address, zone, service string) {
-	callers.lives++
-	life := &callerLife{callers: callers, id: fmt.Sprintf("q%d", callers.lives), address: address, zone: zone, service: service, begun: callers.world.Now,
+	callers.incarnations++
+	incarnation := &callerIncarnation{callers: callers, id: fmt.Sprintf("q%d", callers.incarnations), address: address, zone: zone, service: service, started: callers.world.Now,
 		core: callers.world.random.Intn(64), state: registry.Ready, running: true}
-	callers.Lives = append(callers.Lives, life)
-	callers.byID[life.id] = life
-	callers.world.After(time.Duration(callers.world.random.Int63n(int64(callEvery))), life.beat)
+	callers.Incarnations = append(callers.Incarnations, incarnation)
+	callers.byID[incarnation.id] = incarnation
+	callers.world.After(time.Duration(callers.world.random.Int63n(int64(callEvery))), incarnation.heartbeat)
 }
 
-// beat calls now and again after a while.
-func (life *callerLife) beat() {
-	if !life.running {
+// heartbeat calls now and again after a while.
+func (incarnation *callerIncarnation) heartbeat() {
+	if !incarnation.running {
 		return
 	}
-	life.tell(2)
-	world := life.callers.world
-	world.After(callEvery*9/10+time.Duration(world.random.Int63n(int64(callEvery/5))), life.beat)
+	incarnation.tell(2)
+	world := incarnation.callers.world
+	world.After(callEvery*9/10+time.Duration(world.random.Int63n(int64(callEvery/5))), incarnation.heartbeat)
 }
 
 // line is what the runner tells of itself now.
-func (life *callerLife) line() *wire.Runner {
-	line := &wire.Runner{RunnerId: life.id, Address: life.address, Zone: life.zone, Service: life.service, Slots: 4, State: life.state, Call: life.call}
-	if cold := coldAtStart - life.callers.world.Now.Sub(life.begun); cold > 0 && life.state == registry.Ready {
-		line.State, line.ColdMilliseconds = registry.Cold, uint32(cold/time.Millisecond)
+func (incarnation *callerIncarnation) line() *wire.Runner {
+	line := &wire.Runner{RunnerId: incarnation.id, Address: incarnation.address, Zone: incarnation.zone, Service: incarnation.service, Slots: 4, State: incarnation.state, Call: incarnation.call}
+	if cold := coldAtStart - incarnation.callers.world.Now.Sub(incarnation.started); cold > 0 && incarnation.state == registry.Ready {
+		line.State, line.SlowStartMilliseconds = registry.Cold, uint32(cold/time.Millisecond)
 	}
 	return line
 }
 
 // tell calls a core, and others if that does not acknowledge.
-func (life *callerLife) tell(more int) {
-	life.call++
-	call, line := life.call, life.line()
-	life.wait = call
-	draining := life.state == registry.Draining
-	life.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
+func (incarnation *callerIncarnation) tell(more int) {
+	incarnation.call++
+	call, line := incarnation.call, incarnation.line()
+	incarnation.wait = call
+	draining := incarnation.state == registry.Draining
+	incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
 		host.node.Register(now, line, answer)
 	}, func() {
-		if life.wait == call {
-			life.wait = 0
+		if incarnation.wait == call {
+			incarnation.wait = 0
 		}
-		life.acked(draining)
+		incarnation.acked(draining)
 	})
-	world := life.callers.world
+	world := incarnation.callers.world
 	// A copy may be long on its way and come to a core that has heard nothing else of this life.
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
@@ -115,44 +115,44 @@
 		})
 	}
 	world.After(ackBound, func() {
-		if life.wait == call && life.running && more > 0 {
-			life.core++
-			life.tell(more - 1)
+		if incarnation.wait == call && incarnation.running && more > 0 {
+			incarnation.core++
+			incarnation.tell(more - 1)
 		}
 	})
 }
 
 // acked notes what an acknowledgement promises.
-func (life *callerLife) acked(leaves bool) {
-	life.callers.Acks++
-	if life.known.IsZero() {
-		life.known = life.callers.world.Now
+func (incarnation *callerIncarnation) acked(leaves bool) {
+	incarnation.callers.Acks++
+	if incarnation.known.IsZero() {
+		incarnation.known = incarnation.callers.world.Now
 	}
-	if leaves && life.left.IsZero() {
-		life.left = life.callers.world.Now
+	if leaves && incarnation.left.IsZero() {
+		incarnation.left = incarnation.callers.world.Now
 	}
 }
 
 // send hands a call to the core that the life calls now; a refusal makes the next one come soon.
-func (life *callerLife) send(do func(now time.Time, host *Host, answer func(outcome registry.Outcome)), acked func()) {
-	world := life.callers.world
+func (incarnation *callerIncarnation) send(do func(now time.Time, host *Host, answer func(outcome registry.Outcome)), acked func()) {
+	world := incarnation.callers.world
 	cores := world.Cores()
-	host := cores[life.core%len(cores)]
+	host := cores[incarnation.core%len(cores)]
 	way := func() time.Duration { return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1)) }
 	world.After(way(), func() {
 		world.reach(host, func() {
-			sent := host.life
+			sent := host.incarnation
 			do(world.local(host), host, func(outcome registry.Outcome) {
 				world.After(way(), func() {
-					if host.life != sent {
+					if host.incarnation != sent {
 						return
 					}
 					if outcome == registry.Taken || outcome == registry.Late {
 						acked()
 						return
 					}
-					life.callers.Refusals++
-					life.core++
+					incarnation.callers.Refusals++
+					incarnation.core++
 				})
 			})
 		})
@@ -164,42 +164,42 @@
 	if !host.up || host.dark || host.frozen && len(host.held) >= heldMost {
 		return
 	}
-	world.on(host, host.life, do)
+	world.on(host, host.incarnation, do)
 }
 
 // drain has a life end as planned: it says so, serves on for a while after the acknowledgement, ends its
 // registration and is gone.
-func (life *callerLife) drain() {
-	world := life.callers.world
-	life.state = registry.Draining
-	life.tell(3)
+func (incarnation *callerIncarnation) drain() {
+	world := incarnation.callers.world
+	incarnation.state = registry.Draining
+	incarnation.tell(3)
 	tried := world.Now
 	var look func()
 	look = func() {
-		if life.left.IsZero() && world.Now.Sub(tried) < 6*time.Second {
+		if incarnation.left.IsZero() && world.Now.Sub(tried) < 6*time.Second {
 			world.After(50*time.Millisecond, look)
 			return
 		}
 		world.After(drainServe, func() {
-			life.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
-				host.node.Deregister(now, life.id, answer)
+			incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
+				host.node.Deregister(now, incarnation.id, answer)
 			},
-				func() { life.acked(true) })
-			world.After(200*time.Millisecond, life.end)
+				func() { incarnation.acked(true) })
+			world.After(200*time.Millisecond, incarnation.end)
 		})
 	}
 	look()
 }
 
 // end stops a life without a word; its address goes to another one after a rest.
-func (life *callerLife) end() {
-	if !life.running {
+func (incarnation *callerIncarnation) end() {
+	if !incarnation.running {
 		return
 	}
-	world := life.callers.world
-	life.running, life.ended = false, world.Now
+	world := incarnation.callers.world
+	incarnation.running, incarnation.finished = false, world.Now
 	world.After(addressRest+time.Duration(world.random.Int63n(int64(3*time.Second))), func() {
-		life.callers.begin(life.address, life.zone, []string{"s", "t"}[world.random.Intn(2)])
+		incarnation.callers.begin(incarnation.address, incarnation.zone, []string{"s", "t"}[world.random.Intn(2)])
 	})
 }
 
@@ -214,15 +214,15 @@
 	if callers.Events == 0 {
 		return
 	}
-	var steady []*callerLife
-	for _, life := range callers.Lives {
-		if life.running && life.state == registry.Ready && !life.known.IsZero() {
-			steady = append(steady, life)
+	var steady []*callerIncarnation
+	for _, incarnation := range callers.Incarnations {
+		if incarnation.running && incarnation.state == registry.Ready && !incarnation.known.IsZero() {
+			steady = append(steady, incarnation)
 		}
 	}
 	if len(steady) > 0 {
-		life := steady[world.random.Intn(len(steady))]
-		ends := []func(){life.drain, life.drain, life.end}
+		incarnation := steady[world.random.Intn(len(steady))]
+		ends := []func(){incarnation.drain, incarnation.drain, incarnation.end}
 		ends[world.random.Intn(len(ends))]()
 	}
 	world.After(callers.Events/2+time.Duration(world.random.Int63n(int64(callers.Events))), callers.next)
@@ -240,35 +240,35 @@
 	if callers.Kept == 0 {
 		return
 	}
-	for _, life := range callers.Lives {
-		if !life.running || life.state != registry.Ready || life.known.IsZero() || listed[life.id] {
+	for _, incarnation := range callers.Incarnations {
+		if !incarnation.running || incarnation.state != registry.Ready || incarnation.known.IsZero() || listed[incarnation.id] {
 			continue
 		}
-		missing := now.Sub(life.known)
+		missing := now.Sub(incarnation.known)
 		checker.worst("a new runner unknown", missing)
 		if missing > callers.Kept {
-			checker.broken("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, life.id, missing)
+			checker.broken("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, incarnation.id, missing)
 		}
 	}
 }
 
 // checkListed looks at one line of a daemon's list; it tells whether the daemon would use the runner.
 func (callers *Callers) checkListed(host *Host, runner *wire.Runner) bool {
-	checker, life := callers.world.Check, callers.byID[runner.RunnerId]
-	if life == nil {
+	checker, incarnation := callers.world.Check, callers.byID[runner.RunnerId]
+	if incarnation == nil {
 		checker.broken("unknown-runner: %s lists %s, which nobody is", host.Address, runner.RunnerId)
 		return false
 	}
 	if runner.State != registry.Ready && runner.State != registry.Cold {
 		return false
 	}
-	if runner.Address != life.address || runner.Service != life.service {
+	if runner.Address != incarnation.address || runner.Service != incarnation.service {
 		checker.broken("wrong-runner: %s has %s at %s", host.Address, runner.RunnerId, runner.Address)
 	}
-	if life.left.IsZero() {
+	if incarnation.left.IsZero() {
 		return true
 	}
-	late := callers.world.Now.Sub(life.left)
+	late := callers.world.Now.Sub(incarnation.left)
 	checker.worst("work to a runner that said it leaves", late)
 	if !checker.mayIgnore(host, late, leaveKnown) {
 		checker.broken("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address, runner.RunnerId, late)
@@ -283,14 +283,14 @@
 		listed := map[string]bool{}
 		for _, runner := range host.data.Snapshot(callers.world.local(host)).Runners {
 			listed[runner.RunnerId] = true
-			if life := callers.byID[runner.RunnerId]; !life.running && runner.State != registry.Draining {
+			if incarnation := callers.byID[runner.RunnerId]; !incarnation.running && runner.State != registry.Draining {
 				checker.broken("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address, runner.RunnerId, runner.State,
-					callers.world.Now.Sub(life.ended), runner.Call, life.call)
+					callers.world.Now.Sub(incarnation.finished), runner.Call, incarnation.call)
 			}
 		}
-		for _, life := range callers.Lives {
-			if life.running && !listed[life.id] {
-				checker.broken("runner-lost: %s does not list %s in a calm time", host.Address, life.id)
+		for _, incarnation := range callers.Incarnations {
+			if incarnation.running && !listed[incarnation.id] {
+				checker.broken("runner-lost: %s does not list %s in a calm time", host.Address, incarnation.id)
 			}
 		}
 	}
--- a/verify/simulation/callers_test.go
+++ b/verify/simulation/callers_test.go
@@ -38,7 +38,7 @@
 			if t.Failed() {
 				t.Log(world.Log)
 			}
-			t.Log(world.Callers.Acks, "acknowledged,", world.Callers.Refusals, "refused,", len(world.Callers.Lives), "lives", world.Check.Margins)
+			t.Log(world.Callers.Acks, "acknowledged,", world.Callers.Refusals, "refused,", len(world.Callers.Incarnations), "lives", world.Check.Margins)
 		})
 	}
 }
--- a/verify/simulation/check.go
+++ b/verify/simulation/check.go
@@ -56,7 +56,7 @@
 }
 
 func (checker *Checker) broken(format string, values ...any) {
-	checker.Broken = append(checker.Broken, fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.begun))+fmt.Sprintf(format, values...))
+	checker.Broken = append(checker.Broken, fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.started))+fmt.Sprintf(format, values...))
 }
 
 func (checker *Checker) worst(rule string, length time.Duration) {
@@ -132,7 +132,7 @@
 	world, local := checker.world, checker.world.local(host)
 	world.refreshSeparation()
 	snapshot := host.data.Snapshot(local)
-	if !local.Before(snapshot.Until) || snapshot.Book == nil {
+	if !local.Before(snapshot.Until) || snapshot.Catalog == nil {
 		checker.Refusals++
 		return
 	}
@@ -169,21 +169,21 @@
 var built = map[string]bool{"apply": true, "change": true}
 
 // Resend has an operator send a change that was sent before, unchanged, through another core.
-func (checker *Checker) Resend(host *Host, order *Order, ask *wire.OperatorAsk) *Order {
+func (checker *Checker) Resend(host *Host, order *Order, ask *wire.OperatorRequest) *Order {
 	order.Again = true
 	// A way to the head that was not found is no word on the change, which may be sent again.
 	if order.Status == 503 {
 		delete(checker.refused, order.Operation)
 	}
-	return checker.send(host, proto.Clone(ask).(*wire.OperatorAsk), true)
+	return checker.send(host, proto.Clone(ask).(*wire.OperatorRequest), true)
 }
 
 // Send has an operator send a change through a core; what comes back is checked.
-func (checker *Checker) Send(host *Host, ask *wire.OperatorAsk) *Order {
+func (checker *Checker) Send(host *Host, ask *wire.OperatorRequest) *Order {
 	return checker.send(host, ask, false)
 }
 
-func (checker *Checker) send(host *Host, ask *wire.OperatorAsk, again bool) *Order {
+func (checker *Checker) send(host *Host, ask *wire.OperatorRequest, again bool) *Order {
 	world := checker.world
 	order := &Order{Operation: ask.Operation, Verb: ask.Verb, Base: ask.Base, Sent: world.Now, Outcome: "unknown", Again: again}
 	checker.Orders = append(checker.Orders, order)
@@ -192,7 +192,7 @@
 		return order
 	}
 	least := checker.greatest()
-	world.on(host, host.life, func() {
+	world.on(host, host.incarnation, func() {
 		host.node.Ask(world.local(host), ask, func(status int, body []byte) {
 			reply := node.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
@@ -212,7 +212,7 @@
 }
 
 // tell records a change for the judge of the request path, where there is one.
-func (checker *Checker) tell(order *Order, ask *wire.OperatorAsk) *histories.Order {
+func (checker *Checker) tell(order *Order, ask *wire.OperatorRequest) *histories.Order {
 	told := &histories.Order{Operation: ask.Operation, Verb: ask.Verb, Zone: ask.Zone, Base: ask.Base, HasBase: ask.HasBase, Sent: order.Sent, Outcome: "unknown"}
 	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != "get" {
 		told.Spec = traffic.specs[ask.Operation]
@@ -233,7 +233,7 @@
 }
 
 // answered checks the answer to an operator's question.
-func (checker *Checker) answered(order *Order, ask *wire.OperatorAsk, least uint64) {
+func (checker *Checker) answered(order *Order, ask *wire.OperatorRequest, least uint64) {
 	if ask.Verb == "get" {
 		if order.Status == 200 && order.Epoch < least {
 			checker.broken("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
@@ -261,7 +261,7 @@
 }
 
 // accepted checks that an acknowledged order is valid, in effect, and the only one on its base.
-func (checker *Checker) accepted(order *Order, ask *wire.OperatorAsk) {
+func (checker *Checker) accepted(order *Order, ask *wire.OperatorRequest) {
 	if checker.invalid[order.Operation] {
 		checker.broken("invalid-accepted: %s is invalid and was accepted", order.Operation)
 	}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -35,7 +35,7 @@
 	owner  *Host
 	peer   *conn
 	remote string
-	terms  netio.Terms
+	terms  netio.Timeouts
 	// flight are the packets that the other machine has not taken yet.
 	flight  []packet
 	pumping bool
@@ -44,16 +44,16 @@
 	reached time.Time
 	// sent is when those bytes were written.
 	sent     time.Time
-	ended    bool
+	finished bool
 	closed   bool
 	err      error
 	deadline time.Time
-	reader   *strand
+	reader   *coroutine
 	// bound ends the connection with it; nil: nothing does.
 	bound context.Context
-	// run is what a runner's end serves now, and server the strand that does.
+	// run is what a runner's end serves now, and server the coroutine that does.
 	run    *histories.Run
-	server *strand
+	server *coroutine
 }
 
 type address string
@@ -70,12 +70,12 @@
 	return world.Delay/4 + time.Duration(world.random.Int63n(int64(world.Jitter)/4+1))
 }
 
-// dial makes a connection from the running strand.
-func (world *World) dial(ctx context.Context, from *Host, target string, terms netio.Terms) (netio.Conn, error) {
-	to, begun, strand := world.byName[target], world.Now, world.current
-	defer func() { strand.decided = world.Now }()
+// dial makes a connection from the running coroutine.
+func (world *World) dial(ctx context.Context, from *Host, target string, terms netio.Timeouts) (netio.Conn, error) {
+	to, started, coroutine := world.byName[target], world.Now, world.current
+	defer func() { coroutine.decided = world.Now }()
 	for to != nil && !(world.passes(from, to) && world.passes(to, from)) {
-		if world.Now.Sub(begun) >= terms.Dial {
+		if world.Now.Sub(started) >= terms.Dial {
 			return nil, apierror.Wrap(os.ErrDeadlineExceeded, apierror.Unreachable, "dialing %s", target)
 		}
 		world.wait(ctx, min(retryEvery, terms.Dial), nil)
@@ -180,15 +180,15 @@
 	if len(peer.arrived) == 0 {
 		peer.reached, peer.sent = world.Now, first.sent
 	}
-	peer.arrived, peer.ended = append(peer.arrived, first.content...), peer.ended || first.end
+	peer.arrived, peer.finished = append(peer.arrived, first.content...), peer.finished || first.end
 	world.wake(peer.reader)
 	conn.pump()
 }
 
 // Read gives what has arrived, and parks until something has.
 func (conn *conn) Read(into []byte) (int, error) {
-	strand := conn.world.current
-	defer func() { strand.decided = conn.world.Now }()
+	coroutine := conn.world.current
+	defer func() { coroutine.decided = conn.world.Now }()
 	for {
 		if conn.closed || conn.unbound() {
 			return 0, net.ErrClosed
@@ -201,7 +201,7 @@
 		if conn.err != nil {
 			return 0, conn.err
 		}
-		if conn.ended {
+		if conn.finished {
 			return 0, io.EOF
 		}
 		if !conn.deadline.IsZero() && !conn.world.local(conn.owner).Before(conn.deadline) {
@@ -262,7 +262,7 @@
 
 // Quiet tells whether nothing has come that was not asked for.
 func (conn *conn) Quiet() bool {
-	return !conn.closed && !conn.unbound() && conn.err == nil && !conn.ended && len(conn.arrived) == 0
+	return !conn.closed && !conn.unbound() && conn.err == nil && !conn.finished && len(conn.arrived) == 0
 }
 
 // SetDeadline bounds reading, by the owner's own clock.
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -58,19 +58,19 @@
 
 // regain waits until service and full redundancy are back.
 func (world *World) regain() {
-	ended := world.Now
+	finished := world.Now
 	took, fine := world.Recovered(returnBound)
 	world.Check.worst("service after the last fault", took)
 	if !fine && len(world.Check.Broken) == 0 {
 		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
 	for !world.redundant() && len(world.Check.Broken) == 0 {
-		if world.Now.Sub(ended) > repairBound {
+		if world.Now.Sub(finished) > repairBound {
 			world.Check.broken("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
 		}
 		world.Run(100 * time.Millisecond)
 	}
-	world.Check.worst("full redundancy after the last fault", world.Now.Sub(ended))
+	world.Check.worst("full redundancy after the last fault", world.Now.Sub(finished))
 }
 
 // verifyOutcomes reads back from every core machine what became of each change that was answered.
@@ -92,7 +92,7 @@
 				world.Check.broken("%s was refused and is in effect at %s", operation, host.Address)
 			}
 		}
-		read := world.Check.Send(host, &wire.OperatorAsk{Verb: "get"})
+		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
 		if read.Status != 200 || read.Epoch < world.Check.greatest() {
 			world.Check.broken("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status, read.Epoch, world.Check.greatest())
@@ -285,11 +285,11 @@
 
 // leaveInOrder has a core machine stop as its process does: it says so, ends once it may, or when its time is over.
 func (world *World) leaveInOrder(host *Host, then func()) {
-	begun := world.Now
-	world.on(host, host.life, func() { host.node.Leave(world.local(host)) })
+	started := world.Now
+	world.on(host, host.incarnation, func() { host.node.Leave(world.local(host)) })
 	var look func()
 	look = func() {
-		if host.up && !host.node.Left(world.local(host)) && world.Now.Sub(begun) < graceTime {
+		if host.up && !host.node.Left(world.local(host)) && world.Now.Sub(started) < graceTime {
 			world.After(20*time.Millisecond, look)
 			return
 		}
@@ -328,7 +328,7 @@
 				}
 			}
 			second := world.pick(others)
-			world.Log = append(world.Log, fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.begun), second.Address, old.Address))
+			world.Log = append(world.Log, fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address, old.Address))
 			world.Power(second)
 			if wiped {
 				world.Wipe(second)
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -310,10 +310,10 @@
 			}
 			over := world.touch(true, 0, restarted)
 			world.Kill(restarted)
-			life := restarted.life
+			incarnation := restarted.incarnation
 			world.After(200*time.Millisecond+time.Duration(world.random.Int63n(int64(200*time.Millisecond))), func() {
 				over()
-				if restarted.life == life {
+				if restarted.incarnation == incarnation {
 					world.Boot(restarted)
 				}
 			})
--- a/verify/simulation/departure.go
+++ b/verify/simulation/departure.go
@@ -6,7 +6,7 @@
 	"wardtray/verify/histories"
 )
 
-// leave closes the requester's connection; the close reaches the machine of its daemon a little later, behind the request.
+// leave closes the client's connection; the close reaches the machine of its daemon a little later, behind the request.
 func (asker *asker) leave() {
 	if asker.over || asker.leaving {
 		return
@@ -21,7 +21,7 @@
 func (asker *asker) closed() {
 	traffic, host := asker.traffic, asker.host
 	traffic.world.After(traffic.world.wayTime(), func() {
-		if asker.over || !host.up || host.life != asker.life {
+		if asker.over || !host.up || host.incarnation != asker.incarnation {
 			return
 		}
 		asker.record.Left = traffic.world.Now
@@ -30,12 +30,12 @@
 	})
 }
 
-// judge looks whether the daemon still works for the requester once its process has run for long enough without a break.
+// judge looks whether the daemon still works for the client once its process has run for long enough without a break.
 func (asker *asker) judge(since time.Time) {
 	traffic, host := asker.traffic, asker.host
 	traffic.world.After(histories.LeftBound, func() {
 		now := traffic.world.Now
-		if !host.up || host.life != asker.life {
+		if !host.up || host.incarnation != asker.incarnation {
 			return
 		}
 		if host.frozen || host.woken.After(since) {
@@ -49,7 +49,7 @@
 
 // tell has the daemon's process learn of the close, at once or when it wakes from a freeze.
 func (asker *asker) tell() {
-	asker.traffic.world.on(asker.host, asker.life, func() {
+	asker.traffic.world.on(asker.host, asker.incarnation, func() {
 		if told := asker.told; told != nil {
 			asker.told = nil
 			told()
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -14,7 +14,7 @@
 	Disks    []int
 	// Faults is how many machines may lose their disks at once; 1 if not told.
 	Faults int
-	// Mix is the work of its requesters; without one the control plane is played alone.
+	// Mix is the work of its clients; without one the control plane is played alone.
 	Mix loadtest.Mix
 }
 
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -28,9 +28,9 @@
 
 // delist has the platform notice after a while that a runner is gone.
 func (world *World) delist(host *Host) {
-	life := host.life
+	incarnation := host.incarnation
 	world.After(noticed, func() {
-		if !host.up && host.life == life {
+		if !host.up && host.incarnation == incarnation {
 			world.Platform.set(host, "")
 		}
 	})
@@ -55,7 +55,7 @@
 }
 
 // RunnerFaults are all the kinds of harm on the request path: of runners, of the platform's list, of
-// planned work, and of requesters.
+// planned work, and of clients.
 var RunnerFaults = map[string]func(world *World) (undo func()){
 	"runner killed": func(world *World) func() {
 		host := world.runner()
@@ -95,17 +95,17 @@
 	},
 	"runner cut and delisted": func(world *World) func() {
 		host := world.runner()
-		life, over := host.life, world.touch(false, silentLoss, host)
+		incarnation, over := host.incarnation, world.touch(false, silentLoss, host)
 		world.CutOff([]*Host{host}, world.Datas())
 		world.After(noticed, func() {
-			if host.life == life {
+			if host.incarnation == incarnation {
 				world.Platform.set(host, "")
 			}
 		})
 		return func() {
 			over()
 			world.Heal()
-			if host.life == life && host.up {
+			if host.incarnation == incarnation && host.up {
 				world.Platform.set(host, "ready")
 			}
 		}
@@ -198,10 +198,10 @@
 	},
 	"runner drained": func(world *World) func() {
 		host := world.runner()
-		life := host.life
+		incarnation := host.incarnation
 		world.Platform.set(host, "draining")
 		return func() {
-			if host.life != life {
+			if host.incarnation != incarnation {
 				return
 			}
 			over := world.touch(false, 0, host)
@@ -212,10 +212,10 @@
 	},
 	"runner delisted": func(world *World) func() {
 		host := world.runner()
-		life := host.life
+		incarnation := host.incarnation
 		world.Platform.set(host, "")
 		return func() {
-			if host.life == life && host.up {
+			if host.incarnation == incarnation && host.up {
 				world.Platform.set(host, "ready")
 			}
 		}
@@ -224,11 +224,11 @@
 		host := world.runner()
 		over := world.touch(false, 0, host)
 		world.Kill(host)
-		life := host.life + 1
+		incarnation := host.incarnation + 1
 		host.service = "a-stranger"
 		world.Boot(host)
 		world.After(noticed, func() {
-			if host.life == life {
+			if host.incarnation == incarnation {
 				world.Platform.set(host, "")
 			}
 		})
@@ -271,11 +271,11 @@
 	if !host.up || host.frozen {
 		return
 	}
-	life := host.life
-	world.on(host, life, host.plane.Drain)
+	incarnation := host.incarnation
+	world.on(host, incarnation, host.plane.Drain)
 	var look func()
 	look = func() {
-		if host.life != life || !host.up {
+		if host.incarnation != incarnation || !host.up {
 			return
 		}
 		if host.frozen || !host.plane.Drained(drainTime) {
@@ -298,15 +298,15 @@
 	// something away.
 	Every time.Duration
 	Takes float64
-	// Rate is how many requests come a second; Quits, Leaves and Repeats are the parts of them whose requesters
+	// Rate is how many requests come a second; Quits, Leaves and Repeats are the parts of them whose clients
 	// hang up in the middle of an answer, hang up at any moment, or send them again.
-	Rate, Quits, Leaves, Repeats float64
+	Rate, Quits, Leaves, Retries float64
 	// Mix, where it is given, changes the deployment's.
 	Mix func(mix loadtest.Mix) loadtest.Mix
 }
 
 // DefaultTrial is that of the proofs, without any harm yet.
-var DefaultTrial = Trial{AtOnce: 1, Length: 40 * time.Second, Every: 2 * time.Second, Takes: 0.25, Rate: 60, Quits: 0.01, Repeats: 0.03}
+var DefaultTrial = Trial{AtOnce: 1, Length: 40 * time.Second, Every: 2 * time.Second, Takes: 0.25, Rate: 60, Quits: 0.01, Retries: 0.03}
 
 // Try founds a deployment, does harm to it under load, ends that, and judges the whole.
 func Try(seed int64, shape Shape, trial Trial) *World {
@@ -320,7 +320,7 @@
 	first := &Operators{world: world, number: 500_000}
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate, traffic.Quits, traffic.Leaves, traffic.Repeats, traffic.Takes = trial.Rate, trial.Quits, trial.Leaves, trial.Repeats, trial.Takes
+	traffic.Rate, traffic.Quits, traffic.Leaves, traffic.Retries, traffic.Takes = trial.Rate, trial.Quits, trial.Leaves, trial.Retries, trial.Takes
 	operators := world.StartOperators(trial.Every)
 	world.Run(5 * time.Second)
 	if len(trial.Faults) > 0 {
@@ -350,7 +350,7 @@
 	return world
 }
 
-// waiting tells how many requesters have no answer yet.
+// waiting tells how many clients have no answer yet.
 func (traffic *Traffic) waiting() int {
 	count := 0
 	for _, host := range traffic.world.Datas() {
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -17,8 +17,8 @@
 
 // tallied counts a message that a host sends.
 func (world *World) tallied(from, to *Host, envelope *wire.Envelope, size int) {
-	if world.Tally != nil {
-		world.Tally(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
+	if world.Metrics != nil {
+		world.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
 	}
 }
 
@@ -34,7 +34,7 @@
 		}
 		return counts[host]
 	}
-	world.Tally = func(from, to *Host, kind string, size int) {
+	world.Metrics = func(from, to *Host, kind string, size int) {
 		of(from).Sent += 1 / length.Seconds()
 		of(from).Bytes += float64(size) / length.Seconds()
 		of(from).Kinds[kind] += 1 / length.Seconds()
@@ -44,7 +44,7 @@
 		}
 	}
 	world.Run(length)
-	world.Tally = nil
+	world.Metrics = nil
 	mean := func(hosts []*Host) Idle {
 		sum := Idle{Kinds: map[string]float64{}}
 		for _, host := range hosts {
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -25,7 +25,7 @@
 	stop   bool
 	every  time.Duration
 	// The newest change, and what became of it.
-	last  *wire.OperatorAsk
+	last  *wire.OperatorRequest
 	order *Order
 }
 
@@ -65,15 +65,15 @@
 		func() {
 			operators.number++
 			verb := []string{"close", "open"}[world.random.Intn(2)]
-			world.Check.Send(pick(), &wire.OperatorAsk{Verb: verb, Zone: []string{"a", "b", "c"}[world.random.Intn(3)],
+			world.Check.Send(pick(), &wire.OperatorRequest{Verb: verb, Zone: []string{"a", "b", "c"}[world.random.Intn(3)],
 				Operation: fmt.Sprintf("o%d", operators.number)})
 		},
-		func() { world.Check.Send(pick(), &wire.OperatorAsk{Verb: "get"}) },
+		func() { world.Check.Send(pick(), &wire.OperatorRequest{Verb: "get"}) },
 		func() {
 			operators.number++
 			operation := fmt.Sprintf("o%d", operators.number)
 			world.Check.invalid[operation] = true
-			invalid := []*wire.OperatorAsk{
+			invalid := []*wire.OperatorRequest{
 				{Verb: "apply", Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`), Base: operators.base, HasBase: true},
 				{Verb: "apply", Spec: []byte(`{"zones":`), Base: operators.base, HasBase: true},
 				{Verb: "close", Zone: "nowhere"},
@@ -95,7 +95,7 @@
 	if traffic := operators.world.Traffic; traffic != nil {
 		content = traffic.draft(fmt.Sprintf("o%d", operators.number), operators.number)
 	}
-	return operators.send(host, &wire.OperatorAsk{Verb: "apply", Spec: content})
+	return operators.send(host, &wire.OperatorRequest{Verb: "apply", Spec: content})
 }
 
 // change sends a whole spec or named entries.
@@ -111,18 +111,18 @@
 	if traffic := operators.world.Traffic; traffic != nil {
 		content = string(traffic.amend(operators.number).Encode())
 	}
-	return operators.send(host, &wire.OperatorAsk{Verb: "change", Spec: []byte(content)})
+	return operators.send(host, &wire.OperatorRequest{Verb: "change", Spec: []byte(content)})
 }
 
 // send completes a change with its base, its operation and, now and then, an epoch some steps on.
-func (operators *Operators) send(host *Host, ask *wire.OperatorAsk) *Order {
+func (operators *Operators) send(host *Host, ask *wire.OperatorRequest) *Order {
 	random := operators.world.random
 	ask.Base, ask.HasBase, ask.Operation = operators.base, true, fmt.Sprintf("o%d", operators.number)
 	if random.Intn(2) == 0 {
 		ask.Epoch, ask.HasEpoch = operators.base+1+uint64(random.Intn(5)), true
 	}
 	// Whoever carries an order marks it, and the operator's own copy must stay as it was.
-	operators.last = proto.Clone(ask).(*wire.OperatorAsk)
+	operators.last = proto.Clone(ask).(*wire.OperatorRequest)
 	operators.order = operators.world.Check.Send(host, ask)
 	return operators.order
 }
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -39,13 +39,13 @@
 	end       time.Time
 	order     *Order
 	// asked is the machine that the operator asks, in its life at that time; a harm to it says nothing of the others' pace.
-	asked *Host
-	life  int
+	asked       *Host
+	incarnation int
 	// paused is since when a daemon does not serve, starting since when it starts.
 	paused, starting map[*Host]time.Time
 	// quietSince is when a daemon was harmed last.
-	quietSince map[*Host]time.Time
-	lives      map[*Host]int
+	quietSince   map[*Host]time.Time
+	incarnations map[*Host]int
 }
 
 // MeasurePace plays a shape with one kind of harm, a change always on its way.
@@ -53,9 +53,9 @@
 	world := Found(seed, shape)
 	world.Run(8 * time.Second)
 	watch := &paceWatch{world: world, pace: &Pace{}, operators: &Operators{world: world, number: 2_000_000}, end: world.Now.Add(paceLength),
-		paused: map[*Host]time.Time{}, starting: map[*Host]time.Time{}, quietSince: map[*Host]time.Time{}, lives: map[*Host]int{}}
+		paused: map[*Host]time.Time{}, starting: map[*Host]time.Time{}, quietSince: map[*Host]time.Time{}, incarnations: map[*Host]int{}}
 	for _, host := range world.Datas() {
-		watch.lives[host] = host.life
+		watch.incarnations[host] = host.incarnation
 	}
 	watch.sample()
 	world.Schedule(paceLength, names, 1)
@@ -67,7 +67,7 @@
 // sample looks at the order and at every daemon, and comes back until the end.
 func (watch *paceWatch) sample() {
 	world := watch.world
-	if watch.asked != nil && (watch.asked.life != watch.life || watch.asked.frozen || world.severed(watch.asked)) {
+	if watch.asked != nil && (watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
 		watch.order = nil
 	}
 	watch.askAgain()
@@ -90,7 +90,7 @@
 	}
 	sent := watch.order.Sent
 	watch.asked = watch.world.pick(watch.world.Cores())
-	watch.life, watch.order = watch.asked.life, watch.operators.again(watch.asked)
+	watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.again(watch.asked)
 	watch.order.Sent = sent
 }
 
@@ -118,7 +118,7 @@
 	}
 	if len(well) > 0 {
 		watch.asked = world.pick(well)
-		watch.life, watch.order = watch.asked.life, watch.operators.apply(watch.asked)
+		watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.apply(watch.asked)
 	}
 }
 
@@ -126,8 +126,8 @@
 func (watch *paceWatch) look(host *Host) {
 	world, local := watch.world, watch.world.local(host)
 	serves := host.up && !host.frozen && local.Before(host.data.Until(local))
-	if host.life != watch.lives[host] && host.up {
-		watch.lives[host], watch.starting[host] = host.life, world.Now
+	if host.incarnation != watch.incarnations[host] && host.up {
+		watch.incarnations[host], watch.starting[host] = host.incarnation, world.Now
 		watch.quietSince[host] = world.Now
 	}
 	if !host.up || host.frozen || world.severed(host) {
@@ -141,12 +141,12 @@
 		}
 		return
 	}
-	if begun, found := watch.starting[host]; found {
-		watch.pace.Starts = append(watch.pace.Starts, world.Now.Sub(begun))
+	if started, found := watch.starting[host]; found {
+		watch.pace.Starts = append(watch.pace.Starts, world.Now.Sub(started))
 		delete(watch.starting, host)
 	}
-	if begun, found := watch.paused[host]; found {
-		watch.pace.Gaps = append(watch.pace.Gaps, world.Now.Sub(begun))
+	if started, found := watch.paused[host]; found {
+		watch.pace.Gaps = append(watch.pace.Gaps, world.Now.Sub(started))
 		delete(watch.paused, host)
 	}
 }
--- a/verify/simulation/platform_list.go
+++ b/verify/simulation/platform_list.go
@@ -19,8 +19,8 @@
 }
 
 func (platform *platform) add() {
-	platform.lives++
-	platform.runners = append(platform.runners, &wire.Runner{RunnerId: fmt.Sprintf("r%d", platform.lives), Address: "x", Zone: "a", Service: "s", State: "ready"})
+	platform.incarnations++
+	platform.runners = append(platform.runners, &wire.Runner{RunnerId: fmt.Sprintf("r%d", platform.incarnations), Address: "x", Zone: "a", Service: "s", State: "ready"})
 }
 
 // replace takes one runner off and lists another.
@@ -32,19 +32,19 @@
 	platform.add()
 }
 
-func (platform *platform) poll(host *Host, life int) {
+func (platform *platform) poll(host *Host, incarnation int) {
 	content, read := platform.served(), !platform.silent
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
-		world.on(host, life, func() { host.plane.Listed(content, read) })
+		world.on(host, incarnation, func() { host.plane.Listed(content, read) })
 	})
 }
 
 // served is the list as the platform gives it now.
 func (platform *platform) served() []byte {
-	lines := []dataplane.ListLine{}
+	lines := []dataplane.ListedRunner{}
 	for _, runner := range platform.runners {
-		lines = append(lines, dataplane.ListLine{RunnerID: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: runner.State})
+		lines = append(lines, dataplane.ListedRunner{RunnerID: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: runner.State})
 	}
 	if platform.empty {
 		lines = lines[:0]
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -25,7 +25,7 @@
 	return world.pick(world.Cores())
 }
 
-// redundant tells whether every core is in the chain and the keepers are live and complete.
+// redundant tells whether every core is in the chain and the acceptors are live and complete.
 func (world *World) redundant() bool {
 	if world.Now.Before(world.unswept) {
 		return false
@@ -87,17 +87,17 @@
 
 // Recovered tells whether, within a bound, a change is acknowledged and every daemon serves under it.
 func (world *World) Recovered(bound time.Duration) (time.Duration, bool) {
-	begun := world.Now
+	started := world.Now
 	operators := &Operators{world: world, number: 1_000_000}
 	var order *Order
-	for world.Now.Sub(begun) < bound && len(world.Check.Broken) == 0 {
+	for world.Now.Sub(started) < bound && len(world.Check.Broken) == 0 {
 		if order == nil || order.Outcome == "refused" || order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
 			operators.base = world.Check.greatestKnown()
 			order = operators.apply(world.pick(world.Cores()))
 		}
 		world.Run(100 * time.Millisecond)
 		if order.Outcome == "accepted" && world.allServe(order.Epoch) {
-			return world.Now.Sub(begun), true
+			return world.Now.Sub(started), true
 		}
 	}
 	return bound, false
@@ -164,12 +164,12 @@
 		}
 		status := host.node.Status(local)
 		text += fmt.Sprintf("  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, learned in %d, frozen %v, stalled %v\n", host.Address, status.ID,
-			status.Place, status.View, status.Leading, status.Claim, status.Sick, status.Synced, status.Committed, status.Pending,
+			status.Place, status.View, status.Leading, status.Claim, status.Unhealthy, status.Synced, status.Committed, status.Pending,
 			host.node.Chain().LearnedView(), host.frozen, host.stalled)
 		for _, member := range status.Chain {
 			text += fmt.Sprintf("    chain  %s %s heard %v\n", member.ID, member.Address, member.Heard)
 		}
-		for _, member := range status.Keepers {
+		for _, member := range status.Acceptors {
 			text += fmt.Sprintf("    keeper %s %s heard %v\n", member.ID, member.Address, member.Heard)
 		}
 	}
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -30,15 +30,15 @@
 	// LostAnswers is the part of the answers that never reach the operator.
 	LostAnswers float64
 	// Every is after what time a new race begins; 0: as soon as there is room for two more orders.
-	Every time.Duration
-	begun time.Time
+	Every   time.Duration
+	started time.Time
 	// Sent and Resent count orders and their repeats.
 	Sent, Resent int
 }
 
 // racedOrder is an order whose operator waits for its answer.
 type racedOrder struct {
-	ask   *wire.OperatorAsk
+	ask   *wire.OperatorRequest
 	order *Order
 	tries int
 }
@@ -59,12 +59,12 @@
 	}
 	racers.followUp()
 	world := racers.world
-	if len(racers.underway) <= racersMost-2 && world.Now.Sub(racers.begun) >= racers.Every {
-		racers.begun = world.Now
+	if len(racers.underway) <= racersMost-2 && world.Now.Sub(racers.started) >= racers.Every {
+		racers.started = world.Now
 		racers.race()
 	}
 	if world.random.Intn(3) == 0 {
-		world.Check.Send(world.pick(world.Cores()), &wire.OperatorAsk{Verb: "get"})
+		world.Check.Send(world.pick(world.Cores()), &wire.OperatorRequest{Verb: "get"})
 	}
 	world.After(racerEvery, racers.step)
 }
@@ -76,9 +76,9 @@
 	for range 2 {
 		racers.number++
 		racers.Sent++
-		ask := &wire.OperatorAsk{Verb: "apply", Spec: SpecText(racers.number), Operation: fmt.Sprintf("o%d", racers.number), Base: base, HasBase: true,
+		ask := &wire.OperatorRequest{Verb: "apply", Spec: SpecText(racers.number), Operation: fmt.Sprintf("o%d", racers.number), Base: base, HasBase: true,
 			Epoch: epoch, HasEpoch: true}
-		order := racers.world.Check.Send(racers.world.pick(racers.world.Cores()), proto.Clone(ask).(*wire.OperatorAsk))
+		order := racers.world.Check.Send(racers.world.pick(racers.world.Cores()), proto.Clone(ask).(*wire.OperatorRequest))
 		racers.underway = append(racers.underway, &racedOrder{ask: ask, order: order})
 	}
 }
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -38,7 +38,7 @@
 // broken code that turns each of them red.
 var Attempts = map[string]Attempt{
 	"run twice":                 {Faults: []string{"runner fails", "runner killed", "runner frozen", "runner deaf"}},
-	"run twice, sent again":     {Faults: []string{"data killed", "runner killed"}, change: func(trial *Trial) { trial.Repeats = 0.3 }},
+	"run twice, sent again":     {Faults: []string{"data killed", "runner killed"}, change: func(trial *Trial) { trial.Retries = 0.3 }},
 	"run after will not run":    {Faults: []string{"runner fails", "pool killed", "all put back"}},
 	"not whole":                 {Faults: []string{"runner partial", "runner killed"}},
 	"skip, repeat, splice":      {Faults: []string{"runner garbles", "runner partial"}},
@@ -70,14 +70,14 @@
 	"deadline": {Faults: []string{"runner mute", "runner dark", "runner deaf", "runner slow", "all put back", "pool killed", "data cut from control", "control cut from data", "address taken"},
 		change: func(trial *Trial) { trial.AtOnce, trial.Mix = 2, loadtest.Mix.Hurried }},
 	"answers astray": {Faults: []string{"runner garbles", "runner late", "runner gives surplus answers", "connections reset", "daemon frozen for a moment", "runner partial"},
-		change: func(trial *Trial) { trial.AtOnce, trial.Repeats = 3, 0.1 }},
+		change: func(trial *Trial) { trial.AtOnce, trial.Retries = 3, 0.1 }},
 	"requesters leave": {Faults: []string{"daemon frozen for a moment", "data frozen", "crowd", "pool killed", "runner mute", "runner dark", "runner slow"},
 		change: func(trial *Trial) {
 			trial.AtOnce, trial.Rate, trial.Leaves, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
 		}},
 	"requesters leave, some runs go on": {Faults: []string{"runner killed", "runner partial", "runner garbles", "daemon frozen for a moment"},
 		change: func(trial *Trial) {
-			trial.AtOnce, trial.Leaves, trial.Repeats, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.Lasting
+			trial.AtOnce, trial.Leaves, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.Lasting
 		}},
 	"answer at once": {Faults: []string{"runner dark", "runner mute", "runner unheard", "address taken"}},
 }
--- a/verify/simulation/runner.go
+++ b/verify/simulation/runner.go
@@ -25,7 +25,7 @@
 	service string
 	weights string
 	nature  emulator.Nature
-	begun   time.Time
+	started time.Time
 	active  int
 	running int
 	runs    int
@@ -59,14 +59,14 @@
 		service = host.service
 	}
 	host.engine = &engine{world: world, host: host, id: fmt.Sprintf("%s-%d", host.Address, world.identities), service: service, weights: weights,
-		nature: emulator.DefaultNature, begun: world.Now, cache: emulator.NewCache[string](emulator.DefaultNature.CacheTokens)}
-	world.every(host, host.life, 100*time.Millisecond, host.engine.observe)
+		nature: emulator.DefaultNature, started: world.Now, cache: emulator.NewCache[string](emulator.DefaultNature.CacheTokens)}
+	world.every(host, host.incarnation, 100*time.Millisecond, host.engine.observe)
 	// A stranger at a runner's address is nobody's runner, and the platform does not list it.
 	if host.service == "" {
 		world.Platform.set(host, "cold")
-		life := host.life
+		incarnation := host.incarnation
 		world.After(emulator.DefaultNature.ColdTime, func() {
-			if host.up && host.life == life {
+			if host.up && host.incarnation == incarnation {
 				world.Platform.set(host, "ready")
 			}
 		})
@@ -82,7 +82,7 @@
 }
 
 func (engine *engine) cold() bool {
-	return engine.world.Now.Sub(engine.begun) < engine.nature.ColdTime
+	return engine.world.Now.Sub(engine.started) < engine.nature.ColdTime
 }
 
 // room is how much the runner can truly do at once now.
@@ -150,7 +150,7 @@
 // note records a request as read.
 func (engine *engine) note(connection *conn, request *http.Request, reached time.Time, started bool) *histories.Run {
 	epoch, _ := strconv.ParseUint(request.Header.Get(admission.HeaderEpoch), 10, 64)
-	run := &histories.Run{At: reached, Sent: connection.sent, Request: request.Header.Get(admission.HeaderRequest), Lane: request.Header.Get(admission.HeaderLane), Pool: engine.world.Traffic.Mix.Pool,
+	run := &histories.Run{At: reached, Sent: connection.sent, Request: request.Header.Get(admission.HeaderRequest), Route: request.Header.Get(admission.HeaderRoute), Pool: engine.world.Traffic.Mix.Pool,
 		Model: request.Header.Get(admission.HeaderModel), Weights: engine.weights, Runner: engine.id, Wanted: request.Header.Get(admission.HeaderRunner), Service: engine.service,
 		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Beside: engine.active, Cold: engine.cold(), Room: engine.room()}
 	engine.world.Traffic.ran(run)
@@ -171,7 +171,7 @@
 	run.After, _ = strconv.Atoi(request.Header.Get(admission.HeaderAfter))
 	defer func() {
 		engine.active--
-		connection.run, run.Ended = nil, engine.world.Now
+		connection.run, run.Finished = nil, engine.world.Now
 	}()
 	if engine.fails {
 		return answer(connection, 500, map[string]any{"oh": "no"})
@@ -203,13 +203,13 @@
 		engine.running++
 		return true
 	}
-	world, strand, granted, over := engine.world, engine.world.current, false, false
+	world, coroutine, granted, over := engine.world, engine.world.current, false, false
 	engine.waiting = append(engine.waiting, func() bool {
 		if over {
 			return false
 		}
 		granted = true
-		world.wake(strand)
+		world.wake(coroutine)
 		return true
 	})
 	for !granted {
@@ -217,7 +217,7 @@
 			over = true
 			return false
 		}
-		strand.park()
+		coroutine.park()
 	}
 	return true
 }
@@ -237,11 +237,11 @@
 // work lets a length of time pass; it tells whether the request's connection stood so long. A runner drops a request
 // whose connection ends.
 func (engine *engine) work(connection *conn, length time.Duration) bool {
-	world, strand := engine.world, engine.world.current
+	world, coroutine := engine.world, engine.world.current
 	until := world.Now.Add(length)
-	world.At(until, func() { world.wake(strand) })
+	world.At(until, func() { world.wake(coroutine) })
 	for world.Now.Before(until) && connection.err == nil {
-		strand.park()
+		coroutine.park()
 	}
 	return connection.err == nil
 }
@@ -269,7 +269,7 @@
 	"no number":   "id: x\nevent: token\ndata: {\"run\":%q}\n\n",
 }
 
-// stream gives the events behind the one that the requester has already.
+// stream gives the events behind the one that the client has already.
 func (engine *engine) stream(connection *conn, run *histories.Run, length int) bool {
 	name := run.Name
 	events := min(12, 2+length/24)
@@ -307,12 +307,12 @@
 
 // platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
 type platform struct {
-	world   *World
-	truth   []*wire.Runner
-	runners []*wire.Runner
-	former  [][]*wire.Runner
-	left    map[string]time.Time
-	lives   int
+	world        *World
+	truth        []*wire.Runner
+	runners      []*wire.Runner
+	previous     [][]*wire.Runner
+	left         map[string]time.Time
+	incarnations int
 	// silent lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
 	// half leaves some out.
 	silent, empty, stuck, half bool
@@ -339,14 +339,14 @@
 	if platform.half {
 		served = served[:len(served)/2]
 	}
-	if platform.older && len(platform.former) > 0 {
-		served = platform.former[0]
+	if platform.older && len(platform.previous) > 0 {
+		served = platform.previous[0]
 	}
 	if !platform.stuck && !platform.silent && len(served) > 0 && !platform.empty {
 		platform.note(platform.runners, served)
-		platform.former = append(platform.former, platform.runners)
-		if len(platform.former) > 8 {
-			platform.former = platform.former[1:]
+		platform.previous = append(platform.previous, platform.runners)
+		if len(platform.previous) > 8 {
+			platform.previous = platform.previous[1:]
 		}
 		platform.runners = served
 	}
--- a/verify/simulation/silent_head_test.go
+++ b/verify/simulation/silent_head_test.go
@@ -7,7 +7,7 @@
 
 const (
 	// silentMessages bounds the messages a second that a daemon sends and receives while no head acts: questions
-	// to three keepers and their answers, the search for the next head, and what a quiet second costs.
+	// to three acceptors and their answers, the search for the next head, and what a quiet second costs.
 	silentMessages = 60
 	// silentGrowth bounds by how much that may differ between a small fleet and a large one.
 	silentGrowth = 1.25
@@ -17,7 +17,7 @@
 	mostSilence = 5 * time.Second
 )
 
-// smallAndLarge are fleets with the same three keepers.
+// smallAndLarge are fleets with the same three acceptors.
 var smallAndLarge = []Shape{
 	{Zones: []string{"a", "b", "c"}, Machines: []int{4, 4, 4}, Disks: []int{1, 1, 1}, Faults: 1},
 	{Zones: []string{"a", "b", "c"}, Machines: []int{27, 27, 26}, Disks: []int{1, 1, 1}, Faults: 1},
@@ -43,11 +43,11 @@
 	if head == nil {
 		t.Fatalf("seed %d: no head after 20 s", seed)
 	}
-	if keepers := len(head.Node().View().Keepers); keepers != 3 {
-		t.Fatalf("seed %d: %d keepers, the comparison wants 3", seed, keepers)
+	if acceptors := len(head.Node().View().Acceptors); acceptors != 3 {
+		t.Fatalf("seed %d: %d keepers, the comparison wants 3", seed, acceptors)
 	}
 	messages := 0
-	world.Tally = func(from, to *Host, _ string, _ int) {
+	world.Metrics = func(from, to *Host, _ string, _ int) {
 		if !from.Core {
 			messages++
 		}
@@ -68,7 +68,7 @@
 }
 
 // What a daemon sends and receives while no head acts does not grow with the fleet: it depends on the number of
-// keepers alone.
+// acceptors alone.
 func TestSilentHeadMessages(t *testing.T) {
 	t.Parallel()
 	losses := map[string]func(world *World, head *Host){
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-// Spread is how a change reached a cohort of some size.
+// Spread is how a change reached a partial view of some size.
 type Spread struct {
 	Daemons int
 	// Half, Most and All are how long after the commit half, 99 % and all daemons had the change;
@@ -20,7 +20,7 @@
 }
 
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
-func MeasureSpread(seed int64, daemons int, lanes int) (Spread, error) {
+func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
 	world := NewWorld(seed)
 	var seeds []string
 	for _, zone := range []string{"a", "b", "c"} {
@@ -43,7 +43,7 @@
 	per := float64(daemons) * quiet.Seconds()
 	spread.Messages, spread.Bytes, spread.AcrossBytes = float64(world.Messages-messages)/per, float64(world.Bytes-bytes)/per, float64(world.AcrossBytes-across)/per
 	bytes = world.Bytes
-	order := world.Check.Send(world.Hosts[1], &wire.OperatorAsk{Verb: "apply", Spec: manyLanes(lanes), HasBase: true, Operation: "change"})
+	order := world.Check.Send(world.Hosts[1], &wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
@@ -72,8 +72,8 @@
 	return spread, nil
 }
 
-// manyLanes is a spec with so many lanes.
-func manyLanes(count int) []byte {
+// manyRoutes is a spec with so many routes.
+func manyRoutes(count int) []byte {
 	text := `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`
 	for number := range max(1, count) {
 		if number > 0 {
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -18,7 +18,7 @@
 	"wardtray/verify/loadtest"
 )
 
-// Traffic is the request path of a world: requesters, runners, and what all of them saw.
+// Traffic is the request path of a world: clients, runners, and what all of them saw.
 type Traffic struct {
 	world   *World
 	random  *rand.Rand
@@ -34,23 +34,23 @@
 	ready   map[string]time.Time
 	weights string
 	specs   map[string]*config.Spec
-	// Uneven sends most requesters of a zone to one of its daemons.
+	// Uneven sends most clients of a zone to one of its daemons.
 	Uneven bool
 	// Takes is the part of the operators' specs that take away what requests need.
 	Takes float64
-	// Quits is the part of the requesters that hang up in the middle, Leaves that of those that hang up at any moment,
+	// Quits is the part of the clients that hang up in the middle, Leaves that of those that hang up at any moment,
 	// also before they are read and while nothing has come.
 	Quits, Leaves float64
-	// Repeats is the part of the requests that their requesters send again.
-	Repeats float64
+	// Retries is the part of the requests that their clients send again.
+	Retries float64
 }
 
-// StartTraffic brings the request path in: so many runners, and requesters once Rate is above zero.
+// StartTraffic brings the request path in: so many runners, and clients once Rate is above zero.
 func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
 	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), fit: map[string]bool{},
 		ready: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
 	world.Traffic = traffic
-	traffic.History.Begun, traffic.History.Zones = world.Now, zones
+	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
 	traffic.judge = histories.NewJudge(traffic.History, world.Check.known)
@@ -87,13 +87,13 @@
 	traffic.world.After(emulator.ListLag, traffic.look)
 }
 
-// sample notes again and again how much room the pool truly has.
+// sample notes again and again how much room the backend truly has.
 func (traffic *Traffic) sample() {
 	traffic.note()
 	traffic.world.After(100*time.Millisecond, traffic.sample)
 }
 
-// note takes the pool's room by what each runner is and how it is listed.
+// note takes the backend's room by what each runner is and how it is listed.
 func (traffic *Traffic) note() {
 	world := traffic.world
 	listed := map[string]bool{}
@@ -134,7 +134,7 @@
 	return reached*2 > all
 }
 
-// pick gives a daemon that the platform takes to be fit, in the requester's zone if there is one.
+// pick gives a daemon that the platform takes to be fit, in the client's zone if there is one.
 func (traffic *Traffic) pick(zone string) *Host {
 	var near, far []*Host
 	for _, host := range traffic.world.Datas() {
@@ -184,19 +184,19 @@
 	if traffic.Leaves > 0 && traffic.random.Float64() < traffic.Leaves {
 		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.leave)
 	}
-	if traffic.random.Float64() < traffic.Repeats {
+	if traffic.random.Float64() < traffic.Retries {
 		traffic.sendAgain(drawn, one)
 	}
 }
 
-// latestLeave is how long after sending its request a requester that leaves does so at the latest.
+// latestLeave is how long after sending its request a client that leaves does so at the latest.
 const latestLeave = time.Second
 
-// sendAgain has a requester send its request once more to the same daemon, at some moment during the
+// sendAgain has a client send its request once more to the same daemon, at some moment during the
 // first's life or after it.
 func (traffic *Traffic) sendAgain(drawn loadtest.Drawn, first *asker) {
 	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
-		if host := first.host; host != nil && host.up && first.life == host.life {
+		if host := first.host; host != nil && host.up && first.incarnation == host.incarnation {
 			second := traffic.asker(drawn, first.record.Zone)
 			second.record.Again = true
 			second.send(host)
@@ -204,19 +204,19 @@
 	})
 }
 
-// asker is one requester with its request.
+// asker is one client with its request.
 type asker struct {
-	traffic *Traffic
-	drawn   loadtest.Drawn
-	headers map[string][]string
-	record  *histories.Answer
-	ear     loadtest.Ear
-	host    *Host
-	life    int
-	read    bool
-	over    bool
-	quits   int
-	// leaving tells that the requester has closed its connection; told is whom the daemon wants told of that.
+	traffic     *Traffic
+	drawn       loadtest.Drawn
+	headers     map[string][]string
+	record      *histories.Answer
+	ear         loadtest.Ear
+	host        *Host
+	incarnation int
+	read        bool
+	over        bool
+	quits       int
+	// leaving tells that the client has closed its connection; told is whom the daemon wants told of that.
 	leaving bool
 	told    func()
 	lines   string
@@ -225,7 +225,7 @@
 
 func (traffic *Traffic) asker(drawn loadtest.Drawn, zone string) *asker {
 	made := &asker{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
-		record: &histories.Answer{Request: drawn.ID, Lane: drawn.Kind.Lane, Once: drawn.Kind.Once, Patience: drawn.Kind.Patience, Zone: zone, Sent: traffic.world.Now,
+		record: &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: traffic.world.Now,
 			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}}
 	made.ear.Record = made.record
 	traffic.judge.Asked(made.record)
@@ -255,20 +255,20 @@
 			asker.send(traffic.pick(asker.record.Zone))
 			return
 		}
-		asker.host, asker.life, asker.record.Daemon = host, host.life, host.Address
+		asker.host, asker.incarnation, asker.record.Daemon = host, host.incarnation, host.Address
 		host.askers = append(host.askers, asker)
 		if asker.leaving {
 			asker.closed()
 		}
 		traffic.world.spawn(host, func() {
-			asker.read, asker.record.Begun = true, traffic.world.Now
-			host.plane.Yard.Serve(asker)
+			asker.read, asker.record.Started = true, traffic.world.Now
+			host.plane.Handler.Serve(asker)
 			asker.finish(asker.record.Status == 0 || asker.record.Status == 200 && !asker.record.Done && !asker.record.Error)
 		})
 	})
 }
 
-// finish records what the requester got.
+// finish records what the client got.
 func (asker *asker) finish(lost bool) {
 	if asker.over {
 		return
@@ -292,13 +292,13 @@
 	traffic.verdict()
 }
 
-// lose is how a requester sees the end of its daemon.
+// lose is how a client sees the end of its daemon.
 func (asker *asker) lose() {
 	lost := !asker.record.Done && !asker.record.Error && !asker.leaving
 	asker.finish(lost)
 	traffic := asker.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	if !lost || traffic.Repeats == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Again {
+	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Again {
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
@@ -365,7 +365,7 @@
 	_ = source.Close()
 }
 
-// relay takes what a source gives up to its end, or until the requester has hung up.
+// relay takes what a source gives up to its end, or until the client has hung up.
 func (asker *asker) relay(source io.Reader) {
 	for buffer := make([]byte, 4<<10); ; {
 		count, err := source.Read(buffer)
@@ -385,7 +385,7 @@
 
 var errQuit = errors.New("the requester hung up")
 
-// Write is what reaches the requester.
+// Write is what reaches the client.
 func (asker *asker) Write(content []byte) (int, error) {
 	if asker.record.Gone {
 		return 0, errQuit
@@ -406,14 +406,14 @@
 }
 
 // Spec gives a spec for an operator to send; the number marks it. Now and then it takes away what
-// requests may be waiting for: a lane, a zone, the service or the weights.
+// requests may be waiting for: a route, a zone, the service or the weights.
 func (traffic *Traffic) Spec(number int) *config.Spec {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
 	takes := map[int]func(){
-		0: func() { made.Lanes = made.Lanes[1:] },
+		0: func() { made.Routes = made.Routes[1:] },
 		1: func() { made.Zones[traffic.random.Intn(len(made.Zones))].Closed = true },
-		2: func() { made.Pools[0].Services = []string{"another-service"} },
-		3: func() { made.Pools[0].Weights = "other-weights" },
+		2: func() { made.Backends[0].Services = []string{"another-service"} },
+		3: func() { made.Backends[0].Weights = "other-weights" },
 	}
 	if traffic.random.Float64() < traffic.Takes {
 		takes[traffic.random.Intn(len(takes))]()
@@ -431,16 +431,16 @@
 // amend makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
 func (traffic *Traffic) amend(number int) *config.Change {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
-	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Pools: made.Pools, Lanes: made.Lanes}}
+	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
 	if traffic.random.Float64() >= traffic.Takes {
 		return change
 	}
 	takes := []func(){
-		func() { change.Remove.Lanes, change.Upsert.Lanes = []string{made.Lanes[0].Name}, made.Lanes[1:] },
+		func() { change.Remove.Routes, change.Upsert.Routes = []string{made.Routes[0].Name}, made.Routes[1:] },
 		func() {
 			change.Upsert = config.Entries{Zones: []config.Zone{{Name: made.Zones[traffic.random.Intn(len(made.Zones))].Name, Closed: true}}}
 		},
-		func() { change.Upsert.Pools[0].Services = []string{"another-service"} },
+		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
 	}
 	takes[traffic.random.Intn(len(takes))]()
 	return change
@@ -473,20 +473,20 @@
 					final.Known[outcome.Operation] = outcome.SpecEpoch
 				}
 				if parsed, err := config.Parse(document.Spec); err == nil {
-					final.Lanes = nil
-					for _, lane := range parsed.Lanes {
-						final.Lanes = append(final.Lanes, lane.Name)
+					final.Routes = nil
+					for _, route := range parsed.Routes {
+						final.Routes = append(final.Routes, route.Name)
 					}
 				}
 			}
 		}
 	}
 	traffic.History.Final = final
-	traffic.judge.Ended()
+	traffic.judge.Finished()
 	traffic.verdict()
 }
 
-// Counts tells what requesters got.
+// Counts tells what clients got.
 func (traffic *Traffic) Counts() map[string]int {
 	counts := map[string]int{}
 	for _, answer := range traffic.History.Answers {
@@ -512,4 +512,4 @@
 // Summary tells the same in one line.
 func (traffic *Traffic) Summary() string { return fmt.Sprint(traffic.Counts()) }
 
-var _ netio.Requester = (*asker)(nil)
+var _ netio.Client = (*asker)(nil)
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -59,24 +59,24 @@
 	Zone    string
 	Core    bool
 	node    *node.Node
-	data    *controller.Director
+	data    *controller.Controller
 	plane   *dataplane.Plane
 	engine  *engine
-	// strands are the pieces of work of this life that have begun and not ended.
-	strands []*strand
-	conns   []*conn
-	askers  []*asker
+	// coroutines are the pieces of work of this life that have begun and not ended.
+	coroutines []*coroutine
+	conns      []*conn
+	askers     []*asker
 	// dark tells that the machine is gone without a word: nothing answers, not even its system.
-	dark    bool
-	service string
-	disk    *disk
-	store   *snapshot.Store
-	writes  []statemachine.Write
-	writing bool
-	up      bool
-	life    int
-	frozen  bool
-	held    []func()
+	dark        bool
+	service     string
+	disk        *disk
+	store       *snapshot.Store
+	writes      []statemachine.Write
+	writing     bool
+	up          bool
+	incarnation int
+	frozen      bool
+	held        []func()
 	// woken is when the process last woke from a freeze.
 	woken   time.Time
 	stalled bool
@@ -108,13 +108,13 @@
 func (host *Host) Node() *node.Node { return host.node }
 
 // Data gives a data daemon's machine.
-func (host *Host) Data() *controller.Director { return host.data }
+func (host *Host) Data() *controller.Controller { return host.data }
 
 // World is the whole simulation.
 type World struct {
 	Seed     int64
 	Now      time.Time
-	begun    time.Time
+	started  time.Time
 	queue    events
 	sequence uint64
 	random   *rand.Rand
@@ -135,13 +135,13 @@
 	Traffic *Traffic
 	// Callers are the runners that register themselves, where they do.
 	Callers         *Callers
-	current         *strand
+	current         *coroutine
 	founders, seeds []string
 	// Faults is how many machines may lose their disks at once.
 	Faults     int
 	identities int
-	// Tally, if set, hears of every message.
-	Tally    func(from, to *Host, kind string, size int)
+	// Metrics, if set, hears of every message.
+	Metrics  func(from, to *Host, kind string, size int)
 	replaced int
 	// unswept is up to when damage on a disk may not have been found yet.
 	unswept time.Time
@@ -155,8 +155,8 @@
 
 // NewWorld makes an empty world.
 func NewWorld(seed int64) *World {
-	begun := time.Unix(1_700_000_000, 0)
-	world := &World{Seed: seed, Now: begun, begun: begun, random: rand.New(rand.NewSource(seed)), byName: map[string]*Host{},
+	started := time.Unix(1_700_000_000, 0)
+	world := &World{Seed: seed, Now: started, started: started, random: rand.New(rand.NewSource(seed)), byName: map[string]*Host{},
 		cuts: map[[2]string]bool{}, links: map[[2]string]time.Time{}, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, WithoutCore: withoutCore}
 	world.Check = newChecker(world)
 	world.Platform.world = world
@@ -195,8 +195,8 @@
 
 // local gives a host's own clock.
 func (world *World) local(host *Host) time.Time {
-	passed := world.Now.Sub(world.begun)
-	return world.begun.Add(passed + time.Duration(float64(passed)*host.drift))
+	passed := world.Now.Sub(world.started)
+	return world.started.Add(passed + time.Duration(float64(passed)*host.drift))
 }
 
 // AddCore and AddData bring in machines; Boot starts them.
@@ -231,7 +231,7 @@
 	}
 	world.topologyChanged()
 	host.up, host.frozen, host.held, host.writes, host.writing, host.dark = true, false, nil, nil, false, false
-	host.life++
+	host.incarnation++
 	if host.engine != nil {
 		world.bootRunner(host)
 		return
@@ -239,7 +239,7 @@
 	now, random := world.local(host), rand.New(rand.NewSource(world.random.Int63()))
 	if !host.Core {
 		world.bootData(host, random)
-		world.tick(host, host.life)
+		world.tick(host, host.incarnation)
 		return
 	}
 	host.disk.dying = false
@@ -250,9 +250,9 @@
 	if err != nil {
 		// A full disk lets nothing start; the machine is tried again later, as an operator's supervisor would.
 		host.up = false
-		life := host.life
+		incarnation := host.incarnation
 		world.After(time.Second, func() {
-			if host.life == life {
+			if host.incarnation == incarnation {
 				world.Boot(host)
 			}
 		})
@@ -262,19 +262,19 @@
 	// Only the very first start may found a fleet; a machine whose disk is lost later must not.
 	founding := !host.newcomer
 	host.newcomer = true
-	host.node = node.New(now, node.Startup{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
-		Founding: founding, Faults: world.Faults, Beat: callEvery},
+	host.node = node.New(now, node.Settings{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
+		Founding: founding, Faults: world.Faults, Heartbeat: callEvery},
 		restored.Memory, restored.Records, random)
-	world.tick(host, host.life)
+	world.tick(host, host.incarnation)
 }
 
 // on runs something in a host's process, or later if it is frozen, or never if it ended.
-func (world *World) on(host *Host, life int, do func()) {
-	if !host.up || host.life != life {
+func (world *World) on(host *Host, incarnation int, do func()) {
+	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.frozen {
-		host.held = append(host.held, func() { world.on(host, life, do) })
+		host.held = append(host.held, func() { world.on(host, incarnation, do) })
 		return
 	}
 	do()
@@ -287,21 +287,21 @@
 	world.Check.step(host)
 }
 
-func (world *World) tick(host *Host, life int) {
-	if !host.up || host.life != life {
+func (world *World) tick(host *Host, incarnation int) {
+	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if !host.frozen {
-		world.on(host, life, func() {
+		world.on(host, incarnation, func() {
 			now := world.local(host)
 			if host.Core {
 				host.node.Tick(now)
 				return
 			}
-			host.plane.Step(func(now time.Time, director *controller.Director) { director.Tick(now) })
+			host.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Tick(now) })
 		})
 	}
-	world.After(tickEvery, func() { world.tick(host, life) })
+	world.After(tickEvery, func() { world.tick(host, incarnation) })
 }
 
 func (world *World) drain(host *Host) {
@@ -320,32 +320,32 @@
 		return
 	}
 	host.writing = true
-	batch, life := host.writes, host.life
+	batch, incarnation := host.writes, host.incarnation
 	host.writes = nil
 	world.After(time.Millisecond+time.Duration(world.random.Int63n(int64(3*time.Millisecond)))+host.slow, func() {
-		world.finishWrite(host, life, batch)
+		world.finishWrite(host, incarnation, batch)
 	})
 }
 
-func (world *World) finishWrite(host *Host, life int, batch []statemachine.Write) {
-	if !host.up || host.life != life {
+func (world *World) finishWrite(host *Host, incarnation int, batch []statemachine.Write) {
+	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.stalled {
-		world.After(20*time.Millisecond, func() { world.finishWrite(host, life, batch) })
+		world.After(20*time.Millisecond, func() { world.finishWrite(host, incarnation, batch) })
 		return
 	}
 	host.writing = false
 	// The disk works on while the process is frozen; the process hears of it when it wakes.
 	storage.Carry(host.store, batch, func(sequence uint64) {
-		world.on(host, life, func() { host.node.Synced(world.local(host), sequence) })
+		world.on(host, incarnation, func() { host.node.Synced(world.local(host), sequence) })
 	}, func(error) {
-		world.on(host, life, func() { host.node.DiskFailed(world.local(host)) })
+		world.on(host, incarnation, func() { host.node.DiskFailed(world.local(host)) })
 	})
 	world.write(host)
 }
 
-func (world *World) send(host *Host, parcels []statemachine.Parcel) {
+func (world *World) send(host *Host, parcels []statemachine.Message) {
 	for _, parcel := range parcels {
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(parcel.Envelope)
 		if err != nil {
@@ -386,17 +386,17 @@
 	if to.up || to.dark || to.engine != nil || world.parted(from, to) {
 		return
 	}
-	life := from.life
+	incarnation := from.incarnation
 	world.After(world.lag(), func() {
 		if world.parted(from, to) {
 			return
 		}
-		world.on(from, life, func() {
+		world.on(from, incarnation, func() {
 			if from.Core {
 				from.node.Refused(world.local(from), to.Address, tried)
 				return
 			}
-			from.plane.Step(func(now time.Time, director *controller.Director) { director.Refused(now, to.Address, tried) })
+			from.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Refused(now, to.Address, tried) })
 		})
 	})
 }
@@ -415,9 +415,9 @@
 		if !linked || !other.up || other == host || world.Now.Sub(sent) > connectionLasts {
 			continue
 		}
-		from, life := other, other.life
+		from, incarnation := other, other.incarnation
 		world.After(world.lag(), func() {
-			if from.life == life && !world.parted(from, host) {
+			if from.incarnation == incarnation && !world.parted(from, host) {
 				tried := world.local(from)
 				world.After(world.lag(), func() { world.refuse(from, host, tried) })
 			}
@@ -434,12 +434,12 @@
 	if err := proto.Unmarshal(content, envelope); err != nil {
 		panic(err)
 	}
-	world.on(to, to.life, func() {
+	world.on(to, to.incarnation, func() {
 		if to.Core {
 			to.node.Receive(world.local(to), envelope)
 			return
 		}
-		to.plane.Step(func(now time.Time, director *controller.Director) { director.Receive(now, envelope) })
+		to.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Receive(now, envelope) })
 	})
 }
 
@@ -451,7 +451,7 @@
 	}
 	world.topologyChanged()
 	host.up = false
-	host.life++
+	host.incarnation++
 	host.held, host.writes, host.writing = nil, nil, false
 	host.data, host.plane = nil, nil
 }
@@ -543,28 +543,28 @@
 
 // bootData starts a data daemon as its process would.
 func (world *World) bootData(host *Host, random *rand.Rand) {
-	life := host.life
-	made, err := dataplane.New(netio.World{
+	incarnation := host.incarnation
+	made, err := dataplane.New(netio.Environment{
 		Now:  func() time.Time { return world.local(host) },
 		Go:   func(work func()) { world.spawn(host, work) },
 		Wait: world.wait,
-		Dial: func(ctx context.Context, address string, terms netio.Terms) (netio.Conn, error) {
+		Dial: func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
 			return world.dial(ctx, host, address, terms)
 		},
-	}, dataplane.Startup{Startup: controller.Startup{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.Callers != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
-		Send: func(parcels []statemachine.Parcel) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, life) }, Log: silent})
+	}, dataplane.Settings{Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.Callers != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
+		Send: func(parcels []statemachine.Message) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent})
 	if err != nil {
 		panic(err)
 	}
 	host.plane = made
-	made.Look(func(director *controller.Director) { host.data = director })
+	made.Look(func(machine *controller.Controller) { host.data = machine })
 	if world.Traffic == nil {
 		return
 	}
-	world.every(host, life, dataplane.SettleEvery, made.Settle)
-	world.every(host, life, dataplane.PressureEvery, made.AskPressures)
-	world.every(host, life, dataplane.WatchEvery, made.Watch)
-	world.every(host, life, dataplane.AgeEvery, made.Age)
+	world.every(host, incarnation, dataplane.SettleEvery, made.Settle)
+	world.every(host, incarnation, dataplane.PressureEvery, made.AskPressures)
+	world.every(host, incarnation, dataplane.WatchEvery, made.Watch)
+	world.every(host, incarnation, dataplane.AgeEvery, made.Age)
 }
 
 // noteSure notes since when a data daemon has been sure of its spec.
@@ -579,16 +579,16 @@
 }
 
 // every does something in a host's process again and again, while that lives and is not frozen.
-func (world *World) every(host *Host, life int, length time.Duration, do func()) {
-	world.After(time.Duration(world.random.Int63n(int64(length))), func() { world.again(host, life, length, do) })
+func (world *World) every(host *Host, incarnation int, length time.Duration, do func()) {
+	world.After(time.Duration(world.random.Int63n(int64(length))), func() { world.again(host, incarnation, length, do) })
 }
 
-func (world *World) again(host *Host, life int, length time.Duration, do func()) {
-	if !host.up || host.life != life {
+func (world *World) again(host *Host, incarnation int, length time.Duration, do func()) {
+	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if !host.frozen {
-		world.on(host, life, do)
+		world.on(host, incarnation, do)
 	}
-	world.After(length, func() { world.again(host, life, length, do) })
+	world.After(length, func() { world.again(host, incarnation, length, do) })
 }
