--- a/cmd/wtctl/show.go
+++ b/cmd/wtctl/show.go
@@ -211,27 +211,27 @@
 // explained prints the offers of an auction, the best first.
 func explained(output io.Writer, content []byte) error {
 	told := struct {
-		Step             scheduler.Decision
-		ScoredCandidates []scheduler.ScoredCandidate
-		Prices           scheduler.CostWeights
-		Requirements     scheduler.Requirements
+		Decision     scheduler.Decision          `json:"step"`
+		Candidates   []scheduler.ScoredCandidate `json:"quotes"`
+		CostWeights  scheduler.CostWeights       `json:"prices"`
+		Requirements scheduler.Requirements      `json:"bid"`
 	}{}
 	if err := json.Unmarshal(content, &told); err != nil {
 		return apierror.Wrap(err, apierror.Malformed, "the daemon's answer")
 	}
-	fmt.Fprintf(output, "step: %s", told.Step.Kind)
-	if told.Step.Kind == scheduler.Dispatch {
-		fmt.Fprintf(output, " to %s at %s", told.Step.Runner.ID, told.Step.Runner.Address)
+	fmt.Fprintf(output, "step: %s", told.Decision.Kind)
+	if told.Decision.Kind == scheduler.Dispatch {
+		fmt.Fprintf(output, " to %s at %s", told.Decision.Runner.ID, told.Decision.Runner.Address)
 	}
-	if told.Step.Reason != "" {
-		fmt.Fprintf(output, " (%s)", told.Step.Reason)
+	if told.Decision.Reason != "" {
+		fmt.Fprintf(output, " (%s)", told.Decision.Reason)
 	}
-	fmt.Fprintf(output, "\nprices: %.0f microseconds a token, %.2f s a place\nbid: worth %.0f, patience %v, within its purse %v\n", told.Prices.TokenSeconds*1e6,
-		told.Prices.PlaceSeconds, told.Requirements.Value, told.Requirements.LatencyTarget, told.Requirements.WithinLimit)
-	sort.SliceStable(told.ScoredCandidates, func(left, right int) bool { return told.ScoredCandidates[left].Net > told.ScoredCandidates[right].Net })
+	fmt.Fprintf(output, "\nprices: %.0f microseconds a token, %.2f s a place\nbid: worth %.0f, patience %v, within its purse %v\n", told.CostWeights.TokenSeconds*1e6,
+		told.CostWeights.PlaceSeconds, told.Requirements.Value, told.Requirements.LatencyTarget, told.Requirements.WithinLimit)
+	sort.SliceStable(told.Candidates, func(left, right int) bool { return told.Candidates[left].Net > told.Candidates[right].Net })
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, "RUNNER\tZONE\tLOAD\tSLOTS\tHELD TOKENS\tNET\tFIRST EVENT\tFULL")
-	for _, scored := range told.ScoredCandidates {
+	for _, scored := range told.Candidates {
 		fmt.Fprintf(writer, "%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", scored.Candidate.ID, scored.Candidate.Zone, scored.Candidate.Load, scored.Candidate.Slots,
 			scored.Candidate.HeldTokens, scored.Net, scored.First, scored.Full)
 	}
