--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -91,7 +91,7 @@
 		Broken:      suspicion,
 		Frozen:      suspicion - heartbeatEvery,
 		Stagger:     max(leastStagger, min(usualStagger, repair/10)),
-		DaemonLease: StalenessFor(limits.Apply),
+		DaemonLease: lease.DaemonTermFor(limits.Apply),
 		QuotaTerm:   limits.Acknowledge,
 		Starting:    min(usualStarting, limits.Contact/2),
 		// The rest of the grace is for closing what is open.
@@ -167,8 +167,6 @@
 	// parkBound is for how long a question waits here for the moment at which it can be answered; its asker
 	// sends it again meanwhile.
 	parkBound = 2 * time.Second
-	// Staleness is for how long a data daemon relies on a tick, counted from its question.
-	Staleness = time.Second
 	// leaseMargin is what the head waits beyond that, for clocks that drift.
 	leaseMargin   = 100 * time.Millisecond
 	directoryWait = 300 * time.Millisecond
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"time"
 
+	"wardtray/coordination/gossip"
 	"wardtray/wire"
 )
 
@@ -90,7 +91,7 @@
 // handleDocuments enters what spreads the document and the peers.
 func (node *Node) handleDocuments() {
 	on(node, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
-		if register := node.gossip.Get(DocumentKey); register != nil && register.Epoch > body.DocumentRequest.Sequence {
+		if register := node.gossip.Get(gossip.DocumentKey); register != nil && register.Epoch > body.DocumentRequest.Sequence {
 			node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{register}}}})
 		}
 	})
@@ -132,9 +133,6 @@
 	}
 }
 
-// DocumentKey names the register that carries the committed document.
-const DocumentKey = "document"
-
 // Receive takes one message.
 func (node *Node) Receive(now time.Time, envelope *wire.Envelope) {
 	if envelope.From != node.self.Address {
--- a/control/node/document.go
+++ b/control/node/document.go
@@ -40,7 +40,7 @@
 	carried := &wire.Document{Sequence: document.Sequence, SpecEpoch: document.SpecEpoch, PackedSpec: node.packed(document), Directory: document.Directory}
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(carried)
 	if err == nil {
-		node.gossip.Put(now, &wire.GossipEntry{Key: DocumentKey, Epoch: document.Sequence, Value: value}, gossip.Hops)
+		node.gossip.Put(now, &wire.GossipEntry{Key: gossip.DocumentKey, Epoch: document.Sequence, Value: value}, gossip.Hops)
 	}
 }
 
--- a/control/node/leases.go
+++ b/control/node/leases.go
@@ -6,10 +6,6 @@
 	"wardtray/wire"
 )
 
-// StalenessFor gives for how long a tick may be relied on where a change must be in force within a time after its
-// acknowledgement: well less than that, and not longer than the usual.
-func StalenessFor(apply time.Duration) time.Duration { return min(Staleness, apply/2) }
-
 type daemon struct {
 	zone        string
 	http        string
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -9,12 +9,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/registry"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/lease"
 	"wardtray/coordination/peersampling"
 	"wardtray/coordination/quota"
+	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
 	"wardtray/coordination/view"
 	"wardtray/wire"
--- a/control/node/registry.go
+++ b/control/node/registry.go
@@ -6,7 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/registry"
+	"wardtray/coordination/gossip"
+	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
 
@@ -66,7 +67,7 @@
 // a gossip message brought it holds the sequence and the directory alone.
 func (node *Node) newestDirectory() *wire.Document {
 	document := node.chain.Committed()
-	register := node.gossip.Get(DocumentKey)
+	register := node.gossip.Get(gossip.DocumentKey)
 	if register == nil || register.Epoch <= document.Sequence {
 		return document
 	}
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"wardtray/control/registry"
+	"wardtray/coordination/registry"
 )
 
 // Status is what a disk machine tells of itself.
--- a/control/server/golden_test.go
+++ b/control/server/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
-	"wardtray/control/registry"
+	"wardtray/coordination/registry"
 	"wardtray/transport"
 	"wardtray/verify/golden"
 )
@@ -23,7 +23,7 @@
 
 // The counters of a transport keep their names.
 func TestWireCountersKeepTheirNames(t *testing.T) {
-	names := slices.Sorted(maps.Keys(WireCounters(&transport.Transport{})))
+	names := slices.Sorted(maps.Keys(transport.CounterValues(&transport.Transport{})))
 	golden.Compare(t, "wire-counters.txt", strings.Join(names, "\n")+"\n")
 }
 
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -13,6 +13,7 @@
 	"wardtray/apierror"
 	"wardtray/config"
 	"wardtray/control/node"
+	"wardtray/transport"
 	"wardtray/transport/netio"
 	"wardtray/wire"
 )
@@ -224,7 +225,7 @@
 	status := Status{Program: "wtcore", Address: host.settings.Address, Zone: host.settings.Zone,
 		Uptime: now.Sub(host.started).Round(time.Millisecond).String(), Core: host.node.Status(now), Counters: host.node.Counters()}
 	host.mutex.Unlock()
-	status.Wire = WireCounters(host.transport)
+	status.Wire = transport.CounterValues(host.transport)
 	content, err := json.Marshal(status)
 	if err != nil {
 		Answer(context, 500, node.Reply{Outcome: "refused", Kind: string(apierror.Internal), Detail: err.Error()})
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -9,7 +9,7 @@
 
 	"wardtray/apierror"
 	"wardtray/control/node"
-	"wardtray/control/registry"
+	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
 
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	crypto "crypto/rand"
-	"encoding/binary"
 	"encoding/hex"
 	"fmt"
 	"log/slog"
@@ -22,6 +21,7 @@
 	"wardtray/coordination/quota"
 	"wardtray/coordination/snapshot"
 	"wardtray/coordination/statemachine"
+	"wardtray/randomseed"
 	"wardtray/transport"
 	"wardtray/wire"
 )
@@ -48,15 +48,6 @@
 	lastView  uint64
 }
 
-// Seed gives a seed for a process's private random source.
-func Seed() int64 {
-	var bytes [8]byte
-	if _, err := crypto.Read(bytes[:]); err != nil {
-		return time.Now().UnixNano()
-	}
-	return int64(binary.BigEndian.Uint64(bytes[:]))
-}
-
 // New opens the data folder and restores the node. Nothing is sent or answered yet.
 func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
 	// Who can't remember must neither vote nor count as a copy, and ending again and again helps nobody.
@@ -85,7 +76,7 @@
 	}
 	host.node = node.New(time.Now(), node.Settings{Limits: limits, Address: settings.Address, HTTP: settings.HTTP, Zone: settings.Zone,
 		Seeds: settings.Seeds, Founders: settings.Founders, Founding: !settings.Joins, Faults: settings.Faults, Heartbeat: settings.HeartbeatTime(),
-		Quotas: quota.Tolerance{Window: settings.QuotasWindow(), Excess: settings.Quotas.Excess, Slack: settings.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(Seed())))
+		Quotas: quota.Tolerance{Window: settings.QuotasWindow(), Excess: settings.Quotas.Excess, Slack: settings.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(randomseed.New())))
 	host.transport = transport.New(settings.Address, settings.Zone, func(envelope *wire.Envelope) {
 		host.step(func(now time.Time) { host.node.Receive(now, envelope) })
 	}, func(address string, tried time.Time) {
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -17,6 +17,9 @@
 	"wardtray/wire"
 )
 
+// DocumentKey names the entry that carries the committed document.
+const DocumentKey = "document"
+
 const (
 	// Fanout is how many partners hear of something new at once.
 	Fanout = 3
--- a/control/registry/call_easyjson.go
+++ b/coordination/registry/call_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAfe12e18DecodeWardtrayControlRegistry(in *jlexer.Lexer, out *Call) {
+func easyjsonAfe12e18DecodeWardtrayCoordinationRegistry(in *jlexer.Lexer, out *Call) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -93,7 +93,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAfe12e18EncodeWardtrayControlRegistry(out *jwriter.Writer, in Call) {
+func easyjsonAfe12e18EncodeWardtrayCoordinationRegistry(out *jwriter.Writer, in Call) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -143,23 +143,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Call) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonAfe12e18EncodeWardtrayControlRegistry(&w, v)
+	easyjsonAfe12e18EncodeWardtrayCoordinationRegistry(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Call) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonAfe12e18EncodeWardtrayControlRegistry(w, v)
+	easyjsonAfe12e18EncodeWardtrayCoordinationRegistry(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Call) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonAfe12e18DecodeWardtrayControlRegistry(&r, v)
+	easyjsonAfe12e18DecodeWardtrayCoordinationRegistry(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Call) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonAfe12e18DecodeWardtrayControlRegistry(l, v)
+	easyjsonAfe12e18DecodeWardtrayCoordinationRegistry(l, v)
 }
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -15,18 +15,18 @@
 	"time"
 
 	"wardtray/config"
-	"wardtray/control/node"
-	"wardtray/control/registry"
 	"wardtray/coordination/election"
 	"wardtray/coordination/gossip"
+	"wardtray/coordination/lease"
 	"wardtray/coordination/peersampling"
 	"wardtray/coordination/quota"
+	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
 const (
-	askEvery = 300 * time.Millisecond
+	askEvery = lease.RenewEvery
 	// askAgain is how soon a daemon that may not award yet asks again, askAllAfter for how long the head may be
 	// silent before others are asked, and askAllEvery how often they are.
 	askAgain       = 100 * time.Millisecond
@@ -46,8 +46,6 @@
 	aloneStep   = 200 * time.Millisecond
 	// frozenAfter is after what pause a process takes it that it stood still itself: it has asked nobody meanwhile.
 	frozenAfter = 500 * time.Millisecond
-	// Staleness is for how long an answer is relied on, counted from its question.
-	Staleness = node.Staleness
 )
 
 // Settings is what a daemon is told of itself.
@@ -69,20 +67,6 @@
 	OnTaken func(now time.Time, key []byte, dropped bool)
 }
 
-// Snapshot is what the request path sees; it is replaced, never changed.
-type Snapshot struct {
-	Sequence  uint64
-	SpecEpoch uint64
-	Catalog   *config.Catalog
-	Runners   []*wire.Runner
-	// Registered tells that the runners registered themselves, so that an empty list says that none is left.
-	Registered bool
-	// Until is the moment up to which work may be awarded by this snapshot.
-	Until time.Time
-	// Daemons is how many daemons share the work.
-	Daemons int
-}
-
 // Counters are what a daemon counts of its control side.
 type Counters struct {
 	Documents     uint64 `json:"Documents"`
@@ -154,7 +138,7 @@
 // New makes a daemon's controller. It knows nothing and is not ready.
 func New(now time.Time, settings Settings, random *rand.Rand) *Controller {
 	if settings.Staleness == 0 {
-		settings.Staleness = Staleness
+		settings.Staleness = lease.DaemonTerm
 	}
 	controller := &Controller{settings: settings, incarnation: random.Uint64(), outbox: statemachine.NewOutbox(), random: random, asks: map[uint64]time.Time{},
 		confirmed: map[string]confirmation{}, started: now, view: &wire.View{}, nonce: uint64(random.Int63())}
@@ -208,12 +192,12 @@
 func (controller *Controller) Leave() { controller.leaving = true }
 
 // Snapshot gives what the request path needs to know.
-func (controller *Controller) Snapshot(now time.Time) Snapshot {
+func (controller *Controller) Snapshot(now time.Time) config.Snapshot {
 	runners := controller.runners
 	if controller.settings.Registered {
 		runners = controller.registry.Runners(now)
 	}
-	return Snapshot{Sequence: controller.sequence, SpecEpoch: controller.specEpoch, Catalog: controller.catalog, Registered: controller.settings.Registered,
+	return config.Snapshot{Sequence: controller.sequence, SpecEpoch: controller.specEpoch, Catalog: controller.catalog, Registered: controller.settings.Registered,
 		Runners: runners, Until: controller.Until(now), Daemons: max(1, len(controller.directory))}
 }
 
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/node"
+	"wardtray/coordination/gossip"
+	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
 
@@ -28,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.Envelope{From: "x", Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{{Key: node.DocumentKey, Epoch: sequence, Value: value}}}}}
+	return &wire.Envelope{From: "x", Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{{Key: gossip.DocumentKey, Epoch: sequence, Value: value}}}}}
 }
 
 // acceptors are the members of the views of these tests.
@@ -104,7 +105,7 @@
 	if !serves() {
 		t.Fatal("does not serve with a majority of the keepers behind it")
 	}
-	if now = now.Add(Staleness); serves() {
+	if now = now.Add(lease.DaemonTerm); serves() {
 		t.Fatal("serves beyond what was asked for")
 	}
 }
@@ -137,18 +138,18 @@
 		answer   *wire.DaemonLeaseGrant
 		from, to time.Duration
 	}{
-		"no core answers":                   {without: without, from: 0, to: Staleness + without},
-		"not allowed":                       {from: 0, to: Staleness},
-		"a minority answers":                {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7}, from: 0, to: Staleness},
-		"a machine that begins answers":     {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Starting: true}, from: 0, to: Staleness + without},
-		"a machine that begins knows newer": {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 8, Starting: true}, from: 0, to: Staleness},
+		"no core answers":                   {without: without, from: 0, to: lease.DaemonTerm + without},
+		"not allowed":                       {from: 0, to: lease.DaemonTerm},
+		"a minority answers":                {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7}, from: 0, to: lease.DaemonTerm},
+		"a machine that begins answers":     {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Starting: true}, from: 0, to: lease.DaemonTerm + without},
+		"a machine that begins knows newer": {without: without, answer: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 8, Starting: true}, from: 0, to: lease.DaemonTerm},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			controller := withDocument(t, Settings{WithoutCore: test.without})
 			start := started.Add(time.Second)
 			lead(controller, start)
-			for now := start; now.Before(start.Add(2*Staleness + without)); now = now.Add(50 * time.Millisecond) {
+			for now := start; now.Before(start.Add(2*lease.DaemonTerm + without)); now = now.Add(50 * time.Millisecond) {
 				questions := ask(controller, now)
 				if _, asked := questions["c1"]; asked && test.answer != nil {
 					answer(controller, now, questions, 1, proto.Clone(test.answer).(*wire.DaemonLeaseGrant))
@@ -182,7 +183,7 @@
 	start := started.Add(time.Second)
 	lead(controller, start)
 	now := start
-	for now.Before(start.Add(2 * Staleness)) {
+	for now.Before(start.Add(2 * lease.DaemonTerm)) {
 		now = now.Add(50 * time.Millisecond)
 		ask(controller, now)
 	}
@@ -242,11 +243,11 @@
 	third := question(late)
 	late = late.Add(time.Second)
 	grant(late, third, 7, 3)
-	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + Staleness)) {
+	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTerm)) {
 		t.Fatalf("serves until %v", until.Sub(started))
 	}
 	grant(late.Add(time.Second), third, 7, 3)
-	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + Staleness)) {
+	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTerm)) {
 		t.Fatal("an answer counted twice")
 	}
 }
--- a/dataplane/controller/dispatch.go
+++ b/dataplane/controller/dispatch.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"time"
 
-	"wardtray/control/node"
+	"wardtray/coordination/gossip"
 	"wardtray/wire"
 )
 
@@ -37,7 +37,7 @@
 			controller.onTickCall(now, envelope.From, envelope.GetDaemonLeasePrompt())
 		},
 		reflect.TypeFor[*wire.Envelope_DocumentRequest](): func(_ time.Time, envelope *wire.Envelope) {
-			register := controller.gossip.Get(node.DocumentKey)
+			register := controller.gossip.Get(gossip.DocumentKey)
 			if register != nil && register.Epoch > envelope.GetDocumentRequest().Sequence {
 				controller.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{Entries: []*wire.GossipEntry{register}}}})
 			}
--- a/dataplane/controller/document.go
+++ b/dataplane/controller/document.go
@@ -8,7 +8,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/node"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/peersampling"
 	"wardtray/wire"
@@ -16,7 +15,7 @@
 
 // onRegister takes in what a gossip message changed.
 func (controller *Controller) onRegister(now time.Time, register *wire.GossipEntry) {
-	if register.Key == node.DocumentKey {
+	if register.Key == gossip.DocumentKey {
 		controller.onDocument(now, register)
 		return
 	}
--- a/dataplane/controller/runners_test.go
+++ b/dataplane/controller/runners_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
 
@@ -59,9 +60,9 @@
 	if !awards(controller, now) || len(controller.Snapshot(now).Runners) != 1 {
 		t.Fatal("does not award with what it has learned")
 	}
-	now = now.Add(Staleness / 2)
+	now = now.Add(lease.DaemonTerm / 2)
 	grant(controller, now, "head", 123)
-	if until := controller.Until(now); until.Sub(now) < Staleness {
+	if until := controller.Until(now); until.Sub(now) < lease.DaemonTerm {
 		t.Fatal("a daemon that awards was stopped by a runner that came")
 	}
 	// An old list is better than none where nobody gives a newer one.
--- a/dataplane/daemon/daemon.go
+++ b/dataplane/daemon/daemon.go
@@ -20,8 +20,7 @@
 	"wardtray/balancer/retrybudget"
 	"wardtray/balancer/scheduler"
 	"wardtray/config/process"
-	"wardtray/control/node"
-	"wardtray/control/server"
+	"wardtray/coordination/lease"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/statemachine"
 	"wardtray/dataplane"
@@ -29,6 +28,7 @@
 	"wardtray/metrics"
 	"wardtray/proxy/admission"
 	"wardtray/proxy/codec"
+	"wardtray/randomseed"
 	"wardtray/transport"
 	"wardtray/transport/netio"
 	"wardtray/wire"
@@ -84,9 +84,9 @@
 	if adapter != nil {
 		spoken = adapter.Codec
 	}
-	made, err := dataplane.New(netio.Real(local), dataplane.Settings{Codec: spoken, Retries: retries(settings), Without: settings.WithoutMechanisms(), Settings: controller.Settings{Address: settings.Address, HTTP: settings.HTTP, Zone: settings.Zone, Seeds: settings.Seeds, Staleness: node.StalenessFor(settings.ApplyTime()),
+	made, err := dataplane.New(netio.Real(local), dataplane.Settings{Codec: spoken, Retries: retries(settings), Without: settings.WithoutMechanisms(), Settings: controller.Settings{Address: settings.Address, HTTP: settings.HTTP, Zone: settings.Zone, Seeds: settings.Seeds, Staleness: lease.DaemonTermFor(settings.ApplyTime()),
 		WithoutCore: settings.WithoutCoreTime(), Registered: settings.Registered},
-		Workers: kvblock.DefaultWorkers, Random: rand.New(rand.NewSource(server.Seed())), Await: scheduler.Await,
+		Workers: kvblock.DefaultWorkers, Random: rand.New(rand.NewSource(randomseed.New())), Await: scheduler.Await,
 		Send: func(parcels []statemachine.Message) { host.transport.Send(parcels) }, Poll: func() { go host.poll() }, Log: log})
 	if err != nil {
 		return nil, err
@@ -340,7 +340,7 @@
 			"dropped": backend.Dropped.Load(), "inferred_removals": backend.Inferred.Load()},
 		Links: map[string]uint64{"dials": links.Dials.Load(), "reused": links.Reused.Load(),
 			"wrong_identity": links.WrongIdentity.Load(), "unreachable": links.Unreachable.Load(), "lost": links.Lost.Load()},
-		Controller: counters, Wire: server.WireCounters(host.transport), Directory: len(host.Daemons())}
+		Controller: counters, Wire: transport.CounterValues(host.transport), Directory: len(host.Daemons())}
 	host.Schedulers(func(backend string, desk *scheduler.Scheduler) {
 		counters, waiting, routes := desk.State()
 		status.Schedulers[backend] = map[string]any{"counters": counters, "waiting": waiting, "lanes": routes, "prices": desk.CostWeights()}
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -20,6 +20,7 @@
 	"wardtray/balancer/load"
 	"wardtray/balancer/retrybudget"
 	"wardtray/balancer/scheduler"
+	"wardtray/config"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/statemachine"
 	"wardtray/dataplane/controller"
@@ -77,7 +78,7 @@
 	started     time.Time
 	// drainStarted is when a planned stop began.
 	drainStarted time.Time
-	snapshot     atomic.Pointer[controller.Snapshot]
+	snapshot     atomic.Pointer[config.Snapshot]
 	// renewed is closed, and made anew, when the snapshot may be relied on for longer than before.
 	renewed atomic.Pointer[chan struct{}]
 	daemons atomic.Pointer[[]string]
@@ -115,7 +116,7 @@
 		}
 	}
 	plane.machine = controller.New(now, settings.Settings, rand.New(rand.NewSource(settings.Random.Int63())))
-	plane.snapshot.Store(&controller.Snapshot{})
+	plane.snapshot.Store(&config.Snapshot{})
 	plane.renew()
 	plane.daemons.Store(&[]string{settings.Address})
 	plane.Handler = &proxy.Handler{Name: settings.Address, Zone: settings.Zone, Environment: environment, Started: now, Codec: settings.Codec, Retries: settings.Retries, Await: settings.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
@@ -183,7 +184,7 @@
 }
 
 // follow hands on what changed and logs changes of state.
-func (plane *Plane) follow(now time.Time, snapshot controller.Snapshot) {
+func (plane *Plane) follow(now time.Time, snapshot config.Snapshot) {
 	if (len(snapshot.Runners) > 0 || snapshot.Registered) && !sameList(snapshot.Runners, plane.runners) {
 		plane.runners = snapshot.Runners
 		for _, gone := range plane.Handler.Loads.List(now, snapshot.Runners) {
@@ -216,7 +217,7 @@
 }
 
 // Snapshot gives what requests go by now.
-func (plane *Plane) Snapshot() *controller.Snapshot { return plane.snapshot.Load() }
+func (plane *Plane) Snapshot() *config.Snapshot { return plane.snapshot.Load() }
 
 // Daemons gives who shares the work.
 func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -13,7 +13,6 @@
 
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
-	"wardtray/dataplane/controller"
 	"wardtray/proxy/codec"
 	"wardtray/proxy/dedup"
 	"wardtray/transport/connpool"
@@ -46,10 +45,10 @@
 		change func(house *house)
 	}{
 		"the lease has run out": {"once", func(house *house) {
-			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog, Until: house.Environment.Now().Add(-time.Second)}
+			house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog, Until: house.Environment.Now().Add(-time.Second)}
 		}},
 		"the zone was closed": {"once", func(house *house) {
-			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(closed), Until: house.Environment.Now().Add(time.Hour)}
+			house.snapshot = &config.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(closed), Until: house.Environment.Now().Add(time.Hour)}
 		}},
 		"the deadline has passed": {"short", func(*house) {}},
 	} {
--- a/proxy/departure_test.go
+++ b/proxy/departure_test.go
@@ -14,7 +14,6 @@
 	"wardtray/balancer/load"
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
-	"wardtray/dataplane/controller"
 	"wardtray/proxy/admission"
 	"wardtray/proxy/dedup"
 	"wardtray/transport/connpool"
@@ -173,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
+	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
 }
 
 // A runner at work is let go when the client leaves, before its first event as well as behind it, and is not blamed.
@@ -263,7 +262,7 @@
 func TestWaitForASureSpecEndsWithTheClient(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 	waits := make(chan struct{}, 8)
 	house.Renewed = func() <-chan struct{} {
 		waits <- struct{}{}
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -19,7 +19,6 @@
 	"wardtray/balancer/load"
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
-	"wardtray/dataplane/controller"
 	"wardtray/metrics"
 	"wardtray/proxy/admission"
 	"wardtray/proxy/codec"
@@ -124,7 +123,7 @@
 type house struct {
 	*Handler
 	address  string
-	snapshot *controller.Snapshot
+	snapshot *config.Snapshot
 	told     []bool
 	// departures has an entry for each client of which the house has learned that it left.
 	departures chan struct{}
@@ -144,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := &house{departures: make(chan struct{}, 1024), snapshot: &controller.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: now.Add(time.Hour)}}
+	made := &house{departures: make(chan struct{}, 1024), snapshot: &config.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(parsed), Until: now.Add(time.Hour)}}
 	table := load.NewTable(now, "d")
 	var lines []*wire.Runner
 	for _, runner := range runners {
@@ -155,7 +154,7 @@
 	desk := scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
 		return scheduler.Snapshot{Runners: table.All(now, daemons()), Daemons: 1}
 	}, table, indexer, rand.New(rand.NewSource(1)))
-	made.Handler = &Handler{Name: "d", Zone: "a", Snapshot: func() *controller.Snapshot { return made.snapshot }, Daemons: daemons, Loads: table,
+	made.Handler = &Handler{Name: "d", Zone: "a", Snapshot: func() *config.Snapshot { return made.snapshot }, Daemons: daemons, Loads: table,
 		Environment: netio.Real(nil), Renewed: func() <-chan struct{} { return nil }, Await: scheduler.Await,
 		Once: dedup.New(), Tell: func(_ dedup.Key, dropped bool) { made.told = append(made.told, dropped) },
 		Indexer: indexer, Connections: connpool.New(netio.Real(nil), codec.Native{}.Identity()), Codec: codec.Native{}, Metrics: metrics.New(), Scheduler: func(string) *scheduler.Scheduler { return desk }}
@@ -305,13 +304,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
+			house.snapshot = &config.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
 		}
 	}
 	text := `{"zones":[{"name":"a","closed":%v}],"pools":[{"name":"p","model":"m","weights":%q,"services":[%q]}],"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false}]}`
 	for name, disturb := range map[string]func(house *house){
 		"stale spec": func(house *house) {
-			house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+			house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 		},
 		"closed zone":  change(fmt.Sprintf(text, true, "w", "s")),
 		"other serves": change(fmt.Sprintf(text, false, "w", "t")),
@@ -378,7 +377,7 @@
 		request: &admission.Request{Route: "once", Model: "m", Body: make([]byte, 100<<10)}, scheduler: house.Scheduler("p"), queuedRequest: &scheduler.QueuedRequest{Route: "once"}}
 	exchange.step = scheduler.Decision{Kind: scheduler.Dispatch, Runner: load.Runner{ID: "r1", Address: runner.address}}
 	exchange.to(passing)
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 	if end := exchange.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
 		t.Fatalf("a long request went out whole under a spec that is not surely present; the runner saw %d", runner.reached.Load())
 	}
@@ -392,7 +391,7 @@
 			t.Errorf("lane %q: %d %s", route, status, body)
 		}
 	}
-	house.snapshot = &controller.Snapshot{}
+	house.snapshot = &config.Snapshot{}
 	if status, body := house.post(t, "once"); status != 503 || !strings.Contains(body, "not_serving") {
 		t.Errorf("without a spec: %d %s", status, body)
 	}
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -12,8 +12,8 @@
 	"wardtray/balancer/load"
 	"wardtray/balancer/retrybudget"
 	"wardtray/balancer/scheduler"
+	"wardtray/config"
 	"wardtray/coordination/quota"
-	"wardtray/dataplane/controller"
 	"wardtray/features"
 	"wardtray/metrics"
 	"wardtray/proxy/codec"
@@ -31,7 +31,7 @@
 	Codec codec.Codec
 	// Await waits for the next step of a ticket; it tells whether that came before the context ended.
 	Await    func(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool)
-	Snapshot func() *controller.Snapshot
+	Snapshot func() *config.Snapshot
 	// Renewed gives a channel that is closed when a later snapshot may be relied on for longer.
 	Renewed     func() <-chan struct{}
 	Daemons     func() []string
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -5,7 +5,7 @@
 
 	"wardtray/apierror"
 	"wardtray/balancer/scheduler"
-	"wardtray/dataplane/controller"
+	"wardtray/coordination/lease"
 	"wardtray/metrics"
 	"wardtray/proxy/codec"
 	"wardtray/proxy/dedup"
@@ -31,9 +31,9 @@
 			until := exchange.handler.Snapshot().Until
 			// One that has just begun is sure of its spec within a moment; there is no silence to reckon by yet.
 			if until.Before(exchange.handler.Started) {
-				return max(controller.AskEvery, usualStart-exchange.now().Sub(exchange.handler.Started))
+				return max(lease.RenewEvery, usualStart-exchange.now().Sub(exchange.handler.Started))
 			}
-			return min(longestSilence, max(controller.AskEvery, exchange.now().Sub(until)))
+			return min(longestSilence, max(lease.RenewEvery, exchange.now().Sub(until)))
 		},
 		apierror.NoRunner:       func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
 		apierror.OutcomeUnknown: func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"wardtray/dataplane/controller"
+	"wardtray/config"
 	"wardtray/proxy/admission"
 	"wardtray/proxy/codec"
 	"wardtray/transport/connpool"
@@ -199,7 +199,7 @@
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
 	sure := house.snapshot
-	house.snapshot = &controller.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
+	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
 	started := time.Now()
 	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(started) > sureBound/2 {
 		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(started))
@@ -223,9 +223,9 @@
 // A request that waits for a sure spec goes on at the renewal, not at a poll some time after it.
 func TestRenewalEndsTheWaitForASureSpec(t *testing.T) {
 	house := build(t, start(t, "r1", events(1, done(1), true)))
-	unsure := &controller.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
+	unsure := &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
 	sure := house.snapshot
-	var present atomic.Pointer[controller.Snapshot]
+	var present atomic.Pointer[config.Snapshot]
 	present.Store(unsure)
 	renewed := make(chan struct{})
 	var woken time.Duration
--- a/proxy/tenant_test.go
+++ b/proxy/tenant_test.go
@@ -11,7 +11,6 @@
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
 	"wardtray/coordination/quota"
-	"wardtray/dataplane/controller"
 )
 
 // tenants gives a house two tenants, of which one has a quota; it answers each question for tokens by a function.
@@ -20,7 +19,7 @@
 	spec := *house.snapshot.Catalog.Spec
 	spec.Tenants = []config.Tenant{{Name: "limited", Keys: []string{"limited-key"}, Quota: config.Quota{Rate: 1000, Burst: 1000, Tokens: true}},
 		{Name: "free", Keys: []string{"free-key"}}}
-	house.snapshot = &controller.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(&spec), Until: time.Now().Add(time.Hour)}
+	house.snapshot = &config.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(&spec), Until: time.Now().Add(time.Hour)}
 	var number atomic.Uint64
 	house.Quota = quota.NewLimiter()
 	house.AskQuota = func() {
@@ -77,10 +76,10 @@
 	revoked.Tenants = revoked.Tenants[:1]
 	var looks atomic.Int64
 	snapshot := house.Snapshot
-	house.Snapshot = func() *controller.Snapshot {
+	house.Snapshot = func() *config.Snapshot {
 		// The first looks find the key, those directly before the write the newer spec.
 		if looks.Add(1) > 5 {
-			return &controller.Snapshot{SpecEpoch: 3, Catalog: config.NewCatalog(&revoked), Until: previous().Add(time.Hour)}
+			return &config.Snapshot{SpecEpoch: 3, Catalog: config.NewCatalog(&revoked), Until: previous().Add(time.Hour)}
 		}
 		return snapshot()
 	}
--- a/control/server/wire.go
+++ b/transport/counters.go
@@ -1,9 +1,7 @@
-package server
+package transport
 
-import "wardtray/transport"
-
-// WireCounters gives a transport's counters by name.
-func WireCounters(carrier *transport.Transport) map[string]any {
+// CounterValues gives a transport's counters by the names under which statuses show them.
+func CounterValues(carrier *Transport) map[string]any {
 	counters := &carrier.Counters
 	return map[string]any{
 		"sent": counters.Sent.Load(), "dropped": counters.Dropped.Load(), "received": counters.Received.Load(),
--- a/verify/modelcheck/judge.go
+++ b/verify/modelcheck/judge.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wardtray/control/node"
-	"wardtray/dataplane/controller"
+	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
 
@@ -232,7 +232,7 @@
 func (judge *judge) lookAtAward(host *host, epoch uint64, reached time.Time) {
 	for _, operation := range sortedKeys(judge.accepted) {
 		since := judge.accepted[operation].At
-		if known := reached.Add(controller.Staleness + step); since.Before(known) {
+		if known := reached.Add(lease.DaemonTerm + step); since.Before(known) {
 			since = known
 		}
 		if late := judge.world.now.Sub(since); judge.accepted[operation].Epoch > epoch && late >= 0 {
--- a/verify/scale/lines.go
+++ b/verify/scale/lines.go
@@ -8,9 +8,9 @@
 	"wardtray/balancer/retrybudget"
 	"wardtray/balancer/scheduler"
 	"wardtray/control/node"
-	"wardtray/control/registry"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
+	"wardtray/coordination/registry"
 	"wardtray/dataplane"
 )
 
--- a/verify/simulation/callers.go
+++ b/verify/simulation/callers.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"wardtray/control/registry"
+	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
 
