--- a/config/catalog.go
+++ b/config/catalog.go
@@ -2,141 +2,178 @@
 
 import "strings"
 
-// Catalog is a spec with its entries ready to be found by name, and its routes by host and path.
+// Catalog indexes a checked document: entries by name, routes by host and path, tenants by key. It is not changed after
+// it was made, and may be read by any number of goroutines.
 type Catalog struct {
-	Spec     *Spec
+	// Spec is the document that was indexed.
+	Spec *Spec
+	// Routes, Backends and Zones hold the document's entries by name.
 	Routes   map[string]*Route
 	Backends map[string]*Pool
 	Zones    map[string]*Zone
-	paths    map[string]*pathTable
-	backends map[string]*destination
-	keys     keyring
+	// hosts holds the routes that have a path prefix, by host.
+	hosts map[string]*hostRoutes
+	// splits holds the backends of each route, by the route's name.
+	splits map[string]*backendSplit
+	keys   keyring
 }
 
-// pathTable are the routes of one host by their prefix.
-type pathTable struct {
-	routes  map[string]*Route
+// hostRoutes holds the routes of one host by path prefix.
+type hostRoutes struct {
+	routes map[string]*Route
+	// longest is the length in bytes of the longest prefix.
 	longest int
 }
 
-// destination is where the requests of one route go: its backends in order, and how far the weights reach
-// after each.
-type destination struct {
+// backendSplit divides the requests of one route over its backends.
+type backendSplit struct {
 	backends []*Pool
-	reach    []int
-	// distinct are the same backends, each once.
+	// cumulative holds, for each backend, the sum of the weights up to and including its own.
+	cumulative []int
+	// distinct holds the same backends, each once.
 	distinct []*Pool
 }
 
-// NewCatalog indexes a checked spec.
+// NewCatalog indexes a document that has passed Spec.Check.
 func NewCatalog(spec *Spec) *Catalog {
-	book := &Catalog{Spec: spec, Routes: make(map[string]*Route, len(spec.Routes)), Backends: make(map[string]*Pool, len(spec.Backends)), Zones: map[string]*Zone{},
-		paths: map[string]*pathTable{}, backends: make(map[string]*destination, len(spec.Routes)), keys: newKeyring(spec)}
-	for place := range spec.Zones {
-		book.Zones[spec.Zones[place].Name] = &spec.Zones[place]
+	catalog := &Catalog{
+		Spec:     spec,
+		Routes:   make(map[string]*Route, len(spec.Routes)),
+		Backends: make(map[string]*Pool, len(spec.Backends)),
+		Zones:    map[string]*Zone{},
+		hosts:    map[string]*hostRoutes{},
+		splits:   make(map[string]*backendSplit, len(spec.Routes)),
+		keys:     newKeyring(spec),
 	}
-	for place := range spec.Backends {
-		book.Backends[spec.Backends[place].Name] = &spec.Backends[place]
+	for i := range spec.Zones {
+		catalog.Zones[spec.Zones[i].Name] = &spec.Zones[i]
 	}
-	for place := range spec.Routes {
-		route := &spec.Routes[place]
-		book.Routes[route.Name] = route
-		book.backends[route.Name] = book.destinationOf(route)
-		if route.PathPrefix == "" {
-			continue
-		}
-		host := Host(route.Authority)
-		if book.paths[host] == nil {
-			book.paths[host] = &pathTable{routes: map[string]*Route{}}
-		}
-		book.paths[host].routes[route.PathPrefix] = route
-		book.paths[host].longest = max(book.paths[host].longest, len(route.PathPrefix))
+	for i := range spec.Backends {
+		catalog.Backends[spec.Backends[i].Name] = &spec.Backends[i]
+	}
+	for i := range spec.Routes {
+		catalog.addRoute(&spec.Routes[i])
+	}
+	return catalog
+}
+
+// addRoute indexes a route; the backends are indexed before.
+func (catalog *Catalog) addRoute(route *Route) {
+	catalog.Routes[route.Name] = route
+	catalog.splits[route.Name] = catalog.newSplit(route)
+	if route.PathPrefix == "" {
+		return
 	}
-	return book
+	host := Host(route.Authority)
+	if catalog.hosts[host] == nil {
+		catalog.hosts[host] = &hostRoutes{routes: map[string]*Route{}}
+	}
+	catalog.hosts[host].add(route)
+}
+
+// add indexes a route by its path prefix.
+func (host *hostRoutes) add(route *Route) {
+	host.routes[route.PathPrefix] = route
+	host.longest = max(host.longest, len(route.PathPrefix))
 }
 
-func (book *Catalog) destinationOf(route *Route) *destination {
+// newSplit resolves the backends of a route, without those that do not exist or have no weight.
+func (catalog *Catalog) newSplit(route *Route) *backendSplit {
 	shares := route.Split
-	if route.Split == nil {
+	if shares == nil {
 		shares = []Share{{Pool: route.Pool, Weight: 1}}
 	}
-	made, reach, seen := &destination{}, 0, map[*Pool]bool{}
+	split, total, seen := &backendSplit{}, 0, map[*Pool]bool{}
 	for _, share := range shares {
-		backend := book.Backends[share.Pool]
+		backend := catalog.Backends[share.Pool]
 		if backend == nil || share.Weight <= 0 {
 			continue
 		}
-		reach += share.Weight
-		made.backends, made.reach = append(made.backends, backend), append(made.reach, reach)
+		total += share.Weight
+		split.backends = append(split.backends, backend)
+		split.cumulative = append(split.cumulative, total)
 		if !seen[backend] {
-			seen[backend], made.distinct = true, append(made.distinct, backend)
+			seen[backend] = true
+			split.distinct = append(split.distinct, backend)
 		}
 	}
-	return made
+	return split
 }
 
-// TenantOf gives the tenant that holds a key, nil where none does. known tells whether the key opens a route: every key
-// does where there are no tenants, and none is needed for a public route.
-func (book *Catalog) TenantOf(key string, route *Route) (tenant *Tenant, known bool) {
-	tenant = book.keys.owner(key)
-	return tenant, tenant != nil || route.Public || len(book.Spec.Tenants) == 0
+// TenantOf returns the tenant that owns a key, or nil. authorized reports whether the key opens a route: a public route
+// needs none, and neither does any route of a document without tenants.
+func (catalog *Catalog) TenantOf(key string, route *Route) (tenant *Tenant, authorized bool) {
+	tenant = catalog.keys.owner(key)
+	return tenant, tenant != nil || route.Public || len(catalog.Spec.Tenants) == 0
 }
 
-// Open tells whether a zone may get work: it is named and not closed, or the spec names no zones at all.
-func (book *Catalog) Open(zone string) bool {
-	if len(book.Zones) == 0 {
+// Open reports whether new requests may go to a zone: it is listed and not closed, or the document lists no zones.
+func (catalog *Catalog) Open(zone string) bool {
+	if len(catalog.Zones) == 0 {
 		return true
 	}
-	found := book.Zones[zone]
-	return found != nil && !found.Closed
+	listed := catalog.Zones[zone]
+	return listed != nil && !listed.Closed
 }
 
-// Match finds the route of a host and a path: the one with the longest prefix that begins the path, or nil.
-func (book *Catalog) Match(authority, path string) *Route {
-	found := book.paths[Host(authority)]
-	if found == nil {
+// Match returns the route of a host and a path: the one with the longest matching path prefix, or nil.
+func (catalog *Catalog) Match(authority, path string) *Route {
+	host := catalog.hosts[Host(authority)]
+	if host == nil {
 		return nil
 	}
-	// Every prefix ends with a slash, so only the places after one can be its end; a path with more
-	// slashes than any prefix is long costs nothing.
-	for end := min(len(path), found.longest); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
+	return host.match(path)
+}
+
+// match returns the route with the longest prefix of a path, or nil.
+func (host *hostRoutes) match(path string) *Route {
+	// Every prefix ends with a slash, so only the positions after one can be its end; a path with more slashes than any
+	// prefix is long costs nothing.
+	for end := min(len(path), host.longest); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
 		if path[end-1] != '/' {
 			continue
 		}
-		if route := found.routes[path[:end]]; route != nil {
+		if route := host.routes[path[:end]]; route != nil {
 			return route
 		}
 	}
 	return nil
 }
 
-// BackendsOf lists the backends that a route's requests may go to, each once. The caller must not change the list.
-func (book *Catalog) BackendsOf(route *Route) []*Pool {
-	if found := book.backends[route.Name]; found != nil {
-		return found.distinct
+// BackendsOf returns the backends that a route's requests may go to, each once. The caller must not change the list.
+func (catalog *Catalog) BackendsOf(route *Route) []*Pool {
+	if split := catalog.splits[route.Name]; split != nil {
+		return split.distinct
 	}
 	return nil
 }
 
-// BackendAt gives the backend at a point, from 0 up to but not including 1, of a route's split; nil if it has none.
-func (book *Catalog) BackendAt(route *Route, point float64) *Pool {
-	found := book.backends[route.Name]
-	if found == nil || len(found.backends) == 0 {
+// BackendAt returns the backend at a point of a route's split, or nil if the route has none. Points run from 0 up to
+// but not including 1; a point drawn evenly chooses each backend by its weight.
+func (catalog *Catalog) BackendAt(route *Route, point float64) *Pool {
+	split := catalog.splits[route.Name]
+	if split == nil || len(split.backends) == 0 {
 		return nil
 	}
-	mark := point * float64(found.reach[len(found.reach)-1])
-	for place, reach := range found.reach {
-		if mark < float64(reach) {
-			return found.backends[place]
+	return split.at(point)
+}
+
+// at returns the backend at a point; there is at least one.
+func (split *backendSplit) at(point float64) *Pool {
+	last := len(split.backends) - 1
+	position := point * float64(split.cumulative[last])
+	for i, end := range split.cumulative {
+		if position < float64(end) {
+			return split.backends[i]
 		}
 	}
-	return found.backends[len(found.backends)-1]
+	return split.backends[last]
 }
 
-// Host gives the form in which hosts are compared: in small letters, without a port.
+// Host returns the form in which hosts are compared: lower case, without a port.
 func Host(authority string) string {
 	if colon := strings.LastIndexByte(authority, ':'); colon >= 0 {
-		// The colons of a bare IPv6 address are no port's.
+		// The colons of a bare IPv6 address precede no port.
 		if host := authority[:colon]; !strings.Contains(host, ":") || strings.HasSuffix(host, "]") {
 			authority = host
 		}
--- a/config/change.go
+++ b/config/change.go
@@ -10,7 +10,8 @@
 	"wardtray/strictjson"
 )
 
-// ParseChange reads a change strictly; Apply checks it.
+// ParseChange reads an operator's change: unknown and repeated keys are Malformed errors, more than MaximumBytes is
+// TooLarge. It does not check values; see Change.Apply.
 func ParseChange(content []byte) (*Change, error) {
 	if len(content) > MaximumBytes {
 		return nil, apierror.New(apierror.TooLarge, "a change of %d bytes; at most %d", len(content), MaximumBytes)
@@ -25,87 +26,119 @@
 	return parsed, nil
 }
 
-// Encode writes the change.
+// Encode returns the canonical form.
 func (change *Change) Encode() []byte {
 	content, err := easyjson.Marshal(change)
 	if err != nil {
-		panic(err) // Plain fields always marshal; anything else is a defect of ours.
+		panic(err) // Plain fields always marshal; anything else is a defect of this package.
 	}
 	return content
 }
 
-// Apply gives the spec that follows from another, which it does not touch, and every flaw of the change
-// and of the whole. What is replaced keeps its place; what is new comes last, in the order given.
+// Apply returns the document that follows from a present one, which it leaves as it is, and every problem of the change
+// and of the result. An entry that is replaced keeps its position; new ones come last, in the order of the change.
 func (change *Change) Apply(present *Spec) (*Spec, []Problem) {
-	checker := &checker{}
-	origins := map[string]string{}
+	merger := &merger{origins: map[string]string{}}
+	upsert, remove := &change.Upsert, &change.Remove
 	next := *present
-	next.Zones = merge(checker, origins, "zones", present.Zones, change.Upsert.Zones, change.Remove.Zones, func(zone *Zone) string { return zone.Name })
-	next.Backends = merge(checker, origins, "pools", present.Backends, change.Upsert.Backends, change.Remove.Backends, func(backend *Pool) string { return backend.Name })
-	next.Routes = merge(checker, origins, "lanes", present.Routes, change.Upsert.Routes, change.Remove.Routes, func(route *Route) string { return route.Name })
-	next.Tenants = merge(checker, origins, "tenants", present.Tenants, change.Upsert.Tenants, change.Remove.Tenants, func(tenant *Tenant) string { return tenant.Name })
+	next.Zones = merge(merger, listChange[Zone]{"zones", present.Zones, upsert.Zones, remove.Zones, zoneName})
+	next.Backends = merge(merger,
+		listChange[Pool]{"pools", present.Backends, upsert.Backends, remove.Backends, backendName})
+	next.Routes = merge(merger, listChange[Route]{"lanes", present.Routes, upsert.Routes, remove.Routes, routeName})
+	next.Tenants = merge(merger,
+		listChange[Tenant]{"tenants", present.Tenants, upsert.Tenants, remove.Tenants, tenantName})
 	if change.Limits != nil {
 		next.Limits = *change.Limits
 	}
-	next.Annotations = Annotations{}
-	for name, value := range present.Annotations {
-		next.Annotations[name] = value
+	next.Annotations = present.Annotations.with(change.Annotations)
+	for _, problem := range next.Check() {
+		problem.Path = merger.origin(problem.Path)
+		merger.problems = append(merger.problems, problem)
 	}
-	for name, value := range change.Annotations {
-		next.Annotations[name] = value
-		if string(value) == "null" {
-			delete(next.Annotations, name)
-		}
-	}
-	for _, flaw := range next.Check() {
-		// Who wrote the change knows its places, and not those of the whole spec.
-		entry, rest, _ := strings.Cut(flaw.Path, "]")
-		if origin, found := origins[entry+"]"]; found {
-			flaw.Path = origin + rest
-		}
-		checker.flaws = append(checker.flaws, flaw)
-	}
-	return &next, checker.flaws
+	return &next, merger.problems
 }
 
-// merge gives a list with entries replaced, added and removed, and tells where in the change those at
-// each place came from.
-func merge[Entry any](checker *checker, origins map[string]string, list string, present, upsert []Entry, remove []string, name func(*Entry) string) []Entry {
-	gone := map[string]bool{}
-	for _, removed := range remove {
-		gone[removed] = true
+func zoneName(zone *Zone) string       { return zone.Name }
+func backendName(backend *Pool) string { return backend.Name }
+func routeName(route *Route) string    { return route.Name }
+func tenantName(tenant *Tenant) string { return tenant.Name }
+
+// merger applies a change to the lists of a document. It collects the problems of the change itself, and keeps track of
+// where the entries of the result came from.
+type merger struct {
+	checker
+	// origins maps the path of an entry of the result to its path in the change.
+	origins map[string]string
+}
+
+// origin translates a path in the result to the path in the change, which is what its author knows. Paths of what the
+// change did not bring stay.
+func (merger *merger) origin(path string) string {
+	entry, rest, _ := strings.Cut(path, "]")
+	if origin, found := merger.origins[entry+"]"]; found {
+		return origin + rest
 	}
-	fresh := map[string]int{}
-	for place := range upsert {
-		here, named := fmt.Sprintf("upsert.%s[%d]", list, place), name(&upsert[place])
-		if _, twice := fresh[named]; twice {
-			checker.flaw(here+".name", "%q is there twice", named)
+	return path
+}
+
+// listChange is the change of one list of a document.
+type listChange[Entry any] struct {
+	// list is the list's key in the document.
+	list            string
+	present, upsert []Entry
+	remove          []string
+	name            func(*Entry) string
+}
+
+// path returns the path in the change of the upserted entry at an index.
+func (change listChange[Entry]) path(index int) string {
+	return fmt.Sprintf("upsert.%s[%d]", change.list, index)
+}
+
+// index maps the names of the upserted entries to their indices, and reports names that occur twice or are removed too.
+func (change listChange[Entry]) index(merger *merger, removed map[string]bool) map[string]int {
+	indices := map[string]int{}
+	for i := range change.upsert {
+		name := change.name(&change.upsert[i])
+		if _, twice := indices[name]; twice {
+			merger.report(change.path(i)+".name", "%q is there twice", name)
 		}
-		if gone[named] {
-			checker.flaw(here+".name", "%q is to be removed as well", named)
+		if removed[name] {
+			merger.report(change.path(i)+".name", "%q is to be removed as well", name)
 		}
-		fresh[named] = place
+		indices[name] = i
+	}
+	return indices
+}
+
+// merge returns a list with entries replaced, added and removed, and records the origins of those from the change.
+func merge[Entry any](merger *merger, change listChange[Entry]) []Entry {
+	removed := map[string]bool{}
+	for _, name := range change.remove {
+		removed[name] = true
 	}
-	merged := make([]Entry, 0, len(present)+len(upsert))
-	add := func(place int) {
-		origins[fmt.Sprintf("%s[%d]", list, len(merged))] = fmt.Sprintf("upsert.%s[%d]", list, place)
-		merged = append(merged, upsert[place])
+	upserted := change.index(merger, removed)
+	merged := make([]Entry, 0, len(change.present)+len(change.upsert))
+	add := func(index int) {
+		merger.origins[fmt.Sprintf("%s[%d]", change.list, len(merged))] = change.path(index)
+		merged = append(merged, change.upsert[index])
 	}
-	placed := map[string]bool{}
-	for place := range present {
-		named := name(&present[place])
-		if replaced, found := fresh[named]; found {
-			placed[named] = true
-			add(replaced)
+	replaced := map[string]bool{}
+	for i := range change.present {
+		name := change.name(&change.present[i])
+		if index, found := upserted[name]; found {
+			replaced[name] = true
+			add(index)
 			continue
 		}
-		if !gone[named] {
-			merged = append(merged, present[place])
+		if !removed[name] {
+			merged = append(merged, change.present[i])
 		}
 	}
-	for place := range upsert {
-		if named := name(&upsert[place]); !placed[named] && fresh[named] == place {
-			add(place)
+	for i := range change.upsert {
+		// Of entries with the same name, which were reported, the last one counts.
+		if name := change.name(&change.upsert[i]); !replaced[name] && upserted[name] == i {
+			add(i)
 		}
 	}
 	return merged
--- a/config/change_fuzz_test.go
+++ b/config/change_fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A change that was read is read again from its own encoding, and applying it to any spec gives a whole one or flaws.
+// A change that was read is read again from its own encoding, and applying it to any spec returns a valid one or
+// problems.
 func FuzzParseChange(fuzz *testing.F) {
 	fuzz.Add([]byte(`{"upsert":{"zones":[{"name":"a","closed":true}],"pools":[],"lanes":[]},"remove":{"lanes":["l"]}}`))
 	fuzz.Add([]byte(`{"upsert":{"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":1,"repeatable":true}]}}`))
@@ -22,12 +23,12 @@
 		if err != nil || string(again.Encode()) != string(encoded) {
 			t.Fatalf("%s is read back as another: %v", encoded, err)
 		}
-		next, flaws := change.Apply(present)
-		if len(flaws) > 0 {
+		next, problems := change.Apply(present)
+		if len(problems) > 0 {
 			return
 		}
 		if back, err := Parse(next.Encode()); err != nil || len(back.Check()) > 0 || len(Diff(next, back)) > 0 {
-			t.Fatalf("%s makes a spec that is not read back: %v", content, err)
+			t.Fatalf("%s makes a document that is not read back: %v", content, err)
 		}
 		NewCatalog(next)
 	})
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -3,38 +3,44 @@
 import (
 	"fmt"
 	"math/rand"
+	"strconv"
 	"testing"
+	"time"
 
 	"wardtray/apierror"
 )
 
-func TestChangeKeepsPlacesAndLeavesThePresentAlone(t *testing.T) {
+func TestApplyKeepsPositionsAndTheDocumentItself(t *testing.T) {
 	present, err := Parse([]byte(`{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","services":["s"]},{"name":"q","services":["t"]}],
 "lanes":[{"name":"k","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"1s"},{"name":"m","pool":"q","patience":"1s"}],"annotations":{"x":1,"y":2}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := string(present.Encode())
-	change, err := ParseChange([]byte(`{"upsert":{"zones":[{"name":"b","closed":true}],"lanes":[{"name":"n","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"2s","worth":5}]},
+	change, err := ParseChange([]byte(`{"upsert":{"zones":[{"name":"b","closed":true}],
+"lanes":[{"name":"n","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"2s","worth":5}]},
 "remove":{"lanes":["m","gone"],"pools":["q"],"zones":["a"]},"limits":{"body_bytes":7},"annotations":{"x":null,"z":{"a": 1}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, flaws := change.Apply(present)
-	if len(flaws) > 0 || string(present.Encode()) != before {
-		t.Fatalf("%v; the present spec is now %s", flaws, present.Encode())
+	next, problems := change.Apply(present)
+	if len(problems) > 0 || string(present.Encode()) != before {
+		t.Fatalf("%v; the present spec is now %s", problems, present.Encode())
 	}
 	want, err := Parse([]byte(`{"zones":[{"name":"b","closed":true}],"pools":[{"name":"p","services":["s"]}],
-"lanes":[{"name":"k","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"2s","worth":5},{"name":"n","pool":"p","patience":"1s"}],
-"limits":{"body_bytes":7},"annotations":{"y":2,"z":{"a": 1}}}`))
+"lanes":[{"name":"k","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"2s","worth":5},
+{"name":"n","pool":"p","patience":"1s"}],"limits":{"body_bytes":7},"annotations":{"y":2,"z":{"a": 1}}}`))
 	if err != nil || string(next.Encode()) != string(want.Encode()) {
 		t.Fatalf("%v: got %s", err, next.Encode())
 	}
 }
 
 func TestBadChangesAreMalformed(t *testing.T) {
-	for name, text := range map[string]string{"nothing": "", "a list": "[]", "unknown": `{"add":{}}`, "twice": `{"upsert":{},"upsert":{}}`, "behind": `{}{}`,
-		"unknown list": `{"remove":{"lane":[]}}`, "wrong type": `{"remove":{"lanes":[1]}}`, "bad lane": `{"upsert":{"lanes":[{"name":"l","pols":"p"}]}}`} {
+	for name, text := range map[string]string{
+		"empty": "", "a list": "[]", "unknown key": `{"add":{}}`, "repeated key": `{"upsert":{},"upsert":{}}`,
+		"text after the end": `{}{}`, "unknown list": `{"remove":{"lane":[]}}`, "wrong type": `{"remove":{"lanes":[1]}}`,
+		"unknown key of a route": `{"upsert":{"lanes":[{"name":"l","pols":"p"}]}}`,
+	} {
 		if _, err := ParseChange([]byte(text)); !apierror.Is(err, apierror.Malformed) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -59,11 +65,11 @@
 
 // A change agrees with its definition on drawn lists: entries that stay or are replaced keep their order,
 // those that are new follow in the order given.
-func TestChangeAgreesWithItsDefinition(t *testing.T) {
+func TestApplyAgreesWithItsDefinition(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	names := func() (drawn []string) {
-		for _, place := range random.Perm(8)[:random.Intn(6)] {
-			drawn = append(drawn, fmt.Sprint(place))
+		for _, number := range random.Perm(8)[:random.Intn(6)] {
+			drawn = append(drawn, strconv.Itoa(number))
 		}
 		return drawn
 	}
@@ -81,10 +87,11 @@
 			change.Remove.Zones, removed[name], clash = append(change.Remove.Zones, name), true, clash || upsert[name]
 		}
 		want := changedZones(present.Zones, change.Upsert.Zones, upsert, removed)
-		present.Backends, present.Routes = []Pool{{Name: "p", Services: []string{"s"}}}, Routes{{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(1e9)}}
-		next, flaws := change.Apply(present)
-		if clash != (len(flaws) > 0) {
-			t.Fatalf("%+v: %v", change, flaws)
+		present.Backends = []Pool{{Name: "p", Services: []string{"s"}}}
+		present.Routes = Routes{{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}}
+		next, problems := change.Apply(present)
+		if clash != (len(problems) > 0) {
+			t.Fatalf("%+v: %v", change, problems)
 		}
 		if !clash && fmt.Sprint(next.Zones) != fmt.Sprint(want) {
 			t.Fatalf("%+v\nto    %v\ngives %v\nwants %v", change, present.Zones, next.Zones, want)
--- a/config/diff.go
+++ b/config/diff.go
@@ -1,65 +1,57 @@
 package config
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"github.com/mailru/easyjson"
 )
 
-// Diff lists the entries that one spec adds to, takes from or changes in another, a line each.
+// Diff returns the entries that are added, removed or changed from one document to another, a line each: "+" or "-",
+// the kind and name of the entry, and its JSON. An entry that changed has a line for each of its two forms.
 func Diff(from, to *Spec) []string {
-	old, fresh := entries(from), entries(to)
-	names := map[string]bool{}
-	for name := range old {
-		names[name] = true
-	}
-	for name := range fresh {
-		names[name] = true
-	}
-	ordered := make([]string, 0, len(names))
-	for name := range names {
-		ordered = append(ordered, name)
-	}
-	sort.Strings(ordered)
+	before, after := encodedEntries(from), encodedEntries(to)
+	all := maps.Clone(before)
+	maps.Copy(all, after)
 	var changes []string
-	for _, name := range ordered {
-		if old[name] == fresh[name] {
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		if before[name] == after[name] {
 			continue
 		}
-		if old[name] != "" {
-			changes = append(changes, "- "+name+" "+old[name])
+		if before[name] != "" {
+			changes = append(changes, "- "+name+" "+before[name])
 		}
-		if fresh[name] != "" {
-			changes = append(changes, "+ "+name+" "+fresh[name])
+		if after[name] != "" {
+			changes = append(changes, "+ "+name+" "+after[name])
 		}
 	}
 	return changes
 }
 
-func entries(spec *Spec) map[string]string {
+// encodedEntries maps the kind and name of each entry of a document to its JSON, in which no key of a tenant is shown.
+func encodedEntries(spec *Spec) map[string]string {
 	entries := map[string]string{}
 	add := func(name string, entry easyjson.Marshaler) {
 		content, err := easyjson.Marshal(entry)
 		if err != nil {
-			panic(err) // Plain fields always marshal; anything else is a defect of ours.
+			panic(err) // Plain fields always marshal; anything else is a defect of this package.
 		}
 		entries[name] = string(content)
 	}
-	for place := range spec.Zones {
-		add("zone "+spec.Zones[place].Name, &spec.Zones[place])
+	for i := range spec.Zones {
+		add("zone "+spec.Zones[i].Name, &spec.Zones[i])
 	}
-	for place := range spec.Backends {
-		add("pool "+spec.Backends[place].Name, &spec.Backends[place])
+	for i := range spec.Backends {
+		add("pool "+spec.Backends[i].Name, &spec.Backends[i])
 	}
-	for place := range spec.Routes {
-		add("lane "+spec.Routes[place].Name, &spec.Routes[place])
+	for i := range spec.Routes {
+		add("lane "+spec.Routes[i].Name, &spec.Routes[i])
 	}
-	for place := range spec.Tenants {
-		shown := spec.Tenants[place]
-		shown.KeyHashes, shown.Keys = hashes(diffSalt, shown.Keys), nil
-		add("tenant "+shown.Name, &shown)
+	for _, tenant := range spec.Tenants {
+		tenant.KeyHashes, tenant.Keys = hashKeys(diffSalt, tenant.Keys), nil
+		add("tenant "+tenant.Name, &tenant)
 	}
-	// What a spec does not bound or annotate is no entry, or an empty spec would have one.
+	// Limits and annotations that are not set are no entries, or an empty document would have some.
 	if spec.Limits != (Limits{}) {
 		add("limits", &spec.Limits)
 	}
--- /dev/null
+++ b/config/duration.go
@@ -0,0 +1,31 @@
+package config
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/mailru/easyjson/jlexer"
+	"github.com/mailru/easyjson/jwriter"
+)
+
+// Duration is a length of time that JSON documents write as text in the form of time.ParseDuration, such as "1.5s".
+type Duration time.Duration
+
+// MarshalEasyJSON writes the duration as text.
+func (duration Duration) MarshalEasyJSON(writer *jwriter.Writer) {
+	writer.String(time.Duration(duration).String())
+}
+
+// UnmarshalEasyJSON reads the duration from text; anything else is an error of the lexer.
+func (duration *Duration) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
+	text := lexer.String()
+	if !lexer.Ok() {
+		return
+	}
+	parsed, err := time.ParseDuration(text)
+	if err != nil {
+		lexer.AddError(fmt.Errorf("%q is no length of time; write it as in 1.5s", text))
+		return
+	}
+	*duration = Duration(parsed)
+}
--- /dev/null
+++ b/config/encoding.go
@@ -0,0 +1,43 @@
+package config
+
+import (
+	"github.com/mailru/easyjson"
+
+	"wardtray/apierror"
+	"wardtray/strictjson"
+)
+
+// Parse reads an operator's document: unknown and repeated keys are Malformed errors, more than MaximumBytes is
+// TooLarge. It does not check values; see Spec.Check.
+func Parse(content []byte) (*Spec, error) {
+	if len(content) > MaximumBytes {
+		return nil, apierror.New(apierror.TooLarge, "a spec of %d bytes; at most %d", len(content), MaximumBytes)
+	}
+	if err := strictjson.Check(content); err != nil {
+		return nil, err
+	}
+	parsed := &Spec{}
+	if err := easyjson.Unmarshal(content, parsed); err != nil {
+		return nil, apierror.New(apierror.Malformed, "%v", err)
+	}
+	return parsed, nil
+}
+
+// Decode reads a document that Encode wrote after it had passed Spec.Check, and so skips the strict pass of Parse. A
+// failure is an Internal error.
+func Decode(content []byte) (*Spec, error) {
+	decoded := &Spec{}
+	if err := easyjson.Unmarshal(content, decoded); err != nil {
+		return nil, apierror.Wrap(err, apierror.Internal, "reading a spec that was checked before")
+	}
+	return decoded, nil
+}
+
+// Encode returns the canonical form: equal documents have equal bytes.
+func (spec *Spec) Encode() []byte {
+	content, err := easyjson.Marshal(spec)
+	if err != nil {
+		panic(err) // Plain fields always marshal; anything else is a defect of this package.
+	}
+	return content
+}
--- /dev/null
+++ b/config/entries.go
@@ -0,0 +1,35 @@
+package config
+
+import "slices"
+
+// Allows reports whether runners of a service may be given the backend's requests.
+func (backend *Pool) Allows(service string) bool { return slices.Contains(backend.Services, service) }
+
+// Runs reports whether the backend serves a model; one that names none serves any.
+func (backend *Pool) Runs(model string) bool { return backend.Model == "" || backend.Model == model }
+
+// Serves reports whether the backend serves an adapter; requests without an adapter are always served.
+func (backend *Pool) Serves(adapter string) bool {
+	return adapter == "" || slices.Contains(backend.Adapters, adapter)
+}
+
+// Cancels reports whether a run of the route is cancelled when its client disconnects.
+func (route *Route) Cancels() bool { return route.Idempotent || route.CancelOnDisconnect }
+
+// requestCost is what a request counts against a quota whose unit is a request.
+const requestCost = 1
+
+// Limits reports whether the quota bounds anything.
+func (quota Quota) Limits() bool { return quota.Rate > 0 }
+
+// Cost returns the units that a request of so many tokens counts; declared is false for a request that does not declare
+// its tokens.
+func (quota Quota) Cost(tokens int, declared bool) float64 {
+	if !quota.Tokens {
+		return requestCost
+	}
+	if !declared {
+		return float64(quota.UncountedTokens)
+	}
+	return float64(tokens)
+}
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// A flaw keeps its keys.
-func TestFlawKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "flaw", golden.Marshal[Problem]) }
+// A problem keeps its keys.
+func TestProblemKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "flaw", golden.Marshal[Problem]) }
 
 func goldenContent(t *testing.T, name string) []byte {
 	t.Helper()
--- a/config/keys.go
+++ b/config/keys.go
@@ -13,21 +13,22 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
+// saltBytes is the length of a salt.
 const saltBytes = 16
 
-// diffSalt hashes the keys of both sides of a diff alike; it is drawn once a process, so that a hash shown says nothing
-// beyond which keys are the same.
+// diffSalt hashes the keys of both documents of a diff alike. It is drawn once per process, so that a hash that is
+// shown says no more than which keys are the same.
 var diffSalt = newSalt()
 
-// KeyHash is a tenant's key under a keyed hash (HMAC-SHA-256), by which a daemon knows a key without keeping it.
+// KeyHash is a tenant's key under a keyed hash (HMAC-SHA-256), by which a daemon recognizes a key without keeping it.
 type KeyHash [sha256.Size]byte
 
-// MarshalEasyJSON writes a hash in hexadecimal digits.
+// MarshalEasyJSON writes the hash in hexadecimal digits.
 func (hash KeyHash) MarshalEasyJSON(writer *jwriter.Writer) {
 	writer.String(hex.EncodeToString(hash[:]))
 }
 
-// UnmarshalEasyJSON reads a hash.
+// UnmarshalEasyJSON reads the hash from hexadecimal digits.
 func (hash *KeyHash) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
 	text := lexer.String()
 	if !lexer.Ok() {
@@ -41,6 +42,7 @@
 	copy(hash[:], content)
 }
 
+// newSalt draws a salt.
 func newSalt() []byte {
 	salt := make([]byte, saltBytes)
 	// Reading from the system's source of randomness never fails: the library ends the process instead.
@@ -48,6 +50,7 @@
 	return salt
 }
 
+// hashKey returns a key's hash under a salt.
 func hashKey(salt []byte, key string) (hash KeyHash) {
 	keyed := hmac.New(sha256.New, salt)
 	_, _ = keyed.Write([]byte(key)) // Writing to a hash can't fail.
@@ -55,16 +58,17 @@
 	return hash
 }
 
-func hashes(salt []byte, keys []string) []KeyHash {
-	made := make([]KeyHash, 0, len(keys))
+// hashKeys returns the hashes of keys under one salt, in the same order.
+func hashKeys(salt []byte, keys []string) []KeyHash {
+	hashes := make([]KeyHash, 0, len(keys))
 	for _, key := range keys {
-		made = append(made, hashKey(salt, key))
+		hashes = append(hashes, hashKey(salt, key))
 	}
-	return made
+	return hashes
 }
 
-// Seal gives the spec as daemons get it: each key replaced by its hash under a salt that was drawn for this copy. The
-// spec itself stays as it is. One without tenants is given back itself.
+// Seal returns the daemons' copy of a document: each key replaced by its hash under a salt that was drawn for this
+// copy. The document itself stays as it is. One without tenants, or sealed before, is returned itself.
 func (spec *Spec) Seal() *Spec {
 	if len(spec.Tenants) == 0 || len(spec.KeySalt) > 0 {
 		return spec
@@ -72,14 +76,14 @@
 	sealed := *spec
 	sealed.KeySalt = newSalt()
 	sealed.Tenants = make([]Tenant, len(spec.Tenants))
-	for place, tenant := range spec.Tenants {
-		tenant.KeyHashes, tenant.Keys = hashes(sealed.KeySalt, tenant.Keys), nil
-		sealed.Tenants[place] = tenant
+	for i, tenant := range spec.Tenants {
+		tenant.KeyHashes, tenant.Keys = hashKeys(sealed.KeySalt, tenant.Keys), nil
+		sealed.Tenants[i] = tenant
 	}
 	return &sealed
 }
 
-// SealContent gives an encoded spec as daemons get it; one that can't be read is given back as it is.
+// SealContent returns the daemons' copy of an encoded document; one that can't be read is returned unchanged.
 func SealContent(content []byte) []byte {
 	if !bytes.Contains(content, []byte(`"tenants":`)) {
 		return content
@@ -97,31 +101,32 @@
 	owners map[KeyHash]*Tenant
 }
 
+// newKeyring indexes the tenants of a document by the hashes of their keys.
 func newKeyring(spec *Spec) keyring {
 	sealed := spec.Seal()
 	ring := keyring{salt: sealed.KeySalt, owners: map[KeyHash]*Tenant{}}
-	for place := range sealed.Tenants {
-		for _, hash := range sealed.Tenants[place].KeyHashes {
-			ring.owners[hash] = &sealed.Tenants[place]
+	for i := range sealed.Tenants {
+		for _, hash := range sealed.Tenants[i].KeyHashes {
+			ring.owners[hash] = &sealed.Tenants[i]
 		}
 	}
 	return ring
 }
 
-// owner gives the tenant of a key, nil where none has it. Keys are looked up by their hashes alone, so the time that it
-// takes tells nothing of a key that is near one.
+// owner returns the tenant of a key, or nil. Keys are looked up by their hashes alone, so that the time it takes
+// reveals nothing about a key that is similar to one.
 func (ring keyring) owner(key string) *Tenant {
 	if key == "" || len(ring.owners) == 0 {
 		return nil
 	}
 	hash := hashKey(ring.salt, key)
-	found := ring.owners[hash]
-	if found == nil {
+	tenant := ring.owners[hash]
+	if tenant == nil {
 		return nil
 	}
-	for _, own := range found.KeyHashes {
-		if subtle.ConstantTimeCompare(own[:], hash[:]) == 1 {
-			return found
+	for _, known := range tenant.KeyHashes {
+		if subtle.ConstantTimeCompare(known[:], hash[:]) == 1 {
+			return tenant
 		}
 	}
 	return nil
--- a/config/keys_test.go
+++ b/config/keys_test.go
@@ -24,26 +24,27 @@
 	return parsed
 }
 
-const twoTenants = `[{"name":"a","keys":["` + firstKey + `","` + secondKey + `"],"quota":{"rate":100,"burst":50,"tokens":true,"uncounted_tokens":7}},{"name":"b","keys":["` + otherKey + `"],"rank":2}]`
+const twoTenants = `[{"name":"a","keys":["` + firstKey + `","` + secondKey + `"],
+"quota":{"rate":100,"burst":50,"tokens":true,"uncounted_tokens":7}},{"name":"b","keys":["` + otherKey + `"],"rank":2}]`
 
 // A key opens its tenant's routes, by the spec itself and by the copy that daemons get.
 func TestTenantOfAKey(t *testing.T) {
 	spec := specWithTenants(t, twoTenants)
-	if flaws := spec.Check(); len(flaws) > 0 {
-		t.Fatal(flaws)
+	if problems := spec.Check(); len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	sealed, err := Decode(SealContent(spec.Encode()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, book := range map[string]*Catalog{"spec": NewCatalog(spec), "sealed": NewCatalog(sealed)} {
+	for name, catalog := range map[string]*Catalog{"spec": NewCatalog(spec), "sealed": NewCatalog(sealed)} {
 		for key, want := range map[string]string{firstKey: "a", secondKey: "a", otherKey: "b", "unknown": "", "": ""} {
-			tenant, known := book.TenantOf(key, book.Routes["closed"])
+			tenant, known := catalog.TenantOf(key, catalog.Routes["closed"])
 			if known != (want != "") || known && tenant.Name != want {
 				t.Errorf("%s: key of %q gives %v, %v", name, want, tenant, known)
 			}
-			if _, known := book.TenantOf(key, book.Routes["open"]); !known {
-				t.Errorf("%s: a public lane is closed to the key of %q", name, want)
+			if _, known := catalog.TenantOf(key, catalog.Routes["open"]); !known {
+				t.Errorf("%s: a public route is closed to the key of %q", name, want)
 			}
 		}
 	}
@@ -73,7 +74,7 @@
 	}
 }
 
-func TestFlawsOfTenants(t *testing.T) {
+func TestProblemsOfTenants(t *testing.T) {
 	for tenants, path := range map[string]string{
 		`[{"name":"a","keys":["` + firstKey + `"]},{"name":"b","keys":["x","` + firstKey + `"]}]`: "tenants[1].keys[1]",
 		`[{"name":"a"},{"name":"a"}]`:                                     "tenants[1].name",
@@ -84,18 +85,18 @@
 		`[{"name":"a","rank":-1}]`:                                        "tenants[0].rank",
 		`[{"name":"a","key_hashes":["` + strings.Repeat("0", 64) + `"]}]`: "tenants[0].key_hashes",
 	} {
-		flaws := specWithTenants(t, tenants).Check()
-		if len(flaws) != 1 || flaws[0].Path != path {
-			t.Errorf("%s: %v", tenants, flaws)
+		problems := specWithTenants(t, tenants).Check()
+		if len(problems) != 1 || problems[0].Path != path {
+			t.Errorf("%s: %v", tenants, problems)
 		}
-		for _, flaw := range flaws {
-			if strings.Contains(flaw.Detail, firstKey) {
-				t.Errorf("a flaw shows a key: %v", flaw)
+		for _, problem := range problems {
+			if strings.Contains(problem.Detail, firstKey) {
+				t.Errorf("a problem shows a key: %v", problem)
 			}
 		}
 	}
-	if flaws := specWithTenants(t, `[{"name":"a","keys":["k","k"]}]`).Check(); len(flaws) > 0 {
-		t.Errorf("a tenant's own key twice: %v", flaws)
+	if problems := specWithTenants(t, `[{"name":"a","keys":["k","k"]}]`).Check(); len(problems) > 0 {
+		t.Errorf("a tenant's own key twice: %v", problems)
 	}
 	if _, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[],"tenants":[{"name":"a","key_hashes":["00"]}]}`)); err == nil {
 		t.Error("a hash of one byte is read")
@@ -105,41 +106,42 @@
 // Tenants are replaced, added and removed by their names, and a change that gives one tenant another's key is refused.
 func TestChangesOfTenants(t *testing.T) {
 	present := specWithTenants(t, twoTenants)
-	change, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"b","keys":["fresh"]},{"name":"c","keys":["` + otherKey + `"]}]},"remove":{"tenants":["a"]}}`))
+	change, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"b","keys":["fresh"]},
+{"name":"c","keys":["` + otherKey + `"]}]},"remove":{"tenants":["a"]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, flaws := change.Apply(present)
-	if len(flaws) > 0 || len(next.Tenants) != 2 || next.Tenants[0].Name != "b" || next.Tenants[1].Name != "c" {
-		t.Fatalf("%v %v", flaws, next.Tenants)
+	next, problems := change.Apply(present)
+	if len(problems) > 0 || len(next.Tenants) != 2 || next.Tenants[0].Name != "b" || next.Tenants[1].Name != "c" {
+		t.Fatalf("%v %v", problems, next.Tenants)
 	}
-	book := NewCatalog(next)
-	if tenant, _ := book.TenantOf(otherKey, book.Routes["closed"]); tenant == nil || tenant.Name != "c" {
+	catalog := NewCatalog(next)
+	if tenant, _ := catalog.TenantOf(otherKey, catalog.Routes["closed"]); tenant == nil || tenant.Name != "c" {
 		t.Errorf("the key that moved belongs to %v", tenant)
 	}
-	if _, known := book.TenantOf(firstKey, book.Routes["closed"]); known {
-		t.Error("a removed tenant's key still opens a lane")
+	if _, known := catalog.TenantOf(firstKey, catalog.Routes["closed"]); known {
+		t.Error("a removed tenant's key still opens a route")
 	}
 	stolen, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"c","keys":["` + firstKey + `"]}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, flaws := stolen.Apply(present); len(flaws) != 1 || flaws[0].Path != "upsert.tenants[0].keys[0]" {
-		t.Errorf("another tenant's key: %v", flaws)
+	if _, problems := stolen.Apply(present); len(problems) != 1 || problems[0].Path != "upsert.tenants[0].keys[0]" {
+		t.Errorf("another tenant's key: %v", problems)
 	}
 }
 
-func TestCostOfARequest(t *testing.T) {
-	for name, tried := range map[string]struct {
-		quota Quota
-		told  bool
-		want  float64
+func TestQuotaCost(t *testing.T) {
+	for name, test := range map[string]struct {
+		quota    Quota
+		declared bool
+		want     float64
 	}{
-		"tokens":          {Quota{Tokens: true, UncountedTokens: 7}, true, 120},
-		"tokens not told": {Quota{Tokens: true, UncountedTokens: 7}, false, 7},
-		"requests":        {Quota{UncountedTokens: 7}, true, 1},
+		"tokens":              {Quota{Tokens: true, UncountedTokens: 7}, true, 120},
+		"tokens not declared": {Quota{Tokens: true, UncountedTokens: 7}, false, 7},
+		"requests":            {Quota{UncountedTokens: 7}, true, 1},
 	} {
-		if cost := tried.quota.Cost(120, tried.told); cost != tried.want {
+		if cost := test.quota.Cost(120, test.declared); cost != test.want {
 			t.Errorf("%s: %v", name, cost)
 		}
 	}
--- a/config/pack.go
+++ b/config/pack.go
@@ -10,8 +10,8 @@
 	"wardtray/apierror"
 )
 
-// Pack compresses a spec for its way to many daemons; a spec repeats itself a lot. It keeps no state between
-// calls: a writer of the standard library takes 1.2 MB, far more than any spec, and each change packs one.
+// Pack compresses an encoded document for its way to many daemons; documents are repetitive. It keeps no state between
+// calls: a writer of the standard library takes 1.2 MB, far more than any document, and each change packs one.
 func Pack(content []byte) []byte {
 	var packed bytes.Buffer
 	if err := stateless.StatelessDeflate(&packed, content, true, nil); err != nil {
@@ -20,9 +20,11 @@
 	return packed.Bytes()
 }
 
-// Unpack gives back what was packed, but no more than a spec may have.
+// Unpack returns what Pack compressed. Content that can't be decompressed is a Malformed error, and content of more
+// than MaximumBytes a TooLarge one.
 func Unpack(packed []byte) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaximumBytes+1))
+	reader := flate.NewReader(bytes.NewReader(packed))
+	content, err := io.ReadAll(io.LimitReader(reader, MaximumBytes+1))
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Malformed, "unpacking a spec")
 	}
