--- /dev/null
+++ b/config/process/file.go
@@ -0,0 +1,30 @@
+package process
+
+import (
+	"os"
+
+	"github.com/mailru/easyjson"
+
+	"wardtray/apierror"
+	"wardtray/strictjson"
+)
+
+// Read reads a settings file; an empty path returns empty settings. Unknown and repeated keys, and a file that can't be
+// read, are BadSettings errors. Values are not checked; see Settings.Check.
+func Read(path string) (*Settings, error) {
+	settings := &Settings{}
+	if path == "" {
+		return settings, nil
+	}
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, apierror.Wrap(err, apierror.BadSettings, "reading %s", path)
+	}
+	if err := strictjson.Check(content); err != nil {
+		return nil, apierror.New(apierror.BadSettings, "%s: %s", path, apierror.Of(err).Detail)
+	}
+	if err := easyjson.Unmarshal(content, settings); err != nil {
+		return nil, apierror.Wrap(err, apierror.BadSettings, "%s", path)
+	}
+	return settings, nil
+}
--- a/config/process/golden_test.go
+++ b/config/process/golden_test.go
@@ -12,7 +12,7 @@
 
 func encode(settings *Settings) ([]byte, error) { return easyjson.Marshal(settings) }
 
-// The startup file keeps its keys, and each is read into the field that wrote it.
+// The settings file keeps its keys, and each is read into the field that wrote it.
 func TestSettingsKeepTheirKeys(t *testing.T) {
 	golden.CompareJSON(t, "startup", encode)
 	wanted := &Settings{}
--- /dev/null
+++ b/config/process/log.go
@@ -0,0 +1,22 @@
+package process
+
+import (
+	"log/slog"
+	"os"
+)
+
+// logLevels maps the values of the setting log to levels.
+var logLevels = map[string]slog.Level{
+	"":      slog.LevelInfo,
+	"debug": slog.LevelDebug,
+	"info":  slog.LevelInfo,
+	"warn":  slog.LevelWarn,
+	"error": slog.LevelError,
+}
+
+// Logger returns the log of a daemon, which writes lines of text to standard error. Daemons log changes of their state,
+// not single requests.
+func (settings *Settings) Logger(name string) *slog.Logger {
+	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevels[settings.Log]})
+	return slog.New(handler).With("program", name, "address", settings.Address, "zone", settings.Zone)
+}
--- a/config/process/settings_test.go
+++ b/config/process/settings_test.go
@@ -16,86 +16,113 @@
 	return Parse("x", "x", needs, arguments, func(int) { t.Fatal("the parser wanted to end the process") })
 }
 
-var proper = []string{"--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "a", "--seed", "127.0.0.1:1", "--seed", "127.0.0.2:1"}
+// valid are the flags that every program needs.
+var valid = []string{"--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "a",
+	"--seed", "127.0.0.1:1", "--seed", "127.0.0.2:1"}
 
-func TestEveryFlawIsNamedAtOnce(t *testing.T) {
-	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0", "--seed", "x", "--seed", "x", "--platform", "ftp://y", "--drain", "soon", "--log", "loud")
+// withValid returns arguments followed by the flags that every program needs.
+func withValid(arguments ...string) []string { return append(arguments, valid...) }
+
+func writeFile(t *testing.T, path, content string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestEveryProblemIsNamedAtOnce(t *testing.T) {
+	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0", "--seed", "x", "--seed", "x",
+		"--platform", "ftp://y", "--drain", "soon", "--log", "loud")
 	if !apierror.Is(err, apierror.BadSettings) {
 		t.Fatal(err)
 	}
-	for _, flaw := range []string{"address:", "http:", "zone:", "seeds[0]:", "seeds[1]:", "twice", "platform:", "drain:", "log:", "remedy"} {
-		if !strings.Contains(err.Error(), flaw) {
-			t.Errorf("%q is not named in %v", flaw, err)
+	for _, problem := range []string{"address:", "http:", "zone:", "seeds[0]:", "seeds[1]:", "twice",
+		"platform:", "drain:", "log:", "remedy"} {
+		if !strings.Contains(err.Error(), problem) {
+			t.Errorf("%q is not named in %v", problem, err)
 		}
 	}
 }
 
-func TestFlagsGoOverTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "startup.json")
-	text := `{"address":"127.0.0.9:9","http":"127.0.0.1:2","zone":"b","seeds":["127.0.0.1:1"],"platform":"http://127.0.0.1:3/x","drain":"5s"}`
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	writeFile(t, path, `{"address":"127.0.0.9:9","http":"127.0.0.1:2","zone":"b","seeds":["127.0.0.1:1"],
+"platform":"http://127.0.0.1:3/x","drain":"5s"}`)
+	read, err := parse(t, Needs{Platform: true}, "--startup", path, "--address", "127.0.0.1:1")
+	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := parse(t, Needs{Platform: true}, "--startup", path, "--address", "127.0.0.1:1")
-	if err != nil || read.Address != "127.0.0.1:1" || read.Zone != "b" || read.DrainTime() != 5*time.Second || read.Founders[0] != "127.0.0.1:1" {
-		t.Fatalf("%+v %v", read, err)
+	if read.Address != "127.0.0.1:1" || read.Zone != "b" || read.DrainTime() != 5*time.Second ||
+		read.Founders[0] != "127.0.0.1:1" {
+		t.Fatalf("%+v", read)
 	}
-	for name, bad := range map[string]string{"unknown": `{"adress":"x"}`, "twice": `{"zone":"a","zone":"b"}`, "type": `{"seeds":"x"}`, "cut": `{"zone":`} {
-		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := parse(t, Needs{Platform: true}, append([]string{"--startup", path}, proper...)...); !apierror.Is(err, apierror.BadSettings) {
+}
+
+func TestInvalidFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "startup.json")
+	for name, content := range map[string]string{"unknown key": `{"addresses":"x"}`, "repeated key": `{"zone":"a","zone":"b"}`,
+		"wrong type": `{"seeds":"x"}`, "cut short": `{"zone":`} {
+		writeFile(t, path, content)
+		_, err := parse(t, Needs{Platform: true}, withValid("--startup", path)...)
+		if !apierror.Is(err, apierror.BadSettings) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestEachProgramHasItsOwnNeeds(t *testing.T) {
-	if _, err := parse(t, Needs{Folder: true}, proper...); !apierror.Is(err, apierror.BadSettings) {
+	if _, err := parse(t, Needs{Folder: true}, valid...); !apierror.Is(err, apierror.BadSettings) {
 		t.Error("wtcore without a folder")
 	}
-	if _, err := parse(t, Needs{Folder: true}, append([]string{"--folder", t.TempDir()}, proper...)...); err != nil {
+	if _, err := parse(t, Needs{Folder: true}, withValid("--folder", t.TempDir())...); err != nil {
 		t.Error(err)
 	}
-	if _, err := parse(t, Needs{Platform: true}, append([]string{"--folder", "x"}, proper...)...); !apierror.Is(err, apierror.BadSettings) {
+	if _, err := parse(t, Needs{Platform: true}, withValid("--folder", "x")...); !apierror.Is(err, apierror.BadSettings) {
 		t.Error("wtdata with a folder")
 	}
-	if _, err := parse(t, Needs{Platform: true}, append([]string{"--platform", "http://127.0.0.1:3/x"}, proper...)...); err != nil {
+	if _, err := parse(t, Needs{Platform: true}, withValid("--platform", "http://127.0.0.1:3/x")...); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestLengthsOfTime(t *testing.T) {
-	usual := &Settings{}
-	lengths := func(settings *Settings) []time.Duration {
-		return []time.Duration{settings.ContactTime(), settings.AcknowledgeTime(), settings.CatchUpTime(), settings.GraceTime(), settings.WithoutCoreTime()}
-	}
-	if want := []time.Duration{3 * time.Second, 4 * time.Second, 4 * time.Second, 8 * time.Second, 5 * time.Minute}; !slices.Equal(lengths(usual), want) {
-		t.Errorf("%v instead of %v by default", lengths(usual), want)
+// durations returns the settings that both tests of durations look at.
+func durations(settings *Settings) []time.Duration {
+	return []time.Duration{settings.ContactTime(), settings.AcknowledgeTime(), settings.CatchUpTime(),
+		settings.GraceTime(), settings.WithoutCoreTime()}
+}
+
+func TestDefaultDurations(t *testing.T) {
+	want := []time.Duration{3 * time.Second, 4 * time.Second, 4 * time.Second, 8 * time.Second, 5 * time.Minute}
+	if got := durations(&Settings{}); !slices.Equal(got, want) {
+		t.Errorf("%v instead of %v by default", got, want)
 	}
+}
+
+func TestDurations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "startup.json")
-	text := `{"contact":"1s","acknowledge":"2s","catch_up":"3s","grace":"4s","without_core":"0s"}`
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	core, err := parse(t, Needs{Folder: true}, append([]string{"--startup", path, "--folder", t.TempDir(), "--catch-up", "5s"}, proper...)...)
+	writeFile(t, path, `{"contact":"1s","acknowledge":"2s","catch_up":"3s","grace":"4s","without_core":"0s"}`)
+	arguments := withValid("--startup", path, "--folder", t.TempDir(), "--catch-up", "5s")
+	core, err := parse(t, Needs{Folder: true}, arguments...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 4 * time.Second, 0}; !slices.Equal(lengths(core), want) {
-		t.Errorf("%v instead of %v", lengths(core), want)
+	want := []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 4 * time.Second, 0}
+	if got := durations(core); !slices.Equal(got, want) {
+		t.Errorf("%v instead of %v", got, want)
 	}
-	if _, err := parse(t, Needs{Platform: true}, append([]string{"--platform", "http://127.0.0.1:3/x", "--without-core", "0s"}, proper...)...); err != nil {
+	arguments = withValid("--platform", "http://127.0.0.1:3/x", "--without-core", "0s")
+	if _, err := parse(t, Needs{Platform: true}, arguments...); err != nil {
 		t.Error(err)
 	}
-	text = `{"contact":"0s","acknowledge":"-1s","catch_up":"soon","grace":"2h","without_core":"-1s"}`
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	_, err = parse(t, Needs{Folder: true}, append([]string{"--startup", path, "--folder", t.TempDir()}, proper...)...)
-	for _, flaw := range []string{"contact:", "acknowledge:", "catch_up:", "grace:", "without_core:"} {
-		if err == nil || !strings.Contains(err.Error(), flaw) {
-			t.Errorf("%q is not named in %v", flaw, err)
+}
+
+func TestInvalidDurations(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "startup.json")
+	writeFile(t, path, `{"contact":"0s","acknowledge":"-1s","catch_up":"soon","grace":"2h","without_core":"-1s"}`)
+	_, err := parse(t, Needs{Folder: true}, withValid("--startup", path, "--folder", t.TempDir())...)
+	for _, problem := range []string{"contact:", "acknowledge:", "catch_up:", "grace:", "without_core:"} {
+		if err == nil || !strings.Contains(err.Error(), problem) {
+			t.Errorf("%q is not named in %v", problem, err)
 		}
 	}
 }
--- a/config/spec.go
+++ b/config/spec.go
@@ -25,7 +25,7 @@
 	// KeySalt is the secret under which the tenants' keys were hashed; see Seal. It is written by wardtray alone: an
 	// operator's document that holds one is rejected.
 	KeySalt []byte `json:"key_salt,omitempty"`
-	// Limits bound what every client may send.
+	// Limits state what every client may send. They are kept for operators: the daemons apply built-in limits.
 	Limits Limits `json:"limits,omitempty"`
 	// Annotations are stored for the operators' tools, at most 256 KiB, and have no effect.
 	Annotations Annotations `json:"annotations,omitempty"`
@@ -59,7 +59,7 @@
 	// Default: 0, not known.
 	ConnectionLimit int `json:"connection_limit,omitempty"`
 	// HealthPath is the path at which runners report whether they are healthy; it begins with '/' and has at most 1024
-	// bytes. Default: empty, runners are not asked.
+	// bytes. Default: empty. It is stored and returned, and has no effect yet.
 	HealthPath string `json:"health_path,omitempty"`
 	// Engine describes the runners' inference engine.
 	Engine Engine `json:"engine,omitempty"`
@@ -71,7 +71,8 @@
 //
 //easyjson:json
 type Engine struct {
-	// Slots is how many requests a runner processes at once, at most 1000000. Default: 0, not known.
+	// Slots is how many requests a runner processes at once, at most 1000000. Default: 0, not known. It is stored and
+	// returned, and has no effect yet.
 	Slots int `json:"slots,omitempty"`
 	// MemoryTokens is how many tokens the running requests and the cached prefixes share, at most 2^40. Default: 0, not
 	// known.
@@ -115,8 +116,8 @@
 	Rank int `json:"rank,omitempty"`
 	// Resumable says that a broken stream may go on at another runner after its last complete event. Default: false.
 	Resumable bool `json:"resumable,omitempty"`
-	// Pause is the longest time between two events of a stream that is still on time, at most 24h. Default: 0s, not
-	// bounded.
+	// Pause is the longest time between two events of a stream that is still on time, at most 24h. A resumable stream
+	// that pauses for twice as long may go on at another runner. Default: 0s, not bounded.
 	Pause Duration `json:"pause,omitempty"`
 	// CancelOnDisconnect cancels a run when its client disconnects, even where it runs at most once. Default: false,
 	// such a run is completed, so that its outcome is known. Runs of idempotent routes are always cancelled.
@@ -173,7 +174,8 @@
 	Weight int `json:"weight"`
 }
 
-// Limits bound what a client may send and how long that may take. A value of 0 means the built-in limit.
+// Limits state what a client may send and how long that may take; 0 means not set. They are checked, stored and
+// returned, but have no effect yet: the daemons apply built-in limits.
 //
 //easyjson:json
 type Limits struct {
