--- a/config/nginx/nginx_test.go
+++ b/config/nginx/nginx_test.go
@@ -9,7 +9,9 @@
 	"wardtray/apierror"
 )
 
-func file(t *testing.T, text string) string {
+// writeConfig writes an nginx configuration and returns its path.
+func writeConfig(t *testing.T, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "nginx.conf")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -17,8 +19,8 @@
 	return path
 }
 
-func TestImportGivesASpecAndListsTheRest(t *testing.T) {
-	path := file(t, `worker_processes 4;
+func TestImportReturnsADocumentAndNotesTheRest(t *testing.T) {
+	path := writeConfig(t, `worker_processes 4;
 events { worker_connections 64; }
 http {
   server {
@@ -30,31 +32,56 @@
   upstream booking { least_conn; server 10.0.0.1:80 weight=5; server 10.0.0.2:80; }
 }
 `)
-	made, notes, err := Import(path)
+	spec, notes, err := Import(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if flaws := made.Check(); len(flaws) > 0 || len(made.Routes) != 2 || made.Routes[0].Name != "chat" || made.Routes[1].Name != "root" {
-		t.Fatalf("%v %+v", flaws, made)
+	if problems := spec.Check(); len(problems) > 0 {
+		t.Fatalf("%v in %+v", problems, spec)
 	}
-	text := ""
+	if len(spec.Routes) != 2 || spec.Routes[0].Name != "chat" || spec.Routes[1].Name != "root" {
+		t.Fatalf("routes %+v", spec.Routes)
+	}
+	var text strings.Builder
 	for _, note := range notes {
-		text += note.String() + "\n"
+		text.WriteString(note.String() + "\n")
 	}
-	for _, want := range []string{":1: no counterpart for: worker_processes 4", ":2: no counterpart for: events", ":5: no counterpart for: listen 80",
-		":6: no counterpart for: proxy_set_header X-A b", ":8: no counterpart for: location /static", ":10: no counterpart for: least_conn", ":10: server 10.0.0.1:80 weight=5"} {
-		if !strings.Contains(text, want) {
-			t.Errorf("%q is not among the notes:\n%s", want, text)
+	for _, want := range []string{
+		":1: no counterpart for: worker_processes 4",
+		":2: no counterpart for: events",
+		":5: no counterpart for: listen 80",
+		":6: no counterpart for: proxy_set_header X-A b",
+		":8: no counterpart for: location /static",
+		":10: no counterpart for: least_conn",
+		":10: server 10.0.0.1:80 weight=5",
+	} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("%q is not among the notes:\n%s", want, text.String())
 		}
 	}
 }
 
-func TestBrokenFileGivesItsLineAndNothingElse(t *testing.T) {
-	made, notes, err := Import(file(t, "http {\n  upstream a {\n    server 10.0.0.1:80\n  }\n}\n"))
-	if made != nil || notes != nil || !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), "nginx.conf:") {
-		t.Fatalf("%v %v %v", made, notes, err)
+func TestImportOfAnInvalidFile(t *testing.T) {
+	spec, notes, err := Import(writeConfig(t, "http {\n  upstream a {\n    server 10.0.0.1:80\n  }\n}\n"))
+	if spec != nil || notes != nil {
+		t.Fatalf("%v %v", spec, notes)
+	}
+	if !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), "nginx.conf:") {
+		t.Fatal(err)
 	}
-	if _, _, err := Import(file(t, "events {}\n")); !apierror.Is(err, apierror.InvalidSpec) {
+	if _, _, err := Import(writeConfig(t, "events {}\n")); !apierror.Is(err, apierror.InvalidSpec) {
 		t.Fatal(err)
 	}
 }
+
+func TestUniqueName(t *testing.T) {
+	taken := map[string]bool{}
+	for _, test := range []struct{ text, want string }{
+		{"/chat/", "chat"}, {"/Chat", "chat-2"}, {"/", "root"}, {"~ \\.php$", "php"}, {"a_b", "a-b"},
+		{strings.Repeat("x", maximumName+1), strings.Repeat("x", maximumName)},
+	} {
+		if got := uniqueName(test.text, taken); got != test.want {
+			t.Errorf("%q becomes %q instead of %q", test.text, got, test.want)
+		}
+	}
+}
