--- a/apierror/golden_test.go
+++ b/apierror/golden_test.go
@@ -15,37 +15,37 @@
 	"wardtray/verify/golden"
 )
 
-// The kinds travel to callers, and so do the remedies; both keep their words.
-func TestKindsKeepTheirWords(t *testing.T) {
+// Codes and remedies travel to callers; neither changes.
+func TestCodesKeepTheirTexts(t *testing.T) {
 	var lines strings.Builder
-	for _, kind := range slices.Sorted(maps.Keys(remedies)) {
-		fmt.Fprintf(&lines, "%s %s\n", kind, (&Error{Code: kind}).Remedy())
+	for _, code := range slices.Sorted(maps.Keys(remedies)) {
+		fmt.Fprintf(&lines, "%s %s\n", string(code), (&Error{Code: code}).Remedy())
 	}
 	golden.Compare(t, "kinds.txt", lines.String())
 }
 
-// Every kind that is declared has a remedy, so that the golden file names all of them.
-func TestEveryKindHasARemedy(t *testing.T) {
-	declared := declaredKinds(t)
+// Every code that is declared has a remedy, so that the golden file names all of them.
+func TestEveryCodeHasARemedy(t *testing.T) {
+	declared := declaredCodes(t)
 	if len(declared) != len(remedies) {
-		t.Errorf("%d kinds are declared, %d have a remedy", len(declared), len(remedies))
+		t.Errorf("%d codes are declared, %d have a remedy", len(declared), len(remedies))
 	}
-	for _, kind := range declared {
-		if remedies[kind] == "" {
-			t.Errorf("%s has no remedy", kind)
+	for _, code := range declared {
+		if remedies[code] == "" {
+			t.Errorf("%s has no remedy", code)
 		}
 	}
 }
 
-// declaredKinds reads the constants of type Kind from the source, since they can't be listed at run time.
-func declaredKinds(t *testing.T) []Code {
+// declaredCodes reads the constants of type Code from the source, since they can't be listed at run time.
+func declaredCodes(t *testing.T) []Code {
 	t.Helper()
-	names, err := os.ReadDir(".")
+	entries, err := os.ReadDir(".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kinds []Code
-	for _, entry := range names {
+	var codes []Code
+	for _, entry := range entries {
 		if !strings.HasSuffix(entry.Name(), ".go") || strings.HasSuffix(entry.Name(), "_test.go") {
 			continue
 		}
@@ -55,26 +55,26 @@
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			if declared, isValue := node.(*ast.ValueSpec); isValue {
-				kinds = append(kinds, kindsOf(declared)...)
+				codes = append(codes, codesOf(declared)...)
 			}
 			return true
 		})
 	}
-	return kinds
+	return codes
 }
 
-// kindsOf gives the kinds that one declaration makes.
-func kindsOf(declared *ast.ValueSpec) []Code {
+// codesOf returns the codes that one declaration makes.
+func codesOf(declared *ast.ValueSpec) []Code {
 	if named, isName := declared.Type.(*ast.Ident); !isName || named.Name != "Code" {
 		return nil
 	}
-	var kinds []Code
+	var codes []Code
 	for _, value := range declared.Values {
 		if literal, isLiteral := value.(*ast.BasicLit); isLiteral {
 			if text, err := strconv.Unquote(literal.Value); err == nil {
-				kinds = append(kinds, Code(text))
+				codes = append(codes, Code(text))
 			}
 		}
 	}
-	return kinds
+	return codes
 }
