--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,91 +1,120 @@
-// Package tally counts what happens to requests, for each route and each outcome, and how long the
-// first event took.
+// Package metrics counts what happens to requests, by route and outcome, and how long the first event of a response
+// took.
 package metrics
 
 import (
+	"maps"
 	"sync"
 	"time"
 )
 
-// bounds are the upper ends of the buckets of first-event times.
-var bounds = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond,
-	time.Second, 3 * time.Second, 10 * time.Second, time.Hour}
+// MaximumRoutes bounds the routes that are counted apart; the requests of further ones are counted under overflowRoute.
+const MaximumRoutes = 4096
+
+// overflowRoute is the name under which routes beyond MaximumRoutes are counted together.
+const overflowRoute = "other"
+
+// firstEventBounds are the upper ends of the buckets of first event times; longer times are not counted.
+var firstEventBounds = []time.Duration{
+	10 * time.Millisecond,
+	30 * time.Millisecond,
+	100 * time.Millisecond,
+	300 * time.Millisecond,
+	time.Second,
+	3 * time.Second,
+	10 * time.Second,
+	time.Hour,
+}
 
-// RouteMetrics is the count of one route.
+// RouteMetrics holds the counters of one route since the process started.
 type RouteMetrics struct {
-	Requests uint64            `json:"requests"`
-	Done     uint64            `json:"done"`
-	Ends     map[string]uint64 `json:"ends,omitempty"`
-	Early    uint64            `json:"refused_early"`
-	Late     uint64            `json:"refused_late"`
-	// QuotaSpent counts requests refused because their tenant had used up its quota.
-	QuotaSpent   uint64            `json:"refused_by_quota"`
-	Retries      uint64            `json:"repeats"`
-	FreeAttempts uint64            `json:"attempts_not_sent"`
-	HeldTokens   uint64            `json:"held_tokens"`
-	PromptTokens uint64            `json:"prompt_tokens"`
-	FirstEvents  map[string]uint64 `json:"first_events,omitempty"`
-	OtherZone    uint64            `json:"passed_to_other_zone"`
-	BytesAcross  uint64            `json:"bytes_other_zone"`
-	// Resumed counts streams that went on at another runner.
+	// Requests counts the requests that were read completely.
+	Requests uint64 `json:"requests"`
+	// Done counts the requests whose response was completed.
+	Done uint64 `json:"done"`
+	// Ends counts the requests by how they ended: an outcome of the proxy or an error code.
+	Ends map[string]uint64 `json:"ends,omitempty"`
+	// Early counts the requests that the scheduler rejected within 50 ms of their arrival.
+	Early uint64 `json:"refused_early"`
+	// Late counts the requests that the scheduler rejected later.
+	Late uint64 `json:"refused_late"`
+	// QuotaSpent counts the requests that were rejected because their tenant had used up its quota.
+	QuotaSpent uint64 `json:"refused_by_quota"`
+	// Retries counts the attempts after the first that was sent.
+	Retries uint64 `json:"repeats"`
+	// FreeAttempts counts the attempts that ended before the request was sent completely.
+	FreeAttempts uint64 `json:"attempts_not_sent"`
+	// HeldTokens counts those of PromptTokens that were assumed to be in the runner's prefix cache.
+	HeldTokens uint64 `json:"held_tokens"`
+	// PromptTokens counts the tokens of the prompts of which a response began.
+	PromptTokens uint64 `json:"prompt_tokens"`
+	// FirstEvents is a histogram of the time from a request's arrival to the first event of its response, by the upper
+	// end of the bucket, as in "<=300ms". The buckets are not cumulative.
+	FirstEvents map[string]uint64 `json:"first_events,omitempty"`
+	// OtherZone counts the responses that began at a runner in another zone.
+	OtherZone uint64 `json:"passed_to_other_zone"`
+	// BytesAcross counts the bytes that requests and responses sent between zones.
+	BytesAcross uint64 `json:"bytes_other_zone"`
+	// Resumed counts the streams that went on at another runner.
 	Resumed uint64 `json:"resumed"`
 }
 
-// Registry holds the counts of a process.
+// Registry holds the counters of a process. It may be used by any number of goroutines.
 type Registry struct {
 	mutex  sync.Mutex
 	routes map[string]*RouteMetrics
 }
 
-// MaximumRoutes bounds the routes counted apart; further ones are counted together as "other".
-const MaximumRoutes = 4096
-
-// New makes an empty tally.
+// New returns a registry without any route.
 func New() *Registry { return &Registry{routes: map[string]*RouteMetrics{}} }
 
-// Count changes a route's counts under the lock.
-func (metrics *Registry) Count(name string, change func(route *RouteMetrics)) {
-	metrics.mutex.Lock()
-	defer metrics.mutex.Unlock()
-	route := metrics.routes[name]
-	if route == nil {
-		if len(metrics.routes) >= MaximumRoutes {
-			name = "other"
-		}
-		route = metrics.routes[name]
+// Count calls a function that changes a route's counters, while it holds the lock.
+func (registry *Registry) Count(name string, change func(route *RouteMetrics)) {
+	registry.mutex.Lock()
+	defer registry.mutex.Unlock()
+	change(registry.route(name))
+}
+
+// route returns the counters of a route, or those of overflowRoute. The lock must be held.
+func (registry *Registry) route(name string) *RouteMetrics {
+	if route := registry.routes[name]; route != nil {
+		return route
 	}
+	if len(registry.routes) >= MaximumRoutes {
+		name = overflowRoute
+	}
+	route := registry.routes[name]
 	if route == nil {
 		route = &RouteMetrics{Ends: map[string]uint64{}, FirstEvents: map[string]uint64{}}
-		metrics.routes[name] = route
+		registry.routes[name] = route
 	}
-	change(route)
+	return route
 }
 
-// First counts a first event's time.
-func (route *RouteMetrics) First(length time.Duration) {
-	for _, bound := range bounds {
-		if length <= bound {
+// First counts the time to a first event.
+func (route *RouteMetrics) First(elapsed time.Duration) {
+	for _, bound := range firstEventBounds {
+		if elapsed <= bound {
 			route.FirstEvents["<="+bound.String()]++
 			return
 		}
 	}
 }
 
-// Routes gives a copy of all counts.
-func (metrics *Registry) Routes() map[string]RouteMetrics {
-	metrics.mutex.Lock()
-	defer metrics.mutex.Unlock()
-	routes := map[string]RouteMetrics{}
-	for name, route := range metrics.routes {
-		copied := *route
-		copied.Ends, copied.FirstEvents = map[string]uint64{}, map[string]uint64{}
-		for end, count := range route.Ends {
-			copied.Ends[end] = count
-		}
-		for bound, count := range route.FirstEvents {
-			copied.FirstEvents[bound] = count
-		}
-		routes[name] = copied
+// Routes returns a copy of the counters of all routes.
+func (registry *Registry) Routes() map[string]RouteMetrics {
+	registry.mutex.Lock()
+	defer registry.mutex.Unlock()
+	routes := make(map[string]RouteMetrics, len(registry.routes))
+	for name, route := range registry.routes {
+		routes[name] = route.clone()
 	}
 	return routes
 }
+
+// clone returns a copy that shares no map.
+func (route *RouteMetrics) clone() RouteMetrics {
+	copied := *route
+	copied.Ends, copied.FirstEvents = maps.Clone(route.Ends), maps.Clone(route.FirstEvents)
+	return copied
+}
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -1,10 +1,11 @@
-// Package strict finds what a lenient JSON reader lets through: names given twice, bad UTF-8, text
-// after the end, and too deep a nesting.
+// Package strictjson finds what lenient JSON parsers accept: repeated keys, invalid UTF-8, text after the end of the
+// document, and nesting that is too deep.
 package strictjson
 
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"strconv"
 	"unicode/utf8"
@@ -12,27 +13,11 @@
 	"wardtray/apierror"
 )
 
-// MaximumDepth bounds nesting.
+// MaximumDepth bounds how many objects and arrays may be nested.
 const MaximumDepth = 16
 
-// level is one object or list that is open.
-type level struct {
-	path   string
-	object bool
-	names  map[string]bool
-	key    string
-	// keyed tells that an object's next token is the value of key.
-	keyed bool
-	place int
-}
-
-// walker follows the tokens of one document.
-type walker struct {
-	// levels are the objects and lists that are open, the outermost first.
-	levels []*level
-}
-
-// Check gives a Malformed fault that names the first thing wrong and its path.
+// Check returns a Malformed error for the first violation in a document, with its path or position; nil if there is
+// none.
 func Check(content []byte) error {
 	if !utf8.Valid(content) {
 		return apierror.New(apierror.Malformed, "the text is not valid UTF-8")
@@ -45,84 +30,108 @@
 		if err != nil {
 			return apierror.New(apierror.Malformed, "at byte %d: %v", decoder.InputOffset(), err)
 		}
-		if finished, err = walker.take(token); err != nil {
+		if finished, err = walker.next(token); err != nil {
 			return err
 		}
 	}
-	// One whole value has ended; anything but white space behind it is not part of the document.
-	if _, err := decoder.Token(); err != io.EOF {
+	// One complete value has ended; anything but white space after it is not part of the document.
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return apierror.New(apierror.Malformed, "there is text after the end, at byte %d", decoder.InputOffset())
 	}
 	return nil
 }
 
-// take follows one token; it tells whether the document's value has ended with it.
-func (walker *walker) take(token json.Token) (finished bool, err error) {
-	top := walker.top()
-	if name, isName := token.(string); isName && top != nil && top.object && !top.keyed {
-		return false, top.takeName(name)
+// walker follows the tokens of one document.
+type walker struct {
+	// levels holds the objects and arrays that are open, the outermost first.
+	levels []*level
+}
+
+// next handles one token; it reports whether the document's value ends with it.
+func (walker *walker) next(token json.Token) (finished bool, err error) {
+	innermost := walker.innermost()
+	if key, isString := token.(string); isString && innermost != nil && innermost.wantsKey() {
+		return false, innermost.setKey(key)
 	}
-	if token == json.Delim('{') || token == json.Delim('[') {
+	switch token {
+	case json.Delim('{'), json.Delim('['):
 		return false, walker.open(token == json.Delim('{'))
-	}
-	if token == json.Delim('}') || token == json.Delim(']') {
+	case json.Delim('}'), json.Delim(']'):
 		walker.levels = walker.levels[:len(walker.levels)-1]
 	}
-	// A value has ended: the document's, or one within the object or list that is now the innermost.
-	if top = walker.top(); top == nil {
+	// A value has ended: the document's, or one within the object or array that is now the innermost.
+	if innermost = walker.innermost(); innermost == nil {
 		return true, nil
 	}
-	top.after()
+	innermost.endValue()
 	return false, nil
 }
 
-// top gives the innermost object or list that is open, nil outside of all.
-func (walker *walker) top() *level {
+// innermost returns the innermost object or array that is open, or nil.
+func (walker *walker) innermost() *level {
 	if len(walker.levels) == 0 {
 		return nil
 	}
 	return walker.levels[len(walker.levels)-1]
 }
 
-// open enters an object or a list.
-func (walker *walker) open(object bool) error {
+// open enters an object or an array.
+func (walker *walker) open(isObject bool) error {
 	path := ""
-	if top := walker.top(); top != nil {
-		path = top.step()
+	if innermost := walker.innermost(); innermost != nil {
+		path = innermost.valuePath()
 	}
 	if len(walker.levels) >= MaximumDepth {
 		return apierror.New(apierror.Malformed, "%s is nested too deep", path)
 	}
-	walker.levels = append(walker.levels, &level{path: path, object: object, names: map[string]bool{}})
+	walker.levels = append(walker.levels, &level{path: path, isObject: isObject, keys: map[string]bool{}})
 	return nil
 }
 
-// takeName takes the name of an object's next value.
-func (level *level) takeName(name string) error {
-	if level.names[name] {
-		return apierror.New(apierror.Malformed, "%s is given twice", join(level.path, name))
+// level is an object or array that is open.
+type level struct {
+	path     string
+	isObject bool
+	// keys holds the keys of an object that have occurred.
+	keys map[string]bool
+	// key is an object's last key, and hasKey says that its value comes next.
+	key    string
+	hasKey bool
+	// index is the number of values that have ended.
+	index int
+}
+
+// wantsKey reports whether the next token is a key, or the end of the object.
+func (level *level) wantsKey() bool { return level.isObject && !level.hasKey }
+
+// setKey sets the key of an object's next value.
+func (level *level) setKey(key string) error {
+	if level.keys[key] {
+		return apierror.New(apierror.Malformed, "%s is given twice", join(level.path, key))
 	}
-	level.names[name], level.key, level.keyed = true, name, true
+	level.keys[key] = true
+	level.key, level.hasKey = key, true
 	return nil
 }
 
-// step gives the path of the value that comes next.
-func (level *level) step() string {
-	if level.object {
+// valuePath returns the path of the next value.
+func (level *level) valuePath() string {
+	if level.isObject {
 		return join(level.path, level.key)
 	}
-	return level.path + "[" + strconv.Itoa(level.place) + "]"
+	return level.path + "[" + strconv.Itoa(level.index) + "]"
 }
 
-// after takes the end of a value.
-func (level *level) after() {
-	level.keyed = false
-	level.place++
+// endValue ends a value.
+func (level *level) endValue() {
+	level.hasKey = false
+	level.index++
 }
 
-func join(path, name string) string {
+// join appends a key to the path of its object.
+func join(path, key string) string {
 	if path == "" {
-		return name
+		return key
 	}
-	return path + "." + name
+	return path + "." + key
 }
--- a/strictjson/strictjson_test.go
+++ b/strictjson/strictjson_test.go
@@ -7,12 +7,12 @@
 	"wardtray/apierror"
 )
 
-func TestWholeDocumentsPass(t *testing.T) {
+func TestCheckAcceptsDocuments(t *testing.T) {
 	for _, content := range []string{
 		`{}`, `[]`, `null`, `1.5`, `"text"`, " {\"a\": [1, {\"b\": {}}], \"c\": \"a\"}\n",
 		// A text may equal its name, and two objects may have the same names.
 		`{"a":"a","b":["a","a"]}`, `[{"a":1},{"a":2}]`, `{"a":{"a":{"a":1}}}`,
-		strings.Repeat("[", MaximumDepth) + strings.Repeat("]", MaximumDepth),
+		nested(MaximumDepth, ""),
 	} {
 		if err := Check([]byte(content)); err != nil {
 			t.Errorf("%s: %v", content, err)
@@ -20,8 +20,28 @@
 	}
 }
 
-func TestFirstFlawIsNamed(t *testing.T) {
-	for content, flaw := range map[string]string{
+// nested returns a value within a number of arrays.
+func nested(depth int, value string) string {
+	return strings.Repeat("[", depth) + value + strings.Repeat("]", depth)
+}
+
+func TestCheckBoundsNesting(t *testing.T) {
+	firstOf := strings.Repeat("[0]", MaximumDepth)
+	for content, path := range map[string]string{
+		nested(MaximumDepth+1, ""): firstOf,
+		strings.Repeat(`{"a":`, MaximumDepth) + `{}` + strings.Repeat("}", MaximumDepth): "a" +
+			strings.Repeat(".a", MaximumDepth-1),
+		`{"a":` + nested(MaximumDepth-1, `{"b":1}`) + `,"a":{"b":1}}`: "a" + strings.Repeat("[0]", MaximumDepth-1),
+	} {
+		err := Check([]byte(content))
+		if !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), path+" is nested too deep") {
+			t.Errorf("%s: wanted %q, got %v", content, path, err)
+		}
+	}
+}
+
+func TestCheckNamesTheFirstViolation(t *testing.T) {
+	for content, violation := range map[string]string{
 		"\"\xff\"":                      "not valid UTF-8",
 		``:                              "at byte 0",
 		`{"a":1`:                        "at byte 6",
@@ -32,13 +52,10 @@
 		`{"x":{"a":"a"},"x":1}`:         "x is given twice",
 		`{}{}`:                          "text after the end, at byte",
 		`1 2`:                           "text after the end, at byte",
-		strings.Repeat("[", MaximumDepth+1) + strings.Repeat("]", MaximumDepth+1):                                         strings.Repeat("[0]", MaximumDepth) + " is nested too deep",
-		strings.Repeat(`{"a":`, MaximumDepth) + `{}` + strings.Repeat("}", MaximumDepth):                                  "a.a.a.a.a.a.a.a.a.a.a.a.a.a.a.a is nested too deep",
-		`{"a":` + strings.Repeat("[", MaximumDepth-1) + `{"b":1}` + strings.Repeat("]", MaximumDepth-1) + `,"a":{"b":1}}`: "a" + strings.Repeat("[0]", MaximumDepth-1) + " is nested too deep",
 	} {
 		err := Check([]byte(content))
-		if !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), flaw) {
-			t.Errorf("%s: wanted %q, got %v", content, flaw, err)
+		if !apierror.Is(err, apierror.Malformed) || !strings.Contains(err.Error(), violation) {
+			t.Errorf("%s: wanted %q, got %v", content, violation, err)
 		}
 	}
 }
