--- a/cmd/wtcore/main.go
+++ b/cmd/wtcore/main.go
@@ -1,4 +1,4 @@
-// Command wtcore is the control plane: one disk machine of the chain.
+// Command wtcore is the daemon of the control plane, one on each machine with a disk.
 package main
 
 import (
@@ -15,5 +15,6 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	service.Main("wtcore", help, process.Needs{Folder: true, Adapters: platform.Settings("wtcore")}, platform.Core)
+	needs := process.Needs{Folder: true, Adapters: platform.Settings("wtcore")}
+	service.Main("wtcore", help, needs, platform.Core)
 }
--- a/cmd/wtdata/main.go
+++ b/cmd/wtdata/main.go
@@ -1,4 +1,4 @@
-// Command wtdata is the data plane: it takes prompts from clients and carries their streams.
+// Command wtdata is the daemon of the data plane: it accepts requests of clients and relays the streams of runners.
 package main
 
 import (
@@ -15,5 +15,6 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	service.Main("wtdata", help, process.Needs{Platform: true, Adapters: platform.Settings("wtdata")}, platform.Data)
+	needs := process.Needs{Platform: true, Adapters: platform.Settings("wtdata")}
+	service.Main("wtdata", help, needs, platform.Data)
 }
--- a/features/features.go
+++ b/features/features.go
@@ -1,5 +1,5 @@
-// Package mechanism lists the mechanisms by which a daemon decides, each of which can be switched off to measure what it
-// is worth. None of them changes what the rules promise. docs/decisions.md holds the measurements.
+// Package features lists the features by which a daemon decides that can be switched off one at a time, to measure what
+// each is worth; docs/decisions.md holds the measurements. None of them changes what the daemons guarantee.
 package features
 
 import (
@@ -9,59 +9,78 @@
 	"wardtray/apierror"
 )
 
-// Feature is the name of one mechanism.
+// Feature is the name of a feature, as the setting without has it.
 type Feature string
 
-// The mechanisms.
+// The features.
 const (
-	// Reports asks runners for their load at regular times.
+	// Reports polls the load of runners at regular times.
 	Reports Feature = "reports"
-	// Watch asks runners that are waited for in silence whether they are there at all.
+	// Watch probes runners from which a response has been outstanding for long without any bytes.
 	Watch Feature = "watch"
-	// LoadHeader takes in the load that runners tell in their answers.
+	// LoadHeader uses the load that runners report in the headers of their responses.
 	LoadHeader Feature = "load-header"
 	// PrefixIndex remembers which runner was sent which prefix.
 	PrefixIndex Feature = "prefix-index"
-	// Homes gives each opening runners on which all daemons agree.
+	// Homes assigns to each prefix the runners that all daemons prefer for it, by a hash.
 	Homes Feature = "homes"
-	// OthersEstimate reckons what other daemons send to a runner beyond what it tells.
+	// OthersEstimate estimates what other daemons have sent to a runner since its last report.
 	OthersEstimate Feature = "others-estimate"
-	// LongRunners keeps some runners for prompts that take long to read.
+	// LongRunners reserves some runners for prompts whose prefill takes long.
 	LongRunners Feature = "long-runners"
-	// Harm counts how long a prompt's reading keeps others waiting.
+	// Harm adds to a candidate's cost the delay that the prompt's prefill causes for other requests.
 	Harm Feature = "harm"
-	// RereadPrice counts what it costs to read shared parts again, beside the time.
+	// RereadPrice adds to a candidate's cost the prefill of shared prefix blocks that it does not have cached.
 	RereadPrice Feature = "reread-price"
-	// Slowness follows how much slower than the others a runner answers.
+	// Slowness tracks how much slower than the others a runner responds.
 	Slowness Feature = "slowness"
-	// ZonePreference counts the way into another zone.
+	// ZonePreference adds to a candidate's cost that it is in another zone.
 	ZonePreference Feature = "zone-preference"
-	// Urgency tells runners which requests go first.
+	// Urgency sends runners the order in which to process requests.
 	Urgency Feature = "urgency"
-	// Window bounds a daemon's concurrent requests by what runners put back.
+	// Window bounds a daemon's requests in flight, and narrows when runners reject some.
 	Window Feature = "window"
-	// EarlyRefusal refuses requests whose turn would come too late, rather than letting them wait.
+	// EarlyRefusal rejects requests that would be dispatched too late, rather than queueing them.
 	EarlyRefusal Feature = "early-refusal"
-	// Ejection leaves runners alone for a while after a failure.
+	// Ejection keeps requests from a runner for a time after a failure.
 	Ejection Feature = "ejection"
-	// WarmUp sends new runners little at first.
+	// WarmUp sends new runners few requests at first (slow start).
 	WarmUp Feature = "warm-up"
-	// EarlyRetry begins a repeatable request anew elsewhere before its time is over.
+	// EarlyRetry retries an idempotent request at another runner before its deadline expires.
 	EarlyRetry Feature = "early-retry"
-	// Resumption goes on with a broken stream at another runner.
+	// Resumption continues a broken stream at another runner.
 	Resumption Feature = "resumption"
-	// TokensAhead holds tokens of quotas ahead of the demand.
+	// TokensAhead reserves units of quotas before they are needed.
 	TokensAhead Feature = "tokens-ahead"
 )
 
-// All lists them in the order of docs/decisions.md.
-var All = []Feature{Reports, Watch, LoadHeader, PrefixIndex, Homes, OthersEstimate, LongRunners, Harm, RereadPrice, Slowness, ZonePreference,
-	Urgency, Window, EarlyRefusal, Ejection, WarmUp, EarlyRetry, Resumption, TokensAhead}
+// All lists the features, in the order of docs/decisions.md.
+var All = []Feature{
+	Reports,
+	Watch,
+	LoadHeader,
+	PrefixIndex,
+	Homes,
+	OthersEstimate,
+	LongRunners,
+	Harm,
+	RereadPrice,
+	Slowness,
+	ZonePreference,
+	Urgency,
+	Window,
+	EarlyRefusal,
+	Ejection,
+	WarmUp,
+	EarlyRetry,
+	Resumption,
+	TokensAhead,
+}
 
-// Set holds the mechanisms that are switched off; the nil set holds none.
+// Set holds the features that are switched off; the nil set holds none.
 type Set map[Feature]bool
 
-// Parse gives the set of some names, separated by commas; an unknown one is a fault that lists all.
+// Parse returns the set of names that are separated by commas. An unknown name is a BadSettings error that lists all.
 func Parse(text string) (Set, error) {
 	set := Set{}
 	for _, name := range strings.Split(text, ",") {
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -15,9 +15,13 @@
 	if set, err := Parse(""); err != nil || len(set) != 0 {
 		t.Fatal(set, err)
 	}
-	if _, err := Parse("reports,nothing"); !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), `"nothing"`) {
+	_, err = Parse("reports,nothing")
+	if !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Fatal(err)
 	}
+}
+
+func TestAllListsEachFeatureOnce(t *testing.T) {
 	seen := map[Feature]bool{}
 	for _, name := range All {
 		if seen[name] {
--- a/features/golden_test.go
+++ b/features/golden_test.go
@@ -7,8 +7,8 @@
 	"wardtray/verify/golden"
 )
 
-// The mechanisms keep the names by which the settings switch them off.
-func TestMechanismsKeepTheirNames(t *testing.T) {
+// The features keep the names by which the settings switch them off.
+func TestFeaturesKeepTheirNames(t *testing.T) {
 	var lines strings.Builder
 	for _, name := range All {
 		lines.WriteString(string(name) + "\n")
--- a/randomseed/randomseed.go
+++ b/randomseed/randomseed.go
@@ -1,4 +1,4 @@
-// Package randomseed makes seeds for the private random sources of processes.
+// Package randomseed draws seeds for the pseudo-random sources of processes.
 package randomseed
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// New gives a seed from the operating system's source of randomness, or from the clock where that fails.
+// New returns a seed from the operating system's source of randomness, or from the clock if that fails.
 func New() int64 {
-	var bytes [8]byte
-	if _, err := crypto.Read(bytes[:]); err != nil {
+	var seed [8]byte
+	if _, err := crypto.Read(seed[:]); err != nil {
 		return time.Now().UnixNano()
 	}
-	return int64(binary.BigEndian.Uint64(bytes[:]))
+	return int64(binary.BigEndian.Uint64(seed[:]))
 }
--- /dev/null
+++ b/service/service_test.go
@@ -0,0 +1,56 @@
+package service
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"wardtray/apierror"
+	"wardtray/config/process"
+)
+
+// plainHost is a host that can't reload its settings.
+type plainHost struct{}
+
+func (plainHost) Run(context.Context) error { return nil }
+
+// reloadingHost remembers the settings that it was given last.
+type reloadingHost struct {
+	plainHost
+	settings *process.Settings
+}
+
+func (host *reloadingHost) Reload(settings *process.Settings) { host.settings = settings }
+
+func TestReload(t *testing.T) {
+	changed := &process.Settings{Zone: "b"}
+	read := func() (*process.Settings, error) { return changed, nil }
+	fail := func() (*process.Settings, error) { return nil, errors.New("unreadable") }
+	var lines strings.Builder
+	log := slog.New(slog.NewTextHandler(&lines, nil))
+	host := &reloadingHost{}
+	if reload(host, log, fail); host.settings != nil || !strings.Contains(lines.String(), "cause=unreadable") {
+		t.Errorf("settings %v after a failure; log %s", host.settings, lines.String())
+	}
+	if reload(host, log, read); host.settings != changed {
+		t.Errorf("settings %v", host.settings)
+	}
+	lines.Reset()
+	if reload(plainHost{}, log, read); !strings.Contains(lines.String(), "level=INFO") {
+		t.Errorf("log of a host without Reload: %s", lines.String())
+	}
+}
+
+func TestExitCode(t *testing.T) {
+	for err, want := range map[error]int{
+		apierror.New(apierror.BadSettings, "zone"):  process.ExitBadSettings,
+		apierror.New(apierror.DiskFailed, "folder"): exitFailure,
+		errors.New("without a code"):                exitFailure,
+	} {
+		if got := exitCode(err); got != want {
+			t.Errorf("%v: %d instead of %d", err, got, want)
+		}
+	}
+}
