--- a/deploy/system_test.go
+++ b/deploy/system_test.go
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// packageName is the form of a name of Debian's policy, section 5.6.7.
+// packageName is the form of package names in Debian's policy, section 5.6.7.
 var packageName = regexp.MustCompile(`^[a-z0-9][a-z0-9+.-]+$`)
 
-// systemPackages reads the list of packages from system.toml.
+// systemPackages returns the list of packages from system.toml.
 func systemPackages(t *testing.T) []string {
 	t.Helper()
 	content, err := os.ReadFile("system.toml")
@@ -30,7 +30,7 @@
 	return system.Packages
 }
 
-// ciScript reads a script of the folder .ci without its comments.
+// ciScript returns a script of the folder .ci without its comments.
 func ciScript(t *testing.T, name string) string {
 	t.Helper()
 	content, err := os.ReadFile("../.ci/" + name)
@@ -56,7 +56,7 @@
 }
 
 func TestCIReadsTheSameList(t *testing.T) {
-	output, err := exec.Command("../.ci/packages").Output()
+	output, err := exec.CommandContext(t.Context(), "../.ci/packages").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
