--- /dev/null
+++ b/cmd/wtctl/document.go
@@ -0,0 +1,146 @@
+package main
+
+import (
+	"io"
+	"os"
+	"strconv"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"wardtray/apierror"
+	"wardtray/config"
+	"wardtray/control/node"
+	"wardtray/control/operator"
+)
+
+// registerDocument declares the commands that read and change the configuration document.
+func (session *session) registerDocument(known commands, application *kingpin.Application) {
+	get := application.Command("get", "Print the present spec; its epoch goes to standard error.")
+	known[get.FullCommand()] = session.get
+	apply := application.Command("apply", "Put a whole spec into effect, or nothing of it.")
+	session.registerChange(known, apply, "The spec", (*operator.Client).Apply)
+	change := application.Command("change",
+		"Add, replace and remove named zones, pools and lanes: all of it, or nothing.")
+	session.registerChange(known, change, "The change", (*operator.Client).Change)
+	diff := application.Command("diff", "Show how a spec differs from the present one.")
+	file := diff.Arg("file", "The spec; - for standard input.").Required().String()
+	known[diff.FullCommand()] = func() (int, error) { return session.diff(*file) }
+}
+
+// sender sends a document, or a change of one, to the control plane.
+type sender func(client *operator.Client, content []byte, change operator.Change) (node.Reply, error)
+
+// registerChange declares a command that sends a file.
+func (session *session) registerChange(known commands, command *kingpin.CmdClause, content string, send sender) {
+	file := command.Arg("file", content+"; - for standard input.").Required().String()
+	baseFlag := command.Flag("base", "The epoch it was built on; the present one if left out.")
+	base := baseFlag.Default("").String()
+	operation := command.Flag("operation", "An id of your own, to ask by and to repeat safely.").String()
+	epochFlag := command.Flag("epoch", "The epoch that the spec is to have; the next one if left out.")
+	epoch := epochFlag.Uint64()
+	known[command.FullCommand()] = func() (int, error) {
+		change := operator.Change{Operation: operationID(*operation), Epoch: *epoch}
+		return session.change(send, *file, *base, change)
+	}
+}
+
+// get prints the present document, and its epoch to the errors.
+func (session *session) get() (int, error) {
+	reply, err := session.client.Get()
+	if err != nil {
+		return exitRefused, err
+	}
+	if session.json || reply.Outcome == outcomeRefused {
+		return session.printReply(reply, nil)
+	}
+	if reply.Outcome == outcomeEmpty {
+		session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
+		return exitFine, nil
+	}
+	session.errors.printf("epoch %d\n", reply.Epoch)
+	return exitFine, session.output.printJSON(reply.Spec)
+}
+
+// readFile reads a file, or the input for a dash. Failures are BadSettings errors.
+func readFile(path string, input io.Reader) ([]byte, error) {
+	// Kingpin hands a lone dash on as an empty argument.
+	if path == "-" || path == "" {
+		content, err := io.ReadAll(io.LimitReader(input, config.MaximumBytes+1))
+		return content, apierror.Wrap(err, apierror.BadSettings, "reading standard input")
+	}
+	content, err := os.ReadFile(path)
+	return content, apierror.Wrap(err, apierror.BadSettings, "reading the spec")
+}
+
+// change reads a file and sends it, built on a base epoch, or on the present one if that is empty.
+func (session *session) change(send sender, path, base string, change operator.Change) (int, error) {
+	content, err := readFile(path, session.input)
+	if err != nil {
+		return exitUsage, err
+	}
+	if base == "" {
+		reply, err := session.client.Get()
+		if err != nil {
+			return exitRefused, err
+		}
+		if reply.Outcome == outcomeRefused {
+			return session.printReply(reply, nil)
+		}
+		change.Base = reply.Epoch
+	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
+		return exitUsage, apierror.New(apierror.BadSettings, "--base %q is no whole number", base)
+	}
+	return session.printReply(send(session.client, content, change))
+}
+
+// difference is how a document differs from the present one.
+type difference struct {
+	Changes []string `json:"changes"`
+	// Epoch is the version of the present document.
+	Epoch    uint64           `json:"epoch"`
+	Problems []config.Problem `json:"flaws"`
+}
+
+// diff prints how the document in a file differs from the present one, and its problems. The exit code is exitRefused
+// if there is anything to print.
+func (session *session) diff(path string) (int, error) {
+	content, err := readFile(path, session.input)
+	if err != nil {
+		return exitUsage, err
+	}
+	wanted, err := config.Parse(content)
+	if err != nil {
+		return exitRefused, err
+	}
+	reply, err := session.client.Get()
+	if err != nil {
+		return exitRefused, err
+	}
+	present := &config.Spec{}
+	if len(reply.Spec) > 0 {
+		if present, err = config.Parse(reply.Spec); err != nil {
+			return exitRefused, err
+		}
+	}
+	found := difference{Changes: config.Diff(present, wanted), Epoch: reply.Epoch, Problems: wanted.Check()}
+	code := exitFine
+	if len(found.Changes)+len(found.Problems) > 0 {
+		code = exitRefused
+	}
+	if session.json {
+		return code, session.output.printJSON(found)
+	}
+	found.print(session.output)
+	return code, nil
+}
+
+// print prints a line for each change and each problem.
+func (found difference) print(output *printer) {
+	output.printf("against epoch %d\n", found.Epoch)
+	for _, change := range found.Changes {
+		output.printf("%s\n", change)
+	}
+	for _, problem := range found.Problems {
+		output.printf("! %s: %s\n", problem.Path, problem.Detail)
+	}
+}
--- /dev/null
+++ b/cmd/wtctl/explain.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"encoding/json"
+	"sort"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"wardtray/apierror"
+	"wardtray/balancer/scheduler"
+	"wardtray/proxy/admission"
+)
+
+const (
+	// explainBody is the body of the request that is explained; scheduling goes by the headers alone.
+	explainBody = `{"prompt":"-"}`
+	// explainID is its request id.
+	explainID = "explain"
+	// explainResponseTokens is how many tokens its response may have.
+	explainResponseTokens = "1"
+)
+
+// registerExplain declares the command that asks a daemon where it would send a request.
+func (session *session) registerExplain(known commands, application *kingpin.Application) {
+	command := application.Command("explain", "Tell where a request would go and why, without sending it.")
+	daemon := command.Arg("daemon", "HTTP address of a wtdata.").Required().String()
+	route := command.Flag("lane", "The lane.").Required().String()
+	model := command.Flag("model", "The model.").Required().String()
+	adapter := command.Flag("adapter", "The adapter.").String()
+	keyFlag := command.Flag("key", "A tenant's key, where the lane needs one.")
+	key := keyFlag.Envar("WTCTL_KEY").String()
+	tokens := command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").String()
+	prefix := command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").String()
+	known[command.FullCommand()] = func() (int, error) {
+		headers := map[string]string{
+			admission.HeaderRoute:   *route,
+			admission.HeaderModel:   *model,
+			admission.HeaderRequest: explainID,
+			admission.HeaderPrompt:  *tokens,
+			admission.HeaderAnswer:  explainResponseTokens,
+		}
+		if *key != "" {
+			headers[admission.HeaderAuthorization] = "Bearer " + *key
+		}
+		if *adapter != "" {
+			headers[admission.HeaderAdapter] = *adapter
+		}
+		if *prefix != "" {
+			headers[admission.HeaderPrefix] = *prefix
+		}
+		return session.explain(*daemon, headers)
+	}
+}
+
+// explain prints how a daemon would schedule a request with some headers.
+func (session *session) explain(daemon string, headers map[string]string) (int, error) {
+	content, err := session.client.Explain(daemon, headers, []byte(explainBody))
+	if err != nil {
+		return exitRefused, err
+	}
+	if session.json {
+		return exitFine, session.output.printJSON(content)
+	}
+	return exitFine, printExplanation(session.output, content)
+}
+
+// explanation is a daemon's response to the request for one.
+type explanation struct {
+	Decision     scheduler.Decision          `json:"step"`
+	Candidates   []scheduler.ScoredCandidate `json:"quotes"`
+	CostWeights  scheduler.CostWeights       `json:"prices"`
+	Requirements scheduler.Requirements      `json:"bid"`
+}
+
+// printExplanation prints an encoded explanation: the decision, what it went by, and the candidates, the best first.
+func printExplanation(output *printer, content []byte) error {
+	explained := explanation{}
+	if err := json.Unmarshal(content, &explained); err != nil {
+		return apierror.Wrap(err, apierror.Malformed, "the daemon's answer")
+	}
+	explained.printDecision(output)
+	return explained.printCandidates(output)
+}
+
+// printDecision prints the decision, the weights of costs and the requirements of the request.
+func (explained explanation) printDecision(output *printer) {
+	decision, weights, requirements := explained.Decision, explained.CostWeights, explained.Requirements
+	output.printf("step: %s", decision.Kind)
+	if decision.Kind == scheduler.Dispatch {
+		output.printf(" to %s at %s", decision.Runner.ID, decision.Runner.Address)
+	}
+	if decision.Reason != "" {
+		output.printf(" (%s)", decision.Reason)
+	}
+	output.printf("\n")
+	output.printf("prices: %.0f microseconds a token, %.2f s a place\n", weights.TokenSeconds*1e6, weights.PlaceSeconds)
+	output.printf("bid: worth %.0f, patience %v, within its purse %v\n",
+		requirements.Value, requirements.LatencyTarget, requirements.WithinLimit)
+}
+
+// printCandidates prints a table of the candidates.
+func (explained explanation) printCandidates(output *printer) error {
+	candidates := explained.Candidates
+	sort.SliceStable(candidates, func(left, right int) bool { return candidates[left].Net > candidates[right].Net })
+	table := newTable(output)
+	table.printf("RUNNER\tZONE\tLOAD\tSLOTS\tHELD TOKENS\tNET\tFIRST EVENT\tFULL\n")
+	for _, scored := range candidates {
+		candidate := scored.Candidate
+		table.printf("%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", candidate.ID, candidate.Zone, candidate.Load,
+			candidate.Slots, candidate.HeldTokens, scored.Net, scored.First, scored.Full)
+	}
+	return table.flush()
+}
--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -2,17 +2,20 @@
 
 import (
 	"bytes"
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
 )
 
-// standIn answers as a wtcore does, by a table of paths.
-func standIn(t *testing.T, answers map[string]string) string {
+// fakeCore starts a server that responds as a wtcore does, by method and path, and returns its address.
+func fakeCore(t *testing.T, responses map[string]string) string {
+	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		fmt.Fprint(writer, answers[request.Method+" "+request.URL.Path])
+		if _, err := io.WriteString(writer, responses[request.Method+" "+request.URL.Path]); err != nil {
+			t.Error(err)
+		}
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -21,7 +24,7 @@
 const present = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
 func TestExitCodes(t *testing.T) {
-	address := standIn(t, map[string]string{
+	address := fakeCore(t, map[string]string{
 		"GET /v1/spec":            `{"outcome":"found","epoch":4,"spec":` + present + `}`,
 		"PUT /v1/spec":            `{"outcome":"refused","epoch":4,"kind":"invalid_spec","detail":"1 faults","remedy":"mend it","flaws":[{"path":"lanes[0].purse","detail":"wants more"}]}`,
 		"PATCH /v1/spec":          `{"outcome":"accepted","epoch":9}`,
@@ -29,11 +32,11 @@
 		"POST /v1/zones/a/open":   `{"outcome":"unknown","kind":"outcome_unknown","detail":"no answer","remedy":"ask"}`,
 		"GET /v1/operations/late": `{"outcome":"pending","epoch":6}`,
 	})
-	for name, step := range map[string]struct {
+	for name, test := range map[string]struct {
 		arguments []string
 		input     string
 		code      int
-		says      string
+		output    string
 	}{
 		"get":            {[]string{"get"}, "", exitFine, `"patience": "1s"`},
 		"refused":        {[]string{"apply", "-"}, present, exitRefused, "lanes[0].purse: wants more"},
@@ -55,16 +58,27 @@
 		"help of a part": {[]string{"apply", "--help"}, "", exitFine, "--base"},
 	} {
 		var output, errors bytes.Buffer
-		code := run(append([]string{"--core", address}, step.arguments...), strings.NewReader(step.input), &output, &errors)
-		if code != step.code || !strings.Contains(output.String(), step.says) {
+		code := run(append([]string{"--core", address}, test.arguments...), strings.NewReader(test.input), &output, &errors)
+		if code != test.code || !strings.Contains(output.String(), test.output) {
 			t.Errorf("%s: code %d, output %s, errors %s", name, code, output.String(), errors.String())
 		}
-		if code != exitFine && step.says == "" && errors.Len() == 0 {
-			t.Errorf("%s: nothing said", name)
+		if code != exitFine && test.output == "" && errors.Len() == 0 {
+			t.Errorf("%s: no error is printed", name)
 		}
 	}
 	var output, errors bytes.Buffer
-	if code := run([]string{"--core", "127.0.0.1:1", "get"}, strings.NewReader(""), &output, &errors); code != exitUnreachable || !strings.Contains(errors.String(), "remedy") {
+	code := run([]string{"--core", "127.0.0.1:1", "get"}, strings.NewReader(""), &output, &errors)
+	if code != exitUnreachable || !strings.Contains(errors.String(), "remedy") {
 		t.Errorf("nobody there: %d %s", code, errors.String())
 	}
 }
+
+func TestOutputThatCannotBeWrittenIsAnError(t *testing.T) {
+	address := fakeCore(t, map[string]string{"POST /v1/zones/a/close": `{"outcome":"accepted","epoch":5}`})
+	var errors bytes.Buffer
+	arguments := []string{"--core", address, "close", "a"}
+	code := run(arguments, strings.NewReader(""), &limitedWriter{writes: 1}, &errors)
+	if code != exitRefused || !strings.Contains(errors.String(), errFull.Error()) {
+		t.Errorf("code %d, errors %s", code, errors.String())
+	}
+}
--- /dev/null
+++ b/cmd/wtctl/printer.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"wardtray/apierror"
+)
+
+// printer writes text and remembers the first error, after which it writes nothing. So its callers print line by line,
+// and the error is handled once, at the end.
+type printer struct {
+	writer io.Writer
+	err    error
+}
+
+// Write implements io.Writer.
+func (printer *printer) Write(content []byte) (int, error) {
+	if printer.err != nil {
+		return 0, printer.err
+	}
+	written, err := printer.writer.Write(content)
+	printer.err = err
+	return written, err
+}
+
+// printf prints as fmt.Printf does.
+func (printer *printer) printf(format string, values ...any) {
+	_, _ = fmt.Fprintf(printer, format, values...) // The printer remembers the error.
+}
+
+// printJSON prints a value as indented JSON.
+func (printer *printer) printJSON(value any) error {
+	encoder := json.NewEncoder(printer)
+	encoder.SetIndent("", "  ")
+	return apierror.Wrap(encoder.Encode(value), apierror.Internal, "printing")
+}
+
+// The layout of tables: columns are padded with blanks, and at least so many stand between two.
+const (
+	columnPadding = 2
+	tabWidth      = 4
+)
+
+// table prints rows whose columns are separated by tabs, aligned when it is flushed.
+type table struct {
+	*printer
+	columns *tabwriter.Writer
+}
+
+func newTable(output io.Writer) *table {
+	columns := tabwriter.NewWriter(output, 0, tabWidth, columnPadding, ' ', 0)
+	return &table{printer: &printer{writer: columns}, columns: columns}
+}
+
+// flush prints the rows; it returns the first error of the table.
+func (table *table) flush() error {
+	err := table.err
+	if err == nil {
+		err = table.columns.Flush()
+	}
+	return apierror.Wrap(err, apierror.Internal, "printing")
+}
