--- /dev/null
+++ b/tools/knownred/declared.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"fmt"
+	"io/fs"
+	"path"
+	"strings"
+)
+
+// checkDeclared checks that each test is declared in just one package of a tree: go test -skip looks at names only and
+// would skip a namesake too.
+func checkDeclared(tree fs.FS, tests []knownRed) error {
+	if len(tests) == 0 {
+		return nil
+	}
+	declarations, err := findDeclarations(tree, tests)
+	if err != nil {
+		return err
+	}
+	for _, test := range tests {
+		if count := len(declarations[test.function()]); count != 1 {
+			return fmt.Errorf("%s is declared in %d packages, want 1", test.function(), count)
+		}
+	}
+	return nil
+}
+
+// packageSet is a set of packages by their paths.
+type packageSet map[string]bool
+
+// findDeclarations returns for each test function the packages that declare it.
+func findDeclarations(tree fs.FS, tests []knownRed) (map[string]packageSet, error) {
+	declarations := map[string]packageSet{}
+	for _, test := range tests {
+		declarations[test.function()] = packageSet{}
+	}
+	err := fs.WalkDir(tree, ".", func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, "_test.go") {
+			return err
+		}
+		content, err := fs.ReadFile(tree, name)
+		if err != nil {
+			return err
+		}
+		for function, packages := range declarations {
+			if strings.Contains(string(content), "\nfunc "+function+"(") {
+				packages[path.Dir(name)] = true
+			}
+		}
+		return nil
+	})
+	return declarations, err
+}
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,36 +1,59 @@
-// Command knownred reads KNOWN-RED.txt, the tests that fail for a real fault that is not mended yet. It prints what is
-// passed over to the standard error output and the pattern for go test -skip, empty if nothing is listed, to the
-// standard output. A list that is too long, malformed or stale ends it with exit code 1.
+// Command knownred reads KNOWN-RED.txt, the list of tests that fail for a real fault that is not fixed yet. It prints
+// the pattern for go test -skip to standard output, empty if the list is, and the tests that are skipped to standard
+// error. A list that is too long, malformed or stale ends it with exit code 1.
 package main
 
 import (
 	"fmt"
+	"io"
 	"os"
+	"strings"
 )
 
+// listFile is the path of the list, from the repository's root.
+const listFile = "KNOWN-RED.txt"
+
 func main() {
-	const file = "KNOWN-RED.txt"
-	content, err := os.ReadFile(file)
-	if err != nil {
-		exit(err)
+	if err := run(os.Stdout, os.Stderr); err != nil {
+		fmt.Fprintln(os.Stderr, "knownred:", err)
+		os.Exit(1)
 	}
-	listed, err := parseList(string(content))
+}
+
+// run checks the list and prints the pattern and the report.
+func run(output, report io.Writer) error {
+	tests, err := readList(listFile)
 	if err != nil {
-		exit(fmt.Errorf("%s: %w", file, err))
+		return fmt.Errorf("%s: %w", listFile, err)
 	}
-	if err := checkDeclared(os.DirFS("."), listed); err != nil {
-		exit(fmt.Errorf("%s: %w", file, err))
+	if _, err := io.WriteString(report, describe(tests)); err != nil {
+		return err
 	}
-	if len(listed) == 0 {
-		fmt.Fprintln(os.Stderr, "known red, passed over: none")
+	_, err = fmt.Fprintln(output, skipPattern(tests))
+	return err
+}
+
+// readList reads the list and checks that its tests are declared.
+func readList(path string) ([]knownRed, error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
 	}
-	for _, test := range listed {
-		fmt.Fprintf(os.Stderr, "known red, passed over: %s (%s; issue %s)\n", test.pattern, test.cause, test.issue)
+	tests, err := parseList(string(content))
+	if err != nil {
+		return nil, err
 	}
-	fmt.Println(skipPattern(listed))
+	return tests, checkDeclared(os.DirFS("."), tests)
 }
 
-func exit(err error) {
-	fmt.Fprintln(os.Stderr, "knownred:", err)
-	os.Exit(1)
+// describe returns a line for each test that is skipped.
+func describe(tests []knownRed) string {
+	if len(tests) == 0 {
+		return "known red, passed over: none\n"
+	}
+	var lines strings.Builder
+	for _, test := range tests {
+		fmt.Fprintf(&lines, "known red, passed over: %s (%s; issue %s)\n", test.pattern, test.cause, test.issue)
+	}
+	return lines.String()
 }
