--- a/tools/ablation/ablation_test.go
+++ b/tools/ablation/ablation_test.go
@@ -4,54 +4,83 @@
 	"encoding/json"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-func TestSwitchedOff(t *testing.T) {
+func TestSwitchOff(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("..", "..", deployFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed, err := switchedOff(string(content), "homes")
-	if err != nil || !strings.Contains(changed, "target/wtdata --without homes --adapter") || strings.Contains(changed, "wtcore --without") {
-		t.Fatalf("%v: %s", err, changed)
+	changed, err := switchOff(string(content), "homes")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(changed, "target/wtdata --without homes --adapter") {
+		t.Errorf("nothing is switched off in %s", changed)
+	}
+	if strings.Contains(changed, "wtcore --without") {
+		t.Errorf("the control plane is changed too in %s", changed)
+	}
+	if _, err := switchOff("[roles]", "homes"); err == nil {
+		t.Fatal("a deploy file without a data plane is accepted")
+	}
+}
+
+// writeReport writes the report of a trial.
+func writeReport(t *testing.T, chosen options, next trial, value float64, breaks map[string]any) {
+	t.Helper()
+	prices := [][]any{{"probes", 10, 0.1}, {"machines", 1.5, 0.2}}
+	content, err := json.Marshal(map[string]any{"G": value, "prices": prices, "breaks": breaks})
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := switchedOff("[roles]", "homes"); err == nil {
-		t.Fatal("a deploy file without a data plane is taken")
+	if err := os.WriteFile(next.reportPath(chosen.out), content, fileMode); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// The table pairs runs of the same day and seed, leaves out what was not played, and tells of broken rules.
+// The table pairs trials of the same day and seed, leaves out those without a report, and counts broken rules.
 func TestTable(t *testing.T) {
-	given := settings{out: t.TempDir(), sites: []string{"/x/one.toml"}, days: []string{"quiet-1", "scale-1"}, seeds: []int64{1, 2}, mechanisms: []string{"homes", "watch"}}
-	if err := os.MkdirAll(filepath.Join(given.out, "reports"), 0o755); err != nil {
+	chosen := options{
+		out:      t.TempDir(),
+		sites:    []string{"/x/one.toml"},
+		days:     []string{"quiet-1", "scale-1"},
+		seeds:    []int64{1, 2},
+		features: []string{"homes", "watch"},
+	}
+	if err := os.MkdirAll(filepath.Join(chosen.out, "reports"), directoryMode); err != nil {
 		t.Fatal(err)
 	}
-	write := func(mechanism, day string, seed int64, worth float64, breaks map[string]any) {
-		content, err := json.Marshal(map[string]any{"G": worth, "prices": [][]any{{"probes", 10, 0.1}, {"machines", 1.5, 0.2}}, "breaks": breaks})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile((one{mechanism, given.sites[0], day, seed}).report(given.out), content, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(everything, "quiet-1", 1, 0.5, nil)
-	write(everything, "quiet-1", 2, 0.6, nil)
-	write(everything, "scale-1", 1, 0.4, nil)
+	write := func(feature, day string, seed int64, value float64, breaks map[string]any) {
+		writeReport(t, chosen, trial{feature, chosen.sites[0], day, seed}, value, breaks)
+	}
+	write(baseline, "quiet-1", 1, 0.5, nil)
+	write(baseline, "quiet-1", 2, 0.6, nil)
+	write(baseline, "scale-1", 1, 0.4, nil)
 	write("homes", "quiet-1", 1, 0.4, nil)
 	write("homes", "quiet-1", 2, 0.3, map[string]any{"LOST": 1})
 	write("homes", "scale-1", 2, 0.9, nil)
-	reports, err := readReports(given)
+	reports, err := readReports(chosen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := strings.Split(strings.TrimSpace(table(given, reports)), "\n")
+	lines := strings.Split(strings.TrimSpace(table(chosen, reports)), "\n")
 	if len(lines) != 3 || lines[2] != "| one | homes | -0.200 | 0.141 | +0.000 | 2 | 1 |" {
 		t.Fatalf("%q", lines)
 	}
-	if priced := reports[one{everything, given.sites[0], "quiet-1", 1}].priced(); priced < 0.299 || priced > 0.301 {
-		t.Errorf("prices add up to %v", priced)
+	if price := reports[trial{baseline, chosen.sites[0], "quiet-1", 1}].totalPrice(); price < 0.299 || price > 0.301 {
+		t.Errorf("prices add up to %v", price)
+	}
+}
+
+func TestTrialsBeginWithTheBaseline(t *testing.T) {
+	chosen := options{sites: []string{"a.toml"}, days: []string{"d"}, seeds: []int64{1, 2}, features: []string{"homes"}}
+	want := []trial{{baseline, "a.toml", "d", 1}, {baseline, "a.toml", "d", 2},
+		{"homes", "a.toml", "d", 1}, {"homes", "a.toml", "d", 2}}
+	if got := chosen.trials(); !slices.Equal(got, want) {
+		t.Errorf("%v instead of %v", got, want)
 	}
 }
--- /dev/null
+++ b/tools/ablation/trial.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+)
+
+// baseline stands in the place of a feature for the trials with all features on.
+const baseline = "everything"
+
+// trial is one run of the bench: a day of a site under a seed, with one feature switched off or as the baseline.
+type trial struct {
+	feature, site, day string
+	seed               int64
+}
+
+// siteName returns a site file's name without its folder and extension.
+func siteName(site string) string { return strings.TrimSuffix(filepath.Base(site), ".toml") }
+
+// reportPath returns the path of the trial's report.
+func (trial trial) reportPath(out string) string {
+	name := fmt.Sprintf("%s--%s--%s--%d.json", siteName(trial.site), trial.feature, trial.day, trial.seed)
+	return filepath.Join(out, "reports", name)
+}
+
+// reason says in the bench's journal why the trial was run.
+func (trial trial) reason() string {
+	if trial.feature == baseline {
+		return "ablation: everything on"
+	}
+	return "ablation: without " + trial.feature
+}
+
+// trials lists all trials, those of the baseline first.
+func (chosen options) trials() []trial {
+	count := (1 + len(chosen.features)) * len(chosen.sites) * len(chosen.days) * len(chosen.seeds)
+	trials := make([]trial, 0, count)
+	for _, feature := range append([]string{baseline}, chosen.features...) {
+		for _, site := range chosen.sites {
+			for _, day := range chosen.days {
+				trials = append(trials, chosen.seeded(trial{feature: feature, site: site, day: day})...)
+			}
+		}
+	}
+	return trials
+}
+
+// seeded returns a trial once for each seed.
+func (chosen options) seeded(once trial) []trial {
+	trials := make([]trial, len(chosen.seeds))
+	for i, seed := range chosen.seeds {
+		trials[i] = once
+		trials[i].seed = seed
+	}
+	return trials
+}
+
+// runTrials runs the trials that have no report, several at once. A trial that fails is printed, and has no report.
+func runTrials(ctx context.Context, chosen options) error {
+	if err := os.MkdirAll(filepath.Join(chosen.out, "reports"), directoryMode); err != nil {
+		return err
+	}
+	waiting := make(chan trial)
+	var workers sync.WaitGroup
+	for range max(1, chosen.jobs) {
+		workers.Go(func() {
+			for next := range waiting {
+				if err := runTrial(ctx, chosen, next); err != nil {
+					fmt.Fprintf(os.Stderr, "%s without %s, %s %d: %v\n",
+						siteName(next.site), next.feature, next.day, next.seed, err)
+				}
+			}
+		})
+	}
+	err := startTrials(ctx, chosen, waiting)
+	close(waiting)
+	if err != nil {
+		return err
+	}
+	workers.Wait()
+	return nil
+}
+
+// startTrials prepares the sources of the trials that have no report, and hands them to the workers.
+func startTrials(ctx context.Context, chosen options, waiting chan<- trial) error {
+	for _, next := range chosen.trials() {
+		if _, err := os.Stat(next.reportPath(chosen.out)); err == nil {
+			continue
+		}
+		if err := prepareSources(ctx, chosen, next.feature); err != nil {
+			return err
+		}
+		waiting <- next
+	}
+	return nil
+}
+
+// runTrial runs one trial; its journal entry stays in the copy's journal.
+func runTrial(ctx context.Context, chosen options, next trial) error {
+	report := next.reportPath(chosen.out)
+	partial := report + ".part"
+	bench := exec.CommandContext(ctx, chosen.bench, "run", next.site, next.day,
+		"--seed", strconv.FormatInt(next.seed, 10), "--why", next.reason(), "--report", partial)
+	bench.Dir = chosen.sources(next.feature)
+	if output, err := bench.CombinedOutput(); err != nil {
+		// A report that was written counts, even if the bench ended with an error.
+		if _, missing := os.Stat(partial); missing != nil {
+			return fmt.Errorf("%w: %s", err, output)
+		}
+	}
+	return os.Rename(partial, report)
+}
--- a/tools/wiregen/main.go
+++ b/tools/wiregen/main.go
@@ -1,8 +1,10 @@
-// Command wiregen writes the Go code of a proto file, with both compiler and generator pinned in go.mod.
+// Command wiregen writes the Go code of a proto file next to it. The compiler and the generator are both pinned in
+// go.mod, so that no protoc has to be installed.
 package main
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,47 +18,68 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
+// generatedMode is the file mode of the generated code.
+const generatedMode = 0o644
+
 func main() {
-	if err := run(os.Args[1:]); err != nil {
+	if err := run(context.Background(), os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "wiregen:", err)
 		os.Exit(1)
 	}
 }
 
-func run(arguments []string) error {
+// run generates the code of the one proto file that the arguments name.
+func run(ctx context.Context, arguments []string) error {
 	if len(arguments) != 1 {
-		return fmt.Errorf("give one proto file")
+		return errors.New("give one proto file")
 	}
 	folder, name := filepath.Split(arguments[0])
+	request, err := compile(ctx, folder, name)
+	if err != nil {
+		return err
+	}
+	response, err := generate(request)
+	if err != nil {
+		return err
+	}
+	for _, file := range response.GetFile() {
+		path := filepath.Join(folder, file.GetName())
+		if err := os.WriteFile(path, []byte(file.GetContent()), generatedMode); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// compile parses a proto file and returns the request for its code, as protoc would send it to a plugin.
+func compile(ctx context.Context, folder, name string) (*pluginpb.CodeGeneratorRequest, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{folder}},
 		SourceInfoMode: protocompile.SourceInfoStandard,
 	}
-	files, err := compiler.Compile(context.Background(), name)
+	files, err := compiler.Compile(ctx, name)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	descriptor := protodesc.ToFileDescriptorProto(files[0])
-	request := &pluginpb.CodeGeneratorRequest{
+	return &pluginpb.CodeGeneratorRequest{
 		FileToGenerate: []string{name},
-		ProtoFile:      []*descriptorpb.FileDescriptorProto{descriptor},
+		ProtoFile:      []*descriptorpb.FileDescriptorProto{protodesc.ToFileDescriptorProto(files[0])},
 		Parameter:      proto.String("paths=source_relative"),
-	}
+	}, nil
+}
+
+// generate runs the generator that protoc-gen-go consists of.
+func generate(request *pluginpb.CodeGeneratorRequest) (*pluginpb.CodeGeneratorResponse, error) {
 	plugin, err := protogen.Options{}.New(request)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	for _, file := range plugin.Files {
 		internal_gengo.GenerateFile(plugin, file)
 	}
 	response := plugin.Response()
 	if response.Error != nil {
-		return fmt.Errorf("%s", response.GetError())
+		return nil, errors.New(response.GetError())
 	}
-	for _, file := range response.File {
-		if err := os.WriteFile(filepath.Join(folder, file.GetName()), []byte(file.GetContent()), 0o644); err != nil {
-			return err
-		}
-	}
-	return nil
+	return response, nil
 }
