--- a/config/catalog_test.go
+++ b/config/catalog_test.go
@@ -89,7 +89,9 @@
 }
 
 func TestBackendAtFollowsTheWeights(t *testing.T) {
-	split := []Share{{Pool: "p", Weight: 60}, {Pool: "r", Weight: 0}, {Pool: "q", Weight: 10}, {Pool: "p", Weight: 30}}
+	split := []Share{
+		{Pool: "p", Weight: 60}, {Pool: "r", Weight: 0}, {Pool: "q", Weight: 10}, {Pool: "p", Weight: 30},
+	}
 	catalog := NewCatalog(&Spec{
 		Backends: []Pool{{Name: "p"}, {Name: "q"}, {Name: "r"}},
 		Routes:   []Route{{Name: "split", Split: split}, {Name: "single", Pool: "q"}, {Name: "missing", Pool: "gone"}},
--- a/config/change.go
+++ b/config/change.go
@@ -3,37 +3,20 @@
 import (
 	"fmt"
 	"strings"
-
-	"github.com/mailru/easyjson"
-
-	"wardtray/apierror"
-	"wardtray/strictjson"
 )
 
 // ParseChange reads an operator's change: unknown and repeated keys are Malformed errors, more than MaximumBytes is
 // TooLarge. It does not check values; see Change.Apply.
 func ParseChange(content []byte) (*Change, error) {
-	if len(content) > MaximumBytes {
-		return nil, apierror.New(apierror.TooLarge, "a change of %d bytes; at most %d", len(content), MaximumBytes)
-	}
-	if err := strictjson.Check(content); err != nil {
-		return nil, err
-	}
 	parsed := &Change{}
-	if err := easyjson.Unmarshal(content, parsed); err != nil {
-		return nil, apierror.New(apierror.Malformed, "%v", err)
+	if err := parseStrictly(content, "change", parsed); err != nil {
+		return nil, err
 	}
 	return parsed, nil
 }
 
 // Encode returns the canonical form.
-func (change *Change) Encode() []byte {
-	content, err := easyjson.Marshal(change)
-	if err != nil {
-		panic(err) // Plain fields always marshal; anything else is a defect of this package.
-	}
-	return content
-}
+func (change *Change) Encode() []byte { return encode(change) }
 
 // Apply returns the document that follows from a present one, which it leaves as it is, and every problem of the change
 // and of the result. An entry that is replaced keeps its position; new ones come last, in the order of the change.
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -88,7 +88,8 @@
 		}
 		want := changedZones(present.Zones, change.Upsert.Zones, upsert, removed)
 		present.Backends = []Pool{{Name: "p", Services: []string{"s"}}}
-		present.Routes = Routes{{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}}
+		route := Route{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}
+		present.Routes = Routes{route}
 		next, problems := change.Apply(present)
 		if clash != (len(problems) > 0) {
 			t.Fatalf("%+v: %v", change, problems)
--- a/config/diff.go
+++ b/config/diff.go
@@ -31,13 +31,7 @@
 // encodedEntries maps the kind and name of each entry of a document to its JSON, in which no key of a tenant is shown.
 func encodedEntries(spec *Spec) map[string]string {
 	entries := map[string]string{}
-	add := func(name string, entry easyjson.Marshaler) {
-		content, err := easyjson.Marshal(entry)
-		if err != nil {
-			panic(err) // Plain fields always marshal; anything else is a defect of this package.
-		}
-		entries[name] = string(content)
-	}
+	add := func(name string, entry easyjson.Marshaler) { entries[name] = string(encode(entry)) }
 	for i := range spec.Zones {
 		add("zone "+spec.Zones[i].Name, &spec.Zones[i])
 	}
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -10,15 +10,9 @@
 // Parse reads an operator's document: unknown and repeated keys are Malformed errors, more than MaximumBytes is
 // TooLarge. It does not check values; see Spec.Check.
 func Parse(content []byte) (*Spec, error) {
-	if len(content) > MaximumBytes {
-		return nil, apierror.New(apierror.TooLarge, "a spec of %d bytes; at most %d", len(content), MaximumBytes)
-	}
-	if err := strictjson.Check(content); err != nil {
-		return nil, err
-	}
 	parsed := &Spec{}
-	if err := easyjson.Unmarshal(content, parsed); err != nil {
-		return nil, apierror.New(apierror.Malformed, "%v", err)
+	if err := parseStrictly(content, "spec", parsed); err != nil {
+		return nil, err
 	}
 	return parsed, nil
 }
@@ -34,8 +28,25 @@
 }
 
 // Encode returns the canonical form: equal documents have equal bytes.
-func (spec *Spec) Encode() []byte {
-	content, err := easyjson.Marshal(spec)
+func (spec *Spec) Encode() []byte { return encode(spec) }
+
+// parseStrictly parses what an operator has sent; name says in an error what it should be.
+func parseStrictly(content []byte, name string, parsed easyjson.Unmarshaler) error {
+	if len(content) > MaximumBytes {
+		return apierror.New(apierror.TooLarge, "a %s of %d bytes; at most %d", name, len(content), MaximumBytes)
+	}
+	if err := strictjson.Check(content); err != nil {
+		return err
+	}
+	if err := easyjson.Unmarshal(content, parsed); err != nil {
+		return apierror.New(apierror.Malformed, "%v", err)
+	}
+	return nil
+}
+
+// encode returns the canonical JSON of a document or a part of one.
+func encode(value easyjson.Marshaler) []byte {
+	content, err := easyjson.Marshal(value)
 	if err != nil {
 		panic(err) // Plain fields always marshal; anything else is a defect of this package.
 	}
--- a/config/process/settings_test.go
+++ b/config/process/settings_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestEveryProblemIsNamedAtOnce(t *testing.T) {
-	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0", "--seed", "x", "--seed", "x",
-		"--platform", "ftp://y", "--drain", "soon", "--log", "loud")
+	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0",
+		"--seed", "x", "--seed", "x", "--platform", "ftp://y", "--drain", "soon", "--log", "loud")
 	if !apierror.Is(err, apierror.BadSettings) {
 		t.Fatal(err)
 	}
@@ -77,7 +77,8 @@
 	if _, err := parse(t, Needs{Folder: true}, withValid("--folder", t.TempDir())...); err != nil {
 		t.Error(err)
 	}
-	if _, err := parse(t, Needs{Platform: true}, withValid("--folder", "x")...); !apierror.Is(err, apierror.BadSettings) {
+	_, err := parse(t, Needs{Platform: true}, withValid("--folder", "x")...)
+	if !apierror.Is(err, apierror.BadSettings) {
 		t.Error("wtdata with a folder")
 	}
 	if _, err := parse(t, Needs{Platform: true}, withValid("--platform", "http://127.0.0.1:3/x")...); err != nil {
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -150,7 +150,8 @@
 	if len(bare.Check()) > 0 || !bare.Backends[0].Runs("any") {
 		t.Fatalf("a pool of any model: %v", bare.Check())
 	}
-	if named := goodWith(t, zonesKey, zonesKey); named.Backends[0].Runs("any") || !named.Backends[0].Runs("m") {
+	named := goodWith(t, zonesKey, zonesKey).Backends[0]
+	if named.Runs("any") || !named.Runs("m") {
 		t.Fatal("a pool of one model serves another")
 	}
 	empty, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[]}`))
