--- a/features/features.go
+++ b/features/features.go
@@ -46,7 +46,7 @@
 	Ejection Feature = "ejection"
 	// WarmUp sends new runners few requests at first (slow start).
 	WarmUp Feature = "warm-up"
-	// EarlyRetry retries an idempotent request at another runner before its deadline expires.
+	// EarlyRetry retries an idempotent request at another runner while its latency target can still be met.
 	EarlyRetry Feature = "early-retry"
 	// Resumption continues a broken stream at another runner.
 	Resumption Feature = "resumption"
