--- a/balancer/retrybudget/retrybudget.go
+++ b/balancer/retrybudget/retrybudget.go
@@ -1,46 +1,40 @@
-// Package budget bounds how many requests to a backend are sent again, over all daemons together. Each
-// keeps its own part of the bound, so that the sum over all daemons keeps the whole.
+// Package retrybudget bounds how many requests to a backend are retried, over all daemons together. Each daemon keeps
+// its own share of the bound, without messages, so that the sum over all daemons keeps the whole bound.
 package retrybudget
 
 import "time"
 
-// Settings are the bound over all daemons: within any window, what is sent again is at most Ratio times
-// the requests, and Slack beside.
+// Settings are the bound over all daemons: within any window, the retries are at most Ratio times the requests, plus
+// Slack.
 type Settings struct {
+	// Window is the length of the sliding window.
 	Window time.Duration
-	Ratio  float64
-	Slack  float64
+	// Ratio is the number of retries that each request allows.
+	Ratio float64
+	// Slack is the number of retries per window that all daemons together may send whatever the requests are.
+	Slack float64
 }
 
-// Default holds where nothing else is set.
+// Default applies where nothing else is set.
 var Default = Settings{Window: 10 * time.Second, Ratio: 0.15}
 
-const (
-	cells = 40
-	// lately is the part of the window that gives credit of its own.
-	lately = cells / 4
-	// slackPart is the part of the slack that is given out at all.
-	slackPart = 0.8
-	// remembered is for how many windows a daemon that is no longer seen still has its part of the slack.
-	remembered = 3
-)
+// grantedSlackRatio is the part of the slack that is granted at all; the rest is a margin for daemons that count each
+// other differently.
+const grantedSlackRatio = 0.8
 
-// Budget is one daemon's for one backend. It is not safe for several goroutines at once.
+// Budget is one daemon's retry budget for one backend. It is not safe for concurrent use.
 type Budget struct {
 	settings Settings
-	daemons  func() int
-	cell     time.Duration
-	started  time.Time
-	requests [cells + 1]int
-	retries  [cells + 1]int
-	numbers  [cells + 1]int64
-	// most holds the greatest number of daemons seen in each of the last windows.
-	most        [remembered + 1]int
-	mostNumbers [remembered + 1]int64
+	// daemons returns how many daemons share the slack, as this one sees them now.
+	daemons func() int
+	// firstUse is when the budget was first used; zero before that.
+	firstUse time.Time
+	counts   slidingWindow
+	peak     daemonPeak
 }
 
-// New makes a budget; the zero value of settings stands for Default. daemons tells how many share the
-// slack; without it there is one.
+// New returns a budget; the zero value of settings stands for Default. daemons returns how many daemons share the
+// slack; nil stands for one.
 func New(settings Settings, daemons func() int) *Budget {
 	if settings == (Settings{}) {
 		settings = Default
@@ -48,96 +42,60 @@
 	if daemons == nil {
 		daemons = func() int { return 1 }
 	}
-	return &Budget{settings: settings, daemons: daemons, cell: settings.Window / cells}
-}
-
-// since gives the nanoseconds since this budget was first used.
-//
-// Why not the time of day: it jumps by seconds, and a window would count twice or not at all.
-func (budget *Budget) since(now time.Time) int64 {
-	if budget.started.IsZero() {
-		budget.started = now
+	return &Budget{
+		settings: settings,
+		daemons:  daemons,
+		counts:   slidingWindow{cellLength: settings.Window / windowCells},
+		peak:     daemonPeak{window: settings.Window},
 	}
-	return int64(now.Sub(budget.started))
 }
 
-func (budget *Budget) place(now time.Time) int {
-	number := budget.since(now) / int64(budget.cell)
-	place := int(number % (cells + 1))
-	if budget.numbers[place] != number {
-		budget.numbers[place], budget.requests[place], budget.retries[place] = number, 0, 0
-	}
-	return place
+// Request counts a request that is sent for the first time.
+func (budget *Budget) Request(now time.Time) {
+	elapsed := budget.elapsed(now)
+	budget.counts.cell(elapsed).requests++
+	budget.peak.observe(elapsed, budget.daemons())
 }
 
-// sums counts what lies in the last so many cells.
-func (budget *Budget) sums(now time.Time, length int64) (requests, retries int) {
-	oldest := budget.since(now)/int64(budget.cell) - length
-	for place, number := range budget.numbers {
-		// The cell that is leaving the window counts for repeats but not for requests, so that no window, however it lies, breaks the bound.
-		if number >= oldest {
-			retries += budget.retries[place]
-		}
-		if number > oldest {
-			requests += budget.requests[place]
-		}
+// Repeat takes one retry out of the budget and reports whether there was one. A retry that the runner rejects has been
+// sent all the same and is not returned.
+func (budget *Budget) Repeat(now time.Time) bool {
+	elapsed := budget.elapsed(now)
+	current := budget.counts.cell(elapsed)
+	slack := budget.slack(now)
+	requests, retries := budget.counts.totals(elapsed, windowCells)
+	if float64(retries+1) > budget.settings.Ratio*float64(requests)+slack {
+		return false
+	}
+	// When requests cease, as when a whole backend rejects them, the credit of the previous window would be spent in a
+	// window that has hardly any requests. Most of the credit must be recent.
+	requests, retries = budget.counts.totals(elapsed, recentCells)
+	if float64(retries+1) > max(1, budget.settings.Ratio*float64(requests))+slack {
+		return false
 	}
-	return requests, retries
+	current.retries++
+	return true
 }
 
-// sharers gives the most daemons that were seen within the last few windows.
-//
-// Why the most: one that has just gone may have spent its part, and one that is cut off sees nobody.
-func (budget *Budget) sharers(now time.Time) int {
-	number := budget.since(now) / int64(budget.settings.Window)
-	place := int(number % (remembered + 1))
-	if budget.mostNumbers[place] != number {
-		budget.mostNumbers[place], budget.most[place] = number, 0
-	}
-	budget.most[place] = max(budget.most[place], budget.daemons())
-	most := 1
-	for place, seen := range budget.mostNumbers {
-		if seen >= number-remembered {
-			most = max(most, budget.most[place])
-		}
+// elapsed returns the time since the first use of the budget. It is measured by the monotonic clock: the time of day
+// jumps by seconds, and a window would count twice or not at all.
+func (budget *Budget) elapsed(now time.Time) time.Duration {
+	if budget.firstUse.IsZero() {
+		budget.firstUse = now
 	}
-	return most
+	return now.Sub(budget.firstUse)
 }
 
-// slack is this daemon's part of the slack.
+// slack returns this daemon's share of the slack, in retries per window.
 func (budget *Budget) slack(now time.Time) float64 {
 	if budget.settings.Slack == 0 {
 		return 0
 	}
-	sharers := budget.sharers(now)
-	// An earlier life of this process may have spent its part within the window.
-	if now.Sub(budget.started) <= budget.settings.Window {
+	elapsed := budget.elapsed(now)
+	sharers := budget.peak.observe(elapsed, budget.daemons())
+	// A previous incarnation of this process may have spent its share within the window.
+	if elapsed <= budget.settings.Window {
 		return 0
 	}
-	return slackPart * budget.settings.Slack / float64(sharers)
-}
-
-// Request counts a first send.
-func (budget *Budget) Request(now time.Time) {
-	budget.requests[budget.place(now)]++
-	budget.sharers(now)
-}
-
-// Repeat takes one repeat out of the budget, if there is one. What a runner turns away has been sent all
-// the same.
-func (budget *Budget) Repeat(now time.Time) bool {
-	place := budget.place(now)
-	slack := budget.slack(now)
-	requests, retries := budget.sums(now, cells)
-	if float64(retries+1) > budget.settings.Ratio*float64(requests)+slack {
-		return false
-	}
-	// Where requests cease, as when a whole backend puts back, the credit of the window before would be
-	// spent in a window that has hardly any. Most of it must be of late.
-	requests, retries = budget.sums(now, lately)
-	if float64(retries+1) > max(1, budget.settings.Ratio*float64(requests))+slack {
-		return false
-	}
-	budget.retries[place]++
-	return true
+	return grantedSlackRatio * budget.settings.Slack / float64(sharers)
 }
--- a/balancer/retrybudget/retrybudget_test.go
+++ b/balancer/retrybudget/retrybudget_test.go
@@ -20,8 +20,8 @@
 	return count
 }
 
-// However requests and wishes to repeat come, at every repeat the last ten seconds keep the bound,
-// and a budget without requests gives nothing.
+// Whatever the order of requests and retries, at every retry the last ten seconds keep the bound, and a budget without
+// requests allows nothing.
 func TestEveryWindowKeepsTheBound(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	properties := gopter.NewProperties(parameters)
--- a/balancer/retrybudget/slack_test.go
+++ b/balancer/retrybudget/slack_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retries tells how many repeats a budget gives at once.
+// retries returns how many retries a budget allows at once.
 func retries(budget *Budget, now time.Time) (count int) {
 	for budget.Repeat(now) {
 		count++
@@ -13,38 +13,40 @@
 	return count
 }
 
-// All daemons together give out less than the slack, and one that has just begun gives none of its part,
-// which an earlier life may have spent.
+// All daemons together grant less than the slack, and one that has just started grants nothing of its share, which a
+// previous incarnation may have spent.
 func TestSlackIsSharedOut(t *testing.T) {
-	settings, now := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 58}, time.Unix(1_700_000_000, 0)
+	settings := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 58}
+	now := time.Unix(1_700_000_000, 0)
 	fresh := New(settings, func() int { return 9 })
-	if given := retries(fresh, now); given != 0 {
-		t.Fatalf("a daemon that has just begun gives %d", given)
+	if granted := retries(fresh, now); granted != 0 {
+		t.Fatalf("a daemon that has just started grants %d", granted)
 	}
 	now = now.Add(settings.Window + time.Second)
-	sum := 0
+	total := 0
 	for range 9 {
 		budget := New(settings, func() int { return 9 })
 		budget.Request(now.Add(-settings.Window - time.Second))
-		sum += retries(budget, now)
+		total += retries(budget, now)
 	}
-	if sum == 0 || sum > 58 {
-		t.Fatalf("%d repeats from a slack of 58", sum)
+	if total == 0 || total > 58 {
+		t.Fatalf("%d retries from a slack of 58", total)
 	}
 }
 
-// A daemon that is cut off sees nobody else; the others have their parts all the same.
-func TestSlackOutlivesACut(t *testing.T) {
-	settings, now, seen := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 90}, time.Unix(1_700_000_000, 0), 9
+// A daemon that is partitioned from the others sees none of them; they have their shares all the same.
+func TestSlackSurvivesAPartition(t *testing.T) {
+	settings := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 90}
+	now, seen := time.Unix(1_700_000_000, 0), 9
 	budget := New(settings, func() int { return seen })
 	budget.Request(now)
 	now = now.Add(settings.Window + time.Second)
-	whole := retries(budget, now)
+	before := retries(budget, now)
 	seen = 1
 	for range 2 {
 		now = now.Add(settings.Window + time.Second)
-		if given := retries(budget, now); given > whole {
-			t.Fatalf("%d repeats after a cut, %d before", given, whole)
+		if granted := retries(budget, now); granted > before {
+			t.Fatalf("%d retries after a partition, %d before", granted, before)
 		}
 	}
 }
--- /dev/null
+++ b/balancer/retrybudget/window_test.go
@@ -0,0 +1,49 @@
+package retrybudget
+
+import (
+	"testing"
+	"time"
+)
+
+// The cell that is leaving the window still counts for retries, and no longer for requests.
+func TestSlidingWindowTotals(t *testing.T) {
+	window := slidingWindow{cellLength: time.Second}
+	first := window.cell(0)
+	first.requests, first.retries = 5, 3
+	for _, step := range []struct {
+		elapsed           time.Duration
+		requests, retries int
+	}{
+		{0, 5, 3},
+		{(windowCells - 1) * time.Second, 5, 3},
+		{windowCells * time.Second, 0, 3},
+		{(windowCells + 1) * time.Second, 0, 0},
+	} {
+		requests, retries := window.totals(step.elapsed, windowCells)
+		if requests != step.requests || retries != step.retries {
+			t.Errorf("after %v: %d requests, %d retries", step.elapsed, requests, retries)
+		}
+	}
+	if reused := window.cell((windowCells + 1) * time.Second); reused.requests != 0 || reused.retries != 0 {
+		t.Errorf("a cell is reused with %+v", reused)
+	}
+}
+
+// The greatest number of daemons is remembered for rememberedWindows windows.
+func TestDaemonPeakIsRemembered(t *testing.T) {
+	peak := daemonPeak{window: time.Second}
+	for _, step := range []struct {
+		elapsed       time.Duration
+		daemons, want int
+	}{
+		{0, 0, 1},
+		{0, 9, 9},
+		{500 * time.Millisecond, 2, 9},
+		{rememberedWindows * time.Second, 1, 9},
+		{(rememberedWindows + 1) * time.Second, 1, 1},
+	} {
+		if most := peak.observe(step.elapsed, step.daemons); most != step.want {
+			t.Errorf("%d daemons after %v: %d", step.daemons, step.elapsed, most)
+		}
+	}
+}
