--- /dev/null
+++ b/balancer/kvblock/index_test.go
@@ -0,0 +1,48 @@
+package kvblock
+
+import (
+	"fmt"
+	"maps"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// Both levels are bounded: the number of keys and the number of runners a key.
+func TestIndexIsBoundedOnBothLevels(t *testing.T) {
+	indexer := newIndexer(t, 64, 2)
+	for number := range 1000 {
+		indexer.Index.Add(started, indexer.Processor.BlockKeys([]string{strconv.Itoa(number)}, Extra{}), "r")
+	}
+	if keys := indexer.Index.Keys(); keys > 64 {
+		t.Fatalf("%d keys", keys)
+	}
+	key := indexer.Processor.BlockKeys([]string{"x"}, Extra{})
+	for number := range 5 {
+		indexer.Index.Add(started, key, fmt.Sprint("r", number))
+	}
+	holders := indexer.Index.Lookup(key, map[string]bool{"r0": true, "r3": true, "r4": true})
+	if len(holders) != 1 || len(holders[0]) != 2 {
+		t.Fatalf("holders %v", holders)
+	}
+}
+
+// CachedPrefixes says how many leading blocks a runner holds, and when the last of these was sent.
+func TestCachedPrefixes(t *testing.T) {
+	index := newIndexer(t, 64, 4).Index
+	keys := []BlockKey{1, 2, 3}
+	later := started.Add(time.Second)
+	index.Add(started, keys, "complete")
+	index.Add(later, keys[:2], "complete")
+	index.Add(started, keys[:1], "partial")
+	index.Add(started, keys[1:], "without the first")
+	index.Add(started, keys, "other")
+	prefixes := index.CachedPrefixes(keys, map[string]bool{"complete": true, "partial": true, "without the first": true})
+	want := map[string]CachedPrefix{
+		"complete": {Blocks: 3, LastUsed: started},
+		"partial":  {Blocks: 1, LastUsed: started},
+	}
+	if !maps.Equal(prefixes, want) {
+		t.Fatalf("cached prefixes: %v", prefixes)
+	}
+}
--- a/balancer/scheduler/outlook.go
+++ b/balancer/scheduler/outlook.go
@@ -161,9 +161,9 @@
 			group = append(group, candidate.Runner)
 		}
 	}
-	held := map[string]kvblock.Hold{}
+	held := map[string]kvblock.CachedPrefix{}
 	if !scheduler.Without[features.PrefixIndex] {
-		held = scheduler.indexer.Held(queuedRequest.Keys, set)
+		held = scheduler.indexer.CachedPrefixes(queuedRequest.Keys, set)
 	}
 	chances := map[string]float64{}
 	if !scheduler.Without[features.Homes] {
@@ -221,13 +221,13 @@
 }
 
 // expect fills in what the index says that a runner holds of a prompt; kept is how long runners keep a part.
-func (candidate *Candidate) expect(now time.Time, hold kvblock.Hold, partTokens []int, kept time.Duration) {
+func (candidate *Candidate) expect(now time.Time, hold kvblock.CachedPrefix, partTokens []int, kept time.Duration) {
 	for _, tokens := range partTokens[:min(hold.Blocks, len(partTokens))] {
 		candidate.HeldTokens += tokens
 	}
 	candidate.Chance = indexChance
 	if kept > 0 {
-		candidate.Chance *= math.Exp(-float64(now.Sub(hold.Used)) / float64(kept))
+		candidate.Chance *= math.Exp(-float64(now.Sub(hold.LastUsed)) / float64(kept))
 	}
 }
 
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -177,7 +177,7 @@
 	// Only on a runner that was not busy does the time of the first event speak of its cache.
 	if step.HeldTokens >= reuseTokens && step.Runner.Load < float64(step.Runner.Slots)/2 {
 		middle := (float64(queuedRequest.Requirements.PromptTokens) - float64(step.HeldTokens)/2) * scheduler.CostWeights().TokenSeconds
-		scheduler.indexer.Pool.Add(kvblock.ReuseSeen{Runner: step.Runner.ID, Keys: queuedRequest.Keys, Held: took.Seconds() <= middle})
+		scheduler.indexer.Pool.Add(kvblock.ReuseObserved{Runner: step.Runner.ID, Keys: queuedRequest.Keys, Hit: took.Seconds() <= middle})
 	}
 }
 
