--- a/balancer/kvblock/cache_tracker_test.go
+++ b/balancer/kvblock/cache_tracker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each sign of an eviction removes its blocks: a full cache, a late first token, a rejected request, age, and the end of
-// the runner.
+// Each sign of an eviction removes its blocks: a full cache, a late first token, a rejected request, age, and the end
+// of the runner.
 func TestRemovalsAreInferred(t *testing.T) {
 	indexer := newIndexer(t, 100_000, 16)
 	runners := map[string]bool{"r": true, "s": true}
