--- /dev/null
+++ b/balancer/load/ejection_test.go
@@ -0,0 +1,48 @@
+package load
+
+import (
+	"testing"
+	"time"
+	"wardtray/features"
+	"wardtray/wire"
+)
+
+// With the mechanisms switched off, failed runners and new ones are used as any other.
+func TestEjectionAndSlowStartSwitchedOff(t *testing.T) {
+	switchedOff := features.Set{features.Ejection: true, features.WarmUp: true}
+	for name, without := range map[string]features.Set{"on": nil, "off": switchedOff} {
+		table := tableOf("old")
+		table.Without = without
+		later := started.Add(time.Hour)
+		table.List(later, []*wire.Runner{{RunnerId: "old", State: "ready"}, {RunnerId: "new", State: "ready"}})
+		table.Failed(later, "old", "x")
+		old, _ := table.One(later, "old", nil)
+		fresh, _ := table.One(later, "new", nil)
+		if old.Usable != (name == "off") || fresh.SlowStart != (name == "on") {
+			t.Errorf("%s: %+v %+v", name, old, fresh)
+		}
+	}
+}
+
+// An ejection doubles with each failure up to its bound, and a success makes the next one short again.
+func TestEjectionDoublesUntilASuccess(t *testing.T) {
+	var ejection ejection
+	for _, want := range []time.Duration{1, 2, 4, 8, 16} {
+		ejection.failed(started, "x")
+		if ejection.until != started.Add(want*minEjection) {
+			t.Fatalf("ejected for %v, not %v", ejection.until.Sub(started), want*minEjection)
+		}
+	}
+	ejection.failed(started, "x")
+	if until := started.Add(maxEjection); !ejection.active(until.Add(-1)) || ejection.active(until) {
+		t.Fatalf("ejected for %v", ejection.until.Sub(started))
+	}
+	ejection.succeeded()
+	if ejection.active(started) {
+		t.Fatal("ejected after a success")
+	}
+	ejection.failed(started, "x")
+	if ejection.duration != minEjection {
+		t.Fatalf("ejected for %v after a success", ejection.duration)
+	}
+}
--- /dev/null
+++ b/balancer/load/inflight.go
@@ -0,0 +1,33 @@
+package load
+
+// inFlightRequests counts our own requests on a runner.
+type inFlightRequests struct {
+	// total counts all, unanswered those that have no event yet.
+	total, unanswered int
+}
+
+// Begin counts a request of ours that is dispatched to a runner; Finish ends it.
+func (table *Table) Begin(runner string) {
+	service := ""
+	table.update(runner, func(entry *entry) {
+		entry.requests.total++
+		entry.requests.unanswered++
+		service = entry.listing.Service
+	})
+	table.services.markUsed(service)
+}
+
+// Answered records that the first event of one of our requests has come.
+func (table *Table) Answered(runner string) {
+	table.update(runner, func(entry *entry) { entry.requests.unanswered-- })
+}
+
+// Finish ends a request that was begun; answered says whether Answered was called for it.
+func (table *Table) Finish(runner string, answered bool) {
+	table.update(runner, func(entry *entry) {
+		entry.requests.total--
+		if !answered {
+			entry.requests.unanswered--
+		}
+	})
+}
--- /dev/null
+++ b/balancer/load/listing_test.go
@@ -0,0 +1,25 @@
+package load
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/wire"
+)
+
+// A runner that was listed as draining stays so, whatever an older list says, and is not usable.
+func TestDrainingRunnerStaysDraining(t *testing.T) {
+	table := tableOf("r")
+	for _, state := range []string{stateDraining, stateReady} {
+		table.List(started, []*wire.Runner{{RunnerId: "r", State: state}})
+		found, _ := table.One(started, "r", nil)
+		if found.Usable || found.Reason != ReasonLeaving || found.State != stateDraining {
+			t.Errorf("listed as %s: %+v", state, found)
+		}
+	}
+	table.List(started.Add(drainedRetention+time.Second), nil)
+	table.List(started.Add(drainedRetention+time.Second), []*wire.Runner{{RunnerId: "r", State: stateReady}})
+	if found, _ := table.One(started.Add(drainedRetention+time.Second), "r", nil); found.State != stateReady {
+		t.Errorf("long after it drained: %+v", found)
+	}
+}
--- /dev/null
+++ b/balancer/load/slowstart_test.go
@@ -0,0 +1,43 @@
+package load
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/wire"
+)
+
+// One daemon may send one request to a new runner at first; each step admits one more daemon, and all are admitted in
+// full once the slow start is over.
+func TestSlowStartAdmitsDaemonsStepByStep(t *testing.T) {
+	daemons := []string{"d1", "d2", "d3"}
+	listedAt := started.Add(time.Hour)
+	for _, step := range []struct {
+		after     time.Duration
+		daemons   int
+		requests  int
+		slowStart bool
+	}{
+		{0, 1, 1, true},
+		{Ramp, 2, 1, true},
+		{2 * Ramp, 3, 1, true},
+		{stepsPerRequest * Ramp, 3, 2, true},
+		{Settled, 3, 6, false},
+	} {
+		admitted := 0
+		for _, daemon := range daemons {
+			table := NewTable(started, daemon)
+			table.List(listedAt, []*wire.Runner{{RunnerId: "r", State: stateReady}})
+			found, _ := table.One(listedAt.Add(step.after), "r", daemons)
+			if found.SlowStart != step.slowStart || found.Limit != 0 && found.Limit != step.requests {
+				t.Errorf("after %v: %+v", step.after, found)
+			}
+			if found.Limit > 0 {
+				admitted++
+			}
+		}
+		if admitted != step.daemons {
+			t.Errorf("after %v: %d daemons", step.after, admitted)
+		}
+	}
+}
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -299,7 +299,7 @@
 			slots += float64(runner.Slots)
 			places += float64(Places(runner))
 			schedulingContext.Room = schedulingContext.Room || !full(runner)
-			used += min(runner.Sure, float64(runner.Slots))
+			used += min(runner.LatestLoad, float64(runner.Slots))
 		}
 	}
 	schedulingContext.Slots, schedulingContext.Places = slots/float64(max(1, daemons)), places/float64(max(1, daemons))
@@ -432,7 +432,7 @@
 	for place := range schedulingContext.Candidates {
 		if schedulingContext.Candidates[place].ID == step.Runner.ID {
 			schedulingContext.Candidates[place].Load++
-			schedulingContext.Candidates[place].Sure++
+			schedulingContext.Candidates[place].LatestLoad++
 			schedulingContext.Candidates[place].InFlight++
 		}
 	}
--- a/balancer/scheduler/scoring.go
+++ b/balancer/scheduler/scoring.go
@@ -196,10 +196,10 @@
 
 // crowding is by how much a runner's memory would be overfull, as a part of it.
 func crowding(requirements Requirements, candidate Candidate) float64 {
-	if candidate.Room == 0 {
+	if candidate.MemoryTokens == 0 {
 		return 0
 	}
-	return max(0, float64(candidate.Tokens+requirements.PromptTokens+requirements.AnswerTokens/2)/float64(candidate.Room)-memoryPart)
+	return max(0, float64(candidate.UsedTokens+requirements.PromptTokens+requirements.AnswerTokens/2)/float64(candidate.MemoryTokens)-memoryPart)
 }
 
 // Places is how much work a runner may have: its slots and a short queue.
@@ -208,7 +208,7 @@
 // full tells whether a runner may have no more work of ours now.
 func full(runner load.Runner) bool {
 	// Smoothed reports go on for seconds after a crowd has gone; nobody is turned away for those.
-	return runner.Sure >= float64(Places(runner)) || runner.InFlight >= runner.Limit
+	return runner.LatestLoad >= float64(Places(runner)) || runner.InFlight >= runner.Limit
 }
 
 // emptiness makes a nearly idle runner cheaper than a half full one by a little, growing steeply
