--- /dev/null
+++ b/balancer/scheduler/decide.go
@@ -0,0 +1,96 @@
+package scheduler
+
+import (
+	"math"
+	"math/rand"
+	"time"
+
+	"wardtray/apierror"
+	"wardtray/balancer/load"
+)
+
+// freeRatioForAll is the free part of a backend's slots from which on a route may exceed its concurrency limit.
+const freeRatioForAll = 0.25
+
+// Decide returns the decision for a request whose candidates have been scored.
+func Decide(
+	requirements Requirements, cycle SchedulingContext, scored []ScoredCandidate, pick Picker, random *rand.Rand,
+) Decision {
+	if len(scored) == 0 {
+		return decideWithoutRunner(&requirements, &cycle)
+	}
+	// Beyond its concurrency limit a route takes only what nobody else would miss.
+	admitted := requirements.WithinLimit || cycle.FreeRatio >= freeRatioForAll
+	best := -1
+	if cycle.HasCapacity {
+		best = pick(requirements, scored, random)
+	}
+	if best >= 0 && admitted && cycle.Ahead == 0 {
+		candidate := &scored[best].Candidate
+		return Decision{
+			Kind:       Dispatch,
+			Runner:     candidate.Runner,
+			HeldTokens: candidate.HeldTokens,
+			Predicted:  seconds(scored[best].First),
+			Urgency:    urgency(&requirements, candidate),
+		}
+	}
+	limited := best >= 0 && !admitted
+	return enqueueOrReject(&requirements, &cycle, scored, limited)
+}
+
+// decideWithoutRunner is the decision for a request that no runner is eligible for.
+func decideWithoutRunner(requirements *Requirements, cycle *SchedulingContext) Decision {
+	// A runner that is only ejected or in slow start may become usable in time; without any there is nothing to wait for.
+	for index := range cycle.Candidates {
+		candidate := &cycle.Candidates[index]
+		mayBecomeUsable := candidate.Reason != load.ReasonLeaving && !requirements.Shut[candidate.ID]
+		if mayBecomeUsable && requirements.Waited < requirements.maxWait() {
+			return Decision{Kind: Enqueue, Reason: "every fit runner is paused or warming"}
+		}
+	}
+	// The end of an ejection says when to retry; where no runner is ejected, only the queue's own pace is known.
+	retry := seconds(cycle.CostWeights.PlaceSeconds)
+	for index := range cycle.Candidates {
+		candidate := &cycle.Candidates[index]
+		if candidate.Reason != load.ReasonLeaving && candidate.Until.After(cycle.Now) {
+			retry = min(retry, candidate.Until.Sub(cycle.Now))
+		}
+	}
+	return Decision{
+		Kind:       Reject,
+		Fault:      apierror.NoRunner,
+		RetryAfter: max(minRetryAfter, retry),
+		Reason:     "no runner that the spec allows is fit",
+	}
+}
+
+// enqueueOrReject queues a request if its turn should come in time, and rejects it at once otherwise. limited says that
+// only the concurrency limit of its route keeps it waiting.
+func enqueueOrReject(
+	requirements *Requirements, cycle *SchedulingContext, scored []ScoredCandidate, limited bool,
+) Decision {
+	shortestPrefill := math.Inf(1)
+	for index := range scored {
+		shortestPrefill = min(shortestPrefill, scored[index].Candidate.Prefill)
+	}
+	turn := max(1, cycle.WaitCorrection) * float64(cycle.Ahead+1) * cycle.CostWeights.PlaceSeconds / max(1, cycle.Slots)
+	predicted := seconds(turn + shortestPrefill)
+	maxWait := requirements.maxWait()
+	inTime := requirements.Waited+predicted <= maxWait
+	if inTime || cycle.IgnorePrediction && requirements.Waited < maxWait {
+		return Decision{Kind: Enqueue, Predicted: predicted, Reason: "every fit runner is full"}
+	}
+	decision := Decision{
+		Kind:       Reject,
+		Fault:      apierror.LatencyTargetMissed,
+		Predicted:  predicted,
+		RetryAfter: max(time.Second, predicted-maxWait),
+		Reason:     "the first event would come later than the lane's patience",
+	}
+	if limited {
+		decision.Fault = apierror.ConcurrencyLimitReached
+		decision.Reason = "the lane holds its share of the pool and others wait"
+	}
+	return decision
+}
--- /dev/null
+++ b/balancer/scheduler/decision.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"time"
+
+	"wardtray/apierror"
+	"wardtray/balancer/load"
+)
+
+// DecisionKind is what is to be done with a request.
+type DecisionKind string
+
+// The kinds of decisions.
+const (
+	// Dispatch sends the request to a runner.
+	Dispatch DecisionKind = "pass"
+	// Enqueue keeps the request in the queue; its owner is not notified of it.
+	Enqueue DecisionKind = "wait"
+	// Reject responds with an error.
+	Reject DecisionKind = "refuse"
+)
+
+// Decision is what to do next with a request.
+type Decision struct {
+	Kind   DecisionKind `json:"Kind"`
+	Runner load.Runner  `json:"Runner"`
+	// HeldTokens are the tokens that the runner probably has cached, and Predicted is the time until the first event, as
+	// far as the decision is based on them.
+	HeldTokens int           `json:"HeldTokens"`
+	Predicted  time.Duration `json:"Predicted"`
+	// Fault is the code of a rejection, RetryAfter when another try may succeed, and Reason the detail.
+	Fault      apierror.Code `json:"Fault"`
+	RetryAfter time.Duration `json:"RetryAfter"`
+	Reason     string        `json:"Reason"`
+	// Urgency is sent to the runner, from 0, the most urgent, to 9; Unset stands for sending none.
+	Urgency int `json:"Urgency"`
+}
+
+// The urgencies sent to runners.
+const (
+	// Ahead is that of a prompt that is read in a small part of its latency target.
+	Ahead = 3
+	// Unset is the urgency of a request whose runner is sent none.
+	Unset = 5
+	// Behind is that of a prompt whose reading alone outlasts its latency target.
+	Behind = 8
+)
+
+// aheadRatio is the part of its latency target within which a prompt that goes ahead is read.
+const aheadRatio = 0.25
+
+// urgency lets short prompts go ahead of long ones that wait at a runner, and all prompts that can be in time ahead of
+// those that can't.
+func urgency(requirements *Requirements, candidate *Candidate) int {
+	target := requirements.LatencyTarget.Seconds()
+	switch {
+	case requirements.LatencyTarget <= 0:
+		return Unset
+	case candidate.Prefill > target:
+		return Behind
+	case candidate.Prefill < aheadRatio*target:
+		return Ahead
+	default:
+		return Unset
+	}
+}
--- a/balancer/scheduler/forecast_test.go
+++ b/balancer/scheduler/forecast_test.go
@@ -13,15 +13,15 @@
 // The speeds of engines of several kinds are found within some hundred first events, though a third of them
 // were held up by others and a tenth found the opening gone.
 func TestSpeedsAreLearned(t *testing.T) {
-	for _, true := range []Speeds{{0.005, 0.000015, 6e-10}, {0.03, 0.0001, 3e-9}, {0.002, 0.000004, 1e-10}} {
+	for _, true := range []engineSpeeds{{0.005, 0.000015, 6e-10}, {0.03, 0.0001, 3e-9}, {0.002, 0.000004, 1e-10}} {
 		random := rand.New(rand.NewSource(1))
-		speeds := DefaultSpeeds
+		speeds := defaultSpeeds
 		for seen := range 600 {
 			held := random.Intn(6000)
 			prompt := held + 1 + int(2500*math.Exp(1.2*random.NormFloat64()))
-			took := true.Prefill(prompt, held) + true.Overhead
+			took := true.prefill(prompt, held) + true.overhead
 			if random.Intn(10) == 0 {
-				took = true.Prefill(prompt, 0) + true.Overhead
+				took = true.prefill(prompt, 0) + true.overhead
 			}
 			if random.Intn(3) == 0 {
 				took += random.ExpFloat64() * 0.1
@@ -29,7 +29,7 @@
 			speeds.learn(prompt, held, took, seen)
 		}
 		for _, prompt := range []int{2000, 8000, 30000} {
-			found, wanted := speeds.Overhead+speeds.Prefill(prompt, 500), true.Overhead+true.Prefill(prompt, 500)
+			found, wanted := speeds.overhead+speeds.prefill(prompt, 500), true.overhead+true.prefill(prompt, 500)
 			if found < wanted/1.5 || found > wanted*1.5 {
 				t.Errorf("%+v: %d tokens take %.3f s, reckoned %.3f", true, prompt, wanted, found)
 			}
@@ -50,9 +50,9 @@
 	runners, firsts, moved := fleetOf(20), map[string]int{}, 0
 	without := append(append([]load.Runner{}, runners[:7]...), runners[8:]...)
 	for key := range uint64(2000) {
-		first := rank(runners, key*0x9e3779b97f4a7c15)[0]
+		first := rendezvousOrder(runners, key*0x9e3779b97f4a7c15)[0]
 		firsts[first]++
-		if after := rank(without, key*0x9e3779b97f4a7c15)[0]; after != first {
+		if after := rendezvousOrder(without, key*0x9e3779b97f4a7c15)[0]; after != first {
 			moved++
 			if first != "r007" {
 				t.Fatalf("key %d moved from %s to %s", key, first, after)
@@ -75,7 +75,7 @@
 	for daemon := range 8 {
 		stall := newStall(t, 18)
 		stall.Scheduler.random = rand.New(rand.NewSource(int64(daemon)))
-		stall.Scheduler.forecast.seen = newcomer
+		stall.Scheduler.forecast.firstEvents = warmedUpEvents
 		snapshot := stall.Scheduler.snapshot
 		stall.Scheduler.snapshot = func(now time.Time) Snapshot {
 			field := snapshot(now)
--- a/balancer/scheduler/retry.go
+++ b/balancer/scheduler/retry.go
@@ -2,55 +2,62 @@
 
 import "wardtray/apierror"
 
-// AttemptOutcome names how an attempt at a run ended.
+// AttemptOutcome is how an attempt ended that did not succeed.
 type AttemptOutcome string
 
-// The ends of an attempt.
+// The outcomes of an attempt.
 const (
-	// NotSent: no byte of the request went out.
+	// NotSent means that no byte of the request went out.
 	NotSent AttemptOutcome = "not sent"
-	// NotExecuted: the runner said in so many words that it did not start.
+	// NotExecuted means that the runner rejected the request explicitly, before it began to execute it.
 	NotExecuted AttemptOutcome = "put back"
-	// Ambiguous: the request went out and nothing of an answer was relayed.
+	// Ambiguous means that the request went out and nothing of a response was relayed: it may have been executed.
 	Ambiguous AttemptOutcome = "doubt"
-	// Broken: part of the answer was relayed already.
+	// Broken means that part of the response was relayed already.
 	Broken AttemptOutcome = "broken"
 )
 
-// RetryDecision is what may follow.
+// What an error response says of the execution of the request.
+const (
+	DidNotRun = "did not run"
+	Unknown   = "unknown"
+)
+
+// RetryDecision is what may follow an attempt that did not succeed.
 type RetryDecision struct {
-	// Retry allows another attempt; Spends says that it must come out of the repeat budget.
+	// Retry allows another attempt; Spends says that it must come out of the retry budget.
 	Retry, Spends bool
-	// Otherwise is the fault to tell if there is no other attempt; Ran tells whether it may have run.
+	// Otherwise is the error to respond with if there is no other attempt, and Ran what that says of the execution:
+	// DidNotRun or Unknown.
 	Otherwise apierror.Code
 	Ran       string
 }
 
-// What a refusal says of the work.
-const (
-	DidNotRun = "did not run"
-	Unknown   = "unknown"
-)
-
-type ending struct {
-	end        AttemptOutcome
+// retryCase is what a retry decision depends on.
+type retryCase struct {
+	outcome AttemptOutcome
+	// idempotent is whether the route's requests may be executed more than once.
 	idempotent bool
 }
 
-// verdicts is the whole rule of repeats. A route that is not repeatable is never passed again once
-// its request may have started; nobody's is once an event was relayed.
-var verdicts = map[ending]RetryDecision{
-	{NotSent, false}:     {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
-	{NotSent, true}:      {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+// retryPolicy is the decision for every case. The request of a route that is not idempotent is never sent again once it
+// may have been executed, and no request once part of its response was relayed. What never left the daemon costs
+// nothing to retry; any other retry comes out of the budget.
+var retryPolicy = map[retryCase]RetryDecision{
+	{NotSent, false}: {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{NotSent, true}:  {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+
 	{NotExecuted, false}: {Retry: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
 	{NotExecuted, true}:  {Retry: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
-	{Ambiguous, false}:   {Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
-	{Ambiguous, true}:    {Retry: true, Spends: true, Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
-	{Broken, false}:      {Otherwise: apierror.RunFailed, Ran: Unknown},
-	{Broken, true}:       {Otherwise: apierror.RunFailed, Ran: Unknown},
+
+	{Ambiguous, false}: {Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
+	{Ambiguous, true}:  {Retry: true, Spends: true, Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
+
+	{Broken, false}: {Otherwise: apierror.RunFailed, Ran: Unknown},
+	{Broken, true}:  {Otherwise: apierror.RunFailed, Ran: Unknown},
 }
 
-// DecideRetry gives what may follow an attempt that ended without success.
-func DecideRetry(end AttemptOutcome, idempotent bool) RetryDecision {
-	return verdicts[ending{end, idempotent}]
+// DecideRetry returns what may follow an attempt that ended with this outcome.
+func DecideRetry(outcome AttemptOutcome, idempotent bool) RetryDecision {
+	return retryPolicy[retryCase{outcome, idempotent}]
 }
--- a/balancer/scheduler/scoring_test.go
+++ b/balancer/scheduler/scoring_test.go
@@ -251,12 +251,12 @@
 	}
 	first := waiting[0]
 	_, length, before := stall.State()
-	doubts := len(stall.doubts)
+	doubts := len(stall.waitCorrections)
 	if !stall.Cancel(first) || stall.Cancel(first) {
 		t.Fatal("it is on the queue once")
 	}
 	_, left, after := stall.State()
-	if left != length-1 || after["l"] != before["l"] || len(stall.doubts) != doubts || len(first.Decisions) > 0 {
-		t.Errorf("%d of %d wait, %v places of %v, %d doubts of %d", left, length, after, before, len(stall.doubts), doubts)
+	if left != length-1 || after["l"] != before["l"] || len(stall.waitCorrections) != doubts || len(first.Decisions) > 0 {
+		t.Errorf("%d of %d wait, %v places of %v, %d doubts of %d", left, length, after, before, len(stall.waitCorrections), doubts)
 	}
 }
