--- /dev/null
+++ b/balancer/scheduler/fixture_test.go
@@ -0,0 +1,96 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/wire"
+)
+
+var started = time.Unix(1_700_000_000, 0)
+
+// tokensPerPart is the size of each part of a test's prompt.
+const tokensPerPart = 1000
+
+// fixture is a scheduler with a load table of its own; its snapshots have every runner of the table.
+type fixture struct {
+	*Scheduler
+	table   *load.Table
+	indexer *kvblock.Indexer
+	runners []*wire.Runner
+	now     time.Time
+}
+
+// newFixture returns a scheduler of so many ready runners, r00 and on, with events of the index applied at once.
+func newFixture(t *testing.T, runners int) *fixture {
+	t.Helper()
+	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 100_000, 16, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	created := &fixture{table: load.NewTable(started, "d1"), indexer: indexer, now: started}
+	for number := range runners {
+		created.runners = append(created.runners, &wire.Runner{
+			RunnerId: fmt.Sprintf("r%02d", number),
+			Address:  "x",
+			Zone:     "a",
+			Service:  "s",
+			State:    "ready",
+		})
+	}
+	created.table.List(started, created.runners)
+	created.Scheduler = NewScheduler(func(now time.Time) Snapshot {
+		return Snapshot{Runners: created.table.All(now, []string{"d1"}), Daemons: 1}
+	}, created.table, indexer, rand.New(rand.NewSource(1)))
+	return created
+}
+
+// request returns a request whose prompt has these parts, of tokensPerPart each, and a short one of its own.
+func (fixture *fixture) request(
+	route string, value, concurrencyLimit float64, latencyTarget time.Duration, parts ...string,
+) *QueuedRequest {
+	tokens := make([]int, len(parts))
+	for index := range parts {
+		tokens[index] = tokensPerPart
+	}
+	return &QueuedRequest{
+		Route:            route,
+		ConcurrencyLimit: concurrencyLimit,
+		Keys:             fixture.indexer.Processor.BlockKeys(parts, kvblock.Extra{}),
+		PartTokens:       tokens,
+		Decisions:        make(chan Decision, 1),
+		Requirements: Requirements{
+			Value:         value,
+			LatencyTarget: latencyTarget,
+			PromptTokens:  tokensPerPart*len(parts) + 100,
+			Zone:          "a",
+			Shut:          map[string]bool{},
+		},
+	}
+}
+
+// schedule returns the decision if there is one at once, and sends a request that is dispatched.
+func (fixture *fixture) schedule(request *QueuedRequest) (Decision, bool) {
+	fixture.Schedule(fixture.now, request)
+	select {
+	case decision := <-request.Decisions:
+		if decision.Kind == Dispatch {
+			fixture.Sent(fixture.now, request, decision)
+		}
+		return decision, true
+	default:
+		return Decision{}, false
+	}
+}
+
+// fleetOf returns so many usable runners, r000 and on.
+func fleetOf(count int) []load.Runner {
+	runners := make([]load.Runner, 0, count)
+	for number := range count {
+		runners = append(runners, load.Runner{ID: fmt.Sprintf("r%03d", number), Usable: true})
+	}
+	return runners
+}
--- /dev/null
+++ b/balancer/scheduler/longprompts_test.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// What is reserved changes in quarters, and only once what is needed differs clearly.
+func TestLongPromptPolicyReservesSlowly(t *testing.T) {
+	policy := newLongPromptPolicy()
+	for _, step := range []struct {
+		quarters float64
+		want     int
+	}{{1, 1}, {1.6, 1}, {1.7, 2}, {1.4, 2}, {1.3, 1}, {0.3, 0}, {0.6, 0}, {4, maxQuarters}} {
+		if reserved := policy.reserve(step.quarters / 4 / reserveFactor); reserved != step.want {
+			t.Errorf("%v quarters needed: %d reserved, not %d", step.quarters, reserved, step.want)
+		}
+	}
+}
+
+// A prompt is long if it takes longer to read than the least latency target.
+func TestLongPromptsOutlastTheLeastLatencyTarget(t *testing.T) {
+	policy := newLongPromptPolicy()
+	if policy.isLong(3600) {
+		t.Error("a prompt is long where no route has a latency target")
+	}
+	policy.recordTarget("slow", 10*time.Second)
+	policy.recordTarget("fast", 2*time.Second)
+	policy.recordTarget("none", 0)
+	if policy.isLong(2) || !policy.isLong(2.1) {
+		t.Error("the bound is not the least latency target")
+	}
+}
+
+// A quarter of a large fleet is reserved, and nothing of a small one.
+func TestLongRunnersAreAPartOfTheFleet(t *testing.T) {
+	for _, step := range []struct{ runners, quarters, want int }{
+		{3, 2, 0}, {4, 1, 1}, {20, 1, 5}, {20, 2, 10}, {20, 0, 0},
+	} {
+		if long := longRunners(fleetOf(step.runners), step.quarters); len(long) != step.want {
+			t.Errorf("%d quarters of %d runners: %d", step.quarters, step.runners, len(long))
+		}
+	}
+}
--- /dev/null
+++ b/balancer/scheduler/scheduler_test.go
@@ -0,0 +1,197 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+	"wardtray/apierror"
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/wire"
+)
+
+// One prefix has all the traffic: it spills over many runners, and none gets more than its slots and a short queue.
+func TestHotPrefixSpillsOver(t *testing.T) {
+	fixture := newFixture(t, 18)
+	counts := map[string]int{}
+	for range 60 {
+		decision, decided := fixture.schedule(fixture.request("l", 1, 1, 10*time.Second, "hot"))
+		if decided && decision.Kind == Dispatch {
+			counts[decision.Runner.ID]++
+		}
+	}
+	if len(counts) < 12 {
+		t.Fatalf("a hot prefix stayed on %d runners: %v", len(counts), counts)
+	}
+	for runner, count := range counts {
+		if count > 6 {
+			t.Errorf("%s has %d at once", runner, count)
+		}
+	}
+}
+
+// At a saturated backend a request that can't be served within its latency target is rejected at once, with the time
+// after which to retry.
+func TestRequestsThatWouldBeLateAreRejectedOnArrival(t *testing.T) {
+	fixture := newFixture(t, 2)
+	for range 12 {
+		decision, decided := fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
+		if !decided || decision.Kind != Dispatch {
+			t.Fatalf("the backend is saturated too soon: %v", decision)
+		}
+	}
+	decision, answered := fixture.schedule(fixture.request("l", 1, 1, 100*time.Millisecond, "x"))
+	if !answered || decision.Kind != Reject ||
+		decision.Fault != apierror.LatencyTargetMissed || decision.RetryAfter < time.Second {
+		t.Fatalf("short latency target: %+v", decision)
+	}
+	patient := fixture.request("l", 1, 1, time.Minute, "x")
+	if decision, answered := fixture.schedule(patient); answered {
+		t.Fatalf("long latency target: %+v", decision)
+	}
+	fixture.Release(fixture.now, &QueuedRequest{Route: "l"}, "r00")
+	if decision := <-patient.Decisions; decision.Kind != Dispatch || decision.Runner.ID != "r00" {
+		t.Fatalf("a slot became free: %+v", decision)
+	}
+	fixture.now = fixture.now.Add(2 * time.Minute)
+	late := fixture.request("l", 1, 1, time.Minute, "x")
+	fixture.Schedule(fixture.now.Add(-2*time.Minute), late)
+	fixture.Rebalance(fixture.now)
+	if decision := <-late.Decisions; decision.Kind != Reject {
+		t.Fatalf("latency target passed: %+v", decision)
+	}
+}
+
+// The request of the greater value goes first, and a full queue rejects that of the lowest priority.
+func TestValueOrdersTheQueue(t *testing.T) {
+	fixture := newFixture(t, 1)
+	for range 6 {
+		fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
+	}
+	cheap := make([]*QueuedRequest, 0, QueueLength)
+	for range QueueLength {
+		request := fixture.request("cheap", 1, 1, time.Hour, "x")
+		request.Requirements.LatencyTarget = 10 * time.Hour
+		fixture.Schedule(fixture.now, request)
+		cheap = append(cheap, request)
+	}
+	dear := fixture.request("dear", 50, 1, time.Hour, "x")
+	if decision, answered := fixture.schedule(dear); answered {
+		t.Fatalf("the dear one: %+v", decision)
+	}
+	rejected := 0
+	for _, request := range cheap {
+		select {
+		case decision := <-request.Decisions:
+			if decision.Fault != apierror.QueueFull {
+				t.Fatalf("a cheap one: %+v", decision)
+			}
+			rejected++
+		default:
+		}
+	}
+	if rejected != 1 {
+		t.Fatalf("%d cheap ones were rejected", rejected)
+	}
+	fixture.Release(fixture.now, &QueuedRequest{Route: "l"}, "r00")
+	select {
+	case decision := <-dear.Decisions:
+		if decision.Kind != Dispatch {
+			t.Fatalf("the dear one: %+v", decision)
+		}
+	default:
+		t.Fatal("a cheap one went first")
+	}
+}
+
+// A request that is cancelled leaves no trace, and those behind it move up.
+func TestCancelRemovesAQueuedRequest(t *testing.T) {
+	fixture := newFixture(t, 1)
+	var waiting []*QueuedRequest
+	for queuedCount := 0; queuedCount < 3; {
+		request := fixture.request("l", 1, 1, time.Minute, "a")
+		if _, decided := fixture.schedule(request); !decided {
+			waiting = append(waiting, request)
+			queuedCount++
+		}
+	}
+	first := waiting[0]
+	_, length, before := fixture.State()
+	corrections := len(fixture.waitCorrections)
+	if !fixture.Cancel(first) || fixture.Cancel(first) {
+		t.Fatal("it is queued once")
+	}
+	_, left, after := fixture.State()
+	if left != length-1 || after["l"] != before["l"] {
+		t.Errorf("%d of %d are queued, %v in flight of %v", left, length, after, before)
+	}
+	if len(fixture.waitCorrections) != corrections || len(first.Decisions) > 0 {
+		t.Errorf("%d wait corrections of %d, %d decisions", len(fixture.waitCorrections), corrections, len(first.Decisions))
+	}
+}
+
+// A request with a deadline that finds every runner saturated waits past its latency target, up to its part of the
+// deadline.
+func TestRequestsWithADeadlineWaitForAPartOfIt(t *testing.T) {
+	fixture := newFixture(t, 1)
+	for range 6 {
+		fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
+	}
+	request := fixture.request("l", 1, 1, 100*time.Millisecond, "x")
+	request.Requirements.Deadline = 20 * time.Second
+	if decision, answered := fixture.schedule(request); answered {
+		t.Fatalf("at once: %+v", decision)
+	}
+	if !fixture.Waiting() {
+		t.Fatal("the queue is empty")
+	}
+	fixture.now = fixture.now.Add(5 * time.Second)
+	fixture.Rebalance(fixture.now)
+	select {
+	case decision := <-request.Decisions:
+		t.Fatalf("past its latency target: %+v", decision)
+	default:
+	}
+	fixture.now = fixture.now.Add(10 * time.Second)
+	fixture.Rebalance(fixture.now)
+	if decision := <-request.Decisions; decision.Kind != Reject {
+		t.Fatalf("past its part of the deadline: %+v", decision)
+	}
+	if fixture.Waiting() {
+		t.Fatal("the queue is not empty")
+	}
+}
+
+// BenchmarkSchedule schedules, dispatches and ends one request at a backend of 18 idle runners.
+func BenchmarkSchedule(b *testing.B) {
+	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, 0)
+	if err != nil {
+		b.Fatal(err)
+	}
+	table := load.NewTable(started, "d1")
+	runners := make([]*wire.Runner, 0, 18)
+	for number := range cap(runners) {
+		runners = append(runners, &wire.Runner{RunnerId: fmt.Sprintf("r%02d", number), Zone: "a", State: "ready"})
+	}
+	table.List(started, runners)
+	snapshot := func(now time.Time) Snapshot {
+		return Snapshot{Runners: table.All(now, []string{"d1"}), Daemons: 1}
+	}
+	scheduler := NewScheduler(snapshot, table, indexer, rand.New(rand.NewSource(1)))
+	keys := indexer.Processor.BlockKeys([]string{"a", "b", "c"}, kvblock.Extra{})
+	b.ReportAllocs()
+	for b.Loop() {
+		request := &QueuedRequest{
+			Route:            "l",
+			ConcurrencyLimit: 1,
+			Keys:             keys,
+			PartTokens:       []int{1, 1, 1},
+			Decisions:        make(chan Decision, 1),
+			Requirements:     Requirements{Value: 1, LatencyTarget: time.Second, PromptTokens: 100},
+		}
+		scheduler.Schedule(started, request)
+		decision := <-request.Decisions
+		scheduler.Release(started, request, decision.Runner.ID)
+	}
+}
--- /dev/null
+++ b/balancer/scheduler/scorer_test.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+	"wardtray/balancer/load"
+)
+
+// A runner whose memory is full is avoided.
+func TestRunnersWithFullMemoryAreAvoided(t *testing.T) {
+	fixture := newFixture(t, 2)
+	fixture.table.Reported(fixture.now, "r00", load.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
+	fixture.table.Reported(fixture.now, "r01", load.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
+	for range 3 {
+		request := fixture.request("l", 1, 1, time.Second)
+		request.Requirements.PromptTokens = 10_000
+		if decision, _ := fixture.schedule(request); decision.Runner.ID != "r01" {
+			t.Fatal("a prompt was dispatched where no memory is left")
+		}
+	}
+}
+
+// scoringCandidates returns 18 candidates of various loads, half of them in another zone.
+func scoringCandidates() []Candidate {
+	candidates := make([]Candidate, 18)
+	for index := range candidates {
+		candidates[index].Runner = load.Runner{
+			ID:     fmt.Sprintf("r%02d", index),
+			Zone:   string("ab"[index%2]),
+			Slots:  8,
+			Load:   float64(index % 12),
+			Limit:  12,
+			Usable: true,
+		}
+		candidates[index].Prefill = 0.1
+	}
+	return candidates
+}
+
+// BenchmarkScore scores the candidates for one request.
+func BenchmarkScore(b *testing.B) {
+	requirements := Requirements{LatencyTarget: time.Second, PromptTokens: 2000, Zone: "a"}
+	candidates := scoringCandidates()
+	b.ReportAllocs()
+	for b.Loop() {
+		Score(requirements, candidates, DefaultCostWeights)
+	}
+}
+
+// Runners that a request must not be sent to are left out; the rest cost more the more loaded they are, and in another
+// zone.
+func TestScoreOrdersCandidates(t *testing.T) {
+	candidates := scoringCandidates()[:6]
+	candidates[4].Usable = false
+	candidates[5].Limit = 0
+	requirements := Requirements{LatencyTarget: time.Second, Zone: "a", Shut: map[string]bool{"r03": true}}
+	scored := Score(requirements, candidates, DefaultCostWeights)
+	if len(scored) != 3 {
+		t.Fatalf("%d candidates", len(scored))
+	}
+	idle, remote, loaded := scored[0], scored[1], scored[2]
+	if idle.Net <= loaded.Net || idle.Net-remote.Net < DefaultCostWeights.CrossZone {
+		t.Errorf("scores: idle %v, remote %v, loaded %v", idle.Net, remote.Net, loaded.Net)
+	}
+}
