--- a/balancer/load/ejection.go
+++ b/balancer/load/ejection.go
@@ -36,7 +36,7 @@
 	return now.Before(ejection.until)
 }
 
-// Failed ejects a runner for a while, longer after each failure; Served ends that.
+// Failed ejects a runner for a while, longer after each failure until a success.
 func (table *Table) Failed(now time.Time, runner, reason string) {
 	table.update(runner, func(entry *entry) { table.eject(now, entry, reason) })
 }
--- a/balancer/load/estimate.go
+++ b/balancer/load/estimate.go
@@ -18,10 +18,10 @@
 	Waiting int `json:"waiting"`
 	// Slots is how many requests its engine processes at once; 0: not told.
 	Slots int `json:"slots"`
-	// Tokens is how much of its memory is in use and can't be evicted, and Room how much it has, both in tokens; Room 0:
-	// not told.
+	// Tokens is how much of its memory is in use and can't be evicted, in tokens.
 	Tokens int `json:"tokens,omitempty"`
-	Room   int `json:"room,omitempty"`
+	// Room is the size of its memory in tokens; 0: not told.
+	Room int `json:"room,omitempty"`
 }
 
 func (report *Report) valid() bool {
--- a/balancer/load/inflight.go
+++ b/balancer/load/inflight.go
@@ -6,7 +6,7 @@
 	total, unanswered int
 }
 
-// Begin counts a request of ours that is dispatched to a runner; Finish ends it.
+// Begin counts a request of ours that is dispatched to a runner.
 func (table *Table) Begin(runner string) {
 	service := ""
 	table.update(runner, func(entry *entry) {
@@ -22,7 +22,7 @@
 	table.update(runner, func(entry *entry) { entry.requests.unanswered-- })
 }
 
-// Finish ends a request that was begun; answered says whether Answered was called for it.
+// Finish ends a request that was counted; answered says whether its first event was recorded.
 func (table *Table) Finish(runner string, answered bool) {
 	table.update(runner, func(entry *entry) {
 		entry.requests.total--
--- a/balancer/scheduler/decision.go
+++ b/balancer/scheduler/decision.go
@@ -24,15 +24,17 @@
 type Decision struct {
 	Kind   DecisionKind `json:"Kind"`
 	Runner load.Runner  `json:"Runner"`
-	// HeldTokens are the tokens that the runner probably has cached, and Predicted is the time until the first event, as
-	// far as the decision is based on them.
-	HeldTokens int           `json:"HeldTokens"`
-	Predicted  time.Duration `json:"Predicted"`
-	// Fault is the code of a rejection, RetryAfter when another try may succeed, and Reason the detail.
-	Fault      apierror.Code `json:"Fault"`
+	// HeldTokens are the tokens that the runner probably has cached.
+	HeldTokens int `json:"HeldTokens"`
+	// Predicted is the predicted time until the first event, or until a queued request's turn.
+	Predicted time.Duration `json:"Predicted"`
+	// Fault is the code of a rejection.
+	Fault apierror.Code `json:"Fault"`
+	// RetryAfter is when another try may succeed after a rejection.
 	RetryAfter time.Duration `json:"RetryAfter"`
-	Reason     string        `json:"Reason"`
-	// Urgency is sent to the runner, from 0, the most urgent, to 9; Unset stands for sending none.
+	// Reason says why a request is queued or rejected.
+	Reason string `json:"Reason"`
+	// Urgency is sent to the runner, from 0, the most urgent, to 9; the default stands for sending none.
 	Urgency int `json:"Urgency"`
 }
 
--- a/balancer/scheduler/retry.go
+++ b/balancer/scheduler/retry.go
@@ -25,12 +25,14 @@
 
 // RetryDecision is what may follow an attempt that did not succeed.
 type RetryDecision struct {
-	// Retry allows another attempt; Spends says that it must come out of the retry budget.
-	Retry, Spends bool
-	// Otherwise is the error to respond with if there is no other attempt, and Ran what that says of the execution:
-	// DidNotRun or Unknown.
+	// Retry allows another attempt.
+	Retry bool
+	// Spends says that the attempt must come out of the retry budget.
+	Spends bool
+	// Otherwise is the error to respond with if there is no other attempt.
 	Otherwise apierror.Code
-	Ran       string
+	// Ran is what that response says of the execution: DidNotRun or Unknown.
+	Ran string
 }
 
 // retryCase is what a retry decision depends on.
--- a/balancer/scheduler/saturation.go
+++ b/balancer/scheduler/saturation.go
@@ -11,7 +11,7 @@
 	memoryLimit = 0.92
 	// memoryExcessCost is the cost in seconds of exceeding it by the whole memory.
 	memoryExcessCost = 10
-	// occupancyWeight weighs the part of a runner's slots that is occupied against PlaceSeconds.
+	// occupancyWeight weighs the part of a runner's slots that is occupied against the time that a slot is occupied.
 	occupancyWeight = 0.02
 	// nearlyFullCost, in seconds, is for the risk that a runner is full when the prompt gets there, from nearlyFullFrom
 	// of its slots on; a request that it rejects may find no second runner.
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -50,9 +50,9 @@
 	// Queued counts the requests that were not decided at once.
 	Queued   uint64 `json:"Waited"`
 	Rejected uint64 `json:"Refused"`
-	// HeldTokens and PromptTokens count, over the dispatched requests, the tokens that their runners were taken to have
-	// cached and all tokens of their prompts.
-	HeldTokens   uint64 `json:"HeldTokens"`
+	// HeldTokens counts the tokens of dispatched requests that their runners were taken to have cached.
+	HeldTokens uint64 `json:"HeldTokens"`
+	// PromptTokens counts all tokens of their prompts.
 	PromptTokens uint64 `json:"PromptTokens"`
 }
 
--- a/balancer/scheduler/scorer.go
+++ b/balancer/scheduler/scorer.go
@@ -37,9 +37,10 @@
 // Candidate is a runner that may take the request, with what is predicted for it.
 type Candidate struct {
 	load.Runner
-	// HeldTokens is how many leading tokens of the prompt the runner is taken to have cached, by the index or as a home
-	// of the prefix; CacheProbability is how likely that is.
-	HeldTokens       int     `json:"HeldTokens"`
+	// HeldTokens is how many leading tokens of the prompt the runner may have cached, by the index or as a home of the
+	// prefix.
+	HeldTokens int `json:"HeldTokens"`
+	// CacheProbability is how likely it has them cached.
 	CacheProbability float64 `json:"Chance"`
 	// SharedTokens is how many tokens of the prompt others are likely to have sent as well.
 	SharedTokens int `json:"SharedTokens"`
@@ -68,7 +69,7 @@
 	Candidate Candidate `json:"Offer"`
 	// First is the predicted time to the first event, in seconds.
 	First float64 `json:"First"`
-	// Net is the score: the less the candidate costs, the greater.
+	// Net is greater the less the candidate costs, in seconds.
 	Net float64 `json:"Net"`
 	// Full says that the runner is saturated.
 	Full bool `json:"Full"`
