--- a/balancer/load/listing.go
+++ b/balancer/load/listing.go
@@ -23,8 +23,8 @@
 	return state == stateReady || state == stateCold
 }
 
-// List takes over the platform's list. It returns the runners that it removed, ordered by ID: those that are no longer
-// listed and have no request of ours.
+// List takes over the platform's list. It returns the runners that it removed, ordered by ID: those
+// that are no longer listed and have no request of ours.
 func (table *Table) List(now time.Time, runners []*wire.Runner) (removed []string) {
 	listed := map[string]bool{}
 	for _, listing := range runners {
