--- a/balancer/load/report.go
+++ b/balancer/load/report.go
@@ -62,10 +62,10 @@
 	return failed
 }
 
-// Stale returns the runners to ask for a report, ordered by ID: those whose newest report is older than maxAge, be it
-// an answer to a report request or a response's head, as far as their service needs polling. They are the listed ones,
-// and those no longer listed that still have requests of ours, whose failure must be noticed as well. reportsOnly says
-// that nothing but a report tells a load.
+// Stale returns the runners to ask for a report, ordered by ID: those whose newest report is older than
+// maxAge, be it an answer to a report request or a response's head, as far as their service needs polling. They are the
+// listed ones, and those no longer listed that still have requests of ours, whose failure must be noticed as well.
+// reportsOnly says that nothing but a report tells a load.
 func (table *Table) Stale(now time.Time, maxAge time.Duration, reportsOnly bool) []Runner {
 	return table.runners(now, nil, func(entry *entry) bool {
 		return (entry.listed || entry.requests.total > 0) &&
--- a/balancer/load/table.go
+++ b/balancer/load/table.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// All returns every known runner as it seems now, ordered by ID. The use of a runner in slow start is divided among the
-// daemons, which are given by their addresses.
+// All returns every known runner as it seems now, ordered by ID. The use of a runner in slow start is
+// divided among the daemons, which are given by their addresses.
 func (table *Table) All(now time.Time, daemons []string) []Runner {
 	return table.runners(now, daemons, func(*entry) bool { return true })
 }
--- a/balancer/retrybudget/retrybudget.go
+++ b/balancer/retrybudget/retrybudget.go
@@ -57,8 +57,8 @@
 	budget.peak.observe(elapsed, budget.daemons())
 }
 
-// Repeat takes one retry out of the budget and reports whether there was one. A retry that the runner rejects was sent
-// all the same and is not returned.
+// Repeat takes one retry out of the budget and reports whether there was one. A retry that the runner rejects
+// was sent all the same and is not returned.
 func (budget *Budget) Repeat(now time.Time) bool {
 	elapsed := budget.elapsed(now)
 	current := budget.counts.cell(elapsed)
--- a/balancer/scheduler/feedback.go
+++ b/balancer/scheduler/feedback.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// PutBack records that the runner rejected a request before it executed it. The runner has not cached the prompt and is
-// ejected for a moment, and this daemon's window becomes narrower.
+// PutBack records that the runner rejected a request before it executed it. The runner has not cached
+// the prompt and is ejected for a moment, and this daemon's window becomes narrower.
 func (scheduler *Scheduler) PutBack(now time.Time, request *QueuedRequest, decision Decision) {
 	scheduler.indexer.Pool.Add(kvblock.BlockRemoved{Runner: decision.Runner.ID, Keys: request.Keys})
 	scheduler.table.Failed(now, decision.Runner.ID, "puts requests back")
@@ -66,8 +66,8 @@
 	scheduler.costWeights.TokenSeconds = scheduler.forecast.speeds.token
 }
 
-// Learn records how a request went: how long the first event took of so many tokens that were not cached, and
-// how long the slot was occupied. A duration of 0 is not known.
+// Learn records how a request went: how long the first event took of so many tokens that were not
+// cached, and how long the slot was occupied. A duration of 0 is not known.
 func (scheduler *Scheduler) Learn(uncached int, first, occupied time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
