--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -10,7 +10,6 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"wardtray/verify/modelcheck"
-	"wardtray/verify/scale"
 )
 
 // commands are the functions that run a command, by its full name. An error ends wtverify with exit code 1.
@@ -30,9 +29,6 @@
 	registerScenarios(application, known)
 	search := modelcheck.Register(application)
 	known[search.Command] = func() error { return search.Run(os.Stdout) }
-	for name, run := range scale.Register(application) {
-		known[name] = run
-	}
 	called := kingpin.MustParse(application.Parse(os.Args[1:]))
 	if err := known[called](); err != nil {
 		end(err)
--- /dev/null
+++ b/verify/simulation/head_loss_test.go
@@ -0,0 +1,209 @@
+package simulation
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"wardtray/wire"
+)
+
+// The moments of TestHeadAndHalfOfTheDaemonsLost, counted from when the operator begins.
+const (
+	lossAt      = 2 * time.Second
+	returnAt    = 6 * time.Second
+	lossEnd     = 12 * time.Second
+	changeEvery = 500 * time.Millisecond
+)
+
+// lossPeriod is one part of a run in which the head and half of the daemons are lost.
+type lossPeriod int
+
+// A run passes through these in their order.
+const (
+	beforeLoss lossPeriod = iota
+	withoutHead
+	withHalf
+	afterReturn
+	lossPeriods
+)
+
+func (period lossPeriod) String() string {
+	return [...]string{"before the loss", "without a head", "with half of the daemons", "after the return"}[period]
+}
+
+// lossRun is what is counted in such a run.
+type lossRun struct {
+	world    *World
+	lost     map[*Host]bool
+	period   lossPeriod
+	messages [lossPeriods]int
+	accepted [lossPeriods]int
+	// samples counts how often each remaining daemon was looked at in each period, unleased how often it held no lease.
+	samples, unleased [lossPeriods]int
+}
+
+// operate sends a change every so often to a core that runs, and counts those acknowledged by when they were sent.
+func (run *lossRun) operate(operators *Operators) {
+	for _, core := range run.world.Cores() {
+		if !core.Up() {
+			continue
+		}
+		operators.base = run.world.Check.greatestKnown()
+		order, period := operators.apply(core), run.period
+		run.world.After(changeEvery, func() {
+			if order.Outcome == "accepted" {
+				run.accepted[period]++
+			}
+		})
+		return
+	}
+}
+
+// advance runs the world until a moment, or until done reports true, and samples the remaining daemons' leases.
+func (run *lossRun) advance(until time.Time, done func() bool) {
+	const sampleEvery = 20 * time.Millisecond
+	for run.world.Now.Before(until) && len(run.world.Check.Broken) == 0 && !done() {
+		run.world.Run(sampleEvery)
+		for _, host := range run.world.Datas() {
+			if run.lost[host] || !host.Up() {
+				continue
+			}
+			run.samples[run.period]++
+			if !run.world.local(host).Before(host.plane.Snapshot().Until) {
+				run.unleased[run.period]++
+			}
+		}
+	}
+}
+
+func never() bool { return false }
+
+// lose takes the power from the head and from every other data daemon at once.
+func (run *lossRun) lose(t *testing.T) (head *Host) {
+	t.Helper()
+	head = leader(run.world)
+	if head == nil {
+		t.Fatal("no head before the loss")
+	}
+	for index, host := range run.world.Datas() {
+		if index%2 == 0 {
+			run.lost[host] = true
+			run.world.Power(host)
+		}
+	}
+	run.world.Power(head)
+	return head
+}
+
+func (run *lossRun) check(t *testing.T) {
+	t.Helper()
+	for _, line := range run.world.Check.Broken {
+		t.Error(line)
+	}
+	for period := range lossPeriods {
+		if run.messages[period] == 0 {
+			t.Errorf("%v: no daemon sent a message", period)
+		}
+		if run.samples[period] == 0 {
+			t.Errorf("%v: no lease was looked at", period)
+		}
+		if period != withoutHead && run.accepted[period] == 0 {
+			t.Errorf("%v: no change was acknowledged", period)
+		}
+	}
+	if 2*run.unleased[withHalf] > run.samples[withHalf] {
+		t.Errorf("the remaining daemons held no lease in %d of %d samples", run.unleased[withHalf], run.samples[withHalf])
+	}
+	for _, host := range run.world.Datas() {
+		if !run.world.local(host).Before(host.plane.Snapshot().Until) {
+			t.Errorf("%s holds no lease in the end", host.Address)
+		}
+	}
+	t.Logf("messages %v, acknowledged %v, without a lease %v of %v samples", run.messages, run.accepted, run.unleased, run.samples)
+}
+
+// The head and half of the daemons lose their power at once and come back: another head acts, changes are
+// acknowledged before, meanwhile and afterwards, and the daemons that remain hold leases.
+func TestHeadAndHalfOfTheDaemonsLost(t *testing.T) {
+	t.Parallel()
+	for seed := int64(1); seed <= 3; seed++ {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			world := Found(seed, Guild)
+			world.Run(10 * time.Second)
+			run := &lossRun{world: world, lost: map[*Host]bool{}}
+			world.Metrics = func(from, _ *Host, _ string, _ int) {
+				if !from.Core {
+					run.messages[run.period]++
+				}
+			}
+			started, operators := world.Now, &Operators{world: world}
+			for at := time.Duration(0); at < lossEnd-changeEvery; at += changeEvery {
+				world.After(at, func() { run.operate(operators) })
+			}
+			run.advance(started.Add(lossAt), never)
+			head := run.lose(t)
+			run.period = withoutHead
+			run.advance(started.Add(returnAt), func() bool { return leader(world) != nil })
+			if leader(world) == nil {
+				t.Fatalf("no head within %v of the loss: %v", returnAt-lossAt, world.Check.Broken)
+			}
+			run.period = withHalf
+			run.advance(started.Add(returnAt), never)
+			world.Boot(head)
+			for host := range run.lost {
+				world.Boot(host)
+			}
+			clear(run.lost)
+			run.period = afterReturn
+			run.advance(started.Add(lossEnd), never)
+			run.check(t)
+		})
+	}
+}
+
+// A founded fleet has every daemon in the head's directory, its daemons and cores send each other every kind of
+// message that keeps it so, and the cores' updates about runners reach the daemons.
+func TestFoundedFleetKnowsEveryDaemon(t *testing.T) {
+	t.Parallel()
+	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
+	kinds, unaddressed := map[string]bool{}, 0
+	world := Found(1, shape, func(world *World) { world.StartCallers(6, shape.Zones) })
+	world.Metrics = func(from, to *Host, kind string, _ int) {
+		if to == nil {
+			unaddressed++
+			return
+		}
+		sides := map[bool]string{true: "core", false: "daemon"}
+		kinds[sides[from.Core]+" to "+sides[to.Core]+" "+kind] = true
+	}
+	world.Run(10 * time.Second)
+	head := leader(world)
+	if head == nil {
+		t.Fatal("no head after 10 s")
+	}
+	order := world.Check.Send(head, &wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"})
+	world.Run(3 * time.Second)
+	if order.Outcome != "accepted" {
+		t.Errorf("the change's outcome is %s", order.Outcome)
+	}
+	directory := head.Node().Status(world.local(head)).Daemons
+	if len(directory) != len(world.Datas()) {
+		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
+	}
+	wanted := []string{"daemon to core DaemonLeaseRequest", "core to daemon DaemonLeaseGrant", "daemon to daemon Shuffle",
+		"daemon to daemon Digest", "daemon to daemon GossipMessage", "core to daemon RunnerUpdate"}
+	for _, kind := range wanted {
+		if !kinds[kind] {
+			t.Errorf("no %s was sent; seen: %v", kind, kinds)
+		}
+	}
+	if unaddressed > 0 {
+		t.Errorf("%d messages went to nobody", unaddressed)
+	}
+	world.Callers.truth()
+	for _, line := range world.Check.Broken {
+		t.Error(line)
+	}
+}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -126,7 +126,7 @@
 	Loss   float64
 	Delay  time.Duration
 	Jitter time.Duration
-	// Messages and Bytes count what was sent; by kind of host, for the measurements of scale.
+	// Messages and Bytes count what was sent; for the measurements of cost and spread.
 	Messages, Bytes, AcrossBytes uint64
 	trace                        uint64
 	Platform                     platform
