--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -123,7 +123,7 @@
 	}
 	now := time.Now()
 	platform.record.Change(func(record *histories.History) {
-		for _, leave := range record.Leaves {
+		for _, leave := range record.Drains {
 			// A runner that drains never comes back under its identity; one that was only missing may.
 			if live[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
 				leave.Back = now
@@ -133,7 +133,7 @@
 	for id, was := range platform.known {
 		if was && !live[id] {
 			platform.record.Change(func(record *histories.History) {
-				record.Leaves = append(record.Leaves, &histories.Leaving{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
+				record.Drains = append(record.Drains, &histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
 			})
 		}
 	}
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -208,9 +208,9 @@
 	run := &histories.Run{At: now, Request: header(admission.HeaderRequest), Route: header(admission.HeaderRoute), Pool: runner.Pool,
 		Model: header(admission.HeaderModel), Weights: runner.Weights, Runner: runner.ID,
 		Wanted: header(admission.HeaderRunner), Service: runner.Service, Zone: runner.Zone, Daemon: header(admission.HeaderDaemon),
-		Epoch: epoch, Started: started, Beside: runner.active, Cold: now.Sub(runner.started) < runner.nature.ColdTime, Room: runner.nature.Slots}
-	if run.Cold {
-		run.Room = max(1, runner.nature.Slots/runner.nature.ColdFactor)
+		Epoch: epoch, Started: started, Concurrent: runner.active, WarmingUp: now.Sub(runner.started) < runner.nature.ColdTime, Capacity: runner.nature.Slots}
+	if run.WarmingUp {
+		run.Capacity = max(1, runner.nature.Slots/runner.nature.ColdFactor)
 	}
 	runner.record.Change(func(history *histories.History) { history.Runs = append(history.Runs, run) })
 	return run
@@ -253,7 +253,7 @@
 func (runner *Runner) watch(context *fasthttp.RequestCtx, run *histories.Run) (finished <-chan struct{}, stop func()) {
 	cut := make(chan struct{})
 	return cut, netio.FromHTTP(context).Watch(func() {
-		runner.record.Change(func(*histories.History) { run.Cut = time.Now() })
+		runner.record.Change(func(*histories.History) { run.Canceled = time.Now() })
 		close(cut)
 	})
 }
@@ -324,7 +324,7 @@
 		return
 	}
 	// The run is whole from the moment its last event may have left.
-	runner.record.Change(func(*histories.History) { run.Whole, run.Events = true, events })
+	runner.record.Change(func(*histories.History) { run.Complete, run.Events = true, events })
 	if _, err := fmt.Fprintf(writer, "id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events); err == nil {
 		_ = writer.Flush() // A requester gone at the very end changes nothing about the run.
 	}
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -315,7 +315,7 @@
 	defer ticker.Stop()
 	for running.Err() == nil {
 		<-ticker.C
-		room := histories.Room{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
+		room := histories.CapacitySample{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
 		fleet.mutex.Lock()
 		for _, runner := range fleet.Runners {
 			if runner == nil || !fleet.Platform.Settled(runner) {
@@ -326,7 +326,7 @@
 			room.Slots[runner.Zone] += slots
 		}
 		fleet.mutex.Unlock()
-		fleet.Record.Change(func(record *histories.History) { record.Rooms = append(record.Rooms, room) })
+		fleet.Record.Change(func(record *histories.History) { record.CapacitySamples = append(record.CapacitySamples, room) })
 	}
 }
 
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -44,7 +44,7 @@
 	ends := []struct {
 		holds bool
 		count *int
-	}{{answer.Done, &figures.Done}, {answer.Lost, &figures.Lost}, {answer.Error, &figures.Broken},
+	}{{answer.Done, &figures.Done}, {answer.ConnectionLost, &figures.Lost}, {answer.Error, &figures.Broken},
 		{answer.Status == http.StatusGatewayTimeout, &figures.Unknown}, {true, &figures.Refused}}
 	for _, end := range ends {
 		if end.holds {
@@ -95,7 +95,7 @@
 	fmt.Fprintf(output, "prompt tokens found in runners' caches: %.0f%%; repeats: %d\n", 100*figures.CacheShare, figures.Retries)
 	margins := histories.Worst(fleet.Record)
 	fmt.Fprintf(output, "worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
-		margins.Ignored.Round(time.Millisecond), margins.Leaving.Round(time.Millisecond), margins.Closed.Round(time.Millisecond), margins.Return.Round(time.Millisecond), margins.Retried, margins.Requests)
+		margins.Ignored.Round(time.Millisecond), margins.Draining.Round(time.Millisecond), margins.Closed.Round(time.Millisecond), margins.Return.Round(time.Millisecond), margins.Retried, margins.Requests)
 	routes := make([]string, 0, len(figures.First))
 	for route := range figures.First {
 		routes = append(routes, route)
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// sentAfterLeaving gives how long after its client had left a request was sent to its runner.
+// sentAfterDeparture gives how long after its client had left a request was sent to its runner.
 //
 // Where only its arrival is known, bytes that left in time and were held up on their way to a runner in trouble are
 // excused, for as long as a daemon leaves them on their way. Trouble of the daemon excuses nothing: it looks once more
 // when it wakes from a freeze.
-func (judge *Judge) sentAfterLeaving(run *Run, answer *Answer) time.Duration {
+func (judge *Checker) sentAfterDeparture(run *Run, answer *Answer) time.Duration {
 	sent := run.Sent
 	if sent.IsZero() {
 		sent = run.At
 	}
-	if answer.Left.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.Left) || judge.askedAgain(answer) {
+	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) || judge.sentTwice(answer) {
 		return 0
 	}
-	late := sent.Sub(answer.Left)
-	if _, heldUp := judge.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() && late <= LeftBound+overtaking {
+	late := sent.Sub(answer.HungUpAt)
+	if _, heldUp := judge.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() && late <= DepartureBound+transitTime {
 		return 0
 	}
 	return late
@@ -32,10 +32,10 @@
 	return leftMachine == rightMachine
 }
 
-// askedAgain tells whether the same request came to the same daemon more than once, so that runs can't be told apart.
-func (judge *Judge) askedAgain(answer *Answer) bool {
+// sentTwice tells whether the same request came to the same daemon more than once, so that runs can't be told apart.
+func (judge *Checker) sentTwice(answer *Answer) bool {
 	count := 0
-	for _, other := range judge.asked[answer.Request] {
+	for _, other := range judge.requests[answer.Request] {
 		if other.Daemon == answer.Daemon {
 			count++
 		}
@@ -43,26 +43,26 @@
 	return count > 1
 }
 
-// Departed judges whether anybody still works for a client that has left, at a moment by which its daemon has had
+// CheckDeparture judges whether anybody still works for a client that has left, at a moment by which its daemon has had
 // LeftBound to learn of that. Runs that must come to their end are none of these; a daemon in trouble within that time
 // is excused.
-func (judge *Judge) Departed(answer *Answer, until time.Time) {
-	if answer.Left.IsZero() || !answer.Cancels || judge.askedAgain(answer) {
+func (judge *Checker) CheckDeparture(answer *Answer, until time.Time) {
+	if answer.HungUpAt.IsZero() || !answer.Cancels || judge.sentTwice(answer) {
 		return
 	}
-	if judge.disturbed(answer.Daemon, until.Add(-LeftBound), until) {
+	if judge.faultOverlaps(answer.Daemon, until.Add(-DepartureBound), until) {
 		return
 	}
 	for _, run := range judge.runs[answer.Request] {
-		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.overBy(until) {
+		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
 			judge.Violations = append(judge.Violations, Violation{Rule: "left-requester",
-				Detail: answer.Request + " was still worked on at " + run.Runner + " " + LeftBound.String() + " after its requester had left " + run.Daemon})
+				Detail: answer.Request + " was still worked on at " + run.Runner + " " + DepartureBound.String() + " after its requester had left " + run.Daemon})
 		}
 	}
 }
 
-// disturbed tells whether something was done to a daemon in a span of time.
-func (judge *Judge) disturbed(daemon string, from, until time.Time) bool {
+// faultOverlaps tells whether something was done to a daemon in a span of time.
+func (judge *Checker) faultOverlaps(daemon string, from, until time.Time) bool {
 	for _, fault := range judge.history.Faults {
 		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until) {
 			return true
@@ -71,7 +71,7 @@
 	return false
 }
 
-// overBy tells whether a run had ended, or its daemon had let go of it, by a moment.
-func (run *Run) overBy(at time.Time) bool {
-	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Cut.IsZero() && !run.Cut.After(at)
+// finishedBy tells whether a run had ended, or its daemon had let go of it, by a moment.
+func (run *Run) finishedBy(at time.Time) bool {
+	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Canceled.IsZero() && !run.Canceled.After(at)
 }
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -30,19 +30,19 @@
 	Started bool
 	// Sent is when its daemon sent the request, where that is known, and Cut when the daemon let go of the run, or at the
 	// latest when the end of its connection reached the runner; zero where that did not happen while the run went on.
-	Sent, Cut time.Time
+	Sent, Canceled time.Time
 	// Finished is when the run was over; Whole tells that its last event went out, after Events others.
 	Finished time.Time
-	Whole    bool
+	Complete bool
 	Events   int
 	// Name is what its events call it; After is the id of the event behind which it began.
 	Name  string
 	After int
-	// Beside is how much other work the runner had when this came; Cold tells that it was still slow
+	// Concurrent is how much other work the runner had when this came; Cold tells that it was still slow
 	// after its start, and Room is how much it could truly do at once then.
-	Beside int
-	Cold   bool
-	Room   int
+	Concurrent int
+	WarmingUp  bool
+	Capacity   int
 }
 
 // Answer is what a client got.
@@ -65,15 +65,15 @@
 	Runs []string
 	// Done tells that the last event was a done event; Error that it was an error event.
 	Done, Error bool
-	// Lost tells that the connection broke without an answer; Sure that the request had been sent.
-	Lost, Sure bool
-	// Gone tells that the client itself hung up, and Left when its close reached the machine of its daemon.
-	Gone bool
-	Left time.Time
+	// ConnectionLost tells that the connection broke without an answer; Sure that the request had been sent.
+	ConnectionLost, RequestSent bool
+	// HungUp tells that the client itself hung up, and Left when its close reached the machine of its daemon.
+	HungUp   bool
+	HungUpAt time.Time
 	// Cancels tells that a run on the request's route is to end when its client leaves.
 	Cancels bool
-	// Again tells that the same request had been sent before.
-	Again bool
+	// Resent tells that the same request had been sent before.
+	Resent bool
 	// Resumable tells that its stream may go on at another runner; Head is the runner that its head names.
 	Resumable bool
 	Head      string
@@ -101,9 +101,9 @@
 	HTTPStatus int
 }
 
-// Leaving tells that the platform began to list a runner as draining, or no longer. Back is when it
+// Drain tells that the platform began to list a runner as draining, or no longer. Back is when it
 // listed the runner as before, if it did; one that drained never comes back under its identity.
-type Leaving struct {
+type Drain struct {
 	At, Back time.Time
 	Runner   string
 	Drained  bool
@@ -121,9 +121,9 @@
 	Knowable time.Duration
 }
 
-// Apart tells that a daemon had no path to the core in a time. Until is when it must have learned what it missed, or
+// Isolation tells that a daemon had no path to the core in a time. Until is when it must have learned what it missed, or
 // serve no more.
-type Apart struct {
+type Isolation struct {
 	Daemon      string
 	From, Until time.Time
 }
@@ -131,9 +131,9 @@
 // Return tells that all machines were back after a time of being down.
 type Return struct{ At time.Time }
 
-// Room is how the backend truly was at a moment: the slots, and those free, of the runners of each zone
+// CapacitySample is how the backend truly was at a moment: the slots, and those free, of the runners of each zone
 // that are well, listed and warm.
-type Room struct {
+type CapacitySample struct {
 	At    time.Time
 	Free  map[string]int
 	Slots map[string]int
@@ -160,13 +160,13 @@
 	Runs    []*Run
 	Answers []*Answer
 	Orders  []*Order
-	Leaves  []*Leaving
+	Drains  []*Drain
 	Faults  []Fault
-	// Aparts are the times in which daemons had no path to the core, where the simulator tells of them.
-	Aparts  []*Apart
-	Returns []Return
-	Rooms   []Room
-	Final   Final
+	// Isolations are the times in which daemons had no path to the core, where the simulator tells of them.
+	Isolations      []*Isolation
+	Returns         []Return
+	CapacitySamples []CapacitySample
+	Final           Final
 }
 
 // New begins a history.
--- a/verify/histories/check.go
+++ b/verify/histories/rules.go
@@ -10,35 +10,35 @@
 
 // The bounds of the brief, each with what belongs to measuring rather than to the fleet.
 const (
-	LeavingBound = 3 * time.Second
-	SpecBound    = 2 * time.Second
-	ZoneBound    = 5 * time.Second
-	ReturnBound  = 12 * time.Second
-	RetryWindow  = 10 * time.Second
-	RetryShare   = 0.2
-	// RetryLittle is the brief's "plus a little": one unlucky request at each of a few daemons.
-	RetryLittle = 3
-	// ColdLittle is how much more than its true room a cold runner may get: daemons that have not heard of
+	DrainingBound = 3 * time.Second
+	SpecBound     = 2 * time.Second
+	ZoneBound     = 5 * time.Second
+	ReturnBound   = 12 * time.Second
+	RetryWindow   = 10 * time.Second
+	RetryShare    = 0.2
+	// RetryAllowance is the brief's "plus a little": one unlucky request at each of a few daemons.
+	RetryAllowance = 3
+	// WarmUpAllowance is how much more than its true room a cold runner may get: daemons that have not heard of
 	// one another yet may each send one.
-	ColdLittle = 2
-	// HeldBound is how long after a loss could be known a final answer may come.
-	HeldBound = 2 * time.Second
-	// DeadlineLittle is how much after its deadline an answer may come: a daemon's own work and the way. ClockPart is the
+	WarmUpAllowance = 2
+	// OverdueBound is how long after a loss could be known a final answer may come.
+	OverdueBound = 2 * time.Second
+	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. ClockPart is the
 	// part by which a daemon's clock may go wrong.
-	DeadlineLittle = 100 * time.Millisecond
-	ClockPart      = 50
-	faultShadow    = 12 * time.Second
-	// overtaking is for how long bytes may be on their way.
-	overtaking = 1500 * time.Millisecond
-	// wayBound is how long news of a reset may be on its way.
-	wayBound = 100 * time.Millisecond
-	// LeftBound is how long after its client has left a request may reach a runner, or be worked on.
-	LeftBound = 500 * time.Millisecond
-	// Unseen is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second and smoothed.
-	Unseen = 2 * time.Second
-	// Ample is the free part of a backend beside which no request can be refused for want of room. It is
+	DeadlineAllowance = 100 * time.Millisecond
+	ClockErrorDivisor = 50
+	faultShadow       = 12 * time.Second
+	// transitTime is for how long bytes may be on their way.
+	transitTime = 1500 * time.Millisecond
+	// resetTransitTime is how long news of a reset may be on its way.
+	resetTransitTime = 100 * time.Millisecond
+	// DepartureBound is how long after its client has left a request may reach a runner, or be worked on.
+	DepartureBound = 500 * time.Millisecond
+	// ReportStaleness is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second and smoothed.
+	ReportStaleness = 2 * time.Second
+	// AmpleShare is the free part of a backend beside which no request can be refused for want of room. It is
 	// the slack in which routes may go beyond their concurrency limit.
-	Ample = 0.25
+	AmpleShare = 0.25
 )
 
 // Rules names every check, in the order of the brief.
@@ -62,75 +62,75 @@
 }
 
 // onRun is judged whenever a runner has read a request.
-var onRun = map[string]func(judge *Judge, run *Run, broken broken){
-	"run-twice": func(judge *Judge, run *Run, broken broken) {
+var onRun = map[string]func(judge *Checker, run *Run, broken reportFunc){
+	"run-twice": func(judge *Checker, run *Run, broken reportFunc) {
 		if runs := judge.runs[run.Request]; run.Started && judge.once[run.Request] && len(runs) > 1 {
 			broken("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner, runs[0].Daemon, run.Runner, run.Daemon)
 		}
 	},
-	"ran-after-refusal": func(judge *Judge, run *Run, broken broken) {
+	"ran-after-refusal": func(judge *Checker, run *Run, broken reportFunc) {
 		for _, answer := range judge.answers[run.Request] {
 			// A client that sends its request anew after this word asks for another run.
-			if run.Started && answer.Ran == didNotRun && !judge.again(answer) {
+			if run.Started && answer.Ran == didNotRun && !judge.sentAgain(answer) {
 				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner, answer.Kind)
 			}
 		}
 	},
-	"not-allowed": func(judge *Judge, run *Run, broken broken) {
-		if !judge.permitted(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
+	"not-allowed": func(judge *Checker, run *Run, broken reportFunc) {
+		if !judge.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
 			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service, run.Runner)
 		}
 	},
-	"wrong-runner": func(_ *Judge, run *Run, broken broken) {
+	"wrong-runner": func(_ *Checker, run *Run, broken reportFunc) {
 		if run.Wanted != run.Runner {
 			broken("%s was meant for %s and reached %s", run.Request, run.Wanted, run.Runner)
 		}
 	},
-	"leaving": func(judge *Judge, run *Run, broken broken) {
-		if late := judge.late(run); late > LeavingBound {
+	"leaving": func(judge *Checker, run *Run, broken reportFunc) {
+		if late := judge.drainingFor(run); late > DrainingBound {
 			broken("%s went to %s %v after it began to leave", run.Request, run.Runner, late)
 		}
 	},
-	"change-ignored": func(judge *Judge, run *Run, broken broken) {
-		if !judge.permitted(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
+	"change-ignored": func(judge *Checker, run *Run, broken reportFunc) {
+		if !judge.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
 			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec", run.Request, run.Route, run.Weights, run.Daemon,
-				judge.outdated(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
+				judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
-	"slipped-back": func(judge *Judge, run *Run, broken broken) {
+	"slipped-back": func(judge *Checker, run *Run, broken reportFunc) {
 		// Requests of one daemon overtake each other while bytes are on their way; a slip back lasts.
-		if run.Epoch < judge.greatest[run.Daemon] && run.At.Sub(judge.since[run.Daemon]) > overtaking {
+		if run.Epoch < judge.greatest[run.Daemon] && run.At.Sub(judge.greatestSince[run.Daemon]) > transitTime {
 			broken("%s went from epoch %d back to %d", run.Daemon, judge.greatest[run.Daemon], run.Epoch)
 		}
 		if run.Epoch > judge.greatest[run.Daemon] {
-			judge.greatest[run.Daemon], judge.since[run.Daemon] = run.Epoch, run.At
+			judge.greatest[run.Daemon], judge.greatestSince[run.Daemon] = run.Epoch, run.At
 		}
 	},
-	"closed-zone": func(judge *Judge, run *Run, broken broken) {
+	"closed-zone": func(judge *Checker, run *Run, broken reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }
-		if !judge.permitted(run.Daemon, run.At, ZoneBound, open) {
-			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, judge.outdated(run.At, open))
+		if !judge.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
+			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, judge.outdatedFor(run.At, open))
 		}
 	},
-	"left-requester": func(judge *Judge, run *Run, broken broken) {
-		for _, answer := range judge.asked[run.Request] {
-			if late := judge.sentAfterLeaving(run, answer); late > LeftBound {
+	"left-requester": func(judge *Checker, run *Run, broken reportFunc) {
+		for _, answer := range judge.requests[run.Request] {
+			if late := judge.sentAfterDeparture(run, answer); late > DepartureBound {
 				broken("%s reached %s %v after its requester had left %s", run.Request, run.Runner, late, run.Daemon)
 			}
 		}
 	},
-	"cold-flooded": func(_ *Judge, run *Run, broken broken) {
-		if run.Cold && run.Beside >= run.Room+ColdLittle {
-			broken("%s came to %s, still cold with room for %d, beside %d others", run.Request, run.Runner, run.Room, run.Beside)
+	"cold-flooded": func(_ *Checker, run *Run, broken reportFunc) {
+		if run.WarmingUp && run.Concurrent >= run.Capacity+WarmUpAllowance {
+			broken("%s came to %s, still cold with room for %d, beside %d others", run.Request, run.Runner, run.Capacity, run.Concurrent)
 		}
 	},
 }
 
 const didNotRun = "did not run"
 
-// again tells whether a request was sent anew after an answer.
-func (judge *Judge) again(answer *Answer) bool {
-	for _, other := range judge.asked[answer.Request] {
+// sentAgain tells whether a request was sent anew after an answer.
+func (judge *Checker) sentAgain(answer *Answer) bool {
+	for _, other := range judge.requests[answer.Request] {
 		if other != answer && (!other.Sent.Before(answer.Got) || !answer.Once) {
 			return true
 		}
@@ -156,10 +156,10 @@
 	return backend != nil && backend.Model == run.Model && backend.Weights == run.Weights
 }
 
-// late gives how long before a run its runner was known to leave.
-func (judge *Judge) late(run *Run) time.Duration {
+// drainingFor gives how long before a run its runner was known to leave.
+func (judge *Checker) drainingFor(run *Run) time.Duration {
 	longest := time.Duration(0)
-	for _, leave := range judge.left[run.Runner] {
+	for _, leave := range judge.drains[run.Runner] {
 		if leave.At.Before(run.At) && (leave.Back.IsZero() || run.At.Before(leave.Back)) {
 			longest = max(longest, run.At.Sub(leave.At))
 		}
@@ -168,24 +168,24 @@
 }
 
 // onAnswer is judged whenever a client has its whole answer.
-var onAnswer = map[string]func(judge *Judge, answer *Answer, broken broken){
-	"ran-after-refusal": func(judge *Judge, answer *Answer, broken broken) {
+var onAnswer = map[string]func(judge *Checker, answer *Answer, broken reportFunc){
+	"ran-after-refusal": func(judge *Checker, answer *Answer, broken reportFunc) {
 		for _, run := range judge.runs[answer.Request] {
-			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !judge.again(answer) {
+			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !judge.sentAgain(answer) {
 				broken("%s: its requester was told %q that it did not run, but %s ran it", answer.Request, answer.Kind, run.Runner)
 			}
 		}
 	},
-	"not-whole": func(judge *Judge, answer *Answer, broken broken) {
+	"not-whole": func(judge *Checker, answer *Answer, broken reportFunc) {
 		whole := !answer.Done
 		for _, run := range judge.runs[answer.Request] {
-			whole = whole || run.Whole && run.Events == len(answer.IDs)-1
+			whole = whole || run.Complete && run.Events == len(answer.IDs)-1
 		}
 		if !whole {
 			broken("%s: a success of %d events that no run gave", answer.Request, len(answer.IDs))
 		}
 	},
-	"spliced": func(judge *Judge, answer *Answer, broken broken) {
+	"spliced": func(judge *Checker, answer *Answer, broken reportFunc) {
 		for place, id := range answer.IDs {
 			if id != place+1 {
 				broken("%s: event %d in place %d", answer.Request, id, place+1)
@@ -198,14 +198,14 @@
 				break
 			}
 			// Where a stream may be resumed, another run goes on exactly behind what was relayed.
-			if place > 0 && answer.Runs[place] != answer.Runs[place-1] && !judge.goesOn(answer.Request, answer.Runs[place], answer.IDs[place-1]) {
+			if place > 0 && answer.Runs[place] != answer.Runs[place-1] && !judge.startedAfter(answer.Request, answer.Runs[place], answer.IDs[place-1]) {
 				broken("%s: run %s goes on behind event %d, where it did not begin", answer.Request, answer.Runs[place], answer.IDs[place-1])
 				break
 			}
 		}
 	},
-	"dropped": func(judge *Judge, answer *Answer, broken broken) {
-		if !answer.Lost || !answer.Sure || answer.Gone {
+	"dropped": func(judge *Checker, answer *Answer, broken reportFunc) {
+		if !answer.ConnectionLost || !answer.RequestSent || answer.HungUp {
 			return
 		}
 		for _, fault := range judge.history.Faults {
@@ -215,41 +215,41 @@
 		}
 		broken("%s, sent to %s, was never answered", answer.Request, answer.Daemon)
 	},
-	"turned-away": func(judge *Judge, answer *Answer, broken broken) {
-		if answer.Again && answer.Kind == "already_taken" && judge.surelyNotRun(answer) {
+	"turned-away": func(judge *Checker, answer *Answer, broken reportFunc) {
+		if answer.Resent && answer.Kind == "already_taken" && judge.surelyNotRun(answer) {
 			broken("%s was refused as taken already by %s, though it had surely not run", answer.Request, answer.Daemon)
 		}
 		// Whose time has passed is refused for that.
-		if answer.Lost || answer.Gone || answer.Done || answer.Again || answer.Bound > 0 && !answer.given().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockPart)) {
+		if answer.ConnectionLost || answer.HungUp || answer.Done || answer.Resent || answer.Bound > 0 && !answer.lastEventAt().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockErrorDivisor)) {
 			return
 		}
-		check := mistakes[answer.Kind]
+		check := wrongfulRejections[answer.Kind]
 		if check == nil {
 			broken("%s was refused with %d %q by %s", answer.Request, answer.Status, answer.Kind, answer.Daemon)
 			return
 		}
-		if judge.touched(answer.Daemon, answer.Sent, answer.Got) {
+		if judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if why := check(judge, answer); why != "" {
 			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route, answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
 		}
 	},
-	"no-return-time": func(_ *Judge, answer *Answer, broken broken) {
-		if helped[answer.Kind] && !answer.RetryAfter && answer.Status != 200 {
+	"no-return-time": func(_ *Checker, answer *Answer, broken reportFunc) {
+		if retryable[answer.Kind] && !answer.RetryAfter && answer.Status != 200 {
 			broken("%s was refused with %q and not told when to come back", answer.Request, answer.Kind)
 		}
 	},
-	"held-back": func(judge *Judge, answer *Answer, broken broken) {
+	"held-back": func(judge *Checker, answer *Answer, broken reportFunc) {
 		// What is sent again is refused for what became of the first, at any time.
-		if answer.Lost || answer.Done || answer.Gone || answer.Again || judge.touched(answer.Daemon, answer.Sent, answer.Got) {
+		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent || judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if late := judge.held(answer); late > HeldBound {
+		if late := judge.overdue(answer); late > OverdueBound {
 			broken("%s got its final %q %v after it could be known", answer.Request, answer.Kind, late)
 		}
 	},
-	"resumed": func(judge *Judge, answer *Answer, broken broken) {
+	"resumed": func(judge *Checker, answer *Answer, broken reportFunc) {
 		for _, run := range judge.runs[answer.Request] {
 			if run.After > 0 && !answer.Resumable {
 				broken("%s was resumed behind event %d, which its lane does not allow", answer.Request, run.After)
@@ -259,26 +259,26 @@
 			}
 		}
 	},
-	"past-deadline": func(judge *Judge, answer *Answer, broken broken) {
-		if answer.Bound == 0 || answer.Started.IsZero() || answer.Lost || answer.Gone || judge.touched(answer.Daemon, answer.Sent, answer.Got) {
+	"past-deadline": func(judge *Checker, answer *Answer, broken reportFunc) {
+		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp || judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if late := answer.given().Sub(answer.Started.Add(answer.Bound)); late > DeadlineLittle+answer.Bound/ClockPart {
+		if late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound)); late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
 			broken("%s of %s was answered with %d %q (%s) %v after its %v had passed", answer.Request, answer.Route, answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
 		}
 	},
 }
 
-// given is when the last of an answer was there.
-func (answer *Answer) given() time.Time {
+// lastEventAt is when the last of an answer was there.
+func (answer *Answer) lastEventAt() time.Time {
 	if answer.Last.IsZero() {
 		return answer.Got
 	}
 	return answer.Last
 }
 
-// goesOn tells whether a run of a request began behind an event.
-func (judge *Judge) goesOn(request, name string, after int) bool {
+// startedAfter tells whether a run of a request began behind an event.
+func (judge *Checker) startedAfter(request, name string, after int) bool {
 	for _, run := range judge.runs[request] {
 		if run.Name == name {
 			return run.After == after
@@ -288,7 +288,7 @@
 }
 
 // surelyNotRun tells whether everybody who sent a request before was told that it did not run.
-func (judge *Judge) surelyNotRun(answer *Answer) bool {
+func (judge *Checker) surelyNotRun(answer *Answer) bool {
 	before := 0
 	for _, other := range judge.answers[answer.Request] {
 		if other != answer && !other.Got.After(answer.Sent) {
@@ -298,14 +298,14 @@
 			before++
 		}
 	}
-	return before > 0 && before == len(judge.asked[answer.Request])-1 && len(judge.runs[answer.Request]) == 0
+	return before > 0 && before == len(judge.requests[answer.Request])-1 && len(judge.runs[answer.Request]) == 0
 }
 
-// helped are the refusals that another try can help.
-var helped = map[string]bool{"purse_spent": true, "patience_short": true, "waitlist_full": true, "no_fit_runner": true, "not_serving": true}
+// retryable are the refusals that another try can help.
+var retryable = map[string]bool{"purse_spent": true, "patience_short": true, "waitlist_full": true, "no_fit_runner": true, "not_serving": true}
 
-// held gives how long after its cause could be known a request got its final answer.
-func (judge *Judge) held(answer *Answer) time.Duration {
+// overdue gives how long after its cause could be known a request got its final answer.
+func (judge *Checker) overdue(answer *Answer) time.Duration {
 	known := answer.Sent.Add(answer.LatencyTarget)
 	for _, run := range judge.runs[answer.Request] {
 		fault, found := judge.runnerFault(run.Runner, run.At, answer.Got)
@@ -330,31 +330,31 @@
 	return answer.Got.Sub(known)
 }
 
-// mistakes tell for each kind of refusal why it was our own mistake; "" where it was not.
-var mistakes = map[string]func(judge *Judge, answer *Answer) string{
-	"patience_short":  ampleRoom,
-	"purse_spent":     ampleRoom,
-	"waitlist_full":   ampleRoom,
-	"no_fit_runner":   ampleRoom,
-	"not_serving":     alone,
+// wrongfulRejections tell for each kind of refusal why it was our own mistake; "" where it was not.
+var wrongfulRejections = map[string]func(judge *Checker, answer *Answer) string{
+	"patience_short":  ampleCapacity,
+	"purse_spent":     ampleCapacity,
+	"waitlist_full":   ampleCapacity,
+	"no_fit_runner":   ampleCapacity,
+	"not_serving":     lonelyDaemon,
 	"outcome_unknown": soundRunner,
 	"run_failed":      soundRunner,
 	"unknown_lane":    inSpec,
 	"unknown_model":   inSpec,
-	"already_taken":   func(*Judge, *Answer) string { return "it was sent only once" },
+	"already_taken":   func(*Checker, *Answer) string { return "it was sent only once" },
 }
 
-// ampleRoom finds a refusal for want of room beside a backend that had plenty all the while.
-func ampleRoom(judge *Judge, answer *Answer) string {
-	if room := judge.room(answer.Sent.Add(-Unseen), answer.Got); room >= Ample {
+// ampleCapacity finds a refusal for want of room beside a backend that had plenty all the while.
+func ampleCapacity(judge *Checker, answer *Answer) string {
+	if room := judge.leastFreeShare(answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
 		return "a good part of the pool was free all the while"
 	}
 	return ""
 }
 
-// alone finds a daemon that did not serve although nothing was done to it and most others were there:
+// lonelyDaemon finds a daemon that did not serve although nothing was done to it and most others were there:
 // it could be sure of its spec by the head or by them.
-func alone(judge *Judge, answer *Answer) string {
+func lonelyDaemon(judge *Checker, answer *Answer) string {
 	touched := map[string]bool{}
 	for _, fault := range judge.history.Faults {
 		if fault.Daemon != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.Until.Add(faultShadow)) {
@@ -368,7 +368,7 @@
 }
 
 // soundRunner finds a run given up although nothing was done to its runner.
-func soundRunner(judge *Judge, answer *Answer) string {
+func soundRunner(judge *Checker, answer *Answer) string {
 	for _, run := range judge.runs[answer.Request] {
 		if _, found := judge.runnerFault(run.Runner, run.At, answer.Got); found {
 			return ""
@@ -377,7 +377,7 @@
 	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known.
 	if len(judge.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
 		for _, fault := range judge.history.Faults {
-			if fault.Runner != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.At.Add(fault.Knowable+wayBound)) {
+			if fault.Runner != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
 				return ""
 			}
 		}
@@ -386,8 +386,8 @@
 }
 
 // inSpec finds a request refused as unknown although every spec that could be in force has its route.
-func inSpec(judge *Judge, answer *Answer) string {
-	for _, era := range judge.candidates(answer.Daemon, answer.Got, SpecBound) {
+func inSpec(judge *Checker, answer *Answer) string {
+	for _, era := range judge.specsInForce(answer.Daemon, answer.Got, SpecBound) {
 		if era.catalog.Routes[answer.Route] == nil {
 			return ""
 		}
@@ -396,7 +396,7 @@
 }
 
 // atEnd is judged over the whole history.
-var atEnd = map[string]func(judge *Judge, broken broken){
+var atEnd = map[string]func(judge *Checker, broken reportFunc){
 	"refused-in-effect": refusedInEffect,
 	"two-on-one-base":   twoOnOneBase,
 	"repeats":           retries,
@@ -416,7 +416,7 @@
 	return accepted
 }
 
-func refusedInEffect(judge *Judge, broken broken) {
+func refusedInEffect(judge *Checker, broken reportFunc) {
 	history, routes := judge.history, map[string]bool{}
 	for _, route := range history.Final.Routes {
 		routes[route] = true
@@ -434,7 +434,7 @@
 	}
 }
 
-func twoOnOneBase(judge *Judge, broken broken) {
+func twoOnOneBase(judge *Checker, broken reportFunc) {
 	bases, epochs := map[uint64]string{}, map[uint64]string{}
 	for _, order := range judge.history.accepted() {
 		if (order.Verb == "apply" || order.Verb == "change") && order.HasBase {
@@ -493,7 +493,7 @@
 			}
 			start++
 		}
-		allowed := RetryShare*float64(windowRequests) + RetryLittle
+		allowed := RetryShare*float64(windowRequests) + RetryAllowance
 		over = max(over, float64(windowRetries)-allowed)
 		if part := float64(windowRetries) / allowed; part > used {
 			used, retried, requests = part, windowRetries, windowRequests
@@ -502,7 +502,7 @@
 	return over, retried, requests
 }
 
-func retries(judge *Judge, broken broken) {
+func retries(judge *Checker, broken reportFunc) {
 	backends := map[string]bool{}
 	for _, run := range judge.history.Runs {
 		backends[run.Pool] = true
@@ -514,7 +514,7 @@
 	}
 }
 
-func forgotten(judge *Judge, broken broken) {
+func forgotten(judge *Checker, broken reportFunc) {
 	history := judge.history
 	if !history.Final.Asked {
 		broken("nobody asked for the state at the end")
@@ -530,8 +530,8 @@
 	}
 }
 
-// disturbed tells whether machines were taken again before a return could be judged.
-func disturbed(history *History, back Return) bool {
+// returnInterrupted tells whether machines were taken again before a return could be judged.
+func returnInterrupted(history *History, back Return) bool {
 	for _, fault := range history.Faults {
 		if fault.Daemon != "" && fault.At.After(back.At) && fault.At.Sub(back.At) <= ReturnBound {
 			return true
@@ -541,10 +541,10 @@
 }
 
 // down wants, after every return of the machines, whole answers in each zone and an accepted change.
-func down(judge *Judge, broken broken) {
+func down(judge *Checker, broken reportFunc) {
 	history := judge.history
 	for _, back := range history.Returns {
-		if disturbed(history, back) {
+		if returnInterrupted(history, back) {
 			continue
 		}
 		within := func(at time.Time) bool { return !at.Before(back.At) && at.Sub(back.At) <= ReturnBound }
--- a/verify/histories/check_test.go
+++ b/verify/histories/rules_test.go
@@ -26,13 +26,13 @@
 			epoch = 2
 		}
 		run := &Run{At: at(float64(number)), Request: request, Route: "l", Pool: "p", Model: "m", Weights: "w", Runner: "r1", Wanted: "r1", Service: "good", Zone: "a", Daemon: "d1",
-			Epoch: epoch, Started: true, Finished: at(float64(number) + 0.5), Whole: true, Events: 2, Room: 10}
+			Epoch: epoch, Started: true, Finished: at(float64(number) + 0.5), Complete: true, Events: 2, Capacity: 10}
 		history.Runs = append(history.Runs, run)
 		history.Answers = append(history.Answers, &Answer{Request: request, Route: "l", Once: true, Daemon: "d1", Zone: "a", LatencyTarget: 3 * time.Second, Sent: at(float64(number)), Got: at(float64(number) + 0.6),
 			Status: 200, IDs: []int{1, 2, 3}, Runs: []string{"x", "x", "x"}, Done: true})
 	}
 	for number := range 400 {
-		history.Rooms = append(history.Rooms, Room{At: at(float64(number) / 10), Free: map[string]int{"a": 4, "b": 4}, Slots: map[string]int{"a": 8, "b": 8}})
+		history.CapacitySamples = append(history.CapacitySamples, CapacitySample{At: at(float64(number) / 10), Free: map[string]int{"a": 4, "b": 4}, Slots: map[string]int{"a": 8, "b": 8}})
 	}
 	history.Returns = []Return{{At: at(18)}}
 	history.Final = Final{Asked: true, Epoch: 2, Routes: []string{"lane"}, Known: map[string]uint64{"first": 1, "closing": 2}}
@@ -55,10 +55,10 @@
 			history.Runs = append(history.Runs, &again)
 		},
 		"ran-after-refusal": func(history *History) {
-			history.Rooms = nil
+			history.CapacitySamples = nil
 			history.Answers[3] = &Answer{Request: "D", Status: 429, Kind: "patience_short", Ran: "did not run", RetryAfter: true, Sent: at(3), Got: at(4)}
 		},
-		"not-whole": func(history *History) { history.Runs[3].Whole = false },
+		"not-whole": func(history *History) { history.Runs[3].Complete = false },
 		"spliced": func(history *History) {
 			history.Answers[3].Runs = []string{"x", "x", "y"}
 		},
@@ -67,7 +67,7 @@
 			history.Runs[3].Wanted = "r2"
 		},
 		"leaving": func(history *History) {
-			history.Leaves = append(history.Leaves, &Leaving{At: at(2.5), Back: at(8.2), Runner: "r1"})
+			history.Drains = append(history.Drains, &Drain{At: at(2.5), Back: at(8.2), Runner: "r1"})
 		},
 		"change-ignored": func(history *History) { history.Runs[39].Weights = "v" },
 		"slipped-back": func(history *History) {
@@ -88,10 +88,10 @@
 			}
 		},
 		"cold-flooded": func(history *History) {
-			history.Runs[3].Cold, history.Runs[3].Room, history.Runs[3].Beside = true, 1, 3
+			history.Runs[3].WarmingUp, history.Runs[3].Capacity, history.Runs[3].Concurrent = true, 1, 3
 		},
 		"dropped": func(history *History) {
-			history.Answers = append(history.Answers, &Answer{Request: "lost", Daemon: "d1", Lost: true, Sure: true, Sent: at(3), Got: at(4)})
+			history.Answers = append(history.Answers, &Answer{Request: "lost", Daemon: "d1", ConnectionLost: true, RequestSent: true, Sent: at(3), Got: at(4)})
 		},
 		"forgotten": func(history *History) { delete(history.Final.Known, "closing") },
 		"down":      func(history *History) { history.Zones = append(history.Zones, "b") },
@@ -99,16 +99,16 @@
 			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 404, Kind: "unknown_lane", Route: "l", Daemon: "d1", Sent: at(3), Got: at(3)})
 		},
 		"no-return-time": func(history *History) {
-			history.Rooms = nil
+			history.CapacitySamples = nil
 			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)})
 		},
 		"held-back": func(history *History) {
 			history.Faults = append(history.Faults, Fault{At: at(3.1), Until: at(4), Runner: "r1"})
-			history.Runs[3].Whole = false
+			history.Runs[3].Complete = false
 			history.Answers[3] = &Answer{Request: "D", Status: 504, Kind: "outcome_unknown", Ran: "unknown", Daemon: "d1", Sent: at(3), Got: at(8)}
 		},
 		"resumed":        func(history *History) { history.Runs[3].After = 2 },
-		"left-requester": func(history *History) { history.Answers[3].Left = at(2.2) },
+		"left-requester": func(history *History) { history.Answers[3].HungUpAt = at(2.2) },
 		"past-deadline": func(history *History) {
 			history.Answers[3].Started, history.Answers[3].Bound, history.Answers[3].Last = at(3), 300*time.Millisecond, at(3.5)
 		},
@@ -134,7 +134,7 @@
 	first := history.Runs[3]
 	second := *first
 	second.Runner, second.Wanted, second.Name, second.After, second.At = "r2", "r2", "y", 1, first.At.Add(200*time.Millisecond)
-	first.Name, first.Whole = "x", false
+	first.Name, first.Complete = "x", false
 	history.Runs = append(history.Runs, &second)
 	answer := history.Answers[3]
 	answer.Once, answer.Resumable, answer.Head, answer.Runs = false, true, "r1", []string{"x", "y", "y"}
@@ -188,7 +188,7 @@
 	} {
 		history := clean()
 		history.Runs[30].Zone = "b"
-		history.Aparts = []*Apart{{Daemon: trial.daemon, From: at(trial.from), Until: at(trial.until)}}
+		history.Isolations = []*Isolation{{Daemon: trial.daemon, From: at(trial.from), Until: at(trial.until)}}
 		found := ""
 		for _, violation := range Check(history) {
 			found = violation.Rule
--- a/verify/histories/margins.go
+++ b/verify/histories/worst_cases.go
@@ -6,47 +6,47 @@
 	"wardtray/config"
 )
 
-// Margins are the worst cases seen of the rules with a figure.
-type Margins struct {
+// WorstCases are the worst cases seen of the rules with a figure.
+type WorstCases struct {
 	// Ignored is the longest time after an acknowledgement at which work went out against the spec.
 	Ignored time.Duration
-	// Leaving is the longest time after the list said that a runner leaves at which it still got work.
-	Leaving time.Duration
+	// Draining is the longest time after the list said that a runner leaves at which it still got work.
+	Draining time.Duration
 	// Closed is the longest time after a closing was acknowledged at which the zone still got work.
 	Closed time.Duration
 	// Return is the longest time from the machines' return to the first whole answer.
 	Return time.Duration
-	// Held is the longest time from when a loss could be known to the final answer.
-	Held time.Duration
-	// Beside is the most work beside which a cold runner got more.
-	Beside int
+	// Overdue is the longest time from when a loss could be known to the final answer.
+	Overdue time.Duration
+	// Concurrent is the most work beside which a cold runner got more.
+	Concurrent int
 	// Retried and Requests are of the ten seconds that were worst for the rule of repeats.
 	Retried, Requests int
 }
 
 // Worst gives the margins of a history.
-func Worst(history *History) Margins {
+func Worst(history *History) WorstCases {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	margins := Margins{}
-	judge := NewJudge(history, history.Final.Known)
-	judge.learn()
+	margins := WorstCases{}
+	judge := NewChecker(history, history.Final.Known)
+	judge.refresh()
 	backends := map[string]bool{}
 	for _, run := range history.Runs {
 		backends[run.Pool] = true
-		margins.Leaving = max(margins.Leaving, judge.late(run))
-		margins.Ignored = max(margins.Ignored, judge.outdated(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
-		margins.Closed = max(margins.Closed, judge.outdated(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
-		if run.Cold {
-			margins.Beside = max(margins.Beside, run.Beside)
+		margins.Draining = max(margins.Draining, judge.drainingFor(run))
+		margins.Ignored = max(margins.Ignored, judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
+		margins.Closed = max(margins.Closed, judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
+		if run.WarmingUp {
+			margins.Concurrent = max(margins.Concurrent, run.Concurrent)
 		}
 		if run.Started {
 			judge.runs[run.Request] = append(judge.runs[run.Request], run)
 		}
 	}
 	for _, answer := range history.Answers {
-		if !answer.Lost && !answer.Done && !answer.Gone && !answer.Again && !judge.touched(answer.Daemon, answer.Sent, answer.Got) {
-			margins.Held = max(margins.Held, judge.held(answer))
+		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent && !judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			margins.Overdue = max(margins.Overdue, judge.overdue(answer))
 		}
 	}
 	for _, back := range history.Returns {
@@ -66,9 +66,9 @@
 }
 
 // retries keeps the worse of two windows.
-func (margins *Margins) retries(retried, requests int) {
+func (margins *WorstCases) retries(retried, requests int) {
 	used := func(retried, requests int) float64 {
-		return float64(retried) / (RetryShare*float64(requests) + RetryLittle)
+		return float64(retried) / (RetryShare*float64(requests) + RetryAllowance)
 	}
 	if used(retried, requests) > used(margins.Retried, margins.Requests) {
 		margins.Retried, margins.Requests = retried, requests
@@ -76,11 +76,11 @@
 }
 
 // Add keeps the worse of each case.
-func (margins *Margins) Add(other Margins) {
-	for mine, others := range map[*time.Duration]time.Duration{&margins.Ignored: other.Ignored, &margins.Leaving: other.Leaving,
-		&margins.Closed: other.Closed, &margins.Return: other.Return, &margins.Held: other.Held} {
+func (margins *WorstCases) Add(other WorstCases) {
+	for mine, others := range map[*time.Duration]time.Duration{&margins.Ignored: other.Ignored, &margins.Draining: other.Draining,
+		&margins.Closed: other.Closed, &margins.Return: other.Return, &margins.Overdue: other.Overdue} {
 		*mine = max(*mine, others)
 	}
-	margins.Beside = max(margins.Beside, other.Beside)
+	margins.Concurrent = max(margins.Concurrent, other.Concurrent)
 	margins.retries(other.Retried, other.Requests)
 }
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -107,10 +107,10 @@
 	record.Got = time.Now()
 	// The request returns as soon as its connection is closed, and on one machine the close is there at once.
 	if staying.Err() != nil && !record.Done {
-		record.Gone, record.Left = true, record.Got
+		record.HungUp, record.HungUpAt = true, record.Got
 	}
 	if record.Status == 0 {
-		record.Lost = true
+		record.ConnectionLost = true
 	}
 	load.Record.Change(func(history *histories.History) { history.Answers = append(history.Answers, record) })
 }
@@ -134,11 +134,11 @@
 		if errors.As(err, &operation) && operation.Op == "dial" {
 			return false
 		}
-		record.Sure = true
+		record.RequestSent = true
 		return true
 	}
 	defer response.Body.Close()
-	record.Sure, record.Status = true, response.StatusCode
+	record.RequestSent, record.Status = true, response.StatusCode
 	record.RetryAfter, record.Head = response.Header.Get("Retry-After") != "", response.Header.Get(admission.HeaderRunner)
 	if response.StatusCode != 200 {
 		// What can't be read is no refusal as documented, and is found as such below.
@@ -158,7 +158,7 @@
 		if err != nil {
 			// A stream that ends without its last event is a broken answer, not a lost one: some of it was told.
 			if !record.Done && !record.Error {
-				record.Lost = true
+				record.ConnectionLost = true
 			}
 			return
 		}
--- a/verify/modelcheck/act.go
+++ b/verify/modelcheck/actions.go
@@ -10,14 +10,14 @@
 	"wardtray/wire"
 )
 
-// recoverSteps bounds for how long a fleet may take to recover from a blackout.
-const recoverSteps = 150
+// recoveryTicks bounds for how long a fleet may take to recover from a blackout.
+const recoveryTicks = 150
 
 func sortedKeys[Value any](of map[string]Value) []string { return slices.Sorted(maps.Keys(of)) }
 
 // actions lists what may happen next, in a fixed order.
 func (world *world) actions() []Action {
-	if world.finished || world.judge.broken != "" {
+	if world.finished || world.checker.violation != "" {
 		return nil
 	}
 	var actions []Action
@@ -26,17 +26,17 @@
 	for _, name := range world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 }) {
 		add(Sync, name)
 	}
-	for place, question := range world.scenario.Sends {
+	for place, question := range world.scenario.Requests {
 		via := world.byName[question.Via]
 		if !world.sent[place] && (question.After < 0 || world.sent[question.After]) && via.up && !via.frozen {
 			add(Send, fmt.Sprint(place))
 		}
 	}
-	actions = append(actions, world.harm()...)
+	actions = append(actions, world.faultActions()...)
 	// Nothing that could be done at this moment is put off, but by Hold and by a freeze.
-	if world.still() {
+	if world.quiescent() {
 		add(Tick, "")
-		if world.budget[Wait] > 0 {
+		if world.remaining[Wait] > 0 {
 			add(Wait, "")
 		}
 	}
@@ -47,7 +47,7 @@
 func (world *world) messageActions() []Action {
 	var actions []Action
 	listed := map[uint64]bool{}
-	for _, message := range world.flying {
+	for _, message := range world.inFlight {
 		if listed[message.digest] || world.byName[message.to].frozen {
 			continue
 		}
@@ -56,14 +56,14 @@
 			actions = append(actions, Action{Verb: verb, Subject: message.kind + ":" + message.from + ">" + message.to, Message: message.digest})
 		}
 		about(Deliver)
-		if world.budget[Drop] > 0 {
+		if world.remaining[Drop] > 0 {
 			about(Drop)
 		}
-		if world.budget[Hold] > 0 {
+		if world.remaining[Hold] > 0 {
 			about(Hold)
 		}
 	}
-	for _, message := range world.held {
+	for _, message := range world.delayedMessages {
 		if !listed[message.digest] {
 			listed[message.digest] = true
 			actions = append(actions, Action{Verb: Release, Subject: message.kind + ":" + message.from + ">" + message.to, Message: message.digest})
@@ -72,9 +72,9 @@
 	return actions
 }
 
-// still tells that no message and no write waits for anything but a held message or the end of a freeze.
-func (world *world) still() bool {
-	for _, message := range world.flying {
+// quiescent tells that no message and no write waits for anything but a held message or the end of a freeze.
+func (world *world) quiescent() bool {
+	for _, message := range world.inFlight {
 		if !world.byName[message.to].frozen {
 			return false
 		}
@@ -82,51 +82,51 @@
 	return len(world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 })) == 0
 }
 
-// harm lists what may be done to machines and links, and what ends it.
-func (world *world) harm() []Action {
+// faultActions lists what may be done to machines and links, and what ends it.
+func (world *world) faultActions() []Action {
 	var actions []Action
 	for _, name := range world.targets() {
 		for _, verb := range []Verb{Kill, Crash, Wipe, Freeze, Leave} {
-			if world.harmable(world.byName[name], verb) {
+			if world.canFail(world.byName[name], verb) {
 				actions = append(actions, Action{Verb: verb, Subject: name})
 			}
 		}
 	}
 	for _, host := range world.hosts {
 		for _, verb := range []Verb{Start, Wake, Stop} {
-			if endings[verb](world, host) {
+			if recoveryConditions[verb](world, host) {
 				actions = append(actions, Action{Verb: verb, Subject: host.name})
 			}
 		}
 	}
-	return append(append(actions, world.cuts()...), world.blackouts()...)
+	return append(append(actions, world.partitionActions()...), world.blackoutActions()...)
 }
 
-// harmable tells whether harm of a kind may come to a host.
-func (world *world) harmable(host *host, verb Verb) bool {
-	if world.budget[verb] == 0 || !host.up || host.frozen || verb == Leave && host.leaving {
+// canFail tells whether harm of a kind may come to a host.
+func (world *world) canFail(host *host, verb Verb) bool {
+	if world.remaining[verb] == 0 || !host.up || host.frozen || verb == Leave && host.decommissioning {
 		return false
 	}
 	return host.core || verb != Wipe && verb != Leave
 }
 
-// endings tell whether a host may be started, woken or, having left, be taken away.
-var endings = map[Verb]func(world *world, host *host) bool{
+// recoveryConditions tell whether a host may be started, woken or, having left, be taken away.
+var recoveryConditions = map[Verb]func(world *world, host *host) bool{
 	Start: func(world *world, host *host) bool {
-		return !host.up && !host.gone && (host.ran || world.budget[Start] > 0)
+		return !host.up && !host.removed && (host.everStarted || world.remaining[Start] > 0)
 	},
 	Wake: func(_ *world, host *host) bool { return host.up && host.frozen },
 	Stop: func(world *world, host *host) bool {
-		return host.up && host.leaving && !host.frozen && host.node.Left(world.now)
+		return host.up && host.decommissioning && !host.frozen && host.node.Left(world.now)
 	},
 }
 
-// cuts lists the ways to cut off somebody or, where somebody is, to heal that.
-func (world *world) cuts() []Action {
-	if len(world.cutOff) > 0 {
+// partitionActions lists the ways to cut off somebody or, where somebody is, to heal that.
+func (world *world) partitionActions() []Action {
+	if len(world.isolated) > 0 {
 		return []Action{{Verb: Heal}}
 	}
-	if world.budget[Cut] == 0 {
+	if world.remaining[Cut] == 0 {
 		return nil
 	}
 	var actions []Action
@@ -148,35 +148,35 @@
 	return targets
 }
 
-// blackouts lists the ways in which all machines may lose their power and one its disk, once there is something to lose.
-func (world *world) blackouts() []Action {
-	if world.budget[Blackout] == 0 || len(world.judge.accepted) == 0 && world.scenario.Before == 0 {
+// blackoutActions lists the ways in which all machines may lose their power and one its disk, once there is something to lose.
+func (world *world) blackoutActions() []Action {
+	if world.remaining[Blackout] == 0 || len(world.checker.accepted) == 0 && world.scenario.PriorChanges == 0 {
 		return nil
 	}
-	if !world.whole() {
+	if !world.toleratesDiskLoss() {
 		return []Action{{Verb: Blackout}}
 	}
 	var actions []Action
-	for _, name := range world.names(func(host *host) bool { return host.core && host.ran && !host.gone }) {
+	for _, name := range world.names(func(host *host) bool { return host.core && host.everStarted && !host.removed }) {
 		actions = append(actions, Action{Verb: Blackout, Subject: name})
 	}
 	return actions
 }
 
-// whole tells that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its successor
+// toleratesDiskLoss tells that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its successor
 // in a view that the leader acts by. A machine that left by order is no loss.
-func (world *world) whole() bool {
-	if world.budget[Wipe] == world.scenario.Budget[Wipe] {
+func (world *world) toleratesDiskLoss() bool {
+	if world.remaining[Wipe] == world.scenario.Budget[Wipe] {
 		return true
 	}
 	leader := world.leader()
-	if leader == nil || len(leader.node.View().Acceptors) < 2*faults+1 {
+	if leader == nil || len(leader.node.View().Acceptors) < 2*toleratedFaults+1 {
 		return false
 	}
 	live := map[string]bool{}
 	for _, host := range world.hosts {
-		if host.core && host.disk.memory != nil && !host.gone {
-			live[host.disk.memory.Id] = true
+		if host.core && host.disk.state != nil && !host.removed {
+			live[host.disk.state.Id] = true
 		}
 	}
 	for _, member := range append(slices.Clone(leader.node.View().Chain), leader.node.View().Acceptors...) {
@@ -184,53 +184,53 @@
 			return false
 		}
 	}
-	return len(leader.node.View().Chain) >= faults+1
+	return len(leader.node.View().Chain) >= toleratedFaults+1
 }
 
-// take takes one action; it fails where that is not possible.
-func (world *world) take(action Action) error {
+// apply takes one action; it fails where that is not possible.
+func (world *world) apply(action Action) error {
 	if !slices.Contains(world.actions(), action) {
 		return fmt.Errorf("%q is not possible here", action)
 	}
 	// Whoever ran before may always come back.
-	if world.budget[action.Verb] > 0 && !(action.Verb == Start && world.byName[action.Subject].ran) {
-		world.budget[action.Verb]--
+	if world.remaining[action.Verb] > 0 && !(action.Verb == Start && world.byName[action.Subject].everStarted) {
+		world.remaining[action.Verb]--
 	}
 	if messageVerbs[action.Verb] {
 		world.moveMessage(action)
 	} else {
-		acts[action.Verb](world, world.byName[action.Subject], action.Subject)
+		actionHandlers[action.Verb](world, world.byName[action.Subject], action.Subject)
 	}
-	world.settle()
+	world.runQueue()
 	return nil
 }
 
 func (world *world) moveMessage(action Action) {
-	list := &world.flying
+	list := &world.inFlight
 	if action.Verb == Release {
-		list = &world.held
+		list = &world.delayedMessages
 	}
 	place := slices.IndexFunc(*list, func(message message) bool { return message.digest == action.Message })
 	message := (*list)[place]
 	*list = slices.Delete(slices.Clone(*list), place, place+1)
 	if action.Verb == Deliver || action.Verb == Release {
-		world.hand(message)
+		world.deliver(message)
 	}
 	if action.Verb == Hold {
-		world.held = append(world.held, message)
+		world.delayedMessages = append(world.delayedMessages, message)
 	}
 }
 
-// acts are what the actions do that are not about a message; subject is the action's, host the machine of that name.
-var acts = map[Verb]func(world *world, host *host, subject string){
+// actionHandlers are what the actions do that are not about a message; subject is the action's, host the machine of that name.
+var actionHandlers = map[Verb]func(world *world, host *host, subject string){
 	Sync:  func(world *world, host *host, _ string) { world.sync(host) },
 	Tick:  func(world *world, _ *host, _ string) { world.tick() },
-	Wait:  func(world *world, _ *host, _ string) { world.wait(waitSteps) },
+	Wait:  func(world *world, _ *host, _ string) { world.wait(ticksPerWait) },
 	Send:  func(world *world, _ *host, subject string) { world.send(subject) },
-	Kill:  func(world *world, host *host, _ string) { world.end(host, false) },
-	Crash: func(world *world, host *host, _ string) { world.end(host, true) },
+	Kill:  func(world *world, host *host, _ string) { world.stopProcess(host, false) },
+	Crash: func(world *world, host *host, _ string) { world.stopProcess(host, true) },
 	Wipe: func(world *world, host *host, _ string) {
-		world.end(host, true)
+		world.stopProcess(host, true)
 		host.disk = newDisk()
 	},
 	Start: func(world *world, host *host, _ string) {
@@ -238,34 +238,34 @@
 		world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
 	},
 	Freeze: func(_ *world, host *host, _ string) { host.frozen = true },
-	Wake:   func(world *world, host *host, _ string) { world.wake(host) },
-	Cut:    func(world *world, _ *host, subject string) { world.cut(subject) },
-	Heal:   func(world *world, _ *host, _ string) { world.cutOff = map[string]bool{} },
+	Wake:   func(world *world, host *host, _ string) { world.resume(host) },
+	Cut:    func(world *world, _ *host, subject string) { world.isolate(subject) },
+	Heal:   func(world *world, _ *host, _ string) { world.isolated = map[string]bool{} },
 	Leave: func(world *world, host *host, _ string) {
-		host.leaving = true
+		host.decommissioning = true
 		world.step(host, host.incarnation, 0, func() { host.node.Leave(world.now) })
 	},
 	Stop: func(world *world, host *host, _ string) {
-		world.end(host, false)
-		host.gone, host.disk = true, newDisk()
+		world.stopProcess(host, false)
+		host.removed, host.disk = true, newDisk()
 	},
 	Blackout: func(world *world, host *host, _ string) { world.blackout(host) },
 }
 
-// cut cuts off a group of machines, or one link.
-func (world *world) cut(subject string) {
+// isolate cuts off a group of machines, or one link.
+func (world *world) isolate(subject string) {
 	for _, name := range strings.Split(subject, ",") {
-		world.cutOff[name] = true
+		world.isolated[name] = true
 	}
-	world.lose(func(message message) bool { return world.parted(message.from, message.to) })
+	world.dropMessages(func(message message) bool { return world.disconnected(message.from, message.to) })
 }
 
-func (world *world) wake(host *host) {
+func (world *world) resume(host *host) {
 	host.frozen = false
 	backlog := host.backlog
 	host.backlog = nil
 	for _, delayed := range backlog {
-		delayed.do()
+		delayed.run()
 	}
 }
 
@@ -275,17 +275,17 @@
 	if _, err := fmt.Sscan(subject, &place); err != nil {
 		panic(err)
 	}
-	question := world.scenario.Sends[place]
+	question := world.scenario.Requests[place]
 	world.sent[place] = true
-	world.judge.asked[place] = world.judge.acknowledged()
+	world.checker.epochAtRequest[place] = world.checker.acknowledged()
 	host := world.byName[question.Via]
 	world.step(host, host.incarnation, 0, func() {
-		host.node.Ask(world.now, question.ask(), func(status int, body []byte) { world.judge.answer(place, status, body) })
+		host.node.Ask(world.now, question.message(), func(status int, body []byte) { world.checker.checkResponse(place, status, body) })
 	})
 }
 
-// ask gives the message of a question.
-func (question Question) ask() *wire.OperatorRequest {
+// message gives the message of a question.
+func (question Request) message() *wire.OperatorRequest {
 	if question.Verb == "get" {
 		return &wire.OperatorRequest{Verb: "get"}
 	}
@@ -297,36 +297,36 @@
 // lead with all that was acknowledged.
 func (world *world) blackout(lost *host) {
 	world.finished = true
-	world.cutOff = map[string]bool{}
+	world.isolated = map[string]bool{}
 	for _, host := range world.hosts {
-		world.end(host, true)
+		world.stopProcess(host, true)
 	}
 	world.queue = nil
 	if lost != nil {
 		lost.disk = newDisk()
 	}
-	world.smooth = true
+	world.synchronous = true
 	for _, host := range world.hosts {
-		if host.ran && !host.gone {
+		if host.everStarted && !host.removed {
 			world.boot(host)
 		}
 	}
-	for range recoverSteps {
+	for range recoveryTicks {
 		world.tick()
 		world.flush()
-		if leader := world.leader(); leader != nil && leader.node.Chain().Committed().SpecEpoch >= world.judge.acknowledged() || world.judge.broken != "" {
+		if leader := world.leader(); leader != nil && leader.node.Chain().Committed().SpecEpoch >= world.checker.acknowledged() || world.checker.violation != "" {
 			return
 		}
 	}
-	world.judge.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk", world.judge.acknowledged(), recoverSteps*step, lost.text())
+	world.checker.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk", world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
 }
 
-func (host *host) text() string {
+func (host *host) nameOrNobody() string {
 	if host == nil {
 		return "nobody"
 	}
 	return host.name
 }
 
-// settled is for how long a prepared fleet runs before a search begins; every machine then counts as reached.
-const settled = 2 * time.Second
+// settleTime is for how long a prepared fleet runs before a search begins; every machine then counts as reached.
+const settleTime = 2 * time.Second
--- a/verify/modelcheck/judge.go
+++ b/verify/modelcheck/checker.go
@@ -11,75 +11,75 @@
 	"wardtray/wire"
 )
 
-// judge remembers what was seen in one run, and what of it breaks a property. The numbers P1 to P5 are those of
+// checker remembers what was seen in one run, and what of it breaks a property. The numbers P1 to P5 are those of
 // the package's own documentation.
-type judge struct {
+type checker struct {
 	world *world
-	// broken is the first property that did not hold.
-	broken string
+	// violation is the first property that did not hold.
+	violation string
 
 	// documents and views are the digests of all committed documents by sequence, and of all views by epoch.
-	documents map[uint64]uint64
-	views     map[uint64]uint64
-	newest    uint64
-	committed uint64
-	// before is the epoch that was acknowledged before the search began, known what was when each view was first seen.
-	before uint64
-	known  map[uint64]uint64
+	documents  map[uint64]uint64
+	views      map[uint64]uint64
+	newestView uint64
+	committed  uint64
+	// acknowledgedBefore is the epoch that was acknowledged before the search began, known what was when each view was first seen.
+	acknowledgedBefore uint64
+	acknowledgedAtView map[uint64]uint64
 	// effective are the committed operations and their epochs.
 	effective map[string]uint64
-	accepted  map[string]accepted
-	refused   map[string]bool
+	accepted  map[string]acceptedChange
+	rejected  map[string]bool
 	// copies is on how many disks an operation was at once, at most.
 	copies map[string]int
-	// awarded is the greatest epoch by which a daemon awarded, reached since when it reaches a core machine.
-	awarded map[string]uint64
-	reached map[string]time.Time
-	// answered tells which questions have their answer, asked which wait for one and since which epoch was acknowledged.
-	answered map[int]bool
-	asked    map[int]uint64
+	// servedEpoch is the greatest epoch by which a daemon awarded, reached since when it reaches a core machine.
+	servedEpoch    map[string]uint64
+	reachableSince map[string]time.Time
+	// responded tells which questions have their answer, asked which wait for one and since which epoch was acknowledged.
+	responded      map[int]bool
+	epochAtRequest map[int]uint64
 }
 
-// accepted is a change that was acknowledged.
-type accepted struct {
+// acceptedChange is a change that was acknowledged.
+type acceptedChange struct {
 	Base, Epoch uint64
 	At          time.Time
 }
 
-func newJudge(world *world) *judge {
-	return &judge{world: world, documents: map[uint64]uint64{}, views: map[uint64]uint64{}, known: map[uint64]uint64{}, effective: map[string]uint64{}, accepted: map[string]accepted{},
-		refused: map[string]bool{}, copies: map[string]int{}, awarded: map[string]uint64{}, reached: map[string]time.Time{}, answered: map[int]bool{}, asked: map[int]uint64{}}
+func newChecker(world *world) *checker {
+	return &checker{world: world, documents: map[uint64]uint64{}, views: map[uint64]uint64{}, acknowledgedAtView: map[uint64]uint64{}, effective: map[string]uint64{}, accepted: map[string]acceptedChange{},
+		rejected: map[string]bool{}, copies: map[string]int{}, servedEpoch: map[string]uint64{}, reachableSince: map[string]time.Time{}, responded: map[int]bool{}, epochAtRequest: map[int]uint64{}}
 }
 
-func (judge *judge) fail(property, format string, values ...any) {
-	if judge.broken == "" {
-		judge.broken = property + ": " + fmt.Sprintf(format, values...)
+func (judge *checker) fail(property, format string, values ...any) {
+	if judge.violation == "" {
+		judge.violation = property + ": " + fmt.Sprintf(format, values...)
 	}
 }
 
-// addTo folds in what later checks go by.
-func (judge *judge) addTo(sum *digest, walker *walker) {
-	for _, part := range []any{judge.newest, judge.known[judge.newest], judge.committed, judge.effective, judge.accepted, judge.refused, judge.awarded, judge.reached, judge.answered, judge.asked} {
+// addToFingerprint folds in what later checks go by.
+func (judge *checker) addToFingerprint(sum *digest, walker *walker) {
+	for _, part := range []any{judge.newestView, judge.acknowledgedAtView[judge.newestView], judge.committed, judge.effective, judge.accepted, judge.rejected, judge.servedEpoch, judge.reachableSince, judge.responded, judge.epochAtRequest} {
 		sum.add(walker.walk(reflect.ValueOf(part)))
 	}
 }
 
-// look checks whatever a step of this host can have broken.
-func (judge *judge) look(host *host) {
+// check checks whatever a step of this host can have broken.
+func (judge *checker) check(host *host) {
 	if !host.core {
-		judge.lookAtDaemon(host)
+		judge.checkDaemon(host)
 		return
 	}
-	judge.lookAtDocument(host)
-	judge.lookAtView(host)
-	judge.lookAtHistory(host)
+	judge.checkDocument(host)
+	judge.checkView(host)
+	judge.checkHistory(host)
 	judge.countCopies()
 	if host.node.Leading(judge.world.now) {
-		judge.lookAtLeader(host)
+		judge.checkLeader(host)
 	}
 }
 
-func (judge *judge) lookAtDocument(host *host) {
+func (judge *checker) checkDocument(host *host) {
 	document := host.node.Chain().Committed()
 	if document.Sequence == 0 || document == host.document {
 		return
@@ -100,7 +100,7 @@
 			judge.fail("P5", "%s is in effect twice at %s", outcome.Operation, host.name)
 		}
 		entered[outcome.Operation] = true
-		if judge.refused[outcome.Operation] {
+		if judge.rejected[outcome.Operation] {
 			judge.fail("P2", "%s was refused and is in effect at %s", outcome.Operation, host.name)
 		}
 		if epoch, found := judge.effective[outcome.Operation]; found && epoch != outcome.SpecEpoch {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (judge *judge) lookAtView(host *host) {
+func (judge *checker) checkView(host *host) {
 	view := host.node.View()
 	if view.Epoch == 0 || view == host.view {
 		return
@@ -121,16 +121,16 @@
 		judge.fail("agreement", "%s has another view %d than others", host.name, view.Epoch)
 	}
 	judge.views[view.Epoch] = sum
-	if _, found := judge.known[view.Epoch]; !found {
-		judge.known[view.Epoch] = judge.acknowledged()
-		judge.lookAtJoiners(view)
+	if _, found := judge.acknowledgedAtView[view.Epoch]; !found {
+		judge.acknowledgedAtView[view.Epoch] = judge.acknowledged()
+		judge.checkJoiners(view)
 	}
-	judge.newest = max(judge.newest, view.Epoch)
+	judge.newestView = max(judge.newestView, view.Epoch)
 }
 
-// lookAtJoiners checks that whoever joins by a view has learned all that was acknowledged before the last view.
-func (judge *judge) lookAtJoiners(view *wire.View) {
-	least := judge.known[view.Epoch-1]
+// checkJoiners checks that whoever joins by a view has learned all that was acknowledged before the last view.
+func (judge *checker) checkJoiners(view *wire.View) {
+	least := judge.acknowledgedAtView[view.Epoch-1]
 	for _, host := range judge.world.hosts {
 		if !host.core || !host.up || host.frozen || host.node.Chain().Inside() {
 			continue
@@ -143,8 +143,8 @@
 	}
 }
 
-// lookAtHistory checks that no operation was entered twice.
-func (judge *judge) lookAtHistory(host *host) {
+// checkHistory checks that no operation was entered twice.
+func (judge *checker) checkHistory(host *host) {
 	if len(host.node.Chain().Pending()) == 0 {
 		return
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-// lookAtLeader checks that one machine at most leads, and with all that was committed.
-func (judge *judge) lookAtLeader(host *host) {
+// checkLeader checks that one machine at most leads, and with all that was committed.
+func (judge *checker) checkLeader(host *host) {
 	for _, other := range judge.world.hosts {
 		if other != host && other.core && other.up && !other.frozen && other.node.Leading(judge.world.now) {
 			judge.fail("P1", "%s and %s lead at once", host.name, other.name)
@@ -173,10 +173,10 @@
 	}
 }
 
-// sending checks what a machine is about to teach.
-func (judge *judge) sending(host *host, envelope *wire.Envelope) {
+// checkLearnResponse checks what a machine is about to teach.
+func (judge *checker) checkLearnResponse(host *host, envelope *wire.Envelope) {
 	answer := envelope.GetLearnResponse()
-	if answer == nil || answer.View < judge.newest {
+	if answer == nil || answer.View < judge.newestView {
 		return
 	}
 	if answer.Document.GetSpecEpoch() < judge.acknowledged() {
@@ -185,8 +185,8 @@
 }
 
 // acknowledged gives the greatest epoch that was acknowledged, also before the search.
-func (judge *judge) acknowledged() uint64 {
-	greatest := judge.before
+func (judge *checker) acknowledged() uint64 {
+	greatest := judge.acknowledgedBefore
 	for _, one := range judge.accepted {
 		greatest = max(greatest, one.Epoch)
 	}
@@ -194,8 +194,8 @@
 }
 
 // countCopies notes on how many disks each operation is.
-func (judge *judge) countCopies() {
-	for place, question := range judge.world.scenario.Sends {
+func (judge *checker) countCopies() {
+	for place, question := range judge.world.scenario.Requests {
 		if !judge.world.sent[place] {
 			continue
 		}
@@ -209,30 +209,30 @@
 	}
 }
 
-// lookAtDaemon checks by what a daemon would award work at this moment.
-func (judge *judge) lookAtDaemon(host *host) {
+// checkDaemon checks by what a daemon would award work at this moment.
+func (judge *checker) checkDaemon(host *host) {
 	now := judge.world.now
-	judge.noteReach(host)
-	snapshot := host.machine.Snapshot(now)
+	judge.recordReachability(host)
+	snapshot := host.controller.Snapshot(now)
 	if !now.Before(snapshot.Until) {
 		return
 	}
-	if snapshot.SpecEpoch < judge.awarded[host.name] {
-		judge.fail("P1", "%s slipped back from epoch %d to %d", host.name, judge.awarded[host.name], snapshot.SpecEpoch)
+	if snapshot.SpecEpoch < judge.servedEpoch[host.name] {
+		judge.fail("P1", "%s slipped back from epoch %d to %d", host.name, judge.servedEpoch[host.name], snapshot.SpecEpoch)
 	}
-	judge.awarded[host.name] = snapshot.SpecEpoch
-	if reached := judge.reached[host.name]; !reached.IsZero() {
-		judge.lookAtAward(host, snapshot.SpecEpoch, reached)
+	judge.servedEpoch[host.name] = snapshot.SpecEpoch
+	if reached := judge.reachableSince[host.name]; !reached.IsZero() {
+		judge.checkServedEpoch(host, snapshot.SpecEpoch, reached)
 	}
 }
 
-// lookAtAward checks that a daemon that reaches a core machine does not award by less than was acknowledged. A change is
+// checkServedEpoch checks that a daemon that reaches a core machine does not award by less than was acknowledged. A change is
 // acknowledged only when nobody can go by an older one any more; only a daemon that reached none for a while has a
 // lease's time from when it reaches one again.
-func (judge *judge) lookAtAward(host *host, epoch uint64, reached time.Time) {
+func (judge *checker) checkServedEpoch(host *host, epoch uint64, reached time.Time) {
 	for _, operation := range sortedKeys(judge.accepted) {
 		since := judge.accepted[operation].At
-		if known := reached.Add(lease.DaemonTerm + step); since.Before(known) {
+		if known := reached.Add(lease.DaemonTerm + tickLength); since.Before(known) {
 			since = known
 		}
 		if late := judge.world.now.Sub(since); judge.accepted[operation].Epoch > epoch && late >= 0 {
@@ -241,30 +241,30 @@
 	}
 }
 
-// noteReach notes since when a daemon reaches at least one core machine. One that reaches none may go on by what it
+// recordReachability notes since when a daemon reaches at least one core machine. One that reaches none may go on by what it
 // has for as long as it is told to. A machine that began less than startingBound ago can't tell whether there is a head
 // and counts as none, as docs/control.md says under "Without any core".
-func (judge *judge) noteReach(daemon *host) {
+func (judge *checker) recordReachability(daemon *host) {
 	for _, host := range judge.world.hosts {
-		if host.core && host.up && !host.frozen && judge.world.now.Sub(host.booted) >= startingBound && !judge.world.parted(daemon.name, host.name) {
-			if judge.reached[daemon.name].IsZero() {
-				judge.reached[daemon.name] = judge.world.now
+		if host.core && host.up && !host.frozen && judge.world.now.Sub(host.bootedAt) >= startupTime && !judge.world.disconnected(daemon.name, host.name) {
+			if judge.reachableSince[daemon.name].IsZero() {
+				judge.reachableSince[daemon.name] = judge.world.now
 			}
 			return
 		}
 	}
-	delete(judge.reached, daemon.name)
+	delete(judge.reachableSince, daemon.name)
 }
 
-// answer takes an operator's answer.
-func (judge *judge) answer(place int, status int, body []byte) {
-	question := judge.world.scenario.Sends[place]
-	if judge.answered[place] {
+// checkResponse takes an operator's answer.
+func (judge *checker) checkResponse(place int, status int, body []byte) {
+	question := judge.world.scenario.Requests[place]
+	if judge.responded[place] {
 		judge.fail("P5", "question %d was answered twice", place)
 	}
-	judge.answered[place] = true
-	least := judge.asked[place]
-	delete(judge.asked, place)
+	judge.responded[place] = true
+	least := judge.epochAtRequest[place]
+	delete(judge.epochAtRequest, place)
 	reply := node.Reply{}
 	if err := json.Unmarshal(body, &reply); err != nil {
 		judge.fail("P5", "question %d got an answer that is no JSON", place)
@@ -279,21 +279,21 @@
 		}
 		return
 	}
-	judge.changed(question, status, reply)
+	judge.checkChangeResponse(question, status, reply)
 }
 
-// changed takes the answer to a change. 503 and 504 of an operation that was sent more than once say nothing of its
+// checkChangeResponse takes the answer to a change. 503 and 504 of an operation that was sent more than once say nothing of its
 // other copies; 504 says nothing at all.
-func (judge *judge) changed(question Question, status int, reply node.Reply) {
+func (judge *checker) checkChangeResponse(question Request, status int, reply node.Reply) {
 	operation := question.Operation
 	if status == 200 {
-		judge.acceptedAs(question, reply.Epoch)
+		judge.checkAccepted(question, reply.Epoch)
 		return
 	}
-	if status == 504 || status == 503 && judge.copiesSent(operation) > 1 {
+	if status == 504 || status == 503 && judge.timesSent(operation) > 1 {
 		return
 	}
-	judge.refused[operation] = true
+	judge.rejected[operation] = true
 	if _, found := judge.accepted[operation]; found {
 		judge.fail("P2", "%s was acknowledged and then refused with %d", operation, status)
 	}
@@ -302,7 +302,7 @@
 	}
 }
 
-func (judge *judge) acceptedAs(question Question, epoch uint64) {
+func (judge *checker) checkAccepted(question Request, epoch uint64) {
 	operation := question.Operation
 	if previous, found := judge.accepted[operation]; found {
 		if previous.Epoch != epoch {
@@ -310,7 +310,7 @@
 		}
 		return
 	}
-	if judge.refused[operation] {
+	if judge.rejected[operation] {
 		judge.fail("P2", "%s was refused and then acknowledged", operation)
 	}
 	if known, found := judge.effective[operation]; !found || known != epoch {
@@ -321,21 +321,21 @@
 			judge.fail("P2", "%s and %s were both acknowledged on base %d", other, operation, question.Base)
 		}
 	}
-	if judge.copies[operation] < faults+1 {
+	if judge.copies[operation] < toleratedFaults+1 {
 		judge.fail("P3", "%s was acknowledged with %d synced copies", operation, judge.copies[operation])
 	}
-	judge.accepted[operation] = accepted{Base: question.Base, Epoch: epoch, At: judge.world.now}
+	judge.accepted[operation] = acceptedChange{Base: question.Base, Epoch: epoch, At: judge.world.now}
 	for _, host := range judge.world.hosts {
 		if !host.core && host.up && !host.frozen {
-			judge.lookAtDaemon(host)
+			judge.checkDaemon(host)
 		}
 	}
 }
 
-// copiesSent tells how often an operation was sent, or will be.
-func (judge *judge) copiesSent(operation string) int {
+// timesSent tells how often an operation was sent, or will be.
+func (judge *checker) timesSent(operation string) int {
 	count := 0
-	for _, question := range judge.world.scenario.Sends {
+	for _, question := range judge.world.scenario.Requests {
 		if question.Operation == operation {
 			count++
 		}
--- a/verify/modelcheck/judge_test.go
+++ b/verify/modelcheck/checker_test.go
@@ -8,12 +8,12 @@
 	"wardtray/control/node"
 )
 
-// TestAnswersAreJudged wants each pair of answers that can't both be true noticed, and honest ones let pass.
-func TestAnswersAreJudged(t *testing.T) {
-	left, right := Question{Verb: "apply", Operation: "left", Base: 1}, Question{Verb: "apply", Operation: "right", Base: 1}
-	scenario := &Scenario{Name: "answers", Sends: []Question{left, right, left}}
+// TestCheckerComparesResponses wants each pair of answers that can't both be true noticed, and honest ones let pass.
+func TestCheckerComparesResponses(t *testing.T) {
+	left, right := Request{Verb: "apply", Operation: "left", Base: 1}, Request{Verb: "apply", Operation: "right", Base: 1}
+	scenario := &Scenario{Name: "answers", Requests: []Request{left, right, left}}
 	type given struct {
-		place, status int
+		index, status int
 		epoch         uint64
 		operation     string
 	}
@@ -33,46 +33,46 @@
 		"answered twice":                  {[]given{{0, 200, 2, "left"}, {0, 200, 2, "left"}}, "P5"},
 		"one that was sent once, refused": {[]given{{1, 503, 0, "right"}, {1, 200, 3, "right"}}, "P5"},
 	} {
-		judge := newWorld(scenario).judge
+		judge := newWorld(scenario).checker
 		judge.effective = map[string]uint64{}
-		judge.copies = map[string]int{"left": faults + 1, "right": faults + 1}
+		judge.copies = map[string]int{"left": toleratedFaults + 1, "right": toleratedFaults + 1}
 		for _, one := range attempt.answers {
 			if one.status == 200 {
 				judge.effective[one.operation] = max(judge.effective[one.operation], one.epoch)
 			}
-			judge.answer(one.place, one.status, encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
+			judge.checkResponse(one.index, one.status, encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
 		}
-		if !strings.HasPrefix(judge.broken, attempt.broken) || attempt.broken == "" && judge.broken != "" {
-			t.Errorf("%s: %q, wanted %q", name, judge.broken, attempt.broken)
+		if !strings.HasPrefix(judge.violation, attempt.broken) || attempt.broken == "" && judge.violation != "" {
+			t.Errorf("%s: %q, wanted %q", name, judge.violation, attempt.broken)
 		}
 	}
 }
 
 // TestAcknowledgedWithoutCopies wants an acknowledgement that rests on one disk noticed, and one of nothing at all.
 func TestAcknowledgedWithoutCopies(t *testing.T) {
-	scenario := &Scenario{Name: "copies", Sends: []Question{{Verb: "apply", Operation: "left", Base: 1}}}
-	for name, prepare := range map[string]func(judge *judge){
-		"one copy":      func(judge *judge) { judge.effective["left"], judge.copies["left"] = 2, faults },
-		"not committed": func(judge *judge) { judge.copies["left"] = faults + 1 },
+	scenario := &Scenario{Name: "copies", Requests: []Request{{Verb: "apply", Operation: "left", Base: 1}}}
+	for name, prepare := range map[string]func(judge *checker){
+		"one copy":      func(judge *checker) { judge.effective["left"], judge.copies["left"] = 2, toleratedFaults },
+		"not committed": func(judge *checker) { judge.copies["left"] = toleratedFaults + 1 },
 	} {
-		judge := newWorld(scenario).judge
+		judge := newWorld(scenario).checker
 		prepare(judge)
-		judge.answer(0, 200, encode(t, node.Reply{Operation: "left", Epoch: 2}))
-		if !strings.HasPrefix(judge.broken, "P3") {
-			t.Errorf("%s: %q", name, judge.broken)
+		judge.checkResponse(0, 200, encode(t, node.Reply{Operation: "left", Epoch: 2}))
+		if !strings.HasPrefix(judge.violation, "P3") {
+			t.Errorf("%s: %q", name, judge.violation)
 		}
 	}
 }
 
-// TestOldReadsAreNoticed wants a read noticed that is older than what was acknowledged before it was asked.
-func TestOldReadsAreNoticed(t *testing.T) {
-	scenario := &Scenario{Name: "reads", Sends: []Question{{Verb: "get"}}}
+// TestStaleReadsAreDetected wants a read noticed that is older than what was acknowledged before it was asked.
+func TestStaleReadsAreDetected(t *testing.T) {
+	scenario := &Scenario{Name: "reads", Requests: []Request{{Verb: "get"}}}
 	for epoch, broken := range map[uint64]string{1: "P1", 2: "", 3: ""} {
-		judge := newWorld(scenario).judge
-		judge.asked[0] = 2
-		judge.answer(0, 200, encode(t, node.Reply{Epoch: epoch}))
-		if got, _, _ := strings.Cut(judge.broken, ":"); got != broken {
-			t.Errorf("epoch %d: %q", epoch, judge.broken)
+		judge := newWorld(scenario).checker
+		judge.epochAtRequest[0] = 2
+		judge.checkResponse(0, 200, encode(t, node.Reply{Epoch: epoch}))
+		if got, _, _ := strings.Cut(judge.violation, ":"); got != broken {
+			t.Errorf("epoch %d: %q", epoch, judge.violation)
 		}
 	}
 }
--- a/verify/modelcheck/command.go
+++ b/verify/modelcheck/command.go
@@ -9,11 +9,11 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// errBroken tells that a property does not hold; what breaks it was printed.
-var errBroken = errors.New("a property does not hold")
+// errViolation tells that a property does not hold; what breaks it was printed.
+var errViolation = errors.New("a property does not hold")
 
-// Searching is the command line of a search.
-type Searching struct {
+// SearchCommand is the command line of a search.
+type SearchCommand struct {
 	// Command is the name under which the command was registered.
 	Command  string
 	options  Options
@@ -22,8 +22,8 @@
 }
 
 // Register adds the command "model".
-func Register(application *kingpin.Application) *Searching {
-	searching := &Searching{}
+func Register(application *kingpin.Application) *SearchCommand {
+	searching := &SearchCommand{}
 	command := application.Command("model", "Search the states of the control plane of a small fleet and check the properties after each action.")
 	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").IntVar(&searching.options.States)
 	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").IntVar(&searching.options.Depth)
@@ -35,7 +35,7 @@
 }
 
 // Run carries the command out.
-func (searching *Searching) Run(output io.Writer) error {
+func (searching *SearchCommand) Run(output io.Writer) error {
 	chosen := Scenarios
 	if scenario, found := Find(searching.scenario); found {
 		chosen = []Scenario{scenario}
@@ -48,12 +48,12 @@
 	}
 	held, err := Print(output, chosen, searching.options)
 	if err == nil && !held {
-		err = errBroken
+		err = errViolation
 	}
 	return err
 }
 
-func (searching *Searching) replay(output io.Writer, chosen []Scenario) error {
+func (searching *SearchCommand) replay(output io.Writer, chosen []Scenario) error {
 	if len(chosen) != 1 {
 		return errors.New("--trace needs --scenario")
 	}
@@ -71,7 +71,7 @@
 	}
 	if broken != "" {
 		fmt.Fprintf(output, "BROKEN %s\n", broken)
-		return errBroken
+		return errViolation
 	}
 	fmt.Fprintf(output, "%d actions break no property\n", len(trace))
 	return nil
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -11,7 +11,7 @@
 // disk is what a machine's data folder holds: a whole memory and the records after it. Torn and damaged files are the
 // business of the tests of package snapshot; here a write is either carried out or lost.
 type disk struct {
-	memory  *wire.DurableState
+	state   *wire.DurableState
 	records []*wire.Record
 	// operations are the changes that it holds, committed or not.
 	operations map[string]bool
@@ -21,14 +21,14 @@
 
 func newDisk() *disk { return &disk{operations: map[string]bool{}} }
 
-// carry carries out one write.
-func (disk *disk) carry(write statemachine.Write) {
+// apply carries out one write.
+func (disk *disk) apply(write statemachine.Write) {
 	disk.digest.add(write.Sequence)
 	disk.digest.add(messageDigest(write.Memory))
 	disk.digest.add(messageDigest(write.Record))
 	if write.Memory != nil {
-		disk.memory, disk.records = proto.Clone(write.Memory).(*wire.DurableState), nil
-		disk.take(disk.memory.Document, disk.memory.Pending)
+		disk.state, disk.records = proto.Clone(write.Memory).(*wire.DurableState), nil
+		disk.indexOperations(disk.state.Document, disk.state.Pending)
 	}
 	if write.Record == nil {
 		return
@@ -39,11 +39,11 @@
 		disk.operations[entry.Operation] = true
 	}
 	if document := record.GetDocument(); document != nil {
-		disk.take(document, nil)
+		disk.indexOperations(document, nil)
 	}
 }
 
-func (disk *disk) take(document *wire.Document, pending []*wire.Entry) {
+func (disk *disk) indexOperations(document *wire.Document, pending []*wire.Entry) {
 	disk.operations = map[string]bool{}
 	for _, outcome := range document.GetOutcomes() {
 		disk.operations[outcome.Operation] = true
@@ -55,16 +55,16 @@
 	}
 }
 
-// shorten folds all records into the memory.
-func (disk *disk) shorten() {
-	if disk.memory == nil {
+// compact folds all records into the memory.
+func (disk *disk) compact() {
+	if disk.state == nil {
 		return
 	}
 	for _, record := range disk.records {
-		node.Replay(disk.memory, record)
+		node.Replay(disk.state, record)
 	}
 	disk.records = nil
-	disk.take(disk.memory.Document, disk.memory.Pending)
+	disk.indexOperations(disk.state.Document, disk.state.Pending)
 }
 
 // messageDigest gives the digest of a message that is kept or sent.
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -18,22 +18,22 @@
 type Result struct {
 	// States are the different states, Transitions the actions taken between them, Again those that led to a state
 	// seen before, Runs how often the search began anew.
-	States, Transitions, Again, Runs int
+	States, Transitions, Revisited, Runs int
 	// Deepest is the greatest number of actions to a state, Complete up to how many actions every order was tried.
 	Deepest, Complete int
 	// Exhausted tells that there is no further state within the depth.
 	Exhausted bool
 	// Acknowledged counts the states in which a change was acknowledged, Ended those after a blackout.
 	Acknowledged, Finished int
-	// Broken is the property that did not hold, and Trace the actions that led there.
-	Broken string
-	Trace  []Action
+	// Violation is the property that did not hold, and Trace the actions that led there.
+	Violation string
+	Trace     []Action
 }
 
 // String gives the counts in one line.
 func (result Result) String() string {
 	return fmt.Sprintf("%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, exhausted %v; %d states with a change acknowledged, %d recoveries",
-		result.States, result.Transitions, result.Again, result.Runs, result.Deepest, result.Complete, result.Exhausted, result.Acknowledged, result.Finished)
+		result.States, result.Transitions, result.Revisited, result.Runs, result.Deepest, result.Complete, result.Exhausted, result.Acknowledged, result.Finished)
 }
 
 // stateNode is one state that was seen: how to get there, and what was not tried from there yet.
@@ -78,32 +78,32 @@
 }
 
 func (explorer *explorer) search() error {
-	world := explorer.prepared.begin()
+	world := explorer.prepared.start()
 	explorer.result.Runs++
-	explorer.enter(world, -1, Action{})
-	for explorer.result.Broken == "" && len(explorer.nodes) < explorer.options.States {
-		from := explorer.next()
+	explorer.visit(world, -1, Action{})
+	for explorer.result.Violation == "" && len(explorer.nodes) < explorer.options.States {
+		from := explorer.shallowestUntried()
 		if from < 0 {
 			explorer.result.Exhausted = true
 			break
 		}
-		world, err := explorer.rerun(from)
+		world, err := explorer.replayTo(from)
 		if err != nil {
 			return err
 		}
-		if err := explorer.goOn(world, from); err != nil {
+		if err := explorer.extend(world, from); err != nil {
 			return err
 		}
 	}
-	explorer.count()
-	if explorer.result.Broken != "" {
-		explorer.result.Trace, explorer.result.Broken = minimize(explorer.prepared, explorer.result.Trace, explorer.result.Broken)
+	explorer.summarize()
+	if explorer.result.Violation != "" {
+		explorer.result.Trace, explorer.result.Violation = minimize(explorer.prepared, explorer.result.Trace, explorer.result.Violation)
 	}
 	return nil
 }
 
-// next gives the shallowest state from which something was not tried yet, or -1.
-func (explorer *explorer) next() int {
+// shallowestUntried gives the shallowest state from which something was not tried yet, or -1.
+func (explorer *explorer) shallowestUntried() int {
 	for len(explorer.frontier) > 0 {
 		first := explorer.frontier[0]
 		state := &explorer.nodes[first.state]
@@ -115,12 +115,12 @@
 	return -1
 }
 
-// rerun brings a new world to a state.
-func (explorer *explorer) rerun(state int) (*world, error) {
+// replayTo brings a new world to a state.
+func (explorer *explorer) replayTo(state int) (*world, error) {
 	explorer.result.Runs++
-	world := explorer.prepared.begin()
+	world := explorer.prepared.start()
 	for _, action := range explorer.trace(state) {
-		if err := world.take(action); err != nil {
+		if err := world.apply(action); err != nil {
 			return nil, fmt.Errorf("the fingerprint left something out, or a run does not repeat: %w", err)
 		}
 	}
@@ -139,9 +139,9 @@
 	return trace
 }
 
-// goOn takes actions that were not tried yet, for as long as there are some.
-func (explorer *explorer) goOn(world *world, state int) error {
-	for explorer.result.Broken == "" && len(explorer.nodes) < explorer.options.States {
+// extend takes actions that were not tried yet, for as long as there are some.
+func (explorer *explorer) extend(world *world, state int) error {
+	for explorer.result.Violation == "" && len(explorer.nodes) < explorer.options.States {
 		untried := explorer.nodes[state].untried
 		if len(untried) == 0 || explorer.nodes[state].depth >= explorer.options.Depth {
 			return nil
@@ -150,21 +150,21 @@
 		action := untried[place]
 		untried[place] = untried[len(untried)-1]
 		explorer.nodes[state].untried = untried[:len(untried)-1]
-		if err := world.take(action); err != nil {
+		if err := world.apply(action); err != nil {
 			return err
 		}
 		explorer.result.Transitions++
-		state = explorer.enter(world, state, action)
+		state = explorer.visit(world, state, action)
 	}
 	return nil
 }
 
-// rarely is how many more times than once a run that could go on draws again where it would end by a blackout.
-const rarely = 3
+// blackoutRedraws is how many more times than once a run that could go on draws again where it would end by a blackout.
+const blackoutRedraws = 3
 
 func (explorer *explorer) choose(untried []Action) int {
 	place := explorer.random.Intn(len(untried))
-	for range rarely {
+	for range blackoutRedraws {
 		if untried[place].Verb == Blackout {
 			place = explorer.random.Intn(len(untried))
 		}
@@ -172,8 +172,8 @@
 	return place
 }
 
-// enter notes the state that an action led to.
-func (explorer *explorer) enter(world *world, from int, action Action) int {
+// visit notes the state that an action led to.
+func (explorer *explorer) visit(world *world, from int, action Action) int {
 	depth := 0
 	if from >= 0 {
 		depth = explorer.nodes[from].depth + 1
@@ -181,27 +181,27 @@
 	sum := world.fingerprint()
 	state, known := explorer.seen[sum]
 	if known {
-		explorer.result.Again++
+		explorer.result.Revisited++
 	} else {
 		state = len(explorer.nodes)
 		explorer.seen[sum] = state
 		explorer.nodes = append(explorer.nodes, stateNode{parent: from, action: action, depth: depth, untried: world.actions()})
-		heap.Push(&explorer.frontier, entry{depth: depth, state: state})
-		explorer.noteKind(world)
+		heap.Push(&explorer.frontier, frontierEntry{depth: depth, state: state})
+		explorer.countState(world)
 	}
 	if from >= 0 {
 		explorer.nodes[from].edges = append(explorer.nodes[from].edges, edge{action: action, to: state})
-		explorer.shorten(from, edge{action: action, to: state})
+		explorer.relaxDepths(from, edge{action: action, to: state})
 	}
-	if world.judge.broken != "" && explorer.result.Broken == "" {
-		explorer.result.Broken = world.judge.broken
+	if world.checker.violation != "" && explorer.result.Violation == "" {
+		explorer.result.Violation = world.checker.violation
 		explorer.result.Trace = append(explorer.trace(from), action)
 	}
 	return state
 }
 
-func (explorer *explorer) noteKind(world *world) {
-	if len(world.judge.accepted) > 0 {
+func (explorer *explorer) countState(world *world) {
+	if len(world.checker.accepted) > 0 {
 		explorer.result.Acknowledged++
 	}
 	if world.finished {
@@ -209,8 +209,8 @@
 	}
 }
 
-// shorten takes over a shorter way to a state, and with it to all that were reached from there.
-func (explorer *explorer) shorten(from int, first edge) {
+// relaxDepths takes over a shorter way to a state, and with it to all that were reached from there.
+func (explorer *explorer) relaxDepths(from int, first edge) {
 	type way struct {
 		from int
 		edge edge
@@ -223,15 +223,15 @@
 			continue
 		}
 		state.depth, state.parent, state.action = depth, last.from, last.edge.action
-		heap.Push(&explorer.frontier, entry{depth: depth, state: last.edge.to})
+		heap.Push(&explorer.frontier, frontierEntry{depth: depth, state: last.edge.to})
 		for _, further := range state.edges {
 			open = append(open, way{last.edge.to, further})
 		}
 	}
 }
 
-// count fills in the figures that follow from the states seen.
-func (explorer *explorer) count() {
+// summarize fills in the figures that follow from the states seen.
+func (explorer *explorer) summarize() {
 	result := &explorer.result
 	result.States, result.Complete = len(explorer.nodes), explorer.options.Depth
 	for _, state := range explorer.nodes {
@@ -243,9 +243,9 @@
 }
 
 // frontier is a heap of states from which something was not tried, the shallowest first, the older first among those.
-type frontier []entry
+type frontier []frontierEntry
 
-type entry struct{ depth, state int }
+type frontierEntry struct{ depth, state int }
 
 func (frontier frontier) Len() int { return len(frontier) }
 func (frontier frontier) Less(left, right int) bool {
@@ -259,7 +259,7 @@
 }
 
 // Push and Pop serve container/heap.
-func (frontier *frontier) Push(added any) { *frontier = append(*frontier, added.(entry)) }
+func (frontier *frontier) Push(added any) { *frontier = append(*frontier, added.(frontierEntry)) }
 
 // Pop takes out the last.
 func (frontier *frontier) Pop() any {
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -76,17 +76,17 @@
 }
 
 var (
-	timeType = reflect.TypeFor[time.Time]()
-	bookType = reflect.TypeFor[config.Catalog]()
+	timeType    = reflect.TypeFor[time.Time]()
+	catalogType = reflect.TypeFor[config.Catalog]()
 )
 
-// walks fold in values of each kind. Functions and channels say nothing that another field does not.
-var walks [reflect.UnsafePointer + 1]func(walker *walker, sum *digest, value reflect.Value)
+// kindWalkers fold in values of each kind. Functions and channels say nothing that another field does not.
+var kindWalkers [reflect.UnsafePointer + 1]func(walker *walker, sum *digest, value reflect.Value)
 
 func init() {
 	enter := func(walk func(walker *walker, sum *digest, value reflect.Value), kinds ...reflect.Kind) {
 		for _, kind := range kinds {
-			walks[kind] = walk
+			kindWalkers[kind] = walk
 		}
 	}
 	enter(func(_ *walker, sum *digest, value reflect.Value) {
@@ -111,7 +111,7 @@
 // walk gives the digest of a value.
 func (walker *walker) walk(value reflect.Value) uint64 {
 	sum := digestSeed
-	walk := walks[value.Kind()]
+	walk := kindWalkers[value.Kind()]
 	if walk == nil {
 		panic("a kind that the fingerprint does not know: " + value.Kind().String())
 	}
@@ -127,7 +127,7 @@
 }
 
 func (walker *walker) walkPointer(value reflect.Value) uint64 {
-	if value.IsNil() || value.Type().Elem() == bookType {
+	if value.IsNil() || value.Type().Elem() == catalogType {
 		return 0
 	}
 	pointed := target{address: value.Pointer(), kind: value.Type().Elem()}
@@ -154,11 +154,11 @@
 	}
 }
 
-// layouts remembers which fields of each struct type are walked, since asking for them takes longer than walking.
-var layouts sync.Map
+// walkedFieldsByType remembers which fields of each struct type are walked, since asking for them takes longer than walking.
+var walkedFieldsByType sync.Map
 
 func walkedFields(kind reflect.Type) []int {
-	if known, found := layouts.Load(kind); found {
+	if known, found := walkedFieldsByType.Load(kind); found {
 		return known.([]int)
 	}
 	var walked []int
@@ -167,7 +167,7 @@
 			walked = append(walked, place)
 		}
 	}
-	layouts.Store(kind, walked)
+	walkedFieldsByType.Store(kind, walked)
 	return walked
 }
 
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestTracesAreReadBack wants a written trace to be the same when read.
-func TestTracesAreReadBack(t *testing.T) {
+// TestTracesRoundTrip wants a written trace to be the same when read.
+func TestTracesRoundTrip(t *testing.T) {
 	trace := []Action{{Verb: Wait}, {Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab}, {Verb: Cut, Subject: "core1,daemon1"}}
 	var lines []string
 	for _, action := range trace {
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -12,9 +12,9 @@
 // prepared is a founded fleet: what its disks hold.
 type prepared struct {
 	scenario *Scenario
-	memories map[string]*wire.DurableState
-	// identity is how many identities were given to disks so far.
-	identity int
+	states   map[string]*wire.DurableState
+	// identities is how many identities were given to disks so far.
+	identities int
 }
 
 // prepareBound bounds for how long the preparation of a fleet may take.
@@ -29,7 +29,7 @@
 	for _, host := range world.hosts[scenario.Cores:] {
 		world.boot(host)
 	}
-	if err := world.runUntil(func() bool { return world.leader() != nil && world.allAward() }); err != nil {
+	if err := world.runUntil(func() bool { return world.leader() != nil && world.allServe() }); err != nil {
 		return nil, fmt.Errorf("preparing %s: nobody leads", scenario.Name)
 	}
 	for _, host := range world.hosts[scenario.Founders:scenario.Members] {
@@ -42,31 +42,31 @@
 		return nil, fmt.Errorf("preparing %s: not all have joined", scenario.Name)
 	}
 	// The search begins with what was acknowledged here, but counts none of it as its own.
-	questions := scenario.Sends
-	defer func() { scenario.Sends = questions }()
-	for epoch := range scenario.Before + 1 {
+	questions := scenario.Requests
+	defer func() { scenario.Requests = questions }()
+	for epoch := range scenario.PriorChanges + 1 {
 		if epoch == 1 && scenario.Absent != "" {
-			world.end(world.byName[scenario.Absent], true)
+			world.stopProcess(world.byName[scenario.Absent], true)
 		}
-		scenario.Sends = []Question{{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: coreName(0), After: -1}}
-		world.sent, world.judge.answered = []bool{false}, map[int]bool{}
-		if err := world.runUntil(func() bool { return world.leader() != nil && world.allAward() }); err != nil {
+		scenario.Requests = []Request{{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: coreName(0), After: -1}}
+		world.sent, world.checker.responded = []bool{false}, map[int]bool{}
+		if err := world.runUntil(func() bool { return world.leader() != nil && world.allServe() }); err != nil {
 			return nil, fmt.Errorf("preparing %s: nobody leads", scenario.Name)
 		}
 		world.send("0")
-		if err := world.runUntil(func() bool { return len(world.judge.accepted) == epoch+1 }); err != nil {
-			return nil, fmt.Errorf("preparing %s: change %d is not acknowledged: %s", scenario.Name, epoch, world.judge.broken)
+		if err := world.runUntil(func() bool { return len(world.checker.accepted) == epoch+1 }); err != nil {
+			return nil, fmt.Errorf("preparing %s: change %d is not acknowledged: %s", scenario.Name, epoch, world.checker.violation)
 		}
 	}
-	world.wait(int(settled / step))
+	world.wait(int(settleTime / tickLength))
 	memories := map[string]*wire.DurableState{}
 	for _, host := range world.hosts {
-		if host.core && host.ran {
-			host.disk.shorten()
-			memories[host.name] = host.disk.memory
+		if host.core && host.everStarted {
+			host.disk.compact()
+			memories[host.name] = host.disk.state
 		}
 	}
-	return &prepared{scenario: scenario, memories: memories, identity: world.identity}, nil
+	return &prepared{scenario: scenario, states: memories, identities: world.identities}, nil
 }
 
 func (world *world) runUntil(done func() bool) error {
@@ -80,34 +80,34 @@
 	return fmt.Errorf("not within %v", prepareBound)
 }
 
-// allAward tells whether every daemon may award work.
-func (world *world) allAward() bool {
+// allServe tells whether every daemon may award work.
+func (world *world) allServe() bool {
 	for _, host := range world.hosts {
-		if !host.core && host.up && !world.now.Before(host.machine.Until(world.now)) {
+		if !host.core && host.up && !world.now.Before(host.controller.Until(world.now)) {
 			return false
 		}
 	}
 	return true
 }
 
-// begin gives the state from which a search begins: the prepared fleet, started anew and in full order.
-func (prepared *prepared) begin() *world {
+// start gives the state from which a search begins: the prepared fleet, started anew and in full order.
+func (prepared *prepared) start() *world {
 	scenario := prepared.scenario
 	world := newWorld(scenario)
-	world.identity, world.judge.before = prepared.identity, uint64(scenario.Before)+1
+	world.identities, world.checker.acknowledgedBefore = prepared.identities, uint64(scenario.PriorChanges)+1
 	for _, host := range world.hosts {
-		memory := prepared.memories[host.name]
+		memory := prepared.states[host.name]
 		if memory != nil {
-			host.ran = true
-			host.disk.memory = proto.Clone(memory).(*wire.DurableState)
-			host.disk.shorten()
+			host.everStarted = true
+			host.disk.state = proto.Clone(memory).(*wire.DurableState)
+			host.disk.compact()
 			host.disk.digest.add(messageDigest(memory))
 		}
-		host.dark = true
+		host.poweredOff = true
 		if host.name != scenario.Absent && (memory != nil || !host.core) {
 			world.boot(host)
 		}
 	}
-	world.wait(int(settled / step))
+	world.wait(int(settleTime / tickLength))
 	return world
 }
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -14,14 +14,14 @@
 	Members  int
 	Daemons  int
 	// Absent is a core that was off while Before further changes were committed, or "".
-	Absent string
-	Before int
-	// Sends are the operators' questions; each is sent at most once, at any moment.
-	Sends []Question
-	// Explored are the kinds of messages whose orders are explored. All others are delivered at once, in the order in
+	Absent       string
+	PriorChanges int
+	// Requests are the operators' questions; each is sent at most once, at any moment.
+	Requests []Request
+	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered at once, in the order in
 	// which they were sent. Disks tells that the moments at which writes are synced are explored as well.
-	Explored []string
-	Disks    bool
+	ExploredKinds []string
+	Disks         bool
 	// Budget is how often each verb may be taken in one run; 0 stands for never. Deliver, Release, Sync, Tick, Heal,
 	// Wake, Stop and Send need none. Starts need none either, but for cores that never ran.
 	Budget map[Verb]int
@@ -37,8 +37,8 @@
 	States int
 }
 
-// Question is what an operator sends.
-type Question struct {
+// Request is what an operator sends.
+type Request struct {
 	Verb string
 	// Operation and Base are those of a change. The prepared fleet is at epoch 1 plus Before.
 	Operation string
@@ -50,13 +50,13 @@
 }
 
 const (
-	// step is how long one tick takes, waitSteps how many of them one Wait is.
-	step      = 100 * time.Millisecond
-	waitSteps = 8
-	// startingBound is for how long after its start a machine can't tell daemons whether there is a head.
-	startingBound = 2 * time.Second
+	// tickLength is how long one tick takes, waitSteps how many of them one Wait is.
+	tickLength   = 100 * time.Millisecond
+	ticksPerWait = 8
+	// startupTime is for how long after its start a machine can't tell daemons whether there is a head.
+	startupTime = 2 * time.Second
 	// withoutCore is for how long a daemon that reaches no core machine goes on, as in the product.
 	withoutCore = 5 * time.Minute
-	// faults is how many disks may be lost at once.
-	faults = 1
+	// toleratedFaults is how many disks may be lost at once.
+	toleratedFaults = 1
 )
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -14,17 +14,17 @@
 	if err != nil {
 		return "", err
 	}
-	world := prepared.begin()
+	world := prepared.start()
 	for _, action := range trace {
-		if err := world.take(world.likest(action)); err != nil {
+		if err := world.apply(world.closestAction(action)); err != nil {
 			return "", err
 		}
 	}
-	return world.judge.broken, nil
+	return world.checker.violation, nil
 }
 
-// likest gives the action itself where it is possible, or else the first that differs from it only by the message.
-func (world *world) likest(action Action) Action {
+// closestAction gives the action itself where it is possible, or else the first that differs from it only by the message.
+func (world *world) closestAction(action Action) Action {
 	possible := world.actions()
 	if slices.Contains(possible, action) {
 		return action
@@ -55,14 +55,14 @@
 
 // tryTrace takes those actions of a trace that are possible; it gives them and the property that they break, or "".
 func tryTrace(prepared *prepared, trace []Action) (taken []Action, broken string) {
-	world := prepared.begin()
+	world := prepared.start()
 	for _, action := range trace {
-		if world.take(action) != nil {
+		if world.apply(action) != nil {
 			continue
 		}
 		taken = append(taken, action)
-		if world.judge.broken != "" {
-			return taken, world.judge.broken
+		if world.checker.violation != "" {
+			return taken, world.checker.violation
 		}
 	}
 	return taken, ""
@@ -100,11 +100,11 @@
 			return false, fmt.Errorf("%s: %w", scenario.Name, err)
 		}
 		fmt.Fprintf(output, "%s: %v\n", scenario.Name, result)
-		if result.Broken == "" {
+		if result.Violation == "" {
 			continue
 		}
 		held = false
-		fmt.Fprintf(output, "BROKEN %s\n", result.Broken)
+		fmt.Fprintf(output, "BROKEN %s\n", result.Violation)
 		for _, action := range result.Trace {
 			fmt.Fprintf(output, "  %v\n", action)
 		}
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -21,32 +21,32 @@
 	zone        string
 	core        bool
 	incarnation int
-	// ran tells that its process was ever started; a later start founds nothing.
-	ran    bool
-	up     bool
-	frozen bool
-	// booted is when its process began.
-	booted time.Time
-	// dark tells that nothing at all answers; a machine that is not up and not dark refuses connections.
-	dark bool
-	// gone tells that the machine left by order and was taken away.
-	gone    bool
-	leaving bool
-	node    *node.Node
-	machine *controller.Controller
-	disk    *disk
+	// everStarted tells that its process was ever started; a later start founds nothing.
+	everStarted bool
+	up          bool
+	frozen      bool
+	// bootedAt is when its process began.
+	bootedAt time.Time
+	// poweredOff tells that nothing at all answers; a machine that is not up and not dark refuses connections.
+	poweredOff bool
+	// removed tells that the machine left by order and was taken away.
+	removed         bool
+	decommissioning bool
+	node            *node.Node
+	controller      *controller.Controller
+	disk            *disk
 	// document and view are those of this host that were checked last.
 	document *wire.Document
 	view     *wire.View
 	// writes wait for the disk, backlog for the end of a freeze.
 	writes  []statemachine.Write
-	backlog []delayed
+	backlog []deferredStep
 }
 
-// delayed is a step that waits for the end of a freeze; digest stands for what it does.
-type delayed struct {
+// deferredStep is a step that waits for the end of a freeze; digest stands for what it does.
+type deferredStep struct {
 	digest uint64
-	do     func()
+	run    func()
 }
 
 // message is one that is on its way.
@@ -65,28 +65,28 @@
 	hosts    []*host
 	byName   map[string]*host
 	explored map[string]bool
-	// smooth has every message delivered and every write synced at once.
-	smooth   bool
-	queue    []func()
-	flying   []message
-	held     []message
-	cutOff   map[string]bool
-	budget   map[Verb]int
-	sent     []bool
-	identity int
-	finished bool
-	judge    *judge
+	// synchronous has every message delivered and every write synced at once.
+	synchronous     bool
+	queue           []func()
+	inFlight        []message
+	delayedMessages []message
+	isolated        map[string]bool
+	remaining       map[Verb]int
+	sent            []bool
+	identities      int
+	finished        bool
+	checker         *checker
 }
 
 func newWorld(scenario *Scenario) *world {
 	started := time.Unix(1_700_000_000, 0)
-	world := &world{scenario: scenario, now: started, started: started, byName: map[string]*host{}, explored: map[string]bool{}, smooth: true,
-		cutOff: map[string]bool{}, budget: map[Verb]int{}, sent: make([]bool, len(scenario.Sends))}
-	for _, kind := range scenario.Explored {
+	world := &world{scenario: scenario, now: started, started: started, byName: map[string]*host{}, explored: map[string]bool{}, synchronous: true,
+		isolated: map[string]bool{}, remaining: map[Verb]int{}, sent: make([]bool, len(scenario.Requests))}
+	for _, kind := range scenario.ExploredKinds {
 		world.explored[kind] = true
 	}
 	for verb, count := range scenario.Budget {
-		world.budget[verb] = count
+		world.remaining[verb] = count
 	}
 	for number := range scenario.Cores {
 		world.add(&host{name: coreName(number), zone: zoneName(number), core: true, disk: newDisk()})
@@ -94,7 +94,7 @@
 	for number := range scenario.Daemons {
 		world.add(&host{name: fmt.Sprintf("daemon%d", number+1), zone: zoneName(number)})
 	}
-	world.judge = newJudge(world)
+	world.checker = newChecker(world)
 	return world
 }
 
@@ -117,23 +117,23 @@
 
 // boot starts a process from what its disk holds.
 func (world *world) boot(host *host) {
-	first := !host.ran
-	host.ran, host.up, host.dark, host.frozen, host.leaving = true, true, false, false, false
-	host.writes, host.backlog, host.booted = nil, nil, world.now
+	first := !host.everStarted
+	host.everStarted, host.up, host.poweredOff, host.frozen, host.decommissioning = true, true, false, false, false
+	host.writes, host.backlog, host.bootedAt = nil, nil, world.now
 	host.incarnation++
 	random := newRandom(host.name, host.incarnation)
 	if !host.core {
-		host.machine = controller.New(world.now, controller.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Registered: true,
+		host.controller = controller.New(world.now, controller.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Registered: true,
 			WithoutCore: withoutCore}, random)
 		return
 	}
-	if host.disk.memory == nil {
-		world.identity++
-		host.disk.memory = &wire.DurableState{Id: fmt.Sprintf("disk%d-%s", world.identity, host.name)}
+	if host.disk.state == nil {
+		world.identities++
+		host.disk.state = &wire.DurableState{Id: fmt.Sprintf("disk%d-%s", world.identities, host.name)}
 	}
 	founding := first && strings.Contains(strings.Join(world.founders(), " "), host.name)
 	host.node = node.New(world.now, node.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Founders: world.founders(),
-		Founding: founding, Faults: faults}, host.disk.memory, host.disk.records, random)
+		Founding: founding, Faults: toleratedFaults}, host.disk.state, host.disk.records, random)
 }
 
 // step runs one step of a host's machine, takes over what that asks for, and checks what it may have broken.
@@ -143,30 +143,30 @@
 		return
 	}
 	if host.frozen {
-		host.backlog = append(host.backlog, delayed{digest: digest, do: func() { world.step(host, incarnation, digest, do) }})
+		host.backlog = append(host.backlog, deferredStep{digest: digest, run: func() { world.step(host, incarnation, digest, do) }})
 		return
 	}
 	do()
 	world.drain(host)
-	world.judge.look(host)
+	world.checker.check(host)
 }
 
 func (world *world) drain(host *host) {
 	if !host.core {
-		for _, parcel := range host.machine.Drain() {
-			world.route(host, parcel)
+		for _, parcel := range host.controller.Drain() {
+			world.transmit(host, parcel)
 		}
 		return
 	}
 	parcels, writes := host.node.Drain()
 	host.writes = append(host.writes, writes...)
 	for _, parcel := range parcels {
-		world.judge.sending(host, parcel.Envelope)
-		world.route(host, parcel)
+		world.checker.checkLearnResponse(host, parcel.Envelope)
+		world.transmit(host, parcel)
 	}
 	if len(host.writes) > 0 && !world.exploresDisks() {
 		incarnation := host.incarnation
-		world.later(func() {
+		world.enqueue(func() {
 			if host.up && host.incarnation == incarnation {
 				world.sync(host)
 			}
@@ -174,12 +174,12 @@
 	}
 }
 
-func (world *world) exploresDisks() bool { return world.scenario.Disks && !world.smooth }
+func (world *world) exploresDisks() bool { return world.scenario.Disks && !world.synchronous }
 
-func (world *world) later(do func()) { world.queue = append(world.queue, do) }
+func (world *world) enqueue(do func()) { world.queue = append(world.queue, do) }
 
-// settle does all that needs no choice.
-func (world *world) settle() {
+// runQueue does all that needs no choice.
+func (world *world) runQueue() {
 	for len(world.queue) > 0 {
 		next := world.queue[0]
 		world.queue = world.queue[1:]
@@ -187,14 +187,14 @@
 	}
 }
 
-// route sends a message on its way: among those explored, or at once.
-func (world *world) route(from *host, parcel statemachine.Message) {
+// transmit sends a message on its way: among those explored, or at once.
+func (world *world) transmit(from *host, parcel statemachine.Message) {
 	target := world.byName[parcel.To]
-	if target == nil || world.parted(from.name, target.name) {
+	if target == nil || world.disconnected(from.name, target.name) {
 		return
 	}
 	if !target.up {
-		world.refuse(from, target)
+		world.refuseConnection(from, target)
 		return
 	}
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(parcel.Envelope)
@@ -203,11 +203,11 @@
 	}
 	sending := message{from: from.name, to: target.name, kind: kindOf(parcel.Envelope), content: string(content)}
 	sending.digest = digestOf(sending.from + ">" + sending.to + ":" + sending.content)
-	if world.smooth || !world.explored[sending.kind] || from == target {
-		world.later(func() { world.hand(sending) })
+	if world.synchronous || !world.explored[sending.kind] || from == target {
+		world.enqueue(func() { world.deliver(sending) })
 		return
 	}
-	world.flying = append(world.flying, sending)
+	world.inFlight = append(world.inFlight, sending)
 }
 
 // kindOf names the kind of an envelope's body, such as ChainPass.
@@ -218,10 +218,10 @@
 	return strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_")
 }
 
-// hand delivers a message.
-func (world *world) hand(message message) {
+// deliver delivers a message.
+func (world *world) deliver(message message) {
 	target := world.byName[message.to]
-	if !target.up || world.parted(message.from, message.to) {
+	if !target.up || world.disconnected(message.from, message.to) {
 		return
 	}
 	envelope := &wire.Envelope{}
@@ -233,18 +233,18 @@
 			target.node.Receive(world.now, envelope)
 			return
 		}
-		target.machine.Receive(world.now, envelope)
+		target.controller.Receive(world.now, envelope)
 	})
 }
 
-// refuse tells a host that nobody listens at another, if the machine there is alive to say so.
-func (world *world) refuse(from, to *host) {
-	if to.dark {
+// refuseConnection tells a host that nobody listens at another, if the machine there is alive to say so.
+func (world *world) refuseConnection(from, to *host) {
+	if to.poweredOff {
 		return
 	}
 	incarnation, tried := from.incarnation, world.now
-	world.later(func() {
-		if to.up || world.parted(from.name, to.name) {
+	world.enqueue(func() {
+		if to.up || world.disconnected(from.name, to.name) {
 			return
 		}
 		world.step(from, incarnation, digestOf("refused "+to.name), func() {
@@ -252,15 +252,15 @@
 				from.node.Refused(world.now, to.name, tried)
 				return
 			}
-			from.machine.Refused(world.now, to.name, tried)
+			from.controller.Refused(world.now, to.name, tried)
 		})
 	})
 }
 
-// parted tells whether two machines can't reach each other: only one of them is in the group that is cut off, or the
+// disconnected tells whether two machines can't reach each other: only one of them is in the group that is cut off, or the
 // link between them is cut.
-func (world *world) parted(one, other string) bool {
-	return world.cutOff[one] != world.cutOff[other] || world.cutOff[linkName(one, other)] || world.cutOff[linkName(other, one)]
+func (world *world) disconnected(one, other string) bool {
+	return world.isolated[one] != world.isolated[other] || world.isolated[linkName(one, other)] || world.isolated[linkName(other, one)]
 }
 
 func linkName(one, other string) string { return one + "|" + other }
@@ -273,7 +273,7 @@
 		return
 	}
 	for _, write := range writes {
-		host.disk.carry(write)
+		host.disk.apply(write)
 	}
 	last := writes[len(writes)-1].Sequence
 	world.step(host, host.incarnation, last, func() { host.node.Synced(world.now, last) })
@@ -281,12 +281,12 @@
 
 // tick lets one step of time pass and ticks every process.
 func (world *world) tick() {
-	world.now = world.now.Add(step)
+	world.now = world.now.Add(tickLength)
 	for _, host := range world.hosts {
 		// A frozen process misses its ticks.
 		if host.up && !host.frozen {
 			world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
-			world.settle()
+			world.runQueue()
 		}
 	}
 }
@@ -296,17 +296,17 @@
 		host.node.Tick(world.now)
 		return
 	}
-	host.machine.Tick(world.now)
+	host.controller.Tick(world.now)
 }
 
 // wait lets time pass while every message is delivered and every write synced.
 func (world *world) wait(steps int) {
-	world.smooth = true
+	world.synchronous = true
 	for range steps {
 		world.tick()
 		world.flush()
 	}
-	world.smooth = false
+	world.synchronous = false
 }
 
 // flush delivers and syncs whatever is left from before, in a fixed order.
@@ -316,37 +316,37 @@
 			world.sync(host)
 		}
 	}
-	flying := world.flying
-	world.flying = nil
+	flying := world.inFlight
+	world.inFlight = nil
 	for _, message := range flying {
 		if world.byName[message.to].frozen {
-			world.flying = append(world.flying, message)
+			world.inFlight = append(world.inFlight, message)
 			continue
 		}
-		world.hand(message)
+		world.deliver(message)
 	}
-	world.settle()
+	world.runQueue()
 }
 
-// end stops a process; what waited for its disk is lost.
-func (world *world) end(host *host, dark bool) {
-	host.up, host.dark, host.frozen, host.writes, host.backlog = false, dark, false, nil, nil
-	host.node, host.machine = nil, nil
-	world.lose(func(message message) bool { return message.to == host.name })
+// stopProcess stops a process; what waited for its disk is lost.
+func (world *world) stopProcess(host *host, dark bool) {
+	host.up, host.poweredOff, host.frozen, host.writes, host.backlog = false, dark, false, nil, nil
+	host.node, host.controller = nil, nil
+	world.dropMessages(func(message message) bool { return message.to == host.name })
 	if dark {
 		return
 	}
 	// The system of a machine whose process ended closes its connections; whoever had one tries again at once.
 	for _, other := range world.hosts {
-		if other.up && !world.parted(other.name, host.name) {
-			world.refuse(other, host)
+		if other.up && !world.disconnected(other.name, host.name) {
+			world.refuseConnection(other, host)
 		}
 	}
 }
 
-// lose takes messages out of those on their way.
-func (world *world) lose(lost func(message message) bool) {
-	for _, list := range []*[]message{&world.flying, &world.held} {
+// dropMessages takes messages out of those on their way.
+func (world *world) dropMessages(lost func(message message) bool) {
+	for _, list := range []*[]message{&world.inFlight, &world.delayedMessages} {
 		kept := (*list)[:0:0]
 		for _, message := range *list {
 			if !lost(message) {
@@ -373,24 +373,24 @@
 	for _, host := range world.hosts {
 		world.addHost(&sum, walker, host)
 	}
-	sum.addSorted(digestsOf(world.flying))
-	sum.addSorted(digestsOf(world.held))
-	sum.add(walker.walk(reflect.ValueOf(world.cutOff)))
-	sum.add(walker.walk(reflect.ValueOf(world.budget)))
+	sum.addSorted(digestsOf(world.inFlight))
+	sum.addSorted(digestsOf(world.delayedMessages))
+	sum.add(walker.walk(reflect.ValueOf(world.isolated)))
+	sum.add(walker.walk(reflect.ValueOf(world.remaining)))
 	sum.add(walker.walk(reflect.ValueOf(world.sent)))
-	sum.add(uint64(world.identity))
-	world.judge.addTo(&sum, walker)
+	sum.add(uint64(world.identities))
+	world.checker.addToFingerprint(&sum, walker)
 	return uint64(sum)
 }
 
 func (world *world) addHost(sum *digest, walker *walker, host *host) {
-	sum.addText(fmt.Sprint(host.incarnation, host.ran, host.up, host.frozen, host.dark, host.gone, host.leaving))
-	sum.addTime(world.now, host.booted)
+	sum.addText(fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed, host.decommissioning))
+	sum.addTime(world.now, host.bootedAt)
 	for _, delayed := range host.backlog {
 		sum.add(delayed.digest)
 	}
 	sum.add(walker.walk(reflect.ValueOf(host.node)))
-	sum.add(walker.walk(reflect.ValueOf(host.machine)))
+	sum.add(walker.walk(reflect.ValueOf(host.controller)))
 	if host.core {
 		sum.add(uint64(host.disk.digest))
 	}
--- a/verify/simulation/apart.go
+++ b/verify/simulation/apart.go
@@ -18,7 +18,7 @@
 // runs, is not frozen and itself reaches more than half of the core; and the last such time that is over.
 type separation struct {
 	since, previous, finished time.Time
-	record                    *histories.Apart
+	record                    *histories.Isolation
 }
 
 // topologyChanged says that links, machines or processes are other than before.
@@ -87,8 +87,8 @@
 	}
 	separation.since, separation.record = world.Now, nil
 	if world.Traffic != nil && world.WithoutCore > 0 {
-		separation.record = &histories.Apart{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
-		world.Traffic.History.Aparts = append(world.Traffic.History.Aparts, separation.record)
+		separation.record = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
+		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, separation.record)
 	}
 }
 
--- a/verify/simulation/check.go
+++ b/verify/simulation/check.go
@@ -158,7 +158,7 @@
 		if left, gone := world.Platform.left[runner.RunnerId]; gone {
 			late := world.Now.Sub(left)
 			checker.worst("work to a leaving runner", late)
-			if late > histories.LeavingBound {
+			if late > histories.DrainingBound {
 				checker.broken("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, late)
 			}
 		}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -143,8 +143,8 @@
 
 // letGo notes that whoever waited for this end's run does no more.
 func (conn *conn) letGo() {
-	if conn.run != nil && conn.run.Cut.IsZero() {
-		conn.run.Cut = conn.world.Now
+	if conn.run != nil && conn.run.Canceled.IsZero() {
+		conn.run.Canceled = conn.world.Now
 	}
 }
 
--- a/verify/simulation/departure.go
+++ b/verify/simulation/departure.go
@@ -11,7 +11,7 @@
 	if asker.over || asker.leaving {
 		return
 	}
-	asker.leaving, asker.record.Gone = true, true
+	asker.leaving, asker.record.HungUp = true, true
 	if asker.host != nil {
 		asker.closed()
 	}
@@ -24,7 +24,7 @@
 		if asker.over || !host.up || host.incarnation != asker.incarnation {
 			return
 		}
-		asker.record.Left = traffic.world.Now
+		asker.record.HungUpAt = traffic.world.Now
 		asker.tell()
 		asker.judge(traffic.world.Now)
 	})
@@ -33,7 +33,7 @@
 // judge looks whether the daemon still works for the client once its process has run for long enough without a break.
 func (asker *asker) judge(since time.Time) {
 	traffic, host := asker.traffic, asker.host
-	traffic.world.After(histories.LeftBound, func() {
+	traffic.world.After(histories.DepartureBound, func() {
 		now := traffic.world.Now
 		if !host.up || host.incarnation != asker.incarnation {
 			return
@@ -42,7 +42,7 @@
 			asker.judge(now)
 			return
 		}
-		traffic.judge.Departed(asker.record, now)
+		traffic.judge.CheckDeparture(asker.record, now)
 		traffic.verdict()
 	})
 }
@@ -58,7 +58,7 @@
 }
 
 // Left tells whether the close has reached the daemon's machine.
-func (asker *asker) Left() bool { return !asker.record.Left.IsZero() }
+func (asker *asker) Left() bool { return !asker.record.HungUpAt.IsZero() }
 
 // Watch has a function called when the close comes, or a moment later where it is there.
 func (asker *asker) Watch(left func()) (stop func()) {
--- a/verify/simulation/runner.go
+++ b/verify/simulation/runner.go
@@ -152,7 +152,7 @@
 	epoch, _ := strconv.ParseUint(request.Header.Get(admission.HeaderEpoch), 10, 64)
 	run := &histories.Run{At: reached, Sent: connection.sent, Request: request.Header.Get(admission.HeaderRequest), Route: request.Header.Get(admission.HeaderRoute), Pool: engine.world.Traffic.Mix.Pool,
 		Model: request.Header.Get(admission.HeaderModel), Weights: engine.weights, Runner: engine.id, Wanted: request.Header.Get(admission.HeaderRunner), Service: engine.service,
-		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Beside: engine.active, Cold: engine.cold(), Room: engine.room()}
+		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Concurrent: engine.active, WarmingUp: engine.cold(), Capacity: engine.room()}
 	engine.world.Traffic.ran(run)
 	return run
 }
@@ -297,7 +297,7 @@
 		}
 	}
 	// The run is whole from the moment its last event may have left.
-	run.Whole, run.Events = true, events
+	run.Complete, run.Events = true, events
 	if !chunk(fmt.Sprintf("id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events)) {
 		return false
 	}
@@ -360,7 +360,7 @@
 	for _, line := range now {
 		going[line.RunnerId], listed[line.RunnerId] = line.State != "draining", line.State
 	}
-	for _, leave := range record.Leaves {
+	for _, leave := range record.Drains {
 		if going[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
 			leave.Back = platform.world.Now
 		}
@@ -369,6 +369,6 @@
 		if line.State == "draining" || going[line.RunnerId] {
 			continue
 		}
-		record.Leaves = append(record.Leaves, &histories.Leaving{At: platform.world.Now, Runner: line.RunnerId, Drained: listed[line.RunnerId] == "draining"})
+		record.Drains = append(record.Drains, &histories.Drain{At: platform.world.Now, Runner: line.RunnerId, Drained: listed[line.RunnerId] == "draining"})
 	}
 }
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -26,7 +26,7 @@
 	Rate    float64
 	Hot     float64
 	History *histories.History
-	judge   *histories.Judge
+	judge   *histories.Checker
 	number  int
 	crowds  int
 	stopped bool
@@ -53,7 +53,7 @@
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
-	traffic.judge = histories.NewJudge(traffic.History, world.Check.known)
+	traffic.judge = histories.NewChecker(traffic.History, world.Check.known)
 	for number := range runners {
 		world.AddRunner(fmt.Sprintf("r%02d", number), zones[number%len(zones)])
 	}
@@ -75,7 +75,7 @@
 func (traffic *Traffic) ran(run *histories.Run) {
 	traffic.History.Runs = append(traffic.History.Runs, run)
 	traffic.world.mark(uint64(len(run.Request) + len(run.Runner)))
-	traffic.judge.Ran(run)
+	traffic.judge.ObserveRun(run)
 	traffic.verdict()
 }
 
@@ -106,7 +106,7 @@
 		}
 		listed[line.RunnerId] = world.Now.Sub(traffic.ready[line.RunnerId]) >= settledAllowance
 	}
-	room := histories.Room{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
+	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.engine
 		well := host.up && !host.frozen && !engine.mute && !engine.partial && !engine.putsBack && !engine.fails && engine.garble == "" && engine.slow < 2
@@ -115,7 +115,7 @@
 			room.Slots[host.Zone] += engine.nature.Slots
 		}
 	}
-	traffic.History.Rooms = append(traffic.History.Rooms, room)
+	traffic.History.CapacitySamples = append(traffic.History.CapacitySamples, room)
 }
 
 // settledAllowance is how long after it is listed as ready a runner is used in full: daemons can't know
@@ -198,7 +198,7 @@
 	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
 		if host := first.host; host != nil && host.up && first.incarnation == host.incarnation {
 			second := traffic.asker(drawn, first.record.Zone)
-			second.record.Again = true
+			second.record.Resent = true
 			second.send(host)
 		}
 	})
@@ -228,7 +228,7 @@
 		record: &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: traffic.world.Now,
 			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}}
 	made.ear.Record = made.record
-	traffic.judge.Asked(made.record)
+	traffic.judge.ObserveRequest(made.record)
 	return made
 }
 
@@ -248,7 +248,7 @@
 	traffic.world.After(traffic.world.wayTime(), func() {
 		if !host.up {
 			asker.tries++
-			if asker.tries >= 5 || asker.record.Again {
+			if asker.tries >= 5 || asker.record.Resent {
 				asker.finish(true)
 				return
 			}
@@ -283,12 +283,12 @@
 		}
 	}
 	traffic, record := asker.traffic, asker.record
-	record.Got, record.Lost, record.Sure = traffic.world.Now, lost, asker.read
+	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, asker.read
 	traffic.History.Answers = append(traffic.History.Answers, record)
 	if !record.Done {
 		traffic.note()
 	}
-	traffic.judge.Answered(record)
+	traffic.judge.ObserveAnswer(record)
 	traffic.verdict()
 }
 
@@ -298,13 +298,13 @@
 	asker.finish(lost)
 	traffic := asker.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Again {
+	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Resent {
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
 		if host := traffic.pick(asker.record.Zone); host != nil && host.up && host.Zone == asker.host.Zone {
 			second := traffic.asker(asker.drawn, asker.record.Zone)
-			second.record.Again = true
+			second.record.Resent = true
 			second.send(host)
 		}
 	})
@@ -387,7 +387,7 @@
 
 // Write is what reaches the client.
 func (asker *asker) Write(content []byte) (int, error) {
-	if asker.record.Gone {
+	if asker.record.HungUp {
 		return 0, errQuit
 	}
 	asker.lines += string(content)
@@ -482,7 +482,7 @@
 		}
 	}
 	traffic.History.Final = final
-	traffic.judge.Finished()
+	traffic.judge.Finish()
 	traffic.verdict()
 }
 
@@ -494,13 +494,13 @@
 		if answer.Done {
 			name = "done"
 		}
-		if answer.Lost {
+		if answer.ConnectionLost {
 			name = "lost"
 		}
-		if answer.Gone {
+		if answer.HungUp {
 			name = "hung up"
 		}
-		if answer.Again {
+		if answer.Resent {
 			name = "sent again: " + name
 		}
 		counts[name]++
