--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -159,14 +159,14 @@
 func (summary *summary) add(world *simulation.World) {
 	summary.mutex.Lock()
 	defer summary.mutex.Unlock()
-	for _, line := range world.Check.Broken {
+	for _, line := range world.Check.Violations {
 		summary.clean = false
 		fmt.Println("BROKEN", line)
 	}
-	if len(world.Check.Broken) > 0 {
+	if len(world.Check.Violations) > 0 {
 		fmt.Println("  harm done before:", strings.Join(world.Log[max(0, len(world.Log)-6):], "; "))
 	}
-	summary.awards += world.Check.Awards
+	summary.awards += world.Check.Decisions
 	if world.Traffic != nil {
 		summary.worst.add(histories.Worst(world.Traffic.History))
 		summary.worst.count(world.Traffic.Counts())
@@ -176,7 +176,7 @@
 			summary.acknowledged++
 		}
 	}
-	for rule, length := range world.Check.Margins {
+	for rule, length := range world.Check.WorstCases {
 		summary.worst.lengths[rule] = max(summary.worst.lengths[rule], length)
 	}
 }
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -142,7 +142,7 @@
 		return value
 	}
 	sender := loadtest.New(fleet.Shape.Mix, fleet.Shape.Zones, fleet.Platform.Pick, fleet.Record, options.Seed)
-	sender.Hot, sender.Leaves = max(options.Hot, scenario.Hot), scenario.Leaves
+	sender.Hot, sender.HangUps = max(options.Hot, scenario.Hot), scenario.Leaves
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	go fleet.Sample(running)
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -27,8 +27,8 @@
 	Record *histories.History
 	// Hot is the part of requests that carry one and the same opening.
 	Hot float64
-	// Leaves is the part of the clients that close their connections at some moment, whatever they have got by then.
-	Leaves float64
+	// HangUps is the part of the clients that close their connections at some moment, whatever they have got by then.
+	HangUps float64
 
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -58,7 +58,7 @@
 			load.waiting.Add(1)
 			go func() {
 				defer load.waiting.Done()
-				load.one()
+				load.sendOne()
 			}()
 		case <-running.Done():
 			timer.Stop()
@@ -67,8 +67,8 @@
 	load.waiting.Wait()
 }
 
-// latestLeave is how long after sending its request a client that leaves does so at the latest.
-const latestLeave = time.Second
+// latestHangUp is how long after sending its request a client that leaves does so at the latest.
+const latestHangUp = time.Second
 
 // draw gives the next request, the zone that it comes from, and when its client leaves; 0: it stays.
 func (load *Load) draw() (Drawn, string, time.Duration) {
@@ -78,16 +78,16 @@
 	zone := load.Zones[load.random.Intn(len(load.Zones))]
 	drawn := load.Mix.Draw(load.random, load.Hot)
 	drawn.ID = fmt.Sprintf("%s-%d", load.prefix, load.number)
-	if load.Leaves > 0 && load.random.Float64() < load.Leaves {
-		return drawn, zone, 1 + time.Duration(load.random.Int63n(int64(latestLeave)))
+	if load.HangUps > 0 && load.random.Float64() < load.HangUps {
+		return drawn, zone, 1 + time.Duration(load.random.Int63n(int64(latestHangUp)))
 	}
 	return drawn, zone, 0
 }
 
-func (load *Load) one() {
+func (load *Load) sendOne() {
 	drawn, zone, leaves := load.draw()
 	record := &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: time.Now(), Resumable: drawn.Kind.Resumable,
-		Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}
+		Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.TimeLimit()}
 	staying, leave := context.WithCancel(context.Background())
 	defer leave()
 	if leaves > 0 {
@@ -143,7 +143,7 @@
 	if response.StatusCode != 200 {
 		// What can't be read is no refusal as documented, and is found as such below.
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 64<<10))
-		Refused(record, body)
+		ParseRejection(record, body)
 		return true
 	}
 	load.events(response.Body, record)
@@ -152,7 +152,7 @@
 
 // events reads a stream to its end.
 func (load *Load) events(body io.Reader, record *histories.Answer) {
-	reader, ear := bufio.NewReader(body), Ear{Record: record}
+	reader, ear := bufio.NewReader(body), EventParser{Record: record}
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
@@ -162,6 +162,6 @@
 			}
 			return
 		}
-		ear.Line(time.Now(), strings.TrimRight(line, "\n"))
+		ear.ParseLine(time.Now(), strings.TrimRight(line, "\n"))
 	}
 }
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -57,8 +57,8 @@
 	{Route: "ruling", Share: 0.27, Once: true, Value: 8, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 4, OpeningTokens: 400, Own: 200, Answer: 40, Families: 6, Text: "Rule on the refund of the cancelled crossing."},
 }}
 
-// Lasting is the mix with longer answers, which may be resumed wherever they may be repeated.
-func (mix Mix) Lasting() Mix {
+// WithResumption is the mix with longer answers, which may be resumed wherever they may be repeated.
+func (mix Mix) WithResumption() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
 	for place := range mix.Kinds {
 		if kind := &mix.Kinds[place]; !kind.Once {
@@ -68,8 +68,8 @@
 	return mix
 }
 
-// Hurried is the mix whose clients tell how long they wait, and whose routes have a longest time of their own.
-func (mix Mix) Hurried() Mix {
+// WithDeadlines is the mix whose clients tell how long they wait, and whose routes have a longest time of their own.
+func (mix Mix) WithDeadlines() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
 	for place := range mix.Kinds {
 		kind := &mix.Kinds[place]
@@ -113,8 +113,8 @@
 	Wait time.Duration
 }
 
-// Bound is how long the request may be held; 0: not told.
-func (drawn Drawn) Bound() time.Duration {
+// TimeLimit is how long the request may be held; 0: not told.
+func (drawn Drawn) TimeLimit() time.Duration {
 	if drawn.Wait > 0 && (drawn.Kind.Deadline == 0 || drawn.Wait < drawn.Kind.Deadline) {
 		return drawn.Wait
 	}
@@ -183,16 +183,16 @@
 	return content
 }
 
-// Ear reads a stream's lines as a client does, believing nothing but what it reads.
-type Ear struct {
+// EventParser reads a stream's lines as a client does, believing nothing but what it reads.
+type EventParser struct {
 	Record *histories.Answer
 	name   string
 	id     int
 	run    string
 }
 
-// Line takes one line without its end; now is when it came.
-func (ear *Ear) Line(now time.Time, line string) {
+// ParseLine takes one line without its end; now is when it came.
+func (ear *EventParser) ParseLine(now time.Time, line string) {
 	record := ear.Record
 	if line == "" {
 		record.Last = now
@@ -223,8 +223,8 @@
 	}
 }
 
-// Refused takes a refusal's body.
-func Refused(record *histories.Answer, body []byte) {
+// ParseRejection takes a refusal's body.
+func ParseRejection(record *histories.Answer, body []byte) {
 	refusal := struct{ Kind, Detail, Ran string }{}
 	if err := json.Unmarshal(body, &refusal); err != nil || refusal.Kind == "" {
 		record.Kind = "unreadable"
--- a/verify/simulation/check.go
+++ b/verify/simulation/checker.go
@@ -23,17 +23,17 @@
 	Outcome   string
 	Epoch     uint64
 	Status    int
-	// Again tells that the same operation was sent more than once.
-	Again bool
+	// Resent tells that the same operation was sent more than once.
+	Resent bool
 }
 
 // Checker looks at the world after each step.
 type Checker struct {
-	world  *World
-	Broken []string
-	Orders []*Order
-	// Margins keep the worst case seen of each rule with a figure.
-	Margins map[string]time.Duration
+	world      *World
+	Violations []string
+	Orders     []*Order
+	// WorstCases keep the worst case seen of each rule with a figure.
+	WorstCases map[string]time.Duration
 
 	committed map[uint64][32]byte
 	// copies is on how many disks of its chain a head that may act had an epoch, at most.
@@ -41,26 +41,26 @@
 	known   map[string]uint64
 	refused map[string]bool
 	// invalid are the changes that no fleet may accept.
-	invalid  map[string]bool
-	acked    []*Order
-	seen     map[string]uint64
-	Awards   int
-	Refusals int
+	invalid      map[string]bool
+	acknowledged []*Order
+	seen         map[string]uint64
+	Decisions    int
+	Refusals     int
 	// OnAccepted, if set, runs when a change has been acknowledged.
 	OnAccepted func()
 }
 
 func newChecker(world *World) *Checker {
-	return &Checker{world: world, Margins: map[string]time.Duration{}, committed: map[uint64][32]byte{}, copies: map[uint64]int{}, known: map[string]uint64{},
+	return &Checker{world: world, WorstCases: map[string]time.Duration{}, committed: map[uint64][32]byte{}, copies: map[uint64]int{}, known: map[string]uint64{},
 		refused: map[string]bool{}, invalid: map[string]bool{}, seen: map[string]uint64{}}
 }
 
-func (checker *Checker) broken(format string, values ...any) {
-	checker.Broken = append(checker.Broken, fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.started))+fmt.Sprintf(format, values...))
+func (checker *Checker) violation(format string, values ...any) {
+	checker.Violations = append(checker.Violations, fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.started))+fmt.Sprintf(format, values...))
 }
 
-func (checker *Checker) worst(rule string, length time.Duration) {
-	checker.Margins[rule] = max(checker.Margins[rule], length)
+func (checker *Checker) recordWorst(rule string, length time.Duration) {
+	checker.WorstCases[rule] = max(checker.WorstCases[rule], length)
 }
 
 // step checks whatever a step of this host can have broken.
@@ -69,14 +69,14 @@
 		return
 	}
 	if host.Core {
-		checker.core(host)
+		checker.checkCore(host)
 		return
 	}
-	checker.award(host)
+	checker.checkDaemon(host)
 }
 
-// core checks that all agree on history and that one machine at most leads.
-func (checker *Checker) core(host *Host) {
+// checkCore checks that all agree on history and that one machine at most leads.
+func (checker *Checker) checkCore(host *Host) {
 	document := host.node.Chain().Committed()
 	if document.Sequence > checker.seen[host.Address] || document.Sequence > 0 && checker.committed[document.Sequence] == [32]byte{} {
 		checker.seen[host.Address] = document.Sequence
@@ -86,38 +86,38 @@
 		}
 		sum := sha256.Sum256(content)
 		if other, found := checker.committed[document.Sequence]; found && other != sum {
-			checker.broken("%s holds another document %d than others", host.Address, document.Sequence)
+			checker.violation("%s holds another document %d than others", host.Address, document.Sequence)
 		}
 		checker.committed[document.Sequence] = sum
-		checker.outcomes(host, document)
+		checker.checkOutcomes(host, document)
 	}
 	if !host.node.Leading(checker.world.local(host)) {
 		return
 	}
-	checker.count(host)
+	checker.countCopies(host)
 	for _, other := range checker.world.Hosts {
 		if other != host && other.Core && other.up && !other.frozen && other.node.Leading(checker.world.local(other)) {
-			checker.broken("%s and %s lead at once", host.Address, other.Address)
+			checker.violation("%s and %s lead at once", host.Address, other.Address)
 		}
 	}
 }
 
-// outcomes checks that each operation has one outcome everywhere.
-func (checker *Checker) outcomes(host *Host, document *wire.Document) {
+// checkOutcomes checks that each operation has one outcome everywhere.
+func (checker *Checker) checkOutcomes(host *Host, document *wire.Document) {
 	for _, outcome := range document.Outcomes {
 		if checker.refused[outcome.Operation] {
-			checker.broken("%s was refused and is in effect at %s", outcome.Operation, host.Address)
+			checker.violation("%s was refused and is in effect at %s", outcome.Operation, host.Address)
 		}
 		if epoch, found := checker.known[outcome.Operation]; found && epoch != outcome.SpecEpoch {
-			checker.broken("%s is epoch %d and %d", outcome.Operation, epoch, outcome.SpecEpoch)
+			checker.violation("%s is epoch %d and %d", outcome.Operation, epoch, outcome.SpecEpoch)
 		}
 		checker.known[outcome.Operation] = outcome.SpecEpoch
 	}
 }
 
-// count notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself may
+// countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself may
 // reach its asker much later, when the chain is another.
-func (checker *Checker) count(head *Host) {
+func (checker *Checker) countCopies(head *Host) {
 	epoch, copies := head.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range checker.world.Cores() {
 		if host.node != nil && holds(head.node.View().Chain, host.node.Self().Id) && holdsOnDisk(host, epoch) {
@@ -127,50 +127,50 @@
 	checker.copies[epoch] = max(checker.copies[epoch], copies)
 }
 
-// award has a data daemon award work at this moment, if it would, and checks what it would go by.
-func (checker *Checker) award(host *Host) {
+// checkDaemon has a data daemon award work at this moment, if it would, and checks what it would go by.
+func (checker *Checker) checkDaemon(host *Host) {
 	world, local := checker.world, checker.world.local(host)
-	world.refreshSeparation()
-	snapshot := host.data.Snapshot(local)
+	world.refreshIsolation()
+	snapshot := host.controller.Snapshot(local)
 	if !local.Before(snapshot.Until) || snapshot.Catalog == nil {
 		checker.Refusals++
 		return
 	}
-	checker.Awards++
-	if snapshot.SpecEpoch < host.epoch {
-		checker.broken("%s slipped back from epoch %d to %d", host.Address, host.epoch, snapshot.SpecEpoch)
+	checker.Decisions++
+	if snapshot.SpecEpoch < host.servedEpoch {
+		checker.violation("%s slipped back from epoch %d to %d", host.Address, host.servedEpoch, snapshot.SpecEpoch)
 	}
-	host.epoch = snapshot.SpecEpoch
-	for place := len(checker.acked) - 1; place >= 0; place-- {
-		order := checker.acked[place]
+	host.servedEpoch = snapshot.SpecEpoch
+	for place := len(checker.acknowledged) - 1; place >= 0; place-- {
+		order := checker.acknowledged[place]
 		if order.Epoch <= snapshot.SpecEpoch {
 			continue
 		}
 		late := world.Now.Sub(order.Got)
 		if !checker.mayIgnore(host, late, histories.SpecBound) {
-			checker.broken("%s awards under epoch %d, %v after %d was acknowledged", host.Address, snapshot.SpecEpoch, late, order.Epoch)
+			checker.violation("%s awards under epoch %d, %v after %d was acknowledged", host.Address, snapshot.SpecEpoch, late, order.Epoch)
 		}
 	}
-	if world.Callers != nil {
-		world.Callers.check(host, snapshot.Runners)
+	if world.RegisteringRunners != nil {
+		world.RegisteringRunners.check(host, snapshot.Runners)
 	}
 	for _, runner := range snapshot.Runners {
-		if left, gone := world.Platform.left[runner.RunnerId]; gone {
+		if left, gone := world.Platform.removedAt[runner.RunnerId]; gone {
 			late := world.Now.Sub(left)
-			checker.worst("work to a leaving runner", late)
+			checker.recordWorst("work to a leaving runner", late)
 			if late > histories.DrainingBound {
-				checker.broken("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, late)
+				checker.violation("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, late)
 			}
 		}
 	}
 }
 
-// built names the verbs that name the epoch they are built on.
-var built = map[string]bool{"apply": true, "change": true}
+// namesBase names the verbs that name the epoch they are built on.
+var namesBase = map[string]bool{"apply": true, "change": true}
 
 // Resend has an operator send a change that was sent before, unchanged, through another core.
 func (checker *Checker) Resend(host *Host, order *Order, ask *wire.OperatorRequest) *Order {
-	order.Again = true
+	order.Resent = true
 	// A way to the head that was not found is no word on the change, which may be sent again.
 	if order.Status == 503 {
 		delete(checker.refused, order.Operation)
@@ -185,34 +185,34 @@
 
 func (checker *Checker) send(host *Host, ask *wire.OperatorRequest, again bool) *Order {
 	world := checker.world
-	order := &Order{Operation: ask.Operation, Verb: ask.Verb, Base: ask.Base, Sent: world.Now, Outcome: "unknown", Again: again}
+	order := &Order{Operation: ask.Operation, Verb: ask.Verb, Base: ask.Base, Sent: world.Now, Outcome: "unknown", Resent: again}
 	checker.Orders = append(checker.Orders, order)
-	told := checker.tell(order, ask)
+	told := checker.record(order, ask)
 	if !host.up || host.frozen {
 		return order
 	}
-	least := checker.greatest()
+	least := checker.greatestAcknowledged()
 	world.on(host, host.incarnation, func() {
 		host.node.Ask(world.local(host), ask, func(status int, body []byte) {
 			reply := node.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
-				checker.broken("an answer that is no JSON: %s", body)
+				checker.violation("an answer that is no JSON: %s", body)
 				return
 			}
 			order.Got, order.Outcome, order.Epoch, order.Status = world.Now, reply.Outcome, reply.Epoch, status
 			// Of an operation that was sent twice, one copy may find no way to the head while the other does.
-			if status == 504 || order.Again && status == 503 {
+			if status == 504 || order.Resent && status == 503 {
 				order.Outcome = "unknown"
 			}
 			told.Got, told.Outcome, told.Epoch, told.HTTPStatus = world.Now, order.Outcome, order.Epoch, status
-			checker.answered(order, ask, least)
+			checker.checkReply(order, ask, least)
 		})
 	})
 	return order
 }
 
-// tell records a change for the judge of the request path, where there is one.
-func (checker *Checker) tell(order *Order, ask *wire.OperatorRequest) *histories.Order {
+// record records a change for the judge of the request path, where there is one.
+func (checker *Checker) record(order *Order, ask *wire.OperatorRequest) *histories.Order {
 	told := &histories.Order{Operation: ask.Operation, Verb: ask.Verb, Zone: ask.Zone, Base: ask.Base, HasBase: ask.HasBase, Sent: order.Sent, Outcome: "unknown"}
 	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != "get" {
 		told.Spec = traffic.specs[ask.Operation]
@@ -224,19 +224,19 @@
 	return told
 }
 
-func (checker *Checker) greatest() uint64 {
+func (checker *Checker) greatestAcknowledged() uint64 {
 	greatest := uint64(0)
-	for _, order := range checker.acked {
+	for _, order := range checker.acknowledged {
 		greatest = max(greatest, order.Epoch)
 	}
 	return greatest
 }
 
-// answered checks the answer to an operator's question.
-func (checker *Checker) answered(order *Order, ask *wire.OperatorRequest, least uint64) {
+// checkReply checks the answer to an operator's question.
+func (checker *Checker) checkReply(order *Order, ask *wire.OperatorRequest, least uint64) {
 	if ask.Verb == "get" {
 		if order.Status == 200 && order.Epoch < least {
-			checker.broken("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
+			checker.violation("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
 		}
 		return
 	}
@@ -245,42 +245,42 @@
 	}
 	if order.Outcome == "refused" {
 		if _, known := checker.known[order.Operation]; known {
-			checker.broken("%s was refused and is in effect", order.Operation)
+			checker.violation("%s was refused and is in effect", order.Operation)
 		}
 		checker.refused[order.Operation] = true
 	}
 	if order.Outcome != "accepted" {
 		return
 	}
-	checker.accepted(order, ask)
-	checker.enoughCopies(order)
-	checker.acked = append(checker.acked, order)
+	checker.checkAccepted(order, ask)
+	checker.checkCopies(order)
+	checker.acknowledged = append(checker.acknowledged, order)
 	if checker.OnAccepted != nil {
 		checker.OnAccepted()
 	}
 }
 
-// accepted checks that an acknowledged order is valid, in effect, and the only one on its base.
-func (checker *Checker) accepted(order *Order, ask *wire.OperatorRequest) {
+// checkAccepted checks that an acknowledged order is valid, in effect, and the only one on its base.
+func (checker *Checker) checkAccepted(order *Order, ask *wire.OperatorRequest) {
 	if checker.invalid[order.Operation] {
-		checker.broken("invalid-accepted: %s is invalid and was accepted", order.Operation)
+		checker.violation("invalid-accepted: %s is invalid and was accepted", order.Operation)
 	}
 	if epoch, known := checker.known[order.Operation]; !known || epoch != order.Epoch {
-		checker.broken("%s was acknowledged as epoch %d and is committed as %d", order.Operation, order.Epoch, epoch)
+		checker.violation("%s was acknowledged as epoch %d and is committed as %d", order.Operation, order.Epoch, epoch)
 	}
-	for _, other := range checker.acked {
-		if other.Operation != order.Operation && (other.Epoch == order.Epoch || built[ask.Verb] && built[other.Verb] && other.Base == order.Base) {
-			checker.broken("%s and %s were both accepted on one base", other.Operation, order.Operation)
+	for _, other := range checker.acknowledged {
+		if other.Operation != order.Operation && (other.Epoch == order.Epoch || namesBase[ask.Verb] && namesBase[other.Verb] && other.Base == order.Base) {
+			checker.violation("%s and %s were both accepted on one base", other.Operation, order.Operation)
 		}
 	}
 }
 
-// enoughCopies checks that an acknowledged order stands on as many disks as may be lost, and one more.
-func (checker *Checker) enoughCopies(order *Order) {
+// checkCopies checks that an acknowledged order stands on as many disks as may be lost, and one more.
+func (checker *Checker) checkCopies(order *Order) {
 	// With three disks or more no change may be told as accepted that stands on one disk only.
 	for _, host := range checker.world.Cores() {
 		if host.up && !host.frozen && host.node.Leading(checker.world.local(host)) {
-			checker.count(host)
+			checker.countCopies(host)
 		}
 	}
 	copies := 0
@@ -290,7 +290,7 @@
 		}
 	}
 	if copies < min(checker.world.Faults+1, len(checker.world.founders)) {
-		checker.broken("%s was acknowledged with %d synced copies in the chain", order.Operation, copies)
+		checker.violation("%s was acknowledged with %d synced copies in the chain", order.Operation, copies)
 	}
 }
 
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -16,9 +16,9 @@
 const retryEvery = 60 * time.Millisecond
 
 var (
-	errReset   = errors.New("connection reset by the other side")
-	errRefused = errors.New("connection refused")
-	errUntaken = errors.New("the other side's machine takes nothing")
+	errReset       = errors.New("connection reset by the other side")
+	errRefused     = errors.New("connection refused")
+	errNotAccepted = errors.New("the other side's machine takes nothing")
 )
 
 // packet is bytes on their way, or the end of a stream.
@@ -36,21 +36,21 @@
 	peer   *conn
 	remote string
 	terms  netio.Timeouts
-	// flight are the packets that the other machine has not taken yet.
-	flight  []packet
-	pumping bool
-	arrived []byte
-	// reached is when the oldest bytes that were not read yet came.
-	reached time.Time
-	// sent is when those bytes were written.
-	sent     time.Time
+	// inFlight are the packets that the other machine has not taken yet.
+	inFlight []packet
+	pumping  bool
+	received []byte
+	// receivedAt is when the oldest bytes that were not read yet came.
+	receivedAt time.Time
+	// sentAt is when those bytes were written.
+	sentAt   time.Time
 	finished bool
 	closed   bool
 	err      error
 	deadline time.Time
 	reader   *coroutine
-	// bound ends the connection with it; nil: nothing does.
-	bound context.Context
+	// boundContext ends the connection with it; nil: nothing does.
+	boundContext context.Context
 	// run is what a runner's end serves now, and server the coroutine that does.
 	run    *histories.Run
 	server *coroutine
@@ -63,10 +63,10 @@
 
 // passes tells whether anything gets from one host's machine to another's now.
 func (world *World) passes(from, to *Host) bool {
-	return !world.cuts[[2]string{from.Address, to.Address}] && !from.dark && !to.dark
+	return !world.cuts[[2]string{from.Address, to.Address}] && !from.poweredOff && !to.poweredOff
 }
 
-func (world *World) wayTime() time.Duration {
+func (world *World) transitTime() time.Duration {
 	return world.Delay/4 + time.Duration(world.random.Int63n(int64(world.Jitter)/4+1))
 }
 
@@ -83,7 +83,7 @@
 			return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 		}
 	}
-	world.wait(ctx, 2*world.wayTime(), nil)
+	world.wait(ctx, 2*world.transitTime(), nil)
 	if err := ctx.Err(); err != nil {
 		return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 	}
@@ -103,8 +103,8 @@
 	if conn.err == nil {
 		conn.err = err
 	}
-	conn.letGo()
-	conn.flight = nil
+	conn.cancelRun()
+	conn.inFlight = nil
 	conn.world.wake(conn.reader)
 	conn.world.wake(conn.server)
 	for place, other := range conn.owner.conns {
@@ -121,68 +121,68 @@
 	if !world.passes(conn.owner, peer.owner) {
 		return
 	}
-	world.After(world.wayTime(), func() { peer.fail(errReset) })
+	world.After(world.transitTime(), func() { peer.fail(errReset) })
 }
 
 // crash ends this end with its process; told is whether its machine still answers for it.
 func (conn *conn) crash(told bool) {
 	conn.closed = true
-	conn.flight = nil
+	conn.inFlight = nil
 	if told {
 		conn.reset()
 	}
 }
 
-// serves notes which run this end works on, so that the run is told when its connection ends.
-func (conn *conn) serves(run *histories.Run) {
+// bindRun notes which run this end works on, so that the run is told when its connection ends.
+func (conn *conn) bindRun(run *histories.Run) {
 	conn.run = run
 	if conn.err != nil || conn.peer.closed {
-		conn.letGo()
+		conn.cancelRun()
 	}
 }
 
-// letGo notes that whoever waited for this end's run does no more.
-func (conn *conn) letGo() {
+// cancelRun notes that whoever waited for this end's run does no more.
+func (conn *conn) cancelRun() {
 	if conn.run != nil && conn.run.Canceled.IsZero() {
 		conn.run.Canceled = conn.world.Now
 	}
 }
 
-// pump carries packets over, in order.
-func (conn *conn) pump() {
-	if conn.pumping || len(conn.flight) == 0 {
+// startTransfer carries packets over, in order.
+func (conn *conn) startTransfer() {
+	if conn.pumping || len(conn.inFlight) == 0 {
 		return
 	}
 	conn.pumping = true
-	conn.world.After(conn.world.wayTime(), conn.carry)
+	conn.world.After(conn.world.transitTime(), conn.transfer)
 }
 
-func (conn *conn) carry() {
+func (conn *conn) transfer() {
 	conn.pumping = false
-	if len(conn.flight) == 0 {
+	if len(conn.inFlight) == 0 {
 		return
 	}
-	world, peer, first := conn.world, conn.peer, conn.flight[0]
+	world, peer, first := conn.world, conn.peer, conn.inFlight[0]
 	if !world.passes(conn.owner, peer.owner) || !world.passes(peer.owner, conn.owner) {
 		if conn.terms.Untaken > 0 && world.Now.Sub(first.sent) >= conn.terms.Untaken {
-			conn.fail(errUntaken)
+			conn.fail(errNotAccepted)
 			return
 		}
 		conn.pumping = true
-		world.After(retryEvery, conn.carry)
+		world.After(retryEvery, conn.transfer)
 		return
 	}
-	conn.flight = conn.flight[1:]
+	conn.inFlight = conn.inFlight[1:]
 	if peer.closed || peer.err != nil {
 		conn.fail(errReset)
 		return
 	}
-	if len(peer.arrived) == 0 {
-		peer.reached, peer.sent = world.Now, first.sent
+	if len(peer.received) == 0 {
+		peer.receivedAt, peer.sentAt = world.Now, first.sent
 	}
-	peer.arrived, peer.finished = append(peer.arrived, first.content...), peer.finished || first.end
+	peer.received, peer.finished = append(peer.received, first.content...), peer.finished || first.end
 	world.wake(peer.reader)
-	conn.pump()
+	conn.startTransfer()
 }
 
 // Read gives what has arrived, and parks until something has.
@@ -190,12 +190,12 @@
 	coroutine := conn.world.current
 	defer func() { coroutine.decided = conn.world.Now }()
 	for {
-		if conn.closed || conn.unbound() {
+		if conn.closed || conn.contextEnded() {
 			return 0, net.ErrClosed
 		}
-		if len(conn.arrived) > 0 {
-			count := copy(into, conn.arrived)
-			conn.arrived = conn.arrived[count:]
+		if len(conn.received) > 0 {
+			count := copy(into, conn.received)
+			conn.received = conn.received[count:]
 			return count, nil
 		}
 		if conn.err != nil {
@@ -208,7 +208,7 @@
 			return 0, os.ErrDeadlineExceeded
 		}
 		conn.reader = conn.world.current
-		conn.reader.arrive = conn.unbound
+		conn.reader.arrive = conn.contextEnded
 		conn.reader.park()
 		conn.reader.arrive = nil
 		conn.reader = nil
@@ -217,14 +217,14 @@
 
 // Write hands bytes to the machine's own system, which sends them as it can.
 func (conn *conn) Write(content []byte) (int, error) {
-	if conn.closed || conn.unbound() {
+	if conn.closed || conn.contextEnded() {
 		return 0, net.ErrClosed
 	}
 	if conn.err != nil {
 		return 0, conn.err
 	}
-	conn.flight = append(conn.flight, packet{content: append([]byte{}, content...), sent: conn.world.Now})
-	conn.pump()
+	conn.inFlight = append(conn.inFlight, packet{content: append([]byte{}, content...), sent: conn.world.Now})
+	conn.startTransfer()
 	return len(content), nil
 }
 
@@ -235,34 +235,36 @@
 		return net.ErrClosed
 	}
 	conn.closed = true
-	conn.peer.letGo()
+	conn.peer.cancelRun()
 	conn.world.wake(conn.reader)
 	if conn.owner.engine != nil {
-		conn.flight = append(conn.flight, packet{sent: conn.world.Now, end: true})
-		conn.pump()
+		conn.inFlight = append(conn.inFlight, packet{sent: conn.world.Now, end: true})
+		conn.startTransfer()
 		return nil
 	}
-	conn.flight = nil
+	conn.inFlight = nil
 	conn.reset()
 	return nil
 }
 
 // Bind has reads and writes end with a context; who uses the connection closes it then.
 func (conn *conn) Bind(ctx context.Context) (release func() bool) {
-	conn.bound = ctx
+	conn.boundContext = ctx
 	return func() bool {
-		stands := !conn.unbound()
-		conn.bound = nil
+		stands := !conn.contextEnded()
+		conn.boundContext = nil
 		return stands
 	}
 }
 
-// unbound tells whether the context that the connection is bound to has ended.
-func (conn *conn) unbound() bool { return conn.bound != nil && conn.bound.Err() != nil }
+// contextEnded tells whether the context that the connection is bound to has ended.
+func (conn *conn) contextEnded() bool {
+	return conn.boundContext != nil && conn.boundContext.Err() != nil
+}
 
 // Quiet tells whether nothing has come that was not asked for.
 func (conn *conn) Quiet() bool {
-	return !conn.closed && !conn.unbound() && conn.err == nil && !conn.finished && len(conn.arrived) == 0
+	return !conn.closed && !conn.contextEnded() && conn.err == nil && !conn.finished && len(conn.received) == 0
 }
 
 // SetDeadline bounds reading, by the owner's own clock.
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -50,7 +50,7 @@
 	}
 	world.regain()
 	racers.Stop()
-	if len(world.Check.Broken) == 0 {
+	if len(world.Check.Violations) == 0 {
 		world.verifyOutcomes()
 	}
 	return world, racers
@@ -60,17 +60,17 @@
 func (world *World) regain() {
 	finished := world.Now
 	took, fine := world.Recovered(returnBound)
-	world.Check.worst("service after the last fault", took)
-	if !fine && len(world.Check.Broken) == 0 {
-		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
+	world.Check.recordWorst("service after the last fault", took)
+	if !fine && len(world.Check.Violations) == 0 {
+		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
-	for !world.redundant() && len(world.Check.Broken) == 0 {
+	for !world.redundant() && len(world.Check.Violations) == 0 {
 		if world.Now.Sub(finished) > repairBound {
-			world.Check.broken("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
+			world.Check.violation("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
 		}
 		world.Run(100 * time.Millisecond)
 	}
-	world.Check.worst("full redundancy after the last fault", world.Now.Sub(finished))
+	world.Check.recordWorst("full redundancy after the last fault", world.Now.Sub(finished))
 }
 
 // verifyOutcomes reads back from every core machine what became of each change that was answered.
@@ -82,20 +82,20 @@
 		for _, outcome := range document.Outcomes {
 			outcomes[outcome.Operation] = outcome.SpecEpoch
 		}
-		for _, order := range world.Check.acked {
+		for _, order := range world.Check.acknowledged {
 			if epoch, found := outcomes[order.Operation]; !found || epoch != order.Epoch {
-				world.Check.broken("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address, order.Operation, epoch, order.Epoch)
+				world.Check.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address, order.Operation, epoch, order.Epoch)
 			}
 		}
 		for operation := range world.Check.refused {
 			if _, found := outcomes[operation]; found {
-				world.Check.broken("%s was refused and is in effect at %s", operation, host.Address)
+				world.Check.violation("%s was refused and is in effect at %s", operation, host.Address)
 			}
 		}
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
-		if read.Status != 200 || read.Epoch < world.Check.greatest() {
-			world.Check.broken("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status, read.Epoch, world.Check.greatest())
+		if read.Status != 200 || read.Epoch < world.Check.greatestAcknowledged() {
+			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status, read.Epoch, world.Check.greatestAcknowledged())
 		}
 	}
 }
@@ -273,12 +273,12 @@
 		world.leaveInOrder(old, func() { world.After(time.Second, func() { world.Boot(old) }) })
 	},
 	"planned replacement": func(world *World, old *Host) {
-		world.leaveInOrder(old, func() { old.gone = true })
+		world.leaveInOrder(old, func() { old.removed = true })
 		world.replacement(old)
 	},
 	"unplanned replacement": func(world *World, old *Host) {
 		world.Power(old)
-		old.gone = true
+		old.removed = true
 		world.After(time.Second, func() { world.replacement(old) })
 	},
 }
@@ -303,7 +303,7 @@
 func (world *World) replacement(old *Host) {
 	world.replaced++
 	host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-	host.newcomer = true
+	host.everStarted = true
 	world.shuffleSeeds()
 	world.Boot(host)
 }
@@ -332,7 +332,7 @@
 			world.Power(second)
 			if wiped {
 				world.Wipe(second)
-				second.dark = true
+				second.poweredOff = true
 			}
 			world.After(5*time.Second, func() { world.Boot(second) })
 		})
@@ -359,8 +359,8 @@
 		return func() { full.full = false }
 	}),
 	"a disk slow": manyChangeDay(func(_ *World, host *Host) func() {
-		host.slow = 300 * time.Millisecond
-		return func() { host.slow = 0 }
+		host.diskDelay = 300 * time.Millisecond
+		return func() { host.diskDelay = 0 }
 	}),
 	"a disk stalled": manyChangeDay(func(world *World, host *Host) func() {
 		host.stalled = true
@@ -415,7 +415,7 @@
 		return world.Heal
 	}),
 	"most daemons frozen":  darkDay(func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } }),
-	"most daemons removed": darkDay(func(world *World, host *Host) func() { world.Kill(host); host.gone = true; return func() {} }),
+	"most daemons removed": darkDay(func(world *World, host *Host) func() { world.Kill(host); host.removed = true; return func() {} }),
 }
 
 func darkDay(harm func(world *World, host *Host) (undo func())) ControlDay {
@@ -446,9 +446,9 @@
 			if order.Outcome != "unknown" {
 				took = order.Got.Sub(order.Sent)
 			}
-			world.Check.worst("answer to a change while most daemons are gone", took)
+			world.Check.recordWorst("answer to a change while most daemons are gone", took)
 			if order.Outcome == "unknown" {
-				world.Check.broken("no-ack: %s had no answer within %v, though the core is whole", order.Operation, wholeAckBound)
+				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation, wholeAckBound)
 			}
 		})
 		world.After(every, next)
--- a/verify/simulation/control_days_test.go
+++ b/verify/simulation/control_days_test.go
@@ -9,13 +9,13 @@
 func playDay(t *testing.T, seed int64, shape Shape, day ControlDay) {
 	t.Helper()
 	world, racers := PlayControlDay(seed, shape, day)
-	for _, line := range world.Check.Broken {
+	for _, line := range world.Check.Violations {
 		t.Error(line)
 	}
 	if t.Failed() {
 		t.Log(world.Log)
 	}
-	t.Logf("seed %d: %d orders in races, %d sent again, %d acknowledged; %v", seed, racers.Sent, racers.Resent, len(world.Check.acked), world.Check.Margins)
+	t.Logf("seed %d: %d orders in races, %d sent again, %d acknowledged; %v", seed, racers.Sent, racers.Resent, len(world.Check.acknowledged), world.Check.WorstCases)
 }
 
 // playDays plays each day of a table on each of the deployments; WARDTRAY_SEEDS asks for more seeds.
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -48,10 +48,10 @@
 		}
 		old := world.pick(world.Cores())
 		world.Kill(old)
-		old.gone, old.dark = true, world.random.Intn(2) == 0
+		old.removed, old.poweredOff = true, world.random.Intn(2) == 0
 		world.replaced++
 		host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-		host.newcomer = true
+		host.everStarted = true
 		world.shuffleSeeds()
 		return reboot(world, host)
 	},
@@ -121,8 +121,8 @@
 	},
 	"core slow": func(world *World) func() {
 		host := world.pick(world.Cores())
-		host.late = 300 * time.Millisecond
-		return func() { host.late = 0 }
+		host.processingDelay = 300 * time.Millisecond
+		return func() { host.processingDelay = 0 }
 	},
 	"core halved": func(world *World) func() {
 		cores := world.Cores()
@@ -132,16 +132,16 @@
 	},
 	"disk slow": func(world *World) func() {
 		host := world.pick(world.Cores())
-		host.slow = 300 * time.Millisecond
-		return func() { host.slow = 0 }
+		host.diskDelay = 300 * time.Millisecond
+		return func() { host.diskDelay = 0 }
 	},
 	"all disks slow": func(world *World) func() {
 		for _, host := range world.Cores() {
-			host.slow = 300 * time.Millisecond
+			host.diskDelay = 300 * time.Millisecond
 		}
 		return func() {
 			for _, host := range world.Cores() {
-				host.slow = 0
+				host.diskDelay = 0
 			}
 		}
 	},
@@ -188,7 +188,7 @@
 				}
 				for _, host := range cores[:min(world.Faults, len(cores)-1)] {
 					world.Wipe(host)
-					host.dark = true
+					host.poweredOff = true
 				}
 			})
 		}
@@ -207,7 +207,7 @@
 		if content := host.disk.files[names[world.random.Intn(3)]]; len(content) > 0 && world.redundant() {
 			content[world.random.Intn(len(content))] ^= 0x40
 			// Until a sweep has found it, or the machine has started anew, the loss of another disk is one too many.
-			world.unswept = world.Now.Add(sweepAllowance)
+			world.unscrubbedUntil = world.Now.Add(scrubAllowance)
 		}
 		return func() {}
 	},
@@ -277,7 +277,7 @@
 			}
 			if traffic := world.Traffic; traffic != nil {
 				traffic.History.Returns = append(traffic.History.Returns, histories.Return{At: world.Now})
-				world.insist(world.Now.Add(returnBound))
+				world.retryChange(world.Now.Add(returnBound))
 			}
 		}
 	},
@@ -361,7 +361,7 @@
 	if found := Faults[name]; found != nil {
 		return found
 	}
-	if found := CallerFaults[name]; found != nil {
+	if found := RegistrationFaults[name]; found != nil {
 		return found
 	}
 	return RunnerFaults[name]
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -149,13 +149,13 @@
 	}
 	host.coroutines = nil
 	for _, conn := range host.conns {
-		conn.crash(!host.dark)
+		conn.crash(!host.poweredOff)
 	}
 	host.conns = nil
-	askers := host.askers
-	host.askers = nil
+	askers := host.clients
+	host.clients = nil
 	for _, asker := range askers {
-		asker.lose()
+		asker.loseDaemon()
 	}
 }
 
--- a/verify/simulation/runner.go
+++ b/verify/simulation/engine.go
@@ -19,23 +19,23 @@
 
 // engine is the runner of one host, as it is in one life.
 type engine struct {
-	world   *World
-	host    *Host
-	id      string
-	service string
-	weights string
-	nature  emulator.Nature
-	started time.Time
-	active  int
-	running int
-	runs    int
-	free    time.Time
-	waiting []func() bool
-	cache   *emulator.Cache[string]
-	reports []load.Report
+	world       *World
+	host        *Host
+	id          string
+	service     string
+	weights     string
+	profile     emulator.Nature
+	started     time.Time
+	active      int
+	running     int
+	runs        int
+	prefillFree time.Time
+	waiting     []func() bool
+	cache       *emulator.Cache[string]
+	reports     []load.Report
 	// The ways in which it may misbehave: it answers nothing, breaks streams off in the middle, puts
 	// everything back, fails after it began, or tells its events wrongly.
-	mute, partial, putsBack, fails bool
+	unresponsive, partial, rejects, fails bool
 	// surplus has it send another answer behind each one, which nobody asked for; late has each answer of its own wait.
 	surplus bool
 	late    time.Duration
@@ -59,7 +59,7 @@
 		service = host.service
 	}
 	host.engine = &engine{world: world, host: host, id: fmt.Sprintf("%s-%d", host.Address, world.identities), service: service, weights: weights,
-		nature: emulator.DefaultNature, started: world.Now, cache: emulator.NewCache[string](emulator.DefaultNature.CacheTokens)}
+		profile: emulator.DefaultNature, started: world.Now, cache: emulator.NewCache[string](emulator.DefaultNature.CacheTokens)}
 	world.every(host, host.incarnation, 100*time.Millisecond, host.engine.observe)
 	// A stranger at a runner's address is nobody's runner, and the platform does not list it.
 	if host.service == "" {
@@ -74,23 +74,23 @@
 }
 
 func (engine *engine) observe() {
-	running := min(engine.active, engine.nature.Slots)
-	engine.reports = append(engine.reports, load.Report{Running: running, Waiting: engine.active - running, Slots: engine.nature.Slots})
-	if keep := int(engine.nature.ReportAge / (100 * time.Millisecond)); len(engine.reports) > keep+1 {
+	running := min(engine.active, engine.profile.Slots)
+	engine.reports = append(engine.reports, load.Report{Running: running, Waiting: engine.active - running, Slots: engine.profile.Slots})
+	if keep := int(engine.profile.ReportAge / (100 * time.Millisecond)); len(engine.reports) > keep+1 {
 		engine.reports = engine.reports[len(engine.reports)-keep-1:]
 	}
 }
 
-func (engine *engine) cold() bool {
-	return engine.world.Now.Sub(engine.started) < engine.nature.ColdTime
+func (engine *engine) warmingUp() bool {
+	return engine.world.Now.Sub(engine.started) < engine.profile.ColdTime
 }
 
-// room is how much the runner can truly do at once now.
-func (engine *engine) room() int {
-	if engine.cold() {
-		return max(1, engine.nature.Slots/engine.nature.ColdFactor)
+// capacity is how much the runner can truly do at once now.
+func (engine *engine) capacity() int {
+	if engine.warmingUp() {
+		return max(1, engine.profile.Slots/engine.profile.ColdFactor)
 	}
-	return engine.nature.Slots
+	return engine.profile.Slots
 }
 
 // serve answers one connection until it ends.
@@ -102,15 +102,15 @@
 		if err != nil {
 			return
 		}
-		reached := connection.reached
+		reached := connection.receivedAt
 		// A request whose end never came is none.
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
 		paths := map[string]func(connection *conn, request *http.Request, reached time.Time) bool{"/identity": engine.identity, "/pressure": engine.pressure, "/run": engine.run}
-		if engine.mute {
+		if engine.unresponsive {
 			if request.URL.Path == "/run" {
-				connection.serves(engine.note(connection, request, reached, true))
+				connection.bindRun(engine.recordRun(connection, request, reached, true))
 			}
 			engine.world.until(func() bool { return false })
 		}
@@ -140,31 +140,31 @@
 }
 
 func (engine *engine) pressure(connection *conn, _ *http.Request, _ time.Time) bool {
-	told := load.Report{Slots: engine.nature.Slots}
+	told := load.Report{Slots: engine.profile.Slots}
 	if len(engine.reports) > 0 {
 		told = engine.reports[0]
 	}
 	return answer(connection, 200, told)
 }
 
-// note records a request as read.
-func (engine *engine) note(connection *conn, request *http.Request, reached time.Time, started bool) *histories.Run {
+// recordRun records a request as read.
+func (engine *engine) recordRun(connection *conn, request *http.Request, reached time.Time, started bool) *histories.Run {
 	epoch, _ := strconv.ParseUint(request.Header.Get(admission.HeaderEpoch), 10, 64)
-	run := &histories.Run{At: reached, Sent: connection.sent, Request: request.Header.Get(admission.HeaderRequest), Route: request.Header.Get(admission.HeaderRoute), Pool: engine.world.Traffic.Mix.Pool,
+	run := &histories.Run{At: reached, Sent: connection.sentAt, Request: request.Header.Get(admission.HeaderRequest), Route: request.Header.Get(admission.HeaderRoute), Pool: engine.world.Traffic.Mix.Pool,
 		Model: request.Header.Get(admission.HeaderModel), Weights: engine.weights, Runner: engine.id, Wanted: request.Header.Get(admission.HeaderRunner), Service: engine.service,
-		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Concurrent: engine.active, WarmingUp: engine.cold(), Capacity: engine.room()}
-	engine.world.Traffic.ran(run)
+		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Concurrent: engine.active, WarmingUp: engine.warmingUp(), Capacity: engine.capacity()}
+	engine.world.Traffic.recordRun(run)
 	return run
 }
 
 // run does a piece of work; it tells whether the connection can be used again.
 func (engine *engine) run(connection *conn, request *http.Request, reached time.Time) bool {
-	if engine.putsBack || engine.active >= engine.nature.Slots+engine.nature.PutBackAbove {
-		engine.note(connection, request, reached, false)
+	if engine.rejects || engine.active >= engine.profile.Slots+engine.profile.PutBackAbove {
+		engine.recordRun(connection, request, reached, false)
 		return answer(connection, 503, map[string]any{"started": false})
 	}
-	run := engine.note(connection, request, reached, true)
-	connection.serves(run)
+	run := engine.recordRun(connection, request, reached, true)
+	connection.bindRun(run)
 	engine.active++
 	engine.runs++
 	run.Name = fmt.Sprintf("%s/%d", engine.id, engine.runs)
@@ -178,10 +178,10 @@
 	}
 	connection.server = engine.world.current
 	defer func() { connection.server = nil }()
-	if !engine.slot(connection) {
+	if !engine.acquireSlot(connection) {
 		return false
 	}
-	defer engine.leave()
+	defer engine.releaseSlot()
 	var parts []string
 	var tokens []int
 	for _, value := range request.Header.Values(admission.HeaderPrefix) {
@@ -197,9 +197,9 @@
 	return engine.stream(connection, run, length)
 }
 
-// slot waits for one of the engine's slots; it tells whether the request's connection stood so long.
-func (engine *engine) slot(connection *conn) bool {
-	if engine.running < engine.nature.Slots {
+// acquireSlot waits for one of the engine's slots; it tells whether the request's connection stood so long.
+func (engine *engine) acquireSlot(connection *conn) bool {
+	if engine.running < engine.profile.Slots {
 		engine.running++
 		return true
 	}
@@ -222,8 +222,8 @@
 	return true
 }
 
-// leave hands the slot to the next that still waits.
-func (engine *engine) leave() {
+// releaseSlot hands the slot to the next that still waits.
+func (engine *engine) releaseSlot() {
 	for len(engine.waiting) > 0 {
 		next := engine.waiting[0]
 		engine.waiting = engine.waiting[1:]
@@ -248,16 +248,16 @@
 
 // prefill takes one prompt after the other; it tells whether the request's connection stood so long.
 func (engine *engine) prefill(connection *conn, tokens int) bool {
-	length := time.Duration(tokens) * engine.nature.TokenTime * time.Duration(max(1, engine.slow))
-	if engine.cold() {
-		length *= time.Duration(engine.nature.ColdFactor)
+	length := time.Duration(tokens) * engine.profile.TokenTime * time.Duration(max(1, engine.slow))
+	if engine.warmingUp() {
+		length *= time.Duration(engine.profile.ColdFactor)
 	}
 	begin := engine.world.Now
-	if engine.free.After(begin) {
-		begin = engine.free
+	if engine.prefillFree.After(begin) {
+		begin = engine.prefillFree
 	}
-	engine.free = begin.Add(length)
-	return engine.work(connection, engine.free.Sub(engine.world.Now))
+	engine.prefillFree = begin.Add(length)
+	return engine.work(connection, engine.prefillFree.Sub(engine.world.Now))
 }
 
 // garbled are the ways in which a runner may tell its third event wrongly.
@@ -273,7 +273,7 @@
 func (engine *engine) stream(connection *conn, run *histories.Run, length int) bool {
 	name := run.Name
 	events := min(12, 2+length/24)
-	gap := time.Duration(length) * engine.nature.AnswerTime * time.Duration(max(1, engine.slow)) / time.Duration(events)
+	gap := time.Duration(length) * engine.profile.AnswerTime * time.Duration(max(1, engine.slow)) / time.Duration(events)
 	if _, err := io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return false
 	}
@@ -308,21 +308,21 @@
 // platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
 type platform struct {
 	world        *World
-	truth        []*wire.Runner
-	runners      []*wire.Runner
+	actual       []*wire.Runner
+	listed       []*wire.Runner
 	previous     [][]*wire.Runner
-	left         map[string]time.Time
+	removedAt    map[string]time.Time
 	incarnations int
-	// silent lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
-	// half leaves some out.
-	silent, empty, stuck, half bool
-	older                      bool
+	// unreachable lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
+	// truncated leaves some out.
+	unreachable, empty, frozen, truncated bool
+	outdated                              bool
 }
 
 // set changes a runner's true state; an empty state takes it off.
 func (platform *platform) set(host *Host, state string) {
-	kept := make([]*wire.Runner, 0, len(platform.truth)+1)
-	for _, line := range platform.truth {
+	kept := make([]*wire.Runner, 0, len(platform.actual)+1)
+	for _, line := range platform.actual {
 		if line.Address != host.Address {
 			kept = append(kept, line)
 		}
@@ -330,31 +330,31 @@
 	if state != "" {
 		kept = append(kept, &wire.Runner{RunnerId: host.engine.id, Address: host.Address, Zone: host.Zone, Service: host.engine.service, State: state})
 	}
-	platform.truth = kept
+	platform.actual = kept
 }
 
 // publish makes what is served follow the truth, and notes who is seen to leave.
 func (platform *platform) publish() {
-	served := append([]*wire.Runner{}, platform.truth...)
-	if platform.half {
+	served := append([]*wire.Runner{}, platform.actual...)
+	if platform.truncated {
 		served = served[:len(served)/2]
 	}
-	if platform.older && len(platform.previous) > 0 {
+	if platform.outdated && len(platform.previous) > 0 {
 		served = platform.previous[0]
 	}
-	if !platform.stuck && !platform.silent && len(served) > 0 && !platform.empty {
-		platform.note(platform.runners, served)
-		platform.previous = append(platform.previous, platform.runners)
+	if !platform.frozen && !platform.unreachable && len(served) > 0 && !platform.empty {
+		platform.recordDrains(platform.listed, served)
+		platform.previous = append(platform.previous, platform.listed)
 		if len(platform.previous) > 8 {
 			platform.previous = platform.previous[1:]
 		}
-		platform.runners = served
+		platform.listed = served
 	}
 	platform.world.After(emulator.ListLag, platform.publish)
 }
 
-// note records who began to leave between two lists, and who is back.
-func (platform *platform) note(before, now []*wire.Runner) {
+// recordDrains records who began to leave between two lists, and who is back.
+func (platform *platform) recordDrains(before, now []*wire.Runner) {
 	record := platform.world.Traffic.History
 	going, listed := map[string]bool{}, map[string]string{}
 	for _, line := range now {
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -116,7 +116,7 @@
 		world.CutOff([]*Host{host}, world.Runners())
 		return both(over, world.Heal)
 	},
-	"runner mute":    misbehave(silentLoss, func(engine *engine, on bool) { engine.mute = on }),
+	"runner mute":    misbehave(silentLoss, func(engine *engine, on bool) { engine.unresponsive = on }),
 	"runner partial": misbehave(0, func(engine *engine, on bool) { engine.partial = on }),
 	"runner fails":   misbehave(0, func(engine *engine, on bool) { engine.fails = on }),
 	"runner slow":    misbehave(silentLoss, func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }),
@@ -141,8 +141,8 @@
 			for _, conn := range append([]*conn{}, host.conns...) {
 				if world.random.Intn(2) == 0 {
 					torn := conn
-					world.After(world.wayTime(), func() { torn.fail(errReset) })
-					world.After(world.wayTime(), func() { torn.peer.fail(errReset) })
+					world.After(world.transitTime(), func() { torn.fail(errReset) })
+					world.After(world.transitTime(), func() { torn.peer.fail(errReset) })
 				}
 			}
 			world.After(time.Duration(world.random.Int63n(int64(200*time.Millisecond))), reset)
@@ -172,11 +172,11 @@
 		var overs []func()
 		for _, host := range world.Runners() {
 			overs = append(overs, world.touch(false, 0, host))
-			host.engine.putsBack = true
+			host.engine.rejects = true
 		}
 		return func() {
 			for _, host := range world.Runners() {
-				host.engine.putsBack = false
+				host.engine.rejects = false
 			}
 			for _, over := range overs {
 				over()
@@ -239,18 +239,18 @@
 			over()
 		}
 	},
-	"list silent": list(func(platform *platform, on bool) { platform.silent = on }),
+	"list silent": list(func(platform *platform, on bool) { platform.unreachable = on }),
 	"list empty":  list(func(platform *platform, on bool) { platform.empty = on }),
-	"list stuck":  list(func(platform *platform, on bool) { platform.stuck = on }),
-	"list half":   list(func(platform *platform, on bool) { platform.half = on }),
-	"list older":  list(func(platform *platform, on bool) { platform.older = on }),
+	"list stuck":  list(func(platform *platform, on bool) { platform.frozen = on }),
+	"list half":   list(func(platform *platform, on bool) { platform.truncated = on }),
+	"list older":  list(func(platform *platform, on bool) { platform.outdated = on }),
 	"daemon drained": func(world *World) func() {
 		world.drainData(world.pick(world.Datas()))
 		return func() {}
 	},
 	"crowd": func(world *World) func() {
-		world.Traffic.crowds++
-		return func() { world.Traffic.crowds-- }
+		world.Traffic.overloadBursts++
+		return func() { world.Traffic.overloadBursts-- }
 	},
 	"hot key": func(world *World) func() {
 		world.Traffic.Hot = 0.9
@@ -296,17 +296,17 @@
 	Length time.Duration
 	// Every is about how often operators send a change, Takes the part of their specs that take
 	// something away.
-	Every time.Duration
-	Takes float64
+	Every    time.Duration
+	TakeAway float64
 	// Rate is how many requests come a second; Quits, Leaves and Repeats are the parts of them whose clients
 	// hang up in the middle of an answer, hang up at any moment, or send them again.
-	Rate, Quits, Leaves, Retries float64
+	Rate, HangUpsMidway, HangUps, Retries float64
 	// Mix, where it is given, changes the deployment's.
 	Mix func(mix loadtest.Mix) loadtest.Mix
 }
 
 // DefaultTrial is that of the proofs, without any harm yet.
-var DefaultTrial = Trial{AtOnce: 1, Length: 40 * time.Second, Every: 2 * time.Second, Takes: 0.25, Rate: 60, Quits: 0.01, Retries: 0.03}
+var DefaultTrial = Trial{AtOnce: 1, Length: 40 * time.Second, Every: 2 * time.Second, TakeAway: 0.25, Rate: 60, HangUpsMidway: 0.01, Retries: 0.03}
 
 // Try founds a deployment, does harm to it under load, ends that, and judges the whole.
 func Try(seed int64, shape Shape, trial Trial) *World {
@@ -320,7 +320,7 @@
 	first := &Operators{world: world, number: 500_000}
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate, traffic.Quits, traffic.Leaves, traffic.Retries, traffic.Takes = trial.Rate, trial.Quits, trial.Leaves, trial.Retries, trial.Takes
+	traffic.Rate, traffic.HangUpsMidway, traffic.HangUps, traffic.Retries, traffic.TakeAway = trial.Rate, trial.HangUpsMidway, trial.HangUps, trial.Retries, trial.TakeAway
 	operators := world.StartOperators(trial.Every)
 	world.Run(5 * time.Second)
 	if len(trial.Faults) > 0 {
@@ -328,23 +328,23 @@
 	}
 	world.Run(trial.Length + time.Millisecond)
 	// Whether service is back can only be seen while somebody asks for it.
-	traffic.Takes = 0
+	traffic.TakeAway = 0
 	world.Run(returnBound)
 	operators.Stop()
 	took, fine := world.Recovered(returnBound)
-	world.Check.worst("service after the last fault", took)
-	if !fine && len(world.Check.Broken) == 0 {
-		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
+	world.Check.recordWorst("service after the last fault", took)
+	if !fine && len(world.Check.Violations) == 0 {
+		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
 	traffic.stopped = true
 	// The longest patience must be over before a request can be called forgotten.
-	for end := world.Now.Add(45 * time.Second); traffic.waiting() > 0 && world.Now.Before(end) && len(world.Check.Broken) == 0; {
+	for end := world.Now.Add(45 * time.Second); traffic.waiting() > 0 && world.Now.Before(end) && len(world.Check.Violations) == 0; {
 		world.Run(time.Second)
 	}
-	if len(world.Check.Broken) == 0 {
+	if len(world.Check.Violations) == 0 {
 		traffic.finishAll()
 	}
-	if len(world.Check.Broken) == 0 {
+	if len(world.Check.Violations) == 0 {
 		traffic.End()
 	}
 	return world
@@ -354,7 +354,7 @@
 func (traffic *Traffic) waiting() int {
 	count := 0
 	for _, host := range traffic.world.Datas() {
-		count += len(host.askers)
+		count += len(host.clients)
 	}
 	return count
 }
@@ -362,8 +362,8 @@
 // finishAll looks for requests that were never answered although nothing keeps them any more.
 func (traffic *Traffic) finishAll() {
 	for _, host := range traffic.world.Datas() {
-		for _, asker := range host.askers {
-			traffic.world.Check.broken("dropped: %s, sent to %s %v ago, has no answer yet", asker.record.Request, host.Address, traffic.world.Now.Sub(asker.record.Sent))
+		for _, asker := range host.clients {
+			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", asker.record.Request, host.Address, traffic.world.Now.Sub(asker.record.Sent))
 		}
 	}
 }
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -63,7 +63,7 @@
 // advance runs the world until a moment, or until done reports true, and samples the remaining daemons' leases.
 func (run *lossRun) advance(until time.Time, done func() bool) {
 	const sampleEvery = 20 * time.Millisecond
-	for run.world.Now.Before(until) && len(run.world.Check.Broken) == 0 && !done() {
+	for run.world.Now.Before(until) && len(run.world.Check.Violations) == 0 && !done() {
 		run.world.Run(sampleEvery)
 		for _, host := range run.world.Datas() {
 			if run.lost[host] || !host.Up() {
@@ -98,7 +98,7 @@
 
 func (run *lossRun) check(t *testing.T) {
 	t.Helper()
-	for _, line := range run.world.Check.Broken {
+	for _, line := range run.world.Check.Violations {
 		t.Error(line)
 	}
 	for period := range lossPeriods {
@@ -147,7 +147,7 @@
 			run.period = withoutHead
 			run.advance(started.Add(returnAt), func() bool { return leader(world) != nil })
 			if leader(world) == nil {
-				t.Fatalf("no head within %v of the loss: %v", returnAt-lossAt, world.Check.Broken)
+				t.Fatalf("no head within %v of the loss: %v", returnAt-lossAt, world.Check.Violations)
 			}
 			run.period = withHalf
 			run.advance(started.Add(returnAt), never)
@@ -169,7 +169,7 @@
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
 	kinds, unaddressed := map[string]bool{}, 0
-	world := Found(1, shape, func(world *World) { world.StartCallers(6, shape.Zones) })
+	world := Found(1, shape, func(world *World) { world.StartRegisteringRunners(6, shape.Zones) })
 	world.Metrics = func(from, to *Host, kind string, _ int) {
 		if to == nil {
 			unaddressed++
@@ -202,8 +202,8 @@
 	if unaddressed > 0 {
 		t.Errorf("%d messages went to nobody", unaddressed)
 	}
-	world.Callers.truth()
-	for _, line := range world.Check.Broken {
+	world.RegisteringRunners.checkFinalLists()
+	for _, line := range world.Check.Violations {
 		t.Error(line)
 	}
 }
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -15,8 +15,8 @@
 	Kinds map[string]float64
 }
 
-// tallied counts a message that a host sends.
-func (world *World) tallied(from, to *Host, envelope *wire.Envelope, size int) {
+// countMessage counts a message that a host sends.
+func (world *World) countMessage(from, to *Host, envelope *wire.Envelope, size int) {
 	if world.Metrics != nil {
 		world.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
 	}
@@ -25,7 +25,7 @@
 // MeasureIdle gives what data daemons, cores, and the busiest core do in a second of quiet.
 func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
 	const length = 10 * time.Second
-	world := Found(seed, shape, func(world *World) { world.StartCallers(18, shape.Zones) })
+	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
 	world.Run(10 * time.Second)
 	counts := map[*Host]*Idle{}
 	of := func(host *Host) *Idle {
--- a/verify/simulation/apart.go
+++ b/verify/simulation/isolation.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// regainBound is within what time of getting back a path to the core a daemon has learned of what it missed, or
+	// reconnectBound is within what time of getting back a path to the core a daemon has learned of what it missed, or
 	// serves no more. The users' rule leaves it three seconds.
-	regainBound = time.Second
+	reconnectBound = time.Second
 	// leaseBound is how much longer than the last answer of a core machine a lease counts, with what clocks go wrong.
 	leaseBound = 1200 * time.Millisecond
 )
 
-// separation is how a data daemon stands to the core: since when it has had no path both ways to any core machine that
+// isolation is how a data daemon stands to the core: since when it has had no path both ways to any core machine that
 // runs, is not frozen and itself reaches more than half of the core; and the last such time that is over.
-type separation struct {
+type isolation struct {
 	since, previous, finished time.Time
-	record                    *histories.Isolation
+	history                   *histories.Isolation
 }
 
 // topologyChanged says that links, machines or processes are other than before.
-func (world *World) topologyChanged() { world.stale = true }
+func (world *World) topologyChanged() { world.topologyDirty = true }
 
-// refreshSeparation brings each daemon's separation from the core up to date after a change of the topology.
-func (world *World) refreshSeparation() {
-	if !world.stale {
+// refreshIsolation brings each daemon's separation from the core up to date after a change of the topology.
+func (world *World) refreshIsolation() {
+	if !world.topologyDirty {
 		return
 	}
-	world.stale = false
-	settled := world.settledCores()
+	world.topologyDirty = false
+	settled := world.quorumCores()
 	for _, host := range world.Datas() {
-		world.separate(host, !world.reachesAny(host, settled))
+		world.setIsolated(host, !world.reachesAny(host, settled))
 	}
 }
 
-// settledCores gives the running, unfrozen core machines that reach more than half of the core.
-func (world *World) settledCores() []*Host {
+// quorumCores gives the running, unfrozen core machines that reach more than half of the core.
+func (world *World) quorumCores() []*Host {
 	cores := world.Cores()
 	var settled []*Host
 	for _, host := range cores {
@@ -71,24 +71,24 @@
 	return world.passes(one, other) && world.passes(other, one)
 }
 
-// separate notes that a daemon has lost the core, or has it back.
-func (world *World) separate(host *Host, apart bool) {
-	separation := &host.separation
+// setIsolated notes that a daemon has lost the core, or has it back.
+func (world *World) setIsolated(host *Host, apart bool) {
+	separation := &host.isolation
 	if apart != separation.since.IsZero() {
 		return
 	}
 	if !apart {
 		separation.previous, separation.finished = separation.since, world.Now
 		separation.since = time.Time{}
-		if separation.record != nil {
-			separation.record.Until = world.Now.Add(regainBound)
+		if separation.history != nil {
+			separation.history.Until = world.Now.Add(reconnectBound)
 		}
 		return
 	}
-	separation.since, separation.record = world.Now, nil
+	separation.since, separation.history = world.Now, nil
 	if world.Traffic != nil && world.WithoutCore > 0 {
-		separation.record = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
-		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, separation.record)
+		separation.history = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
+		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, separation.history)
 	}
 }
 
@@ -97,22 +97,22 @@
 func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
 	world := checker.world
 	if late <= bound {
-		checker.worst("change ignored after the acknowledgement", late)
+		checker.recordWorst("change ignored after the acknowledgement", late)
 		return true
 	}
 	if world.WithoutCore == 0 {
 		return false
 	}
-	separation := &host.separation
+	separation := &host.isolation
 	if !separation.since.IsZero() {
 		length := world.Now.Sub(separation.since)
-		checker.worst("older news used without the core", length)
+		checker.recordWorst("older news used without the core", length)
 		return length <= world.WithoutCore+leaseBound
 	}
 	back := world.Now.Sub(separation.finished)
-	if separation.finished.IsZero() || back > regainBound {
+	if separation.finished.IsZero() || back > reconnectBound {
 		return false
 	}
-	checker.worst("older news used after the core was back", back)
+	checker.recordWorst("older news used after the core was back", back)
 	return separation.finished.Sub(separation.previous) <= world.WithoutCore+leaseBound
 }
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -53,14 +53,14 @@
 			operators.change(pick())
 		},
 		func() { operators.change(pick()) },
-		func() { operators.amend(pick()) },
+		func() { operators.changeEntries(pick()) },
 		func() {
-			operators.amend(pick())
-			operators.again(pick())
+			operators.changeEntries(pick())
+			operators.resend(pick())
 		},
 		func() {
 			operators.apply(pick())
-			world.After(time.Duration(world.random.Int63n(int64(2*time.Second))), func() { operators.again(pick()) })
+			world.After(time.Duration(world.random.Int63n(int64(2*time.Second))), func() { operators.resend(pick()) })
 		},
 		func() {
 			operators.number++
@@ -93,23 +93,23 @@
 	operators.number++
 	content := SpecText(operators.number)
 	if traffic := operators.world.Traffic; traffic != nil {
-		content = traffic.draft(fmt.Sprintf("o%d", operators.number), operators.number)
+		content = traffic.draftSpec(fmt.Sprintf("o%d", operators.number), operators.number)
 	}
 	return operators.send(host, &wire.OperatorRequest{Verb: "apply", Spec: content})
 }
 
 // change sends a whole spec or named entries.
 func (operators *Operators) change(host *Host) *Order {
-	return []func(host *Host) *Order{operators.apply, operators.amend}[operators.world.random.Intn(2)](host)
+	return []func(host *Host) *Order{operators.apply, operators.changeEntries}[operators.world.random.Intn(2)](host)
 }
 
-// amend sends named entries.
-func (operators *Operators) amend(host *Host) *Order {
+// changeEntries sends named entries.
+func (operators *Operators) changeEntries(host *Host) *Order {
 	operators.number++
 	content := fmt.Sprintf(`{"upsert":{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
 "lanes":[{"name":"x%d","pool":"p","patience":"1s"}]},"remove":{"lanes":["x%d"]}}`, operators.number, operators.number-1)
 	if traffic := operators.world.Traffic; traffic != nil {
-		content = string(traffic.amend(operators.number).Encode())
+		content = string(traffic.draftChange(operators.number).Encode())
 	}
 	return operators.send(host, &wire.OperatorRequest{Verb: "change", Spec: []byte(content)})
 }
@@ -127,8 +127,8 @@
 	return operators.order
 }
 
-// again sends the newest change once more, as an operator does who got no clear answer.
-func (operators *Operators) again(host *Host) *Order {
+// resend sends the newest change once more, as an operator does who got no clear answer.
+func (operators *Operators) resend(host *Host) *Order {
 	if operators.last == nil {
 		return nil
 	}
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -60,7 +60,7 @@
 	watch.sample()
 	world.Schedule(paceLength, names, 1)
 	world.Run(paceLength + time.Second)
-	watch.pace.Broken = world.Check.Broken
+	watch.pace.Broken = world.Check.Violations
 	return watch.pace
 }
 
@@ -90,7 +90,7 @@
 	}
 	sent := watch.order.Sent
 	watch.asked = watch.world.pick(watch.world.Cores())
-	watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.again(watch.asked)
+	watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.resend(watch.asked)
 	watch.order.Sent = sent
 }
 
@@ -125,7 +125,7 @@
 // look takes down a daemon's starts and its pauses while it is left alone.
 func (watch *paceWatch) look(host *Host) {
 	world, local := watch.world, watch.world.local(host)
-	serves := host.up && !host.frozen && local.Before(host.data.Until(local))
+	serves := host.up && !host.frozen && local.Before(host.controller.Until(local))
 	if host.incarnation != watch.incarnations[host] && host.up {
 		watch.incarnations[host], watch.starting[host] = host.incarnation, world.Now
 		watch.quietSince[host] = world.Now
--- a/verify/simulation/platform_list.go
+++ b/verify/simulation/platform_list.go
@@ -12,7 +12,7 @@
 
 // fill lists so many runners.
 func (platform *platform) fill(count int) {
-	platform.left = map[string]time.Time{}
+	platform.removedAt = map[string]time.Time{}
 	for range count {
 		platform.add()
 	}
@@ -20,20 +20,20 @@
 
 func (platform *platform) add() {
 	platform.incarnations++
-	platform.runners = append(platform.runners, &wire.Runner{RunnerId: fmt.Sprintf("r%d", platform.incarnations), Address: "x", Zone: "a", Service: "s", State: "ready"})
+	platform.listed = append(platform.listed, &wire.Runner{RunnerId: fmt.Sprintf("r%d", platform.incarnations), Address: "x", Zone: "a", Service: "s", State: "ready"})
 }
 
 // replace takes one runner off and lists another.
 func (platform *platform) replace(random *rand.Rand) {
-	place := random.Intn(len(platform.runners))
-	platform.left[platform.runners[place].RunnerId] = platform.world.Now
-	kept := append([]*wire.Runner{}, platform.runners[:place]...)
-	platform.runners = append(kept, platform.runners[place+1:]...)
+	place := random.Intn(len(platform.listed))
+	platform.removedAt[platform.listed[place].RunnerId] = platform.world.Now
+	kept := append([]*wire.Runner{}, platform.listed[:place]...)
+	platform.listed = append(kept, platform.listed[place+1:]...)
 	platform.add()
 }
 
 func (platform *platform) poll(host *Host, incarnation int) {
-	content, read := platform.served(), !platform.silent
+	content, read := platform.served(), !platform.unreachable
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
 		world.on(host, incarnation, func() { host.plane.Listed(content, read) })
@@ -43,7 +43,7 @@
 // served is the list as the platform gives it now.
 func (platform *platform) served() []byte {
 	lines := []dataplane.ListedRunner{}
-	for _, runner := range platform.runners {
+	for _, runner := range platform.listed {
 		lines = append(lines, dataplane.ListedRunner{RunnerID: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: runner.State})
 	}
 	if platform.empty {
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -11,8 +11,8 @@
 const (
 	returnBound = histories.ReturnBound
 	repairBound = 15 * time.Second
-	// sweepAllowance is how long damage on a disk may go unfound: until the next sweep, and a while to mend it.
-	sweepAllowance = 6 * time.Second
+	// scrubAllowance is how long damage on a disk may go unfound: until the next sweep, and a while to mend it.
+	scrubAllowance = 6 * time.Second
 )
 
 // head gives the machine that leads, or any if none does.
@@ -27,7 +27,7 @@
 
 // redundant tells whether every core is in the chain and the acceptors are live and complete.
 func (world *World) redundant() bool {
-	if world.Now.Before(world.unswept) {
+	if world.Now.Before(world.unscrubbedUntil) {
 		return false
 	}
 	for _, host := range world.Cores() {
@@ -39,7 +39,7 @@
 		if place != "outside" && status.Pending > 2 || len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
 			return false
 		}
-		if len(status.Warnings) > 0 && world.roomy() || len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
+		if len(status.Warnings) > 0 && world.hasSpareDisks() || len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
 			false || view.Epoch != world.newestView().Epoch {
 			return false
 		}
@@ -47,9 +47,9 @@
 	return true
 }
 
-// roomy tells whether there are disks and zones enough for everything that the status page wants; where there
+// hasSpareDisks tells whether there are disks and zones enough for everything that the status page wants; where there
 // are not, its warnings stay.
-func (world *World) roomy() bool {
+func (world *World) hasSpareDisks() bool {
 	zones := map[string]bool{}
 	for _, host := range world.Cores() {
 		zones[host.Zone] = true
@@ -68,9 +68,9 @@
 	return newest
 }
 
-// insist has an operator send a change again and again until one is accepted or a moment has come, so
+// retryChange has an operator send a change again and again until one is accepted or a moment has come, so
 // that somebody asks for what the machines' return is judged by.
-func (world *World) insist(until time.Time) {
+func (world *World) retryChange(until time.Time) {
 	operators := &Operators{world: world, number: 700_000 + 100*len(world.Check.Orders)}
 	var order *Order
 	var ask func()
@@ -90,7 +90,7 @@
 	started := world.Now
 	operators := &Operators{world: world, number: 1_000_000}
 	var order *Order
-	for world.Now.Sub(started) < bound && len(world.Check.Broken) == 0 {
+	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
 		if order == nil || order.Outcome == "refused" || order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
 			operators.base = world.Check.greatestKnown()
 			order = operators.apply(world.pick(world.Cores()))
@@ -106,7 +106,7 @@
 func (world *World) allServe(epoch uint64) bool {
 	for _, host := range world.Datas() {
 		local := world.local(host)
-		if !host.up || !local.Before(host.data.Until(local)) || host.data.Snapshot(local).SpecEpoch < epoch {
+		if !host.up || !local.Before(host.controller.Until(local)) || host.controller.Snapshot(local).SpecEpoch < epoch {
 			return false
 		}
 	}
@@ -127,13 +127,13 @@
 	world.Schedule(time.Minute, names, atOnce)
 	world.Run(time.Minute + time.Millisecond)
 	operators.Stop()
-	if len(world.Check.Broken) > 0 {
+	if len(world.Check.Violations) > 0 {
 		return world
 	}
 	took, fine := world.Recovered(returnBound)
-	world.Check.worst("service after the last fault", took)
-	if !fine && len(world.Check.Broken) == 0 {
-		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
+	world.Check.recordWorst("service after the last fault", took)
+	if !fine && len(world.Check.Violations) == 0 {
+		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
 	return world
 }
@@ -145,7 +145,7 @@
 		text += "  " + line + "\n"
 	}
 	for _, host := range world.Hosts {
-		if host.engine != nil || host.gone {
+		if host.engine != nil || host.removed {
 			continue
 		}
 		if !host.up {
@@ -157,9 +157,9 @@
 			continue
 		}
 		if !host.Core {
-			snapshot := host.data.Snapshot(local)
+			snapshot := host.controller.Snapshot(local)
 			text += fmt.Sprintf("  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address, local.Before(snapshot.Until), snapshot.Sequence,
-				snapshot.SpecEpoch, host.data.View().GetEpoch())
+				snapshot.SpecEpoch, host.controller.View().GetEpoch())
 			continue
 		}
 		status := host.node.Status(local)
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// racersMost is how many orders may be under way at once.
-	racersMost = 8
-	racerEvery = 100 * time.Millisecond
-	// answerPatience is how long an operator waits for an answer before it sends the same order again, to another core
+	// maximumInFlight is how many orders may be under way at once.
+	maximumInFlight = 8
+	racerEvery      = 100 * time.Millisecond
+	// answerTimeout is how long an operator waits for an answer before it sends the same order again, to another core
 	// machine, and retryGrowth by how much more at each further try.
-	answerPatience = time.Second
+	answerTimeout  = time.Second
 	retryGrowth    = 200 * time.Millisecond
-	retriesMost    = 12
+	maximumRetries = 12
 )
 
 // Racers are operators who build on the same versions at once, read, and send the same order again, unchanged, where
 // they got no answer. They ask any core machine that is not gone, whatever stands between it and the others.
 type Racers struct {
 	world    *World
-	underway []*racedOrder
+	inFlight []*racedOrder
 	number   int
 	stopped  bool
 	// LostAnswers is the part of the answers that never reach the operator.
@@ -38,9 +38,9 @@
 
 // racedOrder is an order whose operator waits for its answer.
 type racedOrder struct {
-	ask   *wire.OperatorRequest
-	order *Order
-	tries int
+	request *wire.OperatorRequest
+	order   *Order
+	tries   int
 }
 
 // StartRacers begins.
@@ -59,7 +59,7 @@
 	}
 	racers.followUp()
 	world := racers.world
-	if len(racers.underway) <= racersMost-2 && world.Now.Sub(racers.started) >= racers.Every {
+	if len(racers.inFlight) <= maximumInFlight-2 && world.Now.Sub(racers.started) >= racers.Every {
 		racers.started = world.Now
 		racers.race()
 	}
@@ -79,23 +79,23 @@
 		ask := &wire.OperatorRequest{Verb: "apply", Spec: SpecText(racers.number), Operation: fmt.Sprintf("o%d", racers.number), Base: base, HasBase: true,
 			Epoch: epoch, HasEpoch: true}
 		order := racers.world.Check.Send(racers.world.pick(racers.world.Cores()), proto.Clone(ask).(*wire.OperatorRequest))
-		racers.underway = append(racers.underway, &racedOrder{ask: ask, order: order})
+		racers.inFlight = append(racers.inFlight, &racedOrder{request: ask, order: order})
 	}
 }
 
 // followUp drops the orders whose answer came, and sends again those whose operator has heard nothing.
 func (racers *Racers) followUp() {
 	var waiting []*racedOrder
-	for _, raced := range racers.underway {
-		if !racers.over(raced) {
+	for _, raced := range racers.inFlight {
+		if !racers.finished(raced) {
 			waiting = append(waiting, raced)
 		}
 	}
-	racers.underway = waiting
+	racers.inFlight = waiting
 }
 
-// over tells whether nothing more is done about an order.
-func (racers *Racers) over(raced *racedOrder) bool {
+// finished tells whether nothing more is done about an order.
+func (racers *Racers) finished(raced *racedOrder) bool {
 	world := racers.world
 	answered := raced.order.Outcome != "unknown"
 	if answered && world.random.Float64() >= racers.LostAnswers {
@@ -105,14 +105,14 @@
 		// The answer is lost: the operator hears nothing, now or later, of this try.
 		raced.order = &Order{Operation: raced.order.Operation, Outcome: "unknown", Sent: raced.order.Sent}
 	}
-	if world.Now.Sub(raced.order.Sent) < answerPatience+time.Duration(raced.tries)*retryGrowth {
+	if world.Now.Sub(raced.order.Sent) < answerTimeout+time.Duration(raced.tries)*retryGrowth {
 		return false
 	}
-	if raced.tries >= retriesMost {
+	if raced.tries >= maximumRetries {
 		return true
 	}
 	raced.tries++
 	racers.Resent++
-	raced.order = world.Check.Resend(world.pick(world.Cores()), raced.order, raced.ask)
+	raced.order = world.Check.Resend(world.pick(world.Cores()), raced.order, raced.request)
 	return false
 }
--- a/verify/simulation/callers.go
+++ b/verify/simulation/registering_runners.go
@@ -20,24 +20,24 @@
 	silentKnown = 20 * time.Second
 )
 
-// Callers are runners that register themselves at the cores, with what is known of each life.
-type Callers struct {
+// RegisteringRunners are runners that register themselves at the cores, with what is known of each life.
+type RegisteringRunners struct {
 	world        *World
 	incarnations int
-	Incarnations []*callerIncarnation
-	// Events is about how often one of them leaves, crashes, or is replaced; none while it is 0.
-	Events time.Duration
-	// Kept is from when on a runner that calls must be listed by every daemon that awards work, after its first
+	Incarnations []*runnerIncarnation
+	// Every is about how often one of them leaves, crashes, or is replaced; none while it is 0.
+	Every time.Duration
+	// KnownBound is from when on a runner that calls must be listed by every daemon that awards work, after its first
 	// acknowledgement; 0: no daemon must, since cores are cut apart.
-	Kept time.Duration
-	byID map[string]*callerIncarnation
-	// Acks and Refusals count the answers to calls.
-	Acks, Refusals int
+	KnownBound time.Duration
+	byID       map[string]*runnerIncarnation
+	// Acknowledged and Refusals count the answers to calls.
+	Acknowledged, Rejected int
 }
 
-// callerIncarnation is one life of a runner.
-type callerIncarnation struct {
-	callers *Callers
+// runnerIncarnation is one life of a runner.
+type runnerIncarnation struct {
+	runners *RegisteringRunners
 	id      string
 	address string
 	zone    string
@@ -47,26 +47,26 @@
 	core    int
 	state   string
 	running bool
-	// wait is the call under way.
-	wait uint64
-	// known is when a call was first acknowledged, left when it was that it drains or is gone, ended when it
+	// pendingCall is the call under way.
+	pendingCall uint64
+	// knownSince is when a call was first acknowledged, left when it was that it drains or is gone, ended when it
 	// stopped without a word or with one.
-	known, left, finished time.Time
+	knownSince, leftAt, finishedAt time.Time
 }
 
-// StartCallers brings in so many runners.
-func (world *World) StartCallers(count int, zones []string) *Callers {
-	callers := &Callers{world: world, byID: map[string]*callerIncarnation{}}
-	world.Callers = callers
+// StartRegisteringRunners brings in so many runners.
+func (world *World) StartRegisteringRunners(count int, zones []string) *RegisteringRunners {
+	callers := &RegisteringRunners{world: world, byID: map[string]*runnerIncarnation{}}
+	world.RegisteringRunners = callers
 	for number := range count {
-		callers.begin(fmt.Sprintf("10.9.0.%d:80", number), zones[number%len(zones)], "s")
+		callers.start(fmt.Sprintf("10.9.0.%d:80", number), zones[number%len(zones)], "s")
 	}
 	return callers
 }
 
-func (callers *Callers) begin(address, zone, service string) {
+func (callers *RegisteringRunners) start(address, zone, service string) {
 	callers.incarnations++
-	incarnation := &callerIncarnation{callers: callers, id: fmt.Sprintf("q%d", callers.incarnations), address: address, zone: zone, service: service, started: callers.world.Now,
+	incarnation := &runnerIncarnation{runners: callers, id: fmt.Sprintf("q%d", callers.incarnations), address: address, zone: zone, service: service, started: callers.world.Now,
 		core: callers.world.random.Intn(64), state: registry.Ready, running: true}
 	callers.Incarnations = append(callers.Incarnations, incarnation)
 	callers.byID[incarnation.id] = incarnation
@@ -74,39 +74,39 @@
 }
 
 // heartbeat calls now and again after a while.
-func (incarnation *callerIncarnation) heartbeat() {
+func (incarnation *runnerIncarnation) heartbeat() {
 	if !incarnation.running {
 		return
 	}
-	incarnation.tell(2)
-	world := incarnation.callers.world
+	incarnation.register(2)
+	world := incarnation.runners.world
 	world.After(callEvery*9/10+time.Duration(world.random.Int63n(int64(callEvery/5))), incarnation.heartbeat)
 }
 
-// line is what the runner tells of itself now.
-func (incarnation *callerIncarnation) line() *wire.Runner {
+// registration is what the runner tells of itself now.
+func (incarnation *runnerIncarnation) registration() *wire.Runner {
 	line := &wire.Runner{RunnerId: incarnation.id, Address: incarnation.address, Zone: incarnation.zone, Service: incarnation.service, Slots: 4, State: incarnation.state, Call: incarnation.call}
-	if cold := coldAtStart - incarnation.callers.world.Now.Sub(incarnation.started); cold > 0 && incarnation.state == registry.Ready {
+	if cold := coldAtStart - incarnation.runners.world.Now.Sub(incarnation.started); cold > 0 && incarnation.state == registry.Ready {
 		line.State, line.SlowStartMilliseconds = registry.Cold, uint32(cold/time.Millisecond)
 	}
 	return line
 }
 
-// tell calls a core, and others if that does not acknowledge.
-func (incarnation *callerIncarnation) tell(more int) {
+// register calls a core, and others if that does not acknowledge.
+func (incarnation *runnerIncarnation) register(more int) {
 	incarnation.call++
-	call, line := incarnation.call, incarnation.line()
-	incarnation.wait = call
+	call, line := incarnation.call, incarnation.registration()
+	incarnation.pendingCall = call
 	draining := incarnation.state == registry.Draining
 	incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
 		host.node.Register(now, line, answer)
 	}, func() {
-		if incarnation.wait == call {
-			incarnation.wait = 0
+		if incarnation.pendingCall == call {
+			incarnation.pendingCall = 0
 		}
-		incarnation.acked(draining)
+		incarnation.recordAcknowledged(draining)
 	})
-	world := incarnation.callers.world
+	world := incarnation.runners.world
 	// A copy may be long on its way and come to a core that has heard nothing else of this life.
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
@@ -115,27 +115,27 @@
 		})
 	}
 	world.After(ackBound, func() {
-		if incarnation.wait == call && incarnation.running && more > 0 {
+		if incarnation.pendingCall == call && incarnation.running && more > 0 {
 			incarnation.core++
-			incarnation.tell(more - 1)
+			incarnation.register(more - 1)
 		}
 	})
 }
 
-// acked notes what an acknowledgement promises.
-func (incarnation *callerIncarnation) acked(leaves bool) {
-	incarnation.callers.Acks++
-	if incarnation.known.IsZero() {
-		incarnation.known = incarnation.callers.world.Now
+// recordAcknowledged notes what an acknowledgement promises.
+func (incarnation *runnerIncarnation) recordAcknowledged(leaves bool) {
+	incarnation.runners.Acknowledged++
+	if incarnation.knownSince.IsZero() {
+		incarnation.knownSince = incarnation.runners.world.Now
 	}
-	if leaves && incarnation.left.IsZero() {
-		incarnation.left = incarnation.callers.world.Now
+	if leaves && incarnation.leftAt.IsZero() {
+		incarnation.leftAt = incarnation.runners.world.Now
 	}
 }
 
 // send hands a call to the core that the life calls now; a refusal makes the next one come soon.
-func (incarnation *callerIncarnation) send(do func(now time.Time, host *Host, answer func(outcome registry.Outcome)), acked func()) {
-	world := incarnation.callers.world
+func (incarnation *runnerIncarnation) send(do func(now time.Time, host *Host, answer func(outcome registry.Outcome)), acked func()) {
+	world := incarnation.runners.world
 	cores := world.Cores()
 	host := cores[incarnation.core%len(cores)]
 	way := func() time.Duration { return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1)) }
@@ -151,7 +151,7 @@
 						acked()
 						return
 					}
-					incarnation.callers.Refusals++
+					incarnation.runners.Rejected++
 					incarnation.core++
 				})
 			})
@@ -161,7 +161,7 @@
 
 // reach runs something at a host, if it is there.
 func (world *World) reach(host *Host, do func()) {
-	if !host.up || host.dark || host.frozen && len(host.held) >= heldMost {
+	if !host.up || host.poweredOff || host.frozen && len(host.backlog) >= backlogLimit {
 		return
 	}
 	world.on(host, host.incarnation, do)
@@ -169,14 +169,14 @@
 
 // drain has a life end as planned: it says so, serves on for a while after the acknowledgement, ends its
 // registration and is gone.
-func (incarnation *callerIncarnation) drain() {
-	world := incarnation.callers.world
+func (incarnation *runnerIncarnation) drain() {
+	world := incarnation.runners.world
 	incarnation.state = registry.Draining
-	incarnation.tell(3)
+	incarnation.register(3)
 	tried := world.Now
 	var look func()
 	look = func() {
-		if incarnation.left.IsZero() && world.Now.Sub(tried) < 6*time.Second {
+		if incarnation.leftAt.IsZero() && world.Now.Sub(tried) < 6*time.Second {
 			world.After(50*time.Millisecond, look)
 			return
 		}
@@ -184,52 +184,52 @@
 			incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
 				host.node.Deregister(now, incarnation.id, answer)
 			},
-				func() { incarnation.acked(true) })
-			world.After(200*time.Millisecond, incarnation.end)
+				func() { incarnation.recordAcknowledged(true) })
+			world.After(200*time.Millisecond, incarnation.stop)
 		})
 	}
 	look()
 }
 
-// end stops a life without a word; its address goes to another one after a rest.
-func (incarnation *callerIncarnation) end() {
+// stop stops a life without a word; its address goes to another one after a rest.
+func (incarnation *runnerIncarnation) stop() {
 	if !incarnation.running {
 		return
 	}
-	world := incarnation.callers.world
-	incarnation.running, incarnation.finished = false, world.Now
+	world := incarnation.runners.world
+	incarnation.running, incarnation.finishedAt = false, world.Now
 	world.After(addressRest+time.Duration(world.random.Int63n(int64(3*time.Second))), func() {
-		incarnation.callers.begin(incarnation.address, incarnation.zone, []string{"s", "t"}[world.random.Intn(2)])
+		incarnation.runners.start(incarnation.address, incarnation.zone, []string{"s", "t"}[world.random.Intn(2)])
 	})
 }
 
 // Start has lives end now and then, as planned or not.
-func (callers *Callers) Start(every time.Duration) {
-	callers.Events = every
-	callers.next()
+func (callers *RegisteringRunners) Start(every time.Duration) {
+	callers.Every = every
+	callers.scheduleNext()
 }
 
-func (callers *Callers) next() {
+func (callers *RegisteringRunners) scheduleNext() {
 	world := callers.world
-	if callers.Events == 0 {
+	if callers.Every == 0 {
 		return
 	}
-	var steady []*callerIncarnation
+	var steady []*runnerIncarnation
 	for _, incarnation := range callers.Incarnations {
-		if incarnation.running && incarnation.state == registry.Ready && !incarnation.known.IsZero() {
+		if incarnation.running && incarnation.state == registry.Ready && !incarnation.knownSince.IsZero() {
 			steady = append(steady, incarnation)
 		}
 	}
 	if len(steady) > 0 {
 		incarnation := steady[world.random.Intn(len(steady))]
-		ends := []func(){incarnation.drain, incarnation.drain, incarnation.end}
+		ends := []func(){incarnation.drain, incarnation.drain, incarnation.stop}
 		ends[world.random.Intn(len(ends))]()
 	}
-	world.After(callers.Events/2+time.Duration(world.random.Int63n(int64(callers.Events))), callers.next)
+	world.After(callers.Every/2+time.Duration(world.random.Int63n(int64(callers.Every))), callers.scheduleNext)
 }
 
 // check looks at what a daemon that awards work goes by.
-func (callers *Callers) check(host *Host, runners []*wire.Runner) {
+func (callers *RegisteringRunners) check(host *Host, runners []*wire.Runner) {
 	checker, now := callers.world.Check, callers.world.Now
 	listed := map[string]bool{}
 	for _, runner := range runners {
@@ -237,67 +237,67 @@
 			listed[runner.RunnerId] = true
 		}
 	}
-	if callers.Kept == 0 {
+	if callers.KnownBound == 0 {
 		return
 	}
 	for _, incarnation := range callers.Incarnations {
-		if !incarnation.running || incarnation.state != registry.Ready || incarnation.known.IsZero() || listed[incarnation.id] {
+		if !incarnation.running || incarnation.state != registry.Ready || incarnation.knownSince.IsZero() || listed[incarnation.id] {
 			continue
 		}
-		missing := now.Sub(incarnation.known)
-		checker.worst("a new runner unknown", missing)
-		if missing > callers.Kept {
-			checker.broken("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, incarnation.id, missing)
+		missing := now.Sub(incarnation.knownSince)
+		checker.recordWorst("a new runner unknown", missing)
+		if missing > callers.KnownBound {
+			checker.violation("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, incarnation.id, missing)
 		}
 	}
 }
 
 // checkListed looks at one line of a daemon's list; it tells whether the daemon would use the runner.
-func (callers *Callers) checkListed(host *Host, runner *wire.Runner) bool {
+func (callers *RegisteringRunners) checkListed(host *Host, runner *wire.Runner) bool {
 	checker, incarnation := callers.world.Check, callers.byID[runner.RunnerId]
 	if incarnation == nil {
-		checker.broken("unknown-runner: %s lists %s, which nobody is", host.Address, runner.RunnerId)
+		checker.violation("unknown-runner: %s lists %s, which nobody is", host.Address, runner.RunnerId)
 		return false
 	}
 	if runner.State != registry.Ready && runner.State != registry.Cold {
 		return false
 	}
 	if runner.Address != incarnation.address || runner.Service != incarnation.service {
-		checker.broken("wrong-runner: %s has %s at %s", host.Address, runner.RunnerId, runner.Address)
+		checker.violation("wrong-runner: %s has %s at %s", host.Address, runner.RunnerId, runner.Address)
 	}
-	if incarnation.left.IsZero() {
+	if incarnation.leftAt.IsZero() {
 		return true
 	}
-	late := callers.world.Now.Sub(incarnation.left)
-	checker.worst("work to a runner that said it leaves", late)
+	late := callers.world.Now.Sub(incarnation.leftAt)
+	checker.recordWorst("work to a runner that said it leaves", late)
 	if !checker.mayIgnore(host, late, leaveKnown) {
-		checker.broken("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address, runner.RunnerId, late)
+		checker.violation("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address, runner.RunnerId, late)
 	}
 	return true
 }
 
-// truth compares what every daemon lists with who is there, after a calm time.
-func (callers *Callers) truth() {
+// checkFinalLists compares what every daemon lists with who is there, after a calm time.
+func (callers *RegisteringRunners) checkFinalLists() {
 	checker := callers.world.Check
 	for _, host := range callers.world.Datas() {
 		listed := map[string]bool{}
-		for _, runner := range host.data.Snapshot(callers.world.local(host)).Runners {
+		for _, runner := range host.controller.Snapshot(callers.world.local(host)).Runners {
 			listed[runner.RunnerId] = true
 			if incarnation := callers.byID[runner.RunnerId]; !incarnation.running && runner.State != registry.Draining {
-				checker.broken("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address, runner.RunnerId, runner.State,
-					callers.world.Now.Sub(incarnation.finished), runner.Call, incarnation.call)
+				checker.violation("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address, runner.RunnerId, runner.State,
+					callers.world.Now.Sub(incarnation.finishedAt), runner.Call, incarnation.call)
 			}
 		}
 		for _, incarnation := range callers.Incarnations {
 			if incarnation.running && !listed[incarnation.id] {
-				checker.broken("runner-lost: %s does not list %s in a calm time", host.Address, incarnation.id)
+				checker.violation("runner-lost: %s does not list %s in a calm time", host.Address, incarnation.id)
 			}
 		}
 	}
 }
 
-// CallerFaults are the kinds of harm that only concern runners that register themselves.
-var CallerFaults = map[string]func(world *World) (undo func()){
+// RegistrationFaults are the kinds of harm that only concern runners that register themselves.
+var RegistrationFaults = map[string]func(world *World) (undo func()){
 	"control lost": func(world *World) func() {
 		for _, host := range world.Cores() {
 			world.Kill(host)
@@ -310,22 +310,22 @@
 	},
 }
 
-// PlayCallers founds a deployment whose runners register themselves, does harm to it while they come and
+// PlayRegisteringRunners founds a deployment whose runners register themselves, does harm to it while they come and
 // go, and sees whether everybody knows who is there in the end.
-func PlayCallers(seed int64, shape Shape, names []string, atOnce int, kept time.Duration) *World {
-	world := Found(seed, shape, func(world *World) { world.StartCallers(18, shape.Zones) })
-	callers := world.Callers
+func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, kept time.Duration) *World {
+	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
+	callers := world.RegisteringRunners
 	world.Run(10 * time.Second)
-	callers.Kept = kept
+	callers.KnownBound = kept
 	callers.Start(time.Second)
 	operators := world.StartOperators(3 * time.Second)
 	world.Schedule(40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
-	callers.Events = 0
+	callers.Every = 0
 	world.Run(silentKnown)
 	operators.Stop()
-	if len(world.Check.Broken) == 0 {
-		callers.truth()
+	if len(world.Check.Violations) == 0 {
+		callers.checkFinalLists()
 	}
 	return world
 }
@@ -335,9 +335,9 @@
 	Core, Daemon, Messages float64
 }
 
-// MeasureCallers founds a fleet of so many daemons and runners and tells what its processes send: in a calm
+// MeasureRegistry founds a fleet of so many daemons and runners and tells what its processes send: in a calm
 // time, and while a runner is replaced about every so often.
-func MeasureCallers(seed int64, daemons, runners int, every time.Duration) (calm, release RegistryCost) {
+func MeasureRegistry(seed int64, daemons, runners int, every time.Duration) (calm, release RegistryCost) {
 	world := NewWorld(seed)
 	zones := []string{"a", "b", "c"}
 	var seeds []string
@@ -349,7 +349,7 @@
 	}
 	world.SetSeeds(seeds)
 	world.Platform.fill(1)
-	callers := world.StartCallers(runners, zones)
+	callers := world.StartRegisteringRunners(runners, zones)
 	for _, host := range world.Hosts {
 		booted := host
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { world.Boot(booted) })
--- a/verify/simulation/callers_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// whole are the faults that part no cores and no daemons from them, apart those that part daemons from the
+// noCutFaults are the faults that part no cores and no daemons from them, apart those that part daemons from the
 // cores: while they last no daemon may lose a runner that calls.
 var (
-	whole = []string{"core killed", "core wiped", "core without power", "core frozen", "control lost", "data killed", "data frozen", "disk stalled", "lossy network"}
-	apart = []string{"control cut from data", "data cut from control", "control lost"}
+	noCutFaults     = []string{"core killed", "core wiped", "core without power", "core frozen", "control lost", "data killed", "data frozen", "disk stalled", "lossy network"}
+	isolatingFaults = []string{"control cut from data", "data cut from control", "control lost"}
 )
 
 const (
-	// arrives is when a new runner must be known, and arrivesApart where cuts may last for 8.2 s, one after the other.
-	arrives      = 2 * time.Second
-	arrivesApart = 20 * time.Second
+	// knownBound is when a new runner must be known, and arrivesApart where cuts may last for 8.2 s, one after the other.
+	knownBound         = 2 * time.Second
+	knownBoundWithCuts = 20 * time.Second
 )
 
 // registryFaults are all faults of the control plane and its daemons but the one that concerns the platform's list.
@@ -25,38 +25,38 @@
 	return slices.DeleteFunc(FaultNames(), func(name string) bool { return name == "runner replaced" })
 }
 
-func playCallers(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
+func playRegisteringRunners(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
 	t.Parallel()
 	for number := range seedCount(t) * 6 {
 		seed := int64(number + 1)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			world := PlayCallers(seed, shape, names, atOnce, kept)
-			for _, line := range world.Check.Broken {
+			world := PlayRegisteringRunners(seed, shape, names, atOnce, kept)
+			for _, line := range world.Check.Violations {
 				t.Error(line)
 			}
 			if t.Failed() {
 				t.Log(world.Log)
 			}
-			t.Log(world.Callers.Acks, "acknowledged,", world.Callers.Refusals, "refused,", len(world.Callers.Incarnations), "lives", world.Check.Margins)
+			t.Log(world.RegisteringRunners.Acknowledged, "acknowledged,", world.RegisteringRunners.Rejected, "refused,", len(world.RegisteringRunners.Incarnations), "lives", world.Check.WorstCases)
 		})
 	}
 }
 
 func TestRunnersThatCallAreKeptThroughFaults(t *testing.T) {
-	playCallers(t, Guild, whole, 1, arrives)
+	playRegisteringRunners(t, Guild, noCutFaults, 1, knownBound)
 }
 
 func TestRunnersThatCallAreKeptWithoutControl(t *testing.T) {
-	playCallers(t, Ferries, apart, 1, arrivesApart)
+	playRegisteringRunners(t, Ferries, isolatingFaults, 1, knownBoundWithCuts)
 }
 
 func TestRunnersThatLeaveAreNotUsed(t *testing.T) {
-	playCallers(t, Ferries, registryFaults(), 1, 0)
+	playRegisteringRunners(t, Ferries, registryFaults(), 1, 0)
 }
 
 func TestRunnersThatLeaveAreNotUsedWithManyFaults(t *testing.T) {
-	playCallers(t, Guild, registryFaults(), 3, 0)
+	playRegisteringRunners(t, Guild, registryFaults(), 3, 0)
 }
 
 // In a calm time nothing is told of runners that only call on: what the processes say to each other does
@@ -65,7 +65,7 @@
 	t.Parallel()
 	counts := map[int]uint64{}
 	for _, count := range []int{0, 60} {
-		world := Found(1, Guild, func(world *World) { world.StartCallers(count, Guild.Zones) })
+		world := Found(1, Guild, func(world *World) { world.StartRegisteringRunners(count, Guild.Zones) })
 		world.Run(20 * time.Second)
 		before := world.Messages
 		world.Run(20 * time.Second)
@@ -84,8 +84,8 @@
 		t.Skip("played without the race detector")
 	}
 	const bytesOfLink = 10_000_000 / 8
-	none, _ := MeasureCallers(1, 72, 0, time.Hour)
-	calm, release := MeasureCallers(1, 72, 112, 500*time.Millisecond)
+	none, _ := MeasureRegistry(1, 72, 0, time.Hour)
+	calm, release := MeasureRegistry(1, 72, 112, 500*time.Millisecond)
 	t.Logf("none %+v, calm %+v, release %+v", none, calm, release)
 	if calm.Core-none.Core > bytesOfLink/200 || calm.Daemon-none.Daemon > bytesOfLink/1000 {
 		t.Error("calm", calm.Core-none.Core, calm.Daemon-none.Daemon)
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -32,7 +32,7 @@
 // AttemptNames gives the names of all attempts in order.
 func AttemptNames() []string { return sorted(Attempts) }
 
-func often(trial *Trial) { trial.Every, trial.Takes = 800*time.Millisecond, 0.6 }
+func often(trial *Trial) { trial.Every, trial.TakeAway = 800*time.Millisecond, 0.6 }
 
 // Attempts has one row for each part of each point of "What must never happen". docs/rules.md names the
 // broken code that turns each of them red.
@@ -59,25 +59,25 @@
 	"down":                      {Faults: []string{"all down", "zone lost"}},
 	"turned away":               {Faults: []string{"control cut from data", "core killed", "list empty", "list silent", "hot key"}},
 	"turned away after a cut":   {Faults: []string{"control cut from data"}, change: func(trial *Trial) { trial.Every, trial.Rate = 400*time.Millisecond, 240 }},
-	"turned away after a crowd": {Faults: []string{"crowd"}, change: func(trial *Trial) { trial.Rate, trial.Takes = 120, 0 }},
+	"turned away after a crowd": {Faults: []string{"crowd"}, change: func(trial *Trial) { trial.Rate, trial.TakeAway = 120, 0 }},
 	"resumed": {Faults: []string{"runner killed", "runner partial", "runner frozen", "runner dark", "runner garbles", "runner unheard"}, change: func(trial *Trial) {
-		trial.AtOnce, trial.Mix = 2, loadtest.Mix.Lasting
+		trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
 	}},
 	"resumed beside changes": {Faults: []string{"runner partial", "runner drained", "data cut from control", "address taken"}, change: func(trial *Trial) {
 		often(trial)
-		trial.AtOnce, trial.Mix = 2, loadtest.Mix.Lasting
+		trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
 	}},
 	"deadline": {Faults: []string{"runner mute", "runner dark", "runner deaf", "runner slow", "all put back", "pool killed", "data cut from control", "control cut from data", "address taken"},
-		change: func(trial *Trial) { trial.AtOnce, trial.Mix = 2, loadtest.Mix.Hurried }},
+		change: func(trial *Trial) { trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithDeadlines }},
 	"answers astray": {Faults: []string{"runner garbles", "runner late", "runner gives surplus answers", "connections reset", "daemon frozen for a moment", "runner partial"},
 		change: func(trial *Trial) { trial.AtOnce, trial.Retries = 3, 0.1 }},
 	"requesters leave": {Faults: []string{"daemon frozen for a moment", "data frozen", "crowd", "pool killed", "runner mute", "runner dark", "runner slow"},
 		change: func(trial *Trial) {
-			trial.AtOnce, trial.Rate, trial.Leaves, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
+			trial.AtOnce, trial.Rate, trial.HangUps, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
 		}},
 	"requesters leave, some runs go on": {Faults: []string{"runner killed", "runner partial", "runner garbles", "daemon frozen for a moment"},
 		change: func(trial *Trial) {
-			trial.AtOnce, trial.Leaves, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.Lasting
+			trial.AtOnce, trial.HangUps, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.WithResumption
 		}},
 	"answer at once": {Faults: []string{"runner dark", "runner mute", "runner unheard", "address taken"}},
 }
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -15,7 +15,7 @@
 		trial.Length = 5 * time.Second
 	}
 	world := Try(seed, shape, trial)
-	for _, line := range world.Check.Broken {
+	for _, line := range world.Check.Violations {
 		t.Error(line)
 	}
 	if t.Failed() {
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -76,12 +76,12 @@
 func (world *World) freed(last func() (since time.Time, harmed bool), then func()) {
 	since, harmed := last()
 	if world.redundant() {
-		world.Check.worst("full redundancy after a fault", world.Now.Sub(since))
+		world.Check.recordWorst("full redundancy after a fault", world.Now.Sub(since))
 		then()
 		return
 	}
 	if !harmed && world.Now.Sub(since) > repairBound {
-		world.Check.broken("not fully redundant %v after a fault\n%s", repairBound, world.Describe())
+		world.Check.violation("not fully redundant %v after a fault\n%s", repairBound, world.Describe())
 	}
 	world.After(100*time.Millisecond, func() { world.freed(last, then) })
 }
--- a/verify/simulation/silent_head_test.go
+++ b/verify/simulation/silent_head_test.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// silentMessages bounds the messages a second that a daemon sends and receives while no head acts: questions
+	// headlessMessageBound bounds the messages a second that a daemon sends and receives while no head acts: questions
 	// to three acceptors and their answers, the search for the next head, and what a quiet second costs.
-	silentMessages = 60
-	// silentGrowth bounds by how much that may differ between a small fleet and a large one.
-	silentGrowth = 1.25
-	// leastSilence is how long no head must have acted for the figure to say something.
-	leastSilence = 500 * time.Millisecond
-	// mostSilence is up to when the messages are counted where no head can come.
-	mostSilence = 5 * time.Second
+	headlessMessageBound = 60
+	// headlessGrowthBound bounds by how much that may differ between a small fleet and a large one.
+	headlessGrowthBound = 1.25
+	// minimumHeadless is how long no head must have acted for the figure to say something.
+	minimumHeadless = 500 * time.Millisecond
+	// maximumHeadless is up to when the messages are counted where no head can come.
+	maximumHeadless = 5 * time.Second
 )
 
-// smallAndLarge are fleets with the same three acceptors.
-var smallAndLarge = []Shape{
+// smallAndLargeShapes are fleets with the same three acceptors.
+var smallAndLargeShapes = []Shape{
 	{Zones: []string{"a", "b", "c"}, Machines: []int{4, 4, 4}, Disks: []int{1, 1, 1}, Faults: 1},
 	{Zones: []string{"a", "b", "c"}, Machines: []int{27, 27, 26}, Disks: []int{1, 1, 1}, Faults: 1},
 }
@@ -57,11 +57,11 @@
 	}
 	lose(world, head)
 	lost := world.Now
-	for leader(world) == nil && world.Now.Sub(lost) < mostSilence && len(world.Check.Broken) == 0 {
+	for leader(world) == nil && world.Now.Sub(lost) < maximumHeadless && len(world.Check.Violations) == 0 {
 		world.Run(10 * time.Millisecond)
 	}
-	if len(world.Check.Broken) > 0 {
-		t.Fatalf("seed %d: %v", seed, world.Check.Broken)
+	if len(world.Check.Violations) > 0 {
+		t.Fatalf("seed %d: %v", seed, world.Check.Violations)
 	}
 	silence = world.Now.Sub(lost)
 	return float64(messages) / silence.Seconds() / float64(len(world.Datas())), silence
@@ -82,18 +82,18 @@
 	for name, lose := range losses {
 		for seed := int64(1); seed <= 3; seed++ {
 			var rates []float64
-			for _, shape := range smallAndLarge {
+			for _, shape := range smallAndLargeShapes {
 				rate, silence := headlessMessages(t, seed, shape, lose)
 				t.Logf("%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head", name, seed, sum(shape.Machines), rate, silence)
-				if silence < leastSilence {
+				if silence < minimumHeadless {
 					t.Errorf("%s, seed %d: a head acted after %v; that is too soon to count", name, seed, silence)
 				}
-				if rate > silentMessages {
-					t.Errorf("%s, seed %d: %.1f messages a daemon and second among %d; at most %d", name, seed, rate, sum(shape.Machines), silentMessages)
+				if rate > headlessMessageBound {
+					t.Errorf("%s, seed %d: %.1f messages a daemon and second among %d; at most %d", name, seed, rate, sum(shape.Machines), headlessMessageBound)
 				}
 				rates = append(rates, rate)
 			}
-			if rates[1] > rates[0]*silentGrowth {
+			if rates[1] > rates[0]*headlessGrowthBound {
 				t.Errorf("%s, seed %d: %.1f messages a daemon and second among 12, %.1f among 80", name, seed, rates[0], rates[1])
 			}
 		}
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 func play(t *testing.T, seed int64, shape Shape, names []string, atOnce int) *World {
 	t.Helper()
 	world := Play(seed, shape, names, atOnce)
-	for _, line := range world.Check.Broken {
+	for _, line := range world.Check.Violations {
 		t.Error(line)
 	}
 	return world
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -47,19 +47,19 @@
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
-	for world.Now.Sub(sent) < window && len(world.Check.Broken) == 0 {
+	for world.Now.Sub(sent) < window && len(world.Check.Violations) == 0 {
 		world.Run(5 * time.Millisecond)
 		if committed.IsZero() && world.byName["c:core"].node.Chain().Committed().SpecEpoch == 1 {
 			committed = world.Now
 		}
 		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.data.Snapshot(world.local(host)).SpecEpoch == 1 {
+			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(world.local(host)).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
 	}
-	if len(world.Check.Broken) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
-		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons, order.Outcome, world.Check.Broken)
+	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
+		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons, order.Outcome, world.Check.Violations)
 	}
 	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(daemons)
 	lengths := make([]time.Duration, 0, daemons)
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -20,107 +20,107 @@
 
 // Traffic is the request path of a world: clients, runners, and what all of them saw.
 type Traffic struct {
-	world   *World
-	random  *rand.Rand
-	Mix     loadtest.Mix
-	Rate    float64
-	Hot     float64
-	History *histories.History
-	judge   *histories.Checker
-	number  int
-	crowds  int
-	stopped bool
-	fit     map[string]bool
-	ready   map[string]time.Time
-	weights string
-	specs   map[string]*config.Spec
+	world          *World
+	random         *rand.Rand
+	Mix            loadtest.Mix
+	Rate           float64
+	Hot            float64
+	History        *histories.History
+	checker        *histories.Checker
+	number         int
+	overloadBursts int
+	stopped        bool
+	eligible       map[string]bool
+	readySince     map[string]time.Time
+	weights        string
+	specs          map[string]*config.Spec
 	// Uneven sends most clients of a zone to one of its daemons.
 	Uneven bool
-	// Takes is the part of the operators' specs that take away what requests need.
-	Takes float64
-	// Quits is the part of the clients that hang up in the middle, Leaves that of those that hang up at any moment,
+	// TakeAway is the part of the operators' specs that take away what requests need.
+	TakeAway float64
+	// HangUpsMidway is the part of the clients that hang up in the middle, Leaves that of those that hang up at any moment,
 	// also before they are read and while nothing has come.
-	Quits, Leaves float64
+	HangUpsMidway, HangUps float64
 	// Retries is the part of the requests that their clients send again.
 	Retries float64
 }
 
 // StartTraffic brings the request path in: so many runners, and clients once Rate is above zero.
 func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
-	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), fit: map[string]bool{},
-		ready: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
+	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), eligible: map[string]bool{},
+		readySince: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
 	world.Traffic = traffic
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
-	traffic.judge = histories.NewChecker(traffic.History, world.Check.known)
+	traffic.checker = histories.NewChecker(traffic.History, world.Check.known)
 	for number := range runners {
 		world.AddRunner(fmt.Sprintf("r%02d", number), zones[number%len(zones)])
 	}
 	world.Platform.publish()
-	traffic.look()
-	traffic.sample()
+	traffic.updateEligible()
+	traffic.sampleCapacity()
 	traffic.arrive()
 	return traffic
 }
 
-// verdict hands what the judge found to the checker, so that a run stops at its first broken rule.
-func (traffic *Traffic) verdict() {
-	for _, violation := range traffic.judge.Violations {
-		traffic.world.Check.broken("%s: %s", violation.Rule, violation.Detail)
+// reportViolations hands what the judge found to the checker, so that a run stops at its first broken rule.
+func (traffic *Traffic) reportViolations() {
+	for _, violation := range traffic.checker.Violations {
+		traffic.world.Check.violation("%s: %s", violation.Rule, violation.Detail)
 	}
-	traffic.judge.Violations = nil
+	traffic.checker.Violations = nil
 }
 
-func (traffic *Traffic) ran(run *histories.Run) {
+func (traffic *Traffic) recordRun(run *histories.Run) {
 	traffic.History.Runs = append(traffic.History.Runs, run)
-	traffic.world.mark(uint64(len(run.Request) + len(run.Runner)))
-	traffic.judge.ObserveRun(run)
-	traffic.verdict()
+	traffic.world.addToTrace(uint64(len(run.Request) + len(run.Runner)))
+	traffic.checker.ObserveRun(run)
+	traffic.reportViolations()
 }
 
-// look is the platform's opinion of the daemons; it trails the truth.
-func (traffic *Traffic) look() {
+// updateEligible is the platform's opinion of the daemons; it trails the truth.
+func (traffic *Traffic) updateEligible() {
 	for _, host := range traffic.world.Datas() {
-		traffic.fit[host.Address] = host.up && !host.frozen && host.plane.Fit()
+		traffic.eligible[host.Address] = host.up && !host.frozen && host.plane.Fit()
 	}
-	traffic.world.After(emulator.ListLag, traffic.look)
+	traffic.world.After(emulator.ListLag, traffic.updateEligible)
 }
 
-// sample notes again and again how much room the backend truly has.
-func (traffic *Traffic) sample() {
-	traffic.note()
-	traffic.world.After(100*time.Millisecond, traffic.sample)
+// sampleCapacity notes again and again how much room the backend truly has.
+func (traffic *Traffic) sampleCapacity() {
+	traffic.recordCapacity()
+	traffic.world.After(100*time.Millisecond, traffic.sampleCapacity)
 }
 
-// note takes the backend's room by what each runner is and how it is listed.
-func (traffic *Traffic) note() {
+// recordCapacity takes the backend's room by what each runner is and how it is listed.
+func (traffic *Traffic) recordCapacity() {
 	world := traffic.world
 	listed := map[string]bool{}
-	for _, line := range world.Platform.runners {
+	for _, line := range world.Platform.listed {
 		if line.State != "ready" {
 			continue
 		}
-		if traffic.ready[line.RunnerId].IsZero() {
-			traffic.ready[line.RunnerId] = world.Now
+		if traffic.readySince[line.RunnerId].IsZero() {
+			traffic.readySince[line.RunnerId] = world.Now
 		}
-		listed[line.RunnerId] = world.Now.Sub(traffic.ready[line.RunnerId]) >= settledAllowance
+		listed[line.RunnerId] = world.Now.Sub(traffic.readySince[line.RunnerId]) >= warmUpAllowance
 	}
 	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.engine
-		well := host.up && !host.frozen && !engine.mute && !engine.partial && !engine.putsBack && !engine.fails && engine.garble == "" && engine.slow < 2
-		if well && listed[engine.id] && !engine.cold() && traffic.reachable(host) {
-			room.Free[host.Zone] += max(0, engine.nature.Slots-engine.active)
-			room.Slots[host.Zone] += engine.nature.Slots
+		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects && !engine.fails && engine.garble == "" && engine.slow < 2
+		if well && listed[engine.id] && !engine.warmingUp() && traffic.reachable(host) {
+			room.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
+			room.Slots[host.Zone] += engine.profile.Slots
 		}
 	}
 	traffic.History.CapacitySamples = append(traffic.History.CapacitySamples, room)
 }
 
-// settledAllowance is how long after it is listed as ready a runner is used in full: daemons can't know
+// warmUpAllowance is how long after it is listed as ready a runner is used in full: daemons can't know
 // sooner that it is warm, and take it up step by step.
-const settledAllowance = 6 * time.Second
+const warmUpAllowance = 6 * time.Second
 
 // reachable tells whether most daemons can talk to a runner.
 func (traffic *Traffic) reachable(runner *Host) bool {
@@ -138,10 +138,10 @@
 func (traffic *Traffic) pick(zone string) *Host {
 	var near, far []*Host
 	for _, host := range traffic.world.Datas() {
-		if traffic.fit[host.Address] && host.Zone == zone {
+		if traffic.eligible[host.Address] && host.Zone == zone {
 			near = append(near, host)
 		}
-		if traffic.fit[host.Address] && host.Zone != zone {
+		if traffic.eligible[host.Address] && host.Zone != zone {
 			far = append(far, host)
 		}
 	}
@@ -160,7 +160,7 @@
 // arrive lets requests come at random moments.
 func (traffic *Traffic) arrive() {
 	rate := traffic.Rate
-	if traffic.crowds > 0 {
+	if traffic.overloadBursts > 0 {
 		rate *= 5
 	}
 	gap := time.Duration(traffic.random.ExpFloat64() / max(rate, 1) * float64(time.Second))
@@ -177,78 +177,78 @@
 	drawn := traffic.Mix.Draw(traffic.random, traffic.Hot)
 	drawn.ID = fmt.Sprintf("q%d", traffic.number)
 	zone := traffic.History.Zones[traffic.random.Intn(len(traffic.History.Zones))]
-	one := traffic.ask(drawn, zone, traffic.pick(zone))
-	if traffic.random.Float64() < traffic.Quits {
-		one.quits = 1 + traffic.random.Intn(4)
+	one := traffic.sendRequest(drawn, zone, traffic.pick(zone))
+	if traffic.random.Float64() < traffic.HangUpsMidway {
+		one.hangsUpAfter = 1 + traffic.random.Intn(4)
 	}
-	if traffic.Leaves > 0 && traffic.random.Float64() < traffic.Leaves {
-		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.leave)
+	if traffic.HangUps > 0 && traffic.random.Float64() < traffic.HangUps {
+		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.hangUp)
 	}
 	if traffic.random.Float64() < traffic.Retries {
-		traffic.sendAgain(drawn, one)
+		traffic.resend(drawn, one)
 	}
 }
 
 // latestLeave is how long after sending its request a client that leaves does so at the latest.
 const latestLeave = time.Second
 
-// sendAgain has a client send its request once more to the same daemon, at some moment during the
+// resend has a client send its request once more to the same daemon, at some moment during the
 // first's life or after it.
-func (traffic *Traffic) sendAgain(drawn loadtest.Drawn, first *asker) {
+func (traffic *Traffic) resend(drawn loadtest.Drawn, first *client) {
 	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
 		if host := first.host; host != nil && host.up && first.incarnation == host.incarnation {
-			second := traffic.asker(drawn, first.record.Zone)
+			second := traffic.newClient(drawn, first.record.Zone)
 			second.record.Resent = true
 			second.send(host)
 		}
 	})
 }
 
-// asker is one client with its request.
-type asker struct {
-	traffic     *Traffic
-	drawn       loadtest.Drawn
-	headers     map[string][]string
-	record      *histories.Answer
-	ear         loadtest.Ear
-	host        *Host
-	incarnation int
-	read        bool
-	over        bool
-	quits       int
-	// leaving tells that the client has closed its connection; told is whom the daemon wants told of that.
-	leaving bool
-	told    func()
-	lines   string
-	tries   int
+// client is one client with its request.
+type client struct {
+	traffic      *Traffic
+	drawn        loadtest.Drawn
+	headers      map[string][]string
+	record       *histories.Answer
+	parser       loadtest.EventParser
+	host         *Host
+	incarnation  int
+	read         bool
+	finished     bool
+	hangsUpAfter int
+	// hungUp tells that the client has closed its connection; told is whom the daemon wants told of that.
+	hungUp   bool
+	onHangUp func()
+	unparsed string
+	attempts int
 }
 
-func (traffic *Traffic) asker(drawn loadtest.Drawn, zone string) *asker {
-	made := &asker{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
+func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
+	made := &client{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
 		record: &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: traffic.world.Now,
-			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}}
-	made.ear.Record = made.record
-	traffic.judge.ObserveRequest(made.record)
+			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.TimeLimit()}}
+	made.parser.Record = made.record
+	traffic.checker.ObserveRequest(made.record)
 	return made
 }
 
-func (traffic *Traffic) ask(drawn loadtest.Drawn, zone string, host *Host) *asker {
-	made := traffic.asker(drawn, zone)
+func (traffic *Traffic) sendRequest(drawn loadtest.Drawn, zone string, host *Host) *client {
+	made := traffic.newClient(drawn, zone)
 	made.send(host)
 	return made
 }
 
 // send hands the request to a daemon. One whose connection is refused goes to another: nothing was read.
-func (asker *asker) send(host *Host) {
+func (asker *client) send(host *Host) {
 	traffic := asker.traffic
 	if host == nil {
 		asker.finish(true)
 		return
 	}
-	traffic.world.After(traffic.world.wayTime(), func() {
+	traffic.world.After(traffic.world.transitTime(), func() {
 		if !host.up {
-			asker.tries++
-			if asker.tries >= 5 || asker.record.Resent {
+			asker.attempts++
+			if asker.attempts >= 5 || asker.record.Resent {
 				asker.finish(true)
 				return
 			}
@@ -256,9 +256,9 @@
 			return
 		}
 		asker.host, asker.incarnation, asker.record.Daemon = host, host.incarnation, host.Address
-		host.askers = append(host.askers, asker)
-		if asker.leaving {
-			asker.closed()
+		host.clients = append(host.clients, asker)
+		if asker.hungUp {
+			asker.deliverHangUp()
 		}
 		traffic.world.spawn(host, func() {
 			asker.read, asker.record.Started = true, traffic.world.Now
@@ -269,15 +269,15 @@
 }
 
 // finish records what the client got.
-func (asker *asker) finish(lost bool) {
-	if asker.over {
+func (asker *client) finish(lost bool) {
+	if asker.finished {
 		return
 	}
-	asker.over = true
+	asker.finished = true
 	if asker.host != nil {
-		for place, other := range asker.host.askers {
+		for place, other := range asker.host.clients {
 			if other == asker {
-				asker.host.askers = append(asker.host.askers[:place], asker.host.askers[place+1:]...)
+				asker.host.clients = append(asker.host.clients[:place], asker.host.clients[place+1:]...)
 				break
 			}
 		}
@@ -286,15 +286,15 @@
 	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, asker.read
 	traffic.History.Answers = append(traffic.History.Answers, record)
 	if !record.Done {
-		traffic.note()
+		traffic.recordCapacity()
 	}
-	traffic.judge.ObserveAnswer(record)
-	traffic.verdict()
+	traffic.checker.ObserveAnswer(record)
+	traffic.reportViolations()
 }
 
-// lose is how a client sees the end of its daemon.
-func (asker *asker) lose() {
-	lost := !asker.record.Done && !asker.record.Error && !asker.leaving
+// loseDaemon is how a client sees the end of its daemon.
+func (asker *client) loseDaemon() {
+	lost := !asker.record.Done && !asker.record.Error && !asker.hungUp
 	asker.finish(lost)
 	traffic := asker.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
@@ -303,22 +303,22 @@
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
 		if host := traffic.pick(asker.record.Zone); host != nil && host.up && host.Zone == asker.host.Zone {
-			second := traffic.asker(asker.drawn, asker.record.Zone)
+			second := traffic.newClient(asker.drawn, asker.record.Zone)
 			second.record.Resent = true
 			second.send(host)
 		}
 	})
 }
 
-func (asker *asker) Header(name string) []string { return asker.headers[name] }
+func (asker *client) Header(name string) []string { return asker.headers[name] }
 
-func (asker *asker) Method() string { return "POST" }
+func (asker *client) Method() string { return "POST" }
 
-func (asker *asker) Authority() string { return "sim" }
+func (asker *client) Authority() string { return "sim" }
 
-func (asker *asker) Target() string { return "/v1/stream" }
+func (asker *client) Target() string { return "/v1/stream" }
 
-func (asker *asker) Headers(each func(name, value string)) {
+func (asker *client) Headers(each func(name, value string)) {
 	for _, name := range slices.Sorted(maps.Keys(asker.headers)) {
 		for _, value := range asker.headers[name] {
 			each(name, value)
@@ -326,11 +326,11 @@
 	}
 }
 
-func (asker *asker) Body() []byte { return asker.drawn.Body() }
+func (asker *client) Body() []byte { return asker.drawn.Body() }
 
-func (asker *asker) Last() {}
+func (asker *client) Last() {}
 
-func (asker *asker) head(status int, headers []netio.Header) {
+func (asker *client) recordHead(status int, headers []netio.Header) {
 	asker.record.Status = status
 	for _, header := range headers {
 		asker.record.RetryAfter = asker.record.RetryAfter || header.Name == "Retry-After"
@@ -340,33 +340,33 @@
 	}
 }
 
-func (asker *asker) Answer(status int, headers []netio.Header, body []byte) {
-	asker.head(status, headers)
-	loadtest.Refused(asker.record, body)
-	if asker.leaving {
+func (asker *client) Answer(status int, headers []netio.Header, body []byte) {
+	asker.recordHead(status, headers)
+	loadtest.ParseRejection(asker.record, body)
+	if asker.hungUp {
 		return
 	}
 	// From the moment at which its last way was lost a request has nothing to wait for, but that its daemon is sure of
 	// its spec: only then can it be said whether there is another way.
 	world := asker.traffic.world
 	decided := world.current.decided
-	if asker.host.sureSince.After(decided) {
-		decided = asker.host.sureSince
+	if asker.host.leasedSince.After(decided) {
+		decided = asker.host.leasedSince
 	}
 	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound && world.local(asker.host).Before(asker.host.plane.Snapshot().Until) {
-		world.Check.broken("held-back: %s got its final %q %v after it was decided", asker.record.Request, asker.record.Kind, held)
+		world.Check.violation("held-back: %s got its final %q %v after it was decided", asker.record.Request, asker.record.Kind, held)
 	}
 }
 
-func (asker *asker) Stream(status int, headers []netio.Header, source io.ReadCloser) {
-	asker.head(status, headers)
+func (asker *client) Stream(status int, headers []netio.Header, source io.ReadCloser) {
+	asker.recordHead(status, headers)
 	asker.relay(source)
 	// Not deferred: a process that ends in the middle closes nothing in order.
 	_ = source.Close()
 }
 
 // relay takes what a source gives up to its end, or until the client has hung up.
-func (asker *asker) relay(source io.Reader) {
+func (asker *client) relay(source io.Reader) {
 	for buffer := make([]byte, 4<<10); ; {
 		count, err := source.Read(buffer)
 		if count > 0 {
@@ -383,24 +383,24 @@
 // answerBound is how long a decided answer may take, which is nothing but the daemon's own work.
 const answerBound = time.Millisecond
 
-var errQuit = errors.New("the requester hung up")
+var errHungUp = errors.New("the requester hung up")
 
 // Write is what reaches the client.
-func (asker *asker) Write(content []byte) (int, error) {
+func (asker *client) Write(content []byte) (int, error) {
 	if asker.record.HungUp {
-		return 0, errQuit
+		return 0, errHungUp
 	}
-	asker.lines += string(content)
+	asker.unparsed += string(content)
 	for {
-		line, rest, found := strings.Cut(asker.lines, "\n")
+		line, rest, found := strings.Cut(asker.unparsed, "\n")
 		if !found {
 			break
 		}
-		asker.lines = rest
-		asker.ear.Line(asker.traffic.world.Now, line)
+		asker.unparsed = rest
+		asker.parser.ParseLine(asker.traffic.world.Now, line)
 	}
-	if asker.quits > 0 && len(asker.record.IDs) >= asker.quits && !asker.record.Done {
-		asker.leave()
+	if asker.hangsUpAfter > 0 && len(asker.record.IDs) >= asker.hangsUpAfter && !asker.record.Done {
+		asker.hangUp()
 	}
 	return len(content), nil
 }
@@ -415,24 +415,24 @@
 		2: func() { made.Backends[0].Services = []string{"another-service"} },
 		3: func() { made.Backends[0].Weights = "other-weights" },
 	}
-	if traffic.random.Float64() < traffic.Takes {
+	if traffic.random.Float64() < traffic.TakeAway {
 		takes[traffic.random.Intn(len(takes))]()
 	}
 	return made
 }
 
-// draft makes a spec and keeps it for the judge.
-func (traffic *Traffic) draft(operation string, number int) []byte {
+// draftSpec makes a spec and keeps it for the judge.
+func (traffic *Traffic) draftSpec(operation string, number int) []byte {
 	made := traffic.Spec(number)
 	traffic.specs[operation] = made
 	return made.Encode()
 }
 
-// amend makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
-func (traffic *Traffic) amend(number int) *config.Change {
+// draftChange makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
+func (traffic *Traffic) draftChange(number int) *config.Change {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
 	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
-	if traffic.random.Float64() >= traffic.Takes {
+	if traffic.random.Float64() >= traffic.TakeAway {
 		return change
 	}
 	takes := []func(){
@@ -482,8 +482,8 @@
 		}
 	}
 	traffic.History.Final = final
-	traffic.judge.Finish()
-	traffic.verdict()
+	traffic.checker.Finish()
+	traffic.reportViolations()
 }
 
 // Counts tells what clients got.
@@ -512,4 +512,4 @@
 // Summary tells the same in one line.
 func (traffic *Traffic) Summary() string { return fmt.Sprint(traffic.Counts()) }
 
-var _ netio.Client = (*asker)(nil)
+var _ netio.Client = (*client)(nil)
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	tickEvery = 50 * time.Millisecond
-	heldMost  = 2000
-	// withoutCore is for how long daemons go on while they reach no core machine.
-	withoutCore = 5 * time.Minute
+	tickEvery    = 50 * time.Millisecond
+	backlogLimit = 2000
+	// defaultWithoutCore is for how long daemons go on while they reach no core machine.
+	defaultWithoutCore = 5 * time.Minute
 )
 
 type event struct {
@@ -55,19 +55,19 @@
 
 // Host is one simulated machine's process: a core, a data daemon or a runner.
 type Host struct {
-	Address string
-	Zone    string
-	Core    bool
-	node    *node.Node
-	data    *controller.Controller
-	plane   *dataplane.Plane
-	engine  *engine
+	Address    string
+	Zone       string
+	Core       bool
+	node       *node.Node
+	controller *controller.Controller
+	plane      *dataplane.Plane
+	engine     *engine
 	// coroutines are the pieces of work of this life that have begun and not ended.
 	coroutines []*coroutine
 	conns      []*conn
-	askers     []*asker
-	// dark tells that the machine is gone without a word: nothing answers, not even its system.
-	dark        bool
+	clients    []*client
+	// poweredOff tells that the machine is gone without a word: nothing answers, not even its system.
+	poweredOff  bool
 	service     string
 	disk        *disk
 	store       *snapshot.Store
@@ -76,29 +76,29 @@
 	up          bool
 	incarnation int
 	frozen      bool
-	held        []func()
-	// woken is when the process last woke from a freeze.
-	woken   time.Time
-	stalled bool
-	slow    time.Duration
-	drift   float64
-	seeds   []string
-	// gone tells that the machine was taken away for good.
-	gone bool
-	// newcomer tells that the machine came after the fleet's first start.
-	newcomer bool
-	// late is how much later than others it deals with what comes.
-	late time.Duration
+	backlog     []func()
+	// wokenAt is when the process last woke from a freeze.
+	wokenAt   time.Time
+	stalled   bool
+	diskDelay time.Duration
+	drift     float64
+	seeds     []string
+	// removed tells that the machine was taken away for good.
+	removed bool
+	// everStarted tells that the machine came after the fleet's first start.
+	everStarted bool
+	// processingDelay is how much later than others it deals with what comes.
+	processingDelay time.Duration
 	// Sent is how many bytes of messages it has sent.
 	Sent uint64
 	// The greatest epoch under which this address awarded work.
-	epoch      uint64
-	separation separation
+	servedEpoch uint64
+	isolation   isolation
 	// resetAt is when the machine's connections were last reset: what was on its way then is lost.
 	resetAt time.Time
-	// sureUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; sureSince is since
+	// leasedUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; sureSince is since
 	// when it has been so without a break.
-	sureUntil, sureSince time.Time
+	leasedUntil, leasedSince time.Time
 }
 
 // Up tells whether the host runs.
@@ -108,7 +108,7 @@
 func (host *Host) Node() *node.Node { return host.node }
 
 // Data gives a data daemon's machine.
-func (host *Host) Data() *controller.Controller { return host.data }
+func (host *Host) Data() *controller.Controller { return host.controller }
 
 // World is the whole simulation.
 type World struct {
@@ -133,31 +133,31 @@
 	Check                        *Checker
 	// Traffic is the request path, where there is one.
 	Traffic *Traffic
-	// Callers are the runners that register themselves, where they do.
-	Callers         *Callers
-	current         *coroutine
-	founders, seeds []string
+	// RegisteringRunners are the runners that register themselves, where they do.
+	RegisteringRunners *RegisteringRunners
+	current            *coroutine
+	founders, seeds    []string
 	// Faults is how many machines may lose their disks at once.
 	Faults     int
 	identities int
 	// Metrics, if set, hears of every message.
 	Metrics  func(from, to *Host, kind string, size int)
 	replaced int
-	// unswept is up to when damage on a disk may not have been found yet.
-	unswept time.Time
+	// unscrubbedUntil is up to when damage on a disk may not have been found yet.
+	unscrubbedUntil time.Time
 	// Log names the faults done and undone.
 	Log []string
 	// WithoutCore is for how long data daemons go on while they reach no core machine.
 	WithoutCore time.Duration
-	// stale tells that the topology has changed since separations were last looked at.
-	stale bool
+	// topologyDirty tells that the topology has changed since separations were last looked at.
+	topologyDirty bool
 }
 
 // NewWorld makes an empty world.
 func NewWorld(seed int64) *World {
 	started := time.Unix(1_700_000_000, 0)
 	world := &World{Seed: seed, Now: started, started: started, random: rand.New(rand.NewSource(seed)), byName: map[string]*Host{},
-		cuts: map[[2]string]bool{}, links: map[[2]string]time.Time{}, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, WithoutCore: withoutCore}
+		cuts: map[[2]string]bool{}, links: map[[2]string]time.Time{}, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, WithoutCore: defaultWithoutCore}
 	world.Check = newChecker(world)
 	world.Platform.world = world
 	return world
@@ -175,18 +175,18 @@
 // Run goes on for a length of simulated time, or until a rule is broken.
 func (world *World) Run(length time.Duration) {
 	end := world.Now.Add(length)
-	for len(world.queue) > 0 && !world.queue[0].at.After(end) && len(world.Check.Broken) == 0 {
+	for len(world.queue) > 0 && !world.queue[0].at.After(end) && len(world.Check.Violations) == 0 {
 		next := heap.Pop(&world.queue).(event)
 		world.Now = next.at
 		next.do()
-		world.refreshSeparation()
-		world.mark(uint64(next.at.UnixNano()) ^ next.sequence<<1)
+		world.refreshIsolation()
+		world.addToTrace(uint64(next.at.UnixNano()) ^ next.sequence<<1)
 	}
 	world.Now = end
 }
 
-// mark folds something into the trace, so that two runs of one seed can be compared.
-func (world *World) mark(value uint64) {
+// addToTrace folds something into the trace, so that two runs of one seed can be compared.
+func (world *World) addToTrace(value uint64) {
 	world.trace = (world.trace ^ value) * 0x100000001b3
 }
 
@@ -226,11 +226,11 @@
 
 // Boot starts a host's process from what its disk holds.
 func (world *World) Boot(host *Host) {
-	if host.up || host.gone {
+	if host.up || host.removed {
 		return
 	}
 	world.topologyChanged()
-	host.up, host.frozen, host.held, host.writes, host.writing, host.dark = true, false, nil, nil, false, false
+	host.up, host.frozen, host.backlog, host.writes, host.writing, host.poweredOff = true, false, nil, nil, false, false
 	host.incarnation++
 	if host.engine != nil {
 		world.bootRunner(host)
@@ -260,8 +260,8 @@
 	}
 	host.store = restored.Store
 	// Only the very first start may found a fleet; a machine whose disk is lost later must not.
-	founding := !host.newcomer
-	host.newcomer = true
+	founding := !host.everStarted
+	host.everStarted = true
 	host.node = node.New(now, node.Settings{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
 		Founding: founding, Faults: world.Faults, Heartbeat: callEvery},
 		restored.Memory, restored.Records, random)
@@ -274,7 +274,7 @@
 		return
 	}
 	if host.frozen {
-		host.held = append(host.held, func() { world.on(host, incarnation, do) })
+		host.backlog = append(host.backlog, func() { world.on(host, incarnation, do) })
 		return
 	}
 	do()
@@ -282,7 +282,7 @@
 		return
 	}
 	world.drain(host)
-	world.noteSure(host)
+	world.recordLease(host)
 	world.stir(host)
 	world.Check.step(host)
 }
@@ -322,7 +322,7 @@
 	host.writing = true
 	batch, incarnation := host.writes, host.incarnation
 	host.writes = nil
-	world.After(time.Millisecond+time.Duration(world.random.Int63n(int64(3*time.Millisecond)))+host.slow, func() {
+	world.After(time.Millisecond+time.Duration(world.random.Int63n(int64(3*time.Millisecond)))+host.diskDelay, func() {
 		world.finishWrite(host, incarnation, batch)
 	})
 }
@@ -355,24 +355,24 @@
 		world.Bytes += uint64(len(content))
 		host.Sent += uint64(len(content))
 		target := world.byName[parcel.To]
-		world.tallied(host, target, parcel.Envelope, len(content))
+		world.countMessage(host, target, parcel.Envelope, len(content))
 		if target != nil && target.Zone != host.Zone {
 			world.AcrossBytes += uint64(len(content))
 		}
 		hash := fnv.New64a()
 		_, _ = hash.Write(content)
-		world.mark(hash.Sum64())
+		world.addToTrace(hash.Sum64())
 		if target == nil || world.random.Float64() < world.Loss {
 			continue
 		}
 		from, tried, sent := host, world.local(host), world.Now
 		world.links[[2]string{host.Address, parcel.To}] = world.Now
-		world.After(world.lag()+target.late, func() {
+		world.After(world.lag()+target.processingDelay, func() {
 			if !sent.After(from.resetAt) || !sent.After(target.resetAt) {
 				return
 			}
 			world.deliver(from, target, content)
-			world.refuse(from, target, tried)
+			world.refuseConnection(from, target, tried)
 		})
 	}
 }
@@ -381,14 +381,14 @@
 	return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1))
 }
 
-// refuse tells a sender that nobody listened where its message came to, if the machine there is alive to say so.
-func (world *World) refuse(from, to *Host, tried time.Time) {
-	if to.up || to.dark || to.engine != nil || world.parted(from, to) {
+// refuseConnection tells a sender that nobody listened where its message came to, if the machine there is alive to say so.
+func (world *World) refuseConnection(from, to *Host, tried time.Time) {
+	if to.up || to.poweredOff || to.engine != nil || world.disconnected(from, to) {
 		return
 	}
 	incarnation := from.incarnation
 	world.After(world.lag(), func() {
-		if world.parted(from, to) {
+		if world.disconnected(from, to) {
 			return
 		}
 		world.on(from, incarnation, func() {
@@ -401,15 +401,15 @@
 	})
 }
 
-func (world *World) parted(one, other *Host) bool {
+func (world *World) disconnected(one, other *Host) bool {
 	return world.cuts[[2]string{one.Address, other.Address}] || world.cuts[[2]string{other.Address, one.Address}]
 }
 
 // connectionLasts is how long an idle connection is kept.
 const connectionLasts = time.Minute
 
-// hangUp has the system of a machine whose process ended close its connections; whoever had one tries again at once.
-func (world *World) hangUp(host *Host) {
+// closeConnections has the system of a machine whose process ended close its connections; whoever had one tries again at once.
+func (world *World) closeConnections(host *Host) {
 	for _, other := range world.Hosts {
 		sent, linked := world.links[[2]string{other.Address, host.Address}]
 		if !linked || !other.up || other == host || world.Now.Sub(sent) > connectionLasts {
@@ -417,9 +417,9 @@
 		}
 		from, incarnation := other, other.incarnation
 		world.After(world.lag(), func() {
-			if from.incarnation == incarnation && !world.parted(from, host) {
+			if from.incarnation == incarnation && !world.disconnected(from, host) {
 				tried := world.local(from)
-				world.After(world.lag(), func() { world.refuse(from, host, tried) })
+				world.After(world.lag(), func() { world.refuseConnection(from, host, tried) })
 			}
 		})
 	}
@@ -427,7 +427,7 @@
 
 func (world *World) deliver(from, to *Host, content []byte) {
 	// A frozen machine's sockets hold only so much.
-	if world.cuts[[2]string{from.Address, to.Address}] || !to.up || to.frozen && len(to.held) >= heldMost {
+	if world.cuts[[2]string{from.Address, to.Address}] || !to.up || to.frozen && len(to.backlog) >= backlogLimit {
 		return
 	}
 	envelope := &wire.Envelope{}
@@ -446,14 +446,14 @@
 // Kill ends a process; what its disk has synced stays.
 func (world *World) Kill(host *Host) {
 	world.endStreams(host)
-	if host.up && !host.dark && host.engine == nil {
-		world.hangUp(host)
+	if host.up && !host.poweredOff && host.engine == nil {
+		world.closeConnections(host)
 	}
 	world.topologyChanged()
 	host.up = false
 	host.incarnation++
-	host.held, host.writes, host.writing = nil, nil, false
-	host.data, host.plane = nil, nil
+	host.backlog, host.writes, host.writing = nil, nil, false
+	host.controller, host.plane = nil, nil
 }
 
 // Power takes the power from a machine in the middle of whatever it was writing.
@@ -462,7 +462,7 @@
 		host.disk.dying = true
 		storage.Carry(host.store, host.writes, func(uint64) {}, func(error) {})
 	}
-	host.dark = true
+	host.poweredOff = true
 	world.Kill(host)
 }
 
@@ -483,10 +483,10 @@
 	if !host.frozen {
 		return
 	}
-	host.frozen, host.woken = false, world.Now
+	host.frozen, host.wokenAt = false, world.Now
 	world.topologyChanged()
-	held := host.held
-	host.held = nil
+	held := host.backlog
+	host.backlog = nil
 	for _, do := range held {
 		do()
 	}
@@ -523,7 +523,7 @@
 func (world *World) of(isCore bool) []*Host {
 	var hosts []*Host
 	for _, host := range world.Hosts {
-		if host.Core == isCore && host.engine == nil && !host.gone {
+		if host.Core == isCore && host.engine == nil && !host.removed {
 			hosts = append(hosts, host)
 		}
 	}
@@ -551,13 +551,13 @@
 		Dial: func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
 			return world.dial(ctx, host, address, terms)
 		},
-	}, dataplane.Settings{Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.Callers != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
+	}, dataplane.Settings{Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
 		Send: func(parcels []statemachine.Message) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent})
 	if err != nil {
 		panic(err)
 	}
 	host.plane = made
-	made.Look(func(machine *controller.Controller) { host.data = machine })
+	made.Look(func(machine *controller.Controller) { host.controller = machine })
 	if world.Traffic == nil {
 		return
 	}
@@ -567,15 +567,15 @@
 	world.every(host, incarnation, dataplane.AgeEvery, made.Age)
 }
 
-// noteSure notes since when a data daemon has been sure of its spec.
-func (world *World) noteSure(host *Host) {
+// recordLease notes since when a data daemon has been sure of its spec.
+func (world *World) recordLease(host *Host) {
 	if host.plane == nil {
 		return
 	}
-	if local := world.local(host); !local.Before(host.sureUntil) {
-		host.sureSince = world.Now
+	if local := world.local(host); !local.Before(host.leasedUntil) {
+		host.leasedSince = world.Now
 	}
-	host.sureUntil = host.plane.Snapshot().Until
+	host.leasedUntil = host.plane.Snapshot().Until
 }
 
 // every does something in a host's process again and again, while that lives and is not frozen.
