--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -35,7 +35,7 @@
 	play := placement.Play{}
 	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&play.Length)
 	command.Flag("seed", "First seed.").Default("1").Int64Var(&play.Seed)
-	command.Flag("polls", "How old a runner's word may grow before it is asked; 0: never.").Default("1s").DurationVar(&play.Polls)
+	command.Flag("polls", "How old a runner's word may grow before it is asked; 0: never.").Default("1s").DurationVar(&play.ReportAge)
 	command.Flag("hot", "Part of the hot lane's requests that carry one opening, for a third of the time.").Default("0").Float64Var(&play.Hot)
 	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&play.HotRoute, "survey", "confirm")
 	command.Flag("slow", "Part of the runners that are three times slower for a third of the time.").Default("0").Float64Var(&play.Slow)
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -184,7 +184,7 @@
 // worst gathers the worst cases of many runs.
 type worst struct {
 	lengths map[string]time.Duration
-	margins histories.WorstCases
+	cases   histories.WorstCases
 	counts  map[string]int
 }
 
@@ -192,10 +192,10 @@
 	return &worst{lengths: map[string]time.Duration{}, counts: map[string]int{}}
 }
 
-func (worst *worst) add(margins histories.WorstCases) {
-	worst.margins.Add(margins)
-	for rule, length := range map[string]time.Duration{"work against an acknowledged spec": worst.margins.Ignored, "work to a leaving runner": worst.margins.Draining,
-		"work to a closed zone": worst.margins.Closed, "first answer after the machines' return": worst.margins.Return, "final answer after a loss could be known": worst.margins.Overdue} {
+func (worst *worst) add(cases histories.WorstCases) {
+	worst.cases.Add(cases)
+	for rule, length := range map[string]time.Duration{"work against an acknowledged spec": worst.cases.Ignored, "work to a leaving runner": worst.cases.Draining,
+		"work to a closed zone": worst.cases.Closed, "first answer after the machines' return": worst.cases.Return, "final answer after a loss could be known": worst.cases.Overdue} {
 		worst.lengths[rule] = length
 	}
 }
@@ -213,7 +213,7 @@
 	if len(worst.counts) == 0 {
 		return
 	}
-	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.margins.Retried, worst.margins.Requests, worst.margins.Concurrent)
+	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.cases.Retried, worst.cases.Requests, worst.cases.Concurrent)
 	fmt.Print("  requests:")
 	for _, name := range sortedNames(worst.counts) {
 		fmt.Printf(" %s %d;", name, worst.counts[name])
--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -22,19 +22,19 @@
 
 // Use gives how many tokens of an opening were held without a gap, and holds all of it from now on.
 func (cache *Cache[Key]) Use(keys []Key, tokens []int) int {
-	held, whole := 0, true
-	for place, key := range keys {
-		if whole = whole && cache.places[key] != nil; whole {
-			held += tokens[place]
+	held, complete := 0, true
+	for index, key := range keys {
+		if complete = complete && cache.places[key] != nil; complete {
+			held += tokens[index]
 		}
 	}
-	for place := len(keys) - 1; place >= 0; place-- {
-		if element := cache.places[keys[place]]; element != nil {
+	for index := len(keys) - 1; index >= 0; index-- {
+		if element := cache.places[keys[index]]; element != nil {
 			cache.order.MoveToBack(element)
 			continue
 		}
-		cache.places[keys[place]] = cache.order.PushBack(block[Key]{keys[place], tokens[place]})
-		cache.used += tokens[place]
+		cache.places[keys[index]] = cache.order.PushBack(block[Key]{keys[index], tokens[index]})
+		cache.used += tokens[index]
 	}
 	for cache.used > cache.room {
 		oldest := cache.order.Front()
@@ -48,9 +48,9 @@
 // Chained gives each part the name of all before it, as an engine's keys do.
 func Chained(parts []string) []string {
 	keys, key := make([]string, len(parts)), ""
-	for place, part := range parts {
+	for index, part := range parts {
 		key += "\x00" + part
-		keys[place] = key
+		keys[index] = key
 	}
 	return keys
 }
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -83,10 +83,10 @@
 	fleet := &Fleet{Shape: shape, Folder: folder, Binaries: binaries, Record: histories.New(), seed: seed,
 		client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	var seeds []string
-	for place, zone := range shape.Zones {
-		for number := range shape.Machines[place] {
-			machine := &Machine{Name: fmt.Sprintf("%s-%d", zone, number+1), IP: fmt.Sprintf("127.%d.%d.%d", shape.Net, place+1, number+1),
-				Zone: zone, Disk: number < shape.Disks[place]}
+	for index, zone := range shape.Zones {
+		for number := range shape.Machines[index] {
+			machine := &Machine{Name: fmt.Sprintf("%s-%d", zone, number+1), IP: fmt.Sprintf("127.%d.%d.%d", shape.Net, index+1, number+1),
+				Zone: zone, Disk: number < shape.Disks[index]}
 			fleet.Machines = append(fleet.Machines, machine)
 			if machine.Disk && len(seeds) < 3 {
 				seeds = append(seeds, machine.IP+":7100")
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -93,9 +93,9 @@
 	fmt.Fprintf(output, "requests %d: done %d, refused %d, unknown %d, broken off %d, lost with a killed daemon %d\n",
 		figures.Requests, figures.Done, figures.Refused, figures.Unknown, figures.Broken, figures.Lost)
 	fmt.Fprintf(output, "prompt tokens found in runners' caches: %.0f%%; repeats: %d\n", 100*figures.CacheShare, figures.Retries)
-	margins := histories.Worst(fleet.Record)
+	worstCases := histories.Worst(fleet.Record)
 	fmt.Fprintf(output, "worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
-		margins.Ignored.Round(time.Millisecond), margins.Draining.Round(time.Millisecond), margins.Closed.Round(time.Millisecond), margins.Return.Round(time.Millisecond), margins.Retried, margins.Requests)
+		worstCases.Ignored.Round(time.Millisecond), worstCases.Draining.Round(time.Millisecond), worstCases.Closed.Round(time.Millisecond), worstCases.Return.Round(time.Millisecond), worstCases.Retried, worstCases.Requests)
 	routes := make([]string, 0, len(figures.First))
 	for route := range figures.First {
 		routes = append(routes, route)
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -58,8 +58,8 @@
 	<-timer.C
 }
 
-// patience is how long a fleet may take to come up, and to answer at the end.
-const patience = time.Minute
+// timeout is how long a fleet may take to come up, and to answer at the end.
+const timeout = time.Minute
 
 // Prove runs one scenario on one deployment and tells whether every rule held.
 func Prove(shape Shape, scenario Scenario, options Options) (bool, error) {
@@ -82,7 +82,7 @@
 	if err := fleet.runScenario(scenario, options); err != nil {
 		return false, err
 	}
-	if !Await(patience, fleet.finished) {
+	if !Await(timeout, fleet.finished) {
 		fmt.Fprintln(options.Output, "nobody answered for the state at the end")
 	}
 	violations := histories.Check(fleet.Record)
@@ -109,14 +109,14 @@
 func (fleet *Fleet) bringUp(folder string, output io.Writer) error {
 	started := time.Now()
 	// A slow machine may take its time; the bounds of the rules are measured elsewhere.
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		reply, err := fleet.Get(fleet.Cores()[0])
 		return err == nil && reply.Status == 200
 	}) {
-		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", patience, folder)
+		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", timeout, folder)
 	}
 	var first *histories.Order
-	for first == nil || first.Outcome == "unknown" && time.Since(started) < patience {
+	for first == nil || first.Outcome == "unknown" && time.Since(started) < timeout {
 		first = fleet.Apply(fleet.Cores()[len(fleet.Cores())-1], "first", 0, "")
 	}
 	if first.Outcome != "accepted" {
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -16,7 +16,7 @@
 var Scenarios = map[string]Scenario{
 	"calm":             {Help: "no fault at all; a fleet to look at with wtctl", Run: func(*Stage) error { return nil }},
 	"default":          {Help: "kill a runner, a data daemon and a disk machine's core, and change the spec meanwhile", Run: defaultScenario},
-	"crowd":            {Help: "five times the requests for a quarter of the time", Run: crowd},
+	"crowd":            {Help: "five times the requests for a quarter of the time", Run: overload},
 	"hot-key":          {Help: "nine requests of ten carry one opening", Hot: 0.9, Run: func(*Stage) error { return nil }},
 	"runner-dark":      {Help: "two runners read requests and never answer", Run: runnerDark},
 	"runner-partial":   {Help: "a runner breaks its streams in the middle, another becomes slow", Run: runnerPartial},
@@ -58,7 +58,7 @@
 	return stage.Apply(core, operation, stage.present(), "lane-"+operation)
 }
 
-func crowd(stage *Stage) error {
+func overload(stage *Stage) error {
 	stage.span(0.3)
 	stage.Scale(5)
 	stage.span(0.55)
@@ -160,13 +160,13 @@
 }
 
 func daemonFrozen(stage *Stage) error {
-	for place, number := range []int{1, 4, 7} {
-		stage.span(0.1 + 0.25*float64(place))
+	for index, number := range []int{1, 4, 7} {
+		stage.span(0.1 + 0.25*float64(index))
 		daemon := stage.Datas()[number]
 		stage.Fault(daemon.Name+" frozen", daemon, true, time.Duration(float64(stage.Options.Seconds)*0.15)*time.Second)
 		daemon.Signal(syscall.SIGSTOP)
-		stage.change(stage.Cores()[1], fmt.Sprint("frozen-", place))
-		stage.span(0.1 + 0.25*float64(place) + 0.15)
+		stage.change(stage.Cores()[1], fmt.Sprint("frozen-", index))
+		stage.span(0.1 + 0.25*float64(index) + 0.15)
 		daemon.Signal(syscall.SIGCONT)
 	}
 	return nil
@@ -185,13 +185,13 @@
 }
 
 func daemonKilled(stage *Stage) error {
-	for place, number := range []int{2, 5, 8} {
-		stage.span(0.1 + 0.25*float64(place))
+	for index, number := range []int{2, 5, 8} {
+		stage.span(0.1 + 0.25*float64(index))
 		daemon := stage.Datas()[number]
 		stage.Fault(daemon.Name+" killed", daemon, true, 2*time.Second)
 		daemon.Kill()
-		stage.change(stage.Cores()[1], fmt.Sprint("killed-", place))
-		stage.span(0.1 + 0.25*float64(place) + 0.1)
+		stage.change(stage.Cores()[1], fmt.Sprint("killed-", index))
+		stage.span(0.1 + 0.25*float64(index) + 0.1)
 		if err := stage.Start(daemon); err != nil {
 			return err
 		}
@@ -200,16 +200,16 @@
 }
 
 func coreFrozen(stage *Stage) error {
-	for place := range 2 {
-		stage.span(0.1 + 0.45*float64(place))
-		head := stage.Cores()[place]
+	for index := range 2 {
+		stage.span(0.1 + 0.45*float64(index))
+		head := stage.Cores()[index]
 		stage.Fault(head.Name+" frozen", head, false, 5*time.Second)
-		go stage.change(head, fmt.Sprint("into-the-freeze-", place))
+		go stage.change(head, fmt.Sprint("into-the-freeze-", index))
 		head.Signal(syscall.SIGSTOP)
-		stage.change(stage.Cores()[2], fmt.Sprint("beside-the-freeze-", place))
-		stage.span(0.1 + 0.45*float64(place) + 0.2)
+		stage.change(stage.Cores()[2], fmt.Sprint("beside-the-freeze-", index))
+		stage.span(0.1 + 0.45*float64(index) + 0.2)
 		head.Signal(syscall.SIGCONT)
-		stage.change(head, fmt.Sprint("after-the-freeze-", place))
+		stage.change(head, fmt.Sprint("after-the-freeze-", index))
 	}
 	return nil
 }
@@ -384,20 +384,20 @@
 }
 
 func zonesClosed(stage *Stage) error {
-	for place, zone := range stage.Shape.Zones {
-		begin := 0.05 + 0.9*float64(place)/float64(len(stage.Shape.Zones))
+	for index, zone := range stage.Shape.Zones {
+		begin := 0.05 + 0.9*float64(index)/float64(len(stage.Shape.Zones))
 		stage.span(begin)
-		stage.Zone(stage.Cores()[place], "close-"+zone, "close", zone)
+		stage.Zone(stage.Cores()[index], "close-"+zone, "close", zone)
 		stage.span(begin + 0.8/float64(len(stage.Shape.Zones)))
-		stage.Zone(stage.Cores()[place], "open-"+zone, "open", zone)
+		stage.Zone(stage.Cores()[index], "open-"+zone, "open", zone)
 	}
 	return nil
 }
 
 func rollingRestart(stage *Stage) error {
 	programs := stage.Programs()
-	for place, program := range programs {
-		stage.span(0.05 + 0.9*float64(place)/float64(len(programs)))
+	for index, program := range programs {
+		stage.span(0.05 + 0.9*float64(index)/float64(len(programs)))
 		program.Signal(syscall.SIGTERM)
 		<-program.Finished()
 		if err := stage.Start(program); err != nil {
--- a/verify/golden/message.go
+++ b/verify/golden/message.go
@@ -28,8 +28,8 @@
 		return []Variant{{Message: message}}
 	}
 	var variants []Variant
-	for place := range oneofs.Len() {
-		alternatives := oneofs.Get(place).Fields()
+	for index := range oneofs.Len() {
+		alternatives := oneofs.Get(index).Fields()
 		for alternative := range alternatives.Len() {
 			field := alternatives.Get(alternative)
 			message := kind.New()
@@ -46,8 +46,8 @@
 		return
 	}
 	fields := message.Descriptor().Fields()
-	for place := range fields.Len() {
-		field := fields.Get(place)
+	for index := range fields.Len() {
+		field := fields.Get(index)
 		if !selected(field, chosen) {
 			continue
 		}
@@ -123,8 +123,8 @@
 		switch {
 		case field.Kind() != protoreflect.MessageKind || field.IsMap():
 		case field.IsList():
-			for place := range held.List().Len() {
-				unknown = unknown || Unknown(held.List().Get(place).Message())
+			for index := range held.List().Len() {
+				unknown = unknown || Unknown(held.List().Get(index).Message())
 			}
 		default:
 			unknown = Unknown(held.Message())
--- a/verify/golden/value.go
+++ b/verify/golden/value.go
@@ -23,9 +23,9 @@
 func outline(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
-		for place := range value.NumField() {
-			if value.Type().Field(place).IsExported() {
-				outline(value.Field(place))
+		for index := range value.NumField() {
+			if value.Type().Field(index).IsExported() {
+				outline(value.Field(index))
 			}
 		}
 	case reflect.Slice:
@@ -45,26 +45,26 @@
 }
 
 // filler counts the values given out.
-type filler struct{ given int }
+type filler struct{ count int }
 
 func (filler *filler) next() int {
-	filler.given++
-	return filler.given
+	filler.count++
+	return filler.count
 }
 
 func (filler *filler) fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
-		for place := range value.NumField() {
-			if value.Type().Field(place).IsExported() {
-				filler.fill(value.Field(place))
+		for index := range value.NumField() {
+			if value.Type().Field(index).IsExported() {
+				filler.fill(value.Field(index))
 			}
 		}
 	case reflect.Slice:
 		filler.fillSlice(value)
 	case reflect.Array:
-		for place := range value.Len() {
-			filler.fill(value.Index(place))
+		for index := range value.Len() {
+			filler.fill(value.Index(index))
 		}
 	case reflect.Map:
 		key, held := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
@@ -89,8 +89,8 @@
 		return
 	}
 	value.Set(reflect.MakeSlice(value.Type(), elements, elements))
-	for place := range elements {
-		filler.fill(value.Index(place))
+	for index := range elements {
+		filler.fill(value.Index(index))
 	}
 }
 
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -33,7 +33,7 @@
 	changesSeen   int
 }
 
-// NewChecker makes a judge of a history; known gives the operations that took effect, and may grow.
+// NewChecker makes a checker of a history; known gives the operations that took effect, and may grow.
 func NewChecker(history *History, known map[string]uint64) *Checker {
 	return &Checker{history: history, known: known, runs: map[string][]*Run{}, answers: map[string][]*Answer{}, once: map[string]bool{}, requests: map[string][]*Answer{},
 		drains: map[string][]*Drain{}, greatest: map[string]uint64{}, greatestSince: map[string]time.Time{}, changesSeen: -1}
@@ -44,28 +44,28 @@
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
 	sort.SliceStable(history.Runs, func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) })
-	judge := NewChecker(history, history.Final.Known)
+	checker := NewChecker(history, history.Final.Known)
 	for _, answer := range history.Answers {
-		judge.ObserveRequest(answer)
+		checker.ObserveRequest(answer)
 	}
 	for _, run := range history.Runs {
-		judge.ObserveRun(run)
+		checker.ObserveRun(run)
 	}
 	for _, answer := range history.Answers {
-		judge.ObserveAnswer(answer)
+		checker.ObserveAnswer(answer)
 	}
 	for _, answer := range history.Answers {
-		judge.CheckDeparture(answer, answer.HungUpAt.Add(DepartureBound))
+		checker.CheckDeparture(answer, answer.HungUpAt.Add(DepartureBound))
 	}
-	judge.Finish()
-	return judge.Violations
+	checker.Finish()
+	return checker.Violations
 }
 
-func (judge *Checker) apply(rules map[string]func(judge *Checker, broken reportFunc)) {
+func (checker *Checker) apply(rules map[string]func(checker *Checker, broken reportFunc)) {
 	for _, rule := range Rules {
 		if check := rules[rule]; check != nil {
-			check(judge, func(format string, values ...any) {
-				judge.Violations = append(judge.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)})
+			check(checker, func(format string, values ...any) {
+				checker.Violations = append(checker.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)})
 			})
 		}
 	}
@@ -74,37 +74,37 @@
 type reportFunc func(format string, values ...any)
 
 // ObserveRequest notes that a request is on its way, so that its runs can be judged before its answer is there.
-func (judge *Checker) ObserveRequest(answer *Answer) {
-	judge.once[answer.Request] = judge.once[answer.Request] || answer.Once
-	judge.requests[answer.Request] = append(judge.requests[answer.Request], answer)
+func (checker *Checker) ObserveRequest(answer *Answer) {
+	checker.once[answer.Request] = checker.once[answer.Request] || answer.Once
+	checker.requests[answer.Request] = append(checker.requests[answer.Request], answer)
 }
 
 // ObserveRun judges a run that has just been recorded.
-func (judge *Checker) ObserveRun(run *Run) {
+func (checker *Checker) ObserveRun(run *Run) {
 	if run.Started {
-		judge.runs[run.Request] = append(judge.runs[run.Request], run)
+		checker.runs[run.Request] = append(checker.runs[run.Request], run)
 	}
-	judge.refresh()
-	judge.apply(bind(onRun, run))
+	checker.refresh()
+	checker.apply(bind(onRun, run))
 }
 
 // ObserveAnswer judges an answer that has just been recorded.
-func (judge *Checker) ObserveAnswer(answer *Answer) {
-	judge.answers[answer.Request] = append(judge.answers[answer.Request], answer)
-	judge.refresh()
-	judge.apply(bind(onAnswer, answer))
+func (checker *Checker) ObserveAnswer(answer *Answer) {
+	checker.answers[answer.Request] = append(checker.answers[answer.Request], answer)
+	checker.refresh()
+	checker.apply(bind(onAnswer, answer))
 }
 
 // Finish judges what only the whole history shows.
-func (judge *Checker) Finish() {
-	judge.refresh()
-	judge.apply(atEnd)
+func (checker *Checker) Finish() {
+	checker.refresh()
+	checker.apply(atEnd)
 }
 
-func bind[Seen any](rules map[string]func(judge *Checker, seen Seen, broken reportFunc), seen Seen) map[string]func(judge *Checker, broken reportFunc) {
-	bound := make(map[string]func(judge *Checker, broken reportFunc), len(rules))
+func bind[Seen any](rules map[string]func(checker *Checker, seen Seen, broken reportFunc), seen Seen) map[string]func(checker *Checker, broken reportFunc) {
+	bound := make(map[string]func(checker *Checker, broken reportFunc), len(rules))
 	for rule, check := range rules {
-		bound[rule] = func(judge *Checker, broken reportFunc) { check(judge, seen, broken) }
+		bound[rule] = func(checker *Checker, broken reportFunc) { check(checker, seen, broken) }
 	}
 	return bound
 }
@@ -116,24 +116,24 @@
 	sent, acknowledged time.Time
 }
 
-// refresh brings the judge's views of leaving runners and specs up to date.
-func (judge *Checker) refresh() {
-	if judge.drainsSeen != len(judge.history.Drains) {
-		judge.drainsSeen = len(judge.history.Drains)
-		judge.drains = map[string][]*Drain{}
-		for _, leave := range judge.history.Drains {
-			judge.drains[leave.Runner] = append(judge.drains[leave.Runner], leave)
+// refresh brings the checker's views of leaving runners and specs up to date.
+func (checker *Checker) refresh() {
+	if checker.drainsSeen != len(checker.history.Drains) {
+		checker.drainsSeen = len(checker.history.Drains)
+		checker.drains = map[string][]*Drain{}
+		for _, drain := range checker.history.Drains {
+			checker.drains[drain.Runner] = append(checker.drains[drain.Runner], drain)
 		}
 	}
-	settled := len(judge.known)
-	for _, order := range judge.history.Orders {
+	settled := len(checker.known)
+	for _, order := range checker.history.Orders {
 		if order.Outcome == "accepted" {
 			settled++
 		}
 	}
-	if settled != judge.changesSeen {
-		judge.changesSeen = settled
-		judge.timeline = timeline(judge.history.Orders, judge.known)
+	if settled != checker.changesSeen {
+		checker.changesSeen = settled
+		checker.timeline = timeline(checker.history.Orders, checker.known)
 	}
 }
 
@@ -154,7 +154,7 @@
 		}
 	}
 	sort.SliceStable(changes, func(left, right int) bool { return changes[left].epoch < changes[right].epoch })
-	var eras []specVersion
+	var versions []specVersion
 	present := &config.Spec{}
 	for _, change := range changes {
 		if change.order.Verb == "apply" && change.order.Spec != nil {
@@ -162,34 +162,34 @@
 		} else if change.order.Change != nil {
 			present, _ = change.order.Change.Apply(present)
 		} else {
-			turned := *present
-			turned.Zones = append([]config.Zone{}, present.Zones...)
-			for place := range turned.Zones {
-				if turned.Zones[place].Name == change.order.Zone {
-					turned.Zones[place].Closed = change.order.Verb == "close"
+			toggled := *present
+			toggled.Zones = append([]config.Zone{}, present.Zones...)
+			for index := range toggled.Zones {
+				if toggled.Zones[index].Name == change.order.Zone {
+					toggled.Zones[index].Closed = change.order.Verb == "close"
 				}
 			}
-			present = &turned
+			present = &toggled
 		}
 		one := specVersion{epoch: change.epoch, catalog: config.NewCatalog(present), sent: change.order.Sent}
 		if change.order.Outcome == "accepted" {
 			one.acknowledged = change.order.Got
 		}
-		eras = append(eras, one)
+		versions = append(versions, one)
 	}
-	return eras
+	return versions
 }
 
 // specsInForce gives the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One that
 // has no path to the core may go by what it had when it lost that.
-func (judge *Checker) specsInForce(daemon string, at time.Time, bound time.Duration) []specVersion {
-	return judge.specsBetween(at, at, bound+judge.isolatedFor(daemon, at))
+func (checker *Checker) specsInForce(daemon string, at time.Time, bound time.Duration) []specVersion {
+	return checker.specsBetween(at, at, bound+checker.isolatedFor(daemon, at))
 }
 
 // isolatedFor gives for how long, at a moment, a daemon has had no path to the core.
-func (judge *Checker) isolatedFor(daemon string, at time.Time) time.Duration {
-	for place := len(judge.history.Isolations) - 1; place >= 0; place-- {
-		one := judge.history.Isolations[place]
+func (checker *Checker) isolatedFor(daemon string, at time.Time) time.Duration {
+	for index := len(checker.history.Isolations) - 1; index >= 0; index-- {
+		one := checker.history.Isolations[index]
 		if one.Daemon == daemon && one.From.Before(at) && !at.After(one.Until) {
 			return at.Sub(one.From)
 		}
@@ -198,25 +198,25 @@
 }
 
 // specsBetween gives the specs by which work may have gone at some moment of a span of time.
-func (judge *Checker) specsBetween(from, until time.Time, bound time.Duration) []specVersion {
+func (checker *Checker) specsBetween(from, until time.Time, bound time.Duration) []specVersion {
 	floor := 0
-	for place, era := range judge.timeline {
-		if !era.acknowledged.IsZero() && from.Sub(era.acknowledged) > bound {
-			floor = place
+	for index, version := range checker.timeline {
+		if !version.acknowledged.IsZero() && from.Sub(version.acknowledged) > bound {
+			floor = index
 		}
 	}
 	var fit []specVersion
-	for _, era := range judge.timeline[min(floor, len(judge.timeline)):] {
-		if !era.sent.After(until) {
-			fit = append(fit, era)
+	for _, version := range checker.timeline[min(floor, len(checker.timeline)):] {
+		if !version.sent.After(until) {
+			fit = append(fit, version)
 		}
 	}
 	return fit
 }
 
-func (judge *Checker) permittedBySomeSpec(daemon string, at time.Time, bound time.Duration, permits func(catalog *config.Catalog) bool) bool {
-	for _, era := range judge.specsInForce(daemon, at, bound) {
-		if permits(era.catalog) {
+func (checker *Checker) permittedBySomeSpec(daemon string, at time.Time, bound time.Duration, permits func(catalog *config.Catalog) bool) bool {
+	for _, version := range checker.specsInForce(daemon, at, bound) {
+		if permits(version.catalog) {
 			return true
 		}
 	}
@@ -224,23 +224,23 @@
 }
 
 // outdatedFor gives for how long a piece of work at a moment was against the acknowledged specs.
-func (judge *Checker) outdatedFor(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
+func (checker *Checker) outdatedFor(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
 	longest := time.Duration(0)
-	for place := len(judge.timeline) - 1; place >= 0; place-- {
-		era := judge.timeline[place]
-		if permits(era.catalog) && !era.sent.After(at) {
+	for index := len(checker.timeline) - 1; index >= 0; index-- {
+		version := checker.timeline[index]
+		if permits(version.catalog) && !version.sent.After(at) {
 			break
 		}
-		if !era.acknowledged.IsZero() && era.acknowledged.Before(at) {
-			longest = max(longest, at.Sub(era.acknowledged))
+		if !version.acknowledged.IsZero() && version.acknowledged.Before(at) {
+			longest = max(longest, at.Sub(version.acknowledged))
 		}
 	}
 	return longest
 }
 
 // excusedByFault tells whether a fault excuses something at a daemon in a span of time.
-func (judge *Checker) excusedByFault(daemon string, from, until time.Time) bool {
-	for _, fault := range judge.history.Faults {
+func (checker *Checker) excusedByFault(daemon string, from, until time.Time) bool {
+	for _, fault := range checker.history.Faults {
 		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until.Add(faultShadow)) {
 			return true
 		}
@@ -249,8 +249,8 @@
 }
 
 // runnerFault gives a fault of a runner that overlaps a span of time.
-func (judge *Checker) runnerFault(runner string, from, until time.Time) (Fault, bool) {
-	for _, fault := range judge.history.Faults {
+func (checker *Checker) runnerFault(runner string, from, until time.Time) (Fault, bool) {
+	for _, fault := range checker.history.Faults {
 		if fault.Runner == runner && !until.Before(fault.At) && from.Before(fault.Until.Add(faultShadow)) {
 			return fault, true
 		}
@@ -259,9 +259,9 @@
 }
 
 // canUseRunners tells whether a spec lets the backend use its runners at all.
-func (judge *Checker) canUseRunners(catalog *config.Catalog) bool {
+func (checker *Checker) canUseRunners(catalog *config.Catalog) bool {
 	for _, backend := range catalog.Backends {
-		if backend.Allows(judge.history.Service) && backend.Weights == judge.history.Weights {
+		if backend.Allows(checker.history.Service) && backend.Weights == checker.history.Weights {
 			return true
 		}
 	}
@@ -270,16 +270,16 @@
 
 // leastFreeShare gives the least part of the backend's slots that was free over a span of time, in zones that were
 // open all the while; 0 where nobody looked.
-func (judge *Checker) leastFreeShare(from, until time.Time) float64 {
+func (checker *Checker) leastFreeShare(from, until time.Time) float64 {
 	least, seen := 1.0, false
-	eras := judge.specsBetween(from, until, SpecBound)
-	first := sort.Search(len(judge.history.CapacitySamples), func(place int) bool { return judge.history.CapacitySamples[place].At.After(from) })
-	for _, room := range judge.history.CapacitySamples[max(0, first-1):] {
+	versions := checker.specsBetween(from, until, SpecBound)
+	first := sort.Search(len(checker.history.CapacitySamples), func(index int) bool { return checker.history.CapacitySamples[index].At.After(from) })
+	for _, room := range checker.history.CapacitySamples[max(0, first-1):] {
 		free, slots := 0, 0
 		for zone, count := range room.Free {
 			open := true
-			for _, era := range eras {
-				open = open && era.catalog.Open(zone) && judge.canUseRunners(era.catalog)
+			for _, version := range versions {
+				open = open && version.catalog.Open(zone) && checker.canUseRunners(version.catalog)
 			}
 			if open {
 				free, slots = free+count, slots+room.Slots[zone]
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -10,16 +10,16 @@
 // Where only its arrival is known, bytes that left in time and were held up on their way to a runner in trouble are
 // excused, for as long as a daemon leaves them on their way. Trouble of the daemon excuses nothing: it looks once more
 // when it wakes from a freeze.
-func (judge *Checker) sentAfterDeparture(run *Run, answer *Answer) time.Duration {
+func (checker *Checker) sentAfterDeparture(run *Run, answer *Answer) time.Duration {
 	sent := run.Sent
 	if sent.IsZero() {
 		sent = run.At
 	}
-	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) || judge.sentTwice(answer) {
+	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) || checker.sentTwice(answer) {
 		return 0
 	}
 	late := sent.Sub(answer.HungUpAt)
-	if _, heldUp := judge.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() && late <= DepartureBound+transitTime {
+	if _, heldUp := checker.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() && late <= DepartureBound+transitTime {
 		return 0
 	}
 	return late
@@ -33,9 +33,9 @@
 }
 
 // sentTwice tells whether the same request came to the same daemon more than once, so that runs can't be told apart.
-func (judge *Checker) sentTwice(answer *Answer) bool {
+func (checker *Checker) sentTwice(answer *Answer) bool {
 	count := 0
-	for _, other := range judge.requests[answer.Request] {
+	for _, other := range checker.requests[answer.Request] {
 		if other.Daemon == answer.Daemon {
 			count++
 		}
@@ -46,24 +46,24 @@
 // CheckDeparture judges whether anybody still works for a client that has left, at a moment by which its daemon has had
 // LeftBound to learn of that. Runs that must come to their end are none of these; a daemon in trouble within that time
 // is excused.
-func (judge *Checker) CheckDeparture(answer *Answer, until time.Time) {
-	if answer.HungUpAt.IsZero() || !answer.Cancels || judge.sentTwice(answer) {
+func (checker *Checker) CheckDeparture(answer *Answer, until time.Time) {
+	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.sentTwice(answer) {
 		return
 	}
-	if judge.faultOverlaps(answer.Daemon, until.Add(-DepartureBound), until) {
+	if checker.faultOverlaps(answer.Daemon, until.Add(-DepartureBound), until) {
 		return
 	}
-	for _, run := range judge.runs[answer.Request] {
+	for _, run := range checker.runs[answer.Request] {
 		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
-			judge.Violations = append(judge.Violations, Violation{Rule: "left-requester",
+			checker.Violations = append(checker.Violations, Violation{Rule: "left-requester",
 				Detail: answer.Request + " was still worked on at " + run.Runner + " " + DepartureBound.String() + " after its requester had left " + run.Daemon})
 		}
 	}
 }
 
 // faultOverlaps tells whether something was done to a daemon in a span of time.
-func (judge *Checker) faultOverlaps(daemon string, from, until time.Time) bool {
-	for _, fault := range judge.history.Faults {
+func (checker *Checker) faultOverlaps(daemon string, from, until time.Time) bool {
+	for _, fault := range checker.history.Faults {
 		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until) {
 			return true
 		}
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -62,22 +62,22 @@
 }
 
 // onRun is judged whenever a runner has read a request.
-var onRun = map[string]func(judge *Checker, run *Run, broken reportFunc){
-	"run-twice": func(judge *Checker, run *Run, broken reportFunc) {
-		if runs := judge.runs[run.Request]; run.Started && judge.once[run.Request] && len(runs) > 1 {
+var onRun = map[string]func(checker *Checker, run *Run, broken reportFunc){
+	"run-twice": func(checker *Checker, run *Run, broken reportFunc) {
+		if runs := checker.runs[run.Request]; run.Started && checker.once[run.Request] && len(runs) > 1 {
 			broken("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner, runs[0].Daemon, run.Runner, run.Daemon)
 		}
 	},
-	"ran-after-refusal": func(judge *Checker, run *Run, broken reportFunc) {
-		for _, answer := range judge.answers[run.Request] {
+	"ran-after-refusal": func(checker *Checker, run *Run, broken reportFunc) {
+		for _, answer := range checker.answers[run.Request] {
 			// A client that sends its request anew after this word asks for another run.
-			if run.Started && answer.Ran == didNotRun && !judge.sentAgain(answer) {
+			if run.Started && answer.Ran == didNotRun && !checker.sentAgain(answer) {
 				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner, answer.Kind)
 			}
 		}
 	},
-	"not-allowed": func(judge *Checker, run *Run, broken reportFunc) {
-		if !judge.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
+	"not-allowed": func(checker *Checker, run *Run, broken reportFunc) {
+		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
 			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service, run.Runner)
 		}
 	},
@@ -86,35 +86,35 @@
 			broken("%s was meant for %s and reached %s", run.Request, run.Wanted, run.Runner)
 		}
 	},
-	"leaving": func(judge *Checker, run *Run, broken reportFunc) {
-		if late := judge.drainingFor(run); late > DrainingBound {
+	"leaving": func(checker *Checker, run *Run, broken reportFunc) {
+		if late := checker.drainingFor(run); late > DrainingBound {
 			broken("%s went to %s %v after it began to leave", run.Request, run.Runner, late)
 		}
 	},
-	"change-ignored": func(judge *Checker, run *Run, broken reportFunc) {
-		if !judge.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
+	"change-ignored": func(checker *Checker, run *Run, broken reportFunc) {
+		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
 			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec", run.Request, run.Route, run.Weights, run.Daemon,
-				judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
+				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
-	"slipped-back": func(judge *Checker, run *Run, broken reportFunc) {
+	"slipped-back": func(checker *Checker, run *Run, broken reportFunc) {
 		// Requests of one daemon overtake each other while bytes are on their way; a slip back lasts.
-		if run.Epoch < judge.greatest[run.Daemon] && run.At.Sub(judge.greatestSince[run.Daemon]) > transitTime {
-			broken("%s went from epoch %d back to %d", run.Daemon, judge.greatest[run.Daemon], run.Epoch)
+		if run.Epoch < checker.greatest[run.Daemon] && run.At.Sub(checker.greatestSince[run.Daemon]) > transitTime {
+			broken("%s went from epoch %d back to %d", run.Daemon, checker.greatest[run.Daemon], run.Epoch)
 		}
-		if run.Epoch > judge.greatest[run.Daemon] {
-			judge.greatest[run.Daemon], judge.greatestSince[run.Daemon] = run.Epoch, run.At
+		if run.Epoch > checker.greatest[run.Daemon] {
+			checker.greatest[run.Daemon], checker.greatestSince[run.Daemon] = run.Epoch, run.At
 		}
 	},
-	"closed-zone": func(judge *Checker, run *Run, broken reportFunc) {
+	"closed-zone": func(checker *Checker, run *Run, broken reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }
-		if !judge.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
-			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, judge.outdatedFor(run.At, open))
+		if !checker.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
+			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, checker.outdatedFor(run.At, open))
 		}
 	},
-	"left-requester": func(judge *Checker, run *Run, broken reportFunc) {
-		for _, answer := range judge.requests[run.Request] {
-			if late := judge.sentAfterDeparture(run, answer); late > DepartureBound {
+	"left-requester": func(checker *Checker, run *Run, broken reportFunc) {
+		for _, answer := range checker.requests[run.Request] {
+			if late := checker.sentAfterDeparture(run, answer); late > DepartureBound {
 				broken("%s reached %s %v after its requester had left %s", run.Request, run.Runner, late, run.Daemon)
 			}
 		}
@@ -129,8 +129,8 @@
 const didNotRun = "did not run"
 
 // sentAgain tells whether a request was sent anew after an answer.
-func (judge *Checker) sentAgain(answer *Answer) bool {
-	for _, other := range judge.requests[answer.Request] {
+func (checker *Checker) sentAgain(answer *Answer) bool {
+	for _, other := range checker.requests[answer.Request] {
 		if other != answer && (!other.Sent.Before(answer.Got) || !answer.Once) {
 			return true
 		}
@@ -157,66 +157,66 @@
 }
 
 // drainingFor gives how long before a run its runner was known to leave.
-func (judge *Checker) drainingFor(run *Run) time.Duration {
+func (checker *Checker) drainingFor(run *Run) time.Duration {
 	longest := time.Duration(0)
-	for _, leave := range judge.drains[run.Runner] {
-		if leave.At.Before(run.At) && (leave.Back.IsZero() || run.At.Before(leave.Back)) {
-			longest = max(longest, run.At.Sub(leave.At))
+	for _, drain := range checker.drains[run.Runner] {
+		if drain.At.Before(run.At) && (drain.Back.IsZero() || run.At.Before(drain.Back)) {
+			longest = max(longest, run.At.Sub(drain.At))
 		}
 	}
 	return longest
 }
 
 // onAnswer is judged whenever a client has its whole answer.
-var onAnswer = map[string]func(judge *Checker, answer *Answer, broken reportFunc){
-	"ran-after-refusal": func(judge *Checker, answer *Answer, broken reportFunc) {
-		for _, run := range judge.runs[answer.Request] {
-			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !judge.sentAgain(answer) {
+var onAnswer = map[string]func(checker *Checker, answer *Answer, broken reportFunc){
+	"ran-after-refusal": func(checker *Checker, answer *Answer, broken reportFunc) {
+		for _, run := range checker.runs[answer.Request] {
+			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !checker.sentAgain(answer) {
 				broken("%s: its requester was told %q that it did not run, but %s ran it", answer.Request, answer.Kind, run.Runner)
 			}
 		}
 	},
-	"not-whole": func(judge *Checker, answer *Answer, broken reportFunc) {
-		whole := !answer.Done
-		for _, run := range judge.runs[answer.Request] {
-			whole = whole || run.Complete && run.Events == len(answer.IDs)-1
+	"not-whole": func(checker *Checker, answer *Answer, broken reportFunc) {
+		complete := !answer.Done
+		for _, run := range checker.runs[answer.Request] {
+			complete = complete || run.Complete && run.Events == len(answer.IDs)-1
 		}
-		if !whole {
+		if !complete {
 			broken("%s: a success of %d events that no run gave", answer.Request, len(answer.IDs))
 		}
 	},
-	"spliced": func(judge *Checker, answer *Answer, broken reportFunc) {
-		for place, id := range answer.IDs {
-			if id != place+1 {
-				broken("%s: event %d in place %d", answer.Request, id, place+1)
+	"spliced": func(checker *Checker, answer *Answer, broken reportFunc) {
+		for index, id := range answer.IDs {
+			if id != index+1 {
+				broken("%s: event %d in place %d", answer.Request, id, index+1)
 				break
 			}
 		}
-		for place := range answer.Runs {
-			if answer.Runs[place] != answer.Runs[0] && !answer.Resumable {
-				broken("%s: events of runs %s and %s", answer.Request, answer.Runs[0], answer.Runs[place])
+		for index := range answer.Runs {
+			if answer.Runs[index] != answer.Runs[0] && !answer.Resumable {
+				broken("%s: events of runs %s and %s", answer.Request, answer.Runs[0], answer.Runs[index])
 				break
 			}
 			// Where a stream may be resumed, another run goes on exactly behind what was relayed.
-			if place > 0 && answer.Runs[place] != answer.Runs[place-1] && !judge.startedAfter(answer.Request, answer.Runs[place], answer.IDs[place-1]) {
-				broken("%s: run %s goes on behind event %d, where it did not begin", answer.Request, answer.Runs[place], answer.IDs[place-1])
+			if index > 0 && answer.Runs[index] != answer.Runs[index-1] && !checker.startedAfter(answer.Request, answer.Runs[index], answer.IDs[index-1]) {
+				broken("%s: run %s goes on behind event %d, where it did not begin", answer.Request, answer.Runs[index], answer.IDs[index-1])
 				break
 			}
 		}
 	},
-	"dropped": func(judge *Checker, answer *Answer, broken reportFunc) {
+	"dropped": func(checker *Checker, answer *Answer, broken reportFunc) {
 		if !answer.ConnectionLost || !answer.RequestSent || answer.HungUp {
 			return
 		}
-		for _, fault := range judge.history.Faults {
+		for _, fault := range checker.history.Faults {
 			if fault.Kills && fault.Daemon == answer.Daemon && !answer.Got.Before(fault.At) && !answer.Sent.After(fault.Until) {
 				return
 			}
 		}
 		broken("%s, sent to %s, was never answered", answer.Request, answer.Daemon)
 	},
-	"turned-away": func(judge *Checker, answer *Answer, broken reportFunc) {
-		if answer.Resent && answer.Kind == "already_taken" && judge.surelyNotRun(answer) {
+	"turned-away": func(checker *Checker, answer *Answer, broken reportFunc) {
+		if answer.Resent && answer.Kind == "already_taken" && checker.surelyNotRun(answer) {
 			broken("%s was refused as taken already by %s, though it had surely not run", answer.Request, answer.Daemon)
 		}
 		// Whose time has passed is refused for that.
@@ -228,10 +228,10 @@
 			broken("%s was refused with %d %q by %s", answer.Request, answer.Status, answer.Kind, answer.Daemon)
 			return
 		}
-		if judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if why := check(judge, answer); why != "" {
+		if why := check(checker, answer); why != "" {
 			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route, answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
 		}
 	},
@@ -240,17 +240,17 @@
 			broken("%s was refused with %q and not told when to come back", answer.Request, answer.Kind)
 		}
 	},
-	"held-back": func(judge *Checker, answer *Answer, broken reportFunc) {
+	"held-back": func(checker *Checker, answer *Answer, broken reportFunc) {
 		// What is sent again is refused for what became of the first, at any time.
-		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent || judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent || checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if late := judge.overdue(answer); late > OverdueBound {
+		if late := checker.overdue(answer); late > OverdueBound {
 			broken("%s got its final %q %v after it could be known", answer.Request, answer.Kind, late)
 		}
 	},
-	"resumed": func(judge *Checker, answer *Answer, broken reportFunc) {
-		for _, run := range judge.runs[answer.Request] {
+	"resumed": func(checker *Checker, answer *Answer, broken reportFunc) {
+		for _, run := range checker.runs[answer.Request] {
 			if run.After > 0 && !answer.Resumable {
 				broken("%s was resumed behind event %d, which its lane does not allow", answer.Request, run.After)
 			}
@@ -259,8 +259,8 @@
 			}
 		}
 	},
-	"past-deadline": func(judge *Checker, answer *Answer, broken reportFunc) {
-		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp || judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+	"past-deadline": func(checker *Checker, answer *Answer, broken reportFunc) {
+		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp || checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound)); late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
@@ -278,8 +278,8 @@
 }
 
 // startedAfter tells whether a run of a request began behind an event.
-func (judge *Checker) startedAfter(request, name string, after int) bool {
-	for _, run := range judge.runs[request] {
+func (checker *Checker) startedAfter(request, name string, after int) bool {
+	for _, run := range checker.runs[request] {
 		if run.Name == name {
 			return run.After == after
 		}
@@ -288,9 +288,9 @@
 }
 
 // surelyNotRun tells whether everybody who sent a request before was told that it did not run.
-func (judge *Checker) surelyNotRun(answer *Answer) bool {
+func (checker *Checker) surelyNotRun(answer *Answer) bool {
 	before := 0
-	for _, other := range judge.answers[answer.Request] {
+	for _, other := range checker.answers[answer.Request] {
 		if other != answer && !other.Got.After(answer.Sent) {
 			if other.Ran != didNotRun {
 				return false
@@ -298,17 +298,17 @@
 			before++
 		}
 	}
-	return before > 0 && before == len(judge.requests[answer.Request])-1 && len(judge.runs[answer.Request]) == 0
+	return before > 0 && before == len(checker.requests[answer.Request])-1 && len(checker.runs[answer.Request]) == 0
 }
 
 // retryable are the refusals that another try can help.
 var retryable = map[string]bool{"purse_spent": true, "patience_short": true, "waitlist_full": true, "no_fit_runner": true, "not_serving": true}
 
 // overdue gives how long after its cause could be known a request got its final answer.
-func (judge *Checker) overdue(answer *Answer) time.Duration {
+func (checker *Checker) overdue(answer *Answer) time.Duration {
 	known := answer.Sent.Add(answer.LatencyTarget)
-	for _, run := range judge.runs[answer.Request] {
-		fault, found := judge.runnerFault(run.Runner, run.At, answer.Got)
+	for _, run := range checker.runs[answer.Request] {
+		fault, found := checker.runnerFault(run.Runner, run.At, answer.Got)
 		if !found {
 			// A runner that is only slow may yet answer, so there is nothing to be known.
 			return 0
@@ -331,7 +331,7 @@
 }
 
 // wrongfulRejections tell for each kind of refusal why it was our own mistake; "" where it was not.
-var wrongfulRejections = map[string]func(judge *Checker, answer *Answer) string{
+var wrongfulRejections = map[string]func(checker *Checker, answer *Answer) string{
 	"patience_short":  ampleCapacity,
 	"purse_spent":     ampleCapacity,
 	"waitlist_full":   ampleCapacity,
@@ -345,8 +345,8 @@
 }
 
 // ampleCapacity finds a refusal for want of room beside a backend that had plenty all the while.
-func ampleCapacity(judge *Checker, answer *Answer) string {
-	if room := judge.leastFreeShare(answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
+func ampleCapacity(checker *Checker, answer *Answer) string {
+	if room := checker.leastFreeShare(answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
 		return "a good part of the pool was free all the while"
 	}
 	return ""
@@ -354,29 +354,29 @@
 
 // lonelyDaemon finds a daemon that did not serve although nothing was done to it and most others were there:
 // it could be sure of its spec by the head or by them.
-func lonelyDaemon(judge *Checker, answer *Answer) string {
+func lonelyDaemon(checker *Checker, answer *Answer) string {
 	touched := map[string]bool{}
-	for _, fault := range judge.history.Faults {
+	for _, fault := range checker.history.Faults {
 		if fault.Daemon != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.Until.Add(faultShadow)) {
 			touched[fault.Daemon] = true
 		}
 	}
-	if 2*len(touched) >= judge.history.Daemons {
+	if 2*len(touched) >= checker.history.Daemons {
 		return ""
 	}
 	return "no fault touched it, nor half of the others"
 }
 
 // soundRunner finds a run given up although nothing was done to its runner.
-func soundRunner(judge *Checker, answer *Answer) string {
-	for _, run := range judge.runs[answer.Request] {
-		if _, found := judge.runnerFault(run.Runner, run.At, answer.Got); found {
+func soundRunner(checker *Checker, answer *Answer) string {
+	for _, run := range checker.runs[answer.Request] {
+		if _, found := checker.runnerFault(run.Runner, run.At, answer.Got); found {
 			return ""
 		}
 	}
 	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known.
-	if len(judge.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
-		for _, fault := range judge.history.Faults {
+	if len(checker.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
+		for _, fault := range checker.history.Faults {
 			if fault.Runner != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
 				return ""
 			}
@@ -386,9 +386,9 @@
 }
 
 // inSpec finds a request refused as unknown although every spec that could be in force has its route.
-func inSpec(judge *Checker, answer *Answer) string {
-	for _, era := range judge.specsInForce(answer.Daemon, answer.Got, SpecBound) {
-		if era.catalog.Routes[answer.Route] == nil {
+func inSpec(checker *Checker, answer *Answer) string {
+	for _, version := range checker.specsInForce(answer.Daemon, answer.Got, SpecBound) {
+		if version.catalog.Routes[answer.Route] == nil {
 			return ""
 		}
 	}
@@ -396,7 +396,7 @@
 }
 
 // atEnd is judged over the whole history.
-var atEnd = map[string]func(judge *Checker, broken reportFunc){
+var atEnd = map[string]func(checker *Checker, broken reportFunc){
 	"refused-in-effect": refusedInEffect,
 	"two-on-one-base":   twoOnOneBase,
 	"repeats":           retries,
@@ -416,8 +416,8 @@
 	return accepted
 }
 
-func refusedInEffect(judge *Checker, broken reportFunc) {
-	history, routes := judge.history, map[string]bool{}
+func refusedInEffect(checker *Checker, broken reportFunc) {
+	history, routes := checker.history, map[string]bool{}
 	for _, route := range history.Final.Routes {
 		routes[route] = true
 	}
@@ -434,9 +434,9 @@
 	}
 }
 
-func twoOnOneBase(judge *Checker, broken reportFunc) {
+func twoOnOneBase(checker *Checker, broken reportFunc) {
 	bases, epochs := map[uint64]string{}, map[uint64]string{}
-	for _, order := range judge.history.accepted() {
+	for _, order := range checker.history.accepted() {
 		if (order.Verb == "apply" || order.Verb == "change") && order.HasBase {
 			if other, found := bases[order.Base]; found && other != order.Operation {
 				broken("%s and %s were both accepted on epoch %d", other, order.Operation, order.Base)
@@ -502,20 +502,20 @@
 	return over, retried, requests
 }
 
-func retries(judge *Checker, broken reportFunc) {
+func retries(checker *Checker, broken reportFunc) {
 	backends := map[string]bool{}
-	for _, run := range judge.history.Runs {
+	for _, run := range checker.history.Runs {
 		backends[run.Pool] = true
 	}
 	for backend := range backends {
-		if over, retried, requests := RetryPeak(judge.history, backend); over > 0 {
+		if over, retried, requests := RetryPeak(checker.history, backend); over > 0 {
 			broken("pool %s: %d repeats to %d requests within ten seconds", backend, retried, requests)
 		}
 	}
 }
 
-func forgotten(judge *Checker, broken reportFunc) {
-	history := judge.history
+func forgotten(checker *Checker, broken reportFunc) {
+	history := checker.history
 	if !history.Final.Asked {
 		broken("nobody asked for the state at the end")
 		return
@@ -541,8 +541,8 @@
 }
 
 // down wants, after every return of the machines, whole answers in each zone and an accepted change.
-func down(judge *Checker, broken reportFunc) {
-	history := judge.history
+func down(checker *Checker, broken reportFunc) {
+	history := checker.history
 	for _, back := range history.Returns {
 		if returnInterrupted(history, back) {
 			continue
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -29,24 +29,24 @@
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
 	margins := WorstCases{}
-	judge := NewChecker(history, history.Final.Known)
-	judge.refresh()
+	checker := NewChecker(history, history.Final.Known)
+	checker.refresh()
 	backends := map[string]bool{}
 	for _, run := range history.Runs {
 		backends[run.Pool] = true
-		margins.Draining = max(margins.Draining, judge.drainingFor(run))
-		margins.Ignored = max(margins.Ignored, judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
-		margins.Closed = max(margins.Closed, judge.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
+		margins.Draining = max(margins.Draining, checker.drainingFor(run))
+		margins.Ignored = max(margins.Ignored, checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
+		margins.Closed = max(margins.Closed, checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
 		if run.WarmingUp {
 			margins.Concurrent = max(margins.Concurrent, run.Concurrent)
 		}
 		if run.Started {
-			judge.runs[run.Request] = append(judge.runs[run.Request], run)
+			checker.runs[run.Request] = append(checker.runs[run.Request], run)
 		}
 	}
 	for _, answer := range history.Answers {
-		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent && !judge.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
-			margins.Overdue = max(margins.Overdue, judge.overdue(answer))
+		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent && !checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			margins.Overdue = max(margins.Overdue, checker.overdue(answer))
 		}
 	}
 	for _, back := range history.Returns {
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -152,7 +152,7 @@
 
 // events reads a stream to its end.
 func (load *Load) events(body io.Reader, record *histories.Answer) {
-	reader, ear := bufio.NewReader(body), EventParser{Record: record}
+	reader, parser := bufio.NewReader(body), EventParser{Record: record}
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
@@ -162,6 +162,6 @@
 			}
 			return
 		}
-		ear.ParseLine(time.Now(), strings.TrimRight(line, "\n"))
+		parser.ParseLine(time.Now(), strings.TrimRight(line, "\n"))
 	}
 }
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -60,8 +60,8 @@
 // WithResumption is the mix with longer answers, which may be resumed wherever they may be repeated.
 func (mix Mix) WithResumption() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
-	for place := range mix.Kinds {
-		if kind := &mix.Kinds[place]; !kind.Once {
+	for index := range mix.Kinds {
+		if kind := &mix.Kinds[index]; !kind.Once {
 			kind.Resumable, kind.Pause, kind.Answer = true, 500*time.Millisecond, 300
 		}
 	}
@@ -71,8 +71,8 @@
 // WithDeadlines is the mix whose clients tell how long they wait, and whose routes have a longest time of their own.
 func (mix Mix) WithDeadlines() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
-	for place := range mix.Kinds {
-		kind := &mix.Kinds[place]
+	for index := range mix.Kinds {
+		kind := &mix.Kinds[index]
 		kind.Wait, kind.Deadline = kind.LatencyTarget/2, kind.LatencyTarget
 	}
 	return mix
@@ -82,8 +82,8 @@
 // once.
 func (mix Mix) Cancelling() Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
-	for place := range mix.Kinds {
-		mix.Kinds[place].Cancel, mix.Kinds[place].Answer = true, 300
+	for index := range mix.Kinds {
+		mix.Kinds[index].Cancel, mix.Kinds[index].Answer = true, 300
 	}
 	return mix
 }
@@ -145,9 +145,9 @@
 
 // Parts gives the names and tokens of the prompt's opening.
 func (drawn Drawn) Parts() (names []string, tokens []int) {
-	for place := range drawn.Kind.Opening {
-		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Family, place)
-		if place == 0 {
+	for index := range drawn.Kind.Opening {
+		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Family, index)
+		if index == 0 {
 			name = drawn.Kind.Route + "-system"
 		}
 		names, tokens = append(names, name), append(tokens, drawn.Kind.OpeningTokens)
@@ -168,8 +168,8 @@
 		headers[admission.HeaderWait] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
 	}
 	names, tokens := drawn.Parts()
-	for place, name := range names {
-		headers[admission.HeaderPrefix] = append(headers[admission.HeaderPrefix], name+"="+strconv.Itoa(tokens[place]))
+	for index, name := range names {
+		headers[admission.HeaderPrefix] = append(headers[admission.HeaderPrefix], name+"="+strconv.Itoa(tokens[index]))
 	}
 	return headers
 }
@@ -192,29 +192,29 @@
 }
 
 // ParseLine takes one line without its end; now is when it came.
-func (ear *EventParser) ParseLine(now time.Time, line string) {
-	record := ear.Record
+func (parser *EventParser) ParseLine(now time.Time, line string) {
+	record := parser.Record
 	if line == "" {
 		record.Last = now
 		if record.First == 0 {
 			record.First = now.Sub(record.Sent)
 		}
-		if ear.name == "error" {
+		if parser.name == "error" {
 			record.Error = true
 			return
 		}
-		record.IDs, record.Runs = append(record.IDs, ear.id), append(record.Runs, ear.run)
-		record.Done = ear.name == "done"
+		record.IDs, record.Runs = append(record.IDs, parser.id), append(record.Runs, parser.run)
+		record.Done = parser.name == "done"
 		return
 	}
 	field, value, _ := strings.Cut(line, ": ")
 	takes := map[string]func(){
-		"id":    func() { ear.id, _ = strconv.Atoi(value) },
-		"event": func() { ear.name = value },
+		"id":    func() { parser.id, _ = strconv.Atoi(value) },
+		"event": func() { parser.name = value },
 		"data": func() {
 			told := struct{ Run, Kind string }{}
 			if json.Unmarshal([]byte(value), &told) == nil {
-				ear.run, record.Kind = told.Run, told.Kind
+				parser.run, record.Kind = told.Run, told.Kind
 			}
 		},
 	}
--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -26,10 +26,10 @@
 	for _, name := range world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 }) {
 		add(Sync, name)
 	}
-	for place, question := range world.scenario.Requests {
-		via := world.byName[question.Via]
-		if !world.sent[place] && (question.After < 0 || world.sent[question.After]) && via.up && !via.frozen {
-			add(Send, fmt.Sprint(place))
+	for index, request := range world.scenario.Requests {
+		via := world.byName[request.Via]
+		if !world.sent[index] && (request.After < 0 || world.sent[request.After]) && via.up && !via.frozen {
+			add(Send, fmt.Sprint(index))
 		}
 	}
 	actions = append(actions, world.faultActions()...)
@@ -210,9 +210,9 @@
 	if action.Verb == Release {
 		list = &world.delayedMessages
 	}
-	place := slices.IndexFunc(*list, func(message message) bool { return message.digest == action.Message })
-	message := (*list)[place]
-	*list = slices.Delete(slices.Clone(*list), place, place+1)
+	index := slices.IndexFunc(*list, func(message message) bool { return message.digest == action.Message })
+	message := (*list)[index]
+	*list = slices.Delete(slices.Clone(*list), index, index+1)
 	if action.Verb == Deliver || action.Verb == Release {
 		world.deliver(message)
 	}
@@ -271,26 +271,26 @@
 
 // send has an operator ask a question.
 func (world *world) send(subject string) {
-	place := 0
-	if _, err := fmt.Sscan(subject, &place); err != nil {
+	index := 0
+	if _, err := fmt.Sscan(subject, &index); err != nil {
 		panic(err)
 	}
-	question := world.scenario.Requests[place]
-	world.sent[place] = true
-	world.checker.epochAtRequest[place] = world.checker.acknowledged()
-	host := world.byName[question.Via]
+	request := world.scenario.Requests[index]
+	world.sent[index] = true
+	world.checker.epochAtRequest[index] = world.checker.acknowledged()
+	host := world.byName[request.Via]
 	world.step(host, host.incarnation, 0, func() {
-		host.node.Ask(world.now, question.message(), func(status int, body []byte) { world.checker.checkResponse(place, status, body) })
+		host.node.Ask(world.now, request.message(), func(status int, body []byte) { world.checker.checkResponse(index, status, body) })
 	})
 }
 
 // message gives the message of a question.
-func (question Request) message() *wire.OperatorRequest {
-	if question.Verb == "get" {
+func (request Request) message() *wire.OperatorRequest {
+	if request.Verb == "get" {
 		return &wire.OperatorRequest{Verb: "get"}
 	}
-	spec := fmt.Sprintf(`{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`, question.Operation)
-	return &wire.OperatorRequest{Verb: question.Verb, Operation: question.Operation, Base: question.Base, HasBase: true, Spec: []byte(spec)}
+	spec := fmt.Sprintf(`{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`, request.Operation)
+	return &wire.OperatorRequest{Verb: request.Verb, Operation: request.Operation, Base: request.Base, HasBase: true, Spec: []byte(spec)}
 }
 
 // blackout takes the power from everything, the disk from one machine, and starts all again. Those who come back must
--- a/verify/modelcheck/checker_test.go
+++ b/verify/modelcheck/checker_test.go
@@ -33,17 +33,17 @@
 		"answered twice":                  {[]given{{0, 200, 2, "left"}, {0, 200, 2, "left"}}, "P5"},
 		"one that was sent once, refused": {[]given{{1, 503, 0, "right"}, {1, 200, 3, "right"}}, "P5"},
 	} {
-		judge := newWorld(scenario).checker
-		judge.effective = map[string]uint64{}
-		judge.copies = map[string]int{"left": toleratedFaults + 1, "right": toleratedFaults + 1}
+		checker := newWorld(scenario).checker
+		checker.effective = map[string]uint64{}
+		checker.copies = map[string]int{"left": toleratedFaults + 1, "right": toleratedFaults + 1}
 		for _, one := range attempt.answers {
 			if one.status == 200 {
-				judge.effective[one.operation] = max(judge.effective[one.operation], one.epoch)
+				checker.effective[one.operation] = max(checker.effective[one.operation], one.epoch)
 			}
-			judge.checkResponse(one.index, one.status, encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
+			checker.checkResponse(one.index, one.status, encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
 		}
-		if !strings.HasPrefix(judge.violation, attempt.broken) || attempt.broken == "" && judge.violation != "" {
-			t.Errorf("%s: %q, wanted %q", name, judge.violation, attempt.broken)
+		if !strings.HasPrefix(checker.violation, attempt.broken) || attempt.broken == "" && checker.violation != "" {
+			t.Errorf("%s: %q, wanted %q", name, checker.violation, attempt.broken)
 		}
 	}
 }
@@ -51,15 +51,15 @@
 // TestAcknowledgedWithoutCopies wants an acknowledgement that rests on one disk noticed, and one of nothing at all.
 func TestAcknowledgedWithoutCopies(t *testing.T) {
 	scenario := &Scenario{Name: "copies", Requests: []Request{{Verb: "apply", Operation: "left", Base: 1}}}
-	for name, prepare := range map[string]func(judge *checker){
-		"one copy":      func(judge *checker) { judge.effective["left"], judge.copies["left"] = 2, toleratedFaults },
-		"not committed": func(judge *checker) { judge.copies["left"] = toleratedFaults + 1 },
+	for name, prepare := range map[string]func(checker *checker){
+		"one copy":      func(checker *checker) { checker.effective["left"], checker.copies["left"] = 2, toleratedFaults },
+		"not committed": func(checker *checker) { checker.copies["left"] = toleratedFaults + 1 },
 	} {
-		judge := newWorld(scenario).checker
-		prepare(judge)
-		judge.checkResponse(0, 200, encode(t, node.Reply{Operation: "left", Epoch: 2}))
-		if !strings.HasPrefix(judge.violation, "P3") {
-			t.Errorf("%s: %q", name, judge.violation)
+		checker := newWorld(scenario).checker
+		prepare(checker)
+		checker.checkResponse(0, 200, encode(t, node.Reply{Operation: "left", Epoch: 2}))
+		if !strings.HasPrefix(checker.violation, "P3") {
+			t.Errorf("%s: %q", name, checker.violation)
 		}
 	}
 }
@@ -68,11 +68,11 @@
 func TestStaleReadsAreDetected(t *testing.T) {
 	scenario := &Scenario{Name: "reads", Requests: []Request{{Verb: "get"}}}
 	for epoch, broken := range map[uint64]string{1: "P1", 2: "", 3: ""} {
-		judge := newWorld(scenario).checker
-		judge.epochAtRequest[0] = 2
-		judge.checkResponse(0, 200, encode(t, node.Reply{Epoch: epoch}))
-		if got, _, _ := strings.Cut(judge.violation, ":"); got != broken {
-			t.Errorf("epoch %d: %q", epoch, judge.violation)
+		checker := newWorld(scenario).checker
+		checker.epochAtRequest[0] = 2
+		checker.checkResponse(0, 200, encode(t, node.Reply{Epoch: epoch}))
+		if got, _, _ := strings.Cut(checker.violation, ":"); got != broken {
+			t.Errorf("epoch %d: %q", epoch, checker.violation)
 		}
 	}
 }
--- a/verify/modelcheck/command.go
+++ b/verify/modelcheck/command.go
@@ -23,41 +23,41 @@
 
 // Register adds the command "model".
 func Register(application *kingpin.Application) *SearchCommand {
-	searching := &SearchCommand{}
+	search := &SearchCommand{}
 	command := application.Command("model", "Search the states of the control plane of a small fleet and check the properties after each action.")
-	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").IntVar(&searching.options.States)
-	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").IntVar(&searching.options.Depth)
-	command.Flag("seed", "Seed of the search.").Default("1").Int64Var(&searching.options.Seed)
-	command.Flag("scenario", "Only this scenario, or all.").Default("all").EnumVar(&searching.scenario, append(Names(), "all")...)
-	command.Flag("trace", "Instead of a search, take the actions of this file, one a line, and print which property they break.").StringVar(&searching.trace)
-	searching.Command = command.FullCommand()
-	return searching
+	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").IntVar(&search.options.States)
+	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").IntVar(&search.options.Depth)
+	command.Flag("seed", "Seed of the search.").Default("1").Int64Var(&search.options.Seed)
+	command.Flag("scenario", "Only this scenario, or all.").Default("all").EnumVar(&search.scenario, append(Names(), "all")...)
+	command.Flag("trace", "Instead of a search, take the actions of this file, one a line, and print which property they break.").StringVar(&search.trace)
+	search.Command = command.FullCommand()
+	return search
 }
 
 // Run carries the command out.
-func (searching *SearchCommand) Run(output io.Writer) error {
+func (search *SearchCommand) Run(output io.Writer) error {
 	chosen := Scenarios
-	if scenario, found := Find(searching.scenario); found {
+	if scenario, found := Find(search.scenario); found {
 		chosen = []Scenario{scenario}
 	}
-	if searching.trace != "" {
-		return searching.replay(output, chosen)
+	if search.trace != "" {
+		return search.replay(output, chosen)
 	}
-	if searching.options.States < 0 || searching.options.Depth < 0 {
+	if search.options.States < 0 || search.options.Depth < 0 {
 		return errors.New("--states and --depth must not be negative")
 	}
-	held, err := Print(output, chosen, searching.options)
+	held, err := Print(output, chosen, search.options)
 	if err == nil && !held {
 		err = errViolation
 	}
 	return err
 }
 
-func (searching *SearchCommand) replay(output io.Writer, chosen []Scenario) error {
+func (search *SearchCommand) replay(output io.Writer, chosen []Scenario) error {
 	if len(chosen) != 1 {
 		return errors.New("--trace needs --scenario")
 	}
-	content, err := os.ReadFile(searching.trace)
+	content, err := os.ReadFile(search.trace)
 	if err != nil {
 		return err
 	}
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -146,9 +146,9 @@
 		if len(untried) == 0 || explorer.nodes[state].depth >= explorer.options.Depth {
 			return nil
 		}
-		place := explorer.choose(untried)
-		action := untried[place]
-		untried[place] = untried[len(untried)-1]
+		index := explorer.choose(untried)
+		action := untried[index]
+		untried[index] = untried[len(untried)-1]
 		explorer.nodes[state].untried = untried[:len(untried)-1]
 		if err := world.apply(action); err != nil {
 			return err
@@ -163,13 +163,13 @@
 const blackoutRedraws = 3
 
 func (explorer *explorer) choose(untried []Action) int {
-	place := explorer.random.Intn(len(untried))
+	index := explorer.random.Intn(len(untried))
 	for range blackoutRedraws {
-		if untried[place].Verb == Blackout {
-			place = explorer.random.Intn(len(untried))
+		if untried[index].Verb == Blackout {
+			index = explorer.random.Intn(len(untried))
 		}
 	}
-	return place
+	return index
 }
 
 // visit notes the state that an action led to.
@@ -178,13 +178,13 @@
 	if from >= 0 {
 		depth = explorer.nodes[from].depth + 1
 	}
-	sum := world.fingerprint()
-	state, known := explorer.seen[sum]
+	hash := world.fingerprint()
+	state, known := explorer.seen[hash]
 	if known {
 		explorer.result.Revisited++
 	} else {
 		state = len(explorer.nodes)
-		explorer.seen[sum] = state
+		explorer.seen[hash] = state
 		explorer.nodes = append(explorer.nodes, stateNode{parent: from, action: action, depth: depth, untried: world.actions()})
 		heap.Push(&explorer.frontier, frontierEntry{depth: depth, state: state})
 		explorer.countState(world)
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -18,41 +18,41 @@
 const digestSeed digest = 0x9e3779b97f4a7c15
 
 // add folds in one number (the finishing steps of splitmix64).
-func (sum *digest) add(value uint64) {
-	mixed := uint64(*sum) ^ (value + 0x9e3779b97f4a7c15)
+func (hash *digest) add(value uint64) {
+	mixed := uint64(*hash) ^ (value + 0x9e3779b97f4a7c15)
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
-	*sum = digest(mixed ^ mixed>>31)
+	*hash = digest(mixed ^ mixed>>31)
 }
 
-func (sum *digest) addText(text string) {
-	sum.add(uint64(len(text)))
+func (hash *digest) addText(text string) {
+	hash.add(uint64(len(text)))
 	for len(text) >= 8 {
-		sum.add(uint64(text[0]) | uint64(text[1])<<8 | uint64(text[2])<<16 | uint64(text[3])<<24 |
+		hash.add(uint64(text[0]) | uint64(text[1])<<8 | uint64(text[2])<<16 | uint64(text[3])<<24 |
 			uint64(text[4])<<32 | uint64(text[5])<<40 | uint64(text[6])<<48 | uint64(text[7])<<56)
 		text = text[8:]
 	}
 	last := uint64(0)
-	for place := range len(text) {
-		last = last<<8 | uint64(text[place])
+	for index := range len(text) {
+		last = last<<8 | uint64(text[index])
 	}
-	sum.add(last)
+	hash.add(last)
 }
 
 // addTime folds in a time as a distance from now, so that the same situation later has the same digest.
-func (sum *digest) addTime(now, at time.Time) {
+func (hash *digest) addTime(now, at time.Time) {
 	if at.IsZero() {
-		sum.add(0)
+		hash.add(0)
 		return
 	}
-	sum.add(1)
-	sum.add(uint64(at.Sub(now)))
+	hash.add(1)
+	hash.add(uint64(at.Sub(now)))
 }
 
 func digestOf(content string) uint64 {
-	sum := digestSeed
-	sum.addText(content)
-	return uint64(sum)
+	hash := digestSeed
+	hash.addText(content)
+	return uint64(hash)
 }
 
 // walker folds everything that a state machine holds into a digest, private fields included, by reflection. Why: the
@@ -81,27 +81,27 @@
 )
 
 // kindWalkers fold in values of each kind. Functions and channels say nothing that another field does not.
-var kindWalkers [reflect.UnsafePointer + 1]func(walker *walker, sum *digest, value reflect.Value)
+var kindWalkers [reflect.UnsafePointer + 1]func(walker *walker, hash *digest, value reflect.Value)
 
 func init() {
-	enter := func(walk func(walker *walker, sum *digest, value reflect.Value), kinds ...reflect.Kind) {
+	enter := func(walk func(walker *walker, hash *digest, value reflect.Value), kinds ...reflect.Kind) {
 		for _, kind := range kinds {
 			kindWalkers[kind] = walk
 		}
 	}
-	enter(func(_ *walker, sum *digest, value reflect.Value) {
+	enter(func(_ *walker, hash *digest, value reflect.Value) {
 		if value.Bool() {
-			sum.add(1)
+			hash.add(1)
 		}
 	}, reflect.Bool)
-	enter(func(_ *walker, sum *digest, value reflect.Value) { sum.add(uint64(value.Int())) },
+	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(uint64(value.Int())) },
 		reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64)
-	enter(func(_ *walker, sum *digest, value reflect.Value) { sum.add(value.Uint()) },
+	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(value.Uint()) },
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr)
-	enter(func(_ *walker, sum *digest, value reflect.Value) { sum.addText(fmt.Sprint(value.Float())) }, reflect.Float32, reflect.Float64)
-	enter(func(_ *walker, sum *digest, value reflect.Value) { sum.addText(value.String()) }, reflect.String)
+	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) }, reflect.Float32, reflect.Float64)
+	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(value.String()) }, reflect.String)
 	enter(func(_ *walker, _ *digest, _ reflect.Value) {}, reflect.Func, reflect.Chan, reflect.UnsafePointer)
-	enter(func(walker *walker, sum *digest, value reflect.Value) { sum.add(walker.walkPointer(value)) }, reflect.Pointer)
+	enter(func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) }, reflect.Pointer)
 	enter((*walker).walkInterface, reflect.Interface)
 	enter((*walker).walkStruct, reflect.Struct)
 	enter((*walker).walkList, reflect.Slice, reflect.Array)
@@ -110,19 +110,19 @@
 
 // walk gives the digest of a value.
 func (walker *walker) walk(value reflect.Value) uint64 {
-	sum := digestSeed
+	hash := digestSeed
 	walk := kindWalkers[value.Kind()]
 	if walk == nil {
 		panic("a kind that the fingerprint does not know: " + value.Kind().String())
 	}
-	walk(walker, &sum, value)
-	return uint64(sum)
+	walk(walker, &hash, value)
+	return uint64(hash)
 }
 
-func (walker *walker) walkInterface(sum *digest, value reflect.Value) {
+func (walker *walker) walkInterface(hash *digest, value reflect.Value) {
 	if !value.IsNil() {
-		sum.addText(value.Elem().Type().String())
-		sum.add(walker.walk(value.Elem()))
+		hash.addText(value.Elem().Type().String())
+		hash.add(walker.walk(value.Elem()))
 	}
 }
 
@@ -138,19 +138,19 @@
 		panic("the fingerprint can't walk a circle: " + value.Type().String())
 	}
 	walker.open[pointed] = true
-	sum := walker.walk(value.Elem())
+	hash := walker.walk(value.Elem())
 	delete(walker.open, pointed)
-	walker.known[pointed] = sum
-	return sum
+	walker.known[pointed] = hash
+	return hash
 }
 
-func (walker *walker) walkStruct(sum *digest, value reflect.Value) {
+func (walker *walker) walkStruct(hash *digest, value reflect.Value) {
 	if value.Type() == timeType {
-		sum.addTime(walker.now, timeOf(value))
+		hash.addTime(walker.now, timeOf(value))
 		return
 	}
-	for _, place := range walkedFields(value.Type()) {
-		sum.add(walker.walk(value.Field(place)))
+	for _, index := range walkedFields(value.Type()) {
+		hash.add(walker.walk(value.Field(index)))
 	}
 }
 
@@ -162,9 +162,9 @@
 		return known.([]int)
 	}
 	var walked []int
-	for place := range kind.NumField() {
-		if !skipped(kind.Field(place)) {
-			walked = append(walked, place)
+	for index := range kind.NumField() {
+		if !skipped(kind.Field(index)) {
+			walked = append(walked, index)
 		}
 	}
 	walkedFieldsByType.Store(kind, walked)
@@ -189,19 +189,19 @@
 	return time.Unix(seconds-unixToInternal, int64(wall&nanoseconds))
 }
 
-func (walker *walker) walkList(sum *digest, value reflect.Value) {
-	sum.add(uint64(value.Len()))
+func (walker *walker) walkList(hash *digest, value reflect.Value) {
+	hash.add(uint64(value.Len()))
 	if value.Type().Elem().Kind() == reflect.Uint8 && value.Kind() == reflect.Slice {
-		sum.addText(string(value.Bytes()))
+		hash.addText(string(value.Bytes()))
 		return
 	}
-	for place := range value.Len() {
-		sum.add(walker.walk(value.Index(place)))
+	for index := range value.Len() {
+		hash.add(walker.walk(value.Index(index)))
 	}
 }
 
 // walkMap folds in a map's entries in the order of their digests, since maps have none of their own.
-func (walker *walker) walkMap(sum *digest, value reflect.Value) {
+func (walker *walker) walkMap(hash *digest, value reflect.Value) {
 	entries := make([]uint64, 0, value.Len())
 	for iterator := value.MapRange(); iterator.Next(); {
 		entry := digestSeed
@@ -209,15 +209,15 @@
 		entry.add(walker.walk(iterator.Value()))
 		entries = append(entries, uint64(entry))
 	}
-	sum.addSorted(entries)
+	hash.addSorted(entries)
 }
 
 // addSorted folds in a set of digests.
-func (sum *digest) addSorted(digests []uint64) {
+func (hash *digest) addSorted(digests []uint64) {
 	slices.Sort(digests)
-	sum.add(uint64(len(digests)))
+	hash.add(uint64(len(digests)))
 	for _, one := range digests {
-		sum.add(one)
+		hash.add(one)
 	}
 }
 
@@ -226,10 +226,10 @@
 
 // newRandom gives a random source for one life of a machine.
 func newRandom(name string, incarnation int) *rand.Rand {
-	sum := digestSeed
-	sum.addText(name)
-	sum.add(uint64(incarnation))
-	return rand.New(&source{state: uint64(sum)})
+	hash := digestSeed
+	hash.addText(name)
+	hash.add(uint64(incarnation))
+	return rand.New(&source{state: uint64(hash)})
 }
 
 // Uint64 is splitmix64.
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -57,12 +57,12 @@
 func TestSearchRepeats(t *testing.T) {
 	scenario, _ := Find("race")
 	var seen [2]Result
-	for place := range seen {
+	for index := range seen {
 		result, err := Explore(scenario, Options{States: 400, Depth: 30, Seed: 7})
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen[place] = result
+		seen[index] = result
 	}
 	if seen[0].String() != seen[1].String() {
 		t.Errorf("%v\n%v", seen[0], seen[1])
@@ -99,9 +99,9 @@
 	if err != nil || len(read) != len(trace) {
 		t.Fatal(read, err)
 	}
-	for place := range trace {
-		if read[place] != trace[place] {
-			t.Errorf("%v was read as %v", trace[place], read[place])
+	for index := range trace {
+		if read[index] != trace[index] {
+			t.Errorf("%v was read as %v", trace[index], read[index])
 		}
 	}
 	for _, wrong := range []string{"deliver a x", "tick a 1", "a b c d"} {
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -42,8 +42,8 @@
 		return nil, fmt.Errorf("preparing %s: not all have joined", scenario.Name)
 	}
 	// The search begins with what was acknowledged here, but counts none of it as its own.
-	questions := scenario.Requests
-	defer func() { scenario.Requests = questions }()
+	requests := scenario.Requests
+	defer func() { scenario.Requests = requests }()
 	for epoch := range scenario.PriorChanges + 1 {
 		if epoch == 1 && scenario.Absent != "" {
 			world.stopProcess(world.byName[scenario.Absent], true)
@@ -59,14 +59,14 @@
 		}
 	}
 	world.wait(int(settleTime / tickLength))
-	memories := map[string]*wire.DurableState{}
+	states := map[string]*wire.DurableState{}
 	for _, host := range world.hosts {
 		if host.core && host.everStarted {
 			host.disk.compact()
-			memories[host.name] = host.disk.state
+			states[host.name] = host.disk.state
 		}
 	}
-	return &prepared{scenario: scenario, states: memories, identities: world.identities}, nil
+	return &prepared{scenario: scenario, states: states, identities: world.identities}, nil
 }
 
 func (world *world) runUntil(done func() bool) error {
@@ -96,15 +96,15 @@
 	world := newWorld(scenario)
 	world.identities, world.checker.acknowledgedBefore = prepared.identities, uint64(scenario.PriorChanges)+1
 	for _, host := range world.hosts {
-		memory := prepared.states[host.name]
-		if memory != nil {
+		state := prepared.states[host.name]
+		if state != nil {
 			host.everStarted = true
-			host.disk.state = proto.Clone(memory).(*wire.DurableState)
+			host.disk.state = proto.Clone(state).(*wire.DurableState)
 			host.disk.compact()
-			host.disk.digest.add(messageDigest(memory))
+			host.disk.digest.add(messageDigest(state))
 		}
 		host.poweredOff = true
-		if host.name != scenario.Absent && (memory != nil || !host.core) {
+		if host.name != scenario.Absent && (state != nil || !host.core) {
 			world.boot(host)
 		}
 	}
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -41,14 +41,14 @@
 // possible any more without another one, it is left out as well.
 func minimize(prepared *prepared, trace []Action, broken string) ([]Action, string) {
 	property, _, _ := strings.Cut(broken, ":")
-	for place := 0; place < len(trace); {
-		shorter := append(append([]Action{}, trace[:place]...), trace[place+1:]...)
+	for index := 0; index < len(trace); {
+		shorter := append(append([]Action{}, trace[:index]...), trace[index+1:]...)
 		taken, found := tryTrace(prepared, shorter)
 		if strings.HasPrefix(found, property+":") {
 			trace, broken = taken, found
 			continue
 		}
-		place++
+		index++
 	}
 	return trace, broken
 }
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -153,16 +153,16 @@
 
 func (world *world) drain(host *host) {
 	if !host.core {
-		for _, parcel := range host.controller.Drain() {
-			world.transmit(host, parcel)
+		for _, outgoing := range host.controller.Drain() {
+			world.transmit(host, outgoing)
 		}
 		return
 	}
-	parcels, writes := host.node.Drain()
+	outbox, writes := host.node.Drain()
 	host.writes = append(host.writes, writes...)
-	for _, parcel := range parcels {
-		world.checker.checkLearnResponse(host, parcel.Envelope)
-		world.transmit(host, parcel)
+	for _, outgoing := range outbox {
+		world.checker.checkLearnResponse(host, outgoing.Envelope)
+		world.transmit(host, outgoing)
 	}
 	if len(host.writes) > 0 && !world.exploresDisks() {
 		incarnation := host.incarnation
@@ -188,8 +188,8 @@
 }
 
 // transmit sends a message on its way: among those explored, or at once.
-func (world *world) transmit(from *host, parcel statemachine.Message) {
-	target := world.byName[parcel.To]
+func (world *world) transmit(from *host, outgoing statemachine.Message) {
+	target := world.byName[outgoing.To]
 	if target == nil || world.disconnected(from.name, target.name) {
 		return
 	}
@@ -197,11 +197,11 @@
 		world.refuseConnection(from, target)
 		return
 	}
-	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(parcel.Envelope)
+	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(outgoing.Envelope)
 	if err != nil {
 		panic(err)
 	}
-	sending := message{from: from.name, to: target.name, kind: kindOf(parcel.Envelope), content: string(content)}
+	sending := message{from: from.name, to: target.name, kind: kindOf(outgoing.Envelope), content: string(content)}
 	sending.digest = digestOf(sending.from + ">" + sending.to + ":" + sending.content)
 	if world.synchronous || !world.explored[sending.kind] || from == target {
 		world.enqueue(func() { world.deliver(sending) })
@@ -369,32 +369,32 @@
 
 // fingerprint is the digest of everything that decides how this world goes on.
 func (world *world) fingerprint() uint64 {
-	sum, walker := digestSeed, newWalker(world.now)
+	hash, walker := digestSeed, newWalker(world.now)
 	for _, host := range world.hosts {
-		world.addHost(&sum, walker, host)
-	}
-	sum.addSorted(digestsOf(world.inFlight))
-	sum.addSorted(digestsOf(world.delayedMessages))
-	sum.add(walker.walk(reflect.ValueOf(world.isolated)))
-	sum.add(walker.walk(reflect.ValueOf(world.remaining)))
-	sum.add(walker.walk(reflect.ValueOf(world.sent)))
-	sum.add(uint64(world.identities))
-	world.checker.addToFingerprint(&sum, walker)
-	return uint64(sum)
+		world.addHost(&hash, walker, host)
+	}
+	hash.addSorted(digestsOf(world.inFlight))
+	hash.addSorted(digestsOf(world.delayedMessages))
+	hash.add(walker.walk(reflect.ValueOf(world.isolated)))
+	hash.add(walker.walk(reflect.ValueOf(world.remaining)))
+	hash.add(walker.walk(reflect.ValueOf(world.sent)))
+	hash.add(uint64(world.identities))
+	world.checker.addToFingerprint(&hash, walker)
+	return uint64(hash)
 }
 
-func (world *world) addHost(sum *digest, walker *walker, host *host) {
-	sum.addText(fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed, host.decommissioning))
-	sum.addTime(world.now, host.bootedAt)
+func (world *world) addHost(hash *digest, walker *walker, host *host) {
+	hash.addText(fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed, host.decommissioning))
+	hash.addTime(world.now, host.bootedAt)
 	for _, delayed := range host.backlog {
-		sum.add(delayed.digest)
+		hash.add(delayed.digest)
 	}
-	sum.add(walker.walk(reflect.ValueOf(host.node)))
-	sum.add(walker.walk(reflect.ValueOf(host.controller)))
+	hash.add(walker.walk(reflect.ValueOf(host.node)))
+	hash.add(walker.walk(reflect.ValueOf(host.controller)))
 	if host.core {
-		sum.add(uint64(host.disk.digest))
+		hash.add(uint64(host.disk.digest))
 	}
-	sum.add(walker.walk(reflect.ValueOf(host.writes)))
+	hash.add(walker.walk(reflect.ValueOf(host.writes)))
 }
 
 func digestsOf(messages []message) []uint64 {
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -41,24 +41,24 @@
 	first         func()
 	lastEvent     time.Time
 	worstPause    time.Duration
-	gone          bool
+	abandoned     bool
 }
 
 // batch is an engine that runs requests side by side in steps.
 type batch struct {
-	id, zone string
-	figures  Figures
-	slow     float64
-	world    *simulation.World
-	cache    *emulator.Cache[kvblock.BlockKey]
-	running  []*sequence
-	waiting  []*sequence
-	arrivals int
-	stepping bool
-	dark     bool
-	reports  []load.Report
-	busy     time.Duration
-	most     int
+	id, zone     string
+	figures      Figures
+	slow         float64
+	world        *simulation.World
+	cache        *emulator.Cache[kvblock.BlockKey]
+	running      []*sequence
+	waiting      []*sequence
+	arrivals     int
+	stepping     bool
+	unresponsive bool
+	reports      []load.Report
+	busy         time.Duration
+	most         int
 }
 
 func (batch *batch) report() load.Report {
@@ -216,7 +216,7 @@
 // stepped gives out what a step made.
 func (batch *batch) stepped(decoding []*sequence, parts map[*sequence]int) {
 	now := batch.world.Now
-	if batch.dark {
+	if batch.unresponsive {
 		batch.stepping = false
 		return
 	}
@@ -225,7 +225,7 @@
 	finished := batch.removeFinished(now)
 	batch.evict()
 	for _, one := range finished {
-		one.gone = true
+		one.abandoned = true
 		one.finished(one.began && one.written >= one.job.answer)
 	}
 	batch.dropExpired(now)
@@ -239,7 +239,7 @@
 // write adds a token to every sequence that decodes; an event goes out with each Stride of them, and with the last.
 func (batch *batch) write(now time.Time, decoding []*sequence) {
 	for _, one := range decoding {
-		if one.gone {
+		if one.abandoned {
 			continue
 		}
 		one.written++
@@ -254,7 +254,7 @@
 func (batch *batch) advance(now time.Time, parts map[*sequence]int) (started []*sequence) {
 	reading := slices.SortedFunc(maps.Keys(parts), func(left, right *sequence) int { return left.arrival - right.arrival })
 	for _, one := range reading {
-		if one.read += parts[one]; one.read < one.prompt || one.gone {
+		if one.read += parts[one]; one.read < one.prompt || one.abandoned {
 			continue
 		}
 		if !one.began && one.written == 0 {
@@ -271,7 +271,7 @@
 func (batch *batch) removeFinished(now time.Time) (finished []*sequence) {
 	kept := batch.running[:0]
 	for _, one := range batch.running {
-		if one.gone {
+		if one.abandoned {
 			continue
 		}
 		if one.began && one.written >= one.job.answer || one.expired(now) {
@@ -306,7 +306,7 @@
 	still := batch.waiting[:0]
 	for _, one := range batch.waiting {
 		if one.expired(now) {
-			one.gone = true
+			one.abandoned = true
 			one.finished(false)
 			continue
 		}
@@ -319,13 +319,13 @@
 	return now.Sub(one.job.started) > one.job.route.Deadline
 }
 
-// die loses everything that runs or waits.
-func (batch *batch) die() {
-	batch.dark = true
+// crash loses everything that runs or waits.
+func (batch *batch) crash() {
+	batch.unresponsive = true
 	lost := append(append([]*sequence{}, batch.running...), batch.waiting...)
 	batch.running, batch.waiting = nil, nil
 	for _, one := range lost {
-		one.gone = true
+		one.abandoned = true
 		one.finished(false)
 	}
 }
--- a/verify/placement/deployment.go
+++ b/verify/placement/deployment.go
@@ -17,16 +17,16 @@
 // Shared is a part of prompts that many share.
 type Shared struct {
 	Tokens Draws
-	// Things is how many different ones there are; the more popular are so by Skew.
-	Things int
-	Skew   float64
+	// Items is how many different ones there are; the more popular are so by Skew.
+	Items int
+	Skew  float64
 }
 
 // RouteWork is one route's work.
 type RouteWork struct {
-	Name                 string
-	Rate                 float64
-	Aim, Deadline, Pause time.Duration
+	Name                           string
+	Rate                           float64
+	LatencyTarget, Deadline, Pause time.Duration
 	// Value is for an answer within the aim, Late for a later one.
 	Value, Late float64
 	Rank        int
@@ -48,10 +48,10 @@
 
 func assistant(survey, confirm float64, things, names, events int, stride float64, surveyAim, confirmAim time.Duration, deadline time.Duration, late float64, pause time.Duration) []RouteWork {
 	return []RouteWork{
-		{Name: "survey", Rate: survey, Aim: surveyAim, Deadline: deadline, Pause: pause, Value: 2, Late: 2 * late, Rank: 1,
+		{Name: "survey", Rate: survey, LatencyTarget: surveyAim, Deadline: deadline, Pause: pause, Value: 2, Late: 2 * late, Rank: 1,
 			Prompt: Draws{6610, 1.4, 54600}, Events: Draws{float64(events), 0.44, 3 * float64(events)},
 			Chain: []Shared{{Draws{512, 0.4, 1280}, 3, 0}, {Draws{4870, 0.7, 14600}, things, 0.3}}},
-		{Name: "confirm", Rate: confirm, Aim: confirmAim, Deadline: 3 * time.Second, Pause: pause, Value: 3, Late: 3 * late,
+		{Name: "confirm", Rate: confirm, LatencyTarget: confirmAim, Deadline: 3 * time.Second, Pause: pause, Value: 3, Late: 3 * late,
 			Prompt: Draws{1800, 1.3, 6870}, Events: Draws{22.5 / stride, 1.4, 90 / stride},
 			Chain: []Shared{{Draws{341, 0.4, 851}, 20, 0}, {Draws{227, 0.7, 681}, names, 0.3}}},
 	}
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -55,7 +55,7 @@
 	Hot     float64
 	Seed    int64
 	Way     string
-	Nature  emulator.Nature
+	Profile emulator.Nature
 }
 
 // Result is what one route, or all together, got.
@@ -125,7 +125,7 @@
 	}
 	var lines []*wire.Runner
 	for number := range setting.Runners {
-		made := &engine{id: fmt.Sprintf("r%02d", number), zone: setting.Zones[number%len(setting.Zones)], cache: emulator.NewCache[kvblock.BlockKey](setting.Nature.CacheTokens)}
+		made := &engine{id: fmt.Sprintf("r%02d", number), zone: setting.Zones[number%len(setting.Zones)], cache: emulator.NewCache[kvblock.BlockKey](setting.Profile.CacheTokens)}
 		stage.engines[made.id] = made
 		stage.list = append(stage.list, made)
 		lines = append(lines, &wire.Runner{RunnerId: made.id, Zone: made.zone, Service: "s", State: "ready"})
@@ -149,7 +149,7 @@
 		stage.daemons = append(stage.daemons, made)
 	}
 	stage.observe()
-	stage.settle()
+	stage.redispatch()
 	stage.arrive()
 	stage.world.Run(setting.Length + 30*time.Second)
 	return stage.results, nil
@@ -163,11 +163,11 @@
 
 // observe takes reports every 100 ms; daemons read old ones every 250 ms.
 func (stage *stage) observe() {
-	world, age := stage.world, int(stage.setting.Nature.ReportAge/(100*time.Millisecond))
+	world, age := stage.world, int(stage.setting.Profile.ReportAge/(100*time.Millisecond))
 	var take func()
 	take = func() {
 		for _, engine := range stage.list {
-			engine.reports = append(engine.reports, load.Report{Running: engine.running, Waiting: engine.active - engine.running, Slots: stage.setting.Nature.Slots})
+			engine.reports = append(engine.reports, load.Report{Running: engine.running, Waiting: engine.active - engine.running, Slots: stage.setting.Profile.Slots})
 			if len(engine.reports) > age+1 {
 				engine.reports = engine.reports[1:]
 			}
@@ -187,12 +187,12 @@
 	}
 }
 
-func (stage *stage) settle() {
+func (stage *stage) redispatch() {
 	for _, one := range stage.daemons {
 		one.scheduler.Rebalance(stage.world.Now)
 		stage.steps(one)
 	}
-	stage.world.After(20*time.Millisecond, stage.settle)
+	stage.world.After(20*time.Millisecond, stage.redispatch)
 }
 
 // arrive lets requests come at random moments.
@@ -217,12 +217,12 @@
 		Requirements: scheduler.Requirements{Value: kind.Value, LatencyTarget: kind.LatencyTarget, PromptTokens: drawn.PromptTokens(), Zone: one.zone, Shut: map[string]bool{}}}
 	stage.both(kind.Route, func(result *Result) { result.Requests++ })
 	one.budget.Request(stage.world.Now)
-	stage.enter(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
+	stage.schedule(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
 }
 
 var keys = kvblock.NewTokenProcessor(kvblock.DefaultSeed)
 
-func (stage *stage) enter(one *daemon, job *job) {
+func (stage *stage) schedule(one *daemon, job *job) {
 	one.order = append(one.order, job)
 	one.scheduler.Schedule(stage.world.Now, job.queuedRequest)
 	stage.steps(one)
@@ -236,7 +236,7 @@
 		select {
 		case step := <-job.queuedRequest.Decisions:
 			if step.Kind == scheduler.Dispatch {
-				stage.pass(one, job, step)
+				stage.dispatch(one, job, step)
 				continue
 			}
 			late := stage.world.Now.Sub(job.started) > 50*time.Millisecond
@@ -253,11 +253,11 @@
 	}
 }
 
-func (stage *stage) pass(one *daemon, job *job, step scheduler.Decision) {
-	engine, nature := stage.engines[step.Runner.ID], stage.setting.Nature
+func (stage *stage) dispatch(one *daemon, job *job, step scheduler.Decision) {
+	engine, profile := stage.engines[step.Runner.ID], stage.setting.Profile
 	sent := stage.world.Now
 	one.scheduler.Sent(sent, job.queuedRequest, step)
-	if engine.active >= nature.Slots+nature.PutBackAbove {
+	if engine.active >= profile.Slots+profile.PutBackAbove {
 		one.scheduler.PutBack(sent, job.queuedRequest, step)
 		one.scheduler.Release(sent, job.queuedRequest, engine.id)
 		job.queuedRequest.Requirements.Shut[engine.id] = true
@@ -266,13 +266,13 @@
 			stage.both(job.kind.Route, func(result *Result) { result.NoBudget++ })
 			return
 		}
-		stage.enter(one, job)
+		stage.schedule(one, job)
 		return
 	}
 	engine.active++
 	stage.both(job.kind.Route, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
 	run := func() { stage.run(one, job, step, engine, sent) }
-	if engine.running < nature.Slots {
+	if engine.running < profile.Slots {
 		run()
 		return
 	}
@@ -281,7 +281,7 @@
 
 // run lets an engine work: prefills one after the other, answers side by side.
 func (stage *stage) run(one *daemon, job *job, step scheduler.Decision, engine *engine, sent time.Time) {
-	world, nature := stage.world, stage.setting.Nature
+	world, profile := stage.world, stage.setting.Profile
 	engine.running++
 	cached := engine.cache.Use(job.queuedRequest.Keys, job.queuedRequest.PartTokens)
 	prompt := job.queuedRequest.Requirements.PromptTokens
@@ -289,7 +289,7 @@
 	if engine.free.After(begin) {
 		begin = engine.free
 	}
-	first := begin.Add(time.Duration(prompt-cached) * nature.TokenTime)
+	first := begin.Add(time.Duration(prompt-cached) * profile.TokenTime)
 	engine.free = first
 	world.At(first, func() {
 		one.scheduler.First(job.queuedRequest, step, world.Now.Sub(sent))
@@ -301,13 +301,13 @@
 				result.Across++
 			}
 		})
-		world.After(time.Duration(job.kind.Answer)*nature.AnswerTime, func() {
+		world.After(time.Duration(job.kind.Answer)*profile.AnswerTime, func() {
 			engine.running--
 			engine.active--
 			stage.both(job.kind.Route, func(result *Result) { result.Done++ })
 			one.scheduler.Learn(0, 0, world.Now.Sub(sent))
 			one.scheduler.Release(world.Now, job.queuedRequest, engine.id)
-			if len(engine.waiting) > 0 && engine.running < nature.Slots {
+			if len(engine.waiting) > 0 && engine.running < profile.Slots {
 				next := engine.waiting[0]
 				engine.waiting = engine.waiting[1:]
 				next()
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -25,8 +25,8 @@
 	Length time.Duration
 	Seed   int64
 	Way    string
-	// Polls is how old a runner's word may grow before it is asked; 0: never.
-	Polls time.Duration
+	// ReportAge is how old a runner's word may grow before it is asked; 0: never.
+	ReportAge time.Duration
 	// Hot is the part of HotLane's requests that carry one opening, from a third to two thirds of the time.
 	Hot      float64
 	HotRoute string
@@ -38,37 +38,37 @@
 
 // Earned is what one route, or all together, earned.
 type Earned struct {
-	Requests, InTime, Late, Refused, Lost, Sends, Across int
-	Owed, Value                                          float64
+	Requests, InTime, Late, Refused, Failed, Sends, CrossZone int
+	MaximumValue, Value                                       float64
 	// Large and LargeServed count the largest tenth.
 	Large, LargeServed int
 	// Shared are the tokens of shared parts, Reread those read though some runner kept them.
-	Shared, Reread int
+	Shared, RereadTokens int
 	// Probes are reports asked for, AcrossBytes what went between zones.
-	Probes      int
-	AcrossBytes float64
-	First       []time.Duration
-	Window      map[int][2]float64
+	Probes         int
+	CrossZoneBytes float64
+	First          []time.Duration
+	Window         map[int][2]float64
 }
 
 // Share is the part of what is owed that was earned.
-func (earned *Earned) Share() float64 { return earned.Value / max(1e-9, earned.Owed) }
+func (earned *Earned) Share() float64 { return earned.Value / max(1e-9, earned.MaximumValue) }
 
 // The prices of rereading a thousand tokens, of a probe and of a gigabyte between zones, in worth.
 const (
-	rereadPrice = 0.62
-	probePrice  = 0.019
-	acrossPrice = 3300
+	rereadPrice    = 0.62
+	probePrice     = 0.019
+	crossZonePrice = 3300
 )
 
 // Net is the same less the prices.
 func (earned *Earned) Net() float64 {
-	return (earned.Value - rereadPrice*float64(earned.Reread)/1000 - probePrice*float64(earned.Probes) - acrossPrice*earned.AcrossBytes/1e9) / max(1e-9, earned.Owed)
+	return (earned.Value - rereadPrice*float64(earned.RereadTokens)/1000 - probePrice*float64(earned.Probes) - crossZonePrice*earned.CrossZoneBytes/1e9) / max(1e-9, earned.MaximumValue)
 }
 
 // Worst is the same over the worst three seconds of which a good part was owed.
 func (earned *Earned) Worst() float64 {
-	worst, mean := 1.0, earned.Owed/float64(max(1, len(earned.Window)))
+	worst, mean := 1.0, earned.MaximumValue/float64(max(1, len(earned.Window)))
 	for _, window := range earned.Window {
 		if window[0] > mean/2 {
 			worst = min(worst, window[1]/window[0])
@@ -99,7 +99,7 @@
 	firstAt       time.Time
 }
 
-type desked struct {
+type schedulingDaemon struct {
 	name, zone string
 	table      *load.Table
 	scheduler  *scheduler.Scheduler
@@ -115,10 +115,10 @@
 	batches      map[string]*batch
 	list         []*batch
 	lines        []*wire.Runner
-	daemons      []*desked
-	clients      []*desked
+	daemons      []*schedulingDaemon
+	clients      []*schedulingDaemon
 	names        []string
-	kept         map[kvblock.BlockKey]bool
+	cachedBlocks map[kvblock.BlockKey]bool
 	sizes        map[string][][]int
 	weights      map[string][]float64
 	results      map[string]*Earned
@@ -130,21 +130,21 @@
 // Run plays it; results are by route and, under "", for all.
 func (play Play) Run() (map[string]*Earned, error) {
 	world := simulation.NewWorld(play.Seed)
-	fleet := &fleet{play: play, world: world, random: rand.New(rand.NewSource(play.Seed)), started: world.Now, batches: map[string]*batch{}, kept: map[kvblock.BlockKey]bool{},
+	fleet := &fleet{play: play, world: world, random: rand.New(rand.NewSource(play.Seed)), started: world.Now, batches: map[string]*batch{}, cachedBlocks: map[kvblock.BlockKey]bool{},
 		sizes: map[string][][]int{}, weights: map[string][]float64{}, results: map[string]*Earned{"": {Window: map[int][2]float64{}}}, mean: map[string]float64{}, largest: map[string]float64{}}
 	for number := range play.Deployment.Runners {
 		fleet.add(fmt.Sprint("z", number%play.Deployment.Zones))
 	}
 	fleet.prepare()
-	if err := fleet.hire(); err != nil {
+	if err := fleet.addBatch(); err != nil {
 		return nil, err
 	}
 	fleet.observe()
-	fleet.settle()
+	fleet.redispatch()
 	for number := range play.Deployment.Zones {
 		fleet.arrive(number)
 	}
-	fleet.trouble()
+	fleet.scheduleFaults()
 	world.Run(play.Length + 25*time.Second)
 	return fleet.results, nil
 }
@@ -164,13 +164,13 @@
 	for _, route := range fleet.play.Deployment.Routes {
 		fleet.results[route.Name] = &Earned{Window: map[int][2]float64{}}
 		for _, shared := range route.Chain {
-			tokens := make([]int, shared.Things)
+			tokens := make([]int, shared.Items)
 			for place := range tokens {
 				tokens[place] = shared.Tokens.draw(fleet.random)
 			}
 			fleet.sizes[route.Name] = append(fleet.sizes[route.Name], tokens)
 		}
-		weights, sum := make([]float64, route.Chain[len(route.Chain)-1].Things), 0.0
+		weights, sum := make([]float64, route.Chain[len(route.Chain)-1].Items), 0.0
 		for place := range weights {
 			sum += math.Pow(float64(place+1), -route.Chain[len(route.Chain)-1].Skew)
 			weights[place] = sum
@@ -192,7 +192,7 @@
 	}
 }
 
-func (fleet *fleet) hire() error {
+func (fleet *fleet) addBatch() error {
 	play := fleet.play
 	for number := range play.Deployment.Daemons {
 		fleet.names = append(fleet.names, fmt.Sprint("d", number))
@@ -203,7 +203,7 @@
 		if err != nil {
 			return err
 		}
-		made := &desked{name: name, zone: fmt.Sprint("z", number%play.Deployment.Zones), table: load.NewTable(fleet.world.Now, name),
+		made := &schedulingDaemon{name: name, zone: fmt.Sprint("z", number%play.Deployment.Zones), table: load.NewTable(fleet.world.Now, name),
 			budget: retrybudget.New(retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}, func() int { return len(fleet.names) })}
 		made.table.List(fleet.world.Now, fleet.lines)
 		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
@@ -217,7 +217,7 @@
 	// Clients are handed to daemons of their zone by a hash, so that shares are uneven.
 	for number := range play.Deployment.Clients {
 		zone := fmt.Sprint("z", number%play.Deployment.Zones)
-		var near []*desked
+		var near []*schedulingDaemon
 		for _, daemon := range fleet.daemons {
 			if daemon.zone == zone {
 				near = append(near, daemon)
@@ -243,36 +243,36 @@
 		fleet.world.After(every, take)
 	}
 	take()
-	if fleet.play.Polls == 0 {
+	if fleet.play.ReportAge == 0 {
 		return
 	}
 	for _, daemon := range fleet.daemons {
 		var ask func()
 		ask = func() {
-			for _, runner := range daemon.table.Stale(fleet.world.Now, fleet.play.Polls, true) {
-				if batch := fleet.batches[runner.ID]; batch != nil && !batch.dark && len(batch.reports) > 0 {
+			for _, runner := range daemon.table.Stale(fleet.world.Now, fleet.play.ReportAge, true) {
+				if batch := fleet.batches[runner.ID]; batch != nil && !batch.unresponsive && len(batch.reports) > 0 {
 					daemon.table.Reported(fleet.world.Now, runner.ID, batch.reports[0])
 					fleet.results[""].Probes++
 				}
 			}
-			fleet.world.After(fleet.play.Polls/2, ask)
+			fleet.world.After(fleet.play.ReportAge/2, ask)
 		}
-		fleet.world.After(time.Duration(fleet.random.Int63n(int64(fleet.play.Polls))), ask)
+		fleet.world.After(time.Duration(fleet.random.Int63n(int64(fleet.play.ReportAge))), ask)
 	}
 }
 
-func (fleet *fleet) settle() {
+func (fleet *fleet) redispatch() {
 	for _, daemon := range fleet.daemons {
 		if daemon.scheduler.Waiting() {
 			daemon.scheduler.Rebalance(fleet.world.Now)
 			fleet.steps(daemon)
 		}
 	}
-	fleet.world.After(20*time.Millisecond, fleet.settle)
+	fleet.world.After(20*time.Millisecond, fleet.redispatch)
 }
 
-// trouble plans what goes wrong in the middle third.
-func (fleet *fleet) trouble() {
+// scheduleFaults plans what goes wrong in the middle third.
+func (fleet *fleet) scheduleFaults() {
 	play := fleet.play
 	from, length := play.Length/3, play.Length/3
 	fleet.world.After(from, func() {
@@ -302,7 +302,7 @@
 
 // crash ends a runner without a word; another takes its place after a while.
 func (fleet *fleet) crash(batch *batch, length time.Duration) {
-	batch.die()
+	batch.crash()
 	// One that says nothing any more is taken off the list only after some calls have not come.
 	fleet.world.After(3600*time.Millisecond, func() { fleet.remove(batch) })
 	fleet.world.After(length, func() { fleet.add(batch.zone); fleet.relist() })
@@ -336,7 +336,7 @@
 		}
 	}
 	fleet.list = list
-	gone.die()
+	gone.crash()
 	fleet.relist()
 }
 
@@ -376,7 +376,7 @@
 	})
 }
 
-func (fleet *fleet) request(daemon *desked, total float64) {
+func (fleet *fleet) request(daemon *schedulingDaemon, total float64) {
 	routes := fleet.play.Deployment.Routes
 	point, route := fleet.random.Float64()*total, routes[len(routes)-1]
 	for _, candidate := range routes {
@@ -407,10 +407,10 @@
 	scale := min(4, 0.3+0.7*size/fleet.mean[route.Name])
 	made := &order{route: route, started: fleet.world.Now, answer: answer, value: route.Value * scale, late: route.Late * scale, large: size > fleet.largest[route.Name]}
 	made.queuedRequest = &scheduler.QueuedRequest{Route: route.Name, ConcurrencyLimit: 1, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens, Keys: keys.BlockKeys(parts, kvblock.Extra{}),
-		Requirements: scheduler.Requirements{Value: route.Value, LatencyTarget: route.Aim, Deadline: route.Deadline, PromptTokens: prompt, AnswerTokens: answer, Rank: route.Rank, Zone: daemon.zone, Shut: map[string]bool{}}}
+		Requirements: scheduler.Requirements{Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, PromptTokens: prompt, AnswerTokens: answer, Rank: route.Rank, Zone: daemon.zone, Shut: map[string]bool{}}}
 	fleet.both(made, func(earned *Earned) {
 		earned.Requests++
-		earned.Owed += made.value
+		earned.MaximumValue += made.value
 		earned.Shared += shared
 		if made.large {
 			earned.Large++
@@ -421,7 +421,7 @@
 		earned.Window[window] = cell
 	})
 	daemon.budget.Request(fleet.world.Now)
-	fleet.enter(daemon, made)
+	fleet.schedule(daemon, made)
 }
 
 func (fleet *fleet) both(made *order, change func(earned *Earned)) {
@@ -429,20 +429,20 @@
 	change(fleet.results[""])
 }
 
-func (fleet *fleet) enter(daemon *desked, made *order) {
+func (fleet *fleet) schedule(daemon *schedulingDaemon, made *order) {
 	daemon.order = append(daemon.order, made)
 	daemon.scheduler.Schedule(fleet.world.Now, made.queuedRequest)
 	fleet.steps(daemon)
 }
 
-func (fleet *fleet) steps(daemon *desked) {
+func (fleet *fleet) steps(daemon *schedulingDaemon) {
 	waiting := daemon.order
 	daemon.order = nil
 	for _, made := range waiting {
 		select {
 		case step := <-made.queuedRequest.Decisions:
 			if step.Kind == scheduler.Dispatch {
-				fleet.pass(daemon, made, step)
+				fleet.dispatch(daemon, made, step)
 				continue
 			}
 			fleet.both(made, func(earned *Earned) { earned.Refused++ })
@@ -453,15 +453,15 @@
 }
 
 // again sends a request once more, or gives it up.
-func (fleet *fleet) again(daemon *desked, made *order, step scheduler.Decision, free bool) {
+func (fleet *fleet) again(daemon *schedulingDaemon, made *order, step scheduler.Decision, free bool) {
 	daemon.scheduler.Release(fleet.world.Now, made.queuedRequest, step.Runner.ID)
 	made.queuedRequest.Requirements.Shut[step.Runner.ID] = true
 	made.sends++
 	if made.sends > 3 || !free && !daemon.budget.Repeat(fleet.world.Now) {
-		fleet.both(made, func(earned *Earned) { earned.Lost++ })
+		fleet.both(made, func(earned *Earned) { earned.Failed++ })
 		return
 	}
-	fleet.enter(daemon, made)
+	fleet.schedule(daemon, made)
 }
 
 // windowLength is how long each window lasts for which worth is added up.
@@ -470,18 +470,18 @@
 // send is one request at one runner.
 type send struct {
 	fleet  *fleet
-	daemon *desked
+	daemon *schedulingDaemon
 	made   *order
 	step   scheduler.Decision
 	batch  *batch
 	at     time.Time
 }
 
-func (fleet *fleet) pass(daemon *desked, made *order, step scheduler.Decision) {
+func (fleet *fleet) dispatch(daemon *schedulingDaemon, made *order, step scheduler.Decision) {
 	world := fleet.world
 	batch := fleet.batches[step.Runner.ID]
 	fleet.both(made, func(earned *Earned) { earned.Sends++ })
-	if batch == nil || batch.dark {
+	if batch == nil || batch.unresponsive {
 		daemon.table.Failed(world.Now, step.Runner.ID, "unreachable")
 		world.After(time.Millisecond, func() { fleet.again(daemon, made, step, true) })
 		return
@@ -510,10 +510,10 @@
 	fleet.both(made, func(earned *Earned) {
 		earned.First = append(earned.First, now.Sub(made.started))
 		if batch.zone != daemon.zone {
-			earned.Across++
-			earned.AcrossBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(made.answer)/float64(batch.figures.Stride)
+			earned.CrossZone++
+			earned.CrossZoneBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(made.answer)/float64(batch.figures.Stride)
 		}
-		earned.Reread += reread
+		earned.RereadTokens += reread
 	})
 }
 
@@ -521,10 +521,10 @@
 func (fleet *fleet) reread(made *order) int {
 	reread, held := 0, made.held
 	for place, key := range made.queuedRequest.Keys[:len(made.queuedRequest.Keys)-1] {
-		if held -= made.queuedRequest.PartTokens[place]; held < 0 && fleet.kept[key] {
+		if held -= made.queuedRequest.PartTokens[place]; held < 0 && fleet.cachedBlocks[key] {
 			reread += made.queuedRequest.PartTokens[place]
 		}
-		fleet.kept[key] = true
+		fleet.cachedBlocks[key] = true
 	}
 	return reread
 }
@@ -533,7 +533,7 @@
 func (send *send) finished(one *sequence, whole bool) {
 	fleet, daemon, made := send.fleet, send.daemon, send.made
 	now := fleet.world.Now
-	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.Aim
+	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.LatencyTarget
 	window := int(made.started.Sub(fleet.started) / windowLength)
 	fleet.both(made, func(earned *Earned) { earned.end(made, window, whole, inTime) })
 	if whole {
@@ -549,7 +549,7 @@
 func (earned *Earned) end(made *order, window int, whole, inTime bool) {
 	value := 0.0
 	if !whole {
-		earned.Lost++
+		earned.Failed++
 	} else if inTime {
 		earned.InTime++
 		value = made.value
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -7,7 +7,7 @@
 
 func played(t *testing.T, deployment, way string, change func(play *Play)) map[string]*Earned {
 	t.Helper()
-	play := Play{Deployment: Deployments[deployment], Load: 1, Length: 9 * time.Second, Seed: 5, Way: way, Polls: time.Second}
+	play := Play{Deployment: Deployments[deployment], Load: 1, Length: 9 * time.Second, Seed: 5, Way: way, ReportAge: time.Second}
 	if change != nil {
 		change(&play)
 	}
@@ -26,7 +26,7 @@
 		results := map[string]*Earned{}
 		for _, way := range []string{"wardtray", "least-loaded"} {
 			// Three seeds, since engines with few slots get few requests.
-			play := Play{Deployment: Deployments[deployment], Length: 9 * time.Second, Seed: 5, Polls: time.Second}
+			play := Play{Deployment: Deployments[deployment], Length: 9 * time.Second, Seed: 5, ReportAge: time.Second}
 			sums, err := sum(play, 1, way, 3)
 			if err != nil {
 				t.Fatal(err)
@@ -38,11 +38,11 @@
 		if ours.Share() < reports.Share()-0.01 || ours.Net() < reports.Net()+0.05 {
 			t.Errorf("%s: earned %.3f, after prices %.3f, by reports %.3f and %.3f", deployment, ours.Share(), ours.Net(), reports.Share(), reports.Net())
 		}
-		if 2*ours.Reread > reports.Reread {
-			t.Errorf("%s: %d tokens read again, by reports %d", deployment, ours.Reread, reports.Reread)
+		if 2*ours.RereadTokens > reports.RereadTokens {
+			t.Errorf("%s: %d tokens read again, by reports %d", deployment, ours.RereadTokens, reports.RereadTokens)
 		}
-		if ours.Refused > 0 || 50*ours.Lost > ours.Requests {
-			t.Errorf("%s: %d refused and %d lost of %d", deployment, ours.Refused, ours.Lost, ours.Requests)
+		if ours.Refused > 0 || 50*ours.Failed > ours.Requests {
+			t.Errorf("%s: %d refused and %d lost of %d", deployment, ours.Refused, ours.Failed, ours.Requests)
 		}
 	}
 }
@@ -87,9 +87,9 @@
 // Where each of many daemons sees a hundredth of the work, homes that all agree on stand for what nobody tells.
 func TestHomesOfAGrownFleet(t *testing.T) {
 	t.Parallel()
-	change := func(play *Play) { play.Polls, play.Length = 0, 9*time.Second }
+	change := func(play *Play) { play.ReportAge, play.Length = 0, 9*time.Second }
 	ours, index := played(t, "ferries-grown", "wardtray", change)[""], played(t, "ferries-grown", "random", change)[""]
-	if ours.Share() < index.Share() || 2*ours.Reread > index.Reread {
-		t.Errorf("earned %.3f with %d read again, by lot %.3f with %d", ours.Share(), ours.Reread, index.Share(), index.Reread)
+	if ours.Share() < index.Share() || 2*ours.RereadTokens > index.RereadTokens {
+		t.Errorf("earned %.3f with %d read again, by lot %.3f with %d", ours.Share(), ours.RereadTokens, index.Share(), index.RereadTokens)
 	}
 }
--- a/verify/placement/report.go
+++ b/verify/placement/report.go
@@ -30,8 +30,8 @@
 					return fmt.Sprintf("%.1f%%", 100*float64(count)/float64(max(1, earned.Requests)))
 				}
 				fmt.Fprintf(writer, "%.2f\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.3f\t%s\t%v\t%v\t%v\n", load, way, name, earned.Requests, earned.Share(), earned.Net(), earned.Worst(),
-					part(earned.InTime), part(earned.Late), part(earned.Refused), part(earned.Lost), 100*float64(earned.LargeServed)/float64(max(1, earned.Large)),
-					100*float64(earned.Reread)/float64(max(1, earned.Shared)), float64(earned.Sends)/float64(max(1, earned.Requests)), part(earned.Across),
+					part(earned.InTime), part(earned.Late), part(earned.Refused), part(earned.Failed), 100*float64(earned.LargeServed)/float64(max(1, earned.Large)),
+					100*float64(earned.RereadTokens)/float64(max(1, earned.Shared)), float64(earned.Sends)/float64(max(1, earned.Requests)), part(earned.CrossZone),
 					earned.Quantile(0.5).Round(time.Millisecond), earned.Quantile(0.95).Round(time.Millisecond), earned.Quantile(0.99).Round(time.Millisecond))
 			}
 		}
@@ -74,17 +74,17 @@
 	earned.InTime += other.InTime
 	earned.Late += other.Late
 	earned.Refused += other.Refused
-	earned.Lost += other.Lost
+	earned.Failed += other.Failed
 	earned.Sends += other.Sends
-	earned.Across += other.Across
-	earned.Owed += other.Owed
+	earned.CrossZone += other.CrossZone
+	earned.MaximumValue += other.MaximumValue
 	earned.Value += other.Value
 	earned.Large += other.Large
 	earned.LargeServed += other.LargeServed
 	earned.Shared += other.Shared
-	earned.Reread += other.Reread
+	earned.RereadTokens += other.RereadTokens
 	earned.Probes += other.Probes
-	earned.AcrossBytes += other.AcrossBytes
+	earned.CrossZoneBytes += other.CrossZoneBytes
 	earned.First = append(earned.First, other.First...)
 	for window, values := range other.Window {
 		earned.Window[seed*1000+window] = values
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -15,8 +15,8 @@
 
 // Settings are the two deployments.
 var Settings = map[string]Setting{
-	"guild":   {Mix: loadtest.Guild, Zones: []string{"a", "b", "c"}, Daemons: 12, Runners: 18, Nature: emulator.DefaultNature},
-	"ferries": {Mix: loadtest.Ferries, Zones: []string{"a", "b", "c", "d"}, Daemons: 11, Runners: 18, Nature: emulator.DefaultNature},
+	"guild":   {Mix: loadtest.Guild, Zones: []string{"a", "b", "c"}, Daemons: 12, Runners: 18, Profile: emulator.DefaultNature},
+	"ferries": {Mix: loadtest.Ferries, Zones: []string{"a", "b", "c", "d"}, Daemons: 11, Runners: 18, Profile: emulator.DefaultNature},
 }
 
 // WayNames gives the ways of pricing in order, wardtray's first.
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -116,7 +116,7 @@
 }
 
 // countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself may
-// reach its asker much later, when the chain is another.
+// reach its client much later, when the chain is another.
 func (checker *Checker) countCopies(head *Host) {
 	epoch, copies := head.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range checker.world.Cores() {
@@ -141,8 +141,8 @@
 		checker.violation("%s slipped back from epoch %d to %d", host.Address, host.servedEpoch, snapshot.SpecEpoch)
 	}
 	host.servedEpoch = snapshot.SpecEpoch
-	for place := len(checker.acknowledged) - 1; place >= 0; place-- {
-		order := checker.acknowledged[place]
+	for index := len(checker.acknowledged) - 1; index >= 0; index-- {
+		order := checker.acknowledged[index]
 		if order.Epoch <= snapshot.SpecEpoch {
 			continue
 		}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -107,9 +107,9 @@
 	conn.inFlight = nil
 	conn.world.wake(conn.reader)
 	conn.world.wake(conn.server)
-	for place, other := range conn.owner.conns {
+	for index, other := range conn.owner.conns {
 		if other == conn {
-			conn.owner.conns = append(conn.owner.conns[:place], conn.owner.conns[place+1:]...)
+			conn.owner.conns = append(conn.owner.conns[:index], conn.owner.conns[index+1:]...)
 			break
 		}
 	}
--- a/verify/simulation/control_days_test.go
+++ b/verify/simulation/control_days_test.go
@@ -24,11 +24,11 @@
 		t.Skip("played without the race detector")
 	}
 	for _, name := range sorted(days) {
-		for place, shape := range []Shape{Guild, Ferries} {
+		for index, shape := range []Shape{Guild, Ferries} {
 			t.Run(fmt.Sprint(name, "/", len(shape.Zones), " zones"), func(t *testing.T) {
 				t.Parallel()
 				for number := range seedCount(t) {
-					playDay(t, int64(1+place+2*number), shape, days[name])
+					playDay(t, int64(1+index+2*number), shape, days[name])
 				}
 			})
 		}
@@ -56,11 +56,11 @@
 	if seedCount(t) > 1 {
 		stride = 1
 	}
-	for place, first := range FirstLossNames() {
+	for index, first := range FirstLossNames() {
 		for _, wiped := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, wiped %v", first, wiped), func(t *testing.T) {
 				t.Parallel()
-				for number := place % stride; number < int(length/step); number += stride {
+				for number := index % stride; number < int(length/step); number += stride {
 					playDay(t, int64(1+number), Guild, SecondLossDay(first, wiped, time.Duration(number)*step))
 				}
 			})
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -163,9 +163,9 @@
 		}
 		return func() {
 			world.Check.OnAccepted = nil
-			for place, host := range lost {
+			for index, host := range lost {
 				world.Boot(host)
-				overs[place]()
+				overs[index]()
 			}
 		}
 	},
@@ -194,9 +194,9 @@
 		}
 		return func() {
 			world.Check.OnAccepted = nil
-			for place, host := range lost {
+			for index, host := range lost {
 				world.Boot(host)
-				overs[place]()
+				overs[index]()
 			}
 		}
 	},
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -72,9 +72,9 @@
 		return
 	}
 	coroutine.finished = true
-	for place, other := range coroutine.host.coroutines {
+	for index, other := range coroutine.host.coroutines {
 		if other == coroutine {
-			coroutine.host.coroutines = append(coroutine.host.coroutines[:place], coroutine.host.coroutines[place+1:]...)
+			coroutine.host.coroutines = append(coroutine.host.coroutines[:index], coroutine.host.coroutines[index+1:]...)
 			break
 		}
 	}
@@ -152,10 +152,10 @@
 		conn.crash(!host.poweredOff)
 	}
 	host.conns = nil
-	askers := host.clients
+	clients := host.clients
 	host.clients = nil
-	for _, asker := range askers {
-		asker.loseDaemon()
+	for _, client := range clients {
+		client.loseDaemon()
 	}
 }
 
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -41,10 +41,10 @@
 	world := NewWorld(seed)
 	world.Faults = max(1, shape.Faults)
 	var seeds []string
-	for place, zone := range shape.Zones {
-		for number := range shape.Machines[place] {
+	for index, zone := range shape.Zones {
+		for number := range shape.Machines[index] {
 			name := fmt.Sprintf("%s%d", zone, number)
-			if number < shape.Disks[place] {
+			if number < shape.Disks[index] {
 				world.AddCore(name+":core", zone)
 				if len(seeds) < 3 {
 					seeds = append(seeds, name+":core")
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -362,8 +362,8 @@
 // finishAll looks for requests that were never answered although nothing keeps them any more.
 func (traffic *Traffic) finishAll() {
 	for _, host := range traffic.world.Datas() {
-		for _, asker := range host.clients {
-			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", asker.record.Request, host.Address, traffic.world.Now.Sub(asker.record.Sent))
+		for _, client := range host.clients {
+			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", client.record.Request, host.Address, traffic.world.Now.Sub(client.record.Sent))
 		}
 	}
 }
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -7,64 +7,64 @@
 )
 
 // hangUp closes the client's connection; the close reaches the machine of its daemon a little later, behind the request.
-func (asker *client) hangUp() {
-	if asker.finished || asker.hungUp {
+func (client *client) hangUp() {
+	if client.finished || client.hungUp {
 		return
 	}
-	asker.hungUp, asker.record.HungUp = true, true
-	if asker.host != nil {
-		asker.deliverHangUp()
+	client.hungUp, client.record.HungUp = true, true
+	if client.host != nil {
+		client.deliverHangUp()
 	}
 }
 
 // deliverHangUp carries the close to the daemon's machine, whose process learns of it when it runs.
-func (asker *client) deliverHangUp() {
-	traffic, host := asker.traffic, asker.host
+func (client *client) deliverHangUp() {
+	traffic, host := client.traffic, client.host
 	traffic.world.After(traffic.world.transitTime(), func() {
-		if asker.finished || !host.up || host.incarnation != asker.incarnation {
+		if client.finished || !host.up || host.incarnation != client.incarnation {
 			return
 		}
-		asker.record.HungUpAt = traffic.world.Now
-		asker.notifyHangUp()
-		asker.checkDeparture(traffic.world.Now)
+		client.record.HungUpAt = traffic.world.Now
+		client.notifyHangUp()
+		client.checkDeparture(traffic.world.Now)
 	})
 }
 
 // checkDeparture looks whether the daemon still works for the client once its process has run for long enough without a break.
-func (asker *client) checkDeparture(since time.Time) {
-	traffic, host := asker.traffic, asker.host
+func (client *client) checkDeparture(since time.Time) {
+	traffic, host := client.traffic, client.host
 	traffic.world.After(histories.DepartureBound, func() {
 		now := traffic.world.Now
-		if !host.up || host.incarnation != asker.incarnation {
+		if !host.up || host.incarnation != client.incarnation {
 			return
 		}
 		if host.frozen || host.wokenAt.After(since) {
-			asker.checkDeparture(now)
+			client.checkDeparture(now)
 			return
 		}
-		traffic.checker.CheckDeparture(asker.record, now)
+		traffic.checker.CheckDeparture(client.record, now)
 		traffic.reportViolations()
 	})
 }
 
 // notifyHangUp has the daemon's process learn of the close, at once or when it wakes from a freeze.
-func (asker *client) notifyHangUp() {
-	asker.traffic.world.on(asker.host, asker.incarnation, func() {
-		if told := asker.onHangUp; told != nil {
-			asker.onHangUp = nil
+func (client *client) notifyHangUp() {
+	client.traffic.world.on(client.host, client.incarnation, func() {
+		if told := client.onHangUp; told != nil {
+			client.onHangUp = nil
 			told()
 		}
 	})
 }
 
 // Left tells whether the close has reached the daemon's machine.
-func (asker *client) Left() bool { return !asker.record.HungUpAt.IsZero() }
+func (client *client) Left() bool { return !client.record.HungUpAt.IsZero() }
 
 // Watch has a function called when the close comes, or a moment later where it is there.
-func (asker *client) Watch(left func()) (stop func()) {
-	asker.onHangUp = left
-	if asker.Left() {
-		asker.traffic.world.After(0, asker.notifyHangUp)
+func (client *client) Watch(left func()) (stop func()) {
+	client.onHangUp = left
+	if client.Left() {
+		client.traffic.world.After(0, client.notifyHangUp)
 	}
-	return func() { asker.onHangUp = nil }
+	return func() { client.onHangUp = nil }
 }
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -73,22 +73,22 @@
 
 // setIsolated notes that a daemon has lost the core, or has it back.
 func (world *World) setIsolated(host *Host, apart bool) {
-	separation := &host.isolation
-	if apart != separation.since.IsZero() {
+	isolation := &host.isolation
+	if apart != isolation.since.IsZero() {
 		return
 	}
 	if !apart {
-		separation.previous, separation.finished = separation.since, world.Now
-		separation.since = time.Time{}
-		if separation.history != nil {
-			separation.history.Until = world.Now.Add(reconnectBound)
+		isolation.previous, isolation.finished = isolation.since, world.Now
+		isolation.since = time.Time{}
+		if isolation.history != nil {
+			isolation.history.Until = world.Now.Add(reconnectBound)
 		}
 		return
 	}
-	separation.since, separation.history = world.Now, nil
+	isolation.since, isolation.history = world.Now, nil
 	if world.Traffic != nil && world.WithoutCore > 0 {
-		separation.history = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
-		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, separation.history)
+		isolation.history = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
+		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
 	}
 }
 
@@ -103,16 +103,16 @@
 	if world.WithoutCore == 0 {
 		return false
 	}
-	separation := &host.isolation
-	if !separation.since.IsZero() {
-		length := world.Now.Sub(separation.since)
+	isolation := &host.isolation
+	if !isolation.since.IsZero() {
+		length := world.Now.Sub(isolation.since)
 		checker.recordWorst("older news used without the core", length)
 		return length <= world.WithoutCore+leaseBound
 	}
-	back := world.Now.Sub(separation.finished)
-	if separation.finished.IsZero() || back > reconnectBound {
+	back := world.Now.Sub(isolation.finished)
+	if isolation.finished.IsZero() || back > reconnectBound {
 		return false
 	}
 	checker.recordWorst("older news used after the core was back", back)
-	return separation.finished.Sub(separation.previous) <= world.WithoutCore+leaseBound
+	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
 }
--- a/verify/simulation/platform_list.go
+++ b/verify/simulation/platform_list.go
@@ -25,10 +25,10 @@
 
 // replace takes one runner off and lists another.
 func (platform *platform) replace(random *rand.Rand) {
-	place := random.Intn(len(platform.listed))
-	platform.removedAt[platform.listed[place].RunnerId] = platform.world.Now
-	kept := append([]*wire.Runner{}, platform.listed[:place]...)
-	platform.listed = append(kept, platform.listed[place+1:]...)
+	index := random.Intn(len(platform.listed))
+	platform.removedAt[platform.listed[index].RunnerId] = platform.world.Now
+	kept := append([]*wire.Runner{}, platform.listed[:index]...)
+	platform.listed = append(kept, platform.listed[index+1:]...)
 	platform.add()
 }
 
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -35,8 +35,8 @@
 			return false
 		}
 		status := host.node.Status(world.local(host))
-		place, view := status.Place, host.node.View()
-		if place != "outside" && status.Pending > 2 || len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
+		index, view := status.Place, host.node.View()
+		if index != "outside" && status.Pending > 2 || len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
 			return false
 		}
 		if len(status.Warnings) > 0 && world.hasSpareDisks() || len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -56,21 +56,21 @@
 
 // StartRegisteringRunners brings in so many runners.
 func (world *World) StartRegisteringRunners(count int, zones []string) *RegisteringRunners {
-	callers := &RegisteringRunners{world: world, byID: map[string]*runnerIncarnation{}}
-	world.RegisteringRunners = callers
+	registering := &RegisteringRunners{world: world, byID: map[string]*runnerIncarnation{}}
+	world.RegisteringRunners = registering
 	for number := range count {
-		callers.start(fmt.Sprintf("10.9.0.%d:80", number), zones[number%len(zones)], "s")
+		registering.start(fmt.Sprintf("10.9.0.%d:80", number), zones[number%len(zones)], "s")
 	}
-	return callers
+	return registering
 }
 
-func (callers *RegisteringRunners) start(address, zone, service string) {
-	callers.incarnations++
-	incarnation := &runnerIncarnation{runners: callers, id: fmt.Sprintf("q%d", callers.incarnations), address: address, zone: zone, service: service, started: callers.world.Now,
-		core: callers.world.random.Intn(64), state: registry.Ready, running: true}
-	callers.Incarnations = append(callers.Incarnations, incarnation)
-	callers.byID[incarnation.id] = incarnation
-	callers.world.After(time.Duration(callers.world.random.Int63n(int64(callEvery))), incarnation.heartbeat)
+func (registering *RegisteringRunners) start(address, zone, service string) {
+	registering.incarnations++
+	incarnation := &runnerIncarnation{runners: registering, id: fmt.Sprintf("q%d", registering.incarnations), address: address, zone: zone, service: service, started: registering.world.Now,
+		core: registering.world.random.Intn(64), state: registry.Ready, running: true}
+	registering.Incarnations = append(registering.Incarnations, incarnation)
+	registering.byID[incarnation.id] = incarnation
+	registering.world.After(time.Duration(registering.world.random.Int63n(int64(callEvery))), incarnation.heartbeat)
 }
 
 // heartbeat calls now and again after a while.
@@ -204,18 +204,18 @@
 }
 
 // Start has lives end now and then, as planned or not.
-func (callers *RegisteringRunners) Start(every time.Duration) {
-	callers.Every = every
-	callers.scheduleNext()
+func (registering *RegisteringRunners) Start(every time.Duration) {
+	registering.Every = every
+	registering.scheduleNext()
 }
 
-func (callers *RegisteringRunners) scheduleNext() {
-	world := callers.world
-	if callers.Every == 0 {
+func (registering *RegisteringRunners) scheduleNext() {
+	world := registering.world
+	if registering.Every == 0 {
 		return
 	}
 	var steady []*runnerIncarnation
-	for _, incarnation := range callers.Incarnations {
+	for _, incarnation := range registering.Incarnations {
 		if incarnation.running && incarnation.state == registry.Ready && !incarnation.knownSince.IsZero() {
 			steady = append(steady, incarnation)
 		}
@@ -225,36 +225,36 @@
 		ends := []func(){incarnation.drain, incarnation.drain, incarnation.stop}
 		ends[world.random.Intn(len(ends))]()
 	}
-	world.After(callers.Every/2+time.Duration(world.random.Int63n(int64(callers.Every))), callers.scheduleNext)
+	world.After(registering.Every/2+time.Duration(world.random.Int63n(int64(registering.Every))), registering.scheduleNext)
 }
 
 // check looks at what a daemon that awards work goes by.
-func (callers *RegisteringRunners) check(host *Host, runners []*wire.Runner) {
-	checker, now := callers.world.Check, callers.world.Now
+func (registering *RegisteringRunners) check(host *Host, runners []*wire.Runner) {
+	checker, now := registering.world.Check, registering.world.Now
 	listed := map[string]bool{}
 	for _, runner := range runners {
-		if callers.checkListed(host, runner) {
+		if registering.checkListed(host, runner) {
 			listed[runner.RunnerId] = true
 		}
 	}
-	if callers.KnownBound == 0 {
+	if registering.KnownBound == 0 {
 		return
 	}
-	for _, incarnation := range callers.Incarnations {
+	for _, incarnation := range registering.Incarnations {
 		if !incarnation.running || incarnation.state != registry.Ready || incarnation.knownSince.IsZero() || listed[incarnation.id] {
 			continue
 		}
 		missing := now.Sub(incarnation.knownSince)
 		checker.recordWorst("a new runner unknown", missing)
-		if missing > callers.KnownBound {
+		if missing > registering.KnownBound {
 			checker.violation("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, incarnation.id, missing)
 		}
 	}
 }
 
 // checkListed looks at one line of a daemon's list; it tells whether the daemon would use the runner.
-func (callers *RegisteringRunners) checkListed(host *Host, runner *wire.Runner) bool {
-	checker, incarnation := callers.world.Check, callers.byID[runner.RunnerId]
+func (registering *RegisteringRunners) checkListed(host *Host, runner *wire.Runner) bool {
+	checker, incarnation := registering.world.Check, registering.byID[runner.RunnerId]
 	if incarnation == nil {
 		checker.violation("unknown-runner: %s lists %s, which nobody is", host.Address, runner.RunnerId)
 		return false
@@ -268,7 +268,7 @@
 	if incarnation.leftAt.IsZero() {
 		return true
 	}
-	late := callers.world.Now.Sub(incarnation.leftAt)
+	late := registering.world.Now.Sub(incarnation.leftAt)
 	checker.recordWorst("work to a runner that said it leaves", late)
 	if !checker.mayIgnore(host, late, leaveKnown) {
 		checker.violation("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address, runner.RunnerId, late)
@@ -277,18 +277,18 @@
 }
 
 // checkFinalLists compares what every daemon lists with who is there, after a calm time.
-func (callers *RegisteringRunners) checkFinalLists() {
-	checker := callers.world.Check
-	for _, host := range callers.world.Datas() {
+func (registering *RegisteringRunners) checkFinalLists() {
+	checker := registering.world.Check
+	for _, host := range registering.world.Datas() {
 		listed := map[string]bool{}
-		for _, runner := range host.controller.Snapshot(callers.world.local(host)).Runners {
+		for _, runner := range host.controller.Snapshot(registering.world.local(host)).Runners {
 			listed[runner.RunnerId] = true
-			if incarnation := callers.byID[runner.RunnerId]; !incarnation.running && runner.State != registry.Draining {
+			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running && runner.State != registry.Draining {
 				checker.violation("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address, runner.RunnerId, runner.State,
-					callers.world.Now.Sub(incarnation.finishedAt), runner.Call, incarnation.call)
+					registering.world.Now.Sub(incarnation.finishedAt), runner.Call, incarnation.call)
 			}
 		}
-		for _, incarnation := range callers.Incarnations {
+		for _, incarnation := range registering.Incarnations {
 			if incarnation.running && !listed[incarnation.id] {
 				checker.violation("runner-lost: %s does not list %s in a calm time", host.Address, incarnation.id)
 			}
@@ -314,18 +314,18 @@
 // go, and sees whether everybody knows who is there in the end.
 func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, kept time.Duration) *World {
 	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
-	callers := world.RegisteringRunners
+	registering := world.RegisteringRunners
 	world.Run(10 * time.Second)
-	callers.KnownBound = kept
-	callers.Start(time.Second)
+	registering.KnownBound = kept
+	registering.Start(time.Second)
 	operators := world.StartOperators(3 * time.Second)
 	world.Schedule(40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
-	callers.Every = 0
+	registering.Every = 0
 	world.Run(silentKnown)
 	operators.Stop()
 	if len(world.Check.Violations) == 0 {
-		callers.checkFinalLists()
+		registering.checkFinalLists()
 	}
 	return world
 }
@@ -349,14 +349,14 @@
 	}
 	world.SetSeeds(seeds)
 	world.Platform.fill(1)
-	callers := world.StartRegisteringRunners(runners, zones)
+	registering := world.StartRegisteringRunners(runners, zones)
 	for _, host := range world.Hosts {
 		booted := host
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { world.Boot(booted) })
 	}
 	world.Run(30 * time.Second)
 	calm = world.cost(10 * time.Second)
-	callers.Start(every)
+	registering.Start(every)
 	release = world.cost(20 * time.Second)
 	return calm, release
 }
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -43,11 +43,11 @@
 		if underRace && name != "run twice, sent again" && name != "not whole" {
 			continue
 		}
-		for place, shape := range []Shape{GuildPath, FerriesPath} {
+		for index, shape := range []Shape{GuildPath, FerriesPath} {
 			t.Run(fmt.Sprint(name, ", ", shape.Mix.Pool), func(t *testing.T) {
 				t.Parallel()
 				for number := range seedCount(t) {
-					t.Log(try(t, int64(place+1+2*number), shape, attempt).Traffic.Summary())
+					t.Log(try(t, int64(index+1+2*number), shape, attempt).Traffic.Summary())
 					if t.Failed() {
 						return
 					}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -239,51 +239,51 @@
 }
 
 // send hands the request to a daemon. One whose connection is refused goes to another: nothing was read.
-func (asker *client) send(host *Host) {
-	traffic := asker.traffic
+func (client *client) send(host *Host) {
+	traffic := client.traffic
 	if host == nil {
-		asker.finish(true)
+		client.finish(true)
 		return
 	}
 	traffic.world.After(traffic.world.transitTime(), func() {
 		if !host.up {
-			asker.attempts++
-			if asker.attempts >= 5 || asker.record.Resent {
-				asker.finish(true)
+			client.attempts++
+			if client.attempts >= 5 || client.record.Resent {
+				client.finish(true)
 				return
 			}
-			asker.send(traffic.pick(asker.record.Zone))
+			client.send(traffic.pick(client.record.Zone))
 			return
 		}
-		asker.host, asker.incarnation, asker.record.Daemon = host, host.incarnation, host.Address
-		host.clients = append(host.clients, asker)
-		if asker.hungUp {
-			asker.deliverHangUp()
+		client.host, client.incarnation, client.record.Daemon = host, host.incarnation, host.Address
+		host.clients = append(host.clients, client)
+		if client.hungUp {
+			client.deliverHangUp()
 		}
 		traffic.world.spawn(host, func() {
-			asker.read, asker.record.Started = true, traffic.world.Now
-			host.plane.Handler.Serve(asker)
-			asker.finish(asker.record.Status == 0 || asker.record.Status == 200 && !asker.record.Done && !asker.record.Error)
+			client.read, client.record.Started = true, traffic.world.Now
+			host.plane.Handler.Serve(client)
+			client.finish(client.record.Status == 0 || client.record.Status == 200 && !client.record.Done && !client.record.Error)
 		})
 	})
 }
 
 // finish records what the client got.
-func (asker *client) finish(lost bool) {
-	if asker.finished {
+func (client *client) finish(lost bool) {
+	if client.finished {
 		return
 	}
-	asker.finished = true
-	if asker.host != nil {
-		for place, other := range asker.host.clients {
-			if other == asker {
-				asker.host.clients = append(asker.host.clients[:place], asker.host.clients[place+1:]...)
+	client.finished = true
+	if client.host != nil {
+		for index, other := range client.host.clients {
+			if other == client {
+				client.host.clients = append(client.host.clients[:index], client.host.clients[index+1:]...)
 				break
 			}
 		}
 	}
-	traffic, record := asker.traffic, asker.record
-	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, asker.read
+	traffic, record := client.traffic, client.record
+	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, client.read
 	traffic.History.Answers = append(traffic.History.Answers, record)
 	if !record.Done {
 		traffic.recordCapacity()
@@ -293,84 +293,84 @@
 }
 
 // loseDaemon is how a client sees the end of its daemon.
-func (asker *client) loseDaemon() {
-	lost := !asker.record.Done && !asker.record.Error && !asker.hungUp
-	asker.finish(lost)
-	traffic := asker.traffic
+func (client *client) loseDaemon() {
+	lost := !client.record.Done && !client.record.Error && !client.hungUp
+	client.finish(lost)
+	traffic := client.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Resent {
+	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || client.record.Resent {
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
-		if host := traffic.pick(asker.record.Zone); host != nil && host.up && host.Zone == asker.host.Zone {
-			second := traffic.newClient(asker.drawn, asker.record.Zone)
+		if host := traffic.pick(client.record.Zone); host != nil && host.up && host.Zone == client.host.Zone {
+			second := traffic.newClient(client.drawn, client.record.Zone)
 			second.record.Resent = true
 			second.send(host)
 		}
 	})
 }
 
-func (asker *client) Header(name string) []string { return asker.headers[name] }
+func (client *client) Header(name string) []string { return client.headers[name] }
 
-func (asker *client) Method() string { return "POST" }
+func (client *client) Method() string { return "POST" }
 
-func (asker *client) Authority() string { return "sim" }
+func (client *client) Authority() string { return "sim" }
 
-func (asker *client) Target() string { return "/v1/stream" }
+func (client *client) Target() string { return "/v1/stream" }
 
-func (asker *client) Headers(each func(name, value string)) {
-	for _, name := range slices.Sorted(maps.Keys(asker.headers)) {
-		for _, value := range asker.headers[name] {
+func (client *client) Headers(each func(name, value string)) {
+	for _, name := range slices.Sorted(maps.Keys(client.headers)) {
+		for _, value := range client.headers[name] {
 			each(name, value)
 		}
 	}
 }
 
-func (asker *client) Body() []byte { return asker.drawn.Body() }
+func (client *client) Body() []byte { return client.drawn.Body() }
 
-func (asker *client) Last() {}
+func (client *client) Last() {}
 
-func (asker *client) recordHead(status int, headers []netio.Header) {
-	asker.record.Status = status
+func (client *client) recordHead(status int, headers []netio.Header) {
+	client.record.Status = status
 	for _, header := range headers {
-		asker.record.RetryAfter = asker.record.RetryAfter || header.Name == "Retry-After"
+		client.record.RetryAfter = client.record.RetryAfter || header.Name == "Retry-After"
 		if header.Name == admission.HeaderRunner {
-			asker.record.Head = header.Value
+			client.record.Head = header.Value
 		}
 	}
 }
 
-func (asker *client) Answer(status int, headers []netio.Header, body []byte) {
-	asker.recordHead(status, headers)
-	loadtest.ParseRejection(asker.record, body)
-	if asker.hungUp {
+func (client *client) Answer(status int, headers []netio.Header, body []byte) {
+	client.recordHead(status, headers)
+	loadtest.ParseRejection(client.record, body)
+	if client.hungUp {
 		return
 	}
 	// From the moment at which its last way was lost a request has nothing to wait for, but that its daemon is sure of
 	// its spec: only then can it be said whether there is another way.
-	world := asker.traffic.world
+	world := client.traffic.world
 	decided := world.current.decided
-	if asker.host.leasedSince.After(decided) {
-		decided = asker.host.leasedSince
+	if client.host.leasedSince.After(decided) {
+		decided = client.host.leasedSince
 	}
-	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound && world.local(asker.host).Before(asker.host.plane.Snapshot().Until) {
-		world.Check.violation("held-back: %s got its final %q %v after it was decided", asker.record.Request, asker.record.Kind, held)
+	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound && world.local(client.host).Before(client.host.plane.Snapshot().Until) {
+		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request, client.record.Kind, held)
 	}
 }
 
-func (asker *client) Stream(status int, headers []netio.Header, source io.ReadCloser) {
-	asker.recordHead(status, headers)
-	asker.relay(source)
+func (client *client) Stream(status int, headers []netio.Header, source io.ReadCloser) {
+	client.recordHead(status, headers)
+	client.relay(source)
 	// Not deferred: a process that ends in the middle closes nothing in order.
 	_ = source.Close()
 }
 
 // relay takes what a source gives up to its end, or until the client has hung up.
-func (asker *client) relay(source io.Reader) {
+func (client *client) relay(source io.Reader) {
 	for buffer := make([]byte, 4<<10); ; {
 		count, err := source.Read(buffer)
 		if count > 0 {
-			if _, gone := asker.Write(buffer[:count]); gone != nil {
+			if _, gone := client.Write(buffer[:count]); gone != nil {
 				return
 			}
 		}
@@ -386,21 +386,21 @@
 var errHungUp = errors.New("the requester hung up")
 
 // Write is what reaches the client.
-func (asker *client) Write(content []byte) (int, error) {
-	if asker.record.HungUp {
+func (client *client) Write(content []byte) (int, error) {
+	if client.record.HungUp {
 		return 0, errHungUp
 	}
-	asker.unparsed += string(content)
+	client.unparsed += string(content)
 	for {
-		line, rest, found := strings.Cut(asker.unparsed, "\n")
+		line, rest, found := strings.Cut(client.unparsed, "\n")
 		if !found {
 			break
 		}
-		asker.unparsed = rest
-		asker.parser.ParseLine(asker.traffic.world.Now, line)
+		client.unparsed = rest
+		client.parser.ParseLine(client.traffic.world.Now, line)
 	}
-	if asker.hangsUpAfter > 0 && len(asker.record.IDs) >= asker.hangsUpAfter && !asker.record.Done {
-		asker.hangUp()
+	if client.hangsUpAfter > 0 && len(client.record.IDs) >= client.hangsUpAfter && !client.record.Done {
+		client.hangUp()
 	}
 	return len(content), nil
 }
@@ -456,8 +456,8 @@
 		fault.Daemon = host.Address
 	}
 	record.Faults = append(record.Faults, fault)
-	place := len(record.Faults) - 1
-	return func() { record.Faults[place].Until = traffic.world.Now }
+	index := len(record.Faults) - 1
+	return func() { record.Faults[index].Until = traffic.world.Now }
 }
 
 // End asks for the state at the end and judges the whole.
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -308,8 +308,8 @@
 	if !host.Core {
 		return
 	}
-	parcels, writes := host.node.Drain()
-	world.send(host, parcels)
+	outbox, writes := host.node.Drain()
+	world.send(host, outbox)
 	host.writes = append(host.writes, writes...)
 	world.write(host)
 }
@@ -345,17 +345,17 @@
 	world.write(host)
 }
 
-func (world *World) send(host *Host, parcels []statemachine.Message) {
-	for _, parcel := range parcels {
-		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(parcel.Envelope)
+func (world *World) send(host *Host, outbox []statemachine.Message) {
+	for _, outgoing := range outbox {
+		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(outgoing.Envelope)
 		if err != nil {
 			panic(err)
 		}
 		world.Messages++
 		world.Bytes += uint64(len(content))
 		host.Sent += uint64(len(content))
-		target := world.byName[parcel.To]
-		world.countMessage(host, target, parcel.Envelope, len(content))
+		target := world.byName[outgoing.To]
+		world.countMessage(host, target, outgoing.Envelope, len(content))
 		if target != nil && target.Zone != host.Zone {
 			world.AcrossBytes += uint64(len(content))
 		}
@@ -366,7 +366,7 @@
 			continue
 		}
 		from, tried, sent := host, world.local(host), world.Now
-		world.links[[2]string{host.Address, parcel.To}] = world.Now
+		world.links[[2]string{host.Address, outgoing.To}] = world.Now
 		world.After(world.lag()+target.processingDelay, func() {
 			if !sent.After(from.resetAt) || !sent.After(target.resetAt) {
 				return
@@ -552,7 +552,7 @@
 			return world.dial(ctx, host, address, terms)
 		},
 	}, dataplane.Settings{Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
-		Send: func(parcels []statemachine.Message) { world.send(host, parcels) }, Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent})
+		Send: func(outbox []statemachine.Message) { world.send(host, outbox) }, Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent})
 	if err != nil {
 		panic(err)
 	}
