--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -16,12 +16,15 @@
 	command := application.Command("fleet", "Run a deployment as real processes on loopback and check it.")
 	deployment := deploymentArgument(command)
 	names := sortedNames(fleet.Scenarios)
-	scenario := command.Flag("scenario", "One of: "+strings.Join(names, ", ")+"; or all.").Default("default").Enum(append(names, "all")...)
+	scenario := command.Flag("scenario", "One of: "+strings.Join(names, ", ")+"; or all.").
+		Default("default").
+		Enum(append(names, "all")...)
 	options := fleet.Options{Output: os.Stdout}
 	command.Flag("seconds", "How long the load lasts.").Default("30").IntVar(&options.Seconds)
 	command.Flag("seed", "Seed of the load and the faults.").Default("1").Int64Var(&options.Seed)
 	command.Flag("rate", "Requests a second; 0 for the deployment's own.").Default("0").Float64Var(&options.Rate)
-	command.Flag("folder", "Where startup files, data and logs go; a temporary one if empty.").StringVar(&options.Folder)
+	command.Flag("folder", "Where startup files, data and logs go; a temporary one if empty.").
+		StringVar(&options.Folder)
 	command.Flag("keep", "Keep the temporary folder.").BoolVar(&options.Keep)
 	command.Flag("binaries", "Where wtdata and wtcore are; beside wtverify if empty.").StringVar(&options.Binaries)
 	known[command.FullCommand()] = func() error {
--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -16,7 +16,11 @@
 type commands map[string]func() error
 
 func main() {
-	application := kingpin.New("wtverify", "Proves a wardtray fleet under failure.\n\nExample:\n  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7")
+	application := kingpin.New(
+		"wtverify",
+		"Proves a wardtray fleet under failure.\n\nExample:\n"+
+			"  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7",
+	)
 	application.HelpFlag.Short('h')
 	known := commands{}
 	registerFleet(application, known)
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -42,7 +42,9 @@
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds.", "100")
-	atOnce := command.Flag("at-once", "How many faults at once; above 1 is more than a deployment must bear.").Default("1").Int()
+	atOnce := command.Flag("at-once", "How many faults at once; above 1 is more than a deployment must bear.").
+		Default("1").
+		Int()
 	every := command.Flag("every", "About how often operators send a change.").Default("700ms").Duration()
 	faults := command.Flag("fault", "Only this kind of fault; may be given several times.").Strings()
 	known[command.FullCommand()] = func() error {
@@ -59,13 +61,18 @@
 
 // registerPath adds the command that simulates the request path too.
 func registerPath(application *kingpin.Application, known commands) {
-	command := application.Command("path", "Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.")
+	command := application.Command(
+		"path",
+		"Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.",
+	)
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds.", "32")
 	atOnce := command.Flag("at-once", "How many faults at once.").Default("1").Int()
 	every := command.Flag("every", "About how often operators send a change.").Default("2s").Duration()
-	faults := command.Flag("fault", "Only this kind of fault; may be given several times, or each to play every kind by itself.").Strings()
+	faults := command.Flag("fault", "Only this kind of fault; may be given several times, "+
+		"or each to play every kind by itself.").
+		Strings()
 	known[command.FullCommand()] = func() error {
 		all := append(simulation.FaultNames(), simulation.RunnerFaultNames()...)
 		checkRange(*seeds, *atOnce, *faults, append(all, eachFault))
@@ -77,7 +84,11 @@
 			}
 			trial := simulation.DefaultTrial
 			trial.Faults, trial.AtOnce, trial.Every = names, *atOnce, *every
-			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
+			clean = simulate(
+				*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) },
+			) &&
+				clean
 		}
 		endUnless(clean)
 		return nil
@@ -101,12 +112,17 @@
 
 // registerRules adds the command that tries each part of each rule.
 func registerRules(application *kingpin.Application, known commands) {
-	command := application.Command("rules", "Try every part of every rule of the brief by the faults that cause it, under many seeds.")
+	command := application.Command(
+		"rules",
+		"Try every part of every rule of the brief by the faults that cause it, under many seeds.",
+	)
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds for each.", "16")
 	length := command.Flag("length", "For how long harm is done.").Default("40s").Duration()
-	only := command.Flag("rule", "Only this part; may be given several times. One of: "+strings.Join(simulation.AttemptNames(), "; ")+".").Strings()
+	only := command.Flag("rule", "Only this part; may be given several times. One of: "+
+		strings.Join(simulation.AttemptNames(), "; ")+".").
+		Strings()
 	known[command.FullCommand()] = func() error {
 		checkRange(*seeds, 1, *only, simulation.AttemptNames())
 		if len(*only) == 0 {
@@ -116,7 +132,11 @@
 		for _, name := range *only {
 			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.Attempts[name].Faults, ", "))
 			trial := simulation.Attempts[name].Trial(*length)
-			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
+			clean = simulate(
+				*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) },
+			) &&
+				clean
 		}
 		endUnless(clean)
 		return nil
@@ -131,7 +151,8 @@
 	worst                *worst
 }
 
-// simulate runs seeds side by side, prints every failure and the worst cases seen, and tells whether no rule was broken.
+// simulate runs seeds side by side, prints every failure and the worst cases seen, and tells whether no rule was
+// broken.
 func simulate(seeds seedRange, play func(seed int64) *simulation.World) bool {
 	waiting := make(chan int64)
 	var workers sync.WaitGroup
@@ -148,9 +169,17 @@
 	}
 	close(waiting)
 	workers.Wait()
-	fmt.Printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds.count, summary.acknowledged, summary.awards)
+	fmt.Printf(
+		"%d seeds, %d changes acknowledged, %d awards checked\n",
+		seeds.count,
+		summary.acknowledged,
+		summary.awards,
+	)
 	summary.worst.print()
-	verdicts := map[bool]string{true: "verdict: clean", false: "verdict: rules broken; run again with --from SEED --seeds 1"}
+	verdicts := map[bool]string{
+		true:  "verdict: clean",
+		false: "verdict: rules broken; run again with --from SEED --seeds 1",
+	}
 	fmt.Println(verdicts[summary.clean])
 	return summary.clean
 }
@@ -194,10 +223,11 @@
 
 func (worst *worst) add(cases histories.WorstCases) {
 	worst.cases.Add(cases)
-	for rule, length := range map[string]time.Duration{"work against an acknowledged spec": worst.cases.Ignored, "work to a leaving runner": worst.cases.Draining,
-		"work to a closed zone": worst.cases.Closed, "first answer after the machines' return": worst.cases.Return, "final answer after a loss could be known": worst.cases.Overdue} {
-		worst.lengths[rule] = length
-	}
+	worst.lengths["work against an acknowledged spec"] = worst.cases.Ignored
+	worst.lengths["work to a leaving runner"] = worst.cases.Draining
+	worst.lengths["work to a closed zone"] = worst.cases.Closed
+	worst.lengths["first answer after the machines' return"] = worst.cases.Return
+	worst.lengths["final answer after a loss could be known"] = worst.cases.Overdue
 }
 
 func (worst *worst) count(counts map[string]int) {
@@ -213,7 +243,12 @@
 	if len(worst.counts) == 0 {
 		return
 	}
-	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.cases.Retried, worst.cases.Requests, worst.cases.Concurrent)
+	fmt.Printf(
+		"  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n",
+		worst.cases.Retried,
+		worst.cases.Requests,
+		worst.cases.Concurrent,
+	)
 	fmt.Print("  requests:")
 	for _, name := range sortedNames(worst.counts) {
 		fmt.Printf(" %s %d;", name, worst.counts[name])
--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -1,6 +1,9 @@
 package emulator
 
-import "container/list"
+import (
+	"container/list"
+	"fmt"
+)
 
 // Cache is an engine's: blocks of prompts' openings by chained key, the longest unused let go first.
 type Cache[Key comparable] struct {
@@ -38,8 +41,12 @@
 	}
 	for cache.used > cache.room {
 		oldest := cache.order.Front()
-		cache.used -= oldest.Value.(block[Key]).tokens
-		delete(cache.places, oldest.Value.(block[Key]).key)
+		evicted, isBlock := oldest.Value.(block[Key])
+		if !isBlock {
+			panic(fmt.Sprintf("a cache holds a %T", oldest.Value))
+		}
+		cache.used -= evicted.tokens
+		delete(cache.places, evicted.key)
 		cache.order.Remove(oldest)
 	}
 	return held
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -43,10 +43,28 @@
 }
 
 // NewPlatform opens the list at an address. daemons are the HTTP addresses by zone.
-func NewPlatform(address string, daemons map[string][]string, record *histories.History, seed int64) (*Platform, error) {
-	platform := &Platform{record: record, runners: map[string]line{}, listed: []byte("[]"), known: map[string]bool{}, ready: map[string]time.Time{}, daemons: daemons,
-		fit: map[string]bool{}, random: rand.New(rand.NewSource(seed)), stopped: make(chan struct{}),
-		client: &fasthttp.Client{ReadTimeout: 300 * time.Millisecond, WriteTimeout: 300 * time.Millisecond, MaxIdleConnDuration: time.Second}}
+func NewPlatform(
+	address string,
+	daemons map[string][]string,
+	record *histories.History,
+	seed int64,
+) (*Platform, error) {
+	platform := &Platform{
+		record:  record,
+		runners: map[string]line{},
+		listed:  []byte("[]"),
+		known:   map[string]bool{},
+		ready:   map[string]time.Time{},
+		daemons: daemons,
+		fit:     map[string]bool{},
+		random:  rand.New(rand.NewSource(seed)),
+		stopped: make(chan struct{}),
+		client: &fasthttp.Client{
+			ReadTimeout:         300 * time.Millisecond,
+			WriteTimeout:        300 * time.Millisecond,
+			MaxIdleConnDuration: time.Second,
+		},
+	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -78,7 +96,13 @@
 		delete(platform.runners, runner.ID)
 		return
 	}
-	platform.runners[runner.ID] = line{RunnerID: runner.ID, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: state}
+	platform.runners[runner.ID] = line{
+		RunnerID: runner.ID,
+		Address:  runner.Address,
+		Zone:     runner.Zone,
+		Service:  runner.Service,
+		State:    state,
+	}
 }
 
 // Settled tells whether a runner has been listed as ready for as long as it takes to be used in full.
@@ -133,7 +157,10 @@
 	for id, was := range platform.known {
 		if was && !live[id] {
 			platform.record.Change(func(record *histories.History) {
-				record.Drains = append(record.Drains, &histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
+				record.Drains = append(
+					record.Drains,
+					&histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"},
+				)
 			})
 		}
 	}
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -1,4 +1,4 @@
-// Package standin has what surrounds a fleet in a proof: runners that answer as engines do, with a
+// Package emulator has what surrounds a fleet in a proof: runners that answer as engines do, with a
 // cache, slots, a cold start and every way of failing, and the platform's lagging list.
 package emulator
 
@@ -6,6 +6,7 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"strconv"
 	"strings"
@@ -37,8 +38,16 @@
 }
 
 // DefaultNature is that of the proofs.
-var DefaultNature = Nature{Slots: 4, TokenTime: 60 * time.Microsecond, AnswerTime: 2 * time.Millisecond, CacheTokens: 60_000,
-	ColdTime: 2 * time.Second, ColdFactor: 4, PutBackAbove: 6, ReportAge: 700 * time.Millisecond}
+var DefaultNature = Nature{
+	Slots:        4,
+	TokenTime:    60 * time.Microsecond,
+	AnswerTime:   2 * time.Millisecond,
+	CacheTokens:  60_000,
+	ColdTime:     2 * time.Second,
+	ColdFactor:   4,
+	PutBackAbove: 6,
+	ReportAge:    700 * time.Millisecond,
+}
 
 // Runner is one stand-in runner.
 type Runner struct {
@@ -86,8 +95,16 @@
 		return err
 	}
 	runner.listener = listener
-	runner.server = &fasthttp.Server{Handler: runner.handle, Name: "runner", ReadBufferSize: 128 << 10, MaxRequestBodySize: 4 << 20,
-		Concurrency: 4096, IdleTimeout: 30 * time.Second, NoDefaultDate: true, ConnState: runner.track}
+	runner.server = &fasthttp.Server{
+		Handler:            runner.handle,
+		Name:               "runner",
+		ReadBufferSize:     128 << 10,
+		MaxRequestBodySize: 4 << 20,
+		Concurrency:        4096,
+		IdleTimeout:        30 * time.Second,
+		NoDefaultDate:      true,
+		ConnState:          runner.track,
+	}
 	go func() {
 		// A runner that was stopped ends its serving with an error that says just that.
 		_ = runner.server.Serve(listener)
@@ -164,7 +181,11 @@
 		<-runner.stopped
 		return
 	}
-	paths := map[string]func(context *fasthttp.RequestCtx){"/identity": runner.identity, "/pressure": runner.pressure, "/run": runner.run}
+	paths := map[string]func(context *fasthttp.RequestCtx){
+		"/identity": runner.identity,
+		"/pressure": runner.pressure,
+		"/run":      runner.run,
+	}
 	path := paths[string(context.Path())]
 	if path == nil {
 		context.SetStatusCode(404)
@@ -205,10 +226,24 @@
 	header := func(name string) string { return string(context.Request.Header.Peek(name)) }
 	epoch, _ := strconv.ParseUint(header(admission.HeaderEpoch), 10, 64)
 	now := time.Now()
-	run := &histories.Run{At: now, Request: header(admission.HeaderRequest), Route: header(admission.HeaderRoute), Pool: runner.Pool,
-		Model: header(admission.HeaderModel), Weights: runner.Weights, Runner: runner.ID,
-		Wanted: header(admission.HeaderRunner), Service: runner.Service, Zone: runner.Zone, Daemon: header(admission.HeaderDaemon),
-		Epoch: epoch, Started: started, Concurrent: runner.active, WarmingUp: now.Sub(runner.started) < runner.nature.ColdTime, Capacity: runner.nature.Slots}
+	run := &histories.Run{
+		At:         now,
+		Request:    header(admission.HeaderRequest),
+		Route:      header(admission.HeaderRoute),
+		Pool:       runner.Pool,
+		Model:      header(admission.HeaderModel),
+		Weights:    runner.Weights,
+		Runner:     runner.ID,
+		Wanted:     header(admission.HeaderRunner),
+		Service:    runner.Service,
+		Zone:       runner.Zone,
+		Daemon:     header(admission.HeaderDaemon),
+		Epoch:      epoch,
+		Started:    started,
+		Concurrent: runner.active,
+		WarmingUp:  now.Sub(runner.started) < runner.nature.ColdTime,
+		Capacity:   runner.nature.Slots,
+	}
 	if run.WarmingUp {
 		run.Capacity = max(1, runner.nature.Slots/runner.nature.ColdFactor)
 	}
@@ -282,7 +317,16 @@
 	}
 }
 
-func (runner *Runner) work(writer *bufio.Writer, run *histories.Run, cut <-chan struct{}, name string, parts []string, tokens []int, prompt, length int, partial bool) {
+func (runner *Runner) work(
+	writer *bufio.Writer,
+	run *histories.Run,
+	cut <-chan struct{},
+	name string,
+	parts []string,
+	tokens []int,
+	prompt, length int,
+	partial bool,
+) {
 	select {
 	case runner.slots <- struct{}{}:
 	case <-runner.stopped:
@@ -312,7 +356,8 @@
 			}
 			return
 		}
-		if _, err := fmt.Fprintf(writer, "id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number); err != nil {
+		event := fmt.Sprintf("id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number)
+		if _, err := io.WriteString(writer, event); err != nil {
 			return
 		}
 		if writer.Flush() != nil {
@@ -325,7 +370,8 @@
 	}
 	// The run is whole from the moment its last event may have left.
 	runner.record.Change(func(*histories.History) { run.Complete, run.Events = true, events })
-	if _, err := fmt.Fprintf(writer, "id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events); err == nil {
+	done := fmt.Sprintf("id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events)
+	if _, err := io.WriteString(writer, done); err == nil {
 		_ = writer.Flush() // A requester gone at the very end changes nothing about the run.
 	}
 }
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -37,10 +37,26 @@
 
 // Shapes are the two deployments of the brief.
 var Shapes = map[string]Shape{
-	"guild": {Name: "guild", Net: 40, Zones: []string{"bangor", "dolgellau", "caerdydd"}, Machines: []int{4, 4, 4}, Disks: []int{1, 1, 1}, Runners: 18,
-		Mix: loadtest.Guild, Rate: 60},
-	"ferries": {Name: "ferries", Net: 50, Zones: []string{"north", "quay", "isle", "south"}, Machines: []int{3, 3, 3, 2}, Disks: []int{1, 1, 1, 1}, Runners: 18,
-		Mix: loadtest.Ferries, Rate: 60},
+	"guild": {
+		Name:     "guild",
+		Net:      40,
+		Zones:    []string{"bangor", "dolgellau", "caerdydd"},
+		Machines: []int{4, 4, 4},
+		Disks:    []int{1, 1, 1},
+		Runners:  18,
+		Mix:      loadtest.Guild,
+		Rate:     60,
+	},
+	"ferries": {
+		Name:     "ferries",
+		Net:      50,
+		Zones:    []string{"north", "quay", "isle", "south"},
+		Machines: []int{3, 3, 3, 2},
+		Disks:    []int{1, 1, 1, 1},
+		Runners:  18,
+		Mix:      loadtest.Ferries,
+		Rate:     60,
+	},
 }
 
 // Program is one process of the fleet.
@@ -85,8 +101,12 @@
 	var seeds []string
 	for index, zone := range shape.Zones {
 		for number := range shape.Machines[index] {
-			machine := &Machine{Name: fmt.Sprintf("%s-%d", zone, number+1), IP: fmt.Sprintf("127.%d.%d.%d", shape.Net, index+1, number+1),
-				Zone: zone, Disk: number < shape.Disks[index]}
+			machine := &Machine{
+				Name: fmt.Sprintf("%s-%d", zone, number+1),
+				IP:   fmt.Sprintf("127.%d.%d.%d", shape.Net, index+1, number+1),
+				Zone: zone,
+				Disk: number < shape.Disks[index],
+			}
 			fleet.Machines = append(fleet.Machines, machine)
 			if machine.Disk && len(seeds) < 3 {
 				seeds = append(seeds, machine.IP+":7100")
@@ -95,11 +115,23 @@
 	}
 	platform := fmt.Sprintf("127.%d.250.1:9000", shape.Net)
 	for _, machine := range fleet.Machines {
-		machine.Data = &Program{Name: machine.Name + ".data", Kind: "wtdata", Machine: machine, Settings: process.Settings{
-			Address: machine.IP + ":7200", HTTP: machine.IP + ":8200", Zone: machine.Zone, Seeds: seeds, Platform: "http://" + platform + "/runners", Drain: "2s"}}
+		machine.Data = &Program{
+			Name:    machine.Name + ".data",
+			Kind:    "wtdata",
+			Machine: machine,
+			Settings: process.Settings{
+				Address: machine.IP + ":7200", HTTP: machine.IP + ":8200", Zone: machine.Zone, Seeds: seeds,
+				Platform: "http://" + platform + "/runners", Drain: "2s"},
+		}
 		if machine.Disk {
-			machine.Core = &Program{Name: machine.Name + ".core", Kind: "wtcore", Machine: machine, Settings: process.Settings{
-				Address: machine.IP + ":7100", HTTP: machine.IP + ":8100", Zone: machine.Zone, Seeds: seeds, Folder: filepath.Join(folder, machine.Name)}}
+			machine.Core = &Program{
+				Name:    machine.Name + ".core",
+				Kind:    "wtcore",
+				Machine: machine,
+				Settings: process.Settings{
+					Address: machine.IP + ":7100", HTTP: machine.IP + ":8100", Zone: machine.Zone, Seeds: seeds,
+					Folder: filepath.Join(folder, machine.Name)},
+			}
 		}
 	}
 	for _, program := range fleet.Programs() {
@@ -234,8 +266,15 @@
 	if weights == "" {
 		weights = fleet.Shape.Mix.Weights
 	}
-	runner := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, incarnation), Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
-		Zone: fleet.Shape.Zones[zone], Service: fleet.Shape.Mix.Service, Model: fleet.Shape.Mix.Model, Weights: weights, Pool: fleet.Shape.Mix.Pool}
+	runner := &emulator.Runner{
+		ID:      fmt.Sprintf("r%02d-%d", number, incarnation),
+		Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
+		Zone:    fleet.Shape.Zones[zone],
+		Service: fleet.Shape.Mix.Service,
+		Model:   fleet.Shape.Mix.Model,
+		Weights: weights,
+		Pool:    fleet.Shape.Mix.Pool,
+	}
 	if err := emulator.Start(runner, emulator.DefaultNature, fleet.Record); err != nil {
 		return nil, err
 	}
@@ -305,7 +344,13 @@
 // Harm records that something is done to a runner until a time; knowable is how long it may take the
 // others to know of it.
 func (fleet *Fleet) Harm(what string, runner *emulator.Runner, length, knowable time.Duration) {
-	fault := histories.Fault{At: time.Now(), Until: time.Now().Add(length), What: what, Runner: runner.ID, Knowable: knowable}
+	fault := histories.Fault{
+		At:       time.Now(),
+		Until:    time.Now().Add(length),
+		What:     what,
+		Runner:   runner.ID,
+		Knowable: knowable,
+	}
 	fleet.Record.Change(func(record *histories.History) { record.Faults = append(record.Faults, fault) })
 }
 
@@ -326,7 +371,9 @@
 			room.Slots[runner.Zone] += slots
 		}
 		fleet.mutex.Unlock()
-		fleet.Record.Change(func(record *histories.History) { record.CapacitySamples = append(record.CapacitySamples, room) })
+		fleet.Record.Change(
+			func(record *histories.History) { record.CapacitySamples = append(record.CapacitySamples, room) },
+		)
 	}
 }
 
@@ -363,8 +410,21 @@
 	if marker != "" {
 		markers = []string{marker}
 	}
-	order := &histories.Order{Operation: operation, Verb: "apply", Base: base, HasBase: true, Marker: marker, Spec: fleet.Shape.Mix.Spec(fleet.Shape.Zones, markers...)}
-	fleet.order(order, program, "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation), order.Spec.Encode())
+	order := &histories.Order{
+		Operation: operation,
+		Verb:      "apply",
+		Base:      base,
+		HasBase:   true,
+		Marker:    marker,
+		Spec:      fleet.Shape.Mix.Spec(fleet.Shape.Zones, markers...),
+	}
+	fleet.order(
+		order,
+		program,
+		"PUT",
+		fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation),
+		order.Spec.Encode(),
+	)
 	return order
 }
 
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -89,13 +89,25 @@
 
 // Print writes figures, orders and verdict, and tells whether every rule held.
 func (fleet *Fleet) Print(output io.Writer, violations []histories.Violation) bool {
+	// Whoever reads the report sees where it ends; an output that takes no more says nothing about the fleet.
+	printf := func(format string, values ...any) { _, _ = fmt.Fprintf(output, format, values...) }
 	figures := fleet.Measure()
-	fmt.Fprintf(output, "requests %d: done %d, refused %d, unknown %d, broken off %d, lost with a killed daemon %d\n",
+	printf("requests %d: done %d, refused %d, unknown %d, broken off %d, lost with a killed daemon %d\n",
 		figures.Requests, figures.Done, figures.Refused, figures.Unknown, figures.Broken, figures.Lost)
-	fmt.Fprintf(output, "prompt tokens found in runners' caches: %.0f%%; repeats: %d\n", 100*figures.CacheShare, figures.Retries)
+	printf("prompt tokens found in runners' caches: %.0f%%; repeats: %d\n",
+		100*figures.CacheShare,
+		figures.Retries,
+	)
 	worstCases := histories.Worst(fleet.Record)
-	fmt.Fprintf(output, "worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
-		worstCases.Ignored.Round(time.Millisecond), worstCases.Draining.Round(time.Millisecond), worstCases.Closed.Round(time.Millisecond), worstCases.Return.Round(time.Millisecond), worstCases.Retried, worstCases.Requests)
+	printf("worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), "+
+		"to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
+		worstCases.Ignored.Round(time.Millisecond),
+		worstCases.Draining.Round(time.Millisecond),
+		worstCases.Closed.Round(time.Millisecond),
+		worstCases.Return.Round(time.Millisecond),
+		worstCases.Retried,
+		worstCases.Requests,
+	)
 	routes := make([]string, 0, len(figures.First))
 	for route := range figures.First {
 		routes = append(routes, route)
@@ -103,8 +115,16 @@
 	sort.Strings(routes)
 	for _, route := range routes {
 		lengths := figures.First[route]
-		fmt.Fprintf(output, "  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n", route, len(lengths),
-			Quantile(lengths, 0.5).Round(time.Millisecond), Quantile(lengths, 0.95).Round(time.Millisecond), Quantile(lengths, 1).Round(time.Millisecond))
+		printf("  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n",
+			route,
+			len(lengths),
+			Quantile(
+				lengths,
+				0.5,
+			).Round(time.Millisecond),
+			Quantile(lengths, 0.95).Round(time.Millisecond),
+			Quantile(lengths, 1).Round(time.Millisecond),
+		)
 	}
 	kinds := make([]string, 0, len(figures.Kinds))
 	for kind := range figures.Kinds {
@@ -112,23 +132,29 @@
 	}
 	sort.Strings(kinds)
 	for _, kind := range kinds {
-		fmt.Fprintf(output, "  refused or unknown: %-28s %d\n", kind, figures.Kinds[kind])
+		printf("  refused or unknown: %-28s %d\n", kind, figures.Kinds[kind])
 	}
 	fleet.Record.Change(func(record *histories.History) {
 		for _, order := range record.Orders {
-			fmt.Fprintf(output, "  order %-12s %-6s %-10s epoch %d in %v\n", order.Operation, order.Verb, order.Outcome, order.Epoch, order.Got.Sub(order.Sent).Round(time.Millisecond))
+			printf("  order %-12s %-6s %-10s epoch %d in %v\n",
+				order.Operation,
+				order.Verb,
+				order.Outcome,
+				order.Epoch,
+				order.Got.Sub(order.Sent).Round(time.Millisecond),
+			)
 		}
 		for _, fault := range record.Faults {
-			fmt.Fprintf(output, "  at %6.2fs %s\n", fault.At.Sub(record.Started).Seconds(), fault.What)
+			printf("  at %6.2fs %s\n", fault.At.Sub(record.Started).Seconds(), fault.What)
 		}
 	})
 	if len(violations) == 0 {
-		fmt.Fprintf(output, "verdict: clean, all %d rules held\n", len(histories.Rules))
+		printf("verdict: clean, all %d rules held\n", len(histories.Rules))
 		return true
 	}
 	for _, violation := range violations[:min(len(violations), 40)] {
-		fmt.Fprintf(output, "BROKEN %s: %s\n", violation.Rule, violation.Detail)
+		printf("BROKEN %s: %s\n", violation.Rule, violation.Detail)
 	}
-	fmt.Fprintf(output, "verdict: %d violations\n", len(violations))
+	printf("verdict: %d violations\n", len(violations))
 	return false
 }
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -122,9 +122,17 @@
 	if first.Outcome != "accepted" {
 		return fmt.Errorf("the first spec was not accepted: %+v", first)
 	}
-	fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n", fleet.Shape.Name,
-		len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners, time.Since(started).Round(time.Millisecond))
-	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be fit.
+	fmt.Fprintf(
+		output,
+		"%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
+		fleet.Shape.Name,
+		len(fleet.Machines),
+		len(fleet.Cores()),
+		fleet.Shape.Runners,
+		time.Since(started).Round(time.Millisecond),
+	)
+	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be
+	// fit.
 	waitUntil(started.Add(6 * time.Second))
 	return nil
 }
@@ -135,7 +143,13 @@
 	if rate == 0 {
 		rate = fleet.Shape.Rate
 	}
-	stage := &Stage{Fleet: fleet, Random: rand.New(rand.NewSource(options.Seed)), Options: options, factor: 1, started: time.Now()}
+	stage := &Stage{
+		Fleet:   fleet,
+		Random:  rand.New(rand.NewSource(options.Seed)),
+		Options: options,
+		factor:  1,
+		started: time.Now(),
+	}
 	stage.Factor = func() float64 {
 		value := 1.0
 		fleet.Record.Change(func(*histories.History) { value = stage.factor })
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,28 +15,60 @@
 
 // Scenarios are all that a real fleet is put through, each while the load goes on.
 var Scenarios = map[string]Scenario{
-	"calm":             {Help: "no fault at all; a fleet to look at with wtctl", Run: func(*Stage) error { return nil }},
-	"default":          {Help: "kill a runner, a data daemon and a disk machine's core, and change the spec meanwhile", Run: defaultScenario},
-	"crowd":            {Help: "five times the requests for a quarter of the time", Run: overload},
-	"hot-key":          {Help: "nine requests of ten carry one opening", Hot: 0.9, Run: func(*Stage) error { return nil }},
-	"runner-dark":      {Help: "two runners read requests and never answer", Run: runnerDark},
-	"runner-partial":   {Help: "a runner breaks its streams in the middle, another becomes slow", Run: runnerPartial},
-	"address-reused":   {Help: "a runner crashes and a stranger of another service answers at its address", Run: addressReused},
-	"rolling-release":  {Help: "every runner is drained and comes back under a new identity, one after the other", Run: rollingRelease},
-	"daemon-frozen":    {Help: "data daemons are frozen for seconds and woken, while the spec changes", Run: daemonFrozen},
-	"daemon-killed":    {Help: "data daemons are killed and come back", Run: daemonKilled},
-	"core-frozen":      {Help: "the head is frozen in the middle of changes and woken", Run: coreFrozen},
-	"core-wiped":       {Help: "a disk machine loses its disk and comes back blank", Run: coreWiped},
-	"core-swapped":     {Help: "every control machine in turn is swapped for a blank one at a new address", Run: coreSwapped},
-	"control-off":      {Help: "the whole control plane is down for ten seconds; traffic goes on", Run: controlOff},
-	"zone-lost":        {Help: "all machines of a zone are killed and come back", Run: zoneLost},
-	"all-down":         {Help: "every process is killed at once and started again", Run: allDown},
-	"storm":            {Help: "two operators race each other as fast as they can", Run: storm},
-	"many-routes":      {Help: "thousands of lanes are added at once", Run: manyRoutes},
-	"zones-closed":     {Help: "zones are closed and opened again", Run: zonesClosed},
-	"rolling-restart":  {Help: "every wtdata and wtcore is restarted by SIGTERM, one after the other", Run: rollingRestart},
-	"requesters-leave": {Help: "half of the requesters leave early, while a crowd comes, a runner is dark and daemons are frozen", Leaves: 0.5, Run: clientsLeave},
-	"fault-at-the-end": {Help: "power is lost everywhere directly after an acknowledgement, at the very end", Run: faultAtTheEnd},
+	"calm": {
+		Help: "no fault at all; a fleet to look at with wtctl",
+		Run:  func(*Stage) error { return nil },
+	},
+	"default": {
+		Help: "kill a runner, a data daemon and a disk machine's core, and change the spec meanwhile",
+		Run:  defaultScenario,
+	},
+	"crowd": {Help: "five times the requests for a quarter of the time", Run: overload},
+	"hot-key": {
+		Help: "nine requests of ten carry one opening",
+		Hot:  0.9,
+		Run:  func(*Stage) error { return nil },
+	},
+	"runner-dark":    {Help: "two runners read requests and never answer", Run: runnerDark},
+	"runner-partial": {Help: "a runner breaks its streams in the middle, another becomes slow", Run: runnerPartial},
+	"address-reused": {
+		Help: "a runner crashes and a stranger of another service answers at its address",
+		Run:  addressReused,
+	},
+	"rolling-release": {
+		Help: "every runner is drained and comes back under a new identity, one after the other",
+		Run:  rollingRelease,
+	},
+	"daemon-frozen": {
+		Help: "data daemons are frozen for seconds and woken, while the spec changes",
+		Run:  daemonFrozen,
+	},
+	"daemon-killed": {Help: "data daemons are killed and come back", Run: daemonKilled},
+	"core-frozen":   {Help: "the head is frozen in the middle of changes and woken", Run: coreFrozen},
+	"core-wiped":    {Help: "a disk machine loses its disk and comes back blank", Run: coreWiped},
+	"core-swapped": {
+		Help: "every control machine in turn is swapped for a blank one at a new address",
+		Run:  coreSwapped,
+	},
+	"control-off":  {Help: "the whole control plane is down for ten seconds; traffic goes on", Run: controlOff},
+	"zone-lost":    {Help: "all machines of a zone are killed and come back", Run: zoneLost},
+	"all-down":     {Help: "every process is killed at once and started again", Run: allDown},
+	"storm":        {Help: "two operators race each other as fast as they can", Run: storm},
+	"many-routes":  {Help: "thousands of lanes are added at once", Run: manyRoutes},
+	"zones-closed": {Help: "zones are closed and opened again", Run: zonesClosed},
+	"rolling-restart": {
+		Help: "every wtdata and wtcore is restarted by SIGTERM, one after the other",
+		Run:  rollingRestart,
+	},
+	"requesters-leave": {
+		Help:   "half of the requesters leave early, while a crowd comes, a runner is dark and daemons are frozen",
+		Leaves: 0.5,
+		Run:    clientsLeave,
+	},
+	"fault-at-the-end": {
+		Help: "power is lost everywhere directly after an acknowledgement, at the very end",
+		Run:  faultAtTheEnd,
+	},
 }
 
 // silentLoss is how long a loss of which nobody says anything may take to be known.
@@ -69,7 +102,12 @@
 func runnerDark(stage *Stage) error {
 	stage.span(0.2)
 	for _, number := range []int{2, 9} {
-		stage.Harm(fmt.Sprintf("runner %d goes dark", number), stage.Runners[number], time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
+		stage.Harm(
+			fmt.Sprintf("runner %d goes dark", number),
+			stage.Runners[number],
+			time.Duration(stage.Options.Seconds)*time.Second,
+			silentLoss,
+		)
 	}
 	stage.Runners[2].Dark.Store(true)
 	stage.Runners[9].Dark.Store(true)
@@ -88,7 +126,12 @@
 func runnerPartial(stage *Stage) error {
 	stage.span(0.2)
 	stage.Harm("runner 4 breaks streams", stage.Runners[4], time.Duration(stage.Options.Seconds)*time.Second/2, 0)
-	stage.Harm("runner 5 is ten times slower", stage.Runners[5], time.Duration(stage.Options.Seconds)*time.Second/2, silentLoss)
+	stage.Harm(
+		"runner 5 is ten times slower",
+		stage.Runners[5],
+		time.Duration(stage.Options.Seconds)*time.Second/2,
+		silentLoss,
+	)
 	stage.Runners[4].Partial.Store(true)
 	stage.Runners[5].Slow.Store(10)
 	stage.span(0.5)
@@ -103,8 +146,15 @@
 	previous := stage.Runners[number]
 	stage.Harm("a stranger takes over runner 6's address", previous, 5*time.Second, 0)
 	previous.Crash()
-	stranger := &emulator.Runner{ID: "stranger", Address: previous.Address, Zone: previous.Zone, Service: "somebody-elses", Model: previous.Model,
-		Weights: previous.Weights, Pool: previous.Pool}
+	stranger := &emulator.Runner{
+		ID:      "stranger",
+		Address: previous.Address,
+		Zone:    previous.Zone,
+		Service: "somebody-elses",
+		Model:   previous.Model,
+		Weights: previous.Weights,
+		Pool:    previous.Pool,
+	}
 	if err := emulator.Start(stranger, emulator.DefaultNature, stage.Record); err != nil {
 		return err
 	}
@@ -146,8 +196,15 @@
 	incarnation := stage.Fleet.retired
 	previous := stage.Fleet.Runners[number]
 	stage.Fleet.mutex.Unlock()
-	fresh := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, incarnation), Address: fmt.Sprintf("127.%d.%d.%d:9100", stage.Shape.Net, 150+number%len(stage.Shape.Zones), number+1),
-		Zone: previous.Zone, Service: previous.Service, Model: previous.Model, Weights: previous.Weights, Pool: previous.Pool}
+	fresh := &emulator.Runner{
+		ID:      fmt.Sprintf("r%02d-%d", number, incarnation),
+		Address: fmt.Sprintf("127.%d.%d.%d:9100", stage.Shape.Net, 150+number%len(stage.Shape.Zones), number+1),
+		Zone:    previous.Zone,
+		Service: previous.Service,
+		Model:   previous.Model,
+		Weights: previous.Weights,
+		Pool:    previous.Pool,
+	}
 	if err := emulator.Start(fresh, emulator.DefaultNature, stage.Record); err != nil {
 		return err
 	}
@@ -175,7 +232,12 @@
 func clientsLeave(stage *Stage) error {
 	const dark = 2
 	stage.span(0.1)
-	stage.Harm(fmt.Sprintf("runner %d goes dark", dark), stage.Runners[dark], time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
+	stage.Harm(
+		fmt.Sprintf("runner %d goes dark", dark),
+		stage.Runners[dark],
+		time.Duration(stage.Options.Seconds)*time.Second,
+		silentLoss,
+	)
 	stage.Runners[dark].Dark.Store(true)
 	stage.span(0.2)
 	stage.Scale(4)
@@ -282,7 +344,7 @@
 		}
 		return order.Outcome == "accepted"
 	}) {
-		return fmt.Errorf("no change was accepted within 12 s of the control plane's return")
+		return errors.New("no change was accepted within 12 s of the control plane's return")
 	}
 	return nil
 }
@@ -373,8 +435,20 @@
 	for number := range 5000 {
 		markers = append(markers, fmt.Sprint("route-", number))
 	}
-	order := &histories.Order{Operation: "many", Verb: "apply", Base: stage.present(), HasBase: true, Spec: stage.Shape.Mix.Spec(stage.Shape.Zones, markers...)}
-	stage.order(order, stage.Cores()[1], "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=many", order.Base), order.Spec.Encode())
+	order := &histories.Order{
+		Operation: "many",
+		Verb:      "apply",
+		Base:      stage.present(),
+		HasBase:   true,
+		Spec:      stage.Shape.Mix.Spec(stage.Shape.Zones, markers...),
+	}
+	stage.order(
+		order,
+		stage.Cores()[1],
+		"PUT",
+		fmt.Sprintf("/v1/spec?base=%d&operation=many", order.Base),
+		order.Spec.Encode(),
+	)
 	if order.Outcome != "accepted" {
 		return fmt.Errorf("five thousand lanes: %+v", order)
 	}
--- a/verify/golden/value.go
+++ b/verify/golden/value.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"reflect"
+	"strconv"
 	"testing"
 )
 
@@ -85,7 +86,7 @@
 // fillSlice fills a list; bytes get a number as a text, which is JSON too, as raw JSON must be.
 func (filler *filler) fillSlice(value reflect.Value) {
 	if value.Type().Elem().Kind() == reflect.Uint8 {
-		value.Set(reflect.ValueOf([]byte(fmt.Sprint(filler.next()))).Convert(value.Type()))
+		value.Set(reflect.ValueOf([]byte(strconv.Itoa(filler.next()))).Convert(value.Type()))
 		return
 	}
 	value.Set(reflect.MakeSlice(value.Type(), elements, elements))
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -35,15 +35,28 @@
 
 // NewChecker makes a checker of a history; known gives the operations that took effect, and may grow.
 func NewChecker(history *History, known map[string]uint64) *Checker {
-	return &Checker{history: history, known: known, runs: map[string][]*Run{}, answers: map[string][]*Answer{}, once: map[string]bool{}, requests: map[string][]*Answer{},
-		drains: map[string][]*Drain{}, greatest: map[string]uint64{}, greatestSince: map[string]time.Time{}, changesSeen: -1}
+	return &Checker{
+		history:       history,
+		known:         known,
+		runs:          map[string][]*Run{},
+		answers:       map[string][]*Answer{},
+		once:          map[string]bool{},
+		requests:      map[string][]*Answer{},
+		drains:        map[string][]*Drain{},
+		greatest:      map[string]uint64{},
+		greatestSince: map[string]time.Time{},
+		changesSeen:   -1,
+	}
 }
 
 // Check judges a whole history at once.
 func Check(history *History) []Violation {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	sort.SliceStable(history.Runs, func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) })
+	sort.SliceStable(
+		history.Runs,
+		func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) },
+	)
 	checker := NewChecker(history, history.Final.Known)
 	for _, answer := range history.Answers {
 		checker.ObserveRequest(answer)
@@ -65,7 +78,10 @@
 	for _, rule := range Rules {
 		if check := rules[rule]; check != nil {
 			check(checker, func(format string, values ...any) {
-				checker.Violations = append(checker.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)})
+				checker.Violations = append(
+					checker.Violations,
+					Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)},
+				)
 			})
 		}
 	}
@@ -101,7 +117,10 @@
 	checker.apply(atEnd)
 }
 
-func bind[Seen any](rules map[string]func(checker *Checker, seen Seen, broken reportFunc), seen Seen) map[string]func(checker *Checker, broken reportFunc) {
+func bind[Seen any](
+	rules map[string]func(checker *Checker, seen Seen, broken reportFunc),
+	seen Seen,
+) map[string]func(checker *Checker, broken reportFunc) {
 	bound := make(map[string]func(checker *Checker, broken reportFunc), len(rules))
 	for rule, check := range rules {
 		bound[rule] = func(checker *Checker, broken reportFunc) { check(checker, seen, broken) }
@@ -154,7 +173,7 @@
 		}
 	}
 	sort.SliceStable(changes, func(left, right int) bool { return changes[left].epoch < changes[right].epoch })
-	var versions []specVersion
+	versions := make([]specVersion, 0, len(changes))
 	present := &config.Spec{}
 	for _, change := range changes {
 		if change.order.Verb == "apply" && change.order.Spec != nil {
@@ -180,8 +199,8 @@
 	return versions
 }
 
-// specsInForce gives the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One that
-// has no path to the core may go by what it had when it lost that.
+// specsInForce gives the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One
+// that has no path to the core may go by what it had when it lost that.
 func (checker *Checker) specsInForce(daemon string, at time.Time, bound time.Duration) []specVersion {
 	return checker.specsBetween(at, at, bound+checker.isolatedFor(daemon, at))
 }
@@ -214,7 +233,12 @@
 	return fit
 }
 
-func (checker *Checker) permittedBySomeSpec(daemon string, at time.Time, bound time.Duration, permits func(catalog *config.Catalog) bool) bool {
+func (checker *Checker) permittedBySomeSpec(
+	daemon string,
+	at time.Time,
+	bound time.Duration,
+	permits func(catalog *config.Catalog) bool,
+) bool {
 	for _, version := range checker.specsInForce(daemon, at, bound) {
 		if permits(version.catalog) {
 			return true
@@ -273,7 +297,10 @@
 func (checker *Checker) leastFreeShare(from, until time.Time) float64 {
 	least, seen := 1.0, false
 	versions := checker.specsBetween(from, until, SpecBound)
-	first := sort.Search(len(checker.history.CapacitySamples), func(index int) bool { return checker.history.CapacitySamples[index].At.After(from) })
+	first := sort.Search(
+		len(checker.history.CapacitySamples),
+		func(index int) bool { return checker.history.CapacitySamples[index].At.After(from) },
+	)
 	for _, room := range checker.history.CapacitySamples[max(0, first-1):] {
 		free, slots := 0, 0
 		for zone, count := range room.Free {
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -1,6 +1,7 @@
 package histories
 
 import (
+	"fmt"
 	"strings"
 	"time"
 )
@@ -15,11 +16,13 @@
 	if sent.IsZero() {
 		sent = run.At
 	}
-	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) || checker.sentTwice(answer) {
+	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) ||
+		checker.sentTwice(answer) {
 		return 0
 	}
 	late := sent.Sub(answer.HungUpAt)
-	if _, heldUp := checker.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() && late <= DepartureBound+transitTime {
+	if _, heldUp := checker.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() &&
+		late <= DepartureBound+transitTime {
 		return 0
 	}
 	return late
@@ -56,7 +59,8 @@
 	for _, run := range checker.runs[answer.Request] {
 		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
 			checker.Violations = append(checker.Violations, Violation{Rule: "left-requester",
-				Detail: answer.Request + " was still worked on at " + run.Runner + " " + DepartureBound.String() + " after its requester had left " + run.Daemon})
+				Detail: fmt.Sprintf("%s was still worked on at %s %v after its requester had left %s",
+					answer.Request, run.Runner, DepartureBound, run.Daemon)})
 		}
 	}
 }
--- a/verify/histories/departure_test.go
+++ b/verify/histories/departure_test.go
@@ -13,17 +13,27 @@
 		change func(history *History, run *Run, answer *Answer)
 		broken bool
 	}{
-		"ended in time":       {func(_ *History, run *Run, _ *Answer) { run.Finished = at(3.55) }, false},
-		"cut in time":         {func(_ *History, run *Run, _ *Answer) { run.Canceled, run.Finished = at(3.3), at(9) }, false},
-		"cut too late":        {func(_ *History, run *Run, _ *Answer) { run.Canceled, run.Finished = at(3.7), at(9) }, true},
-		"never cut":           {func(_ *History, run *Run, _ *Answer) { run.Finished = at(9) }, true},
-		"not over yet":        {func(_ *History, run *Run, _ *Answer) { run.Finished = time.Time{} }, true},
-		"must run to its end": {func(_ *History, run *Run, answer *Answer) { run.Finished, answer.Cancels = at(9), false }, false},
-		"by another daemon":   {func(_ *History, run *Run, _ *Answer) { run.Finished, run.Daemon = at(9), "d2" }, false},
+		"ended in time": {func(_ *History, run *Run, _ *Answer) { run.Finished = at(3.55) }, false},
+		"cut in time": {func(_ *History, run *Run, _ *Answer) {
+			run.Canceled, run.Finished = at(3.3), at(9)
+		}, false},
+		"cut too late": {func(_ *History, run *Run, _ *Answer) {
+			run.Canceled, run.Finished = at(3.7), at(9)
+		}, true},
+		"never cut":    {func(_ *History, run *Run, _ *Answer) { run.Finished = at(9) }, true},
+		"not over yet": {func(_ *History, run *Run, _ *Answer) { run.Finished = time.Time{} }, true},
+		"must run to its end": {func(_ *History, run *Run, answer *Answer) {
+			run.Finished, answer.Cancels = at(9), false
+		}, false},
+		"by another daemon": {func(_ *History, run *Run, _ *Answer) {
+			run.Finished, run.Daemon = at(9), "d2"
+		}, false},
 		"by its daemon at another port": {func(_ *History, run *Run, answer *Answer) {
 			run.Finished, run.Daemon, answer.Daemon = at(9), "127.40.1.4:7200", "127.40.1.4:8200"
 		}, true},
-		"sent in time":  {func(_ *History, run *Run, answer *Answer) { answer.HungUpAt, run.Finished = at(2.6), at(3.05) }, false},
+		"sent in time": {func(_ *History, run *Run, answer *Answer) {
+			answer.HungUpAt, run.Finished = at(2.6), at(3.05)
+		}, false},
 		"sent too late": {func(_ *History, _ *Run, answer *Answer) { answer.HungUpAt = at(2.4) }, true},
 		"a daemon in trouble": {func(history *History, run *Run, _ *Answer) {
 			run.Finished = at(9)
@@ -37,7 +47,9 @@
 			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.9), Until: at(3.2), Runner: run.Runner}}
 		}, true},
-		"known to be sent in time": {func(_ *History, run *Run, answer *Answer) { answer.HungUpAt, run.Sent = at(2.1), at(2.0) }, false},
+		"known to be sent in time": {func(_ *History, run *Run, answer *Answer) {
+			answer.HungUpAt, run.Sent = at(2.1), at(2.0)
+		}, false},
 		"known to be sent too late": {func(history *History, run *Run, answer *Answer) {
 			answer.HungUpAt, run.Sent = at(2.1), at(2.9)
 			history.Faults = []Fault{{At: at(1.4), Until: at(3.2), Runner: run.Runner}}
@@ -60,7 +72,8 @@
 		answer.HungUpAt, answer.Cancels, answer.HungUp = at(3.1), true, true
 		trial.change(history, run, answer)
 		violations := Check(history)
-		if named := len(violations) == 1 && violations[0].Rule == "left-requester"; named != trial.broken || !trial.broken && len(violations) > 0 {
+		if named := len(violations) == 1 && violations[0].Rule == "left-requester"; named != trial.broken ||
+			!trial.broken && len(violations) > 0 {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -1,4 +1,4 @@
-// Package history records what clients, runners, the platform and operators saw, and checks it
+// Package histories records what clients, runners, the platform and operators saw, and checks it
 // against what must never happen. A checker that is given a broken history must name the rule; its
 // tests break one for every rule.
 package histories
@@ -28,8 +28,9 @@
 	Epoch   uint64
 	// Started is false where the runner put the request back.
 	Started bool
-	// Sent is when its daemon sent the request, where that is known, and Cut when the daemon let go of the run, or at the
-	// latest when the end of its connection reached the runner; zero where that did not happen while the run went on.
+	// Sent is when its daemon sent the request, where that is known, and Cut when the daemon let go of the run, or at
+	// the latest when the end of its connection reached the runner; zero where that did not happen while the run went
+	// on.
 	Sent, Canceled time.Time
 	// Finished is when the run was over; Whole tells that its last event went out, after Events others.
 	Finished time.Time
@@ -121,8 +122,8 @@
 	Knowable time.Duration
 }
 
-// Isolation tells that a daemon had no path to the core in a time. Until is when it must have learned what it missed, or
-// serve no more.
+// Isolation tells that a daemon had no path to the core in a time. Until is when it must have learned what it missed,
+// or serve no more.
 type Isolation struct {
 	Daemon      string
 	From, Until time.Time
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -23,8 +23,8 @@
 	WarmUpAllowance = 2
 	// OverdueBound is how long after a loss could be known a final answer may come.
 	OverdueBound = 2 * time.Second
-	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. ClockPart is the
-	// part by which a daemon's clock may go wrong.
+	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. ClockPart
+	// is the part by which a daemon's clock may go wrong.
 	DeadlineAllowance = 100 * time.Millisecond
 	ClockErrorDivisor = 50
 	faultShadow       = 12 * time.Second
@@ -34,7 +34,8 @@
 	resetTransitTime = 100 * time.Millisecond
 	// DepartureBound is how long after its client has left a request may reach a runner, or be worked on.
 	DepartureBound = 500 * time.Millisecond
-	// ReportStaleness is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second and smoothed.
+	// ReportStaleness is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second
+	// and smoothed.
 	ReportStaleness = 2 * time.Second
 	// AmpleShare is the free part of a backend beside which no request can be refused for want of room. It is
 	// the slack in which routes may go beyond their concurrency limit.
@@ -42,13 +43,46 @@
 )
 
 // Rules names every check, in the order of the brief.
-var Rules = []string{"run-twice", "ran-after-refusal", "not-whole", "spliced", "not-allowed", "wrong-runner", "leaving", "change-ignored",
-	"slipped-back", "refused-in-effect", "two-on-one-base", "closed-zone", "repeats", "cold-flooded", "dropped", "forgotten", "down", "turned-away",
-	"no-return-time", "held-back", "resumed", "past-deadline", "left-requester"}
+var Rules = []string{
+	"run-twice",
+	"ran-after-refusal",
+	"not-whole",
+	"spliced",
+	"not-allowed",
+	"wrong-runner",
+	"leaving",
+	"change-ignored",
+	"slipped-back",
+	"refused-in-effect",
+	"two-on-one-base",
+	"closed-zone",
+	"repeats",
+	"cold-flooded",
+	"dropped",
+	"forgotten",
+	"down",
+	"turned-away",
+	"no-return-time",
+	"held-back",
+	"resumed",
+	"past-deadline",
+	"left-requester",
+}
 
 // timed are the rules with a bound in seconds, which a machine that stands still for a while can break.
-var timed = map[string]bool{"leaving": true, "change-ignored": true, "slipped-back": true, "closed-zone": true, "cold-flooded": true,
-	"dropped": true, "down": true, "turned-away": true, "held-back": true, "past-deadline": true, "left-requester": true}
+var timed = map[string]bool{
+	"leaving":        true,
+	"change-ignored": true,
+	"slipped-back":   true,
+	"closed-zone":    true,
+	"cold-flooded":   true,
+	"dropped":        true,
+	"down":           true,
+	"turned-away":    true,
+	"held-back":      true,
+	"past-deadline":  true,
+	"left-requester": true,
+}
 
 // Timeless leaves out the violations of rules that are measured in seconds.
 func Timeless(violations []Violation) []Violation {
@@ -65,20 +99,43 @@
 var onRun = map[string]func(checker *Checker, run *Run, broken reportFunc){
 	"run-twice": func(checker *Checker, run *Run, broken reportFunc) {
 		if runs := checker.runs[run.Request]; run.Started && checker.once[run.Request] && len(runs) > 1 {
-			broken("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner, runs[0].Daemon, run.Runner, run.Daemon)
+			broken(
+				"%s ran %d times, at %s by %s and at %s by %s",
+				run.Request,
+				len(runs),
+				runs[0].Runner,
+				runs[0].Daemon,
+				run.Runner,
+				run.Daemon,
+			)
 		}
 	},
 	"ran-after-refusal": func(checker *Checker, run *Run, broken reportFunc) {
 		for _, answer := range checker.answers[run.Request] {
 			// A client that sends its request anew after this word asks for another run.
 			if run.Started && answer.Ran == didNotRun && !checker.sentAgain(answer) {
-				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner, answer.Kind)
+				broken(
+					"%s ran at %s after its requester was told %q that it did not run",
+					run.Request,
+					run.Runner,
+					answer.Kind,
+				)
 			}
 		}
 	},
 	"not-allowed": func(checker *Checker, run *Run, broken reportFunc) {
-		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
-			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service, run.Runner)
+		if !checker.permittedBySomeSpec(
+			run.Daemon,
+			run.At,
+			SpecBound,
+			func(catalog *config.Catalog) bool { return allows(catalog, run) },
+		) {
+			broken(
+				"%s went to service %q of runner %s, which no spec in force allows",
+				run.Request,
+				run.Service,
+				run.Runner,
+			)
 		}
 	},
 	"wrong-runner": func(_ *Checker, run *Run, broken reportFunc) {
@@ -92,9 +149,20 @@
 		}
 	},
 	"change-ignored": func(checker *Checker, run *Run, broken reportFunc) {
-		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound, func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
-			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec", run.Request, run.Route, run.Weights, run.Daemon,
-				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
+		if !checker.permittedBySomeSpec(
+			run.Daemon,
+			run.At,
+			SpecBound,
+			func(catalog *config.Catalog) bool { return serves(catalog, run) },
+		) {
+			broken(
+				"%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec",
+				run.Request,
+				run.Route,
+				run.Weights,
+				run.Daemon,
+				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }),
+			)
 		}
 	},
 	"slipped-back": func(checker *Checker, run *Run, broken reportFunc) {
@@ -109,7 +177,12 @@
 	"closed-zone": func(checker *Checker, run *Run, broken reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
-			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone, checker.outdatedFor(run.At, open))
+			broken(
+				"%s went into zone %s %v after its closing was acknowledged",
+				run.Request,
+				run.Zone,
+				checker.outdatedFor(run.At, open),
+			)
 		}
 	},
 	"left-requester": func(checker *Checker, run *Run, broken reportFunc) {
@@ -121,7 +194,13 @@
 	},
 	"cold-flooded": func(_ *Checker, run *Run, broken reportFunc) {
 		if run.WarmingUp && run.Concurrent >= run.Capacity+WarmUpAllowance {
-			broken("%s came to %s, still cold with room for %d, beside %d others", run.Request, run.Runner, run.Capacity, run.Concurrent)
+			broken(
+				"%s came to %s, still cold with room for %d, beside %d others",
+				run.Request,
+				run.Runner,
+				run.Capacity,
+				run.Concurrent,
+			)
 		}
 	},
 }
@@ -172,7 +251,12 @@
 	"ran-after-refusal": func(checker *Checker, answer *Answer, broken reportFunc) {
 		for _, run := range checker.runs[answer.Request] {
 			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !checker.sentAgain(answer) {
-				broken("%s: its requester was told %q that it did not run, but %s ran it", answer.Request, answer.Kind, run.Runner)
+				broken(
+					"%s: its requester was told %q that it did not run, but %s ran it",
+					answer.Request,
+					answer.Kind,
+					run.Runner,
+				)
 			}
 		}
 	},
@@ -198,8 +282,14 @@
 				break
 			}
 			// Where a stream may be resumed, another run goes on exactly behind what was relayed.
-			if index > 0 && answer.Runs[index] != answer.Runs[index-1] && !checker.startedAfter(answer.Request, answer.Runs[index], answer.IDs[index-1]) {
-				broken("%s: run %s goes on behind event %d, where it did not begin", answer.Request, answer.Runs[index], answer.IDs[index-1])
+			if index > 0 && answer.Runs[index] != answer.Runs[index-1] &&
+				!checker.startedAfter(answer.Request, answer.Runs[index], answer.IDs[index-1]) {
+				broken(
+					"%s: run %s goes on behind event %d, where it did not begin",
+					answer.Request,
+					answer.Runs[index],
+					answer.IDs[index-1],
+				)
 				break
 			}
 		}
@@ -209,7 +299,8 @@
 			return
 		}
 		for _, fault := range checker.history.Faults {
-			if fault.Kills && fault.Daemon == answer.Daemon && !answer.Got.Before(fault.At) && !answer.Sent.After(fault.Until) {
+			if fault.Kills && fault.Daemon == answer.Daemon && !answer.Got.Before(fault.At) &&
+				!answer.Sent.After(fault.Until) {
 				return
 			}
 		}
@@ -220,7 +311,9 @@
 			broken("%s was refused as taken already by %s, though it had surely not run", answer.Request, answer.Daemon)
 		}
 		// Whose time has passed is refused for that.
-		if answer.ConnectionLost || answer.HungUp || answer.Done || answer.Resent || answer.Bound > 0 && !answer.lastEventAt().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockErrorDivisor)) {
+		if answer.ConnectionLost || answer.HungUp || answer.Done || answer.Resent ||
+			answer.Bound > 0 &&
+				!answer.lastEventAt().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockErrorDivisor)) {
 			return
 		}
 		check := wrongfulRejections[answer.Kind]
@@ -232,7 +325,16 @@
 			return
 		}
 		if why := check(checker, answer); why != "" {
-			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route, answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
+			broken(
+				"%s of %s, sent to %s, was refused with %q (%s) after %v, but %s",
+				answer.Request,
+				answer.Route,
+				answer.Daemon,
+				answer.Kind,
+				answer.Detail,
+				answer.Got.Sub(answer.Sent),
+				why,
+			)
 		}
 	},
 	"no-return-time": func(_ *Checker, answer *Answer, broken reportFunc) {
@@ -242,7 +344,8 @@
 	},
 	"held-back": func(checker *Checker, answer *Answer, broken reportFunc) {
 		// What is sent again is refused for what became of the first, at any time.
-		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent || checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent ||
+			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if late := checker.overdue(answer); late > OverdueBound {
@@ -260,11 +363,22 @@
 		}
 	},
 	"past-deadline": func(checker *Checker, answer *Answer, broken reportFunc) {
-		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp || checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp ||
+			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
-		if late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound)); late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
-			broken("%s of %s was answered with %d %q (%s) %v after its %v had passed", answer.Request, answer.Route, answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
+		late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound))
+		if late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
+			broken(
+				"%s of %s was answered with %d %q (%s) %v after its %v had passed",
+				answer.Request,
+				answer.Route,
+				answer.Status,
+				answer.Kind,
+				answer.Detail,
+				late,
+				answer.Bound,
+			)
 		}
 	},
 }
@@ -302,7 +416,13 @@
 }
 
 // retryable are the refusals that another try can help.
-var retryable = map[string]bool{"purse_spent": true, "patience_short": true, "waitlist_full": true, "no_fit_runner": true, "not_serving": true}
+var retryable = map[string]bool{
+	"purse_spent":    true,
+	"patience_short": true,
+	"waitlist_full":  true,
+	"no_fit_runner":  true,
+	"not_serving":    true,
+}
 
 // overdue gives how long after its cause could be known a request got its final answer.
 func (checker *Checker) overdue(answer *Answer) time.Duration {
@@ -377,7 +497,8 @@
 	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known.
 	if len(checker.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
 		for _, fault := range checker.history.Faults {
-			if fault.Runner != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
+			if fault.Runner != "" && !answer.Got.Before(fault.At) &&
+				answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
 				return ""
 			}
 		}
@@ -522,7 +643,12 @@
 	}
 	for _, order := range history.accepted() {
 		if history.Final.Epoch < order.Epoch {
-			broken("%s was acknowledged as epoch %d; the fleet ended at %d", order.Operation, order.Epoch, history.Final.Epoch)
+			broken(
+				"%s was acknowledged as epoch %d; the fleet ended at %d",
+				order.Operation,
+				order.Epoch,
+				history.Final.Epoch,
+			)
 		}
 		if epoch, known := history.Final.Known[order.Operation]; !known || epoch != order.Epoch {
 			broken("%s was acknowledged as epoch %d; the fleet knows %d", order.Operation, order.Epoch, epoch)
@@ -555,7 +681,10 @@
 				broken("no request of zone %s was served within %v of the machines' return", zone, ReturnBound)
 			}
 		}
-		if !slices.ContainsFunc(history.accepted(), func(order *Order) bool { return within(order.Sent) && within(order.Got) }) {
+		if !slices.ContainsFunc(
+			history.accepted(),
+			func(order *Order) bool { return within(order.Sent) && within(order.Got) },
+		) {
 			broken("no change was accepted within %v of the machines' return", ReturnBound)
 		}
 	}
--- a/verify/histories/rules_test.go
+++ b/verify/histories/rules_test.go
@@ -12,12 +12,34 @@
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
 	history := &History{Started: started, Zones: []string{"a"}, Service: "good", Weights: "w"}
-	document := &config.Spec{Zones: []config.Zone{{Name: "a"}, {Name: "b"}}, Backends: []config.Pool{{Name: "p", Model: "m", Weights: "w", Services: []string{"good"}}},
-		Routes: []config.Route{{Name: "l", Pool: "p"}, {Name: "k", Pool: "p"}}}
+	document := &config.Spec{
+		Zones:    []config.Zone{{Name: "a"}, {Name: "b"}},
+		Backends: []config.Pool{{Name: "p", Model: "m", Weights: "w", Services: []string{"good"}}},
+		Routes:   []config.Route{{Name: "l", Pool: "p"}, {Name: "k", Pool: "p"}},
+	}
 	history.Orders = []*Order{
-		{Operation: "first", Verb: "apply", HasBase: true, Spec: document, Sent: at(0), Got: at(0.1), Outcome: "accepted", Epoch: 1},
+		{
+			Operation: "first",
+			Verb:      "apply",
+			HasBase:   true,
+			Spec:      document,
+			Sent:      at(0),
+			Got:       at(0.1),
+			Outcome:   "accepted",
+			Epoch:     1,
+		},
 		{Operation: "closing", Verb: "close", Zone: "b", Sent: at(20), Got: at(20.1), Outcome: "accepted", Epoch: 2},
-		{Operation: "losing", Verb: "apply", Spec: document, HasBase: true, Base: 1, Marker: "lost-lane", Sent: at(20), Got: at(20.2), Outcome: "refused"},
+		{
+			Operation: "losing",
+			Verb:      "apply",
+			Spec:      document,
+			HasBase:   true,
+			Base:      1,
+			Marker:    "lost-lane",
+			Sent:      at(20),
+			Got:       at(20.2),
+			Outcome:   "refused",
+		},
 	}
 	for number := range 40 {
 		request := string(rune('A' + number))
@@ -25,17 +47,61 @@
 		if number >= 21 {
 			epoch = 2
 		}
-		run := &Run{At: at(float64(number)), Request: request, Route: "l", Pool: "p", Model: "m", Weights: "w", Runner: "r1", Wanted: "r1", Service: "good", Zone: "a", Daemon: "d1",
-			Epoch: epoch, Started: true, Finished: at(float64(number) + 0.5), Complete: true, Events: 2, Capacity: 10}
+		run := &Run{
+			At:       at(float64(number)),
+			Request:  request,
+			Route:    "l",
+			Pool:     "p",
+			Model:    "m",
+			Weights:  "w",
+			Runner:   "r1",
+			Wanted:   "r1",
+			Service:  "good",
+			Zone:     "a",
+			Daemon:   "d1",
+			Epoch:    epoch,
+			Started:  true,
+			Finished: at(float64(number) + 0.5),
+			Complete: true,
+			Events:   2,
+			Capacity: 10,
+		}
 		history.Runs = append(history.Runs, run)
-		history.Answers = append(history.Answers, &Answer{Request: request, Route: "l", Once: true, Daemon: "d1", Zone: "a", LatencyTarget: 3 * time.Second, Sent: at(float64(number)), Got: at(float64(number) + 0.6),
-			Status: 200, IDs: []int{1, 2, 3}, Runs: []string{"x", "x", "x"}, Done: true})
+		history.Answers = append(
+			history.Answers,
+			&Answer{
+				Request:       request,
+				Route:         "l",
+				Once:          true,
+				Daemon:        "d1",
+				Zone:          "a",
+				LatencyTarget: 3 * time.Second,
+				Sent:          at(float64(number)),
+				Got:           at(float64(number) + 0.6),
+				Status:        200,
+				IDs:           []int{1, 2, 3},
+				Runs:          []string{"x", "x", "x"},
+				Done:          true,
+			},
+		)
 	}
 	for number := range 400 {
-		history.CapacitySamples = append(history.CapacitySamples, CapacitySample{At: at(float64(number) / 10), Free: map[string]int{"a": 4, "b": 4}, Slots: map[string]int{"a": 8, "b": 8}})
+		history.CapacitySamples = append(
+			history.CapacitySamples,
+			CapacitySample{
+				At:    at(float64(number) / 10),
+				Free:  map[string]int{"a": 4, "b": 4},
+				Slots: map[string]int{"a": 8, "b": 8},
+			},
+		)
 	}
 	history.Returns = []Return{{At: at(18)}}
-	history.Final = Final{Asked: true, Epoch: 2, Routes: []string{"lane"}, Known: map[string]uint64{"first": 1, "closing": 2}}
+	history.Final = Final{
+		Asked:  true,
+		Epoch:  2,
+		Routes: []string{"lane"},
+		Known:  map[string]uint64{"first": 1, "closing": 2},
+	}
 	return history
 }
 
@@ -56,7 +122,15 @@
 		},
 		"ran-after-refusal": func(history *History) {
 			history.CapacitySamples = nil
-			history.Answers[3] = &Answer{Request: "D", Status: 429, Kind: "patience_short", Ran: "did not run", RetryAfter: true, Sent: at(3), Got: at(4)}
+			history.Answers[3] = &Answer{
+				Request:    "D",
+				Status:     429,
+				Kind:       "patience_short",
+				Ran:        "did not run",
+				RetryAfter: true,
+				Sent:       at(3),
+				Got:        at(4),
+			}
 		},
 		"not-whole": func(history *History) { history.Runs[3].Complete = false },
 		"spliced": func(history *History) {
@@ -73,7 +147,9 @@
 		"slipped-back": func(history *History) {
 			history.Runs[10].Epoch = 2
 		},
-		"refused-in-effect": func(history *History) { history.Final.Routes = append(history.Final.Routes, "lost-lane") },
+		"refused-in-effect": func(history *History) {
+			history.Final.Routes = append(history.Final.Routes, "lost-lane")
+		},
 		"two-on-one-base": func(history *History) {
 			history.Orders[2].Outcome, history.Orders[2].Epoch, history.Orders[2].Base = "accepted", 2, 0
 			history.Final.Known["losing"] = 2
@@ -91,26 +167,62 @@
 			history.Runs[3].WarmingUp, history.Runs[3].Capacity, history.Runs[3].Concurrent = true, 1, 3
 		},
 		"dropped": func(history *History) {
-			history.Answers = append(history.Answers, &Answer{Request: "lost", Daemon: "d1", ConnectionLost: true, RequestSent: true, Sent: at(3), Got: at(4)})
+			history.Answers = append(
+				history.Answers,
+				&Answer{
+					Request:        "lost",
+					Daemon:         "d1",
+					ConnectionLost: true,
+					RequestSent:    true,
+					Sent:           at(3),
+					Got:            at(4),
+				},
+			)
 		},
 		"forgotten": func(history *History) { delete(history.Final.Known, "closing") },
 		"down":      func(history *History) { history.Zones = append(history.Zones, "b") },
 		"turned-away": func(history *History) {
-			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 404, Kind: "unknown_lane", Route: "l", Daemon: "d1", Sent: at(3), Got: at(3)})
+			history.Answers = append(
+				history.Answers,
+				&Answer{
+					Request: "away",
+					Status:  404,
+					Kind:    "unknown_lane",
+					Route:   "l",
+					Daemon:  "d1",
+					Sent:    at(3),
+					Got:     at(3),
+				},
+			)
 		},
 		"no-return-time": func(history *History) {
 			history.CapacitySamples = nil
-			history.Answers = append(history.Answers, &Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)})
+			history.Answers = append(
+				history.Answers,
+				&Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)},
+			)
 		},
 		"held-back": func(history *History) {
 			history.Faults = append(history.Faults, Fault{At: at(3.1), Until: at(4), Runner: "r1"})
 			history.Runs[3].Complete = false
-			history.Answers[3] = &Answer{Request: "D", Status: 504, Kind: "outcome_unknown", Ran: "unknown", Daemon: "d1", Sent: at(3), Got: at(8)}
+			history.Answers[3] = &Answer{
+				Request: "D",
+				Status:  504,
+				Kind:    "outcome_unknown",
+				Ran:     "unknown",
+				Daemon:  "d1",
+				Sent:    at(3),
+				Got:     at(8),
+			}
 		},
 		"resumed":        func(history *History) { history.Runs[3].After = 2 },
 		"left-requester": func(history *History) { history.Answers[3].HungUpAt = at(2.2) },
 		"past-deadline": func(history *History) {
-			history.Answers[3].Started, history.Answers[3].Bound, history.Answers[3].Last = at(3), 300*time.Millisecond, at(3.5)
+			history.Answers[3].Started, history.Answers[3].Bound, history.Answers[3].Last = at(
+				3,
+			), 300*time.Millisecond, at(
+				3.5,
+			)
 		},
 	}
 	for _, rule := range Rules {
@@ -133,7 +245,9 @@
 	history := clean()
 	first := history.Runs[3]
 	second := *first
-	second.Runner, second.Wanted, second.Name, second.After, second.At = "r2", "r2", "y", 1, first.At.Add(200*time.Millisecond)
+	second.Runner, second.Wanted, second.Name, second.After, second.At = "r2", "r2", "y", 1, first.At.Add(
+		200*time.Millisecond,
+	)
 	first.Name, first.Complete = "x", false
 	history.Runs = append(history.Runs, &second)
 	answer := history.Answers[3]
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -24,29 +24,39 @@
 	Retried, Requests int
 }
 
-// Worst gives the margins of a history.
+// Worst gives the worst of a history.
 func Worst(history *History) WorstCases {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	margins := WorstCases{}
+	worst := WorstCases{}
 	checker := NewChecker(history, history.Final.Known)
 	checker.refresh()
 	backends := map[string]bool{}
 	for _, run := range history.Runs {
 		backends[run.Pool] = true
-		margins.Draining = max(margins.Draining, checker.drainingFor(run))
-		margins.Ignored = max(margins.Ignored, checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }))
-		margins.Closed = max(margins.Closed, checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
+		worst.Draining = max(worst.Draining, checker.drainingFor(run))
+		worst.Ignored = max(
+			worst.Ignored,
+			checker.outdatedFor(
+				run.At,
+				func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) },
+			),
+		)
+		worst.Closed = max(
+			worst.Closed,
+			checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }),
+		)
 		if run.WarmingUp {
-			margins.Concurrent = max(margins.Concurrent, run.Concurrent)
+			worst.Concurrent = max(worst.Concurrent, run.Concurrent)
 		}
 		if run.Started {
 			checker.runs[run.Request] = append(checker.runs[run.Request], run)
 		}
 	}
 	for _, answer := range history.Answers {
-		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent && !checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
-			margins.Overdue = max(margins.Overdue, checker.overdue(answer))
+		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent &&
+			!checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			worst.Overdue = max(worst.Overdue, checker.overdue(answer))
 		}
 	}
 	for _, back := range history.Returns {
@@ -56,31 +66,32 @@
 				first = min(first, answer.Got.Sub(back.At))
 			}
 		}
-		margins.Return = max(margins.Return, first)
+		worst.Return = max(worst.Return, first)
 	}
 	for backend := range backends {
 		_, retried, requests := RetryPeak(history, backend)
-		margins.retries(retried, requests)
+		worst.retries(retried, requests)
 	}
-	return margins
+	return worst
 }
 
 // retries keeps the worse of two windows.
-func (margins *WorstCases) retries(retried, requests int) {
+func (worst *WorstCases) retries(retried, requests int) {
 	used := func(retried, requests int) float64 {
 		return float64(retried) / (RetryShare*float64(requests) + RetryAllowance)
 	}
-	if used(retried, requests) > used(margins.Retried, margins.Requests) {
-		margins.Retried, margins.Requests = retried, requests
+	if used(retried, requests) > used(worst.Retried, worst.Requests) {
+		worst.Retried, worst.Requests = retried, requests
 	}
 }
 
 // Add keeps the worse of each case.
-func (margins *WorstCases) Add(other WorstCases) {
-	for mine, others := range map[*time.Duration]time.Duration{&margins.Ignored: other.Ignored, &margins.Draining: other.Draining,
-		&margins.Closed: other.Closed, &margins.Return: other.Return, &margins.Overdue: other.Overdue} {
-		*mine = max(*mine, others)
-	}
-	margins.Concurrent = max(margins.Concurrent, other.Concurrent)
-	margins.retries(other.Retried, other.Requests)
+func (worst *WorstCases) Add(other WorstCases) {
+	worst.Ignored = max(worst.Ignored, other.Ignored)
+	worst.Draining = max(worst.Draining, other.Draining)
+	worst.Closed = max(worst.Closed, other.Closed)
+	worst.Return = max(worst.Return, other.Return)
+	worst.Overdue = max(worst.Overdue, other.Overdue)
+	worst.Concurrent = max(worst.Concurrent, other.Concurrent)
+	worst.retries(other.Retried, other.Requests)
 }
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -1,4 +1,4 @@
-// Package load has clients: seeded mixes of the two deployments, sent as separate streams.
+// Package loadtest has clients: seeded mixes of the two deployments, sent as separate streams.
 package loadtest
 
 import (
@@ -86,8 +86,17 @@
 
 func (load *Load) sendOne() {
 	drawn, zone, leaves := load.draw()
-	record := &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: time.Now(), Resumable: drawn.Kind.Resumable,
-		Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.TimeLimit()}
+	record := &histories.Answer{
+		Request:       drawn.ID,
+		Route:         drawn.Kind.Route,
+		Once:          drawn.Kind.Once,
+		LatencyTarget: drawn.Kind.LatencyTarget,
+		Zone:          zone,
+		Sent:          time.Now(),
+		Resumable:     drawn.Kind.Resumable,
+		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
+		Bound:         drawn.TimeLimit(),
+	}
 	staying, leave := context.WithCancel(context.Background())
 	defer leave()
 	if leaves > 0 {
@@ -117,7 +126,12 @@
 
 // send tells whether the request is over with; false means that it was surely not read.
 func (load *Load) send(staying context.Context, drawn Drawn, record *histories.Answer) bool {
-	request, err := http.NewRequestWithContext(staying, "POST", "http://"+record.Daemon+"/v1/stream", bytes.NewReader(drawn.Body()))
+	request, err := http.NewRequestWithContext(
+		staying,
+		http.MethodPost,
+		"http://"+record.Daemon+"/v1/stream",
+		bytes.NewReader(drawn.Body()),
+	)
 	if err != nil {
 		return true
 	}
@@ -137,10 +151,13 @@
 		record.RequestSent = true
 		return true
 	}
-	defer response.Body.Close()
+	// The body was read; its close can lose nothing.
+	defer func() { _ = response.Body.Close() }()
 	record.RequestSent, record.Status = true, response.StatusCode
-	record.RetryAfter, record.Head = response.Header.Get("Retry-After") != "", response.Header.Get(admission.HeaderRunner)
-	if response.StatusCode != 200 {
+	record.RetryAfter, record.Head = response.Header.Get("Retry-After") != "", response.Header.Get(
+		admission.HeaderRunner,
+	)
+	if response.StatusCode != http.StatusOK {
 		// What can't be read is no refusal as documented, and is found as such below.
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 64<<10))
 		ParseRejection(record, body)
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -33,7 +33,8 @@
 	// Cancel says that its route's runs end when their clients leave, also where they run at most once.
 	Cancel bool
 	Pause  time.Duration
-	// Wait is about how long its clients wait at all, where they tell it; Deadline is the longest that its route holds a request.
+	// Wait is about how long its clients wait at all, where they tell it; Deadline is the longest that its route holds
+	// a request.
 	Wait, Deadline time.Duration
 }
 
@@ -45,16 +46,90 @@
 
 // Guild is the fibre guild's mix: survey summaries lead, chats in Welsh and English and confirmations are close.
 var Guild = Mix{Model: "cynorthwyydd", Pool: "booking", Weights: "w-2026-11", Service: "booking-runners", Kinds: []Kind{
-	{Route: "survey", Share: 0.42, Value: 1, LatencyTarget: 20 * time.Second, ConcurrencyLimit: 0.5, Opening: 6, OpeningTokens: 500, Own: 600, Answer: 120, Families: 24, Text: "Write up the survey of the duct and its joints."},
-	{Route: "chat", Share: 0.31, Value: 4, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 3, OpeningTokens: 400, Own: 120, Answer: 60, Families: 12, Text: "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te."},
-	{Route: "confirm", Share: 0.27, Once: true, Value: 10, LatencyTarget: 3 * time.Second, ConcurrencyLimit: 0.4, Opening: 2, OpeningTokens: 400, Own: 80, Answer: 30, Families: 4, Text: "Confirm the slot on Thursday at ten."},
+	{
+		Route:            "survey",
+		Share:            0.42,
+		Value:            1,
+		LatencyTarget:    20 * time.Second,
+		ConcurrencyLimit: 0.5,
+		Opening:          6,
+		OpeningTokens:    500,
+		Own:              600,
+		Answer:           120,
+		Families:         24,
+		Text:             "Write up the survey of the duct and its joints.",
+	},
+	{
+		Route:            "chat",
+		Share:            0.31,
+		Value:            4,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          3,
+		OpeningTokens:    400,
+		Own:              120,
+		Answer:           60,
+		Families:         12,
+		Text:             "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te.",
+	},
+	{
+		Route:            "confirm",
+		Share:            0.27,
+		Once:             true,
+		Value:            10,
+		LatencyTarget:    3 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          2,
+		OpeningTokens:    400,
+		Own:              80,
+		Answer:           30,
+		Families:         4,
+		Text:             "Confirm the slot on Thursday at ten.",
+	},
 }}
 
 // Ferries is the ferry company's mix: counter queries and reconciliations lead, rulings come a little behind.
 var Ferries = Mix{Model: "tocyn", Pool: "ticketing", Weights: "t-7", Service: "ticket-runners", Kinds: []Kind{
-	{Route: "counter", Share: 0.40, Value: 5, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 3, OpeningTokens: 400, Own: 100, Answer: 50, Families: 10, Text: "What does a car and four cost on the evening crossing?"},
-	{Route: "reconcile", Share: 0.33, Value: 1, LatencyTarget: 20 * time.Second, ConcurrencyLimit: 0.5, Opening: 6, OpeningTokens: 500, Own: 800, Answer: 110, Families: 16, Text: "Reconcile the manifest with the tickets."},
-	{Route: "ruling", Share: 0.27, Once: true, Value: 8, LatencyTarget: 4 * time.Second, ConcurrencyLimit: 0.4, Opening: 4, OpeningTokens: 400, Own: 200, Answer: 40, Families: 6, Text: "Rule on the refund of the cancelled crossing."},
+	{
+		Route:            "counter",
+		Share:            0.40,
+		Value:            5,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          3,
+		OpeningTokens:    400,
+		Own:              100,
+		Answer:           50,
+		Families:         10,
+		Text:             "What does a car and four cost on the evening crossing?",
+	},
+	{
+		Route:            "reconcile",
+		Share:            0.33,
+		Value:            1,
+		LatencyTarget:    20 * time.Second,
+		ConcurrencyLimit: 0.5,
+		Opening:          6,
+		OpeningTokens:    500,
+		Own:              800,
+		Answer:           110,
+		Families:         16,
+		Text:             "Reconcile the manifest with the tickets.",
+	},
+	{
+		Route:            "ruling",
+		Share:            0.27,
+		Once:             true,
+		Value:            8,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          4,
+		OpeningTokens:    400,
+		Own:              200,
+		Answer:           40,
+		Families:         6,
+		Text:             "Rule on the refund of the cancelled crossing.",
+	},
 }}
 
 // WithResumption is the mix with longer answers, which may be resumed wherever they may be repeated.
@@ -90,16 +165,43 @@
 
 // Spec is the deployment's, with one more route for each marker.
 func (mix Mix) Spec(zones []string, markers ...string) *config.Spec {
-	made := &config.Spec{Backends: []config.Pool{{Name: mix.Pool, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}}}}
+	made := &config.Spec{
+		Backends: []config.Pool{
+			{Name: mix.Pool, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}},
+		},
+	}
 	for _, zone := range zones {
 		made.Zones = append(made.Zones, config.Zone{Name: zone})
 	}
 	for _, kind := range mix.Kinds {
-		made.Routes = append(made.Routes, config.Route{Name: kind.Route, Pool: mix.Pool, Value: kind.Value, LatencyTarget: config.Duration(kind.LatencyTarget), ConcurrencyLimit: kind.ConcurrencyLimit, Idempotent: !kind.Once,
-			Resumable: kind.Resumable, CancelOnDisconnect: kind.Cancel, Pause: config.Duration(kind.Pause), Deadline: config.Duration(kind.Deadline)})
+		made.Routes = append(
+			made.Routes,
+			config.Route{
+				Name:               kind.Route,
+				Pool:               mix.Pool,
+				Value:              kind.Value,
+				LatencyTarget:      config.Duration(kind.LatencyTarget),
+				ConcurrencyLimit:   kind.ConcurrencyLimit,
+				Idempotent:         !kind.Once,
+				Resumable:          kind.Resumable,
+				CancelOnDisconnect: kind.Cancel,
+				Pause:              config.Duration(kind.Pause),
+				Deadline:           config.Duration(kind.Deadline),
+			},
+		)
 	}
 	for _, marker := range markers {
-		made.Routes = append(made.Routes, config.Route{Name: marker, Pool: mix.Pool, Value: 1, LatencyTarget: config.Duration(5 * time.Second), ConcurrencyLimit: 0.1, Idempotent: true})
+		made.Routes = append(
+			made.Routes,
+			config.Route{
+				Name:             marker,
+				Pool:             mix.Pool,
+				Value:            1,
+				LatencyTarget:    config.Duration(5 * time.Second),
+				ConcurrencyLimit: 0.1,
+				Idempotent:       true,
+			},
+		)
 	}
 	return made
 }
@@ -162,8 +264,15 @@
 
 // Headers gives the request's headers.
 func (drawn Drawn) Headers(model string) map[string][]string {
-	headers := map[string][]string{admission.HeaderRoute: {drawn.Kind.Route}, admission.HeaderModel: {model}, admission.HeaderRequest: {drawn.ID},
-		admission.HeaderPrompt: {strconv.Itoa(drawn.PromptTokens())}, admission.HeaderAnswer: {strconv.Itoa(drawn.Kind.Answer)}}
+	headers := map[string][]string{
+		admission.HeaderRoute:   {drawn.Kind.Route},
+		admission.HeaderModel:   {model},
+		admission.HeaderRequest: {drawn.ID},
+		admission.HeaderPrompt: {
+			strconv.Itoa(drawn.PromptTokens()),
+		},
+		admission.HeaderAnswer: {strconv.Itoa(drawn.Kind.Answer)},
+	}
 	if drawn.Wait > 0 {
 		headers[admission.HeaderWait] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
 	}
--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 	"strings"
 	"time"
 
@@ -29,7 +30,7 @@
 	for index, request := range world.scenario.Requests {
 		via := world.byName[request.Via]
 		if !world.sent[index] && (request.After < 0 || world.sent[request.After]) && via.up && !via.frozen {
-			add(Send, fmt.Sprint(index))
+			add(Send, strconv.Itoa(index))
 		}
 	}
 	actions = append(actions, world.faultActions()...)
@@ -53,7 +54,14 @@
 		}
 		listed[message.digest] = true
 		about := func(verb Verb) {
-			actions = append(actions, Action{Verb: verb, Subject: message.kind + ":" + message.from + ">" + message.to, Message: message.digest})
+			actions = append(
+				actions,
+				Action{
+					Verb:    verb,
+					Subject: message.kind + ":" + message.from + ">" + message.to,
+					Message: message.digest,
+				},
+			)
 		}
 		about(Deliver)
 		if world.remaining[Drop] > 0 {
@@ -66,7 +74,14 @@
 	for _, message := range world.delayedMessages {
 		if !listed[message.digest] {
 			listed[message.digest] = true
-			actions = append(actions, Action{Verb: Release, Subject: message.kind + ":" + message.from + ">" + message.to, Message: message.digest})
+			actions = append(
+				actions,
+				Action{
+					Verb:    Release,
+					Subject: message.kind + ":" + message.from + ">" + message.to,
+					Message: message.digest,
+				},
+			)
 		}
 	}
 	return actions
@@ -148,7 +163,8 @@
 	return targets
 }
 
-// blackoutActions lists the ways in which all machines may lose their power and one its disk, once there is something to lose.
+// blackoutActions lists the ways in which all machines may lose their power and one its disk, once there is something
+// to lose.
 func (world *world) blackoutActions() []Action {
 	if world.remaining[Blackout] == 0 || len(world.checker.accepted) == 0 && world.scenario.PriorChanges == 0 {
 		return nil
@@ -163,8 +179,8 @@
 	return actions
 }
 
-// toleratesDiskLoss tells that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its successor
-// in a view that the leader acts by. A machine that left by order is no loss.
+// toleratesDiskLoss tells that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its
+// successor in a view that the leader acts by. A machine that left by order is no loss.
 func (world *world) toleratesDiskLoss() bool {
 	if world.remaining[Wipe] == world.scenario.Budget[Wipe] {
 		return true
@@ -221,7 +237,8 @@
 	}
 }
 
-// actionHandlers are what the actions do that are not about a message; subject is the action's, host the machine of that name.
+// actionHandlers are what the actions do that are not about a message; subject is the action's, host the machine of
+// that name.
 var actionHandlers = map[Verb]func(world *world, host *host, subject string){
 	Sync:  func(world *world, host *host, _ string) { world.sync(host) },
 	Tick:  func(world *world, _ *host, _ string) { world.tick() },
@@ -280,7 +297,11 @@
 	world.checker.epochAtRequest[index] = world.checker.acknowledged()
 	host := world.byName[request.Via]
 	world.step(host, host.incarnation, 0, func() {
-		host.node.Ask(world.now, request.message(), func(status int, body []byte) { world.checker.checkResponse(index, status, body) })
+		host.node.Ask(
+			world.now,
+			request.message(),
+			func(status int, body []byte) { world.checker.checkResponse(index, status, body) },
+		)
 	})
 }
 
@@ -289,8 +310,18 @@
 	if request.Verb == "get" {
 		return &wire.OperatorRequest{Verb: "get"}
 	}
-	spec := fmt.Sprintf(`{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`, request.Operation)
-	return &wire.OperatorRequest{Verb: request.Verb, Operation: request.Operation, Base: request.Base, HasBase: true, Spec: []byte(spec)}
+	spec := fmt.Sprintf(
+		`{"zones":[],"pools":[{"name":"p","services":["s"]}],`+
+			`"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`,
+		request.Operation,
+	)
+	return &wire.OperatorRequest{
+		Verb:      request.Verb,
+		Operation: request.Operation,
+		Base:      request.Base,
+		HasBase:   true,
+		Spec:      []byte(spec),
+	}
 }
 
 // blackout takes the power from everything, the disk from one machine, and starts all again. Those who come back must
@@ -314,11 +345,19 @@
 	for range recoveryTicks {
 		world.tick()
 		world.flush()
-		if leader := world.leader(); leader != nil && leader.node.Chain().Committed().SpecEpoch >= world.checker.acknowledged() || world.checker.violation != "" {
+		if leader := world.leader(); leader != nil &&
+			leader.node.Chain().Committed().SpecEpoch >= world.checker.acknowledged() ||
+			world.checker.violation != "" {
 			return
 		}
 	}
-	world.checker.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk", world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
+	world.checker.fail(
+		"P3",
+		"nobody leads with epoch %d again, %v after all lost their power and %s its disk",
+		world.checker.acknowledged(),
+		recoveryTicks*tickLength,
+		lost.nameOrNobody(),
+	)
 }
 
 func (host *host) nameOrNobody() string {
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -23,7 +23,8 @@
 	views      map[uint64]uint64
 	newestView uint64
 	committed  uint64
-	// acknowledgedBefore is the epoch that was acknowledged before the search began, known what was when each view was first seen.
+	// acknowledgedBefore is the epoch that was acknowledged before the search began, known what was when each view was
+	// first seen.
 	acknowledgedBefore uint64
 	acknowledgedAtView map[uint64]uint64
 	// effective are the committed operations and their epochs.
@@ -35,7 +36,8 @@
 	// servedEpoch is the greatest epoch by which a daemon awarded, reached since when it reaches a core machine.
 	servedEpoch    map[string]uint64
 	reachableSince map[string]time.Time
-	// responded tells which questions have their answer, asked which wait for one and since which epoch was acknowledged.
+	// responded tells which questions have their answer, asked which wait for one and since which epoch was
+	// acknowledged.
 	responded      map[int]bool
 	epochAtRequest map[int]uint64
 }
@@ -47,8 +49,20 @@
 }
 
 func newChecker(world *world) *checker {
-	return &checker{world: world, documents: map[uint64]uint64{}, views: map[uint64]uint64{}, acknowledgedAtView: map[uint64]uint64{}, effective: map[string]uint64{}, accepted: map[string]acceptedChange{},
-		rejected: map[string]bool{}, copies: map[string]int{}, servedEpoch: map[string]uint64{}, reachableSince: map[string]time.Time{}, responded: map[int]bool{}, epochAtRequest: map[int]uint64{}}
+	return &checker{
+		world:              world,
+		documents:          map[uint64]uint64{},
+		views:              map[uint64]uint64{},
+		acknowledgedAtView: map[uint64]uint64{},
+		effective:          map[string]uint64{},
+		accepted:           map[string]acceptedChange{},
+		rejected:           map[string]bool{},
+		copies:             map[string]int{},
+		servedEpoch:        map[string]uint64{},
+		reachableSince:     map[string]time.Time{},
+		responded:          map[int]bool{},
+		epochAtRequest:     map[int]uint64{},
+	}
 }
 
 func (checker *checker) fail(property, format string, values ...any) {
@@ -59,7 +73,12 @@
 
 // addToFingerprint folds in what later checks go by.
 func (checker *checker) addToFingerprint(hash *digest, walker *walker) {
-	for _, part := range []any{checker.newestView, checker.acknowledgedAtView[checker.newestView], checker.committed, checker.effective, checker.accepted, checker.rejected, checker.servedEpoch, checker.reachableSince, checker.responded, checker.epochAtRequest} {
+	parts := []any{
+		checker.newestView, checker.acknowledgedAtView[checker.newestView], checker.committed, checker.effective,
+		checker.accepted, checker.rejected, checker.servedEpoch, checker.reachableSince, checker.responded,
+		checker.epochAtRequest,
+	}
+	for _, part := range parts {
 		hash.add(walker.walk(reflect.ValueOf(part)))
 	}
 }
@@ -137,7 +156,15 @@
 		}
 		for _, member := range view.Chain {
 			if epoch := host.node.Chain().Latest().SpecEpoch; member.Id == host.node.Self().Id && epoch < least {
-				checker.fail("P4", "%s joins by view %d with epoch %d, %d was acknowledged before view %d", host.name, view.Epoch, epoch, least, view.Epoch-1)
+				checker.fail(
+					"P4",
+					"%s joins by view %d with epoch %d, %d was acknowledged before view %d",
+					host.name,
+					view.Epoch,
+					epoch,
+					least,
+					view.Epoch-1,
+				)
 			}
 		}
 	}
@@ -180,7 +207,14 @@
 		return
 	}
 	if answer.Document.GetSpecEpoch() < checker.acknowledged() {
-		checker.fail("P4", "%s teaches epoch %d in view %d, %d was acknowledged", host.name, answer.Document.GetSpecEpoch(), answer.View, checker.acknowledged())
+		checker.fail(
+			"P4",
+			"%s teaches epoch %d in view %d, %d was acknowledged",
+			host.name,
+			answer.Document.GetSpecEpoch(),
+			answer.View,
+			checker.acknowledged(),
+		)
 	}
 }
 
@@ -218,7 +252,13 @@
 		return
 	}
 	if snapshot.SpecEpoch < checker.servedEpoch[host.name] {
-		checker.fail("P1", "%s slipped back from epoch %d to %d", host.name, checker.servedEpoch[host.name], snapshot.SpecEpoch)
+		checker.fail(
+			"P1",
+			"%s slipped back from epoch %d to %d",
+			host.name,
+			checker.servedEpoch[host.name],
+			snapshot.SpecEpoch,
+		)
 	}
 	checker.servedEpoch[host.name] = snapshot.SpecEpoch
 	if reached := checker.reachableSince[host.name]; !reached.IsZero() {
@@ -226,9 +266,9 @@
 	}
 }
 
-// checkServedEpoch checks that a daemon that reaches a core machine does not award by less than was acknowledged. A change is
-// acknowledged only when nobody can go by an older one any more; only a daemon that reached none for a while has a
-// lease's time from when it reaches one again.
+// checkServedEpoch checks that a daemon that reaches a core machine does not award by less than was acknowledged. A
+// change is acknowledged only when nobody can go by an older one any more; only a daemon that reached none for a while
+// has a lease's time from when it reaches one again.
 func (checker *checker) checkServedEpoch(host *host, epoch uint64, reached time.Time) {
 	for _, operation := range sortedKeys(checker.accepted) {
 		since := checker.accepted[operation].At
@@ -236,17 +276,26 @@
 			since = known
 		}
 		if late := checker.world.now.Sub(since); checker.accepted[operation].Epoch > epoch && late >= 0 {
-			checker.fail("P1", "%s awards under epoch %d, %v after %s was acknowledged as %d", host.name, epoch, late, operation, checker.accepted[operation].Epoch)
+			checker.fail(
+				"P1",
+				"%s awards under epoch %d, %v after %s was acknowledged as %d",
+				host.name,
+				epoch,
+				late,
+				operation,
+				checker.accepted[operation].Epoch,
+			)
 		}
 	}
 }
 
-// recordReachability notes since when a daemon reaches at least one core machine. One that reaches none may go on by what it
-// has for as long as it is told to. A machine that began less than startingBound ago can't tell whether there is a head
-// and counts as none, as docs/control.md says under "Without any core".
+// recordReachability notes since when a daemon reaches at least one core machine. One that reaches none may go on by
+// what it has for as long as it is told to. A machine that began less than startingBound ago can't tell whether there
+// is a head and counts as none, as docs/control.md says under "Without any core".
 func (checker *checker) recordReachability(daemon *host) {
 	for _, host := range checker.world.hosts {
-		if host.core && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime && !checker.world.disconnected(daemon.name, host.name) {
+		if host.core && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime &&
+			!checker.world.disconnected(daemon.name, host.name) {
 			if checker.reachableSince[daemon.name].IsZero() {
 				checker.reachableSince[daemon.name] = checker.world.now
 			}
@@ -282,8 +331,8 @@
 	checker.checkChangeResponse(request, status, reply)
 }
 
-// checkChangeResponse takes the answer to a change. 503 and 504 of an operation that was sent more than once say nothing of its
-// other copies; 504 says nothing at all.
+// checkChangeResponse takes the answer to a change. 503 and 504 of an operation that was sent more than once say
+// nothing of its other copies; 504 says nothing at all.
 func (checker *checker) checkChangeResponse(request Request, status int, reply node.Reply) {
 	operation := request.Operation
 	if status == 200 {
--- a/verify/modelcheck/checker_test.go
+++ b/verify/modelcheck/checker_test.go
@@ -10,7 +10,15 @@
 
 // TestCheckerComparesResponses wants each pair of answers that can't both be true noticed, and honest ones let pass.
 func TestCheckerComparesResponses(t *testing.T) {
-	left, right := Request{Verb: "apply", Operation: "left", Base: 1}, Request{Verb: "apply", Operation: "right", Base: 1}
+	left, right := Request{
+		Verb:      "apply",
+		Operation: "left",
+		Base:      1,
+	}, Request{
+		Verb:      "apply",
+		Operation: "right",
+		Base:      1,
+	}
 	scenario := &Scenario{Name: "answers", Requests: []Request{left, right, left}}
 	type given struct {
 		index, status int
@@ -40,7 +48,11 @@
 			if one.status == 200 {
 				checker.effective[one.operation] = max(checker.effective[one.operation], one.epoch)
 			}
-			checker.checkResponse(one.index, one.status, encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
+			checker.checkResponse(
+				one.index,
+				one.status,
+				encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}),
+			)
 		}
 		if !strings.HasPrefix(checker.violation, attempt.broken) || attempt.broken == "" && checker.violation != "" {
 			t.Errorf("%s: %q, wanted %q", name, checker.violation, attempt.broken)
@@ -52,7 +64,9 @@
 func TestAcknowledgedWithoutCopies(t *testing.T) {
 	scenario := &Scenario{Name: "copies", Requests: []Request{{Verb: "apply", Operation: "left", Base: 1}}}
 	for name, prepare := range map[string]func(checker *checker){
-		"one copy":      func(checker *checker) { checker.effective["left"], checker.copies["left"] = 2, toleratedFaults },
+		"one copy": func(checker *checker) {
+			checker.effective["left"], checker.copies["left"] = 2, toleratedFaults
+		},
 		"not committed": func(checker *checker) { checker.copies["left"] = toleratedFaults + 1 },
 	} {
 		checker := newWorld(scenario).checker
@@ -78,6 +92,7 @@
 }
 
 func encode(t *testing.T, reply node.Reply) []byte {
+	t.Helper()
 	content, err := json.Marshal(reply)
 	if err != nil {
 		t.Fatal(err)
--- a/verify/modelcheck/command.go
+++ b/verify/modelcheck/command.go
@@ -24,12 +24,21 @@
 // Register adds the command "model".
 func Register(application *kingpin.Application) *SearchCommand {
 	search := &SearchCommand{}
-	command := application.Command("model", "Search the states of the control plane of a small fleet and check the properties after each action.")
-	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").IntVar(&search.options.States)
-	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").IntVar(&search.options.Depth)
+	command := application.Command(
+		"model",
+		"Search the states of the control plane of a small fleet and check the properties after each action.",
+	)
+	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").
+		IntVar(&search.options.States)
+	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").
+		IntVar(&search.options.Depth)
 	command.Flag("seed", "Seed of the search.").Default("1").Int64Var(&search.options.Seed)
-	command.Flag("scenario", "Only this scenario, or all.").Default("all").EnumVar(&search.scenario, append(Names(), "all")...)
-	command.Flag("trace", "Instead of a search, take the actions of this file, one a line, and print which property they break.").StringVar(&search.trace)
+	command.Flag("scenario", "Only this scenario, or all.").
+		Default("all").
+		EnumVar(&search.scenario, append(Names(), "all")...)
+	command.Flag("trace", "Instead of a search, take the actions of this file, one a line, "+
+		"and print which property they break.").
+		StringVar(&search.trace)
 	search.Command = command.FullCommand()
 	return search
 }
@@ -70,9 +79,11 @@
 		return err
 	}
 	if broken != "" {
-		fmt.Fprintf(output, "BROKEN %s\n", broken)
+		if _, err := fmt.Fprintf(output, "BROKEN %s\n", broken); err != nil {
+			return err
+		}
 		return errViolation
 	}
-	fmt.Fprintf(output, "%d actions break no property\n", len(trace))
-	return nil
+	_, err = fmt.Fprintf(output, "%d actions break no property\n", len(trace))
+	return err
 }
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -27,13 +27,13 @@
 	disk.digest.add(messageDigest(write.Memory))
 	disk.digest.add(messageDigest(write.Record))
 	if write.Memory != nil {
-		disk.state, disk.records = proto.Clone(write.Memory).(*wire.DurableState), nil
+		disk.state, disk.records = proto.CloneOf(write.Memory), nil
 		disk.indexOperations(disk.state.Document, disk.state.Pending)
 	}
 	if write.Record == nil {
 		return
 	}
-	record := proto.Clone(write.Record).(*wire.Record)
+	record := proto.CloneOf(write.Record)
 	disk.records = append(disk.records, record)
 	if entry := record.GetEntry(); entry != nil && entry.ChangesSpec {
 		disk.operations[entry.Operation] = true
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -32,8 +32,19 @@
 
 // String gives the counts in one line.
 func (result Result) String() string {
-	return fmt.Sprintf("%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, exhausted %v; %d states with a change acknowledged, %d recoveries",
-		result.States, result.Transitions, result.Revisited, result.Runs, result.Deepest, result.Complete, result.Exhausted, result.Acknowledged, result.Finished)
+	return fmt.Sprintf(
+		"%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, "+
+			"exhausted %v; %d states with a change acknowledged, %d recoveries",
+		result.States,
+		result.Transitions,
+		result.Revisited,
+		result.Runs,
+		result.Deepest,
+		result.Complete,
+		result.Exhausted,
+		result.Acknowledged,
+		result.Finished,
+	)
 }
 
 // stateNode is one state that was seen: how to get there, and what was not tried from there yet.
@@ -70,7 +81,12 @@
 	if err != nil {
 		return Result{}, err
 	}
-	explorer := &explorer{prepared: prepared, options: options, random: rand.New(rand.NewSource(options.Seed)), seen: map[uint64]int{}}
+	explorer := &explorer{
+		prepared: prepared,
+		options:  options,
+		random:   rand.New(rand.NewSource(options.Seed)),
+		seen:     map[uint64]int{},
+	}
 	if err := explorer.search(); err != nil {
 		return explorer.result, err
 	}
@@ -97,7 +113,11 @@
 	}
 	explorer.summarize()
 	if explorer.result.Violation != "" {
-		explorer.result.Trace, explorer.result.Violation = minimize(explorer.prepared, explorer.result.Trace, explorer.result.Violation)
+		explorer.result.Trace, explorer.result.Violation = minimize(
+			explorer.prepared,
+			explorer.result.Trace,
+			explorer.result.Violation,
+		)
 	}
 	return nil
 }
@@ -125,7 +145,10 @@
 		}
 	}
 	if found, known := explorer.seen[world.fingerprint()]; !known || found != state {
-		return nil, fmt.Errorf("the fingerprint left something out, or a run does not repeat: state %d was not reached again", state)
+		return nil, fmt.Errorf(
+			"the fingerprint left something out, or a run does not repeat: state %d was not reached again",
+			state,
+		)
 	}
 	return world, nil
 }
@@ -185,7 +208,8 @@
 	} else {
 		state = len(explorer.nodes)
 		explorer.seen[hash] = state
-		explorer.nodes = append(explorer.nodes, stateNode{parent: from, action: action, depth: depth, untried: world.actions()})
+		seen := stateNode{parent: from, action: action, depth: depth, untried: world.actions()}
+		explorer.nodes = append(explorer.nodes, seen)
 		heap.Push(&explorer.frontier, frontierEntry{depth: depth, state: state})
 		explorer.countState(world)
 	}
@@ -259,7 +283,13 @@
 }
 
 // Push and Pop serve container/heap.
-func (frontier *frontier) Push(added any) { *frontier = append(*frontier, added.(frontierEntry)) }
+func (frontier *frontier) Push(added any) {
+	entry, isEntry := added.(frontierEntry)
+	if !isEntry {
+		panic(fmt.Sprintf("a frontier holds no %T", added))
+	}
+	*frontier = append(*frontier, entry)
+}
 
 // Pop takes out the last.
 func (frontier *frontier) Pop() any {
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -98,10 +98,17 @@
 		reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64)
 	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(value.Uint()) },
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr)
-	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) }, reflect.Float32, reflect.Float64)
+	enter(
+		func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) },
+		reflect.Float32,
+		reflect.Float64,
+	)
 	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(value.String()) }, reflect.String)
 	enter(func(_ *walker, _ *digest, _ reflect.Value) {}, reflect.Func, reflect.Chan, reflect.UnsafePointer)
-	enter(func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) }, reflect.Pointer)
+	enter(
+		func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) },
+		reflect.Pointer,
+	)
 	enter((*walker).walkInterface, reflect.Interface)
 	enter((*walker).walkStruct, reflect.Struct)
 	enter((*walker).walkList, reflect.Slice, reflect.Array)
@@ -154,12 +161,15 @@
 	}
 }
 
-// walkedFieldsByType remembers which fields of each struct type are walked, since asking for them takes longer than walking.
+// walkedFieldsByType remembers which fields of each struct type are walked, since asking for them takes longer than
+// walking.
 var walkedFieldsByType sync.Map
 
 func walkedFields(kind reflect.Type) []int {
-	if known, found := walkedFieldsByType.Load(kind); found {
-		return known.([]int)
+	if stored, found := walkedFieldsByType.Load(kind); found {
+		if known, isList := stored.([]int); isList {
+			return known
+		}
 	}
 	var walked []int
 	for index := range kind.NumField() {
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -30,6 +30,7 @@
 }
 
 func seeds(t *testing.T) int64 {
+	t.Helper()
 	set := os.Getenv("WARDTRAY_SEEDS")
 	if set == "" {
 		return 1
@@ -42,6 +43,7 @@
 }
 
 func search(t *testing.T, scenario Scenario, seed int64) {
+	t.Helper()
 	started, output := time.Now(), &strings.Builder{}
 	held, err := Print(output, []Scenario{scenario}, Options{States: scenario.States / raceShare, Seed: seed})
 	if err != nil {
@@ -72,7 +74,7 @@
 // TestSmallDepthIsExhausted wants every order of a few actions tried, whatever the seed.
 func TestSmallDepthIsExhausted(t *testing.T) {
 	scenario, _ := Find("race")
-	var states []int
+	states := make([]int, 0, 2)
 	for seed := range int64(2) {
 		result, err := Explore(scenario, Options{States: 10000, Depth: 3, Seed: seed})
 		if err != nil {
@@ -90,7 +92,11 @@
 
 // TestTracesRoundTrip wants a written trace to be the same when read.
 func TestTracesRoundTrip(t *testing.T) {
-	trace := []Action{{Verb: Wait}, {Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab}, {Verb: Cut, Subject: "core1,daemon1"}}
+	trace := []Action{
+		{Verb: Wait},
+		{Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab},
+		{Verb: Cut, Subject: "core1,daemon1"},
+	}
 	var lines []string
 	for _, action := range trace {
 		lines = append(lines, action.String())
@@ -111,8 +117,8 @@
 	}
 }
 
-// TestKnownTraces takes the actions of each trace below testdata, which once broke a property, and wants all to hold. The
-// file's name begins with that of its scenario.
+// TestKnownTraces takes the actions of each trace below testdata, which once broke a property, and wants all to hold.
+// The file's name begins with that of its scenario.
 func TestKnownTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -48,14 +48,21 @@
 		if epoch == 1 && scenario.Absent != "" {
 			world.stopProcess(world.byName[scenario.Absent], true)
 		}
-		scenario.Requests = []Request{{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: coreName(0), After: -1}}
+		scenario.Requests = []Request{
+			{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: coreName(0), After: -1},
+		}
 		world.sent, world.checker.responded = []bool{false}, map[int]bool{}
 		if err := world.runUntil(func() bool { return world.leader() != nil && world.allServe() }); err != nil {
 			return nil, fmt.Errorf("preparing %s: nobody leads", scenario.Name)
 		}
 		world.send("0")
 		if err := world.runUntil(func() bool { return len(world.checker.accepted) == epoch+1 }); err != nil {
-			return nil, fmt.Errorf("preparing %s: change %d is not acknowledged: %s", scenario.Name, epoch, world.checker.violation)
+			return nil, fmt.Errorf(
+				"preparing %s: change %d is not acknowledged: %s",
+				scenario.Name,
+				epoch,
+				world.checker.violation,
+			)
 		}
 	}
 	world.wait(int(settleTime / tickLength))
@@ -99,7 +106,7 @@
 		state := prepared.states[host.name]
 		if state != nil {
 			host.everStarted = true
-			host.disk.state = proto.Clone(state).(*wire.DurableState)
+			host.disk.state = proto.CloneOf(state)
 			host.disk.compact()
 			host.disk.digest.add(messageDigest(state))
 		}
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -18,8 +18,8 @@
 	PriorChanges int
 	// Requests are the operators' questions; each is sent at most once, at any moment.
 	Requests []Request
-	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered at once, in the order in
-	// which they were sent. Disks tells that the moments at which writes are synced are explored as well.
+	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered at once, in the
+	// order in which they were sent. Disks tells that the moments at which writes are synced are explored as well.
 	ExploredKinds []string
 	Disks         bool
 	// Budget is how often each verb may be taken in one run; 0 stands for never. Deliver, Release, Sync, Tick, Heal,
--- a/verify/modelcheck/scenarios.go
+++ b/verify/modelcheck/scenarios.go
@@ -31,94 +31,167 @@
 // Scenarios are the searches, in the order in which they are run.
 var Scenarios = []Scenario{
 	{
-		Name: "race", Help: "two changes on one base through two machines, with lost and late messages and a head that ends",
+		Name: "race",
+		Help: "two changes on one base through two machines, with lost and late messages and a " +
+			"head that ends",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
-		Requests:      []Request{leftFirst, rightFirst, leftAgain},
-		ExploredKinds: kinds(operatorKinds, chainKinds), Budget: map[Verb]int{Drop: 1, Hold: 1, Kill: 1, Wait: 3}, Leaders: true, Depth: 40, States: 8000,
+		Requests: []Request{leftFirst, rightFirst, leftAgain},
+		ExploredKinds: kinds(
+			operatorKinds,
+			chainKinds,
+		), Budget: map[Verb]int{Drop: 1, Hold: 1, Kill: 1, Wait: 3}, Leaders: true, Depth: 40, States: 8000,
 	},
 	{
-		Name: "lost-answer", Help: "a change whose answer is lost with the head, sent again through another machine, every write at any moment",
+		Name: "lost-answer",
+		Help: "a change whose answer is lost with the head, sent again through another machine, " +
+			"every write at any moment",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
-		Requests:      []Request{leftFirst, leftAgain, readAtThird},
-		ExploredKinds: kinds(operatorKinds, chainKinds), Disks: true, Budget: map[Verb]int{Drop: 1, Kill: 1, Crash: 1, Wait: 4}, Leaders: true, Depth: 45, States: 8000,
+		Requests: []Request{leftFirst, leftAgain, readAtThird},
+		ExploredKinds: kinds(
+			operatorKinds,
+			chainKinds,
+		), Disks: true, Budget: map[Verb]int{Drop: 1, Kill: 1, Crash: 1, Wait: 4}, Leaders: true,
+		Depth: 45, States: 8000,
 	},
 	{
-		Name: "cut-leader", Help: "the leader is cut off, alone or with a daemon, while two changes and reads meet on both sides",
+		Name:  "cut-leader",
+		Help:  "the leader is cut off, alone or with a daemon, while two changes and reads meet on both sides",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests:      []Request{leftAtFirst, rightFirst, readAtFirst, readAtThird},
 		ExploredKinds: kinds(operatorKinds, viewKinds), Budget: map[Verb]int{Cut: 2, Wait: 4, Hold: 1},
-		Cuts: [][]string{{"core1"}, {"core1", "daemon1"}, {"core1", "daemon1", "daemon2"}, {"core3"}}, Depth: 50, States: 8000,
+		Cuts: [][]string{
+			{"core1"},
+			{"core1", "daemon1"},
+			{"core1", "daemon1", "daemon2"},
+			{"core3"},
+		}, Depth: 50, States: 8000,
 	},
 	{
-		Name: "lease", Help: "the head's lease against late grants, a frozen head, a cut and the vote on the next view",
+		Name:  "lease",
+		Help:  "the head's lease against late grants, a frozen head, a cut and the vote on the next view",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 1,
 		Requests:      []Request{leftFirst, readAtFirst},
 		ExploredKinds: kinds(leaseKinds, viewKinds), Budget: map[Verb]int{Cut: 1, Freeze: 1, Hold: 2, Wait: 3},
 		Cuts: [][]string{{"core1"}, {"core2"}}, Targets: []string{"core1"}, Leaders: true, Depth: 50, States: 8000,
 	},
 	{
-		Name: "wipe", Help: "a disk is lost during and after an acknowledgement, and another one while the view changes",
+		Name:  "wipe",
+		Help:  "a disk is lost during and after an acknowledgement, and another one while the view changes",
 		Cores: 4, Founders: 3, Members: 4, Daemons: 1,
-		Requests:      []Request{leftFirst},
-		ExploredKinds: kinds(chainKinds, viewKinds), Disks: true, Budget: map[Verb]int{Wipe: 1, Crash: 1, Wait: 4, Blackout: 1},
+		Requests: []Request{leftFirst},
+		ExploredKinds: kinds(
+			chainKinds,
+			viewKinds,
+		), Disks: true, Budget: map[Verb]int{Wipe: 1, Crash: 1, Wait: 4, Blackout: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 7000,
 	},
 	{
-		Name: "leave-join", Help: "a member leaves by order while another joins and a change is made",
+		Name:  "leave-join",
+		Help:  "a member leaves by order while another joins and a change is made",
 		Cores: 5, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst},
 		ExploredKinds: kinds(viewKinds, learnKinds), Budget: map[Verb]int{Leave: 1, Start: 1, Wait: 5, Drop: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 6000,
 	},
 	{
-		Name: "leave-loss", Help: "a member leaves by order while another joins and a change is made; then all lose their power and one its disk",
+		Name: "leave-loss",
+		Help: "a member leaves by order while another joins and a change is made; then all lose " +
+			"their power and one its disk",
 		Cores: 5, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst},
 		ExploredKinds: kinds(viewKinds, learnKinds), Budget: map[Verb]int{Leave: 1, Start: 1, Wait: 5, Blackout: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 4000,
 	},
 	{
-		Name: "leave-leader", Help: "the leader leaves by order and is cut off meanwhile, alone or with another, while it is read",
+		Name:  "leave-leader",
+		Help:  "the leader leaves by order and is cut off meanwhile, alone or with another, while it is read",
 		Cores: 4, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst, readAtFirst},
 		ExploredKinds: viewKinds, Budget: map[Verb]int{Leave: 1, Cut: 1, Drop: 4, Wait: 2},
-		Cuts: [][]string{{"core1"}, {"core1", "core2"}, {"core1", "core3"}}, Targets: []string{"core1"}, Depth: 40, States: 8000,
+		Cuts: [][]string{
+			{"core1"},
+			{"core1", "core2"},
+			{"core1", "core3"},
+		}, Targets: []string{"core1"}, Depth: 40, States: 8000,
 	},
 	{
-		Name: "restart", Help: "a member that was off for many changes comes back, while others end or are cut off and a change is made",
+		Name: "restart",
+		Help: "a member that was off for many changes comes back, while others end or are cut off " +
+			"and a change is made",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
-		Requests:      []Request{{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1}, {Verb: "get", Via: "core3", After: 0}},
-		ExploredKinds: kinds(learnKinds, chainKinds, viewKinds), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Hold: 1},
+		Requests: []Request{
+			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
+			{Verb: "get", Via: "core3", After: 0},
+		},
+		ExploredKinds: kinds(
+			learnKinds,
+			chainKinds,
+			viewKinds,
+		), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Hold: 1},
 		Targets: []string{"core1", "core2"}, Depth: 45, States: 7000,
 	},
 	{
-		Name: "restart-loss", Help: "a member that was off for many changes comes back, while others end or are cut off and a change is made; then all lose their power and one its disk",
+		Name: "restart-loss",
+		Help: "a member that was off for many changes comes back, while others end or are cut off " +
+			"and a change is made; then all lose their power and one its disk",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
-		Requests:      []Request{{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1}, {Verb: "get", Via: "core3", After: 0}},
-		ExploredKinds: kinds(learnKinds, chainKinds, viewKinds), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Blackout: 1},
+		Requests: []Request{
+			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
+			{Verb: "get", Via: "core3", After: 0},
+		},
+		ExploredKinds: kinds(
+			learnKinds,
+			chainKinds,
+			viewKinds,
+		), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Blackout: 1},
 		Targets: []string{"core1", "core2"}, Depth: 45, States: 4000,
 	},
 	{
-		Name: "daemons", Help: "what daemons may award by, against acknowledgements, with daemons cut off, frozen and ended",
+		Name:  "daemons",
+		Help:  "what daemons may award by, against acknowledgements, with daemons cut off, frozen and ended",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests:      []Request{leftAtFirst, {Verb: "apply", Operation: "next", Base: 2, Via: "core2", After: 0}},
 		ExploredKinds: daemonKinds, Budget: map[Verb]int{Cut: 2, Freeze: 1, Kill: 1, Hold: 1, Wait: 3},
-		Cuts: [][]string{{"daemon1"}, {"daemon1", "core1"}, {"daemon2", "core3"}, {"core1"}}, Targets: []string{"daemon1", "daemon2", "core1"}, Depth: 45, States: 8000,
+		Cuts: [][]string{
+			{"daemon1"},
+			{"daemon1", "core1"},
+			{"daemon2", "core3"},
+			{"core1"},
+		}, Targets: []string{"daemon1", "daemon2", "core1"}, Depth: 45, States: 8000,
 	},
 	{
-		Name: "keepers", Help: "daemons that hear the head no more go by the keepers' word, against late words, keepers that begin anew and changes",
+		Name: "keepers",
+		Help: "daemons that hear the head no more go by the keepers' word, against late words, " +
+			"keepers that begin anew and changes",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
-		Requests:      []Request{leftAtFirst},
-		ExploredKinds: []string{"GossipMessage", "DaemonLeaseGrant", "LeaderLeaseGrant"}, Budget: map[Verb]int{Cut: 2, Crash: 1, Freeze: 1, Hold: 2, Wait: 4},
-		Cuts:  [][]string{{"daemon1", "core3"}, {"daemon1", "core2", "core3"}},
-		Links: [][2]string{{"core1", "daemon1"}, {"core1", "core3"}}, Targets: []string{"core2", "core3", "daemon1"}, Depth: 60, States: 8000,
+		Requests: []Request{leftAtFirst},
+		ExploredKinds: []string{
+			"GossipMessage",
+			"DaemonLeaseGrant",
+			"LeaderLeaseGrant",
+		}, Budget: map[Verb]int{Cut: 2, Crash: 1, Freeze: 1, Hold: 2, Wait: 4},
+		Cuts: [][]string{{"daemon1", "core3"}, {"daemon1", "core2", "core3"}},
+		Links: [][2]string{
+			{"core1", "daemon1"},
+			{"core1", "core3"},
+		}, Targets: []string{"core2", "core3", "daemon1"}, Depth: 60, States: 8000,
 	},
 	{
-		Name: "keeper-back", Help: "a keeper that was away and is not in the chain yet comes back, and speaks to a daemon that hears the head no more",
+		Name: "keeper-back",
+		Help: "a keeper that was away and is not in the chain yet comes back, and speaks to a " +
+			"daemon that hears the head no more",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 1,
-		Requests:      []Request{{Verb: "apply", Operation: "left", Base: 2, Via: "core1", After: -1}},
-		ExploredKinds: []string{"DaemonLeaseRequest", "DaemonLeaseGrant", "LeaderLeaseRequest", "LeaderLeaseGrant", "LearnResponse"}, Budget: map[Verb]int{Cut: 2, Crash: 2, Hold: 2, Drop: 1, Wait: 3},
-		Cuts: [][]string{{"daemon1", "core3"}}, Links: [][2]string{{"core1", "daemon1"}}, Targets: []string{"core2", "core3"}, Depth: 60, States: 8000,
+		Requests: []Request{{Verb: "apply", Operation: "left", Base: 2, Via: "core1", After: -1}},
+		ExploredKinds: []string{
+			"DaemonLeaseRequest",
+			"DaemonLeaseGrant",
+			"LeaderLeaseRequest",
+			"LeaderLeaseGrant",
+			"LearnResponse",
+		}, Budget: map[Verb]int{Cut: 2, Crash: 2, Hold: 2, Drop: 1, Wait: 3},
+		Cuts: [][]string{
+			{"daemon1", "core3"},
+		}, Links: [][2]string{{"core1", "daemon1"}}, Targets: []string{"core2", "core3"}, Depth: 60, States: 8000,
 	},
 }
 
@@ -134,7 +207,7 @@
 
 // Names gives the names of all scenarios.
 func Names() []string {
-	var names []string
+	names := make([]string, 0, len(Scenarios))
 	for _, scenario := range Scenarios {
 		names = append(names, scenario.Name)
 	}
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Replay takes the actions of a trace and gives the property that they break, or "". A message whose content has changed
-// since the trace was written is found by its kind, its sender and its receiver.
+// Replay takes the actions of a trace and gives the property that they break, or "". A message whose content has
+// changed since the trace was written is found by its kind, its sender and its receiver.
 func Replay(scenario Scenario, trace []Action) (broken string, err error) {
 	prepared, err := prepare(&scenario)
 	if err != nil {
@@ -23,7 +23,8 @@
 	return world.checker.violation, nil
 }
 
-// closestAction gives the action itself where it is possible, or else the first that differs from it only by the message.
+// closestAction gives the action itself where it is possible, or else the first that differs from it only by the
+// message.
 func (world *world) closestAction(action Action) Action {
 	possible := world.actions()
 	if slices.Contains(possible, action) {
@@ -99,15 +100,24 @@
 		if err != nil {
 			return false, fmt.Errorf("%s: %w", scenario.Name, err)
 		}
-		fmt.Fprintf(output, "%s: %v\n", scenario.Name, result)
-		if result.Violation == "" {
-			continue
+		held = held && result.Violation == ""
+		if err := result.print(output, scenario.Name); err != nil {
+			return false, err
 		}
-		held = false
-		fmt.Fprintf(output, "BROKEN %s\n", result.Violation)
+	}
+	return held, nil
+}
+
+// print writes the counts and, where a property did not hold, the actions that lead there.
+func (result Result) print(output io.Writer, scenario string) error {
+	text := &strings.Builder{}
+	fmt.Fprintf(text, "%s: %v\n", scenario, result)
+	if result.Violation != "" {
+		fmt.Fprintf(text, "BROKEN %s\n", result.Violation)
 		for _, action := range result.Trace {
-			fmt.Fprintf(output, "  %v\n", action)
+			fmt.Fprintf(text, "  %v\n", action)
 		}
 	}
-	return held, nil
+	_, err := io.WriteString(output, text.String())
+	return err
 }
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -80,8 +80,17 @@
 
 func newWorld(scenario *Scenario) *world {
 	started := time.Unix(1_700_000_000, 0)
-	world := &world{scenario: scenario, now: started, started: started, byName: map[string]*host{}, explored: map[string]bool{}, synchronous: true,
-		isolated: map[string]bool{}, remaining: map[Verb]int{}, sent: make([]bool, len(scenario.Requests))}
+	world := &world{
+		scenario:    scenario,
+		now:         started,
+		started:     started,
+		byName:      map[string]*host{},
+		explored:    map[string]bool{},
+		synchronous: true,
+		isolated:    map[string]bool{},
+		remaining:   map[Verb]int{},
+		sent:        make([]bool, len(scenario.Requests)),
+	}
 	for _, kind := range scenario.ExploredKinds {
 		world.explored[kind] = true
 	}
@@ -108,7 +117,7 @@
 }
 
 func (world *world) founders() []string {
-	var names []string
+	names := make([]string, 0, world.scenario.Founders)
 	for number := range world.scenario.Founders {
 		names = append(names, coreName(number))
 	}
@@ -123,8 +132,18 @@
 	host.incarnation++
 	random := newRandom(host.name, host.incarnation)
 	if !host.core {
-		host.controller = controller.New(world.now, controller.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Registered: true,
-			WithoutCore: withoutCore}, random)
+		host.controller = controller.New(
+			world.now,
+			controller.Settings{
+				Address:     host.name,
+				HTTP:        host.name,
+				Zone:        host.zone,
+				Seeds:       world.founders(),
+				Registered:  true,
+				WithoutCore: withoutCore,
+			},
+			random,
+		)
 		return
 	}
 	if host.disk.state == nil {
@@ -132,8 +151,21 @@
 		host.disk.state = &wire.DurableState{Id: fmt.Sprintf("disk%d-%s", world.identities, host.name)}
 	}
 	founding := first && strings.Contains(strings.Join(world.founders(), " "), host.name)
-	host.node = node.New(world.now, node.Settings{Address: host.name, HTTP: host.name, Zone: host.zone, Seeds: world.founders(), Founders: world.founders(),
-		Founding: founding, Faults: toleratedFaults}, host.disk.state, host.disk.records, random)
+	host.node = node.New(
+		world.now,
+		node.Settings{
+			Address:  host.name,
+			HTTP:     host.name,
+			Zone:     host.zone,
+			Seeds:    world.founders(),
+			Founders: world.founders(),
+			Founding: founding,
+			Faults:   toleratedFaults,
+		},
+		host.disk.state,
+		host.disk.records,
+		random,
+	)
 }
 
 // step runs one step of a host's machine, takes over what that asks for, and checks what it may have broken.
@@ -143,7 +175,10 @@
 		return
 	}
 	if host.frozen {
-		host.backlog = append(host.backlog, deferredStep{digest: digest, run: func() { world.step(host, incarnation, digest, do) }})
+		host.backlog = append(
+			host.backlog,
+			deferredStep{digest: digest, run: func() { world.step(host, incarnation, digest, do) }},
+		)
 		return
 	}
 	do()
@@ -257,10 +292,11 @@
 	})
 }
 
-// disconnected tells whether two machines can't reach each other: only one of them is in the group that is cut off, or the
-// link between them is cut.
+// disconnected tells whether two machines can't reach each other: only one of them is in the group that is cut off, or
+// the link between them is cut.
 func (world *world) disconnected(one, other string) bool {
-	return world.isolated[one] != world.isolated[other] || world.isolated[linkName(one, other)] || world.isolated[linkName(other, one)]
+	return world.isolated[one] != world.isolated[other] || world.isolated[linkName(one, other)] ||
+		world.isolated[linkName(other, one)]
 }
 
 func linkName(one, other string) string { return one + "|" + other }
@@ -384,7 +420,17 @@
 }
 
 func (world *world) addHost(hash *digest, walker *walker, host *host) {
-	hash.addText(fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed, host.decommissioning))
+	hash.addText(
+		fmt.Sprint(
+			host.incarnation,
+			host.everStarted,
+			host.up,
+			host.frozen,
+			host.poweredOff,
+			host.removed,
+			host.decommissioning,
+		),
+	)
 	hash.addTime(world.now, host.bootedAt)
 	for _, delayed := range host.backlog {
 		hash.add(delayed.digest)
--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -44,7 +44,8 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	// A copy that stays behind in the temporary folder does no harm.
+	defer removeAll(folder)
 	for _, file := range patch.touched {
 		// A file that the tree doesn't have may be one that the patch makes; applying it tells.
 		if err := copyFile(file, filepath.Join(folder, file)); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -57,8 +58,8 @@
 	return buildOverlaid(patch, folder)
 }
 
-// checkTest sees that a test file of the patch's folder has a test function whose name begins as the patch says: without
-// an end of line, a pattern of go test -run matches every name that holds it.
+// checkTest sees that a test file of the patch's folder has a test function whose name begins as the patch says:
+// without an end of line, a pattern of go test -run matches every name that holds it.
 func checkTest(patch patch) error {
 	match := testName.FindStringSubmatch(patch.test)
 	if match == nil {
--- a/verify/mutation/check_test.go
+++ b/verify/mutation/check_test.go
@@ -60,8 +60,16 @@
 		{"does not apply", sampleHead + strings.ReplaceAll(sampleDiff, "return 1", "return 3"), "no longer applies"},
 		{"file is gone", sampleHead + strings.ReplaceAll(sampleDiff, "code.go", "gone.go"), "no longer applies"},
 		{"does not build", sampleHead + strings.ReplaceAll(sampleDiff, "RESULT", "unknown"), "do not build"},
-		{"test is gone", strings.ReplaceAll(sampleHead, "TestCode", "TestGone") + sampleDiff, "no test function TestGone"},
-		{"names no test", strings.ReplaceAll(sampleHead, "TestCode", "everything") + sampleDiff, "names no test function"},
+		{
+			"test is gone",
+			strings.ReplaceAll(sampleHead, "TestCode", "TestGone") + sampleDiff,
+			"no test function TestGone",
+		},
+		{
+			"names no test",
+			strings.ReplaceAll(sampleHead, "TestCode", "everything") + sampleDiff,
+			"names no test function",
+		},
 	}
 	for _, tried := range cases {
 		t.Run(tried.name, func(t *testing.T) {
--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -5,6 +5,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -32,7 +33,7 @@
 	}
 	patches = matching(patches, chosen.only)
 	if len(patches) == 0 || chosen.jobs < 1 {
-		exit(fmt.Errorf("nothing to do: give --only a pattern of names that --list shows, and --jobs of at least 1"))
+		exit(errors.New("nothing to do: give --only a pattern of names that --list shows, and --jobs of at least 1"))
 	}
 	if chosen.list {
 		list(patches)
@@ -45,12 +46,18 @@
 }
 
 func parse(arguments []string) options {
-	application := kingpin.New("broken", "Applies each patch below verify/mutation to a copy of the tree and wants the named test red for the named reason.")
+	application := kingpin.New(
+		"broken",
+		"Applies each patch below verify/mutation to a copy of the tree "+
+			"and wants the named test red for the named reason.",
+	)
 	application.HelpFlag.Short('h')
 	only := application.Flag("only", "Only patches whose name matches this pattern.").Regexp()
 	jobs := application.Flag("jobs", "How many at once.").Default("3").Int()
 	list := application.Flag("list", "Only list the patches.").Bool()
-	check := application.Flag("check", "Run no tests: only see that each patch applies, builds and names a test that exists.").Bool()
+	check := application.Flag("check", "Run no tests: only see that each patch applies, "+
+		"builds and names a test that exists.").
+		Bool()
 	kingpin.MustParse(application.Parse(arguments))
 	return options{only: *only, jobs: *jobs, list: *list, check: *check}
 }
@@ -76,7 +83,8 @@
 	}
 }
 
-// forEach calls work for every patch, with at most jobs of them at once, and gives the number of calls that returned true.
+// forEach calls work for every patch, with at most jobs of them at once, and gives the number of calls that returned
+// true.
 func forEach(patches []patch, jobs int, work func(patch) bool) int {
 	waiting := make(chan patch)
 	var mutex sync.Mutex
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -58,7 +58,12 @@
 		name, value, _ := strings.Cut(line, ": ")
 		fields[name] = value
 	}
-	read := patch{name: strings.TrimSuffix(filepath.Base(file), ".patch"), file: file, rule: fields["Rule"], seeds: fields["Seeds"]}
+	read := patch{
+		name:  strings.TrimSuffix(filepath.Base(file), ".patch"),
+		file:  file,
+		rule:  fields["Rule"],
+		seeds: fields["Seeds"],
+	}
 	read.folder, read.test, _ = strings.Cut(fields["Test"], " ")
 	if read.rule == "" || read.test == "" || fields["Red"] == "" {
 		return patch{}, fmt.Errorf("%s: its head wants Rule, Test and Red", file)
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -32,7 +32,8 @@
 	if err != nil {
 		return "", err
 	}
-	defer os.RemoveAll(folder)
+	// A copy that stays behind in the temporary folder does no harm.
+	defer removeAll(folder)
 	if err := copyTree(folder); err != nil {
 		return "", err
 	}
@@ -42,7 +43,18 @@
 	if output, err := run(folder, nil, "go", "build", "./..."); err != nil {
 		return "", fmt.Errorf("the patched tree does not build: %s", shortened(output))
 	}
-	output, err := run(folder, []string{"WARDTRAY_SEEDS=" + patch.seeds}, "go", "test", patch.folder, "-run", patch.test, "-count=1", "-timeout", "20m")
+	output, err := run(
+		folder,
+		[]string{"WARDTRAY_SEEDS=" + patch.seeds},
+		"go",
+		"test",
+		patch.folder,
+		"-run",
+		patch.test,
+		"-count=1",
+		"-timeout",
+		"20m",
+	)
 	if err == nil {
 		return "", fmt.Errorf("%s stays green", patch.test)
 	}
@@ -93,3 +105,5 @@
 	}
 	return os.WriteFile(target, content, 0o644)
 }
+
+func removeAll(folder string) { _ = os.RemoveAll(folder) }
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -62,7 +62,12 @@
 }
 
 func (batch *batch) report() load.Report {
-	report := load.Report{Slots: batch.figures.Slots, Waiting: len(batch.waiting), Tokens: batch.used(), Room: batch.figures.MemoryTokens}
+	report := load.Report{
+		Slots:   batch.figures.Slots,
+		Waiting: len(batch.waiting),
+		Tokens:  batch.used(),
+		Room:    batch.figures.MemoryTokens,
+	}
 	for _, running := range batch.running {
 		if running.began {
 			report.Running++
@@ -123,9 +128,15 @@
 // step plans one step and does it.
 func (batch *batch) step() {
 	plan := batch.newPlan()
-	sort.SliceStable(batch.waiting, func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) })
+	sort.SliceStable(
+		batch.waiting,
+		func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) },
+	)
 	if batch.figures.Overtaking {
-		sort.SliceStable(plan.reading, func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) })
+		sort.SliceStable(
+			plan.reading,
+			func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) },
+		)
 		plan.overtake()
 	}
 	plan.fill()
@@ -148,7 +159,10 @@
 		}
 		plan.decoding = append(plan.decoding, running)
 		plan.budget--
-		plan.length += batch.figures.PerSlot + scale(batch.figures.PerContext, float64(running.prompt+running.written)/1000)
+		plan.length += batch.figures.PerSlot + scale(
+			batch.figures.PerContext,
+			float64(running.prompt+running.written)/1000,
+		)
 	}
 	return plan
 }
@@ -156,7 +170,8 @@
 // overtake admits and reads prompts that are more urgent than those that are half read.
 func (plan *plan) overtake() {
 	batch := plan.batch
-	for len(batch.waiting) > 0 && (len(plan.reading) == 0 || before(batch.waiting[0], plan.reading[0])) && plan.admit() {
+	isNext := func() bool { return len(plan.reading) == 0 || before(batch.waiting[0], plan.reading[0]) }
+	for len(batch.waiting) > 0 && isNext() && plan.admit() {
 		plan.read(plan.reading[len(plan.reading)-1])
 		if plan.budget <= 0 {
 			break
@@ -250,9 +265,13 @@
 	}
 }
 
-// advance counts what was read of each prompt; it gives the sequences that have now written their first token, by arrival.
+// advance counts what was read of each prompt; it gives the sequences that have now written their first token, by
+// arrival.
 func (batch *batch) advance(now time.Time, parts map[*sequence]int) (started []*sequence) {
-	reading := slices.SortedFunc(maps.Keys(parts), func(left, right *sequence) int { return left.arrival - right.arrival })
+	reading := slices.SortedFunc(
+		maps.Keys(parts),
+		func(left, right *sequence) int { return left.arrival - right.arrival },
+	)
 	for _, one := range reading {
 		if one.read += parts[one]; one.read < one.prompt || one.abandoned {
 			continue
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -1,4 +1,4 @@
-// Package place measures placement in simulated time: the daemons' own schedulers, books and indexes award
+// Package placement measures placement in simulated time: the daemons' own schedulers, books and indexes award
 // a seeded mix to model runners, beside baselines that price otherwise.
 package placement
 
@@ -36,9 +36,11 @@
 
 // Ways are wardtray's own way of choosing and the baselines.
 var Ways = map[string]scheduler.Picker{
-	"wardtray":     scheduler.Sample,
-	"random":       greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
-	"least-loaded": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load }),
+	"wardtray": scheduler.Sample,
+	"random":   greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
+	"least-loaded": greatest(
+		func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load },
+	),
 	"index-only": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 {
 		return float64(scored.Candidate.HeldTokens)
 	}),
@@ -118,14 +120,23 @@
 
 // Measure plays a setting and gives results for each route and, under "", for all.
 func Measure(setting Setting) (map[string]*Result, error) {
-	stage := &stage{setting: setting, world: simulation.NewWorld(setting.Seed), random: rand.New(rand.NewSource(setting.Seed)),
-		engines: map[string]*engine{}, results: map[string]*Result{"": {}}}
+	stage := &stage{
+		setting: setting,
+		world:   simulation.NewWorld(setting.Seed),
+		random:  rand.New(rand.NewSource(setting.Seed)),
+		engines: map[string]*engine{},
+		results: map[string]*Result{"": {}},
+	}
 	for _, kind := range setting.Mix.Kinds {
 		stage.results[kind.Route] = &Result{}
 	}
 	var lines []*wire.Runner
 	for number := range setting.Runners {
-		made := &engine{id: fmt.Sprintf("r%02d", number), zone: setting.Zones[number%len(setting.Zones)], cache: emulator.NewCache[kvblock.BlockKey](setting.Profile.CacheTokens)}
+		made := &engine{
+			id:    fmt.Sprintf("r%02d", number),
+			zone:  setting.Zones[number%len(setting.Zones)],
+			cache: emulator.NewCache[kvblock.BlockKey](setting.Profile.CacheTokens),
+		}
 		stage.engines[made.id] = made
 		stage.list = append(stage.list, made)
 		lines = append(lines, &wire.Runner{RunnerId: made.id, Zone: made.zone, Service: "s", State: "ready"})
@@ -139,7 +150,12 @@
 		if err != nil {
 			return nil, err
 		}
-		made := &daemon{budget: retrybudget.New(retrybudget.Default, nil), zone: setting.Zones[number%len(setting.Zones)], table: load.NewTable(stage.world.Now, name), tickets: map[*scheduler.QueuedRequest]*job{}}
+		made := &daemon{
+			budget:  retrybudget.New(retrybudget.Default, nil),
+			zone:    setting.Zones[number%len(setting.Zones)],
+			table:   load.NewTable(stage.world.Now, name),
+			tickets: map[*scheduler.QueuedRequest]*job{},
+		}
 		made.table.List(stage.world.Now, lines)
 		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
 			return scheduler.Snapshot{Runners: made.table.All(now, names), Daemons: len(names)}
@@ -167,7 +183,14 @@
 	var take func()
 	take = func() {
 		for _, engine := range stage.list {
-			engine.reports = append(engine.reports, load.Report{Running: engine.running, Waiting: engine.active - engine.running, Slots: stage.setting.Profile.Slots})
+			engine.reports = append(
+				engine.reports,
+				load.Report{
+					Running: engine.running,
+					Waiting: engine.active - engine.running,
+					Slots:   stage.setting.Profile.Slots,
+				},
+			)
 			if len(engine.reports) > age+1 {
 				engine.reports = engine.reports[1:]
 			}
@@ -212,9 +235,20 @@
 	kind := drawn.Kind
 	one := stage.daemons[stage.random.Intn(len(stage.daemons))]
 	parts, tokens := drawn.Parts()
-	queuedRequest := &scheduler.QueuedRequest{Route: kind.Route, ConcurrencyLimit: kind.ConcurrencyLimit, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens,
-		Keys:         keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
-		Requirements: scheduler.Requirements{Value: kind.Value, LatencyTarget: kind.LatencyTarget, PromptTokens: drawn.PromptTokens(), Zone: one.zone, Shut: map[string]bool{}}}
+	queuedRequest := &scheduler.QueuedRequest{
+		Route:            kind.Route,
+		ConcurrencyLimit: kind.ConcurrencyLimit,
+		Decisions:        make(chan scheduler.Decision, 1),
+		PartTokens:       tokens,
+		Keys:             keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
+		Requirements: scheduler.Requirements{
+			Value:         kind.Value,
+			LatencyTarget: kind.LatencyTarget,
+			PromptTokens:  drawn.PromptTokens(),
+			Zone:          one.zone,
+			Shut:          map[string]bool{},
+		},
+	}
 	stage.both(kind.Route, func(result *Result) { result.Requests++ })
 	one.budget.Request(stage.world.Now)
 	stage.schedule(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -63,7 +63,9 @@
 
 // Net is the same less the prices.
 func (earned *Earned) Net() float64 {
-	return (earned.Value - rereadPrice*float64(earned.RereadTokens)/1000 - probePrice*float64(earned.Probes) - crossZonePrice*earned.CrossZoneBytes/1e9) / max(1e-9, earned.MaximumValue)
+	net := earned.Value - rereadPrice*float64(earned.RereadTokens)/1000 - probePrice*float64(earned.Probes) -
+		crossZonePrice*earned.CrossZoneBytes/1e9
+	return net / max(1e-9, earned.MaximumValue)
 }
 
 // Worst is the same over the worst three seconds of which a good part was owed.
@@ -130,8 +132,19 @@
 // Run plays it; results are by route and, under "", for all.
 func (play Play) Run() (map[string]*Earned, error) {
 	world := simulation.NewWorld(play.Seed)
-	fleet := &fleet{play: play, world: world, random: rand.New(rand.NewSource(play.Seed)), started: world.Now, batches: map[string]*batch{}, cachedBlocks: map[kvblock.BlockKey]bool{},
-		sizes: map[string][][]int{}, weights: map[string][]float64{}, results: map[string]*Earned{"": {Window: map[int][2]float64{}}}, mean: map[string]float64{}, largest: map[string]float64{}}
+	fleet := &fleet{
+		play:         play,
+		world:        world,
+		random:       rand.New(rand.NewSource(play.Seed)),
+		started:      world.Now,
+		batches:      map[string]*batch{},
+		cachedBlocks: map[kvblock.BlockKey]bool{},
+		sizes:        map[string][][]int{},
+		weights:      map[string][]float64{},
+		results:      map[string]*Earned{"": {Window: map[int][2]float64{}}},
+		mean:         map[string]float64{},
+		largest:      map[string]float64{},
+	}
 	for number := range play.Deployment.Runners {
 		fleet.add(fmt.Sprint("z", number%play.Deployment.Zones))
 	}
@@ -151,12 +164,21 @@
 
 func (fleet *fleet) add(zone string) {
 	figures := fleet.play.Deployment.Engine
-	made := &batch{id: fmt.Sprintf("r%03d", fleet.incarnations), zone: zone, figures: figures, slow: 1, world: fleet.world,
-		cache: emulator.NewCache[kvblock.BlockKey](figures.MemoryTokens * 3 / 4)}
+	made := &batch{
+		id:      fmt.Sprintf("r%03d", fleet.incarnations),
+		zone:    zone,
+		figures: figures,
+		slow:    1,
+		world:   fleet.world,
+		cache:   emulator.NewCache[kvblock.BlockKey](figures.MemoryTokens * 3 / 4),
+	}
 	fleet.incarnations++
 	fleet.batches[made.id] = made
 	fleet.list = append(fleet.list, made)
-	fleet.lines = append(fleet.lines, &wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)})
+	fleet.lines = append(
+		fleet.lines,
+		&wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)},
+	)
 }
 
 // prepare draws the shared parts and reckons what is large.
@@ -179,7 +201,9 @@
 		var sizes []float64
 		total := 0.0
 		for range 2000 {
-			size := float64(route.Prompt.draw(fleet.random)) + 10*float64(route.Events.draw(fleet.random)*fleet.play.Deployment.Engine.Stride)
+			size := float64(route.Prompt.draw(fleet.random)) + 10*float64(
+				route.Events.draw(fleet.random)*fleet.play.Deployment.Engine.Stride,
+			)
 			sizes = append(sizes, size)
 			total += size
 		}
@@ -197,17 +221,34 @@
 	for number := range play.Deployment.Daemons {
 		fleet.names = append(fleet.names, fmt.Sprint("d", number))
 	}
-	backend := config.Pool{Engine: config.Engine{Slots: play.Deployment.Engine.Slots, MemoryTokens: play.Deployment.Engine.MemoryTokens, EventTokens: play.Deployment.Engine.Stride}}
+	backend := config.Pool{
+		Engine: config.Engine{
+			Slots:        play.Deployment.Engine.Slots,
+			MemoryTokens: play.Deployment.Engine.MemoryTokens,
+			EventTokens:  play.Deployment.Engine.Stride,
+		},
+	}
 	for number, name := range fleet.names {
 		indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 100_000, kvblock.DefaultRunners, 0)
 		if err != nil {
 			return err
 		}
-		made := &schedulingDaemon{name: name, zone: fmt.Sprint("z", number%play.Deployment.Zones), table: load.NewTable(fleet.world.Now, name),
-			budget: retrybudget.New(retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}, func() int { return len(fleet.names) })}
+		made := &schedulingDaemon{
+			name:  name,
+			zone:  fmt.Sprint("z", number%play.Deployment.Zones),
+			table: load.NewTable(fleet.world.Now, name),
+			budget: retrybudget.New(
+				retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60},
+				func() int { return len(fleet.names) },
+			),
+		}
 		made.table.List(fleet.world.Now, fleet.lines)
 		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
-			return scheduler.Snapshot{Runners: made.table.All(now, fleet.names), Daemons: len(fleet.names), Pool: backend}
+			return scheduler.Snapshot{
+				Runners: made.table.All(now, fleet.names),
+				Daemons: len(fleet.names),
+				Pool:    backend,
+			}
 		}, made.table, indexer, rand.New(rand.NewSource(fleet.random.Int63())))
 		if choice := Choices[play.Way]; choice != nil {
 			made.scheduler.Picker = choice
@@ -344,7 +385,16 @@
 	for _, daemon := range fleet.daemons {
 		var lines []*wire.Runner
 		for _, line := range fleet.lines {
-			lines = append(lines, &wire.Runner{RunnerId: line.RunnerId, Zone: line.Zone, Service: line.Service, State: line.State, Slots: line.Slots})
+			lines = append(
+				lines,
+				&wire.Runner{
+					RunnerId: line.RunnerId,
+					Zone:     line.Zone,
+					Service:  line.Service,
+					State:    line.State,
+					Slots:    line.Slots,
+				},
+			)
 		}
 		daemon.table.List(fleet.world.Now, lines)
 	}
@@ -366,11 +416,16 @@
 	for _, route := range fleet.play.Deployment.Routes {
 		total += route.Rate
 	}
-	rate := total * fleet.play.Load / float64(fleet.play.Deployment.Zones) * (1 + swing*math.Sin(2*math.Pi*(since.Seconds()/period+float64(zone)/float64(fleet.play.Deployment.Zones))))
+	zones := fleet.play.Deployment.Zones
+	phase := since.Seconds()/period + float64(zone)/float64(zones)
+	rate := total * fleet.play.Load / float64(zones) * (1 + swing*math.Sin(2*math.Pi*(phase)))
 	fleet.world.After(time.Duration(fleet.random.ExpFloat64()*clump/rate*float64(time.Second)), func() {
-		client := fleet.clients[fleet.random.Intn(len(fleet.clients)/fleet.play.Deployment.Zones)*fleet.play.Deployment.Zones+zone]
+		client := fleet.clients[fleet.random.Intn(len(fleet.clients)/zones)*zones+zone]
 		for more := true; more; more = fleet.random.Float64() > 1/clump {
-			fleet.world.After(time.Duration(fleet.random.Int63n(int64(10*time.Millisecond))), func() { fleet.request(client, total) })
+			fleet.world.After(
+				time.Duration(fleet.random.Int63n(int64(10*time.Millisecond))),
+				func() { fleet.request(client, total) },
+			)
 		}
 		fleet.arrive(zone)
 	})
@@ -405,9 +460,31 @@
 	parts, tokens, prompt = append(parts, fmt.Sprint("own", fleet.random.Int63())), append(tokens, own), prompt+own
 	size := float64(prompt + 10*answer)
 	scale := min(4, 0.3+0.7*size/fleet.mean[route.Name])
-	made := &order{route: route, started: fleet.world.Now, answer: answer, value: route.Value * scale, late: route.Late * scale, large: size > fleet.largest[route.Name]}
-	made.queuedRequest = &scheduler.QueuedRequest{Route: route.Name, ConcurrencyLimit: 1, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens, Keys: keys.BlockKeys(parts, kvblock.Extra{}),
-		Requirements: scheduler.Requirements{Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, PromptTokens: prompt, AnswerTokens: answer, Rank: route.Rank, Zone: daemon.zone, Shut: map[string]bool{}}}
+	made := &order{
+		route:   route,
+		started: fleet.world.Now,
+		answer:  answer,
+		value:   route.Value * scale,
+		late:    route.Late * scale,
+		large:   size > fleet.largest[route.Name],
+	}
+	made.queuedRequest = &scheduler.QueuedRequest{
+		Route:            route.Name,
+		ConcurrencyLimit: 1,
+		Decisions:        make(chan scheduler.Decision, 1),
+		PartTokens:       tokens,
+		Keys:             keys.BlockKeys(parts, kvblock.Extra{}),
+		Requirements: scheduler.Requirements{
+			Value:         route.Value,
+			LatencyTarget: route.LatencyTarget,
+			Deadline:      route.Deadline,
+			PromptTokens:  prompt,
+			AnswerTokens:  answer,
+			Rank:          route.Rank,
+			Zone:          daemon.zone,
+			Shut:          map[string]bool{},
+		},
+	}
 	fleet.both(made, func(earned *Earned) {
 		earned.Requests++
 		earned.MaximumValue += made.value
@@ -488,7 +565,12 @@
 	}
 	sent := &send{fleet: fleet, daemon: daemon, made: made, step: step, batch: batch, at: world.Now}
 	daemon.scheduler.Sent(sent.at, made.queuedRequest, step)
-	one := &sequence{job: made, urgency: step.Urgency, prompt: made.queuedRequest.Requirements.PromptTokens, first: sent.first}
+	one := &sequence{
+		job:     made,
+		urgency: step.Urgency,
+		prompt:  made.queuedRequest.Requirements.PromptTokens,
+		first:   sent.first,
+	}
 	one.finished = func(whole bool) { sent.finished(one, whole) }
 	if !batch.take(one) {
 		daemon.scheduler.PutBack(sent.at, made.queuedRequest, step)
@@ -511,7 +593,11 @@
 		earned.First = append(earned.First, now.Sub(made.started))
 		if batch.zone != daemon.zone {
 			earned.CrossZone++
-			earned.CrossZoneBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(made.answer)/float64(batch.figures.Stride)
+			earned.CrossZoneBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(
+				made.answer,
+			)/float64(
+				batch.figures.Stride,
+			)
 		}
 		earned.RereadTokens += reread
 	})
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -15,8 +15,20 @@
 
 // Settings are the two deployments.
 var Settings = map[string]Setting{
-	"guild":   {Mix: loadtest.Guild, Zones: []string{"a", "b", "c"}, Daemons: 12, Runners: 18, Profile: emulator.DefaultNature},
-	"ferries": {Mix: loadtest.Ferries, Zones: []string{"a", "b", "c", "d"}, Daemons: 11, Runners: 18, Profile: emulator.DefaultNature},
+	"guild": {
+		Mix:     loadtest.Guild,
+		Zones:   []string{"a", "b", "c"},
+		Daemons: 12,
+		Runners: 18,
+		Profile: emulator.DefaultNature,
+	},
+	"ferries": {
+		Mix:     loadtest.Ferries,
+		Zones:   []string{"a", "b", "c", "d"},
+		Daemons: 11,
+		Runners: 18,
+		Profile: emulator.DefaultNature,
+	},
 }
 
 // WayNames gives the ways of pricing in order, wardtray's first.
@@ -34,7 +46,11 @@
 // Table measures every way at every rate and prints a line for each route.
 func Table(output io.Writer, setting Setting, rates []float64) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(writer, "RATE\tWAY\tLANE\tREQUESTS\tDONE\tEARLY\tLATE\tPUT BACK\tNO BUDGET\tCACHED\tFIRST 50%\t95%\t99%\tACROSS ZONES\tMOST AT ONCE")
+	fmt.Fprintln(
+		writer,
+		"RATE\tWAY\tLANE\tREQUESTS\tDONE\tEARLY\t"+
+			"LATE\tPUT BACK\tNO BUDGET\tCACHED\tFIRST 50%\t95%\t99%\tACROSS ZONES\tMOST AT ONCE",
+	)
 	for _, rate := range rates {
 		for _, way := range WayNames() {
 			setting.Rate, setting.Way = rate, way
@@ -48,9 +64,26 @@
 				if route == "" {
 					name = "all"
 				}
-				fmt.Fprintf(writer, "%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n", rate, way, name, result.Requests, result.Done, result.Early,
-					result.Late, result.PutBack, result.NoBudget, 100*result.CacheShare(), result.Quantile(0.5).Round(time.Millisecond), result.Quantile(0.95).Round(time.Millisecond),
-					result.Quantile(0.99).Round(time.Millisecond), 100*float64(result.Across)/float64(max(1, len(result.First))), result.MostAtOnce)
+				fmt.Fprintf(
+					writer,
+					"%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n",
+					rate,
+					way,
+					name,
+					result.Requests,
+					result.Done,
+					result.Early,
+					result.Late,
+					result.PutBack,
+					result.NoBudget,
+					100*result.CacheShare(),
+					result.Quantile(0.5).Round(time.Millisecond),
+					result.Quantile(0.95).Round(time.Millisecond),
+					result.Quantile(0.99).
+						Round(time.Millisecond),
+					100*float64(result.Across)/float64(max(1, len(result.First))),
+					result.MostAtOnce,
+				)
 			}
 		}
 	}
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -51,12 +51,29 @@
 }
 
 func newChecker(world *World) *Checker {
-	return &Checker{world: world, WorstCases: map[string]time.Duration{}, committed: map[uint64][32]byte{}, copies: map[uint64]int{}, known: map[string]uint64{},
-		refused: map[string]bool{}, invalid: map[string]bool{}, seen: map[string]uint64{}}
+	return &Checker{
+		world:      world,
+		WorstCases: map[string]time.Duration{},
+		committed:  map[uint64][32]byte{},
+		copies:     map[uint64]int{},
+		known:      map[string]uint64{},
+		refused:    map[string]bool{},
+		invalid:    map[string]bool{},
+		seen:       map[string]uint64{},
+	}
 }
 
 func (checker *Checker) violation(format string, values ...any) {
-	checker.Violations = append(checker.Violations, fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.started))+fmt.Sprintf(format, values...))
+	checker.Violations = append(
+		checker.Violations,
+		fmt.Sprintf(
+			"seed %d at %v: ",
+			checker.world.Seed,
+			checker.world.Now.Sub(checker.world.started),
+		)+fmt.Sprintf(
+			format,
+			values...),
+	)
 }
 
 func (checker *Checker) recordWorst(rule string, length time.Duration) {
@@ -78,7 +95,8 @@
 // checkCore checks that all agree on history and that one machine at most leads.
 func (checker *Checker) checkCore(host *Host) {
 	document := host.node.Chain().Committed()
-	if document.Sequence > checker.seen[host.Address] || document.Sequence > 0 && checker.committed[document.Sequence] == [32]byte{} {
+	if document.Sequence > checker.seen[host.Address] ||
+		document.Sequence > 0 && checker.committed[document.Sequence] == [32]byte{} {
 		checker.seen[host.Address] = document.Sequence
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(document)
 		if err != nil {
@@ -115,8 +133,8 @@
 	}
 }
 
-// countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself may
-// reach its client much later, when the chain is another.
+// countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself
+// may reach its client much later, when the chain is another.
 func (checker *Checker) countCopies(head *Host) {
 	epoch, copies := head.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range checker.world.Cores() {
@@ -148,7 +166,13 @@
 		}
 		late := world.Now.Sub(order.Got)
 		if !checker.mayIgnore(host, late, histories.SpecBound) {
-			checker.violation("%s awards under epoch %d, %v after %d was acknowledged", host.Address, snapshot.SpecEpoch, late, order.Epoch)
+			checker.violation(
+				"%s awards under epoch %d, %v after %d was acknowledged",
+				host.Address,
+				snapshot.SpecEpoch,
+				late,
+				order.Epoch,
+			)
 		}
 	}
 	if world.RegisteringRunners != nil {
@@ -175,7 +199,7 @@
 	if order.Status == 503 {
 		delete(checker.refused, order.Operation)
 	}
-	return checker.send(host, proto.Clone(ask).(*wire.OperatorRequest), true)
+	return checker.send(host, proto.CloneOf(ask), true)
 }
 
 // Send has an operator send a change through a core; what comes back is checked.
@@ -185,7 +209,14 @@
 
 func (checker *Checker) send(host *Host, ask *wire.OperatorRequest, again bool) *Order {
 	world := checker.world
-	order := &Order{Operation: ask.Operation, Verb: ask.Verb, Base: ask.Base, Sent: world.Now, Outcome: "unknown", Resent: again}
+	order := &Order{
+		Operation: ask.Operation,
+		Verb:      ask.Verb,
+		Base:      ask.Base,
+		Sent:      world.Now,
+		Outcome:   "unknown",
+		Resent:    again,
+	}
 	checker.Orders = append(checker.Orders, order)
 	told := checker.record(order, ask)
 	if !host.up || host.frozen {
@@ -213,7 +244,15 @@
 
 // record records a change for the judge of the request path, where there is one.
 func (checker *Checker) record(order *Order, ask *wire.OperatorRequest) *histories.Order {
-	told := &histories.Order{Operation: ask.Operation, Verb: ask.Verb, Zone: ask.Zone, Base: ask.Base, HasBase: ask.HasBase, Sent: order.Sent, Outcome: "unknown"}
+	told := &histories.Order{
+		Operation: ask.Operation,
+		Verb:      ask.Verb,
+		Zone:      ask.Zone,
+		Base:      ask.Base,
+		HasBase:   ask.HasBase,
+		Sent:      order.Sent,
+		Outcome:   "unknown",
+	}
 	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != "get" {
 		told.Spec = traffic.specs[ask.Operation]
 		if change, err := config.ParseChange(ask.Spec); ask.Verb == "change" && err == nil {
@@ -269,7 +308,8 @@
 		checker.violation("%s was acknowledged as epoch %d and is committed as %d", order.Operation, order.Epoch, epoch)
 	}
 	for _, other := range checker.acknowledged {
-		if other.Operation != order.Operation && (other.Epoch == order.Epoch || namesBase[ask.Verb] && namesBase[other.Verb] && other.Base == order.Base) {
+		if other.Operation != order.Operation &&
+			(other.Epoch == order.Epoch || namesBase[ask.Verb] && namesBase[other.Verb] && other.Base == order.Base) {
 			checker.violation("%s and %s were both accepted on one base", other.Operation, order.Operation)
 		}
 	}
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -12,13 +12,15 @@
 	cutLength = 20 * time.Second
 	// catchUpTime is how long after its start a repaired or new machine may still count as lost.
 	catchUpTime = 4 * time.Second
-	// wholeAckBound is within what time a change is acknowledged while the core is whole, however many daemons are dark.
+	// wholeAckBound is within what time a change is acknowledged while the core is whole, however many daemons are
+	// dark.
 	wholeAckBound = 2500 * time.Millisecond
 	// graceTime is within what time a machine that was told to stop has to end.
 	graceTime = 5 * time.Second
 )
 
-// ControlDay is what happens to the control plane, for a length of time, while operators race. Its harm is over at its end.
+// ControlDay is what happens to the control plane, for a length of time, while operators race. Its harm is over at its
+// end.
 type ControlDay struct {
 	Length time.Duration
 	// RaceEvery is how often two operators race, LostAnswers the part of the answers that don't reach them.
@@ -26,7 +28,8 @@
 	LostAnswers float64
 	// WithoutCore, where it is given, is the setting of the data daemons; negative stands for 0.
 	WithoutCore time.Duration
-	// Fleeting tells that more was lost than a deployment bears: nothing wrong may be done, but service may not come back.
+	// Fleeting tells that more was lost than a deployment bears: nothing wrong may be done, but service may not come
+	// back.
 	Fleeting bool
 	harm     func(world *World)
 }
@@ -84,7 +87,13 @@
 		}
 		for _, order := range world.Check.acknowledged {
 			if epoch, found := outcomes[order.Operation]; !found || epoch != order.Epoch {
-				world.Check.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address, order.Operation, epoch, order.Epoch)
+				world.Check.violation(
+					"forgotten: %s has %s as epoch %d, which was acknowledged as %d",
+					host.Address,
+					order.Operation,
+					epoch,
+					order.Epoch,
+				)
 			}
 		}
 		for operation := range world.Check.refused {
@@ -95,17 +104,28 @@
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
 		if read.Status != 200 || read.Epoch < world.Check.greatestAcknowledged() {
-			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status, read.Epoch, world.Check.greatestAcknowledged())
+			world.Check.violation(
+				"forgotten: read back at %s: status %d, epoch %d of %d",
+				host.Address,
+				read.Status,
+				read.Epoch,
+				world.Check.greatestAcknowledged(),
+			)
 		}
 	}
 }
 
 // cutDay cuts for cutLength and lets the races go on for a while after it.
 func cutDay(cut func(world *World)) ControlDay {
-	return ControlDay{Length: cutLength + 4*time.Second, RaceEvery: 500 * time.Millisecond, LostAnswers: 0.2, harm: func(world *World) {
-		cut(world)
-		world.After(cutLength, world.Heal)
-	}}
+	return ControlDay{
+		Length:      cutLength + 4*time.Second,
+		RaceEvery:   500 * time.Millisecond,
+		LostAnswers: 0.2,
+		harm: func(world *World) {
+			cut(world)
+			world.After(cutLength, world.Heal)
+		},
+	}
 }
 
 // CutDays are cuts of each shape, with changes, races and reads that meet them at machines on both sides.
@@ -308,35 +328,50 @@
 	world.Boot(host)
 }
 
-// SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its disk or
-// dark for a while, so long after that began.
+// SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its
+// disk or dark for a while, so long after that began.
 func SecondLossDay(first string, wiped bool, after time.Duration) ControlDay {
 	// A repaired machine starts a second after its loss. Before it counts as whole, a second disk is one too many.
 	whole := after >= time.Second+catchUpTime
-	return ControlDay{Length: after + 8*time.Second, RaceEvery: 400 * time.Millisecond, LostAnswers: 0.2, Fleeting: wiped && !whole, harm: func(world *World) {
-		old := world.pick(world.Cores())
-		if world.random.Intn(2) == 0 {
-			old = world.head()
-		}
-		firstLosses[first](world, old)
-		world.After(after, func() {
-			var others []*Host
-			for _, host := range world.Cores() {
-				// One that has not come yet, or a new one, is no second loss.
-				if host != old && host.up && (whole || world.replaced == 0 || host != world.Hosts[len(world.Hosts)-1]) {
-					others = append(others, host)
-				}
-			}
-			second := world.pick(others)
-			world.Log = append(world.Log, fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address, old.Address))
-			world.Power(second)
-			if wiped {
-				world.Wipe(second)
-				second.poweredOff = true
+	return ControlDay{
+		Length:      after + 8*time.Second,
+		RaceEvery:   400 * time.Millisecond,
+		LostAnswers: 0.2,
+		Fleeting:    wiped && !whole,
+		harm: func(world *World) {
+			old := world.pick(world.Cores())
+			if world.random.Intn(2) == 0 {
+				old = world.head()
 			}
-			world.After(5*time.Second, func() { world.Boot(second) })
-		})
-	}}
+			firstLosses[first](world, old)
+			world.After(after, func() {
+				var others []*Host
+				for _, host := range world.Cores() {
+					// One that has not come yet, or a new one, is no second loss.
+					if host != old && host.up &&
+						(whole || world.replaced == 0 || host != world.Hosts[len(world.Hosts)-1]) {
+						others = append(others, host)
+					}
+				}
+				second := world.pick(others)
+				world.Log = append(
+					world.Log,
+					fmt.Sprintf(
+						"%v second loss: %s, first %s",
+						world.Now.Sub(world.started),
+						second.Address,
+						old.Address,
+					),
+				)
+				world.Power(second)
+				if wiped {
+					world.Wipe(second)
+					second.poweredOff = true
+				}
+				world.After(5*time.Second, func() { world.Boot(second) })
+			})
+		},
+	}
 }
 
 // FirstLossNames gives the ways in which a machine is taken out or mended.
@@ -347,12 +382,16 @@
 
 // ManyChangeDays are hundreds of changes while members are away for long, or their disks are full, slow or stalled.
 var ManyChangeDays = map[string]ControlDay{
-	"a member away": manyChangeDay(func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) }),
+	"a member away": manyChangeDay(
+		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+	),
 	"a member cut off": manyChangeDay(func(world *World, host *Host) func() {
 		world.CutOff([]*Host{host}, without(world.Hosts, host))
 		return world.Heal
 	}),
-	"a member's disk replaced": manyChangeDay(func(world *World, host *Host) func() { world.Wipe(host); return reboot(world, host) }),
+	"a member's disk replaced": manyChangeDay(
+		func(world *World, host *Host) func() { world.Wipe(host); return reboot(world, host) },
+	),
 	"a disk full": manyChangeDay(func(_ *World, host *Host) func() {
 		full := host.disk
 		full.full = true
@@ -409,20 +448,29 @@
 
 // DarkDays are most data daemons gone while the core is whole.
 var DarkDays = map[string]ControlDay{
-	"most daemons without power": darkDay(func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) }),
+	"most daemons without power": darkDay(
+		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+	),
 	"most daemons cut off": darkDay(func(world *World, host *Host) func() {
 		world.CutOff([]*Host{host}, without(world.Hosts, host))
 		return world.Heal
 	}),
-	"most daemons frozen":  darkDay(func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } }),
-	"most daemons removed": darkDay(func(world *World, host *Host) func() { world.Kill(host); host.removed = true; return func() {} }),
+	"most daemons frozen": darkDay(
+		func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } },
+	),
+	"most daemons removed": darkDay(
+		func(world *World, host *Host) func() { world.Kill(host); host.removed = true; return func() {} },
+	),
 }
 
 func darkDay(harm func(world *World, host *Host) (undo func())) ControlDay {
 	const length = 12 * time.Second
 	return ControlDay{Length: length + 3*time.Second, RaceEvery: time.Second, harm: func(world *World) {
 		datas := world.Datas()
-		world.random.Shuffle(len(datas), func(left, right int) { datas[left], datas[right] = datas[right], datas[left] })
+		world.random.Shuffle(
+			len(datas),
+			func(left, right int) { datas[left], datas[right] = datas[right], datas[left] },
+		)
 		for _, host := range datas[:int(float64(len(datas))*darkShare+0.5)] {
 			world.After(length, harm(world, host))
 		}
@@ -448,7 +496,11 @@
 			}
 			world.Check.recordWorst("answer to a change while most daemons are gone", took)
 			if order.Outcome == "unknown" {
-				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation, wholeAckBound)
+				world.Check.violation(
+					"no-ack: %s had no answer within %v, though the core is whole",
+					order.Operation,
+					wholeAckBound,
+				)
 			}
 		})
 		world.After(every, next)
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -126,7 +126,10 @@
 	},
 	"core halved": func(world *World) func() {
 		cores := world.Cores()
-		world.random.Shuffle(len(cores), func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
+		world.random.Shuffle(
+			len(cores),
+			func(left, right int) { cores[left], cores[right] = cores[right], cores[left] },
+		)
 		world.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
 		return world.Heal
 	},
@@ -180,7 +183,10 @@
 			world.Check.OnAccepted = nil
 			world.After(0, func() {
 				cores := world.Cores()
-				world.random.Shuffle(len(cores), func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
+				world.random.Shuffle(
+					len(cores),
+					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] },
+				)
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
 					overs = append(overs, world.touch(true, silentLoss, host))
@@ -324,13 +330,16 @@
 
 // shuffleSeeds gives every process, from its next start on, other seeds out of the present core machines.
 func (world *World) shuffleSeeds() {
-	var addresses []string
+	addresses := make([]string, 0, len(world.Cores()))
 	for _, host := range world.Cores() {
 		addresses = append(addresses, host.Address)
 	}
 	for _, host := range world.Hosts {
 		seeds := append([]string{}, addresses...)
-		world.random.Shuffle(len(seeds), func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] })
+		world.random.Shuffle(
+			len(seeds),
+			func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] },
+		)
 		host.seeds = seeds[:min(3, len(seeds))]
 	}
 }
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -74,7 +74,9 @@
 	coroutine.finished = true
 	for index, other := range coroutine.host.coroutines {
 		if other == coroutine {
-			coroutine.host.coroutines = append(coroutine.host.coroutines[:index], coroutine.host.coroutines[index+1:]...)
+			coroutine.host.coroutines = append(
+				coroutine.host.coroutines[:index],
+				coroutine.host.coroutines[index+1:]...)
 			break
 		}
 	}
@@ -132,7 +134,10 @@
 }
 
 // await is how a course waits for its scheduler's next step.
-func (world *World) await(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool) {
+func (world *World) await(
+	ctx context.Context,
+	steps <-chan scheduler.Decision,
+) (step scheduler.Decision, decided bool) {
 	world.until(func() bool { return len(steps) > 0 || ctx.Err() != nil })
 	world.current.decided = world.Now
 	if len(steps) == 0 {
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -58,8 +58,16 @@
 	if host.service != "" {
 		service = host.service
 	}
-	host.engine = &engine{world: world, host: host, id: fmt.Sprintf("%s-%d", host.Address, world.identities), service: service, weights: weights,
-		profile: emulator.DefaultNature, started: world.Now, cache: emulator.NewCache[string](emulator.DefaultNature.CacheTokens)}
+	host.engine = &engine{
+		world:   world,
+		host:    host,
+		id:      fmt.Sprintf("%s-%d", host.Address, world.identities),
+		service: service,
+		weights: weights,
+		profile: emulator.DefaultNature,
+		started: world.Now,
+		cache:   emulator.NewCache[string](emulator.DefaultNature.CacheTokens),
+	}
 	world.every(host, host.incarnation, 100*time.Millisecond, host.engine.observe)
 	// A stranger at a runner's address is nobody's runner, and the platform does not list it.
 	if host.service == "" {
@@ -75,7 +83,10 @@
 
 func (engine *engine) observe() {
 	running := min(engine.active, engine.profile.Slots)
-	engine.reports = append(engine.reports, load.Report{Running: running, Waiting: engine.active - running, Slots: engine.profile.Slots})
+	engine.reports = append(
+		engine.reports,
+		load.Report{Running: running, Waiting: engine.active - running, Slots: engine.profile.Slots},
+	)
 	if keep := int(engine.profile.ReportAge / (100 * time.Millisecond)); len(engine.reports) > keep+1 {
 		engine.reports = engine.reports[len(engine.reports)-keep-1:]
 	}
@@ -95,7 +106,8 @@
 
 // serve answers one connection until it ends.
 func (engine *engine) serve(connection *conn) {
-	defer connection.Close()
+	// A connection that has ended already needs no close.
+	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -107,7 +119,11 @@
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		paths := map[string]func(connection *conn, request *http.Request, reached time.Time) bool{"/identity": engine.identity, "/pressure": engine.pressure, "/run": engine.run}
+		paths := map[string]func(connection *conn, request *http.Request, reached time.Time) bool{
+			"/identity": engine.identity,
+			"/pressure": engine.pressure,
+			"/run":      engine.run,
+		}
 		if engine.unresponsive {
 			if request.URL.Path == "/run" {
 				connection.bindRun(engine.recordRun(connection, request, reached, true))
@@ -136,7 +152,16 @@
 }
 
 func (engine *engine) identity(connection *conn, _ *http.Request, _ time.Time) bool {
-	return answer(connection, 200, map[string]any{"runner_id": engine.id, "service": engine.service, "model": engine.world.Traffic.Mix.Model, "weights": engine.weights})
+	return answer(
+		connection,
+		200,
+		map[string]any{
+			"runner_id": engine.id,
+			"service":   engine.service,
+			"model":     engine.world.Traffic.Mix.Model,
+			"weights":   engine.weights,
+		},
+	)
 }
 
 func (engine *engine) pressure(connection *conn, _ *http.Request, _ time.Time) bool {
@@ -148,11 +173,32 @@
 }
 
 // recordRun records a request as read.
-func (engine *engine) recordRun(connection *conn, request *http.Request, reached time.Time, started bool) *histories.Run {
+func (engine *engine) recordRun(
+	connection *conn,
+	request *http.Request,
+	reached time.Time,
+	started bool,
+) *histories.Run {
 	epoch, _ := strconv.ParseUint(request.Header.Get(admission.HeaderEpoch), 10, 64)
-	run := &histories.Run{At: reached, Sent: connection.sentAt, Request: request.Header.Get(admission.HeaderRequest), Route: request.Header.Get(admission.HeaderRoute), Pool: engine.world.Traffic.Mix.Pool,
-		Model: request.Header.Get(admission.HeaderModel), Weights: engine.weights, Runner: engine.id, Wanted: request.Header.Get(admission.HeaderRunner), Service: engine.service,
-		Zone: engine.host.Zone, Daemon: request.Header.Get(admission.HeaderDaemon), Epoch: epoch, Started: started, Concurrent: engine.active, WarmingUp: engine.warmingUp(), Capacity: engine.capacity()}
+	run := &histories.Run{
+		At:         reached,
+		Sent:       connection.sentAt,
+		Request:    request.Header.Get(admission.HeaderRequest),
+		Route:      request.Header.Get(admission.HeaderRoute),
+		Pool:       engine.world.Traffic.Mix.Pool,
+		Model:      request.Header.Get(admission.HeaderModel),
+		Weights:    engine.weights,
+		Runner:     engine.id,
+		Wanted:     request.Header.Get(admission.HeaderRunner),
+		Service:    engine.service,
+		Zone:       engine.host.Zone,
+		Daemon:     request.Header.Get(admission.HeaderDaemon),
+		Epoch:      epoch,
+		Started:    started,
+		Concurrent: engine.active,
+		WarmingUp:  engine.warmingUp(),
+		Capacity:   engine.capacity(),
+	}
 	engine.world.Traffic.recordRun(run)
 	return run
 }
@@ -273,8 +319,11 @@
 func (engine *engine) stream(connection *conn, run *histories.Run, length int) bool {
 	name := run.Name
 	events := min(12, 2+length/24)
-	gap := time.Duration(length) * engine.profile.AnswerTime * time.Duration(max(1, engine.slow)) / time.Duration(events)
-	if _, err := io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
+	gap := time.Duration(length) * engine.profile.AnswerTime * time.Duration(max(1, engine.slow)) / time.Duration(
+		events,
+	)
+	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	if _, err := io.WriteString(connection, head); err != nil {
 		return false
 	}
 	chunk := func(text string) bool {
@@ -289,7 +338,9 @@
 			chunk(fmt.Sprintf(garbled[engine.garble], name))
 			return false
 		}
-		if !chunk(fmt.Sprintf("id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number)) {
+		if !chunk(
+			fmt.Sprintf("id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number),
+		) {
 			return false
 		}
 		if !engine.work(connection, gap) {
@@ -328,7 +379,16 @@
 		}
 	}
 	if state != "" {
-		kept = append(kept, &wire.Runner{RunnerId: host.engine.id, Address: host.Address, Zone: host.Zone, Service: host.engine.service, State: state})
+		kept = append(
+			kept,
+			&wire.Runner{
+				RunnerId: host.engine.id,
+				Address:  host.Address,
+				Zone:     host.Zone,
+				Service:  host.engine.service,
+				State:    state,
+			},
+		)
 	}
 	platform.actual = kept
 }
@@ -369,6 +429,13 @@
 		if line.State == "draining" || going[line.RunnerId] {
 			continue
 		}
-		record.Drains = append(record.Drains, &histories.Drain{At: platform.world.Now, Runner: line.RunnerId, Drained: listed[line.RunnerId] == "draining"})
+		record.Drains = append(
+			record.Drains,
+			&histories.Drain{
+				At:      platform.world.Now,
+				Runner:  line.RunnerId,
+				Drained: listed[line.RunnerId] == "draining",
+			},
+		)
 	}
 }
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -9,7 +9,8 @@
 // noticed is how long the platform takes to take a dead runner off its list.
 const noticed = 1500 * time.Millisecond
 
-// anyTime is for how long a harm goes on that shows on each connection by itself, at any time: longer than any harm lasts.
+// anyTime is for how long a harm goes on that shows on each connection by itself, at any time: longer than any harm
+// lasts.
 const anyTime = 10 * time.Second
 
 // runner picks a runner that is up and well.
@@ -119,7 +120,10 @@
 	"runner mute":    misbehave(silentLoss, func(engine *engine, on bool) { engine.unresponsive = on }),
 	"runner partial": misbehave(0, func(engine *engine, on bool) { engine.partial = on }),
 	"runner fails":   misbehave(0, func(engine *engine, on bool) { engine.fails = on }),
-	"runner slow":    misbehave(silentLoss, func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }),
+	"runner slow": misbehave(
+		silentLoss,
+		func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] },
+	),
 	"runner garbles": func(world *World) func() {
 		host := world.runner()
 		engine, over := host.engine, world.touch(false, 0, host)
@@ -127,7 +131,10 @@
 		engine.garble = names[world.random.Intn(len(names))]
 		return both(over, func() { engine.garble = "" })
 	},
-	"runner late":                  misbehave(silentLoss, func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] }),
+	"runner late": misbehave(
+		silentLoss,
+		func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] },
+	),
 	"runner gives surplus answers": misbehave(anyTime, func(engine *engine, on bool) { engine.surplus = on }),
 	"connections reset": func(world *World) func() {
 		over, going := world.touch(false, anyTime, world.Runners()...), true
@@ -306,7 +313,15 @@
 }
 
 // DefaultTrial is that of the proofs, without any harm yet.
-var DefaultTrial = Trial{AtOnce: 1, Length: 40 * time.Second, Every: 2 * time.Second, TakeAway: 0.25, Rate: 60, HangUpsMidway: 0.01, Retries: 0.03}
+var DefaultTrial = Trial{
+	AtOnce:        1,
+	Length:        40 * time.Second,
+	Every:         2 * time.Second,
+	TakeAway:      0.25,
+	Rate:          60,
+	HangUpsMidway: 0.01,
+	Retries:       0.03,
+}
 
 // Try founds a deployment, does harm to it under load, ends that, and judges the whole.
 func Try(seed int64, shape Shape, trial Trial) *World {
@@ -320,7 +335,8 @@
 	first := &Operators{world: world, number: 500_000}
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate, traffic.HangUpsMidway, traffic.HangUps, traffic.Retries, traffic.TakeAway = trial.Rate, trial.HangUpsMidway, trial.HangUps, trial.Retries, trial.TakeAway
+	traffic.Rate, traffic.Retries, traffic.TakeAway = trial.Rate, trial.Retries, trial.TakeAway
+	traffic.HangUpsMidway, traffic.HangUps = trial.HangUpsMidway, trial.HangUps
 	operators := world.StartOperators(trial.Every)
 	world.Run(5 * time.Second)
 	if len(trial.Faults) > 0 {
@@ -338,7 +354,8 @@
 	}
 	traffic.stopped = true
 	// The longest patience must be over before a request can be called forgotten.
-	for end := world.Now.Add(45 * time.Second); traffic.waiting() > 0 && world.Now.Before(end) && len(world.Check.Violations) == 0; {
+	end := world.Now.Add(45 * time.Second)
+	for traffic.waiting() > 0 && world.Now.Before(end) && len(world.Check.Violations) == 0 {
 		world.Run(time.Second)
 	}
 	if len(world.Check.Violations) == 0 {
@@ -363,7 +380,12 @@
 func (traffic *Traffic) finishAll() {
 	for _, host := range traffic.world.Datas() {
 		for _, client := range host.clients {
-			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", client.record.Request, host.Address, traffic.world.Now.Sub(client.record.Sent))
+			traffic.world.Check.violation(
+				"dropped: %s, sent to %s %v ago, has no answer yet",
+				client.record.Request,
+				host.Address,
+				traffic.world.Now.Sub(client.record.Sent),
+			)
 		}
 	}
 }
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -6,7 +6,8 @@
 	"wardtray/verify/histories"
 )
 
-// hangUp closes the client's connection; the close reaches the machine of its daemon a little later, behind the request.
+// hangUp closes the client's connection; the close reaches the machine of its daemon a little later, behind the
+// request.
 func (client *client) hangUp() {
 	if client.finished || client.hungUp {
 		return
@@ -30,7 +31,8 @@
 	})
 }
 
-// checkDeparture looks whether the daemon still works for the client once its process has run for long enough without a break.
+// checkDeparture looks whether the daemon still works for the client once its process has run for long enough without
+// a break.
 func (client *client) checkDeparture(since time.Time) {
 	traffic, host := client.traffic, client.host
 	traffic.world.After(histories.DepartureBound, func() {
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -113,14 +113,24 @@
 		}
 	}
 	if 2*run.unleased[withHalf] > run.samples[withHalf] {
-		t.Errorf("the remaining daemons held no lease in %d of %d samples", run.unleased[withHalf], run.samples[withHalf])
+		t.Errorf(
+			"the remaining daemons held no lease in %d of %d samples",
+			run.unleased[withHalf],
+			run.samples[withHalf],
+		)
 	}
 	for _, host := range run.world.Datas() {
 		if !run.world.local(host).Before(host.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
-	t.Logf("messages %v, acknowledged %v, without a lease %v of %v samples", run.messages, run.accepted, run.unleased, run.samples)
+	t.Logf(
+		"messages %v, acknowledged %v, without a lease %v of %v samples",
+		run.messages,
+		run.accepted,
+		run.unleased,
+		run.samples,
+	)
 }
 
 // The head and half of the daemons lose their power at once and come back: another head acts, changes are
@@ -183,7 +193,10 @@
 	if head == nil {
 		t.Fatal("no head after 10 s")
 	}
-	order := world.Check.Send(head, &wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"})
+	order := world.Check.Send(
+		head,
+		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"},
+	)
 	world.Run(3 * time.Second)
 	if order.Outcome != "accepted" {
 		t.Errorf("the change's outcome is %s", order.Outcome)
@@ -192,8 +205,14 @@
 	if len(directory) != len(world.Datas()) {
 		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
 	}
-	wanted := []string{"daemon to core DaemonLeaseRequest", "core to daemon DaemonLeaseGrant", "daemon to daemon Shuffle",
-		"daemon to daemon Digest", "daemon to daemon GossipMessage", "core to daemon RunnerUpdate"}
+	wanted := []string{
+		"daemon to core DaemonLeaseRequest",
+		"core to daemon DaemonLeaseGrant",
+		"daemon to daemon Shuffle",
+		"daemon to daemon Digest",
+		"daemon to daemon GossipMessage",
+		"core to daemon RunnerUpdate",
+	}
 	for _, kind := range wanted {
 		if !kinds[kind] {
 			t.Errorf("no %s was sent; seen: %v", kind, kinds)
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -49,7 +49,9 @@
 		sum := Idle{Kinds: map[string]float64{}}
 		for _, host := range hosts {
 			one, share := of(host), 1/float64(len(hosts))
-			sum.Sent, sum.Received, sum.Bytes = sum.Sent+share*one.Sent, sum.Received+share*one.Received, sum.Bytes+share*one.Bytes
+			sum.Sent += share * one.Sent
+			sum.Received += share * one.Received
+			sum.Bytes += share * one.Bytes
 			for kind, count := range one.Kinds {
 				sum.Kinds[kind] += share * count
 			}
--- a/verify/simulation/idle_test.go
+++ b/verify/simulation/idle_test.go
@@ -9,6 +9,9 @@
 
 // What processes of small and grown deployments say to each other when nothing happens stays small.
 func TestIdleCost(t *testing.T) {
+	eighty := Shape{
+		Zones: []string{"a", "b", "c", "d"}, Machines: []int{20, 20, 20, 20}, Disks: []int{2, 2, 2, 2}, Faults: 2,
+	}
 	t.Parallel()
 	for _, one := range []struct {
 		name  string
@@ -17,21 +20,37 @@
 		data, core, bytes float64
 	}{
 		{"12 daemons", Guild, 16, 120, 2500},
-		{"80 daemons", Shape{Zones: []string{"a", "b", "c", "d"}, Machines: []int{20, 20, 20, 20}, Disks: []int{2, 2, 2, 2}, Faults: 2}, 16, 200, 2500},
+		{"80 daemons", eighty, 16, 200, 2500},
 	} {
 		data, core, busiest := MeasureIdle(1, one.shape)
 		for kind, idle := range map[string]Idle{"daemon": data, "core": core, "busiest core": busiest} {
-			t.Logf("%s, %s: %.1f sent, %.1f received, %.0f B a second;%s", one.name, kind, idle.Sent, idle.Received, idle.Bytes, kinds(idle))
+			t.Logf(
+				"%s, %s: %.1f sent, %.1f received, %.0f B a second;%s",
+				one.name,
+				kind,
+				idle.Sent,
+				idle.Received,
+				idle.Bytes,
+				kinds(idle),
+			)
 		}
 		if data.Sent+data.Received > one.data || core.Sent+core.Received > one.core || data.Bytes > one.bytes {
-			t.Errorf("%s: a daemon has %.1f messages and %.0f B a second, a core %.1f messages; at most %v, %v and %v", one.name,
-				data.Sent+data.Received, data.Bytes, core.Sent+core.Received, one.data, one.bytes, one.core)
+			t.Errorf(
+				"%s: a daemon has %.1f messages and %.0f B a second, a core %.1f messages; at most %v, %v and %v",
+				one.name,
+				data.Sent+data.Received,
+				data.Bytes,
+				core.Sent+core.Received,
+				one.data,
+				one.bytes,
+				one.core,
+			)
 		}
 	}
 }
 
 func kinds(idle Idle) string {
-	var lines []string
+	lines := make([]string, 0, len(idle.Kinds))
 	for kind, count := range idle.Kinds {
 		lines = append(lines, fmt.Sprintf(" %s %.2f", kind, count))
 	}
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -87,13 +87,17 @@
 	}
 	isolation.since, isolation.history = world.Now, nil
 	if world.Traffic != nil && world.WithoutCore > 0 {
-		isolation.history = &histories.Isolation{Daemon: host.Address, From: world.Now, Until: world.Now.Add(world.WithoutCore + leaseBound)}
+		isolation.history = &histories.Isolation{
+			Daemon: host.Address,
+			From:   world.Now,
+			Until:  world.Now.Add(world.WithoutCore + leaseBound),
+		}
 		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
 	}
 }
 
-// mayIgnore tells whether a daemon may still award by what it knew before something was acknowledged a while ago: within
-// a bound in any case, and while it has been without the core, for the time that its settings allow.
+// mayIgnore tells whether a daemon may still award by what it knew before something was acknowledged a while ago:
+// within a bound in any case, and while it has been without the core, for the time that its settings allow.
 func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
 	world := checker.world
 	if late <= bound {
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -11,9 +11,15 @@
 
 // SpecText is a small spec; the number makes each one different.
 func SpecText(number int) []byte {
-	return []byte(fmt.Sprintf(`{"zones":[{"name":"a","closed":false},{"name":"b","closed":false},{"name":"c","closed":false},{"name":"d","closed":false}],
+	return []byte(
+		fmt.Sprintf(
+			`{"zones":[{"name":"a","closed":false},{"name":"b","closed":false},`+
+				`{"name":"c","closed":false},{"name":"d","closed":false}],
 "pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
-"lanes":[{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`, number))
+"lanes":[{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`,
+			number,
+		),
+	)
 }
 
 // Operators send changes now and then: two at once on one base, whole specs and named entries, with epochs
@@ -65,8 +71,11 @@
 		func() {
 			operators.number++
 			verb := []string{"close", "open"}[world.random.Intn(2)]
-			world.Check.Send(pick(), &wire.OperatorRequest{Verb: verb, Zone: []string{"a", "b", "c"}[world.random.Intn(3)],
-				Operation: fmt.Sprintf("o%d", operators.number)})
+			world.Check.Send(
+				pick(),
+				&wire.OperatorRequest{Verb: verb, Zone: []string{"a", "b", "c"}[world.random.Intn(3)],
+					Operation: fmt.Sprintf("o%d", operators.number)},
+			)
 		},
 		func() { world.Check.Send(pick(), &wire.OperatorRequest{Verb: "get"}) },
 		func() {
@@ -74,11 +83,15 @@
 			operation := fmt.Sprintf("o%d", operators.number)
 			world.Check.invalid[operation] = true
 			invalid := []*wire.OperatorRequest{
-				{Verb: "apply", Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`), Base: operators.base, HasBase: true},
+				{Verb: "apply", Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`),
+					Base: operators.base, HasBase: true},
 				{Verb: "apply", Spec: []byte(`{"zones":`), Base: operators.base, HasBase: true},
 				{Verb: "close", Zone: "nowhere"},
-				{Verb: "apply", Spec: SpecText(operators.number), Base: operators.base, HasBase: true, Epoch: operators.base, HasEpoch: true},
-				{Verb: "change", Spec: []byte(`{"upsert":{"lanes":[{"name":"lost","pool":"nowhere","patience":"1s"}]}}`), Base: operators.base, HasBase: true},
+				{Verb: "apply", Spec: SpecText(operators.number), Base: operators.base, HasBase: true,
+					Epoch: operators.base, HasEpoch: true},
+				{Verb: "change",
+					Spec: []byte(`{"upsert":{"lanes":[{"name":"lost","pool":"nowhere","patience":"1s"}]}}`),
+					Base: operators.base, HasBase: true},
 				{Verb: "change", Spec: []byte(`{"remove":{"lanes":["l"]`), Base: operators.base, HasBase: true},
 			}[world.random.Intn(6)]
 			invalid.Operation = operation
@@ -106,8 +119,13 @@
 // changeEntries sends named entries.
 func (operators *Operators) changeEntries(host *Host) *Order {
 	operators.number++
-	content := fmt.Sprintf(`{"upsert":{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
-"lanes":[{"name":"x%d","pool":"p","patience":"1s"}]},"remove":{"lanes":["x%d"]}}`, operators.number, operators.number-1)
+	content := fmt.Sprintf(
+		`{"upsert":{"zones":[{"name":"a","closed":false}],`+
+			`"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
+"lanes":[{"name":"x%d","pool":"p","patience":"1s"}]},"remove":{"lanes":["x%d"]}}`,
+		operators.number,
+		operators.number-1,
+	)
 	if traffic := operators.world.Traffic; traffic != nil {
 		content = string(traffic.draftChange(operators.number).Encode())
 	}
@@ -122,7 +140,7 @@
 		ask.Epoch, ask.HasEpoch = operators.base+1+uint64(random.Intn(5)), true
 	}
 	// Whoever carries an order marks it, and the operator's own copy must stay as it was.
-	operators.last = proto.Clone(ask).(*wire.OperatorRequest)
+	operators.last = proto.CloneOf(ask)
 	operators.order = operators.world.Check.Send(host, ask)
 	return operators.order
 }
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -38,7 +38,8 @@
 	operators *Operators
 	end       time.Time
 	order     *Order
-	// asked is the machine that the operator asks, in its life at that time; a harm to it says nothing of the others' pace.
+	// asked is the machine that the operator asks, in its life at that time; a harm to it says nothing of the others'
+	// pace.
 	asked       *Host
 	incarnation int
 	// paused is since when a daemon does not serve, starting since when it starts.
@@ -52,8 +53,16 @@
 func MeasurePace(seed int64, shape Shape, names []string) *Pace {
 	world := Found(seed, shape)
 	world.Run(8 * time.Second)
-	watch := &paceWatch{world: world, pace: &Pace{}, operators: &Operators{world: world, number: 2_000_000}, end: world.Now.Add(paceLength),
-		paused: map[*Host]time.Time{}, starting: map[*Host]time.Time{}, quietSince: map[*Host]time.Time{}, incarnations: map[*Host]int{}}
+	watch := &paceWatch{
+		world:        world,
+		pace:         &Pace{},
+		operators:    &Operators{world: world, number: 2_000_000},
+		end:          world.Now.Add(paceLength),
+		paused:       map[*Host]time.Time{},
+		starting:     map[*Host]time.Time{},
+		quietSince:   map[*Host]time.Time{},
+		incarnations: map[*Host]int{},
+	}
 	for _, host := range world.Datas() {
 		watch.incarnations[host] = host.incarnation
 	}
@@ -67,7 +76,8 @@
 // sample looks at the order and at every daemon, and comes back until the end.
 func (watch *paceWatch) sample() {
 	world := watch.world
-	if watch.asked != nil && (watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
+	if watch.asked != nil &&
+		(watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
 		watch.order = nil
 	}
 	watch.askAgain()
@@ -83,7 +93,8 @@
 	}
 }
 
-// askAgain sends an order again, unchanged and elsewhere, that got no clear answer; its time goes on from the first sending.
+// askAgain sends an order again, unchanged and elsewhere, that got no clear answer; its time goes on from the first
+// sending.
 func (watch *paceWatch) askAgain() {
 	if watch.order == nil || watch.order.Outcome != "unknown" || watch.order.Status != 504 {
 		return
--- a/verify/simulation/platform_list.go
+++ b/verify/simulation/platform_list.go
@@ -20,7 +20,16 @@
 
 func (platform *platform) add() {
 	platform.incarnations++
-	platform.listed = append(platform.listed, &wire.Runner{RunnerId: fmt.Sprintf("r%d", platform.incarnations), Address: "x", Zone: "a", Service: "s", State: "ready"})
+	platform.listed = append(
+		platform.listed,
+		&wire.Runner{
+			RunnerId: fmt.Sprintf("r%d", platform.incarnations),
+			Address:  "x",
+			Zone:     "a",
+			Service:  "s",
+			State:    "ready",
+		},
+	)
 }
 
 // replace takes one runner off and lists another.
@@ -44,7 +53,16 @@
 func (platform *platform) served() []byte {
 	lines := []dataplane.ListedRunner{}
 	for _, runner := range platform.listed {
-		lines = append(lines, dataplane.ListedRunner{RunnerID: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: runner.State})
+		lines = append(
+			lines,
+			dataplane.ListedRunner{
+				RunnerID: runner.RunnerId,
+				Address:  runner.Address,
+				Zone:     runner.Zone,
+				Service:  runner.Service,
+				State:    runner.State,
+			},
+		)
 	}
 	if platform.empty {
 		lines = lines[:0]
