--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -36,11 +36,13 @@
 		}
 		status := host.node.Status(world.local(host))
 		index, view := status.Place, host.node.View()
-		if index != "outside" && status.Pending > 2 || len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
+		if index != "outside" && status.Pending > 2 ||
+			len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
 			return false
 		}
-		if len(status.Warnings) > 0 && world.hasSpareDisks() || len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
-			false || view.Epoch != world.newestView().Epoch {
+		if len(status.Warnings) > 0 && world.hasSpareDisks() ||
+			len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
+			view.Epoch != world.newestView().Epoch {
 			return false
 		}
 	}
@@ -91,7 +93,8 @@
 	operators := &Operators{world: world, number: 1_000_000}
 	var order *Order
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
-		if order == nil || order.Outcome == "refused" || order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
+		if order == nil || order.Outcome == "refused" ||
+			order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
 			operators.base = world.Check.greatestKnown()
 			order = operators.apply(world.pick(world.Cores()))
 		}
@@ -106,7 +109,8 @@
 func (world *World) allServe(epoch uint64) bool {
 	for _, host := range world.Datas() {
 		local := world.local(host)
-		if !host.up || !local.Before(host.controller.Until(local)) || host.controller.Snapshot(local).SpecEpoch < epoch {
+		if !host.up || !local.Before(host.controller.Until(local)) ||
+			host.controller.Snapshot(local).SpecEpoch < epoch {
 			return false
 		}
 	}
@@ -158,14 +162,34 @@
 		}
 		if !host.Core {
 			snapshot := host.controller.Snapshot(local)
-			text += fmt.Sprintf("  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address, local.Before(snapshot.Until), snapshot.Sequence,
-				snapshot.SpecEpoch, host.controller.View().GetEpoch())
+			text += fmt.Sprintf(
+				"  %s serves %v, sequence %d, epoch %d, view %d\n",
+				host.Address,
+				local.Before(snapshot.Until),
+				snapshot.Sequence,
+				snapshot.SpecEpoch,
+				host.controller.View().GetEpoch(),
+			)
 			continue
 		}
 		status := host.node.Status(local)
-		text += fmt.Sprintf("  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, learned in %d, frozen %v, stalled %v\n", host.Address, status.ID,
-			status.Place, status.View, status.Leading, status.Claim, status.Unhealthy, status.Synced, status.Committed, status.Pending,
-			host.node.Chain().LearnedView(), host.frozen, host.stalled)
+		text += fmt.Sprintf(
+			"  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, learned in %d, "+
+				"frozen %v, stalled %v\n",
+			host.Address,
+			status.ID,
+			status.Place,
+			status.View,
+			status.Leading,
+			status.Claim,
+			status.Unhealthy,
+			status.Synced,
+			status.Committed,
+			status.Pending,
+			host.node.Chain().LearnedView(),
+			host.frozen,
+			host.stalled,
+		)
 		for _, member := range status.Chain {
 			text += fmt.Sprintf("    chain  %s %s heard %v\n", member.ID, member.Address, member.Heard)
 		}
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -76,9 +76,19 @@
 	for range 2 {
 		racers.number++
 		racers.Sent++
-		ask := &wire.OperatorRequest{Verb: "apply", Spec: SpecText(racers.number), Operation: fmt.Sprintf("o%d", racers.number), Base: base, HasBase: true,
-			Epoch: epoch, HasEpoch: true}
-		order := racers.world.Check.Send(racers.world.pick(racers.world.Cores()), proto.Clone(ask).(*wire.OperatorRequest))
+		ask := &wire.OperatorRequest{
+			Verb:      "apply",
+			Spec:      SpecText(racers.number),
+			Operation: fmt.Sprintf("o%d", racers.number),
+			Base:      base,
+			HasBase:   true,
+			Epoch:     epoch,
+			HasEpoch:  true,
+		}
+		order := racers.world.Check.Send(
+			racers.world.pick(racers.world.Cores()),
+			proto.CloneOf(ask),
+		)
 		racers.inFlight = append(racers.inFlight, &racedOrder{request: ask, order: order})
 	}
 }
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -66,8 +66,17 @@
 
 func (registering *RegisteringRunners) start(address, zone, service string) {
 	registering.incarnations++
-	incarnation := &runnerIncarnation{runners: registering, id: fmt.Sprintf("q%d", registering.incarnations), address: address, zone: zone, service: service, started: registering.world.Now,
-		core: registering.world.random.Intn(64), state: registry.Ready, running: true}
+	incarnation := &runnerIncarnation{
+		runners: registering,
+		id:      fmt.Sprintf("q%d", registering.incarnations),
+		address: address,
+		zone:    zone,
+		service: service,
+		started: registering.world.Now,
+		core:    registering.world.random.Intn(64),
+		state:   registry.Ready,
+		running: true,
+	}
 	registering.Incarnations = append(registering.Incarnations, incarnation)
 	registering.byID[incarnation.id] = incarnation
 	registering.world.After(time.Duration(registering.world.random.Int63n(int64(callEvery))), incarnation.heartbeat)
@@ -85,8 +94,17 @@
 
 // registration is what the runner tells of itself now.
 func (incarnation *runnerIncarnation) registration() *wire.Runner {
-	line := &wire.Runner{RunnerId: incarnation.id, Address: incarnation.address, Zone: incarnation.zone, Service: incarnation.service, Slots: 4, State: incarnation.state, Call: incarnation.call}
-	if cold := coldAtStart - incarnation.runners.world.Now.Sub(incarnation.started); cold > 0 && incarnation.state == registry.Ready {
+	line := &wire.Runner{
+		RunnerId: incarnation.id,
+		Address:  incarnation.address,
+		Zone:     incarnation.zone,
+		Service:  incarnation.service,
+		Slots:    4,
+		State:    incarnation.state,
+		Call:     incarnation.call,
+	}
+	if cold := coldAtStart - incarnation.runners.world.Now.Sub(incarnation.started); cold > 0 &&
+		incarnation.state == registry.Ready {
 		line.State, line.SlowStartMilliseconds = registry.Cold, uint32(cold/time.Millisecond)
 	}
 	return line
@@ -134,7 +152,10 @@
 }
 
 // send hands a call to the core that the life calls now; a refusal makes the next one come soon.
-func (incarnation *runnerIncarnation) send(do func(now time.Time, host *Host, answer func(outcome registry.Outcome)), acked func()) {
+func (incarnation *runnerIncarnation) send(
+	do func(now time.Time, host *Host, answer func(outcome registry.Outcome)),
+	acked func(),
+) {
 	world := incarnation.runners.world
 	cores := world.Cores()
 	host := cores[incarnation.core%len(cores)]
@@ -225,7 +246,10 @@
 		ends := []func(){incarnation.drain, incarnation.drain, incarnation.stop}
 		ends[world.random.Intn(len(ends))]()
 	}
-	world.After(registering.Every/2+time.Duration(world.random.Int63n(int64(registering.Every))), registering.scheduleNext)
+	world.After(
+		registering.Every/2+time.Duration(world.random.Int63n(int64(registering.Every))),
+		registering.scheduleNext,
+	)
 }
 
 // check looks at what a daemon that awards work goes by.
@@ -241,13 +265,19 @@
 		return
 	}
 	for _, incarnation := range registering.Incarnations {
-		if !incarnation.running || incarnation.state != registry.Ready || incarnation.knownSince.IsZero() || listed[incarnation.id] {
+		if !incarnation.running || incarnation.state != registry.Ready || incarnation.knownSince.IsZero() ||
+			listed[incarnation.id] {
 			continue
 		}
 		missing := now.Sub(incarnation.knownSince)
 		checker.recordWorst("a new runner unknown", missing)
 		if missing > registering.KnownBound {
-			checker.violation("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls", host.Address, incarnation.id, missing)
+			checker.violation(
+				"runner-lost: %s does not list %s, which was first acknowledged %v ago and calls",
+				host.Address,
+				incarnation.id,
+				missing,
+			)
 		}
 	}
 }
@@ -271,7 +301,12 @@
 	late := registering.world.Now.Sub(incarnation.leftAt)
 	checker.recordWorst("work to a runner that said it leaves", late)
 	if !checker.mayIgnore(host, late, leaveKnown) {
-		checker.violation("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address, runner.RunnerId, late)
+		checker.violation(
+			"leaving-used: %s still uses %s, %v after its leaving was acknowledged",
+			host.Address,
+			runner.RunnerId,
+			late,
+		)
 	}
 	return true
 }
@@ -283,9 +318,17 @@
 		listed := map[string]bool{}
 		for _, runner := range host.controller.Snapshot(registering.world.local(host)).Runners {
 			listed[runner.RunnerId] = true
-			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running && runner.State != registry.Draining {
-				checker.violation("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address, runner.RunnerId, runner.State,
-					registering.world.Now.Sub(incarnation.finishedAt), runner.Call, incarnation.call)
+			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running &&
+				runner.State != registry.Draining {
+				checker.violation(
+					"dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d",
+					host.Address,
+					runner.RunnerId,
+					runner.State,
+					registering.world.Now.Sub(incarnation.finishedAt),
+					runner.Call,
+					incarnation.call,
+				)
 			}
 		}
 		for _, incarnation := range registering.Incarnations {
@@ -330,7 +373,8 @@
 	return world
 }
 
-// RegistryCost is what a core and a daemon sent in a second, in bytes, on average over each kind; Messages is of all processes.
+// RegistryCost is what a core and a daemon sent in a second, in bytes, on average over each kind; Messages is of all
+// processes.
 type RegistryCost struct {
 	Core, Daemon, Messages float64
 }
@@ -340,7 +384,7 @@
 func MeasureRegistry(seed int64, daemons, runners int, every time.Duration) (calm, release RegistryCost) {
 	world := NewWorld(seed)
 	zones := []string{"a", "b", "c"}
-	var seeds []string
+	seeds := make([]string, 0, len(zones))
 	for _, zone := range zones {
 		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
 	}
@@ -374,6 +418,9 @@
 	per := func(now, before uint64, count int) float64 {
 		return float64(now-before) / float64(max(1, count)) / length.Seconds()
 	}
-	return RegistryCost{Core: per(sum(world.Cores()), cores, len(world.Cores())), Daemon: per(sum(world.Datas()), datas, len(world.Datas())),
-		Messages: per(world.Messages, messages, len(world.Hosts))}
+	return RegistryCost{
+		Core:     per(sum(world.Cores()), cores, len(world.Cores())),
+		Daemon:   per(sum(world.Datas()), datas, len(world.Datas())),
+		Messages: per(world.Messages, messages, len(world.Hosts)),
+	}
 }
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -10,12 +10,23 @@
 // noCutFaults are the faults that part no cores and no daemons from them, apart those that part daemons from the
 // cores: while they last no daemon may lose a runner that calls.
 var (
-	noCutFaults     = []string{"core killed", "core wiped", "core without power", "core frozen", "control lost", "data killed", "data frozen", "disk stalled", "lossy network"}
+	noCutFaults = []string{
+		"core killed",
+		"core wiped",
+		"core without power",
+		"core frozen",
+		"control lost",
+		"data killed",
+		"data frozen",
+		"disk stalled",
+		"lossy network",
+	}
 	isolatingFaults = []string{"control cut from data", "data cut from control", "control lost"}
 )
 
 const (
-	// knownBound is when a new runner must be known, and arrivesApart where cuts may last for 8.2 s, one after the other.
+	// knownBound is when a new runner must be known, and arrivesApart where cuts may last for 8.2 s, one after the
+	// other.
 	knownBound         = 2 * time.Second
 	knownBoundWithCuts = 20 * time.Second
 )
@@ -26,6 +37,7 @@
 }
 
 func playRegisteringRunners(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
+	t.Helper()
 	t.Parallel()
 	for number := range seedCount(t) * 6 {
 		seed := int64(number + 1)
@@ -38,7 +50,15 @@
 			if t.Failed() {
 				t.Log(world.Log)
 			}
-			t.Log(world.RegisteringRunners.Acknowledged, "acknowledged,", world.RegisteringRunners.Rejected, "refused,", len(world.RegisteringRunners.Incarnations), "lives", world.Check.WorstCases)
+			t.Log(
+				world.RegisteringRunners.Acknowledged,
+				"acknowledged,",
+				world.RegisteringRunners.Rejected,
+				"refused,",
+				len(world.RegisteringRunners.Incarnations),
+				"lives",
+				world.Check.WorstCases,
+			)
 		})
 	}
 }
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -37,47 +37,131 @@
 // Attempts has one row for each part of each point of "What must never happen". docs/rules.md names the
 // broken code that turns each of them red.
 var Attempts = map[string]Attempt{
-	"run twice":                 {Faults: []string{"runner fails", "runner killed", "runner frozen", "runner deaf"}},
-	"run twice, sent again":     {Faults: []string{"data killed", "runner killed"}, change: func(trial *Trial) { trial.Retries = 0.3 }},
-	"run after will not run":    {Faults: []string{"runner fails", "pool killed", "all put back"}},
-	"not whole":                 {Faults: []string{"runner partial", "runner killed"}},
-	"skip, repeat, splice":      {Faults: []string{"runner garbles", "runner partial"}},
-	"service not allowed":       {Faults: []string{"data cut from control", "address taken"}, change: often},
-	"address reused":            {Faults: []string{"address taken", "runner replaced"}},
-	"draining":                  {Faults: []string{"runner drained", "list older", "list stuck"}, change: func(trial *Trial) { trial.AtOnce = 2 }},
-	"vanished":                  {Faults: []string{"runner delisted", "list half"}},
-	"leaving beside a cut":      {Faults: []string{"runner cut and delisted", "runner deaf", "runner delisted"}, change: func(trial *Trial) { trial.AtOnce = 2 }},
-	"change ignored":            {Faults: []string{"data cut off", "data cut from control", "data deaf", "data frozen"}, change: often},
-	"slips back":                {Faults: []string{"data killed", "data cut from control", "zone cut off"}, change: often},
-	"refused, losing, invalid":  {Faults: []string{"core killed", "core frozen", "core link cut one way"}, change: often},
-	"closed zone":               {Faults: []string{"data cut off", "zone cut off", "runner deaf"}, change: often},
-	"repeats":                   {Faults: []string{"all put back", "pool killed", "uneven daemons", "runner fails"}, change: func(trial *Trial) { trial.AtOnce = 2 }},
-	"cold runner":               {Faults: []string{"pool killed", "runner replaced", "crowd", "hot key"}, change: func(trial *Trial) { trial.AtOnce = 3 }},
-	"planned restart":           {Faults: []string{"daemon drained", "runner drained", "crowd"}, change: func(trial *Trial) { trial.AtOnce = 2 }},
-	"change under way":          {Faults: []string{"crowd", "uneven daemons"}, change: often},
-	"forgotten":                 {Faults: []string{"power after acknowledgement", "all disks slow", "core wiped"}, change: func(trial *Trial) { trial.AtOnce, trial.Every = 2, 700*time.Millisecond }},
-	"down":                      {Faults: []string{"all down", "zone lost"}},
-	"turned away":               {Faults: []string{"control cut from data", "core killed", "list empty", "list silent", "hot key"}},
-	"turned away after a cut":   {Faults: []string{"control cut from data"}, change: func(trial *Trial) { trial.Every, trial.Rate = 400*time.Millisecond, 240 }},
-	"turned away after a crowd": {Faults: []string{"crowd"}, change: func(trial *Trial) { trial.Rate, trial.TakeAway = 120, 0 }},
-	"resumed": {Faults: []string{"runner killed", "runner partial", "runner frozen", "runner dark", "runner garbles", "runner unheard"}, change: func(trial *Trial) {
-		trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
-	}},
-	"resumed beside changes": {Faults: []string{"runner partial", "runner drained", "data cut from control", "address taken"}, change: func(trial *Trial) {
-		often(trial)
-		trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
-	}},
-	"deadline": {Faults: []string{"runner mute", "runner dark", "runner deaf", "runner slow", "all put back", "pool killed", "data cut from control", "control cut from data", "address taken"},
-		change: func(trial *Trial) { trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithDeadlines }},
-	"answers astray": {Faults: []string{"runner garbles", "runner late", "runner gives surplus answers", "connections reset", "daemon frozen for a moment", "runner partial"},
-		change: func(trial *Trial) { trial.AtOnce, trial.Retries = 3, 0.1 }},
-	"requesters leave": {Faults: []string{"daemon frozen for a moment", "data frozen", "crowd", "pool killed", "runner mute", "runner dark", "runner slow"},
+	"run twice": {Faults: []string{"runner fails", "runner killed", "runner frozen", "runner deaf"}},
+	"run twice, sent again": {
+		Faults: []string{"data killed", "runner killed"},
+		change: func(trial *Trial) { trial.Retries = 0.3 },
+	},
+	"run after will not run": {Faults: []string{"runner fails", "pool killed", "all put back"}},
+	"not whole":              {Faults: []string{"runner partial", "runner killed"}},
+	"skip, repeat, splice":   {Faults: []string{"runner garbles", "runner partial"}},
+	"service not allowed":    {Faults: []string{"data cut from control", "address taken"}, change: often},
+	"address reused":         {Faults: []string{"address taken", "runner replaced"}},
+	"draining": {
+		Faults: []string{"runner drained", "list older", "list stuck"},
+		change: func(trial *Trial) { trial.AtOnce = 2 },
+	},
+	"vanished": {Faults: []string{"runner delisted", "list half"}},
+	"leaving beside a cut": {
+		Faults: []string{"runner cut and delisted", "runner deaf", "runner delisted"},
+		change: func(trial *Trial) { trial.AtOnce = 2 },
+	},
+	"change ignored": {
+		Faults: []string{"data cut off", "data cut from control", "data deaf", "data frozen"},
+		change: often,
+	},
+	"slips back": {
+		Faults: []string{"data killed", "data cut from control", "zone cut off"},
+		change: often,
+	},
+	"refused, losing, invalid": {
+		Faults: []string{"core killed", "core frozen", "core link cut one way"},
+		change: often,
+	},
+	"closed zone": {Faults: []string{"data cut off", "zone cut off", "runner deaf"}, change: often},
+	"repeats": {
+		Faults: []string{"all put back", "pool killed", "uneven daemons", "runner fails"},
+		change: func(trial *Trial) { trial.AtOnce = 2 },
+	},
+	"cold runner": {
+		Faults: []string{"pool killed", "runner replaced", "crowd", "hot key"},
+		change: func(trial *Trial) { trial.AtOnce = 3 },
+	},
+	"planned restart": {
+		Faults: []string{"daemon drained", "runner drained", "crowd"},
+		change: func(trial *Trial) { trial.AtOnce = 2 },
+	},
+	"change under way": {Faults: []string{"crowd", "uneven daemons"}, change: often},
+	"forgotten": {
+		Faults: []string{"power after acknowledgement", "all disks slow", "core wiped"},
+		change: func(trial *Trial) { trial.AtOnce, trial.Every = 2, 700*time.Millisecond },
+	},
+	"down": {Faults: []string{"all down", "zone lost"}},
+	"turned away": {
+		Faults: []string{"control cut from data", "core killed", "list empty", "list silent", "hot key"},
+	},
+	"turned away after a cut": {
+		Faults: []string{"control cut from data"},
+		change: func(trial *Trial) { trial.Every, trial.Rate = 400*time.Millisecond, 240 },
+	},
+	"turned away after a crowd": {
+		Faults: []string{"crowd"},
+		change: func(trial *Trial) { trial.Rate, trial.TakeAway = 120, 0 },
+	},
+	"resumed": {
+		Faults: []string{
+			"runner killed",
+			"runner partial",
+			"runner frozen",
+			"runner dark",
+			"runner garbles",
+			"runner unheard",
+		},
+		change: func(trial *Trial) {
+			trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
+		},
+	},
+	"resumed beside changes": {
+		Faults: []string{"runner partial", "runner drained", "data cut from control", "address taken"},
+		change: func(trial *Trial) {
+			often(trial)
+			trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
+		},
+	},
+	"deadline": {
+		Faults: []string{
+			"runner mute",
+			"runner dark",
+			"runner deaf",
+			"runner slow",
+			"all put back",
+			"pool killed",
+			"data cut from control",
+			"control cut from data",
+			"address taken",
+		},
+		change: func(trial *Trial) { trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithDeadlines },
+	},
+	"answers astray": {
+		Faults: []string{
+			"runner garbles",
+			"runner late",
+			"runner gives surplus answers",
+			"connections reset",
+			"daemon frozen for a moment",
+			"runner partial",
+		},
+		change: func(trial *Trial) { trial.AtOnce, trial.Retries = 3, 0.1 },
+	},
+	"requesters leave": {
+		Faults: []string{
+			"daemon frozen for a moment",
+			"data frozen",
+			"crowd",
+			"pool killed",
+			"runner mute",
+			"runner dark",
+			"runner slow",
+		},
 		change: func(trial *Trial) {
 			trial.AtOnce, trial.Rate, trial.HangUps, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
-		}},
-	"requesters leave, some runs go on": {Faults: []string{"runner killed", "runner partial", "runner garbles", "daemon frozen for a moment"},
+		},
+	},
+	"requesters leave, some runs go on": {
+		Faults: []string{"runner killed", "runner partial", "runner garbles", "daemon frozen for a moment"},
 		change: func(trial *Trial) {
 			trial.AtOnce, trial.HangUps, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.WithResumption
-		}},
+		},
+	},
 	"answer at once": {Faults: []string{"runner dark", "runner mute", "runner unheard", "address taken"}},
 }
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -26,6 +26,7 @@
 
 // seedCount is how many seeds each attempt gets at each deployment; WARDTRAY_SEEDS asks for more than one.
 func seedCount(t *testing.T) int {
+	t.Helper()
 	text := os.Getenv("WARDTRAY_SEEDS")
 	if text == "" {
 		return 1
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -43,14 +43,20 @@
 		if active < atOnce {
 			name := names[world.random.Intn(len(names))]
 			undo := harm(name)(world)
-			world.Log = append(world.Log, fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
+			world.Log = append(
+				world.Log,
+				fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name),
+			)
 			active++
 			doing++
 			done := false
 			once := func() {
 				if !done {
 					done = true
-					world.Log = append(world.Log, fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
+					world.Log = append(
+						world.Log,
+						fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name),
+					)
 					undo()
 					doing--
 					since = world.Now
--- a/verify/simulation/silent_head_test.go
+++ b/verify/simulation/silent_head_test.go
@@ -35,7 +35,12 @@
 
 // headlessMessages founds a fleet, takes the power from cores until it has no head, and gives the messages a
 // daemon and second until a head acts again, and for how long there was none.
-func headlessMessages(t *testing.T, seed int64, shape Shape, lose func(world *World, head *Host)) (rate float64, silence time.Duration) {
+func headlessMessages(
+	t *testing.T,
+	seed int64,
+	shape Shape,
+	lose func(world *World, head *Host),
+) (rate float64, silence time.Duration) {
 	t.Helper()
 	world := Found(seed, shape)
 	world.Run(20 * time.Second)
@@ -81,20 +86,40 @@
 	}
 	for name, lose := range losses {
 		for seed := int64(1); seed <= 3; seed++ {
-			var rates []float64
+			rates := make([]float64, 0, len(smallAndLargeShapes))
 			for _, shape := range smallAndLargeShapes {
 				rate, silence := headlessMessages(t, seed, shape, lose)
-				t.Logf("%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head", name, seed, sum(shape.Machines), rate, silence)
+				t.Logf(
+					"%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head",
+					name,
+					seed,
+					sum(shape.Machines),
+					rate,
+					silence,
+				)
 				if silence < minimumHeadless {
 					t.Errorf("%s, seed %d: a head acted after %v; that is too soon to count", name, seed, silence)
 				}
 				if rate > headlessMessageBound {
-					t.Errorf("%s, seed %d: %.1f messages a daemon and second among %d; at most %d", name, seed, rate, sum(shape.Machines), headlessMessageBound)
+					t.Errorf(
+						"%s, seed %d: %.1f messages a daemon and second among %d; at most %d",
+						name,
+						seed,
+						rate,
+						sum(shape.Machines),
+						headlessMessageBound,
+					)
 				}
 				rates = append(rates, rate)
 			}
 			if rates[1] > rates[0]*headlessGrowthBound {
-				t.Errorf("%s, seed %d: %.1f messages a daemon and second among 12, %.1f among 80", name, seed, rates[0], rates[1])
+				t.Errorf(
+					"%s, seed %d: %.1f messages a daemon and second among 12, %.1f among 80",
+					name,
+					seed,
+					rates[0],
+					rates[1],
+				)
 			}
 		}
 	}
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -27,6 +27,7 @@
 
 // seeds plays many seeds side by side.
 func seeds(t *testing.T, shape Shape, count int64, names []string, atOnce int) {
+	t.Helper()
 	t.Parallel()
 	for seed := int64(1); seed <= count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -36,7 +37,8 @@
 	}
 }
 
-// One fault at a time, repaired before the next, is what a deployment must bear without a pause longer than the brief's.
+// One fault at a time, repaired before the next, is what a deployment must bear without a pause longer than the
+// brief's.
 func TestSingleFaultsOnTheGuild(t *testing.T)   { seeds(t, Guild, 16, FaultNames(), 1) }
 func TestSingleFaultsOnTheFerries(t *testing.T) { seeds(t, Ferries, 16, FaultNames(), 1) }
 
@@ -52,7 +54,15 @@
 // Fewer disks than seeds should be, and many in one zone.
 func TestFewDisksAndFewZones(t *testing.T) {
 	t.Parallel()
-	kinds := []string{"core killed", "core without power", "core frozen", "data killed", "data frozen", "disk stalled", "all down"}
+	kinds := []string{
+		"core killed",
+		"core without power",
+		"core frozen",
+		"data killed",
+		"data frozen",
+		"disk stalled",
+		"all down",
+	}
 	for name, shape := range map[string]Shape{"single": Single, "pair": Pair, "narrow": Narrow} {
 		t.Run(name, func(t *testing.T) { seeds(t, shape, 4, kinds, 1) })
 	}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -22,7 +22,7 @@
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
 func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
 	world := NewWorld(seed)
-	var seeds []string
+	seeds := make([]string, 0, 3)
 	for _, zone := range []string{"a", "b", "c"} {
 		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
 	}
@@ -41,9 +41,16 @@
 	const quiet = 4 * time.Second
 	world.Run(quiet)
 	per := float64(daemons) * quiet.Seconds()
-	spread.Messages, spread.Bytes, spread.AcrossBytes = float64(world.Messages-messages)/per, float64(world.Bytes-bytes)/per, float64(world.AcrossBytes-across)/per
+	spread.Messages, spread.Bytes, spread.AcrossBytes = float64(world.Messages-messages)/per, float64(
+		world.Bytes-bytes,
+	)/per, float64(
+		world.AcrossBytes-across,
+	)/per
 	bytes = world.Bytes
-	order := world.Check.Send(world.Hosts[1], &wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
+	order := world.Check.Send(
+		world.Hosts[1],
+		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"},
+	)
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
@@ -59,9 +66,17 @@
 		}
 	}
 	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
-		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons, order.Outcome, world.Check.Violations)
+		return spread, fmt.Errorf(
+			"%d of %d have the change, its outcome is %s; %v",
+			len(arrived),
+			daemons,
+			order.Outcome,
+			world.Check.Violations,
+		)
 	}
-	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(daemons)
+	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(
+		daemons,
+	)
 	lengths := make([]time.Duration, 0, daemons)
 	for _, length := range arrived {
 		lengths = append(lengths, length)
@@ -74,12 +89,16 @@
 
 // manyRoutes is a spec with so many routes.
 func manyRoutes(count int) []byte {
-	text := `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`
+	text := `{"zones":[{"name":"a","closed":false}],` +
+		`"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`
 	for number := range max(1, count) {
 		if number > 0 {
 			text += ","
 		}
-		text += fmt.Sprintf(`{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`, number)
+		text += fmt.Sprintf(
+			`{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`,
+			number,
+		)
 	}
 	return []byte(text + "]}")
 }
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -38,8 +38,8 @@
 	Uneven bool
 	// TakeAway is the part of the operators' specs that take away what requests need.
 	TakeAway float64
-	// HangUpsMidway is the part of the clients that hang up in the middle, Leaves that of those that hang up at any moment,
-	// also before they are read and while nothing has come.
+	// HangUpsMidway is the part of the clients that hang up in the middle, Leaves that of those that hang up at any
+	// moment, also before they are read and while nothing has come.
 	HangUpsMidway, HangUps float64
 	// Retries is the part of the requests that their clients send again.
 	Retries float64
@@ -47,8 +47,16 @@
 
 // StartTraffic brings the request path in: so many runners, and clients once Rate is above zero.
 func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
-	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), eligible: map[string]bool{},
-		readySince: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
+	traffic := &Traffic{
+		world:      world,
+		random:     rand.New(rand.NewSource(world.random.Int63())),
+		Mix:        mix,
+		History:    histories.New(),
+		eligible:   map[string]bool{},
+		readySince: map[string]time.Time{},
+		weights:    mix.Weights,
+		specs:      map[string]*config.Spec{},
+	}
 	world.Traffic = traffic
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
@@ -109,7 +117,10 @@
 	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.engine
-		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects && !engine.fails && engine.garble == "" && engine.slow < 2
+		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects &&
+			!engine.fails &&
+			engine.garble == "" &&
+			engine.slow < 2
 		if well && listed[engine.id] && !engine.warmingUp() && traffic.reachable(host) {
 			room.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
 			room.Slots[host.Zone] += engine.profile.Slots
@@ -225,8 +236,17 @@
 
 func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
 	made := &client{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
-		record: &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: traffic.world.Now,
-			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.TimeLimit()}}
+		record: &histories.Answer{
+			Request:       drawn.ID,
+			Route:         drawn.Kind.Route,
+			Once:          drawn.Kind.Once,
+			LatencyTarget: drawn.Kind.LatencyTarget,
+			Zone:          zone,
+			Sent:          traffic.world.Now,
+			Resumable:     drawn.Kind.Resumable,
+			Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
+			Bound:         drawn.TimeLimit(),
+		}}
 	made.parser.Record = made.record
 	traffic.checker.ObserveRequest(made.record)
 	return made
@@ -263,7 +283,9 @@
 		traffic.world.spawn(host, func() {
 			client.read, client.record.Started = true, traffic.world.Now
 			host.plane.Handler.Serve(client)
-			client.finish(client.record.Status == 0 || client.record.Status == 200 && !client.record.Done && !client.record.Error)
+			client.finish(
+				client.record.Status == 0 || client.record.Status == 200 && !client.record.Done && !client.record.Error,
+			)
 		})
 	})
 }
@@ -353,8 +375,14 @@
 	if client.host.leasedSince.After(decided) {
 		decided = client.host.leasedSince
 	}
-	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound && world.local(client.host).Before(client.host.plane.Snapshot().Until) {
-		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request, client.record.Kind, held)
+	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound &&
+		world.local(client.host).Before(client.host.plane.Snapshot().Until) {
+		world.Check.violation(
+			"held-back: %s got its final %q %v after it was decided",
+			client.record.Request,
+			client.record.Kind,
+			held,
+		)
 	}
 }
 
@@ -438,7 +466,9 @@
 	takes := []func(){
 		func() { change.Remove.Routes, change.Upsert.Routes = []string{made.Routes[0].Name}, made.Routes[1:] },
 		func() {
-			change.Upsert = config.Entries{Zones: []config.Zone{{Name: made.Zones[traffic.random.Intn(len(made.Zones))].Name, Closed: true}}}
+			change.Upsert = config.Entries{
+				Zones: []config.Zone{{Name: made.Zones[traffic.random.Intn(len(made.Zones))].Name, Closed: true}},
+			}
 		},
 		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
 	}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -1,4 +1,4 @@
-// Package sim is a seeded world in one thread: a network, clocks and disks on which the very state
+// Package simulation is a seeded world in one thread: a network, clocks and disks on which the very state
 // machines of the daemons run, while faults are done to them and the rules are checked after each
 // step. The same seed gives the same run; a failure names its seed.
 package simulation
@@ -46,7 +46,13 @@
 	return events[left].sequence < events[right].sequence
 }
 func (events events) Swap(left, right int) { events[left], events[right] = events[right], events[left] }
-func (events *events) Push(entry any)      { *events = append(*events, entry.(event)) }
+func (events *events) Push(added any) {
+	planned, isEvent := added.(event)
+	if !isEvent {
+		panic(fmt.Sprintf("the queue holds no %T", added))
+	}
+	*events = append(*events, planned)
+}
 func (events *events) Pop() any {
 	last := (*events)[len(*events)-1]
 	*events = (*events)[:len(*events)-1]
@@ -96,18 +102,18 @@
 	isolation   isolation
 	// resetAt is when the machine's connections were last reset: what was on its way then is lost.
 	resetAt time.Time
-	// leasedUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; sureSince is since
-	// when it has been so without a break.
+	// leasedUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; sureSince is
+	// since when it has been so without a break.
 	leasedUntil, leasedSince time.Time
 }
 
-// Up tells whether the host runs.
+// Up reports whether the host runs.
 func (host *Host) Up() bool { return host.up }
 
-// Node gives a core's machine, Data a data daemon's.
+// Node returns the state machine of a core.
 func (host *Host) Node() *node.Node { return host.node }
 
-// Data gives a data daemon's machine.
+// Data returns the controller of a data daemon.
 func (host *Host) Data() *controller.Controller { return host.controller }
 
 // World is the whole simulation.
@@ -156,8 +162,18 @@
 // NewWorld makes an empty world.
 func NewWorld(seed int64) *World {
 	started := time.Unix(1_700_000_000, 0)
-	world := &World{Seed: seed, Now: started, started: started, random: rand.New(rand.NewSource(seed)), byName: map[string]*Host{},
-		cuts: map[[2]string]bool{}, links: map[[2]string]time.Time{}, Delay: time.Millisecond, Jitter: 4 * time.Millisecond, WithoutCore: defaultWithoutCore}
+	world := &World{
+		Seed:        seed,
+		Now:         started,
+		started:     started,
+		random:      rand.New(rand.NewSource(seed)),
+		byName:      map[string]*Host{},
+		cuts:        map[[2]string]bool{},
+		links:       map[[2]string]time.Time{},
+		Delay:       time.Millisecond,
+		Jitter:      4 * time.Millisecond,
+		WithoutCore: defaultWithoutCore,
+	}
 	world.Check = newChecker(world)
 	world.Platform.world = world
 	return world
@@ -176,7 +192,8 @@
 func (world *World) Run(length time.Duration) {
 	end := world.Now.Add(length)
 	for len(world.queue) > 0 && !world.queue[0].at.After(end) && len(world.Check.Violations) == 0 {
-		next := heap.Pop(&world.queue).(event)
+		next := world.queue[0]
+		heap.Pop(&world.queue)
 		world.Now = next.at
 		next.do()
 		world.refreshIsolation()
@@ -206,7 +223,13 @@
 func (world *World) AddData(address, zone string) *Host { return world.add(address, zone, false) }
 
 func (world *World) add(address, zone string, isCore bool) *Host {
-	host := &Host{Address: address, Zone: zone, Core: isCore, drift: (world.random.Float64() - 0.5) * 0.01, seeds: world.seeds}
+	host := &Host{
+		Address: address,
+		Zone:    zone,
+		Core:    isCore,
+		drift:   (world.random.Float64() - 0.5) * 0.01,
+		seeds:   world.seeds,
+	}
 	if isCore {
 		host.disk = newDisk(world.random)
 	}
@@ -262,9 +285,14 @@
 	// Only the very first start may found a fleet; a machine whose disk is lost later must not.
 	founding := !host.everStarted
 	host.everStarted = true
-	host.node = node.New(now, node.Settings{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
-		Founding: founding, Faults: world.Faults, Heartbeat: callEvery},
-		restored.Memory, restored.Records, random)
+	host.node = node.New(
+		now,
+		node.Settings{Address: host.Address, Zone: host.Zone, Seeds: host.seeds, Founders: world.founders,
+			Founding: founding, Faults: world.Faults, Heartbeat: callEvery},
+		restored.Memory,
+		restored.Records,
+		random,
+	)
 	world.tick(host, host.incarnation)
 }
 
@@ -381,7 +409,8 @@
 	return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1))
 }
 
-// refuseConnection tells a sender that nobody listened where its message came to, if the machine there is alive to say so.
+// refuseConnection tells a sender that nobody listened where its message came to, if the machine there is alive to say
+// so.
 func (world *World) refuseConnection(from, to *Host, tried time.Time) {
 	if to.up || to.poweredOff || to.engine != nil || world.disconnected(from, to) {
 		return
@@ -396,7 +425,9 @@
 				from.node.Refused(world.local(from), to.Address, tried)
 				return
 			}
-			from.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Refused(now, to.Address, tried) })
+			from.plane.Step(
+				func(now time.Time, machine *controller.Controller) { machine.Refused(now, to.Address, tried) },
+			)
 		})
 	})
 }
@@ -408,7 +439,8 @@
 // connectionLasts is how long an idle connection is kept.
 const connectionLasts = time.Minute
 
-// closeConnections has the system of a machine whose process ended close its connections; whoever had one tries again at once.
+// closeConnections has the system of a machine whose process ended close its connections; whoever had one tries again
+// at once.
 func (world *World) closeConnections(host *Host) {
 	for _, other := range world.Hosts {
 		sent, linked := world.links[[2]string{other.Address, host.Address}]
@@ -551,8 +583,13 @@
 		Dial: func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
 			return world.dial(ctx, host, address, terms)
 		},
-	}, dataplane.Settings{Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds, Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore}, Random: random, Await: world.await,
-		Send: func(outbox []statemachine.Message) { world.send(host, outbox) }, Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent})
+	}, dataplane.Settings{
+		Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds,
+			Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore},
+		Random: random, Await: world.await,
+		Send: func(outbox []statemachine.Message) { world.send(host, outbox) },
+		Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent,
+	})
 	if err != nil {
 		panic(err)
 	}
@@ -580,7 +617,10 @@
 
 // every does something in a host's process again and again, while that lives and is not frozen.
 func (world *World) every(host *Host, incarnation int, length time.Duration, do func()) {
-	world.After(time.Duration(world.random.Int63n(int64(length))), func() { world.again(host, incarnation, length, do) })
+	world.After(
+		time.Duration(world.random.Int63n(int64(length))),
+		func() { world.again(host, incarnation, length, do) },
+	)
 }
 
 func (world *World) again(host *Host, incarnation int, length time.Duration, do func()) {
