--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -12,10 +12,8 @@
 
 // registerPlace adds the command that measures placement.
 func registerPlace(application *kingpin.Application, known commands) {
-	command := application.Command(
-		"place",
-		"Measure placement in simulated time beside random, least loaded and index only.",
-	)
+	command := application.Command("place",
+		"Measure placement in simulated time beside random, least loaded and index only.")
 	deployment := deploymentArgument(command)
 	rates := command.Flag("rate", "Requests a second; may be given several times.").
 		Default("60", "200", "400").
@@ -32,10 +30,8 @@
 
 // registerBatches adds the command that measures placement on batching engines.
 func registerBatches(application *kingpin.Application, known commands) {
-	command := application.Command(
-		"batches",
-		"Measure placement on engines that run requests in batches, in simulated time, beside other ways of choosing.",
-	)
+	command := application.Command("batches",
+		"Measure placement on engines that run requests in batches, in simulated time, beside other ways of choosing.")
 	deployment := command.Arg("deployment", "Which fleet and engines.").Required().Enum(placement.DeploymentNames()...)
 	loads := command.Flag("load", "Times the usual load; may be given several times.").
 		Default("0.7", "1", "1.3").
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -61,10 +61,8 @@
 
 // registerPath adds the command that simulates the request path too.
 func registerPath(application *kingpin.Application, known commands) {
-	command := application.Command(
-		"path",
-		"Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.",
-	)
+	command := application.Command("path",
+		"Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.")
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds.", "32")
@@ -84,10 +82,8 @@
 			}
 			trial := simulation.DefaultTrial
 			trial.Faults, trial.AtOnce, trial.Every = names, *atOnce, *every
-			clean = simulate(
-				*seeds,
-				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) },
-			) &&
+			clean = simulate(*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) &&
 				clean
 		}
 		endUnless(clean)
@@ -95,7 +91,7 @@
 	}
 }
 
-// faultSets gives the kinds of fault of each play: those asked for, all together, or each by itself.
+// faultSets returns the kinds of fault of each play: those asked for, all together, or each by itself.
 func faultSets(asked, all []string) [][]string {
 	if len(asked) == 0 {
 		return [][]string{all}
@@ -112,10 +108,8 @@
 
 // registerRules adds the command that tries each part of each rule.
 func registerRules(application *kingpin.Application, known commands) {
-	command := application.Command(
-		"rules",
-		"Try every part of every rule of the brief by the faults that cause it, under many seeds.",
-	)
+	command := application.Command("rules",
+		"Try every part of every rule of the brief by the faults that cause it, under many seeds.")
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds for each.", "16")
@@ -132,10 +126,8 @@
 		for _, name := range *only {
 			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.Attempts[name].Faults, ", "))
 			trial := simulation.Attempts[name].Trial(*length)
-			clean = simulate(
-				*seeds,
-				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) },
-			) &&
+			clean = simulate(*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) &&
 				clean
 		}
 		endUnless(clean)
@@ -151,7 +143,7 @@
 	worst                *worst
 }
 
-// simulate runs seeds side by side, prints every failure and the worst cases seen, and tells whether no rule was
+// simulate runs seeds side by side, prints every failure and the worst cases seen, and reports whether no rule was
 // broken.
 func simulate(seeds seedRange, play func(seed int64) *simulation.World) bool {
 	waiting := make(chan int64)
@@ -169,12 +161,8 @@
 	}
 	close(waiting)
 	workers.Wait()
-	fmt.Printf(
-		"%d seeds, %d changes acknowledged, %d awards checked\n",
-		seeds.count,
-		summary.acknowledged,
-		summary.awards,
-	)
+	fmt.Printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds.count, summary.acknowledged,
+		summary.awards)
 	summary.worst.print()
 	verdicts := map[bool]string{
 		true:  "verdict: clean",
--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -23,7 +23,7 @@
 	return &Cache[Key]{room: room, order: list.New(), places: map[Key]*list.Element{}}
 }
 
-// Use gives how many tokens of an opening were held without a gap, and holds all of it from now on.
+// Use returns how many tokens of an opening were held without a gap, and holds all of it from now on.
 func (cache *Cache[Key]) Use(keys []Key, tokens []int) int {
 	held, complete := 0, true
 	for index, key := range keys {
@@ -52,7 +52,7 @@
 	return held
 }
 
-// Chained gives each part the name of all before it, as an engine's keys do.
+// Chained returns each part the name of all before it, as an engine's keys do.
 func Chained(parts []string) []string {
 	keys, key := make([]string, len(parts)), ""
 	for index, part := range parts {
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"math/rand"
 	"net"
@@ -65,7 +66,7 @@
 			MaxIdleConnDuration: time.Second,
 		},
 	}
-	listener, err := net.Listen("tcp", address)
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +106,7 @@
 	}
 }
 
-// Settled tells whether a runner has been listed as ready for as long as it takes to be used in full.
+// Settled reports whether a runner has been listed as ready for as long as it takes to be used in full.
 func (platform *Platform) Settled(runner *Runner) bool {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
@@ -157,10 +158,8 @@
 	for id, was := range platform.known {
 		if was && !live[id] {
 			platform.record.Change(func(record *histories.History) {
-				record.Drains = append(
-					record.Drains,
-					&histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"},
-				)
+				record.Drains = append(record.Drains,
+					&histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
 			})
 		}
 	}
@@ -185,7 +184,7 @@
 	waiting.Wait()
 }
 
-// Pick gives a fit daemon of a zone, or of another zone where the zone has none.
+// Pick returns a fit daemon of a zone, or of another zone where the zone has none.
 func (platform *Platform) Pick(zone string) string {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -90,7 +91,7 @@
 	runner.stopped, runner.connections = make(chan struct{}), map[net.Conn]bool{}
 	runner.cache = NewCache[string](nature.CacheTokens)
 	runner.slots = make(chan struct{}, nature.Slots)
-	listener, err := net.Listen("tcp", runner.Address)
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", runner.Address)
 	if err != nil {
 		return err
 	}
@@ -123,7 +124,7 @@
 	runner.connections[connection] = true
 }
 
-// Free gives how many of its slots are free, and how many it has; a runner that is dark or cold has none.
+// Free returns how many of its slots are free, and how many it has; a runner that is dark or cold has none.
 func (runner *Runner) Free() (free, slots int) {
 	if runner.Dark.Load() || time.Since(runner.started) < runner.nature.ColdTime {
 		return 0, 0
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -160,7 +160,7 @@
 	return os.WriteFile(program.file, content, 0o640)
 }
 
-// Programs gives every process, control plane first.
+// Programs returns every process, control plane first.
 func (fleet *Fleet) Programs() []*Program {
 	var programs []*Program
 	for _, machine := range fleet.Machines {
@@ -174,10 +174,10 @@
 	return programs
 }
 
-// Cores gives the control plane's processes.
+// Cores returns the control plane's processes.
 func (fleet *Fleet) Cores() []*Program { return fleet.ofKind("wtcore") }
 
-// Datas gives the data plane's processes.
+// Datas returns the data plane's processes.
 func (fleet *Fleet) Datas() []*Program { return fleet.ofKind("wtdata") }
 
 func (fleet *Fleet) ofKind(kind string) []*Program {
@@ -198,8 +198,10 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	command := exec.Command(filepath.Join(fleet.Binaries, program.Kind), "--startup", program.file)
+	// The process has a descriptor of its own.
+	defer func() { _ = log.Close() }()
+	command := exec.CommandContext(
+		context.Background(), filepath.Join(fleet.Binaries, program.Kind), "--startup", program.file)
 	command.Stdout, command.Stderr = log, log
 	// A proof that dies must not leave a fleet behind.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -387,7 +389,8 @@
 }
 
 func (fleet *Fleet) call(method, address, path string, body []byte) (Reply, error) {
-	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(
+		context.Background(), method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return Reply{}, err
 	}
@@ -395,7 +398,8 @@
 	if err != nil {
 		return Reply{}, err
 	}
-	defer response.Body.Close()
+	// The body was read; its close can lose nothing.
+	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Reply{}, err
@@ -418,13 +422,8 @@
 		Marker:    marker,
 		Spec:      fleet.Shape.Mix.Spec(fleet.Shape.Zones, markers...),
 	}
-	fleet.order(
-		order,
-		program,
-		"PUT",
-		fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation),
-		order.Spec.Encode(),
-	)
+	fleet.order(order, program, "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation),
+		order.Spec.Encode())
 	return order
 }
 
@@ -453,8 +452,11 @@
 // Finish asks what the fleet says at the end, for the checker.
 func (fleet *Fleet) Finish(program *Program) error {
 	reply, err := fleet.Get(program)
-	if err != nil || reply.Status != 200 {
-		return fmt.Errorf("asking for the spec at the end: status %d, %v", reply.Status, err)
+	if err != nil {
+		return fmt.Errorf("asking for the spec at the end: %w", err)
+	}
+	if reply.Status != http.StatusOK {
+		return fmt.Errorf("asking for the spec at the end: status %d", reply.Status)
 	}
 	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
 	held := struct{ Routes []struct{ Name string } }{}
--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -10,16 +10,13 @@
 // judged by the rules that no slow machine can break; the others are judged in simulated time.
 func TestShortFleet(t *testing.T) {
 	folder := t.TempDir()
-	build := exec.Command("go", "build", "-o", folder, "wardtray/cmd/wtdata", "wardtray/cmd/wtcore")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", folder, "wardtray/cmd/wtdata", "wardtray/cmd/wtcore")
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, output)
 	}
 	told := &strings.Builder{}
-	clean, err := Prove(
-		Shapes["guild"],
-		Scenarios["default"],
-		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true},
-	)
+	clean, err := Prove(Shapes["guild"], Scenarios["default"],
+		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true})
 	if err != nil || !clean {
 		t.Fatalf("%v\n%s", err, told)
 	}
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// cacheShare gives the part of all prompt tokens that runners found in their caches.
+// cacheShare returns the part of all prompt tokens that runners found in their caches.
 func (fleet *Fleet) cacheShare() float64 {
 	cached, prompted := int64(0), int64(0)
 	fleet.mutex.Lock()
@@ -77,7 +77,7 @@
 	return float64(cached) / float64(prompted)
 }
 
-// Quantile gives the value below which such a part of the lengths lies.
+// Quantile returns the value below which such a part of the lengths lies.
 func Quantile(lengths []time.Duration, part float64) time.Duration {
 	if len(lengths) == 0 {
 		return 0
@@ -87,7 +87,7 @@
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
 }
 
-// Print writes figures, orders and verdict, and tells whether every rule held.
+// Print writes figures, orders and verdict, and reports whether every rule held.
 func (fleet *Fleet) Print(output io.Writer, violations []histories.Violation) bool {
 	// Whoever reads the report sees where it ends; an output that takes no more says nothing about the fleet.
 	printf := func(format string, values ...any) { _, _ = fmt.Fprintf(output, format, values...) }
@@ -118,10 +118,7 @@
 		printf("  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n",
 			route,
 			len(lengths),
-			Quantile(
-				lengths,
-				0.5,
-			).Round(time.Millisecond),
+			Quantile(lengths, 0.5).Round(time.Millisecond),
 			Quantile(lengths, 0.95).Round(time.Millisecond),
 			Quantile(lengths, 1).Round(time.Millisecond),
 		)
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -61,7 +61,7 @@
 // timeout is how long a fleet may take to come up, and to answer at the end.
 const timeout = time.Minute
 
-// Prove runs one scenario on one deployment and tells whether every rule held.
+// Prove runs one scenario on one deployment and reports whether every rule held.
 func Prove(shape Shape, scenario Scenario, options Options) (bool, error) {
 	folder, remove, err := options.workFolder()
 	if err != nil {
@@ -83,7 +83,8 @@
 		return false, err
 	}
 	if !Await(timeout, fleet.finished) {
-		fmt.Fprintln(options.Output, "nobody answered for the state at the end")
+		// The report is printed all the same.
+		_, _ = fmt.Fprintln(options.Output, "nobody answered for the state at the end")
 	}
 	violations := histories.Check(fleet.Record)
 	if options.Timeless {
@@ -92,7 +93,7 @@
 	return fleet.Print(options.Output, violations), nil
 }
 
-// workFolder gives the folder for startup files, data and logs, and the function that removes it if it is temporary.
+// workFolder returns the folder for startup files, data and logs, and the function that removes it if it is temporary.
 func (options Options) workFolder() (folder string, remove func(), err error) {
 	keep := func() {}
 	if options.Folder != "" {
@@ -102,7 +103,10 @@
 	if err != nil || options.Keep {
 		return folder, keep, err
 	}
-	return folder, func() { os.RemoveAll(folder) }, nil
+	return folder, func() {
+		// A temporary folder that stays behind does no harm.
+		_ = os.RemoveAll(folder)
+	}, nil
 }
 
 // bringUp waits for the first view, applies the first spec and lets runners warm up.
@@ -122,15 +126,10 @@
 	if first.Outcome != "accepted" {
 		return fmt.Errorf("the first spec was not accepted: %+v", first)
 	}
-	fmt.Fprintf(
-		output,
-		"%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
-		fleet.Shape.Name,
-		len(fleet.Machines),
-		len(fleet.Cores()),
-		fleet.Shape.Runners,
-		time.Since(started).Round(time.Millisecond),
-	)
+	// A note on the way; the report follows.
+	_, _ = fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
+		fleet.Shape.Name, len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners,
+		time.Since(started).Round(time.Millisecond))
 	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be
 	// fit.
 	waitUntil(started.Add(6 * time.Second))
@@ -173,7 +172,7 @@
 	return err
 }
 
-// secondsToReturn gives how long the load must last to show whether service is back in time after each return, which
+// secondsToReturn returns how long the load must last to show whether service is back in time after each return, which
 // can only be seen while somebody asks for it.
 func (stage *Stage) secondsToReturn() (seconds int) {
 	stage.Record.Change(func(record *histories.History) {
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -76,7 +76,7 @@
 
 func (stage *Stage) span(part float64) { stage.At(float64(stage.Options.Seconds) * part) }
 
-// present gives the spec's epoch, read through any core.
+// present returns the spec's epoch, read through any core.
 func (stage *Stage) present() uint64 {
 	for _, core := range stage.Cores() {
 		if reply, err := stage.Get(core); err == nil && reply.Status == 200 {
@@ -102,12 +102,8 @@
 func runnerDark(stage *Stage) error {
 	stage.span(0.2)
 	for _, number := range []int{2, 9} {
-		stage.Harm(
-			fmt.Sprintf("runner %d goes dark", number),
-			stage.Runners[number],
-			time.Duration(stage.Options.Seconds)*time.Second,
-			silentLoss,
-		)
+		stage.Harm(fmt.Sprintf("runner %d goes dark", number), stage.Runners[number],
+			time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
 	}
 	stage.Runners[2].Dark.Store(true)
 	stage.Runners[9].Dark.Store(true)
@@ -126,12 +122,8 @@
 func runnerPartial(stage *Stage) error {
 	stage.span(0.2)
 	stage.Harm("runner 4 breaks streams", stage.Runners[4], time.Duration(stage.Options.Seconds)*time.Second/2, 0)
-	stage.Harm(
-		"runner 5 is ten times slower",
-		stage.Runners[5],
-		time.Duration(stage.Options.Seconds)*time.Second/2,
-		silentLoss,
-	)
+	stage.Harm("runner 5 is ten times slower", stage.Runners[5], time.Duration(stage.Options.Seconds)*time.Second/2,
+		silentLoss)
 	stage.Runners[4].Partial.Store(true)
 	stage.Runners[5].Slow.Store(10)
 	stage.span(0.5)
@@ -232,12 +224,8 @@
 func clientsLeave(stage *Stage) error {
 	const dark = 2
 	stage.span(0.1)
-	stage.Harm(
-		fmt.Sprintf("runner %d goes dark", dark),
-		stage.Runners[dark],
-		time.Duration(stage.Options.Seconds)*time.Second,
-		silentLoss,
-	)
+	stage.Harm(fmt.Sprintf("runner %d goes dark", dark), stage.Runners[dark],
+		time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
 	stage.Runners[dark].Dark.Store(true)
 	stage.span(0.2)
 	stage.Scale(4)
@@ -431,8 +419,9 @@
 
 func manyRoutes(stage *Stage) error {
 	stage.span(0.2)
-	var markers []string
-	for number := range 5000 {
+	const count = 5000
+	markers := make([]string, 0, count)
+	for number := range count {
 		markers = append(markers, fmt.Sprint("route-", number))
 	}
 	order := &histories.Order{
@@ -442,13 +431,8 @@
 		HasBase:   true,
 		Spec:      stage.Shape.Mix.Spec(stage.Shape.Zones, markers...),
 	}
-	stage.order(
-		order,
-		stage.Cores()[1],
-		"PUT",
-		fmt.Sprintf("/v1/spec?base=%d&operation=many", order.Base),
-		order.Spec.Encode(),
-	)
+	stage.order(order, stage.Cores()[1], "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=many", order.Base),
+		order.Spec.Encode())
 	if order.Outcome != "accepted" {
 		return fmt.Errorf("five thousand lanes: %+v", order)
 	}
--- a/verify/golden/golden.go
+++ b/verify/golden/golden.go
@@ -15,7 +15,7 @@
 // folder is where a package keeps its golden files.
 const folder = "testdata"
 
-// Updating tells whether this run is to write golden files.
+// Updating reports whether this run is to write golden files.
 func Updating() bool { return *update }
 
 // Compare wants text to be what a golden file of the package under test holds, and names the lines that differ.
@@ -41,7 +41,7 @@
 	t.Errorf("%s: the format has changed; processes and data of an earlier version go by the old one", path)
 }
 
-// Lines gives the lines of a golden file, in which a space divides a key from its value.
+// Lines returns the lines of a golden file, in which a space divides a key from its value.
 func Lines(t *testing.T, name string) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(folder, name))
@@ -69,7 +69,7 @@
 	}
 }
 
-// missing gives the lines of a text that another lacks.
+// missing returns the lines of a text that another lacks.
 func missing(text, other string) []string {
 	held := map[string]bool{}
 	for line := range strings.Lines(other) {
--- a/verify/golden/message.go
+++ b/verify/golden/message.go
@@ -18,7 +18,7 @@
 	Message protoreflect.Message
 }
 
-// Variants gives a message with every field set, once for each alternative of its oneof. The values depend on the
+// Variants returns a message with every field set, once for each alternative of its oneof. The values depend on the
 // numbers of the fields alone, so that a renaming leaves them as they are.
 func Variants(kind protoreflect.MessageType) []Variant {
 	oneofs := kind.Descriptor().Oneofs()
@@ -67,7 +67,7 @@
 	}
 }
 
-// selected tells whether a field is outside of every oneof, or the alternative to set.
+// selected reports whether a field is outside of every oneof, or the alternative to set.
 func selected(field, chosen protoreflect.FieldDescriptor) bool {
 	oneof := field.ContainingOneof()
 	if oneof == nil {
@@ -79,7 +79,7 @@
 	return field == oneof.Fields().Get(0)
 }
 
-// value gives the value of a field, or of one element of it.
+// value returns the value of a field, or of one element of it.
 func value(field protoreflect.FieldDescriptor, blank func() protoreflect.Value, element, depth int) protoreflect.Value {
 	// Above 127, so that it takes more than one byte.
 	number := int64(field.Number())*1000 + int64(element)
@@ -113,7 +113,7 @@
 	panic(fmt.Sprintf("%s: no value for a field of kind %s", field.FullName(), field.Kind()))
 }
 
-// Unknown tells whether a message, or one within it, holds fields that its description lacks.
+// Unknown reports whether a message, or one within it, holds fields that its description lacks.
 func Unknown(message protoreflect.Message) bool {
 	if len(message.GetUnknown()) > 0 {
 		return true
--- a/verify/golden/value.go
+++ b/verify/golden/value.go
@@ -17,7 +17,7 @@
 	filler.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// Outline gives the value that a pointer points to one element in each list and one entry in each map, and leaves
+// Outline returns the value that a pointer points to one element in each list and one entry in each map, and leaves
 // everything else at its zero, so that each nested type is there with nothing set.
 func Outline(pointer any) { outline(reflect.ValueOf(pointer).Elem()) }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// Indent gives JSON, which must have no blanks, with a line for each key in the order in which it was written.
+// Indent returns JSON, which must have no blanks, with a line for each key in the order in which it was written.
 func Indent(t *testing.T, content []byte) string {
 	t.Helper()
 	var compact bytes.Buffer
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -15,7 +15,7 @@
 }
 
 // Checker looks at a history while it grows: at each run and each answer as it comes, and at the rest at
-// the end. Simulated and real histories are judged by the same rules.
+// the end. Simulated and real histories are checked by the same rules.
 type Checker struct {
 	history    *History
 	Violations []Violation
@@ -49,14 +49,12 @@
 	}
 }
 
-// Check judges a whole history at once.
+// Check checks a whole history at once.
 func Check(history *History) []Violation {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
-	sort.SliceStable(
-		history.Runs,
-		func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) },
-	)
+	sort.SliceStable(history.Runs,
+		func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) })
 	checker := NewChecker(history, history.Final.Known)
 	for _, answer := range history.Answers {
 		checker.ObserveRequest(answer)
@@ -78,10 +76,8 @@
 	for _, rule := range Rules {
 		if check := rules[rule]; check != nil {
 			check(checker, func(format string, values ...any) {
-				checker.Violations = append(
-					checker.Violations,
-					Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)},
-				)
+				checker.Violations = append(checker.Violations,
+					Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)})
 			})
 		}
 	}
@@ -89,13 +85,13 @@
 
 type reportFunc func(format string, values ...any)
 
-// ObserveRequest notes that a request is on its way, so that its runs can be judged before its answer is there.
+// ObserveRequest notes that a request is on its way, so that its runs can be checked before its answer is there.
 func (checker *Checker) ObserveRequest(answer *Answer) {
 	checker.once[answer.Request] = checker.once[answer.Request] || answer.Once
 	checker.requests[answer.Request] = append(checker.requests[answer.Request], answer)
 }
 
-// ObserveRun judges a run that has just been recorded.
+// ObserveRun checks a run that has just been recorded.
 func (checker *Checker) ObserveRun(run *Run) {
 	if run.Started {
 		checker.runs[run.Request] = append(checker.runs[run.Request], run)
@@ -104,14 +100,14 @@
 	checker.apply(bind(onRun, run))
 }
 
-// ObserveAnswer judges an answer that has just been recorded.
+// ObserveAnswer checks an answer that has just been recorded.
 func (checker *Checker) ObserveAnswer(answer *Answer) {
 	checker.answers[answer.Request] = append(checker.answers[answer.Request], answer)
 	checker.refresh()
 	checker.apply(bind(onAnswer, answer))
 }
 
-// Finish judges what only the whole history shows.
+// Finish checks what only the whole history shows.
 func (checker *Checker) Finish() {
 	checker.refresh()
 	checker.apply(atEnd)
@@ -156,7 +152,7 @@
 	}
 }
 
-// timeline gives every spec that was ever in effect, in the order of epochs.
+// timeline returns every spec that was ever in effect, in the order of epochs.
 func timeline(orders []*Order, known map[string]uint64) []specVersion {
 	type change struct {
 		order *Order
@@ -199,13 +195,13 @@
 	return versions
 }
 
-// specsInForce gives the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One
+// specsInForce returns the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One
 // that has no path to the core may go by what it had when it lost that.
 func (checker *Checker) specsInForce(daemon string, at time.Time, bound time.Duration) []specVersion {
 	return checker.specsBetween(at, at, bound+checker.isolatedFor(daemon, at))
 }
 
-// isolatedFor gives for how long, at a moment, a daemon has had no path to the core.
+// isolatedFor returns for how long, at a moment, a daemon has had no path to the core.
 func (checker *Checker) isolatedFor(daemon string, at time.Time) time.Duration {
 	for index := len(checker.history.Isolations) - 1; index >= 0; index-- {
 		one := checker.history.Isolations[index]
@@ -216,7 +212,7 @@
 	return 0
 }
 
-// specsBetween gives the specs by which work may have gone at some moment of a span of time.
+// specsBetween returns the specs by which work may have gone at some moment of a span of time.
 func (checker *Checker) specsBetween(from, until time.Time, bound time.Duration) []specVersion {
 	floor := 0
 	for index, version := range checker.timeline {
@@ -247,7 +243,7 @@
 	return false
 }
 
-// outdatedFor gives for how long a piece of work at a moment was against the acknowledged specs.
+// outdatedFor returns for how long a piece of work at a moment was against the acknowledged specs.
 func (checker *Checker) outdatedFor(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
 	longest := time.Duration(0)
 	for index := len(checker.timeline) - 1; index >= 0; index-- {
@@ -262,7 +258,7 @@
 	return longest
 }
 
-// excusedByFault tells whether a fault excuses something at a daemon in a span of time.
+// excusedByFault reports whether a fault excuses something at a daemon in a span of time.
 func (checker *Checker) excusedByFault(daemon string, from, until time.Time) bool {
 	for _, fault := range checker.history.Faults {
 		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until.Add(faultShadow)) {
@@ -272,7 +268,7 @@
 	return false
 }
 
-// runnerFault gives a fault of a runner that overlaps a span of time.
+// runnerFault returns a fault of a runner that overlaps a span of time.
 func (checker *Checker) runnerFault(runner string, from, until time.Time) (Fault, bool) {
 	for _, fault := range checker.history.Faults {
 		if fault.Runner == runner && !until.Before(fault.At) && from.Before(fault.Until.Add(faultShadow)) {
@@ -282,7 +278,7 @@
 	return Fault{}, false
 }
 
-// canUseRunners tells whether a spec lets the backend use its runners at all.
+// canUseRunners reports whether a spec lets the backend use its runners at all.
 func (checker *Checker) canUseRunners(catalog *config.Catalog) bool {
 	for _, backend := range catalog.Backends {
 		if backend.Allows(checker.history.Service) && backend.Weights == checker.history.Weights {
@@ -292,15 +288,13 @@
 	return false
 }
 
-// leastFreeShare gives the least part of the backend's slots that was free over a span of time, in zones that were
+// leastFreeShare returns the least part of the backend's slots that was free over a span of time, in zones that were
 // open all the while; 0 where nobody looked.
 func (checker *Checker) leastFreeShare(from, until time.Time) float64 {
 	least, seen := 1.0, false
 	versions := checker.specsBetween(from, until, SpecBound)
-	first := sort.Search(
-		len(checker.history.CapacitySamples),
-		func(index int) bool { return checker.history.CapacitySamples[index].At.After(from) },
-	)
+	first := sort.Search(len(checker.history.CapacitySamples),
+		func(index int) bool { return checker.history.CapacitySamples[index].At.After(from) })
 	for _, room := range checker.history.CapacitySamples[max(0, first-1):] {
 		free, slots := 0, 0
 		for zone, count := range room.Free {
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sentAfterDeparture gives how long after its client had left a request was sent to its runner.
+// sentAfterDeparture returns how long after its client had left a request was sent to its runner.
 //
 // Where only its arrival is known, bytes that left in time and were held up on their way to a runner in trouble are
 // excused, for as long as a daemon leaves them on their way. Trouble of the daemon excuses nothing: it looks once more
@@ -28,14 +28,14 @@
 	return late
 }
 
-// sameMachine tells whether two addresses are one daemon's: clients know it by another port than runners do.
+// sameMachine reports whether two addresses are one daemon's: clients know it by another port than runners do.
 func sameMachine(left, right string) bool {
 	leftMachine, _, _ := strings.Cut(left, ":")
 	rightMachine, _, _ := strings.Cut(right, ":")
 	return leftMachine == rightMachine
 }
 
-// sentTwice tells whether the same request came to the same daemon more than once, so that runs can't be told apart.
+// sentTwice reports whether the same request came to the same daemon more than once, so that runs can't be told apart.
 func (checker *Checker) sentTwice(answer *Answer) bool {
 	count := 0
 	for _, other := range checker.requests[answer.Request] {
@@ -46,7 +46,7 @@
 	return count > 1
 }
 
-// CheckDeparture judges whether anybody still works for a client that has left, at a moment by which its daemon has had
+// CheckDeparture checks whether anybody still works for a client that has left, at a moment by which its daemon has had
 // LeftBound to learn of that. Runs that must come to their end are none of these; a daemon in trouble within that time
 // is excused.
 func (checker *Checker) CheckDeparture(answer *Answer, until time.Time) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// faultOverlaps tells whether something was done to a daemon in a span of time.
+// faultOverlaps reports whether something was done to a daemon in a span of time.
 func (checker *Checker) faultOverlaps(daemon string, from, until time.Time) bool {
 	for _, fault := range checker.history.Faults {
 		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until) {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// finishedBy tells whether a run had ended, or its daemon had let go of it, by a moment.
+// finishedBy reports whether a run had ended, or its daemon had let go of it, by a moment.
 func (run *Run) finishedBy(at time.Time) bool {
 	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Canceled.IsZero() && !run.Canceled.After(at)
 }
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -32,14 +32,14 @@
 	// the latest when the end of its connection reached the runner; zero where that did not happen while the run went
 	// on.
 	Sent, Canceled time.Time
-	// Finished is when the run was over; Whole tells that its last event went out, after Events others.
+	// Finished is when the run was over; Complete means that its last event went out, after Events others.
 	Finished time.Time
 	Complete bool
 	Events   int
 	// Name is what its events call it; After is the id of the event behind which it began.
 	Name  string
 	After int
-	// Concurrent is how much other work the runner had when this came; Cold tells that it was still slow
+	// Concurrent is how much other work the runner had when this came; WarmingUp means that it was still slow
 	// after its start, and Room is how much it could truly do at once then.
 	Concurrent int
 	WarmingUp  bool
@@ -64,18 +64,18 @@
 	// IDs and Runs are the ids of the events and the runs that they name.
 	IDs  []int
 	Runs []string
-	// Done tells that the last event was a done event; Error that it was an error event.
+	// Done means that the last event was a done event; Error that it was an error event.
 	Done, Error bool
-	// ConnectionLost tells that the connection broke without an answer; Sure that the request had been sent.
+	// ConnectionLost means that the connection broke without an answer; Sure that the request had been sent.
 	ConnectionLost, RequestSent bool
-	// HungUp tells that the client itself hung up, and Left when its close reached the machine of its daemon.
+	// HungUp means that the client itself hung up, and HungUpAt when its close reached the machine of its daemon.
 	HungUp   bool
 	HungUpAt time.Time
-	// Cancels tells that a run on the request's route is to end when its client leaves.
+	// Cancels means that a run on the request's route is to end when its client leaves.
 	Cancels bool
-	// Resent tells that the same request had been sent before.
+	// Resent means that the same request had been sent before.
 	Resent bool
-	// Resumable tells that its stream may go on at another runner; Head is the runner that its head names.
+	// Resumable means that its stream may go on at another runner; Head is the runner that its head names.
 	Resumable bool
 	Head      string
 	// Last is when the last event came. Begun is when the daemon had the whole request, and Bound how long after
@@ -102,7 +102,7 @@
 	HTTPStatus int
 }
 
-// Drain tells that the platform began to list a runner as draining, or no longer. Back is when it
+// Drain means that the platform began to list a runner as draining, or no longer. Back is when it
 // listed the runner as before, if it did; one that drained never comes back under its identity.
 type Drain struct {
 	At, Back time.Time
@@ -116,20 +116,20 @@
 	What      string
 	// Daemon is the HTTP address of the data daemon that it touched, Runner the id of the runner.
 	Daemon, Runner string
-	// Kills tells that work under way at the daemon may be lost.
+	// Kills means that work under way at the daemon may be lost.
 	Kills bool
 	// Knowable is how long after its begin the others can know of it.
 	Knowable time.Duration
 }
 
-// Isolation tells that a daemon had no path to the core in a time. Until is when it must have learned what it missed,
+// Isolation means that a daemon had no path to the core in a time. Until is when it must have learned what it missed,
 // or serve no more.
 type Isolation struct {
 	Daemon      string
 	From, Until time.Time
 }
 
-// Return tells that all machines were back after a time of being down.
+// Return means that all machines were back after a time of being down.
 type Return struct{ At time.Time }
 
 // CapacitySample is how the backend truly was at a moment: the slots, and those free, of the runners of each zone
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -95,47 +95,28 @@
 	return kept
 }
 
-// onRun is judged whenever a runner has read a request.
+// onRun is checked whenever a runner has read a request.
 var onRun = map[string]func(checker *Checker, run *Run, broken reportFunc){
 	"run-twice": func(checker *Checker, run *Run, broken reportFunc) {
 		if runs := checker.runs[run.Request]; run.Started && checker.once[run.Request] && len(runs) > 1 {
-			broken(
-				"%s ran %d times, at %s by %s and at %s by %s",
-				run.Request,
-				len(runs),
-				runs[0].Runner,
-				runs[0].Daemon,
-				run.Runner,
-				run.Daemon,
-			)
+			broken("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner,
+				runs[0].Daemon, run.Runner, run.Daemon)
 		}
 	},
 	"ran-after-refusal": func(checker *Checker, run *Run, broken reportFunc) {
 		for _, answer := range checker.answers[run.Request] {
 			// A client that sends its request anew after this word asks for another run.
 			if run.Started && answer.Ran == didNotRun && !checker.sentAgain(answer) {
-				broken(
-					"%s ran at %s after its requester was told %q that it did not run",
-					run.Request,
-					run.Runner,
-					answer.Kind,
-				)
+				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner,
+					answer.Kind)
 			}
 		}
 	},
 	"not-allowed": func(checker *Checker, run *Run, broken reportFunc) {
-		if !checker.permittedBySomeSpec(
-			run.Daemon,
-			run.At,
-			SpecBound,
-			func(catalog *config.Catalog) bool { return allows(catalog, run) },
-		) {
-			broken(
-				"%s went to service %q of runner %s, which no spec in force allows",
-				run.Request,
-				run.Service,
-				run.Runner,
-			)
+		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound,
+			func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
+			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service,
+				run.Runner)
 		}
 	},
 	"wrong-runner": func(_ *Checker, run *Run, broken reportFunc) {
@@ -149,20 +130,11 @@
 		}
 	},
 	"change-ignored": func(checker *Checker, run *Run, broken reportFunc) {
-		if !checker.permittedBySomeSpec(
-			run.Daemon,
-			run.At,
-			SpecBound,
-			func(catalog *config.Catalog) bool { return serves(catalog, run) },
-		) {
-			broken(
-				"%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec",
-				run.Request,
-				run.Route,
-				run.Weights,
-				run.Daemon,
-				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }),
-			)
+		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound,
+			func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
+			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec",
+				run.Request, run.Route, run.Weights, run.Daemon,
+				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
 	"slipped-back": func(checker *Checker, run *Run, broken reportFunc) {
@@ -177,12 +149,8 @@
 	"closed-zone": func(checker *Checker, run *Run, broken reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
-			broken(
-				"%s went into zone %s %v after its closing was acknowledged",
-				run.Request,
-				run.Zone,
-				checker.outdatedFor(run.At, open),
-			)
+			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone,
+				checker.outdatedFor(run.At, open))
 		}
 	},
 	"left-requester": func(checker *Checker, run *Run, broken reportFunc) {
@@ -194,20 +162,15 @@
 	},
 	"cold-flooded": func(_ *Checker, run *Run, broken reportFunc) {
 		if run.WarmingUp && run.Concurrent >= run.Capacity+WarmUpAllowance {
-			broken(
-				"%s came to %s, still cold with room for %d, beside %d others",
-				run.Request,
-				run.Runner,
-				run.Capacity,
-				run.Concurrent,
-			)
+			broken("%s came to %s, still cold with room for %d, beside %d others", run.Request, run.Runner,
+				run.Capacity, run.Concurrent)
 		}
 	},
 }
 
 const didNotRun = "did not run"
 
-// sentAgain tells whether a request was sent anew after an answer.
+// sentAgain reports whether a request was sent anew after an answer.
 func (checker *Checker) sentAgain(answer *Answer) bool {
 	for _, other := range checker.requests[answer.Request] {
 		if other != answer && (!other.Sent.Before(answer.Got) || !answer.Once) {
@@ -235,7 +198,7 @@
 	return backend != nil && backend.Model == run.Model && backend.Weights == run.Weights
 }
 
-// drainingFor gives how long before a run its runner was known to leave.
+// drainingFor returns how long before a run its runner was known to leave.
 func (checker *Checker) drainingFor(run *Run) time.Duration {
 	longest := time.Duration(0)
 	for _, drain := range checker.drains[run.Runner] {
@@ -246,17 +209,13 @@
 	return longest
 }
 
-// onAnswer is judged whenever a client has its whole answer.
+// onAnswer is checked whenever a client has its whole answer.
 var onAnswer = map[string]func(checker *Checker, answer *Answer, broken reportFunc){
 	"ran-after-refusal": func(checker *Checker, answer *Answer, broken reportFunc) {
 		for _, run := range checker.runs[answer.Request] {
 			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !checker.sentAgain(answer) {
-				broken(
-					"%s: its requester was told %q that it did not run, but %s ran it",
-					answer.Request,
-					answer.Kind,
-					run.Runner,
-				)
+				broken("%s: its requester was told %q that it did not run, but %s ran it", answer.Request, answer.Kind,
+					run.Runner)
 			}
 		}
 	},
@@ -284,12 +243,8 @@
 			// Where a stream may be resumed, another run goes on exactly behind what was relayed.
 			if index > 0 && answer.Runs[index] != answer.Runs[index-1] &&
 				!checker.startedAfter(answer.Request, answer.Runs[index], answer.IDs[index-1]) {
-				broken(
-					"%s: run %s goes on behind event %d, where it did not begin",
-					answer.Request,
-					answer.Runs[index],
-					answer.IDs[index-1],
-				)
+				broken("%s: run %s goes on behind event %d, where it did not begin", answer.Request, answer.Runs[index],
+					answer.IDs[index-1])
 				break
 			}
 		}
@@ -325,16 +280,8 @@
 			return
 		}
 		if why := check(checker, answer); why != "" {
-			broken(
-				"%s of %s, sent to %s, was refused with %q (%s) after %v, but %s",
-				answer.Request,
-				answer.Route,
-				answer.Daemon,
-				answer.Kind,
-				answer.Detail,
-				answer.Got.Sub(answer.Sent),
-				why,
-			)
+			broken("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route,
+				answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
 		}
 	},
 	"no-return-time": func(_ *Checker, answer *Answer, broken reportFunc) {
@@ -369,16 +316,8 @@
 		}
 		late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound))
 		if late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
-			broken(
-				"%s of %s was answered with %d %q (%s) %v after its %v had passed",
-				answer.Request,
-				answer.Route,
-				answer.Status,
-				answer.Kind,
-				answer.Detail,
-				late,
-				answer.Bound,
-			)
+			broken("%s of %s was answered with %d %q (%s) %v after its %v had passed", answer.Request, answer.Route,
+				answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
 		}
 	},
 }
@@ -391,7 +330,7 @@
 	return answer.Last
 }
 
-// startedAfter tells whether a run of a request began behind an event.
+// startedAfter reports whether a run of a request began behind an event.
 func (checker *Checker) startedAfter(request, name string, after int) bool {
 	for _, run := range checker.runs[request] {
 		if run.Name == name {
@@ -401,7 +340,7 @@
 	return false
 }
 
-// surelyNotRun tells whether everybody who sent a request before was told that it did not run.
+// surelyNotRun reports whether everybody who sent a request before was told that it did not run.
 func (checker *Checker) surelyNotRun(answer *Answer) bool {
 	before := 0
 	for _, other := range checker.answers[answer.Request] {
@@ -424,7 +363,7 @@
 	"not_serving":    true,
 }
 
-// overdue gives how long after its cause could be known a request got its final answer.
+// overdue returns how long after its cause could be known a request got its final answer.
 func (checker *Checker) overdue(answer *Answer) time.Duration {
 	known := answer.Sent.Add(answer.LatencyTarget)
 	for _, run := range checker.runs[answer.Request] {
@@ -516,7 +455,7 @@
 	return "every spec in force has its lane"
 }
 
-// atEnd is judged over the whole history.
+// atEnd is checked over the whole history.
 var atEnd = map[string]func(checker *Checker, broken reportFunc){
 	"refused-in-effect": refusedInEffect,
 	"two-on-one-base":   twoOnOneBase,
@@ -525,7 +464,7 @@
 	"down":              down,
 }
 
-// accepted gives the acknowledged orders by the time of their acknowledgement.
+// accepted returns the acknowledged orders by the time of their acknowledgement.
 func (history *History) accepted() []*Order {
 	var accepted []*Order
 	for _, order := range history.Orders {
@@ -571,7 +510,7 @@
 	}
 }
 
-// RetryPeak looks at every window. It gives the most repeats beyond what the rule allows anywhere, and
+// RetryPeak looks at every window. It returns the most repeats beyond what the rule allows anywhere, and
 // both counts of the window that used up most of its allowance.
 func RetryPeak(history *History, backend string) (over float64, retried, requests int) {
 	used := -1.0
@@ -643,12 +582,8 @@
 	}
 	for _, order := range history.accepted() {
 		if history.Final.Epoch < order.Epoch {
-			broken(
-				"%s was acknowledged as epoch %d; the fleet ended at %d",
-				order.Operation,
-				order.Epoch,
-				history.Final.Epoch,
-			)
+			broken("%s was acknowledged as epoch %d; the fleet ended at %d", order.Operation, order.Epoch,
+				history.Final.Epoch)
 		}
 		if epoch, known := history.Final.Known[order.Operation]; !known || epoch != order.Epoch {
 			broken("%s was acknowledged as epoch %d; the fleet knows %d", order.Operation, order.Epoch, epoch)
@@ -656,7 +591,7 @@
 	}
 }
 
-// returnInterrupted tells whether machines were taken again before a return could be judged.
+// returnInterrupted reports whether machines were taken again before a return could be checked.
 func returnInterrupted(history *History, back Return) bool {
 	for _, fault := range history.Faults {
 		if fault.Daemon != "" && fault.At.After(back.At) && fault.At.Sub(back.At) <= ReturnBound {
@@ -681,10 +616,8 @@
 				broken("no request of zone %s was served within %v of the machines' return", zone, ReturnBound)
 			}
 		}
-		if !slices.ContainsFunc(
-			history.accepted(),
-			func(order *Order) bool { return within(order.Sent) && within(order.Got) },
-		) {
+		if !slices.ContainsFunc(history.accepted(),
+			func(order *Order) bool { return within(order.Sent) && within(order.Got) }) {
 			broken("no change was accepted within %v of the machines' return", ReturnBound)
 		}
 	}
--- a/verify/histories/rules_test.go
+++ b/verify/histories/rules_test.go
@@ -7,7 +7,7 @@
 	"wardtray/config"
 )
 
-// clean gives a small history in which nothing is wrong.
+// clean returns a small history in which nothing is wrong.
 func clean() *History {
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
@@ -197,10 +197,8 @@
 		},
 		"no-return-time": func(history *History) {
 			history.CapacitySamples = nil
-			history.Answers = append(
-				history.Answers,
-				&Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)},
-			)
+			history.Answers = append(history.Answers,
+				&Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)})
 		},
 		"held-back": func(history *History) {
 			history.Faults = append(history.Faults, Fault{At: at(3.1), Until: at(4), Runner: "r1"})
@@ -240,7 +238,7 @@
 	}
 }
 
-// resumed gives a history in which request D was gone on with by another run behind its first event.
+// resumed returns a history in which request D was gone on with by another run behind its first event.
 func resumed() *History {
 	history := clean()
 	first := history.Runs[3]
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -24,7 +24,7 @@
 	Retried, Requests int
 }
 
-// Worst gives the worst of a history.
+// Worst returns the worst of a history.
 func Worst(history *History) WorstCases {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
@@ -37,15 +37,11 @@
 		worst.Draining = max(worst.Draining, checker.drainingFor(run))
 		worst.Ignored = max(
 			worst.Ignored,
-			checker.outdatedFor(
-				run.At,
-				func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) },
-			),
-		)
-		worst.Closed = max(
-			worst.Closed,
-			checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }),
+			checker.outdatedFor(run.At,
+				func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }),
 		)
+		worst.Closed = max(worst.Closed,
+			checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.Open(run.Zone) }))
 		if run.WarmingUp {
 			worst.Concurrent = max(worst.Concurrent, run.Concurrent)
 		}
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -48,6 +48,8 @@
 
 // Run sends so many requests a second, at random moments, until the context ends, then waits for all answers.
 func (load *Load) Run(running context.Context, rate func() float64) {
+	// Requests under way end by themselves when no more are sent.
+	requests := context.WithoutCancel(running)
 	for running.Err() == nil {
 		load.mutex.Lock()
 		gap := time.Duration(load.random.ExpFloat64() / max(0.1, rate()) * float64(time.Second))
@@ -58,7 +60,7 @@
 			load.waiting.Add(1)
 			go func() {
 				defer load.waiting.Done()
-				load.sendOne()
+				load.sendOne(requests)
 			}()
 		case <-running.Done():
 			timer.Stop()
@@ -70,7 +72,7 @@
 // latestHangUp is how long after sending its request a client that leaves does so at the latest.
 const latestHangUp = time.Second
 
-// draw gives the next request, the zone that it comes from, and when its client leaves; 0: it stays.
+// draw returns the next request, the zone that it comes from, and when its client leaves; 0: it stays.
 func (load *Load) draw() (Drawn, string, time.Duration) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -84,7 +86,7 @@
 	return drawn, zone, 0
 }
 
-func (load *Load) sendOne() {
+func (load *Load) sendOne(ctx context.Context) {
 	drawn, zone, leaves := load.draw()
 	record := &histories.Answer{
 		Request:       drawn.ID,
@@ -97,7 +99,7 @@
 		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
 		Bound:         drawn.TimeLimit(),
 	}
-	staying, leave := context.WithCancel(context.Background())
+	staying, leave := context.WithCancel(ctx)
 	defer leave()
 	if leaves > 0 {
 		timer := time.AfterFunc(leaves, leave)
@@ -124,14 +126,10 @@
 	load.Record.Change(func(history *histories.History) { history.Answers = append(history.Answers, record) })
 }
 
-// send tells whether the request is over with; false means that it was surely not read.
+// send reports whether the request is finished; false means that it was surely not read.
 func (load *Load) send(staying context.Context, drawn Drawn, record *histories.Answer) bool {
-	request, err := http.NewRequestWithContext(
-		staying,
-		http.MethodPost,
-		"http://"+record.Daemon+"/v1/stream",
-		bytes.NewReader(drawn.Body()),
-	)
+	request, err := http.NewRequestWithContext(staying, http.MethodPost, "http://"+record.Daemon+"/v1/stream",
+		bytes.NewReader(drawn.Body()))
 	if err != nil {
 		return true
 	}
@@ -154,9 +152,8 @@
 	// The body was read; its close can lose nothing.
 	defer func() { _ = response.Body.Close() }()
 	record.RequestSent, record.Status = true, response.StatusCode
-	record.RetryAfter, record.Head = response.Header.Get("Retry-After") != "", response.Header.Get(
-		admission.HeaderRunner,
-	)
+	record.RetryAfter = response.Header.Get("Retry-After") != ""
+	record.Head = response.Header.Get(admission.HeaderRunner)
 	if response.StatusCode != http.StatusOK {
 		// What can't be read is no refusal as documented, and is found as such below.
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 64<<10))
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -245,7 +245,7 @@
 	return drawn
 }
 
-// Parts gives the names and tokens of the prompt's opening.
+// Parts returns the names and tokens of the prompt's opening.
 func (drawn Drawn) Parts() (names []string, tokens []int) {
 	for index := range drawn.Kind.Opening {
 		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Family, index)
@@ -257,12 +257,12 @@
 	return names, tokens
 }
 
-// PromptTokens gives the tokens of the whole prompt.
+// PromptTokens returns the tokens of the whole prompt.
 func (drawn Drawn) PromptTokens() int {
 	return drawn.Kind.Opening*drawn.Kind.OpeningTokens + drawn.Kind.Own
 }
 
-// Headers gives the request's headers.
+// Headers returns the request's headers.
 func (drawn Drawn) Headers(model string) map[string][]string {
 	headers := map[string][]string{
 		admission.HeaderRoute:   {drawn.Kind.Route},
@@ -283,7 +283,7 @@
 	return headers
 }
 
-// Body gives the request's body.
+// Body returns the request's body.
 func (drawn Drawn) Body() []byte {
 	content, err := json.Marshal(map[string]string{"prompt": drawn.Kind.Text})
 	if err != nil {
--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -87,7 +87,7 @@
 	return actions
 }
 
-// quiescent tells that no message and no write waits for anything but a held message or the end of a freeze.
+// quiescent means that no message and no write waits for anything but a held message or the end of a freeze.
 func (world *world) quiescent() bool {
 	for _, message := range world.inFlight {
 		if !world.byName[message.to].frozen {
@@ -97,7 +97,7 @@
 	return len(world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 })) == 0
 }
 
-// faultActions lists what may be done to machines and links, and what ends it.
+// faultActions lists the faults that may be injected into machines and links, and what ends them.
 func (world *world) faultActions() []Action {
 	var actions []Action
 	for _, name := range world.targets() {
@@ -117,7 +117,7 @@
 	return append(append(actions, world.partitionActions()...), world.blackoutActions()...)
 }
 
-// canFail tells whether harm of a kind may come to a host.
+// canFail reports whether a kind of fault may be injected into a host.
 func (world *world) canFail(host *host, verb Verb) bool {
 	if world.remaining[verb] == 0 || !host.up || host.frozen || verb == Leave && host.decommissioning {
 		return false
@@ -179,7 +179,7 @@
 	return actions
 }
 
-// toleratesDiskLoss tells that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its
+// toleratesDiskLoss means that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its
 // successor in a view that the leader acts by. A machine that left by order is no loss.
 func (world *world) toleratesDiskLoss() bool {
 	if world.remaining[Wipe] == world.scenario.Budget[Wipe] {
@@ -297,15 +297,12 @@
 	world.checker.epochAtRequest[index] = world.checker.acknowledged()
 	host := world.byName[request.Via]
 	world.step(host, host.incarnation, 0, func() {
-		host.node.Ask(
-			world.now,
-			request.message(),
-			func(status int, body []byte) { world.checker.checkResponse(index, status, body) },
-		)
+		host.node.Ask(world.now, request.message(),
+			func(status int, body []byte) { world.checker.checkResponse(index, status, body) })
 	})
 }
 
-// message gives the message of a question.
+// message returns the wire message of a request.
 func (request Request) message() *wire.OperatorRequest {
 	if request.Verb == "get" {
 		return &wire.OperatorRequest{Verb: "get"}
@@ -351,13 +348,8 @@
 			return
 		}
 	}
-	world.checker.fail(
-		"P3",
-		"nobody leads with epoch %d again, %v after all lost their power and %s its disk",
-		world.checker.acknowledged(),
-		recoveryTicks*tickLength,
-		lost.nameOrNobody(),
-	)
+	world.checker.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk",
+		world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
 }
 
 func (host *host) nameOrNobody() string {
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -156,15 +156,8 @@
 		}
 		for _, member := range view.Chain {
 			if epoch := host.node.Chain().Latest().SpecEpoch; member.Id == host.node.Self().Id && epoch < least {
-				checker.fail(
-					"P4",
-					"%s joins by view %d with epoch %d, %d was acknowledged before view %d",
-					host.name,
-					view.Epoch,
-					epoch,
-					least,
-					view.Epoch-1,
-				)
+				checker.fail("P4", "%s joins by view %d with epoch %d, %d was acknowledged before view %d", host.name,
+					view.Epoch, epoch, least, view.Epoch-1)
 			}
 		}
 	}
@@ -207,18 +200,12 @@
 		return
 	}
 	if answer.Document.GetSpecEpoch() < checker.acknowledged() {
-		checker.fail(
-			"P4",
-			"%s teaches epoch %d in view %d, %d was acknowledged",
-			host.name,
-			answer.Document.GetSpecEpoch(),
-			answer.View,
-			checker.acknowledged(),
-		)
+		checker.fail("P4", "%s teaches epoch %d in view %d, %d was acknowledged", host.name,
+			answer.Document.GetSpecEpoch(), answer.View, checker.acknowledged())
 	}
 }
 
-// acknowledged gives the greatest epoch that was acknowledged, also before the search.
+// acknowledged returns the greatest epoch that was acknowledged, also before the search.
 func (checker *checker) acknowledged() uint64 {
 	greatest := checker.acknowledgedBefore
 	for _, one := range checker.accepted {
@@ -252,13 +239,8 @@
 		return
 	}
 	if snapshot.SpecEpoch < checker.servedEpoch[host.name] {
-		checker.fail(
-			"P1",
-			"%s slipped back from epoch %d to %d",
-			host.name,
-			checker.servedEpoch[host.name],
-			snapshot.SpecEpoch,
-		)
+		checker.fail("P1", "%s slipped back from epoch %d to %d", host.name, checker.servedEpoch[host.name],
+			snapshot.SpecEpoch)
 	}
 	checker.servedEpoch[host.name] = snapshot.SpecEpoch
 	if reached := checker.reachableSince[host.name]; !reached.IsZero() {
@@ -276,15 +258,8 @@
 			since = known
 		}
 		if late := checker.world.now.Sub(since); checker.accepted[operation].Epoch > epoch && late >= 0 {
-			checker.fail(
-				"P1",
-				"%s awards under epoch %d, %v after %s was acknowledged as %d",
-				host.name,
-				epoch,
-				late,
-				operation,
-				checker.accepted[operation].Epoch,
-			)
+			checker.fail("P1", "%s awards under epoch %d, %v after %s was acknowledged as %d", host.name, epoch, late,
+				operation, checker.accepted[operation].Epoch)
 		}
 	}
 }
--- a/verify/modelcheck/checker_test.go
+++ b/verify/modelcheck/checker_test.go
@@ -48,11 +48,8 @@
 			if one.status == 200 {
 				checker.effective[one.operation] = max(checker.effective[one.operation], one.epoch)
 			}
-			checker.checkResponse(
-				one.index,
-				one.status,
-				encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}),
-			)
+			checker.checkResponse(one.index, one.status,
+				encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
 		}
 		if !strings.HasPrefix(checker.violation, attempt.broken) || attempt.broken == "" && checker.violation != "" {
 			t.Errorf("%s: %q, wanted %q", name, checker.violation, attempt.broken)
--- a/verify/modelcheck/command.go
+++ b/verify/modelcheck/command.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// errViolation tells that a property does not hold; what breaks it was printed.
+// errViolation means that a property does not hold; what breaks it was printed.
 var errViolation = errors.New("a property does not hold")
 
 // SearchCommand is the command line of a search.
@@ -24,10 +24,8 @@
 // Register adds the command "model".
 func Register(application *kingpin.Application) *SearchCommand {
 	search := &SearchCommand{}
-	command := application.Command(
-		"model",
-		"Search the states of the control plane of a small fleet and check the properties after each action.",
-	)
+	command := application.Command("model",
+		"Search the states of the control plane of a small fleet and check the properties after each action.")
 	command.Flag("states", "How many states are looked at; 0 for the scenario's own bound.").
 		IntVar(&search.options.States)
 	command.Flag("depth", "How many actions one run takes at most; 0 for the scenario's own bound.").
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -21,7 +21,7 @@
 
 func newDisk() *disk { return &disk{operations: map[string]bool{}} }
 
-// apply carries out one write.
+// apply applies one write.
 func (disk *disk) apply(write statemachine.Write) {
 	disk.digest.add(write.Sequence)
 	disk.digest.add(messageDigest(write.Memory))
@@ -55,7 +55,7 @@
 	}
 }
 
-// compact folds all records into the memory.
+// compact folds all records into the state.
 func (disk *disk) compact() {
 	if disk.state == nil {
 		return
@@ -67,7 +67,7 @@
 	disk.indexOperations(disk.state.Document, disk.state.Pending)
 }
 
-// messageDigest gives the digest of a message that is kept or sent.
+// messageDigest returns the digest of a message that is kept or sent.
 func messageDigest(message proto.Message) uint64 {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/verify/modelcheck/doc.go
+++ b/verify/modelcheck/doc.go
@@ -1,6 +1,6 @@
-// Package modelcheck searches the states of a small fleet's control plane. The machines are the real ones (node.Node and
-// controller.Controller, and with them views, leases, chain, joining, leaving, acknowledgements and snapshots); what
-// is modelled are the network, the disks, the time and the operators. An explorer takes one action after the other
+// Package modelcheck searches the states of a small fleet's control plane. The machines are the real ones (node.Node
+// and controller.Controller, and with them views, leases, chain, joining, leaving, acknowledgements and snapshots);
+// what is modelled are the network, the disks, the time and the operators. An explorer takes one action after the other
 // (deliver, lose or keep back a message, sync a disk, let time pass, end or start a process, lose a disk, cut a link)
 // and checks the five properties after each:
 //
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -21,7 +21,7 @@
 	States, Transitions, Revisited, Runs int
 	// Deepest is the greatest number of actions to a state, Complete up to how many actions every order was tried.
 	Deepest, Complete int
-	// Exhausted tells that there is no further state within the depth.
+	// Exhausted means that there is no further state within the depth.
 	Exhausted bool
 	// Acknowledged counts the states in which a change was acknowledged, Ended those after a blackout.
 	Acknowledged, Finished int
@@ -30,7 +30,7 @@
 	Trace     []Action
 }
 
-// String gives the counts in one line.
+// String returns the counts in one line.
 func (result Result) String() string {
 	return fmt.Sprintf(
 		"%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, "+
@@ -113,16 +113,13 @@
 	}
 	explorer.summarize()
 	if explorer.result.Violation != "" {
-		explorer.result.Trace, explorer.result.Violation = minimize(
-			explorer.prepared,
-			explorer.result.Trace,
-			explorer.result.Violation,
-		)
+		explorer.result.Trace, explorer.result.Violation = minimize(explorer.prepared, explorer.result.Trace,
+			explorer.result.Violation)
 	}
 	return nil
 }
 
-// shallowestUntried gives the shallowest state from which something was not tried yet, or -1.
+// shallowestUntried returns the shallowest state from which something was not tried yet, or -1.
 func (explorer *explorer) shallowestUntried() int {
 	for len(explorer.frontier) > 0 {
 		first := explorer.frontier[0]
@@ -153,7 +150,7 @@
 	return world, nil
 }
 
-// trace gives the actions that lead to a state.
+// trace returns the actions that lead to a state.
 func (explorer *explorer) trace(state int) []Action {
 	var trace []Action
 	for ; explorer.nodes[state].parent >= 0; state = explorer.nodes[state].parent {
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -98,24 +98,19 @@
 		reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64)
 	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(value.Uint()) },
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr)
-	enter(
-		func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) },
-		reflect.Float32,
-		reflect.Float64,
-	)
+	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) },
+		reflect.Float32, reflect.Float64)
 	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(value.String()) }, reflect.String)
 	enter(func(_ *walker, _ *digest, _ reflect.Value) {}, reflect.Func, reflect.Chan, reflect.UnsafePointer)
-	enter(
-		func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) },
-		reflect.Pointer,
-	)
+	enter(func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) },
+		reflect.Pointer)
 	enter((*walker).walkInterface, reflect.Interface)
 	enter((*walker).walkStruct, reflect.Struct)
 	enter((*walker).walkList, reflect.Slice, reflect.Array)
 	enter((*walker).walkMap, reflect.Map)
 }
 
-// walk gives the digest of a value.
+// walk returns the digest of a value.
 func (walker *walker) walk(value reflect.Value) uint64 {
 	hash := digestSeed
 	walk := kindWalkers[value.Kind()]
@@ -181,7 +176,7 @@
 	return walked
 }
 
-// skipped tells whether a field says nothing about how its machine goes on.
+// skipped reports whether a field says nothing about how its machine goes on.
 func skipped(field reflect.StructField) bool {
 	return field.Name == "sizeCache" || strings.Contains(field.Type.PkgPath(), "google.golang.org/protobuf") ||
 		field.Type.Name() == "Counters" || field.Type.Kind() == reflect.Map && field.Type.Elem().Kind() == reflect.Func
@@ -234,7 +229,7 @@
 // source is a random source of one number, which the fingerprint can read.
 type source struct{ state uint64 }
 
-// newRandom gives a random source for one life of a machine.
+// newRandom returns a random source for one life of a machine.
 func newRandom(name string, incarnation int) *rand.Rand {
 	hash := digestSeed
 	hash.addText(name)
@@ -251,7 +246,7 @@
 	return mixed ^ mixed>>31
 }
 
-// Int63 gives the upper bits.
+// Int63 returns the upper bits.
 func (source *source) Int63() int64 { return int64(source.Uint64() >> 1) }
 
 // Seed sets the state.
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -97,7 +97,7 @@
 		{Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab},
 		{Verb: Cut, Subject: "core1,daemon1"},
 	}
-	var lines []string
+	lines := make([]string, 0, len(trace))
 	for _, action := range trace {
 		lines = append(lines, action.String())
 	}
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -57,12 +57,8 @@
 		}
 		world.send("0")
 		if err := world.runUntil(func() bool { return len(world.checker.accepted) == epoch+1 }); err != nil {
-			return nil, fmt.Errorf(
-				"preparing %s: change %d is not acknowledged: %s",
-				scenario.Name,
-				epoch,
-				world.checker.violation,
-			)
+			return nil, fmt.Errorf("preparing %s: change %d is not acknowledged: %s", scenario.Name, epoch,
+				world.checker.violation)
 		}
 	}
 	world.wait(int(settleTime / tickLength))
@@ -87,7 +83,7 @@
 	return fmt.Errorf("not within %v", prepareBound)
 }
 
-// allServe tells whether every daemon may award work.
+// allServe reports whether every daemon may award work.
 func (world *world) allServe() bool {
 	for _, host := range world.hosts {
 		if !host.core && host.up && !world.now.Before(host.controller.Until(world.now)) {
@@ -97,7 +93,7 @@
 	return true
 }
 
-// start gives the state from which a search begins: the prepared fleet, started anew and in full order.
+// start returns the state from which a search begins: the prepared fleet, started anew and in full order.
 func (prepared *prepared) start() *world {
 	scenario := prepared.scenario
 	world := newWorld(scenario)
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -19,7 +19,7 @@
 	// Requests are the operators' questions; each is sent at most once, at any moment.
 	Requests []Request
 	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered at once, in the
-	// order in which they were sent. Disks tells that the moments at which writes are synced are explored as well.
+	// order in which they were sent. Disks means that the moments at which writes are synced are explored as well.
 	ExploredKinds []string
 	Disks         bool
 	// Budget is how often each verb may be taken in one run; 0 stands for never. Deliver, Release, Sync, Tick, Heal,
@@ -30,7 +30,7 @@
 	Cuts    [][]string
 	Links   [][2]string
 	Targets []string
-	// Leaders tells that Targets is not fixed but the machine that leads at the moment, besides those of Targets.
+	// Leaders means that Targets is not fixed but the machine that leads at the moment, besides those of Targets.
 	Leaders bool
 	// Depth is how many actions one run takes at most, States how many states CI looks at.
 	Depth  int
--- a/verify/modelcheck/scenarios.go
+++ b/verify/modelcheck/scenarios.go
@@ -47,10 +47,8 @@
 			"every write at any moment",
 		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests: []Request{leftFirst, leftAgain, readAtThird},
-		ExploredKinds: kinds(
-			operatorKinds,
-			chainKinds,
-		), Disks: true, Budget: map[Verb]int{Drop: 1, Kill: 1, Crash: 1, Wait: 4}, Leaders: true,
+		ExploredKinds: kinds(operatorKinds,
+			chainKinds), Disks: true, Budget: map[Verb]int{Drop: 1, Kill: 1, Crash: 1, Wait: 4}, Leaders: true,
 		Depth: 45, States: 8000,
 	},
 	{
@@ -79,10 +77,8 @@
 		Help:  "a disk is lost during and after an acknowledgement, and another one while the view changes",
 		Cores: 4, Founders: 3, Members: 4, Daemons: 1,
 		Requests: []Request{leftFirst},
-		ExploredKinds: kinds(
-			chainKinds,
-			viewKinds,
-		), Disks: true, Budget: map[Verb]int{Wipe: 1, Crash: 1, Wait: 4, Blackout: 1},
+		ExploredKinds: kinds(chainKinds,
+			viewKinds), Disks: true, Budget: map[Verb]int{Wipe: 1, Crash: 1, Wait: 4, Blackout: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 7000,
 	},
 	{
@@ -123,11 +119,8 @@
 			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
 			{Verb: "get", Via: "core3", After: 0},
 		},
-		ExploredKinds: kinds(
-			learnKinds,
-			chainKinds,
-			viewKinds,
-		), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Hold: 1},
+		ExploredKinds: kinds(learnKinds, chainKinds,
+			viewKinds), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Hold: 1},
 		Targets: []string{"core1", "core2"}, Depth: 45, States: 7000,
 	},
 	{
@@ -139,11 +132,8 @@
 			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
 			{Verb: "get", Via: "core3", After: 0},
 		},
-		ExploredKinds: kinds(
-			learnKinds,
-			chainKinds,
-			viewKinds,
-		), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Blackout: 1},
+		ExploredKinds: kinds(learnKinds, chainKinds,
+			viewKinds), Disks: true, Budget: map[Verb]int{Kill: 1, Crash: 1, Wait: 5, Blackout: 1},
 		Targets: []string{"core1", "core2"}, Depth: 45, States: 4000,
 	},
 	{
@@ -195,7 +185,7 @@
 	},
 }
 
-// Find gives a scenario by its name.
+// Find returns a scenario by its name.
 func Find(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios {
 		if scenario.Name == name {
@@ -205,7 +195,7 @@
 	return Scenario{}, false
 }
 
-// Names gives the names of all scenarios.
+// Names returns the names of all scenarios.
 func Names() []string {
 	names := make([]string, 0, len(Scenarios))
 	for _, scenario := range Scenarios {
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Replay takes the actions of a trace and gives the property that they break, or "". A message whose content has
+// Replay takes the actions of a trace and returns the property that they break, or "". A message whose content has
 // changed since the trace was written is found by its kind, its sender and its receiver.
 func Replay(scenario Scenario, trace []Action) (broken string, err error) {
 	prepared, err := prepare(&scenario)
@@ -23,7 +23,7 @@
 	return world.checker.violation, nil
 }
 
-// closestAction gives the action itself where it is possible, or else the first that differs from it only by the
+// closestAction returns the action itself where it is possible, or else the first that differs from it only by the
 // message.
 func (world *world) closestAction(action Action) Action {
 	possible := world.actions()
@@ -54,7 +54,7 @@
 	return trace, broken
 }
 
-// tryTrace takes those actions of a trace that are possible; it gives them and the property that they break, or "".
+// tryTrace takes those actions of a trace that are possible; it returns them and the property that they break, or "".
 func tryTrace(prepared *prepared, trace []Action) (taken []Action, broken string) {
 	world := prepared.start()
 	for _, action := range trace {
@@ -85,7 +85,7 @@
 	return trace, nil
 }
 
-// Print searches scenarios one after the other and prints what was seen. It tells whether all properties held.
+// Print searches scenarios one after the other and prints what was seen. It reports whether all properties held.
 func Print(output io.Writer, scenarios []Scenario, options Options) (bool, error) {
 	held := true
 	for _, scenario := range scenarios {
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -21,15 +21,15 @@
 	zone        string
 	core        bool
 	incarnation int
-	// everStarted tells that its process was ever started; a later start founds nothing.
+	// everStarted means that its process was ever started; a later start founds nothing.
 	everStarted bool
 	up          bool
 	frozen      bool
 	// bootedAt is when its process began.
 	bootedAt time.Time
-	// poweredOff tells that nothing at all answers; a machine that is not up and not dark refuses connections.
+	// poweredOff means that nothing at all answers; a machine that is down but not powered off refuses connections.
 	poweredOff bool
-	// removed tells that the machine left by order and was taken away.
+	// removed means that the machine left by order and was taken away.
 	removed         bool
 	decommissioning bool
 	node            *node.Node
@@ -175,10 +175,8 @@
 		return
 	}
 	if host.frozen {
-		host.backlog = append(
-			host.backlog,
-			deferredStep{digest: digest, run: func() { world.step(host, incarnation, digest, do) }},
-		)
+		host.backlog = append(host.backlog,
+			deferredStep{digest: digest, run: func() { world.step(host, incarnation, digest, do) }})
 		return
 	}
 	do()
@@ -292,8 +290,8 @@
 	})
 }
 
-// disconnected tells whether two machines can't reach each other: only one of them is in the group that is cut off, or
-// the link between them is cut.
+// disconnected reports whether two machines can't reach each other: only one of them is in the group that is cut off,
+// or the link between them is cut.
 func (world *world) disconnected(one, other string) bool {
 	return world.isolated[one] != world.isolated[other] || world.isolated[linkName(one, other)] ||
 		world.isolated[linkName(other, one)]
@@ -393,7 +391,7 @@
 	}
 }
 
-// leader gives the machine that leads at this moment, if one does.
+// leader returns the machine that leads at this moment, if one does.
 func (world *world) leader() *host {
 	for _, host := range world.hosts {
 		if host.core && host.up && !host.frozen && host.node.Leading(world.now) {
@@ -421,15 +419,8 @@
 
 func (world *world) addHost(hash *digest, walker *walker, host *host) {
 	hash.addText(
-		fmt.Sprint(
-			host.incarnation,
-			host.everStarted,
-			host.up,
-			host.frozen,
-			host.poweredOff,
-			host.removed,
-			host.decommissioning,
-		),
+		fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed,
+			host.decommissioning),
 	)
 	hash.addTime(world.now, host.bootedAt)
 	for _, delayed := range host.backlog {
--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -18,7 +18,7 @@
 // testName matches the test or fuzz test at the head of a pattern for go test -run.
 var testName = regexp.MustCompile(`^\^?((?:Test|Fuzz)\w+)`)
 
-// checkAll tells whether every patch still fits the tree; it prints those that don't.
+// checkAll reports whether every patch still fits the tree; it prints those that don't.
 func checkAll(patches []patch, jobs int) bool {
 	var printing sync.Mutex
 	fitting := forEach(patches, jobs, func(patch patch) bool {
@@ -81,7 +81,7 @@
 	return fmt.Errorf("%s has no test function %s", patch.folder, match[1])
 }
 
-// shortened gives the beginning of a command's output.
+// shortened returns the beginning of a command's output.
 func shortened(output string) string {
 	output = strings.TrimSpace(output)
 	return output[:min(len(output), outputBound)]
--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -5,6 +5,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -83,7 +84,7 @@
 	}
 }
 
-// forEach calls work for every patch, with at most jobs of them at once, and gives the number of calls that returned
+// forEach calls work for every patch, with at most jobs of them at once, and returns the number of calls that returned
 // true.
 func forEach(patches []patch, jobs int, work func(patch) bool) int {
 	waiting := make(chan patch)
@@ -109,9 +110,9 @@
 	return succeeded
 }
 
-// run gives a command's standard output and standard error together; environment is added to the process's own.
+// run returns a command's standard output and standard error together; environment is added to the process's own.
 func run(folder string, environment []string, program string, arguments ...string) (string, error) {
-	command := exec.Command(program, arguments...)
+	command := exec.CommandContext(context.Background(), program, arguments...)
 	command.Dir = folder
 	command.Env = append(os.Environ(), environment...)
 	output, err := command.CombinedOutput()
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -31,8 +31,11 @@
 // readPatches reads every patch in a folder, sorted by name.
 func readPatches(folder string) ([]patch, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.patch"))
-	if err != nil || len(files) == 0 {
-		return nil, fmt.Errorf("no patches in %s: start this from the root of the tree (%v)", folder, err)
+	if err != nil {
+		return nil, fmt.Errorf("listing the patches in %s: %w", folder, err)
+	}
+	if len(files) == 0 {
+		return nil, fmt.Errorf("no patches in %s: start this from the root of the tree", folder)
 	}
 	sort.Strings(files)
 	patches := make([]patch, 0, len(files))
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// tryAll runs each patch's test on a patched copy of the tree and tells whether every one was noticed.
+// tryAll runs each patch's test on a patched copy of the tree and reports whether every one was noticed.
 func tryAll(patches []patch, jobs int) bool {
 	var printing sync.Mutex
 	noticed := forEach(patches, jobs, func(patch patch) bool {
@@ -26,7 +26,7 @@
 	return noticed == len(patches)
 }
 
-// try gives the line by which the test noticed a patch.
+// try returns the line by which the test noticed a patch.
 func try(patch patch) (string, error) {
 	folder, err := os.MkdirTemp("", "broken-")
 	if err != nil {
@@ -43,18 +43,8 @@
 	if output, err := run(folder, nil, "go", "build", "./..."); err != nil {
 		return "", fmt.Errorf("the patched tree does not build: %s", shortened(output))
 	}
-	output, err := run(
-		folder,
-		[]string{"WARDTRAY_SEEDS=" + patch.seeds},
-		"go",
-		"test",
-		patch.folder,
-		"-run",
-		patch.test,
-		"-count=1",
-		"-timeout",
-		"20m",
-	)
+	output, err := run(folder, []string{"WARDTRAY_SEEDS=" + patch.seeds}, "go", "test", patch.folder, "-run",
+		patch.test, "-count=1", "-timeout", "20m")
 	if err == nil {
 		return "", fmt.Errorf("%s stays green", patch.test)
 	}
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -85,7 +85,7 @@
 	return tokens
 }
 
-// take lets a request wait; it tells whether there was room for it.
+// take lets a request wait; it reports whether there was room for it.
 func (batch *batch) take(made *sequence) bool {
 	if len(batch.running)+len(batch.waiting) >= batch.figures.Slots+batch.figures.Queue {
 		return false
@@ -128,15 +128,11 @@
 // step plans one step and does it.
 func (batch *batch) step() {
 	plan := batch.newPlan()
-	sort.SliceStable(
-		batch.waiting,
-		func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) },
-	)
+	sort.SliceStable(batch.waiting,
+		func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) })
 	if batch.figures.Overtaking {
-		sort.SliceStable(
-			plan.reading,
-			func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) },
-		)
+		sort.SliceStable(plan.reading,
+			func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) })
 		plan.overtake()
 	}
 	plan.fill()
@@ -159,10 +155,8 @@
 		}
 		plan.decoding = append(plan.decoding, running)
 		plan.budget--
-		plan.length += batch.figures.PerSlot + scale(
-			batch.figures.PerContext,
-			float64(running.prompt+running.written)/1000,
-		)
+		plan.length += batch.figures.PerSlot + scale(batch.figures.PerContext,
+			float64(running.prompt+running.written)/1000)
 	}
 	return plan
 }
@@ -203,7 +197,7 @@
 	plan.length += scale(plan.batch.figures.PerToken, float64(part)) + scale(plan.batch.figures.PerPairs, pairs/1e6)
 }
 
-// admit moves the first waiting request to those being read; it tells whether one waited and had room.
+// admit moves the first waiting request to those being read; it reports whether one waited and had room.
 func (plan *plan) admit() bool {
 	batch := plan.batch
 	if len(batch.waiting) == 0 || len(batch.running) >= batch.figures.Slots {
@@ -228,7 +222,7 @@
 	return time.Duration(float64(part) * count)
 }
 
-// stepped gives out what a step made.
+// stepped returns out what a step made.
 func (batch *batch) stepped(decoding []*sequence, parts map[*sequence]int) {
 	now := batch.world.Now
 	if batch.unresponsive {
@@ -265,13 +259,11 @@
 	}
 }
 
-// advance counts what was read of each prompt; it gives the sequences that have now written their first token, by
+// advance counts what was read of each prompt; it returns the sequences that have now written their first token, by
 // arrival.
 func (batch *batch) advance(now time.Time, parts map[*sequence]int) (started []*sequence) {
-	reading := slices.SortedFunc(
-		maps.Keys(parts),
-		func(left, right *sequence) int { return left.arrival - right.arrival },
-	)
+	reading := slices.SortedFunc(maps.Keys(parts),
+		func(left, right *sequence) int { return left.arrival - right.arrival })
 	for _, one := range reading {
 		if one.read += parts[one]; one.read < one.prompt || one.abandoned {
 			continue
@@ -286,7 +278,7 @@
 	return started
 }
 
-// removeFinished takes those out of the running that are whole or past their deadline, and gives them.
+// removeFinished takes those out of the running that are whole or past their deadline, and returns them.
 func (batch *batch) removeFinished(now time.Time) (finished []*sequence) {
 	kept := batch.running[:0]
 	for _, one := range batch.running {
--- a/verify/placement/choices.go
+++ b/verify/placement/choices.go
@@ -32,10 +32,10 @@
 	"index-only":   Ways["index-only"],
 }
 
-// ChoiceNames gives the ways of choosing in order, wardtray's first.
+// ChoiceNames returns the ways of choosing in order, wardtray's first.
 func ChoiceNames() []string { return append([]string{"wardtray"}, sortedNames(Choices)...) }
 
-// DeploymentNames gives the deployments in order.
+// DeploymentNames returns the deployments in order.
 func DeploymentNames() []string { return sortedNames(Deployments) }
 
 func sortedNames[Value any](table map[string]Value) (names []string) {
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -69,7 +69,7 @@
 	MostAtOnce int
 }
 
-// Quantile gives the value below which such a part of the first events lies.
+// Quantile returns the value below which such a part of the first events lies.
 func (result *Result) Quantile(part float64) time.Duration {
 	if len(result.First) == 0 {
 		return 0
@@ -78,7 +78,7 @@
 	return result.First[min(len(result.First)-1, int(part*float64(len(result.First))))]
 }
 
-// CacheShare gives the part of the prompt tokens that runners had in their caches.
+// CacheShare returns the part of the prompt tokens that runners had in their caches.
 func (result *Result) CacheShare() float64 {
 	return float64(result.Cached) / float64(max(1, result.Prompted))
 }
@@ -118,7 +118,7 @@
 	results map[string]*Result
 }
 
-// Measure plays a setting and gives results for each route and, under "", for all.
+// Measure plays a setting and returns results for each route and, under "", for all.
 func Measure(setting Setting) (map[string]*Result, error) {
 	stage := &stage{
 		setting: setting,
@@ -130,7 +130,7 @@
 	for _, kind := range setting.Mix.Kinds {
 		stage.results[kind.Route] = &Result{}
 	}
-	var lines []*wire.Runner
+	lines := make([]*wire.Runner, 0, setting.Runners)
 	for number := range setting.Runners {
 		made := &engine{
 			id:    fmt.Sprintf("r%02d", number),
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -79,7 +79,7 @@
 	return worst
 }
 
-// Quantile gives the value below which such a part of the first events lies.
+// Quantile returns the value below which such a part of the first events lies.
 func (earned *Earned) Quantile(part float64) time.Duration {
 	if len(earned.First) == 0 {
 		return 0
@@ -175,10 +175,8 @@
 	fleet.incarnations++
 	fleet.batches[made.id] = made
 	fleet.list = append(fleet.list, made)
-	fleet.lines = append(
-		fleet.lines,
-		&wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)},
-	)
+	fleet.lines = append(fleet.lines,
+		&wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)})
 }
 
 // prepare draws the shared parts and reckons what is large.
@@ -198,9 +196,10 @@
 			weights[place] = sum
 		}
 		fleet.weights[route.Name] = weights
-		var sizes []float64
+		const samples = 2000
+		sizes := make([]float64, 0, samples)
 		total := 0.0
-		for range 2000 {
+		for range samples {
 			size := float64(route.Prompt.draw(fleet.random)) + 10*float64(
 				route.Events.draw(fleet.random)*fleet.play.Deployment.Engine.Stride,
 			)
@@ -237,10 +236,8 @@
 			name:  name,
 			zone:  fmt.Sprint("z", number%play.Deployment.Zones),
 			table: load.NewTable(fleet.world.Now, name),
-			budget: retrybudget.New(
-				retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60},
-				func() int { return len(fleet.names) },
-			),
+			budget: retrybudget.New(retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60},
+				func() int { return len(fleet.names) }),
 		}
 		made.table.List(fleet.world.Now, fleet.lines)
 		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
@@ -331,10 +328,10 @@
 	}
 }
 
-// draw gives a share of the runners at random.
+// draw returns a share of the runners at random.
 func (fleet *fleet) draw(share float64) []*batch {
 	count := int(math.Round(share * float64(len(fleet.list))))
-	var list []*batch
+	list := make([]*batch, 0, count)
 	for _, place := range fleet.random.Perm(len(fleet.list))[:count] {
 		list = append(list, fleet.list[place])
 	}
@@ -383,7 +380,7 @@
 
 func (fleet *fleet) relist() {
 	for _, daemon := range fleet.daemons {
-		var lines []*wire.Runner
+		lines := make([]*wire.Runner, 0, len(fleet.lines))
 		for _, line := range fleet.lines {
 			lines = append(
 				lines,
@@ -422,10 +419,8 @@
 	fleet.world.After(time.Duration(fleet.random.ExpFloat64()*clump/rate*float64(time.Second)), func() {
 		client := fleet.clients[fleet.random.Intn(len(fleet.clients)/zones)*zones+zone]
 		for more := true; more; more = fleet.random.Float64() > 1/clump {
-			fleet.world.After(
-				time.Duration(fleet.random.Int63n(int64(10*time.Millisecond))),
-				func() { fleet.request(client, total) },
-			)
+			fleet.world.After(time.Duration(fleet.random.Int63n(int64(10*time.Millisecond))),
+				func() { fleet.request(client, total) })
 		}
 		fleet.arrive(zone)
 	})
@@ -445,10 +440,10 @@
 	if fleet.middle() && route.Name == fleet.play.HotRoute && fleet.random.Float64() < fleet.play.Hot {
 		thing = 7
 	}
-	var parts []string
-	var tokens []int
+	chain := fleet.sizes[route.Name]
+	parts, tokens := make([]string, 0, len(chain)+1), make([]int, 0, len(chain)+1)
 	prompt := 0
-	for place, sizes := range fleet.sizes[route.Name] {
+	for place, sizes := range chain {
 		here := thing % len(sizes)
 		parts = append(parts, fmt.Sprint(route.Name, place, "-", here))
 		tokens = append(tokens, sizes[here])
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -43,14 +43,8 @@
 		ours, reports := results["wardtray"], results["least-loaded"]
 		// Engines with few slots and few requests earn much the same either way; what they read again tells.
 		if ours.Share() < reports.Share()-0.01 || ours.Net() < reports.Net()+0.05 {
-			t.Errorf(
-				"%s: earned %.3f, after prices %.3f, by reports %.3f and %.3f",
-				deployment,
-				ours.Share(),
-				ours.Net(),
-				reports.Share(),
-				reports.Net(),
-			)
+			t.Errorf("%s: earned %.3f, after prices %.3f, by reports %.3f and %.3f", deployment, ours.Share(),
+				ours.Net(), reports.Share(), reports.Net())
 		}
 		if 2*ours.RereadTokens > reports.RereadTokens {
 			t.Errorf("%s: %d tokens read again, by reports %d", deployment, ours.RereadTokens, reports.RereadTokens)
@@ -73,14 +67,8 @@
 	for route, earned := range ours {
 		served := earned.InTime + earned.Late
 		if 2*earned.LargeServed*earned.Requests < served*earned.Large {
-			t.Errorf(
-				"%q: %d of %d large ones served, %d of %d in all",
-				route,
-				earned.LargeServed,
-				earned.Large,
-				served,
-				earned.Requests,
-			)
+			t.Errorf("%q: %d of %d large ones served, %d of %d in all", route, earned.LargeServed, earned.Large, served,
+				earned.Requests)
 		}
 	}
 }
@@ -111,12 +99,7 @@
 	change := func(play *Play) { play.ReportAge, play.Length = 0, 9*time.Second }
 	ours, index := played(t, "ferries-grown", "wardtray", change)[""], played(t, "ferries-grown", "random", change)[""]
 	if ours.Share() < index.Share() || 2*ours.RereadTokens > index.RereadTokens {
-		t.Errorf(
-			"earned %.3f with %d read again, by lot %.3f with %d",
-			ours.Share(),
-			ours.RereadTokens,
-			index.Share(),
-			index.RereadTokens,
-		)
+		t.Errorf("earned %.3f with %d read again, by lot %.3f with %d", ours.Share(), ours.RereadTokens, index.Share(),
+			index.RereadTokens)
 	}
 }
--- a/verify/placement/report.go
+++ b/verify/placement/report.go
@@ -13,7 +13,8 @@
 // Report plays every way over some seeds and prints a line for each route.
 func Report(output io.Writer, play Play, loads []float64, ways []string, seeds int) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(
+	// The table is held in memory up to Flush, which returns what went wrong.
+	_, _ = fmt.Fprintln(
 		writer,
 		"LOAD\tWAY\tLANE\tREQUESTS\tWORTH\tNET\tWORST 3 S\tIN TIME\t"+
 			"LATE\tREFUSED\tLOST\tLARGE SERVED\tREREAD\tSENDS\tACROSS\tFIRST 50%\t95%\t99%",
@@ -33,29 +34,15 @@
 				part := func(count int) string {
 					return fmt.Sprintf("%.1f%%", 100*float64(count)/float64(max(1, earned.Requests)))
 				}
-				fmt.Fprintf(
-					writer,
-					"%.2f\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.3f\t%s\t%v\t%v\t%v\n",
-					load,
-					way,
-					name,
-					earned.Requests,
-					earned.Share(),
-					earned.Net(),
-					earned.Worst(),
-					part(earned.InTime),
-					part(earned.Late),
-					part(earned.Refused),
-					part(earned.Failed),
+				_, _ = fmt.Fprintf(writer,
+					"%.2f\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.3f\t%s\t%v\t%v\t%v\n", load,
+					way, name, earned.Requests, earned.Share(), earned.Net(), earned.Worst(), part(earned.InTime),
+					part(earned.Late), part(earned.Refused), part(earned.Failed),
 					100*float64(earned.LargeServed)/float64(max(1, earned.Large)),
 					100*float64(earned.RereadTokens)/float64(max(1, earned.Shared)),
-					float64(earned.Sends)/float64(max(1, earned.Requests)),
-					part(earned.CrossZone),
-					earned.Quantile(0.5).
-						Round(time.Millisecond),
-					earned.Quantile(0.95).Round(time.Millisecond),
-					earned.Quantile(0.99).Round(time.Millisecond),
-				)
+					float64(earned.Sends)/float64(max(1, earned.Requests)), part(earned.CrossZone),
+					earned.Quantile(0.5).Round(time.Millisecond), earned.Quantile(0.95).Round(time.Millisecond),
+					earned.Quantile(0.99).Round(time.Millisecond))
 			}
 		}
 	}
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -31,7 +31,7 @@
 	},
 }
 
-// WayNames gives the ways of pricing in order, wardtray's first.
+// WayNames returns the ways of pricing in order, wardtray's first.
 func WayNames() []string {
 	names := []string{"wardtray"}
 	for name := range Ways {
@@ -46,7 +46,8 @@
 // Table measures every way at every rate and prints a line for each route.
 func Table(output io.Writer, setting Setting, rates []float64) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(
+	// The table is held in memory up to Flush, which returns what went wrong.
+	_, _ = fmt.Fprintln(
 		writer,
 		"RATE\tWAY\tLANE\tREQUESTS\tDONE\tEARLY\t"+
 			"LATE\tPUT BACK\tNO BUDGET\tCACHED\tFIRST 50%\t95%\t99%\tACROSS ZONES\tMOST AT ONCE",
@@ -64,26 +65,11 @@
 				if route == "" {
 					name = "all"
 				}
-				fmt.Fprintf(
-					writer,
-					"%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n",
-					rate,
-					way,
-					name,
-					result.Requests,
-					result.Done,
-					result.Early,
-					result.Late,
-					result.PutBack,
-					result.NoBudget,
-					100*result.CacheShare(),
-					result.Quantile(0.5).Round(time.Millisecond),
-					result.Quantile(0.95).Round(time.Millisecond),
-					result.Quantile(0.99).
-						Round(time.Millisecond),
-					100*float64(result.Across)/float64(max(1, len(result.First))),
-					result.MostAtOnce,
-				)
+				_, _ = fmt.Fprintf(writer, "%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n",
+					rate, way, name, result.Requests, result.Done, result.Early, result.Late, result.PutBack,
+					result.NoBudget, 100*result.CacheShare(), result.Quantile(0.5).Round(time.Millisecond),
+					result.Quantile(0.95).Round(time.Millisecond), result.Quantile(0.99).Round(time.Millisecond),
+					100*float64(result.Across)/float64(max(1, len(result.First))), result.MostAtOnce)
 			}
 		}
 	}
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -23,7 +23,7 @@
 	Outcome   string
 	Epoch     uint64
 	Status    int
-	// Resent tells that the same operation was sent more than once.
+	// Resent means that the same operation was sent more than once.
 	Resent bool
 }
 
@@ -66,11 +66,7 @@
 func (checker *Checker) violation(format string, values ...any) {
 	checker.Violations = append(
 		checker.Violations,
-		fmt.Sprintf(
-			"seed %d at %v: ",
-			checker.world.Seed,
-			checker.world.Now.Sub(checker.world.started),
-		)+fmt.Sprintf(
+		fmt.Sprintf("seed %d at %v: ", checker.world.Seed, checker.world.Now.Sub(checker.world.started))+fmt.Sprintf(
 			format,
 			values...),
 	)
@@ -166,13 +162,8 @@
 		}
 		late := world.Now.Sub(order.Got)
 		if !checker.mayIgnore(host, late, histories.SpecBound) {
-			checker.violation(
-				"%s awards under epoch %d, %v after %d was acknowledged",
-				host.Address,
-				snapshot.SpecEpoch,
-				late,
-				order.Epoch,
-			)
+			checker.violation("%s awards under epoch %d, %v after %d was acknowledged", host.Address,
+				snapshot.SpecEpoch, late, order.Epoch)
 		}
 	}
 	if world.RegisteringRunners != nil {
@@ -242,7 +233,7 @@
 	return order
 }
 
-// record records a change for the judge of the request path, where there is one.
+// record records a change for the checker of the request path, where there is one.
 func (checker *Checker) record(order *Order, ask *wire.OperatorRequest) *histories.Order {
 	told := &histories.Order{
 		Operation: ask.Operation,
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -61,7 +61,7 @@
 func (address address) Network() string { return "sim" }
 func (address address) String() string  { return string(address) }
 
-// passes tells whether anything gets from one host's machine to another's now.
+// passes reports whether anything gets from one host's machine to another's now.
 func (world *World) passes(from, to *Host) bool {
 	return !world.cuts[[2]string{from.Address, to.Address}] && !from.poweredOff && !to.poweredOff
 }
@@ -185,7 +185,7 @@
 	conn.startTransfer()
 }
 
-// Read gives what has arrived, and parks until something has.
+// Read returns what has arrived, and parks until something has.
 func (conn *conn) Read(into []byte) (int, error) {
 	coroutine := conn.world.current
 	defer func() { coroutine.decided = conn.world.Now }()
@@ -257,12 +257,12 @@
 	}
 }
 
-// contextEnded tells whether the context that the connection is bound to has ended.
+// contextEnded reports whether the context that the connection is bound to has ended.
 func (conn *conn) contextEnded() bool {
 	return conn.boundContext != nil && conn.boundContext.Err() != nil
 }
 
-// Quiet tells whether nothing has come that was not asked for.
+// Quiet reports whether nothing has come that was not asked for.
 func (conn *conn) Quiet() bool {
 	return !conn.closed && !conn.contextEnded() && conn.err == nil && !conn.finished && len(conn.received) == 0
 }
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -28,7 +28,7 @@
 	LostAnswers float64
 	// WithoutCore, where it is given, is the setting of the data daemons; negative stands for 0.
 	WithoutCore time.Duration
-	// Fleeting tells that more was lost than a deployment bears: nothing wrong may be done, but service may not come
+	// Fleeting means that more was lost than a deployment bears: nothing wrong may be done, but service may not come
 	// back.
 	Fleeting bool
 	harm     func(world *World)
@@ -87,13 +87,8 @@
 		}
 		for _, order := range world.Check.acknowledged {
 			if epoch, found := outcomes[order.Operation]; !found || epoch != order.Epoch {
-				world.Check.violation(
-					"forgotten: %s has %s as epoch %d, which was acknowledged as %d",
-					host.Address,
-					order.Operation,
-					epoch,
-					order.Epoch,
-				)
+				world.Check.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address,
+					order.Operation, epoch, order.Epoch)
 			}
 		}
 		for operation := range world.Check.refused {
@@ -104,13 +99,8 @@
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
 		if read.Status != 200 || read.Epoch < world.Check.greatestAcknowledged() {
-			world.Check.violation(
-				"forgotten: read back at %s: status %d, epoch %d of %d",
-				host.Address,
-				read.Status,
-				read.Epoch,
-				world.Check.greatestAcknowledged(),
-			)
+			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status,
+				read.Epoch, world.Check.greatestAcknowledged())
 		}
 	}
 }
@@ -356,12 +346,8 @@
 				second := world.pick(others)
 				world.Log = append(
 					world.Log,
-					fmt.Sprintf(
-						"%v second loss: %s, first %s",
-						world.Now.Sub(world.started),
-						second.Address,
-						old.Address,
-					),
+					fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address,
+						old.Address),
 				)
 				world.Power(second)
 				if wiped {
@@ -374,7 +360,7 @@
 	}
 }
 
-// FirstLossNames gives the ways in which a machine is taken out or mended.
+// FirstLossNames returns the ways in which a machine is taken out or mended.
 func FirstLossNames() []string { return sorted(firstLosses) }
 
 // manyChanges is 500 changes, one each 100 ms.
@@ -467,10 +453,8 @@
 	const length = 12 * time.Second
 	return ControlDay{Length: length + 3*time.Second, RaceEvery: time.Second, harm: func(world *World) {
 		datas := world.Datas()
-		world.random.Shuffle(
-			len(datas),
-			func(left, right int) { datas[left], datas[right] = datas[right], datas[left] },
-		)
+		world.random.Shuffle(len(datas),
+			func(left, right int) { datas[left], datas[right] = datas[right], datas[left] })
 		for _, host := range datas[:int(float64(len(datas))*darkShare+0.5)] {
 			world.After(length, harm(world, host))
 		}
@@ -496,11 +480,8 @@
 			}
 			world.Check.recordWorst("answer to a change while most daemons are gone", took)
 			if order.Outcome == "unknown" {
-				world.Check.violation(
-					"no-ack: %s had no answer within %v, though the core is whole",
-					order.Operation,
-					wholeAckBound,
-				)
+				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
+					wholeAckBound)
 			}
 		})
 		world.After(every, next)
--- a/verify/simulation/control_days_test.go
+++ b/verify/simulation/control_days_test.go
@@ -15,14 +15,8 @@
 	if t.Failed() {
 		t.Log(world.Log)
 	}
-	t.Logf(
-		"seed %d: %d orders in races, %d sent again, %d acknowledged; %v",
-		seed,
-		racers.Sent,
-		racers.Resent,
-		len(world.Check.acknowledged),
-		world.Check.WorstCases,
-	)
+	t.Logf("seed %d: %d orders in races, %d sent again, %d acknowledged; %v", seed, racers.Sent, racers.Resent,
+		len(world.Check.acknowledged), world.Check.WorstCases)
 }
 
 // playDays plays each day of a table on each of the deployments; WARDTRAY_SEEDS asks for more seeds.
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -126,10 +126,8 @@
 	},
 	"core halved": func(world *World) func() {
 		cores := world.Cores()
-		world.random.Shuffle(
-			len(cores),
-			func(left, right int) { cores[left], cores[right] = cores[right], cores[left] },
-		)
+		world.random.Shuffle(len(cores),
+			func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 		world.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
 		return world.Heal
 	},
@@ -183,10 +181,8 @@
 			world.Check.OnAccepted = nil
 			world.After(0, func() {
 				cores := world.Cores()
-				world.random.Shuffle(
-					len(cores),
-					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] },
-				)
+				world.random.Shuffle(len(cores),
+					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
 					overs = append(overs, world.touch(true, silentLoss, host))
@@ -328,7 +324,7 @@
 	return func() {}
 }
 
-// shuffleSeeds gives every process, from its next start on, other seeds out of the present core machines.
+// shuffleSeeds returns every process, from its next start on, other seeds out of the present core machines.
 func (world *World) shuffleSeeds() {
 	addresses := make([]string, 0, len(world.Cores()))
 	for _, host := range world.Cores() {
@@ -336,10 +332,8 @@
 	}
 	for _, host := range world.Hosts {
 		seeds := append([]string{}, addresses...)
-		world.random.Shuffle(
-			len(seeds),
-			func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] },
-		)
+		world.random.Shuffle(len(seeds),
+			func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] })
 		host.seeds = seeds[:min(3, len(seeds))]
 	}
 }
@@ -376,10 +370,10 @@
 	return RunnerFaults[name]
 }
 
-// FaultNames gives every kind of fault of the control plane and its daemons in order.
+// FaultNames returns every kind of fault of the control plane and its daemons in order.
 func FaultNames() []string { return sorted(Faults) }
 
-// RunnerFaultNames gives every kind of fault of the request path in order.
+// RunnerFaultNames returns every kind of fault of the request path in order.
 func RunnerFaultNames() []string { return sorted(RunnerFaults) }
 
 func sorted[Value any](of map[string]Value) []string {
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -32,7 +32,7 @@
 type gone struct{}
 
 // spawn begins a piece of work in a host's process.
-func (world *World) spawn(host *Host, work func()) *coroutine {
+func (world *World) spawn(host *Host, work func()) {
 	made := &coroutine{host: host, incarnation: host.incarnation}
 	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
 		made.yield = yield
@@ -45,7 +45,6 @@
 	})
 	host.coroutines = append(host.coroutines, made)
 	world.wake(made)
-	return made
 }
 
 // wake lets a coroutine go on a moment later, or when its host wakes from a freeze.
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -18,7 +18,7 @@
 	Mix loadtest.Mix
 }
 
-// With gives the shape with its request path.
+// With returns the shape with its request path.
 func (shape Shape) With(mix loadtest.Mix) Shape {
 	shape.Mix = mix
 	return shape
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -83,10 +83,8 @@
 
 func (engine *engine) observe() {
 	running := min(engine.active, engine.profile.Slots)
-	engine.reports = append(
-		engine.reports,
-		load.Report{Running: running, Waiting: engine.active - running, Slots: engine.profile.Slots},
-	)
+	engine.reports = append(engine.reports,
+		load.Report{Running: running, Waiting: engine.active - running, Slots: engine.profile.Slots})
 	if keep := int(engine.profile.ReportAge / (100 * time.Millisecond)); len(engine.reports) > keep+1 {
 		engine.reports = engine.reports[len(engine.reports)-keep-1:]
 	}
@@ -203,7 +201,7 @@
 	return run
 }
 
-// run does a piece of work; it tells whether the connection can be used again.
+// run does a piece of work; it reports whether the connection can be used again.
 func (engine *engine) run(connection *conn, request *http.Request, reached time.Time) bool {
 	if engine.rejects || engine.active >= engine.profile.Slots+engine.profile.PutBackAbove {
 		engine.recordRun(connection, request, reached, false)
@@ -243,7 +241,7 @@
 	return engine.stream(connection, run, length)
 }
 
-// acquireSlot waits for one of the engine's slots; it tells whether the request's connection stood so long.
+// acquireSlot waits for one of the engine's slots; it reports whether the request's connection stood so long.
 func (engine *engine) acquireSlot(connection *conn) bool {
 	if engine.running < engine.profile.Slots {
 		engine.running++
@@ -280,7 +278,7 @@
 	engine.running--
 }
 
-// work lets a length of time pass; it tells whether the request's connection stood so long. A runner drops a request
+// work lets a length of time pass; it reports whether the request's connection stood so long. A runner drops a request
 // whose connection ends.
 func (engine *engine) work(connection *conn, length time.Duration) bool {
 	world, coroutine := engine.world, engine.world.current
@@ -292,7 +290,7 @@
 	return connection.err == nil
 }
 
-// prefill takes one prompt after the other; it tells whether the request's connection stood so long.
+// prefill takes one prompt after the other; it reports whether the request's connection stood so long.
 func (engine *engine) prefill(connection *conn, tokens int) bool {
 	length := time.Duration(tokens) * engine.profile.TokenTime * time.Duration(max(1, engine.slow))
 	if engine.warmingUp() {
@@ -315,7 +313,7 @@
 	"no number":   "id: x\nevent: token\ndata: {\"run\":%q}\n\n",
 }
 
-// stream gives the events behind the one that the client has already.
+// stream returns the events behind the one that the client has already.
 func (engine *engine) stream(connection *conn, run *histories.Run, length int) bool {
 	name := run.Name
 	events := min(12, 2+length/24)
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -120,10 +120,8 @@
 	"runner mute":    misbehave(silentLoss, func(engine *engine, on bool) { engine.unresponsive = on }),
 	"runner partial": misbehave(0, func(engine *engine, on bool) { engine.partial = on }),
 	"runner fails":   misbehave(0, func(engine *engine, on bool) { engine.fails = on }),
-	"runner slow": misbehave(
-		silentLoss,
-		func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] },
-	),
+	"runner slow": misbehave(silentLoss,
+		func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }),
 	"runner garbles": func(world *World) func() {
 		host := world.runner()
 		engine, over := host.engine, world.touch(false, 0, host)
@@ -131,10 +129,8 @@
 		engine.garble = names[world.random.Intn(len(names))]
 		return both(over, func() { engine.garble = "" })
 	},
-	"runner late": misbehave(
-		silentLoss,
-		func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] },
-	),
+	"runner late": misbehave(silentLoss,
+		func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] }),
 	"runner gives surplus answers": misbehave(anyTime, func(engine *engine, on bool) { engine.surplus = on }),
 	"connections reset": func(world *World) func() {
 		over, going := world.touch(false, anyTime, world.Runners()...), true
@@ -176,7 +172,7 @@
 		return both(over, func() { going = false })
 	},
 	"all put back": func(world *World) func() {
-		var overs []func()
+		overs := make([]func(), 0, len(world.Runners()))
 		for _, host := range world.Runners() {
 			overs = append(overs, world.touch(false, 0, host))
 			host.engine.rejects = true
@@ -323,7 +319,7 @@
 	Retries:       0.03,
 }
 
-// Try founds a deployment, does harm to it under load, ends that, and judges the whole.
+// Try founds a deployment, injects faults under load, ends them, and checks the whole history.
 func Try(seed int64, shape Shape, trial Trial) *World {
 	if trial.Mix != nil {
 		shape.Mix = trial.Mix(shape.Mix)
@@ -380,12 +376,8 @@
 func (traffic *Traffic) finishAll() {
 	for _, host := range traffic.world.Datas() {
 		for _, client := range host.clients {
-			traffic.world.Check.violation(
-				"dropped: %s, sent to %s %v ago, has no answer yet",
-				client.record.Request,
-				host.Address,
-				traffic.world.Now.Sub(client.record.Sent),
-			)
+			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", client.record.Request,
+				host.Address, traffic.world.Now.Sub(client.record.Sent))
 		}
 	}
 }
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// Left tells whether the close has reached the daemon's machine.
+// Left reports whether the close has reached the daemon's machine.
 func (client *client) Left() bool { return !client.record.HungUpAt.IsZero() }
 
 // Watch has a function called when the close comes, or a moment later where it is there.
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -113,24 +113,16 @@
 		}
 	}
 	if 2*run.unleased[withHalf] > run.samples[withHalf] {
-		t.Errorf(
-			"the remaining daemons held no lease in %d of %d samples",
-			run.unleased[withHalf],
-			run.samples[withHalf],
-		)
+		t.Errorf("the remaining daemons held no lease in %d of %d samples", run.unleased[withHalf],
+			run.samples[withHalf])
 	}
 	for _, host := range run.world.Datas() {
 		if !run.world.local(host).Before(host.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
-	t.Logf(
-		"messages %v, acknowledged %v, without a lease %v of %v samples",
-		run.messages,
-		run.accepted,
-		run.unleased,
-		run.samples,
-	)
+	t.Logf("messages %v, acknowledged %v, without a lease %v of %v samples", run.messages, run.accepted, run.unleased,
+		run.samples)
 }
 
 // The head and half of the daemons lose their power at once and come back: another head acts, changes are
@@ -140,39 +132,46 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			world := Found(seed, Guild)
-			world.Run(10 * time.Second)
-			run := &lossRun{world: world, lost: map[*Host]bool{}}
-			world.Metrics = func(from, _ *Host, _ string, _ int) {
-				if !from.Core {
-					run.messages[run.period]++
-				}
-			}
-			started, operators := world.Now, &Operators{world: world}
-			for at := time.Duration(0); at < lossEnd-changeEvery; at += changeEvery {
-				world.After(at, func() { run.operate(operators) })
-			}
-			run.advance(started.Add(lossAt), never)
-			head := run.lose(t)
-			run.period = withoutHead
-			run.advance(started.Add(returnAt), func() bool { return leader(world) != nil })
-			if leader(world) == nil {
-				t.Fatalf("no head within %v of the loss: %v", returnAt-lossAt, world.Check.Violations)
-			}
-			run.period = withHalf
-			run.advance(started.Add(returnAt), never)
-			world.Boot(head)
-			for host := range run.lost {
-				world.Boot(host)
-			}
-			clear(run.lost)
-			run.period = afterReturn
-			run.advance(started.Add(lossEnd), never)
-			run.check(t)
+			loseHeadAndHalf(t, seed)
 		})
 	}
 }
 
+func loseHeadAndHalf(t *testing.T, seed int64) {
+	t.Helper()
+	world := Found(seed, Guild)
+	world.Run(10 * time.Second)
+	run := &lossRun{world: world, lost: map[*Host]bool{}}
+	world.Metrics = func(from, _ *Host, _ string, _ int) {
+		if !from.Core {
+			run.messages[run.period]++
+		}
+	}
+	started, operators := world.Now, &Operators{world: world}
+	for at := time.Duration(0); at < lossEnd-changeEvery; at += changeEvery {
+		world.After(at, func() { run.operate(operators) })
+	}
+	run.advance(started.Add(lossAt), never)
+	head := run.lose(t)
+	run.period = withoutHead
+	run.advance(started.Add(returnAt), func() bool { return leader(world) != nil })
+	if leader(world) == nil {
+		t.Fatalf("no head within %v of the loss: %v", returnAt-lossAt, world.Check.Violations)
+	}
+	run.period = withHalf
+	run.advance(started.Add(returnAt), never)
+	world.Boot(head)
+	for _, host := range world.Datas() {
+		if run.lost[host] {
+			world.Boot(host)
+		}
+	}
+	clear(run.lost)
+	run.period = afterReturn
+	run.advance(started.Add(lossEnd), never)
+	run.check(t)
+}
+
 // A founded fleet has every daemon in the head's directory, its daemons and cores send each other every kind of
 // message that keeps it so, and the cores' updates about runners reach the daemons.
 func TestFoundedFleetKnowsEveryDaemon(t *testing.T) {
@@ -193,10 +192,8 @@
 	if head == nil {
 		t.Fatal("no head after 10 s")
 	}
-	order := world.Check.Send(
-		head,
-		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"},
-	)
+	order := world.Check.Send(head,
+		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"})
 	world.Run(3 * time.Second)
 	if order.Outcome != "accepted" {
 		t.Errorf("the change's outcome is %s", order.Outcome)
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// MeasureIdle gives what data daemons, cores, and the busiest core do in a second of quiet.
+// MeasureIdle returns what data daemons, cores, and the busiest core do in a second of quiet.
 func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
 	const length = 10 * time.Second
 	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
--- a/verify/simulation/idle_test.go
+++ b/verify/simulation/idle_test.go
@@ -24,27 +24,12 @@
 	} {
 		data, core, busiest := MeasureIdle(1, one.shape)
 		for kind, idle := range map[string]Idle{"daemon": data, "core": core, "busiest core": busiest} {
-			t.Logf(
-				"%s, %s: %.1f sent, %.1f received, %.0f B a second;%s",
-				one.name,
-				kind,
-				idle.Sent,
-				idle.Received,
-				idle.Bytes,
-				kinds(idle),
-			)
+			t.Logf("%s, %s: %.1f sent, %.1f received, %.0f B a second;%s", one.name, kind, idle.Sent, idle.Received,
+				idle.Bytes, kinds(idle))
 		}
 		if data.Sent+data.Received > one.data || core.Sent+core.Received > one.core || data.Bytes > one.bytes {
-			t.Errorf(
-				"%s: a daemon has %.1f messages and %.0f B a second, a core %.1f messages; at most %v, %v and %v",
-				one.name,
-				data.Sent+data.Received,
-				data.Bytes,
-				core.Sent+core.Received,
-				one.data,
-				one.bytes,
-				one.core,
-			)
+			t.Errorf("%s: a daemon has %.1f messages and %.0f B a second, a core %.1f messages; at most %v, %v and %v",
+				one.name, data.Sent+data.Received, data.Bytes, core.Sent+core.Received, one.data, one.bytes, one.core)
 		}
 	}
 }
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// quorumCores gives the running, unfrozen core machines that reach more than half of the core.
+// quorumCores returns the running, unfrozen core machines that reach more than half of the core.
 func (world *World) quorumCores() []*Host {
 	cores := world.Cores()
 	var settled []*Host
@@ -66,7 +66,7 @@
 	return false
 }
 
-// linked tells whether there is a path both ways between two machines.
+// linked reports whether there is a path both ways between two machines.
 func (world *World) linked(one, other *Host) bool {
 	return world.passes(one, other) && world.passes(other, one)
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// mayIgnore tells whether a daemon may still award by what it knew before something was acknowledged a while ago:
+// mayIgnore reports whether a daemon may still award by what it knew before something was acknowledged a while ago:
 // within a bound in any case, and while it has been without the core, for the time that its settings allow.
 func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
 	world := checker.world
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -112,8 +112,8 @@
 }
 
 // change sends a whole spec or named entries.
-func (operators *Operators) change(host *Host) *Order {
-	return []func(host *Host) *Order{operators.apply, operators.changeEntries}[operators.world.random.Intn(2)](host)
+func (operators *Operators) change(host *Host) {
+	[]func(host *Host) *Order{operators.apply, operators.changeEntries}[operators.world.random.Intn(2)](host)
 }
 
 // changeEntries sends named entries.
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -14,7 +14,7 @@
 	Broken       []string
 }
 
-// At gives the length that a part of them do not exceed.
+// At returns the length that a part of them do not exceed.
 func At(lengths []time.Duration, part float64) time.Duration {
 	if len(lengths) == 0 {
 		return 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// severed tells whether a cut stands between a host and any other.
+// severed reports whether a cut stands between a host and any other.
 func (world *World) severed(host *Host) bool {
 	for pair := range world.cuts {
 		if pair[0] == host.Address || pair[1] == host.Address {
--- a/verify/simulation/pace_test.go
+++ b/verify/simulation/pace_test.go
@@ -62,31 +62,14 @@
 			whole.Starts,
 			pace.Starts...)
 	}
-	t.Logf(
-		"%4d acks: half %v, 0.9 %v, 0.99 %v, all %v; %3d pauses up to %v; %3d starts: half %v, all %v",
-		len(whole.Acks),
-		At(whole.Acks, 0.5),
-		At(whole.Acks, 0.9),
-		At(
-			whole.Acks,
-			0.99,
-		),
-		At(whole.Acks, 1),
-		len(whole.Gaps),
-		At(whole.Gaps, 1),
-		len(whole.Starts),
-		At(whole.Starts, 0.5),
-		At(whole.Starts, 1),
-	)
+	t.Logf("%4d acks: half %v, 0.9 %v, 0.99 %v, all %v; %3d pauses up to %v; %3d starts: half %v, all %v",
+		len(whole.Acks), At(whole.Acks, 0.5), At(whole.Acks, 0.9), At(whole.Acks, 0.99), At(whole.Acks, 1),
+		len(whole.Gaps), At(whole.Gaps, 1), len(whole.Starts), At(whole.Starts, 0.5), At(whole.Starts, 1))
 	if len(whole.Acks) < 40 || At(whole.Acks, 1) > bounds.ack {
 		t.Errorf("%d acknowledgements, up to %v; at most %v", len(whole.Acks), At(whole.Acks, 1), bounds.ack)
 	}
 	if At(whole.Gaps, 1) > bounds.pause {
-		t.Errorf(
-			"%d pauses of daemons that were left alone, up to %v; at most %v",
-			len(whole.Gaps),
-			At(whole.Gaps, 1),
-			bounds.pause,
-		)
+		t.Errorf("%d pauses of daemons that were left alone, up to %v; at most %v", len(whole.Gaps), At(whole.Gaps, 1),
+			bounds.pause)
 	}
 }
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"time"
 
 	"wardtray/verify/histories"
@@ -15,7 +16,7 @@
 	scrubAllowance = 6 * time.Second
 )
 
-// head gives the machine that leads, or any if none does.
+// head returns the machine that leads, or any if none does.
 func (world *World) head() *Host {
 	for _, host := range world.Cores() {
 		if host.up && !host.frozen && host.node.Leading(world.local(host)) {
@@ -25,7 +26,7 @@
 	return world.pick(world.Cores())
 }
 
-// redundant tells whether every core is in the chain and the acceptors are live and complete.
+// redundant reports whether every core is in the chain and the acceptors are live and complete.
 func (world *World) redundant() bool {
 	if world.Now.Before(world.unscrubbedUntil) {
 		return false
@@ -49,7 +50,7 @@
 	return true
 }
 
-// hasSpareDisks tells whether there are disks and zones enough for everything that the status page wants; where there
+// hasSpareDisks reports whether there are disks and zones enough for everything that the status page wants; where there
 // are not, its warnings stay.
 func (world *World) hasSpareDisks() bool {
 	zones := map[string]bool{}
@@ -59,7 +60,7 @@
 	return len(world.Cores()) > 2*world.Faults && len(zones) > 2
 }
 
-// newestView gives the newest view that any machine knows.
+// newestView returns the newest view that any machine knows.
 func (world *World) newestView() *wire.View {
 	newest := &wire.View{}
 	for _, host := range world.Cores() {
@@ -71,7 +72,7 @@
 }
 
 // retryChange has an operator send a change again and again until one is accepted or a moment has come, so
-// that somebody asks for what the machines' return is judged by.
+// that somebody asks for what the machines' return is checked by.
 func (world *World) retryChange(until time.Time) {
 	operators := &Operators{world: world, number: 700_000 + 100*len(world.Check.Orders)}
 	var order *Order
@@ -87,7 +88,7 @@
 	world.After(time.Second, ask)
 }
 
-// Recovered tells whether, within a bound, a change is acknowledged and every daemon serves under it.
+// Recovered reports whether, within a bound, a change is acknowledged and every daemon serves under it.
 func (world *World) Recovered(bound time.Duration) (time.Duration, bool) {
 	started := world.Now
 	operators := &Operators{world: world, number: 1_000_000}
@@ -142,60 +143,42 @@
 	return world
 }
 
-// Describe tells how each machine stands, for whoever seeks the cause of a failure.
+// Describe reports the state of each machine, for whoever looks for the cause of a failure.
 func (world *World) Describe() string {
-	text := ""
-	for _, line := range world.Log[max(0, len(world.Log)-8):] {
-		text += "  " + line + "\n"
+	text := &strings.Builder{}
+	for _, entry := range world.Log[max(0, len(world.Log)-8):] {
+		fmt.Fprintf(text, "  %s\n", entry)
 	}
 	for _, host := range world.Hosts {
-		if host.engine != nil || host.removed {
-			continue
-		}
-		if !host.up {
-			text += fmt.Sprintf("  %s is down\n", host.Address)
-			continue
-		}
-		local := world.local(host)
-		if host.engine != nil {
-			continue
-		}
-		if !host.Core {
-			snapshot := host.controller.Snapshot(local)
-			text += fmt.Sprintf(
-				"  %s serves %v, sequence %d, epoch %d, view %d\n",
-				host.Address,
-				local.Before(snapshot.Until),
-				snapshot.Sequence,
-				snapshot.SpecEpoch,
-				host.controller.View().GetEpoch(),
-			)
-			continue
-		}
-		status := host.node.Status(local)
-		text += fmt.Sprintf(
-			"  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, learned in %d, "+
-				"frozen %v, stalled %v\n",
-			host.Address,
-			status.ID,
-			status.Place,
-			status.View,
-			status.Leading,
-			status.Claim,
-			status.Unhealthy,
-			status.Synced,
-			status.Committed,
-			status.Pending,
-			host.node.Chain().LearnedView(),
-			host.frozen,
-			host.stalled,
-		)
-		for _, member := range status.Chain {
-			text += fmt.Sprintf("    chain  %s %s heard %v\n", member.ID, member.Address, member.Heard)
-		}
-		for _, member := range status.Acceptors {
-			text += fmt.Sprintf("    keeper %s %s heard %v\n", member.ID, member.Address, member.Heard)
+		if host.engine == nil && !host.removed {
+			world.describeHost(text, host)
 		}
 	}
-	return text
+	return text.String()
+}
+
+func (world *World) describeHost(text *strings.Builder, host *Host) {
+	if !host.up {
+		fmt.Fprintf(text, "  %s is down\n", host.Address)
+		return
+	}
+	local := world.local(host)
+	if !host.Core {
+		snapshot := host.controller.Snapshot(local)
+		fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address,
+			local.Before(snapshot.Until), snapshot.Sequence, snapshot.SpecEpoch, host.controller.View().GetEpoch())
+		return
+	}
+	status := host.node.Status(local)
+	fmt.Fprintf(text, "  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, ",
+		host.Address, status.ID, status.Place, status.View, status.Leading, status.Claim, status.Unhealthy,
+		status.Synced, status.Committed, status.Pending)
+	fmt.Fprintf(text, "learned in %d, frozen %v, stalled %v\n",
+		host.node.Chain().LearnedView(), host.frozen, host.stalled)
+	for _, member := range status.Chain {
+		fmt.Fprintf(text, "    chain  %s %s heard %v\n", member.ID, member.Address, member.Heard)
+	}
+	for _, member := range status.Acceptors {
+		fmt.Fprintf(text, "    keeper %s %s heard %v\n", member.ID, member.Address, member.Heard)
+	}
 }
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -85,10 +85,7 @@
 			Epoch:     epoch,
 			HasEpoch:  true,
 		}
-		order := racers.world.Check.Send(
-			racers.world.pick(racers.world.Cores()),
-			proto.CloneOf(ask),
-		)
+		order := racers.world.Check.Send(racers.world.pick(racers.world.Cores()), proto.CloneOf(ask))
 		racers.inFlight = append(racers.inFlight, &racedOrder{request: ask, order: order})
 	}
 }
@@ -104,7 +101,7 @@
 	racers.inFlight = waiting
 }
 
-// finished tells whether nothing more is done about an order.
+// finished reports whether nothing more is done about an order.
 func (racers *Racers) finished(raced *racedOrder) bool {
 	world := racers.world
 	answered := raced.order.Outcome != "unknown"
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -246,10 +246,8 @@
 		ends := []func(){incarnation.drain, incarnation.drain, incarnation.stop}
 		ends[world.random.Intn(len(ends))]()
 	}
-	world.After(
-		registering.Every/2+time.Duration(world.random.Int63n(int64(registering.Every))),
-		registering.scheduleNext,
-	)
+	world.After(registering.Every/2+time.Duration(world.random.Int63n(int64(registering.Every))),
+		registering.scheduleNext)
 }
 
 // check looks at what a daemon that awards work goes by.
@@ -272,17 +270,13 @@
 		missing := now.Sub(incarnation.knownSince)
 		checker.recordWorst("a new runner unknown", missing)
 		if missing > registering.KnownBound {
-			checker.violation(
-				"runner-lost: %s does not list %s, which was first acknowledged %v ago and calls",
-				host.Address,
-				incarnation.id,
-				missing,
-			)
+			checker.violation("runner-lost: %s does not list %s, which was first acknowledged %v ago and calls",
+				host.Address, incarnation.id, missing)
 		}
 	}
 }
 
-// checkListed looks at one line of a daemon's list; it tells whether the daemon would use the runner.
+// checkListed looks at one line of a daemon's list; it reports whether the daemon would use the runner.
 func (registering *RegisteringRunners) checkListed(host *Host, runner *wire.Runner) bool {
 	checker, incarnation := registering.world.Check, registering.byID[runner.RunnerId]
 	if incarnation == nil {
@@ -301,12 +295,8 @@
 	late := registering.world.Now.Sub(incarnation.leftAt)
 	checker.recordWorst("work to a runner that said it leaves", late)
 	if !checker.mayIgnore(host, late, leaveKnown) {
-		checker.violation(
-			"leaving-used: %s still uses %s, %v after its leaving was acknowledged",
-			host.Address,
-			runner.RunnerId,
-			late,
-		)
+		checker.violation("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address,
+			runner.RunnerId, late)
 	}
 	return true
 }
@@ -320,15 +310,9 @@
 			listed[runner.RunnerId] = true
 			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running &&
 				runner.State != registry.Draining {
-				checker.violation(
-					"dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d",
-					host.Address,
-					runner.RunnerId,
-					runner.State,
-					registering.world.Now.Sub(incarnation.finishedAt),
-					runner.Call,
-					incarnation.call,
-				)
+				checker.violation("dead-listed: %s lists %s as %s, which ended %v ago, call %d of %d", host.Address,
+					runner.RunnerId, runner.State, registering.world.Now.Sub(incarnation.finishedAt), runner.Call,
+					incarnation.call)
 			}
 		}
 		for _, incarnation := range registering.Incarnations {
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -50,15 +50,8 @@
 			if t.Failed() {
 				t.Log(world.Log)
 			}
-			t.Log(
-				world.RegisteringRunners.Acknowledged,
-				"acknowledged,",
-				world.RegisteringRunners.Rejected,
-				"refused,",
-				len(world.RegisteringRunners.Incarnations),
-				"lives",
-				world.Check.WorstCases,
-			)
+			t.Log(world.RegisteringRunners.Acknowledged, "acknowledged,", world.RegisteringRunners.Rejected, "refused,",
+				len(world.RegisteringRunners.Incarnations), "lives", world.Check.WorstCases)
 		})
 	}
 }
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -19,7 +19,7 @@
 	change func(trial *Trial)
 }
 
-// Trial gives the trial of an attempt, with harm for a length of time.
+// Trial returns the trial of an attempt, with harm for a length of time.
 func (attempt Attempt) Trial(length time.Duration) Trial {
 	trial := DefaultTrial
 	trial.Faults, trial.Length = attempt.Faults, length
@@ -29,7 +29,7 @@
 	return trial
 }
 
-// AttemptNames gives the names of all attempts in order.
+// AttemptNames returns the names of all attempts in order.
 func AttemptNames() []string { return sorted(Attempts) }
 
 func often(trial *Trial) { trial.Every, trial.TakeAway = 800*time.Millisecond, 0.6 }
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -9,7 +9,7 @@
 const silentLoss = 4 * time.Second
 
 // touch records that something touches daemons and runners, where there is a request path; the
-// function that it gives ends that.
+// function that it returns ends that.
 func (world *World) touch(kills bool, knowable time.Duration, hosts ...*Host) func() {
 	if world.Traffic == nil {
 		return func() {}
@@ -43,20 +43,16 @@
 		if active < atOnce {
 			name := names[world.random.Intn(len(names))]
 			undo := harm(name)(world)
-			world.Log = append(
-				world.Log,
-				fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name),
-			)
+			world.Log = append(world.Log,
+				fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
 			active++
 			doing++
 			done := false
 			once := func() {
 				if !done {
 					done = true
-					world.Log = append(
-						world.Log,
-						fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name),
-					)
+					world.Log = append(world.Log,
+						fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
 					undo()
 					doing--
 					since = world.Now
--- a/verify/simulation/silent_head_test.go
+++ b/verify/simulation/silent_head_test.go
@@ -23,7 +23,7 @@
 	{Zones: []string{"a", "b", "c"}, Machines: []int{27, 27, 26}, Disks: []int{1, 1, 1}, Faults: 1},
 }
 
-// leader gives the core that acts as head, or nil.
+// leader returns the core that acts as head, or nil.
 func leader(world *World) *Host {
 	for _, host := range world.Cores() {
 		if host.Up() && host.Node().Leading(world.local(host)) {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// headlessMessages founds a fleet, takes the power from cores until it has no head, and gives the messages a
+// headlessMessages founds a fleet, takes the power from cores until it has no head, and returns the messages a
 // daemon and second until a head acts again, and for how long there was none.
 func headlessMessages(
 	t *testing.T,
@@ -89,37 +89,20 @@
 			rates := make([]float64, 0, len(smallAndLargeShapes))
 			for _, shape := range smallAndLargeShapes {
 				rate, silence := headlessMessages(t, seed, shape, lose)
-				t.Logf(
-					"%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head",
-					name,
-					seed,
-					sum(shape.Machines),
-					rate,
-					silence,
-				)
+				t.Logf("%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head", name, seed,
+					sum(shape.Machines), rate, silence)
 				if silence < minimumHeadless {
 					t.Errorf("%s, seed %d: a head acted after %v; that is too soon to count", name, seed, silence)
 				}
 				if rate > headlessMessageBound {
-					t.Errorf(
-						"%s, seed %d: %.1f messages a daemon and second among %d; at most %d",
-						name,
-						seed,
-						rate,
-						sum(shape.Machines),
-						headlessMessageBound,
-					)
+					t.Errorf("%s, seed %d: %.1f messages a daemon and second among %d; at most %d", name, seed, rate,
+						sum(shape.Machines), headlessMessageBound)
 				}
 				rates = append(rates, rate)
 			}
 			if rates[1] > rates[0]*headlessGrowthBound {
-				t.Errorf(
-					"%s, seed %d: %.1f messages a daemon and second among 12, %.1f among 80",
-					name,
-					seed,
-					rates[0],
-					rates[1],
-				)
+				t.Errorf("%s, seed %d: %.1f messages a daemon and second among 12, %.1f among 80", name, seed, rates[0],
+					rates[1])
 			}
 		}
 	}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"sort"
+	"strings"
 	"time"
 
 	"wardtray/wire"
@@ -47,10 +48,8 @@
 		world.AcrossBytes-across,
 	)/per
 	bytes = world.Bytes
-	order := world.Check.Send(
-		world.Hosts[1],
-		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"},
-	)
+	order := world.Check.Send(world.Hosts[1],
+		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
@@ -66,13 +65,8 @@
 		}
 	}
 	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
-		return spread, fmt.Errorf(
-			"%d of %d have the change, its outcome is %s; %v",
-			len(arrived),
-			daemons,
-			order.Outcome,
-			world.Check.Violations,
-		)
+		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
+			order.Outcome, world.Check.Violations)
 	}
 	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(
 		daemons,
@@ -89,16 +83,15 @@
 
 // manyRoutes is a spec with so many routes.
 func manyRoutes(count int) []byte {
-	text := `{"zones":[{"name":"a","closed":false}],` +
-		`"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`
+	text := &strings.Builder{}
+	text.WriteString(`{"zones":[{"name":"a","closed":false}],`)
+	text.WriteString(`"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`)
 	for number := range max(1, count) {
 		if number > 0 {
-			text += ","
+			text.WriteString(",")
 		}
-		text += fmt.Sprintf(
-			`{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`,
-			number,
-		)
+		fmt.Fprintf(text, `{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`, number)
 	}
-	return []byte(text + "]}")
+	text.WriteString("]}")
+	return []byte(text.String())
 }
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -72,7 +72,8 @@
 	return traffic
 }
 
-// reportViolations hands what the judge found to the checker, so that a run stops at its first broken rule.
+// reportViolations passes what the history's checker found to the world's, so that a run stops at its first broken
+// rule.
 func (traffic *Traffic) reportViolations() {
 	for _, violation := range traffic.checker.Violations {
 		traffic.world.Check.violation("%s: %s", violation.Rule, violation.Detail)
@@ -133,7 +134,7 @@
 // sooner that it is warm, and take it up step by step.
 const warmUpAllowance = 6 * time.Second
 
-// reachable tells whether most daemons can talk to a runner.
+// reachable reports whether most daemons can talk to a runner.
 func (traffic *Traffic) reachable(runner *Host) bool {
 	reached, all := 0, 0
 	for _, host := range traffic.world.Datas() {
@@ -145,7 +146,7 @@
 	return reached*2 > all
 }
 
-// pick gives a daemon that the platform takes to be fit, in the client's zone if there is one.
+// pick returns a daemon that the platform takes to be fit, in the client's zone if there is one.
 func (traffic *Traffic) pick(zone string) *Host {
 	var near, far []*Host
 	for _, host := range traffic.world.Datas() {
@@ -227,7 +228,7 @@
 	read         bool
 	finished     bool
 	hangsUpAfter int
-	// hungUp tells that the client has closed its connection; told is whom the daemon wants told of that.
+	// hungUp means that the client has closed its connection; onHangUp is what the daemon wants called then.
 	hungUp   bool
 	onHangUp func()
 	unparsed string
@@ -377,12 +378,8 @@
 	}
 	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound &&
 		world.local(client.host).Before(client.host.plane.Snapshot().Until) {
-		world.Check.violation(
-			"held-back: %s got its final %q %v after it was decided",
-			client.record.Request,
-			client.record.Kind,
-			held,
-		)
+		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request,
+			client.record.Kind, held)
 	}
 }
 
@@ -433,7 +430,7 @@
 	return len(content), nil
 }
 
-// Spec gives a spec for an operator to send; the number marks it. Now and then it takes away what
+// Spec returns a spec for an operator to send; the number marks it. Now and then it takes away what
 // requests may be waiting for: a route, a zone, the service or the weights.
 func (traffic *Traffic) Spec(number int) *config.Spec {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
@@ -449,7 +446,7 @@
 	return made
 }
 
-// draftSpec makes a spec and keeps it for the judge.
+// draftSpec makes a spec and keeps it for the checker of the history.
 func (traffic *Traffic) draftSpec(operation string, number int) []byte {
 	made := traffic.Spec(number)
 	traffic.specs[operation] = made
@@ -476,7 +473,7 @@
 	return change
 }
 
-// Fault records that something touches a daemon or a runner, and gives what ends it.
+// Fault records that something touches a daemon or a runner, and returns what ends it.
 func (traffic *Traffic) Fault(what string, host *Host, kills bool, knowable time.Duration) func() {
 	record, now := traffic.History, traffic.world.Now
 	fault := histories.Fault{At: now, Until: now.Add(time.Hour), What: what, Kills: kills, Knowable: knowable}
@@ -490,7 +487,7 @@
 	return func() { record.Faults[index].Until = traffic.world.Now }
 }
 
-// End asks for the state at the end and judges the whole.
+// End reads the final state and checks the whole history.
 func (traffic *Traffic) End() {
 	world := traffic.world
 	final := histories.Final{Asked: true, Known: map[string]uint64{}}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -72,7 +72,7 @@
 	coroutines []*coroutine
 	conns      []*conn
 	clients    []*client
-	// poweredOff tells that the machine is gone without a word: nothing answers, not even its system.
+	// poweredOff means that the machine is gone without a word: nothing answers, not even its system.
 	poweredOff  bool
 	service     string
 	disk        *disk
@@ -89,9 +89,9 @@
 	diskDelay time.Duration
 	drift     float64
 	seeds     []string
-	// removed tells that the machine was taken away for good.
+	// removed means that the machine was taken away for good.
 	removed bool
-	// everStarted tells that the machine came after the fleet's first start.
+	// everStarted means that the machine came after the fleet's first start.
 	everStarted bool
 	// processingDelay is how much later than others it deals with what comes.
 	processingDelay time.Duration
@@ -155,7 +155,7 @@
 	Log []string
 	// WithoutCore is for how long data daemons go on while they reach no core machine.
 	WithoutCore time.Duration
-	// topologyDirty tells that the topology has changed since separations were last looked at.
+	// topologyDirty means that the topology has changed since the isolation of daemons was last computed.
 	topologyDirty bool
 }
 
@@ -210,7 +210,7 @@
 // Trace is a hash of all that happened.
 func (world *World) Trace() uint64 { return world.trace }
 
-// local gives a host's own clock.
+// local returns a host's own clock.
 func (world *World) local(host *Host) time.Time {
 	passed := world.Now.Sub(world.started)
 	return world.started.Add(passed + time.Duration(float64(passed)*host.drift))
@@ -546,10 +546,10 @@
 	world.topologyChanged()
 }
 
-// Cores gives the hosts with a disk, Datas the others.
+// Cores returns the hosts with a disk, Datas the others.
 func (world *World) Cores() []*Host { return world.of(true) }
 
-// Datas gives the data daemons.
+// Datas returns the data daemons.
 func (world *World) Datas() []*Host { return world.of(false) }
 
 func (world *World) of(isCore bool) []*Host {
@@ -562,7 +562,7 @@
 	return hosts
 }
 
-// Runners gives the runners' hosts.
+// Runners returns the runners' hosts.
 func (world *World) Runners() []*Host {
 	var hosts []*Host
 	for _, host := range world.Hosts {
@@ -617,10 +617,8 @@
 
 // every does something in a host's process again and again, while that lives and is not frozen.
 func (world *World) every(host *Host, incarnation int, length time.Duration, do func()) {
-	world.After(
-		time.Duration(world.random.Int63n(int64(length))),
-		func() { world.again(host, incarnation, length, do) },
-	)
+	world.After(time.Duration(world.random.Int63n(int64(length))),
+		func() { world.again(host, incarnation, length, do) })
 }
 
 func (world *World) again(host *Host, incarnation int, length time.Duration, do func()) {
