--- /dev/null
+++ b/verify/placement/requests.go
@@ -0,0 +1,245 @@
+package placement
+
+import (
+	"fmt"
+	"math"
+	"sort"
+	"time"
+
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/scheduler"
+)
+
+type order struct {
+	route         RouteWork
+	queuedRequest *scheduler.QueuedRequest
+	started       time.Time
+	answer        int
+	held          int
+	value         float64
+	late          float64
+	large         bool
+	sends         int
+	firstAt       time.Time
+}
+
+// arrive lets clumps of requests come in a zone, in a wave.
+func (fleet *fleet) arrive(zone int) {
+	since := fleet.world.Now.Sub(fleet.started)
+	if since > fleet.play.Length {
+		return
+	}
+	const clump, swing, period = 3.0, 0.15, 11.0
+	total := 0.0
+	for _, route := range fleet.play.Deployment.Routes {
+		total += route.Rate
+	}
+	zones := fleet.play.Deployment.Zones
+	phase := since.Seconds()/period + float64(zone)/float64(zones)
+	rate := total * fleet.play.Load / float64(zones) * (1 + swing*math.Sin(2*math.Pi*(phase)))
+	fleet.world.After(time.Duration(fleet.random.ExpFloat64()*clump/rate*float64(time.Second)), func() {
+		client := fleet.clients[fleet.random.Intn(len(fleet.clients)/zones)*zones+zone]
+		for more := true; more; more = fleet.random.Float64() > 1/clump {
+			fleet.world.After(time.Duration(fleet.random.Int63n(int64(10*time.Millisecond))),
+				func() { fleet.request(client, total) })
+		}
+		fleet.arrive(zone)
+	})
+}
+
+func (fleet *fleet) request(daemon *schedulingDaemon, total float64) {
+	routes := fleet.play.Deployment.Routes
+	point, route := fleet.random.Float64()*total, routes[len(routes)-1]
+	for _, candidate := range routes {
+		if point -= candidate.Rate; point < 0 {
+			route = candidate
+			break
+		}
+	}
+	weights := fleet.weights[route.Name]
+	thing := sort.SearchFloat64s(weights, fleet.random.Float64()*weights[len(weights)-1])
+	if fleet.middle() && route.Name == fleet.play.HotRoute && fleet.random.Float64() < fleet.play.Hot {
+		thing = 7
+	}
+	chain := fleet.sizes[route.Name]
+	parts, tokens := make([]string, 0, len(chain)+1), make([]int, 0, len(chain)+1)
+	prompt := 0
+	for place, sizes := range chain {
+		here := thing % len(sizes)
+		parts = append(parts, fmt.Sprint(route.Name, place, "-", here))
+		tokens = append(tokens, sizes[here])
+		prompt += sizes[here]
+	}
+	shared := prompt
+	own := route.Prompt.draw(fleet.random)
+	answer := route.Events.draw(fleet.random) * fleet.play.Deployment.Engine.Stride
+	parts, tokens, prompt = append(parts, fmt.Sprint("own", fleet.random.Int63())), append(tokens, own), prompt+own
+	size := float64(prompt + 10*answer)
+	scale := min(4, 0.3+0.7*size/fleet.mean[route.Name])
+	made := &order{
+		route:   route,
+		started: fleet.world.Now,
+		answer:  answer,
+		value:   route.Value * scale,
+		late:    route.Late * scale,
+		large:   size > fleet.largest[route.Name],
+	}
+	made.queuedRequest = &scheduler.QueuedRequest{
+		Route:            route.Name,
+		ConcurrencyLimit: 1,
+		Decisions:        make(chan scheduler.Decision, 1),
+		PartTokens:       tokens,
+		Keys:             keys.BlockKeys(parts, kvblock.Extra{}),
+		Requirements: scheduler.Requirements{
+			Value:         route.Value,
+			LatencyTarget: route.LatencyTarget,
+			Deadline:      route.Deadline,
+			PromptTokens:  prompt,
+			AnswerTokens:  answer,
+			Rank:          route.Rank,
+			Zone:          daemon.zone,
+			Shut:          map[string]bool{},
+		},
+	}
+	fleet.both(made, func(earned *Earned) {
+		earned.Requests++
+		earned.MaximumValue += made.value
+		earned.Shared += shared
+		if made.large {
+			earned.Large++
+		}
+		window := int(made.started.Sub(fleet.started) / windowLength)
+		cell := earned.Window[window]
+		cell[0] += made.value
+		earned.Window[window] = cell
+	})
+	daemon.budget.Request(fleet.world.Now)
+	fleet.schedule(daemon, made)
+}
+
+func (fleet *fleet) both(made *order, change func(earned *Earned)) {
+	change(fleet.results[made.route.Name])
+	change(fleet.results[""])
+}
+
+func (fleet *fleet) schedule(daemon *schedulingDaemon, made *order) {
+	daemon.order = append(daemon.order, made)
+	daemon.scheduler.Schedule(fleet.world.Now, made.queuedRequest)
+	fleet.steps(daemon)
+}
+
+func (fleet *fleet) steps(daemon *schedulingDaemon) {
+	waiting := daemon.order
+	daemon.order = nil
+	for _, made := range waiting {
+		select {
+		case step := <-made.queuedRequest.Decisions:
+			if step.Kind == scheduler.Dispatch {
+				fleet.dispatch(daemon, made, step)
+				continue
+			}
+			fleet.both(made, func(earned *Earned) { earned.Refused++ })
+		default:
+			daemon.order = append(daemon.order, made)
+		}
+	}
+}
+
+// again sends a request once more, or gives it up.
+func (fleet *fleet) again(daemon *schedulingDaemon, made *order, step scheduler.Decision, free bool) {
+	daemon.scheduler.Release(fleet.world.Now, made.queuedRequest, step.Runner.ID)
+	made.queuedRequest.Requirements.Shut[step.Runner.ID] = true
+	made.sends++
+	if made.sends > 3 || !free && !daemon.budget.Repeat(fleet.world.Now) {
+		fleet.both(made, func(earned *Earned) { earned.Failed++ })
+		return
+	}
+	fleet.schedule(daemon, made)
+}
+
+// send is one request at one runner.
+type send struct {
+	fleet  *fleet
+	daemon *schedulingDaemon
+	made   *order
+	step   scheduler.Decision
+	batch  *batch
+	at     time.Time
+}
+
+func (fleet *fleet) dispatch(daemon *schedulingDaemon, made *order, step scheduler.Decision) {
+	world := fleet.world
+	batch := fleet.batches[step.Runner.ID]
+	fleet.both(made, func(earned *Earned) { earned.Sends++ })
+	if batch == nil || batch.unresponsive {
+		daemon.table.Failed(world.Now, step.Runner.ID, "unreachable")
+		world.After(time.Millisecond, func() { fleet.again(daemon, made, step, true) })
+		return
+	}
+	sent := &send{fleet: fleet, daemon: daemon, made: made, step: step, batch: batch, at: world.Now}
+	daemon.scheduler.Sent(sent.at, made.queuedRequest, step)
+	one := &sequence{
+		job:     made,
+		urgency: step.Urgency,
+		prompt:  made.queuedRequest.Requirements.PromptTokens,
+		first:   sent.first,
+	}
+	one.finished = func(whole bool) { sent.finished(one, whole) }
+	if !batch.take(one) {
+		daemon.scheduler.PutBack(sent.at, made.queuedRequest, step)
+		fleet.again(daemon, made, step, false)
+	}
+}
+
+// first takes the first event of an answer.
+func (send *send) first() {
+	fleet, daemon, made, batch := send.fleet, send.daemon, send.made, send.batch
+	now := fleet.world.Now
+	made.firstAt = now
+	daemon.table.Served(batch.id)
+	report := batch.report()
+	report.Room, report.Tokens = 0, 0
+	daemon.table.Reported(now, batch.id, report)
+	daemon.scheduler.First(made.queuedRequest, send.step, now.Sub(send.at))
+	reread := fleet.reread(made)
+	fleet.both(made, func(earned *Earned) {
+		earned.First = append(earned.First, now.Sub(made.started))
+		if batch.zone != daemon.zone {
+			earned.CrossZone++
+			earned.CrossZoneBytes += 1000 + float64(made.queuedRequest.Requirements.PromptTokens) + 80*float64(
+				made.answer,
+			)/float64(
+				batch.figures.Stride,
+			)
+		}
+		earned.RereadTokens += reread
+	})
+}
+
+// reread counts the tokens of a prompt that some runner had read before and this one has read anew.
+func (fleet *fleet) reread(made *order) int {
+	reread, held := 0, made.held
+	for place, key := range made.queuedRequest.Keys[:len(made.queuedRequest.Keys)-1] {
+		if held -= made.queuedRequest.PartTokens[place]; held < 0 && fleet.cachedBlocks[key] {
+			reread += made.queuedRequest.PartTokens[place]
+		}
+		fleet.cachedBlocks[key] = true
+	}
+	return reread
+}
+
+// finished takes the end of an answer, which is whole or not.
+func (send *send) finished(one *sequence, whole bool) {
+	fleet, daemon, made := send.fleet, send.daemon, send.made
+	now := fleet.world.Now
+	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.LatencyTarget
+	window := int(made.started.Sub(fleet.started) / windowLength)
+	fleet.both(made, func(earned *Earned) { earned.end(made, window, whole, inTime) })
+	if whole {
+		daemon.scheduler.Learn(0, 0, now.Sub(send.at))
+	} else if !one.began {
+		daemon.table.Failed(now, send.batch.id, "gave no first event")
+	}
+	daemon.scheduler.Release(now, made.queuedRequest, send.batch.id)
+	fleet.steps(daemon)
+}
