--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -14,7 +14,6 @@
 	"wardtray/proxy/admission"
 	"wardtray/verify/emulator"
 	"wardtray/verify/histories"
-	"wardtray/wire"
 )
 
 // engine is the runner of one host, as it is in one life.
@@ -353,87 +352,3 @@
 	_, err := io.WriteString(connection, "0\r\n\r\n")
 	return err == nil
 }
-
-// platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
-type platform struct {
-	world        *World
-	actual       []*wire.Runner
-	listed       []*wire.Runner
-	previous     [][]*wire.Runner
-	removedAt    map[string]time.Time
-	incarnations int
-	// unreachable lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
-	// truncated leaves some out.
-	unreachable, empty, frozen, truncated bool
-	outdated                              bool
-}
-
-// set changes a runner's true state; an empty state takes it off.
-func (platform *platform) set(host *Host, state string) {
-	kept := make([]*wire.Runner, 0, len(platform.actual)+1)
-	for _, line := range platform.actual {
-		if line.Address != host.Address {
-			kept = append(kept, line)
-		}
-	}
-	if state != "" {
-		kept = append(
-			kept,
-			&wire.Runner{
-				RunnerId: host.engine.id,
-				Address:  host.Address,
-				Zone:     host.Zone,
-				Service:  host.engine.service,
-				State:    state,
-			},
-		)
-	}
-	platform.actual = kept
-}
-
-// publish makes what is served follow the truth, and notes who is seen to leave.
-func (platform *platform) publish() {
-	served := append([]*wire.Runner{}, platform.actual...)
-	if platform.truncated {
-		served = served[:len(served)/2]
-	}
-	if platform.outdated && len(platform.previous) > 0 {
-		served = platform.previous[0]
-	}
-	if !platform.frozen && !platform.unreachable && len(served) > 0 && !platform.empty {
-		platform.recordDrains(platform.listed, served)
-		platform.previous = append(platform.previous, platform.listed)
-		if len(platform.previous) > 8 {
-			platform.previous = platform.previous[1:]
-		}
-		platform.listed = served
-	}
-	platform.world.After(emulator.ListLag, platform.publish)
-}
-
-// recordDrains records who began to leave between two lists, and who is back.
-func (platform *platform) recordDrains(before, now []*wire.Runner) {
-	record := platform.world.Traffic.History
-	going, listed := map[string]bool{}, map[string]string{}
-	for _, line := range now {
-		going[line.RunnerId], listed[line.RunnerId] = line.State != "draining", line.State
-	}
-	for _, leave := range record.Drains {
-		if going[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
-			leave.Back = platform.world.Now
-		}
-	}
-	for _, line := range before {
-		if line.State == "draining" || going[line.RunnerId] {
-			continue
-		}
-		record.Drains = append(
-			record.Drains,
-			&histories.Drain{
-				At:      platform.world.Now,
-				Runner:  line.RunnerId,
-				Drained: listed[line.RunnerId] == "draining",
-			},
-		)
-	}
-}
--- /dev/null
+++ b/verify/simulation/platform.go
@@ -0,0 +1,161 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"time"
+
+	"wardtray/dataplane"
+	"wardtray/verify/emulator"
+	"wardtray/verify/histories"
+	"wardtray/wire"
+)
+
+// platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
+type platform struct {
+	world        *World
+	actual       []*wire.Runner
+	listed       []*wire.Runner
+	previous     [][]*wire.Runner
+	removedAt    map[string]time.Time
+	incarnations int
+	// unreachable lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
+	// truncated leaves some out.
+	unreachable, empty, frozen, truncated bool
+	outdated                              bool
+}
+
+// fill lists so many runners.
+func (platform *platform) fill(count int) {
+	platform.removedAt = map[string]time.Time{}
+	for range count {
+		platform.add()
+	}
+}
+
+func (platform *platform) add() {
+	platform.incarnations++
+	platform.listed = append(
+		platform.listed,
+		&wire.Runner{
+			RunnerId: fmt.Sprintf("r%d", platform.incarnations),
+			Address:  "x",
+			Zone:     "a",
+			Service:  "s",
+			State:    "ready",
+		},
+	)
+}
+
+// replace takes one runner off and lists another.
+func (platform *platform) replace(random *rand.Rand) {
+	index := random.Intn(len(platform.listed))
+	platform.removedAt[platform.listed[index].RunnerId] = platform.world.Now
+	kept := append([]*wire.Runner{}, platform.listed[:index]...)
+	platform.listed = append(kept, platform.listed[index+1:]...)
+	platform.add()
+}
+
+func (platform *platform) poll(host *Host, incarnation int) {
+	content, read := platform.served(), !platform.unreachable
+	world := platform.world
+	world.After(5*time.Millisecond, func() {
+		world.on(host, incarnation, func() { host.plane.Listed(content, read) })
+	})
+}
+
+// served is the list as the platform gives it now.
+func (platform *platform) served() []byte {
+	lines := []dataplane.ListedRunner{}
+	for _, runner := range platform.listed {
+		lines = append(
+			lines,
+			dataplane.ListedRunner{
+				RunnerID: runner.RunnerId,
+				Address:  runner.Address,
+				Zone:     runner.Zone,
+				Service:  runner.Service,
+				State:    runner.State,
+			},
+		)
+	}
+	if platform.empty {
+		lines = lines[:0]
+	}
+	content, err := json.Marshal(lines)
+	if err != nil {
+		panic(err)
+	}
+	return content
+}
+
+// set changes a runner's true state; an empty state takes it off.
+func (platform *platform) set(host *Host, state string) {
+	kept := make([]*wire.Runner, 0, len(platform.actual)+1)
+	for _, line := range platform.actual {
+		if line.Address != host.Address {
+			kept = append(kept, line)
+		}
+	}
+	if state != "" {
+		kept = append(
+			kept,
+			&wire.Runner{
+				RunnerId: host.engine.id,
+				Address:  host.Address,
+				Zone:     host.Zone,
+				Service:  host.engine.service,
+				State:    state,
+			},
+		)
+	}
+	platform.actual = kept
+}
+
+// publish makes what is served follow the truth, and notes who is seen to leave.
+func (platform *platform) publish() {
+	served := append([]*wire.Runner{}, platform.actual...)
+	if platform.truncated {
+		served = served[:len(served)/2]
+	}
+	if platform.outdated && len(platform.previous) > 0 {
+		served = platform.previous[0]
+	}
+	if !platform.frozen && !platform.unreachable && len(served) > 0 && !platform.empty {
+		platform.recordDrains(platform.listed, served)
+		platform.previous = append(platform.previous, platform.listed)
+		if len(platform.previous) > 8 {
+			platform.previous = platform.previous[1:]
+		}
+		platform.listed = served
+	}
+	platform.world.After(emulator.ListLag, platform.publish)
+}
+
+// recordDrains records who began to leave between two lists, and who is back.
+func (platform *platform) recordDrains(before, now []*wire.Runner) {
+	record := platform.world.Traffic.History
+	going, listed := map[string]bool{}, map[string]string{}
+	for _, line := range now {
+		going[line.RunnerId], listed[line.RunnerId] = line.State != "draining", line.State
+	}
+	for _, leave := range record.Drains {
+		if going[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
+			leave.Back = platform.world.Now
+		}
+	}
+	for _, line := range before {
+		if line.State == "draining" || going[line.RunnerId] {
+			continue
+		}
+		record.Drains = append(
+			record.Drains,
+			&histories.Drain{
+				At:      platform.world.Now,
+				Runner:  line.RunnerId,
+				Drained: listed[line.RunnerId] == "draining",
+			},
+		)
+	}
+}
