--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -90,7 +90,7 @@
 				spread.Acknowledged,
 				spread.Messages,
 				spread.Bytes,
-				spread.AcrossBytes,
+				spread.CrossZoneBytes,
 				spread.ChangeBytes,
 			)
 		}
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -18,7 +18,7 @@
 // ListLag is by how much the platform's list and its opinion of daemons trail the truth.
 const ListLag = 500 * time.Millisecond
 
-type line struct {
+type listedRunner struct {
 	RunnerID string `json:"runner_id"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -30,7 +30,7 @@
 type Platform struct {
 	record  *histories.History
 	mutex   sync.Mutex
-	runners map[string]line
+	runners map[string]listedRunner
 	listed  []byte
 	known   map[string]bool
 	// ready is since when runners have been listed as such.
@@ -52,7 +52,7 @@
 ) (*Platform, error) {
 	platform := &Platform{
 		record:  record,
-		runners: map[string]line{},
+		runners: map[string]listedRunner{},
 		listed:  []byte("[]"),
 		known:   map[string]bool{},
 		ready:   map[string]time.Time{},
@@ -97,7 +97,7 @@
 		delete(platform.runners, runner.ID)
 		return
 	}
-	platform.runners[runner.ID] = line{
+	platform.runners[runner.ID] = listedRunner{
 		RunnerID: runner.ID,
 		Address:  runner.Address,
 		Zone:     runner.Zone,
@@ -132,7 +132,7 @@
 func (platform *Platform) publish() {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	lines := make([]line, 0, len(platform.runners))
+	lines := make([]listedRunner, 0, len(platform.runners))
 	live := map[string]bool{}
 	for _, entry := range platform.runners {
 		lines = append(lines, entry)
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -54,7 +54,7 @@
 type Runner struct {
 	ID, Address, Zone, Service, Model, Weights, Pool string
 	Adapters                                         []string
-	nature                                           Nature
+	profile                                          Nature
 	record                                           *histories.History
 	started                                          time.Time
 	server                                           *fasthttp.Server
@@ -87,7 +87,7 @@
 
 // Start opens a runner at its address.
 func Start(runner *Runner, nature Nature, record *histories.History) error {
-	runner.nature, runner.record, runner.started = nature, record, time.Now()
+	runner.profile, runner.record, runner.started = nature, record, time.Now()
 	runner.stopped, runner.connections = make(chan struct{}), map[net.Conn]bool{}
 	runner.cache = NewCache[string](nature.CacheTokens)
 	runner.slots = make(chan struct{}, nature.Slots)
@@ -126,12 +126,12 @@
 
 // Free returns how many of its slots are free, and how many it has; a runner that is dark or cold has none.
 func (runner *Runner) Free() (free, slots int) {
-	if runner.Dark.Load() || time.Since(runner.started) < runner.nature.ColdTime {
+	if runner.Dark.Load() || time.Since(runner.started) < runner.profile.ColdTime {
 		return 0, 0
 	}
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	return max(0, runner.nature.Slots-runner.active), runner.nature.Slots
+	return max(0, runner.profile.Slots-runner.active), runner.profile.Slots
 }
 
 // Crash ends the runner at once: every connection is reset.
@@ -158,7 +158,7 @@
 		select {
 		case now := <-ticker.C:
 			runner.mutex.Lock()
-			running := min(runner.active, runner.nature.Slots)
+			running := min(runner.active, runner.profile.Slots)
 			runner.reports = append(runner.reports, report{at: now, running: running, waiting: runner.active - running})
 			if len(runner.reports) > 64 {
 				runner.reports = runner.reports[len(runner.reports)-64:]
@@ -174,7 +174,7 @@
 	if runner.Dark.Load() {
 		if string(context.Path()) == "/run" {
 			runner.mutex.Lock()
-			run := runner.note(context, true)
+			run := runner.recordRun(context, true)
 			runner.mutex.Unlock()
 			_, stop := runner.watch(context, run)
 			defer stop()
@@ -184,7 +184,7 @@
 	}
 	paths := map[string]func(context *fasthttp.RequestCtx){
 		"/identity": runner.identity,
-		"/pressure": runner.pressure,
+		"/pressure": runner.loadReport,
 		"/run":      runner.run,
 	}
 	path := paths[string(context.Path())]
@@ -210,20 +210,20 @@
 	context.SetBody(content)
 }
 
-func (runner *Runner) pressure(context *fasthttp.RequestCtx) {
+func (runner *Runner) loadReport(context *fasthttp.RequestCtx) {
 	runner.mutex.Lock()
 	told := report{}
 	for _, candidate := range runner.reports {
-		if time.Since(candidate.at) >= runner.nature.ReportAge {
+		if time.Since(candidate.at) >= runner.profile.ReportAge {
 			told = candidate
 		}
 	}
 	runner.mutex.Unlock()
-	answer(context, 200, map[string]any{"running": told.running, "waiting": told.waiting, "slots": runner.nature.Slots})
+	answer(context, 200, map[string]any{"running": told.running, "waiting": told.waiting, "slots": runner.profile.Slots})
 }
 
-// note records a request as read.
-func (runner *Runner) note(context *fasthttp.RequestCtx, started bool) *histories.Run {
+// recordRun records a request as read.
+func (runner *Runner) recordRun(context *fasthttp.RequestCtx, started bool) *histories.Run {
 	header := func(name string) string { return string(context.Request.Header.Peek(name)) }
 	epoch, _ := strconv.ParseUint(header(admission.HeaderEpoch), 10, 64)
 	now := time.Now()
@@ -242,11 +242,11 @@
 		Epoch:      epoch,
 		Started:    started,
 		Concurrent: runner.active,
-		WarmingUp:  now.Sub(runner.started) < runner.nature.ColdTime,
-		Capacity:   runner.nature.Slots,
+		WarmingUp:  now.Sub(runner.started) < runner.profile.ColdTime,
+		Capacity:   runner.profile.Slots,
 	}
 	if run.WarmingUp {
-		run.Capacity = max(1, runner.nature.Slots/runner.nature.ColdFactor)
+		run.Capacity = max(1, runner.profile.Slots/runner.profile.ColdFactor)
 	}
 	runner.record.Change(func(history *histories.History) { history.Runs = append(history.Runs, run) })
 	return run
@@ -254,13 +254,13 @@
 
 func (runner *Runner) run(context *fasthttp.RequestCtx) {
 	runner.mutex.Lock()
-	if runner.active >= runner.nature.Slots+runner.nature.PutBackAbove {
-		runner.note(context, false)
+	if runner.active >= runner.profile.Slots+runner.profile.PutBackAbove {
+		runner.recordRun(context, false)
 		runner.mutex.Unlock()
 		answer(context, 503, map[string]any{"started": false})
 		return
 	}
-	run := runner.note(context, true)
+	run := runner.recordRun(context, true)
 	runner.active++
 	runner.runs++
 	name := fmt.Sprintf("%s/%d", runner.ID, runner.runs)
@@ -340,9 +340,9 @@
 	cached := runner.cache.Use(Chained(parts), tokens)
 	runner.Cached.Add(int64(cached))
 	runner.Prompted.Add(int64(prompt))
-	prefill := time.Duration(prompt-cached) * runner.nature.TokenTime
-	if time.Since(runner.started) < runner.nature.ColdTime {
-		prefill *= time.Duration(runner.nature.ColdFactor)
+	prefill := time.Duration(prompt-cached) * runner.profile.TokenTime
+	if time.Since(runner.started) < runner.profile.ColdTime {
+		prefill *= time.Duration(runner.profile.ColdFactor)
 	}
 	going := runner.wait(prefill, cut)
 	runner.engine.Unlock()
@@ -364,7 +364,7 @@
 		if writer.Flush() != nil {
 			return
 		}
-		going = runner.wait(time.Duration(length)*runner.nature.AnswerTime/time.Duration(events), cut)
+		going = runner.wait(time.Duration(length)*runner.profile.AnswerTime/time.Duration(events), cut)
 	}
 	if !going {
 		return
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -71,8 +71,8 @@
 	},
 }
 
-// silentLoss is how long a loss of which nobody says anything may take to be known.
-const silentLoss = 4 * time.Second
+// unresponsiveBound is how long a loss of which nobody says anything may take to be known.
+const unresponsiveBound = 4 * time.Second
 
 func (stage *Stage) span(part float64) { stage.At(float64(stage.Options.Seconds) * part) }
 
@@ -103,7 +103,7 @@
 	stage.span(0.2)
 	for _, number := range []int{2, 9} {
 		stage.Harm(fmt.Sprintf("runner %d goes dark", number), stage.Runners[number],
-			time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
+			time.Duration(stage.Options.Seconds)*time.Second, unresponsiveBound)
 	}
 	stage.Runners[2].Dark.Store(true)
 	stage.Runners[9].Dark.Store(true)
@@ -123,7 +123,7 @@
 	stage.span(0.2)
 	stage.Harm("runner 4 breaks streams", stage.Runners[4], time.Duration(stage.Options.Seconds)*time.Second/2, 0)
 	stage.Harm("runner 5 is ten times slower", stage.Runners[5], time.Duration(stage.Options.Seconds)*time.Second/2,
-		silentLoss)
+		unresponsiveBound)
 	stage.Runners[4].Partial.Store(true)
 	stage.Runners[5].Slow.Store(10)
 	stage.span(0.5)
@@ -225,7 +225,7 @@
 	const dark = 2
 	stage.span(0.1)
 	stage.Harm(fmt.Sprintf("runner %d goes dark", dark), stage.Runners[dark],
-		time.Duration(stage.Options.Seconds)*time.Second, silentLoss)
+		time.Duration(stage.Options.Seconds)*time.Second, unresponsiveBound)
 	stage.Runners[dark].Dark.Store(true)
 	stage.span(0.2)
 	stage.Scale(4)
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -381,13 +381,13 @@
 // dropMessages takes messages out of those on their way.
 func (world *world) dropMessages(lost func(message message) bool) {
 	for _, list := range []*[]message{&world.inFlight, &world.delayedMessages} {
-		kept := (*list)[:0:0]
+		remaining := (*list)[:0:0]
 		for _, message := range *list {
 			if !lost(message) {
-				kept = append(kept, message)
+				remaining = append(remaining, message)
 			}
 		}
-		*list = kept
+		*list = remaining
 	}
 }
 
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -37,7 +37,7 @@
 	read, written int
 	prompt        int
 	began         bool
-	finished      func(whole bool)
+	finished      func(complete bool)
 	first         func()
 	lastEvent     time.Time
 	worstPause    time.Duration
@@ -280,7 +280,7 @@
 
 // removeFinished takes those out of the running that are whole or past their deadline, and returns them.
 func (batch *batch) removeFinished(now time.Time) (finished []*sequence) {
-	kept := batch.running[:0]
+	remaining := batch.running[:0]
 	for _, one := range batch.running {
 		if one.abandoned {
 			continue
@@ -289,9 +289,9 @@
 			finished = append(finished, one)
 			continue
 		}
-		kept = append(kept, one)
+		remaining = append(remaining, one)
 	}
-	batch.running = kept
+	batch.running = remaining
 	return finished
 }
 
--- a/verify/placement/deployment.go
+++ b/verify/placement/deployment.go
@@ -50,7 +50,7 @@
 	survey, confirm float64,
 	things, names, events int,
 	stride float64,
-	surveyAim, confirmAim time.Duration,
+	surveyLatencyTarget, confirmLatencyTarget time.Duration,
 	deadline time.Duration,
 	late float64,
 	pause time.Duration,
@@ -59,7 +59,7 @@
 		{
 			Name:          "survey",
 			Rate:          survey,
-			LatencyTarget: surveyAim,
+			LatencyTarget: surveyLatencyTarget,
 			Deadline:      deadline,
 			Pause:         pause,
 			Value:         2,
@@ -72,7 +72,7 @@
 		{
 			Name:          "confirm",
 			Rate:          confirm,
-			LatencyTarget: confirmAim,
+			LatencyTarget: confirmLatencyTarget,
 			Deadline:      3 * time.Second,
 			Pause:         pause,
 			Value:         3,
--- a/verify/placement/earned.go
+++ b/verify/placement/earned.go
@@ -61,9 +61,9 @@
 const windowLength = 3 * time.Second
 
 // end adds up the end of one request.
-func (earned *Earned) end(made *order, window int, whole, inTime bool) {
+func (earned *Earned) end(made *order, window int, complete, inTime bool) {
 	value := 0.0
-	if !whole {
+	if !complete {
 		earned.Failed++
 	} else if inTime {
 		earned.InTime++
@@ -72,7 +72,7 @@
 		earned.Late++
 		value = made.late
 	}
-	if whole && made.large {
+	if complete && made.large {
 		earned.LargeServed++
 	}
 	earned.Value += value
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -62,9 +62,9 @@
 
 // Result is what one route, or all together, got.
 type Result struct {
-	Requests, Done, Early, Late, PutBack, NoBudget, Across int
-	Cached, Prompted                                       int
-	First                                                  []time.Duration
+	Requests, Done, Early, Late, PutBack, NoBudget, CrossZone int
+	Cached, Prompted                                          int
+	First                                                     []time.Duration
 	// MostAtOnce is the most work that one runner had.
 	MostAtOnce int
 }
@@ -332,7 +332,7 @@
 			result.Cached += cached
 			result.Prompted += prompt
 			if engine.zone != one.zone {
-				result.Across++
+				result.CrossZone++
 			}
 		})
 		world.After(time.Duration(job.kind.Answer)*profile.AnswerTime, func() {
--- a/verify/placement/place_test.go
+++ b/verify/placement/place_test.go
@@ -30,8 +30,8 @@
 		if ours.CacheShare() < 1.5*chance.CacheShare() {
 			t.Errorf("%s: %.0f%% cached, by chance %.0f%%", deployment, 100*ours.CacheShare(), 100*chance.CacheShare())
 		}
-		if ours.Across > chance.Across {
-			t.Errorf("%s: %d awards across zones, by chance %d", deployment, ours.Across, chance.Across)
+		if ours.CrossZone > chance.CrossZone {
+			t.Errorf("%s: %d awards across zones, by chance %d", deployment, ours.CrossZone, chance.CrossZone)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 func TestPromptsWithoutOpeningsStayInTheirZone(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range []string{"guild", "ferries"} {
-		across := map[string]int{}
+		crossZone := map[string]int{}
 		for _, way := range []string{"wardtray", "random"} {
 			setting := Settings[deployment]
 			setting.Way, setting.Rate, setting.Length, setting.Seed = way, 60, 8*time.Second, 3
@@ -53,10 +53,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			across[way] = results[""].Across
+			crossZone[way] = results[""].CrossZone
 		}
-		if across["wardtray"]*3 > across["random"]*2 {
-			t.Errorf("%s: %d awards across zones, by chance %d", deployment, across["wardtray"], across["random"])
+		if crossZone["wardtray"]*3 > crossZone["random"]*2 {
+			t.Errorf("%s: %d awards across zones, by chance %d", deployment, crossZone["wardtray"], crossZone["random"])
 		}
 	}
 }
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -34,7 +34,7 @@
 		for _, way := range []string{"wardtray", "least-loaded"} {
 			// Three seeds, since engines with few slots get few requests.
 			play := Play{Deployment: Deployments[deployment], Length: 9 * time.Second, Seed: 5, ReportAge: time.Second}
-			sums, err := sum(play, 1, way, 3)
+			sums, err := total(play, 1, way, 3)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/verify/placement/report.go
+++ b/verify/placement/report.go
@@ -21,7 +21,7 @@
 	)
 	for _, load := range loads {
 		for _, way := range ways {
-			sums, err := sum(play, load, way, seeds)
+			sums, err := total(play, load, way, seeds)
 			if err != nil {
 				return err
 			}
@@ -49,8 +49,8 @@
 	return writer.Flush()
 }
 
-// sum plays one way over the seeds and adds the results up.
-func sum(play Play, load float64, way string, seeds int) (map[string]*Earned, error) {
+// total plays one way over the seeds and adds the results up.
+func total(play Play, load float64, way string, seeds int) (map[string]*Earned, error) {
 	all := make([]map[string]*Earned, seeds)
 	failures := make([]error, seeds)
 	var waiting sync.WaitGroup
--- a/verify/placement/requests.go
+++ b/verify/placement/requests.go
@@ -184,7 +184,7 @@
 		prompt:  made.queuedRequest.Requirements.PromptTokens,
 		first:   sent.first,
 	}
-	one.finished = func(whole bool) { sent.finished(one, whole) }
+	one.finished = func(complete bool) { sent.finished(one, complete) }
 	if !batch.take(one) {
 		daemon.scheduler.PutBack(sent.at, made.queuedRequest, step)
 		fleet.again(daemon, made, step, false)
@@ -229,13 +229,13 @@
 }
 
 // finished takes the end of an answer, which is whole or not.
-func (send *send) finished(one *sequence, whole bool) {
+func (send *send) finished(one *sequence, complete bool) {
 	fleet, daemon, made := send.fleet, send.daemon, send.made
 	now := fleet.world.Now
 	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.LatencyTarget
 	window := int(made.started.Sub(fleet.started) / windowLength)
-	fleet.both(made, func(earned *Earned) { earned.end(made, window, whole, inTime) })
-	if whole {
+	fleet.both(made, func(earned *Earned) { earned.end(made, window, complete, inTime) })
+	if complete {
 		daemon.scheduler.Learn(0, 0, now.Sub(send.at))
 	} else if !one.began {
 		daemon.table.Failed(now, send.batch.id, "gave no first event")
--- a/verify/placement/runner_faults.go
+++ b/verify/placement/runner_faults.go
@@ -58,13 +58,13 @@
 
 func (fleet *fleet) remove(gone *batch) {
 	delete(fleet.batches, gone.id)
-	kept := []*wire.Runner{}
+	remaining := []*wire.Runner{}
 	for _, line := range fleet.lines {
 		if line.RunnerId != gone.id {
-			kept = append(kept, line)
+			remaining = append(remaining, line)
 		}
 	}
-	fleet.lines = kept
+	fleet.lines = remaining
 	list := []*batch{}
 	for _, one := range fleet.list {
 		if one != gone {
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -69,7 +69,7 @@
 					rate, way, name, result.Requests, result.Done, result.Early, result.Late, result.PutBack,
 					result.NoBudget, 100*result.CacheShare(), result.Quantile(0.5).Round(time.Millisecond),
 					result.Quantile(0.95).Round(time.Millisecond), result.Quantile(0.99).Round(time.Millisecond),
-					100*float64(result.Across)/float64(max(1, len(result.First))), result.MostAtOnce)
+					100*float64(result.CrossZone)/float64(max(1, len(result.First))), result.MostAtOnce)
 			}
 		}
 	}
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -98,11 +98,11 @@
 		if err != nil {
 			panic(err)
 		}
-		sum := sha256.Sum256(content)
-		if other, found := checker.committed[document.Sequence]; found && other != sum {
+		digest := sha256.Sum256(content)
+		if other, found := checker.committed[document.Sequence]; found && other != digest {
 			checker.violation("%s holds another document %d than others", host.Address, document.Sequence)
 		}
-		checker.committed[document.Sequence] = sum
+		checker.committed[document.Sequence] = digest
 		checker.checkOutcomes(host, document)
 	}
 	if !host.node.Leading(checker.world.local(host)) {
@@ -209,7 +209,7 @@
 		Resent:    again,
 	}
 	checker.Orders = append(checker.Orders, order)
-	told := checker.record(order, ask)
+	recorded := checker.record(order, ask)
 	if !host.up || host.frozen {
 		return order
 	}
@@ -226,7 +226,7 @@
 			if status == 504 || order.Resent && status == 503 {
 				order.Outcome = "unknown"
 			}
-			told.Got, told.Outcome, told.Epoch, told.HTTPStatus = world.Now, order.Outcome, order.Epoch, status
+			recorded.Got, recorded.Outcome, recorded.Epoch, recorded.HTTPStatus = world.Now, order.Outcome, order.Epoch, status
 			checker.checkReply(order, ask, least)
 		})
 	})
@@ -235,7 +235,7 @@
 
 // record records a change for the checker of the request path, where there is one.
 func (checker *Checker) record(order *Order, ask *wire.OperatorRequest) *histories.Order {
-	told := &histories.Order{
+	recorded := &histories.Order{
 		Operation: ask.Operation,
 		Verb:      ask.Verb,
 		Zone:      ask.Zone,
@@ -245,13 +245,13 @@
 		Outcome:   "unknown",
 	}
 	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != "get" {
-		told.Spec = traffic.specs[ask.Operation]
+		recorded.Spec = traffic.specs[ask.Operation]
 		if change, err := config.ParseChange(ask.Spec); ask.Verb == "change" && err == nil {
-			told.Change = change
+			recorded.Change = change
 		}
-		traffic.History.Orders = append(traffic.History.Orders, told)
+		traffic.History.Orders = append(traffic.History.Orders, recorded)
 	}
-	return told
+	return recorded
 }
 
 func (checker *Checker) greatestAcknowledged() uint64 {
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -205,7 +205,7 @@
 	for buffer := make([]byte, 4<<10); ; {
 		count, err := source.Read(buffer)
 		if count > 0 {
-			if _, gone := client.Write(buffer[:count]); gone != nil {
+			if _, err := client.Write(buffer[:count]); err != nil {
 				return
 			}
 		}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -124,11 +124,11 @@
 	world.After(world.transitTime(), func() { peer.fail(errReset) })
 }
 
-// crash ends this end with its process; told is whether its machine still answers for it.
-func (conn *conn) crash(told bool) {
+// crash ends this end with its process; reachable is whether its machine still answers for it.
+func (conn *conn) crash(reachable bool) {
 	conn.closed = true
 	conn.inFlight = nil
-	if told {
+	if reachable {
 		conn.reset()
 	}
 }
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -12,9 +12,9 @@
 	cutLength = 20 * time.Second
 	// catchUpTime is how long after its start a repaired or new machine may still count as lost.
 	catchUpTime = 4 * time.Second
-	// wholeAckBound is within what time a change is acknowledged while the core is whole, however many daemons are
-	// dark.
-	wholeAckBound = 2500 * time.Millisecond
+	// acknowledgementBound is within what time a change is acknowledged while the core is whole, however many daemons
+	// are dark.
+	acknowledgementBound = 2500 * time.Millisecond
 	// graceTime is within what time a machine that was told to stop has to end.
 	graceTime = 5 * time.Second
 )
@@ -473,15 +473,15 @@
 		}
 		operators.base = world.Check.greatestKnown()
 		order := operators.apply(world.pick(world.Cores()))
-		world.After(wholeAckBound, func() {
-			took := wholeAckBound
+		world.After(acknowledgementBound, func() {
+			took := acknowledgementBound
 			if order.Outcome != "unknown" {
 				took = order.Got.Sub(order.Sent)
 			}
 			world.Check.recordWorst("answer to a change while most daemons are gone", took)
 			if order.Outcome == "unknown" {
 				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
-					wholeAckBound)
+					acknowledgementBound)
 			}
 		})
 		world.After(every, next)
--- a/verify/simulation/control_days_test.go
+++ b/verify/simulation/control_days_test.go
@@ -9,8 +9,8 @@
 func playDay(t *testing.T, seed int64, shape Shape, day ControlDay) {
 	t.Helper()
 	world, racers := PlayControlDay(seed, shape, day)
-	for _, line := range world.Check.Violations {
-		t.Error(line)
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
 		t.Log(world.Log)
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -31,7 +31,7 @@
 	},
 	"data without power": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(true, silentLoss, host)
+		over := world.touch(true, unresponsiveBound, host)
 		world.Power(host)
 		return both(over, reboot(world, host))
 	},
@@ -155,7 +155,7 @@
 			world.After(0, func() {
 				for _, host := range world.Hosts {
 					if host.up && (host.Core || world.random.Intn(2) == 0) {
-						overs = append(overs, world.touch(true, silentLoss, host))
+						overs = append(overs, world.touch(true, unresponsiveBound, host))
 						world.Power(host)
 						lost = append(lost, host)
 					}
@@ -185,7 +185,7 @@
 					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
-					overs = append(overs, world.touch(true, silentLoss, host))
+					overs = append(overs, world.touch(true, unresponsiveBound, host))
 					world.Power(host)
 				}
 				for _, host := range cores[:min(world.Faults, len(cores)-1)] {
@@ -250,13 +250,13 @@
 	"zone cut off": func(world *World) func() {
 		zone := world.pick(world.Cores()).Zone
 		inside, outside := world.zone(zone)
-		over := world.touch(false, silentLoss, inside...)
+		over := world.touch(false, unresponsiveBound, inside...)
 		world.CutOff(inside, outside)
 		return both(over, world.Heal)
 	},
 	"zone lost": func(world *World) func() {
 		inside, _ := world.zone(world.pick(world.Cores()).Zone)
-		over := world.touch(true, silentLoss, inside...)
+		over := world.touch(true, unresponsiveBound, inside...)
 		for _, host := range inside {
 			world.Power(host)
 		}
@@ -268,7 +268,7 @@
 		}
 	},
 	"all down": func(world *World) func() {
-		over := world.touch(true, silentLoss, world.Hosts...)
+		over := world.touch(true, unresponsiveBound, world.Hosts...)
 		for _, host := range world.Hosts {
 			world.Power(host)
 		}
@@ -289,7 +289,7 @@
 	},
 	"slow network": func(world *World) func() {
 		// At 0.4 s a message no daemon can be sure of a new spec in time; the brief knows no such network.
-		over := world.touch(false, silentLoss, world.Hosts...)
+		over := world.touch(false, unresponsiveBound, world.Hosts...)
 		world.Jitter = 400 * time.Millisecond
 		return both(over, func() { world.Jitter = 4 * time.Millisecond })
 	},
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -10,7 +10,7 @@
 	"wardtray/balancer/scheduler"
 )
 
-var silent = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // coroutine is one piece of work of a host as a coroutine: it runs until it parks, and nothing else runs
 // meanwhile. The seed decides how soon it goes on after it was woken.
@@ -28,8 +28,8 @@
 	decided time.Time
 }
 
-// gone unwinds a coroutine whose process has ended.
-type gone struct{}
+// processEnded unwinds a coroutine whose process has ended.
+type processEnded struct{}
 
 // spawn begins a piece of work in a host's process.
 func (world *World) spawn(host *Host, work func()) {
@@ -37,7 +37,7 @@
 	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
 		made.yield = yield
 		defer func() {
-			if cause := recover(); cause != nil && cause != any(gone{}) {
+			if cause := recover(); cause != nil && cause != any(processEnded{}) {
 				panic(cause)
 			}
 		}()
@@ -84,7 +84,7 @@
 // park lets everything else go on until somebody wakes this coroutine.
 func (coroutine *coroutine) park() {
 	if !coroutine.yield(struct{}{}) {
-		panic(gone{})
+		panic(processEnded{})
 	}
 }
 
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -118,7 +118,7 @@
 		}
 		paths := map[string]func(connection *conn, request *http.Request, reached time.Time) bool{
 			"/identity": engine.identity,
-			"/pressure": engine.pressure,
+			"/pressure": engine.loadReport,
 			"/run":      engine.run,
 		}
 		if engine.unresponsive {
@@ -161,12 +161,12 @@
 	)
 }
 
-func (engine *engine) pressure(connection *conn, _ *http.Request, _ time.Time) bool {
-	told := load.Report{Slots: engine.profile.Slots}
+func (engine *engine) loadReport(connection *conn, _ *http.Request, _ time.Time) bool {
+	report := load.Report{Slots: engine.profile.Slots}
 	if len(engine.reports) > 0 {
-		told = engine.reports[0]
+		report = engine.reports[0]
 	}
-	return answer(connection, 200, told)
+	return answer(connection, 200, report)
 }
 
 // recordRun records a request as read.
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -67,20 +67,20 @@
 	},
 	"runner dark": func(world *World) func() {
 		host := world.runner()
-		over := world.touch(false, silentLoss, host)
+		over := world.touch(false, unresponsiveBound, host)
 		world.Power(host)
 		world.delist(host)
 		return both(over, reboot(world, host))
 	},
 	"runner frozen": func(world *World) func() {
 		host := world.runner()
-		over := world.touch(false, silentLoss, host)
+		over := world.touch(false, unresponsiveBound, host)
 		world.Freeze(host)
 		return both(over, func() { world.Wake(host) })
 	},
 	"runner deaf": func(world *World) func() {
 		host := world.runner()
-		over := world.touch(false, silentLoss, host)
+		over := world.touch(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
 			world.Cut(daemon, host)
 		}
@@ -88,7 +88,7 @@
 	},
 	"runner unheard": func(world *World) func() {
 		host := world.runner()
-		over := world.touch(false, silentLoss, host)
+		over := world.touch(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
 			world.Cut(host, daemon)
 		}
@@ -96,7 +96,7 @@
 	},
 	"runner cut and delisted": func(world *World) func() {
 		host := world.runner()
-		incarnation, over := host.incarnation, world.touch(false, silentLoss, host)
+		incarnation, over := host.incarnation, world.touch(false, unresponsiveBound, host)
 		world.CutOff([]*Host{host}, world.Datas())
 		world.After(noticed, func() {
 			if host.incarnation == incarnation {
@@ -113,14 +113,14 @@
 	},
 	"daemon cut from runners": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(false, silentLoss, host)
+		over := world.touch(false, unresponsiveBound, host)
 		world.CutOff([]*Host{host}, world.Runners())
 		return both(over, world.Heal)
 	},
-	"runner mute":    misbehave(silentLoss, func(engine *engine, on bool) { engine.unresponsive = on }),
+	"runner mute":    misbehave(unresponsiveBound, func(engine *engine, on bool) { engine.unresponsive = on }),
 	"runner partial": misbehave(0, func(engine *engine, on bool) { engine.partial = on }),
 	"runner fails":   misbehave(0, func(engine *engine, on bool) { engine.fails = on }),
-	"runner slow": misbehave(silentLoss,
+	"runner slow": misbehave(unresponsiveBound,
 		func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }),
 	"runner garbles": func(world *World) func() {
 		host := world.runner()
@@ -129,7 +129,7 @@
 		engine.garble = names[world.random.Intn(len(names))]
 		return both(over, func() { engine.garble = "" })
 	},
-	"runner late": misbehave(silentLoss,
+	"runner late": misbehave(unresponsiveBound,
 		func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] }),
 	"runner gives surplus answers": misbehave(anyTime, func(engine *engine, on bool) { engine.surplus = on }),
 	"connections reset": func(world *World) func() {
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -52,9 +52,9 @@
 // notifyHangUp has the daemon's process learn of the close, at once or when it wakes from a freeze.
 func (client *client) notifyHangUp() {
 	client.traffic.world.on(client.host, client.incarnation, func() {
-		if told := client.onHangUp; told != nil {
+		if notify := client.onHangUp; notify != nil {
 			client.onHangUp = nil
-			told()
+			notify()
 		}
 	})
 }
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -98,8 +98,8 @@
 
 func (run *lossRun) check(t *testing.T) {
 	t.Helper()
-	for _, line := range run.world.Check.Violations {
-		t.Error(line)
+	for _, violation := range run.world.Check.Violations {
+		t.Error(violation)
 	}
 	for period := range lossPeriods {
 		if run.messages[period] == 0 {
@@ -219,7 +219,7 @@
 		t.Errorf("%d messages went to nobody", unaddressed)
 	}
 	world.RegisteringRunners.checkFinalLists()
-	for _, line := range world.Check.Violations {
-		t.Error(line)
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
 	}
 }
--- a/verify/simulation/silent_head_test.go
+++ b/verify/simulation/headless_test.go
@@ -40,7 +40,7 @@
 	seed int64,
 	shape Shape,
 	lose func(world *World, head *Host),
-) (rate float64, silence time.Duration) {
+) (rate float64, headless time.Duration) {
 	t.Helper()
 	world := Found(seed, shape)
 	world.Run(20 * time.Second)
@@ -68,8 +68,8 @@
 	if len(world.Check.Violations) > 0 {
 		t.Fatalf("seed %d: %v", seed, world.Check.Violations)
 	}
-	silence = world.Now.Sub(lost)
-	return float64(messages) / silence.Seconds() / float64(len(world.Datas())), silence
+	headless = world.Now.Sub(lost)
+	return float64(messages) / headless.Seconds() / float64(len(world.Datas())), headless
 }
 
 // What a daemon sends and receives while no head acts does not grow with the fleet: it depends on the number of
@@ -88,11 +88,11 @@
 		for seed := int64(1); seed <= 3; seed++ {
 			rates := make([]float64, 0, len(smallAndLargeShapes))
 			for _, shape := range smallAndLargeShapes {
-				rate, silence := headlessMessages(t, seed, shape, lose)
+				rate, headless := headlessMessages(t, seed, shape, lose)
 				t.Logf("%s, seed %d, %d daemons: %.1f messages a daemon and second over %v without a head", name, seed,
-					sum(shape.Machines), rate, silence)
-				if silence < minimumHeadless {
-					t.Errorf("%s, seed %d: a head acted after %v; that is too soon to count", name, seed, silence)
+					sum(shape.Machines), rate, headless)
+				if headless < minimumHeadless {
+					t.Errorf("%s, seed %d: a head acted after %v; that is too soon to count", name, seed, headless)
 				}
 				if rate > headlessMessageBound {
 					t.Errorf("%s, seed %d: %.1f messages a daemon and second among %d; at most %d", name, seed, rate,
--- a/verify/simulation/network.go
+++ b/verify/simulation/network.go
@@ -23,7 +23,7 @@
 		target := world.byName[outgoing.To]
 		world.countMessage(host, target, outgoing.Envelope, len(content))
 		if target != nil && target.Zone != host.Zone {
-			world.AcrossBytes += uint64(len(content))
+			world.CrossZoneBytes += uint64(len(content))
 		}
 		hash := fnv.New64a()
 		_, _ = hash.Write(content)
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -52,8 +52,8 @@
 func (platform *platform) replace(random *rand.Rand) {
 	index := random.Intn(len(platform.listed))
 	platform.removedAt[platform.listed[index].RunnerId] = platform.world.Now
-	kept := append([]*wire.Runner{}, platform.listed[:index]...)
-	platform.listed = append(kept, platform.listed[index+1:]...)
+	remaining := append([]*wire.Runner{}, platform.listed[:index]...)
+	platform.listed = append(remaining, platform.listed[index+1:]...)
 	platform.add()
 }
 
@@ -67,10 +67,10 @@
 
 // served is the list as the platform gives it now.
 func (platform *platform) served() []byte {
-	lines := []dataplane.ListedRunner{}
+	listed := []dataplane.ListedRunner{}
 	for _, runner := range platform.listed {
-		lines = append(
-			lines,
+		listed = append(
+			listed,
 			dataplane.ListedRunner{
 				RunnerID: runner.RunnerId,
 				Address:  runner.Address,
@@ -81,9 +81,9 @@
 		)
 	}
 	if platform.empty {
-		lines = lines[:0]
+		listed = listed[:0]
 	}
-	content, err := json.Marshal(lines)
+	content, err := json.Marshal(listed)
 	if err != nil {
 		panic(err)
 	}
@@ -92,15 +92,15 @@
 
 // set changes a runner's true state; an empty state takes it off.
 func (platform *platform) set(host *Host, state string) {
-	kept := make([]*wire.Runner, 0, len(platform.actual)+1)
-	for _, line := range platform.actual {
-		if line.Address != host.Address {
-			kept = append(kept, line)
+	remaining := make([]*wire.Runner, 0, len(platform.actual)+1)
+	for _, runner := range platform.actual {
+		if runner.Address != host.Address {
+			remaining = append(remaining, runner)
 		}
 	}
 	if state != "" {
-		kept = append(
-			kept,
+		remaining = append(
+			remaining,
 			&wire.Runner{
 				RunnerId: host.engine.id,
 				Address:  host.Address,
@@ -110,7 +110,7 @@
 			},
 		)
 	}
-	platform.actual = kept
+	platform.actual = remaining
 }
 
 // publish makes what is served follow the truth, and notes who is seen to leave.
@@ -137,24 +137,24 @@
 func (platform *platform) recordDrains(before, now []*wire.Runner) {
 	record := platform.world.Traffic.History
 	going, listed := map[string]bool{}, map[string]string{}
-	for _, line := range now {
-		going[line.RunnerId], listed[line.RunnerId] = line.State != "draining", line.State
+	for _, runner := range now {
+		going[runner.RunnerId], listed[runner.RunnerId] = runner.State != "draining", runner.State
 	}
 	for _, leave := range record.Drains {
 		if going[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
 			leave.Back = platform.world.Now
 		}
 	}
-	for _, line := range before {
-		if line.State == "draining" || going[line.RunnerId] {
+	for _, runner := range before {
+		if runner.State == "draining" || going[runner.RunnerId] {
 			continue
 		}
 		record.Drains = append(
 			record.Drains,
 			&histories.Drain{
 				At:      platform.world.Now,
-				Runner:  line.RunnerId,
-				Drained: listed[line.RunnerId] == "draining",
+				Runner:  runner.RunnerId,
+				Drained: listed[runner.RunnerId] == "draining",
 			},
 		)
 	}
--- a/verify/simulation/process.go
+++ b/verify/simulation/process.go
@@ -204,7 +204,7 @@
 			Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore},
 		Random: random, Await: world.await,
 		Send: func(outbox []statemachine.Message) { world.send(host, outbox) },
-		Poll: func() { world.Platform.poll(host, incarnation) }, Log: silent,
+		Poll: func() { world.Platform.poll(host, incarnation) }, Log: discardLog,
 	})
 	if err != nil {
 		panic(err)
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -13,11 +13,11 @@
 	callEvery = 1200 * time.Millisecond
 	ackBound  = time.Second
 	// leaveKnown is within what time of the acknowledgement no daemon uses a leaving runner any more.
-	leaveKnown  = 2 * time.Second
-	drainServe  = 2500 * time.Millisecond
-	addressRest = 2 * time.Second
-	coldAtStart = 1500 * time.Millisecond
-	silentKnown = 20 * time.Second
+	leaveKnown        = 2 * time.Second
+	drainServe        = 2500 * time.Millisecond
+	addressRest       = 2 * time.Second
+	warmUpTime        = 1500 * time.Millisecond
+	unresponsiveKnown = 20 * time.Second
 )
 
 // RegisteringRunners are runners that register themselves at the cores, with what is known of each life.
@@ -94,7 +94,7 @@
 
 // registration is what the runner tells of itself now.
 func (incarnation *runnerIncarnation) registration() *wire.Runner {
-	line := &wire.Runner{
+	registration := &wire.Runner{
 		RunnerId: incarnation.id,
 		Address:  incarnation.address,
 		Zone:     incarnation.zone,
@@ -103,21 +103,21 @@
 		State:    incarnation.state,
 		Call:     incarnation.call,
 	}
-	if cold := coldAtStart - incarnation.runners.world.Now.Sub(incarnation.started); cold > 0 &&
+	if warmUp := warmUpTime - incarnation.runners.world.Now.Sub(incarnation.started); warmUp > 0 &&
 		incarnation.state == registry.Ready {
-		line.State, line.SlowStartMilliseconds = registry.Cold, uint32(cold/time.Millisecond)
+		registration.State, registration.SlowStartMilliseconds = registry.Cold, uint32(warmUp/time.Millisecond)
 	}
-	return line
+	return registration
 }
 
 // register calls a core, and others if that does not acknowledge.
 func (incarnation *runnerIncarnation) register(more int) {
 	incarnation.call++
-	call, line := incarnation.call, incarnation.registration()
+	call, registration := incarnation.call, incarnation.registration()
 	incarnation.pendingCall = call
 	draining := incarnation.state == registry.Draining
 	incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
-		host.node.Register(now, line, answer)
+		host.node.Register(now, registration, answer)
 	}, func() {
 		if incarnation.pendingCall == call {
 			incarnation.pendingCall = 0
@@ -129,7 +129,7 @@
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
 			host := world.pick(world.Cores())
-			world.reach(host, func() { host.node.Register(world.local(host), line, func(registry.Outcome) {}) })
+			world.reach(host, func() { host.node.Register(world.local(host), registration, func(registry.Outcome) {}) })
 		})
 	}
 	world.After(ackBound, func() {
@@ -339,17 +339,17 @@
 
 // PlayRegisteringRunners founds a deployment whose runners register themselves, does harm to it while they come and
 // go, and sees whether everybody knows who is there in the end.
-func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, kept time.Duration) *World {
+func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
 	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
 	registering := world.RegisteringRunners
 	world.Run(10 * time.Second)
-	registering.KnownBound = kept
+	registering.KnownBound = knownBound
 	registering.Start(time.Second)
 	operators := world.StartOperators(3 * time.Second)
 	world.Schedule(40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
 	registering.Every = 0
-	world.Run(silentKnown)
+	world.Run(unresponsiveKnown)
 	operators.Stop()
 	if len(world.Check.Violations) == 0 {
 		registering.checkFinalLists()
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -44,8 +44,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			world := PlayRegisteringRunners(seed, shape, names, atOnce, kept)
-			for _, line := range world.Check.Violations {
-				t.Error(line)
+			for _, violation := range world.Check.Violations {
+				t.Error(violation)
 			}
 			if t.Failed() {
 				t.Log(world.Log)
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -15,8 +15,8 @@
 		trial.Length = 5 * time.Second
 	}
 	world := Try(seed, shape, trial)
-	for _, line := range world.Check.Violations {
-		t.Error(line)
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
 		t.Log(world.Log)
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// silentLoss is how long a loss of which nobody says anything may take to be known.
-const silentLoss = 4 * time.Second
+// unresponsiveBound is how long a loss of which nobody says anything may take to be known.
+const unresponsiveBound = 4 * time.Second
 
 // touch records that something touches daemons and runners, where there is a request path; the
 // function that it returns ends that.
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -8,8 +8,8 @@
 func play(t *testing.T, seed int64, shape Shape, names []string, atOnce int) *World {
 	t.Helper()
 	world := Play(seed, shape, names, atOnce)
-	for _, line := range world.Check.Violations {
-		t.Error(line)
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
 	}
 	return world
 }
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -17,7 +17,7 @@
 	Half, Most, All, Acknowledged time.Duration
 	// Messages and Bytes are what one daemon sent in a second of quiet; ChangeBytes is what the change
 	// itself added for each daemon, by its difference to the quiet.
-	Messages, Bytes, AcrossBytes, ChangeBytes float64
+	Messages, Bytes, CrossZoneBytes, ChangeBytes float64
 }
 
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
@@ -38,14 +38,14 @@
 	}
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
-	messages, bytes, across := world.Messages, world.Bytes, world.AcrossBytes
+	messages, bytes, crossZone := world.Messages, world.Bytes, world.CrossZoneBytes
 	const quiet = 4 * time.Second
 	world.Run(quiet)
 	per := float64(daemons) * quiet.Seconds()
-	spread.Messages, spread.Bytes, spread.AcrossBytes = float64(world.Messages-messages)/per, float64(
+	spread.Messages, spread.Bytes, spread.CrossZoneBytes = float64(world.Messages-messages)/per, float64(
 		world.Bytes-bytes,
 	)/per, float64(
-		world.AcrossBytes-across,
+		world.CrossZoneBytes-crossZone,
 	)/per
 	bytes = world.Bytes
 	order := world.Check.Send(world.Hosts[1],
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -99,14 +99,14 @@
 func (traffic *Traffic) recordCapacity() {
 	world := traffic.world
 	listed := map[string]bool{}
-	for _, line := range world.Platform.listed {
-		if line.State != "ready" {
+	for _, runner := range world.Platform.listed {
+		if runner.State != "ready" {
 			continue
 		}
-		if traffic.readySince[line.RunnerId].IsZero() {
-			traffic.readySince[line.RunnerId] = world.Now
+		if traffic.readySince[runner.RunnerId].IsZero() {
+			traffic.readySince[runner.RunnerId] = world.Now
 		}
-		listed[line.RunnerId] = world.Now.Sub(traffic.readySince[line.RunnerId]) >= warmUpAllowance
+		listed[runner.RunnerId] = world.Now.Sub(traffic.readySince[runner.RunnerId]) >= warmUpAllowance
 	}
 	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -95,10 +95,10 @@
 	Delay  time.Duration
 	Jitter time.Duration
 	// Messages and Bytes count what was sent; for the measurements of cost and spread.
-	Messages, Bytes, AcrossBytes uint64
-	trace                        uint64
-	Platform                     platform
-	Check                        *Checker
+	Messages, Bytes, CrossZoneBytes uint64
+	trace                           uint64
+	Platform                        platform
+	Check                           *Checker
 	// Traffic is the request path, where there is one.
 	Traffic *Traffic
 	// RegisteringRunners are the runners that register themselves, where they do.
