--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -1,11 +1,13 @@
-// Package standin has what surrounds a fleet in a proof: runners that answer as engines do, with a
+// Package emulator has what surrounds a fleet in a proof: runners that answer as engines do, with a
 // cache, slots, a cold start and every way of failing, and the platform's lagging list.
 package emulator
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"strconv"
 	"strings"
@@ -37,14 +39,22 @@
 }
 
 // DefaultNature is that of the proofs.
-var DefaultNature = Nature{Slots: 4, TokenTime: 60 * time.Microsecond, AnswerTime: 2 * time.Millisecond, CacheTokens: 60_000,
-	ColdTime: 2 * time.Second, ColdFactor: 4, PutBackAbove: 6, ReportAge: 700 * time.Millisecond}
+var DefaultNature = Nature{
+	Slots:        4,
+	TokenTime:    60 * time.Microsecond,
+	AnswerTime:   2 * time.Millisecond,
+	CacheTokens:  60_000,
+	ColdTime:     2 * time.Second,
+	ColdFactor:   4,
+	PutBackAbove: 6,
+	ReportAge:    700 * time.Millisecond,
+}
 
 // Runner is one stand-in runner.
 type Runner struct {
 	ID, Address, Zone, Service, Model, Weights, Pool string
 	Adapters                                         []string
-	nature                                           Nature
+	profile                                          Nature
 	record                                           *histories.History
 	started                                          time.Time
 	server                                           *fasthttp.Server
@@ -77,17 +87,25 @@
 
 // Start opens a runner at its address.
 func Start(runner *Runner, nature Nature, record *histories.History) error {
-	runner.nature, runner.record, runner.started = nature, record, time.Now()
+	runner.profile, runner.record, runner.started = nature, record, time.Now()
 	runner.stopped, runner.connections = make(chan struct{}), map[net.Conn]bool{}
 	runner.cache = NewCache[string](nature.CacheTokens)
 	runner.slots = make(chan struct{}, nature.Slots)
-	listener, err := net.Listen("tcp", runner.Address)
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", runner.Address)
 	if err != nil {
 		return err
 	}
 	runner.listener = listener
-	runner.server = &fasthttp.Server{Handler: runner.handle, Name: "runner", ReadBufferSize: 128 << 10, MaxRequestBodySize: 4 << 20,
-		Concurrency: 4096, IdleTimeout: 30 * time.Second, NoDefaultDate: true, ConnState: runner.track}
+	runner.server = &fasthttp.Server{
+		Handler:            runner.handle,
+		Name:               "runner",
+		ReadBufferSize:     128 << 10,
+		MaxRequestBodySize: 4 << 20,
+		Concurrency:        4096,
+		IdleTimeout:        30 * time.Second,
+		NoDefaultDate:      true,
+		ConnState:          runner.track,
+	}
 	go func() {
 		// A runner that was stopped ends its serving with an error that says just that.
 		_ = runner.server.Serve(listener)
@@ -106,14 +124,14 @@
 	runner.connections[connection] = true
 }
 
-// Free gives how many of its slots are free, and how many it has; a runner that is dark or cold has none.
+// Free returns how many of its slots are free, and how many it has; a runner that is dark or cold has none.
 func (runner *Runner) Free() (free, slots int) {
-	if runner.Dark.Load() || time.Since(runner.started) < runner.nature.ColdTime {
+	if runner.Dark.Load() || time.Since(runner.started) < runner.profile.ColdTime {
 		return 0, 0
 	}
 	runner.mutex.Lock()
 	defer runner.mutex.Unlock()
-	return max(0, runner.nature.Slots-runner.active), runner.nature.Slots
+	return max(0, runner.profile.Slots-runner.active), runner.profile.Slots
 }
 
 // Crash ends the runner at once: every connection is reset.
@@ -140,7 +158,7 @@
 		select {
 		case now := <-ticker.C:
 			runner.mutex.Lock()
-			running := min(runner.active, runner.nature.Slots)
+			running := min(runner.active, runner.profile.Slots)
 			runner.reports = append(runner.reports, report{at: now, running: running, waiting: runner.active - running})
 			if len(runner.reports) > 64 {
 				runner.reports = runner.reports[len(runner.reports)-64:]
@@ -156,7 +174,7 @@
 	if runner.Dark.Load() {
 		if string(context.Path()) == "/run" {
 			runner.mutex.Lock()
-			run := runner.note(context, true)
+			run := runner.recordRun(context, true)
 			runner.mutex.Unlock()
 			_, stop := runner.watch(context, run)
 			defer stop()
@@ -164,7 +182,11 @@
 		<-runner.stopped
 		return
 	}
-	paths := map[string]func(context *fasthttp.RequestCtx){"/identity": runner.identity, "/pressure": runner.pressure, "/run": runner.run}
+	paths := map[string]func(context *fasthttp.RequestCtx){
+		"/identity": runner.identity,
+		"/pressure": runner.loadReport,
+		"/run":      runner.run,
+	}
 	path := paths[string(context.Path())]
 	if path == nil {
 		context.SetStatusCode(404)
@@ -188,29 +210,43 @@
 	context.SetBody(content)
 }
 
-func (runner *Runner) pressure(context *fasthttp.RequestCtx) {
+func (runner *Runner) loadReport(context *fasthttp.RequestCtx) {
 	runner.mutex.Lock()
 	told := report{}
 	for _, candidate := range runner.reports {
-		if time.Since(candidate.at) >= runner.nature.ReportAge {
+		if time.Since(candidate.at) >= runner.profile.ReportAge {
 			told = candidate
 		}
 	}
 	runner.mutex.Unlock()
-	answer(context, 200, map[string]any{"running": told.running, "waiting": told.waiting, "slots": runner.nature.Slots})
+	answer(context, 200, map[string]any{"running": told.running, "waiting": told.waiting, "slots": runner.profile.Slots})
 }
 
-// note records a request as read.
-func (runner *Runner) note(context *fasthttp.RequestCtx, started bool) *histories.Run {
+// recordRun records a request as read.
+func (runner *Runner) recordRun(context *fasthttp.RequestCtx, started bool) *histories.Run {
 	header := func(name string) string { return string(context.Request.Header.Peek(name)) }
 	epoch, _ := strconv.ParseUint(header(admission.HeaderEpoch), 10, 64)
 	now := time.Now()
-	run := &histories.Run{At: now, Request: header(admission.HeaderRequest), Route: header(admission.HeaderRoute), Pool: runner.Pool,
-		Model: header(admission.HeaderModel), Weights: runner.Weights, Runner: runner.ID,
-		Wanted: header(admission.HeaderRunner), Service: runner.Service, Zone: runner.Zone, Daemon: header(admission.HeaderDaemon),
-		Epoch: epoch, Started: started, Beside: runner.active, Cold: now.Sub(runner.started) < runner.nature.ColdTime, Room: runner.nature.Slots}
-	if run.Cold {
-		run.Room = max(1, runner.nature.Slots/runner.nature.ColdFactor)
+	run := &histories.Run{
+		At:         now,
+		Request:    header(admission.HeaderRequest),
+		Route:      header(admission.HeaderRoute),
+		Pool:       runner.Pool,
+		Model:      header(admission.HeaderModel),
+		Weights:    runner.Weights,
+		Runner:     runner.ID,
+		Wanted:     header(admission.HeaderRunner),
+		Service:    runner.Service,
+		Zone:       runner.Zone,
+		Daemon:     header(admission.HeaderDaemon),
+		Epoch:      epoch,
+		Started:    started,
+		Concurrent: runner.active,
+		WarmingUp:  now.Sub(runner.started) < runner.profile.ColdTime,
+		Capacity:   runner.profile.Slots,
+	}
+	if run.WarmingUp {
+		run.Capacity = max(1, runner.profile.Slots/runner.profile.ColdFactor)
 	}
 	runner.record.Change(func(history *histories.History) { history.Runs = append(history.Runs, run) })
 	return run
@@ -218,13 +254,13 @@
 
 func (runner *Runner) run(context *fasthttp.RequestCtx) {
 	runner.mutex.Lock()
-	if runner.active >= runner.nature.Slots+runner.nature.PutBackAbove {
-		runner.note(context, false)
+	if runner.active >= runner.profile.Slots+runner.profile.PutBackAbove {
+		runner.recordRun(context, false)
 		runner.mutex.Unlock()
 		answer(context, 503, map[string]any{"started": false})
 		return
 	}
-	run := runner.note(context, true)
+	run := runner.recordRun(context, true)
 	runner.active++
 	runner.runs++
 	name := fmt.Sprintf("%s/%d", runner.ID, runner.runs)
@@ -253,7 +289,7 @@
 func (runner *Runner) watch(context *fasthttp.RequestCtx, run *histories.Run) (finished <-chan struct{}, stop func()) {
 	cut := make(chan struct{})
 	return cut, netio.FromHTTP(context).Watch(func() {
-		runner.record.Change(func(*histories.History) { run.Cut = time.Now() })
+		runner.record.Change(func(*histories.History) { run.Canceled = time.Now() })
 		close(cut)
 	})
 }
@@ -282,7 +318,16 @@
 	}
 }
 
-func (runner *Runner) work(writer *bufio.Writer, run *histories.Run, cut <-chan struct{}, name string, parts []string, tokens []int, prompt, length int, partial bool) {
+func (runner *Runner) work(
+	writer *bufio.Writer,
+	run *histories.Run,
+	cut <-chan struct{},
+	name string,
+	parts []string,
+	tokens []int,
+	prompt, length int,
+	partial bool,
+) {
 	select {
 	case runner.slots <- struct{}{}:
 	case <-runner.stopped:
@@ -295,9 +340,9 @@
 	cached := runner.cache.Use(Chained(parts), tokens)
 	runner.Cached.Add(int64(cached))
 	runner.Prompted.Add(int64(prompt))
-	prefill := time.Duration(prompt-cached) * runner.nature.TokenTime
-	if time.Since(runner.started) < runner.nature.ColdTime {
-		prefill *= time.Duration(runner.nature.ColdFactor)
+	prefill := time.Duration(prompt-cached) * runner.profile.TokenTime
+	if time.Since(runner.started) < runner.profile.ColdTime {
+		prefill *= time.Duration(runner.profile.ColdFactor)
 	}
 	going := runner.wait(prefill, cut)
 	runner.engine.Unlock()
@@ -312,20 +357,22 @@
 			}
 			return
 		}
-		if _, err := fmt.Fprintf(writer, "id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number); err != nil {
+		event := fmt.Sprintf("id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number)
+		if _, err := io.WriteString(writer, event); err != nil {
 			return
 		}
 		if writer.Flush() != nil {
 			return
 		}
-		going = runner.wait(time.Duration(length)*runner.nature.AnswerTime/time.Duration(events), cut)
+		going = runner.wait(time.Duration(length)*runner.profile.AnswerTime/time.Duration(events), cut)
 	}
 	if !going {
 		return
 	}
 	// The run is whole from the moment its last event may have left.
-	runner.record.Change(func(*histories.History) { run.Whole, run.Events = true, events })
-	if _, err := fmt.Fprintf(writer, "id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events); err == nil {
+	runner.record.Change(func(*histories.History) { run.Complete, run.Events = true, events })
+	done := fmt.Sprintf("id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", events+1, name, events)
+	if _, err := io.WriteString(writer, done); err == nil {
 		_ = writer.Flush() // A requester gone at the very end changes nothing about the run.
 	}
 }
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -58,10 +58,10 @@
 	<-timer.C
 }
 
-// patience is how long a fleet may take to come up, and to answer at the end.
-const patience = time.Minute
+// timeout is how long a fleet may take to come up, and to answer at the end.
+const timeout = time.Minute
 
-// Prove runs one scenario on one deployment and tells whether every rule held.
+// Prove runs one scenario on one deployment and reports whether every rule held.
 func Prove(shape Shape, scenario Scenario, options Options) (bool, error) {
 	folder, remove, err := options.workFolder()
 	if err != nil {
@@ -82,8 +82,9 @@
 	if err := fleet.runScenario(scenario, options); err != nil {
 		return false, err
 	}
-	if !Await(patience, fleet.finished) {
-		fmt.Fprintln(options.Output, "nobody answered for the state at the end")
+	if !Await(timeout, fleet.finished) {
+		// The report is printed all the same.
+		_, _ = fmt.Fprintln(options.Output, "nobody answered for the state at the end")
 	}
 	violations := histories.Check(fleet.Record)
 	if options.Timeless {
@@ -92,7 +93,7 @@
 	return fleet.Print(options.Output, violations), nil
 }
 
-// workFolder gives the folder for startup files, data and logs, and the function that removes it if it is temporary.
+// workFolder returns the folder for startup files, data and logs, and the function that removes it if it is temporary.
 func (options Options) workFolder() (folder string, remove func(), err error) {
 	keep := func() {}
 	if options.Folder != "" {
@@ -102,29 +103,35 @@
 	if err != nil || options.Keep {
 		return folder, keep, err
 	}
-	return folder, func() { os.RemoveAll(folder) }, nil
+	return folder, func() {
+		// A temporary folder that stays behind does no harm.
+		_ = os.RemoveAll(folder)
+	}, nil
 }
 
 // bringUp waits for the first view, applies the first spec and lets runners warm up.
 func (fleet *Fleet) bringUp(folder string, output io.Writer) error {
 	started := time.Now()
 	// A slow machine may take its time; the bounds of the rules are measured elsewhere.
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		reply, err := fleet.Get(fleet.Cores()[0])
 		return err == nil && reply.Status == 200
 	}) {
-		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", patience, folder)
+		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", timeout, folder)
 	}
 	var first *histories.Order
-	for first == nil || first.Outcome == "unknown" && time.Since(started) < patience {
+	for first == nil || first.Outcome == "unknown" && time.Since(started) < timeout {
 		first = fleet.Apply(fleet.Cores()[len(fleet.Cores())-1], "first", 0, "")
 	}
 	if first.Outcome != "accepted" {
 		return fmt.Errorf("the first spec was not accepted: %+v", first)
 	}
-	fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n", fleet.Shape.Name,
-		len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners, time.Since(started).Round(time.Millisecond))
-	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be fit.
+	// A note on the way; the report follows.
+	_, _ = fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
+		fleet.Shape.Name, len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners,
+		time.Since(started).Round(time.Millisecond))
+	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be
+	// fit.
 	waitUntil(started.Add(6 * time.Second))
 	return nil
 }
@@ -135,14 +142,20 @@
 	if rate == 0 {
 		rate = fleet.Shape.Rate
 	}
-	stage := &Stage{Fleet: fleet, Random: rand.New(rand.NewSource(options.Seed)), Options: options, factor: 1, started: time.Now()}
+	stage := &Stage{
+		Fleet:   fleet,
+		Random:  rand.New(rand.NewSource(options.Seed)),
+		Options: options,
+		factor:  1,
+		started: time.Now(),
+	}
 	stage.Factor = func() float64 {
 		value := 1.0
 		fleet.Record.Change(func(*histories.History) { value = stage.factor })
 		return value
 	}
 	sender := loadtest.New(fleet.Shape.Mix, fleet.Shape.Zones, fleet.Platform.Pick, fleet.Record, options.Seed)
-	sender.Hot, sender.Leaves = max(options.Hot, scenario.Hot), scenario.Leaves
+	sender.Hot, sender.HangUps = max(options.Hot, scenario.Hot), scenario.Leaves
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	go fleet.Sample(running)
@@ -159,7 +172,7 @@
 	return err
 }
 
-// secondsToReturn gives how long the load must last to show whether service is back in time after each return, which
+// secondsToReturn returns how long the load must last to show whether service is back in time after each return, which
 // can only be seen while somebody asks for it.
 func (stage *Stage) secondsToReturn() (seconds int) {
 	stage.Record.Change(func(record *histories.History) {
--- /dev/null
+++ b/verify/modelcheck/actions.go
@@ -0,0 +1,363 @@
+package modelcheck
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"wardtray/wire"
+)
+
+// recoveryTicks bounds for how long a fleet may take to recover from a blackout.
+const recoveryTicks = 150
+
+func sortedKeys[Value any](of map[string]Value) []string { return slices.Sorted(maps.Keys(of)) }
+
+// actions lists what may happen next, in a fixed order.
+func (world *world) actions() []Action {
+	if world.finished || world.checker.violation != "" {
+		return nil
+	}
+	var actions []Action
+	add := func(verb Verb, subject string) { actions = append(actions, Action{Verb: verb, Subject: subject}) }
+	actions = append(actions, world.messageActions()...)
+	for _, name := range world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 }) {
+		add(Sync, name)
+	}
+	for index, request := range world.scenario.Requests {
+		via := world.byName[request.Via]
+		if !world.sent[index] && (request.After < 0 || world.sent[request.After]) && via.up && !via.frozen {
+			add(Send, strconv.Itoa(index))
+		}
+	}
+	actions = append(actions, world.faultActions()...)
+	// Nothing that could be done at this moment is put off, but by Hold and by a freeze.
+	if world.quiescent() {
+		add(Tick, "")
+		if world.remaining[Wait] > 0 {
+			add(Wait, "")
+		}
+	}
+	return actions
+}
+
+// messageActions lists what may happen to the messages on their way. Of several that are alike one stands for all.
+func (world *world) messageActions() []Action {
+	var actions []Action
+	listed := map[uint64]bool{}
+	for _, message := range world.inFlight {
+		if listed[message.digest] || world.byName[message.to].frozen {
+			continue
+		}
+		listed[message.digest] = true
+		about := func(verb Verb) {
+			actions = append(
+				actions,
+				Action{
+					Verb:    verb,
+					Subject: message.kind + ":" + message.from + ">" + message.to,
+					Message: message.digest,
+				},
+			)
+		}
+		about(Deliver)
+		if world.remaining[Drop] > 0 {
+			about(Drop)
+		}
+		if world.remaining[Hold] > 0 {
+			about(Hold)
+		}
+	}
+	for _, message := range world.delayedMessages {
+		if !listed[message.digest] {
+			listed[message.digest] = true
+			actions = append(
+				actions,
+				Action{
+					Verb:    Release,
+					Subject: message.kind + ":" + message.from + ">" + message.to,
+					Message: message.digest,
+				},
+			)
+		}
+	}
+	return actions
+}
+
+// quiescent means that no message and no write waits for anything but a held message or the end of a freeze.
+func (world *world) quiescent() bool {
+	for _, message := range world.inFlight {
+		if !world.byName[message.to].frozen {
+			return false
+		}
+	}
+	return len(world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 })) == 0
+}
+
+// faultActions lists the faults that may be injected into machines and links, and what ends them.
+func (world *world) faultActions() []Action {
+	var actions []Action
+	for _, name := range world.targets() {
+		for _, verb := range []Verb{Kill, Crash, Wipe, Freeze, Leave} {
+			if world.canFail(world.byName[name], verb) {
+				actions = append(actions, Action{Verb: verb, Subject: name})
+			}
+		}
+	}
+	for _, host := range world.hosts {
+		for _, verb := range []Verb{Start, Wake, Stop} {
+			if recoveryConditions[verb](world, host) {
+				actions = append(actions, Action{Verb: verb, Subject: host.name})
+			}
+		}
+	}
+	return append(append(actions, world.partitionActions()...), world.blackoutActions()...)
+}
+
+// canFail reports whether a kind of fault may be injected into a host.
+func (world *world) canFail(host *host, verb Verb) bool {
+	if world.remaining[verb] == 0 || !host.up || host.frozen || verb == Leave && host.decommissioning {
+		return false
+	}
+	return host.core || verb != Wipe && verb != Leave
+}
+
+// recoveryConditions tell whether a host may be started, woken or, having left, be taken away.
+var recoveryConditions = map[Verb]func(world *world, host *host) bool{
+	Start: func(world *world, host *host) bool {
+		return !host.up && !host.removed && (host.everStarted || world.remaining[Start] > 0)
+	},
+	Wake: func(_ *world, host *host) bool { return host.up && host.frozen },
+	Stop: func(world *world, host *host) bool {
+		return host.up && host.decommissioning && !host.frozen && host.node.Left(world.now)
+	},
+}
+
+// partitionActions lists the ways to cut off somebody or, where somebody is, to heal that.
+func (world *world) partitionActions() []Action {
+	if len(world.isolated) > 0 {
+		return []Action{{Verb: Heal}}
+	}
+	if world.remaining[Cut] == 0 {
+		return nil
+	}
+	var actions []Action
+	for _, group := range world.scenario.Cuts {
+		actions = append(actions, Action{Verb: Cut, Subject: strings.Join(group, ",")})
+	}
+	for _, link := range world.scenario.Links {
+		actions = append(actions, Action{Verb: Cut, Subject: linkName(link[0], link[1])})
+	}
+	return actions
+}
+
+// targets lists whom harm may come to.
+func (world *world) targets() []string {
+	targets := append([]string{}, world.scenario.Targets...)
+	if leader := world.leader(); world.scenario.Leaders && leader != nil && !slices.Contains(targets, leader.name) {
+		targets = append(targets, leader.name)
+	}
+	return targets
+}
+
+// blackoutActions lists the ways in which all machines may lose their power and one its disk, once there is something
+// to lose.
+func (world *world) blackoutActions() []Action {
+	if world.remaining[Blackout] == 0 || len(world.checker.accepted) == 0 && world.scenario.PriorChanges == 0 {
+		return nil
+	}
+	if !world.toleratesDiskLoss() {
+		return []Action{{Verb: Blackout}}
+	}
+	var actions []Action
+	for _, name := range world.names(func(host *host) bool { return host.core && host.everStarted && !host.removed }) {
+		actions = append(actions, Action{Verb: Blackout, Subject: name})
+	}
+	return actions
+}
+
+// toleratesDiskLoss means that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its
+// successor in a view that the leader acts by. A machine that left by order is no loss.
+func (world *world) toleratesDiskLoss() bool {
+	if world.remaining[Wipe] == world.scenario.Budget[Wipe] {
+		return true
+	}
+	leader := world.leader()
+	if leader == nil || len(leader.node.View().Acceptors) < 2*toleratedFaults+1 {
+		return false
+	}
+	live := map[string]bool{}
+	for _, host := range world.hosts {
+		if host.core && host.disk.state != nil && !host.removed {
+			live[host.disk.state.Id] = true
+		}
+	}
+	for _, member := range append(slices.Clone(leader.node.View().Chain), leader.node.View().Acceptors...) {
+		if !live[member.Id] {
+			return false
+		}
+	}
+	return len(leader.node.View().Chain) >= toleratedFaults+1
+}
+
+// apply takes one action; it fails where that is not possible.
+func (world *world) apply(action Action) error {
+	if !slices.Contains(world.actions(), action) {
+		return fmt.Errorf("%q is not possible here", action)
+	}
+	// Whoever ran before may always come back.
+	if world.remaining[action.Verb] > 0 && !(action.Verb == Start && world.byName[action.Subject].everStarted) {
+		world.remaining[action.Verb]--
+	}
+	if messageVerbs[action.Verb] {
+		world.moveMessage(action)
+	} else {
+		actionHandlers[action.Verb](world, world.byName[action.Subject], action.Subject)
+	}
+	world.runQueue()
+	return nil
+}
+
+func (world *world) moveMessage(action Action) {
+	list := &world.inFlight
+	if action.Verb == Release {
+		list = &world.delayedMessages
+	}
+	index := slices.IndexFunc(*list, func(message message) bool { return message.digest == action.Message })
+	message := (*list)[index]
+	*list = slices.Delete(slices.Clone(*list), index, index+1)
+	if action.Verb == Deliver || action.Verb == Release {
+		world.deliver(message)
+	}
+	if action.Verb == Hold {
+		world.delayedMessages = append(world.delayedMessages, message)
+	}
+}
+
+// actionHandlers are what the actions do that are not about a message; subject is the action's, host the machine of
+// that name.
+var actionHandlers = map[Verb]func(world *world, host *host, subject string){
+	Sync:  func(world *world, host *host, _ string) { world.sync(host) },
+	Tick:  func(world *world, _ *host, _ string) { world.tick() },
+	Wait:  func(world *world, _ *host, _ string) { world.wait(ticksPerWait) },
+	Send:  func(world *world, _ *host, subject string) { world.send(subject) },
+	Kill:  func(world *world, host *host, _ string) { world.stopProcess(host, false) },
+	Crash: func(world *world, host *host, _ string) { world.stopProcess(host, true) },
+	Wipe: func(world *world, host *host, _ string) {
+		world.stopProcess(host, true)
+		host.disk = newDisk()
+	},
+	Start: func(world *world, host *host, _ string) {
+		world.boot(host)
+		world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
+	},
+	Freeze: func(_ *world, host *host, _ string) { host.frozen = true },
+	Wake:   func(world *world, host *host, _ string) { world.resume(host) },
+	Cut:    func(world *world, _ *host, subject string) { world.isolate(subject) },
+	Heal:   func(world *world, _ *host, _ string) { world.isolated = map[string]bool{} },
+	Leave: func(world *world, host *host, _ string) {
+		host.decommissioning = true
+		world.step(host, host.incarnation, 0, func() { host.node.Leave(world.now) })
+	},
+	Stop: func(world *world, host *host, _ string) {
+		world.stopProcess(host, false)
+		host.removed, host.disk = true, newDisk()
+	},
+	Blackout: func(world *world, host *host, _ string) { world.blackout(host) },
+}
+
+// isolate cuts off a group of machines, or one link.
+func (world *world) isolate(subject string) {
+	for _, name := range strings.Split(subject, ",") {
+		world.isolated[name] = true
+	}
+	world.dropMessages(func(message message) bool { return world.disconnected(message.from, message.to) })
+}
+
+func (world *world) resume(host *host) {
+	host.frozen = false
+	backlog := host.backlog
+	host.backlog = nil
+	for _, delayed := range backlog {
+		delayed.run()
+	}
+}
+
+// send has an operator ask a question.
+func (world *world) send(subject string) {
+	index := 0
+	if _, err := fmt.Sscan(subject, &index); err != nil {
+		panic(err)
+	}
+	request := world.scenario.Requests[index]
+	world.sent[index] = true
+	world.checker.epochAtRequest[index] = world.checker.acknowledged()
+	host := world.byName[request.Via]
+	world.step(host, host.incarnation, 0, func() {
+		host.node.Ask(world.now, request.message(),
+			func(status int, body []byte) { world.checker.checkResponse(index, status, body) })
+	})
+}
+
+// message returns the wire message of a request.
+func (request Request) message() *wire.OperatorRequest {
+	if request.Verb == "get" {
+		return &wire.OperatorRequest{Verb: "get"}
+	}
+	spec := fmt.Sprintf(
+		`{"zones":[],"pools":[{"name":"p","services":["s"]}],`+
+			`"lanes":[{"name":%q,"pool":"p","patience":"1s","repeatable":false}]}`,
+		request.Operation,
+	)
+	return &wire.OperatorRequest{
+		Verb:      request.Verb,
+		Operation: request.Operation,
+		Base:      request.Base,
+		HasBase:   true,
+		Spec:      []byte(spec),
+	}
+}
+
+// blackout takes the power from everything, the disk from one machine, and starts all again. Those who come back must
+// lead with all that was acknowledged.
+func (world *world) blackout(lost *host) {
+	world.finished = true
+	world.isolated = map[string]bool{}
+	for _, host := range world.hosts {
+		world.stopProcess(host, true)
+	}
+	world.queue = nil
+	if lost != nil {
+		lost.disk = newDisk()
+	}
+	world.synchronous = true
+	for _, host := range world.hosts {
+		if host.everStarted && !host.removed {
+			world.boot(host)
+		}
+	}
+	for range recoveryTicks {
+		world.tick()
+		world.flush()
+		if leader := world.leader(); leader != nil &&
+			leader.node.Chain().Committed().SpecEpoch >= world.checker.acknowledged() ||
+			world.checker.violation != "" {
+			return
+		}
+	}
+	world.checker.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk",
+		world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
+}
+
+func (host *host) nameOrNobody() string {
+	if host == nil {
+		return "nobody"
+	}
+	return host.name
+}
+
+// settleTime is for how long a prepared fleet runs before a search begins; every machine then counts as reached.
+const settleTime = 2 * time.Second
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -30,6 +30,7 @@
 }
 
 func seeds(t *testing.T) int64 {
+	t.Helper()
 	set := os.Getenv("WARDTRAY_SEEDS")
 	if set == "" {
 		return 1
@@ -42,6 +43,7 @@
 }
 
 func search(t *testing.T, scenario Scenario, seed int64) {
+	t.Helper()
 	started, output := time.Now(), &strings.Builder{}
 	held, err := Print(output, []Scenario{scenario}, Options{States: scenario.States / raceShare, Seed: seed})
 	if err != nil {
@@ -57,12 +59,12 @@
 func TestSearchRepeats(t *testing.T) {
 	scenario, _ := Find("race")
 	var seen [2]Result
-	for place := range seen {
+	for index := range seen {
 		result, err := Explore(scenario, Options{States: 400, Depth: 30, Seed: 7})
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen[place] = result
+		seen[index] = result
 	}
 	if seen[0].String() != seen[1].String() {
 		t.Errorf("%v\n%v", seen[0], seen[1])
@@ -72,7 +74,7 @@
 // TestSmallDepthIsExhausted wants every order of a few actions tried, whatever the seed.
 func TestSmallDepthIsExhausted(t *testing.T) {
 	scenario, _ := Find("race")
-	var states []int
+	states := make([]int, 0, 2)
 	for seed := range int64(2) {
 		result, err := Explore(scenario, Options{States: 10000, Depth: 3, Seed: seed})
 		if err != nil {
@@ -88,10 +90,14 @@
 	}
 }
 
-// TestTracesAreReadBack wants a written trace to be the same when read.
-func TestTracesAreReadBack(t *testing.T) {
-	trace := []Action{{Verb: Wait}, {Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab}, {Verb: Cut, Subject: "core1,daemon1"}}
-	var lines []string
+// TestTracesRoundTrip wants a written trace to be the same when read.
+func TestTracesRoundTrip(t *testing.T) {
+	trace := []Action{
+		{Verb: Wait},
+		{Verb: Deliver, Subject: "ChainPass:core1>core2", Message: 0xab},
+		{Verb: Cut, Subject: "core1,daemon1"},
+	}
+	lines := make([]string, 0, len(trace))
 	for _, action := range trace {
 		lines = append(lines, action.String())
 	}
@@ -99,9 +105,9 @@
 	if err != nil || len(read) != len(trace) {
 		t.Fatal(read, err)
 	}
-	for place := range trace {
-		if read[place] != trace[place] {
-			t.Errorf("%v was read as %v", trace[place], read[place])
+	for index := range trace {
+		if read[index] != trace[index] {
+			t.Errorf("%v was read as %v", trace[index], read[index])
 		}
 	}
 	for _, wrong := range []string{"deliver a x", "tick a 1", "a b c d"} {
@@ -111,8 +117,8 @@
 	}
 }
 
-// TestKnownTraces takes the actions of each trace below testdata, which once broke a property, and wants all to hold. The
-// file's name begins with that of its scenario.
+// TestKnownTraces takes the actions of each trace below testdata, which once broke a property, and wants all to hold.
+// The file's name begins with that of its scenario.
 func TestKnownTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -31,7 +31,7 @@
 	},
 	"data without power": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(true, silentLoss, host)
+		over := world.touch(true, unresponsiveBound, host)
 		world.Power(host)
 		return both(over, reboot(world, host))
 	},
@@ -48,10 +48,10 @@
 		}
 		old := world.pick(world.Cores())
 		world.Kill(old)
-		old.gone, old.dark = true, world.random.Intn(2) == 0
+		old.removed, old.poweredOff = true, world.random.Intn(2) == 0
 		world.replaced++
 		host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-		host.newcomer = true
+		host.everStarted = true
 		world.shuffleSeeds()
 		return reboot(world, host)
 	},
@@ -121,27 +121,28 @@
 	},
 	"core slow": func(world *World) func() {
 		host := world.pick(world.Cores())
-		host.late = 300 * time.Millisecond
-		return func() { host.late = 0 }
+		host.processingDelay = 300 * time.Millisecond
+		return func() { host.processingDelay = 0 }
 	},
 	"core halved": func(world *World) func() {
 		cores := world.Cores()
-		world.random.Shuffle(len(cores), func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
+		world.random.Shuffle(len(cores),
+			func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 		world.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
 		return world.Heal
 	},
 	"disk slow": func(world *World) func() {
 		host := world.pick(world.Cores())
-		host.slow = 300 * time.Millisecond
-		return func() { host.slow = 0 }
+		host.diskDelay = 300 * time.Millisecond
+		return func() { host.diskDelay = 0 }
 	},
 	"all disks slow": func(world *World) func() {
 		for _, host := range world.Cores() {
-			host.slow = 300 * time.Millisecond
+			host.diskDelay = 300 * time.Millisecond
 		}
 		return func() {
 			for _, host := range world.Cores() {
-				host.slow = 0
+				host.diskDelay = 0
 			}
 		}
 	},
@@ -154,7 +155,7 @@
 			world.After(0, func() {
 				for _, host := range world.Hosts {
 					if host.up && (host.Core || world.random.Intn(2) == 0) {
-						overs = append(overs, world.touch(true, silentLoss, host))
+						overs = append(overs, world.touch(true, unresponsiveBound, host))
 						world.Power(host)
 						lost = append(lost, host)
 					}
@@ -163,9 +164,9 @@
 		}
 		return func() {
 			world.Check.OnAccepted = nil
-			for place, host := range lost {
+			for index, host := range lost {
 				world.Boot(host)
-				overs[place]()
+				overs[index]()
 			}
 		}
 	},
@@ -180,23 +181,24 @@
 			world.Check.OnAccepted = nil
 			world.After(0, func() {
 				cores := world.Cores()
-				world.random.Shuffle(len(cores), func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
+				world.random.Shuffle(len(cores),
+					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
-					overs = append(overs, world.touch(true, silentLoss, host))
+					overs = append(overs, world.touch(true, unresponsiveBound, host))
 					world.Power(host)
 				}
 				for _, host := range cores[:min(world.Faults, len(cores)-1)] {
 					world.Wipe(host)
-					host.dark = true
+					host.poweredOff = true
 				}
 			})
 		}
 		return func() {
 			world.Check.OnAccepted = nil
-			for place, host := range lost {
+			for index, host := range lost {
 				world.Boot(host)
-				overs[place]()
+				overs[index]()
 			}
 		}
 	},
@@ -207,7 +209,7 @@
 		if content := host.disk.files[names[world.random.Intn(3)]]; len(content) > 0 && world.redundant() {
 			content[world.random.Intn(len(content))] ^= 0x40
 			// Until a sweep has found it, or the machine has started anew, the loss of another disk is one too many.
-			world.unswept = world.Now.Add(sweepAllowance)
+			world.unscrubbedUntil = world.Now.Add(scrubAllowance)
 		}
 		return func() {}
 	},
@@ -248,13 +250,13 @@
 	"zone cut off": func(world *World) func() {
 		zone := world.pick(world.Cores()).Zone
 		inside, outside := world.zone(zone)
-		over := world.touch(false, silentLoss, inside...)
+		over := world.touch(false, unresponsiveBound, inside...)
 		world.CutOff(inside, outside)
 		return both(over, world.Heal)
 	},
 	"zone lost": func(world *World) func() {
 		inside, _ := world.zone(world.pick(world.Cores()).Zone)
-		over := world.touch(true, silentLoss, inside...)
+		over := world.touch(true, unresponsiveBound, inside...)
 		for _, host := range inside {
 			world.Power(host)
 		}
@@ -266,7 +268,7 @@
 		}
 	},
 	"all down": func(world *World) func() {
-		over := world.touch(true, silentLoss, world.Hosts...)
+		over := world.touch(true, unresponsiveBound, world.Hosts...)
 		for _, host := range world.Hosts {
 			world.Power(host)
 		}
@@ -277,7 +279,7 @@
 			}
 			if traffic := world.Traffic; traffic != nil {
 				traffic.History.Returns = append(traffic.History.Returns, histories.Return{At: world.Now})
-				world.insist(world.Now.Add(returnBound))
+				world.retryChange(world.Now.Add(returnBound))
 			}
 		}
 	},
@@ -287,7 +289,7 @@
 	},
 	"slow network": func(world *World) func() {
 		// At 0.4 s a message no daemon can be sure of a new spec in time; the brief knows no such network.
-		over := world.touch(false, silentLoss, world.Hosts...)
+		over := world.touch(false, unresponsiveBound, world.Hosts...)
 		world.Jitter = 400 * time.Millisecond
 		return both(over, func() { world.Jitter = 4 * time.Millisecond })
 	},
@@ -322,15 +324,16 @@
 	return func() {}
 }
 
-// shuffleSeeds gives every process, from its next start on, other seeds out of the present core machines.
+// shuffleSeeds returns every process, from its next start on, other seeds out of the present core machines.
 func (world *World) shuffleSeeds() {
-	var addresses []string
+	addresses := make([]string, 0, len(world.Cores()))
 	for _, host := range world.Cores() {
 		addresses = append(addresses, host.Address)
 	}
 	for _, host := range world.Hosts {
 		seeds := append([]string{}, addresses...)
-		world.random.Shuffle(len(seeds), func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] })
+		world.random.Shuffle(len(seeds),
+			func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] })
 		host.seeds = seeds[:min(3, len(seeds))]
 	}
 }
@@ -361,16 +364,16 @@
 	if found := Faults[name]; found != nil {
 		return found
 	}
-	if found := CallerFaults[name]; found != nil {
+	if found := RegistrationFaults[name]; found != nil {
 		return found
 	}
 	return RunnerFaults[name]
 }
 
-// FaultNames gives every kind of fault of the control plane and its daemons in order.
+// FaultNames returns every kind of fault of the control plane and its daemons in order.
 func FaultNames() []string { return sorted(Faults) }
 
-// RunnerFaultNames gives every kind of fault of the request path in order.
+// RunnerFaultNames returns every kind of fault of the request path in order.
 func RunnerFaultNames() []string { return sorted(RunnerFaults) }
 
 func sorted[Value any](of map[string]Value) []string {
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -10,7 +10,7 @@
 	"wardtray/balancer/scheduler"
 )
 
-var silent = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // coroutine is one piece of work of a host as a coroutine: it runs until it parks, and nothing else runs
 // meanwhile. The seed decides how soon it goes on after it was woken.
@@ -28,16 +28,16 @@
 	decided time.Time
 }
 
-// gone unwinds a coroutine whose process has ended.
-type gone struct{}
+// processEnded unwinds a coroutine whose process has ended.
+type processEnded struct{}
 
 // spawn begins a piece of work in a host's process.
-func (world *World) spawn(host *Host, work func()) *coroutine {
+func (world *World) spawn(host *Host, work func()) {
 	made := &coroutine{host: host, incarnation: host.incarnation}
 	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
 		made.yield = yield
 		defer func() {
-			if cause := recover(); cause != nil && cause != any(gone{}) {
+			if cause := recover(); cause != nil && cause != any(processEnded{}) {
 				panic(cause)
 			}
 		}()
@@ -45,7 +45,6 @@
 	})
 	host.coroutines = append(host.coroutines, made)
 	world.wake(made)
-	return made
 }
 
 // wake lets a coroutine go on a moment later, or when its host wakes from a freeze.
@@ -72,9 +71,11 @@
 		return
 	}
 	coroutine.finished = true
-	for place, other := range coroutine.host.coroutines {
+	for index, other := range coroutine.host.coroutines {
 		if other == coroutine {
-			coroutine.host.coroutines = append(coroutine.host.coroutines[:place], coroutine.host.coroutines[place+1:]...)
+			coroutine.host.coroutines = append(
+				coroutine.host.coroutines[:index],
+				coroutine.host.coroutines[index+1:]...)
 			break
 		}
 	}
@@ -83,7 +84,7 @@
 // park lets everything else go on until somebody wakes this coroutine.
 func (coroutine *coroutine) park() {
 	if !coroutine.yield(struct{}{}) {
-		panic(gone{})
+		panic(processEnded{})
 	}
 }
 
@@ -132,7 +133,10 @@
 }
 
 // await is how a course waits for its scheduler's next step.
-func (world *World) await(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool) {
+func (world *World) await(
+	ctx context.Context,
+	steps <-chan scheduler.Decision,
+) (step scheduler.Decision, decided bool) {
 	world.until(func() bool { return len(steps) > 0 || ctx.Err() != nil })
 	world.current.decided = world.Now
 	if len(steps) == 0 {
@@ -149,13 +153,13 @@
 	}
 	host.coroutines = nil
 	for _, conn := range host.conns {
-		conn.crash(!host.dark)
+		conn.crash(!host.poweredOff)
 	}
 	host.conns = nil
-	askers := host.askers
-	host.askers = nil
-	for _, asker := range askers {
-		asker.lose()
+	clients := host.clients
+	host.clients = nil
+	for _, client := range clients {
+		client.loseDaemon()
 	}
 }
 
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -15,17 +15,17 @@
 	Kinds map[string]float64
 }
 
-// tallied counts a message that a host sends.
-func (world *World) tallied(from, to *Host, envelope *wire.Envelope, size int) {
+// countMessage counts a message that a host sends.
+func (world *World) countMessage(from, to *Host, envelope *wire.Envelope, size int) {
 	if world.Metrics != nil {
 		world.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
 	}
 }
 
-// MeasureIdle gives what data daemons, cores, and the busiest core do in a second of quiet.
+// MeasureIdle returns what data daemons, cores, and the busiest core do in a second of quiet.
 func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
 	const length = 10 * time.Second
-	world := Found(seed, shape, func(world *World) { world.StartCallers(18, shape.Zones) })
+	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
 	world.Run(10 * time.Second)
 	counts := map[*Host]*Idle{}
 	of := func(host *Host) *Idle {
@@ -49,7 +49,9 @@
 		sum := Idle{Kinds: map[string]float64{}}
 		for _, host := range hosts {
 			one, share := of(host), 1/float64(len(hosts))
-			sum.Sent, sum.Received, sum.Bytes = sum.Sent+share*one.Sent, sum.Received+share*one.Received, sum.Bytes+share*one.Bytes
+			sum.Sent += share * one.Sent
+			sum.Received += share * one.Received
+			sum.Bytes += share * one.Bytes
 			for kind, count := range one.Kinds {
 				sum.Kinds[kind] += share * count
 			}
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -14,7 +14,7 @@
 	Broken       []string
 }
 
-// At gives the length that a part of them do not exceed.
+// At returns the length that a part of them do not exceed.
 func At(lengths []time.Duration, part float64) time.Duration {
 	if len(lengths) == 0 {
 		return 0
@@ -38,7 +38,8 @@
 	operators *Operators
 	end       time.Time
 	order     *Order
-	// asked is the machine that the operator asks, in its life at that time; a harm to it says nothing of the others' pace.
+	// asked is the machine that the operator asks, in its life at that time; a harm to it says nothing of the others'
+	// pace.
 	asked       *Host
 	incarnation int
 	// paused is since when a daemon does not serve, starting since when it starts.
@@ -52,22 +53,31 @@
 func MeasurePace(seed int64, shape Shape, names []string) *Pace {
 	world := Found(seed, shape)
 	world.Run(8 * time.Second)
-	watch := &paceWatch{world: world, pace: &Pace{}, operators: &Operators{world: world, number: 2_000_000}, end: world.Now.Add(paceLength),
-		paused: map[*Host]time.Time{}, starting: map[*Host]time.Time{}, quietSince: map[*Host]time.Time{}, incarnations: map[*Host]int{}}
+	watch := &paceWatch{
+		world:        world,
+		pace:         &Pace{},
+		operators:    &Operators{world: world, number: 2_000_000},
+		end:          world.Now.Add(paceLength),
+		paused:       map[*Host]time.Time{},
+		starting:     map[*Host]time.Time{},
+		quietSince:   map[*Host]time.Time{},
+		incarnations: map[*Host]int{},
+	}
 	for _, host := range world.Datas() {
 		watch.incarnations[host] = host.incarnation
 	}
 	watch.sample()
 	world.Schedule(paceLength, names, 1)
 	world.Run(paceLength + time.Second)
-	watch.pace.Broken = world.Check.Broken
+	watch.pace.Broken = world.Check.Violations
 	return watch.pace
 }
 
 // sample looks at the order and at every daemon, and comes back until the end.
 func (watch *paceWatch) sample() {
 	world := watch.world
-	if watch.asked != nil && (watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
+	if watch.asked != nil &&
+		(watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
 		watch.order = nil
 	}
 	watch.askAgain()
@@ -83,14 +93,15 @@
 	}
 }
 
-// askAgain sends an order again, unchanged and elsewhere, that got no clear answer; its time goes on from the first sending.
+// askAgain sends an order again, unchanged and elsewhere, that got no clear answer; its time goes on from the first
+// sending.
 func (watch *paceWatch) askAgain() {
 	if watch.order == nil || watch.order.Outcome != "unknown" || watch.order.Status != 504 {
 		return
 	}
 	sent := watch.order.Sent
 	watch.asked = watch.world.pick(watch.world.Cores())
-	watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.again(watch.asked)
+	watch.incarnation, watch.order = watch.asked.incarnation, watch.operators.resend(watch.asked)
 	watch.order.Sent = sent
 }
 
@@ -125,7 +136,7 @@
 // look takes down a daemon's starts and its pauses while it is left alone.
 func (watch *paceWatch) look(host *Host) {
 	world, local := watch.world, watch.world.local(host)
-	serves := host.up && !host.frozen && local.Before(host.data.Until(local))
+	serves := host.up && !host.frozen && local.Before(host.controller.Until(local))
 	if host.incarnation != watch.incarnations[host] && host.up {
 		watch.incarnations[host], watch.starting[host] = host.incarnation, world.Now
 		watch.quietSince[host] = world.Now
@@ -151,7 +162,7 @@
 	}
 }
 
-// severed tells whether a cut stands between a host and any other.
+// severed reports whether a cut stands between a host and any other.
 func (world *World) severed(host *Host) bool {
 	for pair := range world.cuts {
 		if pair[0] == host.Address || pair[1] == host.Address {
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -15,8 +15,8 @@
 		trial.Length = 5 * time.Second
 	}
 	world := Try(seed, shape, trial)
-	for _, line := range world.Check.Broken {
-		t.Error(line)
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
 		t.Log(world.Log)
@@ -26,6 +26,7 @@
 
 // seedCount is how many seeds each attempt gets at each deployment; WARDTRAY_SEEDS asks for more than one.
 func seedCount(t *testing.T) int {
+	t.Helper()
 	text := os.Getenv("WARDTRAY_SEEDS")
 	if text == "" {
 		return 1
@@ -43,11 +44,11 @@
 		if underRace && name != "run twice, sent again" && name != "not whole" {
 			continue
 		}
-		for place, shape := range []Shape{GuildPath, FerriesPath} {
+		for index, shape := range []Shape{GuildPath, FerriesPath} {
 			t.Run(fmt.Sprint(name, ", ", shape.Mix.Pool), func(t *testing.T) {
 				t.Parallel()
 				for number := range seedCount(t) {
-					t.Log(try(t, int64(place+1+2*number), shape, attempt).Traffic.Summary())
+					t.Log(try(t, int64(index+1+2*number), shape, attempt).Traffic.Summary())
 					if t.Failed() {
 						return
 					}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"sort"
+	"strings"
 	"time"
 
 	"wardtray/wire"
@@ -16,13 +17,13 @@
 	Half, Most, All, Acknowledged time.Duration
 	// Messages and Bytes are what one daemon sent in a second of quiet; ChangeBytes is what the change
 	// itself added for each daemon, by its difference to the quiet.
-	Messages, Bytes, AcrossBytes, ChangeBytes float64
+	Messages, Bytes, CrossZoneBytes, ChangeBytes float64
 }
 
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
 func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
 	world := NewWorld(seed)
-	var seeds []string
+	seeds := make([]string, 0, 3)
 	for _, zone := range []string{"a", "b", "c"} {
 		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
 	}
@@ -37,31 +38,39 @@
 	}
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
-	messages, bytes, across := world.Messages, world.Bytes, world.AcrossBytes
+	messages, bytes, crossZone := world.Messages, world.Bytes, world.CrossZoneBytes
 	const quiet = 4 * time.Second
 	world.Run(quiet)
 	per := float64(daemons) * quiet.Seconds()
-	spread.Messages, spread.Bytes, spread.AcrossBytes = float64(world.Messages-messages)/per, float64(world.Bytes-bytes)/per, float64(world.AcrossBytes-across)/per
+	spread.Messages, spread.Bytes, spread.CrossZoneBytes = float64(world.Messages-messages)/per, float64(
+		world.Bytes-bytes,
+	)/per, float64(
+		world.CrossZoneBytes-crossZone,
+	)/per
 	bytes = world.Bytes
-	order := world.Check.Send(world.Hosts[1], &wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
+	order := world.Check.Send(world.Hosts[1],
+		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
-	for world.Now.Sub(sent) < window && len(world.Check.Broken) == 0 {
+	for world.Now.Sub(sent) < window && len(world.Check.Violations) == 0 {
 		world.Run(5 * time.Millisecond)
 		if committed.IsZero() && world.byName["c:core"].node.Chain().Committed().SpecEpoch == 1 {
 			committed = world.Now
 		}
 		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.data.Snapshot(world.local(host)).SpecEpoch == 1 {
+			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(world.local(host)).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
 	}
-	if len(world.Check.Broken) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
-		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons, order.Outcome, world.Check.Broken)
+	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
+		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
+			order.Outcome, world.Check.Violations)
 	}
-	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(daemons)
+	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(
+		daemons,
+	)
 	lengths := make([]time.Duration, 0, daemons)
 	for _, length := range arrived {
 		lengths = append(lengths, length)
@@ -74,12 +83,15 @@
 
 // manyRoutes is a spec with so many routes.
 func manyRoutes(count int) []byte {
-	text := `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`
+	text := &strings.Builder{}
+	text.WriteString(`{"zones":[{"name":"a","closed":false}],`)
+	text.WriteString(`"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`)
 	for number := range max(1, count) {
 		if number > 0 {
-			text += ","
+			text.WriteString(",")
 		}
-		text += fmt.Sprintf(`{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`, number)
+		fmt.Fprintf(text, `{"name":"l%d","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}`, number)
 	}
-	return []byte(text + "]}")
+	text.WriteString("]}")
+	return []byte(text.String())
 }
