--- a/transport/frame/frame.go
+++ b/transport/frame/frame.go
@@ -1,9 +1,13 @@
-// Package frame puts one envelope into one length-framed piece of a TCP stream.
+// Package frame encodes envelopes as length-prefixed frames of a TCP stream.
+//
+// A frame is a header of 8 bytes followed by the envelope in protobuf encoding. The header holds the magic "WT", the
+// protocol version, a zero byte and the length of the envelope in bytes (big-endian, 32 bits).
 package frame
 
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"io"
 
 	"google.golang.org/protobuf/proto"
@@ -13,35 +17,40 @@
 )
 
 const (
-	// Version is the edition of the messages that this build speaks. It understands every one since Oldest.
+	// Version is the protocol version that this build writes. It reads every version since OldestVersion.
 	Version = 1
-	// OldestVersion is the least edition that this build still understands.
+	// OldestVersion is the lowest protocol version that this build still reads.
 	OldestVersion = 1
-	// Maximum bounds a frame.
+	// Maximum is the largest size of an encoded envelope, in bytes.
 	Maximum = 24 << 20
-	header  = 8
+	// headerLength is the length of a frame's header, in bytes.
+	headerLength = 8
+	// allocationStep is the size of the first buffer for a frame's content, in bytes.
+	allocationStep = 64 << 10
 )
 
-// Encode gives the bytes of a frame: "WT", edition, a zero, the length, the envelope.
+// Encode returns the frame of an envelope, whose ProtocolVersion it sets. An envelope of more than Maximum bytes is
+// rejected with apierror.TooLarge.
 func Encode(envelope *wire.Envelope) ([]byte, error) {
 	envelope.ProtocolVersion = Version
 	size := proto.Size(envelope)
 	if size > Maximum {
 		return nil, apierror.New(apierror.TooLarge, "a frame of %d bytes; at most %d", size, Maximum)
 	}
-	content := make([]byte, header, header+size)
+	content := make([]byte, headerLength, headerLength+size)
 	content[0], content[1], content[2] = 'W', 'T', Version
 	binary.BigEndian.PutUint32(content[4:], uint32(size))
 	content, err := proto.MarshalOptions{}.MarshalAppend(content, envelope)
 	return content, apierror.Wrap(err, apierror.BadFrame, "encoding")
 }
 
-// Decode reads the next frame. At the end between two frames it gives io.EOF; anything foreign,
-// torn or too large is a BadFrame fault, after which the stream is of no more use.
+// Decode reads the next frame and returns its envelope and its size in bytes, header included. It returns io.EOF at the
+// end of the stream between two frames. Foreign, truncated and oversized frames return an error with the code
+// apierror.BadFrame, after which the stream can't be used any more.
 func Decode(reader *bufio.Reader) (*wire.Envelope, int, error) {
-	var head [header]byte
+	var head [headerLength]byte
 	if _, err := io.ReadFull(reader, head[:]); err != nil {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil, 0, io.EOF
 		}
 		return nil, 0, apierror.Wrap(err, apierror.BadFrame, "a torn header")
@@ -49,7 +58,7 @@
 	if head[0] != 'W' || head[1] != 'T' || head[3] != 0 {
 		return nil, 0, apierror.New(apierror.BadFrame, "not a wardtray frame")
 	}
-	// A newer edition only adds fields, which decoding skips; an older one than Oldest lacks what we need.
+	// Newer versions only add fields, which decoding skips; versions before OldestVersion lack fields that we need.
 	if head[2] < OldestVersion {
 		return nil, 0, apierror.New(apierror.BadFrame, "edition %d is older than %d", head[2], OldestVersion)
 	}
@@ -65,16 +74,15 @@
 	if err := proto.Unmarshal(content, envelope); err != nil {
 		return nil, 0, apierror.Wrap(err, apierror.BadFrame, "not an envelope")
 	}
-	return envelope, header + int(size), nil
+	return envelope, headerLength + int(size), nil
 }
 
-// readBounded takes memory only as bytes arrive, so that a false length costs little.
+// readBounded reads size bytes and allocates memory only as they arrive, so that a false length costs little.
 func readBounded(reader io.Reader, size int) ([]byte, error) {
-	const step = 64 << 10
-	content := make([]byte, 0, min(size, step))
+	content := make([]byte, 0, min(size, allocationStep))
 	for len(content) < size {
 		start := len(content)
-		content = append(content, make([]byte, min(size-start, max(step, start)))...)
+		content = append(content, make([]byte, min(size-start, max(allocationStep, start)))...)
 		if _, err := io.ReadFull(reader, content[start:]); err != nil {
 			return nil, err
 		}
--- a/transport/frame/frame_fuzz_test.go
+++ b/transport/frame/frame_fuzz_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 	"testing"
 
@@ -13,8 +14,8 @@
 	"wardtray/wire/wiretest"
 )
 
-// Whatever comes over a connection, reading frames neither panics nor takes more memory than bytes came for, and what
-// was read is read again from its own encoding.
+// Whatever arrives over a connection, decoding neither panics nor consumes more bytes than arrived, and a decoded
+// envelope survives a round trip through its own encoding.
 func FuzzStreamOfFrames(fuzz *testing.F) {
 	for _, sample := range wiretest.Envelopes() {
 		content, err := Encode(sample.Envelope)
@@ -29,23 +30,23 @@
 	fuzz.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
 		reader := bufio.NewReader(bytes.NewReader(content))
-		for taken := 0; ; {
+		for consumed := 0; ; {
 			envelope, size, err := Decode(reader)
 			if err != nil {
-				if err != io.EOF && !apierror.Is(err, apierror.BadFrame) {
+				if !errors.Is(err, io.EOF) && !apierror.Is(err, apierror.BadFrame) {
 					t.Fatalf("%v", err)
 				}
 				return
 			}
-			if taken += size; size < header || taken > len(content) {
-				t.Fatalf("%d bytes were read of %d", taken, len(content))
+			if consumed += size; size < headerLength || consumed > len(content) {
+				t.Fatalf("%d bytes were read of %d", consumed, len(content))
 			}
 			requireReadBack(t, envelope)
 		}
 	})
 }
 
-// requireReadBack wants a message to be read again from its own encoding.
+// requireReadBack fails the test unless an envelope survives a round trip through its own encoding.
 func requireReadBack(t *testing.T, envelope *wire.Envelope) {
 	t.Helper()
 	again, err := Encode(envelope)
--- a/transport/frame/golden_test.go
+++ b/transport/frame/golden_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
 	"testing"
@@ -46,7 +47,7 @@
 			t.Fatalf("%v, %d bytes of %d, %v", envelope, size, len(content), err)
 		}
 	}
-	if _, _, err := Decode(reader); err != io.EOF {
+	if _, _, err := Decode(reader); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 }
