--- a/transport/netio/client.go
+++ b/transport/netio/client.go
@@ -6,71 +6,76 @@
 	"github.com/valyala/fasthttp"
 )
 
-// fromHTTP is one request of the server's, as a Client.
-type fromHTTP struct{ context *fasthttp.RequestCtx }
+// httpClient is the Client of one request to an HTTP server.
+type httpClient struct{ request *fasthttp.RequestCtx }
 
-// FromHTTP is the client behind one HTTP request.
-func FromHTTP(context *fasthttp.RequestCtx) Client { return fromHTTP{context} }
+// FromHTTP returns the client of one HTTP request.
+func FromHTTP(request *fasthttp.RequestCtx) Client { return httpClient{request} }
 
-// Method gives the request's method.
-func (client fromHTTP) Method() string { return string(client.context.Method()) }
+// Method returns the HTTP method.
+func (client httpClient) Method() string { return string(client.request.Method()) }
 
-// Authority gives the Host header.
-func (client fromHTTP) Authority() string { return string(client.context.Request.Header.Host()) }
+// Authority returns the Host header.
+func (client httpClient) Authority() string { return string(client.request.Request.Header.Host()) }
 
-// Target gives the bytes as they came: cleaning them up would change what was asked.
-func (client fromHTTP) Target() string {
-	return string(client.context.Request.Header.RequestURI())
+// Target returns the request target byte by byte as received: normalizing it would change what was asked for.
+func (client httpClient) Target() string {
+	return string(client.request.Request.Header.RequestURI())
 }
 
-// Header gives every value of a header.
-func (client fromHTTP) Header(name string) []string {
-	var values []string
-	for _, value := range client.context.Request.Header.PeekAll(name) {
+// Header returns all values of a header.
+func (client httpClient) Header(name string) []string {
+	lines := client.request.Request.Header.PeekAll(name)
+	if len(lines) == 0 {
+		return nil
+	}
+	values := make([]string, 0, len(lines))
+	for _, value := range lines {
 		values = append(values, string(value))
 	}
 	return values
 }
 
-// Headers calls a function for every line of the request's head.
-func (client fromHTTP) Headers(each func(name, value string)) {
-	for name, value := range client.context.Request.Header.All() {
+// Headers calls a function for each header line of the request.
+func (client httpClient) Headers(each func(name, value string)) {
+	for name, value := range client.request.Request.Header.All() {
 		each(string(name), string(value))
 	}
 }
 
-// Body gives the whole body, which the server has read.
-func (client fromHTTP) Body() []byte { return client.context.PostBody() }
+// Body returns the complete body, which the server has read.
+func (client httpClient) Body() []byte { return client.request.PostBody() }
 
-// Left looks at the connection itself.
-func (client fromHTTP) Left() bool { return Left(client.context.Conn()) }
+// Left inspects the state of the connection.
+func (client httpClient) Left() bool { return Left(client.request.Conn()) }
 
-// Watch lets a goroutine of its own wait for the end of the connection.
-func (client fromHTTP) Watch(left func()) (stop func()) {
-	return watch(client.context.Conn(), left)
+// Watch waits for the end of the connection on a goroutine of its own.
+func (client httpClient) Watch(left func()) (stop func()) {
+	return watch(client.request.Conn(), left)
 }
 
-// Last closes the connection after this answer.
-func (client fromHTTP) Last() { client.context.SetConnectionClose() }
+// Last closes the connection after this response.
+func (client httpClient) Last() { client.request.SetConnectionClose() }
 
-func (client fromHTTP) head(status int, headers []Header) {
-	client.context.ResetBody()
-	client.context.SetStatusCode(status)
+// writeHead sets the status and the headers of the response.
+func (client httpClient) writeHead(status int, headers []Header) {
+	client.request.ResetBody()
+	client.request.SetStatusCode(status)
 	for _, header := range headers {
-		// A header may be there several times, and all of them count.
-		client.context.Response.Header.Add(header.Name, header.Value)
+		// A header may occur several times, and all of its values count.
+		client.request.Response.Header.Add(header.Name, header.Value)
 	}
 }
 
-// Answer gives a whole answer.
-func (client fromHTTP) Answer(status int, headers []Header, body []byte) {
-	client.head(status, headers)
-	client.context.SetBody(body)
+// Answer sends a complete response.
+func (client httpClient) Answer(status int, headers []Header, body []byte) {
+	client.writeHead(status, headers)
+	client.request.SetBody(body)
 }
 
-// Stream hands the source to the server, which reads it and writes out each piece at once: without a
-// thread or a pipe between, an event costs one write.
-func (client fromHTTP) Stream(status int, headers []Header, source io.ReadCloser) {
-	client.head(status, headers)
-	client.context.SetBodyStream(source, -1)
+// Stream hands the source to the server, which writes each chunk out as it is read: without a goroutine or a pipe in
+// between, an event costs one write.
+func (client httpClient) Stream(status int, headers []Header, source io.ReadCloser) {
+	client.writeHead(status, headers)
+	client.request.SetBodyStream(source, -1)
 }
--- a/transport/netio/departure_test.go
+++ b/transport/netio/departure_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -13,26 +14,47 @@
 	"github.com/valyala/fasthttp"
 )
 
-const patientBound = 10 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 10 * time.Second
 
-// pair gives both ends of a connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// listen opens a free port of the loopback interface until the test ends.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	dialed, err := net.Dial("tcp", listener.Addr().String())
+	t.Cleanup(func() { _ = listener.Close() }) // A test may have closed it before.
+	return listener
+}
+
+// connect dials a listener.
+func connect(t *testing.T, listener net.Listener) net.Conn {
+	t.Helper()
+	dialed, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { _ = dialed.Close() }) // A test may have closed it before.
+	return dialed
+}
+
+// pair returns both ends of a connection.
+func pair(t *testing.T) (near, far *net.TCPConn) {
+	t.Helper()
+	listener := listen(t)
+	dialed := connect(t, listener)
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = accepted.Close(), dialed.Close() })
-	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
+	t.Cleanup(func() { _ = accepted.Close() }) // A test may have closed it before.
+	near, nearIsTCP := accepted.(*net.TCPConn)
+	far, farIsTCP := dialed.(*net.TCPConn)
+	if !nearIsTCP || !farIsTCP {
+		t.Fatalf("%T and %T are no TCP connections", accepted, dialed)
+	}
+	return near, far
 }
 
 // departures are the ways in which the other side may end a connection.
@@ -46,7 +68,7 @@
 	},
 }
 
-func TestLeftLooksAtTheState(t *testing.T) {
+func TestLeftReportsClosedConnections(t *testing.T) {
 	for name, leave := range departures {
 		near, far := pair(t)
 		if Left(near) {
@@ -56,12 +78,12 @@
 			t.Errorf("%s: unread bytes are taken for a close (%v)", name, err)
 		}
 		leave(far)
-		for end := time.Now().Add(patientBound); !Left(near); runtime.Gosched() {
+		for end := time.Now().Add(testTimeout); !Left(near); runtime.Gosched() {
 			if time.Now().After(end) {
 				t.Fatalf("%s: never seen", name)
 			}
 		}
-		// The look takes nothing out.
+		// Left consumes nothing.
 		if one, err := bufio.NewReader(near).ReadByte(); name != "resets" && (err != nil || one != 'x') {
 			t.Errorf("%s: %q, %v", name, one, err)
 		}
@@ -72,11 +94,11 @@
 		t.Error("a connection that is closed here has somebody on the other side")
 	}
 	if in, _ := net.Pipe(); Left(in) {
-		t.Error("what is no connection of the system's is taken for closed")
+		t.Error("a connection without a socket is reported as closed")
 	}
 }
 
-func TestWatchTellsOfTheCloseOnce(t *testing.T) {
+func TestWatchReportsTheCloseOnce(t *testing.T) {
 	for name, leave := range departures {
 		for when, before := range map[string]bool{"before the watch": true, "during the watch": false} {
 			near, far := pair(t)
@@ -84,7 +106,7 @@
 				leave(far)
 			}
 			calls := make(chan struct{}, 2)
-			// A bound on reading that is left over from the request has no say.
+			// A read deadline left over from the request does not matter.
 			_ = near.SetReadDeadline(time.Now().Add(-time.Second))
 			stop := watch(near, func() { calls <- struct{}{} })
 			if !before {
@@ -93,19 +115,19 @@
 			}
 			select {
 			case <-calls:
-			case <-time.After(patientBound):
-				t.Fatalf("%s %s: never told", name, when)
+			case <-time.After(testTimeout):
+				t.Fatalf("%s %s: not reported", name, when)
 			}
 			stop()
 			if len(calls) > 0 {
-				t.Errorf("%s %s: told twice", name, when)
+				t.Errorf("%s %s: reported twice", name, when)
 			}
 		}
 	}
 }
 
-// Whoever stops the watch hears nothing any more, and can read what came meanwhile.
-func TestStoppedWatchIsSilent(t *testing.T) {
+// A stopped watch makes no calls any more, and bytes that arrived meanwhile can be read.
+func TestStoppedWatchReportsNothing(t *testing.T) {
 	for range 100 {
 		near, far := pair(t)
 		called := false
@@ -120,29 +142,22 @@
 	}
 }
 
-// One connection carries request after request, each watched, also where they come before the last is answered.
+// One connection carries many requests, each watched, also if they arrive before the previous response.
 func TestWatchedConnectionCarriesManyRequests(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	told := make(chan struct{}, 8)
-	server := &fasthttp.Server{ReadTimeout: time.Second, IdleTimeout: time.Minute, Handler: func(request *fasthttp.RequestCtx) {
-		requester := FromHTTP(request)
-		stop := requester.Watch(func() { told <- struct{}{} })
-		if requester.Left() {
+	listener := listen(t)
+	notified := make(chan struct{}, 8)
+	handler := func(request *fasthttp.RequestCtx) {
+		client := FromHTTP(request)
+		stop := client.Watch(func() { notified <- struct{}{} })
+		if client.Left() {
 			t.Error("it has left")
 		}
 		stop()
 		request.SetBody(request.Path())
-	}}
-	go func() { _ = server.Serve(listener) }()
-	client, err := net.Dial("tcp", listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
 	}
-	defer client.Close()
+	server := &fasthttp.Server{ReadTimeout: time.Second, IdleTimeout: time.Minute, Handler: handler}
+	go func() { _ = server.Serve(listener) }()
+	client := connect(t, listener)
 	const requests = 50
 	for range requests {
 		if _, err := client.Write([]byte("GET /same HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
@@ -151,30 +166,34 @@
 	}
 	reader := bufio.NewReader(client)
 	for number := range requests {
-		answer, err := http.ReadResponse(reader, nil)
-		if err != nil {
-			t.Fatalf("answer %d: %v", number, err)
-		}
-		if body, err := io.ReadAll(answer.Body); err != nil || string(body) != "/same" {
-			t.Fatalf("answer %d: %q, %v", number, body, err)
+		if body, err := readBody(reader); err != nil || body != "/same" {
+			t.Fatalf("response %d: %q, %v", number, body, err)
 		}
 	}
-	if len(told) > 0 {
+	if len(notified) > 0 {
 		t.Error("a client that stays is taken to have left")
 	}
 }
 
-// bound gives a connection that is bound to a context, its other side, and what ends the context and releases it.
+// readBody reads the next response and returns its body.
+func readBody(reader *bufio.Reader) (string, error) {
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return "", err
+	}
+	content, err := io.ReadAll(response.Body)
+	return string(content), errors.Join(err, response.Body.Close())
+}
+
+// bound returns a connection that is bound to a context, its other side, and what ends the context and releases it.
 func bound(t *testing.T) (conn Conn, far net.Conn, leave func(), release func() bool) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener := listen(t)
+	timeouts := Timeouts{Dial: time.Second, Untaken: time.Second}
+	conn, err := Real(nil).Dial(context.Background(), listener.Addr().String(), timeouts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	if conn, err = Real(nil).Dial(context.Background(), listener.Addr().String(), Timeouts{Dial: time.Second, Untaken: time.Second}); err != nil {
-		t.Fatal(err)
-	}
 	if far, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +209,7 @@
 		t.Error("it still reads")
 	}
 	if _, err := far.Read(make([]byte, 1)); err == nil {
-		t.Error("the other side is not told")
+		t.Error("the peer does not see the close")
 	}
 	if release() {
 		t.Error("it is said to stand")
@@ -214,12 +233,12 @@
 func TestWaitsEndWithTheirContext(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
-	world, started := Real(nil), time.Now()
-	world.Wait(ctx, patientBound, nil)
-	if _, err := world.Dial(ctx, "127.0.0.1:1", Timeouts{Dial: patientBound, Untaken: time.Second}); err == nil {
+	environment, started := Real(nil), time.Now()
+	environment.Wait(ctx, testTimeout, nil)
+	if _, err := environment.Dial(ctx, "127.0.0.1:1", Timeouts{Dial: testTimeout, Untaken: time.Second}); err == nil {
 		t.Error("a connection for nobody was made")
 	}
-	if took := time.Since(started); took > patientBound/2 {
+	if took := time.Since(started); took > testTimeout/2 {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/transport/netio/netio.go
+++ b/transport/netio/netio.go
@@ -1,6 +1,8 @@
-// Package seam is all through which the request path meets the world: a clock, work beside one's own,
-// connections to runners, and the client's side of an answer. The process gives the real ones, the
-// simulator its own; below the hosts nothing else tells the time, starts a tick or dials.
+// Package netio is the environment of the request path: the clock, goroutines, connections to runners and the client's
+// side of an exchange.
+//
+// A process uses the real environment (Real) and the server's requests (FromHTTP); the simulator supplies its own. The
+// request path itself neither reads the time, nor starts goroutines, nor dials.
 package netio
 
 import (
@@ -10,62 +12,66 @@
 	"time"
 )
 
-// Conn is a connection to a runner. Closing it is an abort: what the other machine has not taken
-// by then never reaches it.
+// Conn is a connection to a runner. Close aborts it: bytes that the peer's machine has not acknowledged by then are
+// never delivered.
 type Conn interface {
 	net.Conn
-	// Quiet tells whether the other side has neither closed nor sent anything unasked.
+	// Quiet reports whether the peer has neither closed the connection nor sent bytes that nobody has read.
 	Quiet() bool
-	// Bind closes the connection as soon as a context ends. release undoes that; it tells whether the connection was
-	// left alone until then.
+	// Bind closes the connection as soon as the context ends. release undoes that; it returns false if the context
+	// had ended before.
 	Bind(ctx context.Context) (release func() bool)
 }
 
-// Timeouts are what a connection has to keep.
+// Timeouts are the time limits of a connection to a runner.
 type Timeouts struct {
-	// Dial is how long making the connection may take.
+	// Dial is how long establishing the connection may take.
 	Dial time.Duration
-	// Untaken is for how long bytes may be on their way before the connection is aborted.
+	// Untaken is for how long sent bytes may stay unacknowledged before the connection is aborted.
 	Untaken time.Duration
 }
 
-// Environment is what a process is given of the world.
+// Environment is what the request path needs of its process.
 type Environment struct {
+	// Now returns the present time.
 	Now func() time.Time
-	// Go begins work beside the caller's.
+	// Go runs a function concurrently with the caller.
 	Go func(work func())
-	// Wait lets a length of time pass, or less where a channel is closed or a context ends meanwhile.
+	// Wait returns after a duration, or earlier once the channel is closed or the context ends.
 	Wait func(ctx context.Context, length time.Duration, woken <-chan struct{})
-	// Dial makes a connection that keeps the terms, unless the context ends before it stands.
-	Dial func(ctx context.Context, address string, terms Timeouts) (Conn, error)
+	// Dial connects to an address within the limits. It fails with apierror.Unreachable, also if the context ends
+	// before the connection is established.
+	Dial func(ctx context.Context, address string, timeouts Timeouts) (Conn, error)
 }
 
-// Header is one line of an answer's head.
+// Header is one header line of a response.
 type Header struct{ Name, Value string }
 
-// Client is the side of a request that asked.
+// Client is the client's side of one exchange: its request, and where its response goes.
 type Client interface {
+	// Method returns the HTTP method.
 	Method() string
-	// Authority is the host that the request names.
+	// Authority returns the host that the request names.
 	Authority() string
-	// Target is the path with its query, as sent.
+	// Target returns the path with its query, as sent.
 	Target() string
-	// Header gives every value of a header, in order.
+	// Header returns all values of a header, in order.
 	Header(name string) []string
-	// Headers gives every header, in order.
+	// Headers calls a function for each header line, in order.
 	Headers(each func(name, value string))
+	// Body returns the complete request body.
 	Body() []byte
-	// Answer gives a whole answer at once.
+	// Answer sends a complete response.
 	Answer(status int, headers []Header, body []byte)
-	// Stream begins an answer whose body is read from a source and passed on as it comes. A source that
-	// fails ends the answer so that it does not look whole; it is closed at the end, whatever that is.
+	// Stream starts a response whose body is copied from source as it arrives. If source fails the response is
+	// aborted so that the client can't take it for complete. source is closed at the end in any case.
 	Stream(status int, headers []Header, source io.ReadCloser)
-	// Left tells whether the client has closed its connection by now, also behind bytes that nobody has read yet.
-	// It looks at the connection itself, which costs a system call.
+	// Left reports whether the client has closed its connection, even behind bytes that nobody has read yet. It
+	// inspects the connection itself, which costs a system call.
 	Left() bool
-	// Watch calls a function once, beside the caller's work, as soon as the client closes its connection. stop ends
-	// the watch: when it returns no call is under way or will be made.
+	// Watch calls a function once, on another goroutine, as soon as the client closes its connection. stop ends the
+	// watch: when it returns no call is running or will be made.
 	Watch(left func()) (stop func())
-	// Last says that no other request should come over this connection.
+	// Last closes the connection after the response, so that no other request arrives over it.
 	Last()
 }
--- a/transport/netio/real.go
+++ b/transport/netio/real.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"syscall"
 	"time"
@@ -11,26 +12,49 @@
 	"wardtray/apierror"
 )
 
-// Real is the world of a process whose connections leave from an address; nil leaves that to the system.
+// errNotTCP is returned for a dialed connection that is not a TCP connection, which the network "tcp" rules out.
+var errNotTCP = errors.New("not a TCP connection")
+
+// Real returns the environment of a process. Its connections are bound to the local address; nil leaves the choice to
+// the operating system.
 func Real(local net.Addr) Environment {
-	return Environment{Now: time.Now, Go: func(work func()) { go work() }, Wait: wait, Dial: func(ctx context.Context, address string, terms Timeouts) (Conn, error) {
-		dialer := net.Dialer{Timeout: terms.Dial, LocalAddr: local, Control: func(_, _ string, raw syscall.RawConn) error {
-			var err error
-			outer := raw.Control(func(descriptor uintptr) { err = keep(int(descriptor), terms) })
-			if outer != nil {
-				return outer
-			}
-			return err
-		}}
-		raw, err := dialer.DialContext(ctx, "tcp", address)
-		if err != nil {
-			return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", address)
-		}
-		return tcp{raw.(*net.TCPConn)}, nil
-	}}
+	return Environment{
+		Now:  time.Now,
+		Go:   func(work func()) { go work() },
+		Wait: wait,
+		Dial: func(ctx context.Context, address string, timeouts Timeouts) (Conn, error) {
+			return dial(ctx, local, address, timeouts)
+		},
+	}
+}
+
+// dial connects to an address and sets the connection's socket options.
+func dial(ctx context.Context, local net.Addr, address string, timeouts Timeouts) (Conn, error) {
+	control := func(_, _ string, raw syscall.RawConn) error { return controlSocket(raw, timeouts) }
+	dialer := net.Dialer{Timeout: timeouts.Dial, LocalAddr: local, Control: control}
+	connection, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", address)
+	}
+	tcpConnection, isTCP := connection.(*net.TCPConn)
+	if !isTCP {
+		_ = connection.Close() // It carried nothing.
+		return nil, apierror.Wrap(errNotTCP, apierror.Unreachable, "dialing %s", address)
+	}
+	return tcpConn{tcpConnection}, nil
+}
+
+// controlSocket sets the options of a socket before it connects.
+func controlSocket(raw syscall.RawConn, timeouts Timeouts) error {
+	var optionErr error
+	controlErr := raw.Control(func(descriptor uintptr) { optionErr = setOptions(int(descriptor), timeouts) })
+	if controlErr != nil {
+		return controlErr
+	}
+	return optionErr
 }
 
-// wait returns after a length of time, or as soon as a channel is closed or a context ends.
+// wait returns after a duration, or earlier once the channel is closed or the context ends.
 func wait(ctx context.Context, length time.Duration, woken <-chan struct{}) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -41,36 +65,40 @@
 	}
 }
 
-// keep sets the terms on a socket.
+// setOptions makes every close an abort and limits how long sent bytes may stay unacknowledged.
 //
-// The system goes on sending what a closed, or killed, sender left behind. Work that was given up
-// would reach its runner when a cut heals, long after the zone was closed or the runner left. With no time to
-// linger every end is an abort, and bytes that are not taken in time end the connection.
-func keep(descriptor int, terms Timeouts) error {
-	if err := unix.SetsockoptLinger(descriptor, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1, Linger: 0}); err != nil {
+// Why: the kernel keeps retransmitting what a closed socket, or a killed process, left behind. A request that was
+// given up would reach its runner when a network partition heals, long after the zone was closed or the runner was
+// drained.
+func setOptions(descriptor int, timeouts Timeouts) error {
+	abort := &unix.Linger{Onoff: 1, Linger: 0}
+	if err := unix.SetsockoptLinger(descriptor, unix.SOL_SOCKET, unix.SO_LINGER, abort); err != nil {
 		return err
 	}
-	return unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(terms.Untaken.Milliseconds()))
+	milliseconds := int(timeouts.Untaken.Milliseconds())
+	return unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
 }
 
-type tcp struct{ *net.TCPConn }
+// tcpConn is a Conn over TCP.
+type tcpConn struct{ *net.TCPConn }
 
-// Bind closes the connection at the end of a context, unless it is released before.
-func (conn tcp) Bind(ctx context.Context) (release func() bool) {
+// Bind closes the connection when the context ends, unless it is released before.
+func (conn tcpConn) Bind(ctx context.Context) (release func() bool) {
+	// The close is an abort; an error would mean that the connection is closed already.
 	return context.AfterFunc(ctx, func() { _ = conn.Close() })
 }
 
-// Quiet looks into the socket without taking anything out.
-func (conn tcp) Quiet() bool {
+// Quiet peeks into the socket's receive buffer without consuming anything.
+func (conn tcpConn) Quiet() bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	quiet := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, peeked := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peeked == unix.EAGAIN
+		var buffer [1]byte
+		_, _, peekErr := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		quiet = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
 	return err == nil && quiet
