--- a/transport/counters.go
+++ b/transport/counters.go
@@ -1,11 +1,27 @@
 package transport
 
-// CounterValues gives a transport's counters by the names under which statuses show them.
-func CounterValues(carrier *Transport) map[string]any {
-	counters := &carrier.Counters
+import "sync/atomic"
+
+// Counters count what a transport has done since it was created.
+type Counters struct {
+	// Sent and Received count envelopes, Dropped those that could not be sent.
+	Sent, Dropped, Received atomic.Uint64
+	// BadFrames counts inbound connections that ended because of an invalid frame.
+	BadFrames atomic.Uint64
+	// BytesOut and BytesIn count the bytes of frames; BytesOtherZone those sent to processes of other zones.
+	BytesOut, BytesIn, BytesOtherZone atomic.Uint64
+}
+
+// CounterValues returns a transport's counters by their names in status documents.
+func CounterValues(transport *Transport) map[string]any {
+	counters := &transport.Counters
 	return map[string]any{
-		"sent": counters.Sent.Load(), "dropped": counters.Dropped.Load(), "received": counters.Received.Load(),
-		"bad_frames": counters.BadFrames.Load(), "bytes_out": counters.BytesOut.Load(), "bytes_in": counters.BytesIn.Load(),
+		"sent":             counters.Sent.Load(),
+		"dropped":          counters.Dropped.Load(),
+		"received":         counters.Received.Load(),
+		"bad_frames":       counters.BadFrames.Load(),
+		"bytes_out":        counters.BytesOut.Load(),
+		"bytes_in":         counters.BytesIn.Load(),
 		"bytes_other_zone": counters.BytesOtherZone.Load(),
 	}
 }
--- a/transport/listen.go
+++ b/transport/listen.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"context"
 	"net"
 	"time"
 
@@ -8,21 +9,22 @@
 )
 
 const (
-	listenAgain = 100 * time.Millisecond
-	listenBound = 3 * time.Second
+	listenRetryInterval = 100 * time.Millisecond
+	listenTimeout       = 3 * time.Second
 )
 
-// ListenTCP opens a port. One that an earlier life still holds is tried again for a moment.
+// ListenTCP opens a TCP port. A port that a previous process of the same address still holds is retried for up to 3 s;
+// after that it fails with apierror.BadSettings.
 func ListenTCP(address string) (net.Listener, error) {
 	started := time.Now()
 	for {
-		listener, err := net.Listen("tcp", address)
+		listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 		if err == nil {
 			return listener, nil
 		}
-		if time.Since(started) > listenBound {
+		if time.Since(started) > listenTimeout {
 			return nil, apierror.Wrap(err, apierror.BadSettings, "listening on %s", address)
 		}
-		time.Sleep(listenAgain)
+		time.Sleep(listenRetryInterval)
 	}
 }
--- /dev/null
+++ b/transport/sender.go
@@ -0,0 +1,150 @@
+package transport
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"wardtray/transport/frame"
+	"wardtray/wire"
+)
+
+const (
+	dialTimeout  = 500 * time.Millisecond
+	writeTimeout = time.Second
+)
+
+// sender sends the envelopes of one address, on a goroutine of its own.
+type sender struct {
+	transport *Transport
+	address   string
+	queue     chan *wire.Envelope
+	// connection and writer are nil while there is no connection; peerClosed is closed once the peer has closed it.
+	connection net.Conn
+	writer     *bufio.Writer
+	peerClosed chan struct{}
+}
+
+// newSender returns a sender that has no connection yet.
+func newSender(transport *Transport, address string, queue chan *wire.Envelope) *sender {
+	return &sender{transport: transport, address: address, queue: queue}
+}
+
+// run sends what is queued until the transport is closed or nothing was queued for idleTimeout.
+func (sender *sender) run() {
+	defer sender.disconnect()
+	idle := time.NewTimer(idleTimeout)
+	defer idle.Stop()
+	for {
+		select {
+		case envelope := <-sender.queue:
+			idle.Reset(idleTimeout)
+			sender.send(envelope)
+		case <-sender.peerClosed:
+			// A peer that closes its connection may be dead. Whether anybody listens there now shows it for certain.
+			sender.disconnect()
+			sender.connect()
+		case <-sender.transport.context.Done():
+			return
+		case <-idle.C:
+			if sender.transport.retire(sender.address, sender.queue) {
+				return
+			}
+			idle.Reset(idleTimeout)
+		}
+	}
+}
+
+// connect dials the address and reports whether there is a connection now. A refused connection is reported to the
+// transport's owner.
+func (sender *sender) connect() bool {
+	transport, tried := sender.transport, time.Now()
+	dialer := net.Dialer{
+		Timeout:         dialTimeout,
+		LocalAddr:       transport.localAddress(),
+		Control:         limitUnacknowledged,
+		KeepAliveConfig: keepAlive,
+	}
+	connection, err := dialer.DialContext(transport.context, "tcp", sender.address)
+	if err != nil {
+		if errors.Is(err, unix.ECONNREFUSED) && transport.refused != nil {
+			transport.refused(sender.address, tried)
+		}
+		return false
+	}
+	sender.connection = connection
+	sender.writer = bufio.NewWriterSize(connection, bufferSize)
+	sender.peerClosed = make(chan struct{})
+	go awaitClose(connection, sender.peerClosed)
+	return true
+}
+
+// disconnect closes the connection, if there is one.
+func (sender *sender) disconnect() {
+	if sender.connection != nil {
+		_ = sender.connection.Close() // What it did not carry is lost either way.
+		sender.connection, sender.peerClosed = nil, nil
+	}
+}
+
+// send writes one envelope, and flushes it if no other is queued. If the address can't be reached, everything queued
+// for it is dropped.
+func (sender *sender) send(envelope *wire.Envelope) {
+	transport := sender.transport
+	content, err := frame.Encode(envelope)
+	if err != nil {
+		transport.Counters.Dropped.Add(1)
+		return
+	}
+	if sender.connection == nil && !sender.connect() {
+		transport.Counters.Dropped.Add(uint64(1 + discard(sender.queue)))
+		transport.pause(failurePause)
+		return
+	}
+	if err := sender.write(content); err != nil {
+		transport.Counters.Dropped.Add(1)
+		sender.disconnect()
+		return
+	}
+	transport.countSent(sender.address, len(content))
+}
+
+// write buffers a frame, and flushes the buffer if no other envelope is queued.
+func (sender *sender) write(content []byte) error {
+	if sender.writer.Buffered() == 0 {
+		// A deadline can only fail on a closed connection, on which writing fails as well.
+		_ = sender.connection.SetWriteDeadline(time.Now().Add(writeTimeout))
+	}
+	if _, err := sender.writer.Write(content); err != nil {
+		return err
+	}
+	if len(sender.queue) > 0 {
+		return nil
+	}
+	return sender.writer.Flush()
+}
+
+// awaitClose waits until a connection ends and closes a channel then, so that the next message goes over a new one. The
+// peer sends nothing over it, so that a read returns at the end only.
+func awaitClose(connection net.Conn, closed chan<- struct{}) {
+	var buffer [1]byte
+	_, _ = connection.Read(buffer[:])
+	_ = connection.Close() // The sender may have closed it before.
+	close(closed)
+}
+
+// discard empties a queue and returns how many envelopes it held.
+func discard(queue chan *wire.Envelope) int {
+	discarded := 0
+	for {
+		select {
+		case <-queue:
+			discarded++
+		default:
+			return discarded
+		}
+	}
+}
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,49 +1,35 @@
-// Package transport carries envelopes between processes over TCP. Sending never blocks: each
-// address has a bounded queue and one connection, and what can't be carried is dropped and
-// counted, as the state machines above expect of a network.
+// Package transport carries envelopes between processes over TCP.
+//
+// Sending never blocks: each address has a bounded queue and one connection. What can't be sent is dropped and counted,
+// as the state machines above expect of a network.
 package transport
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
-	"wardtray/apierror"
 	"wardtray/coordination/statemachine"
-	"wardtray/transport/frame"
 	"wardtray/wire"
 )
 
 const (
-	queueLength     = 256
-	bufferLength    = 4 << 10
+	// queueLength is how many envelopes wait for one address.
+	queueLength = 256
+	// bufferSize is the size of a connection's read or write buffer, in bytes.
+	bufferSize = 4 << 10
+	// maximumInbound and maximumOutbound limit the connections of each direction.
 	maximumInbound  = 4096
 	maximumOutbound = 4096
-	dialBound       = 500 * time.Millisecond
-	writeBound      = time.Second
-	idleBound       = time.Minute
-	pauseAfterFail  = 100 * time.Millisecond
-	// untakenBound is for how long sent bytes may stay untaken before a connection is given up: the peer may be
-	// without power or behind a cut, and only a new connection finds it soon after it is back.
-	untakenBound = time.Second
+	// idleTimeout is after how long without an envelope an outbound connection is closed.
+	idleTimeout = time.Minute
+	// failurePause is how long an address, or the listener, is left alone after a failure.
+	failurePause = 100 * time.Millisecond
 )
 
-// alive ends connections on which nothing is sent while the peer is gone.
-var alive = net.KeepAliveConfig{Enable: true, Idle: 15 * time.Second, Interval: 3 * time.Second, Count: 3}
-
-// Counters are what the transport counts.
-type Counters struct {
-	Sent, Dropped, Received, BadFrames, BytesOut, BytesIn, BytesOtherZone atomic.Uint64
-}
-
-// Transport is one process's end.
+// Transport is the endpoint of one process. It is safe for concurrent use.
 type Transport struct {
 	address  string
 	zone     string
@@ -53,19 +39,34 @@
 	context  context.Context
 	stop     context.CancelFunc
 	mutex    sync.Mutex
-	senders  map[string]chan *wire.Envelope
+	// queues are what waits to be sent, by address; a goroutine for each sends it.
+	queues map[string]chan *wire.Envelope
+	// zones are the zones of processes, by their addresses, as learned from what they sent.
 	zones    sync.Map
 	inbound  atomic.Int64
 	Counters Counters
 }
 
-// New makes an end that is not listening yet. refused hears where nobody listened when it was tried at a moment.
-func New(address, zone string, receive func(envelope *wire.Envelope), refused func(address string, tried time.Time)) *Transport {
+// New returns a transport that is not listening yet. receive handles what arrives; refused is called with an address at
+// which nobody listens and the moment when it was tried. Both are called concurrently.
+func New(
+	address, zone string,
+	receive func(envelope *wire.Envelope),
+	refused func(address string, tried time.Time),
+) *Transport {
 	running, stop := context.WithCancel(context.Background())
-	return &Transport{address: address, zone: zone, receive: receive, refused: refused, context: running, stop: stop, senders: map[string]chan *wire.Envelope{}}
+	return &Transport{
+		address: address,
+		zone:    zone,
+		receive: receive,
+		refused: refused,
+		context: running,
+		stop:    stop,
+		queues:  map[string]chan *wire.Envelope{},
+	}
 }
 
-// Listen opens the port and begins to receive.
+// Listen opens the port and starts to receive.
 func (transport *Transport) Listen() error {
 	listener, err := ListenTCP(transport.address)
 	if err != nil {
@@ -84,204 +85,59 @@
 	}
 }
 
-func (transport *Transport) accept() {
-	for {
-		connection, err := transport.listener.Accept()
-		if err != nil {
-			if transport.context.Err() != nil {
-				return
-			}
-			// Out of descriptors, say; trying again at once would only burn a core.
-			transport.pause(pauseAfterFail)
-			continue
-		}
-		if transport.inbound.Add(1) > maximumInbound {
-			transport.inbound.Add(-1)
-			_ = connection.Close()
-			continue
-		}
-		go transport.read(connection)
-	}
-}
-
-func (transport *Transport) pause(length time.Duration) {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-transport.context.Done():
-	}
-}
-
-func (transport *Transport) read(connection net.Conn) {
-	defer transport.inbound.Add(-1)
-	defer connection.Close()
-	release := context.AfterFunc(transport.context, func() { _ = connection.Close() })
-	defer release()
-	if raw, fine := connection.(*net.TCPConn); fine {
-		_ = raw.SetKeepAliveConfig(alive)
-		if inner, err := raw.SyscallConn(); err == nil {
-			// Without it such a connection is only noticed later to be dead.
-			_ = patience("", "", inner)
-		}
-	}
-	reader := bufio.NewReaderSize(connection, bufferLength)
-	for {
-		// A sender is never silent for longer than its own idle bound unless it is gone.
-		_ = connection.SetReadDeadline(time.Now().Add(2 * idleBound))
-		envelope, size, err := frame.Decode(reader)
-		if err != nil {
-			if apierror.Is(err, apierror.BadFrame) && transport.context.Err() == nil {
-				transport.Counters.BadFrames.Add(1)
-			}
-			return
-		}
-		transport.Counters.Received.Add(1)
-		transport.Counters.BytesIn.Add(uint64(size))
-		if envelope.From != "" && envelope.Zone != "" {
-			transport.zones.Store(envelope.From, envelope.Zone)
-		}
-		transport.receive(envelope)
-	}
-}
-
-// Send hands parcels over for carrying.
-func (transport *Transport) Send(parcels []statemachine.Message) {
-	for _, parcel := range parcels {
-		if !transport.offer(parcel) {
+// Send queues messages for sending and drops those for which there is no room.
+func (transport *Transport) Send(messages []statemachine.Message) {
+	for _, message := range messages {
+		if !transport.enqueue(message) {
 			transport.Counters.Dropped.Add(1)
 		}
 	}
 }
 
-func (transport *Transport) offer(parcel statemachine.Message) bool {
+// enqueue adds a message to its address's queue and reports whether there was room.
+func (transport *Transport) enqueue(message statemachine.Message) bool {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
-	queue := transport.senders[parcel.To]
+	queue := transport.queues[message.To]
 	if queue == nil {
-		if len(transport.senders) >= maximumOutbound || transport.context.Err() != nil {
+		if len(transport.queues) >= maximumOutbound || transport.context.Err() != nil {
 			return false
 		}
 		queue = make(chan *wire.Envelope, queueLength)
-		transport.senders[parcel.To] = queue
-		go transport.write(parcel.To, queue)
+		transport.queues[message.To] = queue
+		go newSender(transport, message.To, queue).run()
 	}
 	select {
-	case queue <- parcel.Envelope:
+	case queue <- message.Envelope:
 		return true
 	default:
 		return false
 	}
 }
 
-// patience bounds how long sent bytes may stay untaken.
-func patience(_, _ string, raw syscall.RawConn) error {
-	var err error
-	outer := raw.Control(func(descriptor uintptr) {
-		err = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(untakenBound.Milliseconds()))
-	})
-	if outer != nil {
-		return outer
-	}
-	return err
-}
-
-// sender is one address's own thread: its connection, and the messages that wait for it.
-type sender struct {
-	transport *Transport
-	address   string
-	queue     chan *wire.Envelope
-	// hung tells that the present connection was ended by the peer.
-	hung       chan struct{}
-	connection net.Conn
-	writer     *bufio.Writer
-}
-
-func (transport *Transport) write(address string, queue chan *wire.Envelope) {
-	sender := &sender{transport: transport, address: address, queue: queue}
-	defer sender.shut()
-	idle := time.NewTimer(idleBound)
-	defer idle.Stop()
-	for {
-		select {
-		case envelope := <-queue:
-			idle.Reset(idleBound)
-			sender.carry(envelope)
-		case <-sender.hung:
-			// A peer that ends its connection may be dead, and whether anybody listens there now tells that for sure.
-			sender.shut()
-			sender.dial()
-		case <-transport.context.Done():
-			return
-		case <-idle.C:
-			if transport.retire(address, queue) {
-				return
-			}
-			idle.Reset(idleBound)
-		}
-	}
-}
-
-func (sender *sender) shut() {
-	if sender.connection != nil {
-		_ = sender.connection.Close()
-		sender.connection, sender.hung = nil, nil
-	}
-}
-
-// dial tells whether there is a connection now.
-func (sender *sender) dial() bool {
-	transport, tried := sender.transport, time.Now()
-	dialer := net.Dialer{Timeout: dialBound, LocalAddr: transport.local(), Control: patience, KeepAliveConfig: alive}
-	connection, err := dialer.DialContext(transport.context, "tcp", sender.address)
-	if err != nil {
-		if errors.Is(err, unix.ECONNREFUSED) && transport.refused != nil {
-			transport.refused(sender.address, tried)
-		}
+// retire removes the queue of an address and reports whether it was empty.
+func (transport *Transport) retire(address string, queue chan *wire.Envelope) bool {
+	transport.mutex.Lock()
+	defer transport.mutex.Unlock()
+	if len(queue) > 0 {
 		return false
 	}
-	hung := make(chan struct{})
-	sender.connection, sender.writer, sender.hung = connection, bufio.NewWriterSize(connection, bufferLength), hung
-	go watch(connection, hung)
+	delete(transport.queues, address)
 	return true
 }
 
-func (sender *sender) carry(envelope *wire.Envelope) {
-	transport := sender.transport
-	content, err := frame.Encode(envelope)
-	if err != nil {
-		transport.Counters.Dropped.Add(1)
-		return
-	}
-	if sender.connection == nil && !sender.dial() {
-		transport.Counters.Dropped.Add(uint64(1 + flush(sender.queue)))
-		transport.pause(pauseAfterFail)
-		return
-	}
-	if sender.writer.Buffered() == 0 {
-		_ = sender.connection.SetWriteDeadline(time.Now().Add(writeBound))
-	}
-	_, err = sender.writer.Write(content)
-	if err == nil && len(sender.queue) == 0 {
-		err = sender.writer.Flush()
-	}
-	if err != nil {
-		transport.Counters.Dropped.Add(1)
-		sender.shut()
-		return
+// pause waits for a duration, or until the transport is closed.
+func (transport *Transport) pause(length time.Duration) {
+	timer := time.NewTimer(length)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-transport.context.Done():
 	}
-	transport.count(sender.address, len(content))
 }
 
-// watch notices that the other side has gone, so that the next message goes over a new connection.
-func watch(connection net.Conn, hung chan<- struct{}) {
-	var nothing [1]byte
-	_, _ = connection.Read(nothing[:])
-	_ = connection.Close()
-	close(hung)
-}
-
-func (transport *Transport) count(address string, size int) {
+// countSent counts an envelope that was sent to an address.
+func (transport *Transport) countSent(address string, size int) {
 	transport.Counters.Sent.Add(1)
 	transport.Counters.BytesOut.Add(uint64(size))
 	if zone, found := transport.zones.Load(address); found && zone != transport.zone {
@@ -289,33 +145,12 @@
 	}
 }
 
-// local makes connections leave from the process's own address.
-func (transport *Transport) local() net.Addr {
+// localAddress returns the address that outbound connections are bound to, so that they leave from the process's own;
+// nil if it has none.
+func (transport *Transport) localAddress() net.Addr {
 	host, _, err := net.SplitHostPort(transport.address)
 	if err != nil {
 		return nil
 	}
 	return &net.TCPAddr{IP: net.ParseIP(host)}
 }
-
-func (transport *Transport) retire(address string, queue chan *wire.Envelope) bool {
-	transport.mutex.Lock()
-	defer transport.mutex.Unlock()
-	if len(queue) > 0 {
-		return false
-	}
-	delete(transport.senders, address)
-	return true
-}
-
-func flush(queue chan *wire.Envelope) int {
-	dropped := 0
-	for {
-		select {
-		case <-queue:
-			dropped++
-		default:
-			return dropped
-		}
-	}
-}
