--- /dev/null
+++ b/dataplane/controller/configuration_test.go
@@ -0,0 +1,56 @@
+package controller
+
+import (
+	"errors"
+	"slices"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"wardtray/config"
+	"wardtray/coordination/gossip"
+	"wardtray/wire"
+)
+
+// A document that is older, or can't be read, changes nothing.
+func TestAdoptRejectsOutdatedAndInvalidDocuments(t *testing.T) {
+	adopted := &configuration{}
+	if err := adopted.adopt(documentEntry(t, 7)); err != nil {
+		t.Fatal(err)
+	}
+	for _, sequence := range []uint64{6, 7} {
+		if err := adopted.adopt(documentEntry(t, sequence)); !errors.Is(err, errOutdatedDocument) {
+			t.Errorf("document %d after 7: %v", sequence, err)
+		}
+	}
+	for name, document := range map[string]*wire.Document{
+		"not packed": {Sequence: 8, SpecEpoch: 8, PackedSpec: []byte("x")},
+		"no spec":    {Sequence: 8, SpecEpoch: 8, PackedSpec: config.Pack([]byte("x"))},
+	} {
+		value, err := proto.Marshal(document)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := adopted.adopt(&wire.GossipEntry{Key: gossip.DocumentKey, Value: value}); err == nil {
+			t.Errorf("%s: adopted", name)
+		}
+	}
+	if err := adopted.adopt(&wire.GossipEntry{Key: gossip.DocumentKey, Value: []byte{0xff}}); err == nil {
+		t.Error("no document: adopted")
+	}
+	if adopted.sequence != 7 || adopted.catalog == nil || len(adopted.directory) != 5 {
+		t.Errorf("%d, %v, %v", adopted.sequence, adopted.catalog, adopted.directory)
+	}
+}
+
+// Zones keep the directory's order.
+func TestAddressesOfAZone(t *testing.T) {
+	members := []*wire.Member{{Address: "d2", Zone: "a"}, {Address: "d1", Zone: "b"}, {Address: "d0", Zone: "a"}}
+	known := &configuration{directory: members}
+	if addresses := known.addressesOf("a"); !slices.Equal(addresses, []string{"d2", "d0"}) {
+		t.Errorf("%v", addresses)
+	}
+	if addresses := known.addressesOf("c"); addresses != nil {
+		t.Errorf("%v", addresses)
+	}
+}
--- /dev/null
+++ b/dataplane/controller/leases_test.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/coordination/lease"
+)
+
+// newTestLeases returns the leases of a daemon that has document 7 and knows view 3.
+func newTestLeases() *leases {
+	created := newLeases(lease.DaemonTerm, &configuration{sequence: 7})
+	created.adoptView(viewOf(3))
+	return created
+}
+
+// The acceptors' confirmations count up to that of the slowest of the fastest majority.
+func TestConfirmedUntilCountsFromTheMajority(t *testing.T) {
+	current := newTestLeases()
+	for index, acceptor := range acceptors {
+		requested := started.Add(time.Duration(index) * time.Second)
+		current.confirm(requested, acceptor.Id, confirmation{requested: requested, sequence: 7})
+	}
+	if until := current.confirmedUntil(); !until.Equal(started.Add(time.Second + lease.DaemonTerm)) {
+		t.Errorf("confirmed until %v", until.Sub(started))
+	}
+	// An acceptor that knows something newer no longer stands for what this daemon has, and an older one changes nothing.
+	latest := started.Add(3 * time.Second)
+	current.confirm(latest, acceptors[2].Id, confirmation{requested: latest, sequence: 8})
+	current.confirm(latest, acceptors[1].Id, confirmation{requested: started, sequence: 7})
+	if until := current.confirmedUntil(); !until.Equal(started.Add(lease.DaemonTerm)) {
+		t.Errorf("confirmed until %v", until.Sub(started))
+	}
+}
+
+// A majority makes a daemon ready only if it has a configuration that they confirm.
+func TestConfirmMakesReady(t *testing.T) {
+	for sequence, ready := range map[uint64]bool{0: false, 7: true} {
+		current := newTestLeases()
+		current.configuration.sequence = sequence
+		for _, acceptor := range acceptors[:2] {
+			current.confirm(started, acceptor.Id, confirmation{requested: started, sequence: sequence})
+		}
+		if current.ready != ready {
+			t.Errorf("with document %d: ready is %v", sequence, current.ready)
+		}
+	}
+}
+
+// Confirmations of an older view's acceptors count to their end as a lease, and no longer as confirmations.
+func TestAdoptViewKeepsTheLease(t *testing.T) {
+	current := newTestLeases()
+	for _, acceptor := range acceptors {
+		current.confirm(started, acceptor.Id, confirmation{requested: started, sequence: 7})
+	}
+	if current.adoptView(viewOf(3)) || current.adoptView(nil) {
+		t.Error("a view that is not newer was adopted")
+	}
+	if !current.adoptView(viewOf(4)) || !current.confirmedUntil().IsZero() {
+		t.Error("the newer view was not adopted, or confirmations outlived it")
+	}
+	if until := current.until(); !until.Equal(started.Add(lease.DaemonTerm)) {
+		t.Errorf("lease until %v", until.Sub(started))
+	}
+}
+
+// A shorter lease of the head's does not end an earlier one.
+func TestGrantNeverShortens(t *testing.T) {
+	current := newTestLeases()
+	current.grant(started, lease.DaemonTerm)
+	current.grant(started, time.Millisecond)
+	if until := current.until(); !until.Equal(started.Add(lease.DaemonTerm)) {
+		t.Errorf("lease until %v", until.Sub(started))
+	}
+	if !current.isHead("c0") || current.isHead("c1") || !current.isAcceptor("k1") || current.isAcceptor("c1") {
+		t.Error("head and acceptors are mistaken")
+	}
+}
--- /dev/null
+++ b/dataplane/controller/receive.go
@@ -0,0 +1,126 @@
+package controller
+
+import (
+	"reflect"
+	"sort"
+	"time"
+
+	"wardtray/coordination/gossip"
+	"wardtray/coordination/peersampling"
+	"wardtray/wire"
+)
+
+// Receive handles one message. Messages of kinds that concern no data daemon are ignored.
+func (controller *Controller) Receive(now time.Time, envelope *wire.Envelope) {
+	if handle := controller.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
+		handle(now, envelope)
+	}
+}
+
+// registerHandlers fills the table of what handles each kind of message.
+func (controller *Controller) registerHandlers() {
+	controller.handlers = map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
+		reflect.TypeFor[*wire.Envelope_Shuffle](): func(now time.Time, envelope *wire.Envelope) {
+			controller.partialView.Shuffle(now, envelope.From, envelope.GetShuffle())
+		},
+		reflect.TypeFor[*wire.Envelope_GossipMessage](): func(now time.Time, envelope *wire.Envelope) {
+			controller.gossip.Rumor(now, envelope.GetGossipMessage())
+		},
+		reflect.TypeFor[*wire.Envelope_RunnerDigest](): func(now time.Time, envelope *wire.Envelope) {
+			controller.runnerSync.exchange.Digest(now, envelope.From, envelope.GetRunnerDigest())
+		},
+		reflect.TypeFor[*wire.Envelope_ViewUpdate](): func(_ time.Time, envelope *wire.Envelope) {
+			controller.adoptView(envelope.GetViewUpdate().View)
+		},
+		reflect.TypeFor[*wire.Envelope_Digest]():            controller.onDigest,
+		reflect.TypeFor[*wire.Envelope_RunnerUpdate]():      controller.onRunnerUpdate,
+		reflect.TypeFor[*wire.Envelope_DaemonLeaseGrant]():  controller.onLeaseGrant,
+		reflect.TypeFor[*wire.Envelope_DaemonLeasePrompt](): controller.onLeasePrompt,
+		reflect.TypeFor[*wire.Envelope_DocumentRequest]():   controller.onDocumentRequest,
+		reflect.TypeFor[*wire.Envelope_RequestDispatched](): controller.onRequestDispatched,
+	}
+}
+
+// onDigest compares gossip entries, and the runners if the sender keeps a registry.
+func (controller *Controller) onDigest(now time.Time, envelope *wire.Envelope) {
+	digest := envelope.GetDigest()
+	controller.gossip.Digest(now, envelope.From, envelope.Zone, digest)
+	// A checksum of 0 is that of an empty registry and of a process that keeps none; the former asks on its own.
+	if digest.RunnersChecksum != 0 {
+		controller.runnerSync.compare(now, envelope.From, digest.RunnersChecksum)
+	}
+}
+
+// onRunnerUpdate adopts runners of a peer, and requests a lease anew once what kept the last one from counting is
+// learned.
+func (controller *Controller) onRunnerUpdate(now time.Time, envelope *wire.Envelope) {
+	complete := controller.runnerSync.onUpdate(now, envelope.From, envelope.GetRunnerUpdate())
+	if complete && !now.Before(controller.Until(now)) && controller.leases.isHead(envelope.From) {
+		controller.requestLeases(now, []string{envelope.From})
+	}
+}
+
+// onDocumentRequest sends the configuration document to a process that has an older one.
+func (controller *Controller) onDocumentRequest(_ time.Time, envelope *wire.Envelope) {
+	entry := controller.gossip.Get(gossip.DocumentKey)
+	if entry == nil || entry.Epoch <= envelope.GetDocumentRequest().Sequence {
+		return
+	}
+	message := &wire.GossipMessage{Entries: []*wire.GossipEntry{entry}}
+	body := &wire.Envelope_GossipMessage{GossipMessage: message}
+	controller.outbox.Send(envelope.From, &wire.Envelope{Body: body})
+}
+
+// onRequestDispatched passes on what a daemon of the zone reports of a request that runs at most once.
+func (controller *Controller) onRequestDispatched(now time.Time, envelope *wire.Envelope) {
+	if controller.settings.OnTaken != nil && envelope.Zone == controller.settings.Zone {
+		dispatched := envelope.GetRequestDispatched()
+		controller.settings.OnTaken(now, dispatched.Key, dispatched.NotExecuted)
+	}
+}
+
+// onGossipEntry handles a gossip entry that became newer.
+func (controller *Controller) onGossipEntry(now time.Time, entry *wire.GossipEntry) {
+	if entry.Key == gossip.DocumentKey {
+		controller.onDocument(now, entry)
+		return
+	}
+	if outdated := controller.runnerList.onGossipEntry(now, entry); outdated {
+		controller.counters.OutdatedLists++
+	}
+}
+
+// onDocument adopts a configuration document and acknowledges it.
+func (controller *Controller) onDocument(now time.Time, entry *wire.GossipEntry) {
+	if err := controller.configuration.adopt(entry); err != nil {
+		controller.counters.InvalidDocuments++
+		return
+	}
+	controller.counters.Documents++
+	controller.runnerList.setOrder(controller.configuration.addressesOf(controller.settings.Zone))
+	// The head waits for this request before it acknowledges the change; it should not wait for the next round.
+	if head := controller.leases.head(); head != nil {
+		controller.requestLeases(now, []string{head.Address})
+	}
+}
+
+// gossipPeers returns, in the order of their addresses, the peers that gossip goes to: the partial view, and the whole
+// directory if that is small.
+func (controller *Controller) gossipPeers() []gossip.Peer {
+	zones := map[string]string{}
+	for _, peer := range controller.partialView.Peers() {
+		zones[peer.Address] = peer.Zone
+	}
+	if directory := controller.configuration.directory; len(directory) <= 2*peersampling.Size {
+		for _, member := range directory {
+			zones[member.Address] = member.Zone
+		}
+	}
+	delete(zones, controller.settings.Address)
+	peers := make([]gossip.Peer, 0, len(zones))
+	for address, zone := range zones {
+		peers = append(peers, gossip.Peer{Address: address, Zone: zone})
+	}
+	sort.Slice(peers, func(left, right int) bool { return peers[left].Address < peers[right].Address })
+	return peers
+}
--- a/dataplane/controller/receive_fuzz_test.go
+++ b/dataplane/controller/receive_fuzz_test.go
@@ -11,7 +11,7 @@
 	"wardtray/wire/wiretest"
 )
 
-// Whatever another process sends, a daemon goes on: it does not panic, and its own messages can be written.
+// Whatever another process sends, a daemon does not panic, and its own messages can be encoded.
 func FuzzReceive(fuzz *testing.F) {
 	for _, sample := range wiretest.Envelopes() {
 		content, err := frame.Encode(sample.Envelope)
@@ -21,33 +21,34 @@
 		fuzz.Add(content)
 		fuzz.Add(append(content, content...))
 	}
-	news, err := frame.Encode(document(&testing.T{}, 7))
+	update, err := frame.Encode(document(fuzz, 7))
 	if err != nil {
 		fuzz.Fatal(err)
 	}
-	fuzz.Add(news)
+	fuzz.Add(update)
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
 		for _, registered := range []bool{false, true} {
-			controller := New(started, Settings{Address: "d0", Zone: "a", Seeds: []string{"127.0.0.1:1"}, Registered: registered}, rand.New(rand.NewSource(1)))
+			settings := Settings{Address: "d0", Zone: "a", Seeds: []string{"127.0.0.1:1"}, Registered: registered}
+			controller := New(started, settings, rand.New(rand.NewSource(1)))
 			controller.Receive(started, document(t, 3))
 			receiveAll(t, controller, content)
 		}
 	})
 }
 
-// receiveAll lets a daemon receive all frames of a stream, and tick after each and at the end.
+// receiveAll passes all frames of a stream to a daemon, with a tick after each and at the end.
 func receiveAll(t *testing.T, controller *Controller, content []byte) {
 	t.Helper()
 	now, reader := started, bufio.NewReader(bytes.NewReader(content))
-	for whole := true; whole; {
+	for valid := true; valid; {
 		envelope, _, err := frame.Decode(reader)
-		if whole = err == nil; whole {
+		if valid = err == nil; valid {
 			controller.Receive(now, envelope)
 		}
 		now = now.Add(100 * time.Millisecond)
 		controller.Tick(now)
-		for _, parcel := range controller.Drain() {
-			if _, err := frame.Encode(parcel.Envelope); err != nil {
+		for _, message := range controller.Drain() {
+			if _, err := frame.Encode(message.Envelope); err != nil {
 				t.Fatal(err)
 			}
 		}
--- /dev/null
+++ b/dataplane/controller/schedule_test.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+
+	"wardtray/coordination/lease"
+	"wardtray/coordination/peersampling"
+	"wardtray/coordination/statemachine"
+	"wardtray/wire"
+)
+
+// newTestSchedule returns the schedule of a daemon that knows view 3 and one seed.
+func newTestSchedule() *requestSchedule {
+	current := newTestLeases()
+	random := rand.New(rand.NewSource(1))
+	seeds := []string{"seed"}
+	self := &wire.PeerDescriptor{Address: "d0", Zone: "a"}
+	partialView := peersampling.New(self, nil, statemachine.NewOutbox(), random)
+	return newRequestSchedule(seeds, partialView, current, newPermission(0, current.configuration, current))
+}
+
+// The head alone is asked while it grants leases, and everybody once it does not.
+func TestNextAsksEverybodyOnceTheHeadFails(t *testing.T) {
+	schedule := newTestSchedule()
+	schedule.leases.ready = true
+	schedule.leases.grant(started, lease.DaemonTerm)
+	schedule.onGrant(started)
+	if addresses, due := schedule.next(started); !due || !slices.Equal(addresses, []string{"c0"}) {
+		t.Errorf("%v, due is %v", addresses, due)
+	}
+	if _, due := schedule.next(started.Add(renewInterval - 1)); due {
+		t.Error("a request is due before the interval has passed")
+	}
+	now := started.Add(renewInterval + headTimeout)
+	if addresses, due := schedule.next(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2", "seed"}) {
+		t.Errorf("%v, due is %v", addresses, due)
+	}
+	if rounds := schedule.permission.unansweredRounds; rounds != 1 {
+		t.Errorf("%d rounds are counted", rounds)
+	}
+}
+
+// The first refused connection to the head makes requests to everybody due at once.
+func TestRefusedHeadIsReplacedAtOnce(t *testing.T) {
+	schedule := newTestSchedule()
+	schedule.onGrant(started)
+	schedule.next(started)
+	if schedule.onRefused("c1") || !schedule.onRefused("c0") || schedule.onRefused("c0") {
+		t.Error("not the first refused connection to the head")
+	}
+	if addresses, due := schedule.next(started); !due || len(addresses) != 4 {
+		t.Errorf("%v, due is %v", addresses, due)
+	}
+	schedule.onNewView()
+	if schedule.headUnreachable {
+		t.Error("the head of a new view counts as unreachable")
+	}
+}
+
+// Seeds are spared while the acceptors stand in for the head.
+func TestNextSparesSeedsWhileAcceptorsConfirm(t *testing.T) {
+	schedule := newTestSchedule()
+	for _, acceptor := range acceptors {
+		schedule.leases.confirm(started, acceptor.Id, confirmation{requested: started, sequence: 7})
+	}
+	now := started.Add(time.Millisecond)
+	if addresses, due := schedule.next(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2"}) {
+		t.Errorf("%v, due is %v", addresses, due)
+	}
+	if interval := schedule.broadcastInterval(now); interval != renewInterval {
+		t.Errorf("everybody is asked every %v", interval)
+	}
+}
+
+// Each response counts once, and none after its request has expired.
+func TestPendingRequestsCountOnce(t *testing.T) {
+	pending := newPendingRequests(40)
+	first, second := pending.add(started), pending.add(started.Add(time.Second))
+	if first != 41 || second != 42 {
+		t.Errorf("nonces %d and %d", first, second)
+	}
+	pending.expire(started.Add(lease.DaemonTerm+1), lease.DaemonTerm)
+	if _, found := pending.take(first); found {
+		t.Error("an expired request was found")
+	}
+	if requested, found := pending.take(second); !found || !requested.Equal(started.Add(time.Second)) {
+		t.Errorf("%v, found is %v", requested, found)
+	}
+	if _, found := pending.take(second); found {
+		t.Error("a request was found twice")
+	}
+}
