--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -1,16 +1,15 @@
-// Package plane is the data plane of one machine without its sockets: the controller under its lock, the
-// schedulers, the runners' book, index and links, and what is done with the platform's list. The process and
-// the simulator drive the same.
+// Package dataplane wires the data plane of one daemon, without its listeners: the controller under its lock, the
+// schedulers, the load table, the index of cached blocks, the connections to runners and the proxy's handler.
+//
+// Its owner, a process or the simulator, feeds the controller through Step and calls the periodic methods at the
+// intervals named here.
 package dataplane
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"log/slog"
 	"math/rand"
-	"reflect"
-	"sort"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -34,164 +33,213 @@
 	"wardtray/wire"
 )
 
-// How often a driver calls Tick, Settle, AskPressures and Age.
+// The intervals at which the owner calls the controller's Tick, and Settle, AskPressures, Age and Watch.
 const (
 	TickEvery     = 50 * time.Millisecond
 	SettleEvery   = 20 * time.Millisecond
 	PressureEvery = 250 * time.Millisecond
 	AgeEvery      = 30 * time.Second
-	pressureBound = 800 * time.Millisecond
-	// WatchEvery is how often a driver calls Watch; silentBound is after what silence a runner is asked whether it
-	// is there, and watchBound within what time it has to say so.
-	WatchEvery  = 100 * time.Millisecond
-	silentBound = 200 * time.Millisecond
-	watchBound  = 250 * time.Millisecond
+	WatchEvery    = 100 * time.Millisecond
 )
 
-// Settings is what a plane is given.
+// Settings are the settings of a plane. Those of the controller are embedded; its Quota and OnTaken are set by New.
 type Settings struct {
 	controller.Settings
-	// Workers are the index's; without any, events are applied at once.
+	// Workers is how many workers apply events to the index; 0 means that events are applied at once.
 	Workers int
-	// Retries bounds what is sent again, over all daemons; the zero value stands for retrybudget.Default.
+	// Retries limits retries, over all daemons; the zero value means retrybudget.Default.
 	Retries retrybudget.Settings
 	// Without names the mechanisms that are switched off.
 	Without features.Set
-	// Codec is how clients and runners speak; the product's own if it is not given.
-	Codec  codec.Codec
+	// Codec is the protocol of clients and runners; nil means the product's own.
+	Codec codec.Codec
+	// Random seeds the controller and the schedulers.
 	Random *rand.Rand
-	Await  func(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool)
-	// Send carries messages out; Poll begins to read the platform's list, whose outcome goes to Listed.
-	Send func(parcels []statemachine.Message)
+	// Await waits for the next decision on a queued request; decided is false if the context ended first.
+	Await func(ctx context.Context, decisions <-chan scheduler.Decision) (decision scheduler.Decision, decided bool)
+	// Send sends messages to other processes, without blocking.
+	Send func(messages []statemachine.Message)
+	// Poll starts to read the platform's list of runners, without blocking; the result goes to Listed.
 	Poll func()
 	Log  *slog.Logger
 }
 
-// Plane is the whole.
+// Plane is the data plane of one daemon. It is safe for concurrent use.
 type Plane struct {
+	// Handler handles the requests of clients.
 	Handler     *proxy.Handler
 	environment netio.Environment
 	log         *slog.Logger
-	send        func(parcels []statemachine.Message)
+	send        func(messages []statemachine.Message)
 	poll        func()
 	address     string
 	started     time.Time
-	// drainStarted is when a planned stop began.
+	schedulers  *schedulerSet
+	prober      *prober
+	// drainStarted is when a planned stop started.
 	drainStarted time.Time
-	snapshot     atomic.Pointer[config.Snapshot]
-	// renewed is closed, and made anew, when the snapshot may be relied on for longer than before.
+	// snapshot is the controller's state after its last step.
+	snapshot atomic.Pointer[config.Snapshot]
+	// renewed is closed, and replaced, when the snapshot may be relied on for longer than before.
 	renewed atomic.Pointer[chan struct{}]
+	// daemons are the addresses of the daemons that share the work, this one included.
 	daemons atomic.Pointer[[]string]
 
-	mutex   sync.Mutex
-	machine *controller.Controller
-	runners []*wire.Runner
-	epoch   uint64
-	serving bool
-
-	schedulerMutex sync.RWMutex
-	random         *rand.Rand
-	schedulers     map[string]*scheduler.Scheduler
-	asking         sync.Map
-	without        features.Set
+	// mutex protects the controller and what follows.
+	mutex      sync.Mutex
+	controller *controller.Controller
+	runners    []*wire.Runner
+	epoch      uint64
+	serving    bool
 }
 
-// New makes a plane that knows nothing yet.
+// New returns a plane that knows nothing yet. It fails only if the index can't be created.
 func New(environment netio.Environment, settings Settings) (*Plane, error) {
 	now := environment.Now()
-	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, settings.Workers)
+	indexer, err := kvblock.NewIndexer(
+		kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, settings.Workers)
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Internal, "making the index")
 	}
-	plane := &Plane{environment: environment, log: settings.Log, send: settings.Send, poll: settings.Poll, address: settings.Address, started: now, random: settings.Random, schedulers: map[string]*scheduler.Scheduler{}, without: settings.Without}
 	if settings.Codec == nil {
 		settings.Codec = codec.Native{}
 	}
-	memory := dedup.New()
+	plane := &Plane{
+		environment: environment,
+		log:         settings.Log,
+		send:        settings.Send,
+		poll:        settings.Poll,
+		address:     settings.Address,
+		started:     now,
+	}
+	dispatched := dedup.New()
 	settings.Quota = quota.NewLimiter()
 	settings.Quota.OnDemand = settings.Without[features.TokensAhead]
 	settings.OnTaken = func(now time.Time, key []byte, dropped bool) {
 		if len(key) == len(dedup.Key{}) {
-			memory.Heard(now, dedup.Key(key), dropped)
+			dispatched.Heard(now, dedup.Key(key), dropped)
 		}
 	}
-	plane.machine = controller.New(now, settings.Settings, rand.New(rand.NewSource(settings.Random.Int63())))
+	// The controller's source is drawn first, the schedulers' ones as they are created.
+	controllerRandom := rand.New(rand.NewSource(settings.Random.Int63()))
+	plane.controller = controller.New(now, settings.Settings, controllerRandom)
 	plane.snapshot.Store(&config.Snapshot{})
 	plane.renew()
 	plane.daemons.Store(&[]string{settings.Address})
-	plane.Handler = &proxy.Handler{Name: settings.Address, Zone: settings.Zone, Environment: environment, Started: now, Codec: settings.Codec, Retries: settings.Retries, Await: settings.Await, Snapshot: plane.snapshot.Load, Renewed: func() <-chan struct{} { return *plane.renewed.Load() },
-		Daemons: func() []string { return *plane.daemons.Load() }, Loads: load.NewTable(now, settings.Address), Indexer: indexer,
-		Connections: connpool.New(environment, settings.Codec.Identity()), Metrics: metrics.New(), Scheduler: plane.scheduler,
-		Once: memory, Tell: func(key dedup.Key, dropped bool) {
-			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.TellTaken(key[:], dropped) })
-		}}
-	plane.Handler.Quota, plane.Handler.AskQuota = settings.Quota, func() {
-		plane.Step(func(now time.Time, machine *controller.Controller) { machine.AskQuota(now) })
+	plane.Handler = plane.newHandler(settings, indexer, dispatched)
+	plane.schedulers = newSchedulerSet(settings.Random, func(backend string, random *rand.Rand) *scheduler.Scheduler {
+		created := scheduler.NewScheduler(plane.candidates(backend), plane.Handler.Loads, indexer, random)
+		created.Without = settings.Without
+		return created
+	})
+	plane.prober = &prober{
+		environment: environment,
+		loads:       plane.Handler.Loads,
+		connections: plane.Handler.Connections,
+		codec:       settings.Codec,
+		without:     settings.Without,
+		daemons:     plane.Daemons,
 	}
-	plane.Handler.Without, plane.Handler.Loads.Without = settings.Without, settings.Without
-	plane.Handler.Connections.Foreign = settings.Codec.Foreign
 	return plane, nil
 }
 
-// Step runs one step of the controller under its lock, then makes what it knows visible to requests and
-// carries out what it asks for.
+// newHandler returns the handler of clients' requests.
+func (plane *Plane) newHandler(settings Settings, indexer *kvblock.Indexer, dispatched *dedup.Table) *proxy.Handler {
+	loads := load.NewTable(plane.started, settings.Address)
+	loads.Without = settings.Without
+	connections := connpool.New(plane.environment, settings.Codec.Identity())
+	connections.Foreign = settings.Codec.Foreign
+	return &proxy.Handler{
+		Name:        settings.Address,
+		Zone:        settings.Zone,
+		Environment: plane.environment,
+		Started:     plane.started,
+		Codec:       settings.Codec,
+		Retries:     settings.Retries,
+		Without:     settings.Without,
+		Await:       settings.Await,
+		Snapshot:    plane.snapshot.Load,
+		Renewed:     func() <-chan struct{} { return *plane.renewed.Load() },
+		Daemons:     plane.Daemons,
+		Loads:       loads,
+		Indexer:     indexer,
+		Connections: connections,
+		Metrics:     metrics.New(),
+		Scheduler:   func(backend string) *scheduler.Scheduler { return plane.schedulers.get(backend) },
+		Once:        dispatched,
+		Tell: func(key dedup.Key, dropped bool) {
+			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.TellTaken(key[:], dropped) })
+		},
+		Quota: settings.Quota,
+		AskQuota: func() {
+			plane.Step(func(now time.Time, machine *controller.Controller) { machine.AskQuota(now) })
+		},
+	}
+}
+
+// Step runs one step of the controller under its lock, then publishes the new state to the request path and carries out
+// what the controller asks for.
 func (plane *Plane) Step(do func(now time.Time, machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
 	now := plane.environment.Now()
-	do(now, plane.machine)
-	plane.send(plane.machine.Drain())
-	snapshot := plane.machine.Snapshot(now)
+	do(now, plane.controller)
+	plane.send(plane.controller.Drain())
+	snapshot := plane.controller.Snapshot(now)
 	previous := plane.snapshot.Swap(&snapshot)
 	plane.follow(now, snapshot)
 	if snapshot.Until.After(previous.Until) {
 		close(*plane.renew())
 	}
-	if plane.machine.WantsPoll() {
+	if plane.controller.WantsPoll() {
 		plane.poll()
 	}
 }
 
-// renew makes the channel by which requests wait for the next renewal, and gives the one before.
+// renew replaces the channel by which requests wait for the next renewal, and returns the previous one.
 func (plane *Plane) renew() *chan struct{} {
 	next := make(chan struct{})
 	return plane.renewed.Swap(&next)
 }
 
-// Drain begins a planned stop: fitness fails, and what comes yet is still taken.
+// Drain starts a planned stop: the daemon is no longer ready, but requests that still arrive are accepted.
 func (plane *Plane) Drain() {
 	plane.drainStarted = plane.environment.Now()
 	plane.Handler.Draining.Store(true)
 	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.Leave() })
 }
 
-// Drained tells whether the platform has had a length of time to see that, and all that was read is answered.
+// Drained reports whether the platform has had some time to notice that, and no request is in flight.
 func (plane *Plane) Drained(length time.Duration) bool {
-	return plane.environment.Now().Sub(plane.drainStarted) >= length && plane.Handler.InFlight.Load() == 0
+	elapsed := plane.environment.Now().Sub(plane.drainStarted)
+	return elapsed >= length && plane.Handler.InFlight.Load() == 0
 }
 
-// Fit tells whether clients should be sent here.
+// Fit reports whether the daemon is ready, so that clients should be sent to it.
 func (plane *Plane) Fit() bool {
 	snapshot := plane.Snapshot()
-	// Who knows no runner serves nobody; clients do better elsewhere until it has heard of some.
-	return !plane.Handler.Draining.Load() && plane.environment.Now().Before(snapshot.Until) && snapshot.Catalog != nil && (len(snapshot.Runners) > 0 || len(snapshot.Catalog.Routes) == 0)
+	if plane.Handler.Draining.Load() || snapshot.Catalog == nil || !plane.environment.Now().Before(snapshot.Until) {
+		return false
+	}
+	// A daemon that knows no runner serves nobody; clients do better elsewhere until it knows some.
+	return len(snapshot.Runners) > 0 || len(snapshot.Catalog.Routes) == 0
 }
 
-// Listed takes what the platform answered.
+// Listed handles the platform's response to a poll; read is false if there was none.
 func (plane *Plane) Listed(content []byte, read bool) {
-	runners, fine := readList(content)
-	plane.Step(func(now time.Time, machine *controller.Controller) { machine.Polled(now, runners, !read || !fine) })
+	var runners []*wire.Runner
+	failed := !read
+	if read {
+		var err error
+		runners, err = parseList(content)
+		failed = err != nil // The previous list stays; the next poll may return a better one.
+	}
+	plane.Step(func(now time.Time, machine *controller.Controller) { machine.Polled(now, runners, failed) })
 }
 
-// follow hands on what changed and logs changes of state.
+// follow applies a new snapshot to the rest of the plane and logs changes of state. The caller holds the mutex.
 func (plane *Plane) follow(now time.Time, snapshot config.Snapshot) {
-	if (len(snapshot.Runners) > 0 || snapshot.Registered) && !sameList(snapshot.Runners, plane.runners) {
-		plane.runners = snapshot.Runners
-		for _, gone := range plane.Handler.Loads.List(now, snapshot.Runners) {
-			plane.Handler.Indexer.Pool.Add(kvblock.RunnerGone{Runner: gone})
-			plane.Handler.Connections.Forget(gone)
-		}
-	}
+	plane.followRunners(now, snapshot)
 	if snapshot.SpecEpoch != plane.epoch {
 		plane.epoch = snapshot.SpecEpoch
 		plane.log.Info("new spec", "epoch", plane.epoch)
@@ -200,93 +248,91 @@
 		plane.serving = serving
 		plane.log.Info("serving", "serving", serving)
 	}
-	var daemons []string
-	for _, member := range plane.machine.Directory() {
+	plane.followDirectory()
+}
+
+// followRunners removes runners that are no longer listed. An empty list of the platform changes nothing.
+func (plane *Plane) followRunners(now time.Time, snapshot config.Snapshot) {
+	listed := len(snapshot.Runners) > 0 || snapshot.Registered
+	if !listed || sameList(snapshot.Runners, plane.runners) {
+		return
+	}
+	plane.runners = snapshot.Runners
+	for _, removed := range plane.Handler.Loads.List(now, snapshot.Runners) {
+		plane.Handler.Indexer.Pool.Add(kvblock.RunnerGone{Runner: removed})
+		plane.Handler.Connections.Forget(removed)
+	}
+}
+
+// followDirectory publishes the daemons of the configuration document; until there is one, this daemon alone.
+func (plane *Plane) followDirectory() {
+	directory := plane.controller.Directory()
+	daemons := make([]string, 0, max(1, len(directory)))
+	for _, member := range directory {
 		daemons = append(daemons, member.Address)
 	}
 	if len(daemons) == 0 {
-		daemons = []string{plane.address}
+		daemons = append(daemons, plane.address)
 	}
-	if !reflect.DeepEqual(daemons, *plane.daemons.Load()) {
+	if !slices.Equal(daemons, *plane.daemons.Load()) {
 		plane.daemons.Store(&daemons)
 	}
 }
 
+// sameList reports whether two lists are the very same one: the controller replaces a list that has changed.
 func sameList(left, right []*wire.Runner) bool {
 	return len(left) == len(right) && (len(left) == 0 || &left[0] == &right[0])
 }
 
-// Snapshot gives what requests go by now.
+// Snapshot returns the state that requests are handled by at this moment.
 func (plane *Plane) Snapshot() *config.Snapshot { return plane.snapshot.Load() }
 
-// Daemons gives who shares the work.
+// Daemons returns the addresses of the daemons that share the work.
 func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
 
-// Started gives when this plane was made.
+// Started returns when this plane was created.
 func (plane *Plane) Started() time.Time { return plane.started }
 
-// Look runs something under the controller's lock.
+// Look calls a function with the controller, under its lock.
 func (plane *Plane) Look(do func(machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
-	do(plane.machine)
+	do(plane.controller)
 }
 
-// scheduler gives the scheduler of a backend, made when it is first asked for.
-func (plane *Plane) scheduler(backend string) *scheduler.Scheduler {
-	plane.schedulerMutex.RLock()
-	found := plane.schedulers[backend]
-	plane.schedulerMutex.RUnlock()
-	if found != nil {
-		return found
-	}
-	scene := func(now time.Time) scheduler.Snapshot {
-		snapshot, daemons := plane.snapshot.Load(), *plane.daemons.Load()
+// candidates returns a function that returns the runners that the schedulers of a backend choose from at a moment.
+func (plane *Plane) candidates(backend string) func(now time.Time) scheduler.Snapshot {
+	return func(now time.Time) scheduler.Snapshot {
+		snapshot, daemons := plane.Snapshot(), plane.Daemons()
 		if snapshot.Catalog == nil || snapshot.Catalog.Backends[backend] == nil {
 			return scheduler.Snapshot{Daemons: 1}
 		}
+		found := snapshot.Catalog.Backends[backend]
 		var permitted []load.Runner
 		for _, runner := range plane.Handler.Loads.All(now, daemons) {
-			if proxy.Permits(snapshot.Catalog, snapshot.Catalog.Backends[backend], runner) {
+			if proxy.Permits(snapshot.Catalog, found, runner) {
 				permitted = append(permitted, runner)
 			}
 		}
-		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Pool: *snapshot.Catalog.Backends[backend]}
-	}
-	plane.schedulerMutex.Lock()
-	defer plane.schedulerMutex.Unlock()
-	if plane.schedulers[backend] == nil {
-		made := scheduler.NewScheduler(scene, plane.Handler.Loads, plane.Handler.Indexer, rand.New(rand.NewSource(plane.random.Int63())))
-		made.Without = plane.without
-		plane.schedulers[backend] = made
+		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Pool: *found}
 	}
-	return plane.schedulers[backend]
 }
 
-// Schedulers calls something for each scheduler, in the order of their backends' names.
-func (plane *Plane) Schedulers(do func(backend string, desk *scheduler.Scheduler)) {
-	plane.schedulerMutex.RLock()
-	names := make([]string, 0, len(plane.schedulers))
-	for name := range plane.schedulers {
-		names = append(names, name)
-	}
-	plane.schedulerMutex.RUnlock()
-	sort.Strings(names)
-	for _, name := range names {
-		do(name, plane.scheduler(name))
-	}
+// Schedulers calls a function for each scheduler, in the order of the backends' names.
+func (plane *Plane) Schedulers(do func(backend string, scheduler *scheduler.Scheduler)) {
+	plane.schedulers.each(do)
 }
 
-// Settle looks at everybody who waits.
+// Settle lets the schedulers decide on waiting requests.
 func (plane *Plane) Settle() {
-	plane.Schedulers(func(_ string, desk *scheduler.Scheduler) {
-		if desk.Waiting() {
-			desk.Rebalance(plane.environment.Now())
+	plane.Schedulers(func(_ string, scheduler *scheduler.Scheduler) {
+		if scheduler.Waiting() {
+			scheduler.Rebalance(plane.environment.Now())
 		}
 	})
 }
 
-// Age lets the index forget what was not used for long.
+// Age removes index entries that have not been used for long.
 func (plane *Plane) Age() {
 	now := plane.environment.Now()
 	for _, runner := range plane.Handler.Loads.All(now, nil) {
@@ -294,113 +340,9 @@
 	}
 }
 
-// ListedRunner is one runner as the platform lists it.
-type ListedRunner struct {
-	RunnerID string `json:"runner_id"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Service  string `json:"service"`
-	State    string `json:"state"`
-}
-
-// readList reads the platform's list; it tells whether there is anything to go by.
-func readList(content []byte) (runners []*wire.Runner, fine bool) {
-	var lines []ListedRunner
-	// An empty list is more likely a platform in trouble than a fleet without runners, and acting on it would stop all service.
-	if err := json.NewDecoder(bytes.NewReader(content)).Decode(&lines); err != nil || len(lines) == 0 {
-		return nil, false
-	}
-	for _, line := range lines {
-		if line.RunnerID == "" || line.Address == "" {
-			continue
-		}
-		runners = append(runners, &wire.Runner{RunnerId: line.RunnerID, Address: line.Address, Zone: line.Zone, Service: line.Service, State: line.State})
-	}
-	return runners, true
-}
+// AskPressures requests a load report from every runner whose latest one is outdated.
+func (plane *Plane) AskPressures() { plane.prober.probeStale() }
 
-// fewDaemons is up to how many daemons each asks as if it were alone.
-const fewDaemons = 12
-
-// freshness is for how long a runner's word is good enough not to be asked for.
-//
-// Why longer among many daemons: the runners are asked by all of them together, and a word that no answer brought
-// is too old for a decision a moment later anyway. Silent runners are found by those who wait for them.
-func (plane *Plane) freshness() time.Duration {
-	return plane.Handler.Codec.Fresh() * time.Duration(max(fewDaemons, len(plane.Daemons()))) / fewDaemons
-}
-
-// AskPressures asks every runner for its pressure whose word is no longer fresh, none twice at once.
-func (plane *Plane) AskPressures() {
-	if plane.without[features.Reports] {
-		return
-	}
-	freshness := plane.freshness()
-	for _, runner := range plane.Handler.Loads.Stale(plane.environment.Now(), freshness, freshness == 0) {
-		plane.askOnce(runner, pressureBound, func() {})
-	}
-}
-
-// askOnce asks a runner beside the caller's work, unless it is being asked already; unheard runs if it gives no answer.
-func (plane *Plane) askOnce(runner load.Runner, bound time.Duration, unheard func()) {
-	if _, already := plane.asking.LoadOrStore(runner.ID, true); already {
-		return
-	}
-	plane.environment.Go(func() {
-		defer plane.asking.Delete(runner.ID)
-		if !plane.ask(runner, bound) {
-			unheard()
-		}
-	})
-}
-
-// Watch asks runners that are waited for in silence whether they are there at all. One that does not say so is
-// left alone, and who may go elsewhere does.
-//
-// Why asked: a runner that reads a long prompt is as silent as a dark one, but it answers this at once.
-func (plane *Plane) Watch() {
-	if plane.without[features.Watch] {
-		return
-	}
-	for _, runner := range plane.Handler.Connections.Silent(silentBound) {
-		if known, found := plane.Handler.Loads.One(plane.environment.Now(), runner, nil); found {
-			plane.askOnce(known, watchBound, func() { plane.Handler.Connections.Hurry(runner, silentBound) })
-		}
-	}
-}
-
-// ask asks a runner for its pressure within a bound; it tells whether there was an answer.
-func (plane *Plane) ask(runner load.Runner, bound time.Duration) bool {
-	connection, err := plane.Handler.Connections.Take(runner.ID, runner.Address)
-	if err != nil {
-		plane.missed(runner.ID, apierror.Of(err))
-		return false
-	}
-	content, err := connection.Get(plane.Handler.Codec.Probe(), bound)
-	report := load.Report{}
-	if err == nil {
-		report, err = plane.Handler.Codec.Report(content)
-	}
-	if apierror.Is(err, apierror.NotAnswered) {
-		// Whoever refuses a question is there, and the connection is as good as before.
-		plane.Handler.Connections.Keep(connection, 0)
-		plane.Handler.Loads.ReportRefused(plane.environment.Now(), runner.ID)
-		return true
-	}
-	if err != nil {
-		_ = connection.Close()
-		plane.missed(runner.ID, apierror.Of(err))
-		return false
-	}
-	plane.Handler.Connections.Keep(connection, 0)
-	plane.Handler.Loads.ReportGiven(plane.environment.Now(), runner.ID, report)
-	return true
-}
-
-// missed takes in that a runner did not tell its pressure. One that is surely gone is given up at once:
-// whoever waits for its answer learns of it now and not at the end of a patience.
-func (plane *Plane) missed(runner string, err *apierror.Error) {
-	if plane.Handler.Loads.Missed(plane.environment.Now(), runner, err.Code) {
-		plane.Handler.Connections.Lose(runner)
-	}
-}
+// Watch checks the runners on which requests wait without any activity, and lets those requests be retried elsewhere if
+// a runner does not respond.
+func (plane *Plane) Watch() { plane.prober.probeUnresponsive() }
--- /dev/null
+++ b/dataplane/schedulers.go
@@ -0,0 +1,56 @@
+package dataplane
+
+import (
+	"math/rand"
+	"sort"
+	"sync"
+
+	"wardtray/balancer/scheduler"
+)
+
+// schedulerSet holds the scheduler of each backend. Schedulers are created when they are first used and never removed.
+type schedulerSet struct {
+	create func(backend string, random *rand.Rand) *scheduler.Scheduler
+
+	mutex     sync.RWMutex
+	random    *rand.Rand
+	byBackend map[string]*scheduler.Scheduler
+}
+
+// newSchedulerSet returns an empty set. create makes a scheduler with a random source of its own, which is seeded from
+// random.
+func newSchedulerSet(
+	random *rand.Rand, create func(backend string, random *rand.Rand) *scheduler.Scheduler,
+) *schedulerSet {
+	return &schedulerSet{create: create, random: random, byBackend: map[string]*scheduler.Scheduler{}}
+}
+
+// get returns the scheduler of a backend.
+func (set *schedulerSet) get(backend string) *scheduler.Scheduler {
+	set.mutex.RLock()
+	found := set.byBackend[backend]
+	set.mutex.RUnlock()
+	if found != nil {
+		return found
+	}
+	set.mutex.Lock()
+	defer set.mutex.Unlock()
+	if set.byBackend[backend] == nil {
+		set.byBackend[backend] = set.create(backend, rand.New(rand.NewSource(set.random.Int63())))
+	}
+	return set.byBackend[backend]
+}
+
+// each calls a function for each scheduler, in the order of the backends' names.
+func (set *schedulerSet) each(do func(backend string, scheduler *scheduler.Scheduler)) {
+	set.mutex.RLock()
+	names := make([]string, 0, len(set.byBackend))
+	for name := range set.byBackend {
+		names = append(names, name)
+	}
+	set.mutex.RUnlock()
+	sort.Strings(names)
+	for _, name := range names {
+		do(name, set.get(name))
+	}
+}
