--- a/dataplane/daemon/framing.go
+++ b/dataplane/daemon/framing.go
@@ -5,6 +5,7 @@
 	"errors"
 )
 
+// errAmbiguous is the error of a request whose end depends on who reads it.
 var errAmbiguous = errors.New("its header lines leave it open where the request ends")
 
 var (
@@ -12,13 +13,13 @@
 	encodingName = []byte("transfer-encoding")
 )
 
-// ambiguous tells whether a request's header lines leave it open where the request ends: two readers could then
-// take the same bytes for different requests.
+// ambiguous reports whether a request's header lines leave open where the request ends, so that two readers could take
+// the same bytes for different requests.
 //
-// Why not left to the server: it decides such a case as the standard allows, but whoever sent it may have meant the
-// other way, and a runner would run what nobody asked for.
+// Why this is not left to the server: it decides as the standard allows, but the sender may have meant the other
+// interpretation, and a runner would execute a request that nobody sent.
 func ambiguous(lines []byte) bool {
-	lengthTold, encodingTold := false, false
+	hasLength, hasEncoding := false, false
 	for len(lines) > 0 {
 		line, rest, found := bytes.Cut(lines, []byte("\n"))
 		if found && !bytes.HasSuffix(line, []byte("\r")) {
@@ -28,9 +29,9 @@
 			return true
 		}
 		name, _, _ := bytes.Cut(line, []byte(":"))
-		lengthTold = lengthTold || bytes.EqualFold(name, lengthName)
-		encodingTold = encodingTold || bytes.EqualFold(name, encodingName)
+		hasLength = hasLength || bytes.EqualFold(name, lengthName)
+		hasEncoding = hasEncoding || bytes.EqualFold(name, encodingName)
 		lines = rest
 	}
-	return lengthTold && encodingTold
+	return hasLength && hasEncoding
 }
--- a/dataplane/daemon/framing_test.go
+++ b/dataplane/daemon/framing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAmbiguousRequestsAreNamed(t *testing.T) {
+func TestAmbiguous(t *testing.T) {
 	for lines, want := range map[string]bool{
 		"Host: h\r\nContent-Length: 3\r\n\r\n":                           false,
 		"Host: h\r\nTransfer-Encoding: chunked\r\n\r\n":                  false,
--- a/dataplane/daemon/golden_test.go
+++ b/dataplane/daemon/golden_test.go
@@ -25,25 +25,25 @@
 func TestCountersKeepTheirNames(t *testing.T) {
 	settings := &process.Settings{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Readiness: "127.0.0.1:3", Zone: "zone",
 		Registered: true, Seeds: []string{"127.0.0.1:1"}}
-	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	daemon, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	context := &fasthttp.RequestCtx{}
-	host.status(context)
-	told := Status{}
-	if err := json.Unmarshal(context.Response.Body(), &told); err != nil {
-		t.Fatalf("%v: %s", err, context.Response.Body())
+	request := &fasthttp.RequestCtx{}
+	daemon.status(request)
+	returned := Status{}
+	if err := json.Unmarshal(request.Response.Body(), &returned); err != nil {
+		t.Fatalf("%v: %s", err, request.Response.Body())
 	}
-	var lines strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(told.Index)) {
-		fmt.Fprintf(&lines, "index.%s\n", name)
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(returned.Index)) {
+		fmt.Fprintf(&text, "index.%s\n", name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(told.Links)) {
-		fmt.Fprintf(&lines, "links.%s\n", name)
+	for _, name := range slices.Sorted(maps.Keys(returned.Links)) {
+		fmt.Fprintf(&text, "links.%s\n", name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(told.Wire)) {
-		fmt.Fprintf(&lines, "wire.%s\n", name)
+	for _, name := range slices.Sorted(maps.Keys(returned.Wire)) {
+		fmt.Fprintf(&text, "wire.%s\n", name)
 	}
-	golden.Compare(t, "counters.txt", lines.String())
+	golden.Compare(t, "counters.txt", text.String())
 }
--- a/dataplane/daemon/stop_test.go
+++ b/dataplane/daemon/stop_test.go
@@ -3,7 +3,7 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -14,74 +14,106 @@
 	"wardtray/config/process"
 )
 
-const patient = 10 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 10 * time.Second
 
+// freeAddress returns an address at which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
 	return listener.Addr().String()
 }
 
 // connect tries until somebody listens at an address, or until nobody does any more.
 func connect(t *testing.T, address string, listens bool) net.Conn {
 	t.Helper()
-	for end := time.Now().Add(patient); time.Now().Before(end); {
-		connection, err := net.DialTimeout("tcp", address, time.Second)
+	dialer := &net.Dialer{Timeout: time.Second}
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+		connection, err := dialer.DialContext(t.Context(), "tcp", address)
 		if (err == nil) == listens {
 			return connection
 		}
 		if err == nil {
-			connection.Close()
+			_ = connection.Close() // It has carried nothing.
 		}
 	}
-	t.Fatalf("%s: listening is not %v within %v", address, listens, patient)
+	t.Fatalf("%s: listening is not %v within %v", address, listens, testTimeout)
 	return nil
 }
 
-// A daemon that stops takes no connection once the platform has had its time to send clients elsewhere, and refuses as
-// not run what comes on an open one, while it still finishes what it has. Found on the bench: where most daemons of a
-// zone stopped at once, clients were sent to them again, and requests taken six seconds after the order to stop were cut.
-func TestAStoppingDaemonClosesItsFront(t *testing.T) {
-	settings := &process.Settings{Address: freeAddress(t), HTTP: freeAddress(t), Readiness: freeAddress(t), Zone: "a", Registered: true,
-		Seeds: []string{"127.0.0.1:1"}, Drain: "100ms", Finish: "4s"}
-	host, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// A stopping daemon accepts no connection once the platform has had its time to send clients elsewhere, and rejects
+// requests on an open one as not executed, while it still finishes those in flight. Found in a load test: when most
+// daemons of a zone stopped at once, clients were sent to them again, and requests accepted six seconds after the order
+// to stop were aborted.
+func TestStoppingDaemonClosesItsFront(t *testing.T) {
+	settings := &process.Settings{
+		Address:    freeAddress(t),
+		HTTP:       freeAddress(t),
+		Readiness:  freeAddress(t),
+		Zone:       "a",
+		Registered: true,
+		Seeds:      []string{"127.0.0.1:1"},
+		Drain:      "100ms",
+		Finish:     "4s",
+	}
+	daemon, err := New(settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	running, stop := context.WithCancel(context.Background())
 	finished := make(chan error, 1)
-	go func() { finished <- host.Run(running) }()
+	go func() { finished <- daemon.Run(running) }()
 	open := connect(t, settings.HTTP, true)
-	defer open.Close()
-	host.Handler.InFlight.Add(1)
+	t.Cleanup(func() { _ = open.Close() }) // The daemon may have closed it before.
+	daemon.Handler.InFlight.Add(1)
 	stop()
 	connect(t, settings.HTTP, false)
-	fmt.Fprint(open, "POST /v1/stream HTTP/1.1\r\nHost: x\r\nWardtray-Lane: l\r\nWardtray-Model: m\r\nWardtray-Request: r\r\n"+
-		"Wardtray-Prompt-Tokens: 4\r\nWardtray-Answer-Tokens: 4\r\nPrompt-Prefix: a=4\r\nContent-Length: 14\r\n\r\n{\"prompt\":\"x\"}")
-	answer, err := http.ReadResponse(bufio.NewReader(open), nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if answer.StatusCode != 503 || !answer.Close || answer.Header.Get("Retry-After") == "" {
-		body, _ := io.ReadAll(answer.Body)
-		t.Fatalf("%d %v %s", answer.StatusCode, answer.Header, body)
-	}
+	requireRejected(t, open)
 	select {
 	case err := <-finished:
-		t.Fatalf("ended beside an unfinished request: %v", err)
+		t.Fatalf("stopped beside a request in flight: %v", err)
 	default:
 	}
-	host.Handler.InFlight.Add(-1)
+	daemon.Handler.InFlight.Add(-1)
 	select {
 	case err := <-finished:
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patient):
-		t.Fatal("does not end once all is answered")
+	case <-time.After(testTimeout):
+		t.Fatal("does not stop once all requests are finished")
+	}
+}
+
+// streamRequest is a valid request to the stream endpoint.
+const streamRequest = "POST /v1/stream HTTP/1.1\r\nHost: x\r\n" +
+	"Wardtray-Lane: l\r\nWardtray-Model: m\r\nWardtray-Request: r\r\n" +
+	"Wardtray-Prompt-Tokens: 4\r\nWardtray-Answer-Tokens: 4\r\nPrompt-Prefix: a=4\r\n" +
+	"Content-Length: 14\r\n\r\n{\"prompt\":\"x\"}"
+
+// requireRejected sends a request over a connection and requires that it is rejected for the moment and that the
+// connection is closed.
+func requireRejected(t *testing.T, connection net.Conn) {
+	t.Helper()
+	if _, err := io.WriteString(connection, streamRequest); err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(response.Body)
+	if err := errors.Join(err, response.Body.Close()); err != nil {
+		t.Fatal(err)
+	}
+	retryAfter := response.Header.Get("Retry-After")
+	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || retryAfter == "" {
+		t.Fatalf("%d %v %s", response.StatusCode, response.Header, body)
 	}
 }
--- a/dataplane/prober_test.go
+++ b/dataplane/prober_test.go
@@ -76,13 +76,18 @@
 	}
 }
 
+// freshCodec keeps reports fresh for one second.
+type freshCodec struct{ codec.Native }
+
+func (freshCodec) Fresh() time.Duration { return time.Second }
+
 // Reports stay fresh for longer in large fleets.
 func TestFreshnessGrowsWithTheFleet(t *testing.T) {
-	fresh := codec.Native{}.Fresh()
-	for daemons, want := range map[int]time.Duration{1: fresh, smallFleet: fresh, 3 * smallFleet: 3 * fresh} {
+	for daemons, want := range map[int]time.Duration{1: 1, smallFleet: 1, 3 * smallFleet: 3} {
 		tested, _, _ := newTestProber(daemons)
-		if found := tested.freshness(); found != want {
-			t.Errorf("%d daemons: %v instead of %v", daemons, found, want)
+		tested.codec = freshCodec{}
+		if found := tested.freshness(); found != want*time.Second {
+			t.Errorf("%d daemons: %v instead of %v s", daemons, found, int64(want))
 		}
 	}
 }
--- a/transport/listen.go
+++ b/transport/listen.go
@@ -14,11 +14,11 @@
 )
 
 // ListenTCP opens a TCP port. A port that a previous process of the same address still holds is retried for up to 3 s;
-// after that it fails with apierror.BadSettings.
-func ListenTCP(address string) (net.Listener, error) {
+// after that it fails with apierror.BadSettings. The context concerns the resolution of a host name only.
+func ListenTCP(ctx context.Context, address string) (net.Listener, error) {
 	started := time.Now()
 	for {
-		listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
+		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		if err == nil {
 			return listener, nil
 		}
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -68,7 +68,7 @@
 
 // Listen opens the port and starts to receive.
 func (transport *Transport) Listen() error {
-	listener, err := ListenTCP(transport.address)
+	listener, err := ListenTCP(transport.context, transport.address)
 	if err != nil {
 		return err
 	}
