--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -49,8 +49,8 @@
 	// Quota holds the daemon's shares of the tenants' quotas, which the controller requests from the head; nil if there
 	// are none.
 	Quota *quota.Limiter
-	// OnTaken is called with what other daemons of the zone report of requests that run at most once: the request's key,
-	// and whether it was dropped without having been executed. It may be nil.
+	// OnTaken is called with what other daemons of the zone report of requests that run at most once: the
+	// request's key, and whether it was dropped without having been executed. It may be nil.
 	OnTaken func(now time.Time, key []byte, dropped bool)
 }
 
@@ -151,9 +151,9 @@
 // Until returns until when this daemon may dispatch requests; a moment in the past means that it may not.
 func (controller *Controller) Until(now time.Time) time.Time { return controller.permission.until(now) }
 
-// TellTaken notifies the other daemons of the zone of a request that must run at most once, and whether it was dropped
-// without having been executed. Other zones are not notified: clients are sent to daemons of their own zone, and
-// traffic between zones is expensive.
+// TellTaken notifies the other daemons of the zone of a request that must run at most once, and whether
+// it was dropped without having been executed. Other zones are not notified: clients are sent to daemons of their own
+// zone, and traffic between zones is expensive.
 func (controller *Controller) TellTaken(key []byte, dropped bool) {
 	for _, member := range controller.configuration.directory {
 		if member.Zone != controller.settings.Zone || member.Address == controller.settings.Address {
@@ -198,7 +198,7 @@
 	controller.gossip.Tick(now)
 }
 
-// WantsPoll reports, once for each time, that the owner should read the platform's list and pass it to Polled.
+// WantsPoll reports, once for each time, that the owner should read the platform's list of runners and return it.
 func (controller *Controller) WantsPoll() bool { return controller.runnerList.takePollRequest() }
 
 // Polled handles the platform's list of runners; failed means that it could not be read, which changes nothing.
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -33,7 +33,7 @@
 	"wardtray/wire"
 )
 
-// The intervals at which the owner calls the controller's Tick, and Settle, AskPressures, Age and Watch.
+// The intervals at which the owner calls the controller's Tick and the plane's periodic methods.
 const (
 	TickEvery     = 50 * time.Millisecond
 	SettleEvery   = 20 * time.Millisecond
@@ -42,7 +42,8 @@
 	WatchEvery    = 100 * time.Millisecond
 )
 
-// Settings are the settings of a plane. Those of the controller are embedded; its Quota and OnTaken are set by New.
+// Settings are the settings of a plane. Those of the controller are embedded, of which New sets the quota limiter and
+// the function for dispatched requests.
 type Settings struct {
 	controller.Settings
 	// Workers is how many workers apply events to the index; 0 means that events are applied at once.
@@ -59,7 +60,7 @@
 	Await func(ctx context.Context, decisions <-chan scheduler.Decision) (decision scheduler.Decision, decided bool)
 	// Send sends messages to other processes, without blocking.
 	Send func(messages []statemachine.Message)
-	// Poll starts to read the platform's list of runners, without blocking; the result goes to Listed.
+	// Poll starts to read the platform's list of runners, without blocking; the plane is given the result.
 	Poll func()
 	Log  *slog.Logger
 }
@@ -343,6 +344,6 @@
 // AskPressures requests a load report from every runner whose latest one is outdated.
 func (plane *Plane) AskPressures() { plane.prober.probeStale() }
 
-// Watch checks the runners on which requests wait without any activity, and lets those requests be retried elsewhere if
-// a runner does not respond.
+// Watch checks the runners on which requests wait without any activity, and lets those requests be retried
+// elsewhere if a runner does not respond.
 func (plane *Plane) Watch() { plane.prober.probeUnresponsive() }
--- a/transport/connpool/connection.go
+++ b/transport/connpool/connection.go
@@ -22,7 +22,7 @@
 	// maximumAnnouncedSeconds is the longest idle timeout that an announcement counts for.
 	maximumAnnouncedSeconds = 3600
 	readBufferSize          = 8 << 10
-	// maximumDocumentSize is the largest response body that Get reads, in bytes.
+	// maximumDocumentSize is the largest body of a document, in bytes.
 	maximumDocumentSize = 64 << 10
 )
 
@@ -35,8 +35,8 @@
 	Adapters []string `json:"adapters"`
 }
 
-// Connection is a connection to a runner whose identity was checked. One user has it at a time, between Take and Keep
-// or Close.
+// Connection is a connection to a runner whose identity was checked. One user has it at a time, until it is
+// returned to the pool or closed.
 type Connection struct {
 	netio.Conn
 	// Reader buffers what arrives from the runner.
@@ -60,7 +60,7 @@
 	unbindContext func() bool
 }
 
-// Bind closes the connection when the context ends, until Close or Keep is called.
+// Bind closes the connection when the context ends, until it is returned to the pool or closed.
 func (connection *Connection) Bind(ctx context.Context) {
 	connection.unbindContext = connection.Conn.Bind(ctx)
 }
--- a/transport/connpool/pool.go
+++ b/transport/connpool/pool.go
@@ -30,7 +30,7 @@
 	// WrongIdentity counts connections on which another runner answered, Unreachable failed dials and identity
 	// requests that the caller did not give up itself.
 	WrongIdentity, Unreachable atomic.Uint64
-	// Lost counts connections that were aborted by Lose or Hurry.
+	// Lost counts connections that the pool aborted under their users.
 	Lost atomic.Uint64
 }
 
@@ -41,8 +41,8 @@
 	identityPath string
 	runners      runnerTable
 	Counters     Counters
-	// Foreign reports whether a response belongs to a client's request, so that it can't be the one to a request of
-	// Get. If nil, no response is taken for foreign.
+	// Foreign reports whether a response belongs to a client's request, so that it can't be that to the pool's
+	// own request for a document. If nil, no response is taken for foreign.
 	Foreign func(response *fasthttp.Response) bool
 }
 
@@ -167,8 +167,8 @@
 	_ = connection.Conn.Close() // An aborted connection has nothing left to report.
 }
 
-// Silent returns the runners, in order, on whose connections no byte has arrived for at least threshold although
-// somebody waits for the start of a response: they may be unreachable, or only busy.
+// Silent returns the runners, in order, on whose connections no byte has arrived for at least threshold
+// although somebody waits for the start of a response: they may be unreachable, or only busy.
 func (pool *Pool) Silent(threshold time.Duration) []string {
 	now := pool.environment.Now()
 	var unresponsive []string
@@ -181,8 +181,8 @@
 	return unresponsive
 }
 
-// Hurry aborts the connections of a runner on which a retryable request has waited at least threshold for the start of
-// its response.
+// Hurry aborts the connections of a runner on which a retryable request has waited at least threshold for
+// the start of its response.
 //
 // Why only retryable ones: others have nothing to gain, and the runner may still respond.
 func (pool *Pool) Hurry(runner string, threshold time.Duration) {
--- a/transport/netio/departure_test.go
+++ b/transport/netio/departure_test.go
@@ -235,7 +235,8 @@
 	leave()
 	environment, started := Real(nil), time.Now()
 	environment.Wait(ctx, testTimeout, nil)
-	if _, err := environment.Dial(ctx, "127.0.0.1:1", Timeouts{Dial: testTimeout, Untaken: time.Second}); err == nil {
+	timeouts := Timeouts{Dial: testTimeout, Untaken: time.Second}
+	if _, err := environment.Dial(ctx, "127.0.0.1:1", timeouts); err == nil {
 		t.Error("a connection for nobody was made")
 	}
 	if took := time.Since(started); took > testTimeout/2 {
