--- a/transport/connpool/pool_test.go
+++ b/transport/connpool/pool_test.go
@@ -89,7 +89,7 @@
 
 // A runner that counts as failed ends the streams on which it responded a moment ago by itself; only inactive
 // connections are aborted.
-func TestLoseSparesActiveConnections(t *testing.T) {
+func TestInactiveConnectionsAreAborted(t *testing.T) {
 	listener := listen(t)
 	accepted := make(chan net.Conn, 2)
 	go func() {
@@ -134,7 +134,7 @@
 }
 
 // A runner without activity while a response is awaited is found, and only retryable requests are aborted.
-func TestSilentAndHurry(t *testing.T) {
+func TestUnresponsiveRunners(t *testing.T) {
 	listener := listen(t)
 	now, environment := time.Now(), netio.Real(nil)
 	environment.Now = func() time.Time { return now }
