--- a/transport/connpool/pool.go
+++ b/transport/connpool/pool.go
@@ -152,8 +152,8 @@
 	pool.runners.get(connection.Identity.RunnerID).putIdle(connection, reusable)
 }
 
-// Lose aborts the connections of a runner that seems to have failed, so that whoever waits for its response learns of
-// it at once.
+// Lose aborts the connections of a runner that seems to have failed, so that whoever waits for its response
+// learns of it at once.
 //
 // Why not those on which it responded a moment ago: a runner that shuts down, or only fails to report its load, ends
 // its streams in order, and cutting them would lose responses that were nearly complete.
--- a/transport/netio/departure_test.go
+++ b/transport/netio/departure_test.go
@@ -83,7 +83,7 @@
 				t.Fatalf("%s: never seen", name)
 			}
 		}
-		// Left consumes nothing.
+		// The check consumes nothing.
 		if one, err := bufio.NewReader(near).ReadByte(); name != "resets" && (err != nil || one != 'x') {
 			t.Errorf("%s: %q, %v", name, one, err)
 		}
