--- a/control/server/server.go
+++ b/control/server/server.go
@@ -20,7 +20,6 @@
 	"wardtray/control/storage"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/snapshot"
-	"wardtray/coordination/statemachine"
 	"wardtray/randomseed"
 	"wardtray/transport"
 	"wardtray/wire"
@@ -115,7 +114,9 @@
 		return err
 	}
 	host.log.Info("started", "id", host.node.Self().Id, "view", host.node.View().Epoch)
-	go host.carry()
+	go host.writes.Run(host.store, func(sequence uint64) {
+		host.step(func(now time.Time) { host.node.Synced(now, sequence) })
+	}, host.diskFailed)
 	host.step(func(now time.Time) { host.node.Tick(now) })
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -169,18 +170,8 @@
 	}
 }
 
-// carry is the disk's own thread; it never holds the node's lock while it writes.
-func (host *Server) carry() {
-	for first := range host.writes.Writes {
-		batch := []statemachine.Write{first}
-		for len(host.writes.Writes) > 0 && len(batch) < 256 {
-			batch = append(batch, <-host.writes.Writes)
-		}
-		storage.Carry(host.store, batch, func(sequence uint64) {
-			host.step(func(now time.Time) { host.node.Synced(now, sequence) })
-		}, func(err error) {
-			host.log.Error("disk failed", "cause", err.Error())
-			host.step(func(now time.Time) { host.node.DiskFailed(now) })
-		})
-	}
+// diskFailed notifies the node that its disk failed.
+func (host *Server) diskFailed(err error) {
+	host.log.Error("disk failed", "cause", err.Error())
+	host.step(func(now time.Time) { host.node.DiskFailed(now) })
 }
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -16,7 +16,7 @@
 	"wardtray/wire"
 )
 
-// storedFolders holds data folders as earlier versions wrote them, by version; each stays as it is for good. Where what
+// storedFolders has data folders as earlier versions wrote them, by version; each stays as it is for good. Where what
 // is stored gains fields, add a folder: raise presentFolder and run the tests with -update, which writes a folder only
 // where there is none.
 const (
@@ -27,29 +27,42 @@
 // dataFiles are all files of a data folder that was replaced twice.
 var dataFiles = []string{"log", "slot.0", "slot.1"}
 
-// goldenMemory gives a memory with every field set, and a record of each kind.
-func goldenMemory() (*wire.DurableState, []*wire.Record) {
-	memory := golden.Variants((&wire.DurableState{}).ProtoReflect().Type())[0].Message.Interface().(*wire.DurableState)
-	var records []*wire.Record
-	for _, variant := range golden.Variants((&wire.Record{}).ProtoReflect().Type()) {
-		records = append(records, variant.Message.Interface().(*wire.Record))
-	}
-	return memory, records
+// goldenState returns a state with every field set, and a record of each kind.
+func goldenState(t *testing.T) (*wire.DurableState, []*wire.Record) {
+	t.Helper()
+	return filled[*wire.DurableState](t)[0], filled[*wire.Record](t)
+}
+
+// filled returns a message of a type with every field set, once for each alternative of its oneof.
+func filled[Message proto.Message](t *testing.T) []Message {
+	t.Helper()
+	var empty Message
+	variants := golden.Variants(empty.ProtoReflect().Type())
+	messages := make([]Message, 0, len(variants))
+	for _, variant := range variants {
+		message, ok := variant.Message.Interface().(Message)
+		if !ok {
+			t.Fatalf("a filled message is a %T", variant.Message.Interface())
+		}
+		messages = append(messages, message)
+	}
+	return messages
 }
 
-// writeData lets the present code write a first memory, then another, then records.
-func writeData(t *testing.T, folder Folder, memory *wire.DurableState, records []*wire.Record) {
+// writeData has the present code write a first state, then another, then records.
+func writeData(t *testing.T, folder Folder, state *wire.DurableState, records []*wire.Record) {
 	t.Helper()
-	restored, err := Restore(folder, identity, "mark")
+	recovery, err := Restore(folder, identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
-	writes := []statemachine.Write{{Sequence: 1, Memory: memory}}
-	for place, record := range records {
-		writes = append(writes, statemachine.Write{Sequence: uint64(place) + 2, Record: record})
+	writes := make([]statemachine.Write, 0, 1+len(records))
+	writes = append(writes, statemachine.Write{Sequence: 1, Memory: state})
+	for index, record := range records {
+		writes = append(writes, statemachine.Write{Sequence: uint64(index) + 2, Record: record})
 	}
 	last := uint64(0)
-	Carry(restored.Store, writes, func(sequence uint64) { last = sequence }, func(err error) { t.Fatal(err) })
+	Carry(recovery.Store, writes, func(sequence uint64) { last = sequence }, func(err error) { t.Fatal(err) })
 	if last != uint64(len(writes)) {
 		t.Fatalf("synced up to %d of %d", last, len(writes))
 	}
@@ -65,11 +78,11 @@
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	memory, records := goldenMemory()
-	writeData(t, snapshot.Directory(path), memory, records)
+	state, records := goldenState(t)
+	writeData(t, snapshot.Directory(path), state, records)
 }
 
-// loaded gives a stored folder as a folder in memory, since reading one back changes it.
+// loaded returns a stored folder as a folder in memory, since recovering from one changes it.
 func loaded(t *testing.T, version string) *memoryFolder {
 	t.Helper()
 	folder := &memoryFolder{files: map[string][]byte{}}
@@ -83,10 +96,10 @@
 	return folder
 }
 
-// text gives the memory and the records as the golden file of a folder holds them: their bytes, deterministically.
-func text(t *testing.T, memory *wire.DurableState, records []*wire.Record) string {
+// encoded returns the state and the records as the golden file of a folder has them: their bytes, deterministically.
+func encoded(t *testing.T, state *wire.DurableState, records []*wire.Record) string {
 	t.Helper()
-	var lines strings.Builder
+	var text strings.Builder
 	add := func(name string, message proto.Message) {
 		if golden.Unknown(message.ProtoReflect()) {
 			t.Errorf("%s: holds fields that are unknown", name)
@@ -95,16 +108,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&lines, "%s %x\n", name, content)
+		fmt.Fprintf(&text, "%s %x\n", name, content)
 	}
-	add("memory", memory)
-	for place, record := range records {
-		add(fmt.Sprintf("record-%d", place), record)
+	add("memory", state)
+	for index, record := range records {
+		add(fmt.Sprintf("record-%d", index), record)
 	}
-	return lines.String()
+	return text.String()
 }
 
-// What any version has stored is restored: the same memory and records, nothing unknown, nothing set aside.
+// What any version has stored is recovered: the same state and records, nothing unknown, nothing set aside.
 func TestStoredFoldersStayReadable(t *testing.T) {
 	writePresentFolder(t)
 	versions, err := os.ReadDir(storedFolders)
@@ -114,11 +127,11 @@
 	for _, version := range versions {
 		t.Run(version.Name(), func(t *testing.T) {
 			folder := loaded(t, version.Name())
-			restored, err := Restore(folder, identity, "mark")
-			if err != nil || restored.Fresh || restored.Lost != nil {
-				t.Fatalf("fresh %v, lost %v, %v", restored.Fresh, restored.Lost, err)
+			recovery, err := Restore(folder, identity, "mark")
+			if err != nil || recovery.Fresh || recovery.Lost != nil {
+				t.Fatalf("fresh %v, lost %v, %v", recovery.Fresh, recovery.Lost, err)
 			}
-			golden.Compare(t, "stored-"+version.Name()+".txt", text(t, restored.Memory, restored.Records))
+			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.Memory, recovery.Records))
 		})
 	}
 }
@@ -128,8 +141,8 @@
 	writePresentFolder(t)
 	wanted := loaded(t, presentFolder)
 	written := &memoryFolder{files: map[string][]byte{}}
-	memory, records := goldenMemory()
-	writeData(t, written, memory, records)
+	state, records := goldenState(t)
+	writeData(t, written, state, records)
 	for _, name := range dataFiles {
 		if !slices.Equal(written.files[name], wanted.files[name]) {
 			t.Errorf("%s: the present code writes other bytes", name)
@@ -140,22 +153,22 @@
 	}
 }
 
-// The folder of the present version holds all that memory and records can hold; a field that it lacks wants a new one.
+// The folder of the present version has every field of states and records; a field that it lacks requires a new folder.
 func TestPresentFolderHoldsEveryField(t *testing.T) {
-	restored, err := Restore(loaded(t, presentFolder), identity, "mark")
+	recovery, err := Restore(loaded(t, presentFolder), identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
-	memory, records := goldenMemory()
-	if !proto.Equal(restored.Memory, memory) {
-		t.Errorf("the memory is %v", restored.Memory)
+	state, records := goldenState(t)
+	if !proto.Equal(recovery.Memory, state) {
+		t.Errorf("the state is %v", recovery.Memory)
 	}
-	if len(restored.Records) != len(records) {
-		t.Fatalf("%d records of %d kinds", len(restored.Records), len(records))
+	if len(recovery.Records) != len(records) {
+		t.Fatalf("%d records of %d kinds", len(recovery.Records), len(records))
 	}
-	for place, record := range records {
-		if !proto.Equal(restored.Records[place], record) {
-			t.Errorf("record %d is %v", place, restored.Records[place])
+	for index, record := range records {
+		if !proto.Equal(recovery.Records[index], record) {
+			t.Errorf("record %d is %v", index, recovery.Records[index])
 		}
 	}
 }
--- a/control/storage/writequeue.go
+++ b/control/storage/writequeue.go
@@ -1,31 +1,54 @@
 package storage
 
-import "wardtray/coordination/statemachine"
+import (
+	"wardtray/coordination/snapshot"
+	"wardtray/coordination/statemachine"
+)
 
-// WriteQueue holds the writes that a disk has not begun. It is bounded, and it never lets a write pass
-// that would follow a lost one: after an overflow it takes nothing until a whole memory comes, which
-// holds all that was lost. Offer is for one thread at a time; the disk's thread reads Writes.
+// maximumBatch bounds how many queued writes one batch takes, and so how long a completion waits for its sync.
+const maximumBatch = 256
+
+// WriteQueue holds the writes that the disk has not started. It is bounded, and no write passes one that was dropped:
+// after an overflow it rejects everything until a complete state comes, which contains what was dropped. Offer is for
+// one goroutine at a time; one other calls Run.
 type WriteQueue struct {
-	Writes chan statemachine.Write
-	broken bool
+	writes     chan statemachine.Write
+	overflowed bool
 }
 
-// NewWriteQueue makes one of a length.
+// NewWriteQueue returns an empty queue for at most length writes.
 func NewWriteQueue(length int) *WriteQueue {
-	return &WriteQueue{Writes: make(chan statemachine.Write, length)}
+	return &WriteQueue{writes: make(chan statemachine.Write, length)}
 }
 
-// Offer tells whether the write was taken.
+// Offer queues a write without blocking and reports whether it was accepted.
 func (queue *WriteQueue) Offer(write statemachine.Write) bool {
-	if queue.broken && write.Memory == nil {
+	if queue.overflowed && write.Memory == nil {
 		return false
 	}
 	select {
-	case queue.Writes <- write:
-		queue.broken = false
+	case queue.writes <- write:
+		queue.overflowed = false
 		return true
 	default:
-		queue.broken = true
+		queue.overflowed = true
 		return false
 	}
 }
+
+// Run carries out queued writes on a store, in batches, for as long as the process runs. synced and failed are called
+// from this goroutine as Carry describes.
+func (queue *WriteQueue) Run(store *snapshot.Store, synced func(sequence uint64), failed func(err error)) {
+	for first := range queue.writes {
+		Carry(store, queue.batch(first), synced, failed)
+	}
+}
+
+// batch returns a write together with those queued behind it, up to maximumBatch.
+func (queue *WriteQueue) batch(first statemachine.Write) []statemachine.Write {
+	batch := []statemachine.Write{first}
+	for len(queue.writes) > 0 && len(batch) < maximumBatch {
+		batch = append(batch, <-queue.writes)
+	}
+	return batch
+}
--- /dev/null
+++ b/control/storage/writer.go
@@ -0,0 +1,96 @@
+package storage
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"wardtray/apierror"
+	"wardtray/coordination/snapshot"
+	"wardtray/coordination/statemachine"
+)
+
+// Carry carries out one batch of writes on a store, in order. It calls synced with the sequence of the last write that
+// is synced, and failed with the cause of each failure, from the calling goroutine. Records that follow one another are
+// synced together. After a failure nothing more is written until the batch contains a complete state.
+func Carry(
+	store *snapshot.Store, writes []statemachine.Write, synced func(sequence uint64), failed func(err error),
+) {
+	writer := &batchWriter{store: store, synced: synced, failed: failed}
+	for _, write := range writes {
+		switch {
+		case write.Sweep:
+			writer.sweep(write)
+		case write.Memory != nil:
+			writer.replace(write)
+		default:
+			writer.add(write)
+		}
+	}
+	writer.flush()
+}
+
+// batchWriter carries out one batch of writes.
+type batchWriter struct {
+	store  *snapshot.Store
+	synced func(sequence uint64)
+	failed func(err error)
+	// pending are the encoded records to be synced together; lastSequence is that of the last of them.
+	pending      [][]byte
+	lastSequence uint64
+	// broken is set by a failure: nothing more is written until a complete state is.
+	broken bool
+}
+
+// fail reports an error and stops further writes.
+func (writer *batchWriter) fail(err error) {
+	writer.broken = true
+	writer.failed(err)
+}
+
+// flush appends the pending records to the log with one sync.
+func (writer *batchWriter) flush() {
+	if len(writer.pending) == 0 || writer.broken {
+		return
+	}
+	if err := writer.store.Append(writer.pending...); err != nil {
+		writer.fail(err)
+		return
+	}
+	writer.pending = nil
+	writer.synced(writer.lastSequence)
+}
+
+// sweep reads back everything on disk and compares it with what must be there.
+func (writer *batchWriter) sweep(write statemachine.Write) {
+	writer.flush()
+	if err := writer.store.Verify(); err != nil {
+		writer.fail(err)
+	} else if !writer.broken {
+		writer.synced(write.Sequence)
+	}
+}
+
+// replace writes a complete state, which repairs whatever failed before.
+func (writer *batchWriter) replace(write statemachine.Write) {
+	writer.flush()
+	content, err := proto.Marshal(write.Memory)
+	if err == nil {
+		err = writer.store.Replace(content)
+	}
+	if err != nil {
+		writer.fail(err)
+		return
+	}
+	// Records that could not be appended are part of the state.
+	writer.pending, writer.broken = nil, false
+	writer.synced(write.Sequence)
+}
+
+// add encodes a record and leaves it pending until the next flush.
+func (writer *batchWriter) add(write statemachine.Write) {
+	content, err := proto.Marshal(write.Record)
+	if err != nil {
+		writer.fail(apierror.Wrap(err, apierror.Internal, "encoding a record"))
+		return
+	}
+	writer.pending, writer.lastSequence = append(writer.pending, content), write.Sequence
+}
