--- a/control/server/golden_test.go
+++ b/control/server/golden_test.go
@@ -15,7 +15,7 @@
 	"wardtray/verify/golden"
 )
 
-// What operators read of a core and of runners keeps its keys.
+// What operators read of a node and of its runners keeps its keys.
 func TestStatusKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
 	golden.CompareJSON(t, "runner-line", golden.Marshal[RunnerStatus])
@@ -29,21 +29,21 @@
 
 // Each outcome of a runner's call keeps its HTTP status and its refusal.
 func TestRegistrationStatusesStay(t *testing.T) {
-	var lines strings.Builder
+	var text strings.Builder
 	for _, outcome := range []registry.Outcome{registry.Taken, registry.Late, registry.Full, registry.Unheard} {
 		status, refusal := RegistrationStatus(outcome)
-		fmt.Fprintf(&lines, "%s %d %s\n", outcome, status, refusal.Encode())
+		fmt.Fprintf(&text, "%s %d %s\n", outcome, status, refusal.Encode())
 	}
-	golden.Compare(t, "registration-statuses.txt", lines.String())
+	golden.Compare(t, "registration-statuses.txt", text.String())
 }
 
-// Each fault of reading a call keeps its HTTP status and its words.
-func TestFaultStatusesStay(t *testing.T) {
-	var lines strings.Builder
+// Each error of reading a call keeps its HTTP status and its text.
+func TestParseErrorStatusesStay(t *testing.T) {
+	var text strings.Builder
 	for _, kind := range []apierror.Code{apierror.Malformed, apierror.TooLarge} {
-		context := &fasthttp.RequestCtx{}
-		AnswerFault(context, apierror.New(kind, "detail"))
-		fmt.Fprintf(&lines, "%s %d %s\n", kind, context.Response.StatusCode(), context.Response.Body())
+		request := &fasthttp.RequestCtx{}
+		WriteParseError(request, apierror.New(kind, "detail"))
+		fmt.Fprintf(&text, "%s %d %s\n", kind, request.Response.StatusCode(), request.Response.Body())
 	}
-	golden.Compare(t, "fault-statuses.txt", lines.String())
+	golden.Compare(t, "fault-statuses.txt", text.String())
 }
--- /dev/null
+++ b/control/server/helpers_test.go
@@ -0,0 +1,108 @@
+package server
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"runtime"
+	"testing"
+	"time"
+
+	"github.com/fasthttp/router"
+	"github.com/valyala/fasthttp"
+
+	"wardtray/config/process"
+	"wardtray/transport/netio"
+)
+
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 10 * time.Second
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// newNode returns the server of a node without a chain, on a blank folder. Nothing ticks it.
+func newNode(t *testing.T) *Server {
+	t.Helper()
+	settings := &process.Settings{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}
+	server, err := New(settings, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return server
+}
+
+// singleNode is a node without a chain behind an HTTP server. Its route /hold delays what follows on the same
+// connection: a call of it ends when release is closed.
+type singleNode struct {
+	*Server
+	address       string
+	held, release chan struct{}
+}
+
+func newSingleNode(t *testing.T) *singleNode {
+	t.Helper()
+	node := &singleNode{Server: newNode(t), held: make(chan struct{}, 8), release: make(chan struct{})}
+	routes := router.New()
+	node.mountOperator(routes)
+	node.mountRunners(routes)
+	routes.GET("/hold", node.hold)
+	listening := net.ListenConfig{}
+	listener, err := listening.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() { _ = (&fasthttp.Server{Handler: routes.Handler}).Serve(listener) }()
+	node.address = listener.Addr().String()
+	return node
+}
+
+// hold returns when its caller has left and the calls are released.
+func (node *singleNode) hold(request *fasthttp.RequestCtx) {
+	node.held <- struct{}{}
+	for !netio.Left(request.Conn()) {
+		runtime.Gosched()
+	}
+	<-node.release
+}
+
+func (node *singleNode) dial(t *testing.T) *net.TCPConn {
+	t.Helper()
+	dialer := net.Dialer{}
+	connection, err := dialer.DialContext(t.Context(), "tcp", node.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = connection.Close() })
+	tcp, ok := connection.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("the connection is a %T", connection)
+	}
+	return tcp
+}
+
+// pendingRequests returns how many operators' requests wait for a response.
+func (node *singleNode) pendingRequests() int {
+	node.mutex.Lock()
+	defer node.mutex.Unlock()
+	return node.node.Status(time.Now()).Asks
+}
+
+// sendAndLeave sends a call that is read only after its connection was closed.
+func (node *singleNode) sendAndLeave(t *testing.T, call string) {
+	t.Helper()
+	caller := node.dial(t)
+	if _, err := io.WriteString(caller, callOf("GET", "/hold", "")+call); err != nil {
+		t.Fatal(err)
+	}
+	<-node.held
+	_ = caller.Close()
+}
--- /dev/null
+++ b/control/server/operator.go
@@ -0,0 +1,182 @@
+package server
+
+import (
+	"encoding/json"
+	"strconv"
+	"time"
+	"unicode/utf8"
+
+	"github.com/fasthttp/router"
+	"github.com/valyala/fasthttp"
+
+	"wardtray/apierror"
+	"wardtray/control/node"
+	"wardtray/transport/netio"
+	"wardtray/wire"
+)
+
+// maximumOperation bounds the id of an operator's change, and a zone's name, in bytes.
+const maximumOperation = 128
+
+// The verbs of an operator's request, as wire.OperatorRequest names them.
+const (
+	// VerbGet reads the newest configuration.
+	VerbGet = "get"
+	// VerbApply replaces the whole configuration.
+	VerbApply = "apply"
+	// VerbChange adds, replaces and removes named entries of the configuration.
+	VerbChange = "change"
+
+	verbCloseZone = "close"
+	verbOpenZone  = "open"
+	verbOperation = "operation"
+)
+
+// mountOperator adds the operators' routes.
+func (server *Server) mountOperator(routes *router.Router) {
+	routes.GET("/v1/spec", server.operatorHandler(VerbGet))
+	routes.PUT("/v1/spec", server.operatorHandler(VerbApply))
+	routes.PATCH("/v1/spec", server.operatorHandler(VerbChange))
+	routes.POST("/v1/zones/{zone}/close", server.operatorHandler(verbCloseZone))
+	routes.POST("/v1/zones/{zone}/open", server.operatorHandler(verbOpenZone))
+	routes.GET("/v1/operations/{operation}", server.operatorHandler(verbOperation))
+}
+
+// operatorHandler returns the handler of one verb: it submits the request to the chain and waits for the response.
+func (server *Server) operatorHandler(verb string) fasthttp.RequestHandler {
+	return func(request *fasthttp.RequestCtx) {
+		if RejectAbandoned(request) {
+			return
+		}
+		message, err := parseOperatorRequest(verb, request)
+		if err != nil {
+			found := apierror.Of(err)
+			WriteReply(request, fasthttp.StatusBadRequest, refusal(found.Code, found.Detail))
+			return
+		}
+		response := server.executeWhileConnected(request, message)
+		if response.status == fasthttp.StatusServiceUnavailable {
+			request.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter)
+		}
+		writeBody(request, response.status, response.body)
+	}
+}
+
+// operatorResponse is the node's response to an operator's request.
+type operatorResponse struct {
+	status int
+	body   []byte
+}
+
+// submit submits a request to the chain. Its response arrives on the channel within the time limit of the control
+// plane, unless the request is abandoned by its token first.
+func (server *Server) submit(message *wire.OperatorRequest) (token string, _ <-chan operatorResponse) {
+	// Without an id of its own an operation could neither be looked up nor told from a retry.
+	if message.Operation == "" && message.Verb != VerbGet {
+		message.Operation = newID()
+	}
+	responses := make(chan operatorResponse, 1)
+	server.step(func(now time.Time) {
+		token = server.node.Ask(now, message, func(status int, body []byte) {
+			responses <- operatorResponse{status, body}
+		})
+	})
+	return token, responses
+}
+
+// abandon notifies the node that nobody waits for a response any more.
+func (server *Server) abandon(token string) {
+	server.step(func(time.Time) { server.node.Abandon(token) })
+}
+
+// Execute submits an operator's request to the chain, whichever node must answer it, and waits for at most timeout. A
+// change proceeds beyond that: its outcome is unknown then, and the same operation id submitted again, here or at
+// another node, finds it.
+func (server *Server) Execute(message *wire.OperatorRequest, timeout time.Duration) (int, node.Reply) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	token, responses := server.submit(message)
+	select {
+	case response := <-responses:
+		reply := node.Reply{}
+		if err := json.Unmarshal(response.body, &reply); err != nil {
+			return fasthttp.StatusInternalServerError, unknownOutcome(message, apierror.Internal, err.Error())
+		}
+		return response.status, reply
+	case <-timer.C:
+		server.abandon(token)
+		return fasthttp.StatusGatewayTimeout, unknownOutcome(message, apierror.OutcomeUnknown, "no answer in time")
+	}
+}
+
+// executeWhileConnected submits a request and waits for its response for as long as its caller stays connected. A
+// caller that has only closed its sending side looks like one that left; its response says that the outcome is
+// unknown.
+func (server *Server) executeWhileConnected(
+	request *fasthttp.RequestCtx, message *wire.OperatorRequest,
+) operatorResponse {
+	left := make(chan struct{})
+	stop := netio.FromHTTP(request).Watch(func() { close(left) })
+	defer stop()
+	token, responses := server.submit(message)
+	select {
+	case response := <-responses:
+		return response
+	case <-left:
+		server.abandon(token)
+		request.SetConnectionClose()
+		reply := unknownOutcome(message, apierror.OutcomeUnknown, "the caller has closed its connection")
+		return operatorResponse{fasthttp.StatusGatewayTimeout, reply.Encode()}
+	}
+}
+
+// unknownOutcome returns the reply to a request that may still take effect.
+func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) node.Reply {
+	return node.Reply{Outcome: OutcomeUnknown, Operation: message.Operation, Kind: string(code), Detail: detail}
+}
+
+// parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
+func parseOperatorRequest(verb string, request *fasthttp.RequestCtx) (*wire.OperatorRequest, error) {
+	message := &wire.OperatorRequest{Verb: verb, Operation: string(request.QueryArgs().Peek("operation"))}
+	if named, found := request.UserValue("operation").(string); found {
+		message.Operation = named
+	}
+	if zone, found := request.UserValue("zone").(string); found {
+		message.Zone = zone
+	}
+	// A message, and a record on a disk, can't hold other bytes than UTF-8: one such change could be neither sent nor
+	// synced.
+	isUTF8 := utf8.ValidString(message.Operation) && utf8.ValidString(message.Zone)
+	if len(message.Operation) > maximumOperation || !isUTF8 {
+		return nil, apierror.New(apierror.Malformed, "operation, zone: at most %d bytes of UTF-8", maximumOperation)
+	}
+	var err error
+	if message.Base, message.HasBase, err = queryNumber(request, "base"); err != nil {
+		return nil, err
+	}
+	if verb != VerbApply && verb != VerbChange {
+		return message, nil
+	}
+	if message.Epoch, message.HasEpoch, err = queryNumber(request, "epoch"); err != nil {
+		return nil, err
+	}
+	if !message.HasBase {
+		return nil, apierror.New(apierror.Malformed,
+			"base: a spec must name the epoch it was built on (0 for the first)")
+	}
+	message.Spec = append([]byte{}, request.PostBody()...)
+	return message, nil
+}
+
+// queryNumber reads a whole number of the query; found is false where there is none.
+func queryNumber(request *fasthttp.RequestCtx, name string) (value uint64, found bool, err error) {
+	text := request.QueryArgs().Peek(name)
+	if len(text) == 0 {
+		return 0, false, nil
+	}
+	value, err = strconv.ParseUint(string(text), 10, 64)
+	if err != nil {
+		return 0, false, apierror.New(apierror.Malformed, "%s: not a whole number", name)
+	}
+	return value, true, nil
+}
--- /dev/null
+++ b/control/server/operator_test.go
@@ -0,0 +1,60 @@
+package server
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wardtray/wire"
+)
+
+func TestParseOperatorRequest(t *testing.T) {
+	read := func(verb, query string) (*wire.OperatorRequest, error) {
+		request := &fasthttp.RequestCtx{}
+		request.Request.SetRequestURI("/v1/spec?" + query)
+		request.Request.SetBodyString("{}")
+		return parseOperatorRequest(verb, request)
+	}
+	// Each malformed query, with the field that the error must name.
+	malformed := map[string]string{
+		"":               "base",
+		"base=":          "base",
+		"base=x":         "base",
+		"base=-1":        "base",
+		"base=1&epoch=x": "epoch", "base=1&epoch=-2": "epoch", "base=1&epoch=1.5": "epoch",
+		"base=1&operation=" + strings.Repeat("x", 129): "operation",
+		"base=1&operation=%ff":                         "operation",
+	}
+	for _, verb := range []string{VerbApply, VerbChange} {
+		got, err := read(verb, "base=5&epoch=9&operation=x")
+		if err != nil || !got.HasBase || got.Base != 5 || !got.HasEpoch || got.Epoch != 9 {
+			t.Errorf("%s: %v %v", verb, got, err)
+		}
+		if got.GetOperation() != "x" || string(got.GetSpec()) != "{}" {
+			t.Errorf("%s: %v", verb, got)
+		}
+		if got, err := read(verb, "base=0"); err != nil || got.HasEpoch || !got.HasBase {
+			t.Errorf("%s: %v %v", verb, got, err)
+		}
+		for query, field := range malformed {
+			if _, err := read(verb, query); err == nil || !strings.Contains(err.Error(), field) {
+				t.Errorf("%s?%s: %v", verb, query, err)
+			}
+		}
+	}
+	if got, err := read("close", "base=3"); err != nil || got.Base != 3 || got.Spec != nil {
+		t.Errorf("%v %v", got, err)
+	}
+}
+
+func TestExecuteTimesOut(t *testing.T) {
+	// There is no chain and nothing ticks, so that no response can come.
+	server := newNode(t)
+	request := &wire.OperatorRequest{Verb: VerbApply, HasBase: true}
+	status, reply := server.Execute(request, time.Millisecond)
+	if status != 504 || reply.Outcome != OutcomeUnknown || reply.Operation == "" {
+		t.Errorf("%d %+v", status, reply)
+	}
+}
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"encoding/json"
 	"time"
 
 	"github.com/fasthttp/router"
@@ -13,127 +12,175 @@
 	"wardtray/wire"
 )
 
-// Register takes a runner's call and waits, well under a second, until it may be acknowledged.
-func (host *Server) Register(line *wire.Runner) registry.Outcome {
-	return host.await(func(now time.Time, answer func(outcome registry.Outcome)) { host.node.Register(now, line, answer) })
+// parseErrorStatuses are the HTTP statuses of requests that can't be read.
+var parseErrorStatuses = map[apierror.Code]int{
+	apierror.Malformed: fasthttp.StatusBadRequest,
+	apierror.TooLarge:  fasthttp.StatusRequestEntityTooLarge,
 }
 
-// Deregister ends a runner's life in the registry and waits likewise.
-func (host *Server) Deregister(id string) registry.Outcome {
-	return host.await(func(now time.Time, answer func(outcome registry.Outcome)) { host.node.Deregister(now, id, answer) })
+// registrationRefusals are the replies to the outcomes that acknowledge nothing.
+var registrationRefusals = map[registry.Outcome]node.Reply{
+	registry.Full:    refusal(apierror.Busy, "more runners are registered than this core remembers"),
+	registry.Unheard: refusal(apierror.CutOff, "no daemon has confirmed it"),
 }
 
-func (host *Server) await(do func(now time.Time, answer func(outcome registry.Outcome))) registry.Outcome {
-	outcomes := make(chan registry.Outcome, 1)
-	host.step(func(now time.Time) { do(now, func(outcome registry.Outcome) { outcomes <- outcome }) })
-	return <-outcomes
+// mountRunners adds the runners' routes.
+func (server *Server) mountRunners(routes *router.Router) {
+	routes.GET("/v1/runners", server.handleListRunners)
+	routes.PUT("/v1/runners/{id}", server.handleRegister)
+	routes.DELETE("/v1/runners/{id}", server.handleDeregister)
 }
 
-// refusals are the outcomes that acknowledge nothing.
-var refusals = map[registry.Outcome]node.Reply{
-	registry.Full:    {Outcome: "refused", Kind: string(apierror.Busy), Detail: "more runners are registered than this core remembers"},
-	registry.Unheard: {Outcome: "refused", Kind: string(apierror.CutOff), Detail: "no daemon has confirmed it"},
+// handleRegister handles a runner's heartbeat.
+func (server *Server) handleRegister(request *fasthttp.RequestCtx) {
+	runner, err := registry.Read(pathID(request), request.PostBody())
+	if err != nil {
+		WriteParseError(request, err)
+		return
+	}
+	if RejectAbandonedHeartbeat(request, runner) {
+		return
+	}
+	writeRegistration(request, server.Register(runner))
 }
 
-// RegistrationStatus gives the HTTP status of an outcome, and what to tell where it acknowledges nothing.
-func RegistrationStatus(outcome registry.Outcome) (status int, refusal node.Reply) {
-	if refusal, refused := refusals[outcome]; refused {
-		return 503, refusal
+// handleDeregister removes a runner.
+func (server *Server) handleDeregister(request *fasthttp.RequestCtx) {
+	id := pathID(request)
+	if !registry.CheckID(id) {
+		err := apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes")
+		WriteParseError(request, err)
+		return
 	}
-	return 200, node.Reply{}
+	writeRegistration(request, server.Deregister(id))
 }
 
-// DroppedHeartbeat refuses a runner's call whose caller has left, as Dropped does, unless it says that the runner leaves.
-//
-// Why: a runner that got no answer has called elsewhere, or crashed, and its old call would make it seem heard of now.
-// That it leaves is true whenever it is read.
-func DroppedHeartbeat(context *fasthttp.RequestCtx, line *wire.Runner) bool {
-	return line.State != registry.Draining && Dropped(context)
-}
-
-// mountRunners opens the runners' side.
-func (host *Server) mountRunners(routes *router.Router) {
-	routes.GET("/v1/runners", host.listRunners)
-	routes.PUT("/v1/runners/{id}", func(context *fasthttp.RequestCtx) {
-		id, _ := context.UserValue("id").(string)
-		line, err := registry.Read(id, context.PostBody())
-		if err != nil {
-			AnswerFault(context, err)
-			return
-		}
-		if DroppedHeartbeat(context, line) {
-			return
-		}
-		answerRunner(context, host.Register(line))
+// pathID returns the id that a request's path names.
+func pathID(request *fasthttp.RequestCtx) string {
+	// The router sets it on every route that has one; without it the id is empty, which is refused.
+	id, _ := request.UserValue("id").(string)
+	return id
+}
+
+// Register handles a runner's heartbeat and waits, well under a second, until it may be acknowledged.
+func (server *Server) Register(runner *wire.Runner) registry.Outcome {
+	return server.awaitOutcome(func(now time.Time, done func(outcome registry.Outcome)) {
+		server.node.Register(now, runner, done)
 	})
-	routes.DELETE("/v1/runners/{id}", func(context *fasthttp.RequestCtx) {
-		id, _ := context.UserValue("id").(string)
-		if !registry.CheckID(id) {
-			AnswerFault(context, apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes"))
-			return
-		}
-		answerRunner(context, host.Deregister(id))
+}
+
+// Deregister removes a runner from the registry and waits likewise.
+func (server *Server) Deregister(id string) registry.Outcome {
+	return server.awaitOutcome(func(now time.Time, done func(outcome registry.Outcome)) {
+		server.node.Deregister(now, id, done)
+	})
+}
+
+// awaitOutcome runs a step that calls done once, then or later, and returns the outcome.
+func (server *Server) awaitOutcome(do func(now time.Time, done func(outcome registry.Outcome))) registry.Outcome {
+	outcomes := make(chan registry.Outcome, 1)
+	server.step(func(now time.Time) {
+		do(now, func(outcome registry.Outcome) { outcomes <- outcome })
 	})
+	return <-outcomes
 }
 
-// AnswerFault refuses what can't be read.
-func AnswerFault(context *fasthttp.RequestCtx, err error) {
+// RegistrationStatus returns the HTTP status of an outcome, and the reply where it acknowledges nothing.
+func RegistrationStatus(outcome registry.Outcome) (status int, refusal node.Reply) {
+	if refusal, refused := registrationRefusals[outcome]; refused {
+		return fasthttp.StatusServiceUnavailable, refusal
+	}
+	return fasthttp.StatusOK, node.Reply{}
+}
+
+// RejectAbandonedHeartbeat rejects a runner's call whose caller has left, as RejectAbandoned does, unless it says that
+// the runner is draining.
+//
+// Why: a runner that got no response has called elsewhere, or crashed, and its old call would make it seem last seen
+// now. That it drains is true whenever it is read.
+func RejectAbandonedHeartbeat(request *fasthttp.RequestCtx, runner *wire.Runner) bool {
+	return runner.State != registry.Draining && RejectAbandoned(request)
+}
+
+// WriteParseError rejects a request that can't be read. The error has the code Malformed or TooLarge.
+func WriteParseError(request *fasthttp.RequestCtx, err error) {
 	found := apierror.Of(err)
-	statuses := map[apierror.Code]int{apierror.Malformed: 400, apierror.TooLarge: 413}
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	Answer(context, statuses[found.Code], node.Reply{Outcome: "refused", Kind: string(found.Code), Detail: detail})
+	WriteReply(request, parseErrorStatuses[found.Code], refusal(found.Code, detail))
 }
 
-func answerRunner(context *fasthttp.RequestCtx, outcome registry.Outcome) {
+// WriteRegistrationRefusal rejects a runner's call whose outcome acknowledges nothing, and reports whether it did.
+func WriteRegistrationRefusal(request *fasthttp.RequestCtx, outcome registry.Outcome) bool {
 	status, refusal := RegistrationStatus(outcome)
-	if status != 200 {
-		context.Response.Header.Set("Retry-After", "1")
-		Answer(context, status, refusal)
-		return
+	if status == fasthttp.StatusOK {
+		return false
 	}
-	context.SetContentType("application/json")
-	context.SetBodyString(`{"outcome":"` + string(outcome) + `"}`)
+	request.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter)
+	WriteReply(request, status, refusal)
+	return true
 }
 
-// RunnerStatus is one runner as /v1/runners lists it.
+// writeRegistration responds with the outcome of a runner's call.
+func writeRegistration(request *fasthttp.RequestCtx, outcome registry.Outcome) {
+	if !WriteRegistrationRefusal(request, outcome) {
+		writeBody(request, fasthttp.StatusOK, []byte(`{"outcome":"`+string(outcome)+`"}`))
+	}
+}
+
+// RunnerStatus is one runner as GET /v1/runners lists it.
 type RunnerStatus struct {
 	Runner   string `json:"runner"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
 	Service  string `json:"service"`
 	Revision string `json:"revision,omitempty"`
-	Slots    uint32 `json:"slots"`
-	State    string `json:"state"`
-	Cold     string `json:"cold,omitempty"`
-	Call     uint64 `json:"call"`
-}
-
-// Runners lists every registered runner, also those that are gone or silent.
-func (host *Server) Runners() []*wire.Runner {
-	host.mutex.Lock()
-	defer host.mutex.Unlock()
-	return host.node.Runners(time.Now())
-}
-
-func (host *Server) listRunners(context *fasthttp.RequestCtx) {
-	known := host.Runners()
-	lines := make([]RunnerStatus, 0, len(known))
-	for _, runner := range known {
-		line := RunnerStatus{Runner: runner.RunnerId, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, Revision: runner.Revision,
-			Slots: runner.Slots, State: runner.State, Call: runner.Call}
-		if runner.SlowStartMilliseconds > 0 {
-			line.Cold = (time.Duration(runner.SlowStartMilliseconds) * time.Millisecond).String()
-		}
-		lines = append(lines, line)
+	// Slots is how many requests the runner works on at the same time.
+	Slots uint32 `json:"slots"`
+	State string `json:"state"`
+	// SlowStart is how much longer the runner is warming up, as time.Duration writes it; empty where it is not.
+	SlowStart string `json:"cold,omitempty"`
+	// Call is the number of the runner's last call; a later one is greater.
+	Call uint64 `json:"call"`
+}
+
+// runnerList is what GET /v1/runners returns.
+type runnerList struct {
+	Runners []RunnerStatus `json:"runners"`
+}
+
+// Runners returns every registered runner, also those that are gone or unresponsive.
+func (server *Server) Runners() []*wire.Runner {
+	server.mutex.Lock()
+	defer server.mutex.Unlock()
+	return server.node.Runners(time.Now())
+}
+
+func (server *Server) handleListRunners(request *fasthttp.RequestCtx) {
+	runners := server.Runners()
+	list := runnerList{Runners: make([]RunnerStatus, 0, len(runners))}
+	for _, runner := range runners {
+		list.Runners = append(list.Runners, runnerStatus(runner))
 	}
-	content, err := json.Marshal(map[string]any{"runners": lines})
-	if err != nil {
-		Answer(context, 500, node.Reply{Outcome: "refused", Kind: string(apierror.Internal), Detail: err.Error()})
-		return
+	writeJSON(request, list)
+}
+
+// runnerStatus returns what is listed of a runner.
+func runnerStatus(runner *wire.Runner) RunnerStatus {
+	status := RunnerStatus{
+		Runner:   runner.RunnerId,
+		Address:  runner.Address,
+		Zone:     runner.Zone,
+		Service:  runner.Service,
+		Revision: runner.Revision,
+		Slots:    runner.Slots,
+		State:    runner.State,
+		Call:     runner.Call,
+	}
+	if runner.SlowStartMilliseconds > 0 {
+		status.SlowStart = (time.Duration(runner.SlowStartMilliseconds) * time.Millisecond).String()
 	}
-	context.SetContentType("application/json")
-	context.SetBody(content)
+	return status
 }
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -1,12 +1,14 @@
-// Package corehost runs one node.Node as a process: its lock, its ticks, its disk, its sockets and
-// its HTTP side.
+// Package server runs one control node as a process: the lock under which its state machine steps, its ticks, its disk,
+// its connections to other nodes, and its HTTP side for operators and runners.
+//
+// Every step of the node happens under one lock and ends by handing its messages to the transport and its writes to
+// the disk's queue; nothing waits for the network or the disk while the lock is held. HTTP handlers put a request to
+// the node in a step and wait for its response outside of it.
 package server
 
 import (
-	"context"
 	crypto "crypto/rand"
 	"encoding/hex"
-	"fmt"
 	"log/slog"
 	"math/rand"
 	"sync"
@@ -26,152 +28,131 @@
 )
 
 const (
-	tickEvery  = 50 * time.Millisecond
-	diskLength = 4096
-	// diskPatience is how long a start waits for a disk that refuses to keep what was read back from it.
-	diskPatience = 5 * time.Second
+	// writeQueueLength is how many writes may wait for the disk before it counts as failed.
+	writeQueueLength = 4096
+	// recoveryTimeout is how long a start waits for a disk that fails to keep what was read back from it.
+	recoveryTimeout = 5 * time.Second
+	// folderMode is the mode of a data folder that the process creates.
+	folderMode = 0o750
+	// setAsideFormat is the layout of the time under which untrusted content of the data folder is set aside.
+	setAsideFormat = "20060102T150405"
+	// idBytes is how many random bytes an id has.
+	idBytes = 12
 )
 
-// Server is the process.
+// Server is the process around a control node.
 type Server struct {
-	// Mount, where it is set, opens further paths beside the product's own.
-	Mount     func(routes *router.Router, host *Server)
+	// Mount, where it is set, adds further routes beside the product's own. It is called once, before the HTTP side opens.
+	Mount func(routes *router.Router, server *Server)
+
 	settings  *process.Settings
 	log       *slog.Logger
-	mutex     sync.Mutex
-	node      *node.Node
 	transport *transport.Transport
 	writes    *storage.WriteQueue
 	store     *snapshot.Store
 	started   time.Time
-	lastView  uint64
+
+	// mutex is held during each step of the node. It guards node and lastView.
+	mutex    sync.Mutex
+	node     *node.Node
+	lastView uint64
 }
 
-// New opens the data folder and restores the node. Nothing is sent or answered yet.
+// New opens the data folder and recovers the node from it. Nothing is sent or served before Run. Where the settings say
+// Idle, for a machine without a disk, the server only stands by.
 func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
-	// Who can't remember must neither vote nor count as a copy, and ending again and again helps nobody.
+	// A node that can't remember must neither vote nor count as a replica, and to exit again and again helps nobody.
 	if settings.Idle {
 		return &Server{settings: settings, log: log}, nil
 	}
-	if err := snapshot.MakeDirectory(settings.Folder, 0o750); err != nil {
-		return nil, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
-	}
-	restored, err := storage.RestoreWithin(diskPatience, func() (storage.Recovery, error) {
-		return storage.Restore(snapshot.Directory(settings.Folder), identity, time.Now().UTC().Format("20060102T150405"))
-	})
+	recovery, err := recoverState(settings, log)
 	if err != nil {
 		return nil, err
 	}
-	if restored.Lost != nil {
-		log.Error("memory can't be trusted; this machine joins as a new one", "cause", restored.Lost.Error())
-	}
-	if restored.Fresh {
-		log.Info("blank folder; new identity", "id", restored.Memory.Id)
+	server := &Server{
+		settings: settings,
+		log:      log,
+		store:    recovery.Store,
+		writes:   storage.NewWriteQueue(writeQueueLength),
+		started:  time.Now(),
 	}
-	host := &Server{settings: settings, log: log, store: restored.Store, writes: storage.NewWriteQueue(diskLength), started: time.Now()}
-	limits := limitsOf(settings)
-	if err := limits.Check(); err != nil {
+	configuration := nodeSettings(settings)
+	if err := configuration.Limits.Check(); err != nil {
 		log.Warn("the time limits are too short to be kept after every loss", "cause", err.Error())
 	}
-	host.node = node.New(time.Now(), node.Settings{Limits: limits, Address: settings.Address, HTTP: settings.HTTP, Zone: settings.Zone,
-		Seeds: settings.Seeds, Founders: settings.Founders, Founding: !settings.Joins, Faults: settings.Faults, Heartbeat: settings.HeartbeatTime(),
-		Quotas: quota.Tolerance{Window: settings.QuotasWindow(), Excess: settings.Quotas.Excess, Slack: settings.Quotas.Slack}}, restored.Memory, restored.Records, rand.New(rand.NewSource(randomseed.New())))
-	host.transport = transport.New(settings.Address, settings.Zone, func(envelope *wire.Envelope) {
-		host.step(func(now time.Time) { host.node.Receive(now, envelope) })
-	}, func(address string, tried time.Time) {
-		host.step(func(now time.Time) { host.node.Refused(now, address, tried) })
-	})
-	return host, nil
-}
-
-func limitsOf(settings *process.Settings) node.Limits {
-	return node.Limits{Contact: settings.ContactTime(), Acknowledge: settings.AcknowledgeTime(), Apply: settings.ApplyTime(),
-		CatchUp: settings.CatchUpTime(), Grace: settings.GraceTime()}
+	random := rand.New(rand.NewSource(randomseed.New()))
+	server.node = node.New(time.Now(), configuration, recovery.Memory, recovery.Records, random)
+	server.transport = transport.New(settings.Address, settings.Zone, server.receive, server.connectionRefused)
+	return server, nil
 }
 
-func identity() string {
-	var bytes [12]byte
-	if _, err := crypto.Read(bytes[:]); err != nil {
-		panic(err) // An identity that might repeat is worse than no start.
+// recoverState recovers the node's state from its data folder, which is created if need be.
+func recoverState(settings *process.Settings, log *slog.Logger) (storage.Recovery, error) {
+	if err := snapshot.MakeDirectory(settings.Folder, folderMode); err != nil {
+		return storage.Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
 	}
-	return hex.EncodeToString(bytes[:])
-}
-
-// Run serves until the context ends, and then until others have taken over what this machine holds, nobody is there to
-// do so, or its grace is nearly over.
-func (host *Server) Run(running context.Context) error {
-	if host.settings.Idle {
-		host.log.Warn("no disk on this machine: standing by")
-		<-running.Done()
-		return nil
-	}
-	if err := host.transport.Listen(); err != nil {
-		return err
-	}
-	defer host.transport.Close()
-	server, err := host.serve()
+	recovery, err := storage.RestoreWithin(recoveryTimeout, func() (storage.Recovery, error) {
+		mark := time.Now().UTC().Format(setAsideFormat)
+		return storage.Restore(snapshot.Directory(settings.Folder), newID, mark)
+	})
 	if err != nil {
-		return err
+		return storage.Recovery{}, err
 	}
-	host.log.Info("started", "id", host.node.Self().Id, "view", host.node.View().Epoch)
-	go host.writes.Run(host.store, func(sequence uint64) {
-		host.step(func(now time.Time) { host.node.Synced(now, sequence) })
-	}, host.diskFailed)
-	host.step(func(now time.Time) { host.node.Tick(now) })
-	ticker := time.NewTicker(tickEvery)
-	defer ticker.Stop()
-	var leaveBy time.Time
-	for {
-		select {
-		case <-ticker.C:
-			host.step(func(now time.Time) { host.node.Tick(now) })
-		case <-running.Done():
-			if leaveBy.IsZero() {
-				leaveBy = time.Now().Add(node.BoundsFor(limitsOf(host.settings)).Leave)
-				host.log.Info("leaving")
-				host.step(func(now time.Time) { host.node.Leave(now) })
-			}
-			<-ticker.C
-			host.step(func(now time.Time) { host.node.Tick(now) })
-		}
-		if !leaveBy.IsZero() && (time.Now().After(leaveBy) || host.left()) {
-			host.log.Info("stopped", "left", host.left())
-			return apierror.Wrap(server.Shutdown(), apierror.Internal, "closing the HTTP side")
-		}
+	if recovery.Lost != nil {
+		log.Error("memory can't be trusted; this machine joins as a new one", "cause", recovery.Lost.Error())
 	}
+	if recovery.Fresh {
+		log.Info("blank folder; new identity", "id", recovery.Memory.Id)
+	}
+	return recovery, nil
 }
 
-func (host *Server) left() bool {
-	host.mutex.Lock()
-	defer host.mutex.Unlock()
-	return host.node.Left(time.Now())
+// nodeSettings returns the node's part of a process's settings.
+func nodeSettings(settings *process.Settings) node.Settings {
+	return node.Settings{
+		Limits:    nodeLimits(settings),
+		Address:   settings.Address,
+		HTTP:      settings.HTTP,
+		Zone:      settings.Zone,
+		Seeds:     settings.Seeds,
+		Founders:  settings.Founders,
+		Founding:  !settings.Joins,
+		Faults:    settings.Faults,
+		Heartbeat: settings.HeartbeatTime(),
+		Quotas: quota.Tolerance{
+			Window: settings.QuotasWindow(),
+			Excess: settings.Quotas.Excess,
+			Slack:  settings.Quotas.Slack,
+		},
+	}
 }
 
-// step runs one step of the node under its lock and hands on what it asks for.
-func (host *Server) step(do func(now time.Time)) {
-	host.mutex.Lock()
-	defer host.mutex.Unlock()
-	do(time.Now())
-	parcels, writes := host.node.Drain()
-	host.transport.Send(parcels)
-	for _, write := range writes {
-		if !host.writes.Offer(write) {
-			// A disk this far behind is as good as failed, and waiting here would stop the whole node.
-			host.node.DiskFailed(time.Now())
-		}
+// nodeLimits returns the time limits that the node must keep.
+func nodeLimits(settings *process.Settings) node.Limits {
+	return node.Limits{
+		Contact:     settings.ContactTime(),
+		Acknowledge: settings.AcknowledgeTime(),
+		Apply:       settings.ApplyTime(),
+		CatchUp:     settings.CatchUpTime(),
+		Grace:       settings.GraceTime(),
 	}
-	if current := host.node.View(); current.Epoch != host.lastView {
-		host.lastView = current.Epoch
-		var members []string
-		for _, member := range current.Chain {
-			members = append(members, member.Address)
-		}
-		host.log.Info("new view", "view", current.Epoch, "chain", fmt.Sprint(members))
+}
+
+// newID returns a random id, for a node or an operation.
+func newID() string {
+	var content [idBytes]byte
+	if _, err := crypto.Read(content[:]); err != nil {
+		panic(err) // An id that might repeat is worse than no start.
 	}
+	return hex.EncodeToString(content[:])
+}
+
+// receive handles a message of another node or of a data daemon.
+func (server *Server) receive(envelope *wire.Envelope) {
+	server.step(func(now time.Time) { server.node.Receive(now, envelope) })
 }
 
-// diskFailed notifies the node that its disk failed.
-func (host *Server) diskFailed(err error) {
-	host.log.Error("disk failed", "cause", err.Error())
-	host.step(func(now time.Time) { host.node.DiskFailed(now) })
+// connectionRefused handles that an address refused a connection that was tried at a time.
+func (server *Server) connectionRefused(address string, tried time.Time) {
+	server.step(func(now time.Time) { server.node.Refused(now, address, tried) })
 }
--- a/control/storage/doc.go
+++ b/control/storage/doc.go
@@ -1,25 +1,26 @@
-// Package storage gives the control node's state machine a disk. The node itself does no I/O: a step of it leaves writes
-// behind, the process that steps it puts them into a WriteQueue, and one goroutine carries them out.
+// Package storage gives the control node's state machine a disk. The node itself does no I/O: a step of it leaves
+// writes behind, the process that steps it puts them into a WriteQueue, and one goroutine carries them out.
 //
 // # Recovery
 //
-// Restore reads a data folder and returns the node's durable state and the records that were logged after it. It returns
-// only what the disk keeps: everything is synced before it is returned. A folder that is blank, or whose content can't be
-// trusted, starts a new identity; untrusted content is set aside, not deleted. RestoreWithin retries while the disk fails.
+// Restore reads a data folder and returns the node's durable state and the records that were logged after it. It
+// returns only what the disk keeps: everything is synced before it is returned. A folder that is blank, or whose
+// content can't be trusted, starts a new identity; untrusted content is set aside, not deleted. RestoreWithin retries
+// while the disk fails.
 //
 // # Writes
 //
-// A write is a record, which is appended to the log; a complete state, which replaces the slot and starts a new log; or
-// a sweep, which reads everything back and compares it with what must be there. Writes carry ascending sequence numbers
-// and are carried out in that order. Records that stand side by side in a batch share one sync. A completion is reported
-// with the sequence of the last write that is synced, and stands for every write before it.
+// A write is a record, which is appended to the log; a complete state, which replaces the slot and starts a new log;
+// or a sweep, which reads everything back and compares it with what must be there. Writes carry ascending sequence
+// numbers and are carried out in that order. Records that stand side by side in a batch share one sync. A completion
+// is reported with the sequence of the last write that is synced, and stands for every write before it.
 //
 // # Failures
 //
 // After a failed write nobody knows what the disk holds, so nothing later is written or reported as synced until a
-// complete state is written, which contains whatever was lost. The node is notified of each failure and answers with such
-// a state. The same holds for a queue that overflows: it rejects every write until it accepts a complete state, so that
-// no write passes one that was dropped.
+// complete state is written, which contains whatever was lost. The node is notified of each failure and answers with
+// such a state. The same holds for a queue that overflows: it rejects every write until it accepts a complete state,
+// so that no write passes one that was dropped.
 //
 // # Bounds
 //
