--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -1,85 +1,116 @@
-// Package operator is the operators' side of the fleet over HTTP, as wtctl uses it and others may.
+// Package operator is a client of the operators' HTTP API. It asks the control nodes it was given in turn until one
+// responds, so that a single unreachable node does not matter; a request that may have reached a node is safe to repeat
+// at another, since an operation id has one outcome.
 package operator
 
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"net/url"
-	"sort"
-	"strings"
-	"sync"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
 	"wardtray/control/node"
-	"wardtray/control/server"
-	"wardtray/dataplane/daemon"
 )
 
 const (
-	answerBound = 9 * time.Second
-	statusBound = 2 * time.Second
-	mostAnswer  = 64 << 20
+	// requestTimeout bounds a call that the chain responds to. It is below the time that a node lets a caller wait.
+	requestTimeout = 9 * time.Second
+	// statusTimeout bounds a call that a process responds to by itself.
+	statusTimeout = 2 * time.Second
+	// maximumResponse bounds the body of a response, in bytes.
+	maximumResponse = 64 << 20
 )
 
-// Client asks a fleet. Cores are tried in order until one answers.
+// Client is a client of one fleet.
 type Client struct {
+	// Cores are the HTTP addresses (host:port) of control nodes, in the order in which they are asked.
 	Cores []string
 	http  *fasthttp.Client
 }
 
-// New makes a client.
+// New returns a client that asks the control nodes at these HTTP addresses.
 func New(cores []string) *Client {
-	return &Client{Cores: cores, http: &fasthttp.Client{ReadTimeout: answerBound, WriteTimeout: answerBound, MaxResponseBodySize: mostAnswer,
-		NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1}}
+	return &Client{Cores: cores, http: &fasthttp.Client{
+		ReadTimeout:               requestTimeout,
+		WriteTimeout:              requestTimeout,
+		MaxResponseBodySize:       maximumResponse,
+		NoDefaultUserAgentHeader:  true,
+		MaxIdemponentCallAttempts: 1,
+	}}
 }
 
-// call sends one request to one address.
-func (client *Client) call(method, address, path string, body []byte, bound time.Duration) (int, []byte, error) {
+// httpRequest is one request to one process.
+type httpRequest struct {
+	method, address, path string
+	headers               map[string]string
+	body                  []byte
+	timeout               time.Duration
+}
+
+// send sends a request and returns the response's status and body. An error has the code Unreachable.
+func (client *Client) send(call httpRequest) (status int, content []byte, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod(method)
-	request.SetRequestURI("http://" + address + path)
-	request.SetBody(body)
-	if err := client.http.DoTimeout(request, response, bound); err != nil {
-		return 0, nil, apierror.Wrap(err, apierror.Unreachable, "%s", address)
+	request.Header.SetMethod(call.method)
+	request.SetRequestURI("http://" + call.address + call.path)
+	for name, value := range call.headers {
+		request.Header.Set(name, value)
+	}
+	request.SetBody(call.body)
+	if err := client.http.DoTimeout(request, response, call.timeout); err != nil {
+		return 0, nil, apierror.Wrap(err, apierror.Unreachable, "%s", call.address)
 	}
 	return response.StatusCode(), append([]byte{}, response.Body()...), nil
 }
 
-// ask asks the cores in turn. Asking again is safe: an operation id has one outcome.
-func (client *Client) ask(method, path string, body []byte) (node.Reply, error) {
+// request asks the control nodes in turn, and returns the first reply, or the last error.
+func (client *Client) request(method, path string, body []byte) (node.Reply, error) {
+	if len(client.Cores) == 0 {
+		return node.Reply{}, apierror.New(apierror.BadSettings, "no core is named; give --core")
+	}
 	var last error
 	for _, address := range client.Cores {
-		_, content, err := client.call(method, address, path, body, answerBound)
-		if err != nil {
-			last = err
-			continue
-		}
-		reply := node.Reply{}
-		if err := json.Unmarshal(content, &reply); err != nil {
-			last = apierror.Wrap(err, apierror.Malformed, "the answer of %s", address)
-			continue
+		reply, err := client.requestFrom(address, method, path, body)
+		if err == nil {
+			return reply, nil
 		}
-		return reply, nil
-	}
-	if last == nil {
-		last = apierror.New(apierror.BadSettings, "no core is named; give --core")
+		last = err
 	}
 	return node.Reply{}, last
 }
 
-// Get reads the present spec from the tail.
-func (client *Client) Get() (node.Reply, error) { return client.ask("GET", "/v1/spec", nil) }
+// requestFrom asks one control node. The reply says what became of the request, whatever its HTTP status is.
+func (client *Client) requestFrom(address, method, path string, body []byte) (node.Reply, error) {
+	call := httpRequest{method: method, address: address, path: path, body: body, timeout: requestTimeout}
+	_, content, err := client.send(call)
+	if err != nil {
+		return node.Reply{}, err
+	}
+	reply := node.Reply{}
+	if err := json.Unmarshal(content, &reply); err != nil {
+		return node.Reply{}, apierror.Wrap(err, apierror.Malformed, "the answer of %s", address)
+	}
+	return reply, nil
+}
+
+// Get reads the newest configuration from the tail of the chain.
+func (client *Client) Get() (node.Reply, error) {
+	return client.request(http.MethodGet, "/v1/spec", nil)
+}
 
-// Change says on which epoch a change is built, under which operation id it goes, and which epoch the new
-// spec is to have (0: the next).
+// Change says how a change of the configuration is to be applied.
 type Change struct {
-	Base, Epoch uint64
-	Operation   string
+	// Base is the epoch of the configuration on which the change is built; 0 for the first.
+	Base uint64
+	// Epoch is the epoch that the new configuration gets; 0 for the next one.
+	Epoch uint64
+	// Operation is the id of the change. A change submitted again under the same id is applied once.
+	Operation string
 }
 
 func (change Change) path() string {
@@ -90,115 +121,51 @@
 	return path
 }
 
-// Apply sends a whole spec.
+// Apply replaces the configuration by a complete document.
 func (client *Client) Apply(content []byte, change Change) (node.Reply, error) {
-	return client.ask("PUT", change.path(), content)
+	return client.request(http.MethodPut, change.path(), content)
 }
 
-// Change sends the entries to add, replace and remove.
+// Change adds, replaces and removes named entries of the configuration.
 func (client *Client) Change(content []byte, change Change) (node.Reply, error) {
-	return client.ask("PATCH", change.path(), content)
+	return client.request(http.MethodPatch, change.path(), content)
 }
 
-// Zone closes or opens a zone.
+// Zone closes or opens a zone; verb is "close" or "open".
 func (client *Client) Zone(verb, zone, operation string) (node.Reply, error) {
-	return client.ask("POST", "/v1/zones/"+url.PathEscape(zone)+"/"+verb+"?operation="+url.QueryEscape(operation), nil)
+	path := "/v1/zones/" + url.PathEscape(zone) + "/" + verb + "?operation=" + url.QueryEscape(operation)
+	return client.request(http.MethodPost, path, nil)
 }
 
-// Operation asks what became of a change.
+// Operation returns what became of a change.
 func (client *Client) Operation(operation string) (node.Reply, error) {
-	return client.ask("GET", "/v1/operations/"+url.PathEscape(operation), nil)
+	return client.request(http.MethodGet, "/v1/operations/"+url.PathEscape(operation), nil)
 }
 
-// FleetStatus is the status of every process that answered.
-type FleetStatus struct {
-	Cores  []server.Status `json:"cores"`
-	Datas  []daemon.Status `json:"datas"`
-	Silent []string        `json:"silent,omitempty"`
-}
-
-// Status asks the whole fleet: the cores named, those of the view, and the daemons of the directory.
-func (client *Client) Status() (FleetStatus, error) {
-	fleet := FleetStatus{}
-	asked := map[string]bool{}
-	daemons := map[string]bool{}
-	pending := append([]string{}, client.Cores...)
-	for len(pending) > 0 {
-		address := pending[0]
-		pending = pending[1:]
-		if asked[address] || address == "" {
-			continue
-		}
-		asked[address] = true
-		status := server.Status{}
-		if !client.one(address, &status) {
-			fleet.Silent = append(fleet.Silent, address)
-			continue
-		}
-		fleet.Cores = append(fleet.Cores, status)
-		for _, member := range append(status.Core.Chain, status.Core.Acceptors...) {
-			pending = append(pending, member.HTTP)
-		}
-		for _, member := range status.Core.Daemons {
-			daemons[member.HTTP] = true
-		}
-	}
-	if len(fleet.Cores) == 0 {
-		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", strings.Join(client.Cores, ", "))
-	}
-	var mutex sync.Mutex
-	var waiting sync.WaitGroup
-	for address := range daemons {
-		waiting.Add(1)
-		go func() {
-			defer waiting.Done()
-			status := daemon.Status{}
-			answered := client.one(address, &status)
-			mutex.Lock()
-			defer mutex.Unlock()
-			if answered {
-				fleet.Datas = append(fleet.Datas, status)
-			} else {
-				fleet.Silent = append(fleet.Silent, address)
-			}
-		}()
-	}
-	waiting.Wait()
-	sort.Slice(fleet.Cores, func(left, right int) bool { return fleet.Cores[left].Address < fleet.Cores[right].Address })
-	sort.Slice(fleet.Datas, func(left, right int) bool { return fleet.Datas[left].Address < fleet.Datas[right].Address })
-	sort.Strings(fleet.Silent)
-	return fleet, nil
-}
-
-func (client *Client) one(address string, into any) bool {
-	status, content, err := client.call("GET", address, "/v1/status", nil, statusBound)
-	return err == nil && status == 200 && json.Unmarshal(content, into) == nil
-}
-
-// Explain asks a data daemon where a request would go. The headers are those of a request.
+// Explain asks the data daemon at an HTTP address where it would send a request. The headers are those of the request.
+// An error has the code of the daemon's refusal, or Unreachable.
 func (client *Client) Explain(daemon string, headers map[string]string, body []byte) (json.RawMessage, error) {
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod("POST")
-	request.SetRequestURI("http://" + daemon + "/v1/explain")
-	for name, value := range headers {
-		request.Header.Set(name, value)
+	call := httpRequest{
+		method:  http.MethodPost,
+		address: daemon,
+		path:    "/v1/explain",
+		headers: headers,
+		body:    body,
+		timeout: statusTimeout,
 	}
-	request.SetBody(body)
-	if err := client.http.DoTimeout(request, response, statusBound); err != nil {
-		return nil, apierror.Wrap(err, apierror.Unreachable, "%s", daemon)
+	status, content, err := client.send(call)
+	if err != nil {
+		return nil, err
 	}
-	content := append([]byte{}, response.Body()...)
-	if response.StatusCode() != 200 {
-		refusal := struct {
-			Kind   apierror.Code
-			Detail string
-		}{}
-		if err := json.Unmarshal(content, &refusal); err != nil || refusal.Kind == "" {
-			return nil, apierror.New(apierror.Unreachable, "%s answers %d", daemon, response.StatusCode())
-		}
-		return nil, apierror.New(refusal.Kind, "%s", refusal.Detail)
+	if status == http.StatusOK {
+		return content, nil
+	}
+	refusal := struct {
+		Kind   apierror.Code `json:"kind"`
+		Detail string        `json:"detail"`
+	}{}
+	if err := json.Unmarshal(content, &refusal); err != nil || refusal.Kind == "" {
+		return nil, apierror.New(apierror.Unreachable, "%s answers %d", daemon, status)
 	}
-	return content, nil
+	return nil, apierror.New(refusal.Kind, "%s", refusal.Detail)
 }
--- /dev/null
+++ b/control/operator/client_test.go
@@ -0,0 +1,149 @@
+package operator
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"wardtray/apierror"
+	"wardtray/control/node"
+	"wardtray/control/server"
+	"wardtray/dataplane/daemon"
+)
+
+// unreachable is an address at which nothing listens.
+const unreachable = "127.0.0.1:1"
+
+// serve starts a process that responds by a handler, and returns its address.
+func serve(t *testing.T, handler http.HandlerFunc) string {
+	t.Helper()
+	process := httptest.NewServer(handler)
+	t.Cleanup(process.Close)
+	return strings.TrimPrefix(process.URL, "http://")
+}
+
+// respond returns a handler that always responds alike.
+func respond(status int, body string) http.HandlerFunc {
+	return func(response http.ResponseWriter, _ *http.Request) {
+		response.WriteHeader(status)
+		_, _ = io.WriteString(response, body) // A caller that has left needs no response.
+	}
+}
+
+// respondJSON returns a handler that always responds with a value.
+func respondJSON(t *testing.T, value any) http.HandlerFunc {
+	t.Helper()
+	content, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return respond(http.StatusOK, string(content))
+}
+
+// Each call keeps its method, path, query and body.
+func TestRequestLines(t *testing.T) {
+	var got string
+	address := serve(t, func(response http.ResponseWriter, request *http.Request) {
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		got = request.Method + " " + request.RequestURI + " " + string(body)
+		respond(http.StatusOK, `{"outcome":"accepted","epoch":5}`)(response, request)
+	})
+	client := New([]string{address})
+	change := Change{Base: 3, Operation: "a b"}
+	named := Change{Operation: "o", Epoch: 9}
+	for want, call := range map[string]func() (node.Reply, error){
+		"GET /v1/spec ": client.Get,
+		"PUT /v1/spec?base=3&operation=a+b {}": func() (node.Reply, error) {
+			return client.Apply([]byte("{}"), change)
+		},
+		"PATCH /v1/spec?base=0&operation=o&epoch=9 {}": func() (node.Reply, error) {
+			return client.Change([]byte("{}"), named)
+		},
+		"POST /v1/zones/z%20one/close?operation=o ": func() (node.Reply, error) {
+			return client.Zone("close", "z one", "o")
+		},
+		"GET /v1/operations/a%20b ": func() (node.Reply, error) { return client.Operation("a b") },
+	} {
+		reply, err := call()
+		if err != nil || reply.Epoch != 5 || got != want {
+			t.Errorf("%q, want %q: %+v, %v", got, want, reply, err)
+		}
+	}
+}
+
+// Nodes are asked in turn until one responds with a reply.
+func TestRequestsTryTheNextNode(t *testing.T) {
+	malformed := serve(t, respond(http.StatusOK, "no JSON"))
+	refusing := serve(t, respond(http.StatusConflict, `{"outcome":"refused","kind":"stale_base"}`))
+	reply, err := New([]string{unreachable, malformed, refusing}).Get()
+	if err != nil || reply.Outcome != server.OutcomeRefused {
+		t.Errorf("%+v, %v", reply, err)
+	}
+	for code, cores := range map[apierror.Code][]string{
+		apierror.Unreachable: {malformed, unreachable},
+		apierror.Malformed:   {unreachable, malformed},
+		apierror.BadSettings: nil,
+	} {
+		if _, err := New(cores).Get(); !apierror.Is(err, code) {
+			t.Errorf("%s: %v", code, err)
+		}
+	}
+}
+
+// The status of a fleet has every process that the control nodes know, each once.
+func TestStatusFollowsViews(t *testing.T) {
+	data := serve(t, respondJSON(t, daemon.Status{Address: "data"}))
+	second := serve(t, respondJSON(t, server.Status{Address: "b"}))
+	first := serve(t, respondJSON(t, server.Status{Address: "a", Core: node.Status{
+		Chain:     []node.MemberStatus{{HTTP: second}},
+		Acceptors: []node.MemberStatus{{HTTP: second}, {HTTP: unreachable}},
+		Daemons:   []node.MemberStatus{{HTTP: data}},
+	}}))
+	fleet, err := New([]string{second, first}).Status()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(fleet.Cores) != 2 || fleet.Cores[0].Address != "a" || fleet.Cores[1].Address != "b" {
+		t.Errorf("control nodes: %+v", fleet.Cores)
+	}
+	if len(fleet.Datas) != 1 || fleet.Datas[0].Address != "data" {
+		t.Errorf("daemons: %+v", fleet.Datas)
+	}
+	if len(fleet.Silent) != 1 || fleet.Silent[0] != unreachable {
+		t.Errorf("unresponsive: %v", fleet.Silent)
+	}
+	if _, err := New([]string{unreachable}).Status(); !apierror.Is(err, apierror.Unreachable) {
+		t.Errorf("no node responds: %v", err)
+	}
+}
+
+// Explain passes the headers on, and returns what the daemon responds or the code of its refusal.
+func TestExplain(t *testing.T) {
+	address := serve(t, func(response http.ResponseWriter, request *http.Request) {
+		switch request.Header.Get("Case") {
+		case "fine":
+			respond(http.StatusOK, `{"backend":"b"}`)(response, request)
+		case "refused":
+			respond(http.StatusNotFound, `{"kind":"unknown_route","detail":"no route"}`)(response, request)
+		default:
+			respond(http.StatusTeapot, "")(response, request)
+		}
+	})
+	client := New(nil)
+	content, err := client.Explain(address, map[string]string{"Case": "fine"}, nil)
+	if err != nil || string(content) != `{"backend":"b"}` {
+		t.Errorf("%s, %v", content, err)
+	}
+	if _, err = client.Explain(address, map[string]string{"Case": "refused"}, nil); !apierror.Is(err, "unknown_route") {
+		t.Errorf("a refusal: %v", err)
+	}
+	if _, err = client.Explain(address, nil, nil); !apierror.Is(err, apierror.Unreachable) {
+		t.Errorf("no refusal: %v", err)
+	}
+}
--- /dev/null
+++ b/control/operator/status.go
@@ -0,0 +1,95 @@
+package operator
+
+import (
+	"encoding/json"
+	"net/http"
+	"sort"
+	"strings"
+	"sync"
+
+	"wardtray/apierror"
+	"wardtray/control/server"
+	"wardtray/dataplane/daemon"
+)
+
+// FleetStatus is the status of every process that responded, each list ordered by address.
+type FleetStatus struct {
+	Cores []server.Status `json:"cores"`
+	Datas []daemon.Status `json:"datas"`
+	// Silent are the HTTP addresses of the processes that did not respond.
+	Silent []string `json:"silent,omitempty"`
+}
+
+// Status asks the whole fleet: the control nodes named, those of their views, and the data daemons they know. An error
+// has the code Unreachable: no control node responded.
+func (client *Client) Status() (FleetStatus, error) {
+	fleet := FleetStatus{}
+	daemons := client.collectCores(&fleet)
+	if len(fleet.Cores) == 0 {
+		cores := strings.Join(client.Cores, ", ")
+		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", cores)
+	}
+	client.collectDaemons(&fleet, daemons)
+	sort.Slice(fleet.Cores, func(i, j int) bool { return fleet.Cores[i].Address < fleet.Cores[j].Address })
+	sort.Slice(fleet.Datas, func(i, j int) bool { return fleet.Datas[i].Address < fleet.Datas[j].Address })
+	sort.Strings(fleet.Silent)
+	return fleet, nil
+}
+
+// collectCores asks the control nodes one after another, each once, and follows their views. It returns the HTTP
+// addresses of the data daemons that they know.
+func (client *Client) collectCores(fleet *FleetStatus) map[string]bool {
+	asked, daemons := map[string]bool{}, map[string]bool{}
+	pending := append([]string{}, client.Cores...)
+	for len(pending) > 0 {
+		address := pending[0]
+		pending = pending[1:]
+		if asked[address] || address == "" {
+			continue
+		}
+		asked[address] = true
+		status := server.Status{}
+		if !client.fetchStatus(address, &status) {
+			fleet.Silent = append(fleet.Silent, address)
+			continue
+		}
+		fleet.Cores = append(fleet.Cores, status)
+		for _, member := range status.Core.Chain {
+			pending = append(pending, member.HTTP)
+		}
+		for _, member := range status.Core.Acceptors {
+			pending = append(pending, member.HTTP)
+		}
+		for _, member := range status.Core.Daemons {
+			daemons[member.HTTP] = true
+		}
+	}
+	return daemons
+}
+
+// collectDaemons asks data daemons at the same time.
+func (client *Client) collectDaemons(fleet *FleetStatus, addresses map[string]bool) {
+	var mutex sync.Mutex
+	var pending sync.WaitGroup
+	for address := range addresses {
+		pending.Go(func() {
+			status := daemon.Status{}
+			responded := client.fetchStatus(address, &status)
+			mutex.Lock()
+			defer mutex.Unlock()
+			if responded {
+				fleet.Datas = append(fleet.Datas, status)
+			} else {
+				fleet.Silent = append(fleet.Silent, address)
+			}
+		})
+	}
+	pending.Wait()
+}
+
+// fetchStatus reads a process's status and reports whether it responded with one.
+func (client *Client) fetchStatus(address string, status any) bool {
+	call := httpRequest{method: http.MethodGet, address: address, path: "/v1/status", timeout: statusTimeout}
+	code, content, err := client.send(call)
+	return err == nil && code == http.StatusOK && json.Unmarshal(content, status) == nil
+}
