--- a/control/storage/doc.go
+++ b/control/storage/doc.go
@@ -3,10 +3,10 @@
 //
 // # Recovery
 //
-// Restore reads a data folder and returns the node's durable state and the records that were logged after it. It
-// returns only what the disk keeps: everything is synced before it is returned. A folder that is blank, or whose
-// content can't be trusted, starts a new identity; untrusted content is set aside, not deleted. RestoreWithin retries
-// while the disk fails.
+// A data folder is read into a Recovery: the node's durable state and the records that were logged after it. It has
+// only what the disk keeps, since everything is synced before it is returned. A folder that is blank, or whose
+// content can't be trusted, starts a new identity; untrusted content is set aside, not deleted. A start may retry for
+// a bounded time while the disk fails.
 //
 // # Writes
 //
--- a/control/storage/recovery.go
+++ b/control/storage/recovery.go
@@ -20,7 +20,7 @@
 	SetAside(mark string) error
 }
 
-// Recovery is what Restore read from a data folder.
+// Recovery is what was read from a data folder.
 type Recovery struct {
 	// Store is the open folder, to which the node's writes go from now on.
 	Store *snapshot.Store
--- a/control/storage/writequeue.go
+++ b/control/storage/writequeue.go
@@ -37,7 +37,7 @@
 }
 
 // Run carries out queued writes on a store, in batches, for as long as the process runs. synced and failed are called
-// from this goroutine as Carry describes.
+// from this goroutine: synced with the sequence of the last write that is synced, failed with the cause of a failure.
 func (queue *WriteQueue) Run(store *snapshot.Store, synced func(sequence uint64), failed func(err error)) {
 	for first := range queue.writes {
 		Carry(store, queue.batch(first), synced, failed)
