--- /dev/null
+++ b/proxy/dedup/table_test.go
@@ -0,0 +1,98 @@
+package dedup
+
+import (
+	"testing"
+	"time"
+
+	"github.com/leanovate/gopter"
+	"github.com/leanovate/gopter/gen"
+	"github.com/leanovate/gopter/prop"
+)
+
+var started = time.Unix(1_700_000_000, 0)
+
+// Whatever is done in whatever order, a key is new at most once between two times that it is forgotten.
+func TestKeyIsNewOnceUntilForgotten(t *testing.T) {
+	parameters := gopter.DefaultTestParametersWithSeed(1)
+	parameters.MinSuccessfulTests = 300
+	properties := gopter.NewProperties(parameters)
+	properties.Property("at most once", prop.ForAll(func(steps []int) bool {
+		table, now, taken := New(), started, map[Key]bool{}
+		for _, step := range steps {
+			key := KeyOf("lane", string(rune('a'+step%3)))
+			now = now.Add(time.Second)
+			actions := []func() bool{
+				func() bool {
+					_, isNew := table.Begin(now, key)
+					correct := isNew != taken[key]
+					taken[key] = true
+					return correct
+				},
+				func() bool {
+					if taken[key] {
+						table.Finish(now, key, []State{Ran, Unknown}[step%2])
+					}
+					return true
+				},
+				func() bool {
+					table.Forget(key)
+					taken[key] = false
+					return true
+				},
+			}
+			if !actions[step/3%len(actions)]() {
+				return false
+			}
+		}
+		return true
+	}, gen.SliceOf(gen.IntRange(0, 1000))))
+	properties.TestingRun(t)
+}
+
+func TestHeardIsOverruledByOwnRequests(t *testing.T) {
+	table, key := New(), KeyOf("ruling", "r1")
+	table.Heard(started, key, false)
+	if known, isNew := table.Begin(started, key); isNew || known != TakenElsewhere {
+		t.Fatalf("taken by another: %q, %v", known, isNew)
+	}
+	table.Heard(started, key, true)
+	if _, isNew := table.Begin(started, key); !isNew {
+		t.Fatal("dropped by the other and still taken")
+	}
+	table.Heard(started, key, true)
+	if known, isNew := table.Begin(started, key); isNew || known != Running {
+		t.Fatalf("another's announcement removed our own request: %q, %v", known, isNew)
+	}
+	table.Heard(started, key, false)
+	if known := table.Lookup(key); known != Running {
+		t.Fatalf("another's announcement replaced our own state by %q", known)
+	}
+}
+
+func TestKeySeparatesRouteFromID(t *testing.T) {
+	if KeyOf("ruling", "r1") == KeyOf("rulin", "gr1") {
+		t.Fatal("two requests share a key")
+	}
+}
+
+func TestEntriesExpire(t *testing.T) {
+	table, key := New(), KeyOf("ruling", "r1")
+	table.Begin(started, key)
+	table.Finish(started, key, Unknown)
+	if known, isNew := table.Begin(started.Add(Keep), key); isNew || known != Unknown {
+		t.Fatalf("forgotten too soon: %q, %v", known, isNew)
+	}
+	if _, isNew := table.Begin(started.Add(Keep+time.Second), key); !isNew {
+		t.Fatal("remembered for longer than said")
+	}
+}
+
+func TestTableIsBounded(t *testing.T) {
+	table := New()
+	for number := range 2 * Limit * shardCount {
+		table.Begin(started, KeyOf("lane", string(rune(number))))
+	}
+	if table.Len() > Limit*shardCount {
+		t.Fatalf("%d remembered", table.Len())
+	}
+}
--- a/proxy/departure_test.go
+++ b/proxy/departure_test.go
@@ -236,7 +236,7 @@
 		<-house.departures
 		close(works.release)
 		house.nothingHeld(t)
-		if state := house.Once.Look(dedup.KeyOf("once", "booking")); state != trial.state {
+		if state := house.Once.Lookup(dedup.KeyOf("once", "booking")); state != trial.state {
 			t.Errorf("%s: what is remembered is %q", name, state)
 		}
 		if status, body := house.send(t, "once", "booking"); status != 409 || runner.reached.Load() != 1 {
@@ -277,7 +277,7 @@
 		t.Errorf("it waited %v more", took)
 	}
 	// What was not sent may be sent again.
-	if state := house.Once.Look(dedup.KeyOf("once", "q")); state != "" || runner.reached.Load() != 0 {
+	if state := house.Once.Lookup(dedup.KeyOf("once", "q")); state != "" || runner.reached.Load() != 0 {
 		t.Errorf("remembered as %q, the runner saw %d", state, runner.reached.Load())
 	}
 }
@@ -341,7 +341,7 @@
 		if runner.reached.Load() != 0 {
 			t.Errorf("%s: the runner was reached", route)
 		}
-		if state := house.Once.Look(dedup.KeyOf(route, "q")); state != "" {
+		if state := house.Once.Lookup(dedup.KeyOf(route, "q")); state != "" {
 			t.Errorf("%s: remembered as %q", route, state)
 		}
 	}
--- a/proxy/taken.go
+++ b/proxy/taken.go
@@ -6,7 +6,7 @@
 )
 
 // ranWords are what is said of the work of a request that was sent before.
-var ranWords = map[dedup.State]string{dedup.Ran: "ran", dedup.Running: scheduler.Unknown, dedup.Unknown: scheduler.Unknown, dedup.Elsewhere: scheduler.Unknown}
+var ranWords = map[dedup.State]string{dedup.Ran: "ran", dedup.Running: scheduler.Unknown, dedup.Unknown: scheduler.Unknown, dedup.TakenElsewhere: scheduler.Unknown}
 
 // take notes a request that must run at most once, before anything else can be said of it; it gives what
 // is known if it was sent before.
@@ -15,7 +15,7 @@
 		return ""
 	}
 	key := dedup.KeyOf(exchange.request.Route, exchange.request.ID)
-	if exchange.said = exchange.handler.Once.Look(key); exchange.said != "" {
+	if exchange.said = exchange.handler.Once.Lookup(key); exchange.said != "" {
 		return exchange.said
 	}
 	catalog := exchange.handler.Snapshot().Catalog
@@ -39,11 +39,11 @@
 		return
 	}
 	if state != "" {
-		exchange.handler.Once.End(exchange.now(), *exchange.key, state)
+		exchange.handler.Once.Finish(exchange.now(), *exchange.key, state)
 		return
 	}
 	// What surely did not run may be sent again, here and elsewhere in the zone.
-	exchange.handler.Once.Drop(*exchange.key)
+	exchange.handler.Once.Forget(*exchange.key)
 	if exchange.told {
 		exchange.handler.Tell(*exchange.key, true)
 	}
