--- a/proxy/admission/admission_easyjson.go
+++ b/proxy/admission/body_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonEf7a56cdDecodeWardtrayProxyAdmission(in *jlexer.Lexer, out *Body) {
+func easyjson3e45c940DecodeWardtrayProxyAdmission(in *jlexer.Lexer, out *Body) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -51,7 +51,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonEf7a56cdEncodeWardtrayProxyAdmission(out *jwriter.Writer, in Body) {
+func easyjson3e45c940EncodeWardtrayProxyAdmission(out *jwriter.Writer, in Body) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -66,23 +66,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Body) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonEf7a56cdEncodeWardtrayProxyAdmission(&w, v)
+	easyjson3e45c940EncodeWardtrayProxyAdmission(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Body) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonEf7a56cdEncodeWardtrayProxyAdmission(w, v)
+	easyjson3e45c940EncodeWardtrayProxyAdmission(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Body) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonEf7a56cdDecodeWardtrayProxyAdmission(&r, v)
+	easyjson3e45c940DecodeWardtrayProxyAdmission(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Body) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonEf7a56cdDecodeWardtrayProxyAdmission(l, v)
+	easyjson3e45c940DecodeWardtrayProxyAdmission(l, v)
 }
--- a/proxy/admission/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -10,10 +10,18 @@
 
 // The headers of a request keep their names, which stand here as clients send them, and their meaning.
 func TestHeadersKeepTheirMeaning(t *testing.T) {
-	headers := map[string][]string{"Wardtray-Lane": {"lane"}, "Wardtray-Model": {"model"}, "Wardtray-Adapter": {"adapter"},
-		"Wardtray-Request": {"request"}, "Wardtray-Prompt-Tokens": {"100"}, "Wardtray-Answer-Tokens": {"10"},
-		"Prompt-Prefix": {"system=40, more=20"}, "Wardtray-Wait": {"1500"}, "Wardtray-After": {"7"},
-		"Authorization": {"Bearer key"}}
+	headers := map[string][]string{
+		"Wardtray-Lane":          {"lane"},
+		"Wardtray-Model":         {"model"},
+		"Wardtray-Adapter":       {"adapter"},
+		"Wardtray-Request":       {"request"},
+		"Wardtray-Prompt-Tokens": {"100"},
+		"Wardtray-Answer-Tokens": {"10"},
+		"Prompt-Prefix":          {"system=40, more=20"},
+		"Wardtray-Wait":          {"1500"},
+		"Wardtray-After":         {"7"},
+		"Authorization":          {"Bearer key"},
+	}
 	body := []byte(`{"prompt":"text"}`)
 	read, err := Parse(func(name string) []string { return headers[name] }, body)
 	wanted := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
--- /dev/null
+++ b/proxy/admission/parse_test.go
@@ -0,0 +1,130 @@
+package admission
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/apierror"
+)
+
+// validHeaders returns the headers of a valid request.
+func validHeaders() map[string][]string {
+	return map[string][]string{
+		HeaderRoute:   {"l"},
+		HeaderModel:   {"m"},
+		HeaderRequest: {"r"},
+		HeaderPrompt:  {"100"},
+		HeaderAnswer:  {"10"},
+		HeaderPrefix:  {"system=40, rheolau=20", "more=40"},
+	}
+}
+
+// parse parses a request with these headers and body.
+func parse(headers map[string][]string, body string) (*Request, error) {
+	return Parse(func(name string) []string { return headers[name] }, []byte(body))
+}
+
+func TestParseValidRequest(t *testing.T) {
+	request, err := parse(validHeaders(), `{"prompt":"Shwmae, ŵyn a llŷn"}`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if strings.Join(request.Parts, " ") != "system rheolau more" || request.PartTokens[1] != 20 {
+		t.Fatalf("parts %v %v", request.Parts, request.PartTokens)
+	}
+}
+
+func TestParseWaitAndAfter(t *testing.T) {
+	headers := validHeaders()
+	if plain, err := parse(headers, `{"prompt":"x"}`); err != nil || plain.Wait != 0 || plain.After != 0 {
+		t.Fatal(plain, err)
+	}
+	headers[HeaderWait], headers[HeaderAfter] = []string{"1500"}, []string{"7"}
+	request, err := parse(headers, `{"prompt":"x"}`)
+	if err != nil || request.Wait != 1500*time.Millisecond || request.After != 7 {
+		t.Fatal(request, err)
+	}
+}
+
+func TestParseRejectsMalformed(t *testing.T) {
+	changes := map[string]map[string][]string{
+		"no lane":              {HeaderRoute: nil},
+		"lane twice":           {HeaderRoute: {"a", "b"}},
+		"bad bytes":            {HeaderModel: {"\xff"}},
+		"control":              {HeaderRequest: {"a\x01"}},
+		"delete":               {HeaderRequest: {"a\x7f"}},
+		"long":                 {HeaderRequest: {strings.Repeat("x", 300)}},
+		"no count":             {HeaderPrompt: nil},
+		"zero":                 {HeaderAnswer: {"0"}},
+		"negative":             {HeaderPrompt: {"-5"}},
+		"absurd":               {HeaderPrompt: {"99999999999999999999"}},
+		"words":                {HeaderPrompt: {"many"}},
+		"prefix too long":      {HeaderPrefix: {"a=101"}},
+		"prefix without count": {HeaderPrefix: {"a"}},
+		"prefix without name":  {HeaderPrefix: {"=5"}},
+		"empty part":           {HeaderPrefix: {"a=1,,b=1"}},
+		"wait of no length":    {HeaderWait: {"0"}},
+		"wait in words":        {HeaderWait: {"long"}},
+		"wait too long":        {HeaderWait: {"3600001"}},
+		"after nothing":        {HeaderAfter: {"0"}},
+		"after twice":          {HeaderAfter: {"1", "2"}},
+		"many parts": {
+			HeaderPrefix: {strings.TrimSuffix(strings.Repeat("a=1,", MaximumParts+1), ",")},
+			HeaderPrompt: {"4000"},
+		},
+	}
+	for name, change := range changes {
+		changed := validHeaders()
+		for header, values := range change {
+			changed[header] = values
+		}
+		if _, err := parse(changed, `{"prompt":"x"}`); !apierror.Is(err, apierror.Malformed) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	for name, body := range map[string]string{
+		"nothing":       "",
+		"cut short":     `{"prompt":"x`,
+		"no prompt":     `{}`,
+		"empty":         `{"prompt":""}`,
+		"wrong type":    `{"prompt":5}`,
+		"unknown field": `{"prompt":"x","y":1}`,
+		"twice":         `{"prompt":"x","prompt":"y"}`,
+		"bad bytes":     "{\"prompt\":\"\xc3\x28\"}",
+		"more":          `{"prompt":"x"} x`,
+		"null":          `null`,
+	} {
+		if _, err := parse(validHeaders(), body); !apierror.Is(err, apierror.Malformed) {
+			t.Errorf("body %s: %v", name, err)
+		}
+	}
+	if _, err := parse(validHeaders(), `{"prompt":"`+strings.Repeat("x", MaximumBody)+`"}`); !apierror.Is(
+		err,
+		apierror.TooLarge,
+	) {
+		t.Errorf("a large body: %v", err)
+	}
+}
+
+func FuzzParse(fuzz *testing.F) {
+	fuzz.Add("l", "100", "system=40, more=20", []byte(`{"prompt":"x"}`))
+	fuzz.Add("l", "-1", "=,=", []byte(`{"prompt":5}`))
+	fuzz.Fuzz(func(t *testing.T, route, count, prefix string, body []byte) {
+		headers := validHeaders()
+		headers[HeaderRoute] = []string{route}
+		headers[HeaderPrompt] = []string{count}
+		headers[HeaderPrefix] = []string{prefix}
+		request, err := Parse(func(name string) []string { return headers[name] }, body)
+		if err != nil {
+			return
+		}
+		total := 0
+		for _, tokens := range request.PartTokens {
+			total += tokens
+		}
+		if total > request.PromptTokens || len(request.Parts) != len(request.PartTokens) {
+			t.Fatal("a prefix that is longer than its prompt")
+		}
+	})
+}
