--- a/proxy/admission/headers.go
+++ b/proxy/admission/headers.go
@@ -71,4 +71,6 @@
 	return len(value) <= MaximumName && utf8.ValidString(value) && !strings.ContainsFunc(value, isControl)
 }
 
-func isControl(character rune) bool { return character < firstPrintable || character == deleteCharacter }
+func isControl(character rune) bool {
+	return character < firstPrintable || character == deleteCharacter
+}
--- a/proxy/codec/golden_test.go
+++ b/proxy/codec/golden_test.go
@@ -14,7 +14,7 @@
 	"wardtray/verify/golden"
 )
 
-// goldenRun is one attempt with all that can be told of it.
+// goldenRun is one attempt with every field set that is sent.
 func goldenRun() (*admission.Request, Run) {
 	request := &admission.Request{ID: "request", Route: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: []byte(`{"prompt":"text"}`)}
@@ -28,11 +28,12 @@
 	outgoing := strings.ReplaceAll(string(Native{}.Outgoing(request, run)), "\r\n", "\n")
 	golden.Compare(t, "outgoing.txt", outgoing+"\n")
 	status, headers := Native{}.Head(nil, request, run)
-	lines := fmt.Sprintln(status)
+	var lines strings.Builder
+	fmt.Fprintln(&lines, status)
 	for _, header := range headers {
-		lines += header.Name + ": " + header.Value + "\n"
+		fmt.Fprintf(&lines, "%s: %s\n", header.Name, header.Value)
 	}
-	golden.Compare(t, "head.txt", lines)
+	golden.Compare(t, "head.txt", lines.String())
 }
 
 // Each kind of refusal keeps its HTTP status.
@@ -51,7 +52,7 @@
 	golden.Compare(t, "broken.txt", string(broken))
 }
 
-// What a runner tells of its load keeps its keys, and so do the paths at which it is asked.
+// A load report keeps its keys, and the paths of a runner stay.
 func TestReportKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "report", golden.Marshal[load.Report])
 	if (Native{}).Identity() != "/identity" || (Native{}).Probe() != "/pressure" {
--- /dev/null
+++ b/proxy/codec/native.go
@@ -0,0 +1,178 @@
+package codec
+
+import (
+	"bytes"
+	"encoding/json"
+	"math"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wardtray/apierror"
+	"wardtray/balancer/load"
+	"wardtray/proxy/admission"
+	"wardtray/proxy/stream"
+	"wardtray/transport/netio"
+)
+
+// Paths of a runner.
+const (
+	pathRun      = "/run"
+	pathIdentity = "/identity"
+	pathLoad     = "/pressure"
+)
+
+const (
+	headerContentType = "Content-Type"
+	headerRetryAfter  = "Retry-After"
+	typeJSON          = "application/json"
+)
+
+// Native is the codec of wardtray's own interface, docs/interface.md.
+type Native struct{}
+
+var _ Codec = Native{}
+
+// statuses are the HTTP statuses of refusals.
+var statuses = map[apierror.Code]int{
+	apierror.Malformed:               fasthttp.StatusBadRequest,
+	apierror.TooLarge:                fasthttp.StatusRequestEntityTooLarge,
+	apierror.UnknownRoute:            fasthttp.StatusNotFound,
+	apierror.UnknownModel:            fasthttp.StatusNotFound,
+	apierror.UnknownAdapter:          fasthttp.StatusNotFound,
+	apierror.UnknownKey:              fasthttp.StatusUnauthorized,
+	apierror.QuotaSpent:              fasthttp.StatusTooManyRequests,
+	apierror.ConcurrencyLimitReached: fasthttp.StatusTooManyRequests,
+	apierror.LatencyTargetMissed:     fasthttp.StatusTooManyRequests,
+	apierror.QueueFull:               fasthttp.StatusTooManyRequests,
+	apierror.NoRunner:                fasthttp.StatusServiceUnavailable,
+	apierror.NotServing:              fasthttp.StatusServiceUnavailable,
+	apierror.OutcomeUnknown:          fasthttp.StatusGatewayTimeout,
+	apierror.RunFailed:               fasthttp.StatusBadGateway,
+	apierror.AlreadyTaken:            fasthttp.StatusConflict,
+	apierror.ClientGone:              statusClientClosedRequest,
+	apierror.NotFound:                fasthttp.StatusNotFound,
+	apierror.Internal:                fasthttp.StatusInternalServerError,
+}
+
+// statusClientClosedRequest is nginx's status for a client that closed its connection; HTTP has none.
+const statusClientClosedRequest = 499
+
+// Read parses the headers and the body of a request.
+func (Native) Read(client netio.Client) (*admission.Request, error) {
+	return admission.Parse(client.Header, client.Body())
+}
+
+// Refuse writes the JSON of a refusal under the status of its code, with a Retry-After header in whole seconds.
+func (Native) Refuse(client netio.Client, _ *admission.Request, refusal Refusal) {
+	headers := []netio.Header{{Name: headerContentType, Value: typeJSON}}
+	if refusal.Retry > 0 {
+		seconds := int(math.Ceil(refusal.Retry.Seconds()))
+		headers = append(headers, netio.Header{Name: headerRetryAfter, Value: strconv.Itoa(seconds)})
+	}
+	client.Answer(statuses[refusal.Kind], headers, refusal.encode())
+}
+
+// Head names the runner and the epoch.
+func (Native) Head(_ *fasthttp.Response, _ *admission.Request, run Run) (int, []netio.Header) {
+	return fasthttp.StatusOK, []netio.Header{
+		{Name: headerContentType, Value: "text/event-stream"},
+		{Name: "Cache-Control", Value: "no-store"},
+		{Name: admission.HeaderRunner, Value: run.Runner.ID},
+		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)},
+	}
+}
+
+// Broken returns an error event.
+func (Native) Broken(last int, refusal Refusal) []byte {
+	return stream.Event{ID: last + 1, Name: "error", Data: refusal.encode()}.Bytes()
+}
+
+// Outgoing returns the request to a runner as docs/interface.md specifies it.
+func (Native) Outgoing(request *admission.Request, run Run) []byte {
+	outgoing := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(outgoing)
+	outgoing.Header.SetMethod(fasthttp.MethodPost)
+	outgoing.SetRequestURI(pathRun)
+	outgoing.Header.SetHost(run.Runner.Address)
+	outgoing.Header.SetContentType(typeJSON)
+	for _, header := range runnerHeaders(request, run) {
+		if header.Value != "" {
+			outgoing.Header.Set(header.Name, header.Value)
+		}
+	}
+	for index, part := range request.Parts {
+		outgoing.Header.Add(admission.HeaderPrefix, part+"="+strconv.Itoa(request.PartTokens[index]))
+	}
+	outgoing.SetBodyRaw(request.Body)
+	content := &bytes.Buffer{}
+	// Writing to memory can't fail.
+	_, _ = outgoing.WriteTo(content)
+	return content.Bytes()
+}
+
+// runnerHeaders are the headers of a request to a runner in their order; one without a value is left out.
+func runnerHeaders(request *admission.Request, run Run) []netio.Header {
+	return []netio.Header{
+		{Name: admission.HeaderRoute, Value: request.Route},
+		{Name: admission.HeaderModel, Value: request.Model},
+		{Name: admission.HeaderAdapter, Value: request.Adapter},
+		{Name: admission.HeaderRequest, Value: request.ID},
+		{Name: admission.HeaderRunner, Value: run.Runner.ID},
+		{Name: admission.HeaderDaemon, Value: run.Daemon},
+		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)},
+		{Name: admission.HeaderPrompt, Value: strconv.Itoa(request.PromptTokens)},
+		{Name: admission.HeaderAnswer, Value: strconv.Itoa(request.AnswerTokens)},
+		{Name: admission.HeaderTenant, Value: run.Tenant},
+		{Name: admission.HeaderWait, Value: optionalCount(int(run.Left.Milliseconds()))},
+		{Name: admission.HeaderAfter, Value: optionalCount(run.After)},
+	}
+}
+
+// optionalCount formats a number, and returns nothing for one that is not set.
+func optionalCount(number int) string {
+	if number <= 0 {
+		return ""
+	}
+	return strconv.Itoa(number)
+}
+
+// rejection is the body with which a runner rejects a request.
+type rejection struct {
+	// Started says whether the runner began the run; nil where it does not say.
+	Started *bool `json:"started"`
+}
+
+// Judge takes only a runner's own statement that it did not start the run as a rejection.
+func (Native) Judge(response *fasthttp.Response, _ *admission.Request, _ Run) ResponseHead {
+	if response.StatusCode() == fasthttp.StatusOK {
+		return ResponseHead{Disposition: Runs}
+	}
+	stated := rejection{}
+	if err := json.Unmarshal(response.Body(), &stated); err == nil && stated.Started != nil && !*stated.Started {
+		return ResponseHead{Disposition: NotExecuted}
+	}
+	return ResponseHead{Disposition: Unclear}
+}
+
+// Rules are those of sequential ids.
+func (Native) Rules() stream.Rules { return stream.Rules{Counted: true} }
+
+// Identity is requested on each connection.
+func (Native) Identity() string { return pathIdentity }
+
+// Probe is where a runner reports its load.
+func (Native) Probe() string { return pathLoad }
+
+// Fresh is 0: only probes report the load of a runner.
+func (Native) Fresh() time.Duration { return 0 }
+
+// Report parses the JSON of a load report.
+func (Native) Report(content []byte) (load.Report, error) {
+	report := load.Report{}
+	return report, apierror.Wrap(json.Unmarshal(content, &report), apierror.Unreachable, "its pressure is no JSON")
+}
+
+// Foreign is always false: responses do not name their request.
+func (Native) Foreign(*fasthttp.Response) bool { return false }
