--- /dev/null
+++ b/proxy/explain_test.go
@@ -0,0 +1,82 @@
+package proxy
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"wardtray/proxy/admission"
+	"wardtray/transport/netio"
+	"wardtray/verify/golden"
+)
+
+// recordingClient is a client that stays, and keeps the response that it was given.
+type recordingClient struct {
+	departed
+	content []byte
+}
+
+func (client *recordingClient) Header(name string) []string {
+	if name == admission.HeaderPrefix {
+		return []string{"system=40"}
+	}
+	return client.departed.Header(name)
+}
+
+func (client *recordingClient) Left() bool { return false }
+
+func (client *recordingClient) Answer(status int, _ []netio.Header, body []byte) {
+	client.status, client.content = status, body
+}
+
+// outline lists the keys of a JSON text in their order with the kinds of their values; lists by their first element.
+func outline(t *testing.T, content []byte) string {
+	t.Helper()
+	var text strings.Builder
+	decoder := json.NewDecoder(strings.NewReader(string(content)))
+	depth := 0
+	for decoder.More() || depth > 0 {
+		token, err := decoder.Token()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if token == json.Delim('}') || token == json.Delim(']') {
+			depth--
+		}
+		line := fmt.Sprintf("%T", token)
+		switch value := token.(type) {
+		case json.Delim:
+			line = value.String()
+		case string:
+			// The keys are the strings that matter; values of this test are known texts too.
+			line = value
+		}
+		fmt.Fprintf(&text, "%s%s\n", strings.Repeat("  ", depth), line)
+		if token == json.Delim('{') || token == json.Delim('[') {
+			depth++
+		}
+	}
+	return text.String()
+}
+
+// The explanation of a request keeps its keys, their order and the kinds of their values.
+func TestExplainKeepsItsKeys(t *testing.T) {
+	house := build(t, &scripted{id: "r1", address: "127.0.0.1:1"})
+	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	house.Explain(client)
+	if client.status != 200 {
+		t.Fatalf("%d %s", client.status, client.content)
+	}
+	golden.Compare(t, "explanation.txt", outline(t, client.content))
+}
+
+// A request that would be rejected is explained by its rejection.
+func TestExplainRejects(t *testing.T) {
+	house := build(t)
+	client := &recordingClient{departed: departed{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
+	house.Explain(client)
+	if client.status != 404 || !strings.Contains(string(client.content), "unknown_lane") {
+		t.Errorf("%d %s", client.status, client.content)
+	}
+}
