--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -3,188 +3,282 @@
 import (
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"wardtray/apierror"
 	"wardtray/balancer/load"
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
 	"wardtray/metrics"
 	"wardtray/proxy/codec"
+	"wardtray/proxy/stream"
 	"wardtray/transport/connpool"
 )
 
 const (
-	// writeBound is how long the system may take to take a request over.
-	writeBound = 2 * time.Second
+	// writeTimeout is how long the operating system may take to accept the bytes of a request.
+	writeTimeout = 2 * time.Second
 	// recheckAfter is how old the last check of a decision may be when the bytes go out: after that the process was
-	// frozen, or waited, and everything is checked anew.
+	// frozen, or waited, and everything is checked again.
 	recheckAfter = 5 * time.Millisecond
-	// earlyAnswerBound is how long an answer is waited for that the runner gave before it had the whole request.
-	earlyAnswerBound = 20 * time.Millisecond
+	// earlyResponseTimeout is how long a response is waited for that the runner gave before it had the whole request.
+	earlyResponseTimeout = 20 * time.Millisecond
+	// lastPartSize is how many bytes of a long request are held back for the last check; longRequest is from what
+	// length on that is done.
+	lastPartSize = 4 << 10
+	longRequest  = 4 * lastPartSize
 )
 
-// allowed looks at the newest spec, the newest list and the deadline once more, at the moment before bytes go out.
-func (exchange *Exchange) allowed(identity connpool.Identity) bool {
-	snapshot, now := exchange.handler.Snapshot(), exchange.now()
-	exchange.checkedAt = now
-	if !now.Before(snapshot.Until) || snapshot.Catalog == nil || exchange.over() {
-		return false
-	}
-	route := routeOf(snapshot.Catalog, exchange.request)
-	if route == nil || route.Name != exchange.route.Name {
-		return false
-	}
-	backend := backendOf(snapshot.Catalog, route, exchange.request)
-	if backend == nil || backend.Name != exchange.backend.Name || backend.Model != "" && backend.Model != exchange.request.Model || !backend.Serves(exchange.request.Adapter) {
-		return false
-	}
-	runner, known := exchange.handler.Loads.One(now, exchange.step.Runner.ID, exchange.handler.Daemons())
-	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Catalog, backend, runner) {
-		return false
-	}
-	if !exchange.relayed && exchange.identify(snapshot.Catalog, route) != nil {
-		return false
-	}
-	exchange.epoch = snapshot.SpecEpoch
-	// Where runners are not asked who they are, every request states whom it means, and another one turns it away.
-	if exchange.handler.Codec.Identity() == "" {
-		return true
-	}
-	return identity.RunnerID == runner.ID && backend.Allows(identity.Service) && identity.Model == backend.Model && identity.Weights == backend.Weights
+// Reasons for which a runner is not used for a while, as they are shown to operators.
+const (
+	reasonServesOther     = "serves something else than listed"
+	reasonNoResponse      = "gave no answer"
+	reasonNoFirstEvent    = "gave no first event"
+	reasonNoEvents        = "gave no events"
+	reasonUnclearResponse = "gave an answer that tells nothing"
+	reasonAddressReused   = "another runner answers at its address"
+	reasonBrokenResponse  = "broke off an answer"
+	reasonBrokenStream    = "broke off a stream"
+	reasonFailedRun       = "failed a run"
+)
+
+// succeeded is the outcome of an attempt whose response may be relayed.
+const succeeded scheduler.AttemptOutcome = ""
+
+// attempt is one request at one runner: the connection, what was sent over it and the response.
+type attempt struct {
+	exchange *Exchange
+	// decision is the scheduler's, with the runner.
+	decision scheduler.Decision
+	// epoch is that of the configuration by which the decision was last checked, at checkedAt.
+	epoch     uint64
+	checkedAt time.Time
+	// connection is the one to the runner, nil before it is made and after it was returned to the pool.
+	connection *connpool.Connection
+	// sentAt is when the request began to be written; partial says that the runner did not get all of it.
+	sentAt  time.Time
+	partial bool
+	// response is the runner's, and head what its head says.
+	response *fasthttp.Response
+	head     codec.ResponseHead
+	// reader reads the events of a stream, of which first came with the response; it is nil where body is the whole
+	// response.
+	reader *stream.Reader
+	first  stream.Event
+	body   []byte
 }
 
-// Permits tells whether a spec lets a backend use a runner.
+// Permits reports whether a configuration lets a backend use a runner.
 func Permits(catalog *config.Catalog, backend *config.Pool, runner load.Runner) bool {
 	return backend.Allows(runner.Service) && catalog.Open(runner.Zone)
 }
 
-// pass sends the request to the runner awarded and reads up to the first event. It gives "" when the
-// answer may be relayed, and otherwise how the attempt ended.
-func (exchange *Exchange) pass() scheduler.AttemptOutcome {
-	runner := exchange.step.Runner
-	connection, err := exchange.handler.Connections.TakeWithin(exchange.ctx, runner.ID, runner.Address, exchange.remaining())
+// execute sends the request to the runner and reads up to the first event. It returns how the attempt ended, or
+// succeeded when the response may be relayed.
+func (attempt *attempt) execute() scheduler.AttemptOutcome {
+	exchange, runner := attempt.exchange, attempt.decision.Runner
+	connection, err := exchange.handler.Connections.TakeWithin(exchange.client.ctx, runner.ID, runner.Address,
+		exchange.remaining())
 	if err != nil {
-		exchange.blame(string(apierror.Of(err).Code))
-		exchange.countFree()
+		attempt.reportFailure(string(apierror.Of(err).Code))
+		attempt.countNotSent()
 		return scheduler.NotSent
 	}
-	exchange.connection = connection
-	if !exchange.allowed(connection.Identity) {
-		if exchange.handler.Codec.Identity() != "" && (!exchange.backend.Allows(connection.Identity.Service) || connection.Identity.Weights != exchange.backend.Weights) {
-			exchange.handler.Loads.Failed(exchange.now(), runner.ID, "serves something else than listed")
+	attempt.connection = connection
+	if !attempt.isAllowed() {
+		if attempt.servesOther() {
+			exchange.handler.Loads.Failed(exchange.now(), runner.ID, reasonServesOther)
 		}
-		exchange.countFree()
+		attempt.countNotSent()
 		return scheduler.NotSent
 	}
-	if !exchange.awaited() {
-		exchange.returnUnused()
+	if !exchange.client.isPresent() {
+		attempt.returnUnused()
 		return scheduler.NotSent
 	}
-	if !exchange.mayRetry() {
+	if !exchange.spendTry() {
 		return scheduler.NotSent
 	}
-	if end := exchange.send(); end != "" {
-		exchange.countFree()
-		return end
+	if outcome := attempt.send(); outcome != succeeded {
+		attempt.countNotSent()
+		return outcome
 	}
-	if end := exchange.answer(); end != "" {
-		return end
+	if outcome := attempt.readResponse(); outcome != succeeded {
+		return outcome
 	}
-	exchange.to(relaying)
-	return ""
+	exchange.state.to(stateRelaying)
+	return succeeded
 }
 
-func (exchange *Exchange) countFree() {
-	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.FreeAttempts++ })
+// isAllowed checks the decision against the newest configuration, the newest list of runners and the deadline, at the
+// moment before bytes go out.
+func (attempt *attempt) isAllowed() bool {
+	exchange := attempt.exchange
+	snapshot, now := exchange.handler.Snapshot(), exchange.now()
+	attempt.checkedAt = now
+	if !now.Before(snapshot.Until) || snapshot.Catalog == nil || exchange.deadline.passed(now) {
+		return false
+	}
+	route := routeOf(snapshot.Catalog, exchange.request)
+	if route == nil || route.Name != exchange.route.Name {
+		return false
+	}
+	backend := backendOf(snapshot.Catalog, route, exchange.request)
+	if backend == nil || backend.Name != exchange.backend.Name || !serves(backend, exchange.request) {
+		return false
+	}
+	runner, known := exchange.handler.Loads.One(now, attempt.decision.Runner.ID, exchange.handler.Daemons())
+	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Catalog, backend, runner) {
+		return false
+	}
+	if !exchange.execution.relayed && exchange.identifyTenant(snapshot.Catalog, route) != nil {
+		return false
+	}
+	attempt.epoch = snapshot.SpecEpoch
+	return attempt.isIdentified(runner, backend)
 }
 
-// mayRetry takes a second or later send out of the budget.
-func (exchange *Exchange) mayRetry() bool {
-	budget := exchange.handler.budget(exchange.backend.Name)
-	budget.mutex.Lock()
-	defer budget.mutex.Unlock()
-	if exchange.sends == 0 {
-		// An attempt that ends before its last byte is no send, and its request counts once.
-		if !exchange.counted {
-			exchange.counted = true
-			budget.budget.Request(exchange.now())
-		}
+// isIdentified reports whether the runner at the other end of the connection is the one that is meant. Where runners
+// are not asked who they are, every request names the one that is meant, and another one rejects it.
+func (attempt *attempt) isIdentified(runner load.Runner, backend *config.Pool) bool {
+	if attempt.exchange.handler.Codec.Identity() == "" {
 		return true
 	}
-	if !budget.budget.Repeat(exchange.now()) {
-		// Without budget no later attempt can go out either, so the final answer is given now.
-		exchange.attempts = maximumAttempts
-		return false
-	}
-	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Retries++ })
-	return true
+	identity := attempt.connection.Identity
+	return identity.RunnerID == runner.ID && backend.Allows(identity.Service) &&
+		identity.Model == backend.Model && identity.Weights == backend.Weights
 }
 
-// run is this attempt in the words of a speech.
-func (exchange *Exchange) run() codec.Run {
-	return codec.Run{Runner: exchange.step.Runner, Daemon: exchange.handler.Name, Epoch: exchange.epoch, Left: exchange.remaining(), After: exchange.after,
-		Urgency: exchange.step.Urgency, Weights: exchange.backend.Weights, Tenant: exchange.tenantName()}
+// servesOther reports whether the runner itself says that it serves something else than it is listed with.
+func (attempt *attempt) servesOther() bool {
+	identity, backend := attempt.connection.Identity, &attempt.exchange.backend
+	return attempt.exchange.handler.Codec.Identity() != "" &&
+		(!backend.Allows(identity.Service) || identity.Weights != backend.Weights)
 }
 
-// send writes the request out. A long one takes its time on the way, so that the last look comes again
-// before its last part: without that the runner has no request. It gives "" when the whole went out.
-func (exchange *Exchange) send() scheduler.AttemptOutcome {
-	exchange.to(sent)
-	exchange.sentAt = exchange.now()
-	content := exchange.handler.Codec.Outgoing(exchange.request, exchange.run())
-	if exchange.key != nil && !exchange.told {
-		exchange.told = true
-		exchange.handler.Tell(*exchange.key, false)
-	}
-	exchange.bind()
-	written := exchange.write(content)
-	exchange.partial = written < len(content)
-	if exchange.partial && exchange.cutOff(written) {
+// send writes the request. A long one takes its time on the way, so that the decision is checked again before its last
+// part: without that the runner has no request. It returns succeeded when all of it went out.
+func (attempt *attempt) send() scheduler.AttemptOutcome {
+	exchange := attempt.exchange
+	exchange.state.to(stateSent)
+	attempt.sentAt = exchange.now()
+	content := exchange.handler.Codec.Outgoing(exchange.request, attempt.describe())
+	exchange.atMostOnce.announceSend()
+	attempt.bindToClient()
+	written := attempt.write(content)
+	attempt.partial = written < len(content)
+	if attempt.partial && attempt.isCutOff(written) {
 		return scheduler.Ambiguous
 	}
-	if exchange.partial && !exchange.answeredEarly() {
+	if attempt.partial && !attempt.respondedEarly() {
 		return scheduler.NotSent
 	}
-	exchange.sends++
-	exchange.connection.Sent(exchange.route.Idempotent && exchange.mayTry())
-	exchange.scheduler.Sent(exchange.sentAt, exchange.queuedRequest, exchange.step)
-	return ""
+	exchange.tries.sends++
+	attempt.connection.Sent(exchange.route.Idempotent && exchange.mayTry())
+	exchange.scheduler.Sent(attempt.sentAt, exchange.queuedRequest, attempt.decision)
+	return succeeded
 }
 
-// write gives the bytes of a request to the system and tells how many of them that took.
-func (exchange *Exchange) write(content []byte) int {
-	if exchange.now().Sub(exchange.checkedAt) >= recheckAfter && !exchange.recheck() {
+// write passes the bytes of a request to the operating system and returns how many of them that accepted.
+func (attempt *attempt) write(content []byte) int {
+	exchange := attempt.exchange
+	if exchange.now().Sub(attempt.checkedAt) >= recheckAfter && !attempt.recheck() {
 		return 0
 	}
-	bound := writeBound
-	if left := exchange.remaining(); left > 0 {
-		bound = min(bound, left)
+	timeout := writeTimeout
+	if remaining := exchange.remaining(); remaining > 0 {
+		timeout = min(timeout, remaining)
 	}
-	_ = exchange.connection.SetDeadline(exchange.now().Add(bound))
+	attempt.setTimeout(timeout)
 	before := 0
-	if len(content) > 4*lastPart {
-		written, err := exchange.connection.Write(content[:len(content)-lastPart])
-		if err != nil || !exchange.allowed(exchange.connection.Identity) || !exchange.awaited() {
+	if len(content) > longRequest {
+		written, err := attempt.connection.Write(content[:len(content)-lastPartSize])
+		if err != nil || !attempt.isAllowed() || !exchange.client.isPresent() {
 			return written
 		}
 		before = written
 	}
-	// What was not even taken over whole by our own system no runner can have read whole. After that a failure
-	// to write tells nothing of what the runner got, and reading the answer decides.
-	written, _ := exchange.connection.Write(content[before:])
+	// What was not even accepted completely by our own system no runner can have read completely. After that an error
+	// of the write says nothing of what the runner got, and reading the response decides.
+	written, _ := attempt.connection.Write(content[before:])
 	return before + written
 }
 
-// recheck tells whether the decision still holds after a pause between it and the write: the spec, the runner and
-// the deadline are as they were, the client is still there, and the runner has neither closed the connection nor
-// sent anything over it.
-func (exchange *Exchange) recheck() bool {
-	return exchange.allowed(exchange.connection.Identity) && exchange.connection.Quiet() && exchange.awaited()
+// recheck reports whether the decision still holds after a pause between it and the write: the configuration, the
+// runner and the deadline are as they were, the client is still there, and the runner has neither closed the connection
+// nor sent anything over it.
+func (attempt *attempt) recheck() bool {
+	return attempt.isAllowed() && attempt.connection.Quiet() && attempt.exchange.client.isPresent()
 }
 
-// answeredEarly tells whether the runner has answered a request that it did not get whole. It may have run what it
-// got, so that its answer decides, and not the failure to write.
-func (exchange *Exchange) answeredEarly() bool {
-	_ = exchange.connection.SetDeadline(exchange.now().Add(earlyAnswerBound))
-	_, err := exchange.connection.Reader.Peek(1)
+// respondedEarly reports whether the runner has responded to a request that it did not get completely. It may have run
+// what it got, so that its response decides, and not the error of the write.
+func (attempt *attempt) respondedEarly() bool {
+	attempt.setTimeout(earlyResponseTimeout)
+	_, err := attempt.connection.Reader.Peek(1)
 	return err == nil
 }
+
+// setTimeout bounds all that is read and written on the connection from now on. A connection that is closed already
+// fails at the next read or write.
+func (attempt *attempt) setTimeout(timeout time.Duration) {
+	_ = attempt.connection.SetDeadline(attempt.exchange.now().Add(timeout))
+}
+
+// describe is this attempt as codecs see it.
+func (attempt *attempt) describe() codec.Run {
+	exchange := attempt.exchange
+	return codec.Run{
+		Runner:  attempt.decision.Runner,
+		Daemon:  exchange.handler.Name,
+		Epoch:   attempt.epoch,
+		Left:    exchange.remaining(),
+		After:   exchange.lastEventID,
+		Urgency: attempt.decision.Urgency,
+		Weights: exchange.backend.Weights,
+		Tenant:  tenantName(exchange.tenant),
+	}
+}
+
+// bindToClient has the run end with the client, unless it must run at most once and its outcome is worth knowing.
+func (attempt *attempt) bindToClient() {
+	if attempt.exchange.route.Cancels() {
+		attempt.connection.Bind(attempt.exchange.client.ctx)
+	}
+}
+
+// isCutOff reports whether the client's departure ended a write in the middle. The runner may have begun on what it
+// got, and over a connection that is closed it can't say so.
+func (attempt *attempt) isCutOff(written int) bool {
+	return written > 0 && attempt.exchange.client.hasLeft() && attempt.exchange.route.Cancels()
+}
+
+// reportFailure has the runner not used for a while, unless it was cut off because nobody waited for it any more.
+func (attempt *attempt) reportFailure(reason string) {
+	exchange := attempt.exchange
+	if !exchange.client.hasLeft() {
+		exchange.handler.Loads.Failed(exchange.now(), attempt.decision.Runner.ID, reason)
+	}
+}
+
+// countNotSent counts an attempt that cost its runner nothing.
+func (attempt *attempt) countNotSent() {
+	attempt.exchange.count(func(route *metrics.RouteMetrics) { route.FreeAttempts++ })
+}
+
+// returnUnused returns a connection over which nothing was sent to the pool.
+func (attempt *attempt) returnUnused() {
+	attempt.exchange.handler.Connections.Keep(attempt.connection, 0)
+	attempt.connection = nil
+}
+
+// release closes the connection if it was not returned, and gives the scheduler the runner's slot back.
+func (attempt *attempt) release() {
+	if attempt.connection != nil {
+		// Whatever closing it fails with, it is not used again.
+		_ = attempt.connection.Close()
+		attempt.connection = nil
+	}
+	exchange := attempt.exchange
+	exchange.scheduler.Release(exchange.now(), exchange.queuedRequest, attempt.decision.Runner.ID)
+}
--- a/proxy/deadline.go
+++ b/proxy/deadline.go
@@ -3,119 +3,110 @@
 import (
 	"time"
 
-	"wardtray/features"
+	"wardtray/config"
 )
 
 const (
-	// sureBound is how long a request waits for its daemon to be sure of its spec again.
-	sureBound = time.Second
-	// silenceBound is how long the next event is waited for where no deadline is known.
-	silenceBound = 15 * time.Second
-	// leastBound is what a first event is given beyond its latency target where no deadline is known.
-	leastBound = time.Second
+	// idleTimeout is how long the next event is waited for where no deadline is known.
+	idleTimeout = 15 * time.Second
+	// firstEventGrace is what a first event is given beyond its latency target where no deadline is known.
+	firstEventGrace = time.Second
+	// pauseFactor is for how many times the usual pause of its route a resumable stream may stand still before it is
+	// resumed at another runner.
+	pauseFactor = 2
+	// minimumRemaining is what remains of a deadline that has passed, since 0 stands for no deadline.
+	minimumRemaining = time.Millisecond
 )
 
-// sure waits a moment for the daemon to be sure of its spec again, where it is not: it may be about to
-// learn a newer one. It tells whether it is.
-func (exchange *Exchange) sure() bool {
-	until := exchange.now().Add(sureBound)
-	// Nobody waits past the client's own deadline, whatever route the request has.
-	if wait := exchange.request.Wait; wait > 0 && exchange.started.Add(wait).Before(until) {
-		until = exchange.started.Add(wait)
-	}
-	for {
-		// Asked for before the look, so that no renewal falls between the two.
-		renewed := exchange.handler.Renewed()
-		snapshot, now := exchange.handler.Snapshot(), exchange.now()
-		if snapshot.Catalog == nil {
-			return false
-		}
-		if now.Before(snapshot.Until) {
-			return true
-		}
-		if exchange.left() || !now.Before(until) {
-			return false
-		}
-		exchange.handler.Environment.Wait(exchange.ctx, until.Sub(now), renewed)
-	}
+// deadline is the moment at which nobody waits for the complete response any more. It is a value: every method is a
+// function of the times it is given.
+type deadline struct {
+	// started is when the request arrived.
+	started time.Time
+	// until is the deadline; zero: there is none.
+	until time.Time
 }
 
-// given tells up to when an answer is any use: the sooner of what the client and the route give.
-func (exchange *Exchange) given() time.Time {
-	least := exchange.request.Wait
-	if own := time.Duration(exchange.route.Deadline); own > 0 && (least == 0 || own < least) {
-		least = own
+// newDeadline returns the earliest of the deadlines which so many timeouts set, counted from started; 0 sets none.
+func newDeadline(started time.Time, timeouts ...time.Duration) deadline {
+	least := time.Duration(0)
+	for _, timeout := range timeouts {
+		if timeout > 0 && (least == 0 || timeout < least) {
+			least = timeout
+		}
 	}
 	if least == 0 {
-		return time.Time{}
+		return deadline{started: started}
 	}
-	return exchange.started.Add(least)
+	return deadline{started: started, until: started.Add(least)}
 }
 
-// waits is how long the client waits at all; 0: not told.
-func (exchange *Exchange) waits() time.Duration {
-	if exchange.until.IsZero() {
+// timeout is how long the client waits in all; 0: not known.
+func (deadline deadline) timeout() time.Duration {
+	if deadline.until.IsZero() {
 		return 0
 	}
-	return exchange.until.Sub(exchange.started)
+	return deadline.until.Sub(deadline.started)
 }
 
-// remaining is how long that still is; 0: not told.
-func (exchange *Exchange) remaining() time.Duration {
-	if exchange.until.IsZero() {
+// remaining is how long the client still waits, at least minimumRemaining; 0: not known.
+func (deadline deadline) remaining(now time.Time) time.Duration {
+	if deadline.until.IsZero() {
 		return 0
 	}
-	return max(time.Millisecond, exchange.until.Sub(exchange.now()))
+	return max(minimumRemaining, deadline.until.Sub(now))
 }
 
-// over tells whether nobody waits any more.
-func (exchange *Exchange) over() bool {
-	return !exchange.until.IsZero() && !exchange.now().Before(exchange.until)
+// passed reports whether nobody waits any more.
+func (deadline deadline) passed(now time.Time) bool {
+	return !deadline.until.IsZero() && !now.Before(deadline.until)
 }
 
-// outlastsStop tells whether the answer might well last longer than this process. Cut in its middle it would be lost, and
-// another daemon can take it now.
-func (exchange *Exchange) outlastsStop() bool {
-	by := exchange.handler.StopBy.Load()
-	return by != nil && exchange.now().Add(exchange.scheduler.Longest(exchange.queuedRequest)).After(*by)
+// waits bounds how long one request waits for its runner.
+type waits struct {
+	route *config.Route
+	// remaining is how long the client still waits; 0: not known.
+	remaining time.Duration
+	// mayRetry says that the request may be sent to one more runner.
+	mayRetry bool
 }
 
-// latencyTarget is the time in which the first event should come, as far as there is that much.
-func (exchange *Exchange) latencyTarget() time.Duration {
-	latencyTarget := time.Duration(exchange.route.LatencyTarget)
-	if left := exchange.remaining(); left > 0 && left < latencyTarget {
-		return left
+// latencyTarget is the time in which the first event should come: that of the route, or what is left if that is less.
+func (waits waits) latencyTarget() time.Duration {
+	target := time.Duration(waits.route.LatencyTarget)
+	if waits.remaining > 0 && waits.remaining < target {
+		return waits.remaining
 	}
-	return latencyTarget
+	return target
 }
 
-// firstBound is how long the first event is waited for.
-func (exchange *Exchange) firstBound() time.Duration {
-	latencyTarget, left := time.Duration(exchange.route.LatencyTarget), exchange.remaining()
-	if left > 0 {
-		// A run that can't be repeated is worth something up to the client's own deadline, and a silent runner
-		// may yet answer. One that can be is better begun anew at another runner while that is in time.
-		if !exchange.route.Idempotent || !exchange.mayTry() || exchange.handler.Without[features.EarlyRetry] {
-			return left
+// firstEvent is how long the first event is waited for. earlyRetry says that a runner which does not respond may be
+// given up for another one before the deadline.
+func (waits waits) firstEvent(earlyRetry bool) time.Duration {
+	target := time.Duration(waits.route.LatencyTarget)
+	if waits.remaining > 0 {
+		// A run that can't be repeated is of use up to the client's own deadline, and a runner that does not respond
+		// may still do so. One that can be is better started again at another runner while there is time.
+		if !waits.route.Idempotent || !waits.mayRetry || !earlyRetry {
+			return waits.remaining
 		}
-		return min(left, max(latencyTarget, left/2))
+		return min(waits.remaining, max(target, waits.remaining/2))
 	}
-	// A run that can't be repeated is given its latency target once more before its outcome is called unknown;
-	// one that can be is better begun anew. Longer than that nobody waits for a runner that seems well.
-	if !exchange.route.Idempotent {
-		return max(latencyTarget+leastBound, 2*latencyTarget)
+	// A run that can't be repeated is given its latency target once more before its outcome is called unknown; one that
+	// can be is better started again. Nobody waits longer than that for a runner that seems healthy.
+	if !waits.route.Idempotent {
+		return max(target+firstEventGrace, 2*target)
 	}
-	return latencyTarget + leastBound
+	return target + firstEventGrace
 }
 
-// pauseBound is how long the next event is waited for.
-func (exchange *Exchange) pauseBound() time.Duration {
-	left := exchange.remaining()
-	if left == 0 {
-		return silenceBound
+// nextEvent is how long an event after the first is waited for.
+func (waits waits) nextEvent() time.Duration {
+	if waits.remaining == 0 {
+		return idleTimeout
 	}
-	if exchange.route.Resumable && exchange.route.Pause > 0 && exchange.mayTry() {
-		return min(left, 2*time.Duration(exchange.route.Pause))
+	if waits.route.Resumable && waits.route.Pause > 0 && waits.mayRetry {
+		return min(waits.remaining, pauseFactor*time.Duration(waits.route.Pause))
 	}
-	return left
+	return waits.remaining
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -1,17 +1,9 @@
-// Package course is the executor: it takes a request through its states and does what the decision
-// object says. A course is reading, bidding, passing, sent, relaying or ended; each change of state
-// has its one function. What it reads and writes is in the words of a speech.
 package proxy
 
 import (
-	"context"
 	"fmt"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/valyala/fasthttp"
-
 	"wardtray/apierror"
 	"wardtray/balancer/kvblock"
 	"wardtray/balancer/scheduler"
@@ -21,300 +13,350 @@
 	"wardtray/proxy/admission"
 	"wardtray/proxy/codec"
 	"wardtray/proxy/dedup"
-	"wardtray/proxy/stream"
-	"wardtray/transport/connpool"
-	"wardtray/transport/netio"
 )
 
+// How a request ended that was relayed, as it is counted.
 const (
-	// maximumAttempts bounds the runners that one request is tried at, sent or not.
-	maximumAttempts = 8
-	// lastPart is how much of a long request is held back for the last look.
-	lastPart = 4 << 10
-	// tailBound is how long the rest of an answer is waited for, behind what the client gets.
-	tailBound = 500 * time.Millisecond
-)
-
-type state string
-
-const (
-	reading  state = "reading"
-	bidding  state = "bidding"
-	passing  state = "passing"
-	sent     state = "sent"
-	relaying state = "relaying"
-	finished state = "ended"
+	endDone       = "done"
+	endClientGone = string(apierror.ClientGone)
 )
 
-// changes lists every change of state that there is.
-var changes = map[[2]state]bool{
-	{reading, bidding}: true, {reading, finished}: true,
-	{bidding, passing}: true, {bidding, finished}: true,
-	{passing, bidding}: true, {passing, sent}: true, {passing, finished}: true,
-	{sent, bidding}: true, {sent, relaying}: true, {sent, finished}: true,
-	{relaying, bidding}: true, {relaying, finished}: true,
-}
-
-// Exchange is one request on its way.
+// Exchange is one request on its way from its client to a runner and back. It orders the steps; what each of them
+// rests on is kept by the type of that step. One goroutine has it at any time.
 type Exchange struct {
-	handler *Handler
-	client  netio.Client
-	state   state
-	started time.Time
-	// ctx ends when the client leaves, which leave brings about, or when the course is over; unwatch ends the watch
-	// of the client's connection.
-	ctx     context.Context
-	leave   context.CancelFunc
-	unwatch func()
-
-	request *admission.Request
-	route   config.Route
-	backend config.Pool
-	// tenant is whose key the request carries, nil where none was needed; charged is what was taken of its quota.
+	handler  *Handler
+	client   *clientConnection
+	state    stateMachine
+	deadline deadline
+
+	// request is nil until it was read; route, backend, tenant and scheduler are those of the configuration as last
+	// looked up. tenant is nil where the route needs no key, scheduler before the first look.
+	request       *admission.Request
+	route         config.Route
+	backend       config.Pool
 	tenant        *config.Tenant
-	charged       float64
-	chargedTo     string
 	scheduler     *scheduler.Scheduler
 	queuedRequest *scheduler.QueuedRequest
 
-	step       scheduler.Decision
-	attempts   int
-	sends      int
-	connection *connpool.Connection
-	response   *fasthttp.Response
-	word       codec.ResponseHead
-	reader     *stream.Reader
-	first      stream.Event
-	// body is an answer that is no stream; across counts what was relayed of one that is.
-	body   []byte
-	across int
-	// after is the id of the last event that the client has, relayed that any of the answer was passed on.
-	after   int
-	relayed bool
-	// events counts those that were relayed, of which paced are taken in as to their pace, the last of them at pacedAt.
-	events, paced int
-	pacedAt       time.Time
-	// until is the moment at which nobody waits for the answer any more; zero: not told.
-	until time.Time
-	// epoch is the spec's, as last looked at before the request went out.
-	epoch  uint64
-	sentAt time.Time
-	// checkedAt is when the decision was last checked; partial says that the runner did not get the whole request.
-	checkedAt time.Time
-	partial   bool
-	// ambiguous tells that some attempt may have run, so that nothing may say otherwise any more.
-	ambiguous bool
-	// key is this request's where it must run at most once and this course has taken it; told says that
-	// the zone's other daemons were told.
-	key  *dedup.Key
-	told bool
-	// said is what was known of the request when it came.
-	said dedup.State
-	// counted says that the request is in the budget's count.
-	counted bool
+	charge     quotaCharge
+	atMostOnce atMostOnce
+	execution  execution
+	tries      tries
+
+	// decision is the scheduler's last one, and attempt what was made of the last that named a runner.
+	decision scheduler.Decision
+	attempt  *attempt
+	// lastEventID is the id of the last event that the client has.
+	lastEventID int
+	// relayedBytes counts the bytes of the events that were relayed.
+	relayedBytes int
 }
 
-func (exchange *Exchange) to(next state) {
-	if !changes[[2]state{exchange.state, next}] {
-		panic(fmt.Sprintf("a course can't go from %s to %s", exchange.state, next))
+// newExchange returns the exchange of a request that has been received completely.
+func newExchange(handler *Handler, client *clientConnection) *Exchange {
+	return &Exchange{
+		handler:    handler,
+		client:     client,
+		state:      stateMachine{current: stateReading},
+		deadline:   deadline{started: handler.Environment.Now()},
+		charge:     quotaCharge{handler: handler, client: client},
+		atMostOnce: atMostOnce{table: handler.Once, announce: handler.Tell},
 	}
-	exchange.state = next
 }
 
-// Serve takes one request that has been read whole.
-func (handler *Handler) Serve(client netio.Client) {
-	exchange := handler.begin(client)
-	if handler.Draining.Load() {
-		client.Last()
-	}
-	if err := exchange.read(); err != nil {
-		exchange.refuse(*exchange.refusalOf(err))
-		return
-	}
-	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Requests++ })
-	if refusal := exchange.charge(); refusal != nil {
-		exchange.refuse(*refusal)
-		return
-	}
-	if refusal := exchange.obtain(scheduler.NotSent); refusal != nil {
-		exchange.refuse(*refusal)
-		return
-	}
-	exchange.relay()
+// close lets go of the client's connection.
+func (exchange *Exchange) close() {
+	exchange.client.close()
+	exchange.handler.InFlight.Add(-1)
 }
 
 func (exchange *Exchange) now() time.Time { return exchange.handler.Environment.Now() }
 
-// proper looks the request's route and backend up in the newest spec, once this daemon is sure of that.
-func (exchange *Exchange) proper() error {
-	if !exchange.sure() {
-		if exchange.left() {
-			return errLeft()
-		}
-		return apierror.New(apierror.NotServing, "this daemon does not know for sure that its spec is the present one")
-	}
-	catalog, request := exchange.handler.Snapshot().Catalog, exchange.request
-	route := routeOf(catalog, request)
-	if route == nil {
-		return apierror.New(apierror.UnknownRoute, "there is no lane %q", request.Route+request.Authority+request.Target)
-	}
-	backend := backendOf(catalog, route, request)
-	if backend == nil {
-		return apierror.New(apierror.UnknownRoute, "lane %q has no pool", route.Name)
-	}
-	if backend.Model != "" && backend.Model != request.Model {
-		return apierror.New(apierror.UnknownModel, "lane %q serves model %q, not %q", route.Name, backend.Model, request.Model)
-	}
-	if !backend.Serves(request.Adapter) {
-		return apierror.New(apierror.UnknownAdapter, "pool %q has no adapter %q", backend.Name, request.Adapter)
-	}
-	// A request that was relayed in part belongs to the backend that began it.
-	if exchange.relayed && backend.Name != exchange.backend.Name {
-		return apierror.New(apierror.UnknownRoute, "lane %q now belongs to pool %q", route.Name, backend.Name)
-	}
-	if err := exchange.identify(catalog, route); err != nil {
-		return err
-	}
-	moved := exchange.scheduler != nil && backend.Name != exchange.backend.Name
-	exchange.route, exchange.backend = *route, *backend
-	exchange.until = exchange.given()
-	if moved || exchange.scheduler == nil {
-		exchange.draw()
-	}
-	return nil
+// count changes the metrics of the request's route.
+func (exchange *Exchange) count(change func(route *metrics.RouteMetrics)) {
+	exchange.handler.Metrics.Count(exchange.route.Name, change)
 }
 
-// routeOf finds the route that a request names, or the one that its host and path choose.
-func routeOf(catalog *config.Catalog, request *admission.Request) *config.Route {
-	if request.Route != "" || request.Target == "" {
-		return catalog.Routes[request.Route]
-	}
-	path, _, _ := strings.Cut(request.Target, "?")
-	return catalog.Match(request.Authority, path)
+// remaining is how long the client still waits; 0: not known.
+func (exchange *Exchange) remaining() time.Duration {
+	return exchange.deadline.remaining(exchange.now())
 }
 
-// backendOf gives the route's backend, or the one of its split that falls to this request.
-//
-// Why by its id: the draw is then the same at every look and needs no memory.
-func backendOf(catalog *config.Catalog, route *config.Route, request *admission.Request) *config.Pool {
-	return catalog.BackendAt(route, float64(xxhash.Sum64String(request.ID)>>11)/(1<<53))
+// isPastDeadline reports whether nobody waits any more.
+func (exchange *Exchange) isPastDeadline() bool { return exchange.deadline.passed(exchange.now()) }
+
+// waits are the bounds on what is waited for from now on.
+func (exchange *Exchange) waits() waits {
+	return waits{route: &exchange.route, remaining: exchange.remaining(), mayRetry: exchange.mayTry()}
 }
 
-// read checks the request against the newest spec.
+// mayTry reports whether the request may be sent to one more runner.
+func (exchange *Exchange) mayTry() bool { return exchange.tries.remain(&exchange.route) }
+
+// read reads the request and checks it against the newest configuration.
 func (exchange *Exchange) read() error {
-	request, err := exchange.handler.Codec.Read(exchange.client)
+	request, err := exchange.handler.Codec.Read(exchange.client.Client)
 	if err != nil {
 		return err
 	}
-	exchange.request, exchange.after = request, request.After
+	exchange.request, exchange.lastEventID = request, request.After
 	if exchange.handler.Stopping.Load() {
 		return apierror.New(apierror.NotServing, "this daemon is about to stop")
 	}
-	if known := exchange.take(); known != "" {
+	if known := exchange.acceptOnce(); known != dedup.NotSeen {
 		return apierror.New(apierror.AlreadyTaken, "the request with this id %s", known)
 	}
-	if err := exchange.proper(); err != nil {
+	if err := exchange.resolve(); err != nil {
 		return err
 	}
-	if exchange.outlastsStop() {
-		return apierror.New(apierror.NotServing, "this daemon is about to stop, and the answer might not be whole by then")
+	if exchange.mayOutlastStop() {
+		return apierror.New(apierror.NotServing,
+			"this daemon is about to stop, and the answer might not be whole by then")
 	}
 	return nil
 }
 
-// draw enters the request with the scheduler of its backend.
-func (exchange *Exchange) draw() {
+// acceptOnce records a request that must run at most once; it returns what is known if it was sent before.
+func (exchange *Exchange) acceptOnce() dedup.State {
+	if exchange.request.Fresh {
+		return dedup.NotSeen
+	}
+	key := dedup.KeyOf(exchange.request.Route, exchange.request.ID)
+	exchange.execution.earlier = exchange.atMostOnce.accept(exchange.now, key, exchange.runsAtMostOnce)
+	return exchange.execution.earlier
+}
+
+// runsAtMostOnce reports whether the request belongs to a route that says so.
+func (exchange *Exchange) runsAtMostOnce() bool {
+	catalog := exchange.handler.Snapshot().Catalog
+	if catalog == nil {
+		return false
+	}
+	route := routeOf(catalog, exchange.request)
+	return route != nil && !route.Idempotent
+}
+
+// mayOutlastStop reports whether the response might well take longer than this process lives. Cut in its middle it
+// would be lost, and another daemon can take the request now.
+func (exchange *Exchange) mayOutlastStop() bool {
+	by := exchange.handler.StopBy.Load()
+	return by != nil && exchange.now().Add(exchange.scheduler.Longest(exchange.queuedRequest)).After(*by)
+}
+
+// enterScheduler makes the queue entry for the scheduler of the request's backend.
+func (exchange *Exchange) enterScheduler() {
 	route, backend, request := &exchange.route, &exchange.backend, exchange.request
+	extra := kvblock.Extra{Model: request.Model, Weights: backend.Weights, Adapter: request.Adapter}
 	exchange.scheduler = exchange.handler.Scheduler(backend.Name)
-	exchange.queuedRequest = &scheduler.QueuedRequest{Route: route.Name, ConcurrencyLimit: route.ConcurrencyLimit, PartTokens: request.PartTokens, Decisions: make(chan scheduler.Decision, 1),
-		Keys: exchange.handler.Indexer.Processor.BlockKeys(request.Parts, kvblock.Extra{Model: request.Model, Weights: backend.Weights, Adapter: request.Adapter}),
-		Requirements: scheduler.Requirements{Value: route.Value, LatencyTarget: exchange.latencyTarget(), Deadline: exchange.waits(), PromptTokens: request.PromptTokens,
-			AnswerTokens: request.AnswerTokens, Rank: route.Rank, TenantRank: exchange.tenantRank(), Resumed: exchange.relayed, Zone: exchange.handler.Zone,
-			Shut: map[string]bool{}}}
+	exchange.queuedRequest = &scheduler.QueuedRequest{
+		Route:            route.Name,
+		ConcurrencyLimit: route.ConcurrencyLimit,
+		PartTokens:       request.PartTokens,
+		Decisions:        make(chan scheduler.Decision, 1),
+		Keys:             exchange.handler.Indexer.Processor.BlockKeys(request.Parts, extra),
+		Requirements: scheduler.Requirements{
+			Value:         route.Value,
+			LatencyTarget: exchange.waits().latencyTarget(),
+			Deadline:      exchange.deadline.timeout(),
+			PromptTokens:  request.PromptTokens,
+			AnswerTokens:  request.AnswerTokens,
+			Rank:          route.Rank,
+			TenantRank:    tenantRank(exchange.tenant),
+			Resumed:       exchange.execution.relayed,
+			Zone:          exchange.handler.Zone,
+			Shut:          map[string]bool{},
+		},
+	}
 }
 
-// mayTry tells whether the request may be sent to one more runner.
-func (exchange *Exchange) mayTry() bool {
-	return exchange.attempts < maximumAttempts && (exchange.route.Attempts == 0 || exchange.sends < exchange.route.Attempts)
+// chargeQuota takes the request's cost out of this daemon's share of its tenant's quota. It returns the refusal if that
+// can't be done, which promises that nothing ran.
+func (exchange *Exchange) chargeQuota() *codec.Refusal {
+	tenant, request := exchange.tenant, exchange.request
+	if tenant == nil || !tenant.Quota.Limits() {
+		return nil
+	}
+	cost := tenant.Quota.Cost(request.PromptTokens+request.AnswerTokens, request.TokensTold)
+	if cost == 0 || exchange.charge.take(tenant.Name, cost, exchange.waits().latencyTarget()) {
+		return nil
+	}
+	if exchange.client.hasLeft() {
+		return exchange.refusalOf(errClientLeft())
+	}
+	exchange.count(func(route *metrics.RouteMetrics) { route.QuotaSpent++ })
+	return exchange.refusal(apierror.QuotaSpent, "tenant "+tenant.Name+" has used up its quota for now",
+		scheduler.DidNotRun, exchange.handler.Quota.Refused(exchange.now(), tenant.Name, cost))
 }
 
-// obtain asks for an award and obeys, until a runner's answer may be relayed; otherwise it gives what to tell.
-func (exchange *Exchange) obtain(last scheduler.AttemptOutcome) *codec.Refusal {
+// findRunner schedules the request and sends it where it is told to, until a runner's response may be relayed;
+// otherwise it returns what to tell the client. last is how the attempt before ended.
+func (exchange *Exchange) findRunner(last scheduler.AttemptOutcome) *codec.Refusal {
 	for {
-		exchange.to(bidding)
-		if refusal := exchange.requirements(last); refusal != nil {
+		exchange.state.to(stateScheduling)
+		if refusal := exchange.schedule(last); refusal != nil {
 			return refusal
 		}
-		exchange.to(passing)
-		exchange.attempts++
-		end := exchange.pass()
-		if end == "" {
+		exchange.state.to(stateConnecting)
+		exchange.tries.attempts++
+		exchange.attempt = &attempt{exchange: exchange, decision: exchange.decision}
+		outcome := exchange.attempt.execute()
+		if outcome == succeeded {
 			return nil
 		}
-		exchange.drop()
-		if end == scheduler.Ambiguous {
-			exchange.ambiguous = true
+		exchange.attempt.release()
+		if outcome == scheduler.Ambiguous {
+			exchange.execution.ambiguous = true
 		}
-		if refusal := exchange.failedAttempt(end); refusal != nil {
+		if refusal := exchange.handleFailedAttempt(outcome); refusal != nil {
 			return refusal
 		}
-		last = end
+		last = outcome
 	}
 }
 
-// requirements asks for an award, behind an attempt that ended so; it gives what to tell where there is none.
-func (exchange *Exchange) requirements(last scheduler.AttemptOutcome) *codec.Refusal {
-	if exchange.left() {
-		return exchange.refusalOf(errLeft())
+// schedule has a runner chosen, after an attempt that ended like last; it returns what to tell the client where there
+// is none.
+func (exchange *Exchange) schedule(last scheduler.AttemptOutcome) *codec.Refusal {
+	if exchange.client.hasLeft() {
+		return exchange.refusalOf(errClientLeft())
 	}
-	if !exchange.mayTry() || exchange.over() {
-		verdict := exchange.following(last)
-		return exchange.refusal(verdict.Otherwise, "every attempt failed", verdict.Ran, exchange.comeback(verdict.Otherwise))
+	if !exchange.mayTry() || exchange.isPastDeadline() {
+		return exchange.refusalAfter(exchange.decideRetry(last), "every attempt failed")
 	}
-	// The spec may have taken the route or its backend away since the last attempt.
-	if err := exchange.proper(); err != nil {
+	// The configuration may have taken the route or its backend away since the last attempt.
+	if err := exchange.resolve(); err != nil {
 		return exchange.refusalOf(err)
 	}
-	if !exchange.enter() {
-		return exchange.refusalOf(errLeft())
+	if !exchange.awaitDecision() {
+		return exchange.refusalOf(errClientLeft())
 	}
-	if exchange.step.Kind == scheduler.Reject {
-		return exchange.refusedStep()
+	if exchange.decision.Kind == scheduler.Reject {
+		return exchange.rejectedByScheduler()
 	}
 	return nil
 }
 
-// failedAttempt gives what to tell after an attempt that ended so, or nil where another may follow.
-func (exchange *Exchange) failedAttempt(end scheduler.AttemptOutcome) *codec.Refusal {
-	if exchange.left() {
-		return exchange.refusalOf(errLeft())
+// awaitDecision puts the request into its scheduler's queue and waits for the decision; it reports whether there is
+// one. A request whose client leaves is removed from the queue.
+func (exchange *Exchange) awaitDecision() bool {
+	exchange.scheduler.Schedule(exchange.now(), exchange.queuedRequest)
+	decision, decided := exchange.handler.Await(exchange.client.ctx, exchange.queuedRequest.Decisions)
+	if !decided {
+		if exchange.scheduler.Cancel(exchange.queuedRequest) {
+			return false
+		}
+		// The scheduler was quicker, and the slots that it reserved have to be released.
+		decision = <-exchange.queuedRequest.Decisions
+	}
+	exchange.decision = decision
+	return true
+}
+
+// handleFailedAttempt returns what to tell the client after a failed attempt, or nil where another may follow.
+func (exchange *Exchange) handleFailedAttempt(outcome scheduler.AttemptOutcome) *codec.Refusal {
+	if exchange.client.hasLeft() {
+		return exchange.refusalOf(errClientLeft())
 	}
-	verdict := exchange.following(end)
-	if !verdict.Retry {
-		return exchange.refusal(verdict.Otherwise, fmt.Sprintf("runner %s gave no answer", exchange.step.Runner.ID), verdict.Ran, exchange.comeback(verdict.Otherwise))
+	next, runner := exchange.decideRetry(outcome), exchange.decision.Runner.ID
+	if !next.Retry {
+		return exchange.refusalAfter(next, fmt.Sprintf("runner %s gave no answer", runner))
 	}
-	// A runner is not at fault where this daemon was not sure of its spec.
-	if end != scheduler.NotSent || exchange.handler.Snapshot().Until.After(exchange.now()) {
-		exchange.queuedRequest.Requirements.Shut[exchange.step.Runner.ID] = true
+	// A runner is not at fault where this daemon's configuration was not known to be current.
+	if outcome != scheduler.NotSent || exchange.handler.Snapshot().Until.After(exchange.now()) {
+		exchange.queuedRequest.Requirements.Shut[runner] = true
 	}
 	return nil
 }
 
-// following gives what may follow an attempt that ended so.
-func (exchange *Exchange) following(end scheduler.AttemptOutcome) scheduler.RetryDecision {
-	verdict := scheduler.DecideRetry(end, exchange.route.Idempotent)
-	// What was relayed stands; a stream that may be resumed goes on behind it at another runner.
-	if end == scheduler.Broken && exchange.route.Resumable && !exchange.handler.Without[features.Resumption] {
-		verdict.Retry, verdict.Spends = true, true
+// decideRetry returns what may follow an attempt.
+func (exchange *Exchange) decideRetry(outcome scheduler.AttemptOutcome) scheduler.RetryDecision {
+	next := scheduler.DecideRetry(outcome, exchange.route.Idempotent)
+	// What was relayed stands; a stream that may be resumed goes on after it at another runner.
+	resumes := exchange.route.Resumable && !exchange.handler.Without[features.Resumption]
+	if outcome == scheduler.Broken && resumes {
+		next.Retry, next.Spends = true, true
 	}
-	return verdict
+	return next
 }
 
-// drop lets go of the runner after an attempt that failed.
-func (exchange *Exchange) drop() {
-	if exchange.connection != nil {
-		_ = exchange.connection.Close()
-		exchange.connection = nil
+// spendTry reports whether the retry budget allows a send now, and takes it out of that.
+func (exchange *Exchange) spendTry() bool {
+	permission := exchange.tries.spend(exchange.now(), exchange.handler.budget(exchange.backend.Name))
+	if permission == sendRetry {
+		exchange.count(func(route *metrics.RouteMetrics) { route.Retries++ })
 	}
-	exchange.scheduler.Release(exchange.now(), exchange.queuedRequest, exchange.step.Runner.ID)
+	return permission != sendDenied
+}
+
+// relay forwards the response, beginning with the event that showed that the request runs.
+func (exchange *Exchange) relay() {
+	exchange.recordFirstEvent()
+	client, attempt := exchange.client, exchange.attempt
+	if exchange.handler.Draining.Load() {
+		client.Last()
+	}
+	status, headers := exchange.handler.Codec.Head(attempt.response, exchange.request, attempt.describe())
+	if attempt.reader == nil {
+		client.Answer(status, headers, attempt.body)
+		exchange.finish(endDone, true)
+		return
+	}
+	exchange.execution.relayed = true
+	client.Stream(status, headers, &relay{exchange: exchange})
+}
+
+// recordFirstEvent notes that the runner has responded, and how long that took.
+func (exchange *Exchange) recordFirstEvent() {
+	attempt := exchange.attempt
+	if attempt.connection != nil {
+		attempt.connection.Answered()
+	}
+	took, runner := exchange.now().Sub(attempt.sentAt), attempt.decision.Runner
+	// An error of the runner's own is forwarded, and is no reason to send it more at once.
+	if attempt.head.Disposition != codec.Failed {
+		exchange.handler.Loads.Served(runner.ID)
+	}
+	exchange.scheduler.First(exchange.queuedRequest, attempt.decision, took)
+	exchange.count(func(route *metrics.RouteMetrics) {
+		route.First(exchange.now().Sub(exchange.deadline.started))
+		route.HeldTokens += uint64(attempt.decision.HeldTokens)
+		route.PromptTokens += uint64(exchange.request.PromptTokens)
+		if runner.Zone != exchange.handler.Zone {
+			route.OtherZone++
+			route.BytesAcross += uint64(len(exchange.request.Body))
+		}
+	})
+}
+
+// outcomes are what is remembered of a request that was relayed, by whether its run came to its end.
+var outcomes = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
+
+// finish finishes a request that was relayed; end is counted, ran says whether the run came to its own end.
+func (exchange *Exchange) finish(end string, ran bool) {
+	exchange.state.to(stateFinished)
+	attempt := exchange.attempt
+	if ran {
+		attempt.keepAfterRun()
+		exchange.scheduler.Learn(0, 0, exchange.now().Sub(attempt.sentAt))
+	}
+	exchange.atMostOnce.finish(exchange.now(), outcomes[ran])
+	attempt.release()
+	exchange.count(func(route *metrics.RouteMetrics) {
+		route.Ends[end]++
+		if end == endDone {
+			route.Done++
+		}
+		if attempt.decision.Runner.Zone != exchange.handler.Zone {
+			route.BytesAcross += uint64(exchange.relayedBytes)
+		}
+	})
+	exchange.close()
+}
+
+// finishWithoutRunner finishes a request that was relayed in part and has no runner any more.
+func (exchange *Exchange) finishWithoutRunner(code apierror.Code) {
+	exchange.state.to(stateFinished)
+	exchange.atMostOnce.finish(exchange.now(), dedup.Unknown)
+	exchange.count(func(route *metrics.RouteMetrics) { route.Ends[string(code)]++ })
+	exchange.close()
 }
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"math/rand"
@@ -321,13 +320,10 @@
 	} {
 		runner := start(t, "r1", events(1, done(1), true))
 		house := build(t, runner)
-		// The change comes between the award and the send: the connection is being made meanwhile.
-		exchange := &Exchange{handler: house.Handler, ctx: context.Background(), state: bidding, route: *house.snapshot.Catalog.Routes["once"], backend: *house.snapshot.Catalog.Backends["p"],
-			request: &admission.Request{Route: "once", Model: "m"}, scheduler: house.Scheduler("p"), queuedRequest: &scheduler.QueuedRequest{Route: "once"}}
-		exchange.step = scheduler.Decision{Kind: scheduler.Dispatch, Runner: load.Runner{ID: "r1", Address: runner.address}}
-		exchange.to(passing)
+		// The change comes between the decision and the send: the connection is being made meanwhile.
+		attempt := house.attempt("once", runner, &admission.Request{Route: "once", Model: "m"})
 		disturb(house)
-		if end := exchange.pass(); end != scheduler.NotSent || runner.reached.Load() != 0 {
+		if end := attempt.execute(); end != scheduler.NotSent || runner.reached.Load() != 0 {
 			t.Errorf("%s: %q, the runner saw %d", name, end, runner.reached.Load())
 		}
 	}
@@ -373,16 +369,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	exchange := &Exchange{handler: house.Handler, ctx: context.Background(), state: bidding, route: *house.snapshot.Catalog.Routes["once"], backend: *house.snapshot.Catalog.Backends["p"], connection: connection,
-		request: &admission.Request{Route: "once", Model: "m", Body: make([]byte, 100<<10)}, scheduler: house.Scheduler("p"), queuedRequest: &scheduler.QueuedRequest{Route: "once"}}
-	exchange.step = scheduler.Decision{Kind: scheduler.Dispatch, Runner: load.Runner{ID: "r1", Address: runner.address}}
-	exchange.to(passing)
+	attempt := house.attempt("once", runner, &admission.Request{Route: "once", Model: "m", Body: make([]byte, 100<<10)})
+	attempt.connection = connection
 	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
-	if end := exchange.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
-		t.Fatalf("a long request went out whole under a spec that is not surely present; the runner saw %d", runner.reached.Load())
+	if end := attempt.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
+		t.Fatalf("a long request went out whole under a spec that is not surely present; the runner saw %d",
+			runner.reached.Load())
 	}
 }
 
+// attempt returns an attempt of a request of a route at a runner, which was just decided on.
+func (house *house) attempt(route string, runner *scripted, request *admission.Request) *attempt {
+	exchange := newExchange(house.Handler, unwatchedClient(&departed{}))
+	exchange.state.current = stateConnecting
+	exchange.request = request
+	exchange.route = *house.snapshot.Catalog.Routes[route]
+	exchange.backend = *house.snapshot.Catalog.Backends["p"]
+	exchange.scheduler = house.Scheduler("p")
+	exchange.queuedRequest = &scheduler.QueuedRequest{Route: route}
+	chosen := load.Runner{ID: runner.id, Address: runner.address}
+	return &attempt{exchange: exchange, decision: scheduler.Decision{Kind: scheduler.Dispatch, Runner: chosen}}
+}
+
 func TestImproperRequestsAreTypedAndSurelyNotRun(t *testing.T) {
 	runner := start(t, "r1", events(1, done(1), true))
 	house := build(t, runner)
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -1,3 +1,11 @@
+// Package proxy takes a request from its client to a runner and forwards the response. A Handler serves the requests of
+// one daemon; an Exchange is one of them, and goes through the states of a stateMachine: it is read, scheduled, sent to
+// the runner that the scheduler chose, and relayed, and is scheduled again where an attempt failed and another may
+// follow.
+//
+// The contract with the client: a request of a route that runs at most once is sent to another runner, or refused with
+// the promise that it did not run, only if that is certain. Directly before bytes go out the decision is checked once
+// more against the newest configuration.
 package proxy
 
 import (
@@ -7,6 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"wardtray/apierror"
 	"wardtray/balancer/kvblock"
 	"wardtray/balancer/load"
@@ -22,72 +32,142 @@
 	"wardtray/transport/netio"
 )
 
-// Handler is what lives as long as the process and every course uses.
+// Handler serves the requests of one daemon and lives as long as its process. Whoever makes it sets the exported fields
+// before the first request and does not change them after that, except for those of the process's end. Fields without
+// a default are required.
 type Handler struct {
-	Name        string
-	Zone        string
+	// Name is the daemon's, as it is known to the control plane and named to runners; Zone is the daemon's zone.
+	Name string
+	Zone string
+	// Started is when the process began.
+	Started time.Time
+
+	// Environment has the clock, the dialer and the waits.
 	Environment netio.Environment
-	// Codec is how clients and runners speak.
+	// Codec translates between the wire formats of clients and runners and this package.
 	Codec codec.Codec
-	// Await waits for the next step of a ticket; it tells whether that came before the context ended.
-	Await    func(ctx context.Context, steps <-chan scheduler.Decision) (step scheduler.Decision, decided bool)
-	Snapshot func() *config.Snapshot
-	// Renewed gives a channel that is closed when a later snapshot may be relied on for longer.
-	Renewed     func() <-chan struct{}
-	Daemons     func() []string
-	Loads       *load.Table
-	Indexer     *kvblock.Indexer
+	// Connections are those to runners.
 	Connections *connpool.Pool
-	Metrics     *metrics.Registry
-	// Scheduler gives the scheduler of a backend.
+	// Metrics counts requests by route.
+	Metrics *metrics.Registry
+
+	// Snapshot returns the newest configuration, and until when it is known to be current; its Catalog is nil before
+	// the first one came. It is called several times for each request.
+	Snapshot func() *config.Snapshot
+	// Renewed returns a channel that is closed when a later snapshot is known to be current for longer.
+	Renewed func() <-chan struct{}
+	// Daemons returns the names of the daemons that serve at present, among which the retry budget is divided.
+	Daemons func() []string
+
+	// Scheduler returns the scheduler of a backend, the same one at each call.
 	Scheduler func(backend string) *scheduler.Scheduler
-	// Once remembers requests that run at most once; Tell tells the zone's other daemons of them.
+	// Await waits for the next decision of a queued request; decided is false where the context ended before it came.
+	Await func(ctx context.Context, decisions <-chan scheduler.Decision) (decision scheduler.Decision, decided bool)
+	// Loads has the runners with their load and their failures.
+	Loads *load.Table
+	// Indexer names the blocks of prompts that runners may have in their caches.
+	Indexer *kvblock.Indexer
+	// Retries bounds what is sent again, over all daemons; the zero value stands for retrybudget.Default.
+	Retries retrybudget.Settings
+
+	// Once remembers the requests that run at most once, and Tell tells the zone's other daemons that one of them is
+	// sent to a runner or, with dropped, that it certainly did not run.
 	Once *dedup.Table
 	Tell func(key dedup.Key, dropped bool)
-	// Quota holds this daemon's shares of the tenants' quotas; AskQuota asks for more at once.
+
+	// Quota holds this daemon's shares of the tenants' quotas, and AskQuota requests more of what they lack at once.
+	// Neither is used where no tenant has a quota.
 	Quota    *quota.Limiter
 	AskQuota func()
-	// Without names the mechanisms that are switched off.
+
+	// Without has the mechanisms that are switched off for measurements; none by default.
 	Without features.Set
-	// Retries bounds what is sent again; the zero value stands for retrybudget.Default.
-	Retries retrybudget.Settings
 
-	// Started is when the process began.
-	Started  time.Time
+	// InFlight is the number of requests that are being served.
 	InFlight atomic.Int64
-	// Draining says that a planned stop has begun, Stopping that nothing more is taken; StopBy is when the process ends,
-	// where that is known.
+	// Draining says that a planned stop has begun: responses ask clients to come back over another connection.
+	// Stopping says that no more requests are accepted. The daemon sets both.
 	Draining, Stopping atomic.Bool
-	StopBy             atomic.Pointer[time.Time]
-	budgets            sync.Map
+	// StopBy is when the process will end; nil: that is not known. The daemon sets it when a planned stop begins.
+	StopBy atomic.Pointer[time.Time]
+
+	// budgets has the retry budget of each backend, a *lockedBudget by the backend's name.
+	budgets sync.Map
 }
 
-type lockedBudget struct {
-	mutex  sync.Mutex
-	budget *retrybudget.Budget
+// Serve takes one request that has been received completely to its end.
+func (handler *Handler) Serve(client netio.Client) {
+	handler.InFlight.Add(1)
+	exchange := newExchange(handler, watchClient(client))
+	if handler.Draining.Load() {
+		client.Last()
+	}
+	if err := exchange.read(); err != nil {
+		exchange.refuse(*exchange.refusalOf(err))
+		return
+	}
+	exchange.count(func(route *metrics.RouteMetrics) { route.Requests++ })
+	if refusal := exchange.chargeQuota(); refusal != nil {
+		exchange.refuse(*refusal)
+		return
+	}
+	if refusal := exchange.findRunner(scheduler.NotSent); refusal != nil {
+		exchange.refuse(*refusal)
+		return
+	}
+	exchange.relay()
 }
 
+// budget returns the retry budget of a backend.
 func (handler *Handler) budget(backend string) *lockedBudget {
 	found, known := handler.budgets.Load(backend)
 	if !known {
-		found, _ = handler.budgets.LoadOrStore(backend, &lockedBudget{budget: retrybudget.New(handler.Retries, func() int { return len(handler.Daemons()) })})
+		daemons := func() int { return len(handler.Daemons()) }
+		found, _ = handler.budgets.LoadOrStore(backend, &lockedBudget{budget: retrybudget.New(handler.Retries, daemons)})
+	}
+	locked, isBudget := found.(*lockedBudget)
+	if !isBudget {
+		panic("proxy: the budgets have something else than budgets")
 	}
-	return found.(*lockedBudget)
+	return locked
+}
+
+// explanation is what would be decided of a request, and why. The fields stand in the order of their keys.
+type explanation struct {
+	// Requirements are what the request asks of a runner.
+	Requirements scheduler.Requirements `json:"bid"`
+	// CostWeights are those by which runners were compared.
+	CostWeights scheduler.CostWeights `json:"prices"`
+	// Candidates are the runners with their scores.
+	Candidates []scheduler.ScoredCandidate `json:"quotes"`
+	// Decision is what would be done.
+	Decision scheduler.Decision `json:"step"`
 }
 
-// Explain tells what would happen to a request, and passes it nowhere.
+// Explain responds with what would happen to a request, without sending it to a runner.
 func (handler *Handler) Explain(client netio.Client) {
-	exchange := &Exchange{handler: handler, client: client, state: reading, started: handler.Environment.Now(), ctx: context.Background()}
+	exchange := newExchange(handler, unwatchedClient(client))
 	if err := exchange.read(); err != nil {
 		found := apierror.Of(err)
-		handler.Codec.Refuse(client, exchange.request, codec.Refusal{Kind: found.Code, Detail: found.Detail, Ran: scheduler.DidNotRun, DidNotRun: true})
+		exchange.refuseExplanation(found.Code, found.Detail)
 		return
 	}
-	quotes, step := exchange.scheduler.Explain(exchange.started, exchange.queuedRequest)
-	content, err := json.Marshal(map[string]any{"step": step, "quotes": quotes, "prices": exchange.scheduler.CostWeights(), "bid": exchange.queuedRequest.Requirements})
+	candidates, decision := exchange.scheduler.Explain(exchange.deadline.started, exchange.queuedRequest)
+	content, err := json.Marshal(explanation{
+		Requirements: exchange.queuedRequest.Requirements,
+		CostWeights:  exchange.scheduler.CostWeights(),
+		Candidates:   candidates,
+		Decision:     decision,
+	})
 	if err != nil {
-		handler.Codec.Refuse(client, exchange.request, codec.Refusal{Kind: apierror.Internal, Detail: err.Error(), Ran: scheduler.DidNotRun, DidNotRun: true})
+		exchange.refuseExplanation(apierror.Internal, err.Error())
 		return
 	}
-	client.Answer(200, []netio.Header{{Name: "Content-Type", Value: "application/json"}}, content)
+	client.Answer(fasthttp.StatusOK, []netio.Header{{Name: "Content-Type", Value: "application/json"}}, content)
+}
+
+// refuseExplanation responds to a request that can't be explained, of which certainly nothing ran.
+func (exchange *Exchange) refuseExplanation(code apierror.Code, detail string) {
+	refusal := codec.Refusal{Kind: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
+	exchange.handler.Codec.Refuse(exchange.client.Client, exchange.request, refusal)
 }
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -14,94 +14,88 @@
 const (
 	// elsewhereAfter is when a request that a stopping daemon does not take may come to another.
 	elsewhereAfter = 20 * time.Millisecond
-	// usualStart is within what time of its start a daemon is sure of its spec.
-	usualStart     = 800 * time.Millisecond
-	longestSilence = 10 * time.Second
+	// usualStartup is within what time of its start a daemon's configuration is known to be current.
+	usualStartup = 800 * time.Millisecond
+	// longestRetryAfter bounds when a client is asked to come back to a daemon that is cut off.
+	longestRetryAfter = 10 * time.Second
+	// earlyRejection is within what time of its arrival a request is rejected that is counted as rejected early.
+	earlyRejection = 50 * time.Millisecond
 )
 
-// comeback reckons when another try may help.
-func (exchange *Exchange) comeback(kind apierror.Code) time.Duration {
-	reckons := map[apierror.Code]func() time.Duration{
-		// A silence lasts, as far as can be known, about as long again as it has lasted.
-		apierror.NotServing: func() time.Duration {
-			// Another daemon is there at once for what comes to one that stops.
-			if exchange.handler.Draining.Load() {
-				return elsewhereAfter
-			}
-			until := exchange.handler.Snapshot().Until
-			// One that has just begun is sure of its spec within a moment; there is no silence to reckon by yet.
-			if until.Before(exchange.handler.Started) {
-				return max(lease.RenewEvery, usualStart-exchange.now().Sub(exchange.handler.Started))
-			}
-			return min(longestSilence, max(lease.RenewEvery, exchange.now().Sub(until)))
-		},
-		apierror.NoRunner:       func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
-		apierror.OutcomeUnknown: func() time.Duration { return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest) },
-	}
-	reckon := reckons[kind]
-	if reckon == nil || kind == apierror.OutcomeUnknown && !exchange.route.Idempotent {
+// retryAfter estimates when another attempt of the client may succeed; 0: that is not known.
+func (exchange *Exchange) retryAfter(code apierror.Code) time.Duration {
+	switch {
+	case code == apierror.NotServing:
+		return exchange.handler.serviceExpectedIn(exchange.now())
+	case code == apierror.NoRunner, code == apierror.OutcomeUnknown && exchange.route.Idempotent:
+		return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest)
+	default:
 		return 0
 	}
-	return reckon()
 }
 
-// ran keeps a doubt once there is one, and what is known of the request from before.
-func (exchange *Exchange) ran(said string) string {
-	if word := ranWords[exchange.said]; word != "" {
-		return word
+// serviceExpectedIn estimates when this daemon, or another one in its place, will serve again.
+func (handler *Handler) serviceExpectedIn(now time.Time) time.Duration {
+	// Another daemon is there at once for what comes to one that stops.
+	if handler.Draining.Load() {
+		return elsewhereAfter
 	}
-	// What was relayed did run.
-	if exchange.ambiguous || exchange.relayed {
-		return scheduler.Unknown
+	until := handler.Snapshot().Until
+	// One that has just started knows its configuration to be current within a moment; there is no outage to go by yet.
+	if until.Before(handler.Started) {
+		return max(lease.RenewEvery, usualStartup-now.Sub(handler.Started))
 	}
-	return said
+	// An outage lasts, as far as can be known, about as long again as it has lasted.
+	return min(longestRetryAfter, max(lease.RenewEvery, now.Sub(until)))
 }
 
-// refusedStep counts and tells what the scheduler decided.
-func (exchange *Exchange) refusedStep() *codec.Refusal {
-	late := exchange.now().Sub(exchange.started) > 50*time.Millisecond
-	exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) {
+// rejectedByScheduler counts and returns the rejection that the scheduler decided on.
+func (exchange *Exchange) rejectedByScheduler() *codec.Refusal {
+	late := exchange.now().Sub(exchange.deadline.started) > earlyRejection
+	exchange.count(func(route *metrics.RouteMetrics) {
 		if late {
 			route.Late++
 		} else {
 			route.Early++
 		}
 	})
-	return exchange.refusal(exchange.step.Fault, exchange.step.Reason, scheduler.DidNotRun, exchange.step.RetryAfter)
+	decision := exchange.decision
+	return exchange.refusal(decision.Fault, decision.Reason, scheduler.DidNotRun, decision.RetryAfter)
 }
 
-// refusalOf tells what a fault means for the client.
+// refusalOf returns what an error means for the client of a request that this attempt did not send.
 func (exchange *Exchange) refusalOf(err error) *codec.Refusal {
 	found := apierror.Of(err)
-	return exchange.refusal(found.Code, found.Detail, scheduler.DidNotRun, exchange.comeback(found.Code))
+	return exchange.refusal(found.Code, found.Detail, scheduler.DidNotRun, exchange.retryAfter(found.Code))
 }
 
-// refusal gives what to tell of a request that gets no stream, or no more of one.
-func (exchange *Exchange) refusal(kind apierror.Code, detail, ran string, retry time.Duration) *codec.Refusal {
-	ran = exchange.ran(ran)
-	// Whatever ended this attempt, an earlier one may have run, and that is what the client must know.
-	if exchange.ambiguous && kind != apierror.ClientGone {
-		kind = apierror.OutcomeUnknown
-	}
-	if exchange.relayed && kind != apierror.ClientGone {
-		kind, retry = apierror.RunFailed, 0
-	}
-	return &codec.Refusal{Kind: kind, Detail: detail, Ran: ran, Retry: retry, DidNotRun: ran == scheduler.DidNotRun, Late: exchange.over()}
+// refusalAfter returns what the client is told when nothing follows an attempt.
+func (exchange *Exchange) refusalAfter(next scheduler.RetryDecision, detail string) *codec.Refusal {
+	return exchange.refusal(next.Otherwise, detail, next.Ran, exchange.retryAfter(next.Otherwise))
+}
+
+// refusal returns what the client is told of a request that gets no stream, or no more of one.
+func (exchange *Exchange) refusal(code apierror.Code, detail, ran string, retry time.Duration) *codec.Refusal {
+	refusal := exchange.execution.refusal(code, detail, ran, retry)
+	refusal.Late = exchange.isPastDeadline()
+	return refusal
 }
 
-// refuse ends a course without a stream.
+// refuse finishes a request without a stream.
 func (exchange *Exchange) refuse(refusal codec.Refusal) {
-	exchange.to(finished)
+	exchange.state.to(stateFinished)
 	if refusal.DidNotRun {
-		exchange.uncharge()
+		exchange.charge.refund()
+		exchange.atMostOnce.forget()
+	} else {
+		exchange.atMostOnce.finish(exchange.now(), dedup.Unknown)
 	}
-	exchange.settle(map[bool]dedup.State{true: "", false: dedup.Unknown}[refusal.DidNotRun])
 	if exchange.scheduler != nil {
-		exchange.handler.Metrics.Count(exchange.route.Name, func(route *metrics.RouteMetrics) { route.Ends[string(refusal.Kind)]++ })
+		exchange.count(func(route *metrics.RouteMetrics) { route.Ends[string(refusal.Kind)]++ })
 	}
-	if exchange.left() {
+	if exchange.client.hasLeft() {
 		exchange.client.Last()
 	}
-	exchange.handler.Codec.Refuse(exchange.client, exchange.request, refusal)
+	exchange.handler.Codec.Refuse(exchange.client.Client, exchange.request, refusal)
 	exchange.close()
 }
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -201,7 +201,7 @@
 	sure := house.snapshot
 	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
 	started := time.Now()
-	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(started) > sureBound/2 {
+	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(started) > configurationTimeout/2 {
 		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(started))
 	}
 	house.snapshot = sure
@@ -241,7 +241,7 @@
 	if status, body := house.send(t, "once", "renewed"); status != 200 {
 		t.Errorf("sure again: %d %s", status, body)
 	}
-	if woken <= 0 || woken > sureBound {
+	if woken <= 0 || woken > configurationTimeout {
 		t.Errorf("the wait was bounded by %v", woken)
 	}
 }
--- a/proxy/tenant_test.go
+++ b/proxy/tenant_test.go
@@ -130,7 +130,7 @@
 			if status != 429 || !strings.Contains(body, scheduler.DidNotRun) || !strings.Contains(body, "quota_spent") || !strings.Contains(body, "retry_after_ms") {
 				t.Errorf("%d %s", status, body)
 			}
-			if took := time.Since(started); took > 2*quotaWait {
+			if took := time.Since(started); took > 2*quotaTimeout {
 				t.Errorf("the refusal took %v", took)
 			}
 			if usage := house.Quota.Usage(time.Now())["limited"]; usage.Refused != 110 || usage.Used != 0 {
