--- /dev/null
+++ b/proxy/client_test.go
@@ -0,0 +1,59 @@
+package proxy
+
+import (
+	"testing"
+
+	"wardtray/apierror"
+)
+
+// watchedClient is a client whose departure a test brings about.
+type watchedClient struct {
+	departed
+	left    bool
+	notify  func()
+	stopped int
+}
+
+func (client *watchedClient) Left() bool { return client.left }
+
+func (client *watchedClient) Watch(left func()) (stop func()) {
+	client.notify = left
+	return func() { client.stopped++ }
+}
+
+func TestClientConnection(t *testing.T) {
+	stays := &watchedClient{}
+	connection := watchClient(stays)
+	if connection.hasLeft() || !connection.isPresent() {
+		t.Error("a client that stays has left")
+	}
+	stays.notify()
+	if !connection.hasLeft() || connection.isPresent() {
+		t.Error("the watch says that the client left, and it is present")
+	}
+
+	quick := &watchedClient{left: true}
+	connection = watchClient(quick)
+	if connection.hasLeft() {
+		t.Error("left before anybody looked")
+	}
+	if connection.isPresent() || !connection.hasLeft() {
+		t.Error("a client is present whose connection is closed")
+	}
+	connection.close()
+	if quick.stopped != 1 {
+		t.Errorf("the watch was stopped %d times", quick.stopped)
+	}
+	if !apierror.Is(errClientLeft(), apierror.ClientGone) {
+		t.Error(errClientLeft())
+	}
+}
+
+func TestUnwatchedClientStays(t *testing.T) {
+	connection := unwatchedClient(&watchedClient{})
+	connection.leave()
+	if connection.hasLeft() {
+		t.Error("left")
+	}
+	connection.close()
+}
--- /dev/null
+++ b/proxy/deadline_test.go
@@ -0,0 +1,102 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/config"
+)
+
+var arrival = time.Unix(1_700_000_000, 0)
+
+func TestNewDeadlineIsTheEarliest(t *testing.T) {
+	for name, trial := range map[string]struct {
+		timeouts []time.Duration
+		want     time.Duration
+	}{
+		"none":             {[]time.Duration{0, 0}, 0},
+		"the client's":     {[]time.Duration{time.Second, 0}, time.Second},
+		"the route's":      {[]time.Duration{0, time.Second}, time.Second},
+		"the client first": {[]time.Duration{time.Second, time.Minute}, time.Second},
+		"the route first":  {[]time.Duration{time.Minute, time.Second}, time.Second},
+	} {
+		if got := newDeadline(arrival, trial.timeouts...).timeout(); got != trial.want {
+			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+		}
+	}
+}
+
+func TestDeadlineRemaining(t *testing.T) {
+	set, none := newDeadline(arrival, time.Second), newDeadline(arrival)
+	for after, want := range map[time.Duration]time.Duration{
+		0:                        time.Second,
+		400 * time.Millisecond:   600 * time.Millisecond,
+		time.Second:              minimumRemaining,
+		time.Minute:              minimumRemaining,
+		time.Second - 1:          minimumRemaining,
+		time.Second - time.Hour:  time.Hour,
+		999500 * time.Nanosecond: 1000*time.Millisecond - 999500*time.Nanosecond,
+	} {
+		now := arrival.Add(after)
+		if got := set.remaining(now); got != want || set.passed(now) != (after >= time.Second) {
+			t.Errorf("after %v: %v remain instead of %v, passed %v", after, got, want, set.passed(now))
+		}
+		if none.remaining(now) != 0 || none.passed(now) {
+			t.Errorf("after %v of no deadline: %v remain", after, none.remaining(now))
+		}
+	}
+}
+
+func TestWaitsForFirstEvent(t *testing.T) {
+	const target = 2 * time.Second
+	for name, trial := range map[string]struct {
+		idempotent bool
+		waits      waits
+		earlyRetry bool
+		want       time.Duration
+	}{
+		"once, no deadline":         {false, waits{mayRetry: true}, true, 2 * target},
+		"idempotent, no deadline":   {true, waits{mayRetry: true}, true, target + firstEventGrace},
+		"once":                      {false, waits{remaining: time.Minute, mayRetry: true}, true, time.Minute},
+		"idempotent, time for two":  {true, waits{remaining: time.Minute, mayRetry: true}, true, time.Minute / 2},
+		"idempotent, little time":   {true, waits{remaining: 3 * time.Second, mayRetry: true}, true, target},
+		"idempotent, next to none":  {true, waits{remaining: time.Second, mayRetry: true}, true, time.Second},
+		"idempotent, the last time": {true, waits{remaining: time.Minute}, true, time.Minute},
+		"early retries are off":     {true, waits{remaining: time.Minute, mayRetry: true}, false, time.Minute},
+	} {
+		trial.waits.route = &config.Route{Idempotent: trial.idempotent, LatencyTarget: config.Duration(target)}
+		if got := trial.waits.firstEvent(trial.earlyRetry); got != trial.want {
+			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+		}
+	}
+}
+
+func TestWaitsForNextEvent(t *testing.T) {
+	resumable := &config.Route{Resumable: true, Pause: config.Duration(time.Second)}
+	for name, trial := range map[string]struct {
+		waits waits
+		want  time.Duration
+	}{
+		"no deadline":               {waits{route: resumable, mayRetry: true}, idleTimeout},
+		"resumable":                 {waits{resumable, time.Minute, true}, 2 * time.Second},
+		"resumable, little time":    {waits{resumable, time.Second, true}, time.Second},
+		"resumable, the last time":  {waits{resumable, time.Minute, false}, time.Minute},
+		"not resumable":             {waits{&config.Route{Pause: resumable.Pause}, time.Minute, true}, time.Minute},
+		"of a pause that is no one": {waits{&config.Route{Resumable: true}, time.Minute, true}, time.Minute},
+	} {
+		if got := trial.waits.nextEvent(); got != trial.want {
+			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+		}
+	}
+}
+
+func TestWaitsLatencyTarget(t *testing.T) {
+	route := &config.Route{LatencyTarget: config.Duration(time.Second)}
+	for remaining, want := range map[time.Duration]time.Duration{
+		0: time.Second, time.Minute: time.Second, time.Millisecond: time.Millisecond,
+	} {
+		if got := (waits{route: route, remaining: remaining}).latencyTarget(); got != want {
+			t.Errorf("%v remain: %v instead of %v", remaining, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/proxy/execution_test.go
@@ -0,0 +1,70 @@
+package proxy
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/apierror"
+	"wardtray/balancer/scheduler"
+	"wardtray/proxy/dedup"
+)
+
+// A refusal says that a request did not run only where nothing speaks against that, and never "come back" in doubt.
+func TestRefusalOfExecution(t *testing.T) {
+	for name, trial := range map[string]struct {
+		execution execution
+		code      apierror.Code
+		ofAttempt string
+		wantCode  apierror.Code
+		wantRan   string
+	}{
+		"nothing was sent": {
+			execution{}, apierror.NoRunner, scheduler.DidNotRun, apierror.NoRunner, scheduler.DidNotRun,
+		},
+		"the attempt is ambiguous": {
+			execution{}, apierror.OutcomeUnknown, scheduler.Unknown, apierror.OutcomeUnknown, scheduler.Unknown,
+		},
+		"an earlier attempt is ambiguous": {
+			execution{ambiguous: true}, apierror.NoRunner, scheduler.DidNotRun, apierror.OutcomeUnknown, scheduler.Unknown,
+		},
+		"the daemon stops serving in doubt": {
+			execution{ambiguous: true}, apierror.NotServing, scheduler.DidNotRun, apierror.OutcomeUnknown, scheduler.Unknown,
+		},
+		"the client leaves in doubt": {
+			execution{ambiguous: true}, apierror.ClientGone, scheduler.DidNotRun, apierror.ClientGone, scheduler.Unknown,
+		},
+		"it was relayed in part": {
+			execution{relayed: true}, apierror.NoRunner, scheduler.DidNotRun, apierror.RunFailed, scheduler.Unknown,
+		},
+		"relayed and ambiguous": {
+			execution{relayed: true, ambiguous: true}, apierror.NoRunner, scheduler.DidNotRun,
+			apierror.RunFailed, scheduler.Unknown,
+		},
+		"it ran before": {
+			execution{earlier: dedup.Ran}, apierror.AlreadyTaken, scheduler.DidNotRun, apierror.AlreadyTaken, ranCompletely,
+		},
+		"it is running": {
+			execution{earlier: dedup.Running}, apierror.AlreadyTaken, scheduler.DidNotRun,
+			apierror.AlreadyTaken, scheduler.Unknown,
+		},
+		"it failed before": {
+			execution{earlier: dedup.Unknown}, apierror.AlreadyTaken, scheduler.DidNotRun,
+			apierror.AlreadyTaken, scheduler.Unknown,
+		},
+		"another daemon has it": {
+			execution{earlier: dedup.TakenElsewhere}, apierror.AlreadyTaken, scheduler.DidNotRun,
+			apierror.AlreadyTaken, scheduler.Unknown,
+		},
+	} {
+		refusal := trial.execution.refusal(trial.code, "detail", trial.ofAttempt, time.Second)
+		if refusal.Kind != trial.wantCode || refusal.Ran != trial.wantRan || refusal.Detail != "detail" {
+			t.Errorf("%s: %+v", name, refusal)
+		}
+		if refusal.DidNotRun != (trial.wantRan == scheduler.DidNotRun) {
+			t.Errorf("%s: promises %v", name, refusal.DidNotRun)
+		}
+		if (refusal.Retry == 0) != (refusal.Kind == apierror.RunFailed) {
+			t.Errorf("%s: come back after %v", name, refusal.Retry)
+		}
+	}
+}
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -62,9 +62,9 @@
 
 // The explanation of a request keeps its keys, their order and the kinds of their values.
 func TestExplainKeepsItsKeys(t *testing.T) {
-	house := build(t, &scripted{id: "r1", address: "127.0.0.1:1"})
+	daemon := newDaemon(t, &scriptedRunner{id: "r1", address: "127.0.0.1:1"})
 	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
-	house.Explain(client)
+	daemon.Explain(client)
 	if client.status != 200 {
 		t.Fatalf("%d %s", client.status, client.content)
 	}
@@ -73,9 +73,9 @@
 
 // A request that would be rejected is explained by its rejection.
 func TestExplainRejects(t *testing.T) {
-	house := build(t)
+	daemon := newDaemon(t)
 	client := &recordingClient{departed: departed{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
-	house.Explain(client)
+	daemon.Explain(client)
 	if client.status != 404 || !strings.Contains(string(client.content), "unknown_lane") {
 		t.Errorf("%d %s", client.status, client.content)
 	}
--- /dev/null
+++ b/proxy/harness_test.go
@@ -0,0 +1,312 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wardtray/balancer/kvblock"
+	"wardtray/balancer/load"
+	"wardtray/balancer/scheduler"
+	"wardtray/config"
+	"wardtray/metrics"
+	"wardtray/proxy/admission"
+	"wardtray/proxy/codec"
+	"wardtray/proxy/dedup"
+	"wardtray/transport/connpool"
+	"wardtray/transport/netio"
+	"wardtray/wire"
+)
+
+// script is what a runner does with one request.
+type script = func(connection net.Conn, request *http.Request)
+
+// scriptedRunner is a runner that answers each run by the next line of its script, and the last line for ever.
+type scriptedRunner struct {
+	id      string
+	address string
+	reached atomic.Int64
+	script  []script
+}
+
+// send writes to a connection, which the other side may have closed by then: some tests want that.
+func send(connection io.Writer, format string, values ...any) {
+	_, _ = fmt.Fprintf(connection, format, values...)
+}
+
+// closeQuietly closes what may be closed already.
+func closeQuietly(closer io.Closer) { _ = closer.Close() }
+
+func respond(connection net.Conn, status int, body string) {
+	send(connection, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+}
+
+const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// sendChunk writes one chunk of a body, and endBody what ends it.
+func sendChunk(connection net.Conn, text string) { send(connection, "%x\r\n%s\r\n", len(text), text) }
+
+func endBody(connection net.Conn) { send(connection, "0\r\n\r\n") }
+
+// tokenEvents are the events of a run from one number to another.
+func tokenEvents(run string, from, to int) string {
+	var text strings.Builder
+	for number := from; number <= to; number++ {
+		fmt.Fprintf(&text, "id: %d\nevent: token\ndata: {\"run\":%q}\n\n", number, run)
+	}
+	return text.String()
+}
+
+// events begins a stream and sends so many events; last is written as it is.
+func events(count int, last string, whole bool) script {
+	return func(connection net.Conn, _ *http.Request) {
+		send(connection, "%s", streamHead)
+		sendChunk(connection, tokenEvents("x", 1, count)+last)
+		if whole {
+			endBody(connection)
+			return
+		}
+		closeQuietly(connection)
+	}
+}
+
+func done(count int) string {
+	return fmt.Sprintf("id: %d\nevent: done\ndata: {\"events\":%d}\n\n", count+1, count)
+}
+
+func rejects(connection net.Conn, _ *http.Request) { respond(connection, 503, `{"started":false}`) }
+func fails(connection net.Conn, _ *http.Request)   { respond(connection, 500, `{"oh":"no"}`) }
+func hangsUp(connection net.Conn, _ *http.Request) { closeQuietly(connection) }
+
+// listen opens a port for as long as the test runs.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeQuietly(listener) })
+	return listener
+}
+
+// acceptAll serves each connection to a listener until that is closed.
+func acceptAll(listener net.Listener, serve func(connection net.Conn)) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go serve(connection)
+	}
+}
+
+func startRunner(t *testing.T, id string, script ...script) *scriptedRunner {
+	t.Helper()
+	listener := listen(t)
+	runner := &scriptedRunner{id: id, address: listener.Addr().String(), script: script}
+	go acceptAll(listener, runner.serve)
+	return runner
+}
+
+// serve answers what comes over one connection: the identity as it is, all else by the script.
+func (runner *scriptedRunner) serve(connection net.Conn) {
+	defer closeQuietly(connection)
+	reader := bufio.NewReader(connection)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		_, _ = io.Copy(io.Discard, request.Body)
+		if runner.answeredIdentity(connection, request) {
+			continue
+		}
+		step := runner.script[min(int(runner.reached.Add(1))-1, len(runner.script)-1)]
+		step(connection, request)
+	}
+}
+
+// answeredIdentity answers who the runner is, where a request asks that.
+func (runner *scriptedRunner) answeredIdentity(connection net.Conn, request *http.Request) bool {
+	if request.URL.Path != "/identity" {
+		return false
+	}
+	respond(connection, 200, fmt.Sprintf(`{"runner_id":%q,"service":"s","model":"m","weights":"w"}`, runner.id))
+	return true
+}
+
+// testDaemon is a daemon's request side over scripted runners.
+type testDaemon struct {
+	*Handler
+	address   string
+	snapshot  *config.Snapshot
+	announced []bool
+	// departures has an entry for each client of which the daemon has learned that it left.
+	departures chan struct{}
+	number     int
+}
+
+// testConfiguration has a route of each kind over one backend.
+const testConfiguration = `{"zones":[{"name":"a","closed":false}],
+"pools":[{"name":"p","model":"m","weights":"w","adapters":["cy"],"services":["s"]}],
+"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false},
+{"name":"free","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":true},
+{"name":"resumed","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":true,"resumable":true,"pause":"1s"},
+{"name":"short","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false,"deadline":"150ms"}]}`
+
+// newSnapshot is a configuration that is known to be current for an hour.
+func newSnapshot(t *testing.T, epoch uint64, text string) *config.Snapshot {
+	t.Helper()
+	parsed, err := config.Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &config.Snapshot{SpecEpoch: epoch, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
+}
+
+func newDaemon(t *testing.T, runners ...*scriptedRunner) *testDaemon {
+	t.Helper()
+	now := time.Now()
+	indexer, err := kvblock.NewIndexer("x", 1000, 16, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	daemon := &testDaemon{departures: make(chan struct{}, 1024), snapshot: newSnapshot(t, 1, testConfiguration)}
+	table := load.NewTable(now, "d")
+	listed := make([]*wire.Runner, 0, len(runners))
+	for _, runner := range runners {
+		listed = append(listed, &wire.Runner{RunnerId: runner.id, Address: runner.address, Zone: "a", Service: "s",
+			State: "ready"})
+	}
+	table.List(now, listed)
+	daemons := func() []string { return []string{"d"} }
+	backendScheduler := scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
+		return scheduler.Snapshot{Runners: table.All(now, daemons()), Daemons: 1}
+	}, table, indexer, rand.New(rand.NewSource(1)))
+	daemon.Handler = &Handler{
+		Name:        "d",
+		Zone:        "a",
+		Snapshot:    func() *config.Snapshot { return daemon.snapshot },
+		Daemons:     daemons,
+		Loads:       table,
+		Environment: netio.Real(nil),
+		Renewed:     func() <-chan struct{} { return nil },
+		Await:       scheduler.Await,
+		Once:        dedup.New(),
+		Tell:        func(_ dedup.Key, dropped bool) { daemon.announced = append(daemon.announced, dropped) },
+		Indexer:     indexer,
+		Connections: connpool.New(netio.Real(nil), codec.Native{}.Identity()),
+		Codec:       codec.Native{},
+		Metrics:     metrics.New(),
+		Scheduler:   func(string) *scheduler.Scheduler { return backendScheduler },
+	}
+	listener := listen(t)
+	server := &fasthttp.Server{Handler: func(context *fasthttp.RequestCtx) {
+		daemon.Serve(noticing{netio.FromHTTP(context), daemon.departures})
+	}}
+	go func() { _ = server.Serve(listener) }()
+	daemon.address = listener.Addr().String()
+	daemon.fillBudget(now)
+	return daemon
+}
+
+// fillBudget gives the retry budget some requests, of which it has none at the start.
+func (daemon *testDaemon) fillBudget(now time.Time) {
+	budget := daemon.budget("p")
+	budget.mutex.Lock()
+	defer budget.mutex.Unlock()
+	for range 40 {
+		budget.budget.Request(now)
+	}
+}
+
+// post sends a request with an id of its own.
+func (daemon *testDaemon) post(t *testing.T, route string) (status int, body string) {
+	t.Helper()
+	return daemon.send(t, route, daemon.nextID())
+}
+
+func (daemon *testDaemon) nextID() string {
+	daemon.number++
+	return fmt.Sprint("r", daemon.number)
+}
+
+func (daemon *testDaemon) send(t *testing.T, route, id string) (status int, body string) {
+	t.Helper()
+	return daemon.sendWith(t, route, id, nil)
+}
+
+// sendBody sends a prompt.
+func (daemon *testDaemon) sendBody(t *testing.T, route, prompt string) (status int, body string) {
+	t.Helper()
+	return daemon.sendAll(t, route, daemon.nextID(), prompt, nil)
+}
+
+// sendWith sends further headers, where they are not empty.
+func (daemon *testDaemon) sendWith(t *testing.T, route, id string, more map[string]string) (status int, body string) {
+	t.Helper()
+	return daemon.sendAll(t, route, id, "x", more)
+}
+
+func (daemon *testDaemon) sendAll(
+	t *testing.T, route, id, prompt string, more map[string]string,
+) (status int, body string) {
+	t.Helper()
+	content := strings.NewReader(`{"prompt":"` + prompt + `"}`)
+	url := "http://" + daemon.address + "/v1/stream"
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, value := range requestHeaders(route, id) {
+		request.Header.Set(name, value)
+	}
+	for name, value := range more {
+		if value != "" {
+			request.Header.Set(name, value)
+		}
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeQuietly(response.Body)
+	received, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response.StatusCode, string(received)
+}
+
+// requestHeaders are those of every request of these tests: 100 tokens, and an answer of at most 10.
+func requestHeaders(route, id string) map[string]string {
+	return map[string]string{
+		admission.HeaderRoute:   route,
+		admission.HeaderModel:   "m",
+		admission.HeaderRequest: id,
+		admission.HeaderPrompt:  "100",
+		admission.HeaderAnswer:  "10",
+	}
+}
+
+// attempt returns an attempt of a request of a route at a runner, which was just decided on.
+func (daemon *testDaemon) attempt(route string, runner *scriptedRunner, request *admission.Request) *attempt {
+	exchange := newExchange(daemon.Handler, unwatchedClient(&departed{}))
+	exchange.state.current = stateConnecting
+	exchange.request = request
+	exchange.route = *daemon.snapshot.Catalog.Routes[route]
+	exchange.backend = *daemon.snapshot.Catalog.Backends["p"]
+	exchange.scheduler = daemon.Scheduler("p")
+	exchange.queuedRequest = &scheduler.QueuedRequest{Route: route}
+	chosen := load.Runner{ID: runner.id, Address: runner.address}
+	return &attempt{exchange: exchange, decision: scheduler.Decision{Kind: scheduler.Dispatch, Runner: chosen}}
+}
--- a/proxy/tenant_test.go
+++ b/proxy/quotacharge_test.go
@@ -13,20 +13,26 @@
 	"wardtray/coordination/quota"
 )
 
-// tenants gives a house two tenants, of which one has a quota; it answers each question for tokens by a function.
-func (house *house) tenants(t *testing.T, issue func(claims []quota.TenantReport) []quota.Share) {
+// tenants gives a daemon two tenants, of which one has a quota; it answers each question for tokens by a function.
+func (daemon *testDaemon) tenants(t *testing.T, issue func(claims []quota.TenantReport) []quota.Share) {
 	t.Helper()
-	spec := *house.snapshot.Catalog.Spec
-	spec.Tenants = []config.Tenant{{Name: "limited", Keys: []string{"limited-key"}, Quota: config.Quota{Rate: 1000, Burst: 1000, Tokens: true}},
-		{Name: "free", Keys: []string{"free-key"}}}
-	house.snapshot = &config.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(&spec), Until: time.Now().Add(time.Hour)}
+	spec := *daemon.snapshot.Catalog.Spec
+	spec.Tenants = []config.Tenant{
+		{Name: "limited", Keys: []string{"limited-key"}, Quota: config.Quota{Rate: 1000, Burst: 1000, Tokens: true}},
+		{Name: "free", Keys: []string{"free-key"}},
+	}
+	daemon.snapshot = &config.Snapshot{
+		SpecEpoch: 2,
+		Catalog:   config.NewCatalog(&spec),
+		Until:     time.Now().Add(time.Hour),
+	}
 	var number atomic.Uint64
-	house.Quota = quota.NewLimiter()
-	house.AskQuota = func() {
+	daemon.Quota = quota.NewLimiter()
+	daemon.AskQuota = func() {
 		now, asked := time.Now(), number.Add(1)
-		claims := house.Quota.TenantReports(now, asked)
+		claims := daemon.Quota.TenantReports(now, asked)
 		if issue != nil {
-			house.Quota.Granted(now, asked, time.Minute, issue(claims))
+			daemon.Quota.Granted(now, asked, time.Minute, issue(claims))
 		}
 	}
 }
@@ -45,11 +51,15 @@
 
 func TestOnlyKnownKeysOpenARoute(t *testing.T) {
 	kept := &headers{}
-	runner := start(t, "r1", kept.answer)
-	house := build(t, runner)
-	house.tenants(t, nil)
-	for name, more := range map[string]map[string]string{"no key": nil, "an unknown key": withKey("nobodys"), "another scheme": {"Authorization": "Token free-key"}} {
-		status, body := house.sendWith(t, "free", "x"+name, more)
+	runner := startRunner(t, "r1", kept.answer)
+	daemon := newDaemon(t, runner)
+	daemon.tenants(t, nil)
+	for name, more := range map[string]map[string]string{
+		"no key":         nil,
+		"an unknown key": withKey("nobodys"),
+		"another scheme": {"Authorization": "Token free-key"},
+	} {
+		status, body := daemon.sendWith(t, "free", "x"+name, more)
 		if status != 401 || !strings.Contains(body, scheduler.DidNotRun) || strings.Contains(body, "nobodys") {
 			t.Errorf("%s: %d %s", name, status, body)
 		}
@@ -57,7 +67,7 @@
 	if runner.reached.Load() != 0 {
 		t.Fatal("a request without a known key reached a runner")
 	}
-	if status, body := house.sendWith(t, "free", "known", withKey("free-key")); status != 200 {
+	if status, body := daemon.sendWith(t, "free", "known", withKey("free-key")); status != 200 {
 		t.Fatalf("a known key: %d %s", status, body)
 	}
 	if sent := kept.seen[0]; sent.Get("Wardtray-Tenant") != "free" || sent.Get("Authorization") != "" {
@@ -65,25 +75,30 @@
 	}
 }
 
-// A key that was taken away between the decision and the write opens nothing any more, and neither does one whose daemon
-// is not sure of its spec.
+// A key that was taken away between the decision and the write opens nothing any more, and neither does one whose
+// daemon is not sure of its spec.
 func TestARevokedKeyStopsTheLastLook(t *testing.T) {
-	runner := start(t, "r1", events(1, done(1), true))
-	house := build(t, runner)
-	house.tenants(t, nil)
-	previous := house.Environment.Now
-	revoked := *house.snapshot.Catalog.Spec
+	runner := startRunner(t, "r1", events(1, done(1), true))
+	daemon := newDaemon(t, runner)
+	daemon.tenants(t, nil)
+	previous := daemon.Environment.Now
+	revoked := *daemon.snapshot.Catalog.Spec
 	revoked.Tenants = revoked.Tenants[:1]
 	var looks atomic.Int64
-	snapshot := house.Snapshot
-	house.Snapshot = func() *config.Snapshot {
+	snapshot := daemon.Snapshot
+	daemon.Snapshot = func() *config.Snapshot {
 		// The first looks find the key, those directly before the write the newer spec.
 		if looks.Add(1) > 5 {
-			return &config.Snapshot{SpecEpoch: 3, Catalog: config.NewCatalog(&revoked), Until: previous().Add(time.Hour)}
+			return &config.Snapshot{
+				SpecEpoch: 3,
+				Catalog:   config.NewCatalog(&revoked),
+				Until:     previous().Add(time.Hour),
+			}
 		}
 		return snapshot()
 	}
-	if status, body := house.sendWith(t, "free", "revoked", withKey("free-key")); status != 401 || !strings.Contains(body, scheduler.DidNotRun) {
+	if status, body := daemon.sendWith(t, "free", "revoked", withKey("free-key")); status != 401 ||
+		!strings.Contains(body, scheduler.DidNotRun) {
 		t.Errorf("%d %s", status, body)
 	}
 	if runner.reached.Load() != 0 {
@@ -91,31 +106,32 @@
 	}
 }
 
-// What the share does not hold is asked for at once, and each request is charged once, whatever becomes of its attempts.
+// What the share does not hold is asked for at once, and each request is charged once, whatever becomes of its
+// attempts.
 func TestRequestsAreChargedOnce(t *testing.T) {
-	runner := start(t, "r1", putsBack, events(1, done(1), true))
-	second := start(t, "r2", events(1, done(1), true))
-	house := build(t, runner, second)
+	runner := startRunner(t, "r1", rejects, events(1, done(1), true))
+	second := startRunner(t, "r2", events(1, done(1), true))
+	daemon := newDaemon(t, runner, second)
 	var given float64
-	house.tenants(t, func(claims []quota.TenantReport) []quota.Share {
+	daemon.tenants(t, func(claims []quota.TenantReport) []quota.Share {
 		given += claims[0].Need
 		return []quota.Share{{Tenant: "limited", Tokens: claims[0].Need, Capacity: 1000}}
 	})
-	if status, body := house.sendWith(t, "free", "charged", withKey("limited-key")); status != 200 {
+	if status, body := daemon.sendWith(t, "free", "charged", withKey("limited-key")); status != 200 {
 		t.Fatalf("%d %s", status, body)
 	}
 	// A request of these tests has 100 tokens and an answer of at most 10.
-	if used := house.Quota.Usage(time.Now())["limited"].Used; used != 110 || given != 110 {
+	if used := daemon.Quota.Usage(time.Now())["limited"].Used; used != 110 || given != 110 {
 		t.Errorf("%v used, %v given", used, given)
 	}
-	if status, _ := house.sendWith(t, "free", "free", withKey("free-key")); status != 200 || given != 110 {
+	if status, _ := daemon.sendWith(t, "free", "free", withKey("free-key")); status != 200 || given != 110 {
 		t.Errorf("a tenant without a quota: %d, %v given", status, given)
 	}
 }
 
 // A spent quota is told at once, with a promise that nothing ran and a time to come back.
 func TestASpentQuotaIsARefusal(t *testing.T) {
-	runner := start(t, "r1", events(1, done(1), true))
+	runner := startRunner(t, "r1", events(1, done(1), true))
 	for name, issue := range map[string]func([]quota.TenantReport) []quota.Share{
 		"the issuer has none": func([]quota.TenantReport) []quota.Share {
 			return []quota.Share{{Tenant: "limited", Rate: 100, Capacity: 50}}
@@ -123,17 +139,19 @@
 		"the issuer is silent": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
-			house := build(t, runner)
-			house.tenants(t, issue)
+			daemon := newDaemon(t, runner)
+			daemon.tenants(t, issue)
 			started := time.Now()
-			status, body := house.sendWith(t, "free", "spent", withKey("limited-key"))
-			if status != 429 || !strings.Contains(body, scheduler.DidNotRun) || !strings.Contains(body, "quota_spent") || !strings.Contains(body, "retry_after_ms") {
+			status, body := daemon.sendWith(t, "free", "spent", withKey("limited-key"))
+			if status != 429 || !strings.Contains(body, scheduler.DidNotRun) ||
+				!strings.Contains(body, "quota_spent") ||
+				!strings.Contains(body, "retry_after_ms") {
 				t.Errorf("%d %s", status, body)
 			}
 			if took := time.Since(started); took > 2*quotaTimeout {
 				t.Errorf("the refusal took %v", took)
 			}
-			if usage := house.Quota.Usage(time.Now())["limited"]; usage.Refused != 110 || usage.Used != 0 {
+			if usage := daemon.Quota.Usage(time.Now())["limited"]; usage.Refused != 110 || usage.Used != 0 {
 				t.Errorf("counted %+v", usage)
 			}
 		})
@@ -145,15 +163,16 @@
 
 // A request that surely did not run gives back what it was charged.
 func TestWhatDidNotRunIsGivenBack(t *testing.T) {
-	runner := start(t, "r1", putsBack)
-	house := build(t, runner)
-	house.tenants(t, func(claims []quota.TenantReport) []quota.Share {
+	runner := startRunner(t, "r1", rejects)
+	daemon := newDaemon(t, runner)
+	daemon.tenants(t, func(claims []quota.TenantReport) []quota.Share {
 		return []quota.Share{{Tenant: "limited", Tokens: claims[0].Need, Capacity: 1000}}
 	})
-	if status, body := house.sendWith(t, "free", "back", withKey("limited-key")); status != 503 || !strings.Contains(body, scheduler.DidNotRun) {
+	if status, body := daemon.sendWith(t, "free", "back", withKey("limited-key")); status != 503 ||
+		!strings.Contains(body, scheduler.DidNotRun) {
 		t.Fatalf("%d %s", status, body)
 	}
-	if usage := house.Quota.Usage(time.Now())["limited"]; usage.Used != 0 || usage.Balance != 110 {
+	if usage := daemon.Quota.Usage(time.Now())["limited"]; usage.Used != 0 || usage.Balance != 110 {
 		t.Errorf("counted %+v", usage)
 	}
 }
--- a/proxy/answers_test.go
+++ b/proxy/response_test.go
@@ -12,20 +12,19 @@
 	"time"
 
 	"wardtray/balancer/scheduler"
-	"wardtray/config"
 	"wardtray/proxy/codec"
 	"wardtray/proxy/dedup"
 	"wardtray/transport/connpool"
 	"wardtray/transport/netio"
 )
 
-// frozen has the daemon of a house stand still between its decision and the write, at the moment when it tells the
+// frozen has the daemon of a daemon stand still between its decision and the write, at the moment when it tells the
 // zone of a request that must run at most once.
-func frozen(house *house, length time.Duration, meanwhile func()) {
+func frozen(daemon *testDaemon, length time.Duration, meanwhile func()) {
 	var slept atomic.Int64
-	clock := house.Environment.Now
-	house.Environment.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
-	house.Tell = func(_ dedup.Key, dropped bool) {
+	clock := daemon.Environment.Now
+	daemon.Environment.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
+	daemon.Tell = func(_ dedup.Key, dropped bool) {
 		if !dropped && slept.Load() == 0 {
 			slept.Store(int64(length))
 			meanwhile()
@@ -36,26 +35,28 @@
 // After a freeze between decision and write everything that the decision rests on is checked again: nothing goes out
 // under a lease that has run out, a spec that has changed, or to a client that waits no more.
 func TestFreezeBetweenDecisionAndWrite(t *testing.T) {
-	closed, err := config.Parse([]byte(`{"zones":[{"name":"a","closed":true}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false},{"name":"short","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false,"deadline":"150ms"}]}`))
-	if err != nil {
-		t.Fatal(err)
-	}
+	const closed = `{"zones":[{"name":"a","closed":true}],
+"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
+"lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false},
+{"name":"short","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false,"deadline":"150ms"}]}`
 	for name, trial := range map[string]struct {
 		route  string
-		change func(house *house)
+		change func(daemon *testDaemon)
 	}{
-		"the lease has run out": {"once", func(house *house) {
-			house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog, Until: house.Environment.Now().Add(-time.Second)}
+		"the lease has run out": {"once", func(daemon *testDaemon) {
+			expired := *daemon.snapshot
+			expired.Until = daemon.Environment.Now().Add(-time.Second)
+			daemon.snapshot = &expired
 		}},
-		"the zone was closed": {"once", func(house *house) {
-			house.snapshot = &config.Snapshot{SpecEpoch: 2, Catalog: config.NewCatalog(closed), Until: house.Environment.Now().Add(time.Hour)}
+		"the zone was closed": {"once", func(daemon *testDaemon) {
+			daemon.snapshot = newSnapshot(t, 2, closed)
 		}},
-		"the deadline has passed": {"short", func(*house) {}},
+		"the deadline has passed": {"short", func(*testDaemon) {}},
 	} {
-		runner := start(t, "r1", events(1, done(1), true))
-		house := build(t, runner)
-		frozen(house, 400*time.Millisecond, func() { trial.change(house) })
-		status, body := house.post(t, trial.route)
+		runner := startRunner(t, "r1", events(1, done(1), true))
+		daemon := newDaemon(t, runner)
+		frozen(daemon, 400*time.Millisecond, func() { trial.change(daemon) })
+		status, body := daemon.post(t, trial.route)
 		if status == 200 || runner.reached.Load() != 0 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
@@ -68,64 +69,60 @@
 	for name, ends := range map[string]func(connection net.Conn){
 		"closed": func(connection net.Conn) { _ = connection.Close() },
 		"reset": func(connection net.Conn) {
-			_ = connection.(*net.TCPConn).SetLinger(0)
-			_ = connection.Close()
+			tcp, isTCP := connection.(*net.TCPConn)
+			if !isTCP {
+				t.Errorf("a %T", connection)
+				return
+			}
+			abort(tcp)
 		},
 		"a surplus answer": func(connection net.Conn) { respond(connection, 503, `{"started":false}`) },
 	} {
 		kept := make(chan net.Conn, 4)
-		runner := start(t, "r1", func(connection net.Conn, request *http.Request) {
+		runner := startRunner(t, "r1", func(connection net.Conn, request *http.Request) {
 			events(1, done(1), true)(connection, request)
 			kept <- connection
 		})
-		house := build(t, runner)
-		if status, body := house.post(t, "once"); status != 200 {
+		daemon := newDaemon(t, runner)
+		if status, body := daemon.post(t, "once"); status != 200 {
 			t.Fatalf("%s: %d %s", name, status, body)
 		}
-		frozen(house, time.Second/2, func() {
+		frozen(daemon, time.Second/2, func() {
 			ends(<-kept)
 			time.Sleep(30 * time.Millisecond)
 		})
 		// There is no other runner, and nothing went out to this one.
-		if status, body := house.post(t, "once"); status != 503 || !strings.Contains(body, scheduler.DidNotRun) || runner.reached.Load() != 1 {
+		if status, body := daemon.post(t, "once"); status != 503 || !strings.Contains(body, scheduler.DidNotRun) ||
+			runner.reached.Load() != 1 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
 	}
 }
 
 // startHasty starts a runner that answers each run as soon as it has its head, and ends the connection.
-func startHasty(t *testing.T, id string, answer func(connection net.Conn)) *scripted {
+func startHasty(t *testing.T, id string, answer func(connection net.Conn)) *scriptedRunner {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
-	runner := &scripted{id: id, address: listener.Addr().String()}
-	go func() {
-		for {
-			connection, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go runner.answerHeads(connection, answer)
-		}
-	}()
+	listener := listen(t)
+	runner := &scriptedRunner{id: id, address: listener.Addr().String()}
+	go acceptAll(listener, func(connection net.Conn) { runner.answerHeads(t, connection, answer) })
 	return runner
 }
 
-func (runner *scripted) answerHeads(connection net.Conn, answer func(connection net.Conn)) {
-	defer connection.Close()
+func (runner *scriptedRunner) answerHeads(t *testing.T, connection net.Conn, answer func(connection net.Conn)) {
+	t.Helper()
+	defer closeQuietly(connection)
 	// With small buffers on both sides a long body stays with its sender.
-	_ = connection.(*net.TCPConn).SetReadBuffer(smallBuffer)
+	tcp, isTCP := connection.(*net.TCPConn)
+	if !isTCP || tcp.SetReadBuffer(smallBuffer) != nil {
+		t.Errorf("no small buffer for a %T", connection)
+	}
 	reader := bufio.NewReaderSize(connection, smallBuffer)
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if request.URL.Path == "/identity" {
-			respond(connection, 200, fmt.Sprintf(`{"runner_id":%q,"service":"s","model":"m","weights":"w"}`, runner.id))
+		if runner.answeredIdentity(connection, request) {
 			continue
 		}
 		runner.reached.Add(1)
@@ -136,18 +133,22 @@
 
 const smallBuffer = 4 << 10
 
-// smallBuffers has a house send with small buffers.
-func smallBuffers(house *house) {
+// smallBuffers has a daemon send with small buffers.
+func smallBuffers(daemon *testDaemon) {
 	environment := netio.Real(nil)
 	dial := environment.Dial
 	environment.Dial = func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
 		made, err := dial(ctx, address, terms)
-		if err == nil {
-			err = made.(interface{ SetWriteBuffer(bytes int) error }).SetWriteBuffer(smallBuffer)
+		if err != nil {
+			return nil, err
+		}
+		buffered, hasBuffer := made.(interface{ SetWriteBuffer(bytes int) error })
+		if !hasBuffer {
+			return nil, fmt.Errorf("a %T has no write buffer", made)
 		}
-		return made, err
+		return made, buffered.SetWriteBuffer(smallBuffer)
 	}
-	house.Connections = connpool.New(environment, codec.Native{}.Identity())
+	daemon.Connections = connpool.New(environment, codec.Native{}.Identity())
 }
 
 // A runner that answers before it has the whole request, and ends the connection, has decided: a request that must run
@@ -160,16 +161,17 @@
 		sends  int64
 	}{
 		"it ran": {func(connection net.Conn) {
-			fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s", len(ran), ran)
+			send(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: %d\r\n\r\n%s",
+				len(ran), ran)
 		}, 200, 1},
 		"it failed":       {func(connection net.Conn) { respond(connection, 500, `{"oh":"no"}`) }, 504, 1},
 		"it put back":     {func(connection net.Conn) { respond(connection, 503, `{"started":false}`) }, 503, 2},
 		"it said nothing": {func(net.Conn) {}, 503, 2},
 	} {
 		first, second := startHasty(t, "r1", trial.answer), startHasty(t, "r2", trial.answer)
-		house := build(t, first, second)
-		smallBuffers(house)
-		status, body := house.sendBody(t, "once", strings.Repeat("x", 1<<20))
+		daemon := newDaemon(t, first, second)
+		smallBuffers(daemon)
+		status, body := daemon.sendBody(t, "once", strings.Repeat("x", 1<<20))
 		if sends := first.reached.Load() + second.reached.Load(); status != trial.status || sends != trial.sends {
 			t.Errorf("%s: %d %s, the runners saw %d", name, status, body, sends)
 		}
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -22,27 +23,28 @@
 
 // goesOn answers like a runner that can begin behind an event: it gives so many events up to a whole of total, and
 // the end if it got that far.
-func goesOn(name string, count, total int) func(net.Conn, *http.Request) {
+func resumes(name string, count, total int) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
 		after, _ := strconv.Atoi(request.Header.Get(admission.HeaderAfter))
-		text := ""
-		for number := after + 1; number <= min(total, after+count); number++ {
-			text += fmt.Sprintf("id: %d\nevent: token\ndata: {\"run\":%q}\n\n", number, name)
-		}
+		text := tokenEvents(name, after+1, min(total, after+count))
 		if after+count >= total {
 			text += done(total)
 		}
-		fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
+		send(connection, "%s", streamHead)
+		sendChunk(connection, text)
 		if after+count >= total {
-			fmt.Fprint(connection, "0\r\n\r\n")
+			endBody(connection)
 			return
 		}
 		_ = connection.Close()
 	}
 }
 
-// plainly answers with a success that is no stream.
-func plainly(connection net.Conn, _ *http.Request) { respond(connection, 200, "all of it") }
+// respondsWhole answers with a success that is no stream.
+func respondsWhole(connection net.Conn, _ *http.Request) { respond(connection, 200, "all of it") }
+
+// repeated gives several runners the same script.
+func repeated(count int, lines ...script) [][]script { return slices.Repeat([][]script{lines}, count) }
 
 // ids gives the ids of a stream's events in order.
 func ids(body string) string {
@@ -57,49 +59,85 @@
 
 // A stream of a route that may be resumed goes on behind its last whole event, at runners that have not had it yet.
 func TestBrokenStreamGoesOnAtAnotherRunner(t *testing.T) {
+	full := events(5, done(5), true)
 	for name, trial := range map[string]struct {
 		route   string
-		scripts [][]func(net.Conn, *http.Request)
+		scripts [][]script
 		ids     string
 		whole   bool
 		sends   int64
 	}{
-		"once":                      {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5)}, {goesOn("b", 9, 5)}, {goesOn("b", 9, 5)}}, "1 2 3 4 5 6", true, 2},
-		"twice":                     {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5)}, {goesOn("b", 2, 5)}, {goesOn("c", 2, 5)}}, "1 2 3 4 5 6", true, 3},
-		"nobody is left":            {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 1, 9)}, {goesOn("b", 1, 9)}, {goesOn("c", 1, 9)}}, "1 2 3 4", false, 3},
-		"before the first event":    {"resumed", [][]func(net.Conn, *http.Request){{events(0, "", false)}, {events(0, "", false)}, {goesOn("c", 9, 3)}}, "1 2 3 4", true, 0},
-		"not on another lane":       {"free", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5)}, {goesOn("a", 2, 5)}, {goesOn("a", 2, 5)}}, "1 2 3", false, 1},
-		"not on a lane of one run":  {"once", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5)}, {goesOn("a", 2, 5)}, {goesOn("a", 2, 5)}}, "1 2 3", false, 1},
-		"starts anew instead":       {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5)}, {events(5, done(5), true)}, {events(5, done(5), true)}}, "", false, 0},
-		"tells no events any more":  {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5), plainly}, {goesOn("a", 2, 5), plainly}, {goesOn("a", 2, 5), plainly}}, "", true, 0},
-		"fails then":                {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5), fails}, {goesOn("b", 2, 5), fails}, {goesOn("c", 2, 5), fails}}, "1 2 3 4 5 6", true, 3},
-		"is put back in the middle": {"resumed", [][]func(net.Conn, *http.Request){{goesOn("a", 2, 5), putsBack}, {goesOn("b", 2, 5), putsBack}, {goesOn("c", 2, 5), putsBack}}, "1 2 3 4 5 6", true, 3},
+		"once": {
+			"resumed", [][]script{{resumes("a", 2, 5)}, {resumes("b", 9, 5)}, {resumes("b", 9, 5)}},
+			"1 2 3 4 5 6", true, 2,
+		},
+		"twice": {
+			"resumed", [][]script{{resumes("a", 2, 5)}, {resumes("b", 2, 5)}, {resumes("c", 2, 5)}},
+			"1 2 3 4 5 6", true, 3,
+		},
+		"nobody is left": {
+			"resumed", [][]script{{resumes("a", 1, 9)}, {resumes("b", 1, 9)}, {resumes("c", 1, 9)}},
+			"1 2 3 4", false, 3,
+		},
+		"before the first event": {
+			"resumed", [][]script{{events(0, "", false)}, {events(0, "", false)}, {resumes("c", 9, 3)}},
+			"1 2 3 4", true, 0,
+		},
+		"not on another lane": {
+			"free", [][]script{{resumes("a", 2, 5)}, {resumes("a", 2, 5)}, {resumes("a", 2, 5)}},
+			"1 2 3", false, 1,
+		},
+		"not on a lane of one run": {
+			"once", [][]script{{resumes("a", 2, 5)}, {resumes("a", 2, 5)}, {resumes("a", 2, 5)}},
+			"1 2 3", false, 1,
+		},
+		"starts anew instead": {
+			"resumed", [][]script{{resumes("a", 2, 5)}, {full}, {full}},
+			"", false, 0,
+		},
+		"tells no events any more": {
+			"resumed", repeated(3, resumes("a", 2, 5), respondsWhole),
+			"", true, 0,
+		},
+		"fails then": {
+			"resumed", [][]script{{resumes("a", 2, 5), fails}, {resumes("b", 2, 5), fails}, {resumes("c", 2, 5), fails}},
+			"1 2 3 4 5 6", true, 3,
+		},
+		"is put back in the middle": {
+			"resumed",
+			[][]script{{resumes("a", 2, 5), rejects}, {resumes("b", 2, 5), rejects}, {resumes("c", 2, 5), rejects}},
+			"1 2 3 4 5 6", true, 3,
+		},
 	} {
-		runners := make([]*scripted, len(trial.scripts))
-		for place, script := range trial.scripts {
-			runners[place] = start(t, fmt.Sprint("r", place), script...)
+		runners := make([]*scriptedRunner, len(trial.scripts))
+		for index, script := range trial.scripts {
+			runners[index] = startRunner(t, fmt.Sprint("r", index), script...)
 		}
-		house := build(t, runners...)
-		status, body := house.post(t, trial.route)
+		daemon := newDaemon(t, runners...)
+		status, body := daemon.post(t, trial.route)
 		sends := int64(0)
 		for _, runner := range runners {
 			sends += runner.reached.Load()
 		}
 		seen := ids(body)
 		// Whatever came of it, ids count on and what is not whole does not look whole.
-		for place, id := range strings.Fields(seen) {
-			if id != fmt.Sprint(place+1) {
+		for index, id := range strings.Fields(seen) {
+			if id != strconv.Itoa(index+1) {
 				t.Errorf("%s: ids %s", name, seen)
 			}
 		}
 		if status != 200 || trial.ids != "" && seen != trial.ids || trial.sends > 0 && sends != trial.sends ||
-			trial.ids != "" && strings.Contains(body, "event: done") != trial.whole || strings.Contains(body, "event: done") == strings.Contains(body, "event: error") {
+			trial.ids != "" &&
+				strings.Contains(
+					body,
+					"event: done",
+				) != trial.whole || strings.Contains(body, "event: done") == strings.Contains(body, "event: error") {
 			t.Errorf("%s: %d, ids %s, %d sends, %s", name, status, seen, sends, body)
 		}
 		if strings.Contains(body, "did not run") {
 			t.Errorf("%s: what was relayed is said not to have run: %s", name, body)
 		}
-		if in := house.InFlight.Load(); in != 0 {
+		if in := daemon.InFlight.Load(); in != 0 {
 			t.Errorf("%s: %d are in flight", name, in)
 		}
 	}
@@ -107,24 +145,36 @@
 
 // What is no stream can't go on where a stream broke off.
 func TestNothingButEventsFollowsEvents(t *testing.T) {
-	first, second := start(t, "r1", goesOn("a", 2, 5), plainly), start(t, "r2", goesOn("a", 2, 5), plainly)
-	house := build(t, first, second)
-	house.Codec = plainCodec{house.Codec}
-	if status, body := house.post(t, "resumed"); status != 200 || strings.Contains(body, "all of it") || !strings.Contains(body, "event: error") {
+	first, second := startRunner(
+		t,
+		"r1",
+		resumes("a", 2, 5),
+		respondsWhole,
+	), startRunner(
+		t,
+		"r2",
+		resumes("a", 2, 5),
+		respondsWhole,
+	)
+	daemon := newDaemon(t, first, second)
+	daemon.Codec = plainCodec{daemon.Codec}
+	if status, body := daemon.post(t, "resumed"); status != 200 || strings.Contains(body, "all of it") ||
+		!strings.Contains(body, "event: error") {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
-// A failure of the runner's own is passed on where the request can't be repeated, and the runner is left alone for a while.
+// A failure of the runner's own is passed on where the request can't be repeated, and the runner is left alone for a
+// while.
 func TestFailingRunnerIsLeftAlone(t *testing.T) {
-	failing := start(t, "r1", fails)
-	house := build(t, failing)
-	house.Codec = plainCodec{house.Codec}
+	failing := startRunner(t, "r1", fails)
+	daemon := newDaemon(t, failing)
+	daemon.Codec = plainCodec{daemon.Codec}
 	started := time.Now()
-	if status, body := house.post(t, "once"); status != 200 || !strings.Contains(body, "oh") {
+	if status, body := daemon.post(t, "once"); status != 200 || !strings.Contains(body, "oh") {
 		t.Errorf("%d %s", status, body)
 	}
-	if runner, _ := house.Loads.One(started, "r1", house.Daemons()); runner.Usable || failing.reached.Load() != 1 {
+	if runner, _ := daemon.Loads.One(started, "r1", daemon.Daemons()); runner.Usable || failing.reached.Load() != 1 {
 		t.Errorf("the runner is still used: %+v", runner)
 	}
 }
@@ -133,8 +183,8 @@
 func TestDeadlineEndsEveryWait(t *testing.T) {
 	silent := func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) }
 	stalls := func(connection net.Conn, _ *http.Request) {
-		text := "id: 1\nevent: token\ndata: {}\n\n"
-		fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
+		send(connection, "%s", streamHead)
+		sendChunk(connection, tokenEvents("x", 1, 1))
 		_, _ = io.Copy(io.Discard, connection)
 	}
 	for name, trial := range map[string]struct {
@@ -150,30 +200,38 @@
 		"stalled, the requester's": {stalls, "once", "150", 200, "event: error"},
 		"stalled, may be resumed":  {stalls, "resumed", "150", 200, "event: error"},
 	} {
-		house := build(t, start(t, "r1", trial.script))
+		daemon := newDaemon(t, startRunner(t, "r1", trial.script))
 		started := time.Now()
-		status, body := house.sendWith(t, trial.route, "d", map[string]string{admission.HeaderWait: trial.wait})
-		if took := time.Since(started); status != trial.status || !strings.Contains(body, trial.says) || took < 140*time.Millisecond || took > 2*time.Second {
+		status, body := daemon.sendWith(t, trial.route, "d", map[string]string{admission.HeaderWait: trial.wait})
+		if took := time.Since(started); status != trial.status || !strings.Contains(body, trial.says) ||
+			took < 140*time.Millisecond ||
+			took > 2*time.Second {
 			t.Errorf("%s: %d %s after %v", name, status, body, took)
 		}
 	}
 }
 
-// A stream that breaks long after its latency target is still gone on with, also where a moment has to be waited for its next runner.
+// A stream that breaks long after its latency target is still gone on with, also where a moment has to be waited for
+// its next runner.
 func TestLongStreamGoesOnAfterAWait(t *testing.T) {
-	second := start(t, "r2", goesOn("b", 9, 5))
+	second := startRunner(t, "r2", resumes("b", 9, 5))
 	var passed atomic.Int64
-	var daemon *house
-	first := start(t, "r1", func(connection net.Conn, request *http.Request) {
+	var daemon *testDaemon
+	first := startRunner(t, "r1", func(connection net.Conn, request *http.Request) {
 		passed.Store(int64(time.Minute))
 		now := daemon.Environment.Now()
-		daemon.Loads.List(now, []*wire.Runner{{RunnerId: "r1", Address: connection.LocalAddr().String(), Zone: "a", Service: "s", State: "ready"},
-			{RunnerId: "r2", Address: second.address, Zone: "a", Service: "s", State: "ready"}})
+		daemon.Loads.List(
+			now,
+			[]*wire.Runner{
+				{RunnerId: "r1", Address: connection.LocalAddr().String(), Zone: "a", Service: "s", State: "ready"},
+				{RunnerId: "r2", Address: second.address, Zone: "a", Service: "s", State: "ready"},
+			},
+		)
 		daemon.Loads.Failed(now, "r2", "failed a moment ago")
-		daemon.credit(now)
-		goesOn("a", 2, 5)(connection, request)
+		daemon.fillBudget(now)
+		resumes("a", 2, 5)(connection, request)
 	})
-	daemon = build(t, first)
+	daemon = newDaemon(t, first)
 	daemon.Environment.Now = func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
 	ticker, finished := time.NewTicker(5*time.Millisecond), make(chan struct{})
 	defer ticker.Stop()
@@ -194,51 +252,54 @@
 	}
 }
 
-// What is done before a request goes out keeps to its deadline as well: the wait for a sure spec, and the way to a runner.
+// What is done before a request goes out keeps to its deadline as well: the wait for a sure spec, and the way to a
+// runner.
 func TestDeadlineBoundsTheWayToARunner(t *testing.T) {
-	runner := start(t, "r1", events(1, done(1), true))
-	house := build(t, runner)
-	sure := house.snapshot
-	house.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
+	runner := startRunner(t, "r1", events(1, done(1), true))
+	daemon := newDaemon(t, runner)
+	sure := daemon.snapshot
+	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
 	started := time.Now()
-	if status, body := house.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"}); status != 503 || time.Since(started) > configurationTimeout/2 {
+	status, body := daemon.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"})
+	if status != 503 || time.Since(started) > configurationTimeout/2 {
 		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(started))
 	}
-	house.snapshot = sure
+	daemon.snapshot = sure
 	var terms []netio.Timeouts
 	environment := netio.Real(nil)
 	environment.Dial = func(_ context.Context, _ string, given netio.Timeouts) (netio.Conn, error) {
 		terms = append(terms, given)
 		return nil, io.ErrClosedPipe
 	}
-	house.Connections = connpool.New(environment, codec.Native{}.Identity())
-	house.sendWith(t, "once", "dials", map[string]string{admission.HeaderWait: "100"})
-	house.Loads.Served("r1")
-	house.send(t, "once", "dials in peace")
-	if len(terms) != 2 || terms[0].Dial > 100*time.Millisecond || terms[0].Dial <= 0 || terms[1].Dial <= 100*time.Millisecond {
+	daemon.Connections = connpool.New(environment, codec.Native{}.Identity())
+	daemon.sendWith(t, "once", "dials", map[string]string{admission.HeaderWait: "100"})
+	daemon.Loads.Served("r1")
+	daemon.send(t, "once", "dials in peace")
+	if len(terms) != 2 || terms[0].Dial > 100*time.Millisecond || terms[0].Dial <= 0 ||
+		terms[1].Dial <= 100*time.Millisecond {
 		t.Errorf("terms of dialing: %+v", terms)
 	}
 }
 
 // A request that waits for a sure spec goes on at the renewal, not at a poll some time after it.
 func TestRenewalEndsTheWaitForASureSpec(t *testing.T) {
-	house := build(t, start(t, "r1", events(1, done(1), true)))
-	unsure := &config.Snapshot{SpecEpoch: 1, Catalog: house.snapshot.Catalog}
-	sure := house.snapshot
+	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
+	unsure := &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
+	sure := daemon.snapshot
 	var present atomic.Pointer[config.Snapshot]
 	present.Store(unsure)
 	renewed := make(chan struct{})
 	var woken time.Duration
-	house.Snapshot = present.Load
-	house.Renewed = func() <-chan struct{} { return renewed }
-	house.Environment.Wait = func(_ context.Context, length time.Duration, channel <-chan struct{}) {
+	daemon.Snapshot = present.Load
+	daemon.Renewed = func() <-chan struct{} { return renewed }
+	daemon.Environment.Wait = func(_ context.Context, length time.Duration, channel <-chan struct{}) {
 		if channel != (<-chan struct{})(renewed) {
 			t.Error("the wait does not end with the renewal")
 		}
 		woken = length
 		present.Store(sure)
 	}
-	if status, body := house.send(t, "once", "renewed"); status != 200 {
+	if status, body := daemon.send(t, "once", "renewed"); status != 200 {
 		t.Errorf("sure again: %d %s", status, body)
 	}
 	if woken <= 0 || woken > configurationTimeout {
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -22,15 +22,15 @@
 		"nothing is known of its end":   {true, time.Second, 0, 200},
 		"the daemon should be gone now": {true, time.Millisecond, -time.Second, 503},
 	} {
-		runner := start(t, "r1", events(3, done(3), true))
-		house := build(t, runner)
-		house.Scheduler("p").Paced(answer, answer*trial.token)
-		house.Draining.Store(trial.draining)
+		runner := startRunner(t, "r1", events(3, done(3), true))
+		daemon := newDaemon(t, runner)
+		daemon.Scheduler("p").Paced(answer, answer*trial.token)
+		daemon.Draining.Store(trial.draining)
 		if by := time.Now().Add(trial.left); trial.draining && trial.left != 0 {
-			house.StopBy.Store(&by)
+			daemon.StopBy.Store(&by)
 		}
 		// The route's latency target is 2 s, within which the first event may come.
-		status, body := house.post(t, "once")
+		status, body := daemon.post(t, "once")
 		if status != trial.status || (runner.reached.Load() > 0) != (status == 200) {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
@@ -39,11 +39,11 @@
 
 // The pace is learned from the events of answers on their way.
 func TestPaceIsLearnedFromEvents(t *testing.T) {
-	house := build(t, start(t, "r1", events(3*pacedEvents, done(3*pacedEvents), true)))
-	house.post(t, "once")
+	daemon := newDaemon(t, startRunner(t, "r1", events(3*pacedEvents, done(3*pacedEvents), true)))
+	daemon.post(t, "once")
 	by := time.Now()
-	house.StopBy.Store(&by)
-	if status, body := house.post(t, "once"); status != 503 {
+	daemon.StopBy.Store(&by)
+	if status, body := daemon.post(t, "once"); status != 503 {
 		t.Errorf("%d %s", status, body)
 	}
 }
