--- a/proxy/departure_test.go
+++ b/proxy/departure_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// holding is runners' work that goes on until it is released; each run is told of in begun, and in cut where its
+// heldWork is runners' work that goes on until it is released; each run is signalled in started, and in cut where its
 // connection ends before that.
 type heldWork struct{ started, cut, release chan struct{} }
 
@@ -118,12 +118,12 @@
 	_ = connection.Close()
 }
 
-// wantNothingInFlight wants that no request is under way and every place was given back.
+// wantNothingInFlight wants that no request is under way and every slot was released.
 func (daemon *testDaemon) wantNothingInFlight(t *testing.T) {
 	t.Helper()
 	eventually(t, "nothing is in flight", func() bool { return daemon.InFlight.Load() == 0 })
 	if _, waiting, routes := daemon.Scheduler("p").State(); waiting != 0 || len(routes) != 0 {
-		t.Errorf("%d wait, places held by %v", waiting, routes)
+		t.Errorf("%d wait, slots held by %v", waiting, routes)
 	}
 	for _, runner := range daemon.Loads.All(time.Now(), []string{"d"}) {
 		if runner.InFlight != 0 {
@@ -132,13 +132,13 @@
 	}
 }
 
-// blamed tells whether a runner is left alone.
+// isAvoided reports whether a runner is not used at present.
 func (daemon *testDaemon) isAvoided(runner string) bool {
 	found, _ := daemon.Loads.One(time.Now(), runner, []string{"d"})
 	return !found.Usable
 }
 
-// A request gives up its place in the queue when its client leaves, and reaches nobody when a runner has room again.
+// A request is removed from the queue when its client leaves, and reaches nobody when a runner has room again.
 func TestQueuedRequestEndsWithItsClient(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closes": func(client *net.TCPConn) { closeQuietly(client) },
@@ -181,7 +181,8 @@
 "pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`+route+`]}`)
 }
 
-// A runner at work is let go when the client leaves, before its first event as well as behind it, and is not blamed.
+// A running runner is released when the client leaves, before its first event as well as behind it, and is not avoided
+// afterwards.
 func TestRunIsCutWithItsClient(t *testing.T) {
 	const cancelled = `{"name":"cancelled","pool":"p","worth":1,"patience":"2s","repeatable":false,
 "cancel_on_disconnect":true}`
@@ -214,13 +215,13 @@
 			}
 		}
 		_ = client.Close()
-		wantSoon(t, name+": the runner is let go", work.cut)
+		wantSoon(t, name+": the runner is released", work.cut)
 		daemon.wantNothingInFlight(t)
 		if sends := first.reached.Load() + second.reached.Load(); sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
 		}
 		if daemon.isAvoided("r1") || daemon.isAvoided("r2") {
-			t.Errorf("%s: the runner is blamed", name)
+			t.Errorf("%s: the runner is avoided", name)
 		}
 	}
 }
@@ -268,8 +269,8 @@
 	})
 }
 
-// A request that waits for its daemon to be sure of its spec ends with its client as well.
-func TestWaitForASureSpecEndsWithTheClient(t *testing.T) {
+// A request that waits for its daemon to know its configuration to be current ends with its client as well.
+func TestWaitForTheConfigurationEndsWithTheClient(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
 	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
@@ -310,11 +311,11 @@
 	wantSoon(t, "the dial ends", finished)
 	daemon.wantNothingInFlight(t)
 	if daemon.isAvoided("r1") {
-		t.Error("the runner is blamed")
+		t.Error("the runner is avoided")
 	}
 }
 
-// Nobody looks for another runner for a client that has left.
+// No other runner is looked for for a client that has left.
 func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
 	for name, trial := range map[string]struct {
 		route, first string
@@ -341,11 +342,11 @@
 	}
 }
 
-// A request that was read behind its client's close goes nowhere, even where the course is quicker than the watch.
+// A request that was read behind its client's close goes nowhere, even where the request is quicker than the watch.
 func TestRequestReadBehindItsCloseIsDropped(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
-	// Why no watch: the process has just woken from a freeze and its poller has not told of the close yet.
+	// Why no watch: the process has just woken from a freeze and its poller has not seen the close yet.
 	for _, route := range []string{"once", "free"} {
 		daemon.Serve(&departed{route: route, body: []byte(`{"prompt":"x"}`)})
 		daemon.wantNothingInFlight(t)
@@ -402,14 +403,14 @@
 
 func (departed *departed) Last() {}
 
-// Who only ends its sending side looks like one that has left, and is told so at once.
+// A client that only ends its sending side looks like one that has left, and is told so at once.
 func TestHalfClosedConnectionIsAnswered(t *testing.T) {
 	work := newHeldWork()
 	daemon := newDaemon(t, startRunner(t, "r1", work.answer("", events(1, done(1), true))))
 	client := daemon.dial(t, "free", "q")
 	wantSoon(t, "the runner works", work.started)
 	_ = client.CloseWrite()
-	wantSoon(t, "the runner is let go", work.cut)
+	wantSoon(t, "the runner is released", work.cut)
 	response, err := io.ReadAll(client)
 	if err != nil {
 		t.Fatal(err)
@@ -421,7 +422,7 @@
 	}
 }
 
-// Many clients that leave at every moment of their requests' lives give every place back, and the runner works on none.
+// Many clients that leave at every moment of their requests' lives give every slot back, and the runner works on none.
 func TestClientsLeaveAtAnyMoment(t *testing.T) {
 	runner := startRunner(t, "r1", events(3, done(3), true))
 	daemon := newDaemon(t, runner)
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -32,7 +32,7 @@
 	return head
 }
 
-func TestWholeStreamIsRelayed(t *testing.T) {
+func TestCompleteStreamIsRelayed(t *testing.T) {
 	daemon := newDaemon(t, startRunner(t, "r1", events(3, done(3), true)))
 	status, body := daemon.post(t, "once")
 	if status != 200 || strings.Count(body, "event: token") != 3 || !strings.HasSuffix(body, done(3)) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// What a runner puts back goes to another, also on a route that runs at most once: it surely did not start.
-func TestPutBackGoesElsewhere(t *testing.T) {
+// What a runner puts back goes to another, also on a route that runs at most once: it certainly did not start.
+func TestRejectionGoesElsewhere(t *testing.T) {
 	first, second := startRunner(
 		t,
 		"r1",
@@ -54,7 +54,7 @@
 		events(1, done(1), true),
 	)
 	daemon := newDaemon(t, first, second)
-	// Both put the first request back; the third attempt finds nobody left and says that nothing ran.
+	// Both reject the first request; the third attempt finds no runner left and says that nothing ran.
 	status, body := daemon.post(t, "once")
 	if status != 503 || !strings.Contains(body, scheduler.DidNotRun) ||
 		first.reached.Load()+second.reached.Load() != 2 {
@@ -70,8 +70,9 @@
 	}
 }
 
-// A once route's doubt is told as unknown, and no other runner ever sees the request.
-func TestDoubtIsNeverRetriedOnOnceRoutes(t *testing.T) {
+// An ambiguous attempt of a route that runs at most once is reported as unknown, and no other runner ever sees the
+// request.
+func TestAmbiguousAttemptIsNeverRetriedOnOnceRoutes(t *testing.T) {
 	for name, step := range map[string]script{
 		"hangs up":     hangsUp,
 		"fails":        fails,
@@ -87,8 +88,8 @@
 	}
 }
 
-// A repeatable route's doubt is repeated within the budget, and an answer in doubt stays one.
-func TestDoubtIsRetriedWithinTheBudget(t *testing.T) {
+// An ambiguous attempt of an idempotent route is retried within the budget, and a response in doubt stays ambiguous.
+func TestAmbiguousAttemptIsRetriedWithinTheBudget(t *testing.T) {
 	first, second := startRunner(t, "r1", hangsUp), startRunner(t, "r2", hangsUp)
 	daemon := newDaemon(t, first, second)
 	status, body := daemon.post(t, "free")
@@ -105,7 +106,7 @@
 }
 
 // Once an event was relayed only the same run may go on: a break, a skip, a repeat or a false end is
-// told as an error, and never as a success.
+// reported as an error, and never as a success.
 func TestBrokenStreamsEndWithAnError(t *testing.T) {
 	for name, last := range map[string]string{
 		"break":       "",
@@ -128,8 +129,8 @@
 	}
 }
 
-// Nothing may go out under a spec that is not surely present, to a closed zone or a service no longer allowed.
-func TestLastLookBeforeBytesGoOut(t *testing.T) {
+// Nothing may go out under a spec that is not known to be current, to a closed zone or a service no longer allowed.
+func TestLastCheckBeforeBytesGoOut(t *testing.T) {
 	change := func(text string) func(daemon *testDaemon) {
 		return func(daemon *testDaemon) { daemon.snapshot = newSnapshot(t, 2, text) }
 	}
@@ -157,7 +158,7 @@
 	}
 }
 
-// The same request sent again on a route that runs at most once: it is taken again only if it surely did not run.
+// The same request sent again on a route that runs at most once: it is taken again only if it certainly did not run.
 func TestSameRequestAgain(t *testing.T) {
 	ran := events(1, done(1), true)
 	for name, trial := range map[string]struct {
@@ -190,9 +191,9 @@
 	}
 }
 
-// A long request's last part goes out only after another look: a change that comes while its bytes are on
+// A long request's last part goes out only after another check: a change that comes while its bytes are on
 // their way keeps it from being whole, and so from running.
-func TestLongRequestsAreLookedAtAgain(t *testing.T) {
+func TestLongRequestsAreCheckedAgain(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
 	connection, err := daemon.Connections.Take("r1", runner.address)
@@ -207,12 +208,12 @@
 	attempt.connection = connection
 	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
 	if end := attempt.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
-		t.Fatalf("a long request went out whole under a spec that is not surely present; the runner saw %d",
+		t.Fatalf("a long request went out whole under a spec that is not known to be current; the runner saw %d",
 			runner.reached.Load())
 	}
 }
 
-func TestImproperRequestsAreTypedAndSurelyNotRun(t *testing.T) {
+func TestInvalidRequestsAreTypedAndDidNotRun(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
 	for route, want := range map[string]int{"nowhere": 404, "": 400} {
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -150,7 +150,7 @@
 	address   string
 	snapshot  *config.Snapshot
 	announced []bool
-	// departures has an entry for each client of which the daemon has learned that it left.
+	// departures has an entry for each client of which the daemon has been notified that it left.
 	departures chan struct{}
 	number     int
 }
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -76,8 +76,8 @@
 }
 
 // A key that was taken away between the decision and the write opens nothing any more, and neither does one whose
-// daemon is not sure of its spec.
-func TestARevokedKeyStopsTheLastLook(t *testing.T) {
+// daemon is not certain of its configuration.
+func TestRevokedKeyStopsTheLastCheck(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
 	daemon.tenants(t, nil)
@@ -129,8 +129,8 @@
 	}
 }
 
-// A spent quota is told at once, with a promise that nothing ran and a time to come back.
-func TestASpentQuotaIsARefusal(t *testing.T) {
+// A spent quota is reported at once, with a promise that nothing ran and a time to come back.
+func TestSpentQuotaIsRefused(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	for name, issue := range map[string]func([]quota.TenantReport) []quota.Share{
 		"the issuer has none": func([]quota.TenantReport) []quota.Share {
@@ -161,8 +161,8 @@
 	}
 }
 
-// A request that surely did not run gives back what it was charged.
-func TestWhatDidNotRunIsGivenBack(t *testing.T) {
+// A request that certainly did not run gives back what it was charged.
+func TestChargeOfWhatDidNotRunIsRefunded(t *testing.T) {
 	runner := startRunner(t, "r1", rejects)
 	daemon := newDaemon(t, runner)
 	daemon.tenants(t, func(claims []quota.TenantReport) []quota.Share {
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -18,7 +18,7 @@
 	"wardtray/transport/netio"
 )
 
-// frozen has the daemon of a daemon stand still between its decision and the write, at the moment when it tells the
+// frozen has the daemon of a daemon freeze between its decision and the write, at the moment when it tells the
 // zone of a request that must run at most once.
 func frozen(daemon *testDaemon, length time.Duration, meanwhile func()) {
 	var slept atomic.Int64
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// A failure of the runner's own is passed on where the request can't be repeated, and the runner is left alone for a
+// A failure of the runner's own is passed on where the request can't be repeated, and the runner is avoided for a
 // while.
-func TestFailingRunnerIsLeftAlone(t *testing.T) {
+func TestFailingRunnerIsAvoided(t *testing.T) {
 	failing := startRunner(t, "r1", fails)
 	daemon := newDaemon(t, failing)
 	daemon.Codec = plainCodec{daemon.Codec}
@@ -252,19 +252,19 @@
 	}
 }
 
-// What is done before a request goes out keeps to its deadline as well: the wait for a sure spec, and the way to a
-// runner.
+// What is done before a request goes out keeps to its deadline as well: the wait for the configuration, and the way to
+// a runner.
 func TestDeadlineBoundsTheWayToARunner(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
-	sure := daemon.snapshot
-	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: sure.Catalog}
+	current := daemon.snapshot
+	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: current.Catalog}
 	started := time.Now()
 	status, body := daemon.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"})
 	if status != 503 || time.Since(started) > configurationTimeout/2 {
-		t.Errorf("unsure of its spec: %d %s after %v", status, body, time.Since(started))
+		t.Errorf("without a current configuration: %d %s after %v", status, body, time.Since(started))
 	}
-	daemon.snapshot = sure
+	daemon.snapshot = current
 	var terms []netio.Timeouts
 	environment := netio.Real(nil)
 	environment.Dial = func(_ context.Context, _ string, given netio.Timeouts) (netio.Conn, error) {
@@ -281,13 +281,13 @@
 	}
 }
 
-// A request that waits for a sure spec goes on at the renewal, not at a poll some time after it.
-func TestRenewalEndsTheWaitForASureSpec(t *testing.T) {
+// A request that waits for the configuration goes on at the renewal, not at a poll some time after it.
+func TestRenewalEndsTheWaitForTheConfiguration(t *testing.T) {
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
-	unsure := &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
-	sure := daemon.snapshot
+	outdated := &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
+	current := daemon.snapshot
 	var present atomic.Pointer[config.Snapshot]
-	present.Store(unsure)
+	present.Store(outdated)
 	renewed := make(chan struct{})
 	var woken time.Duration
 	daemon.Snapshot = present.Load
@@ -297,10 +297,10 @@
 			t.Error("the wait does not end with the renewal")
 		}
 		woken = length
-		present.Store(sure)
+		present.Store(current)
 	}
 	if status, body := daemon.send(t, "once", "renewed"); status != 200 {
-		t.Errorf("sure again: %d %s", status, body)
+		t.Errorf("current again: %d %s", status, body)
 	}
 	if woken <= 0 || woken > configurationTimeout {
 		t.Errorf("the wait was bounded by %v", woken)
