--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -194,10 +194,10 @@
 		says        string
 	}{
 		"silent, the lane's":       {silent, "short", "", 504, `"ran":"unknown"`},
-		"silent, the requester's":  {silent, "once", "150", 504, `"ran":"unknown"`},
+		"silent, the client's":  {silent, "once", "150", 504, `"ran":"unknown"`},
 		"silent, the sooner":       {silent, "short", "60000", 504, `"ran":"unknown"`},
 		"stalled, the lane's":      {stalls, "short", "", 200, "event: error"},
-		"stalled, the requester's": {stalls, "once", "150", 200, "event: error"},
+		"stalled, the client's": {stalls, "once", "150", 200, "event: error"},
 		"stalled, may be resumed":  {stalls, "resumed", "150", 200, "event: error"},
 	} {
 		daemon := newDaemon(t, startRunner(t, "r1", trial.script))
