--- /dev/null
+++ b/coordination/lease/exclusivity_test.go
@@ -0,0 +1,278 @@
+package lease
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/leanovate/gopter"
+	"github.com/leanovate/gopter/gen"
+	"github.com/leanovate/gopter/prop"
+
+	"wardtray/wire"
+)
+
+// machine is one of five, each of which may be head, and an acceptor as well.
+type machine struct {
+	id      string
+	lessee  *Lessee
+	lessor  *Lessor
+	view    uint64
+	voted   bool
+	cleared uint64
+	up      bool
+	// delay is added to what this machine's messages handle; isolated is whether it learns no views.
+	delay    time.Duration
+	isolated bool
+}
+
+type message struct {
+	arrivesAt time.Time
+	handle    func(now time.Time)
+}
+
+// heads and acceptorSets are the head and the acceptors of each view, in a cycle. Heads stay, leave, and come back.
+var (
+	heads        = []int{0, 0, 0, 1, 1, 2, 0, 0, 3, 1, 4, 4, 0, 2, 2}
+	acceptorSets = [][]int{{0, 1, 2}, {0, 1, 2}, {0, 1, 3}, {0, 2, 3}, {1, 2, 3}, {1, 2, 4}, {0, 2, 4}}
+)
+
+func member(index int) *wire.Member {
+	return &wire.Member{Id: fmt.Sprint("m", index), Address: fmt.Sprint("m", index)}
+}
+
+// viewAt returns the view of an epoch, with its terms.
+func viewAt(epoch uint64) *wire.View {
+	view := &wire.View{Epoch: 1, HeadTerm: 1, Chain: []*wire.Member{member(heads[0])}}
+	for next := uint64(2); next <= epoch; next++ {
+		head := member(heads[int(next-1)%len(heads)])
+		if head.Id != view.Chain[0].Id {
+			view.PreviousHead, view.PreviousTerm, view.HeadTerm = view.Chain[0], view.HeadTerm, next
+		}
+		view.Epoch, view.Chain = next, []*wire.Member{head}
+	}
+	return view
+}
+
+func acceptorsOf(epoch uint64) []int { return acceptorSets[int(epoch-1)%len(acceptorSets)] }
+
+// step is how much time passes between two moments of a trial.
+const step = 4 * time.Millisecond
+
+// trial is five machines that ask for claims while keepers vote, learn, skip views, die and start again, messages handle any
+// time, and proof comes that a head has moved on or is dead.
+type trial struct {
+	random   *rand.Rand
+	now      time.Time
+	machines []*machine
+	messages []message
+	// newest is the newest view that was chosen.
+	newest uint64
+	// last held the claim last, at lastAt; -1 if nobody did.
+	last   int
+	lastAt time.Time
+	// votes is the number of moments in which a keeper votes once, by chance: between calm spans, in which claims are held,
+	// come spans in which one view follows another.
+	votes int
+	// handovers counts how often the lease changed hands, quick how often it did within half a Term.
+	handovers, quick int
+}
+
+func newTrial(seed int64) *trial {
+	started := time.Unix(1_700_000_000, 0)
+	trial := &trial{random: rand.New(rand.NewSource(seed)), now: started, newest: 1, last: -1, lastAt: started, votes: 40}
+	for index := range 5 {
+		trial.machines = append(trial.machines, &machine{id: member(index).Id, lessee: NewLessee(0), lessor: Restore(started, viewAt(1), 0), view: 1, up: true})
+	}
+	return trial
+}
+
+// later lets something happen when a message of a machine's arrives, late by what the machine sleeps now and then.
+func (trial *trial) later(from *machine, handle func(now time.Time)) {
+	trial.messages = append(trial.messages, message{trial.now.Add(from.delay + time.Duration(trial.random.Int63n(int64(20*time.Millisecond)))), handle})
+}
+
+// deliver lets every message arrive whose time has come.
+func (trial *trial) deliver() {
+	due := trial.messages
+	trial.messages = nil
+	for _, pending := range due {
+		if pending.arrivesAt.After(trial.now) {
+			trial.messages = append(trial.messages, pending)
+			continue
+		}
+		pending.handle(trial.now)
+	}
+}
+
+// learn lets a machine learn a view and tell the others that it has moved on.
+func (trial *trial) learn(machine *machine, epoch uint64) {
+	if epoch <= machine.view {
+		return
+	}
+	machine.view, machine.voted = epoch, false
+	machine.lessor.Learn(trial.now, viewAt(epoch))
+	for _, other := range trial.machines {
+		trial.later(machine, func(at time.Time) {
+			if other.up {
+				other.lessor.Heard(at, machine.id, epoch)
+			}
+		})
+	}
+}
+
+// disturb ends a calm span now and then: the present head hears nothing for a while, and the others move on without it.
+func (trial *trial) disturb() {
+	if trial.random.Intn(60) == 0 {
+		trial.votes = 400
+	}
+	if trial.last >= 0 && trial.now.Equal(trial.lastAt.Add(step)) && trial.random.Intn(40) == 0 {
+		trial.machines[trial.last].isolated, trial.votes = true, 4
+		if trial.random.Intn(3) == 0 {
+			trial.machines[trial.last].up = false
+		}
+	}
+}
+
+// act lets a machine start, die or delay down by chance, and do its work.
+func (trial *trial) act(index int, machine *machine) {
+	if !machine.up {
+		if trial.random.Intn(20) == 0 {
+			machine.up, machine.lessee, machine.lessor = true, NewLessee(trial.random.Uint64()), Restore(trial.now, viewAt(machine.view), machine.cleared)
+		}
+		return
+	}
+	if trial.random.Intn(800) == 0 {
+		machine.up = false
+		return
+	}
+	if trial.random.Intn(200) == 0 {
+		machine.delay = time.Duration(trial.random.Int63n(int64(200*time.Millisecond))) * time.Duration(trial.random.Intn(2))
+		machine.isolated = false
+	}
+	if machine.lessor.Allows(trial.now, false) {
+		machine.cleared = machine.lessor.Term()
+	}
+	trial.tryConnection(machine)
+	if machine.isHead(index) && trial.random.Intn(4) == 0 {
+		trial.ask(machine)
+	}
+}
+
+// heads tells whether the machine at a index is head of the view that it knows.
+func (machine *machine) isHead(index int) bool {
+	return heads[int(machine.view-1)%len(heads)] == index
+}
+
+// tryConnection tries another machine's address at this moment; the answer comes later.
+func (trial *trial) tryConnection(machine *machine) {
+	other, tried := trial.machines[trial.random.Intn(5)], trial.now
+	if other.up {
+		return
+	}
+	trial.later(machine, func(at time.Time) {
+		if machine.up {
+			machine.lessor.Refused(at, other.id, tried)
+		}
+	})
+}
+
+// ask asks the keepers of a head's view for the claim.
+func (trial *trial) ask(machine *machine) {
+	lessee, view := machine.lessee, machine.view
+	nonce := lessee.Ask(trial.now, view)
+	for _, index := range acceptorsOf(view) {
+		acceptor := trial.machines[index]
+		trial.later(machine, func(then time.Time) {
+			if acceptor.up && acceptor.view == view && acceptor.lessor.Allows(then, acceptor.voted) {
+				trial.later(acceptor, func(at time.Time) { lessee.Grant(at, acceptor.id, view, nonce, 2) })
+			}
+		})
+	}
+}
+
+// choose lets keepers vote; once most of the newest view have, the next one is chosen, and whoever hears of it learns it.
+func (trial *trial) choose() {
+	voted := 0
+	for _, index := range acceptorsOf(trial.newest) {
+		if trial.machines[index].voted && trial.machines[index].view == trial.newest {
+			voted++
+		}
+	}
+	if voted >= 2 {
+		trial.newest++
+	}
+	for index, machine := range trial.machines {
+		if machine.up && !machine.isolated && trial.random.Intn(8) == 0 {
+			trial.learn(machine, trial.newest)
+		}
+		for _, index := range acceptorsOf(machine.view) {
+			if machine.up && index == index && machine.view == trial.newest && trial.random.Intn(trial.votes) == 0 {
+				machine.voted = true
+			}
+		}
+	}
+}
+
+// holders gives the machines that hold a valid claim now.
+func (trial *trial) holders() (indexes []int) {
+	for index, machine := range trial.machines {
+		if machine.up && machine.isHead(index) && machine.lessee.Valid(trial.now, machine.view) {
+			indexes = append(indexes, index)
+		}
+	}
+	return indexes
+}
+
+// count takes down who holds the claim.
+func (trial *trial) count(acting int) {
+	if acting != trial.last {
+		trial.handovers++
+		if trial.now.Sub(trial.lastAt) < Term/2 {
+			trial.quick++
+		}
+		trial.last = acting
+	}
+	trial.lastAt = trial.now
+}
+
+// run tells whether never two machines held the claim at once.
+func (trial *trial) run() bool {
+	for range 3000 {
+		trial.now = trial.now.Add(step)
+		trial.disturb()
+		trial.deliver()
+		for index, machine := range trial.machines {
+			trial.act(index, machine)
+		}
+		trial.choose()
+		holders := trial.holders()
+		if len(holders) > 1 {
+			return false
+		}
+		for _, acting := range holders {
+			trial.count(acting)
+		}
+	}
+	return true
+}
+
+// No two machines ever hold valid leases at once.
+func TestLeasesOfTwoTermsNeverOverlap(t *testing.T) {
+	handovers, quick := 0, 0
+	parameters := gopter.DefaultTestParametersWithSeed(3)
+	parameters.MinSuccessfulTests = 200
+	properties := gopter.NewProperties(parameters)
+	properties.Property("exclusive", prop.ForAll(func(seed int64) bool {
+		trial := newTrial(seed)
+		exclusive := trial.run()
+		handovers, quick = handovers+trial.handovers, quick+trial.quick
+		return exclusive
+	}, gen.Int64()))
+	properties.TestingRun(t)
+	t.Logf("the lease changed hands %d times, %d of them quickly", handovers, quick)
+	if handovers < 100 || quick < 20 {
+		t.Fatalf("the lease changed hands only %d times, %d of them quickly", handovers, quick)
+	}
+}
--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -1,7 +1,13 @@
-// Package machine is what every coordination part of wardtray shares: an outbox into which a
-// pure state machine puts the messages it sends and the disk writes it wants. A part starts no
-// goroutine and reads no clock; a driver (a process, or the simulator) hands it the time,
-// messages, ticks and disk completions, then drains the outbox and carries it out.
+// Package statemachine is what the coordination packages share: an Outbox that collects the effects of a pure state
+// machine, the messages that it sends and the disk writes that it requests.
+//
+// A state machine starts no goroutine and reads no clock. A driver (a process, or the simulator) calls it with the
+// present time, received messages and completed writes; after each call it drains the outbox, sends the messages and
+// carries out the writes in their order, and reports each completed write by Done. Messages may be lost, repeated and
+// reordered. A write either completes or, after a crash or a failed disk, never does; the driver reports no write as
+// completed before it is synced.
+//
+// An Outbox is not safe for concurrent use.
 package statemachine
 
 import (
@@ -16,82 +22,86 @@
 	Envelope *wire.Envelope
 }
 
-// Write is one disk request. Requests are carried out in order; each holds either a record for
-// the log or a whole memory that begins a new log.
+// Write is one disk request. Requests are carried out in order; exactly one of Record, Memory and Sweep is set.
 type Write struct {
+	// Sequence numbers the requests of one outbox, beginning at 1.
 	Sequence uint64
-	Record   *wire.Record
-	Memory   *wire.DurableState
-	// Sweep asks, in the place of both, to read everything back.
+	// Record is a record to be appended to the log.
+	Record *wire.Record
+	// Memory is a snapshot of the whole state, which starts a new log.
+	Memory *wire.DurableState
+	// Sweep requests that everything stored be read back and verified.
 	Sweep bool
 }
 
-// Outbox gathers what one step of a machine asks of its driver.
+// Outbox collects what one step of a state machine requests of its driver.
 type Outbox struct {
 	Messages []Message
 	Writes   []Write
 
-	next    uint64
-	waiting []waiting
+	lastSequence uint64
+	pending      []pendingWrite
 }
 
-type waiting struct {
-	sequence uint64
-	since    time.Time
-	then     func(now time.Time)
+// pendingWrite is a write that was requested and has not completed yet.
+type pendingWrite struct {
+	sequence    uint64
+	requestedAt time.Time
+	onSynced    func(now time.Time)
 }
 
-// NewOutbox makes an empty outbox.
+// NewOutbox returns an empty outbox.
 func NewOutbox() *Outbox { return &Outbox{} }
 
-// Send puts a message into the outbox.
+// Send adds a message to the outbox.
 func (outbox *Outbox) Send(to string, envelope *wire.Envelope) {
 	outbox.Messages = append(outbox.Messages, Message{To: to, Envelope: envelope})
 }
 
-// Persist asks for a record to be synced; then runs once it is, and never if it is not.
-func (outbox *Outbox) Persist(now time.Time, record *wire.Record, then func(now time.Time)) {
-	outbox.ask(now, Write{Record: record}, then)
+// Persist requests that a record be synced. onSynced is called once it is, and never if it is not.
+func (outbox *Outbox) Persist(now time.Time, record *wire.Record, onSynced func(now time.Time)) {
+	outbox.request(now, Write{Record: record}, onSynced)
 }
 
-// Replace asks for a whole memory to be written to the other slot. The memory must hold all that
-// was asked before, for its completion completes the earlier writes too.
-func (outbox *Outbox) Replace(now time.Time, memory *wire.DurableState, then func(now time.Time)) {
-	outbox.ask(now, Write{Memory: memory}, then)
+// Replace requests that a snapshot of the whole state be written to the other slot. The snapshot must contain all that
+// was requested before it, since its completion completes the earlier writes too.
+func (outbox *Outbox) Replace(now time.Time, memory *wire.DurableState, onSynced func(now time.Time)) {
+	outbox.request(now, Write{Memory: memory}, onSynced)
 }
 
-// Sweep asks for everything to be read back.
+// Sweep requests that everything stored be read back and verified.
 func (outbox *Outbox) Sweep(now time.Time) {
-	outbox.ask(now, Write{Sweep: true}, func(time.Time) {})
+	outbox.request(now, Write{Sweep: true}, func(time.Time) {})
 }
 
-func (outbox *Outbox) ask(now time.Time, write Write, then func(now time.Time)) {
-	outbox.next++
-	write.Sequence = outbox.next
-	outbox.waiting = append(outbox.waiting, waiting{sequence: write.Sequence, since: now, then: then})
+func (outbox *Outbox) request(now time.Time, write Write, onSynced func(now time.Time)) {
+	outbox.lastSequence++
+	write.Sequence = outbox.lastSequence
+	outbox.pending = append(outbox.pending, pendingWrite{sequence: write.Sequence, requestedAt: now, onSynced: onSynced})
 	outbox.Writes = append(outbox.Writes, write)
 }
 
-// Done tells the outbox that a write, and with it every earlier one, is synced.
+// Done reports that a write, and with it every earlier one, is synced. It calls their callbacks in the order of the
+// requests.
 func (outbox *Outbox) Done(now time.Time, sequence uint64) {
-	for len(outbox.waiting) > 0 && outbox.waiting[0].sequence <= sequence {
-		finished := outbox.waiting[0]
-		outbox.waiting = outbox.waiting[1:]
-		finished.then(now)
+	for len(outbox.pending) > 0 && outbox.pending[0].sequence <= sequence {
+		completed := outbox.pending[0]
+		outbox.pending = outbox.pending[1:]
+		completed.onSynced(now)
 	}
 }
 
-// Oldest tells for how long the oldest unfinished write has waited.
+// Oldest returns for how long the oldest pending write has waited, 0 where none is pending.
 func (outbox *Outbox) Oldest(now time.Time) time.Duration {
-	if len(outbox.waiting) == 0 {
+	if len(outbox.pending) == 0 {
 		return 0
 	}
-	return now.Sub(outbox.waiting[0].since)
+	return now.Sub(outbox.pending[0].requestedAt)
 }
 
-// Drain hands over what has gathered and empties the outbox.
+// Drain returns the collected messages and writes and empties the outbox. Writes stay pending until Done.
 func (outbox *Outbox) Drain() ([]Message, []Write) {
-	parcels, writes := outbox.Messages, outbox.Writes
+	messages, writes := outbox.Messages, outbox.Writes
 	outbox.Messages, outbox.Writes = nil, nil
-	return parcels, writes
+	return messages, writes
 }
