--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -22,11 +22,12 @@
 	voted   bool
 	cleared uint64
 	up      bool
-	// delay is added to what this machine's messages handle; isolated is whether it learns no views.
+	// delay is added to the latency of this machine's messages; isolated is whether it learns no views.
 	delay    time.Duration
 	isolated bool
 }
 
+// message is one on its way, with what its arrival does.
 type message struct {
 	arrivesAt time.Time
 	handle    func(now time.Time)
@@ -60,8 +61,8 @@
 // step is how much time passes between two moments of a trial.
 const step = 4 * time.Millisecond
 
-// trial is five machines that ask for claims while keepers vote, learn, skip views, die and start again, messages handle any
-// time, and proof comes that a head has moved on or is dead.
+// trial is five machines that request leases while acceptors vote, learn and skip views, crash and restart, messages
+// are delayed, and proof arrives that a head has moved on or is dead.
 type trial struct {
 	random   *rand.Rand
 	now      time.Time
@@ -69,31 +70,35 @@
 	messages []message
 	// newest is the newest view that was chosen.
 	newest uint64
-	// last held the claim last, at lastAt; -1 if nobody did.
+	// last is the machine that held the lease last, at lastAt; -1 if none did.
 	last   int
 	lastAt time.Time
-	// votes is the number of moments in which a keeper votes once, by chance: between calm spans, in which claims are held,
-	// come spans in which one view follows another.
-	votes int
+	// stepsPerVote is the number of steps between two votes of one acceptor, on average: calm spans, in which leases
+	// are held, alternate with spans in which one view follows another.
+	stepsPerVote int
 	// handovers counts how often the lease changed hands, quick how often it did within half a Term.
 	handovers, quick int
 }
 
 func newTrial(seed int64) *trial {
 	started := time.Unix(1_700_000_000, 0)
-	trial := &trial{random: rand.New(rand.NewSource(seed)), now: started, newest: 1, last: -1, lastAt: started, votes: 40}
+	random := rand.New(rand.NewSource(seed))
+	trial := &trial{random: random, now: started, newest: 1, last: -1, lastAt: started, stepsPerVote: 40}
 	for index := range 5 {
-		trial.machines = append(trial.machines, &machine{id: member(index).Id, lessee: NewLessee(0), lessor: Restore(started, viewAt(1), 0), view: 1, up: true})
+		lessor := Restore(started, viewAt(1), 0)
+		machine := &machine{id: member(index).Id, lessee: NewLessee(0), lessor: lessor, view: 1, up: true}
+		trial.machines = append(trial.machines, machine)
 	}
 	return trial
 }
 
-// later lets something happen when a message of a machine's arrives, late by what the machine sleeps now and then.
-func (trial *trial) later(from *machine, handle func(now time.Time)) {
-	trial.messages = append(trial.messages, message{trial.now.Add(from.delay + time.Duration(trial.random.Int63n(int64(20*time.Millisecond)))), handle})
+// send calls handle when a message of a machine arrives, after a random latency and the machine's delay.
+func (trial *trial) send(from *machine, handle func(now time.Time)) {
+	latency := time.Duration(trial.random.Int63n(int64(20 * time.Millisecond)))
+	trial.messages = append(trial.messages, message{trial.now.Add(from.delay + latency), handle})
 }
 
-// deliver lets every message arrive whose time has come.
+// deliver handles every message that has arrived by now.
 func (trial *trial) deliver() {
 	due := trial.messages
 	trial.messages = nil
@@ -106,7 +111,7 @@
 	}
 }
 
-// learn lets a machine learn a view and tell the others that it has moved on.
+// learn lets a machine learn a view and announce to the others that it acts under it.
 func (trial *trial) learn(machine *machine, epoch uint64) {
 	if epoch <= machine.view {
 		return
@@ -114,7 +119,7 @@
 	machine.view, machine.voted = epoch, false
 	machine.lessor.Learn(trial.now, viewAt(epoch))
 	for _, other := range trial.machines {
-		trial.later(machine, func(at time.Time) {
+		trial.send(machine, func(at time.Time) {
 			if other.up {
 				other.lessor.Heard(at, machine.id, epoch)
 			}
@@ -122,24 +127,25 @@
 	}
 }
 
-// disturb ends a calm span now and then: the present head hears nothing for a while, and the others move on without it.
+// disturb ends a calm span now and then: the present head is isolated for a while, and the others move on without it.
 func (trial *trial) disturb() {
 	if trial.random.Intn(60) == 0 {
-		trial.votes = 400
+		trial.stepsPerVote = 400
 	}
 	if trial.last >= 0 && trial.now.Equal(trial.lastAt.Add(step)) && trial.random.Intn(40) == 0 {
-		trial.machines[trial.last].isolated, trial.votes = true, 4
+		trial.machines[trial.last].isolated, trial.stepsPerVote = true, 4
 		if trial.random.Intn(3) == 0 {
 			trial.machines[trial.last].up = false
 		}
 	}
 }
 
-// act lets a machine start, die or delay down by chance, and do its work.
+// act lets a machine start, crash or slow down by chance, and do its work.
 func (trial *trial) act(index int, machine *machine) {
 	if !machine.up {
 		if trial.random.Intn(20) == 0 {
-			machine.up, machine.lessee, machine.lessor = true, NewLessee(trial.random.Uint64()), Restore(trial.now, viewAt(machine.view), machine.cleared)
+			machine.up, machine.lessee = true, NewLessee(trial.random.Uint64())
+			machine.lessor = Restore(trial.now, viewAt(machine.view), machine.cleared)
 		}
 		return
 	}
@@ -148,7 +154,8 @@
 		return
 	}
 	if trial.random.Intn(200) == 0 {
-		machine.delay = time.Duration(trial.random.Int63n(int64(200*time.Millisecond))) * time.Duration(trial.random.Intn(2))
+		delay := time.Duration(trial.random.Int63n(int64(200 * time.Millisecond)))
+		machine.delay = delay * time.Duration(trial.random.Intn(2))
 		machine.isolated = false
 	}
 	if machine.lessor.Allows(trial.now, false) {
@@ -156,43 +163,43 @@
 	}
 	trial.tryConnection(machine)
 	if machine.isHead(index) && trial.random.Intn(4) == 0 {
-		trial.ask(machine)
+		trial.requestLease(machine)
 	}
 }
 
-// heads tells whether the machine at a index is head of the view that it knows.
+// isHead reports whether the machine of an index is head of the view that it knows.
 func (machine *machine) isHead(index int) bool {
 	return heads[int(machine.view-1)%len(heads)] == index
 }
 
-// tryConnection tries another machine's address at this moment; the answer comes later.
+// tryConnection tries to connect to another machine at this moment; the result arrives later.
 func (trial *trial) tryConnection(machine *machine) {
 	other, tried := trial.machines[trial.random.Intn(5)], trial.now
 	if other.up {
 		return
 	}
-	trial.later(machine, func(at time.Time) {
+	trial.send(machine, func(at time.Time) {
 		if machine.up {
 			machine.lessor.Refused(at, other.id, tried)
 		}
 	})
 }
 
-// ask asks the keepers of a head's view for the claim.
-func (trial *trial) ask(machine *machine) {
+// requestLease requests the lease of the acceptors of a head's view.
+func (trial *trial) requestLease(machine *machine) {
 	lessee, view := machine.lessee, machine.view
 	nonce := lessee.Ask(trial.now, view)
 	for _, index := range acceptorsOf(view) {
 		acceptor := trial.machines[index]
-		trial.later(machine, func(then time.Time) {
+		trial.send(machine, func(then time.Time) {
 			if acceptor.up && acceptor.view == view && acceptor.lessor.Allows(then, acceptor.voted) {
-				trial.later(acceptor, func(at time.Time) { lessee.Grant(at, acceptor.id, view, nonce, 2) })
+				trial.send(acceptor, func(at time.Time) { lessee.Grant(at, acceptor.id, view, nonce, 2) })
 			}
 		})
 	}
 }
 
-// choose lets keepers vote; once most of the newest view have, the next one is chosen, and whoever hears of it learns it.
+// choose lets acceptors vote; once most of the newest view have, the next one is chosen, and some machines learn it.
 func (trial *trial) choose() {
 	voted := 0
 	for _, index := range acceptorsOf(trial.newest) {
@@ -207,15 +214,15 @@
 		if machine.up && !machine.isolated && trial.random.Intn(8) == 0 {
 			trial.learn(machine, trial.newest)
 		}
-		for _, index := range acceptorsOf(machine.view) {
-			if machine.up && index == index && machine.view == trial.newest && trial.random.Intn(trial.votes) == 0 {
+		for _, acceptor := range acceptorsOf(machine.view) {
+			if machine.up && acceptor == index && machine.view == trial.newest && trial.random.Intn(trial.stepsPerVote) == 0 {
 				machine.voted = true
 			}
 		}
 	}
 }
 
-// holders gives the machines that hold a valid claim now.
+// holders returns the machines that hold a valid lease now.
 func (trial *trial) holders() (indexes []int) {
 	for index, machine := range trial.machines {
 		if machine.up && machine.isHead(index) && machine.lessee.Valid(trial.now, machine.view) {
@@ -225,7 +232,7 @@
 	return indexes
 }
 
-// count takes down who holds the claim.
+// count counts a handover where another machine holds the lease than before.
 func (trial *trial) count(acting int) {
 	if acting != trial.last {
 		trial.handovers++
@@ -237,7 +244,7 @@
 	trial.lastAt = trial.now
 }
 
-// run tells whether never two machines held the claim at once.
+// run reports whether no two machines ever held the lease at once.
 func (trial *trial) run() bool {
 	for range 3000 {
 		trial.now = trial.now.Add(step)
--- /dev/null
+++ b/coordination/lease/lessee.go
@@ -0,0 +1,61 @@
+package lease
+
+import "time"
+
+// Lessee is the side that requests the head's lease.
+type Lessee struct {
+	view uint64
+	// nonce is that of the last request.
+	nonce uint64
+	// requests are those whose grants may still prolong the lease, by nonce.
+	requests  map[uint64]*request
+	expiresAt time.Time
+}
+
+// request is one request to all acceptors of a view.
+type request struct {
+	sentAt time.Time
+	grants map[string]bool
+}
+
+// NewLessee returns a lessee without a lease. Its nonces begin above start, which has to be random, so that a grant
+// to a request of an earlier incarnation of the same machine is never taken for one of this incarnation.
+func NewLessee(start uint64) *Lessee { return &Lessee{nonce: start} }
+
+// Ask starts a new request in a view and returns its nonce. Earlier requests stay open, so that grants that arrive
+// after the next request was sent count too, each for its own request. A request in another view gives up the lease.
+func (lessee *Lessee) Ask(now time.Time, view uint64) uint64 {
+	if view != lessee.view || lessee.requests == nil {
+		lessee.expiresAt, lessee.requests = time.Time{}, map[uint64]*request{}
+	}
+	for nonce, earlier := range lessee.requests {
+		if now.Sub(earlier.sentAt) >= Held {
+			delete(lessee.requests, nonce)
+		}
+	}
+	lessee.view = view
+	lessee.nonce++
+	lessee.requests[lessee.nonce] = &request{sentAt: now, grants: map[string]bool{}}
+	return lessee.nonce
+}
+
+// Grant counts an acceptor's grant of the request with a nonce; majority is how many of the view's acceptors are
+// needed.
+func (lessee *Lessee) Grant(_ time.Time, acceptor string, view, nonce uint64, majority int) {
+	request := lessee.requests[nonce]
+	if view != lessee.view || request == nil {
+		return
+	}
+	request.grants[acceptor] = true
+	if len(request.grants) < majority {
+		return
+	}
+	if expiresAt := request.sentAt.Add(Held); expiresAt.After(lessee.expiresAt) {
+		lessee.expiresAt = expiresAt
+	}
+}
+
+// Valid reports whether the lease of a view is held at this very moment.
+func (lessee *Lessee) Valid(now time.Time, view uint64) bool {
+	return view == lessee.view && now.Before(lessee.expiresAt)
+}
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -9,9 +9,9 @@
 // Lessor is the side that grants the head's lease, at one acceptor.
 //
 // A leadership term is a run of successive views with the same head. Within a term that machine alone requests the
-// lease, so only the heads of earlier terms have to be waited for. Their leases have expired a Term after this acceptor
-// learned of the new term, or sooner where each of them is proven to act no more: it has adopted the new term itself, or
-// nothing listens at its address any longer.
+// lease, so only the heads of earlier terms have to be waited for. Their leases have expired a Term after this
+// acceptor learned of the new term, or sooner where each of them is proven to act no more: it has adopted the new
+// term itself, or nothing listens at its address any longer.
 type Lessor struct {
 	// term is the epoch of the view in which the present leadership term began; 0 before any view was learned.
 	term      uint64
