--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -15,23 +15,24 @@
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1"}
 	agent := view.NewAgent(now, "a", nil, nil, outbox, func(string) string { return self.Address },
 		func(_ time.Time, learned *wire.View) { fmt.Println("learned view", learned.Epoch) })
-	agent.Found(now, &wire.View{Epoch: 1, Fleet: "f", Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}}, []*wire.Member{self})
+	founders := []*wire.Member{self}
+	agent.Found(now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}, founders)
 	for agent.Current().Epoch == 0 {
-		parcels, writes := outbox.Drain()
+		messages, writes := outbox.Drain()
 		for _, write := range writes {
 			outbox.Done(now, write.Sequence)
 		}
-		for _, parcel := range parcels {
-			if message := parcel.Envelope.GetViewPrepare(); message != nil {
-				agent.Prepare(now, parcel.To, message)
+		for _, sent := range messages {
+			if message := sent.Envelope.GetViewPrepare(); message != nil {
+				agent.Prepare(now, sent.To, message)
 			}
-			if message := parcel.Envelope.GetViewPromise(); message != nil {
+			if message := sent.Envelope.GetViewPromise(); message != nil {
 				agent.Promise(now, "a", message)
 			}
-			if message := parcel.Envelope.GetViewAccept(); message != nil {
-				agent.Accept(now, parcel.To, message)
+			if message := sent.Envelope.GetViewAccept(); message != nil {
+				agent.Accept(now, sent.To, message)
 			}
-			if message := parcel.Envelope.GetViewAccepted(); message != nil {
+			if message := sent.Envelope.GetViewAccepted(); message != nil {
 				agent.Accepted(now, "a", message)
 			}
 		}
--- /dev/null
+++ b/coordination/view/learner.go
@@ -0,0 +1,54 @@
+package view
+
+import (
+	"time"
+
+	"wardtray/wire"
+)
+
+// Learn adopts a chosen view that is newer than the present one, once it is synced.
+func (agent *Agent) Learn(now time.Time, view *wire.View) {
+	if view == nil || view.Epoch <= agent.newest.Epoch {
+		return
+	}
+	// A member of one fleet must never join another.
+	if agent.current.Epoch > 0 && view.Fleet != agent.current.Fleet {
+		return
+	}
+	agent.newest = view
+	agent.outbox.Persist(now, &wire.Record{Body: &wire.Record_View{View: view}}, func(syncedAt time.Time) {
+		agent.adopt(syncedAt, view)
+	})
+}
+
+// adopt acts under a view that is synced from now on, and sends it to everybody who was or is part of the chain or its
+// acceptors.
+func (agent *Agent) adopt(now time.Time, view *wire.View) {
+	if view.Epoch <= agent.current.Epoch {
+		return
+	}
+	previous := agent.current
+	agent.current, agent.learnedAt, agent.attempt, agent.timeout = view, now, nil, 0
+	agent.vote = &wire.AcceptorState{Instance: view.Epoch + 1}
+	notified := map[string]bool{agent.self: true}
+	for _, group := range [][]*wire.Member{previous.Chain, previous.Acceptors, view.Chain, view.Acceptors} {
+		for _, member := range group {
+			if !notified[member.Id] {
+				notified[member.Id] = true
+				agent.Tell(agent.addressOf(member))
+			}
+		}
+	}
+	agent.learned(now, view)
+}
+
+// Tell sends the present view to an address.
+func (agent *Agent) Tell(address string) {
+	if agent.current.Epoch > 0 {
+		agent.outbox.Send(address, viewUpdate(agent.current))
+	}
+}
+
+func viewUpdate(view *wire.View) *wire.Envelope {
+	return &wire.Envelope{Body: &wire.Envelope_ViewUpdate{ViewUpdate: &wire.ViewUpdate{View: view}}}
+}
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -12,21 +12,21 @@
 	"wardtray/wire"
 )
 
-// table is three acceptors that propose against each other over a network that loses, repeats and
-// reorders, while any of them may lose its power between two writes.
-type table struct {
+// cluster is three acceptors that propose against each other over a network that loses, repeats and reorders, while any
+// of them may crash between two writes.
+type cluster struct {
 	random    *rand.Rand
 	now       time.Time
 	acceptors []*wire.Member
 	agents    map[string]*Agent
 	outbox    map[string]*statemachine.Outbox
 	disks     map[string]*disk
-	mail      []mail
+	messages  []message
 	learned   map[uint64]*wire.View
 	t         *testing.T
 	seed      int64
-	// How many of six messages are lost.
-	loss int
+	// lossOfSix is how many of six messages are lost.
+	lossOfSix int
 }
 
 type disk struct {
@@ -34,68 +34,81 @@
 	vote *wire.AcceptorState
 }
 
-type mail struct {
+// message is one on its way.
+type message struct {
 	from, to string
 	envelope *wire.Envelope
 }
 
-func newTable(t *testing.T, seed int64) *table {
-	made := &table{random: rand.New(rand.NewSource(seed)), now: time.Unix(1_700_000_000, 0), agents: map[string]*Agent{}, outbox: map[string]*statemachine.Outbox{},
-		disks: map[string]*disk{}, learned: map[uint64]*wire.View{}, t: t, seed: seed, loss: int(seed % 4)}
-	for number := range 3 {
-		name := fmt.Sprint("k", number)
-		made.acceptors = append(made.acceptors, &wire.Member{Id: name, Address: name})
+func newCluster(t *testing.T, seed int64) *cluster {
+	t.Helper()
+	cluster := &cluster{
+		random: rand.New(rand.NewSource(seed)), now: time.Unix(1_700_000_000, 0), acceptors: threeMembers(),
+		agents: map[string]*Agent{}, outbox: map[string]*statemachine.Outbox{}, disks: map[string]*disk{},
+		learned: map[uint64]*wire.View{}, t: t, seed: seed, lossOfSix: int(seed % 4),
+	}
+	first := &wire.View{Epoch: 1, Fleet: "f", Acceptors: cluster.acceptors, Chain: cluster.acceptors}
+	for _, acceptor := range cluster.acceptors {
+		cluster.disks[acceptor.Id] = &disk{view: first}
+		cluster.boot(acceptor.Id)
 	}
-	first := &wire.View{Epoch: 1, Fleet: "f", Acceptors: made.acceptors, Chain: made.acceptors}
-	for _, acceptor := range made.acceptors {
-		made.disks[acceptor.Id] = &disk{view: first}
-		made.boot(acceptor.Id)
+	return cluster
+}
+
+func threeMembers() []*wire.Member {
+	members := make([]*wire.Member, 3)
+	for number := range members {
+		name := fmt.Sprint("k", number)
+		members[number] = &wire.Member{Id: name, Address: name}
 	}
-	return made
+	return members
 }
 
-// boot starts a acceptor from what its disk holds.
-func (table *table) boot(name string) {
-	table.outbox[name] = statemachine.NewOutbox()
-	held := table.disks[name]
-	table.agents[name] = NewAgent(table.now, name, held.view, held.vote, table.outbox[name], func(id string) string { return id },
-		func(_ time.Time, view *wire.View) { table.learn(name, view) })
+// addressOfID is the address of a member in these tests: its id.
+func addressOfID(id string) string { return id }
+
+// boot starts an acceptor from what its disk holds.
+func (cluster *cluster) boot(name string) {
+	cluster.outbox[name] = statemachine.NewOutbox()
+	stored := cluster.disks[name]
+	cluster.agents[name] = NewAgent(cluster.now, name, stored.view, stored.vote, cluster.outbox[name], addressOfID,
+		func(_ time.Time, view *wire.View) { cluster.learn(name, view) })
 }
 
-func (table *table) learn(name string, view *wire.View) {
-	if other := table.learned[view.Epoch]; other != nil && !proto.Equal(other, view) {
-		table.t.Fatalf("seed %d: %s learned another view %d than others", table.seed, name, view.Epoch)
+func (cluster *cluster) learn(name string, view *wire.View) {
+	if other := cluster.learned[view.Epoch]; other != nil && !proto.Equal(other, view) {
+		cluster.t.Fatalf("seed %d: %s learned another view %d than others", cluster.seed, name, view.Epoch)
 	}
-	table.learned[view.Epoch] = view
+	cluster.learned[view.Epoch] = view
 }
 
-// drain sends a acceptor's messages and carries out its writes, of which the power may cut off the rest.
-func (table *table) drain(name string) {
-	outbox := table.outbox[name]
+// drain sends an acceptor's messages and carries out its writes, the rest of which a crash may cut off.
+func (cluster *cluster) drain(name string) {
+	outbox := cluster.outbox[name]
 	for {
-		parcels, writes := outbox.Drain()
-		for _, parcel := range parcels {
-			table.send(name, parcel)
+		sent, writes := outbox.Drain()
+		for _, outgoing := range sent {
+			cluster.send(name, outgoing)
 		}
 		for _, write := range writes {
-			if table.random.Intn(25) == 0 {
-				table.boot(name)
+			if cluster.random.Intn(25) == 0 {
+				cluster.boot(name)
 				return
 			}
-			table.disks[name].store(write.Record)
-			outbox.Done(table.now, write.Sequence)
+			cluster.disks[name].store(write.Record)
+			outbox.Done(cluster.now, write.Sequence)
 		}
-		if len(parcels)+len(writes) == 0 {
+		if len(sent)+len(writes) == 0 {
 			return
 		}
 	}
 }
 
-// send puts a message into the mail once or twice, unless it is lost.
-func (table *table) send(from string, parcel statemachine.Message) {
-	for range 1 + table.random.Intn(2) {
-		if table.random.Intn(6) > table.loss {
-			table.mail = append(table.mail, mail{from: from, to: parcel.To, envelope: parcel.Envelope})
+// send puts a message on its way once or twice, unless it is lost.
+func (cluster *cluster) send(from string, outgoing statemachine.Message) {
+	for range 1 + cluster.random.Intn(2) {
+		if cluster.random.Intn(6) > cluster.lossOfSix {
+			cluster.messages = append(cluster.messages, message{from: from, to: outgoing.To, envelope: outgoing.Envelope})
 		}
 	}
 }
@@ -110,139 +123,149 @@
 	}
 }
 
-func (table *table) deliver(mail mail) {
-	// Views name chain members that are no acceptors; nobody stands behind those here.
-	if table.agents[mail.to] == nil {
+func (cluster *cluster) deliver(message message) {
+	// Views name chain members that are no acceptors; nothing listens at their addresses here.
+	if cluster.agents[message.to] == nil {
 		return
 	}
-	deliverOnly(table, mail)
-	table.drain(mail.to)
+	deliverOnly(cluster, message)
+	cluster.drain(message.to)
 }
 
 func kindOf(envelope *wire.Envelope) int {
-	held := []bool{envelope.GetViewPrepare() != nil, envelope.GetViewPromise() != nil, envelope.GetViewAccept() != nil, envelope.GetViewAccepted() != nil,
-		envelope.GetViewRejected() != nil, envelope.GetViewUpdate() != nil, envelope.GetViewRequest() != nil}
-	for kind, is := range held {
+	matches := []bool{
+		envelope.GetViewPrepare() != nil, envelope.GetViewPromise() != nil,
+		envelope.GetViewAccept() != nil, envelope.GetViewAccepted() != nil,
+		envelope.GetViewRejected() != nil, envelope.GetViewUpdate() != nil, envelope.GetViewRequest() != nil,
+	}
+	for kind, is := range matches {
 		if is {
 			return kind
 		}
 	}
-	return len(held) - 1
+	return len(matches) - 1
 }
 
 // Whatever three acceptors propose against each other, no two learn different views of one epoch.
 func TestAcceptorsNeverDisagree(t *testing.T) {
 	views := 0
 	for seed := int64(1); seed <= 600; seed++ {
-		table := newTable(t, seed)
+		cluster := newCluster(t, seed)
 		for step := range 1500 {
-			table.now = table.now.Add(time.Millisecond)
-			if table.random.Intn(30) == 0 {
-				name := table.acceptors[table.random.Intn(3)].Id
-				current := table.agents[name].Current()
-				table.agents[name].Propose(table.now, &wire.View{Epoch: current.Epoch + 1, Fleet: "f", Acceptors: table.acceptors,
-					Chain: []*wire.Member{{Id: fmt.Sprint(name, "-", step)}}})
-				table.drain(name)
+			cluster.now = cluster.now.Add(time.Millisecond)
+			if cluster.random.Intn(30) == 0 {
+				name := cluster.acceptors[cluster.random.Intn(3)].Id
+				current := cluster.agents[name].Current()
+				cluster.agents[name].Propose(cluster.now, &wire.View{
+					Epoch: current.Epoch + 1, Fleet: "f", Acceptors: cluster.acceptors,
+					Chain: []*wire.Member{{Id: fmt.Sprint(name, "-", step)}},
+				})
+				cluster.drain(name)
 				continue
 			}
-			if table.random.Intn(30) == 0 {
-				table.boot(table.acceptors[table.random.Intn(3)].Id)
+			if cluster.random.Intn(30) == 0 {
+				cluster.boot(cluster.acceptors[cluster.random.Intn(3)].Id)
 			}
-			if len(table.mail) > 0 {
-				place := table.random.Intn(len(table.mail))
-				mail := table.mail[place]
-				table.mail = append(table.mail[:place], table.mail[place+1:]...)
-				table.deliver(mail)
+			if len(cluster.messages) > 0 {
+				index := cluster.random.Intn(len(cluster.messages))
+				message := cluster.messages[index]
+				cluster.messages = append(cluster.messages[:index], cluster.messages[index+1:]...)
+				cluster.deliver(message)
 			}
 		}
-		views += len(table.learned)
+		views += len(cluster.learned)
 	}
 	if views < 1200 {
 		t.Fatalf("only %d views were agreed over all seeds; nothing was put to the test", views)
 	}
 }
 
-// newFounders makes three agents without a view; found is called for each view that one of them learns.
-func newFounders(found func()) (*table, []*wire.Member) {
-	made := &table{now: time.Unix(0, 0), agents: map[string]*Agent{}, random: rand.New(rand.NewSource(1)), outbox: map[string]*statemachine.Outbox{}, disks: map[string]*disk{}}
-	var founders []*wire.Member
-	for number := range 3 {
-		name := fmt.Sprint("k", number)
-		founders = append(founders, &wire.Member{Id: name, Address: name})
-		made.outbox[name] = statemachine.NewOutbox()
-		made.agents[name] = NewAgent(made.now, name, nil, nil, made.outbox[name], func(id string) string { return id },
-			func(time.Time, *wire.View) { found() })
+// newFounders returns three agents without a view; onLearned is called for each view that one of them learns.
+func newFounders(onLearned func()) (*cluster, []*wire.Member) {
+	cluster := &cluster{
+		now: time.Unix(0, 0), random: rand.New(rand.NewSource(1)), agents: map[string]*Agent{},
+		outbox: map[string]*statemachine.Outbox{}, disks: map[string]*disk{},
+	}
+	founders := threeMembers()
+	for _, founder := range founders {
+		outbox := statemachine.NewOutbox()
+		cluster.outbox[founder.Id] = outbox
+		cluster.agents[founder.Id] = NewAgent(cluster.now, founder.Id, nil, nil, outbox, addressOfID,
+			func(time.Time, *wire.View) { onLearned() })
 	}
-	return made, founders
+	return cluster, founders
 }
 
-// exchange carries out all writes and delivers all mail but that to one agent.
-func (table *table) exchange(founders []*wire.Member, silent string) {
+// exchange carries out all writes and delivers all messages but those to one agent.
+func (cluster *cluster) exchange(founders []*wire.Member, unreachable string) {
 	for _, founder := range founders {
-		parcels, writes := table.outbox[founder.Id].Drain()
+		sent, writes := cluster.outbox[founder.Id].Drain()
 		for _, write := range writes {
-			table.outbox[founder.Id].Done(table.now, write.Sequence)
+			cluster.outbox[founder.Id].Done(cluster.now, write.Sequence)
 		}
-		for _, parcel := range parcels {
-			table.mail = append(table.mail, mail{from: founder.Id, to: parcel.To, envelope: parcel.Envelope})
+		for _, outgoing := range sent {
+			sent := message{from: founder.Id, to: outgoing.To, envelope: outgoing.Envelope}
+			cluster.messages = append(cluster.messages, sent)
 		}
 	}
-	mails := table.mail
-	table.mail = nil
-	for _, mail := range mails {
-		if mail.to != silent {
-			deliverOnly(table, mail)
+	messages := cluster.messages
+	cluster.messages = nil
+	for _, message := range messages {
+		if message.to != unreachable {
+			deliverOnly(cluster, message)
 		}
 	}
 }
 
-// The first view needs every founder: with one of them silent there is none. Nobody has the number 3.
+// The first view needs every founder: with one of them unreachable there is none. No founder has the number 3.
 func TestFoundingNeedsEveryFounder(t *testing.T) {
-	for silent := range 4 {
+	for unreachable := range 4 {
 		learned := 0
-		table, founders := newFounders(func() { learned++ })
-		table.agents["k0"].Found(table.now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}, founders)
+		cluster, founders := newFounders(func() { learned++ })
+		first := &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}
+		cluster.agents["k0"].Found(cluster.now, first, founders)
 		for range 20 {
-			table.exchange(founders, fmt.Sprint("k", silent))
+			cluster.exchange(founders, fmt.Sprint("k", unreachable))
 		}
-		if want := map[bool]int{true: 0, false: 3}[silent < 3]; learned != want {
-			t.Errorf("founder %d silent: %d learned a view, not %d", silent, learned, want)
+		if want := map[bool]int{true: 0, false: 3}[unreachable < 3]; learned != want {
+			t.Errorf("founder %d unreachable: %d learned a view, not %d", unreachable, learned, want)
 		}
 	}
 }
 
-func deliverOnly(table *table, mail mail) {
-	agent, envelope := table.agents[mail.to], mail.envelope
-	takes := []func(){
-		func() { agent.Prepare(table.now, mail.from, envelope.GetViewPrepare()) },
-		func() { agent.Promise(table.now, mail.from, envelope.GetViewPromise()) },
-		func() { agent.Accept(table.now, mail.from, envelope.GetViewAccept()) },
-		func() { agent.Accepted(table.now, mail.from, envelope.GetViewAccepted()) },
+func deliverOnly(cluster *cluster, message message) {
+	agent, envelope := cluster.agents[message.to], message.envelope
+	handlers := []func(){
+		func() { agent.Prepare(cluster.now, message.from, envelope.GetViewPrepare()) },
+		func() { agent.Promise(cluster.now, message.from, envelope.GetViewPromise()) },
+		func() { agent.Accept(cluster.now, message.from, envelope.GetViewAccept()) },
+		func() { agent.Accepted(cluster.now, message.from, envelope.GetViewAccepted()) },
 		func() { agent.Refused(envelope.GetViewRejected()) },
-		func() { agent.Learn(table.now, envelope.GetViewUpdate().GetView()) },
-		func() { agent.Tell(mail.from) },
+		func() { agent.Learn(cluster.now, envelope.GetViewUpdate().GetView()) },
+		func() { agent.Tell(message.from) },
 	}
-	takes[kindOf(envelope)]()
+	handlers[kindOf(envelope)]()
 }
 
-// What a acceptor says must be on its disk first, or a power cut would let it say the contrary.
-func TestNothingIsToldBeforeItIsSynced(t *testing.T) {
-	table := newTable(t, 1)
-	agent, outbox, ballot := table.agents["k0"], table.outbox["k0"], &wire.ProposalNumber{Round: 1, Proposer: "k1"}
-	for name, ask := range map[string]func(){
-		"promise": func() { agent.Prepare(table.now, "k1", &wire.ViewPrepare{Instance: 2, Proposal: ballot}) },
+// What an acceptor says must be on its disk first, or a crash would let it say the contrary.
+func TestNothingIsSentBeforeItIsSynced(t *testing.T) {
+	cluster := newCluster(t, 1)
+	agent, outbox, proposal := cluster.agents["k0"], cluster.outbox["k0"], &wire.ProposalNumber{Round: 1, Proposer: "k1"}
+	for name, receive := range map[string]func(){
+		"promise": func() { agent.Prepare(cluster.now, "k1", &wire.ViewPrepare{Instance: 2, Proposal: proposal}) },
 		"vote": func() {
-			agent.Accept(table.now, "k1", &wire.ViewAccept{Instance: 2, Proposal: ballot, Value: &wire.View{Epoch: 2, Fleet: "f"}})
+			value := &wire.View{Epoch: 2, Fleet: "f"}
+			agent.Accept(cluster.now, "k1", &wire.ViewAccept{Instance: 2, Proposal: proposal, Value: value})
 		},
 	} {
-		ask()
-		parcels, writes := outbox.Drain()
-		if len(parcels) > 0 || len(writes) != 1 {
-			t.Fatalf("%s: %d messages before %d writes", name, len(parcels), len(writes))
+		receive()
+		sent, writes := outbox.Drain()
+		if len(sent) > 0 || len(writes) != 1 {
+			t.Fatalf("%s: %d messages before %d writes", name, len(sent), len(writes))
 		}
-		outbox.Done(table.now, writes[0].Sequence)
-		if parcels, _ := outbox.Drain(); len(parcels) != 1 {
-			t.Fatalf("%s: %d messages after the sync", name, len(parcels))
+		outbox.Done(cluster.now, writes[0].Sequence)
+		if sent, _ := outbox.Drain(); len(sent) != 1 {
+			t.Fatalf("%s: %d messages after the sync", name, len(sent))
 		}
 	}
 }
