--- /dev/null
+++ b/coordination/chain/alignment_test.go
@@ -0,0 +1,38 @@
+package chain
+
+import "testing"
+
+// A tail whose disk is slower than changes come in never has all that its predecessor has by now. It needs only what
+// that had when the view began, since nothing newer was committed before; else no change is ever committed again.
+func TestSlowTailIsAlignedWhileChangesArrive(t *testing.T) {
+	cluster := newCluster("a", "b", "c")
+	enter(t, cluster, 1)
+	for range 4 {
+		cluster.deliver()
+		cluster.sync("a")
+		cluster.sync("b")
+		cluster.sync("c")
+	}
+	cluster.deliver()
+	cluster.adopt(2, "a", "b")
+	for number := range 30 {
+		enterAndSync(t, cluster, number+2)
+		cluster.now = cluster.now.Add(retransmitInterval)
+		cluster.chains["a"].Tick(cluster.now)
+		cluster.chains["b"].Tick(cluster.now)
+		cluster.sync("a")
+		cluster.deliver()
+		// The disk of the tail is always one change behind.
+		cluster.gather()
+		if writes := cluster.writes["b"]; len(writes) > 1 {
+			cluster.outbox["b"].Done(cluster.now, writes[len(writes)-2].Sequence)
+			cluster.writes["b"] = writes[len(writes)-1:]
+		}
+	}
+	if !cluster.chains["b"].Tail() {
+		t.Fatal("the tail waits for what goes on coming in")
+	}
+	if committed := cluster.chains["b"].Committed().Sequence; committed < 20 {
+		t.Fatalf("committed up to %d only", committed)
+	}
+}
--- /dev/null
+++ b/coordination/chain/cluster_test.go
@@ -0,0 +1,170 @@
+package chain
+
+import (
+	"fmt"
+	"strconv"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"wardtray/coordination/statemachine"
+	"wardtray/wire"
+)
+
+var started = time.Unix(1_700_000_000, 0)
+
+// cluster is a chain whose members are stepped by hand.
+type cluster struct {
+	now      time.Time
+	chains   map[string]*Chain
+	outbox   map[string]*statemachine.Outbox
+	writes   map[string][]statemachine.Write
+	messages []message
+	commits  map[string]uint64
+}
+
+// message is one on its way.
+type message struct {
+	from, to string
+	envelope *wire.Envelope
+}
+
+func newCluster(names ...string) *cluster {
+	cluster := newEmptyCluster()
+	for _, name := range names {
+		cluster.add(name)
+	}
+	cluster.adopt(1, names...)
+	return cluster
+}
+
+func newEmptyCluster() *cluster {
+	return &cluster{
+		now: started, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{},
+		writes: map[string][]statemachine.Write{}, commits: map[string]uint64{},
+	}
+}
+
+func (cluster *cluster) add(name string) { cluster.addWith(name, nil) }
+
+// addWith adds a member whose disk holds a document.
+func (cluster *cluster) addWith(name string, document *wire.Document) {
+	cluster.outbox[name] = statemachine.NewOutbox()
+	address := func(member *wire.Member) string { return member.Id }
+	cluster.chains[name] = New(name, document, nil, cluster.outbox[name], address,
+		func(_ time.Time, sequence uint64) { cluster.commits[name] = sequence })
+}
+
+// adopt lets all members adopt a view.
+func (cluster *cluster) adopt(epoch uint64, names ...string) {
+	view := &wire.View{Epoch: epoch, MinReplicas: 1}
+	for _, name := range names {
+		view.Chain = append(view.Chain, &wire.Member{Id: name, Address: name})
+	}
+	for _, chain := range cluster.chains {
+		chain.Adopt(cluster.now, view)
+	}
+}
+
+// gather collects what the members sent and request to be written.
+func (cluster *cluster) gather() {
+	for name, outbox := range cluster.outbox {
+		sent, writes := outbox.Drain()
+		for _, outgoing := range sent {
+			received := message{name, outgoing.To, proto.CloneOf(outgoing.Envelope)}
+			cluster.messages = append(cluster.messages, received)
+		}
+		cluster.writes[name] = append(cluster.writes[name], writes...)
+	}
+}
+
+func (cluster *cluster) sync(name string) {
+	cluster.gather()
+	for _, write := range cluster.writes[name] {
+		cluster.outbox[name].Done(cluster.now, write.Sequence)
+	}
+	cluster.writes[name] = nil
+	cluster.gather()
+}
+
+// deliver delivers all messages until there are none.
+func (cluster *cluster) deliver() {
+	cluster.gather()
+	for len(cluster.messages) > 0 {
+		message := cluster.messages[0]
+		cluster.messages = cluster.messages[1:]
+		cluster.handle(message)
+		cluster.gather()
+	}
+}
+
+func (cluster *cluster) handle(message message) {
+	chain, envelope := cluster.chains[message.to], message.envelope
+	if forward := envelope.GetChainForward(); forward != nil {
+		chain.Pass(cluster.now, message.from, forward)
+	}
+	if ack := envelope.GetChainAck(); ack != nil {
+		chain.Hold(cluster.now, message.from, ack)
+		chain.Aligned(cluster.now, message.from, ack)
+	}
+	if request := envelope.GetLearnRequest(); request != nil {
+		chain.Teach(message.from, request)
+	}
+	if response := envelope.GetLearnResponse(); response != nil {
+		chain.Learned(cluster.now, response)
+	}
+}
+
+func change(number int) *wire.Entry {
+	return &wire.Entry{
+		ChangesSpec: true, Operation: fmt.Sprint("o", number),
+		SpecEpoch: uint64(number), Spec: []byte(strconv.Itoa(number)),
+	}
+}
+
+// newSingle returns a chain of one member, whose disk holds a document if one is given.
+func newSingle(documents ...*wire.Document) *cluster {
+	cluster := newEmptyCluster()
+	cluster.add("a")
+	if len(documents) > 0 {
+		cluster.addWith("a", documents[0])
+	}
+	cluster.adopt(1, "a")
+	return cluster
+}
+
+// newSingleWith returns a chain of one that has committed some changes.
+func newSingleWith(changes int) *cluster {
+	document := &wire.Document{}
+	for number := 1; number <= changes; number++ {
+		outcome := outcomeOf(change(number))
+		outcome.Sequence = uint64(number)
+		document.Outcomes = append(document.Outcomes, outcome)
+	}
+	document.Sequence, document.SpecEpoch = uint64(changes), uint64(changes)
+	return newSingle(document)
+}
+
+// enter submits a change to the only member of a chain as an operator's call does, and syncs it.
+func enter(tb testing.TB, cluster *cluster, number int) {
+	tb.Helper()
+	chain := cluster.chains["a"]
+	if chain.Latest() == nil || chain.Outcome(fmt.Sprint("o", number)) != nil {
+		tb.Fatal("taken already")
+	}
+	if err := chain.Enter(cluster.now, change(number)); err != nil {
+		tb.Fatal(err)
+	}
+	cluster.sync("a")
+	cluster.messages = nil
+}
+
+// enterAndSync submits a change to the head "a" and syncs it there.
+func enterAndSync(t *testing.T, cluster *cluster, number int) {
+	t.Helper()
+	if err := cluster.chains["a"].Enter(cluster.now, change(number)); err != nil {
+		t.Fatal(err)
+	}
+	cluster.sync("a")
+}
--- a/coordination/chain/example_test.go
+++ b/coordination/chain/example_test.go
@@ -15,13 +15,14 @@
 	single := chain.New("a", nil, nil, outbox, func(member *wire.Member) string { return member.Address },
 		func(_ time.Time, sequence uint64) { fmt.Println("committed", sequence) })
 	single.Adopt(now, &wire.View{Epoch: 1, MinReplicas: 1, Chain: []*wire.Member{{Id: "a", Address: "127.0.0.1:1"}}})
-	if err := single.Enter(now, &wire.Entry{ChangesSpec: true, SpecEpoch: 1, Operation: "first", Spec: []byte("{}")}); err != nil {
+	change := &wire.Entry{ChangesSpec: true, SpecEpoch: 1, Operation: "first", Spec: []byte("{}")}
+	if err := single.Enter(now, change); err != nil {
 		panic(err)
 	}
 	_, writes := outbox.Drain()
-	fmt.Println("writes wanted:", len(writes))
+	fmt.Println("writes requested:", len(writes))
 	outbox.Done(now, writes[0].Sequence)
 	// Output:
-	// writes wanted: 1
+	// writes requested: 1
 	// committed 1
 }
