--- /dev/null
+++ b/coordination/gossip/spread.go
@@ -0,0 +1,80 @@
+package gossip
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"wardtray/wire"
+)
+
+const (
+	// Fanout is how many peers something new is sent to at once.
+	Fanout = 3
+	// Hops is how many times something new is forwarded.
+	Hops = 4
+)
+
+// Rumor handles entries that a peer forwards.
+func (store *Store) Rumor(now time.Time, message *wire.GossipMessage) {
+	for _, entry := range message.Entries {
+		if mayEnter(store.zone, entry.Key) {
+			store.Put(now, entry, min(message.Hops, Hops))
+		}
+	}
+	store.spread()
+}
+
+// spread sends what is new to a few peers: to each one message for each number of remaining hops, in a fixed order, so
+// that a seeded run repeats.
+func (store *Store) spread() {
+	if len(store.remainingHops) == 0 {
+		return
+	}
+	keys := slices.Sorted(maps.Keys(store.remainingHops))
+	for _, peer := range store.choosePeers(store.partners()) {
+		byHops := map[uint32][]*wire.GossipEntry{}
+		for _, key := range keys {
+			if mayEnter(peer.Zone, key) {
+				hops := store.remainingHops[key]
+				byHops[hops] = append(byHops[hops], store.entries[key])
+			}
+		}
+		for hops := uint32(Hops); hops > 0; hops-- {
+			if len(byHops[hops]) > 0 {
+				store.sendEntries(peer.Address, byHops[hops], hops-1)
+			}
+		}
+	}
+	store.remainingHops = map[string]uint32{}
+}
+
+func (store *Store) sendEntries(address string, entries []*wire.GossipEntry, hops uint32) {
+	message := &wire.GossipMessage{Entries: entries, Hops: hops}
+	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: message}})
+}
+
+// choosePeers chooses peers at random: of our own zone first, and one beyond it, so that few bytes cross zones but no
+// zone depends on another's goodwill alone.
+func (store *Store) choosePeers(peers []Peer) []Peer {
+	near, far := store.partition(peers)
+	shuffle := func(list []Peer) {
+		store.random.Shuffle(len(list), func(left, right int) { list[left], list[right] = list[right], list[left] })
+	}
+	shuffle(near)
+	shuffle(far)
+	chosen := near[:min(len(near), Fanout-1)]
+	return append(append([]Peer{}, chosen...), far[:min(len(far), Fanout-len(chosen))]...)
+}
+
+// partition returns the peers of our own zone, and the others.
+func (store *Store) partition(peers []Peer) (near, far []Peer) {
+	for _, peer := range peers {
+		if peer.Zone == store.zone {
+			near = append(near, peer)
+		} else {
+			far = append(far, peer)
+		}
+	}
+	return near, far
+}
--- /dev/null
+++ b/coordination/gossip/store_test.go
@@ -0,0 +1,125 @@
+package gossip_test
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"wardtray/coordination/gossip"
+	"wardtray/coordination/statemachine"
+	"wardtray/wire"
+)
+
+// process is one store with what it sends.
+type process struct {
+	name, zone string
+	store      *gossip.Store
+	outbox     *statemachine.Outbox
+}
+
+// network is thirty stores in three zones, of which each knows some of the others.
+type network struct {
+	random    *rand.Rand
+	now       time.Time
+	names     []string
+	processes map[string]*process
+}
+
+const (
+	storeCount   = 30
+	zoneCount    = 3
+	partnerCount = 15
+)
+
+func newNetwork(t *testing.T, seed int64) *network {
+	t.Helper()
+	network := &network{random: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), processes: map[string]*process{}}
+	for number := range storeCount {
+		network.add(number, rand.New(rand.NewSource(seed+int64(number))), func(format string, values ...any) {
+			t.Fatalf("seed %d: "+format, append([]any{seed}, values...)...)
+		})
+	}
+	return network
+}
+
+// add adds a store that fails the test when an entry is replaced by an older version or leaves its zone.
+func (network *network) add(number int, random *rand.Rand, fail func(format string, values ...any)) {
+	added := &process{name: fmt.Sprint("p", number), zone: zoneOf(number), outbox: statemachine.NewOutbox()}
+	var partners []gossip.Peer
+	for range partnerCount {
+		if other := network.random.Intn(storeCount); other != number {
+			partners = append(partners, gossip.Peer{Address: fmt.Sprint("p", other), Zone: zoneOf(other)})
+		}
+	}
+	greatest := map[string]uint64{}
+	added.store = gossip.New(added.zone, added.outbox, random, func() []gossip.Peer { return partners },
+		func(_ time.Time, entry *wire.GossipEntry) {
+			if entry.Epoch < greatest[entry.Key] {
+				fail("%s went back on %s", added.name, entry.Key)
+			}
+			greatest[entry.Key] = entry.Epoch
+			if entry.Key == "z/z0/list" && added.zone != "z0" {
+				fail("an entry of z0 reached %s", added.zone)
+			}
+		})
+	network.processes[added.name] = added
+	network.names = append(network.names, added.name)
+}
+
+func zoneOf(number int) string { return fmt.Sprint("z", number%zoneCount) }
+
+// deliver delivers what a store has sent; half of the messages are lost.
+func (network *network) deliver(name string) {
+	sent, _ := network.processes[name].outbox.Drain()
+	for _, outgoing := range sent {
+		if network.random.Intn(2) == 0 {
+			continue
+		}
+		to := network.processes[outgoing.To]
+		if message := outgoing.Envelope.GetGossipMessage(); message != nil {
+			to.store.Rumor(network.now, message)
+		}
+		if message := outgoing.Envelope.GetDigest(); message != nil {
+			to.store.Digest(network.now, name, network.processes[name].zone, message)
+		}
+	}
+}
+
+// run writes two entries for a while and lets the stores exchange messages for longer.
+func (network *network) run() {
+	for step := range 600 {
+		network.now = network.now.Add(50 * time.Millisecond)
+		if step < 200 && step%10 == 0 {
+			epoch := uint64(step + 1)
+			document := &wire.GossipEntry{Key: "document", Epoch: epoch}
+			network.processes["p0"].store.Put(network.now, document, gossip.Hops)
+			list := &wire.GossipEntry{Key: "z/z0/list", Epoch: epoch}
+			network.processes["p3"].store.Put(network.now, list, gossip.Hops)
+		}
+		for _, name := range network.names {
+			network.processes[name].store.Tick(network.now)
+		}
+		for _, name := range network.names {
+			network.deliver(name)
+		}
+	}
+}
+
+// Thirty stores in three zones, half of the messages lost, half of the partners unknown to each: all end with the
+// newest version of every entry, entries of a zone never leave it, and no store returns to an older version.
+func TestDigestsRepairWhatGossipMisses(t *testing.T) {
+	for seed := int64(1); seed <= 20; seed++ {
+		network := newNetwork(t, seed)
+		network.run()
+		for _, name := range network.names {
+			process := network.processes[name]
+			if entry := process.store.Get("document"); entry == nil || entry.Epoch != 191 {
+				t.Fatalf("seed %d: %s ends with %v", seed, name, entry)
+			}
+			if entry := process.store.Get("z/z0/list"); process.zone == "z0" && (entry == nil || entry.Epoch != 191) {
+				t.Fatalf("seed %d: %s ends with list %v", seed, name, entry)
+			}
+		}
+	}
+}
