--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -1,6 +1,14 @@
-// Package peersampling keeps a process's partial view of the others: a bounded set of addresses with
-// ages, of which some are swapped with the oldest neighbour now and then. Whoever is gone is never
-// renewed, grows oldest, is asked, does not answer and is dropped.
+// Package peersampling maintains a process's partial view of the others: a bounded set of descriptors (address, zone,
+// age) of which some are exchanged with the oldest neighbour now and then (a shuffle, as in Cyclon). The descriptor
+// of a process that is gone is never renewed: it grows the oldest, is contacted without a response, and is dropped.
+//
+// # Contract
+//
+// A PartialView is one process's part, a pure state machine. Its caller calls Tick often, hands it received shuffles
+// by Shuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated and
+// reordered. As long as every process reaches a seed or some neighbour, the views connect all live processes and
+// forget those that are gone within some rounds; a view has at most Size descriptors, none of itself and none twice.
+// A PartialView is not safe for concurrent use.
 package peersampling
 
 import (
@@ -15,119 +23,164 @@
 const (
 	// Size bounds the partial view.
 	Size = 12
-	// Exchange is how many lines one shuffle carries.
+	// Exchange is how many descriptors one shuffle carries, the sender's own included.
 	Exchange = 5
-	every    = time.Second
-	// everyFull is how often a view that is full enough is shuffled.
-	everyFull = 3 * time.Second
+	// shuffleInterval is how often a view is shuffled, and filledShuffleInterval how often one that is at least half
+	// full.
+	shuffleInterval       = time.Second
+	filledShuffleInterval = 3 * time.Second
+	// smallSize is below how many descriptors a view keeps contacting the seeds: they are the only way back for a
+	// process whose neighbours are all gone.
+	smallSize = 3
+	// seedsOneIn is in how many rounds a view that is not small contacts the seeds once, on average.
+	seedsOneIn = 8
+	// maximumResponders bounds the processes whose last message is remembered.
+	maximumResponders = 4 * Size
 )
 
 // PartialView is the partial view of one process.
 type PartialView struct {
-	self     *wire.PeerDescriptor
-	seeds    []string
-	outbox   *statemachine.Outbox
-	random   *rand.Rand
-	lines    map[string]*wire.PeerDescriptor
-	asked    string
-	askedAt  time.Time
-	shuffled time.Time
-	heard    map[string]time.Time
+	self        *wire.PeerDescriptor
+	seeds       []string
+	outbox      *statemachine.Outbox
+	random      *rand.Rand
+	descriptors map[string]*wire.PeerDescriptor
+	lastShuffle time.Time
+	// contacted is the neighbour that was contacted in the last round, at contactedAt; "" where none was.
+	contacted   string
+	contactedAt time.Time
+	// lastSeen is when each process last sent a shuffle.
+	lastSeen map[string]time.Time
 }
 
-// New makes a view that knows only its seeds.
+// New returns the view of a process that knows only its seeds.
 func New(self *wire.PeerDescriptor, seeds []string, outbox *statemachine.Outbox, random *rand.Rand) *PartialView {
-	return &PartialView{self: self, seeds: seeds, outbox: outbox, random: random, lines: map[string]*wire.PeerDescriptor{}, heard: map[string]time.Time{}}
+	return &PartialView{
+		self: self, seeds: seeds, outbox: outbox, random: random,
+		descriptors: map[string]*wire.PeerDescriptor{}, lastSeen: map[string]time.Time{},
+	}
 }
 
-// Peers gives the present partial view, ordered by address.
-func (partialView *PartialView) Peers() []*wire.PeerDescriptor {
-	lines := make([]*wire.PeerDescriptor, 0, len(partialView.lines))
-	for _, line := range partialView.lines {
-		lines = append(lines, line)
+// Peers returns the present partial view, ordered by address.
+func (view *PartialView) Peers() []*wire.PeerDescriptor {
+	peers := make([]*wire.PeerDescriptor, 0, len(view.descriptors))
+	for _, descriptor := range view.descriptors {
+		peers = append(peers, descriptor)
 	}
-	sort.Slice(lines, func(left, right int) bool { return lines[left].Address < lines[right].Address })
-	return lines
+	sort.Slice(peers, func(left, right int) bool { return peers[left].Address < peers[right].Address })
+	return peers
 }
 
-// Tick ages the view and begins a shuffle when it is time.
-func (partialView *PartialView) Tick(now time.Time) {
-	if now.Sub(partialView.shuffled) < every || len(partialView.lines) >= Size/2 && now.Sub(partialView.shuffled) < everyFull {
+// Tick ages the view and starts a shuffle when it is time.
+func (view *PartialView) Tick(now time.Time) {
+	if !view.shuffleDue(now) {
 		return
 	}
-	partialView.shuffled = now
-	// A neighbour that let a whole round pass without an answer makes room for others.
-	if partialView.asked != "" && partialView.heard[partialView.asked].Before(partialView.askedAt) {
-		delete(partialView.lines, partialView.asked)
-	}
-	partialView.asked = ""
-	oldest := ""
-	for _, line := range partialView.Peers() {
-		line.Age++
-		if oldest == "" || line.Age > partialView.lines[oldest].Age {
-			oldest = line.Address
-		}
+	view.lastShuffle = now
+	view.dropUnresponsive()
+	if oldest := view.age(); oldest != "" {
+		view.contacted, view.contactedAt = oldest, now
+		view.send(oldest, false)
+	}
+	if len(view.descriptors) < smallSize || view.random.Intn(seedsOneIn) == 0 {
+		view.contactSeeds()
+	}
+}
+
+func (view *PartialView) shuffleDue(now time.Time) bool {
+	interval := shuffleInterval
+	if len(view.descriptors) >= Size/2 {
+		interval = filledShuffleInterval
 	}
-	if oldest != "" {
-		partialView.asked, partialView.askedAt = oldest, now
-		partialView.send(oldest, false)
+	return now.Sub(view.lastShuffle) >= interval
+}
+
+// dropUnresponsive drops the neighbour that let the whole round pass without a response.
+func (view *PartialView) dropUnresponsive() {
+	if view.contacted != "" && view.lastSeen[view.contacted].Before(view.contactedAt) {
+		delete(view.descriptors, view.contacted)
+	}
+	view.contacted = ""
+}
+
+// age makes every descriptor one round older and returns the address of the oldest, "" where there is none.
+func (view *PartialView) age() (oldest string) {
+	for _, peer := range view.Peers() {
+		peer.Age++
+		if oldest == "" || peer.Age > view.descriptors[oldest].Age {
+			oldest = peer.Address
+		}
 	}
-	// Seeds are the only way back for a process whose neighbours are all gone, so a small view keeps asking them.
-	if len(partialView.lines) < 3 || partialView.random.Intn(8) == 0 {
-		for _, seed := range partialView.seeds {
-			if seed != partialView.self.Address && partialView.lines[seed] == nil {
-				partialView.send(seed, false)
-			}
+	return oldest
+}
+
+func (view *PartialView) contactSeeds() {
+	for _, seed := range view.seeds {
+		if seed != view.self.Address && view.descriptors[seed] == nil {
+			view.send(seed, false)
 		}
 	}
 }
 
-func (partialView *PartialView) send(address string, answer bool) {
-	lines := partialView.Peers()
-	partialView.random.Shuffle(len(lines), func(left, right int) { lines[left], lines[right] = lines[right], lines[left] })
-	sent := []*wire.PeerDescriptor{{Address: partialView.self.Address, Zone: partialView.self.Zone, Core: partialView.self.Core}}
-	for _, line := range lines {
-		if line.Address != address && len(sent) < Exchange {
-			sent = append(sent, &wire.PeerDescriptor{Address: line.Address, Zone: line.Zone, Core: line.Core, Age: line.Age})
+// send sends our own descriptor and some others, chosen at random.
+func (view *PartialView) send(address string, response bool) {
+	peers := view.Peers()
+	view.random.Shuffle(len(peers), func(left, right int) { peers[left], peers[right] = peers[right], peers[left] })
+	sent := []*wire.PeerDescriptor{copyWithAge(view.self, 0)}
+	for _, peer := range peers {
+		if peer.Address != address && len(sent) < Exchange {
+			sent = append(sent, copyWithAge(peer, peer.Age))
 		}
 	}
-	partialView.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Shuffle{Shuffle: &wire.Shuffle{Peers: sent, Response: answer}}})
+	message := &wire.Shuffle{Peers: sent, Response: response}
+	view.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Shuffle{Shuffle: message}})
 }
 
-// Shuffle takes a neighbour's lines and, where it is a question, answers with some of ours.
-func (partialView *PartialView) Shuffle(now time.Time, from string, message *wire.Shuffle) {
-	partialView.heard[from] = now
+func copyWithAge(peer *wire.PeerDescriptor, age uint32) *wire.PeerDescriptor {
+	return &wire.PeerDescriptor{Address: peer.Address, Zone: peer.Zone, Core: peer.Core, Age: age}
+}
+
+// Shuffle handles a neighbour's descriptors and, where it is a request, responds with some of ours.
+func (view *PartialView) Shuffle(now time.Time, from string, message *wire.Shuffle) {
+	view.lastSeen[from] = now
 	if !message.Response {
-		partialView.send(from, true)
+		view.send(from, true)
 	}
-	for _, line := range message.Peers[:min(len(message.Peers), Exchange)] {
-		held := partialView.lines[line.Address]
-		if line.Address != partialView.self.Address && line.Address != "" && (held == nil || line.Age < held.Age) {
-			partialView.lines[line.Address] = &wire.PeerDescriptor{Address: line.Address, Zone: line.Zone, Core: line.Core, Age: line.Age}
-		}
+	for _, received := range message.Peers[:min(len(message.Peers), Exchange)] {
+		view.add(received)
 	}
-	for len(partialView.lines) > Size {
-		partialView.evict()
+	for len(view.descriptors) > Size {
+		view.evict()
+	}
+	if len(view.lastSeen) > maximumResponders {
+		view.lastSeen = map[string]time.Time{from: now}
+	}
+}
+
+// add adds a descriptor, unless it is our own or no younger than the one that is there.
+func (view *PartialView) add(received *wire.PeerDescriptor) {
+	if received.Address == view.self.Address || received.Address == "" {
+		return
 	}
-	if len(partialView.heard) > 4*Size {
-		partialView.heard = map[string]time.Time{from: now}
+	if present := view.descriptors[received.Address]; present == nil || received.Age < present.Age {
+		view.descriptors[received.Address] = copyWithAge(received, received.Age)
 	}
 }
 
-// evict drops the oldest line, but of a zone that has more than one.
-func (partialView *PartialView) evict() {
-	zones := map[string]int{}
-	for _, line := range partialView.lines {
-		zones[line.Zone]++
+// evict drops the oldest descriptor, but of a zone that has more than one.
+func (view *PartialView) evict() {
+	peersOfZone := map[string]int{}
+	for _, descriptor := range view.descriptors {
+		peersOfZone[descriptor.Zone]++
 	}
 	victim := ""
-	for _, line := range partialView.Peers() {
-		if zones[line.Zone] > 1 && (victim == "" || line.Age > partialView.lines[victim].Age) {
-			victim = line.Address
+	for _, peer := range view.Peers() {
+		if peersOfZone[peer.Zone] > 1 && (victim == "" || peer.Age > view.descriptors[victim].Age) {
+			victim = peer.Address
 		}
 	}
 	if victim == "" {
-		victim = partialView.Peers()[0].Address
+		victim = view.Peers()[0].Address
 	}
-	delete(partialView.lines, victim)
+	delete(view.descriptors, victim)
 }
