--- a/coordination/election/election.go
+++ b/coordination/election/election.go
@@ -1,47 +1,64 @@
-// Package election decides which process does a task that one is enough for: the first live one in an
-// order that all agree on. Results carry an epoch, and nobody takes a result below the greatest
-// epoch seen; so two holders at once do no harm and the older one falls silent.
+// Package election elects the process that does a task which one process is enough for: the first live one in an
+// order that all agree on. There is no exclusive lease. Instead results carry an epoch as a fencing token, and nobody
+// accepts a result below the greatest epoch accepted; so two leaders at once do no harm, and the older one's results
+// are ignored.
+//
+// # Contract
+//
+// An Election is one process's part, for one task. Its caller sets the order by Order whenever it changes, calls
+// Heard for each sign of life of another process, and gives signs of life itself while it is a Candidate. Before the
+// task is done it asks Mine, and sends the epoch with each result; whoever receives a result uses it only if Take
+// accepts it.
+//
+// Processes may crash, freeze and be cut off, and messages may be lost, repeated and reordered. No process ever
+// accepts an epoch below one that it has accepted, whatever happens. Once all live processes agree on the order and
+// hear each other, exactly the first of them leads. An Election reads no clock and is not safe for concurrent use.
 package election
 
 import "time"
 
-// Bound is how long a process may be silent before the next in order takes over.
+// Bound is how long a process may be silent before the next in the order takes over.
 const Bound = 1500 * time.Millisecond
 
-// Election is one process's opinion of one task.
+// maximumProcesses bounds the processes whose signs of life are remembered.
+const maximumProcesses = 1024
+
+// Election is one process's part in the election for one task.
 type Election struct {
-	self    string
-	started time.Time
-	order   []string
-	heard   map[string]time.Time
-	epoch   uint64
-	writer  string
-	mine    bool
+	self      string
+	startedAt time.Time
+	order     []string
+	lastSeen  map[string]time.Time
+	// epoch and writer are the greatest that were accepted, or that this process leads under.
+	epoch  uint64
+	writer string
+	// leading is whether this process was the leader when last asked.
+	leading bool
 }
 
-// New makes an opinion in which nobody has been heard yet.
+// New returns the part of a process that has heard nobody yet.
 func New(now time.Time, self string) *Election {
-	return &Election{self: self, started: now, heard: map[string]time.Time{}}
+	return &Election{self: self, startedAt: now, lastSeen: map[string]time.Time{}}
 }
 
-// Order sets the agreed order.
+// Order sets the agreed order. Without one, each process leads.
 func (election *Election) Order(order []string) { election.order = order }
 
-// Heard notes a sign of life.
+// Heard records a sign of life of a process.
 func (election *Election) Heard(now time.Time, id string) {
-	if len(election.heard) < 1024 || !election.heard[id].IsZero() {
-		election.heard[id] = now
+	if len(election.lastSeen) < maximumProcesses || !election.lastSeen[id].IsZero() {
+		election.lastSeen[id] = now
 	}
 }
 
-// Candidate tells whether this process should give signs of life: it is among the first of the
-// order that seem alive.
+// Candidate reports whether this process should give signs of life: it is among the first count of the order that seem
+// alive.
 func (election *Election) Candidate(now time.Time, count int) bool {
 	for _, id := range election.order {
 		if id == election.self {
 			return true
 		}
-		if election.alive(now, id) {
+		if election.isAlive(now, id) {
 			count--
 		}
 		if count == 0 {
@@ -51,37 +68,43 @@
 	return false
 }
 
-func (election *Election) alive(now time.Time, id string) bool {
-	return id == election.self || now.Sub(election.heard[id]) < Bound
+func (election *Election) isAlive(now time.Time, id string) bool {
+	return id == election.self || now.Sub(election.lastSeen[id]) < Bound
 }
 
-// Mine tells whether this process holds the duty now, and under which epoch.
+// Mine reports whether this process leads now, and under which epoch; 0 where it does not.
 func (election *Election) Mine(now time.Time) (epoch uint64, mine bool) {
-	holder := election.self
-	if len(election.order) > 0 {
-		holder = ""
-	}
-	for _, id := range election.order {
-		if election.alive(now, id) {
-			holder = id
-			break
-		}
-	}
-	// A process that has just begun has heard nobody; it waits one bound before it takes anything over.
-	if holder != election.self || now.Sub(election.started) < Bound && len(election.order) > 0 && election.order[0] != election.self {
-		election.mine = false
+	if !election.isLeader(now) {
+		election.leading = false
 		return 0, false
 	}
-	// Whoever takes over goes above every epoch seen, and so does a holder that saw another's greater one.
-	if !election.mine || election.writer != election.self {
-		election.mine = true
+	// Whoever takes over goes above every epoch seen, and so does a leader that saw another's greater one.
+	if !election.leading || election.writer != election.self {
+		election.leading = true
 		election.epoch++
 		election.writer = election.self
 	}
 	return election.epoch, true
 }
 
-// Take tells whether a result may be used, and remembers its epoch.
+// isLeader reports whether this process is the first live one of the order.
+func (election *Election) isLeader(now time.Time) bool {
+	if len(election.order) == 0 || election.order[0] == election.self {
+		return true
+	}
+	// A process that has just started has heard nobody; it waits for one bound before it takes anything over.
+	if now.Sub(election.startedAt) < Bound {
+		return false
+	}
+	for _, id := range election.order {
+		if election.isAlive(now, id) {
+			return id == election.self
+		}
+	}
+	return false
+}
+
+// Take reports whether a result of a writer may be used, and if so remembers its epoch.
 func (election *Election) Take(epoch uint64, writer string) bool {
 	if epoch < election.epoch || epoch == election.epoch && writer < election.writer {
 		return false
--- a/coordination/election/election_test.go
+++ b/coordination/election/election_test.go
@@ -9,58 +9,44 @@
 	"wardtray/coordination/election"
 )
 
-func Example() {
-	now := time.Unix(0, 0)
-	second := election.New(now, "b")
-	second.Order([]string{"a", "b", "c"})
-	second.Heard(now, "a")
-	_, mine := second.Mine(now.Add(time.Second))
-	fmt.Println("while a lives:", mine)
-	epoch, mine := second.Mine(now.Add(2 * election.Bound))
-	fmt.Println("when a is silent:", mine, "under epoch", epoch)
-	fmt.Println("a result of a's own, older epoch counts:", second.Take(0, "a"))
-	// Output:
-	// while a lives: false
-	// when a is silent: true under epoch 1
-	// a result of a's own, older epoch counts: false
-}
-
-// processes are three that hear each other or not, as chance has it; every result reaches everybody late or never.
+// processes are three that hear each other or not, at random; a result reaches each of them or is lost.
 type processes struct {
-	random *rand.Rand
-	now    time.Time
-	order  []string
-	duties map[string]*election.Election
-	// greatest is the epoch that each process took last.
+	random    *rand.Rand
+	now       time.Time
+	order     []string
+	elections map[string]*election.Election
+	// greatest is the epoch that each process accepted last.
 	greatest map[string]uint64
-	// last held the duty last; takeovers counts how often another held it than before.
+	// last is the process that led last; takeovers counts how often another led than before.
 	last      string
 	takeovers int
 }
 
 func newProcesses(seed int64) *processes {
-	made := &processes{random: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), order: []string{"a", "b", "c"},
-		duties: map[string]*election.Election{}, greatest: map[string]uint64{}}
-	for _, name := range made.order {
-		made.duties[name] = election.New(made.now, name)
-		made.duties[name].Order(made.order)
+	processes := &processes{
+		random: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), order: []string{"a", "b", "c"},
+		elections: map[string]*election.Election{}, greatest: map[string]uint64{},
 	}
-	return made
+	for _, name := range processes.order {
+		processes.elections[name] = election.New(processes.now, name)
+		processes.elections[name].Order(processes.order)
+	}
+	return processes
 }
 
 // hear lets a process hear each other one: always in calm, now and then otherwise.
 func (processes *processes) hear(name string, calm bool) {
 	for _, other := range processes.order {
 		if other != name && (calm || processes.random.Intn(20) == 0) {
-			processes.duties[name].Heard(processes.now, other)
+			processes.elections[name].Heard(processes.now, other)
 		}
 	}
 }
 
-// work lets a process do the duty if it holds it; its results reach everybody in calm, some otherwise.
+// work lets a process do the task if it leads; its results reach everybody in calm, some otherwise.
 func (processes *processes) work(name string, calm bool) error {
-	epoch, mine := processes.duties[name].Mine(processes.now)
-	if !mine {
+	epoch, leads := processes.elections[name].Mine(processes.now)
+	if !leads {
 		return nil
 	}
 	if name != processes.last {
@@ -71,18 +57,18 @@
 		if other == name || !calm && processes.random.Intn(3) > 0 {
 			continue
 		}
-		if !processes.duties[other].Take(epoch, name) {
+		if !processes.elections[other].Take(epoch, name) {
 			continue
 		}
 		if epoch < processes.greatest[other] {
-			return fmt.Errorf("%s took epoch %d after %d", other, epoch, processes.greatest[other])
+			return fmt.Errorf("%s accepted epoch %d after %d", other, epoch, processes.greatest[other])
 		}
 		processes.greatest[other] = epoch
 	}
 	return nil
 }
 
-// run plays a storm and then a calm.
+// run runs a time of lost messages and then a calm.
 func (processes *processes) run() error {
 	for step := range 400 {
 		processes.now = processes.now.Add(100 * time.Millisecond)
@@ -97,9 +83,9 @@
 	return nil
 }
 
-// No process ever takes a result of a lower epoch than it took before, and once all hear each
-// other again exactly the first of the order holds the duty.
-func TestEpochsOnlyRiseAndOneHolderRemains(t *testing.T) {
+// No process ever accepts a result of a lower epoch than it accepted before, and once all hear each other again exactly
+// the first of the order leads.
+func TestEpochsOnlyRiseAndOneLeaderRemains(t *testing.T) {
 	takeovers := 0
 	for seed := int64(1); seed <= 200; seed++ {
 		processes := newProcesses(seed)
@@ -107,8 +93,8 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		for _, name := range processes.order {
-			if _, mine := processes.duties[name].Mine(processes.now); mine != (name == "a") {
-				t.Fatalf("seed %d: %s holds it: %v", seed, name, mine)
+			if _, leads := processes.elections[name].Mine(processes.now); leads != (name == "a") {
+				t.Fatalf("seed %d: %s leads: %v", seed, name, leads)
 			}
 		}
 		takeovers += processes.takeovers
@@ -117,3 +103,31 @@
 		t.Fatalf("only %d takeovers", takeovers)
 	}
 }
+
+func TestLeading(t *testing.T) {
+	start := time.Unix(0, 0)
+	for name, test := range map[string]struct {
+		order []string
+		heard string
+		after time.Duration
+		want  bool
+	}{
+		"without an order":                    {want: true},
+		"first of the order":                  {order: []string{"self", "a"}, want: true},
+		"second, just started":                {order: []string{"a", "self"}, after: election.Bound - 1},
+		"second, while the first is silent":   {order: []string{"a", "self"}, after: election.Bound, want: true},
+		"second, while the first is alive":    {order: []string{"a", "self"}, heard: "a", after: election.Bound},
+		"third, while the second is alive":    {order: []string{"a", "b", "self"}, heard: "b", after: election.Bound},
+		"not in the order, nobody else alive": {order: []string{"a", "b"}, after: election.Bound},
+		"second, while the third is alive":    {order: []string{"a", "self", "b"}, heard: "b", after: election.Bound, want: true},
+	} {
+		process := election.New(start, "self")
+		process.Order(test.order)
+		if test.heard != "" {
+			process.Heard(start.Add(test.after), test.heard)
+		}
+		if epoch, leads := process.Mine(start.Add(test.after)); leads != test.want || (epoch > 0) != test.want {
+			t.Errorf("%s: leads %v under epoch %d", name, leads, epoch)
+		}
+	}
+}
--- /dev/null
+++ b/coordination/election/example_test.go
@@ -0,0 +1,24 @@
+package election_test
+
+import (
+	"fmt"
+	"time"
+
+	"wardtray/coordination/election"
+)
+
+func Example() {
+	now := time.Unix(0, 0)
+	second := election.New(now, "b")
+	second.Order([]string{"a", "b", "c"})
+	second.Heard(now, "a")
+	_, leads := second.Mine(now.Add(time.Second))
+	fmt.Println("while a is alive:", leads)
+	epoch, leads := second.Mine(now.Add(2 * election.Bound))
+	fmt.Println("when a is silent:", leads, "under epoch", epoch)
+	fmt.Println("a result of a's own, older epoch counts:", second.Take(0, "a"))
+	// Output:
+	// while a is alive: false
+	// when a is silent: true under epoch 1
+	// a result of a's own, older epoch counts: false
+}
