--- a/coordination/election/election_test.go
+++ b/coordination/election/election_test.go
@@ -105,7 +105,7 @@
 }
 
 func TestLeading(t *testing.T) {
-	start := time.Unix(0, 0)
+	start, bound := time.Unix(0, 0), election.Bound
 	for name, test := range map[string]struct {
 		order []string
 		heard string
@@ -114,12 +114,12 @@
 	}{
 		"without an order":                    {want: true},
 		"first of the order":                  {order: []string{"self", "a"}, want: true},
-		"second, just started":                {order: []string{"a", "self"}, after: election.Bound - 1},
-		"second, while the first is silent":   {order: []string{"a", "self"}, after: election.Bound, want: true},
-		"second, while the first is alive":    {order: []string{"a", "self"}, heard: "a", after: election.Bound},
-		"third, while the second is alive":    {order: []string{"a", "b", "self"}, heard: "b", after: election.Bound},
-		"not in the order, nobody else alive": {order: []string{"a", "b"}, after: election.Bound},
-		"second, while the third is alive":    {order: []string{"a", "self", "b"}, heard: "b", after: election.Bound, want: true},
+		"second, just started":                {order: []string{"a", "self"}, after: bound - 1},
+		"second, while the first is silent":   {order: []string{"a", "self"}, after: bound, want: true},
+		"second, while the first is alive":    {order: []string{"a", "self"}, heard: "a", after: bound},
+		"third, while the second is alive":    {order: []string{"a", "b", "self"}, heard: "b", after: bound},
+		"not in the order, nobody else alive": {order: []string{"a", "b"}, after: bound},
+		"second, while the third is alive":    {order: []string{"a", "self", "b"}, heard: "b", after: bound, want: true},
 	} {
 		process := election.New(start, "self")
 		process.Order(test.order)
