--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -1,15 +1,15 @@
 package quota
 
 import (
-	"fmt"
 	"math/rand"
-	"sort"
+	"slices"
+	"strconv"
 	"testing"
 	"time"
 )
 
-// The fleet of these tests: daemons with requests of a tenant, an issuer that is replaced, and a network that delays,
-// loses and cuts. Time goes in steps.
+// The fleet of these tests: daemons with requests of a tenant, an allocator that is replaced, and a network that
+// delays, loses and cuts. Time goes in steps.
 const (
 	step       = 5 * time.Millisecond
 	reportStep = 300 * time.Millisecond
@@ -20,24 +20,27 @@
 
 var testTolerance = Tolerance{Window: 8 * time.Second, Excess: 0.1, Slack: 140_000}
 
+// message is a report on its way to the allocator, or a grant on its way back.
 type message struct {
-	at          time.Time
+	arrivesAt   time.Time
 	daemon      int
 	incarnation int
 	number      uint64
-	claims      []TenantReport
+	reports     []TenantReport
 	shares      []Share
-	answer      bool
+	isGrant     bool
 }
 
+// waiting is a request that waits for tokens.
 type waiting struct {
 	cost  float64
 	since time.Time
 	done  func()
 }
 
+// testDaemon is a daemon with its requests.
 type testDaemon struct {
-	holder      *Limiter
+	limiter     *Limiter
 	incarnation int
 	number      uint64
 	reported    time.Time
@@ -50,28 +53,32 @@
 	servedOf, refusedOf int
 }
 
+// use is what a request has used.
 type use struct {
 	at   time.Time
 	cost float64
 }
 
+// testFleet is all daemons, the allocator and the network between them.
 type testFleet struct {
-	random   *rand.Rand
-	now      time.Time
-	issuer   *Allocator
-	headless time.Time
-	daemons  []*testDaemon
-	messages []message
-	uses     []use
-	rate     float64
-	burst    float64
-	meanCost float64
+	random        *rand.Rand
+	now           time.Time
+	allocator     *Allocator
+	headlessUntil time.Time
+	daemons       []*testDaemon
+	messages      []message
+	uses          []use
+	rate          float64
+	burst         float64
+	meanCost      float64
 }
 
 func newFleet(seed int64, daemons int, rate, demand, meanCost float64) *testFleet {
-	fleet := &testFleet{random: rand.New(rand.NewSource(seed)), now: time.Unix(1000, 0), rate: rate, burst: rate, meanCost: meanCost}
+	fleet := &testFleet{
+		random: rand.New(rand.NewSource(seed)), now: time.Unix(1000, 0), rate: rate, burst: rate, meanCost: meanCost,
+	}
 	for range daemons {
-		fleet.daemons = append(fleet.daemons, &testDaemon{holder: NewLimiter()})
+		fleet.daemons = append(fleet.daemons, &testDaemon{limiter: NewLimiter()})
 	}
 	// Clients are few and each stays with one daemon, so that shares of the demand are uneven.
 	clients := max(4, daemons/2)
@@ -82,19 +89,19 @@
 	return fleet
 }
 
-// lead makes a new issuer, whose predecessor issues nothing any more.
+// lead makes a new allocator, whose predecessor grants nothing any more.
 func (fleet *testFleet) lead() {
-	var expected []string
+	expected := make([]string, len(fleet.daemons))
 	for number := range fleet.daemons {
-		expected = append(expected, fmt.Sprint(number))
+		expected[number] = strconv.Itoa(number)
 	}
-	fleet.issuer = NewAllocator(fleet.now, testTerm, expected)
+	fleet.allocator = NewAllocator(fleet.now, testTerm, expected)
 	fleet.limit()
 }
 
 func (fleet *testFleet) limit() {
-	if fleet.issuer != nil {
-		fleet.issuer.SetLimits(fleet.now, map[string]Limit{tenantName: testTolerance.Limit(fleet.rate, fleet.burst)})
+	if fleet.allocator != nil {
+		fleet.allocator.SetLimits(fleet.now, map[string]Limit{tenantName: testTolerance.Limit(fleet.rate, fleet.burst)})
 	}
 }
 
@@ -112,42 +119,48 @@
 	if fleet.random.Float64() < 0.002 {
 		delay += time.Duration(fleet.random.Intn(400)) * time.Millisecond
 	}
-	sent.at = fleet.now.Add(delay)
+	sent.arrivesAt = fleet.now.Add(delay)
 	fleet.messages = append(fleet.messages, sent)
 }
 
 func (fleet *testFleet) report(number int) {
 	daemon := fleet.daemons[number]
-	if daemon.holder.Awaits(fleet.now) {
+	if daemon.limiter.Awaits(fleet.now) {
 		return
 	}
 	daemon.number++
 	daemon.reported = fleet.now
-	claims := daemon.holder.TenantReports(fleet.now, daemon.number)
+	reports := daemon.limiter.TenantReports(fleet.now, daemon.number)
 	if fleet.now.Before(daemon.cut) && daemon.cutOut {
 		return
 	}
-	fleet.send(message{daemon: number, incarnation: daemon.incarnation, number: daemon.number, claims: claims})
+	fleet.send(message{daemon: number, incarnation: daemon.incarnation, number: daemon.number, reports: reports})
 }
 
 func (fleet *testFleet) deliver(delivered message) {
 	daemon := fleet.daemons[delivered.daemon]
-	if !delivered.answer {
-		if fleet.issuer == nil || fleet.now.Before(fleet.headless) {
+	if !delivered.isGrant {
+		if fleet.allocator == nil || fleet.now.Before(fleet.headlessUntil) {
 			return
 		}
-		shares := fleet.issuer.Report(fleet.now, fmt.Sprint(delivered.daemon), delivered.claims)
-		fleet.send(message{daemon: delivered.daemon, incarnation: delivered.incarnation, number: delivered.number, shares: shares, answer: true})
+		shares := fleet.allocator.Report(fleet.now, strconv.Itoa(delivered.daemon), delivered.reports)
+		fleet.send(message{
+			daemon: delivered.daemon, incarnation: delivered.incarnation, number: delivered.number,
+			shares: shares, isGrant: true,
+		})
+		return
+	}
+	if daemon.incarnation != delivered.incarnation || fleet.now.Before(daemon.down) {
 		return
 	}
-	if daemon.incarnation != delivered.incarnation || fleet.now.Before(daemon.down) || fleet.now.Before(daemon.cut) && daemon.cutIn {
+	if fleet.now.Before(daemon.cut) && daemon.cutIn {
 		return
 	}
-	daemon.holder.Granted(fleet.now, delivered.number, testTerm, delivered.shares)
+	daemon.limiter.Granted(fleet.now, delivered.number, testTerm, delivered.shares)
 }
 
 func (fleet *testFleet) take(daemon *testDaemon, cost float64) bool {
-	if !daemon.holder.Take(fleet.now, tenantName, cost) {
+	if !daemon.limiter.Take(fleet.now, tenantName, cost) {
 		return false
 	}
 	fleet.uses = append(fleet.uses, use{fleet.now, cost})
@@ -163,25 +176,26 @@
 	}
 	if fleet.random.Float64() < daemon.rate*step.Seconds() {
 		cost := fleet.cost()
-		daemon.holder.Offer(fleet.now, tenantName, cost)
+		daemon.limiter.Offer(fleet.now, tenantName, cost)
 		if !fleet.take(daemon, cost) {
-			daemon.waiting = append(daemon.waiting, &waiting{cost: cost, since: fleet.now, done: daemon.holder.Need(fleet.now, tenantName, cost)})
+			done := daemon.limiter.Need(fleet.now, tenantName, cost)
+			daemon.waiting = append(daemon.waiting, &waiting{cost: cost, since: fleet.now, done: done})
 		}
 	}
-	kept := daemon.waiting[:0]
+	remaining := daemon.waiting[:0]
 	for _, request := range daemon.waiting {
 		switch {
 		case fleet.take(daemon, request.cost):
 			request.done()
-		case daemon.holder.Short(fleet.now, tenantName) || fleet.now.Sub(request.since) > waitBound:
+		case daemon.limiter.Short(fleet.now, tenantName) || fleet.now.Sub(request.since) > waitBound:
 			request.done()
 			daemon.refused += request.cost
 			daemon.refusedOf++
 		default:
-			kept = append(kept, request)
+			remaining = append(remaining, request)
 		}
 	}
-	daemon.waiting = kept
+	daemon.waiting = remaining
 	if len(daemon.waiting) > 0 || fleet.now.Sub(daemon.reported) >= reportStep {
 		fleet.report(number)
 	}
@@ -192,10 +206,10 @@
 		fleet.now = fleet.now.Add(step)
 		pending := fleet.messages
 		fleet.messages = nil
-		sort.SliceStable(pending, func(left, right int) bool { return pending[left].at.Before(pending[right].at) })
+		slices.SortStableFunc(pending, func(left, right message) int { return left.arrivesAt.Compare(right.arrivesAt) })
 		for _, sent := range pending {
-			held := sent.answer && fleet.now.Before(fleet.daemons[sent.daemon].frozen)
-			if sent.at.After(fleet.now) || held {
+			frozen := sent.isGrant && fleet.now.Before(fleet.daemons[sent.daemon].frozen)
+			if sent.arrivesAt.After(fleet.now) || frozen {
 				fleet.messages = append(fleet.messages, sent)
 				continue
 			}
@@ -210,17 +224,17 @@
 	}
 }
 
-// worst gives the greatest use in any window, and how much of a bound by the greatest limit in force it is.
+// worst returns the greatest use in any window, and what fraction of the bound of a limit it is.
 func (fleet *testFleet) worst(rate, burst float64) (most, part float64) {
 	bound := (rate*testTolerance.Window.Seconds()+burst)*(1+testTolerance.Excess) + testTolerance.Slack
-	first, sum := 0, 0.0
+	first, inWindow := 0, 0.0
 	for _, used := range fleet.uses {
-		sum += used.cost
+		inWindow += used.cost
 		for fleet.uses[first].at.Before(used.at.Add(-testTolerance.Window)) {
-			sum -= fleet.uses[first].cost
+			inWindow -= fleet.uses[first].cost
 			first++
 		}
-		most = max(most, sum)
+		most = max(most, inWindow)
 	}
 	return most, most / bound
 }
@@ -242,7 +256,7 @@
 
 // Below its limit a tenant is served, large or small, on few daemons or on many.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
-	for _, tried := range []struct {
+	for _, test := range []struct {
 		name           string
 		daemons        int
 		rate, meanCost float64
@@ -254,10 +268,10 @@
 		{"three daemons", 3, 100_000, 5_300, 0.77, 0.01},
 		{"requests counted", 40, 50, 1, 0.7, 0.01},
 	} {
-		t.Run(tried.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var served, refused float64
 			for seed := range int64(4) {
-				fleet := newFleet(seed, tried.daemons, tried.rate, tried.rate*tried.use, tried.meanCost)
+				fleet := newFleet(seed, test.daemons, test.rate, test.rate*test.use, test.meanCost)
 				fleet.run(8*time.Second, nil)
 				fleet.forget()
 				fleet.run(20*time.Second, nil)
@@ -266,15 +280,15 @@
 			}
 			part := refused / (served + refused)
 			t.Logf("refused %.4f", part)
-			if part > tried.most {
-				t.Errorf("refused %.4f of what was asked below the limit, more than %.4f", part, tried.most)
+			if part > test.most {
+				t.Errorf("refused %.4f of what was asked below the limit, more than %.4f", part, test.most)
 			}
 		})
 	}
 }
 
 // A tenant that asks many times its limit gets the whole of it and no more than the bound.
-func TestAHotTenantGetsItsLimit(t *testing.T) {
+func TestOverloadedTenantGetsItsLimit(t *testing.T) {
 	for seed := range int64(3) {
 		fleet := newFleet(seed, 60, 300_000, 1_800_000, 5_300)
 		fleet.run(8*time.Second, nil)
@@ -290,14 +304,14 @@
 	}
 }
 
-// faults brings about kills, cuts of either way or both, freezes, takeovers and lowered limits.
+// faults injects kills, cuts of either direction or both, freezes and takeovers.
 func (fleet *testFleet) faults() {
 	if fleet.random.Float64() < 0.01 {
 		daemon := fleet.daemons[fleet.random.Intn(len(fleet.daemons))]
 		until := fleet.now.Add(time.Duration(fleet.random.Intn(7000)) * time.Millisecond)
 		switch fleet.random.Intn(3) {
 		case 0:
-			daemon.holder, daemon.waiting, daemon.down = NewLimiter(), nil, until
+			daemon.limiter, daemon.waiting, daemon.down = NewLimiter(), nil, until
 			daemon.incarnation++
 		case 1:
 			daemon.cut = until
@@ -307,10 +321,10 @@
 		}
 	}
 	if fleet.random.Float64() < 0.001 {
-		fleet.headless = fleet.now.Add(time.Duration(fleet.random.Intn(6000)) * time.Millisecond)
-		fleet.issuer = nil
+		fleet.headlessUntil = fleet.now.Add(time.Duration(fleet.random.Intn(6000)) * time.Millisecond)
+		fleet.allocator = nil
 	}
-	if fleet.issuer == nil && fleet.now.After(fleet.headless) {
+	if fleet.allocator == nil && fleet.now.After(fleet.headlessUntil) {
 		fleet.lead()
 	}
 }
@@ -327,14 +341,14 @@
 	}
 }
 
-// While the issuer is replaced, daemons go on with what they were lent.
-func TestATakeoverLeavesServiceAsItWas(t *testing.T) {
+// While the allocator is replaced, daemons go on with what they were allocated.
+func TestTakeoverKeepsServing(t *testing.T) {
 	var served, refused float64
 	for seed := range int64(6) {
 		fleet := newFleet(seed, 90, 730_000, 730_000*0.7, 5_300)
 		fleet.run(8*time.Second, nil)
 		fleet.forget()
-		fleet.issuer, fleet.headless = nil, fleet.now.Add(2500*time.Millisecond)
+		fleet.allocator, fleet.headlessUntil = nil, fleet.now.Add(2500*time.Millisecond)
 		fleet.run(2500*time.Millisecond, nil)
 		fleet.lead()
 		fleet.run(2*time.Second, nil)
@@ -349,7 +363,7 @@
 }
 
 // A lowered limit binds within a window.
-func TestALoweredLimitBinds(t *testing.T) {
+func TestLoweredLimitBindsWithinAWindow(t *testing.T) {
 	for seed := range int64(4) {
 		fleet := newFleet(seed, 40, 400_000, 400_000, 5_300)
 		fleet.run(8*time.Second, nil)
@@ -364,9 +378,8 @@
 	}
 }
 
-// What daemons held that were killed, cut off or frozen comes back to the others after a term, and is theirs again when
-// they are back.
-func TestWhatSilentDaemonsHeldComesBack(t *testing.T) {
+// What killed daemons held is reclaimed for the others after a term.
+func TestSharesOfSilentDaemonsAreReclaimed(t *testing.T) {
 	for seed := range int64(3) {
 		fleet := newFleet(seed, 20, 200_000, 1_200_000, 5_300)
 		fleet.run(8*time.Second, nil)
@@ -381,48 +394,48 @@
 			t.Errorf("seed %d: with half of the daemons dead %.3f of the limit was used", seed, used)
 		}
 		for number := range 10 {
-			if fleet.issuer.accounts[tenantName].lent[fmt.Sprint(number)] != nil {
-				t.Errorf("seed %d: dead daemon %d is still lent something", seed, number)
+			if fleet.allocator.accounts[tenantName].allocations[strconv.Itoa(number)] != nil {
+				t.Errorf("seed %d: dead daemon %d is still allocated something", seed, number)
 			}
 		}
 	}
 }
 
-// A process that is known to have ended gives back at once what it held.
-func TestReleaseGivesBackAtOnce(t *testing.T) {
+// What a process held that is known to have ended is reclaimed at once.
+func TestReleaseReclaimsAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	issuer := NewAllocator(now, testTerm, nil)
-	issuer.SetLimits(now, map[string]Limit{tenantName: {Rate: 100, Capacity: 1000}})
-	given := issuer.Report(now, "a", []TenantReport{{Tenant: tenantName, Demand: 100, Need: 900}})
+	allocator := NewAllocator(now, testTerm, nil)
+	allocator.SetLimits(now, map[string]Limit{tenantName: {Rate: 100, Capacity: 1000}})
+	given := allocator.Report(now, "a", []TenantReport{{Tenant: tenantName, Demand: 100, Need: 900}})
 	if given[0].Tokens != 900 {
 		t.Fatalf("given %+v", given)
 	}
-	held := issuer.accounts[tenantName].exposure
-	issuer.Release(now, "a")
-	if account := issuer.accounts[tenantName]; held < 900 || account.exposure != 0 || account.rate != 0 {
-		t.Errorf("held %v, then %+v", held, account)
+	before := allocator.accounts[tenantName].exposure
+	allocator.Release(now, "a")
+	if account := allocator.accounts[tenantName]; before < 900 || account.exposure != 0 || account.rate != 0 {
+		t.Errorf("exposure %v, then %+v", before, account)
 	}
 }
 
-// An answer counts once, and only if it is the newest report's.
-func TestOldAnswersAreVoid(t *testing.T) {
+// A grant counts once, and only if it is the newest report's.
+func TestGrantsForOldReportsAreVoid(t *testing.T) {
 	now := time.Unix(1000, 0)
-	holder := NewLimiter()
-	holder.Offer(now, tenantName, 10)
-	holder.TenantReports(now, 1)
-	holder.TenantReports(now, 2)
+	limiter := NewLimiter()
+	limiter.Offer(now, tenantName, 10)
+	limiter.TenantReports(now, 1)
+	limiter.TenantReports(now, 2)
 	share := []Share{{Tenant: tenantName, Tokens: 100, Capacity: 100}}
-	if holder.Granted(now, 1, testTerm, share) || holder.Take(now, tenantName, 1) {
-		t.Error("the answer to a report that another one followed counts")
+	if limiter.Granted(now, 1, testTerm, share) || limiter.Take(now, tenantName, 1) {
+		t.Error("the grant for a report that another one followed counts")
 	}
-	if !holder.Granted(now, 2, testTerm, share) || holder.Granted(now, 2, testTerm, share) {
-		t.Error("an answer does not count once")
+	if !limiter.Granted(now, 2, testTerm, share) || limiter.Granted(now, 2, testTerm, share) {
+		t.Error("a grant does not count once")
 	}
-	if !holder.Take(now, tenantName, 100) || holder.Take(now, tenantName, 1) {
+	if !limiter.Take(now, tenantName, 100) || limiter.Take(now, tenantName, 1) {
 		t.Error("what was given is not what can be used")
 	}
-	holder.Return(now, tenantName, 100)
-	if holder.Take(now.Add(testTerm+time.Millisecond), tenantName, 1) {
+	limiter.Return(now, tenantName, 100)
+	if limiter.Take(now.Add(testTerm+time.Millisecond), tenantName, 1) {
 		t.Error("a share is used beyond its term")
 	}
 }
