--- /dev/null
+++ b/coordination/registry/broadcast.go
@@ -0,0 +1,179 @@
+package registry
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"wardtray/wire"
+)
+
+const (
+	// confirmTimeout is how long the answer to a call waits for every daemon, and halfTimeout how long for half of
+	// them.
+	confirmTimeout = 400 * time.Millisecond
+	halfTimeout    = 750 * time.Millisecond
+	// retryInterval is how often an update is sent again to those who have not acknowledged it, answeredRetryInterval
+	// how often once the call was answered, and retryTimeout for how long.
+	retryInterval         = 100 * time.Millisecond
+	answeredRetryInterval = 300 * time.Millisecond
+	retryTimeout          = 2 * time.Second
+	// maximumBroadcasts bounds the broadcasts of leaving runners in progress.
+	maximumBroadcasts = 1024
+)
+
+// broadcast is the update of one leaving runner on its way to every daemon.
+type broadcast struct {
+	runner    string
+	startedAt time.Time
+	sentAt    time.Time
+	// unconfirmed are the daemons that have not acknowledged it yet, of so many.
+	unconfirmed map[string]bool
+	confirmed   int
+	daemons     int
+	// answers are the calls that wait for it; nil once they were answered.
+	answers []func(outcome Outcome)
+}
+
+// broadcasts are those of one registrar.
+type broadcasts struct {
+	exchange    *Exchange
+	environment Environment
+	counters    *Counters
+	inProgress  map[uint64]*broadcast
+	// announced are the leaving runners of which this core itself has told every daemon.
+	announced map[string]bool
+	lastNonce uint64
+}
+
+func newBroadcasts(exchange *Exchange, environment Environment, counters *Counters, nonce uint64) broadcasts {
+	return broadcasts{
+		exchange: exchange, environment: environment, counters: counters, lastNonce: nonce,
+		inProgress: map[uint64]*broadcast{}, announced: map[string]bool{},
+	}
+}
+
+func (broadcasts *broadcasts) full() bool { return len(broadcasts.inProgress) >= maximumBroadcasts }
+
+// start sends a leaving runner's record to every daemon and core; answer is called once the daemons have acknowledged
+// it, or can't be reached.
+func (broadcasts *broadcasts) start(now time.Time, record *wire.Runner, answer func(outcome Outcome)) {
+	broadcasts.lastNonce++
+	nonce := broadcasts.lastNonce
+	broadcasts.announced[record.RunnerId] = true
+	broadcast := &broadcast{
+		runner: record.RunnerId, startedAt: now, sentAt: now, unconfirmed: map[string]bool{},
+		answers: []func(outcome Outcome){answer},
+	}
+	broadcasts.inProgress[nonce] = broadcast
+	for _, daemon := range broadcasts.environment.Daemons(now) {
+		broadcast.unconfirmed[daemon] = true
+	}
+	broadcast.daemons = len(broadcast.unconfirmed)
+	broadcasts.send(nonce, broadcast)
+	for _, core := range broadcasts.environment.Cores() {
+		if !broadcast.unconfirmed[core] {
+			broadcasts.exchange.send(core, &wire.RunnerUpdate{Runners: []*wire.Runner{record}})
+		}
+	}
+	broadcasts.complete(now, nonce, broadcast)
+}
+
+// send sends a broadcast's update to those who have not acknowledged it.
+func (broadcasts *broadcasts) send(nonce uint64, broadcast *broadcast) {
+	record := broadcasts.exchange.Line(broadcast.runner)
+	if record == nil {
+		return
+	}
+	update := &wire.RunnerUpdate{Runners: []*wire.Runner{record}, Nonce: nonce}
+	for _, address := range slices.Sorted(maps.Keys(broadcast.unconfirmed)) {
+		broadcasts.exchange.send(address, update)
+	}
+}
+
+// attach lets a further call of a runner wait for its broadcast; it reports whether there is one to wait for.
+func (broadcasts *broadcasts) attach(runner string, answer func(outcome Outcome)) bool {
+	for _, broadcast := range broadcasts.inProgress {
+		if broadcast.runner == runner && broadcast.answers != nil {
+			broadcast.answers = append(broadcast.answers, answer)
+			return true
+		}
+	}
+	return false
+}
+
+// acknowledge handles a process's acknowledgement of the broadcast with a nonce.
+func (broadcasts *broadcasts) acknowledge(now time.Time, from string, nonce uint64) {
+	broadcast := broadcasts.inProgress[nonce]
+	if broadcast == nil || !broadcast.unconfirmed[from] {
+		return
+	}
+	delete(broadcast.unconfirmed, from)
+	broadcast.confirmed++
+	broadcasts.complete(now, nonce, broadcast)
+}
+
+// complete answers a broadcast that every daemon has acknowledged, or whose time is over, and ends it when it has
+// nothing left to do.
+func (broadcasts *broadcasts) complete(now time.Time, nonce uint64, broadcast *broadcast) {
+	elapsed, confirmed := now.Sub(broadcast.startedAt), len(broadcast.unconfirmed) == 0
+	if confirmed || elapsed >= retryTimeout {
+		delete(broadcasts.inProgress, nonce)
+	}
+	outcome, decided := broadcast.outcome(elapsed)
+	if broadcast.answers == nil || !decided {
+		return
+	}
+	if outcome == Unheard {
+		// The next call of this runner must not be answered as though the daemons had been told.
+		delete(broadcasts.announced, broadcast.runner)
+		delete(broadcasts.inProgress, nonce)
+		broadcasts.counters.Refused++
+	} else if !confirmed {
+		broadcasts.counters.Unconfirmed++
+	}
+	answers := broadcast.answers
+	broadcast.answers = nil
+	for _, answer := range answers {
+		answer(outcome)
+	}
+}
+
+// outcome returns how the calls that wait for a broadcast are answered; decided is false where they have to wait on.
+func (broadcast *broadcast) outcome(elapsed time.Duration) (outcome Outcome, decided bool) {
+	if len(broadcast.unconfirmed) == 0 {
+		return Taken, true
+	}
+	if elapsed < confirmTimeout {
+		return "", false
+	}
+	// A daemon that so many others leave behind dispatches nothing for long, and learns of the runner before it does so
+	// again.
+	if 2*broadcast.confirmed >= broadcast.daemons {
+		return Taken, true
+	}
+	// This core would promise what it can't keep; the runner had better call another.
+	return Unheard, elapsed >= halfTimeout
+}
+
+// tick sends again what was not acknowledged, and answers what has waited long enough.
+func (broadcasts *broadcasts) tick(now time.Time) {
+	for _, nonce := range slices.Sorted(maps.Keys(broadcasts.inProgress)) {
+		broadcast := broadcasts.inProgress[nonce]
+		interval := retryInterval
+		if broadcast.answers == nil {
+			interval = answeredRetryInterval
+		}
+		if now.Sub(broadcast.sentAt) >= interval {
+			broadcast.sentAt = now
+			broadcasts.counters.Retried++
+			broadcasts.send(nonce, broadcast)
+		}
+		broadcasts.complete(now, nonce, broadcast)
+	}
+}
+
+// forget forgets the announcements of runners that are not in the table any more.
+func (broadcasts *broadcasts) forget(isKnown func(id string) bool) {
+	maps.DeleteFunc(broadcasts.announced, func(id string, _ bool) bool { return !isKnown(id) })
+}
--- /dev/null
+++ b/coordination/registry/broadcast_test.go
@@ -0,0 +1,33 @@
+package registry
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOutcomeOfABroadcast(t *testing.T) {
+	for _, test := range []struct {
+		name               string
+		daemons, confirmed int
+		elapsed            time.Duration
+		outcome            Outcome
+		decided            bool
+	}{
+		{"no daemon at all", 0, 0, 0, Taken, true},
+		{"every daemon", 4, 4, 0, Taken, true},
+		{"all but one, soon", 4, 3, confirmTimeout - 1, "", false},
+		{"all but one, later", 4, 3, confirmTimeout, Taken, true},
+		{"just half", 4, 2, confirmTimeout, Taken, true},
+		{"less than half, later", 4, 1, halfTimeout - 1, Unheard, false},
+		{"less than half, too late", 4, 1, halfTimeout, Unheard, true},
+	} {
+		broadcast := &broadcast{daemons: test.daemons, confirmed: test.confirmed, unconfirmed: map[string]bool{}}
+		for number := range test.daemons - test.confirmed {
+			broadcast.unconfirmed[string(rune('a'+number))] = true
+		}
+		outcome, decided := broadcast.outcome(test.elapsed)
+		if outcome != test.outcome || decided != test.decided {
+			t.Errorf("%s: %q, decided %v", test.name, outcome, decided)
+		}
+	}
+}
--- a/coordination/registry/call.go
+++ b/coordination/registry/call.go
@@ -19,38 +19,40 @@
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename call_easyjson.go call.go
 
 const (
-	// MaximumCall bounds a runner's call in bytes.
-	MaximumCall  = 4 << 10
+	// MaximumCall bounds the body of a runner's call in bytes.
+	MaximumCall = 4 << 10
+	// maximumID and maximumName bound an id, and the names of a zone, a service and a revision, in bytes.
 	maximumID    = 128
 	maximumName  = 128
 	maximumSlots = 65536
 	maximumCold  = 10 * time.Minute
 )
 
-// Call is what a runner tells of itself.
+// Call is what a runner reports of itself, the body of its HTTP calls.
 //
 //easyjson:json
 type Call struct {
-	// Address is where it takes requests, as ip:port.
+	// Address is where it accepts requests, as ip:port.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Service string `json:"service"`
-	// Revision is of its software.
+	// Revision is that of its software; it may be empty.
 	Revision string `json:"revision,omitempty"`
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests it processes at once.
 	Slots uint32 `json:"slots"`
-	// State is ready, or draining ahead of a planned end.
+	// State is ready, or draining before a planned end.
 	State string `json:"state"`
-	// Cold is for how long it is still slow after its start.
+	// Cold is for how much longer it is slow after its start (slow start); 0 where it is not.
 	Cold config.Duration `json:"cold,omitempty"`
-	// Call goes up with every call of one life, so that a late one can be told.
+	// Call increases with every call of one incarnation, so that a late one is recognized.
 	Call uint64 `json:"call"`
 }
 
-// callStates are the states that a runner tells of itself.
+// callStates are the states that a runner reports of itself.
 var callStates = map[string]bool{Ready: true, Draining: true}
 
-// Read reads a call strictly and checks it whole.
+// Read parses the body of a call of the runner with an id, strictly, and validates it. The error is apierror.TooLarge
+// or apierror.Malformed.
 func Read(id string, content []byte) (*wire.Runner, error) {
 	if len(content) > MaximumCall {
 		return nil, apierror.New(apierror.TooLarge, "a call has at most %d bytes", MaximumCall)
@@ -65,45 +67,58 @@
 	return call.Line(id)
 }
 
-// Line checks a call and gives the line that it asks for; every fault is named with its path.
+// Line validates a call and returns the record that it asks for. The error, apierror.Malformed, names the path of every
+// fault.
 func (call Call) Line(id string) (*wire.Runner, error) {
-	var flaws []string
-	flaw := func(bad bool, format string, values ...any) {
-		if bad {
-			flaws = append(flaws, fmt.Sprintf(format, values...))
-		}
+	if faults := call.faults(id); len(faults) > 0 {
+		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(faults, "; "))
 	}
-	flaw(!CheckID(id), "id: wants 1 to %d letters without blanks or slashes", maximumID)
-	flaw(!place(call.Address), "address: %q is no ip:port", call.Address)
-	flaw(!name(call.Zone), "zone: wants 1 to %d letters without blanks or slashes", maximumName)
-	flaw(!name(call.Service), "service: wants 1 to %d letters without blanks or slashes", maximumName)
-	flaw(len(call.Revision) > maximumName || !utf8.ValidString(call.Revision), "revision: at most %d bytes of UTF-8", maximumName)
-	flaw(call.Slots < 1 || call.Slots > maximumSlots, "slots: wants 1 to %d", maximumSlots)
-	flaw(!callStates[call.State], "state: %q is neither ready nor draining", call.State)
-	flaw(call.Cold < 0 || time.Duration(call.Cold) > maximumCold, "cold: wants 0s to %v", maximumCold)
-	if len(flaws) > 0 {
-		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(flaws, "; "))
+	record := &wire.Runner{
+		RunnerId: id, Address: call.Address, Zone: call.Zone, Service: call.Service, Revision: call.Revision,
+		Slots: call.Slots, State: call.State, Call: call.Call,
 	}
-	line := &wire.Runner{RunnerId: id, Address: call.Address, Zone: call.Zone, Service: call.Service, Revision: call.Revision, Slots: call.Slots,
-		State: call.State, Call: call.Call}
 	if cold := uint32(time.Duration(call.Cold) / time.Millisecond); call.State == Ready && cold > 0 {
-		line.State, line.SlowStartMilliseconds = Cold, cold
+		record.State, record.SlowStartMilliseconds = Cold, cold
+	}
+	return record, nil
+}
+
+// faults returns what is wrong with a call of a runner with an id.
+func (call Call) faults(id string) []string {
+	var faults []string
+	check := func(valid bool, format string, values ...any) {
+		if !valid {
+			faults = append(faults, fmt.Sprintf(format, values...))
+		}
 	}
-	return line, nil
+	validRevision := len(call.Revision) <= maximumName && utf8.ValidString(call.Revision)
+	validCold := call.Cold >= 0 && time.Duration(call.Cold) <= maximumCold
+	check(CheckID(id), "id: wants 1 to %d letters without blanks or slashes", maximumID)
+	check(isAddress(call.Address), "address: %q is no ip:port", call.Address)
+	check(isName(call.Zone), "zone: wants 1 to %d letters without blanks or slashes", maximumName)
+	check(isName(call.Service), "service: wants 1 to %d letters without blanks or slashes", maximumName)
+	check(validRevision, "revision: at most %d bytes of UTF-8", maximumName)
+	check(call.Slots >= 1 && call.Slots <= maximumSlots, "slots: wants 1 to %d", maximumSlots)
+	check(callStates[call.State], "state: %q is neither ready nor draining", call.State)
+	check(validCold, "cold: wants 0s to %v", maximumCold)
+	return faults
 }
 
-// CheckID tells whether something can be a runner's id.
-func CheckID(id string) bool { return id != "" && len(id) <= maximumID && plain(id) }
+// CheckID reports whether a text can be a runner's id.
+func CheckID(id string) bool { return id != "" && len(id) <= maximumID && isPlain(id) }
 
-func name(text string) bool { return text != "" && len(text) <= maximumName && plain(text) }
+func isName(text string) bool { return text != "" && len(text) <= maximumName && isPlain(text) }
 
-// plain tells whether a text can be told to every process: a message can't hold other bytes than UTF-8, and one line
-// with such bytes would keep everything from being told that travels with it.
-func plain(text string) bool {
-	return utf8.ValidString(text) && !strings.ContainsFunc(text, func(letter rune) bool { return letter <= ' ' || letter == '/' || letter == 0x7f })
+// isPlain reports whether a text can be sent to every process: a message can hold no other bytes than UTF-8, and one
+// record with such bytes would keep everything from being sent that travels with it.
+func isPlain(text string) bool {
+	return utf8.ValidString(text) && !strings.ContainsFunc(text, isForbidden)
 }
 
-func place(address string) bool {
+// isForbidden reports whether a letter is a blank, a control character or a slash.
+func isForbidden(letter rune) bool { return letter <= ' ' || letter == '/' || letter == '\x7f' }
+
+func isAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
 		return false
--- a/coordination/registry/call_fuzz_test.go
+++ b/coordination/registry/call_fuzz_test.go
@@ -9,35 +9,40 @@
 	"wardtray/wire"
 )
 
-// A call that was taken can be told to every other process, whatever its id and its fields hold.
-func FuzzRead(fuzz *testing.F) {
-	fuzz.Add("r1", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s","revision":"v1","slots":4,"state":"ready","call":7,"cold":"5s"}`))
-	fuzz.Add("r\xff", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"draining"}`))
-	fuzz.Add("r1", []byte("{\"address\":\"10.0.0.1:80\",\"zone\":\"a\xfe\",\"service\":\"s\",\"revision\":\"\xff\",\"slots\":4,\"state\":\"ready\"}"))
-	fuzz.Add("r1", []byte(`{"address":"[::1%eth0]:80","zone":"a","service":"s","revision":"\ud800","slots":4,"state":"ready"}`))
-	fuzz.Fuzz(func(t *testing.T, id string, content []byte) {
-		line, err := Read(id, content)
+// A call that was accepted can be sent to every other process, whatever its id and its fields hold.
+func FuzzRead(f *testing.F) {
+	f.Add("r1", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s",`+
+		`"revision":"v1","slots":4,"state":"ready","call":7,"cold":"5s"}`))
+	f.Add("r\xff", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"draining"}`))
+	f.Add("r1", []byte("{\"address\":\"10.0.0.1:80\",\"zone\":\"a\xfe\",\"service\":\"s\","+
+		"\"revision\":\"\xff\",\"slots\":4,\"state\":\"ready\"}"))
+	f.Add("r1", []byte(`{"address":"[::1%eth0]:80","zone":"a","service":"s","revision":"\ud800","slots":4,"state":"ready"}`))
+	f.Fuzz(func(t *testing.T, id string, content []byte) {
+		record, err := Read(id, content)
 		if err != nil {
 			return
 		}
-		checkLine(t, line)
+		checkRecord(t, record)
 	})
 }
 
-// checkLine holds a line that was taken to what every other process relies on.
-func checkLine(t *testing.T, line *wire.Runner) {
+// checkRecord checks what every other process relies on of a record that was accepted.
+func checkRecord(t *testing.T, record *wire.Runner) {
 	t.Helper()
-	for _, text := range []string{line.RunnerId, line.Address, line.Zone, line.Service, line.Revision, line.State} {
+	for _, text := range []string{
+		record.RunnerId, record.Address, record.Zone, record.Service, record.Revision, record.State,
+	} {
 		if !utf8.ValidString(text) || len(text) > MaximumCall {
 			t.Fatalf("%q was taken", text)
 		}
 	}
-	content, err := proto.Marshal(line)
+	content, err := proto.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := &wire.Runner{}
-	if err := proto.Unmarshal(content, again); err != nil || !proto.Equal(line, again) || Compare(line, again) != 0 {
-		t.Fatalf("%v is read back as %v: %v", line, again, err)
+	err = proto.Unmarshal(content, again)
+	if err != nil || !proto.Equal(record, again) || Compare(record, again) != 0 {
+		t.Fatalf("%v is read back as %v: %v", record, again, err)
 	}
 }
--- a/coordination/registry/exchange.go
+++ b/coordination/registry/exchange.go
@@ -7,69 +7,77 @@
 	"wardtray/wire"
 )
 
-// digestEvery is how often, at most, a process asks for what it may have missed.
-const digestEvery = 250 * time.Millisecond
+// digestInterval is how often, at most, a process requests what it may have missed.
+const digestInterval = 250 * time.Millisecond
 
-// Exchange keeps a book the same as those of others: news are joined, and where sums differ digests are
-// compared and what is missing goes both ways.
+// Exchange keeps a table the same as those of other processes: updates are merged, and where checksums differ digests
+// are compared and what is missing is sent both ways.
 type Exchange struct {
 	*Table
-	outbox   *statemachine.Outbox
-	digested time.Time
-	asked    string
+	outbox *statemachine.Outbox
+	// lastDigest is when a digest was last sent with a request for a response, to requested.
+	lastDigest time.Time
+	requested  string
 }
 
-// NewExchange makes an exchange with an empty book.
+// NewExchange returns an exchange with an empty table.
 func NewExchange(outbox *statemachine.Outbox) *Exchange {
 	return &Exchange{Table: NewTable(), outbox: outbox}
 }
 
-func (exchange *Exchange) send(to string, news *wire.RunnerUpdate) {
-	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerUpdate{RunnerUpdate: news}})
+func (exchange *Exchange) send(to string, update *wire.RunnerUpdate) {
+	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerUpdate{RunnerUpdate: update}})
 }
 
-// News joins what another process told, confirms it where that is wanted, and corrects a sender that is
-// behind. It gives the lines that changed our book.
+// News merges what another process sent, acknowledges it where that is wanted, and corrects a sender that is behind. It
+// returns the records that changed our table.
 func (exchange *Exchange) News(now time.Time, from string, message *wire.RunnerUpdate) []*wire.Runner {
-	taken, newer := exchange.Take(now, message.Runners)
+	merged, newer := exchange.Take(now, message.Runners)
 	if message.Nonce != 0 {
-		exchange.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_RunnerUpdateAck{RunnerUpdateAck: &wire.RunnerUpdateAck{Nonce: message.Nonce}}})
+		ack := &wire.RunnerUpdateAck{Nonce: message.Nonce}
+		exchange.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_RunnerUpdateAck{RunnerUpdateAck: ack}})
 	}
 	if len(newer) > 0 {
 		exchange.send(from, &wire.RunnerUpdate{Runners: newer})
 	}
-	return taken
+	return merged
 }
 
-// Digest answers a digest with what its sender lacks, and with our own where the sender holds more.
+// Digest responds to a digest with what its sender lacks, and with our own digest where the sender has something newer.
 func (exchange *Exchange) Digest(now time.Time, from string, message *wire.RunnerDigest) {
-	news, lacking := exchange.compare(now, message)
-	// An empty answer is one too; a process that has just begun waits for it.
-	if len(news) > 0 || message.ResponseWanted {
-		exchange.send(from, &wire.RunnerUpdate{Runners: news, Response: message.ResponseWanted})
+	missing := exchange.missingIn(now, message)
+	// An empty response is one too; a process that has just started waits for it.
+	if len(missing) > 0 || message.ResponseWanted {
+		exchange.send(from, &wire.RunnerUpdate{Runners: missing, Response: message.ResponseWanted})
 	}
-	if lacking && message.ResponseWanted {
-		exchange.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_RunnerDigest{RunnerDigest: exchange.digest(false)}})
+	if message.ResponseWanted && exchange.lacksAny(message) {
+		exchange.sendDigest(from, false)
 	}
 }
 
-// Compare takes in the sum of another process's book; where ours differs, digests are exchanged.
+func (exchange *Exchange) sendDigest(to string, responseWanted bool) {
+	digest := exchange.digest(responseWanted)
+	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerDigest{RunnerDigest: digest}})
+}
+
+// Compare handles the checksum of another process's table; where ours differs, digests are exchanged.
 func (exchange *Exchange) Compare(now time.Time, from string, checksum uint64) {
-	if checksum == exchange.Checksum() || now.Sub(exchange.digested) < digestEvery {
+	if checksum == exchange.Checksum() || now.Sub(exchange.lastDigest) < digestInterval {
 		return
 	}
 	exchange.Ask(now, from)
 }
 
-// Ask asks a process for all that we lack.
+// Ask requests of a process all that we lack.
 func (exchange *Exchange) Ask(now time.Time, to string) {
-	exchange.digested, exchange.asked = now, to
-	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerDigest{RunnerDigest: exchange.digest(true)}})
+	exchange.lastDigest, exchange.requested = now, to
+	exchange.sendDigest(to, true)
 }
 
-// Insist asks a process on whose answer something waits, unless it was asked a moment ago.
+// Insist requests of a process, for whose response something waits, all that we lack, unless it was requested a moment
+// ago.
 func (exchange *Exchange) Insist(now time.Time, to string) {
-	if exchange.asked != to || now.Sub(exchange.digested) >= digestEvery {
+	if exchange.requested != to || now.Sub(exchange.lastDigest) >= digestInterval {
 		exchange.Ask(now, to)
 	}
 }
--- a/coordination/registry/table.go
+++ b/coordination/registry/table.go
@@ -1,201 +1,189 @@
 package registry
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"wardtray/wire"
 )
 
 const (
-	// MaximumRunners bounds the lines that others can make us remember.
+	// MaximumRunners bounds the records that others can make a process remember.
 	MaximumRunners = 4096
-	// remembered is for how long a line stays after its runner was gone or silent, so that an older word of
-	// it is known to be old.
-	remembered = 5 * time.Minute
-	pruneEvery = time.Second
+	// retention is for how long a record stays after its runner was gone or silent, so that an older record of it is
+	// recognized as old.
+	retention     = 5 * time.Minute
+	pruneInterval = time.Second
 )
 
+// entry is one runner's in a table.
 type entry struct {
-	line *wire.Runner
-	// since is when this line was taken in; until then it is cold, where it is.
-	since, coldUntil time.Time
+	record *wire.Runner
+	// storedAt is when this record was stored, and coldUntil until when its runner is cold, where it is.
+	storedAt, coldUntil time.Time
 }
 
 // Table is what one process knows of the registered runners.
 type Table struct {
-	entries  map[string]*entry
-	checksum uint64
-	pruned   time.Time
-	// The list as last given, and when the next of its runners is no longer cold.
-	list     []*wire.Runner
-	listed   bool
-	warmNext time.Time
-}
-
-// NewTable makes an empty book.
-func NewTable() *Table { return &Table{entries: map[string]*entry{}, list: []*wire.Runner{}} }
-
-// Line gives what is known of a runner, or nil.
-func (book *Table) Line(id string) *wire.Runner {
-	if held := book.entries[id]; held != nil {
-		return held.line
+	entries map[string]*entry
+	// checksum is the sum over all live records.
+	checksum  uint64
+	lastPrune time.Time
+	listing   listing
+}
+
+// listing is the list of live runners as last returned.
+type listing struct {
+	runners []*wire.Runner
+	valid   bool
+	// nextWarm is when the next of its runners is no longer cold; zero where none is cold.
+	nextWarm time.Time
+}
+
+// NewTable returns an empty table.
+func NewTable() *Table {
+	return &Table{entries: map[string]*entry{}, listing: listing{runners: []*wire.Runner{}}}
+}
+
+// Line returns the record of a runner, or nil.
+func (table *Table) Line(id string) *wire.Runner {
+	if entry := table.entries[id]; entry != nil {
+		return entry.record
 	}
 	return nil
 }
 
-// Checksum tells what all live lines add up to; two books with one sum hold the same live runners.
-func (book *Table) Checksum() uint64 { return book.checksum }
+// Checksum returns the sum over all live records; two tables with one sum hold the same live runners.
+func (table *Table) Checksum() uint64 { return table.checksum }
 
-// Take joins lines into the book. It gives those that changed it, and our own line of each runner of which
-// an older one came.
-func (book *Table) Take(now time.Time, lines []*wire.Runner) (taken, newer []*wire.Runner) {
-	for _, line := range lines {
-		if _, known := stages[line.GetState()]; !known || line.RunnerId == "" {
+// Take merges records into the table. It returns those that changed the table, and our own record of each runner of
+// which an older one was given.
+func (table *Table) Take(now time.Time, records []*wire.Runner) (merged, newer []*wire.Runner) {
+	for _, record := range records {
+		if _, known := stages[record.GetState()]; !known || record.RunnerId == "" {
 			continue
 		}
-		held := book.entries[line.RunnerId]
-		if held != nil {
-			if direction := Compare(line, held.line); direction <= 0 {
-				if direction < 0 {
-					newer = append(newer, book.told(now, held))
+		present := table.entries[record.RunnerId]
+		if present != nil {
+			if order := Compare(record, present.record); order <= 0 {
+				if order < 0 {
+					newer = append(newer, present.outgoing(now))
 				}
 				continue
 			}
 		}
-		if held == nil && len(book.entries) >= MaximumRunners && !book.makeRoom() {
+		if present == nil && len(table.entries) >= MaximumRunners && !table.makeRoom() {
 			continue
 		}
-		book.put(now, line)
-		taken = append(taken, line)
+		table.store(now, record)
+		merged = append(merged, record)
 	}
-	return taken, newer
+	return merged, newer
 }
 
-func (book *Table) put(now time.Time, line *wire.Runner) {
-	if held := book.entries[line.RunnerId]; held != nil {
-		book.checksum -= weight(held.line)
+func (table *Table) store(now time.Time, record *wire.Runner) {
+	if present := table.entries[record.RunnerId]; present != nil {
+		table.checksum -= checksum(present.record)
 	}
-	book.checksum += weight(line)
-	book.entries[line.RunnerId] = &entry{line: line, since: now, coldUntil: now.Add(time.Duration(line.SlowStartMilliseconds) * time.Millisecond)}
-	book.listed = false
+	table.checksum += checksum(record)
+	slowStart := time.Duration(record.SlowStartMilliseconds) * time.Millisecond
+	table.entries[record.RunnerId] = &entry{record: record, storedAt: now, coldUntil: now.Add(slowStart)}
+	table.listing.valid = false
 }
 
-// makeRoom forgets the runner that has been gone or silent for longest; it tells whether there was one.
-func (book *Table) makeRoom() bool {
+// makeRoom removes the runner that has been gone or silent for longest; it reports whether there was one.
+func (table *Table) makeRoom() bool {
 	oldest := ""
-	for id, held := range book.entries {
-		if !live[held.line.State] && (oldest == "" || held.since.Before(book.entries[oldest].since) || held.since.Equal(book.entries[oldest].since) && id < oldest) {
+	for id, entry := range table.entries {
+		if live[entry.record.State] {
+			continue
+		}
+		if oldest == "" || table.storedBefore(id, oldest) {
 			oldest = id
 		}
 	}
-	delete(book.entries, oldest)
+	delete(table.entries, oldest)
 	return oldest != ""
 }
 
-// Prune forgets runners that have been gone or silent for long.
-func (book *Table) Prune(now time.Time) {
-	if now.Sub(book.pruned) < pruneEvery {
+// storedBefore reports whether a runner's record was stored before another's; ids decide where both were at once.
+func (table *Table) storedBefore(id, other string) bool {
+	order := table.entries[id].storedAt.Compare(table.entries[other].storedAt)
+	return order < 0 || order == 0 && id < other
+}
+
+// Prune removes runners that have been gone or silent for long.
+func (table *Table) Prune(now time.Time) {
+	if now.Sub(table.lastPrune) < pruneInterval {
 		return
 	}
-	book.pruned = now
-	for id, held := range book.entries {
-		if !live[held.line.State] && now.Sub(held.since) > remembered {
-			delete(book.entries, id)
+	table.lastPrune = now
+	for id, entry := range table.entries {
+		if !live[entry.record.State] && now.Sub(entry.storedAt) > retention {
+			delete(table.entries, id)
 		}
 	}
 }
 
-// told gives a line as it is told to others: with the time that its runner is still cold. Why: clocks of two
-// processes are never compared, so what is left is told as a length of time.
-func (book *Table) told(now time.Time, held *entry) *wire.Runner {
-	if held.line.State != Cold {
-		return held.line
+// outgoing returns a record as it is sent to others: with the time for which its runner is still cold. Clocks of two
+// processes are never compared, so the remaining time is sent as a duration.
+func (entry *entry) outgoing(now time.Time) *wire.Runner {
+	if entry.record.State != Cold {
+		return entry.record
 	}
-	line := changed(held.line, Cold, held.line.Call)
-	line.SlowStartMilliseconds = uint32(max(0, held.coldUntil.Sub(now)/time.Millisecond))
-	return line
+	record := withState(entry.record, Cold, entry.record.Call)
+	record.SlowStartMilliseconds = uint32(max(0, entry.coldUntil.Sub(now)/time.Millisecond))
+	return record
 }
 
-// coldFor tells for how long a runner is still cold by what is known.
-func (book *Table) coldFor(now time.Time, id string) time.Duration {
-	held := book.entries[id]
-	if held == nil || held.line.State != Cold {
+// coldFor returns for how long a runner is still cold by what is known.
+func (table *Table) coldFor(now time.Time, id string) time.Duration {
+	entry := table.entries[id]
+	if entry == nil || entry.record.State != Cold {
 		return 0
 	}
-	return max(0, held.coldUntil.Sub(now))
-}
-
-// Runners lists the live runners by id, each ready, cold or draining; the list is another one only when
-// something in it changed.
-func (book *Table) Runners(now time.Time) []*wire.Runner {
-	if book.listed && (book.warmNext.IsZero() || now.Before(book.warmNext)) {
-		return book.list
-	}
-	book.listed, book.warmNext = true, time.Time{}
-	list := make([]*wire.Runner, 0, len(book.entries))
-	for _, held := range book.entries {
-		if !live[held.line.State] {
-			continue
-		}
-		line := held.line
-		if line.State == Cold && !now.Before(held.coldUntil) {
-			line = changed(line, Ready, line.Call)
-		} else if line.State == Cold && (book.warmNext.IsZero() || held.coldUntil.Before(book.warmNext)) {
-			book.warmNext = held.coldUntil
-		}
-		list = append(list, line)
-	}
-	sort.Slice(list, func(left, right int) bool { return list[left].RunnerId < list[right].RunnerId })
-	book.list = list
-	return list
+	return max(0, entry.coldUntil.Sub(now))
 }
 
-// All lists every line by id, also of runners that are gone or silent.
-func (book *Table) All(now time.Time) []*wire.Runner {
-	list := make([]*wire.Runner, 0, len(book.entries))
-	for _, id := range book.ids() {
-		list = append(list, book.told(now, book.entries[id]))
+// Runners returns the live runners by id, each ready, cold or draining; the slice is another one only when something in
+// it changed. It must not be modified.
+func (table *Table) Runners(now time.Time) []*wire.Runner {
+	if !table.listing.current(now) {
+		table.listing = table.list(now)
 	}
-	return list
+	return table.listing.runners
 }
 
-func (book *Table) ids() []string {
-	ids := make([]string, 0, len(book.entries))
-	for id := range book.entries {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	return ids
+func (listing *listing) current(now time.Time) bool {
+	return listing.valid && (listing.nextWarm.IsZero() || now.Before(listing.nextWarm))
 }
 
-// digest tells which version of each live line is held here.
-func (book *Table) digest(answerWanted bool) *wire.RunnerDigest {
-	digest := &wire.RunnerDigest{ResponseWanted: answerWanted}
-	for _, id := range book.ids() {
-		if line := book.entries[id].line; live[line.State] {
-			digest.Versions = append(digest.Versions, &wire.RunnerVersion{RunnerId: id, State: line.State, Call: line.Call})
+func (table *Table) list(now time.Time) listing {
+	listing := listing{valid: true, runners: make([]*wire.Runner, 0, len(table.entries))}
+	for _, id := range table.ids() {
+		entry := table.entries[id]
+		record := entry.record
+		if !live[record.State] {
+			continue
+		}
+		if record.State == Cold && !now.Before(entry.coldUntil) {
+			record = withState(record, Ready, record.Call)
+		} else if record.State == Cold && (listing.nextWarm.IsZero() || entry.coldUntil.Before(listing.nextWarm)) {
+			listing.nextWarm = entry.coldUntil
 		}
+		listing.runners = append(listing.runners, record)
 	}
-	return digest
+	return listing
 }
 
-// compare gives the lines that the sender of a digest lacks, and tells whether it holds any that we lack.
-func (book *Table) compare(now time.Time, digest *wire.RunnerDigest) (news []*wire.Runner, lacking bool) {
-	theirs := map[string]*wire.RunnerVersion{}
-	for _, version := range digest.Versions {
-		theirs[version.RunnerId] = version
-		if held := book.entries[version.RunnerId]; held == nil || order(version.State, version.Call, held.line.State, held.line.Call) > 0 {
-			lacking = true
-		}
+// All returns every record by id, also of runners that are gone or silent.
+func (table *Table) All(now time.Time) []*wire.Runner {
+	records := make([]*wire.Runner, 0, len(table.entries))
+	for _, id := range table.ids() {
+		records = append(records, table.entries[id].outgoing(now))
 	}
-	for _, id := range book.ids() {
-		held, version := book.entries[id], theirs[id]
-		// Of runners that are gone nobody needs to learn who never knew them, but for a process that begins: it could
-		// be told of them as live by one that missed their end.
-		if version == nil && (live[held.line.State] || len(digest.Versions) == 0) || version != nil && order(held.line.State, held.line.Call, version.State, version.Call) > 0 {
-			news = append(news, book.told(now, held))
-		}
-	}
-	return news, lacking
+	return records
 }
+
+func (table *Table) ids() []string { return slices.Sorted(maps.Keys(table.entries)) }
