--- a/wire/generate.go
+++ b/wire/generate.go
@@ -1,5 +1,5 @@
-// Package wire is what the processes of one fleet say to each other, and what they keep on disk: the messages of
-// wire.proto, in the names that protoc-gen-go gives them.
+// Package wire holds the messages that the processes of one fleet send to each other and the records that they store on
+// disk: those of wire.proto, with the Go names that protoc-gen-go generates. Field numbers are never changed or reused.
 package wire
 
 //go:generate go run wardtray/tools/wiregen wire.proto
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -20,7 +20,7 @@
 	descriptorsFile = "descriptors.txt"
 )
 
-// goldenNames gives, for a message or field that was renamed, the full name under which the golden files still know it.
+// goldenNames maps a message or field that was renamed to the full name under which the golden files still know it.
 // Names do not travel, so a rename is harmless, but a renamed message or field must keep its bytes: a rename adds a
 // line here, for review, and leaves the golden files as they are. What is not here goes by its present name.
 var goldenNames = map[protoreflect.FullName]protoreflect.FullName{
--- a/wire/wiretest/wiretest.go
+++ b/wire/wiretest/wiretest.go
@@ -1,4 +1,4 @@
-// Package wiretest gives tests one envelope of every kind.
+// Package wiretest provides tests with one envelope of every kind.
 package wiretest
 
 import (
@@ -16,13 +16,14 @@
 	Envelope *wire.Envelope
 }
 
-// Envelopes gives, for every kind of body, an envelope whose body is empty and one whose every field is set.
+// Envelopes returns, for every kind of body, an envelope whose body is empty and one whose every field is set.
 func Envelopes() []Sample {
-	var samples []Sample
-	body := (&wire.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
-	for place := range body.Fields().Len() {
-		field := body.Fields().Get(place)
-		for _, depth := range []int{0, maximumDepth} {
+	fields := (&wire.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
+	depths := []int{0, maximumDepth}
+	samples := make([]Sample, 0, fields.Len()*len(depths))
+	for index := range fields.Len() {
+		field := fields.Get(index)
+		for _, depth := range depths {
 			envelope := &wire.Envelope{From: "127.0.0.2:1", Sender: "b", Zone: "a"}
 			message := envelope.ProtoReflect()
 			fill(message.Mutable(field).Message(), depth)
@@ -38,8 +39,8 @@
 		return
 	}
 	fields := message.Descriptor().Fields()
-	for place := range fields.Len() {
-		field := fields.Get(place)
+	for index := range fields.Len() {
+		field := fields.Get(index)
 		switch {
 		case field.IsMap():
 			continue
@@ -52,13 +53,13 @@
 	}
 }
 
-// element gives a value for a field, or for an element of its list.
+// element returns a value for a field, or for an element of its list.
 func element(field protoreflect.FieldDescriptor, blank func() protoreflect.Value, depth int) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
-		made := blank()
-		fill(made.Message(), depth-1)
-		return made
+		value := blank()
+		fill(value.Message(), depth-1)
+		return value
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString("a")
 	case protoreflect.BytesKind:
