--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,20 +1,23 @@
-// Package chain replicates one document along a chain of machines with disks. A change enters at the head, is synced
-// by each member before it is forwarded to the successor, and is committed once the tail has synced it; the tail
-// answers reads. Each member's history begins with its successor's, which is why a member may only be removed from
-// the chain, or added at its end after it has learned a committed document whole.
+// Package chain replicates one document along a chain of machines with disks. A change enters at
+// the head, is synced by each member before it is forwarded to the successor, and is committed once
+// the tail has synced it; the tail answers reads. Each member's history begins with its
+// successor's, which is why a member may only be removed from the chain, or added at its end after
+// it has learned a committed document whole.
 //
 // # Contract
 //
-// A Chain is one member's part, a pure state machine under a view that others agree on (see package view). Its caller
-// hands it each view by Adopt, received messages by Pass, Hold, Aligned, Teach and Learned, and calls Tick often;
-// after each call it drains the outbox (see package statemachine). The head's caller validates a change and holds the
-// head's lease (see package lease) when it calls Enter; the tail's caller holds the same kind of proof before it
-// serves a read or calls Teach. A Chain is not safe for concurrent use.
+// A Chain is one member's part, a pure state machine under a view that others agree on (see package
+// view). Its caller hands it each view by Chain.Adopt, received messages by Chain.Pass, Chain.Hold,
+// Chain.Aligned, Chain.Teach and Chain.Learned, and calls Chain.Tick often; after each call it
+// drains the outbox (see package statemachine). The head's caller validates a change and holds the
+// head's lease (see package lease) when it calls Chain.Enter; the tail's caller holds the same kind
+// of proof before it serves a read or calls Chain.Teach. A Chain is not safe for concurrent use.
 //
-// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what
-// its disk has synced. Under these assumptions, and with views that differ only as said above, a committed change is
-// never lost while a member of the present view that is not Incomplete survives, members commit the same changes in
-// the same order, and changes go on being committed while the members of the view are connected.
+// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and
+// restart from what its disk has synced. Under these assumptions, and with views that differ only
+// as said above, a committed change is never lost while a member of the present view that is not
+// Incomplete survives, members commit the same changes in the same order, and changes go on being
+// committed while the members of the view are connected.
 //
 // Documents and entries are never modified once they were handed to a Chain or returned by it.
 package chain
@@ -30,8 +33,8 @@
 const (
 	// MaximumPending bounds the changes that are pending at once.
 	MaximumPending = 64
-	// MaximumPendingBytes bounds what pending changes take together, beyond a single one: a snapshot and the log hold
-	// all of it, and a disk has 64 MB.
+	// MaximumPendingBytes bounds what pending changes take together, beyond a single one: a
+	// snapshot and the log hold all of it, and a disk has 64 MB.
 	MaximumPendingBytes = 4 << 20
 	// MaximumOutcomes bounds the operations whose outcome is remembered.
 	MaximumOutcomes = 4096
@@ -54,32 +57,33 @@
 	// received is the sequence of the newest entry, and synced up to where the disk holds the history.
 	received uint64
 	synced   uint64
-	// replacements counts how often the whole history was replaced, so that late completions of writes of an earlier
-	// one are recognized.
+	// replacements counts how often the whole history was replaced, so that late completions of
+	// writes of an earlier one are recognized.
 	replacements uint64
 
 	// successorProgress is what is known of the successor in this view.
 	successorProgress progress
 	lastRetransmit    time.Time
 
-	// aligned is whether the predecessor has confirmed, in this view, that this member has all that it had; a tail
-	// answers nothing before.
+	// aligned is whether the predecessor has confirmed, in this view, that this member has all that
+	// it had; a tail answers nothing before.
 	aligned bool
-	// alignmentTarget is what this member had when it was first known to be aligned in this view: the successor is
-	// aligned once it has as much.
+	// alignmentTarget is what this member had when it was first known to be aligned in this view:
+	// the successor is aligned once it has as much.
 	alignmentTarget uint64
 
-	// learnedView is the view in which a member outside the chain has learned the document whole, and learningView
-	// that of a learned document which is on its way to the disk.
+	// learnedView is the view in which a member outside the chain has learned the document whole,
+	// and learningView that of a learned document which is on its way to the disk.
 	learnedView  uint64
 	learningView uint64
-	// incomplete is whether the history may lack what was committed between its being learned outside the chain and
-	// this member's first view inside, until its predecessor there has confirmed that it has all.
+	// incomplete is whether the history may lack what was committed between its being learned
+	// outside the chain and this member's first view inside, until its predecessor there has
+	// confirmed that it has all.
 	incomplete bool
 }
 
-// New restores a member from what its disk held; base may be nil. address returns where a member is reached. committed
-// is called whenever the committed document has advanced to a sequence.
+// New restores a member from what its disk held; base may be nil. address returns where a member is
+// reached. committed is called whenever the committed document has advanced to a sequence.
 func New(self string, base *wire.Document, pending []*wire.Entry, outbox *statemachine.Outbox,
 	address func(member *wire.Member) string, committed func(now time.Time, sequence uint64)) *Chain {
 	if base == nil {
@@ -120,8 +124,8 @@
 // Head reports whether this member is the first of the chain. A member may be both head and tail.
 func (chain *Chain) Head() bool { return chain.index == 0 }
 
-// Tail reports whether this member is the last of the chain and has been confirmed by its predecessor to have all that
-// that one had.
+// Tail reports whether this member is the last of the chain and has been confirmed by its
+// predecessor to have all that that one had.
 func (chain *Chain) Tail() bool {
 	return chain.Inside() && chain.index == len(chain.view.Chain)-1 && chain.aligned
 }
@@ -138,8 +142,8 @@
 // Synced returns the sequence up to which this member's disk holds the history.
 func (chain *Chain) Synced() uint64 { return chain.synced }
 
-// LearnedView returns the epoch of the view in which a member outside the chain has learned the document whole; 0 where
-// it has not.
+// LearnedView returns the epoch of the view in which a member outside the chain has learned the
+// document whole; 0 where it has not.
 func (chain *Chain) LearnedView() uint64 { return chain.learnedView }
 
 // Latest returns the document with all pending entries applied.
@@ -150,24 +154,24 @@
 	return chain.history.outcomes.byOperation[operation]
 }
 
-// Incomplete reports whether this member's history may lack what was committed before it joined the chain. Such a
-// member must not be the only one left of a chain.
+// Incomplete reports whether this member's history may lack what was committed before it joined the
+// chain. Such a member must not be the only one left of a chain.
 func (chain *Chain) Incomplete() bool { return chain.incomplete }
 
 // RestoreIncomplete restores Incomplete from what the disk held.
 func (chain *Chain) RestoreIncomplete(incomplete bool) { chain.incomplete = incomplete }
 
-// Memory adds this member's part to a snapshot. Documents and entries are never modified, so that the goroutine of the
-// disk may read them while this member goes on.
+// Memory adds this member's part to a snapshot. Documents and entries are never modified, so that
+// the goroutine of the disk may read them while this member goes on.
 func (chain *Chain) Memory(snapshot *wire.DurableState) {
 	snapshot.Document = chain.history.committed
 	snapshot.Pending = append([]*wire.Entry{}, chain.history.pending...)
 	snapshot.Incomplete = chain.incomplete
 }
 
-// Enter takes a change at the head and numbers it. The caller has validated it and holds the head's lease. The error is
-// apierror.NoMajority where this member is not the head or the chain is too short, and apierror.Busy where too much is
-// pending.
+// Enter takes a change at the head and numbers it. The caller has validated it and holds the head's
+// lease. The error is apierror.NoMajority where this member is not the head or the chain is too
+// short, and apierror.Busy where too much is pending.
 func (chain *Chain) Enter(now time.Time, entry *wire.Entry) error {
 	if !chain.Head() {
 		return apierror.New(apierror.NoMajority, "not the head of the chain")
--- a/coordination/chain/learning.go
+++ b/coordination/chain/learning.go
@@ -6,8 +6,8 @@
 	"wardtray/wire"
 )
 
-// AskToLearn requests the committed document of the tail at an address. A member outside the chain calls it again and
-// again, so that it stays close to the chain that it may join.
+// AskToLearn requests the committed document of the tail at an address. A member outside the chain
+// calls it again and again, so that it stays close to the chain that it may join.
 func (chain *Chain) AskToLearn(tail string) {
 	known := uint64(0)
 	// What was stored before this view may hold changes that were never committed, so it does not count.
@@ -39,8 +39,8 @@
 	if chain.learnedView == view && message.Document.Sequence <= chain.received {
 		return
 	}
-	// While one document is on its way to the disk no other replaces it: where changes go on, each response is newer,
-	// and a disk slower than the requests would never complete one.
+	// While one document is on its way to the disk no other replaces it: where changes go on, each
+	// response is newer, and a disk slower than the requests would never complete one.
 	if chain.learningView == view {
 		return
 	}
@@ -54,8 +54,8 @@
 	})
 }
 
-// replaceHistory replaces the whole history by a committed document; onSynced is called once that is synced, unless it
-// was replaced again meanwhile.
+// replaceHistory replaces the whole history by a committed document; onSynced is called once that
+// is synced, unless it was replaced again meanwhile.
 func (chain *Chain) replaceHistory(now time.Time, document *wire.Document, onSynced func(now time.Time)) {
 	chain.history, chain.received = newHistory(document, nil), document.Sequence
 	// Nothing of the old history may count as synced before the new one is.
--- a/coordination/election/election.go
+++ b/coordination/election/election.go
@@ -1,18 +1,20 @@
-// Package election elects the process that does a task which one process is enough for: the first live one in an
-// order that all agree on. There is no exclusive lease. Instead results carry an epoch as a fencing token, and nobody
-// accepts a result below the greatest epoch accepted; so two leaders at once do no harm, and the older one's results
-// are ignored.
+// Package election elects the process that does a task which one process is enough for: the first
+// live one in an order that all agree on. There is no exclusive lease. Instead results carry an
+// epoch as a fencing token, and nobody accepts a result below the greatest epoch accepted; so two
+// leaders at once do no harm, and the older one's results are ignored.
 //
 // # Contract
 //
-// An Election is one process's part, for one task. Its caller sets the order by Order whenever it changes, calls
-// Heard for each sign of life of another process, and gives signs of life itself while it is a Candidate. Before the
-// task is done it asks Mine, and sends the epoch with each result; whoever receives a result uses it only if Take
-// accepts it.
+// An Election is one process's part, for one task. Its caller sets the order by Election.Order
+// whenever it changes, calls Election.Heard for each sign of life of another process, and gives
+// signs of life itself while it is an Election.Candidate. Before the task is done it asks
+// Election.Mine, and sends the epoch with each result; whoever receives a result uses it only if
+// Election.Take accepts it.
 //
-// Processes may crash, freeze and be cut off, and messages may be lost, repeated and reordered. No process ever
-// accepts an epoch below one that it has accepted, whatever happens. Once all live processes agree on the order and
-// hear each other, exactly the first of them leads. An Election reads no clock and is not safe for concurrent use.
+// Processes may crash, freeze and be cut off, and messages may be lost, repeated and reordered. No
+// process ever accepts an epoch below one that it has accepted, whatever happens. Once all live
+// processes agree on the order and hear each other, exactly the first of them leads. An Election
+// reads no clock and is not safe for concurrent use.
 package election
 
 import "time"
@@ -51,8 +53,8 @@
 	}
 }
 
-// Candidate reports whether this process should give signs of life: it is among the first count of the order that seem
-// alive.
+// Candidate reports whether this process should give signs of life: it is among the first count of
+// the order that seem alive.
 func (election *Election) Candidate(now time.Time, count int) bool {
 	for _, id := range election.order {
 		if id == election.self {
@@ -92,7 +94,8 @@
 	if len(election.order) == 0 || election.order[0] == election.self {
 		return true
 	}
-	// A process that has just started has heard nobody; it waits for one bound before it takes anything over.
+	// A process that has just started has heard nobody; it waits for one bound before it takes
+	// anything over.
 	if now.Sub(election.startedAt) < Bound {
 		return false
 	}
--- a/coordination/gossip/antientropy.go
+++ b/coordination/gossip/antientropy.go
@@ -11,10 +11,11 @@
 const (
 	// digestInterval is how often a digest is sent to a peer.
 	digestInterval = 500 * time.Millisecond
-	// repairHops is how many times what a digest found is forwarded: whoever missed a message is likely not alone.
+	// repairHops is how many times what a digest found is forwarded: whoever missed a message is
+	// likely not alone.
 	repairHops = 2
-	// farDigestOneIn is how many digests there are for one to a peer beyond our own zone: bytes within the zone are
-	// cheap, and only its peers have the entries that never leave it.
+	// farDigestOneIn is how many digests there are for one to a peer beyond our own zone: bytes
+	// within the zone are cheap, and only its peers have the entries that never leave it.
 	farDigestOneIn = 4
 )
 
@@ -48,8 +49,8 @@
 	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Digest{Digest: digest}})
 }
 
-// Digest handles the digest of a peer in a zone: it sends what the peer lacks and, if a response is wanted, our own
-// digest where the peer has something newer.
+// Digest handles the digest of a peer in a zone: it sends what the peer lacks and, if a response is
+// wanted, our own digest where the peer has something newer.
 func (store *Store) Digest(_ time.Time, from, zone string, message *wire.Digest) {
 	if missing := store.missingIn(message, zone); len(missing) > 0 {
 		store.sendEntries(from, missing, repairHops)
--- a/coordination/gossip/store.go
+++ b/coordination/gossip/store.go
@@ -1,19 +1,21 @@
-// Package gossip spreads small named entries among processes: what is new is sent at once to a few peers, which
-// forward it a few times (rumor mongering); what was missed is found by comparing digests (anti-entropy). The entry
-// with the greatest (epoch, count, writer) under a key wins everywhere, so the order of arrival, repeats and losses
-// do not matter.
+// Package gossip spreads small named entries among processes: what is new is sent at once to a few
+// peers, which forward it a few times (rumor mongering); what was missed is found by comparing
+// digests (anti-entropy). The entry with the greatest (epoch, count, writer) under a key wins
+// everywhere, so the order of arrival, repeats and losses do not matter.
 //
 // An entry whose key begins with "z/<zone>/" stays within its zone.
 //
 // # Contract
 //
-// A Store is one process's part, a pure state machine. Its caller hands it received messages (Rumor, Digest), writes
-// by Put, and calls Tick often; after each call it drains the outbox (see package statemachine). Each writer gives
-// its own entry a greater (epoch, count) at each write. Then every store ends up with the greatest version of each
-// entry of its zone that any connected store has, as long as each process reaches some others over the partners that
-// it is given. Messages may be lost, repeated and reordered. Entries are never removed, and there are at most
-// MaximumEntries; values are not authenticated: every process is trusted. A Store is not safe for concurrent use, and
-// an entry is not modified once it was handed to a Store or returned by it.
+// A Store is one process's part, a pure state machine. Its caller hands it received messages
+// (Store.Rumor, Store.Digest), writes by Store.Put, and calls Store.Tick often; after each call it
+// drains the outbox (see package statemachine). Each writer gives its own entry a greater (epoch,
+// count) at each write. Then every store ends up with the greatest version of each entry of its
+// zone that any connected store has, as long as each process reaches some others over the partners
+// that it is given. Messages may be lost, repeated and reordered. Entries are never removed, and
+// there are at most MaximumEntries; values are not authenticated: every process is trusted. A Store
+// is not safe for concurrent use, and an entry is not modified once it was handed to a Store or
+// returned by it.
 package gossip
 
 import (
@@ -53,8 +55,8 @@
 	lastDigest    time.Time
 }
 
-// New returns an empty store of a process in a zone. partners returns the peers that are known at present, and
-// changed is called for each entry that became newer.
+// New returns an empty store of a process in a zone. partners returns the peers that are known at
+// present, and changed is called for each entry that became newer.
 func New(zone string, outbox *statemachine.Outbox, random *rand.Rand, partners func() []Peer,
 	changed func(now time.Time, entry *wire.GossipEntry)) *Store {
 	return &Store{
--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -76,7 +76,7 @@
 	// stepsPerVote is the number of steps between two votes of one acceptor, on average: calm spans, in which leases
 	// are held, alternate with spans in which one view follows another.
 	stepsPerVote int
-	// handovers counts how often the lease changed hands, quick how often it did within half a Term.
+	// handovers counts how often the lease changed hands, quick how often it did within half a lease.Term.
 	handovers, quick int
 }
 
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -8,28 +8,30 @@
 
 // Lessor is the side that grants the head's lease, at one acceptor.
 //
-// A leadership term is a run of successive views with the same head. Within a term that machine alone requests the
-// lease, so only the heads of earlier terms have to be waited for. Their leases have expired a Term after this
-// acceptor learned of the new term, or sooner where each of them is proven to act no more: it has adopted the new
-// term itself, or nothing listens at its address any longer.
+// A leadership term is a run of successive views with the same head. Within a term that machine
+// alone requests the lease, so only the heads of earlier terms have to be waited for. Their leases
+// have expired a lease.Term after this acceptor learned of the new term, or sooner where each of
+// them is proven to act no more: it has adopted the new term itself, or nothing listens at its
+// address any longer.
 type Lessor struct {
-	// term is the epoch of the view in which the present leadership term began; 0 before any view was learned.
+	// term is the epoch of the view in which the present leadership term began; 0 before any view
+	// was learned.
 	term      uint64
 	learnedAt time.Time
 	// grantsFrom is from when on the head of the present term may be granted the lease.
 	grantsFrom time.Time
-	// previousHeads are those of earlier terms whose leases may still be valid. unknownHeads is set where there may be
-	// others, of terms that this acceptor never learned of.
+	// previousHeads are those of earlier terms whose leases may still be valid. unknownHeads is set
+	// where there may be others, of terms that this acceptor never learned of.
 	previousHeads []*wire.Member
 	unknownHeads  bool
 	head          *wire.Member
-	// headEpoch is the newest epoch that the head was observed to act under, perhaps one that this acceptor is yet to
-	// learn of.
+	// headEpoch is the newest epoch that the head was observed to act under, perhaps one that this
+	// acceptor is yet to learn of.
 	headEpoch uint64
 }
 
-// Restore returns the lessor of an acceptor that starts with the view on its disk. cleared is the term, also from its
-// disk, for which it may grant at once; 0 where there is none.
+// Restore returns the lessor of an acceptor that starts with the view on its disk. cleared is the
+// term, also from its disk, for which it may grant at once; 0 where there is none.
 func Restore(now time.Time, view *wire.View, cleared uint64) *Lessor {
 	lessor := &Lessor{unknownHeads: true}
 	lessor.Learn(now, view)
@@ -86,7 +88,8 @@
 	}
 }
 
-// Refused handles the observation that nothing listened at an address when a connection was tried at a moment.
+// Refused handles the observation that nothing listened at an address when a connection was tried
+// at a moment.
 func (lessor *Lessor) Refused(now time.Time, address string, tried time.Time) {
 	// Before the term was learned a new incarnation of the same machine may still have obtained the lease.
 	if len(lessor.previousHeads) > 0 && tried.After(lessor.learnedAt) {
@@ -94,7 +97,8 @@
 	}
 }
 
-// removePreviousHeads removes the heads that are proven to act no more, and permits grants once none is left.
+// removePreviousHeads removes the heads that are proven to act no more, and permits grants once
+// none is left.
 func (lessor *Lessor) removePreviousHeads(now time.Time, inactive func(head *wire.Member) bool) {
 	var remaining []*wire.Member
 	for _, head := range lessor.previousHeads {
@@ -119,8 +123,8 @@
 	return addresses
 }
 
-// Allows reports whether the head of the present term may be granted the lease; voted is whether this acceptor has
-// voted for the next view.
+// Allows reports whether the head of the present term may be granted the lease; voted is whether
+// this acceptor has voted for the next view.
 func (lessor *Lessor) Allows(now time.Time, voted bool) bool {
 	return !voted && lessor.head != nil && !now.Before(lessor.grantsFrom)
 }
--- a/coordination/lease/lessor_test.go
+++ b/coordination/lease/lessor_test.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// An acceptor grants in a new term before its Term is over only with proof of every head that may still act.
+// An acceptor grants in a new term before a lease.Term is over only with proof of every head that may still act.
 func TestLessorGrantsEarlyOnlyWithProofOfEveryPreviousHead(t *testing.T) {
 	started := time.Unix(1_700_000_000, 0)
 	view := func(epoch, term uint64, head string, previous string, previousTerm uint64) *wire.View {
--- a/coordination/lease/progress.go
+++ b/coordination/lease/progress.go
@@ -5,8 +5,8 @@
 // maximumReports bounds the reports kept of one acceptor; the oldest are dropped first.
 const maximumReports = 64
 
-// ProgressTracker is what the head knows of the acceptors as witnesses: which sequence each of them knows to be
-// committed, and from when on no daemon relies on its confirmation of an older one.
+// ProgressTracker is what the head knows of the acceptors as witnesses: which sequence each of them
+// knows to be committed, and from when on no daemon relies on its confirmation of an older one.
 type ProgressTracker struct {
 	reports map[string][]progressReport
 }
@@ -14,7 +14,8 @@
 // progressReport is what one acceptor has reported.
 type progressReport struct {
 	committed uint64
-	// fencedFrom is from when on no daemon relies on the acceptor's confirmation of anything older than committed.
+	// fencedFrom is from when on no daemon relies on the acceptor's confirmation of anything older
+	// than committed.
 	fencedFrom time.Time
 }
 
@@ -23,8 +24,8 @@
 	return &ProgressTracker{reports: map[string][]progressReport{}}
 }
 
-// Note records that an acceptor knows a sequence to be committed, and from when on its confirmations of older ones are
-// no longer relied on.
+// Note records that an acceptor knows a sequence to be committed, and from when on its
+// confirmations of older ones are no longer relied on.
 func (tracker *ProgressTracker) Note(acceptor string, committed uint64, fencedFrom time.Time) {
 	reports := tracker.reports[acceptor]
 	// A report that is fenced no later and reaches as far makes an earlier one redundant.
@@ -52,8 +53,8 @@
 	return false
 }
 
-// Clear reports whether an acceptor knows that a sequence is committed and no daemon relies on its confirmation of an
-// older one any more.
+// Clear reports whether an acceptor knows that a sequence is committed and no daemon relies on its
+// confirmation of an older one any more.
 func (tracker *ProgressTracker) Clear(now time.Time, acceptor string, sequence uint64) bool {
 	for _, report := range tracker.reports[acceptor] {
 		if report.committed >= sequence && !now.Before(report.fencedFrom) {
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -5,19 +5,20 @@
 // maximumConfirmations bounds the daemons whose confirmations one acceptor keeps track of.
 const maximumConfirmations = 4096
 
-// Witness is an acceptor's part in the leases of daemons that the head does not reach. A daemon that asks is told
-// whether the acceptor knows of anything newer than what the daemon has; confirmations by a majority of the acceptors
-// stand in for the head's own lease. To the head the witness reports for how long confirmations of older sequences may
-// still be relied on.
+// Witness is an acceptor's part in the leases of daemons that the head does not reach. A daemon
+// that asks is told whether the acceptor knows of anything newer than what the daemon has;
+// confirmations by a majority of the acceptors stand in for the head's own lease. To the head the
+// witness reports for how long confirmations of older sequences may still be relied on.
 type Witness struct {
 	// duration is for how long a daemon relies on a confirmation.
 	duration time.Duration
-	// committed is the newest sequence known to be committed; informedByHead is whether a head has said so in this
-	// incarnation of the process.
+	// committed is the newest sequence known to be committed; informedByHead is whether a head has
+	// said so in this incarnation of the process.
 	committed      uint64
 	informedByHead bool
 	confirmations  map[string]confirmation
-	// forgottenUntil is until when confirmations of an earlier incarnation, which are known no more, may be relied on.
+	// forgottenUntil is until when confirmations of an earlier incarnation, which are known no
+	// more, may be relied on.
 	forgottenUntil time.Time
 }
 
@@ -27,15 +28,17 @@
 	expiresAt time.Time
 }
 
-// NewWitness returns a witness that knows nothing. It confirms nothing before a head has told it up to where the
-// history is committed: a process that has just started has forgotten what it was told before. Daemons rely on a
-// confirmation for the given duration, which includes a margin for clocks that drift.
+// NewWitness returns a witness that knows nothing. It confirms nothing before a head has told it up
+// to where the history is committed: a process that has just started has forgotten what it was told
+// before. Daemons rely on a confirmation for the given duration, which includes a margin for clocks
+// that drift.
 func NewWitness(duration time.Duration) *Witness {
 	return &Witness{duration: duration, confirmations: map[string]confirmation{}}
 }
 
-// Restarted handles that the acceptor had an earlier incarnation, which may have given confirmations a moment before it
-// ended. They are assumed to be relied on for as long as any confirmation is.
+// Restarted handles that the acceptor had an earlier incarnation, which may have given
+// confirmations a moment before it ended. They are assumed to be relied on for as long as any
+// confirmation is.
 func (witness *Witness) Restarted(now time.Time) { witness.forgottenUntil = now.Add(witness.duration) }
 
 // Told handles a head's statement that the history is committed up to a sequence.
@@ -50,9 +53,9 @@
 // Known returns the newest sequence that is known to be committed.
 func (witness *Witness) Known() uint64 { return witness.committed }
 
-// Confirm reports whether a daemon that has a sequence may be told that nothing newer is known, and records that it
-// was. stored is what the acceptor's disk held when its process started: an earlier incarnation may have told the
-// head that it knows as much.
+// Confirm reports whether a daemon that has a sequence may be told that nothing newer is known, and
+// records that it was. stored is what the acceptor's disk held when its process started: an earlier
+// incarnation may have told the head that it knows as much.
 func (witness *Witness) Confirm(now time.Time, daemon string, sequence, stored uint64) bool {
 	witness.Heard(daemon, sequence)
 	if !witness.informedByHead || sequence < max(witness.committed, stored) {
@@ -65,7 +68,8 @@
 	return true
 }
 
-// hasRoom reports whether a confirmation for a daemon can be recorded; it removes expired ones where that is needed.
+// hasRoom reports whether a confirmation for a daemon can be recorded; it removes expired ones
+// where that is needed.
 func (witness *Witness) hasRoom(now time.Time, daemon string) bool {
 	if _, found := witness.confirmations[daemon]; found || len(witness.confirmations) < maximumConfirmations {
 		return true
@@ -81,8 +85,8 @@
 	}
 }
 
-// Outstanding returns for how long a daemon may still rely on the confirmation of something older than a sequence; 0
-// where none does.
+// Outstanding returns for how long a daemon may still rely on the confirmation of something older
+// than a sequence; 0 where none does.
 func (witness *Witness) Outstanding(now time.Time, sequence uint64) time.Duration {
 	longest := max(0, witness.forgottenUntil.Sub(now))
 	for _, last := range witness.confirmations {
--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -25,8 +25,8 @@
 	pending pendingReport
 	// changed is closed when the next grant arrives.
 	changed chan struct{}
-	// OnDemand holds nothing ahead of the demand: each request waits for its tokens. It is set before the limiter is
-	// used.
+	// OnDemand holds nothing ahead of the demand: each request waits for its tokens. It is set
+	// before the limiter is used.
 	OnDemand bool
 }
 
@@ -97,16 +97,16 @@
 	}
 }
 
-// Short reports whether the allocator had less for this tenant a moment ago than was needed, so that waiting is of no
-// use.
+// Short reports whether the allocator had less for this tenant a moment ago than was needed, so
+// that waiting is of no use.
 func (limiter *Limiter) Short(now time.Time, tenant string) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return now.Before(limiter.share(now, tenant).shortUntil)
 }
 
-// Awaits reports whether the grant for a report is still to be expected, so that another report would only make it
-// void.
+// Awaits reports whether the grant for a report is still to be expected, so that another report
+// would only make it void.
 func (limiter *Limiter) Awaits(now time.Time) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -127,8 +127,8 @@
 	return limiter.changed
 }
 
-// TenantReports returns the report that is sent under a number, greater than all before it, ordered by tenant. Grants
-// for earlier ones are void from then on. An empty report is not answered.
+// TenantReports returns the report that is sent under a number, greater than all before it, ordered
+// by tenant. Grants for earlier ones are void from then on. An empty report is not answered.
 func (limiter *Limiter) TenantReports(now time.Time, number uint64) []TenantReport {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -148,8 +148,8 @@
 	return reports
 }
 
-// Granted handles the grant for the report with a number, which counts for a term from when that was sent; it reports
-// whether it was the newest report's.
+// Granted handles the grant for the report with a number, which counts for a term from when that
+// was sent; it reports whether it was the newest report's.
 func (limiter *Limiter) Granted(now time.Time, number uint64, term time.Duration, shares []Share) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
--- a/coordination/registry/call.go
+++ b/coordination/registry/call.go
@@ -51,8 +51,8 @@
 // callStates are the states that a runner reports of itself.
 var callStates = map[string]bool{Ready: true, Draining: true}
 
-// Read parses the body of a call of the runner with an id, strictly, and validates it. The error is apierror.TooLarge
-// or apierror.Malformed.
+// Read parses the body of a call of the runner with an id, strictly, and validates it. The error is
+// apierror.TooLarge or apierror.Malformed.
 func Read(id string, content []byte) (*wire.Runner, error) {
 	if len(content) > MaximumCall {
 		return nil, apierror.New(apierror.TooLarge, "a call has at most %d bytes", MaximumCall)
@@ -67,8 +67,8 @@
 	return call.Line(id)
 }
 
-// Line validates a call and returns the record that it asks for. The error, apierror.Malformed, names the path of every
-// fault.
+// Line validates a call and returns the record that it asks for. The error, apierror.Malformed,
+// names the path of every fault.
 func (call Call) Line(id string) (*wire.Runner, error) {
 	if faults := call.faults(id); len(faults) > 0 {
 		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(faults, "; "))
@@ -109,8 +109,9 @@
 
 func isName(text string) bool { return text != "" && len(text) <= maximumName && isPlain(text) }
 
-// isPlain reports whether a text can be sent to every process: a message can hold no other bytes than UTF-8, and one
-// record with such bytes would keep everything from being sent that travels with it.
+// isPlain reports whether a text can be sent to every process: a message can hold no other bytes
+// than UTF-8, and one record with such bytes would keep everything from being sent that travels
+// with it.
 func isPlain(text string) bool {
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, isForbidden)
 }
--- a/coordination/registry/call_fuzz_test.go
+++ b/coordination/registry/call_fuzz_test.go
@@ -16,7 +16,8 @@
 	f.Add("r\xff", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"draining"}`))
 	f.Add("r1", []byte("{\"address\":\"10.0.0.1:80\",\"zone\":\"a\xfe\",\"service\":\"s\","+
 		"\"revision\":\"\xff\",\"slots\":4,\"state\":\"ready\"}"))
-	f.Add("r1", []byte(`{"address":"[::1%eth0]:80","zone":"a","service":"s","revision":"\ud800","slots":4,"state":"ready"}`))
+	f.Add("r1", []byte(`{"address":"[::1%eth0]:80","zone":"a","service":"s",`+
+		`"revision":"\ud800","slots":4,"state":"ready"}`))
 	f.Fuzz(func(t *testing.T, id string, content []byte) {
 		record, err := Read(id, content)
 		if err != nil {
--- a/coordination/registry/call_test.go
+++ b/coordination/registry/call_test.go
@@ -9,7 +9,8 @@
 
 func TestCallsAreParsedStrictly(t *testing.T) {
 	good := `{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"ready","cold":"1.5s","call":3}`
-	if record, err := Read("r", []byte(good)); err != nil || record.State != Cold || record.SlowStartMilliseconds != 1500 {
+	record, err := Read("r", []byte(good))
+	if err != nil || record.State != Cold || record.SlowStartMilliseconds != 1500 {
 		t.Fatal(record, err)
 	}
 	allFaults := `{"address":"here","zone":"","service":"a/b","slots":0,"state":"gone","cold":"-1s","call":1}`
--- a/coordination/registry/exchange.go
+++ b/coordination/registry/exchange.go
@@ -10,8 +10,8 @@
 // digestInterval is how often, at most, a process requests what it may have missed.
 const digestInterval = 250 * time.Millisecond
 
-// Exchange keeps a table the same as those of other processes: updates are merged, and where checksums differ digests
-// are compared and what is missing is sent both ways.
+// Exchange keeps a table the same as those of other processes: updates are merged, and where
+// checksums differ digests are compared and what is missing is sent both ways.
 type Exchange struct {
 	*Table
 	outbox *statemachine.Outbox
@@ -29,8 +29,8 @@
 	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerUpdate{RunnerUpdate: update}})
 }
 
-// News merges what another process sent, acknowledges it where that is wanted, and corrects a sender that is behind. It
-// returns the records that changed our table.
+// News merges what another process sent, acknowledges it where that is wanted, and corrects a
+// sender that is behind. It returns the records that changed our table.
 func (exchange *Exchange) News(now time.Time, from string, message *wire.RunnerUpdate) []*wire.Runner {
 	merged, newer := exchange.Take(now, message.Runners)
 	if message.Nonce != 0 {
@@ -43,7 +43,8 @@
 	return merged
 }
 
-// Digest responds to a digest with what its sender lacks, and with our own digest where the sender has something newer.
+// Digest responds to a digest with what its sender lacks, and with our own digest where the sender
+// has something newer.
 func (exchange *Exchange) Digest(now time.Time, from string, message *wire.RunnerDigest) {
 	missing := exchange.missingIn(now, message)
 	// An empty response is one too; a process that has just started waits for it.
@@ -74,8 +75,8 @@
 	exchange.sendDigest(to, true)
 }
 
-// Insist requests of a process, for whose response something waits, all that we lack, unless it was requested a moment
-// ago.
+// Insist requests of a process, for whose response something waits, all that we lack, unless it was
+// requested a moment ago.
 func (exchange *Exchange) Insist(now time.Time, to string) {
 	if exchange.requested != to || now.Sub(exchange.lastDigest) >= digestInterval {
 		exchange.Ask(now, to)
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -1,19 +1,21 @@
-// Package registry is the table of runners that register themselves, replicated to every core and every data daemon.
-// The records of a runner are merged by an order that all agree on, so that losses, repeats and the order of arrival
-// do not matter. See docs/registry.md.
+// Package registry is the table of runners that register themselves, replicated to every core and
+// every data daemon. The records of a runner are merged by an order that all agree on, so that
+// losses, repeats and the order of arrival do not matter. See docs/registry.md.
 //
 // # Contract
 //
-// Every process has an Exchange: a Table with the messages that keep it the same as those of others. A core has a
-// Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that no
-// core hears. Both are pure state machines: their caller hands them received messages (News, Digest, Compare, Held,
-// Heard), calls Tick often, and after each call drains the outbox (see package statemachine). They are not safe for
-// concurrent use; records are never modified.
+// Every process has an Exchange: a Table with the messages that keep it the same as those of
+// others. A core has a Registrar besides, which accepts the runners' calls, tells everybody what
+// changed, and calls runners silent that no core hears. Both are pure state machines: their caller
+// hands them received messages (Registrar.News, Exchange.Digest, Exchange.Compare, Registrar.Held,
+// Registrar.Heard), calls Registrar.Tick often, and after each call drains the outbox (see package
+// statemachine). They are not safe for concurrent use; records are never modified.
 //
-// A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that drains or is gone
-// never comes back under its id. Messages may be lost, repeated and reordered; processes may crash, freeze and be cut
-// off. The call of a leaving runner is accepted only once the data daemons know, or after a bounded wait at least
-// half of them, and is rejected where this core can't tell them; so a runner that was accepted as leaving may stop.
+// A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that
+// drains or is gone never comes back under its id. Messages may be lost, repeated and reordered;
+// processes may crash, freeze and be cut off. The call of a leaving runner is accepted only once
+// the data daemons know, or after a bounded wait at least half of them, and is rejected where this
+// core can't tell them; so a runner that was accepted as leaving may stop.
 package registry
 
 import (
@@ -28,8 +30,9 @@
 const (
 	// DefaultHeartbeat is how often runners are expected to call where the settings say nothing.
 	DefaultHeartbeat = time.Second
-	// coldTolerance is by how much the reported remaining time of a cold runner may differ from the known one without
-	// counting as a change; minimumCold is the least that counts where one of them is zero.
+	// coldTolerance is by how much the reported remaining time of a cold runner may differ from the
+	// known one without counting as a change; minimumCold is the least that counts where one of
+	// them is zero.
 	coldTolerance = time.Second
 	minimumCold   = 250 * time.Millisecond
 )
@@ -53,13 +56,14 @@
 	// Daemons returns the data daemons that must know who leaves, Cores the other cores.
 	Daemons func(now time.Time) []string
 	Cores   func() []string
-	// Joined reports whether this core hears most of the cores, Isolated that it hears nobody at all.
+	// Joined reports whether this core hears most of the cores, Environment.Isolated that it hears
+	// nobody at all.
 	Joined   func(now time.Time) bool
 	Isolated func(now time.Time) bool
 }
 
-// Counters are what a registrar counts. Unconfirmed are the calls that were accepted before every daemon had
-// acknowledged.
+// Counters are what a registrar counts. Unconfirmed are the calls that were accepted before every
+// daemon had acknowledged.
 type Counters struct {
 	Calls       uint64 `json:"Calls"`
 	Registered  uint64 `json:"Registered"`
@@ -79,14 +83,15 @@
 	environment Environment
 	liveness    liveness
 	broadcasts  broadcasts
-	// changed are the records that the next tick sends to everybody, and waiting the calls that wait for it.
+	// changed are the records that the next tick sends to everybody, and waiting the calls that
+	// wait for it.
 	changed  []*wire.Runner
 	waiting  []func(outcome Outcome)
 	counters Counters
 }
 
-// NewRegistrar returns the registrar of a core that has just started. The first nonce differs between incarnations.
-// Without a heartbeat DefaultHeartbeat holds.
+// NewRegistrar returns the registrar of a core that has just started. The first nonce differs
+// between incarnations. Without a heartbeat DefaultHeartbeat holds.
 func NewRegistrar(now time.Time, heartbeat time.Duration, nonce uint64, outbox *statemachine.Outbox,
 	environment Environment) *Registrar {
 	if heartbeat <= 0 {
@@ -184,8 +189,9 @@
 	}
 }
 
-// displace calls those runners silent at whose address another has called. An address has one runner at a time, and the
-// last that called is the one; if that was an old call, the next one corrects it.
+// displace calls those runners silent at whose address another has called. An address has one
+// runner at a time, and the last that called is the one; if that was an old call, the next one
+// corrects it.
 func (registrar *Registrar) displace(now time.Time, record *wire.Runner) {
 	for _, id := range registrar.ids() {
 		other := registrar.Line(id)
@@ -208,7 +214,8 @@
 	return difference > coldTolerance || (known == 0 || reported == 0) && difference > minimumCold
 }
 
-// sameProperties reports whether two records of a runner differ at most in their call and in how cold the runner is.
+// sameProperties reports whether two records of a runner differ at most in their call and in how
+// cold the runner is.
 func sameProperties(left, right *wire.Runner) bool {
 	return left.Address == right.Address && left.Zone == right.Zone && left.Service == right.Service &&
 		left.Slots == right.Slots && left.Revision == right.Revision &&
@@ -240,8 +247,8 @@
 	registrar.broadcast(now, record, answer)
 }
 
-// answerUnchanged answers a call that changes nothing: at once, or with a broadcast of the leaving runner that is in
-// progress.
+// answerUnchanged answers a call that changes nothing: at once, or with a broadcast of the leaving
+// runner that is in progress.
 func (registrar *Registrar) answerUnchanged(now time.Time, present *wire.Runner, outcome Outcome,
 	answer func(outcome Outcome)) {
 	// A core that heard of it only from another can't know whether that one lived to tell the daemons.
@@ -254,8 +261,9 @@
 	}
 }
 
-// broadcast tells everybody of a leaving runner and answers once every daemon has acknowledged. Where too many
-// broadcasts are in progress, the record is sent with the next tick and not waited for.
+// broadcast tells everybody of a leaving runner and answers once every daemon has acknowledged.
+// Where too many broadcasts are in progress, the record is sent with the next tick and not waited
+// for.
 func (registrar *Registrar) broadcast(now time.Time, record *wire.Runner, answer func(outcome Outcome)) {
 	if registrar.broadcasts.full() {
 		registrar.changed = append(registrar.changed, record)
@@ -271,8 +279,8 @@
 	registrar.broadcasts.acknowledge(now, from, message.Nonce)
 }
 
-// Heard handles which calls another core has heard of. A core forwards what it heard from others too, so that two cores
-// that are cut off from each other do not call each other's runners silent.
+// Heard handles which calls another core has heard of. A core forwards what it heard from others
+// too, so that two cores that are cut off from each other do not call each other's runners silent.
 func (registrar *Registrar) Heard(now time.Time, message *wire.RunnerHeartbeats) {
 	for _, version := range message.Calls {
 		if registrar.Line(version.RunnerId) != nil && version.Call > registrar.latestCall(version.RunnerId) {
@@ -281,8 +289,8 @@
 	}
 }
 
-// News merges what another process sent. A runner that another core calls silent, but that has called since, is
-// announced as ready with the next tick.
+// News merges what another process sent. A runner that another core calls silent, but that has
+// called since, is announced as ready with the next tick.
 func (registrar *Registrar) News(now time.Time, from string, message *wire.RunnerUpdate) {
 	for _, record := range registrar.Exchange.News(now, from, message) {
 		if record.State != Silent || !registrar.liveness.contradicts(now, record) {
--- a/coordination/registry/registrar_test.go
+++ b/coordination/registry/registrar_test.go
@@ -330,7 +330,8 @@
 // hears the runner says so at once.
 func TestOtherCoresHeartbeatsCount(t *testing.T) {
 	core := newCore(t)
-	core.registrar.News(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{ready("r1", 1), ready("r2", 1)}})
+	both := &wire.RunnerUpdate{Runners: []*wire.Runner{ready("r1", 1), ready("r2", 1)}}
+	core.registrar.News(core.now, "c1", both)
 	for call := uint64(2); call < 14; call++ {
 		heartbeats := &wire.RunnerHeartbeats{Calls: []*wire.RunnerVersion{{RunnerId: "r1", Call: call}}}
 		core.registrar.Heard(core.now, heartbeats)
--- a/coordination/registry/table_test.go
+++ b/coordination/registry/table_test.go
@@ -116,7 +116,10 @@
 	if sent.State != Cold || sent.SlowStartMilliseconds != 1500 {
 		t.Fatal(sent)
 	}
-	table.Take(started, []*wire.Runner{{RunnerId: "a", State: Draining, Call: 2}, {RunnerId: "b", State: Silent, Call: 2}})
+	table.Take(started, []*wire.Runner{
+		{RunnerId: "a", State: Draining, Call: 2},
+		{RunnerId: "b", State: Silent, Call: 2},
+	})
 	if runners := table.Runners(started.Add(3 * time.Second)); len(runners) != 1 || runners[0].State != Draining {
 		t.Fatal(runners)
 	}
--- a/coordination/snapshot/store.go
+++ b/coordination/snapshot/store.go
@@ -1,31 +1,35 @@
-// Package snapshot stores the state of a process on disk: a snapshot in one of two slots that are written in turn,
-// and a write-ahead log of the records since. Every part carries a checksum. Reading back returns exactly what was
-// synced, or reports that nothing can be trusted; it never guesses.
+// Package snapshot stores the state of a process on disk: a snapshot in one of two slots that are
+// written in turn, and a write-ahead log of the records since. Every part carries a checksum.
+// Reading back returns exactly what was synced, or reports that nothing can be trusted; it never
+// guesses.
 //
 // # Layout
 //
-// A folder holds slot.0 and slot.1, of which the even generations use the first, and log, which names the generation
-// that it continues. A new slot is synced before the log that continues it replaces the old log, so that one of the
-// two pairs of slot and log is complete at every moment. Snapshots and records are opaque bytes.
+// A folder holds slot.0 and slot.1, of which the even generations use the first, and log, which
+// names the generation that it continues. A new slot is synced before the log that continues it
+// replaces the old log, so that one of the two pairs of slot and log is complete at every moment.
+// Snapshots and records are opaque bytes.
 //
 // # Contract
 //
-// One Store at a time has a folder open. Its caller calls Open once, then Append for records and Replace for a
-// snapshot that contains all records before it; whatever returned without an error is there after any later crash.
-// After an error only Replace may succeed. Verify notices when the disk no longer holds what was synced.
+// One Store at a time has a folder open. Its caller calls Open once, then Store.Append for records
+// and Store.Replace for a snapshot that contains all records before it; whatever returned without
+// an error is there after any later crash. After an error only Store.Replace may succeed.
+// Store.Verify notices when the disk no longer holds what was synced.
 //
-// A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep each name that was
-// created, renamed or removed since the folder was last synced. What is read back after a start may itself never have
-// been synced: a process that was killed between a write and its sync leaves it in the machine's memory only, and the
-// next loss of power loses it. So Open syncs whatever it relies on before it returns it, names included. Synced bytes
-// may be damaged; their checksums show it, except that damage to the last record of a log can't be told from a torn
+// A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep
+// each name that was created, renamed or removed since the folder was last synced. What is read
+// back after a start may itself never have been synced: a process that was killed between a write
+// and its sync leaves it in the machine's memory only, and the next loss of power loses it. So Open
+// syncs whatever it relies on before it returns it, names included. Synced bytes may be damaged;
+// their checksums show it, except that damage to the last record of a log can't be told from a torn
 // write.
 package snapshot
 
 import "wardtray/apierror"
 
-// Folder is the little of a file system that a Store needs; the simulator brings its own. Each call syncs all that it
-// changed before it returns without an error, the folder with its names included.
+// Folder is the little of a file system that a Store needs; the simulator brings its own. Each call
+// syncs all that it changed before it returns without an error, the folder with its names included.
 type Folder interface {
 	// Read returns the content of a file; found is false where there is none.
 	Read(name string) (content []byte, found bool, err error)
@@ -35,7 +39,8 @@
 	Append(name string, content []byte) error
 	// Rename puts a file in another's place.
 	Rename(from, to string) error
-	// Truncate cuts a file to a length. Where it has that length already, it is only synced, and so is the folder.
+	// Truncate cuts a file to a length. Where it has that length already, it is only synced, and so
+	// is the folder.
 	Truncate(name string, length int64) error
 }
 
@@ -55,7 +60,8 @@
 	folder     Folder
 	generation uint64
 	logLength  int64
-	// failed is set from a failed write on: nobody knows what the disk holds, until a new slot and log are synced.
+	// failed is set from a failed write on: nobody knows what the disk holds, until a new slot and
+	// log are synced.
 	failed bool
 }
 
@@ -87,8 +93,9 @@
 	return nil
 }
 
-// Append appends records to the log in one sync. After a failure nobody knows what the disk holds, so every later
-// Append fails too until a Replace has started a new log. The error is apierror.DiskFailed.
+// Append appends records to the log in one sync. After a failure nobody knows what the disk holds,
+// so every later Append fails too until a Store.Replace has started a new log. The error is
+// apierror.DiskFailed.
 func (store *Store) Append(records ...[]byte) error {
 	if store.failed {
 		return errEarlierWriteFailed()
@@ -113,8 +120,9 @@
 	return apierror.New(apierror.DiskFailed, "an earlier write failed")
 }
 
-// Verify reads everything back and compares it with what must be there. A failure, apierror.DiskFailed, means that the
-// disk no longer holds what was synced; as after a failed write, only a Replace may succeed then.
+// Verify reads everything back and compares it with what must be there. A failure,
+// apierror.DiskFailed, means that the disk no longer holds what was synced; as after a failed
+// write, only a Store.Replace may succeed then.
 func (store *Store) Verify() error {
 	if store.failed {
 		return errEarlierWriteFailed()
--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -1,11 +1,12 @@
-// Package statemachine is what the coordination packages share: an Outbox that collects the effects of a pure state
-// machine, the messages that it sends and the disk writes that it requests.
+// Package statemachine is what the coordination packages share: an Outbox that collects the effects
+// of a pure state machine, the messages that it sends and the disk writes that it requests.
 //
-// A state machine starts no goroutine and reads no clock. A driver (a process, or the simulator) calls it with the
-// present time, received messages and completed writes; after each call it drains the outbox, sends the messages and
-// carries out the writes in their order, and reports each completed write by Done. Messages may be lost, repeated and
-// reordered. A write either completes or, after a crash or a failed disk, never does; the driver reports no write as
-// completed before it is synced.
+// A state machine starts no goroutine and reads no clock. A driver (a process, or the simulator)
+// calls it with the present time, received messages and completed writes; after each call it drains
+// the outbox, sends the messages and carries out the writes in their order, and reports each
+// completed write by Done. Messages may be lost, repeated and reordered. A write either completes
+// or, after a crash or a failed disk, never does; the driver reports no write as completed before
+// it is synced.
 //
 // An Outbox is not safe for concurrent use.
 package statemachine
@@ -22,7 +23,8 @@
 	Envelope *wire.Envelope
 }
 
-// Write is one disk request. Requests are carried out in order; exactly one of Record, Memory and Sweep is set.
+// Write is one disk request. Requests are carried out in order; exactly one of Write.Record,
+// Write.Memory and Write.Sweep is set.
 type Write struct {
 	// Sequence numbers the requests of one outbox, beginning at 1.
 	Sequence uint64
@@ -63,8 +65,9 @@
 	outbox.request(now, Write{Record: record}, onSynced)
 }
 
-// Replace requests that a snapshot of the whole state be written to the other slot. The snapshot must contain all that
-// was requested before it, since its completion completes the earlier writes too.
+// Replace requests that a snapshot of the whole state be written to the other slot. The snapshot
+// must contain all that was requested before it, since its completion completes the earlier writes
+// too.
 func (outbox *Outbox) Replace(now time.Time, memory *wire.DurableState, onSynced func(now time.Time)) {
 	outbox.request(now, Write{Memory: memory}, onSynced)
 }
@@ -81,8 +84,8 @@
 	outbox.Writes = append(outbox.Writes, write)
 }
 
-// Done reports that a write, and with it every earlier one, is synced. It calls their callbacks in the order of the
-// requests.
+// Done reports that a write, and with it every earlier one, is synced. It calls their callbacks in
+// the order of the requests.
 func (outbox *Outbox) Done(now time.Time, sequence uint64) {
 	for len(outbox.pending) > 0 && outbox.pending[0].sequence <= sequence {
 		completed := outbox.pending[0]
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -1,19 +1,21 @@
-// Package view agrees on the successive views of a fleet. A view is a configuration of the chain: its members in
-// their order, and the acceptors that vote on the next view. The acceptors of one view choose the next by
-// single-decree Paxos, one instance for each view epoch; there is no leader and no log. The first view is chosen by
-// all founders together.
+// Package view agrees on the successive views of a fleet. A view is a configuration of the chain:
+// its members in their order, and the acceptors that vote on the next view. The acceptors of one
+// view choose the next by single-decree Paxos, one instance for each view epoch; there is no leader
+// and no log. The first view is chosen by all founders together.
 //
 // # Contract
 //
-// An Agent is proposer, acceptor and learner of one process. It is a pure state machine: its caller hands it received
-// messages (Prepare, Promise, Accept, Accepted, Refused, Learn, each named after the message), starts attempts by
-// Propose or Found, and after each call drains the outbox that it was given (see package statemachine). It is not
-// safe for concurrent use.
+// An Agent is proposer, acceptor and learner of one process. It is a pure state machine: its caller
+// hands it received messages (Agent.Prepare, Agent.Promise, Agent.Accept, Agent.Accepted,
+// Agent.Refused and Agent.Learn, each named after the message), starts attempts by Agent.Propose or
+// Agent.Found, and after each call drains the outbox that it was given (see package statemachine).
+// It is not safe for concurrent use.
 //
-// Messages may be lost, repeated, reordered and delayed without bound, and a process may crash at any moment and
-// restart from what its disk has synced. A process that has lost its disk has to come back under another id. Under
-// these assumptions no two agents ever learn different views of one epoch. An attempt may fail, by loss or by a
-// competing proposer; whoever still wants a view proposes again once Busy is false.
+// Messages may be lost, repeated, reordered and delayed without bound, and a process may crash at
+// any moment and restart from what its disk has synced. A process that has lost its disk has to
+// come back under another id. Under these assumptions no two agents ever learn different views of
+// one epoch. An attempt may fail, by loss or by a competing proposer; whoever still wants a view
+// proposes again once Agent.Busy is false.
 package view
 
 import (
@@ -36,7 +38,8 @@
 	// newest is the view whose record is being synced, or was last; it is acted on only afterwards.
 	newest *wire.View
 
-	// vote is the acceptor's state, and unsynced how many promises and votes the disk has not confirmed yet.
+	// vote is the acceptor's state, and unsynced how many promises and votes the disk has not
+	// confirmed yet.
 	vote     *wire.AcceptorState
 	unsynced int
 
@@ -48,8 +51,9 @@
 	round uint64
 }
 
-// NewAgent restores an agent from what the disk held; current and vote may be nil. resolve returns the present address
-// of a member, or "" where only the one in the view is known. learned is called for each new view once it is synced.
+// NewAgent restores an agent from what the disk held; current and vote may be nil. resolve returns
+// the present address of a member, or "" where only the one in the view is known. learned is called
+// for each new view once it is synced.
 func NewAgent(now time.Time, self string, current *wire.View, vote *wire.AcceptorState, outbox *statemachine.Outbox,
 	resolve func(id string) string, learned func(now time.Time, view *wire.View)) *Agent {
 	if current == nil {
@@ -67,8 +71,8 @@
 // Current returns the view that this agent acts under; its epoch is 0 where there is none yet.
 func (agent *Agent) Current() *wire.View { return agent.current }
 
-// Newest returns the newest view learned. It may still be on its way to the disk; this agent's process acts in none
-// before it any more, and in it only once it is Current.
+// Newest returns the newest view learned. It may still be on its way to the disk; this agent's
+// process acts in none before it any more, and in it only once it is Current.
 func (agent *Agent) Newest() *wire.View { return agent.newest }
 
 // Since returns when the current view was learned, or when this process started if that was later.
@@ -80,8 +84,8 @@
 // Voted reports whether this acceptor has voted for the next view.
 func (agent *Agent) Voted() bool { return agent.vote.Value != nil }
 
-// Busy reports whether an attempt of this agent is under way, or a promise or vote of its own is being synced, which a
-// new attempt would only make void.
+// Busy reports whether an attempt of this agent is under way, or a promise or vote of its own is
+// being synced, which a new attempt would only make void.
 func (agent *Agent) Busy(now time.Time) bool {
 	return agent.unsynced > 0 || agent.attempt != nil && now.Sub(agent.attempt.startedAt) < agent.timeout
 }
