--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -6,12 +6,16 @@
 //
 // # Contract
 //
-// A Chain is one member's part, a pure state machine under a view that others agree on (see package view). Its
-// caller hands it each view by Chain.Adopt and received messages by Chain.Pass, Chain.Hold,
-// Chain.Aligned, Chain.Teach and Chain.Learned, and calls Chain.Tick often; after each call it drains the outbox (see package
-// statemachine). The head's caller validates a change and holds the head's lease (see package lease) when it calls
-// Chain.Enter; the tail's caller holds the same kind of proof before it serves a read or calls Chain.Teach. A Chain
-// is not safe for concurrent use.
+// A Chain is one member's part, a pure state machine under a view that others agree on (see package view):
+//
+//   - It is handed each view by Chain.Adopt.
+//   - Forwarded entries are handed to Chain.Pass, acknowledgements to Chain.Hold and Chain.Aligned.
+//   - Members outside the chain learn by Chain.AskToLearn, Chain.Teach and Chain.Learned.
+//   - Chain.Tick is called often.
+//
+// After each call its caller drains the outbox (see package statemachine). The head's caller validates a change and
+// holds the head's lease (see package lease) when it calls Chain.Enter. The tail's caller holds the same kind of
+// proof before it serves a read or calls Chain.Teach. A Chain is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and
 // restart from what its disk has synced. Under these assumptions, and with views that differ only
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -6,9 +6,13 @@
 //
 // Every process has an Exchange: a Table with the messages that keep it the same as those of others. A core has a
 // Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that no
-// core hears. Both are pure state machines: their caller hands them received messages (Registrar.News,
-// Exchange.Digest, Exchange.Compare, Registrar.Held, Registrar.Heard), calls Registrar.Tick often, and after each
-// call drains the outbox (see package statemachine). They are not safe for concurrent use; records are never modified.
+// core hears. Both are pure state machines. Their caller hands them received messages:
+//
+//   - updates to Registrar.News or Exchange.News, digests to Exchange.Digest, checksums to Exchange.Compare;
+//   - at a core, acknowledgements to Registrar.Held and the heartbeats of other cores to Registrar.Heard.
+//
+// It calls Registrar.Tick often, and after each call drains the outbox (see package statemachine). They are not safe
+// for concurrent use; records are never modified.
 //
 // A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that
 // drains or is gone never comes back under its id. Messages may be lost, repeated and reordered;
