--- a/verify/simulation/race_test.go
+++ b/verify/simulation/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package sim
+package simulation
 
 // underRace means that the race detector watches. It keeps something for every coroutine that ever was, so
 // that a whole set of attempts takes more memory than small machines have; ./check plays them without it too.
