--- /dev/null
+++ b/control/durability/durability_test.go
@@ -0,0 +1,134 @@
+package durability
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/coordination/statemachine"
+	"wardtray/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+const writeTimeout = 700 * time.Millisecond
+
+func newDisk(records ...*wire.Record) (*Disk, *statemachine.Outbox) {
+	outbox := statemachine.NewOutbox()
+	return New(outbox, records, writeTimeout, func() *wire.DurableState { return &wire.DurableState{Id: "a"} }), outbox
+}
+
+// requests returns how many snapshots and scrubs the outbox holds, and the number of the last request.
+func requests(outbox *statemachine.Outbox) (snapshots, scrubs int, last uint64) {
+	_, writes := outbox.Drain()
+	for _, write := range writes {
+		last = write.Sequence
+		if write.Memory != nil {
+			snapshots++
+		}
+		if write.Sweep {
+			scrubs++
+		}
+	}
+	return snapshots, scrubs, last
+}
+
+func entryRecord(bytes int) *wire.Record {
+	return &wire.Record{Body: &wire.Record_Entry{Entry: &wire.Entry{Spec: make([]byte, bytes)}}}
+}
+
+func TestFailedWriteIsRetriedBySnapshot(t *testing.T) {
+	t.Parallel()
+	disk, outbox := newDisk()
+	disk.Tick(start)
+	disk.Failed(start)
+	// A second failure does not postpone the attempt.
+	disk.Failed(start.Add(retryDelay / 2))
+	disk.Tick(start.Add(retryDelay - 1))
+	if snapshots, _, _ := requests(outbox); snapshots != 0 || !disk.IsUnhealthy(start) {
+		t.Fatalf("%d snapshots before the delay is over, unhealthy %v", snapshots, disk.IsUnhealthy(start))
+	}
+	disk.Tick(start.Add(retryDelay))
+	disk.Tick(start.Add(retryDelay))
+	snapshots, _, last := requests(outbox)
+	if snapshots != 1 || !disk.IsUnhealthy(start.Add(retryDelay)) {
+		t.Fatalf("%d snapshots after the delay", snapshots)
+	}
+	outbox.Done(start.Add(retryDelay), last)
+	if disk.IsUnhealthy(start.Add(retryDelay)) || disk.Counters().Failures != 2 {
+		t.Fatalf("unhealthy after a snapshot; %d failures", disk.Counters().Failures)
+	}
+}
+
+func TestFailedSnapshotIsRetried(t *testing.T) {
+	t.Parallel()
+	disk, outbox := newDisk()
+	disk.Failed(start)
+	disk.Tick(start.Add(retryDelay))
+	disk.Failed(start.Add(retryDelay))
+	disk.Tick(start.Add(2*retryDelay - 1))
+	if snapshots, _, _ := requests(outbox); snapshots != 1 {
+		t.Fatalf("%d snapshots before the second attempt is due", snapshots)
+	}
+	disk.Tick(start.Add(2 * retryDelay))
+	if snapshots, _, _ := requests(outbox); snapshots != 1 {
+		t.Fatalf("%d snapshots at the second attempt", snapshots)
+	}
+}
+
+func TestLongLogIsReplaced(t *testing.T) {
+	t.Parallel()
+	disk, outbox := newDisk(entryRecord(logLimit / 2))
+	disk.Tick(start)
+	if snapshots, _, _ := requests(outbox); snapshots != 0 {
+		t.Fatal("a log of half the limit was replaced")
+	}
+	disk.Appended([]statemachine.Write{{Record: entryRecord(logLimit / 2)}})
+	disk.Tick(start)
+	snapshots, _, last := requests(outbox)
+	outbox.Done(start, last)
+	disk.Tick(start)
+	if again, _, _ := requests(outbox); snapshots != 1 || again != 0 {
+		t.Fatalf("%d snapshots of a long log, then %d", snapshots, again)
+	}
+}
+
+func TestScrubInterval(t *testing.T) {
+	t.Parallel()
+	disk, outbox := newDisk()
+	for _, test := range []struct {
+		after time.Duration
+		want  int
+	}{{0, 0}, {scrubInterval - 1, 0}, {scrubInterval, 1}, {2*scrubInterval - 1, 0}, {2 * scrubInterval, 1}} {
+		disk.Tick(start.Add(test.after))
+		if _, scrubs, _ := requests(outbox); scrubs != test.want {
+			t.Errorf("after %v: %d scrubs", test.after, scrubs)
+		}
+	}
+}
+
+func TestSlowWriteIsUnhealthy(t *testing.T) {
+	t.Parallel()
+	disk, outbox := newDisk()
+	outbox.Persist(start, entryRecord(1), func(time.Time) {})
+	if disk.IsUnhealthy(start.Add(writeTimeout)) || !disk.IsUnhealthy(start.Add(writeTimeout+1)) {
+		t.Error("a write that waits")
+	}
+}
+
+func TestReplay(t *testing.T) {
+	t.Parallel()
+	state := &wire.DurableState{}
+	Replay(state, entryRecord(3))
+	Replay(state, &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 4}})
+	if len(state.Pending) != 1 || state.ClearedTerm != 4 {
+		t.Errorf("%v", state)
+	}
+	Replay(state, &wire.Record{Incomplete: true, Body: &wire.Record_Document{Document: &wire.Document{Sequence: 9}}})
+	if len(state.Pending) != 0 || state.Document.Sequence != 9 || !state.Incomplete {
+		t.Errorf("a document replaces what was pending: %v", state)
+	}
+	Replay(state, &wire.Record{Body: &wire.Record_Complete{}})
+	if state.Incomplete {
+		t.Error("still incomplete")
+	}
+}
--- /dev/null
+++ b/control/failuredetector/detector_test.go
@@ -0,0 +1,207 @@
+package failuredetector
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"wardtray/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+const (
+	suspicion = 700 * time.Millisecond
+	pause     = 500 * time.Millisecond
+)
+
+func newDetector() *Detector { return New(start, member("a"), suspicion, pause) }
+
+func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1"} }
+
+func members(ids ...string) []*wire.Member {
+	var list []*wire.Member
+	for _, id := range ids {
+		list = append(list, member(id))
+	}
+	return list
+}
+
+// hear lets a detector observe a peer that says whom it hears.
+func hear(t *testing.T, detector *Detector, now time.Time, id string, reachable ...string) {
+	t.Helper()
+	if accepted, _ := detector.Observe(now, "", &wire.Heartbeat{Member: member(id), Reachable: reachable}); !accepted {
+		t.Fatalf("the heartbeat of %s was dropped", id)
+	}
+}
+
+func TestIsAliveWithinSuspicion(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	hear(t, detector, start, "b")
+	for _, test := range []struct {
+		id    string
+		after time.Duration
+		want  bool
+	}{{"a", time.Hour, true}, {"b", suspicion - 1, true}, {"b", suspicion, false}, {"c", 0, false}} {
+		if got := detector.IsAlive(start.Add(test.after), test.id); got != test.want {
+			t.Errorf("%s after %v: %v", test.id, test.after, got)
+		}
+	}
+	if got := detector.Reachable(start); !reflect.DeepEqual(got, []string{"a", "b"}) {
+		t.Errorf("reachable: %v", got)
+	}
+}
+
+func TestTickAfterPauseSuspectsNobody(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	hear(t, detector, start, "b")
+	hear(t, detector, start, "c")
+	detector.Terminated("c:1", start.Add(1))
+	if detector.Tick(start.Add(pause)) {
+		t.Error("a pause of just the bound")
+	}
+	later := start.Add(time.Minute)
+	if !detector.Tick(later) || !detector.IsAlive(later, "b") || detector.IsAlive(later, "c") {
+		t.Errorf("after a pause: b alive %v, c alive %v", detector.IsAlive(later, "b"), detector.IsAlive(later, "c"))
+	}
+}
+
+func TestTerminatedOnlyIfNotHeardSince(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	hear(t, detector, start, "b")
+	detector.Terminated("b:1", start)
+	if !detector.IsAlive(start, "b") {
+		t.Error("heard at the moment of the attempt")
+	}
+	detector.TakeHeartbeat(start)
+	detector.Terminated("b:1", start.Add(1))
+	if detector.IsAlive(start.Add(1), "b") || !detector.WasSeenRecently(start.Add(1), detector.Peer("b")) {
+		t.Error("refused after it was heard")
+	}
+	if !detector.TakeHeartbeat(start.Add(1)) {
+		t.Error("the others are not notified at once")
+	}
+	hear(t, detector, start.Add(2), "b")
+	if !detector.IsAlive(start.Add(2), "b") {
+		t.Error("heard again")
+	}
+}
+
+func TestObserveDropsStrangers(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	for name, heartbeat := range map[string]*wire.Heartbeat{
+		"no member": {}, "no id": {Member: &wire.Member{}}, "itself": {Member: member("a")},
+		"another fleet": {Member: member("b"), Fleet: "other"},
+	} {
+		if accepted, _ := detector.Observe(start, "fleet", heartbeat); accepted {
+			t.Errorf("%s: accepted", name)
+		}
+	}
+	for number := range MaximumPeers {
+		hear(t, detector, start, fmt.Sprint("peer", number))
+	}
+	if accepted, _ := detector.Observe(start, "", &wire.Heartbeat{Member: member("more")}); accepted {
+		t.Error("more peers than the bound")
+	}
+	hear(t, detector, start, "peer0")
+	detector.Forget(start.Add(forgetAfter + 1))
+	if len(detector.Peers()) != 0 {
+		t.Error("peers that are silent for very long are kept")
+	}
+}
+
+func TestObserveReportsChanges(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		next *wire.Heartbeat
+		want bool
+	}{
+		"same":            {&wire.Heartbeat{Reachable: []string{"a"}, Synced: 5}, false},
+		"hears more":      {&wire.Heartbeat{Reachable: []string{"a", "b"}}, true},
+		"unhealthy":       {&wire.Heartbeat{Reachable: []string{"a"}, Unhealthy: true}, true},
+		"decommissioning": {&wire.Heartbeat{Reachable: []string{"a"}, Decommissioning: true}, true},
+	} {
+		detector := newDetector()
+		hear(t, detector, start, "b", "a")
+		test.next.Member = member("b")
+		if _, changed := detector.Observe(start, "", test.next); changed != test.want {
+			t.Errorf("%s: changed %v", name, changed)
+		}
+	}
+}
+
+func TestNewIdentityReplacesTheOneAtItsAddress(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	hear(t, detector, start, "b")
+	if detector.IsReplaced(member("b")) {
+		t.Error("replaced by itself")
+	}
+	successor := &wire.Member{Id: "z", Address: "b:1"}
+	detector.Observe(start, "", &wire.Heartbeat{Member: successor})
+	if !detector.IsReplaced(member("b")) || detector.Peer("b") != nil {
+		t.Error("two identities at one address")
+	}
+}
+
+func TestInitialSyncedIsOfTheView(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	for _, test := range []struct{ view, synced, want uint64 }{{1, 3, 3}, {1, 7, 3}, {2, 8, 8}, {2, 9, 8}} {
+		detector.Observe(start, "", &wire.Heartbeat{Member: member("b"), View: test.view, Synced: test.synced})
+		if got := detector.Peer("b").InitialSynced; got != test.want {
+			t.Errorf("view %d, synced %d: %d", test.view, test.synced, got)
+		}
+	}
+}
+
+func TestIsUnreachableNeedsAMajority(t *testing.T) {
+	t.Parallel()
+	acceptors := members("a", "b", "c")
+	for name, test := range map[string]struct {
+		heard map[string][]string
+		want  bool
+	}{
+		"two of three don't hear it":       {map[string][]string{"b": {"a", "b"}}, true},
+		"one hears it":                     {map[string][]string{"b": {"a", "b", "c"}}, false},
+		"this one alone does not":          {nil, false},
+		"this one hears it, the other not": {map[string][]string{"b": {"a", "b"}, "c": {"a", "c"}}, false},
+	} {
+		detector := newDetector()
+		for id, reachable := range test.heard {
+			hear(t, detector, start, id, reachable...)
+		}
+		if got := detector.IsUnreachable(start, "c", acceptors); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+func TestHeartbeatInterval(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	for _, test := range []struct {
+		after time.Duration
+		want  bool
+	}{{0, true}, {HeartbeatInterval - 1, false}, {HeartbeatInterval, true}} {
+		if got := detector.TakeHeartbeat(start.Add(test.after)); got != test.want {
+			t.Errorf("after %v: %v", test.after, got)
+		}
+	}
+}
+
+func TestAddressOf(t *testing.T) {
+	t.Parallel()
+	detector := newDetector()
+	detector.Observe(start, "", &wire.Heartbeat{Member: &wire.Member{Id: "b", Address: "moved:1"}})
+	for id, want := range map[string]string{"a": "a:1", "b": "moved:1", "c": "c:1"} {
+		if got := detector.AddressOf(member(id)); got != want {
+			t.Errorf("%s: %s", id, got)
+		}
+	}
+}
--- a/control/node/acknowledgement.go
+++ b/control/node/acknowledgement.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	// A chain that shrank since the change came in has fewer copies than a change needs.
-	if current := node.agent.Current(); len(current.Chain) < int(current.MinReplicas) || node.growing(now) {
+	if current := node.agent.Current(); len(current.Chain) < int(current.MinReplicas) || node.facts(now).IsGrowing() {
 		return false
 	}
 	if !node.mostKnow(sequence) {
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wardtray/apierror"
+	"wardtray/control/failuredetector"
 	"wardtray/coordination/lease"
 )
 
@@ -144,26 +145,17 @@
 
 // The periods, time limits and sizes of the control plane that depend on no setting.
 const (
-	heartbeatEvery     = 200 * time.Millisecond
+	heartbeatEvery     = failuredetector.HeartbeatInterval
 	claimEvery         = 200 * time.Millisecond
 	claimAgain         = 40 * time.Millisecond
 	learnEvery         = 300 * time.Millisecond
 	learnedEvery       = time.Second
-	forgetBound        = 5 * time.Minute
-	logLimit           = 4 << 20
-	sweepEvery         = 5 * time.Second
-	maximumPartialView = 64
-	// leaveSettling is how long at least a machine that leaves waits for views that others began before they heard of it.
-	leaveSettling = 2 * heartbeatEvery
-
-	// leastChain is how long a chain may always grow.
-	leastChain = 5
-
-	askBound    = 6 * time.Second
-	waitBound   = 5 * time.Second
-	askAgain    = 300 * time.Millisecond
-	maximumAsks = 256
-	maximumHops = 3
+	maximumPartialView = failuredetector.MaximumPeers
+	askBound           = 6 * time.Second
+	waitBound          = 5 * time.Second
+	askAgain           = 300 * time.Millisecond
+	maximumAsks        = 256
+	maximumHops        = 3
 	// parkBound is for how long a question waits here for the moment at which it can be answered; its asker
 	// sends it again meanwhile.
 	parkBound = 2 * time.Second
--- a/control/node/change.go
+++ b/control/node/change.go
@@ -38,7 +38,7 @@
 	}
 	entry := &wire.Entry{Operation: message.Operation, ChangesSpec: true, SpecEpoch: epoch, Spec: content}
 	// A sick disk would hold this change up for as long as it takes the others to notice.
-	if node.unhealthy(now) {
+	if node.disk.IsUnhealthy(now) {
 		call.refuse(now, 503, call.refusal(apierror.DiskFailed, "the head's disk does not keep up"))
 		return
 	}
--- a/control/node/confirmation.go
+++ b/control/node/confirmation.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"wardtray/control/membership"
 	"wardtray/coordination/view"
 	"wardtray/wire"
 )
@@ -36,7 +37,7 @@
 // view so ends when the next one is chosen.
 func (node *Node) confirms(now time.Time, daemon string, message *wire.DaemonLeaseRequest) bool {
 	current := node.agent.Current()
-	if !node.inDirectory(node.newestDirectory(), daemon) || message.View != current.Epoch || node.agent.Newest().Epoch != current.Epoch || node.agent.Voted() || !keeps(current, node.self.Id) {
+	if !node.inDirectory(node.newestDirectory(), daemon) || message.View != current.Epoch || node.agent.Newest().Epoch != current.Epoch || node.agent.Voted() || !membership.IsAcceptor(current, node.self.Id) {
 		node.witness.Heard(daemon, message.Sequence)
 		return false
 	}
@@ -56,23 +57,11 @@
 	if current.Epoch == previous.Epoch+1 {
 		group.members = previous.Acceptors
 	}
-	if previous.Epoch > 0 && !(current.Epoch == previous.Epoch+1 && sameMembers(previous.Acceptors, current.Acceptors)) {
+	if previous.Epoch > 0 && !(current.Epoch == previous.Epoch+1 && membership.SameSet(previous.Acceptors, current.Acceptors)) {
 		node.previousAcceptors = append(node.previousAcceptors, group)
 	}
 }
 
-func sameMembers(left, right []*wire.Member) bool {
-	if len(left) != len(right) {
-		return false
-	}
-	for _, member := range left {
-		if !holds(right, member.Id) {
-			return false
-		}
-	}
-	return true
-}
-
 // mostKnow tells whether a majority of the acceptors knows a sequence, so that no majority confirms less from now on.
 func (node *Node) mostKnow(sequence uint64) bool {
 	acceptors, knowing := node.agent.Current().Acceptors, 0
@@ -134,8 +123,8 @@
 	if head == node.self.Id {
 		return node.absent(now)
 	}
-	if peer := node.peers[head]; peer != nil && node.fresh(now, head) && peer.heartbeat.View == current.Epoch {
-		return peer.heartbeat.UnleasedDaemons
+	if peer := node.detector.Peer(head); peer != nil && node.detector.IsAlive(now, head) && peer.Heartbeat.View == current.Epoch {
+		return peer.Heartbeat.UnleasedDaemons
 	}
 	return nil
 }
--- a/control/node/directory.go
+++ b/control/node/directory.go
@@ -10,7 +10,7 @@
 // tendDirectory lets daemons into the directory, and those long absent out. The next change enters only when the
 // last is delivered, which takes most of the old directory as well as most of the new one.
 func (node *Node) tendDirectory(now time.Time) {
-	if !node.leading(now) || len(node.chain.Pending()) > 0 || node.unhealthy(now) {
+	if !node.leading(now) || len(node.chain.Pending()) > 0 || node.disk.IsUnhealthy(now) {
 		return
 	}
 	document := node.chain.Committed()
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -40,7 +40,7 @@
 // handleViews enters what proposers and acceptors of views say to each other.
 func (node *Node) handleViews() {
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
-		if node.acceptor() {
+		if node.proposer.MayVote() {
 			node.agent.Prepare(now, envelope.From, body.ViewPrepare)
 		}
 	})
@@ -48,7 +48,7 @@
 		node.agent.Promise(now, envelope.Sender, body.ViewPromise)
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccept) {
-		if node.acceptor() {
+		if node.proposer.MayVote() {
 			node.agent.Accept(now, envelope.From, body.ViewAccept)
 		}
 	})
@@ -136,7 +136,7 @@
 // Receive takes one message.
 func (node *Node) Receive(now time.Time, envelope *wire.Envelope) {
 	if envelope.From != node.self.Address {
-		node.received = now
+		node.detector.Received(now)
 	}
 	node.keeper.Heard(now, envelope.Sender, envelope.Epoch)
 	if handle := node.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
--- a/control/node/document.go
+++ b/control/node/document.go
@@ -13,12 +13,12 @@
 
 func (node *Node) tendLearning(now time.Time) {
 	current := node.agent.Current()
-	if current.Epoch == 0 || node.chain.Inside() || node.leaving() || len(current.Chain) == 0 || now.Sub(node.lastLearn) < learnEvery ||
+	if current.Epoch == 0 || node.chain.Inside() || node.decommission.IsStarted() || len(current.Chain) == 0 || now.Sub(node.lastLearn) < learnEvery ||
 		node.chain.LearnedView() == current.Epoch && now.Sub(node.lastLearn) < learnedEvery {
 		return
 	}
 	node.lastLearn = now
-	node.chain.AskToLearn(node.addressOf(current.Chain[len(current.Chain)-1]))
+	node.chain.AskToLearn(node.detector.AddressOf(current.Chain[len(current.Chain)-1]))
 }
 
 func (node *Node) onCommit(now time.Time, sequence uint64) {
@@ -62,7 +62,7 @@
 		zones[member.Address] = member.Zone
 	}
 	for _, member := range node.agent.Current().Chain {
-		zones[node.addressOf(member)] = member.Zone
+		zones[node.detector.AddressOf(member)] = member.Zone
 	}
 	delete(zones, node.self.Address)
 	partners := make([]gossip.Peer, 0, len(zones))
--- a/control/node/leadership.go
+++ b/control/node/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"wardtray/control/membership"
 	"wardtray/coordination/lease"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/view"
@@ -43,7 +44,7 @@
 		ask.Committed = node.chain.Committed().Sequence
 	}
 	for _, acceptor := range current.Acceptors {
-		node.outbox.Send(node.addressOf(acceptor), &wire.Envelope{Body: &wire.Envelope_LeaderLeaseRequest{LeaderLeaseRequest: ask}})
+		node.outbox.Send(node.detector.AddressOf(acceptor), &wire.Envelope{Body: &wire.Envelope_LeaderLeaseRequest{LeaderLeaseRequest: ask}})
 	}
 }
 
@@ -53,7 +54,7 @@
 		node.agent.Tell(envelope.From)
 		return
 	}
-	if message.View != current.Epoch || !keeps(current, node.self.Id) || current.Chain[0].Id != envelope.Sender {
+	if message.View != current.Epoch || !membership.IsAcceptor(current, node.self.Id) || current.Chain[0].Id != envelope.Sender {
 		return
 	}
 	if message.Committed > 0 {
@@ -72,7 +73,7 @@
 // so that a acceptor that restarts may grant at once.
 func (node *Node) tendKeeping(now time.Time) {
 	current := node.agent.Current()
-	if !keeps(current, node.self.Id) {
+	if !membership.IsAcceptor(current, node.self.Id) {
 		return
 	}
 	for _, address := range node.keeper.Rivals(now) {
@@ -111,7 +112,7 @@
 // onClaimGrant takes in a acceptor's grant and its word on what it knows to be committed.
 func (node *Node) onClaimGrant(now time.Time, acceptor string, message *wire.LeaderLeaseGrant) {
 	current := node.agent.Current()
-	if !keeps(current, acceptor) {
+	if !membership.IsAcceptor(current, acceptor) {
 		return
 	}
 	node.holder.Grant(now, acceptor, message.View, message.Nonce, view.Majority(len(current.Acceptors)))
--- a/control/node/leases.go
+++ b/control/node/leases.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"wardtray/control/membership"
 	"wardtray/wire"
 )
 
@@ -25,7 +26,7 @@
 		return
 	}
 	known, document := node.head.daemons[address], node.chain.Committed()
-	if known == nil && (holds(document.Directory, address) || holds(document.PreviousDirectory, address)) {
+	if known == nil && (membership.Contains(document.Directory, address) || membership.Contains(document.PreviousDirectory, address)) {
 		known = &daemon{}
 		node.head.daemons[address] = known
 	}
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership"
 	"wardtray/wire"
 )
 
@@ -32,7 +33,7 @@
 	newest := fleet.newest()
 	members := newest.Chain
 	if role == "other" {
-		members = without(newest.Acceptors, newest.Chain[0].Id)
+		members = membership.Without(newest.Acceptors, newest.Chain[0].Id)
 	}
 	for _, member := range members {
 		if machine := fleet.machine(member.Id); machine != nil && !slices.Contains(besides, machine) {
@@ -52,7 +53,7 @@
 			continue
 		}
 		current := machine.node.View()
-		if keeps(current, machine.node.Self().Id) && !keeps(current, id) && !holds(current.Chain, id) {
+		if membership.IsAcceptor(current, machine.node.Self().Id) && !membership.IsAcceptor(current, id) && !membership.Contains(current.Chain, id) {
 			count++
 		}
 	}
@@ -180,7 +181,7 @@
 		successor := fleet.add(false)
 		fleet.run(moment)
 		fleet.stop(leaver)
-		fleet.runUntil(servingBound, "successor in the chain", func() bool { return holds(fleet.newest().Chain, successor.node.Self().Id) })
+		fleet.runUntil(servingBound, "successor in the chain", func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) })
 		successor.diskTime = 550 * time.Millisecond
 		fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
 		fleet.runUntil(servingBound, "leader", func() bool { return fleet.leader() != nil })
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -9,6 +9,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/durability"
+	"wardtray/control/failuredetector"
+	"wardtray/control/reconfiguration"
+	"wardtray/control/viewchange"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/lease"
@@ -76,27 +80,17 @@
 	directorySet      addressSet
 	partialView       *peersampling.PartialView
 
-	peers         map[string]*peer
-	started       time.Time
-	lastTick      time.Time
-	lastHeartbeat time.Time
-	lastClaim     time.Time
-	lastLearn     time.Time
-	lastMend      time.Time
-	wantSince     time.Time
-	votedSince    time.Time
-	brokenFrom    map[string]time.Time
-	logged        int64
-	swept         time.Time
-	replacing     bool
-	founding      bool
+	detector     *failuredetector.Detector
+	proposer     *viewchange.Proposer
+	decommission reconfiguration.Decommission
+	disk         *durability.Disk
+
+	started   time.Time
+	lastClaim time.Time
+	lastLearn time.Time
 	// cleared is the last term of which the disk says that the heads before it act no more.
-	cleared    uint64
-	lastCall   time.Time
-	diskFailed bool
-	retryDisk  time.Time
-	// leavingSince is when this machine was told to leave; zero: it stays.
-	leavingSince time.Time
+	cleared  uint64
+	lastCall time.Time
 	// initialSynced is how far this machine had synced when the present view began here.
 	initialSynced uint64
 	bounds        Bounds
@@ -108,8 +102,6 @@
 	registrar *registry.Registrar
 	// The newest document that a gossip message brought, without its spec.
 	rumored *wire.Document
-	// received is when the last message of another process came.
-	received time.Time
 
 	head headState
 	asks map[string]*ask
@@ -127,16 +119,22 @@
 	for _, record := range records {
 		Replay(memory, record)
 	}
-	node := &Node{incarnation: random.Uint64(), holder: lease.NewLessee(random.Uint64()), settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now, lastTick: now,
-		self:  &wire.Member{Id: memory.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP},
-		peers: map[string]*peer{}, brokenFrom: map[string]time.Time{}, asks: map[string]*ask{}}
+	node := &Node{incarnation: random.Uint64(), holder: lease.NewLessee(random.Uint64()), settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now,
+		self: &wire.Member{Id: memory.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP},
+		asks: map[string]*ask{}}
+	node.detector = failuredetector.New(now, node.self, node.bounds.Suspicion, node.bounds.Frozen)
+	node.disk = durability.New(node.outbox, records, node.bounds.Unhealthy, node.Memory)
 	node.head.daemons, node.head.commits = map[string]*daemon{}, map[uint64]time.Time{}
 	node.head.ledger = lease.NewProgressTracker()
 	node.witness = lease.NewWitness(node.leaseLength())
 	node.heldAtStart = newestOf(memory.Document, memory.Pending)
-	node.chain = chain.New(memory.Id, memory.Document, memory.Pending, node.outbox, node.addressOf, node.onCommit)
+	node.chain = chain.New(memory.Id, memory.Document, memory.Pending, node.outbox, node.detector.AddressOf, node.onCommit)
 	node.chain.RestoreIncomplete(memory.Incomplete)
-	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.AcceptorState, node.outbox, node.resolve, node.onView)
+	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.AcceptorState, node.outbox, node.detector.Resolve, node.onView)
+	foundsNow := settings.Founding && !memory.Founding && node.agent.Current().Epoch == 0
+	node.proposer = viewchange.New(now, viewchange.Settings{Founders: settings.Founders, Founding: memory.Founding || foundsNow,
+		Suspicion: node.bounds.Suspicion, Stagger: node.bounds.Stagger}, node.self, node.agent,
+		reconfiguration.NewPlanner(node.bounds.Broken), random)
 	node.partialView = peersampling.New(&wire.PeerDescriptor{Address: settings.Address, Zone: settings.Zone, Core: true}, settings.Seeds, node.outbox, random)
 	node.gossip = gossip.New(settings.Zone, node.outbox, random, node.partners, func(time.Time, *wire.GossipEntry) {})
 	node.rumored, node.registrar = &wire.Document{}, node.newRegistrar(now)
@@ -144,12 +142,11 @@
 	if memory.Document != nil && memory.Document.Sequence > 0 {
 		node.publish(now)
 	}
-	node.founding, node.cleared, node.logged = memory.Founding, memory.ClearedTerm, recordBytes(records)
+	node.cleared = memory.ClearedTerm
 	node.keeper = lease.Restore(now, node.agent.Current(), memory.ClearedTerm)
-	if settings.Founding && !memory.Founding && node.agent.Current().Epoch == 0 {
+	if foundsNow {
 		// A founder that is killed before there is a view must still be one when it starts again.
-		node.founding, node.replacing = true, true
-		node.outbox.Replace(now, node.Memory(), func(time.Time) { node.replacing, node.diskFailed = false, false })
+		node.disk.Replace(now)
 	}
 	node.lastView = node.agent.Current()
 	if current := node.agent.Current(); current.Epoch > 0 {
@@ -172,7 +169,11 @@
 func (node *Node) View() *wire.View { return node.agent.Current() }
 
 // Counters gives what was counted.
-func (node *Node) Counters() Counters { return node.counters }
+func (node *Node) Counters() Counters {
+	counters := node.counters
+	counters.DiskFailures = node.disk.Counters().Failures
+	return counters
+}
 
 // Self gives this machine's member line.
 func (node *Node) Self() *wire.Member { return node.self }
@@ -189,11 +190,7 @@
 			digest.RunnersChecksum = node.registrar.Checksum()
 		}
 	}
-	for _, write := range writes {
-		if write.Record != nil {
-			node.logged += int64(proto.Size(write.Record))
-		}
-	}
+	node.disk.Appended(writes)
 	return parcels, writes
 }
 
@@ -202,14 +199,9 @@
 func (node *Node) Refused(now time.Time, address string, tried time.Time) {
 	node.keeper.Refused(now, address, tried)
 	node.daemonRefused(now, address, tried)
-	for _, peer := range node.peers {
-		if peer.member.Address == address && !peer.gone && peer.heard.Before(tried) {
-			peer.gone = true
-			node.lastHeartbeat = time.Time{}
-		}
-	}
-	node.tendHeartbeats(now)
-	node.tendView(now)
+	node.detector.Terminated(address, tried)
+	node.sendHeartbeats(now)
+	node.proposer.Tick(node.facts(now))
 }
 
 // Synced takes the completion of a write.
@@ -222,20 +214,14 @@
 // Tick does what is due.
 func (node *Node) Tick(now time.Time) {
 	// Whoever was frozen has heard nobody, which says nothing about them.
-	if now.Sub(node.lastTick) > node.bounds.Frozen {
-		for _, peer := range node.peers {
-			if !peer.gone {
-				peer.heard = now
-			}
-		}
+	if node.detector.Tick(now) {
 		node.registrar.Resume(now)
 	}
-	node.lastTick = now
-	node.tendDisk(now)
-	node.tendHeartbeats(now)
+	node.disk.Tick(now)
+	node.sendHeartbeats(now)
 	node.tendKeeping(now)
 	node.tendClaim(now)
-	node.tendView(now)
+	node.proposer.Tick(node.facts(now))
 	node.chain.Tick(now)
 	node.tendLearning(now)
 	node.tendDirectory(now)
--- a/control/node/operator.go
+++ b/control/node/operator.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		open.passed[target.Id] = true
-		node.outbox.Send(node.addressOf(target), &wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
+		node.outbox.Send(node.detector.AddressOf(target), &wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
 	}
 }
 
--- a/control/node/registry.go
+++ b/control/node/registry.go
@@ -11,9 +11,6 @@
 	"wardtray/wire"
 )
 
-// isolatedAfter is after how long without a message a core takes itself to be alone.
-const isolatedAfter = 1500 * time.Millisecond
-
 // newRegistrar makes the part of a core that takes runners' calls.
 func (node *Node) newRegistrar(now time.Time) *registry.Registrar {
 	return registry.NewRegistrar(now, node.settings.Heartbeat, node.nonce, node.outbox, registry.Environment{
@@ -81,26 +78,15 @@
 	return node.rumored
 }
 
-// joined tells whether this machine hears most of the chain and the acceptors, itself among them.
+// joined reports whether this machine hears most of the chain and the acceptors, itself among them.
 func (node *Node) joined(now time.Time) bool {
-	current := node.agent.Current()
-	members := map[string]bool{}
-	for _, member := range append(append([]*wire.Member{}, current.Chain...), current.Acceptors...) {
-		members[member.Id] = true
-	}
-	if len(members) == 0 {
-		return len(node.settings.Founders) <= 1 || len(node.peers) > 0
-	}
-	fresh := 0
-	for id := range members {
-		if node.fresh(now, id) {
-			fresh++
-		}
+	if node.agent.Current().Epoch == 0 {
+		return len(node.settings.Founders) <= 1 || len(node.detector.Peers()) > 0
 	}
-	return 2*fresh > len(members)
+	return node.facts(now).HearsMajority()
 }
 
-// isolated tells whether this machine has heard nobody for a while, though there are others.
+// isolated reports whether this machine has heard nobody for a while, though there are others.
 func (node *Node) isolated(now time.Time) bool {
-	return now.Sub(node.received) > isolatedAfter && (len(node.coreAddresses()) > 0 || len(node.directory()) > 0)
+	return node.detector.IsSilent(now) && (len(node.coreAddresses()) > 0 || len(node.directory()) > 0)
 }
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"sort"
 	"time"
 
 	"wardtray/coordination/registry"
@@ -47,18 +46,18 @@
 	current, document := node.agent.Current(), node.chain.Committed()
 	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: node.placeName(), Synced: node.chain.Synced(),
 		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: len(node.asks),
-		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Unhealthy: node.unhealthy(now), Runners: node.registrar.Counters()}
+		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Unhealthy: node.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
-		line := MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)}
-		if peer := node.peers[member.Id]; peer != nil {
-			line.Sequence, line.Unhealthy = peer.heartbeat.Synced, peer.heartbeat.Unhealthy
+		line := MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)}
+		if peer := node.detector.Peer(member.Id); peer != nil {
+			line.Sequence, line.Unhealthy = peer.Heartbeat.Synced, peer.Heartbeat.Unhealthy
 		} else if member.Id == node.self.Id {
-			line.Sequence, line.Unhealthy = node.chain.Synced(), node.unhealthy(now)
+			line.Sequence, line.Unhealthy = node.chain.Synced(), node.disk.IsUnhealthy(now)
 		}
 		status.Chain = append(status.Chain, line)
 	}
 	for _, member := range current.Acceptors {
-		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)})
+		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)})
 	}
 	for _, member := range document.Directory {
 		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
@@ -67,7 +66,7 @@
 		}
 		status.Daemons = append(status.Daemons, line)
 	}
-	status.Warnings = node.warnings(now)
+	status.Warnings = node.facts(now).Warnings()
 	return status
 }
 
@@ -81,38 +80,3 @@
 	}
 	return names[node.chain.Head()][node.chain.Tail()]
 }
-
-// warnings tells which losses the fleet could no longer bear.
-func (node *Node) warnings(now time.Time) []string {
-	var warnings []string
-	current := node.agent.Current()
-	if current.Epoch == 0 {
-		return []string{"no view yet: every founder must be up and blank for the first one"}
-	}
-	live := 0
-	for _, member := range current.Chain {
-		if node.fresh(now, member.Id) {
-			live++
-		}
-	}
-	if live <= int(current.MinReplicas) && current.MinReplicas > 1 {
-		warnings = append(warnings, "the chain has no copy to spare: the loss of one more disk machine stops changes")
-	}
-	if live == 1 {
-		warnings = append(warnings, "there is one live copy of the control state")
-	}
-	acceptors := 0
-	for _, acceptor := range current.Acceptors {
-		if node.fresh(now, acceptor.Id) {
-			acceptors++
-		}
-	}
-	if acceptors < len(current.Acceptors) || len(current.Acceptors) < node.acceptorCount() {
-		warnings = append(warnings, "not all keepers are live: the loss of one more stops the mending of the chain")
-	}
-	if !spread(current.Acceptors) {
-		warnings = append(warnings, "most keepers stand in one zone")
-	}
-	sort.Strings(warnings)
-	return warnings
-}
--- /dev/null
+++ b/control/reconfiguration/decommission.go
@@ -0,0 +1,96 @@
+package reconfiguration
+
+import (
+	"time"
+
+	"wardtray/control/failuredetector"
+	"wardtray/control/membership"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+// decommissionDelay is how long at least a process that was ordered to stop waits for views that others proposed before
+// they were notified.
+const decommissionDelay = 2 * failuredetector.HeartbeatInterval
+
+// Decommission is the planned end of this process: the others take over its positions before it stops.
+type Decommission struct {
+	// since is when the order came; zero if there is none.
+	since time.Time
+}
+
+// Start notes the order to stop, and reports whether it is the first one.
+func (decommission *Decommission) Start(now time.Time) bool {
+	if decommission.IsStarted() {
+		return false
+	}
+	decommission.since = now
+	return true
+}
+
+// IsStarted reports whether this process was ordered to stop.
+func (decommission *Decommission) IsStarted() bool { return !decommission.since.IsZero() }
+
+// IsComplete reports whether this process may stop: an agreed view has it neither in the chain nor among the acceptors,
+// those who remain know that view and hold everything that is committed; or nobody is there to take over. Committed
+// is the newest committed sequence that this process knows.
+func (decommission *Decommission) IsComplete(facts *Facts, committed uint64) bool {
+	current, self := facts.View, facts.Local.Member.Id
+	if current.Epoch == 0 {
+		return true
+	}
+	// A view proposed before the others were notified may still give it a position.
+	if !decommission.IsStarted() || facts.Now.Sub(decommission.since) < decommissionDelay {
+		return false
+	}
+	if membership.Contains(current.Chain, self) {
+		return false
+	}
+	if membership.IsAcceptor(current, self) {
+		return facts.successorCount(current.Acceptors) == 0 && facts.isDispensable()
+	}
+	return facts.isHandedOver(committed)
+}
+
+// isDispensable reports whether the other acceptors can agree on views without this one, or nobody is left who would
+// need any.
+func (facts *Facts) isDispensable() bool {
+	remaining := 0
+	for _, peer := range facts.Detector.Peers() {
+		if id := peer.Member.Id; facts.isAlive(id) && !facts.isDecommissioning(id) {
+			remaining++
+		}
+	}
+	acceptors := facts.View.Acceptors
+	return remaining == 0 || facts.upToDateCount(acceptors, 0) >= view.Majority(len(acceptors))
+}
+
+// isHandedOver reports whether the members of the present view, in which this process has no position, act under it and
+// hold what is committed. Those that are not heard can't be waited for.
+func (facts *Facts) isHandedOver(committed uint64) bool {
+	current := facts.View
+	for _, member := range membership.Join(current.Chain, current.Acceptors) {
+		if facts.isAlive(member.Id) && facts.Detector.Peer(member.Id).Heartbeat.View < current.Epoch {
+			return false
+		}
+	}
+	copies := facts.upToDateCount(current.Chain, committed)
+	return facts.upToDateCount(current.Acceptors, 0) >= view.Majority(len(current.Acceptors)) &&
+		copies >= min(int(current.MinReplicas), len(current.Chain))
+}
+
+// upToDateCount counts the members that are heard to act under the present view, to remain, and to have synced a
+// sequence.
+func (facts *Facts) upToDateCount(members []*wire.Member, sequence uint64) int {
+	count := 0
+	for _, member := range members {
+		if facts.isSelf(member.Id) || !facts.isAlive(member.Id) {
+			continue
+		}
+		heartbeat := facts.Detector.Peer(member.Id).Heartbeat
+		if !heartbeat.Decommissioning && heartbeat.View >= facts.View.Epoch && heartbeat.Synced >= sequence {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/control/reconfiguration/facts.go
@@ -0,0 +1,193 @@
+// Package reconfiguration derives the view that should follow the present one: which members of the chain and which
+// acceptors have failed, leave or are cut off, and who takes their positions. Every answer is a function of the Facts
+// of one moment, except that a broken link must have lasted for a while (Planner).
+package reconfiguration
+
+import (
+	"sort"
+	"time"
+
+	"wardtray/control/failuredetector"
+	"wardtray/control/membership"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+// Local is the state of this process itself, which its peers learn from its heartbeats.
+type Local struct {
+	Member *wire.Member
+	// Unhealthy is set while its disk fails.
+	Unhealthy bool
+	// Decommissioning is set once it was ordered to stop.
+	Decommissioning bool
+	// Incomplete is set while its history may lack committed changes.
+	Incomplete bool
+	// Synced is up to where its disk holds the history, and InitialSynced up to where it did when the present view
+	// began here.
+	Synced, InitialSynced uint64
+	// LearnedView is the view in which it, outside the chain, learned the whole document.
+	LearnedView uint64
+}
+
+// Facts are what a process knows at one moment of the members and of the other control processes.
+type Facts struct {
+	Now      time.Time
+	View     *wire.View
+	Detector *failuredetector.Detector
+	Local    Local
+	// Faults is how many processes may lose their disks at the same time.
+	Faults int
+}
+
+// AcceptorCount returns how many acceptors there should be: a majority remains when Faults disks are lost.
+func (facts *Facts) AcceptorCount() int { return 2*facts.Faults + 1 }
+
+// ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
+func (facts *Facts) ChainLimit() int { return max(minimumChainLimit, 2*facts.Faults+1) }
+
+// MinReplicas returns the fewest copies that a change needs: one more than may be lost, but not more than there ever
+// were. It never falls below the present number.
+func (facts *Facts) MinReplicas(present uint32, members int) uint32 {
+	return max(present, uint32(min(facts.Faults+1, members)))
+}
+
+func (facts *Facts) isSelf(id string) bool { return id == facts.Local.Member.Id }
+
+func (facts *Facts) isAlive(id string) bool { return facts.Detector.IsAlive(facts.Now, id) }
+
+func (facts *Facts) hears(listener, speaker string) bool {
+	return facts.Detector.Hears(facts.Now, listener, speaker)
+}
+
+// isFailed reports whether a member is no longer there, or of no use: nobody hears it, or its disk fails.
+func (facts *Facts) isFailed(id string) bool {
+	if facts.isSelf(id) {
+		return facts.Local.Unhealthy
+	}
+	peer := facts.Detector.Peer(id)
+	return facts.Detector.IsUnreachable(facts.Now, id, facts.View.Acceptors) ||
+		peer != nil && facts.isAlive(id) && peer.Heartbeat.Unhealthy
+}
+
+// isDecommissioning reports whether a member that is heard was ordered to stop.
+func (facts *Facts) isDecommissioning(id string) bool {
+	if facts.isSelf(id) {
+		return facts.Local.Decommissioning
+	}
+	peer := facts.Detector.Peer(id)
+	return peer != nil && facts.isAlive(id) && peer.Heartbeat.Decommissioning
+}
+
+// isIneligible reports whether a process should get no position.
+func (facts *Facts) isIneligible(id string) bool {
+	return facts.isFailed(id) || facts.isDecommissioning(id)
+}
+
+// isComplete reports whether a member of the chain is known to hold all that was committed.
+func (facts *Facts) isComplete(id string) bool {
+	if facts.isSelf(id) {
+		return !facts.Local.Incomplete
+	}
+	peer := facts.Detector.Peer(id)
+	return peer != nil && !peer.Heartbeat.Incomplete
+}
+
+// progress returns how far a member has synced, and how far it had when the present view began, if it has reported.
+func (facts *Facts) progress(id string) (synced, initial uint64, reported bool) {
+	if facts.isSelf(id) {
+		return facts.Local.Synced, facts.Local.InitialSynced, true
+	}
+	peer := facts.Detector.Peer(id)
+	if peer == nil || peer.Heartbeat.View != facts.View.Epoch {
+		return 0, 0, false
+	}
+	return peer.Heartbeat.Synced, peer.InitialSynced, true
+}
+
+// hasCaughtUp reports whether a member said in the present view that it has synced what another had at its beginning.
+func (facts *Facts) hasCaughtUp(id, other string) bool {
+	synced, _, reported := facts.progress(id)
+	_, initial, otherReported := facts.progress(other)
+	return reported && otherReported && synced >= initial
+}
+
+// successorCount counts the live processes that are not among some members and could become one, also those that have
+// not learned anything yet.
+func (facts *Facts) successorCount(members []*wire.Member) int {
+	count := 0
+	for _, peer := range facts.Detector.Peers() {
+		id := peer.Member.Id
+		if !membership.Contains(members, id) && facts.isAlive(id) && !facts.isIneligible(id) {
+			count++
+		}
+	}
+	if self := facts.Local.Member.Id; !membership.Contains(members, self) && !facts.isIneligible(self) {
+		count++
+	}
+	return count
+}
+
+// liveCount counts the members that are alive.
+func (facts *Facts) liveCount(members []*wire.Member) int {
+	count := 0
+	for _, member := range members {
+		if facts.isAlive(member.Id) {
+			count++
+		}
+	}
+	return count
+}
+
+// HearsMajority reports whether this process hears most members of the chain and acceptors, itself among them.
+func (facts *Facts) HearsMajority() bool {
+	members := map[string]bool{}
+	for _, member := range membership.Join(facts.View.Chain, facts.View.Acceptors) {
+		members[member.Id] = true
+	}
+	alive := 0
+	for id := range members {
+		if facts.isAlive(id) {
+			alive++
+		}
+	}
+	return 2*alive > len(members)
+}
+
+// Warnings names which losses the fleet could no longer bear.
+func (facts *Facts) Warnings() []string {
+	current := facts.View
+	if current.Epoch == 0 {
+		return []string{"no view yet: every founder must be up and blank for the first one"}
+	}
+	var warnings []string
+	live := facts.liveCount(current.Chain)
+	if live <= int(current.MinReplicas) && current.MinReplicas > 1 {
+		warnings = append(warnings,
+			"the chain has no copy to spare: the loss of one more disk machine stops changes")
+	}
+	if live == 1 {
+		warnings = append(warnings, "there is one live copy of the control state")
+	}
+	if facts.liveCount(current.Acceptors) < len(current.Acceptors) || len(current.Acceptors) < facts.AcceptorCount() {
+		warnings = append(warnings,
+			"not all keepers are live: the loss of one more stops the mending of the chain")
+	}
+	if !isSpread(current.Acceptors) {
+		warnings = append(warnings, "most keepers stand in one zone")
+	}
+	sort.Strings(warnings)
+	return warnings
+}
+
+// isSpread reports whether no zone has a majority of the acceptors.
+func isSpread(acceptors []*wire.Member) bool {
+	if len(acceptors) < 3 {
+		return true
+	}
+	for _, count := range membership.ZoneCounts(acceptors) {
+		if count >= view.Majority(len(acceptors)) {
+			return false
+		}
+	}
+	return true
+}
