--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -5,7 +5,9 @@
 	"time"
 
 	"wardtray/apierror"
+	"wardtray/control/daemonlease"
 	"wardtray/control/failuredetector"
+	"wardtray/control/leadership"
 	"wardtray/coordination/lease"
 )
 
@@ -108,7 +110,7 @@
 
 // Takeover is after what time at most another head may act once a head was lost.
 func (bounds Bounds) Takeover() time.Duration {
-	return bounds.Detection() + bounds.Stagger + lease.Term + claimAgain
+	return bounds.Detection() + bounds.Stagger + lease.Term + leadership.RetryInterval
 }
 
 // SeatRepair is after what time at most a machine that has just started has the seat of a acceptor that was lost no
@@ -130,7 +132,7 @@
 		what          string
 		needed, limit time.Duration
 	}{
-		{"acknowledge: a takeover and a daemon's lease", bounds.Takeover() + bounds.DaemonLease + leaseMargin, limits.Acknowledge},
+		{"acknowledge: a takeover and a daemon's lease", bounds.Takeover() + bounds.DaemonLease + daemonlease.ClockMargin, limits.Acknowledge},
 		{"catch_up: the repair of a seat and of a copy", bounds.CopyRepair(), limits.CatchUp},
 		{"contact: the detection of a loss", bounds.Detection(), limits.Contact},
 		{"apply: twice a daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
@@ -146,8 +148,6 @@
 // The periods, time limits and sizes of the control plane that depend on no setting.
 const (
 	heartbeatEvery     = failuredetector.HeartbeatInterval
-	claimEvery         = 200 * time.Millisecond
-	claimAgain         = 40 * time.Millisecond
 	learnEvery         = 300 * time.Millisecond
 	learnedEvery       = time.Second
 	maximumPartialView = failuredetector.MaximumPeers
@@ -158,14 +158,8 @@
 	maximumHops        = 3
 	// parkBound is for how long a question waits here for the moment at which it can be answered; its asker
 	// sends it again meanwhile.
-	parkBound = 2 * time.Second
-	// leaseMargin is what the head waits beyond that, for clocks that drift.
-	leaseMargin   = 100 * time.Millisecond
+	parkBound     = 2 * time.Second
 	directoryWait = 300 * time.Millisecond
-	// callAfter is how long gossip have to bring a change to everybody before the head calls those who lack it.
-	callAfter   = 40 * time.Millisecond
-	callEvery   = 100 * time.Millisecond
-	absentBound = 60 * time.Second
-	// MaximumDaemons bounds the daemons one head keeps ticks for.
-	MaximumDaemons = 4096
+	// MaximumDaemons bounds the daemons that one head grants leases to.
+	MaximumDaemons = daemonlease.MaximumDaemons
 )
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"wardtray/control/daemonlease"
+	"wardtray/control/leadership"
 	"wardtray/coordination/lease"
 )
 
@@ -60,7 +62,7 @@
 		"a frozen process knows before it suspects":      bounds.Frozen+heartbeatEvery <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
 		"a holder's lease ends before a keeper's":        lease.Held < lease.Term,
-		"a lease asked for again before it ends":         2*claimEvery < lease.Held,
+		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.Held,
 		"an attempt at a view outlasts a round of votes": bounds.Stagger >= 100*time.Millisecond,
 		"a leave ends before the grace":                  bounds.Leave < limits.Grace,
 	} {
@@ -74,7 +76,7 @@
 func requireFit(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	for what, holds := range map[string]bool{
-		"a lease, a detection and a view change below acknowledge": bounds.Detection()+bounds.Stagger+lease.Term+bounds.DaemonLease+leaseMargin < limits.Acknowledge,
+		"a lease, a detection and a view change below acknowledge": bounds.Detection()+bounds.Stagger+lease.Term+bounds.DaemonLease+daemonlease.ClockMargin < limits.Acknowledge,
 		"a repaired seat below catch_up":                           bounds.SeatRepair() < limits.CatchUp,
 		"a repaired copy within catch_up":                          bounds.CopyRepair() <= limits.CatchUp,
 		"a detection below contact":                                bounds.Detection() <= limits.Contact,
--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/daemonlease"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -32,7 +33,7 @@
 	memory := &wire.DurableState{Id: "b", ClearedTerm: 3, View: &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members}, Document: &wire.Document{Sequence: 4, SpecEpoch: 4}}
 	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
 	for _, test := range []struct{ since, want time.Duration }{
-		{0, lease.DaemonTerm + leaseMargin}, {lease.DaemonTerm / 2, lease.DaemonTerm/2 + leaseMargin}, {lease.DaemonTerm + leaseMargin, 0},
+		{0, lease.DaemonTerm + daemonlease.ClockMargin}, {lease.DaemonTerm / 2, lease.DaemonTerm/2 + daemonlease.ClockMargin}, {lease.DaemonTerm + daemonlease.ClockMargin, 0},
 	} {
 		grant := grantOf(t, node, now.Add(test.since), head)
 		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 || got != test.want {
--- a/control/node/disk.go
+++ b/control/node/disk.go
@@ -13,7 +13,7 @@
 // Memory returns all that this machine must not forget.
 func (node *Node) Memory() *wire.DurableState {
 	state := &wire.DurableState{Id: node.self.Id, View: node.agent.Current(), AcceptorState: node.agent.Vote(),
-		Founding: node.proposer.IsFounding(), ClearedTerm: node.cleared}
+		Founding: node.proposer.IsFounding(), ClearedTerm: node.grantor.ClearedTerm()}
 	node.chain.Memory(state)
 	return state
 }
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -69,10 +69,10 @@
 // handleLeases enters questions for leases, heartbeats and operators' calls.
 func (node *Node) handleLeases() {
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
-		node.onClaimAsk(now, envelope, body.LeaderLeaseRequest)
+		node.grantor.Request(now, envelope, body.LeaderLeaseRequest)
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
-		node.onClaimGrant(now, envelope.Sender, body.LeaderLeaseGrant)
+		node.onLeaderLeaseGrant(now, envelope.Sender, body.LeaderLeaseGrant)
 	})
 	on(node, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
 		node.onHeartbeat(now, body.Heartbeat)
@@ -84,7 +84,7 @@
 		node.onOperatorAnswer(body.OperatorResponse)
 	})
 	on(node, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_DaemonLeaseRequest) {
-		node.onTickAsk(now, envelope, body.DaemonLeaseRequest)
+		node.onDaemonLeaseRequest(now, envelope.From, body.DaemonLeaseRequest)
 	})
 }
 
@@ -138,7 +138,7 @@
 	if envelope.From != node.self.Address {
 		node.detector.Received(now)
 	}
-	node.keeper.Heard(now, envelope.Sender, envelope.Epoch)
+	node.grantor.Heard(now, envelope.Sender, envelope.Epoch)
 	if handle := node.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
 		handle(now, envelope)
 	}
--- a/control/node/document.go
+++ b/control/node/document.go
@@ -23,15 +23,12 @@
 
 func (node *Node) onCommit(now time.Time, sequence uint64) {
 	node.counters.Commits++
-	if len(node.head.commits) >= 1024 {
-		node.head.commits = map[uint64]time.Time{}
-	}
-	node.head.commits[sequence] = now
+	node.leases.Committed(now, sequence)
 	node.witness.Knows(sequence)
 	node.publish(now)
 	// The acceptors must know before the change may be acknowledged; they should not wait for the next round.
-	node.lastClaim = time.Time{}
-	node.tendClaim(now)
+	node.leadership.ExpediteRequest()
+	node.leadership.Tick(now)
 }
 
 // publish puts the committed document among the gossip, without what only the chain needs.
--- a/control/node/election.go
+++ b/control/node/election.go
@@ -10,20 +10,18 @@
 func (node *Node) onView(now time.Time, current *wire.View) {
 	node.counters.Views++
 	node.proposer.Reset()
-	node.keeper.Learn(now, current)
-	node.rememberAcceptors(now, node.lastView, current)
-	node.lastView = current
+	node.grantor.Adopt(now, current)
+	node.leases.Adopt(now, current)
 	node.chain.Adopt(now, current)
 	node.initialSynced = node.chain.Synced()
-	if current.HeadTerm != node.head.term {
-		node.head.started, node.head.term = time.Time{}, current.HeadTerm
-	}
+	node.leadership.Adopt(current)
 	node.failWaiters(now)
 	// Neither the new head nor whoever could join should wait for a round.
-	node.lastClaim, node.lastLearn = time.Time{}, time.Time{}
+	node.lastLearn = time.Time{}
+	node.leadership.ExpediteRequest()
 	node.detector.ExpediteHeartbeat()
-	node.tendKeeping(now)
-	node.tendClaim(now)
+	node.grantor.Tick(now)
+	node.leadership.Tick(now)
 	node.sendHeartbeats(now)
 	node.tendLearning(now)
 }
--- a/control/node/leases.go
+++ b/control/node/leases.go
@@ -3,106 +3,69 @@
 import (
 	"time"
 
-	"wardtray/control/membership"
+	"wardtray/control/daemonlease"
 	"wardtray/wire"
 )
 
-type daemon struct {
-	zone        string
-	http        string
-	sequence    uint64
-	granted     time.Time
-	asked       time.Time
-	asks        int
-	incarnation uint64
-	leaving     bool
-	// gone is when nobody listened at its address any more; its process, and all that it relied on, ended before.
-	gone time.Time
+// leader returns what the delivery of a change depends on beside the daemons' leases.
+func (node *Node) leader(now time.Time) daemonlease.Leader {
+	return daemonlease.Leader{Now: now, Since: node.leadership.Started(), View: node.agent.Current(),
+		IsGrowing: func() bool { return node.facts(now).IsGrowing() }}
 }
 
-// daemonRefused takes in that a daemon's process is dead.
-func (node *Node) daemonRefused(now time.Time, address string, tried time.Time) {
-	if !node.leading(now) {
-		return
-	}
-	known, document := node.head.daemons[address], node.chain.Committed()
-	if known == nil && (membership.Contains(document.Directory, address) || membership.Contains(document.PreviousDirectory, address)) {
-		known = &daemon{}
-		node.head.daemons[address] = known
-	}
-	// What it was granted or told since it was tried may be for a new process at its address.
-	if known != nil && known.granted.Before(tried) && known.asked.Before(tried) {
-		known.gone, known.sequence, known.asks = tried, 0, 0
-		if node.head.issuer != nil {
-			node.head.issuer.Release(now, address)
-		}
-		node.answerWaiters(now)
-	}
+// delivered reports whether a committed change may be acknowledged.
+func (node *Node) delivered(now time.Time, sequence uint64) bool {
+	return node.leases.IsDelivered(node.leader(now), sequence)
 }
 
-// tendDelivery calls daemons that were not heard to know the last change. Where nobody listens any more, the
-// call itself shows it.
-func (node *Node) tendDelivery(now time.Time) {
-	if now.Sub(node.lastCall) < callEvery || !node.leading(now) {
-		return
+// onDaemonLeaseRequest answers a data daemon: the head grants a lease, an acceptor confirms what the daemon has, and
+// every machine passes on a newer view.
+func (node *Node) onDaemonLeaseRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) {
+	newest := node.agent.Newest()
+	grant := &wire.DaemonLeaseGrant{Nonce: request.Nonce, ViewEpoch: newest.Epoch,
+		RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
+	if request.View < newest.Epoch {
+		grant.View = newest
 	}
-	document := node.chain.Committed()
-	if seen, found := node.head.commits[document.Sequence]; found && now.Sub(seen) < callAfter || node.delivered(now, document.Sequence) {
-		return
-	}
-	node.lastCall = now
-	for _, member := range document.Directory {
-		if known := node.head.daemons[member.Address]; known == nil || known.sequence < document.Sequence {
-			node.outbox.Send(member.Address, &wire.Envelope{Body: &wire.Envelope_DaemonLeasePrompt{DaemonLeasePrompt: &wire.DaemonLeasePrompt{Sequence: document.Sequence}}})
+	if node.leadership.IsLeading(now) {
+		document := node.chain.Committed()
+		if node.leases.Request(now, address, request) && node.inDirectory(document, address) {
+			node.leases.Grant(now, address, grant)
+		}
+		if request.Quota != nil {
+			grant.Quota = node.quotas.Grant(now, document, address, request.Quota, grant.Granted)
 		}
-	}
-}
-
-// onTickAsk answers a data daemon: the head grants a lease, a acceptor confirms what the daemon has, and everybody
-// tells a newer view.
-func (node *Node) onTickAsk(now time.Time, envelope *wire.Envelope, message *wire.DaemonLeaseRequest) {
-	current := node.agent.Newest()
-	grant := &wire.DaemonLeaseGrant{Nonce: message.Nonce, ViewEpoch: current.Epoch, RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
-	if message.View < current.Epoch {
-		grant.View = current
-	}
-	if node.leading(now) {
-		node.grantLease(now, envelope.From, message, grant)
-	}
-	if message.Quota != nil && node.leading(now) {
-		grant.Quota = node.shares(now, envelope.From, message.Quota, grant.Granted)
 	}
 	if !grant.Granted {
-		grant.Confirmed = node.confirms(now, envelope.From, message)
+		isMember := node.inDirectory(node.newestDirectory(), address)
+		grant.Confirmed = node.confirmer.Confirm(now, address, request, isMember)
 		grant.Sequence = node.witness.Known()
 	}
-	node.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_DaemonLeaseGrant{DaemonLeaseGrant: grant}})
+	node.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_DaemonLeaseGrant{DaemonLeaseGrant: grant}})
 	node.answerWaiters(now)
 }
 
-// grantLease notes what a daemon knows, and grants it a lease if it stands in the directory. The next head waits for
-// all of the directory, and so for whoever may hold a lease of this one's.
-func (node *Node) grantLease(now time.Time, address string, message *wire.DaemonLeaseRequest, grant *wire.DaemonLeaseGrant) {
-	known := node.head.daemons[address]
-	if known == nil {
-		if len(node.head.daemons) >= MaximumDaemons {
-			return
-		}
-		known = &daemon{incarnation: message.Incarnation}
-		node.head.daemons[address] = known
+// unleased lists the daemons of the directory that hold no lease by the word of the present head, if that is known.
+func (node *Node) unleased(now time.Time) []string {
+	current := node.agent.Current()
+	if len(current.Chain) == 0 {
+		return nil
 	}
-	if node.head.firstDaemon.IsZero() {
-		node.head.firstDaemon = now
+	head := current.Chain[0].Id
+	if head == node.self.Id {
+		return node.unleasedHere(now)
 	}
-	// A new life shows that the old one's process, with its lease, has ended.
-	if known.incarnation != message.Incarnation {
-		known.incarnation, known.granted, known.asks = message.Incarnation, time.Time{}, 0
+	peer := node.detector.Peer(head)
+	if peer != nil && node.detector.IsAlive(now, head) && peer.Heartbeat.View == current.Epoch {
+		return peer.Heartbeat.UnleasedDaemons
 	}
-	// A daemon that began anew knows less than it once confirmed, so the last word counts, not the greatest.
-	known.zone, known.http, known.sequence, known.asked, known.leaving = message.Zone, message.Http, message.Sequence, now, message.Draining
-	known.asks++
-	if document := node.chain.Committed(); node.inDirectory(document, address) {
-		known.granted = now
-		grant.Granted, grant.Sequence, grant.Milliseconds = true, document.Sequence, uint32(node.settings.Staleness.Milliseconds())
+	return nil
+}
+
+// unleasedHere lists the daemons of the directory that hold no lease of this machine's, if it leads.
+func (node *Node) unleasedHere(now time.Time) []string {
+	if !node.leadership.IsLeading(now) {
+		return nil
 	}
+	return node.leases.Unleased(now, node.leadership.Started())
 }
--- a/control/node/membership.go
+++ b/control/node/membership.go
@@ -47,7 +47,7 @@
 	heartbeat := &wire.Heartbeat{Member: node.self, View: current.Epoch, Fleet: current.Fleet, Blank: current.Epoch == 0,
 		Unhealthy: node.disk.IsUnhealthy(now), Synced: node.chain.Synced(), LearnedView: node.chain.LearnedView(),
 		Decommissioning: node.decommission.IsStarted(), Reachable: node.detector.Reachable(now),
-		UnleasedDaemons: node.absent(now), Incomplete: node.chain.Incomplete()}
+		UnleasedDaemons: node.unleasedHere(now), Incomplete: node.chain.Incomplete()}
 	for _, address := range node.coreAddresses() {
 		node.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: heartbeat}})
 	}
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -9,8 +9,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/daemonlease"
 	"wardtray/control/durability"
 	"wardtray/control/failuredetector"
+	"wardtray/control/leadership"
 	"wardtray/control/reconfiguration"
 	"wardtray/control/viewchange"
 	"wardtray/coordination/chain"
@@ -67,18 +69,16 @@
 
 	agent  *view.Agent
 	chain  *chain.Chain
-	holder *lease.Lessee
-	keeper *lease.Lessor
 	gossip *gossip.Store
-	// witness is what this machine, as a acceptor, has told daemons.
-	witness *lease.Witness
-	// heldAtStart is the newest sequence that the disk held when this process began.
-	heldAtStart uint64
-	// previousAcceptors are those of the views that ended within the last lease.
-	previousAcceptors []previousAcceptors
-	lastView          *wire.View
-	directorySet      addressSet
-	partialView       *peersampling.PartialView
+	// witness is what this machine, as an acceptor, has confirmed to daemons.
+	witness      *lease.Witness
+	leadership   *leadership.Leadership
+	grantor      *leadership.Grantor
+	leases       *daemonlease.Leases
+	quotas       *daemonlease.Quotas
+	confirmer    *daemonlease.Confirmer
+	directorySet addressSet
+	partialView  *peersampling.PartialView
 
 	detector     *failuredetector.Detector
 	proposer     *viewchange.Proposer
@@ -86,11 +86,7 @@
 	disk         *durability.Disk
 
 	started   time.Time
-	lastClaim time.Time
 	lastLearn time.Time
-	// cleared is the last term of which the disk says that the heads before it act no more.
-	cleared  uint64
-	lastCall time.Time
 	// initialSynced is how far this machine had synced when the present view began here.
 	initialSynced uint64
 	bounds        Bounds
@@ -119,15 +115,12 @@
 	for _, record := range records {
 		Replay(memory, record)
 	}
-	node := &Node{incarnation: random.Uint64(), holder: lease.NewLessee(random.Uint64()), settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now,
+	incarnation, leaseNonce := random.Uint64(), random.Uint64()
+	node := &Node{incarnation: incarnation, settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now,
 		self: &wire.Member{Id: memory.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP},
 		asks: map[string]*ask{}}
 	node.detector = failuredetector.New(now, node.self, node.bounds.Suspicion, node.bounds.Frozen)
 	node.disk = durability.New(node.outbox, records, node.bounds.Unhealthy, node.Memory)
-	node.head.daemons, node.head.commits = map[string]*daemon{}, map[uint64]time.Time{}
-	node.head.ledger = lease.NewProgressTracker()
-	node.witness = lease.NewWitness(node.leaseLength())
-	node.heldAtStart = newestOf(memory.Document, memory.Pending)
 	node.chain = chain.New(memory.Id, memory.Document, memory.Pending, node.outbox, node.detector.AddressOf, node.onCommit)
 	node.chain.RestoreIncomplete(memory.Incomplete)
 	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.AcceptorState, node.outbox, node.detector.Resolve, node.onView)
@@ -142,17 +135,23 @@
 	if memory.Document != nil && memory.Document.Sequence > 0 {
 		node.publish(now)
 	}
-	node.cleared = memory.ClearedTerm
-	node.keeper = lease.Restore(now, node.agent.Current(), memory.ClearedTerm)
+	node.leases = daemonlease.NewLeases(node.chain, node.outbox, settings.Staleness, node.agent.Current())
+	node.quotas = daemonlease.NewQuotas(settings.Quotas, node.bounds.QuotaTerm)
+	node.witness = lease.NewWitness(node.leases.Length())
+	node.confirmer = daemonlease.NewConfirmer(memory.Id, node.agent, node.chain, node.witness)
+	node.grantor = leadership.NewGrantor(now, memory.Id, node.agent, node.outbox, node.witness, memory.ClearedTerm)
+	node.leadership = leadership.New(leaseNonce, node.agent, node.chain, node.outbox, node.detector.AddressOf, func() {
+		node.leases.Reset()
+		node.quotas.Reset()
+	})
 	if foundsNow {
 		// A founder that is killed before there is a view must still be one when it starts again.
 		node.disk.Replace(now)
 	}
-	node.lastView = node.agent.Current()
 	if current := node.agent.Current(); current.Epoch > 0 {
 		// Which views ended a moment before this process began is not known.
 		node.witness.Restarted(now)
-		node.previousAcceptors = []previousAcceptors{{until: now.Add(node.leaseLength())}}
+		node.leases.Restarted(now)
 		node.chain.Adopt(now, current)
 		node.initialSynced = node.chain.Synced()
 	}
@@ -197,8 +196,11 @@
 // Refused takes in that nobody listened at an address when it was tried at a moment: the process that was
 // there is dead, since it listens for as long as it lives, and with it all that it was granted.
 func (node *Node) Refused(now time.Time, address string, tried time.Time) {
-	node.keeper.Refused(now, address, tried)
-	node.daemonRefused(now, address, tried)
+	node.grantor.ConnectionRefused(now, address, tried)
+	if node.leadership.IsLeading(now) && node.leases.ConnectionRefused(address, tried) {
+		node.quotas.Release(now, address)
+		node.answerWaiters(now)
+	}
 	node.detector.Terminated(address, tried)
 	node.sendHeartbeats(now)
 	node.proposer.Tick(node.facts(now))
@@ -219,13 +221,15 @@
 	}
 	node.disk.Tick(now)
 	node.sendHeartbeats(now)
-	node.tendKeeping(now)
-	node.tendClaim(now)
+	node.grantor.Tick(now)
+	node.leadership.Tick(now)
 	node.proposer.Tick(node.facts(now))
 	node.chain.Tick(now)
 	node.tendLearning(now)
 	node.tendDirectory(now)
-	node.tendDelivery(now)
+	if node.leases.IsPromptDue(now) && node.leadership.IsLeading(now) {
+		node.leases.Prompt(node.leader(now))
+	}
 	node.partialView.Tick(now)
 	node.gossip.Tick(now)
 	node.registrar.Tick(now)
--- a/control/node/operator.go
+++ b/control/node/operator.go
@@ -209,13 +209,13 @@
 }
 
 // answers tells whether this machine could answer any question now: as head.
-func (node *Node) answers(now time.Time) bool { return node.leading(now) }
+func (node *Node) answers(now time.Time) bool { return node.leadership.IsLeading(now) }
 
 func (node *Node) serveGet(now time.Time, message *wire.OperatorRequest) {
 	if !node.chain.Head() {
 		return
 	}
-	if !node.leading(now) {
+	if !node.leadership.IsLeading(now) {
 		node.park(now, message)
 		return
 	}
@@ -245,7 +245,7 @@
 
 // leads tells whether this machine may answer a question as head; a head that may not yet parks it.
 func (node *Node) leads(now time.Time, message *wire.OperatorRequest) bool {
-	leading := node.leading(now)
+	leading := node.leadership.IsLeading(now)
 	if !leading && node.chain.Head() {
 		node.park(now, message)
 	}
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wardtray/config"
+	"wardtray/control/daemonlease"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -206,7 +207,7 @@
 	if read.status != 200 || lone.routes(t) != "b" {
 		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.routes(t))
 	}
-	lone.run(lease.DaemonTerm + leaseMargin)
+	lone.run(lease.DaemonTerm + daemonlease.ClockMargin)
 	if changed.status != 200 {
 		t.Fatalf("the change: %d %+v", changed.status, changed.reply)
 	}
--- a/control/node/registry.go
+++ b/control/node/registry.go
@@ -40,13 +40,11 @@
 	for _, member := range node.directory() {
 		found[member.Address] = true
 	}
-	for address, known := range node.head.daemons {
-		if now.Sub(known.asked) < node.settings.Staleness {
-			found[address] = true
-		}
+	for _, address := range node.leases.Active(now) {
+		found[address] = true
 	}
 	// A daemon without a lease awards nothing, and learns of the runners before it gets one again.
-	for _, address := range node.absentByHead(now) {
+	for _, address := range node.unleased(now) {
 		delete(found, address)
 	}
 	addresses := make([]string, 0, len(found))
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -46,7 +46,7 @@
 	current, document := node.agent.Current(), node.chain.Committed()
 	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: node.placeName(), Synced: node.chain.Synced(),
 		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: len(node.asks),
-		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Unhealthy: node.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
+		Claim: node.leadership.HoldsLease(now), Leading: node.leadership.IsLeading(now), Unhealthy: node.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
 		line := MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)}
 		if peer := node.detector.Peer(member.Id); peer != nil {
@@ -61,9 +61,7 @@
 	}
 	for _, member := range document.Directory {
 		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
-		if known := node.head.daemons[member.Address]; known != nil {
-			line.Heard, line.Sequence = now.Sub(known.asked) < node.settings.Staleness, known.sequence
-		}
+		line.Sequence, line.Heard = node.leases.Progress(now, member.Address)
 		status.Daemons = append(status.Daemons, line)
 	}
 	status.Warnings = node.facts(now).Warnings()
@@ -71,7 +69,7 @@
 }
 
 // Leading tells whether this machine acts as head at this moment.
-func (node *Node) Leading(now time.Time) bool { return node.leading(now) }
+func (node *Node) Leading(now time.Time) bool { return node.leadership.IsLeading(now) }
 
 func (node *Node) placeName() string {
 	names := map[bool]map[bool]string{true: {true: "head and tail", false: "head"}, false: {true: "tail", false: "middle"}}
