--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -131,9 +131,9 @@
 		previous.Decommissioning != heartbeat.Decommissioning || previous.Unhealthy != heartbeat.Unhealthy
 }
 
-// Terminated handles that nobody listened at an address when it was tried: a process listens for as long as it lives,
+// ConnectionRefused handles that nobody listened at an address when it was tried: a process listens for as long as it lives,
 // so the one that was last heard there before has ended.
-func (detector *Detector) Terminated(address string, tried time.Time) {
+func (detector *Detector) ConnectionRefused(address string, tried time.Time) {
 	for _, peer := range detector.peers {
 		if peer.Member.Address == address && !peer.Terminated && peer.LastSeen.Before(tried) {
 			peer.Terminated = true
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -59,7 +59,7 @@
 	detector := newDetector()
 	hear(t, detector, start, "b")
 	hear(t, detector, start, "c")
-	detector.Terminated("c:1", start.Add(1))
+	detector.ConnectionRefused("c:1", start.Add(1))
 	if detector.Tick(start.Add(pause)) {
 		t.Error("a pause of just the bound")
 	}
@@ -73,12 +73,12 @@
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
-	detector.Terminated("b:1", start)
+	detector.ConnectionRefused("b:1", start)
 	if !detector.IsAlive(start, "b") {
 		t.Error("heard at the moment of the attempt")
 	}
 	detector.TakeHeartbeat(start)
-	detector.Terminated("b:1", start.Add(1))
+	detector.ConnectionRefused("b:1", start.Add(1))
 	if detector.IsAlive(start.Add(1), "b") || !detector.WasSeenRecently(start.Add(1), detector.Peer("b")) {
 		t.Error("refused after it was heard")
 	}
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -6,6 +6,7 @@
 
 	"wardtray/apierror"
 	"wardtray/control/daemonlease"
+	"wardtray/control/directory"
 	"wardtray/control/failuredetector"
 	"wardtray/control/leadership"
 	"wardtray/coordination/lease"
@@ -77,7 +78,7 @@
 
 const (
 	usualSuspicion = 700 * time.Millisecond
-	leastSuspicion = 2*heartbeatEvery + 100*time.Millisecond
+	leastSuspicion = 2*failuredetector.HeartbeatInterval + 100*time.Millisecond
 	usualStagger   = 400 * time.Millisecond
 	usualStarting  = 2 * time.Second
 	leastStagger   = 200 * time.Millisecond
@@ -92,7 +93,7 @@
 		Suspicion:   suspicion,
 		Unhealthy:   suspicion,
 		Broken:      suspicion,
-		Frozen:      suspicion - heartbeatEvery,
+		Frozen:      suspicion - failuredetector.HeartbeatInterval,
 		Stagger:     max(leastStagger, min(usualStagger, repair/10)),
 		DaemonLease: lease.DaemonTermFor(limits.Apply),
 		QuotaTerm:   limits.Acknowledge,
@@ -103,7 +104,9 @@
 }
 
 // Detection is after what time at most the loss of a machine is known.
-func (bounds Bounds) Detection() time.Duration { return bounds.Suspicion + heartbeatEvery }
+func (bounds Bounds) Detection() time.Duration {
+	return bounds.Suspicion + failuredetector.HeartbeatInterval
+}
 
 // ViewChange is how long the agreement on a view takes at most where one proposer fails, disks and links being well.
 func (bounds Bounds) ViewChange() time.Duration { return 2 * bounds.Stagger }
@@ -116,12 +119,12 @@
 // SeatRepair is after what time at most a machine that has just started has the seat of a acceptor that was lost no
 // later: it is heard and told the view, says so, and a view is agreed.
 func (bounds Bounds) SeatRepair() time.Duration {
-	return bounds.Detection() + 2*heartbeatEvery + bounds.ViewChange()
+	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
 
 // CopyRepair is after what time at most it has a place in the chain too: it learns the document and a view is agreed.
 func (bounds Bounds) CopyRepair() time.Duration {
-	return bounds.SeatRepair() + learnEvery + bounds.ViewChange()
+	return bounds.SeatRepair() + directory.LearnInterval + bounds.ViewChange()
 }
 
 // Check tells which limits are too short for what has to happen within them.
@@ -145,21 +148,5 @@
 	return nil
 }
 
-// The periods, time limits and sizes of the control plane that depend on no setting.
-const (
-	heartbeatEvery     = failuredetector.HeartbeatInterval
-	learnEvery         = 300 * time.Millisecond
-	learnedEvery       = time.Second
-	maximumPartialView = failuredetector.MaximumPeers
-	askBound           = 6 * time.Second
-	waitBound          = 5 * time.Second
-	askAgain           = 300 * time.Millisecond
-	maximumAsks        = 256
-	maximumHops        = 3
-	// parkBound is for how long a question waits here for the moment at which it can be answered; its asker
-	// sends it again meanwhile.
-	parkBound     = 2 * time.Second
-	directoryWait = 300 * time.Millisecond
-	// MaximumDaemons bounds the daemons that one head grants leases to.
-	MaximumDaemons = daemonlease.MaximumDaemons
-)
+// MaximumDaemons bounds the daemons that one head grants leases to.
+const MaximumDaemons = daemonlease.MaximumDaemons
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wardtray/control/daemonlease"
+	"wardtray/control/failuredetector"
 	"wardtray/control/leadership"
 	"wardtray/coordination/lease"
 )
@@ -58,8 +59,8 @@
 func requireOrder(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	for what, holds := range map[string]bool{
-		"two beats within a suspicion":                   2*heartbeatEvery < bounds.Suspicion,
-		"a frozen process knows before it suspects":      bounds.Frozen+heartbeatEvery <= bounds.Suspicion,
+		"two beats within a suspicion":                   2*failuredetector.HeartbeatInterval < bounds.Suspicion,
+		"a frozen process knows before it suspects":      bounds.Frozen+failuredetector.HeartbeatInterval <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
 		"a holder's lease ends before a keeper's":        lease.Held < lease.Term,
 		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.Held,
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
@@ -256,14 +256,14 @@
 	}
 	late := &wire.OperatorRequest{}
 	*late = wire.OperatorRequest{Verb: refused.Verb, Operation: refused.Operation, Spec: refused.Spec, Token: refused.Token, Origin: refused.Origin}
-	for number := range 3 * refusalWindow {
+	for number := range 3 * proposal.RefusalWindow {
 		if got := lone.send(apply(fmt.Sprint("stale", number), 0, 9, "c")); got.status != 409 {
 			t.Fatalf("%d %+v", got.status, got.reply)
 		}
 		if number%4 == 0 {
 			lone.run(50 * time.Millisecond)
 		}
-		if number == refusalWindow/2 {
+		if number == proposal.RefusalWindow/2 {
 			if got := lone.send(change("mended", 1, 2, `{"upsert":{"pools":[{"name":"q","services":["t"]}]}}`)); got.status != 200 {
 				t.Fatalf("%d %+v", got.status, got.reply)
 			}
@@ -271,7 +271,7 @@
 		if number%100 != 0 {
 			continue
 		}
-		lone.node.serve(lone.now, late)
+		lone.node.proposals.Serve(lone.now, late)
 		lone.settle()
 		if lone.node.Chain().Outcome("refused") != nil {
 			t.Fatalf("taken late, after %d other refusals", number)
@@ -292,47 +292,18 @@
 	if got := lone.send(stale); got.status != 409 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
-	again := 0
-	lone.node.asks[stale.Token] = &ask{message: stale, until: lone.now.Add(askBound), passed: map[string]bool{}, answer: func(status int, _ []byte) { again = status }}
-	lone.node.serve(lone.now, stale)
-	if again != 409 || lone.node.Counters().Refused != 1 {
-		t.Fatalf("told %d, counted %d", again, lone.node.Counters().Refused)
-	}
-}
-
-// The window of each life of a machine is its own, and what is remembered stays bounded.
-func TestRefusalWindows(t *testing.T) {
-	t.Parallel()
-	refusals := &refusals{}
-	for number := 1; number <= 3*refusalWindow; number++ {
-		token := fmt.Sprintf("a/1/%d", number)
-		if late, refused := refusals.see(token); late || refused {
-			t.Fatalf("%s: late %v, refused %v", token, late, refused)
-		}
-		refusals.tell(token)
-		if _, refused := refusals.see(token); !refused || len(refusals.origins["a/1/"].told) > refusalWindow {
-			t.Fatalf("%s: refused %v of %d", token, refused, len(refusals.origins["a/1/"].told))
+	lone.node.Drain()
+	// The copy comes from another machine, so that the reply goes through the outbox.
+	stale.Origin = "elsewhere"
+	lone.node.proposals.Serve(lone.now, stale)
+	again := uint32(0)
+	messages, _ := lone.node.Drain()
+	for _, message := range messages {
+		if response := message.Envelope.GetOperatorResponse(); message.To == "elsewhere" && response.GetToken() == stale.Token {
+			again = response.Status
 		}
 	}
-	for _, wants := range []struct {
-		number        int
-		late, refused bool
-	}{{1, true, false}, {2 * refusalWindow, true, false}, {2*refusalWindow + 1, false, true}, {3*refusalWindow + 1, false, false}, {2*refusalWindow + 1, true, false}} {
-		late, refused := refusals.see(fmt.Sprintf("a/1/%d", wants.number))
-		if late != wants.late || refused != wants.refused {
-			t.Errorf("%d: late %v, refused %v", wants.number, late, refused)
-		}
-	}
-	if late, refused := refusals.see("a/2/1"); late || refused {
-		t.Error("another life goes by the window of the one before")
-	}
-	for incarnation := range 2 * maximumOrigins {
-		refusals.see(fmt.Sprintf("b/%d/1", incarnation))
-	}
-	if len(refusals.origins) > maximumOrigins {
-		t.Errorf("%d lives are remembered", len(refusals.origins))
-	}
-	if origin, number := splitToken(strings.Repeat("x", 3)); origin != "xxx" || number != 0 {
-		t.Error("a token of another shape")
+	if again != 409 || lone.node.Counters().Refused != 1 {
+		t.Fatalf("told %d, counted %d", again, lone.node.Counters().Refused)
 	}
 }
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -16,17 +16,15 @@
 	for incarnation := range 2 {
 		node := New(time.Unix(0, 0), Settings{Address: "127.0.0.1:1", Zone: "a"}, &wire.DurableState{Id: "same"}, nil, rand.New(rand.NewSource(int64(incarnation))))
 		answers := 0
-		node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
-		for token := range node.asks {
-			if tokens[token] {
-				t.Fatalf("token %s again", token)
-			}
-			tokens[token] = true
-			// An answer to a question that nobody asked in this life changes nothing.
-			node.onOperatorAnswer(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
-			if answers != 0 {
-				t.Fatal("a stranger's answer was given")
-			}
+		token := node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
+		if tokens[token] {
+			t.Fatalf("token %s again", token)
+		}
+		tokens[token] = true
+		// A response to a request that nobody made in this incarnation changes nothing.
+		node.requests.Response(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
+		if answers != 0 || node.requests.Count() != 1 {
+			t.Fatal("a stranger's answer was given")
 		}
 	}
 	if len(tokens) != 2 {
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"wardtray/coordination/chain"
 	"wardtray/coordination/registry"
 )
 
@@ -44,8 +45,8 @@
 // Status gives the present state for operators.
 func (node *Node) Status(now time.Time) Status {
 	current, document := node.agent.Current(), node.chain.Committed()
-	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: node.placeName(), Synced: node.chain.Synced(),
-		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: len(node.asks),
+	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(node.chain), Synced: node.chain.Synced(),
+		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: node.requests.Count(),
 		Claim: node.leadership.HoldsLease(now), Leading: node.leadership.IsLeading(now), Unhealthy: node.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
 		line := MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)}
@@ -68,13 +69,11 @@
 	return status
 }
 
-// Leading tells whether this machine acts as head at this moment.
-func (node *Node) Leading(now time.Time) bool { return node.leadership.IsLeading(now) }
-
-func (node *Node) placeName() string {
+// positionName returns how operators call a machine's position in the chain.
+func positionName(chain *chain.Chain) string {
 	names := map[bool]map[bool]string{true: {true: "head and tail", false: "head"}, false: {true: "tail", false: "middle"}}
-	if !node.chain.Inside() {
+	if !chain.Inside() {
 		return "outside"
 	}
-	return names[node.chain.Head()][node.chain.Tail()]
+	return names[chain.Head()][chain.Tail()]
 }
--- /dev/null
+++ b/control/proposal/proposals.go
@@ -0,0 +1,219 @@
+package proposal
+
+import (
+	"net/http"
+	"time"
+
+	"wardtray/apierror"
+	"wardtray/coordination/chain"
+	"wardtray/coordination/statemachine"
+	"wardtray/wire"
+)
+
+const (
+	// acknowledgeTimeout is after what time an operator is told that the outcome of an entered change is unknown.
+	acknowledgeTimeout = 5 * time.Second
+	// deferTimeout is for how long a request waits at the head for the moment at which it can be answered; its origin
+	// sends it again meanwhile.
+	deferTimeout = 2 * time.Second
+)
+
+// Environment is what proposals ask of the process around them.
+type Environment struct {
+	// IsLeading reports whether this process may act as head.
+	IsLeading func(now time.Time) bool
+	// IsDelivered reports whether the change with a sequence may be acknowledged.
+	IsDelivered func(now time.Time, sequence uint64) bool
+	// IsUnhealthy reports whether this process' disk fails.
+	IsUnhealthy func(now time.Time) bool
+}
+
+// waiter is a change that is entered, whose operator waits for the acknowledgement.
+type waiter struct {
+	message  *wire.OperatorRequest
+	sequence uint64
+	epoch    uint64
+	deadline time.Time
+}
+
+// deferred is a request that this process must answer but can't yet.
+type deferred struct {
+	message  *wire.OperatorRequest
+	deadline time.Time
+}
+
+// Proposals are the operators' requests at the head.
+type Proposals struct {
+	self        string
+	chain       *chain.Chain
+	outbox      *statemachine.Outbox
+	requests    *Requests
+	environment Environment
+
+	waiters  []*waiter
+	deferred []deferred
+	refusals refusals
+	counters Counters
+}
+
+// NewProposals returns the head's part of a process at an address; requests are those that came in at this process.
+func NewProposals(self string, history *chain.Chain, outbox *statemachine.Outbox, requests *Requests,
+	environment Environment) *Proposals {
+	return &Proposals{self: self, chain: history, outbox: outbox, requests: requests, environment: environment}
+}
+
+// Counters returns what was counted here.
+func (proposals *Proposals) Counters() Counters { return proposals.counters }
+
+// Receive handles a request that another process passed on.
+func (proposals *Proposals) Receive(now time.Time, message *wire.OperatorRequest) {
+	if message.Origin != proposals.self {
+		proposals.Serve(now, message)
+	}
+}
+
+// Serve answers a request as head; a process that is not stays silent, and the origin tries again.
+func (proposals *Proposals) Serve(now time.Time, message *wire.OperatorRequest) {
+	verbs := map[string]func(now time.Time, message *wire.OperatorRequest){
+		verbGet: proposals.serveGet, verbOperation: proposals.serveOperation, verbApply: proposals.serveChange,
+		verbChange: proposals.serveChange, verbClose: proposals.serveChange, verbOpen: proposals.serveChange,
+	}
+	if verb := verbs[message.Verb]; verb != nil {
+		verb(now, message)
+	}
+}
+
+// Adopt handles that another view is agreed on. A process that is not head in it drops those who wait here: where the
+// request came in it is still open and goes to the new head, which finds the change in its history or takes it anew.
+func (proposals *Proposals) Adopt() {
+	if !proposals.chain.Head() {
+		proposals.waiters = nil
+	}
+}
+
+// Acknowledge answers every waiting operator whose change is committed and known where it must be.
+func (proposals *Proposals) Acknowledge(now time.Time) {
+	if len(proposals.waiters) == 0 {
+		return
+	}
+	isLeading := proposals.environment.IsLeading(now)
+	remaining := proposals.waiters[:0]
+	for _, waiter := range proposals.waiters {
+		if isLeading && proposals.environment.IsDelivered(now, waiter.sequence) {
+			proposals.accept(waiter.message, waiter.epoch)
+			continue
+		}
+		if now.After(waiter.deadline) {
+			proposals.timeOut(waiter)
+			continue
+		}
+		remaining = append(remaining, waiter)
+	}
+	proposals.waiters = remaining
+}
+
+func (proposals *Proposals) accept(message *wire.OperatorRequest, epoch uint64) {
+	proposals.reply(message, http.StatusOK,
+		Reply{Operation: message.Operation, Outcome: OutcomeAccepted, Epoch: epoch})
+}
+
+func (proposals *Proposals) timeOut(waiter *waiter) {
+	proposals.counters.Unknown++
+	operation := waiter.message.Operation
+	reply := unknownOutcome(operation, "on its way; ask with: wtctl operation "+operation)
+	proposals.reply(waiter.message, http.StatusGatewayTimeout, reply)
+}
+
+// await keeps a request until the change that it asked for is delivered.
+func (proposals *Proposals) await(now time.Time, message *wire.OperatorRequest, sequence, epoch uint64) {
+	for _, waiter := range proposals.waiters {
+		if waiter.message.Token == message.Token {
+			return
+		}
+	}
+	proposals.waiters = append(proposals.waiters, &waiter{message: message, sequence: sequence, epoch: epoch,
+		deadline: now.Add(acknowledgeTimeout)})
+	proposals.Acknowledge(now)
+}
+
+// reply sends a reply to where the request came in.
+func (proposals *Proposals) reply(message *wire.OperatorRequest, status int, reply Reply) {
+	if message.Origin == proposals.self {
+		proposals.requests.finish(message.Token, status, reply)
+		return
+	}
+	response := &wire.OperatorResponse{Token: message.Token, Status: uint32(status), Body: reply.Encode()}
+	proposals.outbox.Send(message.Origin,
+		&wire.Envelope{Body: &wire.Envelope_OperatorResponse{OperatorResponse: response}})
+}
+
+// postpone keeps a request until this process can answer it. Without that it would wait until its origin sends it again.
+func (proposals *Proposals) postpone(now time.Time, message *wire.OperatorRequest) {
+	for _, deferred := range proposals.deferred {
+		if deferred.message.Token == message.Token {
+			return
+		}
+	}
+	if len(proposals.deferred) < maximumRequests {
+		proposals.deferred = append(proposals.deferred, deferred{message: message, deadline: now.Add(deferTimeout)})
+	}
+}
+
+// RetryDeferred tries the deferred requests once more, if this process leads; what still can't be answered is deferred
+// again, until its first deadline.
+func (proposals *Proposals) RetryDeferred(now time.Time) {
+	if len(proposals.deferred) == 0 || !proposals.environment.IsLeading(now) {
+		return
+	}
+	waiting := proposals.deferred
+	proposals.deferred = nil
+	for _, deferred := range waiting {
+		if now.After(deferred.deadline) {
+			continue
+		}
+		proposals.Serve(now, deferred.message)
+		last := len(proposals.deferred) - 1
+		if last >= 0 && proposals.deferred[last].message == deferred.message {
+			proposals.deferred[last].deadline = deferred.deadline
+		}
+	}
+}
+
+// mayAnswer reports whether this process may answer a request as head; a head that may not yet defers it.
+func (proposals *Proposals) mayAnswer(now time.Time, message *wire.OperatorRequest) bool {
+	isLeading := proposals.environment.IsLeading(now)
+	if !isLeading && proposals.chain.Head() {
+		proposals.postpone(now, message)
+	}
+	return isLeading
+}
+
+func (proposals *Proposals) serveGet(now time.Time, message *wire.OperatorRequest) {
+	if !proposals.mayAnswer(now, message) {
+		return
+	}
+	document := proposals.chain.Committed()
+	reply := Reply{Outcome: OutcomeFound, Epoch: document.SpecEpoch, Spec: document.Spec}
+	if len(document.Spec) == 0 {
+		reply = Reply{Outcome: OutcomeEmpty}
+	}
+	proposals.reply(message, http.StatusOK, reply)
+}
+
+func (proposals *Proposals) serveOperation(now time.Time, message *wire.OperatorRequest) {
+	if !proposals.mayAnswer(now, message) {
+		return
+	}
+	outcome := proposals.chain.Outcome(message.Operation)
+	if outcome == nil {
+		proposals.reply(message, http.StatusNotFound,
+			refusal(apierror.NotFound, 0, message.Operation, "no accepted change has this id so far"))
+		return
+	}
+	if proposals.environment.IsDelivered(now, outcome.Sequence) {
+		proposals.accept(message, outcome.SpecEpoch)
+		return
+	}
+	proposals.reply(message, http.StatusOK,
+		Reply{Operation: message.Operation, Outcome: OutcomePending, Epoch: outcome.SpecEpoch})
+}
--- /dev/null
+++ b/control/proposal/requests.go
@@ -0,0 +1,181 @@
+package proposal
+
+import (
+	"fmt"
+	"net/http"
+	"sort"
+	"time"
+
+	"wardtray/apierror"
+	"wardtray/coordination/chain"
+	"wardtray/coordination/statemachine"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+const (
+	// requestTimeout is after what time a request is answered here if the head did not.
+	requestTimeout = 6 * time.Second
+	// resendInterval is how often an open request is sent to the head again.
+	resendInterval = 300 * time.Millisecond
+	// maximumRequests bounds the open requests of one process, and those that a head defers.
+	maximumRequests = 256
+)
+
+// request is an operator's request that came in at this process and is not answered.
+type request struct {
+	message  *wire.OperatorRequest
+	respond  func(status int, body []byte)
+	deadline time.Time
+	// lastSent is when it was last sent, and view the one under which it was.
+	lastSent time.Time
+	view     uint64
+	// recipients are the ids of the processes that may have decided on it.
+	recipients map[string]bool
+}
+
+// Requests are the operators' requests that came in at this process. Each is sent to the head of the newest view, again
+// where that may have failed, and answered once.
+type Requests struct {
+	self      *wire.Member
+	agent     *view.Agent
+	chain     *chain.Chain
+	outbox    *statemachine.Outbox
+	addressOf func(member *wire.Member) string
+	// serve decides on a request where this process is the head itself.
+	serve func(now time.Time, message *wire.OperatorRequest)
+
+	open map[string]*request
+	// incarnation is drawn anew by each process, and nonce numbers its requests.
+	incarnation, nonce uint64
+	counters           Counters
+}
+
+// Counters are what is counted of operators' requests.
+type Counters struct {
+	// Accepted and Refused count changes at the head.
+	Accepted, Refused uint64
+	// Unknown counts changes whose operator was told that the outcome is unknown.
+	Unknown uint64
+}
+
+// NewRequests returns the requests of a process that starts now; none is open. Incarnation must differ between the
+// incarnations of a process, so that a late response to a request of an earlier one is recognized.
+func NewRequests(incarnation uint64, self *wire.Member, agent *view.Agent, history *chain.Chain,
+	outbox *statemachine.Outbox, addressOf func(member *wire.Member) string,
+	serve func(now time.Time, message *wire.OperatorRequest)) *Requests {
+	return &Requests{self: self, agent: agent, chain: history, outbox: outbox, addressOf: addressOf, serve: serve,
+		open: map[string]*request{}, incarnation: incarnation}
+}
+
+// Counters returns what was counted here.
+func (requests *Requests) Counters() Counters { return requests.counters }
+
+// Count returns how many requests are open.
+func (requests *Requests) Count() int { return len(requests.open) }
+
+// Submit takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
+// once.
+func (requests *Requests) Submit(now time.Time, message *wire.OperatorRequest,
+	respond func(status int, body []byte)) (token string) {
+	if len(requests.open) >= maximumRequests {
+		busy := refusal(apierror.Busy, 0, message.Operation, "too many questions wait here")
+		respond(http.StatusServiceUnavailable, busy.Encode())
+		return ""
+	}
+	requests.nonce++
+	message.Token = fmt.Sprintf("%s/%x/%d", requests.self.Id, requests.incarnation, requests.nonce)
+	message.Origin = requests.self.Address
+	requests.open[message.Token] = &request{message: message, respond: respond, deadline: now.Add(requestTimeout),
+		recipients: map[string]bool{}}
+	requests.Tick(now)
+	return message.Token
+}
+
+// Abandon forgets a request whose operator waits no more, without a response, so that it takes no slot from others'. A
+// change goes on: its operator sends it again, here or elsewhere, and learns whatever has come of it meanwhile.
+func (requests *Requests) Abandon(token string) {
+	if open := requests.open[token]; open != nil && !isWrite(open.message) {
+		delete(requests.open, token)
+	}
+}
+
+// Tick sends each open request to the head where that is due, and answers those whose time is over.
+func (requests *Requests) Tick(now time.Time) {
+	tokens := make([]string, 0, len(requests.open))
+	for token := range requests.open {
+		tokens = append(tokens, token)
+	}
+	sort.Strings(tokens)
+	for _, token := range tokens {
+		open := requests.open[token]
+		if open == nil {
+			continue
+		}
+		if now.After(open.deadline) {
+			requests.timeOut(open)
+			continue
+		}
+		requests.send(now, open)
+	}
+}
+
+// send sends a request to the head if it was not sent there of late.
+func (requests *Requests) send(now time.Time, open *request) {
+	// A process whose disk hangs still knows whom to ask, though it can't act under that view itself.
+	newest := requests.agent.Newest()
+	// Another view has another head, which need not be left waiting.
+	if newest.Epoch == 0 || open.view == newest.Epoch && now.Sub(open.lastSent) < resendInterval {
+		return
+	}
+	open.lastSent, open.view = now, newest.Epoch
+	head := newest.Chain[0]
+	if head.Id == requests.self.Id {
+		if requests.chain.Head() {
+			open.recipients[head.Id] = true
+		}
+		requests.serve(now, open.message)
+		return
+	}
+	open.recipients[head.Id] = true
+	requests.outbox.Send(requests.addressOf(head),
+		&wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
+}
+
+// timeOut answers for a chain that did not.
+func (requests *Requests) timeOut(open *request) {
+	operation := open.message.Operation
+	if isWrite(open.message) && len(open.recipients) > 0 {
+		requests.counters.Unknown++
+		reply := unknownOutcome(operation, "no answer in time; ask with: wtctl operation "+operation)
+		requests.finish(open.message.Token, http.StatusGatewayTimeout, reply)
+		return
+	}
+	reply := refusal(apierror.NoMajority, 0, operation, "the chain gave no answer in time")
+	requests.finish(open.message.Token, http.StatusServiceUnavailable, reply)
+}
+
+func (requests *Requests) finish(token string, status int, reply Reply) {
+	requests.finishEncoded(token, status, reply.Encode())
+}
+
+func (requests *Requests) finishEncoded(token string, status int, body []byte) {
+	if open := requests.open[token]; open != nil {
+		delete(requests.open, token)
+		open.respond(status, body)
+	}
+}
+
+// Response handles the head's response to a request.
+func (requests *Requests) Response(response *wire.OperatorResponse) {
+	open := requests.open[response.Token]
+	if open == nil {
+		return
+	}
+	// A refusal by one head says nothing of another head that was asked too and may yet accept.
+	if isWrite(open.message) && response.Status != http.StatusOK && len(open.recipients) > 1 {
+		requests.timeOut(open)
+		return
+	}
+	requests.finishEncoded(response.Token, int(response.Status), response.Body)
+}
--- a/control/reconfiguration/chain.go
+++ b/control/reconfiguration/chain.go
@@ -103,7 +103,7 @@
 // joiner returns a process outside the chain that has learned everything and is connected to the tail, preferably
 // from a zone with few members: copies in many zones outlive the loss of one. It returns nil if there is none.
 func (facts *Facts) joiner(members []*wire.Member) *wire.Member {
-	if len(members) == 0 || len(members) >= facts.ChainLimit() {
+	if len(members) == 0 || len(members) >= ChainLimit(facts.Faults) {
 		return nil
 	}
 	counts := membership.ZoneCounts(members)
--- a/control/reconfiguration/facts.go
+++ b/control/reconfiguration/facts.go
@@ -43,7 +43,7 @@
 func (facts *Facts) AcceptorCount() int { return 2*facts.Faults + 1 }
 
 // ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
-func (facts *Facts) ChainLimit() int { return max(minimumChainLimit, 2*facts.Faults+1) }
+func ChainLimit(faults int) int { return max(minimumChainLimit, 2*faults+1) }
 
 // MinReplicas returns the fewest copies that a change needs: one more than may be lost, but not more than there ever
 // were. It never falls below the present number.
