--- /dev/null
+++ b/control/directory/directory_test.go
@@ -0,0 +1,181 @@
+package directory
+
+import (
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"wardtray/control/daemonlease"
+	"wardtray/coordination/chain"
+	"wardtray/coordination/gossip"
+	"wardtray/coordination/peersampling"
+	"wardtray/coordination/statemachine"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+func members(ids string) []*wire.Member {
+	var list []*wire.Member
+	for _, id := range ids {
+		list = append(list, &wire.Member{Id: string(id), Address: string(id)})
+	}
+	return list
+}
+
+// bench is a process of a chain of itself and b, with what a directory needs.
+type bench struct {
+	directory *Directory
+	learner   *Learner
+	agent     *view.Agent
+	chain     *chain.Chain
+	outbox    *statemachine.Outbox
+}
+
+func newBench(self, directory string) *bench {
+	bench := &bench{outbox: statemachine.NewOutbox()}
+	current := &wire.View{Epoch: 3, Chain: members("ab"), Acceptors: members("ab"), MinReplicas: 1}
+	addressOf := func(member *wire.Member) string { return member.Address }
+	bench.chain = chain.New(self, &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: members(directory)}, nil,
+		bench.outbox, addressOf, func(time.Time, uint64) {})
+	bench.agent = view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
+		func(time.Time, *wire.View) {})
+	random := rand.New(rand.NewSource(1))
+	member := members(self)[0]
+	partialView := peersampling.New(&wire.PeerDescriptor{Address: self, Core: true}, nil, bench.outbox, random)
+	bench.directory = New(member, bench.agent, bench.chain, bench.outbox, random, partialView, addressOf)
+	bench.learner = NewLearner(bench.agent, bench.chain, addressOf)
+	bench.chain.Adopt(start, current)
+	bench.outbox.Drain()
+	return bench
+}
+
+// gossiped lets gossip bring a document.
+func (bench *bench) gossiped(t *testing.T, document *wire.Document) {
+	t.Helper()
+	value, err := proto.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	entry := &wire.GossipEntry{Key: gossip.DocumentKey, Epoch: document.Sequence, Value: value}
+	bench.directory.Gossip().Put(start, entry, gossip.Hops)
+}
+
+func TestNewestIsOfHistoryOrGossip(t *testing.T) {
+	t.Parallel()
+	for sequence, want := range map[uint64]uint64{4: 5, 5: 5, 6: 6} {
+		bench := newBench("a", "d")
+		bench.gossiped(t, &wire.Document{Sequence: sequence, Directory: members("de")})
+		got := bench.directory.Newest()
+		if got.Sequence != want || len(got.Directory) != int(want)-4 {
+			t.Errorf("gossip of %d: %v", sequence, got)
+		}
+		if !bench.directory.Contains(got, "d") || bench.directory.Contains(got, "e") != (want == 6) {
+			t.Errorf("gossip of %d: contains", sequence)
+		}
+	}
+}
+
+func TestServingDaemons(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "de")
+	got := bench.directory.ServingDaemons([]string{"f", "d"}, []string{"e"})
+	if !slices.Equal(got, []string{"d", "f"}) {
+		t.Errorf("%v", got)
+	}
+}
+
+func TestRequestIsAnsweredWithANewerDocument(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "d")
+	bench.directory.Publish(start)
+	bench.outbox.Drain()
+	for sequence, want := range map[uint64]int{4: 1, 5: 0} {
+		bench.directory.Request("d", &wire.DocumentRequest{Sequence: sequence})
+		messages, _ := bench.outbox.Drain()
+		if len(messages) != want {
+			t.Errorf("a request of a daemon with %d: %v", sequence, messages)
+		}
+	}
+}
+
+func TestPartners(t *testing.T) {
+	t.Parallel()
+	var addresses []string
+	for _, partner := range newBench("a", "ed").directory.partners() {
+		addresses = append(addresses, partner.Address)
+	}
+	if !slices.Equal(addresses, []string{"b", "d", "e"}) {
+		t.Errorf("%v", addresses)
+	}
+}
+
+func TestLearnerAsksTheTail(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		self            string
+		decommissioning bool
+		want            int
+	}{"outside": {"c", false, 1}, "inside": {"b", false, 0}, "decommissioned": {"c", true, 0}} {
+		bench := newBench(test.self, "")
+		bench.learner.Tick(start, test.decommissioning)
+		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		messages, _ := bench.outbox.Drain()
+		if len(messages) != test.want || test.want == 1 && messages[0].To != "b" {
+			t.Errorf("%s: %v", name, messages)
+		}
+		bench.learner.Expedite()
+		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		if messages, _ := bench.outbox.Drain(); len(messages) != test.want {
+			t.Errorf("%s, expedited: %v", name, messages)
+		}
+	}
+}
+
+func TestUpdaterAddsAndRemoves(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		directory, requesting string
+		acceptorsKnow         bool
+		after                 time.Duration
+		want                  string
+	}{
+		"a new daemon":                     {"d", "de", true, 0, "de"},
+		"the last change is not delivered": {"d", "de", false, 0, ""},
+		"nothing to change":                {"d", "d", true, 0, ""},
+		"a missing daemon":                 {"df", "d", true, 2 * time.Minute, "d"},
+		"the first, gathering":             {"", "d", true, firstDirectoryDelay - 1, ""},
+		"the first":                        {"", "d", true, firstDirectoryDelay, "d"},
+	} {
+		bench := newBench("a", test.directory)
+		leases := daemonlease.NewLeases(bench.chain, bench.outbox, time.Second, bench.agent.Current())
+		now := start.Add(test.after)
+		request := func(at time.Time) {
+			for _, address := range test.requesting {
+				leases.Request(at, string(address), &wire.DaemonLeaseRequest{Sequence: 5})
+			}
+		}
+		request(start)
+		request(now)
+		if test.acceptorsKnow {
+			leases.AcceptorReported("a", 5, start)
+			leases.AcceptorReported("b", 5, start)
+		}
+		updater := NewUpdater(bench.chain, leases)
+		updater.Tick(daemonlease.Leader{Now: now, Since: start, View: bench.agent.Current(),
+			IsGrowing: func() bool { return false }})
+		got := ""
+		if pending := bench.chain.Pending(); len(pending) > 0 {
+			for _, member := range pending[0].Directory {
+				got += member.Address
+			}
+		}
+		if got != test.want {
+			t.Errorf("%s: %q, want %q", name, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/control/leadership/leadership_test.go
@@ -0,0 +1,215 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/coordination/chain"
+	"wardtray/coordination/lease"
+	"wardtray/coordination/statemachine"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+func members(ids string) []*wire.Member {
+	var list []*wire.Member
+	for _, id := range ids {
+		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
+	}
+	return list
+}
+
+// bench is a process with its leadership, of a chain of three in view 3 and term 2.
+type bench struct {
+	leadership *Leadership
+	agent      *view.Agent
+	chain      *chain.Chain
+	outbox     *statemachine.Outbox
+	// starts counts how often a term started.
+	starts int
+}
+
+func newBench(self string, pending ...*wire.Entry) *bench {
+	bench := &bench{outbox: statemachine.NewOutbox()}
+	current := &wire.View{Epoch: 3, HeadTerm: 2, Chain: members("abc"), Acceptors: members("abc"), MinReplicas: 2}
+	addressOf := func(member *wire.Member) string { return member.Address }
+	bench.chain = chain.New(self, &wire.Document{Sequence: 4, SpecEpoch: 4}, pending, bench.outbox, addressOf,
+		func(time.Time, uint64) {})
+	bench.agent = view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
+		func(time.Time, *wire.View) {})
+	bench.leadership = New(1, bench.agent, bench.chain, bench.outbox, addressOf, func() { bench.starts++ })
+	bench.leadership.Adopt(current)
+	bench.chain.Adopt(start, current)
+	bench.outbox.Drain()
+	return bench
+}
+
+// requests ticks the leadership, and returns the requests that it sent.
+func (bench *bench) requests(now time.Time) []*wire.LeaderLeaseRequest {
+	bench.leadership.Tick(now)
+	messages, _ := bench.outbox.Drain()
+	var requests []*wire.LeaderLeaseRequest
+	for _, message := range messages {
+		if request := message.Envelope.GetLeaderLeaseRequest(); request != nil {
+			requests = append(requests, request)
+		}
+	}
+	return requests
+}
+
+// lead lets a majority grant the lease.
+func (bench *bench) lead(t *testing.T, now time.Time) {
+	t.Helper()
+	requests := bench.requests(now)
+	if len(requests) == 0 {
+		t.Fatal("no request")
+	}
+	for _, acceptor := range []string{"a", "b"} {
+		bench.leadership.Granted(now, acceptor, &wire.LeaderLeaseGrant{View: 3, Nonce: requests[0].Nonce})
+	}
+}
+
+func TestOnlyTheHeadRequests(t *testing.T) {
+	t.Parallel()
+	for self, want := range map[string]int{"a": 3, "b": 0, "d": 0} {
+		if got := len(newBench(self).requests(start)); got != want {
+			t.Errorf("%s sends %d requests", self, got)
+		}
+	}
+}
+
+func TestRequestIntervals(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a")
+	bench.requests(start)
+	if len(bench.requests(start.Add(RetryInterval-1))) != 0 {
+		t.Error("requests again too soon")
+	}
+	bench.lead(t, start.Add(RetryInterval))
+	held := start.Add(RetryInterval)
+	if len(bench.requests(held.Add(RenewInterval-1))) != 0 || len(bench.requests(held.Add(RenewInterval))) != 3 {
+		t.Error("renews at another moment than the interval says")
+	}
+	bench.leadership.ExpediteRequest()
+	if len(bench.requests(held.Add(RenewInterval))) != 3 {
+		t.Error("an expedited request is not sent")
+	}
+}
+
+func TestIsLeadingNeedsAMajority(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a")
+	nonce := bench.requests(start)[0].Nonce
+	grant := &wire.LeaderLeaseGrant{View: 3, Nonce: nonce}
+	if bench.leadership.Granted(start, "stranger", grant) || !bench.leadership.Granted(start, "a", grant) {
+		t.Error("who is an acceptor")
+	}
+	if bench.leadership.IsLeading(start) {
+		t.Error("leads by one grant of three")
+	}
+	bench.leadership.Granted(start, "c", grant)
+	if !bench.leadership.IsLeading(start) || !bench.leadership.Started().Equal(start) || bench.starts != 1 {
+		t.Errorf("with a majority: started %v, %d starts", bench.leadership.Started(), bench.starts)
+	}
+	if bench.leadership.IsLeading(start.Add(lease.Held)) {
+		t.Error("leads after the lease has expired")
+	}
+}
+
+func TestTermStartsOnce(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a")
+	bench.lead(t, start)
+	bench.leadership.IsLeading(start)
+	later := start.Add(time.Minute)
+	bench.lead(t, later)
+	if !bench.leadership.IsLeading(later) || bench.starts != 1 || !bench.leadership.Started().Equal(start) {
+		t.Error("a lease that expired for a while starts another term")
+	}
+	bench.leadership.Adopt(&wire.View{Epoch: 4, HeadTerm: 2})
+	if bench.leadership.Started().IsZero() {
+		t.Error("another view of the same term")
+	}
+	bench.leadership.Adopt(&wire.View{Epoch: 5, HeadTerm: 5})
+	if !bench.leadership.Started().IsZero() {
+		t.Error("another term goes on as the one before")
+	}
+}
+
+func TestHeadWaitsForWhatItFoundInItsHistory(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", &wire.Entry{Sequence: 5, ChangesSpec: true, SpecEpoch: 5})
+	bench.lead(t, start)
+	if bench.leadership.IsLeading(start) || !bench.leadership.HoldsLease(start) {
+		t.Error("leads before its history is committed")
+	}
+	if request := bench.requests(start.Add(RenewInterval))[0]; request.Committed != 0 {
+		t.Errorf("says that %d is committed", request.Committed)
+	}
+	bench.chain.Hold(start, "b", &wire.ChainAck{View: 3, Synced: 5, Committed: 5})
+	if bench.chain.Committed().Sequence != 5 || !bench.leadership.IsLeading(start) {
+		t.Error("does not lead once its history is committed")
+	}
+}
+
+func TestGrantorGrantsTheHeadOfItsView(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		self, sender string
+		view         uint64
+		cleared      uint64
+		granted      bool
+		updated      bool
+	}{
+		"the head":                    {"b", "a", 3, 2, true, false},
+		"another member":              {"b", "c", 3, 2, false, false},
+		"a head of an older view":     {"b", "a", 2, 2, false, true},
+		"a head of a newer view":      {"b", "a", 4, 2, false, false},
+		"no acceptor":                 {"d", "a", 3, 2, false, false},
+		"an earlier head may yet act": {"b", "a", 3, 1, false, false},
+	} {
+		bench := newBench(test.self)
+		witness := lease.NewWitness(time.Second)
+		grantor := NewGrantor(start, test.self, bench.agent, bench.outbox, witness, test.cleared)
+		envelope := &wire.Envelope{From: "a:1", Sender: test.sender}
+		grantor.Request(start, envelope, &wire.LeaderLeaseRequest{View: test.view, Nonce: 7, Committed: 4})
+		messages, _ := bench.outbox.Drain()
+		granted, updated := false, false
+		for _, message := range messages {
+			grant := message.Envelope.GetLeaderLeaseGrant()
+			granted = granted || grant.GetNonce() == 7 && grant.KnownSequence == 4
+			updated = updated || message.Envelope.GetViewUpdate() != nil
+		}
+		if granted != test.granted || updated != test.updated {
+			t.Errorf("%s: granted %v, updated %v", name, granted, updated)
+		}
+	}
+}
+
+func TestGrantorNotesAClearedTerm(t *testing.T) {
+	t.Parallel()
+	bench := newBench("b")
+	grantor := NewGrantor(start, "b", bench.agent, bench.outbox, lease.NewWitness(time.Second), 1)
+	grantor.Tick(start)
+	if _, writes := bench.outbox.Drain(); len(writes) != 0 || grantor.ClearedTerm() != 1 {
+		t.Fatal("a term is cleared while the head before it may act")
+	}
+	later := start.Add(lease.Term)
+	grantor.Tick(later)
+	grantor.Tick(later)
+	_, writes := bench.outbox.Drain()
+	if len(writes) != 1 || writes[0].Record.GetClearedTerm() != 2 || grantor.ClearedTerm() != 2 {
+		t.Fatalf("%d writes, term %d", len(writes), grantor.ClearedTerm())
+	}
+}
+
+func TestCeilMilliseconds(t *testing.T) {
+	t.Parallel()
+	for length, want := range map[time.Duration]uint32{0: 0, 1: 1, time.Millisecond: 1, time.Millisecond + 1: 2} {
+		if got := ceilMilliseconds(length); got != want {
+			t.Errorf("%v: %d", length, got)
+		}
+	}
+}
--- /dev/null
+++ b/control/node/daemons.go
@@ -0,0 +1,141 @@
+package node
+
+import (
+	"math/rand"
+	"time"
+
+	"wardtray/control/daemonlease"
+	"wardtray/control/directory"
+	"wardtray/control/leadership"
+	"wardtray/coordination/lease"
+	"wardtray/wire"
+)
+
+// daemons is what a machine does for data daemons: as head it grants them leases, as acceptor it confirms what they have,
+// and as anyone it spreads the document. It composes the leases and the directory.
+type daemons struct {
+	members *members
+
+	leadership *leadership.Leadership
+	grantor    *leadership.Grantor
+	// witness is what this machine, as an acceptor, has confirmed to daemons.
+	witness   *lease.Witness
+	confirmer *daemonlease.Confirmer
+	leases    *daemonlease.Leases
+	quotas    *daemonlease.Quotas
+
+	directory *directory.Directory
+	updater   *directory.Updater
+	learner   *directory.Learner
+}
+
+// newDaemons returns the daemons' part of a machine that has just started. Nonce numbers its first request for the
+// leader's lease; clearedTerm is what its disk says.
+func newDaemons(now time.Time, members *members, nonce, clearedTerm uint64, random *rand.Rand) *daemons {
+	agent, history, outbox, addressOf := members.agent, members.chain, members.outbox, members.detector.AddressOf
+	settings, self := members.settings, members.self
+	daemons := &daemons{members: members}
+	daemons.directory = directory.New(self, agent, history, outbox, random, members.partialView, addressOf)
+	daemons.leases = daemonlease.NewLeases(history, outbox, settings.Staleness, agent.Current())
+	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, BoundsFor(settings.Limits).QuotaTerm)
+	daemons.witness = lease.NewWitness(daemons.leases.Length())
+	daemons.confirmer = daemonlease.NewConfirmer(self.Id, agent, history, daemons.witness)
+	daemons.grantor = leadership.NewGrantor(now, self.Id, agent, outbox, daemons.witness, clearedTerm)
+	daemons.leadership = leadership.New(nonce, agent, history, outbox, addressOf, func() {
+		daemons.leases.Reset()
+		daemons.quotas.Reset()
+	})
+	daemons.updater = directory.NewUpdater(history, daemons.leases)
+	daemons.learner = directory.NewLearner(agent, history, addressOf)
+	return daemons
+}
+
+// leader returns what the delivery of a change depends on beside the daemons' leases.
+func (daemons *daemons) leader(now time.Time) daemonlease.Leader {
+	return daemonlease.Leader{Now: now, Since: daemons.leadership.Started(), View: daemons.members.agent.Current(),
+		IsGrowing: func() bool { return daemons.members.facts(now).IsGrowing() }}
+}
+
+// isDelivered reports whether the change with a sequence may be acknowledged.
+func (daemons *daemons) isDelivered(now time.Time, sequence uint64) bool {
+	return daemons.leases.IsDelivered(daemons.leader(now), sequence)
+}
+
+// tick changes the directory and prompts daemons, as head.
+func (daemons *daemons) tick(now time.Time) {
+	if daemons.leadership.IsLeading(now) && !daemons.members.disk.IsUnhealthy(now) {
+		daemons.updater.Tick(daemons.leader(now))
+	}
+	if daemons.leases.IsPromptDue(now) && daemons.leadership.IsLeading(now) {
+		daemons.leases.Prompt(daemons.leader(now))
+	}
+}
+
+// connectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon is known
+// to have ended by it.
+func (daemons *daemons) connectionRefused(now time.Time, address string, tried time.Time) bool {
+	if !daemons.leadership.IsLeading(now) || !daemons.leases.ConnectionRefused(address, tried) {
+		return false
+	}
+	daemons.quotas.Release(now, address)
+	return true
+}
+
+// answer fills in a grant for a data daemon: the head grants a lease, an acceptor confirms what the daemon has.
+func (daemons *daemons) answer(now time.Time, address string, request *wire.DaemonLeaseRequest,
+	grant *wire.DaemonLeaseGrant) {
+	if newest := daemons.members.agent.Newest(); request.View < newest.Epoch {
+		grant.View = newest
+	}
+	if daemons.leadership.IsLeading(now) {
+		document := daemons.members.chain.Committed()
+		if daemons.leases.Request(now, address, request) && daemons.directory.Contains(document, address) {
+			daemons.leases.Grant(now, address, grant)
+		}
+		if request.Quota != nil {
+			grant.Quota = daemons.quotas.Grant(now, document, address, request.Quota, grant.Granted)
+		}
+	}
+	if !grant.Granted {
+		isMember := daemons.directory.Contains(daemons.directory.Newest(), address)
+		grant.Confirmed = daemons.confirmer.Confirm(now, address, request, isMember)
+		grant.Sequence = daemons.witness.Known()
+	}
+}
+
+// unleased lists the daemons of the directory that hold no lease of this machine's, if it leads.
+func (daemons *daemons) unleased(now time.Time) []string {
+	if !daemons.leadership.IsLeading(now) {
+		return nil
+	}
+	return daemons.leases.Unleased(now, daemons.leadership.Started())
+}
+
+// unleasedByHead lists the daemons of the directory that hold no lease by what the present head reports, if that is
+// known.
+func (daemons *daemons) unleasedByHead(now time.Time) []string {
+	current, detector := daemons.members.agent.Current(), daemons.members.detector
+	if len(current.Chain) == 0 {
+		return nil
+	}
+	head := current.Chain[0].Id
+	if head == daemons.members.self.Id {
+		return daemons.unleased(now)
+	}
+	peer := detector.Peer(head)
+	if peer != nil && detector.IsAlive(now, head) && peer.Heartbeat.View == current.Epoch {
+		return peer.Heartbeat.UnleasedDaemons
+	}
+	return nil
+}
+
+// addresses lists, sorted, the daemons that may serve requests.
+func (daemons *daemons) addresses(now time.Time) []string {
+	return daemons.directory.ServingDaemons(daemons.leases.Active(now), daemons.unleasedByHead(now))
+}
+
+// isIsolated reports whether this machine has heard nobody for a while, though there are others.
+func (daemons *daemons) isIsolated(now time.Time) bool {
+	return daemons.members.detector.IsSilent(now) &&
+		(len(daemons.members.addresses()) > 0 || len(daemons.directory.Newest().Directory) > 0)
+}
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -24,61 +24,61 @@
 // handleChain adds what members of the chain say to each other.
 func handleChain(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
-		node.chain.Pass(now, envelope.Sender, body.ChainForward)
+		node.members.chain.Pass(now, envelope.Sender, body.ChainForward)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainAck) {
-		node.chain.Hold(now, envelope.Sender, body.ChainAck)
-		node.chain.Aligned(now, envelope.Sender, body.ChainAck)
+		node.members.chain.Hold(now, envelope.Sender, body.ChainAck)
+		node.members.chain.Aligned(now, envelope.Sender, body.ChainAck)
 	})
 	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
 		// What a tail has, every member before it has, so in its own view all of it is committed; and what
 		// was learned in a view counts only until the next.
-		node.chain.Teach(envelope.From, body.LearnRequest)
+		node.members.chain.Teach(envelope.From, body.LearnRequest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
-		node.chain.Learned(now, body.LearnResponse)
+		node.members.chain.Learned(now, body.LearnResponse)
 	})
 }
 
 // handleViews adds what proposers and acceptors of views say to each other.
 func handleViews(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
-		if node.proposer.MayVote() {
-			node.agent.Prepare(now, envelope.From, body.ViewPrepare)
+		if node.members.proposer.MayVote() {
+			node.members.agent.Prepare(now, envelope.From, body.ViewPrepare)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPromise) {
-		node.agent.Promise(now, envelope.Sender, body.ViewPromise)
+		node.members.agent.Promise(now, envelope.Sender, body.ViewPromise)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccept) {
-		if node.proposer.MayVote() {
-			node.agent.Accept(now, envelope.From, body.ViewAccept)
+		if node.members.proposer.MayVote() {
+			node.members.agent.Accept(now, envelope.From, body.ViewAccept)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccepted) {
-		node.agent.Accepted(now, envelope.Sender, body.ViewAccepted)
+		node.members.agent.Accepted(now, envelope.Sender, body.ViewAccepted)
 	})
 	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
-		node.agent.Refused(body.ViewRejected)
+		node.members.agent.Refused(body.ViewRejected)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
-		node.agent.Learn(now, body.ViewUpdate.View)
+		node.members.agent.Learn(now, body.ViewUpdate.View)
 	})
 	on(table, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewRequest) {
-		node.agent.Tell(envelope.From)
+		node.members.agent.Tell(envelope.From)
 	})
 }
 
 // handleHeads adds what concerns leases, heartbeats and operators' requests.
 func handleHeads(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
-		node.grantor.Request(now, envelope, body.LeaderLeaseRequest)
+		node.daemons.grantor.Request(now, envelope, body.LeaderLeaseRequest)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
 		node.onLeaderLeaseGrant(now, envelope.Sender, body.LeaderLeaseGrant)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
-		node.onHeartbeat(now, body.Heartbeat)
+		node.members.observe(now, body.Heartbeat)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorRequest) {
 		node.proposals.Receive(now, body.OperatorRequest)
@@ -94,20 +94,20 @@
 // handleDocuments adds what spreads the document and the peers.
 func handleDocuments(table handlers, node *Node) {
 	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
-		node.directory.Request(envelope.From, body.DocumentRequest)
+		node.daemons.directory.Request(envelope.From, body.DocumentRequest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
-		node.directory.Gossip().Rumor(now, body.GossipMessage)
+		node.daemons.directory.Gossip().Rumor(now, body.GossipMessage)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Digest) {
-		node.directory.Gossip().Digest(now, envelope.From, envelope.Zone, body.Digest)
+		node.daemons.directory.Gossip().Digest(now, envelope.From, envelope.Zone, body.Digest)
 		// A daemon that reads a platform's list keeps no table and sends 0.
 		if body.Digest.RunnersChecksum != 0 {
 			node.registrar.Compare(now, envelope.From, body.Digest.RunnersChecksum)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
-		node.partialView.Shuffle(now, envelope.From, body.Shuffle)
+		node.members.partialView.Shuffle(now, envelope.From, body.Shuffle)
 	})
 }
 
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -256,7 +256,7 @@
 				names += " " + member.Id
 			}
 			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v", member.address, member.identity, view.Epoch, names,
-				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.disk.IsUnhealthy(fleet.now))
+				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.members.disk.IsUnhealthy(fleet.now))
 		}
 	}
 }
--- /dev/null
+++ b/control/node/members.go
@@ -0,0 +1,152 @@
+package node
+
+import (
+	"math/rand"
+	"sort"
+	"time"
+
+	"wardtray/control/durability"
+	"wardtray/control/failuredetector"
+	"wardtray/control/membership"
+	"wardtray/control/reconfiguration"
+	"wardtray/control/viewchange"
+	"wardtray/coordination/chain"
+	"wardtray/coordination/peersampling"
+	"wardtray/coordination/statemachine"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+// members is what a machine knows of the disk machines: those of the view, and others that could become members. It
+// composes what agrees on views and holds the history.
+type members struct {
+	settings Settings
+	self     *wire.Member
+	outbox   *statemachine.Outbox
+
+	chain        *chain.Chain
+	agent        *view.Agent
+	disk         *durability.Disk
+	detector     *failuredetector.Detector
+	proposer     *viewchange.Proposer
+	partialView  *peersampling.PartialView
+	decommission reconfiguration.Decommission
+	// initialSynced is how far this machine had synced when the present view began here.
+	initialSynced uint64
+}
+
+// observers are what members notify, and what else belongs to the durable state.
+type observers struct {
+	onView   func(now time.Time, current *wire.View)
+	onCommit func(now time.Time, sequence uint64)
+	snapshot func() *wire.DurableState
+}
+
+// newMembers restores the members from what the disk held.
+func newMembers(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand,
+	observers observers) *members {
+	bounds, outbox := BoundsFor(settings.Limits), statemachine.NewOutbox()
+	self := &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}
+	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Frozen)
+	members := &members{settings: settings, self: self, outbox: outbox, detector: detector}
+	members.disk = durability.New(outbox, records, bounds.Unhealthy, observers.snapshot)
+	members.chain = chain.New(self.Id, state.Document, state.Pending, outbox, detector.AddressOf, observers.onCommit)
+	members.chain.RestoreIncomplete(state.Incomplete)
+	members.agent = view.NewAgent(now, self.Id, state.View, state.AcceptorState, outbox, detector.Resolve,
+		observers.onView)
+	planner := reconfiguration.NewPlanner(bounds.Broken)
+	members.proposer = viewchange.New(now, viewchange.Settings{Founders: settings.Founders, Founding: state.Founding,
+		Suspicion: bounds.Suspicion, Stagger: bounds.Stagger}, self, members.agent, planner, random)
+	descriptor := &wire.PeerDescriptor{Address: self.Address, Zone: self.Zone, Core: true}
+	members.partialView = peersampling.New(descriptor, settings.Seeds, outbox, random)
+	return members
+}
+
+// adopt handles that another view is agreed on, or that the disk held one at the start.
+func (members *members) adopt(now time.Time, current *wire.View) {
+	members.chain.Adopt(now, current)
+	members.initialSynced = members.chain.Synced()
+}
+
+// facts returns what this machine knows at this moment of the members and of the other machines.
+func (members *members) facts(now time.Time) *reconfiguration.Facts {
+	return &reconfiguration.Facts{Now: now, View: members.agent.Current(), Detector: members.detector,
+		Faults: members.settings.Faults,
+		Local: reconfiguration.Local{Member: members.self, Unhealthy: members.disk.IsUnhealthy(now),
+			Decommissioning: members.decommission.IsStarted(), Incomplete: members.chain.Incomplete(),
+			Synced: members.chain.Synced(), InitialSynced: members.initialSynced,
+			LearnedView: members.chain.LearnedView()}}
+}
+
+// propose proposes a view where that is due.
+func (members *members) propose(now time.Time) { members.proposer.Tick(members.facts(now)) }
+
+// observe handles another machine's heartbeat.
+func (members *members) observe(now time.Time, heartbeat *wire.Heartbeat) {
+	current := members.agent.Current()
+	accepted, changed := members.detector.Observe(now, current.Fleet, heartbeat)
+	if !accepted {
+		return
+	}
+	if heartbeat.View < current.Epoch {
+		members.agent.Tell(heartbeat.Member.Address)
+	}
+	// Whoever hears less or is about to stop may have to be replaced at once.
+	if changed {
+		members.propose(now)
+	}
+}
+
+// sendHeartbeats sends a heartbeat to every address where another disk machine may be, if one is due. Unleased lists the
+// daemons that hold no lease of this machine's as head.
+func (members *members) sendHeartbeats(now time.Time, unleased func(now time.Time) []string) {
+	if !members.detector.TakeHeartbeat(now) {
+		return
+	}
+	facts := members.facts(now)
+	heartbeat := &wire.Heartbeat{Member: members.self, View: facts.View.Epoch, Fleet: facts.View.Fleet,
+		Blank: facts.View.Epoch == 0, Unhealthy: facts.Local.Unhealthy, Synced: facts.Local.Synced,
+		LearnedView: facts.Local.LearnedView, Decommissioning: facts.Local.Decommissioning,
+		Reachable: members.detector.Reachable(now), UnleasedDaemons: unleased(now), Incomplete: facts.Local.Incomplete}
+	for _, address := range members.addresses() {
+		members.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: heartbeat}})
+	}
+	members.detector.Forget(now)
+}
+
+// hearsMajority reports whether this machine hears most of the chain and the acceptors, itself among them.
+func (members *members) hearsMajority(now time.Time) bool {
+	if members.agent.Current().Epoch == 0 {
+		return len(members.settings.Founders) <= 1 || len(members.detector.Peers()) > 0
+	}
+	return members.facts(now).HearsMajority()
+}
+
+// addresses lists, sorted, every address where another disk machine may be.
+func (members *members) addresses() []string {
+	found := map[string]bool{}
+	for _, addresses := range [][]string{members.settings.Seeds, members.settings.Founders} {
+		for _, address := range addresses {
+			found[address] = true
+		}
+	}
+	for _, peer := range members.detector.Peers() {
+		found[peer.Member.Address] = true
+	}
+	current := members.agent.Current()
+	for _, member := range membership.Join(current.Chain, current.Acceptors) {
+		found[members.detector.AddressOf(member)] = true
+	}
+	for _, descriptor := range members.partialView.Peers() {
+		if descriptor.Core {
+			found[descriptor.Address] = true
+		}
+	}
+	delete(found, members.self.Address)
+	addresses := make([]string, 0, len(found))
+	for address := range found {
+		addresses = append(addresses, address)
+	}
+	sort.Strings(addresses)
+	return addresses
+}
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -14,20 +14,12 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/daemonlease"
-	"wardtray/control/directory"
 	"wardtray/control/durability"
-	"wardtray/control/failuredetector"
-	"wardtray/control/leadership"
 	"wardtray/control/proposal"
 	"wardtray/control/reconfiguration"
-	"wardtray/control/viewchange"
 	"wardtray/coordination/chain"
-	"wardtray/coordination/lease"
-	"wardtray/coordination/peersampling"
 	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
-	"wardtray/coordination/view"
 	"wardtray/wire"
 )
 
@@ -55,34 +47,14 @@
 	self     *wire.Member
 	started  time.Time
 	outbox   *statemachine.Outbox
-	handlers map[reflect.Type]func(now time.Time, envelope *wire.Envelope)
+	handlers handlers
 	counters Counters
 
-	chain        *chain.Chain
-	agent        *view.Agent
-	disk         *durability.Disk
-	detector     *failuredetector.Detector
-	proposer     *viewchange.Proposer
-	decommission reconfiguration.Decommission
-	// initialSynced is how far this machine had synced when the present view began here.
-	initialSynced uint64
-
-	leadership *leadership.Leadership
-	grantor    *leadership.Grantor
-	// witness is what this machine, as an acceptor, has confirmed to daemons.
-	witness   *lease.Witness
-	confirmer *daemonlease.Confirmer
-	leases    *daemonlease.Leases
-	quotas    *daemonlease.Quotas
-
+	members   *members
+	daemons   *daemons
 	requests  *proposal.Requests
 	proposals *proposal.Proposals
-
-	partialView *peersampling.PartialView
-	directory   *directory.Directory
-	updater     *directory.Updater
-	learner     *directory.Learner
-	registrar   *registry.Registrar
+	registrar *registry.Registrar
 }
 
 // New restores a machine from what its disk held, a state and the records that were written after it; state.Id must be
@@ -93,91 +65,49 @@
 		Replay(state, record)
 	}
 	settings = settings.withDefaults()
-	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now, outbox: statemachine.NewOutbox(),
-		self: &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}}
 	// The draws keep their order, by which a simulation with the same seed repeats.
-	requestIncarnation, leaseNonce := random.Uint64(), random.Uint64()
+	incarnation, leaseNonce := random.Uint64(), random.Uint64()
 	isFoundingNow := settings.Founding && !state.Founding && state.View.GetEpoch() == 0
-	node.composeMembership(now, state, records, random, state.Founding || isFoundingNow)
-	node.composeLeases(now, state, leaseNonce)
-	node.composeProposals(requestIncarnation)
-	node.composeDirectory(now, random)
+	state.Founding = state.Founding || isFoundingNow
+	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now}
+	node.members = newMembers(now, settings, state, records, random,
+		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.Memory})
+	node.self, node.outbox = node.members.self, node.members.outbox
+	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
+	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
+	node.registrar = registry.NewRegistrar(now, settings.Heartbeat, 0, node.outbox, registry.Environment{
+		Daemons: node.daemons.addresses, Cores: node.members.addresses, Joined: node.members.hearsMajority,
+		Isolated: node.daemons.isIsolated})
 	node.handlers = newHandlers(node)
 	node.resume(now, state, isFoundingNow)
 	return node
 }
 
-// composeMembership makes what agrees on views and holds the history.
-func (node *Node) composeMembership(now time.Time, state *wire.DurableState, records []*wire.Record, random *rand.Rand,
-	isFounding bool) {
-	bounds := node.bounds
-	node.detector = failuredetector.New(now, node.self, bounds.Suspicion, bounds.Frozen)
-	node.disk = durability.New(node.outbox, records, bounds.Unhealthy, node.Memory)
-	node.chain = chain.New(state.Id, state.Document, state.Pending, node.outbox, node.detector.AddressOf, node.onCommit)
-	node.chain.RestoreIncomplete(state.Incomplete)
-	node.agent = view.NewAgent(now, state.Id, state.View, state.AcceptorState, node.outbox, node.detector.Resolve,
-		node.onView)
-	node.proposer = viewchange.New(now, viewchange.Settings{Founders: node.settings.Founders, Founding: isFounding,
-		Suspicion: bounds.Suspicion, Stagger: bounds.Stagger}, node.self, node.agent,
-		reconfiguration.NewPlanner(bounds.Broken), random)
-}
-
-// composeLeases makes what grants and holds leases.
-func (node *Node) composeLeases(now time.Time, state *wire.DurableState, leaseNonce uint64) {
-	node.leases = daemonlease.NewLeases(node.chain, node.outbox, node.settings.Staleness, node.agent.Current())
-	node.quotas = daemonlease.NewQuotas(node.settings.Quotas, node.bounds.QuotaTerm)
-	node.witness = lease.NewWitness(node.leases.Length())
-	node.confirmer = daemonlease.NewConfirmer(state.Id, node.agent, node.chain, node.witness)
-	node.grantor = leadership.NewGrantor(now, state.Id, node.agent, node.outbox, node.witness, state.ClearedTerm)
-	startTerm := func() {
-		node.leases.Reset()
-		node.quotas.Reset()
-	}
-	node.leadership = leadership.New(leaseNonce, node.agent, node.chain, node.outbox, node.detector.AddressOf, startTerm)
-}
-
-// composeProposals makes what takes operators' requests.
-func (node *Node) composeProposals(incarnation uint64) {
-	serve := func(now time.Time, message *wire.OperatorRequest) { node.proposals.Serve(now, message) }
-	node.requests = proposal.NewRequests(incarnation, node.self, node.agent, node.chain, node.outbox,
-		node.detector.AddressOf, serve)
-	isDelivered := func(now time.Time, sequence uint64) bool {
-		return node.leases.IsDelivered(node.leader(now), sequence)
-	}
-	node.proposals = proposal.NewProposals(node.self.Address, node.chain, node.outbox, node.requests,
-		proposal.Environment{IsLeading: node.leadership.IsLeading, IsDelivered: isDelivered,
-			IsUnhealthy: node.disk.IsUnhealthy})
-}
-
-// composeDirectory makes what knows the daemons and runners.
-func (node *Node) composeDirectory(now time.Time, random *rand.Rand) {
-	descriptor := &wire.PeerDescriptor{Address: node.self.Address, Zone: node.self.Zone, Core: true}
-	node.partialView = peersampling.New(descriptor, node.settings.Seeds, node.outbox, random)
-	node.directory = directory.New(node.self, node.agent, node.chain, node.outbox, random, node.partialView,
-		node.detector.AddressOf)
-	node.updater = directory.NewUpdater(node.chain, node.leases)
-	node.learner = directory.NewLearner(node.agent, node.chain, node.detector.AddressOf)
-	node.registrar = registry.NewRegistrar(now, node.settings.Heartbeat, 0, node.outbox, registry.Environment{
-		Daemons: func(now time.Time) []string {
-			return node.directory.ServingDaemons(node.leases.Active(now), node.unleasedByHead(now))
-		},
-		Cores: node.coreAddresses, Joined: node.hearsMajority, Isolated: node.isIsolated})
+// newProposals returns what takes operators' requests.
+func newProposals(incarnation uint64, members *members, daemons *daemons) (*proposal.Requests, *proposal.Proposals) {
+	var proposals *proposal.Proposals
+	serve := func(now time.Time, message *wire.OperatorRequest) { proposals.Serve(now, message) }
+	requests := proposal.NewRequests(incarnation, members.self, members.agent, members.chain, members.outbox,
+		members.detector.AddressOf, serve)
+	proposals = proposal.NewProposals(members.self.Address, members.chain, members.outbox, requests,
+		proposal.Environment{IsLeading: daemons.leadership.IsLeading, IsDelivered: daemons.isDelivered,
+			IsUnhealthy: members.disk.IsUnhealthy})
+	return requests, proposals
 }
 
 // resume goes on from what the disk held.
 func (node *Node) resume(now time.Time, state *wire.DurableState, isFoundingNow bool) {
 	if state.Document.GetSequence() > 0 {
-		node.directory.Publish(now)
+		node.daemons.directory.Publish(now)
 	}
 	if isFoundingNow {
 		// A founder that is killed before there is a view must still be one when it starts again.
-		node.disk.Replace(now)
+		node.members.disk.Replace(now)
 	}
-	if current := node.agent.Current(); current.Epoch > 0 {
-		node.witness.Restarted(now)
-		node.leases.Restarted(now)
-		node.chain.Adopt(now, current)
-		node.initialSynced = node.chain.Synced()
+	if current := node.members.agent.Current(); current.Epoch > 0 {
+		node.daemons.witness.Restarted(now)
+		node.daemons.leases.Restarted(now)
+		node.members.adopt(now, current)
 	}
 }
 
@@ -185,10 +115,10 @@
 func (node *Node) Outbox() *statemachine.Outbox { return node.outbox }
 
 // Chain returns the machine's part of the chain, for drivers, checkers and status pages.
-func (node *Node) Chain() *chain.Chain { return node.chain }
+func (node *Node) Chain() *chain.Chain { return node.members.chain }
 
 // View returns the present view.
-func (node *Node) View() *wire.View { return node.agent.Current() }
+func (node *Node) View() *wire.View { return node.members.agent.Current() }
 
 // Self returns this machine as the views have it.
 func (node *Node) Self() *wire.Member { return node.self }
@@ -197,9 +127,9 @@
 func (node *Node) Counters() Counters {
 	counters, requests, proposals := node.counters, node.requests.Counters(), node.proposals.Counters()
 	counters.Accepted = proposals.Accepted
-	counters.Refused = proposals.Refused + node.updater.Counters().Refused
+	counters.Refused = proposals.Refused + node.daemons.updater.Counters().Refused
 	counters.Unknown = proposals.Unknown + requests.Unknown
-	counters.DiskFailures = node.disk.Counters().Failures
+	counters.DiskFailures = node.members.disk.Counters().Failures
 	return counters
 }
 
@@ -210,22 +140,22 @@
 		envelope := message.Envelope
 		envelope.From, envelope.Sender, envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
 		// Whoever has heard of a view acts in none before it, even while its disk is still busy with that.
-		envelope.Epoch = node.agent.Newest().Epoch
+		envelope.Epoch = node.members.agent.Newest().Epoch
 		// Digests of gossip go to everybody in turn, so that the runners' checksum needs no messages of its own.
 		if digest := envelope.GetDigest(); digest != nil {
 			digest.RunnersChecksum = node.registrar.Checksum()
 		}
 	}
-	node.disk.Appended(writes)
+	node.members.disk.Appended(writes)
 	return messages, writes
 }
 
 // Receive handles one message.
 func (node *Node) Receive(now time.Time, envelope *wire.Envelope) {
 	if envelope.From != node.self.Address {
-		node.detector.Received(now)
+		node.members.detector.Received(now)
 	}
-	node.grantor.Heard(now, envelope.Sender, envelope.Epoch)
+	node.daemons.grantor.Heard(now, envelope.Sender, envelope.Epoch)
 	if handle := node.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
 		handle(now, envelope)
 	}
@@ -235,24 +165,19 @@
 // Tick does what is due. The order matters: the disk and the detector first, since the others go by what they say, and
 // operators last, so that they learn the outcome of this very tick.
 func (node *Node) Tick(now time.Time) {
-	if node.detector.Tick(now) {
+	if node.members.detector.Tick(now) {
 		node.registrar.Resume(now)
 	}
-	node.disk.Tick(now)
-	node.sendHeartbeats(now)
-	node.grantor.Tick(now)
-	node.leadership.Tick(now)
-	node.proposer.Tick(node.facts(now))
-	node.chain.Tick(now)
-	node.learner.Tick(now, node.decommission.IsStarted())
-	if node.leadership.IsLeading(now) && !node.disk.IsUnhealthy(now) {
-		node.updater.Tick(node.leader(now))
-	}
-	if node.leases.IsPromptDue(now) && node.leadership.IsLeading(now) {
-		node.leases.Prompt(node.leader(now))
-	}
-	node.partialView.Tick(now)
-	node.directory.Gossip().Tick(now)
+	node.members.disk.Tick(now)
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.daemons.grantor.Tick(now)
+	node.daemons.leadership.Tick(now)
+	node.members.propose(now)
+	node.members.chain.Tick(now)
+	node.daemons.learner.Tick(now, node.members.decommission.IsStarted())
+	node.daemons.tick(now)
+	node.members.partialView.Tick(now)
+	node.daemons.directory.Gossip().Tick(now)
 	node.registrar.Tick(now)
 	node.proposals.RetryDeferred(now)
 	node.proposals.Acknowledge(now)
@@ -269,14 +194,13 @@
 // Refused handles that nobody listened at an address when it was tried: the process that was there has ended, since it
 // listens for as long as it lives, and with it all that it was granted.
 func (node *Node) Refused(now time.Time, address string, tried time.Time) {
-	node.grantor.ConnectionRefused(now, address, tried)
-	if node.leadership.IsLeading(now) && node.leases.ConnectionRefused(address, tried) {
-		node.quotas.Release(now, address)
+	node.daemons.grantor.ConnectionRefused(now, address, tried)
+	if node.daemons.connectionRefused(now, address, tried) {
 		node.proposals.Acknowledge(now)
 	}
-	node.detector.ConnectionRefused(address, tried)
-	node.sendHeartbeats(now)
-	node.proposer.Tick(node.facts(now))
+	node.members.detector.ConnectionRefused(address, tried)
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.members.propose(now)
 }
 
 // Ask takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at once.
@@ -290,21 +214,21 @@
 func (node *Node) Abandon(token string) { node.requests.Abandon(token) }
 
 // Leading reports whether this machine acts as head at this moment.
-func (node *Node) Leading(now time.Time) bool { return node.leadership.IsLeading(now) }
+func (node *Node) Leading(now time.Time) bool { return node.daemons.leadership.IsLeading(now) }
 
 // Leave orders this machine to stop, so that the others first take over what it holds.
 func (node *Node) Leave(now time.Time) {
-	if !node.decommission.Start(now) {
+	if !node.members.decommission.Start(now) {
 		return
 	}
-	node.detector.ExpediteHeartbeat()
-	node.sendHeartbeats(now)
-	node.proposer.Tick(node.facts(now))
+	node.members.detector.ExpediteHeartbeat()
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.members.propose(now)
 }
 
 // Left reports whether this machine may stop: others have taken over what it holds, or nobody is there to do so.
 func (node *Node) Left(now time.Time) bool {
-	return node.decommission.IsComplete(node.facts(now), node.chain.Committed().Sequence)
+	return node.members.decommission.IsComplete(node.members.facts(now), node.members.chain.Committed().Sequence)
 }
 
 // ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
@@ -331,12 +255,12 @@
 
 // Memory returns all that this machine must not forget.
 func (node *Node) Memory() *wire.DurableState {
-	state := &wire.DurableState{Id: node.self.Id, View: node.agent.Current(), AcceptorState: node.agent.Vote(),
-		Founding: node.proposer.IsFounding(), ClearedTerm: node.grantor.ClearedTerm()}
-	node.chain.Memory(state)
+	state := &wire.DurableState{Id: node.self.Id, View: node.members.agent.Current(), AcceptorState: node.members.agent.Vote(),
+		Founding: node.members.proposer.IsFounding(), ClearedTerm: node.daemons.grantor.ClearedTerm()}
+	node.members.chain.Memory(state)
 	return state
 }
 
 // DiskFailed handles a write that could not be carried out. The machine reports itself unhealthy until a whole state
 // has been written anew.
-func (node *Node) DiskFailed(now time.Time) { node.disk.Failed(now) }
+func (node *Node) DiskFailed(now time.Time) { node.members.disk.Failed(now) }
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -94,7 +94,7 @@
 	node := New(now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	pair := &pair{node: node, self: self, other: other, now: now}
 	pair.run(4*time.Second, false)
-	if !node.leadership.HoldsLease(pair.now) {
+	if !node.daemons.leadership.HoldsLease(pair.now) {
 		t.Fatal("no claim, so that nothing was put to the test")
 	}
 	if node.Leading(pair.now) || pair.grants > 0 {
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -44,28 +44,28 @@
 
 // Status gives the present state for operators.
 func (node *Node) Status(now time.Time) Status {
-	current, document := node.agent.Current(), node.chain.Committed()
-	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(node.chain), Synced: node.chain.Synced(),
-		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: node.requests.Count(),
-		Claim: node.leadership.HoldsLease(now), Leading: node.leadership.IsLeading(now), Unhealthy: node.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
+	current, document := node.members.agent.Current(), node.members.chain.Committed()
+	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(node.members.chain), Synced: node.members.chain.Synced(),
+		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.members.chain.Pending()), Asks: node.requests.Count(),
+		Claim: node.daemons.leadership.HoldsLease(now), Leading: node.daemons.leadership.IsLeading(now), Unhealthy: node.members.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
-		line := MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)}
-		if peer := node.detector.Peer(member.Id); peer != nil {
+		line := MemberStatus{ID: member.Id, Address: node.members.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.members.detector.IsAlive(now, member.Id)}
+		if peer := node.members.detector.Peer(member.Id); peer != nil {
 			line.Sequence, line.Unhealthy = peer.Heartbeat.Synced, peer.Heartbeat.Unhealthy
 		} else if member.Id == node.self.Id {
-			line.Sequence, line.Unhealthy = node.chain.Synced(), node.disk.IsUnhealthy(now)
+			line.Sequence, line.Unhealthy = node.members.chain.Synced(), node.members.disk.IsUnhealthy(now)
 		}
 		status.Chain = append(status.Chain, line)
 	}
 	for _, member := range current.Acceptors {
-		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.detector.IsAlive(now, member.Id)})
+		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.members.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.members.detector.IsAlive(now, member.Id)})
 	}
 	for _, member := range document.Directory {
 		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
-		line.Sequence, line.Heard = node.leases.Progress(now, member.Address)
+		line.Sequence, line.Heard = node.daemons.leases.Progress(now, member.Address)
 		status.Daemons = append(status.Daemons, line)
 	}
-	status.Warnings = node.facts(now).Warnings()
+	status.Warnings = node.members.facts(now).Warnings()
 	return status
 }
 
--- /dev/null
+++ b/control/proposal/proposals_test.go
@@ -0,0 +1,315 @@
+package proposal
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"wardtray/coordination/chain"
+	"wardtray/coordination/statemachine"
+	"wardtray/coordination/view"
+	"wardtray/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+func members(ids string) []*wire.Member {
+	var list []*wire.Member
+	for _, id := range ids {
+		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
+	}
+	return list
+}
+
+// bench is a process with its requests and proposals, of a chain in view 3; what they ask of the process around them is
+// set by the test.
+type bench struct {
+	requests  *Requests
+	proposals *Proposals
+	chain     *chain.Chain
+	outbox    *statemachine.Outbox
+
+	leading, delivered, unhealthy bool
+	// status and reply are what the last request that came in at this process got; replies counts them.
+	status  int
+	reply   Reply
+	replies int
+}
+
+func newBench(self, chainIDs string) *bench {
+	bench := &bench{outbox: statemachine.NewOutbox(), leading: true, delivered: true}
+	current := &wire.View{Epoch: 3, Chain: members(chainIDs), Acceptors: members("abc"), MinReplicas: 1}
+	addressOf := func(member *wire.Member) string { return member.Address }
+	member := members(self)[0]
+	bench.chain = chain.New(self, &wire.Document{}, nil, bench.outbox, addressOf, func(time.Time, uint64) {})
+	agent := view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
+		func(time.Time, *wire.View) {})
+	bench.requests = NewRequests(7, member, agent, bench.chain, bench.outbox, addressOf,
+		func(now time.Time, message *wire.OperatorRequest) { bench.proposals.Serve(now, message) })
+	bench.proposals = NewProposals(member.Address, bench.chain, bench.outbox, bench.requests, Environment{
+		IsLeading: func(time.Time) bool { return bench.leading && bench.chain.Head() },
+		IsDelivered: func(_ time.Time, sequence uint64) bool {
+			return bench.delivered && bench.chain.Committed().Sequence >= sequence
+		},
+		IsUnhealthy: func(time.Time) bool { return bench.unhealthy },
+	})
+	bench.chain.Adopt(start, current)
+	bench.outbox.Drain()
+	return bench
+}
+
+// submit makes a request at this process, and returns its token.
+func (bench *bench) submit(now time.Time, message *wire.OperatorRequest) string {
+	return bench.requests.Submit(now, message, func(status int, body []byte) {
+		bench.replies++
+		bench.status, bench.reply = status, Reply{}
+		if err := json.Unmarshal(body, &bench.reply); err != nil {
+			panic(err)
+		}
+	})
+}
+
+// sync completes every write.
+func (bench *bench) sync(now time.Time) {
+	for {
+		_, writes := bench.outbox.Drain()
+		if len(writes) == 0 {
+			return
+		}
+		bench.outbox.Done(now, writes[len(writes)-1].Sequence)
+	}
+}
+
+// responses returns what was sent to other processes whose requests came here.
+func (bench *bench) responses() []*wire.OperatorResponse {
+	messages, _ := bench.outbox.Drain()
+	var responses []*wire.OperatorResponse
+	for _, message := range messages {
+		if response := message.Envelope.GetOperatorResponse(); response != nil {
+			responses = append(responses, response)
+		}
+	}
+	return responses
+}
+
+// spec is a spec that passes its checks; two of different names differ.
+func spec(name string) []byte {
+	return fmt.Appendf(nil, `{"zones":[],"pools":[{"name":%q,"services":["s"]}],"lanes":[]}`, name)
+}
+
+func apply(operation string) *wire.OperatorRequest {
+	return &wire.OperatorRequest{Verb: verbApply, Operation: operation, Spec: spec("p")}
+}
+
+func TestChangeIsAcknowledgedOnceDelivered(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "a")
+	bench.delivered = false
+	bench.submit(start, apply("o"))
+	bench.sync(start)
+	bench.proposals.Acknowledge(start)
+	if bench.replies != 0 || bench.chain.Committed().SpecEpoch != 1 {
+		t.Fatalf("before the delivery: %d replies, epoch %d", bench.replies, bench.chain.Committed().SpecEpoch)
+	}
+	bench.delivered = true
+	bench.proposals.Acknowledge(start)
+	bench.proposals.Acknowledge(start)
+	if bench.replies != 1 || bench.status != http.StatusOK || bench.reply.Outcome != OutcomeAccepted {
+		t.Fatalf("%d replies, %d %+v", bench.replies, bench.status, bench.reply)
+	}
+	if got := bench.proposals.Counters(); got.Accepted != 1 || bench.requests.Count() != 0 {
+		t.Errorf("%+v", got)
+	}
+}
+
+func TestSameOperationHasOneEffect(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "a")
+	for range 2 {
+		bench.submit(start, apply("o"))
+		bench.sync(start)
+		bench.proposals.Acknowledge(start)
+	}
+	if bench.replies != 2 || bench.reply.Epoch != 1 || bench.chain.Committed().SpecEpoch != 1 {
+		t.Fatalf("%d replies, the last %+v", bench.replies, bench.reply)
+	}
+}
+
+func TestUndeliveredChangeHasAnUnknownOutcome(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "a")
+	bench.delivered = false
+	bench.submit(start, apply("o"))
+	bench.proposals.Acknowledge(start.Add(acknowledgeTimeout))
+	if bench.replies != 0 {
+		t.Fatal("answered before the timeout")
+	}
+	bench.proposals.Acknowledge(start.Add(acknowledgeTimeout + 1))
+	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown {
+		t.Fatalf("%d %+v", bench.status, bench.reply)
+	}
+	if bench.proposals.Counters().Unknown != 1 {
+		t.Error("not counted")
+	}
+}
+
+func TestRefusals(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		message   *wire.OperatorRequest
+		unhealthy bool
+		want      int
+	}{
+		"stale base":   {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}, false, 409},
+		"no JSON":      {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: []byte("{")}, false, 400},
+		"stale epoch":  {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasEpoch: true}, false, 422},
+		"no spec yet":  {&wire.OperatorRequest{Verb: verbClose, Operation: "o", Zone: "z"}, false, 422},
+		"failing disk": {apply("o"), true, 503},
+		"no such id":   {&wire.OperatorRequest{Verb: verbOperation, Operation: "o"}, false, 404},
+	} {
+		bench := newBench("a", "a")
+		bench.unhealthy = test.unhealthy
+		bench.submit(start, test.message)
+		if bench.status != test.want || bench.reply.Outcome != OutcomeRefused {
+			t.Errorf("%s: %d %+v", name, bench.status, bench.reply)
+		}
+		if len(bench.chain.Pending()) != 0 {
+			t.Errorf("%s: entered", name)
+		}
+	}
+}
+
+func TestRefusalWaitsUntilWhatItRestsOnIsCommitted(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "a")
+	bench.submit(start, apply("first"))
+	stale := &wire.OperatorRequest{Verb: verbApply, Operation: "second", Spec: spec("q"), HasBase: true}
+	bench.submit(start, stale)
+	if bench.replies != 0 {
+		t.Fatal("refused before the change that it rests on is committed")
+	}
+	bench.sync(start)
+	bench.proposals.RetryDeferred(start)
+	if bench.status != http.StatusConflict {
+		t.Fatalf("%d %+v", bench.status, bench.reply)
+	}
+}
+
+func TestDeferredUntilLeading(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		after time.Duration
+		want  int
+	}{"in time": {deferTimeout, 1}, "too late": {deferTimeout + 1, 0}} {
+		bench := newBench("a", "a")
+		bench.leading = false
+		get := &wire.OperatorRequest{Verb: verbGet, Token: "b/1/1", Origin: "b:1"}
+		bench.proposals.Receive(start, get)
+		bench.proposals.Receive(start, get)
+		if len(bench.responses()) != 0 {
+			t.Fatalf("%s: answered without leading", name)
+		}
+		bench.leading = true
+		bench.proposals.RetryDeferred(start.Add(test.after))
+		if got := len(bench.responses()); got != test.want {
+			t.Errorf("%s: %d responses", name, got)
+		}
+	}
+}
+
+func TestAnotherHeadDropsTheWaiting(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a", "ab")
+	bench.proposals.Receive(start, &wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"})
+	if len(bench.proposals.waiters) != 1 {
+		t.Fatal("nobody waits, so that nothing is tested")
+	}
+	bench.chain.Adopt(start, &wire.View{Epoch: 4, Chain: members("ba")})
+	bench.proposals.Adopt()
+	bench.proposals.Acknowledge(start.Add(time.Hour))
+	if got := bench.responses(); len(got) != 0 {
+		t.Errorf("%v", got)
+	}
+}
+
+func TestRequestsAreSentToTheHeadAgain(t *testing.T) {
+	t.Parallel()
+	bench := newBench("c", "ab")
+	bench.submit(start, &wire.OperatorRequest{Verb: verbGet})
+	for _, test := range []struct {
+		after time.Duration
+		want  int
+	}{{0, 1}, {resendInterval - 1, 0}, {resendInterval, 1}} {
+		bench.requests.Tick(start.Add(test.after))
+		messages, _ := bench.outbox.Drain()
+		if len(messages) != test.want || test.want == 1 && messages[0].To != "a:1" {
+			t.Errorf("after %v: %v", test.after, messages)
+		}
+	}
+	bench.requests.Tick(start.Add(requestTimeout + 1))
+	if bench.status != http.StatusServiceUnavailable || bench.reply.Outcome != OutcomeRefused {
+		t.Errorf("%d %+v", bench.status, bench.reply)
+	}
+}
+
+func TestTimeoutOfAChangeIsUnknown(t *testing.T) {
+	t.Parallel()
+	bench := newBench("c", "ab")
+	bench.submit(start, apply("o"))
+	bench.requests.Tick(start.Add(requestTimeout + 1))
+	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown || bench.requests.Counters().Unknown != 1 {
+		t.Errorf("%d %+v", bench.status, bench.reply)
+	}
+}
+
+func TestResponseOfOneOfTwoHeads(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		heads  []string
+		status uint32
+		want   int
+	}{
+		"a refusal by the only head": {[]string{"a"}, 409, 409},
+		"a refusal by one of two":    {[]string{"a", "b"}, 409, http.StatusGatewayTimeout},
+		"an acknowledgement by one":  {[]string{"a", "b"}, 200, 200},
+	} {
+		bench := newBench("c", "ab")
+		token := bench.submit(start, apply("o"))
+		for _, head := range test.heads {
+			bench.requests.open[token].recipients[head] = true
+		}
+		bench.requests.Response(&wire.OperatorResponse{Token: "c/7/99", Status: 200, Body: []byte("{}")})
+		if bench.replies != 0 {
+			t.Errorf("%s: a response to another request", name)
+		}
+		response := &wire.OperatorResponse{Token: token, Status: test.status, Body: []byte("{}")}
+		bench.requests.Response(response)
+		bench.requests.Response(response)
+		if bench.status != test.want || bench.replies != 1 {
+			t.Errorf("%s: %d, %d replies", name, bench.status, bench.replies)
+		}
+	}
+}
+
+func TestAbandonKeepsChanges(t *testing.T) {
+	t.Parallel()
+	bench := newBench("c", "ab")
+	bench.requests.Abandon(bench.submit(start, &wire.OperatorRequest{Verb: verbGet}))
+	bench.requests.Abandon(bench.submit(start, apply("o")))
+	if bench.requests.Count() != 1 {
+		t.Errorf("%d are open", bench.requests.Count())
+	}
+}
+
+func TestSubmitBoundsTheOpenRequests(t *testing.T) {
+	t.Parallel()
+	bench := newBench("c", "ab")
+	for range maximumRequests {
+		bench.submit(start, &wire.OperatorRequest{Verb: verbGet})
+	}
+	if bench.submit(start, &wire.OperatorRequest{Verb: verbGet}) != "" || bench.status != http.StatusServiceUnavailable {
+		t.Errorf("%d %+v", bench.status, bench.reply)
+	}
+}
