--- a/control/daemonlease/confirmer.go
+++ b/control/daemonlease/confirmer.go
@@ -31,7 +31,8 @@
 // whether the daemon is in the newest directory that is known. An acceptor that has voted for the next view confirms
 // nothing in this one, as it grants no lease to the head: a daemon's majority in this view so ends when the next one is
 // chosen.
-func (confirmer *Confirmer) Confirm(now time.Time, address string, request *wire.DaemonLeaseRequest, isMember bool) bool {
+func (confirmer *Confirmer) Confirm(now time.Time, address string, request *wire.DaemonLeaseRequest,
+	isMember bool) bool {
 	if !isMember || !confirmer.mayConfirm(request.View) {
 		confirmer.witness.Heard(address, request.Sequence)
 		return false
@@ -41,8 +42,8 @@
 	return confirmer.witness.Confirm(now, address, request.Sequence, durable)
 }
 
-// mayConfirm reports whether this process is an acceptor of a view that is the present and newest one, and has not voted
-// for the next.
+// mayConfirm reports whether this process is an acceptor of a view that is the present and newest one, and has not
+// voted for the next.
 func (confirmer *Confirmer) mayConfirm(epoch uint64) bool {
 	current := confirmer.agent.Current()
 	return epoch == current.Epoch && confirmer.agent.Newest().Epoch == current.Epoch && !confirmer.agent.Voted() &&
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -55,14 +55,16 @@
 	leases.previous = append(leases.previous, group)
 }
 
-// AcceptorReported notes which sequence an acceptor knows to be committed, and when its confirmations of older ones end.
+// AcceptorReported notes which sequence an acceptor knows to be committed, and when its confirmations of older ones
+// end.
 func (leases *Leases) AcceptorReported(acceptor string, sequence uint64, until time.Time) {
 	leases.progress.Note(acceptor, sequence, until)
 }
 
-// IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no lease
-// from before can still run at a daemon that does not, whether this head granted it, the head before it, or a majority
-// of acceptors. Only daemons of the directory get leases, so where all of them are known to have the change none can.
+// IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no
+// lease from before can still run at a daemon that does not, whether this head granted it, the head before it, or a
+// majority of acceptors. Only daemons of the directory get leases, so where all of them are known to have the change
+// none can.
 func (leases *Leases) IsDelivered(leader Leader, sequence uint64) bool {
 	document := leases.chain.Committed()
 	if document.Sequence < sequence || leader.Since.IsZero() {
@@ -80,8 +82,8 @@
 			leases.leasesExpired(leader.Now, sequence)
 }
 
-// majorityKnows reports whether a majority of the acceptors knows a sequence, so that no majority confirms less from now
-// on.
+// majorityKnows reports whether a majority of the acceptors knows a sequence, so that no majority confirms less from
+// now on.
 func (leases *Leases) majorityKnows(acceptors []*wire.Member, sequence uint64) bool {
 	knowing := 0
 	for _, acceptor := range acceptors {
@@ -92,8 +94,8 @@
 	return knowing >= view.Majority(len(acceptors))
 }
 
-// confirmationsExpired reports whether no majority of acceptors, of this view or of one that ended a moment ago, can have
-// a daemon rely on less than a sequence.
+// confirmationsExpired reports whether no majority of acceptors, of this view or of one that ended a moment ago, can
+// have a daemon rely on less than a sequence.
 func (leases *Leases) confirmationsExpired(leader Leader, sequence uint64) bool {
 	if !leases.majorityClear(leader.Now, leader.View.Acceptors, sequence) {
 		return false
@@ -106,7 +108,8 @@
 	return true
 }
 
-// majorityClear reports whether a majority of some acceptors knows a sequence, and all their older confirmations expired.
+// majorityClear reports whether a majority of some acceptors knows a sequence, and all their older confirmations
+// expired.
 func (leases *Leases) majorityClear(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -1,5 +1,5 @@
-// Package daemonlease is the control plane's side of the leases under which data daemons serve a configuration. The head
-// grants them (Leases), and where daemons don't reach the head a majority of acceptors confirms what they have
+// Package daemonlease is the control plane's side of the leases under which data daemons serve a configuration. The
+// head grants them (Leases), and where daemons don't reach the head a majority of acceptors confirms what they have
 // (Confirmer). A change counts as delivered once no daemon can still serve an older one under a lease.
 package daemonlease
 
@@ -128,8 +128,8 @@
 	grant.Milliseconds = uint32(leases.term.Milliseconds())
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon's process
-// is known to have ended by it.
+// ConnectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon's
+// process is known to have ended by it.
 func (leases *Leases) ConnectionRefused(address string, tried time.Time) bool {
 	known, document := leases.daemons[address], leases.chain.Committed()
 	isMember := membership.Contains(document.Directory, address) ||
@@ -151,8 +151,8 @@
 	return now.Sub(leases.lastPrompt) >= promptInterval
 }
 
-// Prompt asks the daemons that are not known to have the last change to request a lease, unless gossip still has time to
-// bring it or the change is delivered. Where nobody listens any more, the attempt itself shows it.
+// Prompt asks the daemons that are not known to have the last change to request a lease, unless gossip still has time
+// to bring it or the change is delivered. Where nobody listens any more, the attempt itself shows it.
 func (leases *Leases) Prompt(leader Leader) {
 	document := leases.chain.Committed()
 	committed, found := leases.commits[document.Sequence]
@@ -225,8 +225,8 @@
 }
 
 // ExcludeMissing returns the members of a directory but for the daemons that have been silent for long; a head hears
-// daemons only since it leads. All of them stay where none would: an empty directory lets anybody in unasked, so the last
-// known daemons stay until another comes.
+// daemons only since it leads. All of them stay where none would: an empty directory lets anybody in unasked, so the
+// last known daemons stay until another comes.
 func (leases *Leases) ExcludeMissing(now, leaderSince time.Time, directory []*wire.Member) []*wire.Member {
 	var remaining []*wire.Member
 	for _, member := range directory {
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -106,6 +106,11 @@
 			leader.Since = start
 			grant(leases, start, "d", 5)
 		}, true},
+		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *Leader) {
+			acceptorsKnow(leases, 5, "a")
+			leases.Committed(start, 5)
+			grant(leases, start, "d", 5)
+		}, false},
 		"the head before may have granted a lease": {"d", func(leases *Leases, leader *Leader) {
 			acceptorsKnow(leases, 5, "a", "b")
 			leader.Since = start
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -9,8 +9,8 @@
 	"wardtray/wire"
 )
 
-// Quotas divides the tenants' quotas among the daemons that hold a lease, by the limits of the committed spec. It starts
-// anew in each term.
+// Quotas divides the tenants' quotas among the daemons that hold a lease, by the limits of the committed spec. It
+// starts anew in each term.
 type Quotas struct {
 	tolerance quota.Tolerance
 	// term is for how long a daemon's share counts, counted from its request.
@@ -21,7 +21,8 @@
 	limitsEpoch uint64
 }
 
-// NewQuotas returns quotas of which no share is given; tolerance is by how much the daemons together may exceed a quota.
+// NewQuotas returns quotas of which no share is given; tolerance is by how much the daemons together may exceed a
+// quota.
 func NewQuotas(tolerance quota.Tolerance, term time.Duration) *Quotas {
 	return &Quotas{tolerance: tolerance, term: term}
 }
@@ -36,8 +37,8 @@
 	}
 }
 
-// Grant answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that was granted
-// no lease gets no share.
+// Grant answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that was
+// granted no lease gets no share.
 func (quotas *Quotas) Grant(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -33,8 +33,8 @@
 // Counters returns what was counted.
 func (updater *Updater) Counters() Counters { return updater.counters }
 
-// Tick enters a change of the directory where one is due; this process must be leading. The next change enters only when
-// the last is delivered, which takes most of the old directory as well as most of the new one.
+// Tick enters a change of the directory where one is due; this process must be leading. The next change enters only
+// when the last is delivered, which takes most of the old directory as well as most of the new one.
 func (updater *Updater) Tick(leader daemonlease.Leader) {
 	if len(updater.chain.Pending()) > 0 {
 		return
--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -131,8 +131,8 @@
 		previous.Decommissioning != heartbeat.Decommissioning || previous.Unhealthy != heartbeat.Unhealthy
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried: a process listens for as long as it lives,
-// so the one that was last heard there before has ended.
+// ConnectionRefused handles that nobody listened at an address when it was tried: a process listens for as long as it
+// lives, so the one that was last heard there before has ended.
 func (detector *Detector) ConnectionRefused(address string, tried time.Time) {
 	for _, peer := range detector.peers {
 		if peer.Member.Address == address && !peer.Terminated && peer.LastSeen.Before(tried) {
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Request handles a head's request for the lease: a grant is sent where one may be given, and the present view to a head
-// of an older one.
+// Request handles a head's request for the lease: a grant is sent where one may be given, and the present view to a
+// head of an older one.
 func (grantor *Grantor) Request(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
 	current := grantor.agent.Current()
 	if request.View < current.Epoch {
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fmt"
 	"time"
 
 	"wardtray/apierror"
@@ -12,137 +11,139 @@
 	"wardtray/coordination/lease"
 )
 
-// Limits are the times that the platform grants, by the names of the product's settings; a zero one stands for the
-// usual.
+// Limits are the times that the platform grants, by the names of the product's settings; zero stands for the default.
 type Limits struct {
-	// Contact is for how long machines must be cut off before they count as out of touch.
+	// Contact is for how long machines must be cut off before they count as disconnected; 3 s by default.
 	Contact time.Duration
-	// Acknowledge is within what time a valid change must be acknowledged where the core is whole.
+	// Acknowledge is within what time a valid change must be acknowledged where the control plane is complete; 4 s by
+	// default.
 	Acknowledge time.Duration
-	// Apply is within what time after its acknowledgement a change must be in force.
+	// Apply is within what time after its acknowledgement a change must be in force; 2 s by default.
 	Apply time.Duration
-	// CatchUp is after what time a machine that is back, or new, no longer counts as lost.
+	// CatchUp is after what time a machine that is back, or new, no longer counts as failed; 4 s by default.
 	CatchUp time.Duration
-	// Grace is how long a machine that is told to stop may take.
+	// Grace is how long a machine that is ordered to stop may take; 8 s by default.
 	Grace time.Duration
 }
 
-// The usual limits.
+// The default limits.
 const (
-	usualContact     = 3 * time.Second
-	usualAcknowledge = 4 * time.Second
-	usualApply       = 2 * time.Second
-	usualCatchUp     = 4 * time.Second
-	usualGrace       = 8 * time.Second
+	defaultContact     = 3 * time.Second
+	defaultAcknowledge = 4 * time.Second
+	defaultApply       = 2 * time.Second
+	defaultCatchUp     = 4 * time.Second
+	defaultGrace       = 8 * time.Second
 )
 
-// withUsual gives the limits with the usual ones in the place of those that are zero.
-func (limits Limits) withUsual() Limits {
+// withDefaults returns the limits with the default ones in the place of those that are zero.
+func (limits Limits) withDefaults() Limits {
 	for _, pair := range []struct {
-		limit *time.Duration
-		usual time.Duration
+		limit    *time.Duration
+		fallback time.Duration
 	}{
-		{&limits.Contact, usualContact}, {&limits.Acknowledge, usualAcknowledge}, {&limits.Apply, usualApply},
-		{&limits.CatchUp, usualCatchUp}, {&limits.Grace, usualGrace},
+		{&limits.Contact, defaultContact}, {&limits.Acknowledge, defaultAcknowledge}, {&limits.Apply, defaultApply},
+		{&limits.CatchUp, defaultCatchUp}, {&limits.Grace, defaultGrace},
 	} {
 		if *pair.limit <= 0 {
-			*pair.limit = pair.usual
+			*pair.limit = pair.fallback
 		}
 	}
 	return limits
 }
 
-// Bounds are the times that the control side derives from the limits. The time of a lease is none of them: its holder
-// and its acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.Term).
+// Bounds are the times that the control plane derives from the limits. The leader's lease is none of them: its holder
+// and the acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.Term).
 type Bounds struct {
-	// Suspicion is after what silence a machine counts as gone.
+	// Suspicion is after what silence a machine counts as failed.
 	Suspicion time.Duration
-	// Unhealthy is for how long a write may wait before a machine says that its disk fails.
+	// Unhealthy is for how long a write may wait before a machine reports that its disk fails.
 	Unhealthy time.Duration
-	// Broken is for how long one side of a link of the chain must not hear the other before one of them is taken out.
+	// Broken is for how long one side of a link of the chain must not hear the other before one of them is excluded.
 	Broken time.Duration
-	// Frozen is after what pause a process takes it that it stood still itself, rather than that all others fell silent.
+	// Frozen is after what pause a process assumes that it stood still itself, rather than that all others fell silent.
 	Frozen time.Duration
 	// Stagger is how long each acceptor lets those before it propose a view first.
 	Stagger time.Duration
-	// DaemonLease is for how long a daemon may rely on a lease, counted from its question.
+	// DaemonLease is for how long a daemon may rely on a lease, counted from its request.
 	DaemonLease time.Duration
-	// QuotaTerm is for how long a daemon's share of a quota counts, counted from its question: longer than a takeover, so
-	// that daemons go on with what they hold while another head takes over.
+	// QuotaTerm is for how long a daemon's share of a quota counts, from its request: longer than a takeover, so that
+	// daemons go on with their shares while another head takes over.
 	QuotaTerm time.Duration
-	// Starting is for how long after its start a machine can't tell daemons yet whether there is a head.
+	// Starting is for how long after its start a machine can't say yet whether there is a head.
 	Starting time.Duration
-	// Leave is how long a machine that is told to stop waits for others to take over what it holds.
+	// Leave is how long a machine that is ordered to stop waits for others to take over its positions.
 	Leave time.Duration
 }
 
 const (
-	usualSuspicion = 700 * time.Millisecond
-	leastSuspicion = 2*failuredetector.HeartbeatInterval + 100*time.Millisecond
-	usualStagger   = 400 * time.Millisecond
-	usualStarting  = 2 * time.Second
-	leastStagger   = 200 * time.Millisecond
+	maximumSuspicion = 700 * time.Millisecond
+	minimumSuspicion = 2*failuredetector.HeartbeatInterval + 100*time.Millisecond
+	maximumStagger   = 400 * time.Millisecond
+	maximumStarting  = 2 * time.Second
+	minimumStagger   = 200 * time.Millisecond
 )
 
 // BoundsFor derives the bounds from the limits.
 func BoundsFor(limits Limits) Bounds {
-	limits = limits.withUsual()
+	limits = limits.withDefaults()
 	repair := min(limits.Acknowledge, limits.CatchUp)
-	suspicion := max(leastSuspicion, min(usualSuspicion, repair*7/40, limits.Contact*7/30))
+	suspicion := max(minimumSuspicion, min(maximumSuspicion, repair*7/40, limits.Contact*7/30))
 	return Bounds{
 		Suspicion:   suspicion,
 		Unhealthy:   suspicion,
 		Broken:      suspicion,
 		Frozen:      suspicion - failuredetector.HeartbeatInterval,
-		Stagger:     max(leastStagger, min(usualStagger, repair/10)),
+		Stagger:     max(minimumStagger, min(maximumStagger, repair/10)),
 		DaemonLease: lease.DaemonTermFor(limits.Apply),
 		QuotaTerm:   limits.Acknowledge,
-		Starting:    min(usualStarting, limits.Contact/2),
+		Starting:    min(maximumStarting, limits.Contact/2),
 		// The rest of the grace is for closing what is open.
 		Leave: limits.Grace * 9 / 10,
 	}
 }
 
-// Detection is after what time at most the loss of a machine is known.
+// Detection returns after what time at most the failure of a machine is known.
 func (bounds Bounds) Detection() time.Duration {
 	return bounds.Suspicion + failuredetector.HeartbeatInterval
 }
 
-// ViewChange is how long the agreement on a view takes at most where one proposer fails, disks and links being well.
+// ViewChange returns how long the agreement on a view takes at most where one proposer fails, disks and links being
+// well.
 func (bounds Bounds) ViewChange() time.Duration { return 2 * bounds.Stagger }
 
-// Takeover is after what time at most another head may act once a head was lost.
+// Takeover returns after what time at most another head may act once a head has failed.
 func (bounds Bounds) Takeover() time.Duration {
 	return bounds.Detection() + bounds.Stagger + lease.Term + leadership.RetryInterval
 }
 
-// SeatRepair is after what time at most a machine that has just started has the seat of a acceptor that was lost no
-// later: it is heard and told the view, says so, and a view is agreed.
+// SeatRepair returns after what time at most a machine that has just started has the slot of an acceptor that failed no
+// later: it is heard and learns the view, reports so, and a view is agreed on.
 func (bounds Bounds) SeatRepair() time.Duration {
 	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
 
-// CopyRepair is after what time at most it has a place in the chain too: it learns the document and a view is agreed.
+// CopyRepair returns after what time at most it is in the chain too: it learns the document and a view is agreed on.
 func (bounds Bounds) CopyRepair() time.Duration {
 	return bounds.SeatRepair() + directory.LearnInterval + bounds.ViewChange()
 }
 
-// Check tells which limits are too short for what has to happen within them.
+// Check returns an error of code apierror.BadSettings for limits that are too short for what has to happen within them.
 func (limits Limits) Check() error {
-	limits = limits.withUsual()
+	limits = limits.withDefaults()
 	bounds := BoundsFor(limits)
+	acknowledgement := bounds.Takeover() + bounds.DaemonLease + daemonlease.ClockMargin
 	for _, need := range []struct {
 		what          string
 		needed, limit time.Duration
 	}{
-		{"acknowledge: a takeover and a daemon's lease", bounds.Takeover() + bounds.DaemonLease + daemonlease.ClockMargin, limits.Acknowledge},
+		{"acknowledge: a takeover and a daemon's lease", acknowledgement, limits.Acknowledge},
 		{"catch_up: the repair of a seat and of a copy", bounds.CopyRepair(), limits.CatchUp},
 		{"contact: the detection of a loss", bounds.Detection(), limits.Contact},
 		{"apply: twice a daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
 		{"grace: the handing over of all that a machine holds", bounds.CopyRepair(), bounds.Leave},
 	} {
 		if need.needed > need.limit {
-			return apierror.New(apierror.BadSettings, "%s", fmt.Sprintf("%s may take %v, more than %v", need.what, need.needed, need.limit))
+			return apierror.New(apierror.BadSettings, "%s may take %v, more than %v", need.what, need.needed, need.limit)
 		}
 	}
 	return nil
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -25,7 +25,9 @@
 				lengths[place] = time.Duration(values[number%len(values)] * float64(time.Second))
 				number /= len(values)
 			}
-			if !yield(Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]}) {
+			if !yield(
+				Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]},
+			) {
 				return
 			}
 		}
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -124,7 +124,14 @@
 		}
 		if refused > 0 && (accepted > 0 || inEffect) {
 			fleet.describe()
-			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", call.order.Operation, len(call.copies), accepted, refused, inEffect)
+			fleet.t.Fatalf(
+				"%s: of %d copies %d were confirmed and %d refused, in effect %v",
+				call.order.Operation,
+				len(call.copies),
+				accepted,
+				refused,
+				inEffect,
+			)
 		}
 		if accepted == 0 {
 			continue
@@ -152,9 +159,17 @@
 		fleet.kill(old)
 		fleet.members = fleet.members[1:]
 		fleet.seeds = append(fleet.seeds[1:], fresh.address)
-		fleet.until("a leader", 10*time.Second, func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 })
+		fleet.until(
+			"a leader",
+			10*time.Second,
+			func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 },
+		)
 		fleet.run(4 * time.Second)
-		fleet.wantAccepted(fleet.members[number%3], apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"), 8+uint64(number))
+		fleet.wantAccepted(
+			fleet.members[number%3],
+			apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"),
+			8+uint64(number),
+		)
 	}
 	for _, member := range fleet.members {
 		fleet.wantAccepted(member, first, 7)
@@ -198,8 +213,15 @@
 	fleet.run(300 * time.Millisecond)
 	second := fleet.send(others[1], order)
 	fleet.run(300 * time.Millisecond)
-	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 || second.status != 0 {
-		t.Fatalf("committed %d, pending %d, told %d and %d", head.node.Chain().Committed().SpecEpoch, len(head.node.Chain().Pending()), first.status, second.status)
+	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 ||
+		second.status != 0 {
+		t.Fatalf(
+			"committed %d, pending %d, told %d and %d",
+			head.node.Chain().Committed().SpecEpoch,
+			len(head.node.Chain().Pending()),
+			first.status,
+			second.status,
+		)
 	}
 	fleet.kill(head)
 	fleet.lost = nil
@@ -250,12 +272,22 @@
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 1, "a"))
-	refused := &wire.OperatorRequest{Verb: "change", Operation: "refused", Spec: []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`)}
+	refused := &wire.OperatorRequest{
+		Verb:      "change",
+		Operation: "refused",
+		Spec:      []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`),
+	}
 	if got := lone.send(refused); got.status != 422 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 	late := &wire.OperatorRequest{}
-	*late = wire.OperatorRequest{Verb: refused.Verb, Operation: refused.Operation, Spec: refused.Spec, Token: refused.Token, Origin: refused.Origin}
+	*late = wire.OperatorRequest{
+		Verb:      refused.Verb,
+		Operation: refused.Operation,
+		Spec:      refused.Spec,
+		Token:     refused.Token,
+		Origin:    refused.Origin,
+	}
 	for number := range 3 * proposal.RefusalWindow {
 		if got := lone.send(apply(fmt.Sprint("stale", number), 0, 9, "c")); got.status != 409 {
 			t.Fatalf("%d %+v", got.status, got.reply)
@@ -299,7 +331,8 @@
 	again := uint32(0)
 	messages, _ := lone.node.Drain()
 	for _, message := range messages {
-		if response := message.Envelope.GetOperatorResponse(); message.To == "elsewhere" && response.GetToken() == stale.Token {
+		if response := message.Envelope.GetOperatorResponse(); message.To == "elsewhere" &&
+			response.GetToken() == stale.Token {
 			again = response.Status
 		}
 	}
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -38,14 +38,15 @@
 	}
 }
 
-// catchUpTrial strikes one machine after the other while changes go on. Each trouble lasts for most of a span of changes;
-// before the next, all come back.
+// catchUpTrial strikes one machine after the other while changes go on. Each trouble lasts for most of a span of
+// changes; before the next, all come back.
 type catchUpTrial struct {
 	fleet    *testFleet
 	operator *testOperator
 	// every is how many changes a span has.
 	every uint64
-	// seen is the number of the change that was looked at last, which came at moved; turns is how many troubles there were.
+	// seen is the number of the change that was looked at last, which came at moved; turns is how many troubles there
+	// were.
 	seen   uint64
 	moved  time.Time
 	turns  int
@@ -127,7 +128,11 @@
 	operator := &testOperator{fleet: fleet, name: "o"}
 	away := fleet.members[2]
 	fleet.kill(away)
-	fleet.until("changes without it", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 20 })
+	fleet.until(
+		"changes without it",
+		30*time.Second,
+		func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 20 },
+	)
 	away.disk = newTestDisk()
 	away.identity, away.founding = "id99", false
 	fleet.start(away)
@@ -139,7 +144,12 @@
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
 		operator.tend(100 * time.Millisecond)
 		if !fleet.now.Before(due) {
-			storage.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) }, func(err error) { t.Fatal(err) })
+			storage.Carry(
+				away.store,
+				taken,
+				func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
+				func(err error) { t.Fatal(err) },
+			)
 			taken, away.writes = away.writes, nil
 			due = fleet.now.Add(delay)
 		}
@@ -155,10 +165,18 @@
 	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
 	for incarnation := range uint64(12) {
-		fleet.until("changes", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(incarnation+1) })
+		fleet.until(
+			"changes",
+			30*time.Second,
+			func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(incarnation+1) },
+		)
 		fleet.kill(restarted)
 		fleet.start(restarted)
-		fleet.until("its return", 10*time.Second, func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() })
+		fleet.until(
+			"its return",
+			10*time.Second,
+			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() },
+		)
 	}
 	for _, member := range fleet.members {
 		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.greatest)
--- a/control/node/closing_test.go
+++ b/control/node/closing_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Right after an acknowledgement as many disks are lost as is to be borne, and every other machine loses its power at that
-// moment: what was acknowledged is there again, and the fleet serves.
+// Right after an acknowledgement as many disks are lost as is to be borne, and every other machine loses its power at
+// that moment: what was acknowledged is there again, and the fleet serves.
 func TestDisksLostWhileAllPowerIs(t *testing.T) {
 	t.Parallel()
 	for _, tried := range []struct{ faults, cores int }{{1, 3}, {1, 4}, {2, 6}, {2, 8}} {
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -228,8 +228,15 @@
 			continue
 		}
 		current := machine.node.View()
-		text += fmt.Sprintf("\n  %s leads %v leaving %v view %d chain %v keepers %v", machine.address, machine.node.Leading(fleet.now),
-			!machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain), ids(current.Acceptors))
+		text += fmt.Sprintf(
+			"\n  %s leads %v leaving %v view %d chain %v keepers %v",
+			machine.address,
+			machine.node.Leading(fleet.now),
+			!machine.leaveBy.IsZero(),
+			current.Epoch,
+			ids(current.Chain),
+			ids(current.Acceptors),
+		)
 	}
 	return text
 }
@@ -361,7 +368,14 @@
 	fleet.t.Helper()
 	for operation, epoch := range fleet.acked {
 		if outcome := machine.node.Chain().Outcome(operation); outcome == nil || outcome.SpecEpoch != epoch {
-			fleet.t.Fatalf("%s was acknowledged as epoch %d, and %s holds %v: %s", operation, epoch, machine.address, outcome, fleet.state())
+			fleet.t.Fatalf(
+				"%s was acknowledged as epoch %d, and %s holds %v: %s",
+				operation,
+				epoch,
+				machine.address,
+				outcome,
+				fleet.state(),
+			)
 		}
 	}
 }
--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -13,7 +13,16 @@
 // grantOf has a acceptor answer a head's question for its lease, and gives the answer.
 func grantOf(t *testing.T, node *Node, now time.Time, head *wire.Member) *wire.LeaderLeaseGrant {
 	t.Helper()
-	node.Receive(now, &wire.Envelope{From: head.Address, Sender: head.Id, Body: &wire.Envelope_LeaderLeaseRequest{LeaderLeaseRequest: &wire.LeaderLeaseRequest{View: 3, Nonce: 1, Committed: 4}}})
+	node.Receive(
+		now,
+		&wire.Envelope{
+			From:   head.Address,
+			Sender: head.Id,
+			Body: &wire.Envelope_LeaderLeaseRequest{
+				LeaderLeaseRequest: &wire.LeaderLeaseRequest{View: 3, Nonce: 1, Committed: 4},
+			},
+		},
+	)
 	parcels, _ := node.Drain()
 	for _, parcel := range parcels {
 		if grant := parcel.Envelope.GetLeaderLeaseGrant(); grant != nil {
@@ -24,19 +33,34 @@
 	return nil
 }
 
-// A acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head that none did,
-// and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from its start.
+// A acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
+// that none did, and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from
+// its start.
 func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	head, self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}, &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
+	head, self := &wire.Member{
+		Id:      "a",
+		Address: "127.0.0.1:1",
+		Zone:    "a",
+	}, &wire.Member{
+		Id:      "b",
+		Address: "127.0.0.2:1",
+		Zone:    "b",
+	}
 	members := []*wire.Member{head, self, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}
-	memory := &wire.DurableState{Id: "b", ClearedTerm: 3, View: &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members}, Document: &wire.Document{Sequence: 4, SpecEpoch: 4}}
+	memory := &wire.DurableState{
+		Id:          "b",
+		ClearedTerm: 3,
+		View:        &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members},
+		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4},
+	}
 	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
 	for _, test := range []struct{ since, want time.Duration }{
 		{0, lease.DaemonTerm + daemonlease.ClockMargin}, {lease.DaemonTerm / 2, lease.DaemonTerm/2 + daemonlease.ClockMargin}, {lease.DaemonTerm + daemonlease.ClockMargin, 0},
 	} {
 		grant := grantOf(t, node, now.Add(test.since), head)
-		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 || got != test.want {
+		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 ||
+			got != test.want {
 			t.Fatalf("%v after the start: known %d, relied on for %v, want %v", test.since, grant.KnownSequence, got, test.want)
 		}
 	}
@@ -45,13 +69,34 @@
 // A acceptor confirms the daemons of its directory alone, and once it has told the head what it knows, nothing older.
 func TestAnAcceptorConfirmsItsDirectoryAlone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	head, self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}, &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
+	head, self := &wire.Member{
+		Id:      "a",
+		Address: "127.0.0.1:1",
+		Zone:    "a",
+	}, &wire.Member{
+		Id:      "b",
+		Address: "127.0.0.2:1",
+		Zone:    "b",
+	}
 	members := []*wire.Member{head, self, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}
-	memory := &wire.DurableState{Id: "b", ClearedTerm: 3, View: &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members},
-		Document: &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}}}
+	memory := &wire.DurableState{
+		Id:          "b",
+		ClearedTerm: 3,
+		View:        &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members},
+		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}},
+	}
 	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
 	confirmed := func(daemon string, sequence uint64) bool {
-		node.Receive(now, &wire.Envelope{From: daemon, Sender: daemon, Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1, Sequence: sequence, View: 3}}})
+		node.Receive(
+			now,
+			&wire.Envelope{
+				From:   daemon,
+				Sender: daemon,
+				Body: &wire.Envelope_DaemonLeaseRequest{
+					DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1, Sequence: sequence, View: 3},
+				},
+			},
+		)
 		parcels, _ := node.Drain()
 		for _, parcel := range parcels {
 			if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && parcel.To == daemon {
--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -11,8 +11,8 @@
 	"wardtray/wire"
 )
 
-// daemons is what a machine does for data daemons: as head it grants them leases, as acceptor it confirms what they have,
-// and as anyone it spreads the document. It composes the leases and the directory.
+// daemons is what a machine does for data daemons: as head it grants them leases, as acceptor it confirms what they
+// have, and as anyone it spreads the document. It composes the leases and the directory.
 type daemons struct {
 	members *members
 
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -117,13 +117,22 @@
 	for number := range size {
 		fleet.add(fleet.seeds[number], number, true)
 	}
-	fleet.until("a first view", 10*time.Second, func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == size })
+	fleet.until(
+		"a first view",
+		10*time.Second,
+		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == size },
+	)
 	return fleet
 }
 
 // add starts a machine with an empty disk at an address.
 func (fleet *testFleet) add(address string, number int, founding bool) *testMember {
-	member := &testMember{address: address, disk: newTestDisk(), identity: fmt.Sprintf("id%02d", number), founding: founding}
+	member := &testMember{
+		address:  address,
+		disk:     newTestDisk(),
+		identity: fmt.Sprintf("id%02d", number),
+		founding: founding,
+	}
 	fleet.members = append(fleet.members, member)
 	fleet.start(member)
 	return member
@@ -137,8 +146,19 @@
 	fleet.wantContiguous(member, restored)
 	member.incarnations++
 	member.store, member.writes = restored.Store, nil
-	member.node = New(fleet.now, Settings{Address: member.address, Zone: member.address, Seeds: fleet.seeds, Founders: fleet.seeds, Founding: member.founding},
-		restored.Memory, restored.Records, rand.New(rand.NewSource(fleet.random.Int63())))
+	member.node = New(
+		fleet.now,
+		Settings{
+			Address:  member.address,
+			Zone:     member.address,
+			Seeds:    fleet.seeds,
+			Founders: fleet.seeds,
+			Founding: member.founding,
+		},
+		restored.Memory,
+		restored.Records,
+		rand.New(rand.NewSource(fleet.random.Int63())),
+	)
 }
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
@@ -242,7 +262,12 @@
 	for _, member := range fleet.members {
 		if member.up() && member.node.Leading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
 			fleet.describe()
-			fleet.t.Fatalf("%s leads with epoch %d after %d was acknowledged", member.address, member.node.Chain().Committed().SpecEpoch, fleet.acknowledged)
+			fleet.t.Fatalf(
+				"%s leads with epoch %d after %d was acknowledged",
+				member.address,
+				member.node.Chain().Committed().SpecEpoch,
+				fleet.acknowledged,
+			)
 		}
 	}
 }
@@ -255,8 +280,19 @@
 			for _, member := range view.Chain {
 				names += " " + member.Id
 			}
-			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v", member.address, member.identity, view.Epoch, names,
-				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.members.disk.IsUnhealthy(fleet.now))
+			fleet.t.Logf(
+				"%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
+				member.address,
+				member.identity,
+				view.Epoch,
+				names,
+				chain.Committed().SpecEpoch,
+				len(chain.Pending()),
+				chain.Synced(),
+				chain.LearnedView(),
+				member.node.Leading(fleet.now),
+				member.node.members.disk.IsUnhealthy(fleet.now),
+			)
 		}
 	}
 }
@@ -298,13 +334,23 @@
 			return
 		}
 		operator.next = fleet.now.Add(every)
-		operator.order = apply(fmt.Sprintf("%s%d", operator.name, operator.number+1), operator.number, operator.number+1, routes(operator.routes)...)
+		operator.order = apply(
+			fmt.Sprintf("%s%d", operator.name, operator.number+1),
+			operator.number,
+			operator.number+1,
+			routes(operator.routes)...)
 		operator.copies, operator.sent = nil, time.Time{}
 	}
 	for _, copy := range operator.copies {
 		if copy.status >= 400 && copy.status < 500 {
 			fleet.describe()
-			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.order.Operation, len(operator.copies), copy.status, copy.reply)
+			fleet.t.Fatalf(
+				"%s, sent %d times, was refused: %d %+v",
+				operator.order.Operation,
+				len(operator.copies),
+				copy.status,
+				copy.reply,
+			)
 		}
 		if copy.status == 200 {
 			operator.number++
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat to every address where another disk machine may be, if one is due. Unleased lists the
-// daemons that hold no lease of this machine's as head.
+// sendHeartbeats sends a heartbeat to every address where another disk machine may be, if one is due. Unleased lists
+// the daemons that hold no lease of this machine's as head.
 func (members *members) sendHeartbeats(now time.Time, unleased func(now time.Time) []string) {
 	if !members.detector.TakeHeartbeat(now) {
 		return
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -28,7 +28,8 @@
 	return newest
 }
 
-// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of some.
+// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of
+// some.
 func (fleet *fleet) pick(role string, besides ...*coreMachine) *coreMachine {
 	newest := fleet.newest()
 	members := newest.Chain
@@ -53,7 +54,8 @@
 			continue
 		}
 		current := machine.node.View()
-		if membership.IsAcceptor(current, machine.node.Self().Id) && !membership.IsAcceptor(current, id) && !membership.Contains(current.Chain, id) {
+		if membership.IsAcceptor(current, machine.node.Self().Id) && !membership.IsAcceptor(current, id) &&
+			!membership.Contains(current.Chain, id) {
 			count++
 		}
 	}
@@ -128,7 +130,8 @@
 	// What a fleet of three bears only once the successor has the seat, one of five bears once
 	// the loss is known and a view agreed.
 	bounds := BoundsFor(Limits{})
-	bears := time.Second+moment >= bounds.SeatRepair() || cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
+	bears := time.Second+moment >= bounds.SeatRepair() ||
+		cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
 	fleet.wipe(fleet.pick(second), wipedFor)
 	if bears {
 		fleet.requireServing(servingBound)
@@ -181,7 +184,11 @@
 		successor := fleet.add(false)
 		fleet.run(moment)
 		fleet.stop(leaver)
-		fleet.runUntil(servingBound, "successor in the chain", func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) })
+		fleet.runUntil(
+			servingBound,
+			"successor in the chain",
+			func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) },
+		)
 		successor.diskTime = 550 * time.Millisecond
 		fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
 		fleet.runUntil(servingBound, "leader", func() bool { return fleet.leader() != nil })
@@ -221,7 +228,8 @@
 				if newest := fleet.newest(); len(newest.Chain) < len(fleet.machines)-1 {
 					t.Fatalf("one was silent for %v and more were taken out: %s", silence, fleet.state())
 				}
-				return fleet.now.Sub(back) >= 300*time.Millisecond && fleet.whole() && len(fleet.newest().Chain) == len(fleet.machines)
+				return fleet.now.Sub(back) >= 300*time.Millisecond && fleet.whole() &&
+					len(fleet.newest().Chain) == len(fleet.machines)
 			})
 			fleet.run(300 * time.Millisecond)
 		}
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -1,7 +1,7 @@
 // Package node is the control plane of one disk machine as a pure state machine. It only composes: the mechanisms are
 // packages beside it, each with its own state (failuredetector, reconfiguration, viewchange, leadership, daemonlease,
-// proposal, directory, durability), over chain, view, lease and gossip of coordination. The node dispatches each message
-// to the one that it is for, ticks them in a stated order, and passes facts between them.
+// proposal, directory, durability), over chain, view, lease and gossip of coordination. The node dispatches each
+// message to the one that it is for, ticks them in a stated order, and passes facts between them.
 //
 // A driver hands it the time, messages, ticks and completed writes, and carries out what Drain returns. It starts no
 // goroutine, reads no clock and does no I/O.
@@ -203,7 +203,8 @@
 	node.members.propose(now)
 }
 
-// Ask takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at once.
+// Ask takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
+// once.
 func (node *Node) Ask(now time.Time, message *wire.OperatorRequest,
 	respond func(status int, body []byte)) (token string) {
 	return node.requests.Submit(now, message, respond)
@@ -255,7 +256,8 @@
 
 // Memory returns all that this machine must not forget.
 func (node *Node) Memory() *wire.DurableState {
-	state := &wire.DurableState{Id: node.self.Id, View: node.members.agent.Current(), AcceptorState: node.members.agent.Vote(),
+	agent := node.members.agent
+	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.Vote(),
 		Founding: node.members.proposer.IsFounding(), ClearedTerm: node.daemons.grantor.ClearedTerm()}
 	node.members.chain.Memory(state)
 	return state
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -14,7 +14,13 @@
 	t.Parallel()
 	tokens := map[string]bool{}
 	for incarnation := range 2 {
-		node := New(time.Unix(0, 0), Settings{Address: "127.0.0.1:1", Zone: "a"}, &wire.DurableState{Id: "same"}, nil, rand.New(rand.NewSource(int64(incarnation))))
+		node := New(
+			time.Unix(0, 0),
+			Settings{Address: "127.0.0.1:1", Zone: "a"},
+			&wire.DurableState{Id: "same"},
+			nil,
+			rand.New(rand.NewSource(int64(incarnation))),
+		)
 		answers := 0
 		token := node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
 		if tokens[token] {
@@ -47,8 +53,20 @@
 		pair.now = pair.now.Add(50 * time.Millisecond)
 		pair.node.Tick(pair.now)
 		// The other lives, or a view without it would end the matter.
-		pair.hear(&wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: &wire.Heartbeat{Member: pair.other, View: 3, Fleet: "f", Reachable: []string{"a", "b"}}}})
-		pair.node.Receive(pair.now, &wire.Envelope{From: "d", Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1}}})
+		pair.hear(
+			&wire.Envelope{
+				Body: &wire.Envelope_Heartbeat{
+					Heartbeat: &wire.Heartbeat{Member: pair.other, View: 3, Fleet: "f", Reachable: []string{"a", "b"}},
+				},
+			},
+		)
+		pair.node.Receive(
+			pair.now,
+			&wire.Envelope{
+				From: "d",
+				Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1}},
+			},
+		)
 		if otherAnswers {
 			pair.hear(&wire.Envelope{Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{View: 3, Synced: 5, Committed: 5}}})
 		}
@@ -75,7 +93,13 @@
 			pair.grants++
 		}
 		if asked := parcel.Envelope.GetLeaderLeaseRequest(); asked != nil && parcel.To == pair.other.Address {
-			pair.hear(&wire.Envelope{Body: &wire.Envelope_LeaderLeaseGrant{LeaderLeaseGrant: &wire.LeaderLeaseGrant{View: asked.View, Nonce: asked.Nonce}}})
+			pair.hear(
+				&wire.Envelope{
+					Body: &wire.Envelope_LeaderLeaseGrant{
+						LeaderLeaseGrant: &wire.LeaderLeaseGrant{View: asked.View, Nonce: asked.Nonce},
+					},
+				},
+			)
 		}
 		if parcel.To == pair.self.Address {
 			pair.node.Receive(pair.now, parcel.Envelope)
@@ -88,9 +112,31 @@
 func TestHeadPromisesNothingBeforeItsHistoryIsCommitted(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
-	self, other := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}, &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
-	memory := &wire.DurableState{Id: "a", View: &wire.View{Epoch: 3, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self, other}, Acceptors: []*wire.Member{self, other, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}},
-		Document: &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}}, Pending: []*wire.Entry{{Sequence: 5, ChangesSpec: true, SpecEpoch: 5, Operation: "o"}}}
+	self, other := &wire.Member{
+		Id:      "a",
+		Address: "127.0.0.1:1",
+		Zone:    "a",
+	}, &wire.Member{
+		Id:      "b",
+		Address: "127.0.0.2:1",
+		Zone:    "b",
+	}
+	memory := &wire.DurableState{
+		Id: "a",
+		View: &wire.View{
+			Epoch:       3,
+			Fleet:       "f",
+			MinReplicas: 1,
+			Chain:       []*wire.Member{self, other},
+			Acceptors:   []*wire.Member{self, other, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}},
+		},
+		Document: &wire.Document{
+			Sequence:  4,
+			SpecEpoch: 4,
+			Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}},
+		},
+		Pending: []*wire.Entry{{Sequence: 5, ChangesSpec: true, SpecEpoch: 5, Operation: "o"}},
+	}
 	node := New(now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	pair := &pair{node: node, self: self, other: other, now: now}
 	pair.run(4*time.Second, false)
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -24,7 +24,10 @@
 
 func newLone() *lone {
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
-	memory := &wire.DurableState{Id: "a", View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}}}
+	memory := &wire.DurableState{
+		Id:   "a",
+		View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}},
+	}
 	lone := &lone{now: time.Unix(1_700_000_000, 0)}
 	lone.node = New(lone.now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	lone.run(4 * time.Second)
@@ -86,11 +89,27 @@
 }
 
 func apply(operation string, base, epoch uint64, routes ...string) *wire.OperatorRequest {
-	return &wire.OperatorRequest{Verb: "apply", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: whole(routes...)}
+	return &wire.OperatorRequest{
+		Verb:      "apply",
+		Operation: operation,
+		Base:      base,
+		HasBase:   true,
+		Epoch:     epoch,
+		HasEpoch:  epoch > 0,
+		Spec:      whole(routes...),
+	}
 }
 
 func change(operation string, base, epoch uint64, content string) *wire.OperatorRequest {
-	return &wire.OperatorRequest{Verb: "change", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: []byte(content)}
+	return &wire.OperatorRequest{
+		Verb:      "change",
+		Operation: operation,
+		Base:      base,
+		HasBase:   true,
+		Epoch:     epoch,
+		HasEpoch:  epoch > 0,
+		Spec:      []byte(content),
+	}
 }
 
 func (lone *lone) routes(t *testing.T) (names string) {
@@ -127,7 +146,8 @@
 		{change("low", 900, 900, `{}`), 422, 900, "epoch"},
 	} {
 		got := lone.send(step.ask)
-		if got.status != step.status || got.reply.Epoch != step.epoch || step.path != "" && (len(got.reply.Flaws) != 1 || got.reply.Flaws[0].Path != step.path) {
+		if got.status != step.status || got.reply.Epoch != step.epoch ||
+			step.path != "" && (len(got.reply.Flaws) != 1 || got.reply.Flaws[0].Path != step.path) {
 			t.Errorf("%s: %d %+v", step.ask.Operation, got.status, got.reply)
 		}
 	}
@@ -161,9 +181,18 @@
 	if got := lone.routes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
 		t.Fatalf("the lanes are %s after refusals", got)
 	}
-	got := lone.send(change("fine", 1, 0, `{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`))
+	got := lone.send(
+		change(
+			"fine",
+			1,
+			0,
+			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`,
+		),
+	)
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
-	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" || held.Limits.BodyBytes != 5 || held.Routes[0].Value != 1 {
+	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" ||
+		held.Limits.BodyBytes != 5 ||
+		held.Routes[0].Value != 1 {
 		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, held)
 	}
 }
@@ -188,7 +217,8 @@
 	}
 	lone.stalled = false
 	lone.settle()
-	if under.status != 200 || under.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 || invalid.status != 422 {
+	if under.status != 200 || under.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 ||
+		invalid.status != 422 {
 		t.Fatalf("answered once it is: %d %d %d", under.status, stale.status, invalid.status)
 	}
 }
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -25,12 +25,26 @@
 		return nil
 	}
 	reporter.nonce++
-	question := &wire.DaemonLeaseRequest{Nonce: reporter.nonce, Sequence: head.node.Chain().Committed().Sequence, Zone: "z", Incarnation: reporter.incarnation, View: head.node.View().Epoch, Quota: &wire.QuotaReport{}}
+	question := &wire.DaemonLeaseRequest{
+		Nonce:       reporter.nonce,
+		Sequence:    head.node.Chain().Committed().Sequence,
+		Zone:        "z",
+		Incarnation: reporter.incarnation,
+		View:        head.node.View().Epoch,
+		Quota:       &wire.QuotaReport{},
+	}
 	if reporter.claim != nil {
 		question.Quota.Tenants = []*wire.QuotaTenantReport{reporter.claim}
 	}
 	fleet.drain(head)
-	head.node.Receive(fleet.now, &wire.Envelope{From: reporter.address, Sender: reporter.address, Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question}})
+	head.node.Receive(
+		fleet.now,
+		&wire.Envelope{
+			From:   reporter.address,
+			Sender: reporter.address,
+			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question},
+		},
+	)
 	parcels, writes := head.node.Drain()
 	head.writes = append(head.writes, writes...)
 	var answer *wire.DaemonLeaseGrant
@@ -74,7 +88,10 @@
 func TestTheHeadIssuesQuotas(t *testing.T) {
 	fleet := newTestFleet(t, 3, 3)
 	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
-	operator := fleet.send(fleet.members[0], &wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
+	operator := fleet.send(
+		fleet.members[0],
+		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)},
+	)
 	fleet.leased(first, second)
 	fleet.until("the spec is acknowledged", 10*time.Second, func() bool {
 		if fleet.now.UnixMilli()%100 == 0 {
@@ -98,7 +115,8 @@
 	head := fleet.leader()
 	fleet.kill(head)
 	fleet.until("another head", 20*time.Second, func() bool { return fleet.leader() != nil && fleet.leader() != head })
-	// The first daemon does not report; what it may hold of the rate and of the burst is given to nobody until its term is over.
+	// The first daemon does not report; what it may hold of the rate and of the burst is given to nobody until its term
+	// is over.
 	if given := fleet.tokens(second, 5000); given > 0 {
 		t.Errorf("a new head gives %v before it knows what is held", given)
 	}
--- a/control/node/receive_fuzz_test.go
+++ b/control/node/receive_fuzz_test.go
@@ -17,7 +17,13 @@
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
 	other := &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
 	third := &wire.Member{Id: "c", Address: "127.0.0.3:1", Zone: "c"}
-	view := &wire.View{Epoch: 3, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self, other}, Acceptors: []*wire.Member{self, other, third}}
+	view := &wire.View{
+		Epoch:       3,
+		Fleet:       "f",
+		MinReplicas: 1,
+		Chain:       []*wire.Member{self, other},
+		Acceptors:   []*wire.Member{self, other, third},
+	}
 	document := &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}}
 	settings := Settings{Address: self.Address, Zone: "a", Seeds: []string{other.Address}}
 	founding := settings
--- a/control/node/reserve_test.go
+++ b/control/node/reserve_test.go
@@ -6,14 +6,18 @@
 )
 
 // A chain that shrank below its floor takes no changes, but it is the chain: where the one machine left in it loses
-// its disk, those of the last chain that took changes hold all that was acknowledged and go on. Found by verify/modelcheck
-// (restart-loss): the fleet stood still for good though a machine with everything was back.
+// its disk, those of the last chain that took changes hold all that was acknowledged and go on. Found by
+// verify/modelcheck (restart-loss): the fleet stood still for good though a machine with everything was back.
 func TestTheLastChainThatTookChangesGoesOn(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(t, 1, 3)
 	first, second, third := fleet.machines[0], fleet.machines[1], fleet.machines[2]
 	fleet.remove(third)
-	fleet.runUntil(5*time.Second, "chain of two", func() bool { return len(first.node.View().Chain) == 2 && fleet.leader() == first })
+	fleet.runUntil(
+		5*time.Second,
+		"chain of two",
+		func() bool { return len(first.node.View().Chain) == 2 && fleet.leader() == first },
+	)
 	fleet.run(2 * changeEvery)
 	fleet.changing = false
 	fleet.run(time.Second)
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -5,23 +5,30 @@
 
 	"wardtray/coordination/chain"
 	"wardtray/coordination/registry"
+	"wardtray/wire"
 )
 
-// Status is what a disk machine tells of itself.
+// Status is what a disk machine reports of itself.
 type Status struct {
-	ID        string         `json:"id"`
-	View      uint64         `json:"view"`
-	Fleet     string         `json:"fleet"`
+	ID string `json:"id"`
+	// View is the epoch of the present view, and Fleet the name of its fleet; 0 and empty before the first view.
+	View  uint64 `json:"view"`
+	Fleet string `json:"fleet"`
+	// Place is the machine's position in the chain: head, middle, tail, head and tail, or outside.
 	Place     string         `json:"place"`
 	Chain     []MemberStatus `json:"chain"`
 	Acceptors []MemberStatus `json:"keepers"`
 	Daemons   []MemberStatus `json:"daemons"`
-	Synced    uint64         `json:"synced"`
-	Committed uint64         `json:"committed"`
-	Epoch     uint64         `json:"epoch"`
-	Pending   int            `json:"pending"`
-	// Asks is how many questions of operators wait for an answer here.
-	Asks      int  `json:"asks"`
+	// Synced is up to which sequence its disk holds the history, and Committed up to where that is committed.
+	Synced    uint64 `json:"synced"`
+	Committed uint64 `json:"committed"`
+	// Epoch is that of the committed spec.
+	Epoch uint64 `json:"epoch"`
+	// Pending counts the entries that are not committed yet.
+	Pending int `json:"pending"`
+	// Asks is how many requests of operators wait for a response here.
+	Asks int `json:"asks"`
+	// Claim is set while it holds the leader's lease, and Leading while it acts as head.
 	Claim     bool `json:"claim"`
 	Leading   bool `json:"leading"`
 	Unhealthy bool `json:"sick"`
@@ -31,49 +38,71 @@
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// MemberStatus is one line about another process.
+// MemberStatus is what a disk machine reports of another process.
 type MemberStatus struct {
-	ID        string `json:"id,omitempty"`
-	Address   string `json:"address"`
-	HTTP      string `json:"http,omitempty"`
-	Zone      string `json:"zone"`
-	Heard     bool   `json:"heard"`
+	ID      string `json:"id,omitempty"`
+	Address string `json:"address"`
+	HTTP    string `json:"http,omitempty"`
+	Zone    string `json:"zone"`
+	// Heard is set if it was heard of late.
+	Heard bool `json:"heard"`
+	// Sequence is the newest one that it reported to have.
 	Sequence  uint64 `json:"sequence,omitempty"`
 	Unhealthy bool   `json:"sick,omitempty"`
 }
 
-// Status gives the present state for operators.
+// Status returns the present state for operators.
 func (node *Node) Status(now time.Time) Status {
-	current, document := node.members.agent.Current(), node.members.chain.Committed()
-	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(node.members.chain), Synced: node.members.chain.Synced(),
-		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.members.chain.Pending()), Asks: node.requests.Count(),
-		Claim: node.daemons.leadership.HoldsLease(now), Leading: node.daemons.leadership.IsLeading(now), Unhealthy: node.members.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
+	members, daemons := node.members, node.daemons
+	current, document := members.agent.Current(), members.chain.Committed()
+	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(members.chain),
+		Synced: members.chain.Synced(), Committed: document.Sequence, Epoch: document.SpecEpoch,
+		Pending: len(members.chain.Pending()), Asks: node.requests.Count(),
+		Claim: daemons.leadership.HoldsLease(now), Leading: daemons.leadership.IsLeading(now),
+		Unhealthy: members.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
-		line := MemberStatus{ID: member.Id, Address: node.members.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.members.detector.IsAlive(now, member.Id)}
-		if peer := node.members.detector.Peer(member.Id); peer != nil {
-			line.Sequence, line.Unhealthy = peer.Heartbeat.Synced, peer.Heartbeat.Unhealthy
-		} else if member.Id == node.self.Id {
-			line.Sequence, line.Unhealthy = node.members.chain.Synced(), node.members.disk.IsUnhealthy(now)
-		}
-		status.Chain = append(status.Chain, line)
+		status.Chain = append(status.Chain, members.chainMemberStatus(now, member))
 	}
 	for _, member := range current.Acceptors {
-		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.members.detector.AddressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.members.detector.IsAlive(now, member.Id)})
+		status.Acceptors = append(status.Acceptors, members.memberStatus(now, member))
 	}
 	for _, member := range document.Directory {
-		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
-		line.Sequence, line.Heard = node.daemons.leases.Progress(now, member.Address)
-		status.Daemons = append(status.Daemons, line)
+		entry := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
+		entry.Sequence, entry.Heard = daemons.leases.Progress(now, member.Address)
+		status.Daemons = append(status.Daemons, entry)
+	}
+	status.Warnings = members.facts(now).Warnings()
+	return status
+}
+
+// memberStatus returns the status of a disk machine but for what it reported.
+func (members *members) memberStatus(now time.Time, member *wire.Member) MemberStatus {
+	return MemberStatus{ID: member.Id, Address: members.detector.AddressOf(member), HTTP: member.Http,
+		Zone: member.Zone, Heard: members.detector.IsAlive(now, member.Id)}
+}
+
+// chainMemberStatus returns the status of a member of the chain, with its progress.
+func (members *members) chainMemberStatus(now time.Time, member *wire.Member) MemberStatus {
+	status := members.memberStatus(now, member)
+	if peer := members.detector.Peer(member.Id); peer != nil {
+		status.Sequence, status.Unhealthy = peer.Heartbeat.Synced, peer.Heartbeat.Unhealthy
+	} else if member.Id == members.self.Id {
+		status.Sequence, status.Unhealthy = members.chain.Synced(), members.disk.IsUnhealthy(now)
 	}
-	status.Warnings = node.members.facts(now).Warnings()
 	return status
 }
 
 // positionName returns how operators call a machine's position in the chain.
 func positionName(chain *chain.Chain) string {
-	names := map[bool]map[bool]string{true: {true: "head and tail", false: "head"}, false: {true: "tail", false: "middle"}}
-	if !chain.Inside() {
+	switch {
+	case !chain.Inside():
 		return "outside"
+	case chain.Head() && chain.Tail():
+		return "head and tail"
+	case chain.Head():
+		return "head"
+	case chain.Tail():
+		return "tail"
 	}
-	return names[chain.Head()][chain.Tail()]
+	return "middle"
 }
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -147,7 +147,8 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorResponse{OperatorResponse: response}})
 }
 
-// postpone keeps a request until this process can answer it. Without that it would wait until its origin sends it again.
+// postpone keeps a request until this process can answer it. Without that it would wait until its origin sends it
+// again.
 func (proposals *Proposals) postpone(now time.Time, message *wire.OperatorRequest) {
 	for _, deferred := range proposals.deferred {
 		if deferred.message.Token == message.Token {
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -222,7 +222,10 @@
 func TestAnotherHeadDropsTheWaiting(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "ab")
-	bench.proposals.Receive(start, &wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"})
+	bench.proposals.Receive(
+		start,
+		&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"},
+	)
 	if len(bench.proposals.waiters) != 1 {
 		t.Fatal("nobody waits, so that nothing is tested")
 	}
@@ -259,7 +262,8 @@
 	bench := newBench("c", "ab")
 	bench.submit(start, apply("o"))
 	bench.requests.Tick(start.Add(requestTimeout + 1))
-	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown || bench.requests.Counters().Unknown != 1 {
+	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown ||
+		bench.requests.Counters().Unknown != 1 {
 		t.Errorf("%d %+v", bench.status, bench.reply)
 	}
 }
--- a/control/proposal/reply.go
+++ b/control/proposal/reply.go
@@ -1,5 +1,6 @@
-// Package proposal is the life of an operator's request: from the process where it came in (Requests) to the head, which
-// decides on it, enters the change into the chain and acknowledges it once it is delivered (Proposals), and back.
+// Package proposal is the life of an operator's request: from the process where it came in (Requests) to the head,
+// which decides on it, enters the change into the chain and acknowledges it once it is delivered (Proposals), and
+// back.
 package proposal
 
 import (
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -107,20 +107,22 @@
 	}
 }
 
-func TestOpenVoteIsFinished(t *testing.T) {
+func TestOpenVoteIsFinishedInTurn(t *testing.T) {
 	t.Parallel()
 	vote := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4, Chain: members("ab"), Acceptors: members("abc")}}
-	bench := newBench("a", threeMembers(), vote)
-	if !bench.agent.Voted() {
-		t.Fatal("no open vote, so that nothing is tested")
-	}
-	for _, test := range []struct {
-		after time.Duration
-		want  bool
-	}{{0, false}, {stagger - 1, false}, {stagger, true}} {
-		bench.hear(start.Add(test.after), "bc", &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}})
-		if got := bench.proposes(start.Add(test.after)); got != test.want {
-			t.Errorf("after %v: %v", test.after, got)
+	for self, delay := range map[string]time.Duration{"a": stagger, "b": 2 * stagger, "c": 3 * stagger} {
+		bench := newBench(self, threeMembers(), vote)
+		if !bench.agent.Voted() {
+			t.Fatal("no open vote, so that nothing is tested")
+		}
+		for _, test := range []struct {
+			after time.Duration
+			want  bool
+		}{{0, false}, {delay - 1, false}, {delay, true}} {
+			bench.hear(start.Add(test.after), "abc", &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}})
+			if got := bench.proposes(start.Add(test.after)); got != test.want {
+				t.Errorf("%s after %v: %v", self, test.after, got)
+			}
 		}
 	}
 }
