--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -21,7 +21,7 @@
 )
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, &wire.Member{Id: string(id), Address: string(id)})
 	}
@@ -41,10 +41,10 @@
 	return NewLeases(history, outbox, term, threeMembers()), outbox
 }
 
-// grant lets a daemon that has a sequence request a lease and get it.
-func grant(leases *Leases, now time.Time, address string, sequence uint64) {
-	leases.Request(now, address, &wire.DaemonLeaseRequest{Sequence: sequence})
-	leases.Grant(now, address, &wire.DaemonLeaseGrant{})
+// grant lets daemon d, which has a sequence, request a lease and get it.
+func grant(leases *Leases, now time.Time, sequence uint64) {
+	leases.Request(now, "d", &wire.DaemonLeaseRequest{Sequence: sequence})
+	leases.Grant(now, "d", &wire.DaemonLeaseGrant{})
 }
 
 // leaderAt is a leader for so long that no lease of the head before it can run.
@@ -52,10 +52,10 @@
 	return Leader{Now: now, Since: start.Add(-time.Hour), View: threeMembers(), IsGrowing: func() bool { return false }}
 }
 
-// acceptorsKnow lets acceptors report that they know a sequence, with nothing older confirmed.
-func acceptorsKnow(leases *Leases, sequence uint64, ids ...string) {
+// acceptorsKnow lets acceptors report that they know sequence 5, with nothing older confirmed.
+func acceptorsKnow(leases *Leases, ids ...string) {
 	for _, id := range ids {
-		leases.AcceptorReported(id, sequence, start)
+		leases.AcceptorReported(id, 5, start)
 	}
 }
 
@@ -67,60 +67,60 @@
 		want      bool
 	}{
 		"a majority of the acceptors knows": {"", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 		}, true},
-		"one acceptor knows": {"", func(leases *Leases, _ *Leader) { acceptorsKnow(leases, 5, "a") }, false},
+		"one acceptor knows": {"", func(leases *Leases, _ *Leader) { acceptorsKnow(leases, "a") }, false},
 		"this process has not led": {"", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leader.Since = time.Time{}
 		}, false},
 		"the chain is too short": {"", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leader.View.Chain = members("a")
 		}, false},
 		"the acceptors are still growing": {"", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leader.IsGrowing = func() bool { return true }
 		}, false},
 		"a lease runs at a daemon that has less": {"d", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
-			grant(leases, start, "d", 4)
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start, 4)
 		}, false},
 		"the daemon with less has ended": {"d", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
-			grant(leases, start.Add(-2), "d", 4)
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start.Add(-2), 4)
 			leases.ConnectionRefused("d", start.Add(-1))
 		}, true},
 		"the lease with less has expired": {"d", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
-			grant(leases, start.Add(-length), "d", 4)
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start.Add(-length), 4)
 		}, true},
 		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leases.Committed(start.Add(-length), 5)
-			grant(leases, start, "d", 4)
+			grant(leases, start, 4)
 		}, true},
 		"every daemon knows": {"d", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leases.Committed(start, 5)
 			leader.Since = start
-			grant(leases, start, "d", 5)
+			grant(leases, start, 5)
 		}, true},
 		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *Leader) {
-			acceptorsKnow(leases, 5, "a")
+			acceptorsKnow(leases, "a")
 			leases.Committed(start, 5)
-			grant(leases, start, "d", 5)
+			grant(leases, start, 5)
 		}, false},
 		"the head before may have granted a lease": {"d", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+			acceptorsKnow(leases, "a", "b")
 			leader.Since = start
 		}, false},
-		"an acceptor's older confirmation runs": {"", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a")
+		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *Leader) {
+			acceptorsKnow(leases, "a")
 			leases.AcceptorReported("b", 5, start.Add(1))
 		}, false},
-		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, leader *Leader) {
-			acceptorsKnow(leases, 5, "a", "b")
+		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *Leader) {
+			acceptorsKnow(leases, "a", "b")
 			next := threeMembers()
 			next.Epoch, next.Acceptors = 4, members("abd")
 			leases.view = &wire.View{Epoch: 3, Acceptors: members("ade")}
@@ -154,7 +154,7 @@
 	if len(leases.previous) != 1 || leases.previous[0].members != nil {
 		t.Error("acceptors of a view that this process never heard of")
 	}
-	acceptorsKnow(leases, 5, "a", "b", "c")
+	acceptorsKnow(leases, "a", "b", "c")
 	if leases.IsDelivered(leaderAt(start.Add(length-1)), 5) || !leases.IsDelivered(leaderAt(start.Add(length)), 5) {
 		t.Error("for another time than a lease")
 	}
@@ -167,7 +167,7 @@
 	if got := leases.Unleased(start, leader); !slices.Equal(got, []string{"d"}) {
 		t.Errorf("before any lease: %v", got)
 	}
-	grant(leases, start, "d", 5)
+	grant(leases, start, 5)
 	if got := leases.Unleased(start, leader); len(got) != 0 {
 		t.Errorf("with a lease: %v", got)
 	}
@@ -201,7 +201,7 @@
 func TestConnectionRefusedAfterARequestSaysNothing(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("d")
-	grant(leases, start, "d", 5)
+	grant(leases, start, 5)
 	if leases.ConnectionRefused("d", start) || leases.ConnectionRefused("stranger", start.Add(1)) {
 		t.Error("a daemon that was heard since")
 	}
@@ -214,7 +214,7 @@
 	t.Parallel()
 	leases, outbox := newLeases("de")
 	leases.Committed(start, 5)
-	grant(leases, start, "d", 5)
+	grant(leases, start, 5)
 	for _, test := range []struct {
 		after time.Duration
 		want  int
@@ -265,6 +265,7 @@
 
 func TestConfirmer(t *testing.T) {
 	t.Parallel()
+	voted := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4}}
 	for name, test := range map[string]struct {
 		self     string
 		told     bool
@@ -280,7 +281,7 @@
 		"of another view":         {"b", true, true, 2, 5, nil, false},
 		"less than what is known": {"b", true, true, 3, 4, nil, false},
 		"no acceptor":             {"d", true, true, 3, 5, nil, false},
-		"voted for the next view": {"b", true, true, 3, 5, &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4}}, false},
+		"voted for the next view": {"b", true, true, 3, 5, voted, false},
 	} {
 		leases, outbox := newLeases("e")
 		agent := view.NewAgent(start, test.self, threeMembers(), test.vote, outbox, func(string) string { return "" },
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -70,7 +70,7 @@
 // refresh makes the allocator of this term where there is none yet, and sets the limits of the committed spec.
 func (quotas *Quotas) refresh(now time.Time, document *wire.Document) {
 	if quotas.allocator == nil {
-		var expected []string
+		expected := make([]string, 0, len(document.Directory)+len(document.PreviousDirectory))
 		for _, member := range membership.Join(document.Directory, document.PreviousDirectory) {
 			expected = append(expected, member.Address)
 		}
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -20,7 +21,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, &wire.Member{Id: string(id), Address: string(id)})
 	}
@@ -105,8 +106,9 @@
 
 func TestPartners(t *testing.T) {
 	t.Parallel()
-	var addresses []string
-	for _, partner := range newBench("a", "ed").directory.partners() {
+	partners := newBench("a", "ed").directory.partners()
+	addresses := make([]string, 0, len(partners))
+	for _, partner := range partners {
 		addresses = append(addresses, partner.Address)
 	}
 	if !slices.Equal(addresses, []string{"b", "d", "e"}) {
@@ -168,13 +170,13 @@
 		updater := NewUpdater(bench.chain, leases)
 		updater.Tick(daemonlease.Leader{Now: now, Since: start, View: bench.agent.Current(),
 			IsGrowing: func() bool { return false }})
-		got := ""
+		var addresses []string
 		if pending := bench.chain.Pending(); len(pending) > 0 {
 			for _, member := range pending[0].Directory {
-				got += member.Address
+				addresses = append(addresses, member.Address)
 			}
 		}
-		if got != test.want {
+		if got := strings.Join(addresses, ""); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
 		}
 	}
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -21,7 +21,7 @@
 func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1"} }
 
 func members(ids ...string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, member(id))
 	}
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
 	}
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"reflect"
+	"strings"
 	"testing"
 
 	"wardtray/wire"
@@ -9,7 +10,7 @@
 
 // members makes a list whose members have one-letter ids; a member's zone is its id in upper case.
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, &wire.Member{Id: string(id), Zone: string(id - 'a' + 'A')})
 	}
@@ -17,11 +18,11 @@
 }
 
 func ids(list []*wire.Member) string {
-	joined := ""
+	var joined strings.Builder
 	for _, member := range list {
-		joined += member.Id
+		joined.WriteString(member.Id)
 	}
-	return joined
+	return joined.String()
 }
 
 func TestWithout(t *testing.T) {
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -116,15 +116,15 @@
 	return bounds.Detection() + bounds.Stagger + lease.Term + leadership.RetryInterval
 }
 
-// SeatRepair returns after what time at most a machine that has just started has the slot of an acceptor that failed no
+// AcceptorRepair returns after what time at most a machine that has just started has the slot of an acceptor that failed no
 // later: it is heard and learns the view, reports so, and a view is agreed on.
-func (bounds Bounds) SeatRepair() time.Duration {
+func (bounds Bounds) AcceptorRepair() time.Duration {
 	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
 
-// CopyRepair returns after what time at most it is in the chain too: it learns the document and a view is agreed on.
-func (bounds Bounds) CopyRepair() time.Duration {
-	return bounds.SeatRepair() + directory.LearnInterval + bounds.ViewChange()
+// ReplicaRepair returns after what time at most it is in the chain too: it learns the document and a view is agreed on.
+func (bounds Bounds) ReplicaRepair() time.Duration {
+	return bounds.AcceptorRepair() + directory.LearnInterval + bounds.ViewChange()
 }
 
 // Check returns an error of code apierror.BadSettings for limits that are too short for what has to happen within them.
@@ -137,10 +137,10 @@
 		needed, limit time.Duration
 	}{
 		{"acknowledge: a takeover and a daemon's lease", acknowledgement, limits.Acknowledge},
-		{"catch_up: the repair of a seat and of a copy", bounds.CopyRepair(), limits.CatchUp},
+		{"catch_up: the repair of a seat and of a copy", bounds.ReplicaRepair(), limits.CatchUp},
 		{"contact: the detection of a loss", bounds.Detection(), limits.Contact},
 		{"apply: twice a daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
-		{"grace: the handing over of all that a machine holds", bounds.CopyRepair(), bounds.Leave},
+		{"grace: the handing over of all that a machine holds", bounds.ReplicaRepair(), bounds.Leave},
 	} {
 		if need.needed > need.limit {
 			return apierror.New(apierror.BadSettings, "%s may take %v, more than %v", need.what, need.needed, need.limit)
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -78,10 +78,11 @@
 // requireFit wants what must hold where the settings pass the check.
 func requireFit(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
+	acknowledgement := bounds.Detection() + bounds.Stagger + lease.Term + bounds.DaemonLease + daemonlease.ClockMargin
 	for what, holds := range map[string]bool{
-		"a lease, a detection and a view change below acknowledge": bounds.Detection()+bounds.Stagger+lease.Term+bounds.DaemonLease+daemonlease.ClockMargin < limits.Acknowledge,
-		"a repaired seat below catch_up":                           bounds.SeatRepair() < limits.CatchUp,
-		"a repaired copy within catch_up":                          bounds.CopyRepair() <= limits.CatchUp,
+		"a lease, a detection and a view change below acknowledge": acknowledgement < limits.Acknowledge,
+		"a repaired seat below catch_up":                           bounds.AcceptorRepair() < limits.CatchUp,
+		"a repaired copy within catch_up":                          bounds.ReplicaRepair() <= limits.CatchUp,
 		"a detection below contact":                                bounds.Detection() <= limits.Contact,
 	} {
 		if !holds {
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -22,7 +22,7 @@
 	}
 	confirmed, refused, retried := 0, 0, 0
 	for seed := int64(1); seed <= seeds; seed++ {
-		fleet := newTestFleet(t, seed, 3)
+		fleet := newTestFleet(t, seed)
 		loss := fleet.random.Float64() * 0.2
 		fleet.lost = func(statemachine.Message) bool { return fleet.random.Float64() < loss }
 		trial := &callTrial{testFleet: fleet}
@@ -147,7 +147,7 @@
 // an empty disk at another address, and after other changes.
 func TestOutcomesOutliveTheWholeCore(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 7, 3)
+	fleet := newTestFleet(t, 7)
 	first := apply("first", 0, 7, "a")
 	fleet.wantAccepted(fleet.members[0], first, 7)
 	for number := range 3 {
@@ -195,7 +195,7 @@
 // where only a later head commits it.
 func TestCopyMeetsTheFirstOnItsWay(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 8, 3)
+	fleet := newTestFleet(t, 8)
 	head := fleet.leader()
 	others := []*testMember{}
 	for _, member := range fleet.members {
@@ -205,8 +205,8 @@
 	}
 	// The last of the chain is silent to those before it, so that nothing is committed.
 	tail := fleet.at(head.node.View().Chain[2].Address)
-	fleet.lost = func(parcel statemachine.Message) bool {
-		return parcel.Envelope.GetChainAck() != nil && parcel.Envelope.From == tail.address
+	fleet.lost = func(message statemachine.Message) bool {
+		return message.Envelope.GetChainAck() != nil && message.Envelope.From == tail.address
 	}
 	order := apply("first", 0, 5, "a")
 	first := fleet.send(others[0], order)
@@ -310,7 +310,8 @@
 		}
 	}
 	// The same order as a question of its own is another matter.
-	if got := lone.send(&wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}); got.status != 200 {
+	again := &wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}
+	if got := lone.send(again); got.status != 200 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 }
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -23,7 +23,7 @@
 		changes = 150
 	}
 	for seed := int64(1); seed <= 3; seed++ {
-		fleet := newTestFleet(t, seed, 3)
+		fleet := newTestFleet(t, seed)
 		operator := &testOperator{fleet: fleet, name: "o", routes: 10}
 		trial := &catchUpTrial{fleet: fleet, operator: operator, every: changes / 5, moved: fleet.now}
 		for operator.number < changes {
@@ -63,7 +63,7 @@
 
 // step sends the next change when it is due, and begins or ends a trouble when its change has come.
 func (trial *catchUpTrial) step() {
-	trial.operator.tend(100 * time.Millisecond)
+	trial.operator.tend()
 	trial.fleet.step()
 	if trial.operator.number == trial.seen {
 		return
@@ -91,7 +91,7 @@
 	}
 	trial.struck = nil
 	fleet.until("the member that was away to be in the chain", 10*time.Second, func() bool {
-		trial.operator.tend(100 * time.Millisecond)
+		trial.operator.tend()
 		leader := fleet.leader()
 		return leader != nil && len(leader.node.View().Chain) == len(fleet.members)
 	})
@@ -124,14 +124,14 @@
 // brings a newer document, and the member still has to come in.
 func TestSlowDiskLearnsWhileChangesGoOn(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 4, 3)
+	fleet := newTestFleet(t, 4)
 	operator := &testOperator{fleet: fleet, name: "o"}
 	away := fleet.members[2]
 	fleet.kill(away)
 	fleet.until(
 		"changes without it",
 		30*time.Second,
-		func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 20 },
+		func() bool { operator.tend(); return operator.number >= 20 },
 	)
 	away.disk = newTestDisk()
 	away.identity, away.founding = "id99", false
@@ -142,7 +142,7 @@
 	var taken []statemachine.Write
 	due := fleet.now
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
-		operator.tend(100 * time.Millisecond)
+		operator.tend()
 		if !fleet.now.Before(due) {
 			storage.Carry(
 				away.store,
@@ -161,14 +161,14 @@
 // configuration, and what its disk holds stays bounded.
 func TestLogStaysBoundedOverRestarts(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 5, 3)
+	fleet := newTestFleet(t, 5)
 	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
 	for incarnation := range uint64(12) {
 		fleet.until(
 			"changes",
 			30*time.Second,
-			func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(incarnation+1) },
+			func() bool { operator.tend(); return operator.number >= 4*(incarnation+1) },
 		)
 		fleet.kill(restarted)
 		fleet.start(restarted)
@@ -187,12 +187,12 @@
 }
 
 // All lose their power just after a member has joined the chain, before it was sent what was committed since it
-// learned the document; it comes back first, with a acceptor outside the chain. It must not lead with its old state.
+// learned the document; it comes back first, with an acceptor outside the chain. It must not lead with its old state.
 func TestJoinerDoesNotLeadAlone(t *testing.T) {
 	t.Parallel()
 	for _, wiped := range []bool{false, true} {
 		fleet := &testFleet{t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(9))}
-		var lines []*wire.Member
+		lines := make([]*wire.Member, 0, 3)
 		for number, name := range []string{"head", "joiner", "keeper"} {
 			address := fmt.Sprintf("127.0.0.%d:1", number+1)
 			fleet.seeds = append(fleet.seeds, address)
@@ -202,7 +202,11 @@
 		document := func(epoch uint64) *wire.Document {
 			return &wire.Document{Sequence: epoch, SpecEpoch: epoch, Spec: whole("a")}
 		}
-		for _, memory := range []*wire.DurableState{{Document: document(10)}, {Document: document(4), Incomplete: true}, {Document: document(3)}} {
+		for _, memory := range []*wire.DurableState{
+			{Document: document(10)},
+			{Document: document(4), Incomplete: true},
+			{Document: document(3)},
+		} {
 			line := lines[len(fleet.members)]
 			memory.Id, memory.View = line.Id, view
 			member := &testMember{address: line.Address, identity: line.Id, disk: newTestDisk()}
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -221,14 +222,15 @@
 
 // state describes every machine, for a failure.
 func (fleet *fleet) state() string {
-	text := ""
+	var text strings.Builder
 	for _, machine := range fleet.machines {
 		if machine.node == nil {
-			text += fmt.Sprintf("\n  %s down", machine.address)
+			fmt.Fprintf(&text, "\n  %s down", machine.address)
 			continue
 		}
 		current := machine.node.View()
-		text += fmt.Sprintf(
+		fmt.Fprintf(
+			&text,
 			"\n  %s leads %v leaving %v view %d chain %v keepers %v",
 			machine.address,
 			machine.node.Leading(fleet.now),
@@ -238,11 +240,11 @@
 			ids(current.Acceptors),
 		)
 	}
-	return text
+	return text.String()
 }
 
 func ids(members []*wire.Member) []string {
-	var ids []string
+	ids := make([]string, 0, len(members))
 	for _, member := range members {
 		ids = append(ids, member.Id)
 	}
@@ -306,20 +308,20 @@
 	if machine.node == nil {
 		return
 	}
-	parcels, writes := machine.node.Drain()
+	messages, writes := machine.node.Drain()
 	if machine.dark {
-		parcels = nil
+		messages = nil
 	}
-	for _, parcel := range parcels {
-		fleet.mail = append(fleet.mail, proto.Clone(parcel.Envelope).(*wire.Envelope))
-		fleet.targets = append(fleet.targets, parcel.To)
+	for _, message := range messages {
+		fleet.mail = append(fleet.mail, proto.CloneOf(message.Envelope))
+		fleet.targets = append(fleet.targets, message.To)
 	}
 	for _, write := range writes {
 		if write.Memory != nil {
-			machine.memory, machine.records = proto.Clone(write.Memory).(*wire.DurableState), nil
+			machine.memory, machine.records = proto.CloneOf(write.Memory), nil
 		}
 		if write.Record != nil {
-			machine.records = append(machine.records, proto.Clone(write.Record).(*wire.Record))
+			machine.records = append(machine.records, proto.CloneOf(write.Record))
 		}
 		machine.writes = append(machine.writes, fleet.begin(machine, write.Sequence))
 	}
--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -10,7 +10,7 @@
 	"wardtray/wire"
 )
 
-// grantOf has a acceptor answer a head's question for its lease, and gives the answer.
+// grantOf has an acceptor answer a head's question for its lease, and gives the answer.
 func grantOf(t *testing.T, node *Node, now time.Time, head *wire.Member) *wire.LeaderLeaseGrant {
 	t.Helper()
 	node.Receive(
@@ -23,9 +23,9 @@
 			},
 		},
 	)
-	parcels, _ := node.Drain()
-	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetLeaderLeaseGrant(); grant != nil {
+	messages, _ := node.Drain()
+	for _, message := range messages {
+		if grant := message.Envelope.GetLeaderLeaseGrant(); grant != nil {
 			return grant
 		}
 	}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// A acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
+// An acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
 // that none did, and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from
 // its start.
 func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
@@ -55,8 +55,9 @@
 		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4},
 	}
 	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
+	const length = lease.DaemonTerm + daemonlease.ClockMargin
 	for _, test := range []struct{ since, want time.Duration }{
-		{0, lease.DaemonTerm + daemonlease.ClockMargin}, {lease.DaemonTerm / 2, lease.DaemonTerm/2 + daemonlease.ClockMargin}, {lease.DaemonTerm + daemonlease.ClockMargin, 0},
+		{0, length}, {lease.DaemonTerm / 2, length - lease.DaemonTerm/2}, {length, 0},
 	} {
 		grant := grantOf(t, node, now.Add(test.since), head)
 		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 ||
@@ -66,7 +67,7 @@
 	}
 }
 
-// A acceptor confirms the daemons of its directory alone, and once it has told the head what it knows, nothing older.
+// An acceptor confirms the daemons of its directory alone, and once it has told the head what it knows, nothing older.
 func TestAnAcceptorConfirmsItsDirectoryAlone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	head, self := &wire.Member{
@@ -97,9 +98,9 @@
 				},
 			},
 		)
-		parcels, _ := node.Drain()
-		for _, parcel := range parcels {
-			if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && parcel.To == daemon {
+		messages, _ := node.Drain()
+		for _, message := range messages {
+			if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == daemon {
 				return grant.Confirmed
 			}
 		}
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -104,23 +104,27 @@
 	seeds   []string
 	mail    []statemachine.Message
 	// lost decides which messages don't arrive.
-	lost func(parcel statemachine.Message) bool
+	lost func(message statemachine.Message) bool
 	// acknowledged is the greatest epoch that an operator was told of; every leader must have it.
 	acknowledged uint64
 }
 
-func newTestFleet(t *testing.T, seed int64, size int) *testFleet {
+// testFleetSize is how many machines a test fleet starts with.
+const testFleetSize = 3
+
+func newTestFleet(t *testing.T, seed int64) *testFleet {
+	t.Helper()
 	fleet := &testFleet{t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(seed))}
-	for number := range size {
+	for number := range testFleetSize {
 		fleet.seeds = append(fleet.seeds, fmt.Sprintf("127.0.0.%d:1", number+1))
 	}
-	for number := range size {
+	for number := range testFleetSize {
 		fleet.add(fleet.seeds[number], number, true)
 	}
 	fleet.until(
 		"a first view",
 		10*time.Second,
-		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == size },
+		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == testFleetSize },
 	)
 	return fleet
 }
@@ -163,7 +167,7 @@
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
 func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
-	memory := proto.Clone(restored.Memory).(*wire.DurableState)
+	memory := proto.CloneOf(restored.Memory)
 	for _, record := range restored.Records {
 		Replay(memory, record)
 	}
@@ -218,9 +222,9 @@
 	fleet.now = fleet.now.Add(fleetStep)
 	mail := fleet.mail
 	fleet.mail = nil
-	for _, parcel := range mail {
-		if member := fleet.at(parcel.To); member != nil && (fleet.lost == nil || !fleet.lost(parcel)) {
-			member.node.Receive(fleet.now, parcel.Envelope)
+	for _, message := range mail {
+		if member := fleet.at(message.To); member != nil && (fleet.lost == nil || !fleet.lost(message)) {
+			member.node.Receive(fleet.now, message.Envelope)
 		}
 	}
 	for _, member := range fleet.members {
@@ -239,10 +243,10 @@
 
 // drain takes what a machine sends and wants written.
 func (fleet *testFleet) drain(member *testMember) {
-	parcels, writes := member.node.Drain()
-	for _, parcel := range parcels {
-		parcel.Envelope = proto.Clone(parcel.Envelope).(*wire.Envelope)
-		fleet.mail = append(fleet.mail, parcel)
+	messages, writes := member.node.Drain()
+	for _, message := range messages {
+		message.Envelope = proto.CloneOf(message.Envelope)
+		fleet.mail = append(fleet.mail, message)
 	}
 	member.writes = append(member.writes, writes...)
 }
@@ -276,10 +280,7 @@
 	for _, member := range fleet.members {
 		if member.up() {
 			chain, view := member.node.Chain(), member.node.View()
-			names := ""
-			for _, member := range view.Chain {
-				names += " " + member.Id
-			}
+			names := " " + strings.Join(ids(view.Chain), " ")
 			fleet.t.Logf(
 				"%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
 				member.address,
@@ -303,7 +304,7 @@
 	if member == nil || !member.up() {
 		return given
 	}
-	member.node.Ask(fleet.now, proto.Clone(order).(*wire.OperatorRequest), func(status int, body []byte) {
+	member.node.Ask(fleet.now, proto.CloneOf(order), func(status int, body []byte) {
 		given.status = status
 		if err := json.Unmarshal(body, &given.reply); err != nil {
 			panic(err)
@@ -326,14 +327,17 @@
 	next   time.Time
 }
 
+// operatorInterval is how often a test's operator starts a change.
+const operatorInterval = 100 * time.Millisecond
+
 // tend sends what is due; every copy of an order must be acknowledged or left without a clear answer.
-func (operator *testOperator) tend(every time.Duration) {
+func (operator *testOperator) tend() {
 	fleet := operator.fleet
 	if operator.order == nil {
 		if fleet.now.Before(operator.next) {
 			return
 		}
-		operator.next = fleet.now.Add(every)
+		operator.next = fleet.now.Add(operatorInterval)
 		operator.order = apply(
 			fmt.Sprintf("%s%d", operator.name, operator.number+1),
 			operator.number,
@@ -373,7 +377,8 @@
 
 // routes gives names of routes; each takes a quarter of a kilobyte in a configuration.
 func routes(count int) []string {
-	names := []string{"lane"}
+	names := make([]string, 0, count+1)
+	names = append(names, "lane")
 	for number := range count {
 		names = append(names, fmt.Sprintf("lane%d%s", number, strings.Repeat("x", 180)))
 	}
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -62,7 +62,7 @@
 	return count
 }
 
-// A acceptor that leaves ends only once a view without it is known to those who stay.
+// An acceptor that leaves ends only once a view without it is known to those who stay.
 func TestALeavingAcceptorPassesItsSeatOnBeforeItEnds(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"head", "other"} {
@@ -130,7 +130,7 @@
 	// What a fleet of three bears only once the successor has the seat, one of five bears once
 	// the loss is known and a view agreed.
 	bounds := BoundsFor(Limits{})
-	bears := time.Second+moment >= bounds.SeatRepair() ||
+	bears := time.Second+moment >= bounds.AcceptorRepair() ||
 		cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
 	fleet.wipe(fleet.pick(second), wipedFor)
 	if bears {
@@ -212,7 +212,7 @@
 	fleet.requireServing(servingBound)
 }
 
-// A acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
+// An acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
 func TestAnAcceptorThatIsSilentForAMomentDoesNoHarm(t *testing.T) {
 	t.Parallel()
 	for silence := 300 * time.Millisecond; silence <= 1500*time.Millisecond; silence += momentStep {
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -84,15 +84,15 @@
 
 // drain carries out the node's writes; the other grants every claim, and what goes to the node itself comes to it.
 func (pair *pair) drain() {
-	parcels, writes := pair.node.Drain()
+	messages, writes := pair.node.Drain()
 	for _, write := range writes {
 		pair.node.Synced(pair.now, write.Sequence)
 	}
-	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && grant.Granted {
+	for _, message := range messages {
+		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && grant.Granted {
 			pair.grants++
 		}
-		if asked := parcel.Envelope.GetLeaderLeaseRequest(); asked != nil && parcel.To == pair.other.Address {
+		if asked := message.Envelope.GetLeaderLeaseRequest(); asked != nil && message.To == pair.other.Address {
 			pair.hear(
 				&wire.Envelope{
 					Body: &wire.Envelope_LeaderLeaseGrant{
@@ -101,8 +101,8 @@
 				},
 			)
 		}
-		if parcel.To == pair.self.Address {
-			pair.node.Receive(pair.now, parcel.Envelope)
+		if message.To == pair.self.Address {
+			pair.node.Receive(pair.now, message.Envelope)
 		}
 	}
 }
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -44,7 +44,7 @@
 
 func (lone *lone) settle() {
 	for range 4 {
-		parcels, writes := lone.node.Drain()
+		messages, writes := lone.node.Drain()
 		for _, write := range writes {
 			lone.held = append(lone.held, write.Sequence)
 		}
@@ -54,9 +54,9 @@
 			}
 			lone.held = nil
 		}
-		for _, parcel := range parcels {
-			if parcel.To == lone.node.Self().Address {
-				lone.node.Receive(lone.now, parcel.Envelope)
+		for _, message := range messages {
+			if message.To == lone.node.Self().Address {
+				lone.node.Receive(lone.now, message.Envelope)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 func whole(routes ...string) []byte {
-	var list []string
+	list := make([]string, 0, len(routes))
 	for _, route := range routes {
 		list = append(list, fmt.Sprintf(`{"name":%q,"pool":"p","patience":"1s","repeatable":false}`, route))
 	}
@@ -112,20 +112,24 @@
 	}
 }
 
-func (lone *lone) routes(t *testing.T) (names string) {
+func (lone *lone) routes(t *testing.T) string {
+	t.Helper()
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
+	var names strings.Builder
 	for _, route := range held.Routes {
-		names += route.Name
+		names.WriteString(route.Name)
 	}
-	return names
+	return names.String()
 }
 
 func TestEpochsMayClimbUnevenly(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
+	epochZero := &wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true,
+		Spec: whole("b")}
 	for _, step := range []struct {
 		ask    *wire.OperatorRequest
 		status int
@@ -136,7 +140,7 @@
 		{apply("first", 0, 7, "a"), 200, 7, ""},
 		{apply("same", 7, 7, "b"), 422, 7, "epoch"},
 		{apply("below", 7, 3, "b"), 422, 7, "epoch"},
-		{&wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true, Spec: whole("b")}, 422, 7, "epoch"},
+		{epochZero, 422, 7, "epoch"},
 		{apply("stale and below", 3, 3, "b"), 409, 7, ""},
 		{apply("next", 7, 0, "b"), 200, 8, ""},
 		{change("leap", 8, 900, `{"remove":{"lanes":["b"]},"upsert":{"lanes":[{"name":"c","pool":"p","patience":"1s"}]}}`), 200, 900, ""},
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -45,15 +45,15 @@
 			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question},
 		},
 	)
-	parcels, writes := head.node.Drain()
+	messages, writes := head.node.Drain()
 	head.writes = append(head.writes, writes...)
 	var answer *wire.DaemonLeaseGrant
-	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && parcel.To == reporter.address {
+	for _, message := range messages {
+		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == reporter.address {
 			answer = grant
 			continue
 		}
-		fleet.mail = append(fleet.mail, parcel)
+		fleet.mail = append(fleet.mail, message)
 	}
 	return answer
 }
@@ -86,7 +86,7 @@
 
 // The head gives daemons tokens of a tenant's quota, and another head none of them a second time.
 func TestTheHeadIssuesQuotas(t *testing.T) {
-	fleet := newTestFleet(t, 3, 3)
+	fleet := newTestFleet(t, 3)
 	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
 	operator := fleet.send(
 		fleet.members[0],
@@ -129,7 +129,7 @@
 
 // A daemon without a lease gets no share, and one that holds nothing is not waited for.
 func TestOnlyLeasedDaemonsGetShares(t *testing.T) {
-	fleet := newTestFleet(t, 4, 3)
+	fleet := newTestFleet(t, 4)
 	fleet.until("a head", 20*time.Second, func() bool { return fleet.leader() != nil })
 	stranger := &reporter{address: "d9", incarnation: 9, claim: &wire.QuotaTenantReport{Tenant: "t", Need: 10}}
 	if grant := fleet.ask(stranger); grant == nil || grant.Granted || grant.Quota != nil {
--- a/control/node/receive_fuzz_test.go
+++ b/control/node/receive_fuzz_test.go
@@ -62,12 +62,12 @@
 		}
 		now = now.Add(100 * time.Millisecond)
 		node.Tick(now)
-		parcels, writes := node.Drain()
+		messages, writes := node.Drain()
 		for _, write := range writes {
 			node.Synced(now, write.Sequence)
 		}
-		for _, parcel := range parcels {
-			if _, err := frame.Encode(parcel.Envelope); err != nil {
+		for _, message := range messages {
+			if _, err := frame.Encode(message.Envelope); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -16,7 +16,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
 	}
@@ -157,12 +157,13 @@
 
 func TestRefusals(t *testing.T) {
 	t.Parallel()
+	staleBase := &wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}
 	for name, test := range map[string]struct {
 		message   *wire.OperatorRequest
 		unhealthy bool
 		want      int
 	}{
-		"stale base":   {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}, false, 409},
+		"stale base":   {staleBase, false, 409},
 		"no JSON":      {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: []byte("{")}, false, 400},
 		"stale epoch":  {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasEpoch: true}, false, 422},
 		"no spec yet":  {&wire.OperatorRequest{Verb: verbClose, Operation: "o", Zone: "z"}, false, 422},
--- a/control/proposal/refusals_test.go
+++ b/control/proposal/refusals_test.go
@@ -23,7 +23,13 @@
 	for _, wants := range []struct {
 		number        int
 		late, refused bool
-	}{{1, true, false}, {2 * RefusalWindow, true, false}, {2*RefusalWindow + 1, false, true}, {3*RefusalWindow + 1, false, false}, {2*RefusalWindow + 1, true, false}} {
+	}{
+		{1, true, false},
+		{2 * RefusalWindow, true, false},
+		{2*RefusalWindow + 1, false, true},
+		{3*RefusalWindow + 1, false, false},
+		{2*RefusalWindow + 1, true, false},
+	} {
 		late, refused := refusals.observe(fmt.Sprintf("a/1/%d", wants.number))
 		if late != wants.late || refused != wants.refused {
 			t.Errorf("%d: late %v, refused %v", wants.number, late, refused)
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -17,7 +17,7 @@
 func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1", Zone: id} }
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, member(string(id)))
 	}
@@ -25,11 +25,11 @@
 }
 
 func idsOf(list []*wire.Member) string {
-	joined := ""
+	var joined strings.Builder
 	for _, member := range list {
-		joined += member.Id
+		joined.WriteString(member.Id)
 	}
-	return joined
+	return joined.String()
 }
 
 // scene is the situation of process a in view 3; every process in alive hears all the others but those in deafTo.
@@ -134,14 +134,16 @@
 
 func TestLastWritableChain(t *testing.T) {
 	t.Parallel()
+	notLearned := map[string]*wire.Heartbeat{"b": {View: 3}}
 	for name, test := range map[string]struct {
 		scene scene
 		want  string
 	}{
 		"long enough":         {scene{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}, ""},
-		"falls below":         {scene{chain: "ac", acceptors: "abc", alive: "b", minReplicas: 2, heartbeats: map[string]*wire.Heartbeat{"b": {View: 3}}}, "ac"},
-		"was below and stays": {scene{chain: "a", acceptors: "abc", alive: "bd", minReplicas: 3, lastWritable: "abc", heartbeats: map[string]*wire.Heartbeat{"b": {View: 3}}}, "abc"},
+		"falls below":         {scene{chain: "ac", acceptors: "abc", alive: "b", minReplicas: 2}, "ac"},
+		"was below and stays": {scene{chain: "a", acceptors: "abc", alive: "bd", minReplicas: 3, lastWritable: "abc"}, "abc"},
 	} {
+		test.scene.heartbeats = notLearned
 		next := NewPlanner(suspicion).NextView(test.scene.facts(t))
 		if got := idsOf(next.GetLastWritableChain()); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
@@ -214,6 +216,7 @@
 
 func TestIsGrowing(t *testing.T) {
 	t.Parallel()
+	leaving := map[string]*wire.Heartbeat{"c": {View: 3, Decommissioning: true}}
 	for name, test := range map[string]struct {
 		scene scene
 		want  bool
@@ -221,7 +224,7 @@
 		"enough acceptors":          {scene{chain: "abc", acceptors: "abc", alive: "bcd"}, false},
 		"one could be added":        {scene{chain: "ab", acceptors: "ab", alive: "bc"}, true},
 		"nobody could be added":     {scene{chain: "ab", acceptors: "ab", alive: "b"}, false},
-		"the other one is to leave": {scene{chain: "ab", acceptors: "ab", alive: "bc", heartbeats: map[string]*wire.Heartbeat{"c": {View: 3, Decommissioning: true}}}, false},
+		"the other one is to leave": {scene{chain: "ab", acceptors: "ab", alive: "bc", heartbeats: leaving}, false},
 	} {
 		if got := test.scene.facts(t).IsGrowing(); got != test.want {
 			t.Errorf("%s: %v", name, got)
@@ -238,15 +241,16 @@
 		scene scene
 		want  bool
 	}{
-		"in the chain":                  {scene{chain: "abc", acceptors: "bcd", alive: "bcd", minReplicas: 2, heartbeats: synced}, false},
-		"an acceptor with a successor":  {scene{chain: "bc", acceptors: "abc", alive: "bcd", minReplicas: 2, heartbeats: synced}, false},
-		"an acceptor without successor": {scene{chain: "bc", acceptors: "abc", alive: "bc", minReplicas: 2, heartbeats: synced}, true},
-		"an acceptor, all others ended": {scene{chain: "bc", acceptors: "abc", minReplicas: 2}, true},
-		"another is behind in its view": {scene{chain: "bc", acceptors: "bcd", alive: "bcd", minReplicas: 2, heartbeats: behind}, false},
-		"too few copies":                {scene{chain: "bc", acceptors: "bcd", alive: "bcd", minReplicas: 2, heartbeats: unsynced}, false},
-		"handed over":                   {scene{chain: "bc", acceptors: "bcd", alive: "bcd", minReplicas: 2, heartbeats: synced}, true},
+		"in the chain":                  {scene{chain: "abc", acceptors: "bcd", alive: "bcd", heartbeats: synced}, false},
+		"an acceptor with a successor":  {scene{chain: "bc", acceptors: "abc", alive: "bcd", heartbeats: synced}, false},
+		"an acceptor without successor": {scene{chain: "bc", acceptors: "abc", alive: "bc", heartbeats: synced}, true},
+		"an acceptor, all others ended": {scene{chain: "bc", acceptors: "abc"}, true},
+		"another is behind in its view": {scene{chain: "bc", acceptors: "bcd", alive: "bcd", heartbeats: behind}, false},
+		"too few copies":                {scene{chain: "bc", acceptors: "bcd", alive: "bcd", heartbeats: unsynced}, false},
+		"handed over":                   {scene{chain: "bc", acceptors: "bcd", alive: "bcd", heartbeats: synced}, true},
 	} {
 		test.scene.local.Decommissioning = true
+		test.scene.minReplicas = 2
 		facts := test.scene.facts(t)
 		decommission := &Decommission{}
 		if decommission.IsComplete(facts, 9) {
@@ -273,7 +277,8 @@
 	}{
 		"all well":         {scene{chain: "abc", acceptors: "abc", alive: "bc", minReplicas: 2}, nil},
 		"no copy to spare": {scene{chain: "ab", acceptors: "abc", alive: "bc", minReplicas: 2}, []string{"no copy to spare"}},
-		"alone":            {scene{chain: "a", acceptors: "abc", alive: "b", minReplicas: 1}, []string{"not all keepers", "one live copy"}},
+		"alone": {scene{chain: "a", acceptors: "abc", alive: "b", minReplicas: 1},
+			[]string{"not all keepers", "one live copy"}},
 	} {
 		got := test.scene.facts(t).Warnings()
 		if len(got) != len(test.want) {
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -22,7 +22,7 @@
 func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1", Zone: id} }
 
 func members(ids string) []*wire.Member {
-	var list []*wire.Member
+	list := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, member(string(id)))
 	}
