--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -33,28 +33,35 @@
 	return nil
 }
 
-// An acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
-// that none did, and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from
-// its start.
-func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
-	now := time.Unix(1_700_000_000, 0)
-	head, self := &wire.Member{
-		Id:      "a",
-		Address: "127.0.0.1:1",
-		Zone:    "a",
-	}, &wire.Member{
-		Id:      "b",
-		Address: "127.0.0.2:1",
-		Zone:    "b",
+// threeMembers are the members of the chains that these tests begin with: the head first.
+func threeMembers() []*wire.Member {
+	return []*wire.Member{
+		{Id: "a", Address: "127.0.0.1:1", Zone: "a"},
+		{Id: "b", Address: "127.0.0.2:1", Zone: "b"},
+		{Id: "c", Address: "127.0.0.3:1", Zone: "c"},
 	}
-	members := []*wire.Member{head, self, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}
-	memory := &wire.DurableState{
+}
+
+// restartedAcceptor starts the second of three members with a document of a directory on its disk, and returns it and
+// the head.
+func restartedAcceptor(now time.Time, directory []*wire.Member) (*Node, *wire.Member) {
+	members := threeMembers()
+	state := &wire.DurableState{
 		Id:          "b",
 		ClearedTerm: 3,
 		View:        &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members},
-		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4},
+		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: directory},
 	}
-	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
+	settings := Settings{Address: members[1].Address, Zone: "b"}
+	return New(now, settings, state, nil, rand.New(rand.NewSource(1))), members[0]
+}
+
+// An acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
+// that none did, and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from
+// its start.
+func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
+	now := time.Unix(1_700_000_000, 0)
+	node, head := restartedAcceptor(now, nil)
 	const length = lease.DaemonTerm + daemonlease.ClockMargin
 	for _, test := range []struct{ since, want time.Duration }{
 		{0, length}, {lease.DaemonTerm / 2, length - lease.DaemonTerm/2}, {length, 0},
@@ -70,34 +77,11 @@
 // An acceptor confirms the daemons of its directory alone, and once it has told the head what it knows, nothing older.
 func TestAnAcceptorConfirmsItsDirectoryAlone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	head, self := &wire.Member{
-		Id:      "a",
-		Address: "127.0.0.1:1",
-		Zone:    "a",
-	}, &wire.Member{
-		Id:      "b",
-		Address: "127.0.0.2:1",
-		Zone:    "b",
-	}
-	members := []*wire.Member{head, self, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}}
-	memory := &wire.DurableState{
-		Id:          "b",
-		ClearedTerm: 3,
-		View:        &wire.View{Epoch: 3, HeadTerm: 3, Fleet: "f", MinReplicas: 1, Chain: members, Acceptors: members},
-		Document:    &wire.Document{Sequence: 4, SpecEpoch: 4, Directory: []*wire.Member{{Id: "d", Address: "d", Zone: "a"}}},
-	}
-	node := New(now, Settings{Address: self.Address, Zone: "b"}, memory, nil, rand.New(rand.NewSource(1)))
+	node, head := restartedAcceptor(now, []*wire.Member{{Id: "d", Address: "d", Zone: "a"}})
 	confirmed := func(daemon string, sequence uint64) bool {
-		node.Receive(
-			now,
-			&wire.Envelope{
-				From:   daemon,
-				Sender: daemon,
-				Body: &wire.Envelope_DaemonLeaseRequest{
-					DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1, Sequence: sequence, View: 3},
-				},
-			},
-		)
+		request := &wire.DaemonLeaseRequest{Nonce: 1, Sequence: sequence, View: 3}
+		node.Receive(now, &wire.Envelope{From: daemon, Sender: daemon,
+			Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: request}})
 		messages, _ := node.Drain()
 		for _, message := range messages {
 			if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == daemon {
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -35,10 +35,12 @@
 	initialSynced uint64
 }
 
-// observers are what members notify, and what else belongs to the durable state.
+// observers are what the members call back.
 type observers struct {
+	// onView runs when another view is agreed on, and onCommit when a sequence is seen committed.
 	onView   func(now time.Time, current *wire.View)
 	onCommit func(now time.Time, sequence uint64)
+	// snapshot returns all that the disk must hold, of the members and of others.
 	snapshot func() *wire.DurableState
 }
 
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -112,15 +112,8 @@
 func TestHeadPromisesNothingBeforeItsHistoryIsCommitted(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
-	self, other := &wire.Member{
-		Id:      "a",
-		Address: "127.0.0.1:1",
-		Zone:    "a",
-	}, &wire.Member{
-		Id:      "b",
-		Address: "127.0.0.2:1",
-		Zone:    "b",
-	}
+	members := threeMembers()
+	self, other := members[0], members[1]
 	memory := &wire.DurableState{
 		Id: "a",
 		View: &wire.View{
@@ -128,7 +121,7 @@
 			Fleet:       "f",
 			MinReplicas: 1,
 			Chain:       []*wire.Member{self, other},
-			Acceptors:   []*wire.Member{self, other, {Id: "c", Address: "127.0.0.3:1", Zone: "c"}},
+			Acceptors:   members,
 		},
 		Document: &wire.Document{
 			Sequence:  4,
