--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -231,7 +231,7 @@
 		current := machine.node.View()
 		fmt.Fprintf(
 			&text,
-			"\n  %s leads %v leaving %v view %d chain %v keepers %v",
+			"\n  %s leads %v leaving %v view %d chain %v acceptors %v",
 			machine.address,
 			machine.node.Leading(fleet.now),
 			!machine.leaveBy.IsZero(),
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -86,7 +86,7 @@
 			}
 			knowing := fleet.acceptorsWithout(id)
 			if knowing < 2*fleet.faults+1 {
-				t.Fatalf("%d keepers know a view without it: %s", knowing, fleet.state())
+				t.Fatalf("%d acceptors know a view without it: %s", knowing, fleet.state())
 			}
 			slow.diskTime = 0
 			fleet.requireServing(servingBound)
