--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -26,8 +26,7 @@
 				number /= len(values)
 			}
 			if !yield(
-				Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]},
-			) {
+				Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]}) {
 				return
 			}
 		}
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -124,14 +124,8 @@
 		}
 		if refused > 0 && (accepted > 0 || inEffect) {
 			fleet.describe()
-			fleet.t.Fatalf(
-				"%s: of %d copies %d were confirmed and %d refused, in effect %v",
-				call.order.Operation,
-				len(call.copies),
-				accepted,
-				refused,
-				inEffect,
-			)
+			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", call.order.Operation,
+				len(call.copies), accepted, refused, inEffect)
 		}
 		if accepted == 0 {
 			continue
@@ -159,17 +153,11 @@
 		fleet.kill(old)
 		fleet.members = fleet.members[1:]
 		fleet.seeds = append(fleet.seeds[1:], fresh.address)
-		fleet.until(
-			"a leader",
-			10*time.Second,
-			func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 },
-		)
+		fleet.until("a leader", 10*time.Second,
+			func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 })
 		fleet.run(4 * time.Second)
-		fleet.wantAccepted(
-			fleet.members[number%3],
-			apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"),
-			8+uint64(number),
-		)
+		fleet.wantAccepted(fleet.members[number%3],
+			apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"), 8+uint64(number))
 	}
 	for _, member := range fleet.members {
 		fleet.wantAccepted(member, first, 7)
@@ -215,13 +203,8 @@
 	fleet.run(300 * time.Millisecond)
 	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 ||
 		second.status != 0 {
-		t.Fatalf(
-			"committed %d, pending %d, told %d and %d",
-			head.node.Chain().Committed().SpecEpoch,
-			len(head.node.Chain().Pending()),
-			first.status,
-			second.status,
-		)
+		t.Fatalf("committed %d, pending %d, told %d and %d", head.node.Chain().Committed().SpecEpoch,
+			len(head.node.Chain().Pending()), first.status, second.status)
 	}
 	fleet.kill(head)
 	fleet.lost = nil
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -128,11 +128,7 @@
 	operator := &testOperator{fleet: fleet, name: "o"}
 	away := fleet.members[2]
 	fleet.kill(away)
-	fleet.until(
-		"changes without it",
-		30*time.Second,
-		func() bool { operator.tend(); return operator.number >= 20 },
-	)
+	fleet.until("changes without it", 30*time.Second, func() bool { operator.tend(); return operator.number >= 20 })
 	away.disk = newTestDisk()
 	away.identity, away.founding = "id99", false
 	fleet.start(away)
@@ -144,12 +140,8 @@
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
 		operator.tend()
 		if !fleet.now.Before(due) {
-			storage.Carry(
-				away.store,
-				taken,
-				func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
-				func(err error) { t.Fatal(err) },
-			)
+			storage.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
+				func(err error) { t.Fatal(err) })
 			taken, away.writes = away.writes, nil
 			due = fleet.now.Add(delay)
 		}
@@ -165,18 +157,11 @@
 	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
 	for incarnation := range uint64(12) {
-		fleet.until(
-			"changes",
-			30*time.Second,
-			func() bool { operator.tend(); return operator.number >= 4*(incarnation+1) },
-		)
+		fleet.until("changes", 30*time.Second, func() bool { operator.tend(); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
-		fleet.until(
-			"its return",
-			10*time.Second,
-			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() },
-		)
+		fleet.until("its return", 10*time.Second,
+			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() })
 	}
 	for _, member := range fleet.members {
 		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.greatest)
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -229,16 +229,9 @@
 			continue
 		}
 		current := machine.node.View()
-		fmt.Fprintf(
-			&text,
-			"\n  %s leads %v leaving %v view %d chain %v acceptors %v",
-			machine.address,
-			machine.node.Leading(fleet.now),
-			!machine.leaveBy.IsZero(),
-			current.Epoch,
-			ids(current.Chain),
-			ids(current.Acceptors),
-		)
+		fmt.Fprintf(&text, "\n  %s leads %v leaving %v view %d chain %v acceptors %v", machine.address,
+			machine.node.Leading(fleet.now), !machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain),
+			ids(current.Acceptors))
 	}
 	return text.String()
 }
@@ -370,14 +363,8 @@
 	fleet.t.Helper()
 	for operation, epoch := range fleet.acked {
 		if outcome := machine.node.Chain().Outcome(operation); outcome == nil || outcome.SpecEpoch != epoch {
-			fleet.t.Fatalf(
-				"%s was acknowledged as epoch %d, and %s holds %v: %s",
-				operation,
-				epoch,
-				machine.address,
-				outcome,
-				fleet.state(),
-			)
+			fleet.t.Fatalf("%s was acknowledged as epoch %d, and %s holds %v: %s", operation, epoch, machine.address, outcome,
+				fleet.state())
 		}
 	}
 }
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -121,11 +121,8 @@
 	for number := range testFleetSize {
 		fleet.add(fleet.seeds[number], number, true)
 	}
-	fleet.until(
-		"a first view",
-		10*time.Second,
-		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == testFleetSize },
-	)
+	fleet.until("a first view", 10*time.Second,
+		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == testFleetSize })
 	return fleet
 }
 
@@ -266,12 +263,8 @@
 	for _, member := range fleet.members {
 		if member.up() && member.node.Leading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
 			fleet.describe()
-			fleet.t.Fatalf(
-				"%s leads with epoch %d after %d was acknowledged",
-				member.address,
-				member.node.Chain().Committed().SpecEpoch,
-				fleet.acknowledged,
-			)
+			fleet.t.Fatalf("%s leads with epoch %d after %d was acknowledged", member.address,
+				member.node.Chain().Committed().SpecEpoch, fleet.acknowledged)
 		}
 	}
 }
@@ -281,19 +274,10 @@
 		if member.up() {
 			chain, view := member.node.Chain(), member.node.View()
 			names := " " + strings.Join(ids(view.Chain), " ")
-			fleet.t.Logf(
-				"%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
-				member.address,
-				member.identity,
-				view.Epoch,
-				names,
-				chain.Committed().SpecEpoch,
-				len(chain.Pending()),
-				chain.Synced(),
-				chain.LearnedView(),
-				member.node.Leading(fleet.now),
-				member.node.members.disk.IsUnhealthy(fleet.now),
-			)
+			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
+				member.address, member.identity, view.Epoch, names, chain.Committed().SpecEpoch, len(chain.Pending()),
+				chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now),
+				member.node.members.disk.IsUnhealthy(fleet.now))
 		}
 	}
 }
@@ -348,13 +332,8 @@
 	for _, copy := range operator.copies {
 		if copy.status >= 400 && copy.status < 500 {
 			fleet.describe()
-			fleet.t.Fatalf(
-				"%s, sent %d times, was refused: %d %+v",
-				operator.order.Operation,
-				len(operator.copies),
-				copy.status,
-				copy.reply,
-			)
+			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.order.Operation, len(operator.copies),
+				copy.status, copy.reply)
 		}
 		if copy.status == 200 {
 			operator.number++
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -184,11 +184,8 @@
 		successor := fleet.add(false)
 		fleet.run(moment)
 		fleet.stop(leaver)
-		fleet.runUntil(
-			servingBound,
-			"successor in the chain",
-			func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) },
-		)
+		fleet.runUntil(servingBound, "successor in the chain",
+			func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) })
 		successor.diskTime = 550 * time.Millisecond
 		fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
 		fleet.runUntil(servingBound, "leader", func() bool { return fleet.leader() != nil })
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -14,13 +14,8 @@
 	t.Parallel()
 	tokens := map[string]bool{}
 	for incarnation := range 2 {
-		node := New(
-			time.Unix(0, 0),
-			Settings{Address: "127.0.0.1:1", Zone: "a"},
-			&wire.DurableState{Id: "same"},
-			nil,
-			rand.New(rand.NewSource(int64(incarnation))),
-		)
+		node := New(time.Unix(0, 0), Settings{Address: "127.0.0.1:1", Zone: "a"}, &wire.DurableState{Id: "same"}, nil,
+			rand.New(rand.NewSource(int64(incarnation))))
 		answers := 0
 		token := node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
 		if tokens[token] {
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -186,12 +186,8 @@
 		t.Fatalf("the lanes are %s after refusals", got)
 	}
 	got := lone.send(
-		change(
-			"fine",
-			1,
-			0,
-			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`,
-		),
+		change("fine", 1, 0,
+			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`),
 	)
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
 	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" ||
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -88,10 +88,8 @@
 func TestTheHeadIssuesQuotas(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
-	operator := fleet.send(
-		fleet.members[0],
-		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)},
-	)
+	operator := fleet.send(fleet.members[0],
+		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
 	fleet.leased(first, second)
 	fleet.until("the spec is acknowledged", 10*time.Second, func() bool {
 		if fleet.now.UnixMilli()%100 == 0 {
--- a/control/node/reserve_test.go
+++ b/control/node/reserve_test.go
@@ -13,11 +13,8 @@
 	fleet := newFleet(t, 1, 3)
 	first, second, third := fleet.machines[0], fleet.machines[1], fleet.machines[2]
 	fleet.remove(third)
-	fleet.runUntil(
-		5*time.Second,
-		"chain of two",
-		func() bool { return len(first.node.View().Chain) == 2 && fleet.leader() == first },
-	)
+	fleet.runUntil(5*time.Second, "chain of two",
+		func() bool { return len(first.node.View().Chain) == 2 && fleet.leader() == first })
 	fleet.run(2 * changeEvery)
 	fleet.changing = false
 	fleet.run(time.Second)
