--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -116,8 +116,8 @@
 	return bounds.Detection() + bounds.Stagger + lease.Term + leadership.RetryInterval
 }
 
-// AcceptorRepair returns after what time at most a machine that has just started has the slot of an acceptor that failed no
-// later: it is heard and learns the view, reports so, and a view is agreed on.
+// AcceptorRepair returns after what time at most a machine that has just started has the slot of an acceptor that
+// failed no later: it is heard and learns the view, reports so, and a view is agreed on.
 func (bounds Bounds) AcceptorRepair() time.Duration {
 	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
