--- a/control/node/node.go
+++ b/control/node/node.go
@@ -1,5 +1,10 @@
-// Package core is the control plane of one disk machine as a pure state machine: it puts together
-// chain, view, claim and gossip message, takes operators' orders, and hands data daemons their ticks.
+// Package node is the control plane of one disk machine as a pure state machine. It only composes: the mechanisms are
+// packages beside it, each with its own state (failuredetector, reconfiguration, viewchange, leadership, daemonlease,
+// proposal, directory, durability), over chain, view, lease and gossip of coordination. The node dispatches each
+// message to the one that it is for, ticks them in a stated order, and passes facts between them.
+//
+// A driver hands it the time, messages, ticks and completed writes, and carries out what Drain returns. It starts no
+// goroutine, reads no clock and does no I/O.
 package node
 
 import (
@@ -9,241 +14,255 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/durability"
+	"wardtray/control/proposal"
+	"wardtray/control/reconfiguration"
 	"wardtray/coordination/chain"
-	"wardtray/coordination/gossip"
-	"wardtray/coordination/lease"
-	"wardtray/coordination/peersampling"
-	"wardtray/coordination/quota"
 	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
-	"wardtray/coordination/view"
 	"wardtray/wire"
 )
 
-// Settings is what a machine is told of itself.
-type Settings struct {
-	Address string
-	HTTP    string
-	Zone    string
-	Seeds   []string
-	// Founders are the addresses of the first disk machines; all must be there for the first view.
-	Founders []string
-	// Heartbeat is how often runners call; 0 stands for the registry's own.
-	Heartbeat time.Duration
-	// Founding tells that this is the very first start of the whole fleet. A machine whose disk was lost later
-	// starts without it and never founds anything.
-	Founding bool
-	// Faults is how many machines may lose their disks at the same time; 1 if not told.
-	Faults int
-	// Quotas is by how much the daemons together may exceed tenants' quotas.
-	Quotas quota.Tolerance
-	// Staleness is for how long a data daemon may rely on a lease; 0 stands for what the limits allow.
-	Staleness time.Duration
-	// Limits are the times that the platform grants; zero ones stand for the usual.
-	Limits Limits
-}
+// Reply is the form of every reply to an operator.
+type Reply = proposal.Reply
 
 // Counters are what a machine counts of its own work.
 type Counters struct {
-	Views        uint64 `json:"Views"`
-	Commits      uint64 `json:"Commits"`
-	Accepted     uint64 `json:"Accepted"`
-	Refused      uint64 `json:"Refused"`
-	Unknown      uint64 `json:"Unknown"`
+	// Views counts the views that it learned of, and Commits the changes that it saw committed.
+	Views   uint64 `json:"Views"`
+	Commits uint64 `json:"Commits"`
+	// Accepted and Refused count changes that it decided on as head.
+	Accepted uint64 `json:"Accepted"`
+	Refused  uint64 `json:"Refused"`
+	// Unknown counts changes whose operator was told that the outcome is unknown.
+	Unknown uint64 `json:"Unknown"`
+	// DiskFailures counts writes that could not be carried out.
 	DiskFailures uint64 `json:"DiskFailures"`
 }
 
 // Node is one disk machine.
 type Node struct {
 	settings Settings
+	bounds   Bounds
 	self     *wire.Member
+	started  time.Time
 	outbox   *statemachine.Outbox
-	random   *rand.Rand
-	handlers map[reflect.Type]func(now time.Time, envelope *wire.Envelope)
-
-	agent  *view.Agent
-	chain  *chain.Chain
-	holder *lease.Lessee
-	keeper *lease.Lessor
-	gossip *gossip.Store
-	// witness is what this machine, as a acceptor, has told daemons.
-	witness *lease.Witness
-	// heldAtStart is the newest sequence that the disk held when this process began.
-	heldAtStart uint64
-	// previousAcceptors are those of the views that ended within the last lease.
-	previousAcceptors []previousAcceptors
-	lastView          *wire.View
-	directorySet      addressSet
-	partialView       *peersampling.PartialView
-
-	peers         map[string]*peer
-	started       time.Time
-	lastTick      time.Time
-	lastHeartbeat time.Time
-	lastClaim     time.Time
-	lastLearn     time.Time
-	lastMend      time.Time
-	wantSince     time.Time
-	votedSince    time.Time
-	brokenFrom    map[string]time.Time
-	logged        int64
-	swept         time.Time
-	replacing     bool
-	founding      bool
-	// cleared is the last term of which the disk says that the heads before it act no more.
-	cleared    uint64
-	lastCall   time.Time
-	diskFailed bool
-	retryDisk  time.Time
-	// leavingSince is when this machine was told to leave; zero: it stays.
-	leavingSince time.Time
-	// initialSynced is how far this machine had synced when the present view began here.
-	initialSynced uint64
-	bounds        Bounds
-	counters      Counters
-	// The committed spec as it travels, and the epoch it is of.
-	packedSpec  []byte
-	packedEpoch uint64
+	handlers handlers
+	counters Counters
 
+	members   *members
+	daemons   *daemons
+	requests  *proposal.Requests
+	proposals *proposal.Proposals
 	registrar *registry.Registrar
-	// The newest document that a gossip message brought, without its spec.
-	rumored *wire.Document
-	// received is when the last message of another process came.
-	received time.Time
-
-	head headState
-	asks map[string]*ask
-	// incarnation is drawn anew by each process, and nonce numbers its questions.
-	incarnation, nonce uint64
-}
-
-// New restores a machine from its memory; memory.Id must be set.
-func New(now time.Time, settings Settings, memory *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
-	memory = proto.Clone(memory).(*wire.DurableState)
-	settings.Faults = max(1, settings.Faults)
-	if settings.Staleness == 0 {
-		settings.Staleness = BoundsFor(settings.Limits).DaemonLease
-	}
+}
+
+// New restores a machine from what its disk held, a state and the records that were written after it; state.Id must be
+// set.
+func New(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
+	state = proto.CloneOf(state)
 	for _, record := range records {
-		Replay(memory, record)
+		Replay(state, record)
 	}
-	node := &Node{incarnation: random.Uint64(), holder: lease.NewLessee(random.Uint64()), settings: settings, bounds: BoundsFor(settings.Limits), random: random, outbox: statemachine.NewOutbox(), started: now, lastTick: now,
-		self:  &wire.Member{Id: memory.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP},
-		peers: map[string]*peer{}, brokenFrom: map[string]time.Time{}, asks: map[string]*ask{}}
-	node.head.daemons, node.head.commits = map[string]*daemon{}, map[uint64]time.Time{}
-	node.head.ledger = lease.NewProgressTracker()
-	node.witness = lease.NewWitness(node.leaseLength())
-	node.heldAtStart = newestOf(memory.Document, memory.Pending)
-	node.chain = chain.New(memory.Id, memory.Document, memory.Pending, node.outbox, node.addressOf, node.onCommit)
-	node.chain.RestoreIncomplete(memory.Incomplete)
-	node.agent = view.NewAgent(now, memory.Id, memory.View, memory.AcceptorState, node.outbox, node.resolve, node.onView)
-	node.partialView = peersampling.New(&wire.PeerDescriptor{Address: settings.Address, Zone: settings.Zone, Core: true}, settings.Seeds, node.outbox, random)
-	node.gossip = gossip.New(settings.Zone, node.outbox, random, node.partners, func(time.Time, *wire.GossipEntry) {})
-	node.rumored, node.registrar = &wire.Document{}, node.newRegistrar(now)
-	node.table()
-	if memory.Document != nil && memory.Document.Sequence > 0 {
-		node.publish(now)
+	settings = settings.withDefaults()
+	// The draws keep their order, by which a simulation with the same seed repeats.
+	incarnation, leaseNonce := random.Uint64(), random.Uint64()
+	isFoundingNow := settings.Founding && !state.Founding && state.View.GetEpoch() == 0
+	state.Founding = state.Founding || isFoundingNow
+	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now}
+	node.members = newMembers(now, settings, state, records, random,
+		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.Memory})
+	node.self, node.outbox = node.members.self, node.members.outbox
+	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
+	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
+	node.registrar = registry.NewRegistrar(now, settings.Heartbeat, 0, node.outbox, registry.Environment{
+		Daemons: node.daemons.addresses, Cores: node.members.addresses, Joined: node.members.hearsMajority,
+		Isolated: node.daemons.isIsolated})
+	node.handlers = newHandlers(node)
+	node.resume(now, state, isFoundingNow)
+	return node
+}
+
+// newProposals returns what takes operators' requests.
+func newProposals(incarnation uint64, members *members, daemons *daemons) (*proposal.Requests, *proposal.Proposals) {
+	var proposals *proposal.Proposals
+	serve := func(now time.Time, message *wire.OperatorRequest) { proposals.Serve(now, message) }
+	requests := proposal.NewRequests(incarnation, members.self, members.agent, members.chain, members.outbox,
+		members.detector.AddressOf, serve)
+	proposals = proposal.NewProposals(members.self.Address, members.chain, members.outbox, requests,
+		proposal.Environment{IsLeading: daemons.leadership.IsLeading, IsDelivered: daemons.isDelivered,
+			IsUnhealthy: members.disk.IsUnhealthy})
+	return requests, proposals
+}
+
+// resume goes on from what the disk held.
+func (node *Node) resume(now time.Time, state *wire.DurableState, isFoundingNow bool) {
+	if state.Document.GetSequence() > 0 {
+		node.daemons.directory.Publish(now)
 	}
-	node.founding, node.cleared, node.logged = memory.Founding, memory.ClearedTerm, recordBytes(records)
-	node.keeper = lease.Restore(now, node.agent.Current(), memory.ClearedTerm)
-	if settings.Founding && !memory.Founding && node.agent.Current().Epoch == 0 {
+	if isFoundingNow {
 		// A founder that is killed before there is a view must still be one when it starts again.
-		node.founding, node.replacing = true, true
-		node.outbox.Replace(now, node.Memory(), func(time.Time) { node.replacing, node.diskFailed = false, false })
+		node.members.disk.Replace(now)
 	}
-	node.lastView = node.agent.Current()
-	if current := node.agent.Current(); current.Epoch > 0 {
-		// Which views ended a moment before this process began is not known.
-		node.witness.Restarted(now)
-		node.previousAcceptors = []previousAcceptors{{until: now.Add(node.leaseLength())}}
-		node.chain.Adopt(now, current)
-		node.initialSynced = node.chain.Synced()
+	if current := node.members.agent.Current(); current.Epoch > 0 {
+		node.daemons.witness.Restarted(now)
+		node.daemons.leases.Restarted(now)
+		node.members.adopt(now, current)
 	}
-	return node
 }
 
-// Outbox gives what the driver has to carry out.
+// Outbox returns what the driver has to carry out.
 func (node *Node) Outbox() *statemachine.Outbox { return node.outbox }
 
-// Chain gives the machine's part of the chain, for drivers, checkers and status pages.
-func (node *Node) Chain() *chain.Chain { return node.chain }
-
-// View gives the present view.
-func (node *Node) View() *wire.View { return node.agent.Current() }
+// Chain returns the machine's part of the chain, for drivers, checkers and status pages.
+func (node *Node) Chain() *chain.Chain { return node.members.chain }
 
-// Counters gives what was counted.
-func (node *Node) Counters() Counters { return node.counters }
+// View returns the present view.
+func (node *Node) View() *wire.View { return node.members.agent.Current() }
 
-// Self gives this machine's member line.
+// Self returns this machine as the views have it.
 func (node *Node) Self() *wire.Member { return node.self }
 
-// Drain gives messages, stamped with who sends them, and writes.
+// Counters returns what was counted.
+func (node *Node) Counters() Counters {
+	counters, requests, proposals := node.counters, node.requests.Counters(), node.proposals.Counters()
+	counters.Accepted = proposals.Accepted
+	counters.Refused = proposals.Refused + node.daemons.updater.Counters().Refused
+	counters.Unknown = proposals.Unknown + requests.Unknown
+	counters.DiskFailures = node.members.disk.Counters().Failures
+	return counters
+}
+
+// Drain returns messages, stamped with who sends them, and writes.
 func (node *Node) Drain() ([]statemachine.Message, []statemachine.Write) {
-	parcels, writes := node.outbox.Drain()
-	for _, parcel := range parcels {
-		parcel.Envelope.From, parcel.Envelope.Sender, parcel.Envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
+	messages, writes := node.outbox.Drain()
+	for _, message := range messages {
+		envelope := message.Envelope
+		envelope.From, envelope.Sender, envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
 		// Whoever has heard of a view acts in none before it, even while its disk is still busy with that.
-		parcel.Envelope.Epoch = node.agent.Newest().Epoch
-		// Digests of gossip go to everybody in turn, so that the sum of the runners needs no rounds of its own.
-		if digest := parcel.Envelope.GetDigest(); digest != nil {
+		envelope.Epoch = node.members.agent.Newest().Epoch
+		// Digests of gossip go to everybody in turn, so that the runners' checksum needs no messages of its own.
+		if digest := envelope.GetDigest(); digest != nil {
 			digest.RunnersChecksum = node.registrar.Checksum()
 		}
 	}
-	for _, write := range writes {
-		if write.Record != nil {
-			node.logged += int64(proto.Size(write.Record))
-		}
+	node.members.disk.Appended(writes)
+	return messages, writes
+}
+
+// Receive handles one message.
+func (node *Node) Receive(now time.Time, envelope *wire.Envelope) {
+	if envelope.From != node.self.Address {
+		node.members.detector.Received(now)
+	}
+	node.daemons.grantor.Heard(now, envelope.Sender, envelope.Epoch)
+	if handle := node.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
+		handle(now, envelope)
 	}
-	return parcels, writes
+	node.proposals.RetryDeferred(now)
 }
 
-// Refused takes in that nobody listened at an address when it was tried at a moment: the process that was
-// there is dead, since it listens for as long as it lives, and with it all that it was granted.
-func (node *Node) Refused(now time.Time, address string, tried time.Time) {
-	node.keeper.Refused(now, address, tried)
-	node.daemonRefused(now, address, tried)
-	for _, peer := range node.peers {
-		if peer.member.Address == address && !peer.gone && peer.heard.Before(tried) {
-			peer.gone = true
-			node.lastHeartbeat = time.Time{}
-		}
+// Tick does what is due. The order matters: the disk and the detector first, since the others go by what they say, and
+// operators last, so that they learn the outcome of this very tick.
+func (node *Node) Tick(now time.Time) {
+	if node.members.detector.Tick(now) {
+		node.registrar.Resume(now)
 	}
-	node.tendHeartbeats(now)
-	node.tendView(now)
+	node.members.disk.Tick(now)
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.daemons.grantor.Tick(now)
+	node.daemons.leadership.Tick(now)
+	node.members.propose(now)
+	node.members.chain.Tick(now)
+	node.daemons.learner.Tick(now, node.members.decommission.IsStarted())
+	node.daemons.tick(now)
+	node.members.partialView.Tick(now)
+	node.daemons.directory.Gossip().Tick(now)
+	node.registrar.Tick(now)
+	node.proposals.RetryDeferred(now)
+	node.proposals.Acknowledge(now)
+	node.requests.Tick(now)
 }
 
-// Synced takes the completion of a write.
+// Synced handles that a write, and with it every earlier one, is on the disk.
 func (node *Node) Synced(now time.Time, sequence uint64) {
 	node.outbox.Done(now, sequence)
-	node.serveParked(now)
-	node.answerWaiters(now)
+	node.proposals.RetryDeferred(now)
+	node.proposals.Acknowledge(now)
 }
 
-// Tick does what is due.
-func (node *Node) Tick(now time.Time) {
-	// Whoever was frozen has heard nobody, which says nothing about them.
-	if now.Sub(node.lastTick) > node.bounds.Frozen {
-		for _, peer := range node.peers {
-			if !peer.gone {
-				peer.heard = now
-			}
-		}
-		node.registrar.Resume(now)
+// Refused handles that nobody listened at an address when it was tried: the process that was there has ended, since it
+// listens for as long as it lives, and with it all that it was granted.
+func (node *Node) Refused(now time.Time, address string, tried time.Time) {
+	node.daemons.grantor.ConnectionRefused(now, address, tried)
+	if node.daemons.connectionRefused(now, address, tried) {
+		node.proposals.Acknowledge(now)
 	}
-	node.lastTick = now
-	node.tendDisk(now)
-	node.tendHeartbeats(now)
-	node.tendKeeping(now)
-	node.tendClaim(now)
-	node.tendView(now)
-	node.chain.Tick(now)
-	node.tendLearning(now)
-	node.tendDirectory(now)
-	node.tendDelivery(now)
-	node.partialView.Tick(now)
-	node.gossip.Tick(now)
-	node.registrar.Tick(now)
-	node.serveParked(now)
-	node.answerWaiters(now)
-	node.tendAsks(now)
+	node.members.detector.ConnectionRefused(address, tried)
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.members.propose(now)
+}
+
+// Ask takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
+// once.
+func (node *Node) Ask(now time.Time, message *wire.OperatorRequest,
+	respond func(status int, body []byte)) (token string) {
+	return node.requests.Submit(now, message, respond)
+}
+
+// Abandon forgets a request whose operator waits no more, without a response, so that it takes no slot from others'. A
+// change goes on: its operator sends it again, here or elsewhere, and learns whatever has come of it meanwhile.
+func (node *Node) Abandon(token string) { node.requests.Abandon(token) }
+
+// Leading reports whether this machine acts as head at this moment.
+func (node *Node) Leading(now time.Time) bool { return node.daemons.leadership.IsLeading(now) }
+
+// Leave orders this machine to stop, so that the others first take over what it holds.
+func (node *Node) Leave(now time.Time) {
+	if !node.members.decommission.Start(now) {
+		return
+	}
+	node.members.detector.ExpediteHeartbeat()
+	node.members.sendHeartbeats(now, node.daemons.unleased)
+	node.members.propose(now)
+}
+
+// Left reports whether this machine may stop: others have taken over what it holds, or nobody is there to do so.
+func (node *Node) Left(now time.Time) bool {
+	return node.members.decommission.IsComplete(node.members.facts(now), node.members.chain.Committed().Sequence)
 }
+
+// ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
+func (node *Node) ChainLimit() int { return reconfiguration.ChainLimit(node.settings.Faults) }
+
+// Register handles a runner's call; respond is called once, within a second.
+func (node *Node) Register(now time.Time, runner *wire.Runner, respond func(outcome registry.Outcome)) {
+	node.registrar.Register(now, runner, respond)
+}
+
+// Deregister handles that a runner has ended; respond is called once, within a second.
+func (node *Node) Deregister(now time.Time, id string, respond func(outcome registry.Outcome)) {
+	node.registrar.Deregister(now, id, respond)
+}
+
+// Runners lists every registered runner, also those that have ended or fallen silent.
+func (node *Node) Runners(now time.Time) []*wire.Runner { return node.registrar.All(now) }
+
+// Registry returns what was counted of the runners' calls.
+func (node *Node) Registry() registry.Counters { return node.registrar.Counters() }
+
+// Replay folds one record of the log into a state.
+func Replay(state *wire.DurableState, record *wire.Record) { durability.Replay(state, record) }
+
+// Memory returns all that this machine must not forget.
+func (node *Node) Memory() *wire.DurableState {
+	agent := node.members.agent
+	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.Vote(),
+		Founding: node.members.proposer.IsFounding(), ClearedTerm: node.daemons.grantor.ClearedTerm()}
+	node.members.chain.Memory(state)
+	return state
+}
+
+// DiskFailed handles a write that could not be carried out. The machine reports itself unhealthy until a whole state
+// has been written anew.
+func (node *Node) DiskFailed(now time.Time) { node.members.disk.Failed(now) }
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wardtray/config"
+	"wardtray/control/daemonlease"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -23,7 +24,10 @@
 
 func newLone() *lone {
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
-	memory := &wire.DurableState{Id: "a", View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}}}
+	memory := &wire.DurableState{
+		Id:   "a",
+		View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}},
+	}
 	lone := &lone{now: time.Unix(1_700_000_000, 0)}
 	lone.node = New(lone.now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
 	lone.run(4 * time.Second)
@@ -40,7 +44,7 @@
 
 func (lone *lone) settle() {
 	for range 4 {
-		parcels, writes := lone.node.Drain()
+		messages, writes := lone.node.Drain()
 		for _, write := range writes {
 			lone.held = append(lone.held, write.Sequence)
 		}
@@ -50,9 +54,9 @@
 			}
 			lone.held = nil
 		}
-		for _, parcel := range parcels {
-			if parcel.To == lone.node.Self().Address {
-				lone.node.Receive(lone.now, parcel.Envelope)
+		for _, message := range messages {
+			if message.To == lone.node.Self().Address {
+				lone.node.Receive(lone.now, message.Envelope)
 			}
 		}
 	}
@@ -77,7 +81,7 @@
 }
 
 func whole(routes ...string) []byte {
-	var list []string
+	list := make([]string, 0, len(routes))
 	for _, route := range routes {
 		list = append(list, fmt.Sprintf(`{"name":%q,"pool":"p","patience":"1s","repeatable":false}`, route))
 	}
@@ -85,27 +89,47 @@
 }
 
 func apply(operation string, base, epoch uint64, routes ...string) *wire.OperatorRequest {
-	return &wire.OperatorRequest{Verb: "apply", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: whole(routes...)}
+	return &wire.OperatorRequest{
+		Verb:      "apply",
+		Operation: operation,
+		Base:      base,
+		HasBase:   true,
+		Epoch:     epoch,
+		HasEpoch:  epoch > 0,
+		Spec:      whole(routes...),
+	}
 }
 
 func change(operation string, base, epoch uint64, content string) *wire.OperatorRequest {
-	return &wire.OperatorRequest{Verb: "change", Operation: operation, Base: base, HasBase: true, Epoch: epoch, HasEpoch: epoch > 0, Spec: []byte(content)}
+	return &wire.OperatorRequest{
+		Verb:      "change",
+		Operation: operation,
+		Base:      base,
+		HasBase:   true,
+		Epoch:     epoch,
+		HasEpoch:  epoch > 0,
+		Spec:      []byte(content),
+	}
 }
 
-func (lone *lone) routes(t *testing.T) (names string) {
+func (lone *lone) routes(t *testing.T) string {
+	t.Helper()
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
+	var names strings.Builder
 	for _, route := range held.Routes {
-		names += route.Name
+		names.WriteString(route.Name)
 	}
-	return names
+	return names.String()
 }
 
 func TestEpochsMayClimbUnevenly(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
+	epochZero := &wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true,
+		Spec: whole("b")}
 	for _, step := range []struct {
 		ask    *wire.OperatorRequest
 		status int
@@ -116,7 +140,7 @@
 		{apply("first", 0, 7, "a"), 200, 7, ""},
 		{apply("same", 7, 7, "b"), 422, 7, "epoch"},
 		{apply("below", 7, 3, "b"), 422, 7, "epoch"},
-		{&wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true, Spec: whole("b")}, 422, 7, "epoch"},
+		{epochZero, 422, 7, "epoch"},
 		{apply("stale and below", 3, 3, "b"), 409, 7, ""},
 		{apply("next", 7, 0, "b"), 200, 8, ""},
 		{change("leap", 8, 900, `{"remove":{"lanes":["b"]},"upsert":{"lanes":[{"name":"c","pool":"p","patience":"1s"}]}}`), 200, 900, ""},
@@ -126,7 +150,8 @@
 		{change("low", 900, 900, `{}`), 422, 900, "epoch"},
 	} {
 		got := lone.send(step.ask)
-		if got.status != step.status || got.reply.Epoch != step.epoch || step.path != "" && (len(got.reply.Flaws) != 1 || got.reply.Flaws[0].Path != step.path) {
+		if got.status != step.status || got.reply.Epoch != step.epoch ||
+			step.path != "" && (len(got.reply.Flaws) != 1 || got.reply.Flaws[0].Path != step.path) {
 			t.Errorf("%s: %d %+v", step.ask.Operation, got.status, got.reply)
 		}
 	}
@@ -160,9 +185,14 @@
 	if got := lone.routes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
 		t.Fatalf("the lanes are %s after refusals", got)
 	}
-	got := lone.send(change("fine", 1, 0, `{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`))
+	got := lone.send(
+		change("fine", 1, 0,
+			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`),
+	)
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
-	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" || held.Limits.BodyBytes != 5 || held.Routes[0].Value != 1 {
+	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" ||
+		held.Limits.BodyBytes != 5 ||
+		held.Routes[0].Value != 1 {
 		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, held)
 	}
 }
@@ -187,7 +217,8 @@
 	}
 	lone.stalled = false
 	lone.settle()
-	if under.status != 200 || under.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 || invalid.status != 422 {
+	if under.status != 200 || under.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 ||
+		invalid.status != 422 {
 		t.Fatalf("answered once it is: %d %d %d", under.status, stale.status, invalid.status)
 	}
 }
@@ -206,7 +237,7 @@
 	if read.status != 200 || lone.routes(t) != "b" {
 		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.routes(t))
 	}
-	lone.run(lease.DaemonTerm + leaseMargin)
+	lone.run(lease.DaemonTerm + daemonlease.ClockMargin)
 	if changed.status != 200 {
 		t.Fatalf("the change: %d %+v", changed.status, changed.reply)
 	}
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -1,27 +1,34 @@
 package node
 
 import (
-	"sort"
 	"time"
 
+	"wardtray/coordination/chain"
 	"wardtray/coordination/registry"
+	"wardtray/wire"
 )
 
-// Status is what a disk machine tells of itself.
+// Status is what a disk machine reports of itself.
 type Status struct {
-	ID        string         `json:"id"`
-	View      uint64         `json:"view"`
-	Fleet     string         `json:"fleet"`
+	ID string `json:"id"`
+	// View is the epoch of the present view, and Fleet the name of its fleet; 0 and empty before the first view.
+	View  uint64 `json:"view"`
+	Fleet string `json:"fleet"`
+	// Place is the machine's position in the chain: head, middle, tail, head and tail, or outside.
 	Place     string         `json:"place"`
 	Chain     []MemberStatus `json:"chain"`
 	Acceptors []MemberStatus `json:"keepers"`
 	Daemons   []MemberStatus `json:"daemons"`
-	Synced    uint64         `json:"synced"`
-	Committed uint64         `json:"committed"`
-	Epoch     uint64         `json:"epoch"`
-	Pending   int            `json:"pending"`
-	// Asks is how many questions of operators wait for an answer here.
-	Asks      int  `json:"asks"`
+	// Synced is up to which sequence its disk holds the history, and Committed up to where that is committed.
+	Synced    uint64 `json:"synced"`
+	Committed uint64 `json:"committed"`
+	// Epoch is that of the committed spec.
+	Epoch uint64 `json:"epoch"`
+	// Pending counts the entries that are not committed yet.
+	Pending int `json:"pending"`
+	// Asks is how many requests of operators wait for a response here.
+	Asks int `json:"asks"`
+	// Claim is set while it holds the leader's lease, and Leading while it acts as head.
 	Claim     bool `json:"claim"`
 	Leading   bool `json:"leading"`
 	Unhealthy bool `json:"sick"`
@@ -31,88 +38,71 @@
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// MemberStatus is one line about another process.
+// MemberStatus is what a disk machine reports of another process.
 type MemberStatus struct {
-	ID        string `json:"id,omitempty"`
-	Address   string `json:"address"`
-	HTTP      string `json:"http,omitempty"`
-	Zone      string `json:"zone"`
-	Heard     bool   `json:"heard"`
+	ID      string `json:"id,omitempty"`
+	Address string `json:"address"`
+	HTTP    string `json:"http,omitempty"`
+	Zone    string `json:"zone"`
+	// Heard is set if it was heard of late.
+	Heard bool `json:"heard"`
+	// Sequence is the newest one that it reported to have.
 	Sequence  uint64 `json:"sequence,omitempty"`
 	Unhealthy bool   `json:"sick,omitempty"`
 }
 
-// Status gives the present state for operators.
+// Status returns the present state for operators.
 func (node *Node) Status(now time.Time) Status {
-	current, document := node.agent.Current(), node.chain.Committed()
-	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: node.placeName(), Synced: node.chain.Synced(),
-		Committed: document.Sequence, Epoch: document.SpecEpoch, Pending: len(node.chain.Pending()), Asks: len(node.asks),
-		Claim: node.holder.Valid(now, current.Epoch), Leading: node.leading(now), Unhealthy: node.unhealthy(now), Runners: node.registrar.Counters()}
+	members, daemons := node.members, node.daemons
+	current, document := members.agent.Current(), members.chain.Committed()
+	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(members.chain),
+		Synced: members.chain.Synced(), Committed: document.Sequence, Epoch: document.SpecEpoch,
+		Pending: len(members.chain.Pending()), Asks: node.requests.Count(),
+		Claim: daemons.leadership.HoldsLease(now), Leading: daemons.leadership.IsLeading(now),
+		Unhealthy: members.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
-		line := MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)}
-		if peer := node.peers[member.Id]; peer != nil {
-			line.Sequence, line.Unhealthy = peer.heartbeat.Synced, peer.heartbeat.Unhealthy
-		} else if member.Id == node.self.Id {
-			line.Sequence, line.Unhealthy = node.chain.Synced(), node.unhealthy(now)
-		}
-		status.Chain = append(status.Chain, line)
+		status.Chain = append(status.Chain, members.chainMemberStatus(now, member))
 	}
 	for _, member := range current.Acceptors {
-		status.Acceptors = append(status.Acceptors, MemberStatus{ID: member.Id, Address: node.addressOf(member), HTTP: member.Http, Zone: member.Zone, Heard: node.fresh(now, member.Id)})
+		status.Acceptors = append(status.Acceptors, members.memberStatus(now, member))
 	}
 	for _, member := range document.Directory {
-		line := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
-		if known := node.head.daemons[member.Address]; known != nil {
-			line.Heard, line.Sequence = now.Sub(known.asked) < node.settings.Staleness, known.sequence
-		}
-		status.Daemons = append(status.Daemons, line)
+		entry := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
+		entry.Sequence, entry.Heard = daemons.leases.Progress(now, member.Address)
+		status.Daemons = append(status.Daemons, entry)
 	}
-	status.Warnings = node.warnings(now)
+	status.Warnings = members.facts(now).Warnings()
 	return status
 }
 
-// Leading tells whether this machine acts as head at this moment.
-func (node *Node) Leading(now time.Time) bool { return node.leading(now) }
+// memberStatus returns the status of a disk machine but for what it reported.
+func (members *members) memberStatus(now time.Time, member *wire.Member) MemberStatus {
+	return MemberStatus{ID: member.Id, Address: members.detector.AddressOf(member), HTTP: member.Http,
+		Zone: member.Zone, Heard: members.detector.IsAlive(now, member.Id)}
+}
 
-func (node *Node) placeName() string {
-	names := map[bool]map[bool]string{true: {true: "head and tail", false: "head"}, false: {true: "tail", false: "middle"}}
-	if !node.chain.Inside() {
-		return "outside"
+// chainMemberStatus returns the status of a member of the chain, with its progress.
+func (members *members) chainMemberStatus(now time.Time, member *wire.Member) MemberStatus {
+	status := members.memberStatus(now, member)
+	if peer := members.detector.Peer(member.Id); peer != nil {
+		status.Sequence, status.Unhealthy = peer.Heartbeat.Synced, peer.Heartbeat.Unhealthy
+	} else if member.Id == members.self.Id {
+		status.Sequence, status.Unhealthy = members.chain.Synced(), members.disk.IsUnhealthy(now)
 	}
-	return names[node.chain.Head()][node.chain.Tail()]
+	return status
 }
 
-// warnings tells which losses the fleet could no longer bear.
-func (node *Node) warnings(now time.Time) []string {
-	var warnings []string
-	current := node.agent.Current()
-	if current.Epoch == 0 {
-		return []string{"no view yet: every founder must be up and blank for the first one"}
-	}
-	live := 0
-	for _, member := range current.Chain {
-		if node.fresh(now, member.Id) {
-			live++
-		}
-	}
-	if live <= int(current.MinReplicas) && current.MinReplicas > 1 {
-		warnings = append(warnings, "the chain has no copy to spare: the loss of one more disk machine stops changes")
-	}
-	if live == 1 {
-		warnings = append(warnings, "there is one live copy of the control state")
-	}
-	acceptors := 0
-	for _, acceptor := range current.Acceptors {
-		if node.fresh(now, acceptor.Id) {
-			acceptors++
-		}
-	}
-	if acceptors < len(current.Acceptors) || len(current.Acceptors) < node.acceptorCount() {
-		warnings = append(warnings, "not all keepers are live: the loss of one more stops the mending of the chain")
-	}
-	if !spread(current.Acceptors) {
-		warnings = append(warnings, "most keepers stand in one zone")
+// positionName returns how operators call a machine's position in the chain.
+func positionName(chain *chain.Chain) string {
+	switch {
+	case !chain.Inside():
+		return "outside"
+	case chain.Head() && chain.Tail():
+		return "head and tail"
+	case chain.Head():
+		return "head"
+	case chain.Tail():
+		return "tail"
 	}
-	sort.Strings(warnings)
-	return warnings
+	return "middle"
 }
