--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -60,12 +60,12 @@
 }
 
 // Left reports whether the close has reached the daemon's machine.
-func (client *client) Left() bool { return !client.record.HungUpAt.IsZero() }
+func (client *client) Disconnected() bool { return !client.record.HungUpAt.IsZero() }
 
 // Watch has a function called when the close comes, or a moment later where it is there.
-func (client *client) Watch(left func()) (stop func()) {
+func (client *client) OnDisconnect(left func()) (stop func()) {
 	client.onHangUp = left
-	if client.Left() {
+	if client.Disconnected() {
 		client.traffic.world.After(0, client.notifyHangUp)
 	}
 	return func() { client.onHangUp = nil }
