--- a/tools/doccheck/checker_test.go
+++ b/tools/doccheck/checker_test.go
@@ -97,8 +97,12 @@
 	return false
 }
 
-// checkPath checks a span that is a path whose first element is a folder of the module. Other spans have no problem.
+// checkPath checks a span that is the name of a Go file, or a path whose first element is a folder of the module. Other
+// spans have no problem.
 func (c checker) checkPath(span string) []string {
+	if strings.HasSuffix(span, ".go") && !strings.ContainsAny(span, "/* ") && !c.declared.files[span] {
+		return []string{fmt.Sprintf("file %s does not exist", span)}
+	}
 	path := strings.TrimSuffix(strings.TrimPrefix(span, "./"), "/...")
 	first, _, _ := strings.Cut(path, "/")
 	isDirectory := false
--- a/tools/doccheck/declarations_test.go
+++ b/tools/doccheck/declarations_test.go
@@ -6,6 +6,7 @@
 	"go/token"
 	"io/fs"
 	"os"
+	"path"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -17,7 +18,9 @@
 type declarations struct {
 	packages map[string]map[string]bool // package -> identifiers at package level
 	types    map[typeName]*typeMembers
+	imported map[string]bool // last elements of the import paths of all packages
 	tests    map[string]bool // tests, fuzz tests and benchmarks of all packages
+	files    map[string]bool // names of all Go files
 }
 
 // typeName is a type with the name of its package.
@@ -51,12 +54,15 @@
 	found := &declarations{
 		packages: map[string]map[string]bool{},
 		types:    map[typeName]*typeMembers{},
+		imported: map[string]bool{},
 		tests:    map[string]bool{},
+		files:    map[string]bool{},
 	}
 	for index, file := range files {
 		if parseErrors[index] != nil {
 			t.Fatal(parseErrors[index])
 		}
+		found.files[filepath.Base(paths[index])] = true
 		found.addFile(file)
 	}
 	return found
@@ -98,6 +104,9 @@
 	if d.packages[pkg] == nil {
 		d.packages[pkg] = map[string]bool{}
 	}
+	for _, imported := range file.Imports {
+		d.imported[path.Base(strings.Trim(imported.Path.Value, `"`))] = true
+	}
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
@@ -191,8 +200,9 @@
 	return typeName{}, false
 }
 
-// resolves reports whether a reference is to something declared, or to something that is no concern of this module:
-// qualifier.name with member empty, or qualifier.name.member. The qualifier is a package or a type.
+// resolves reports whether a reference is to something declared: qualifier.name with member empty, or
+// qualifier.name.member. The qualifier is a package or a type. Packages of other modules that this one imports are not
+// looked into.
 func (d *declarations) resolves(qualifier, name, member string) bool {
 	if identifiers, isPackage := d.packages[qualifier]; isPackage {
 		return identifiers[name] && (member == "" || d.hasMember(typeName{qualifier, name}, member))
@@ -207,7 +217,8 @@
 			return true
 		}
 	}
-	return !isType
+	// Keys of documents have dots too, but no capital letters.
+	return d.imported[qualifier] || !isType && !ast.IsExported(name)
 }
 
 // hasMember reports whether a type has a field or method, of its own or of a type that it embeds or stands for.
--- a/tools/doccheck/doccheck_test.go
+++ b/tools/doccheck/doccheck_test.go
@@ -61,7 +61,8 @@
 	writeFile(t, root, "go.mod", "module example\n")
 	writeFile(t, root, "docs/other.md", "# Other\n")
 	writeFile(t, root, "lease/lease.go", "package lease\n\n"+
-		"const Term = 1\n\ntype Base struct{ Granted int }\n\ntype Lessee struct{ Base }\n\n"+
+		"import \"net/http\"\n\nvar server http.Server\n\nconst Term = 1\n\n"+
+		"type Base struct{ Granted int }\n\ntype Lessee struct{ Base }\n\n"+
 		"func (l *Lessee) Renew() {}\n\ntype Alias = Lessee\n\ntype Grantor interface{ Grant() }\n")
 	writeFile(t, root, "lease/lease_test.go", "package lease\n\nfunc TestRenew() {}\n")
 	checker := checker{root: root, declared: parseModule(t, root)}
@@ -90,6 +91,9 @@
 			},
 		},
 		{"other packages and files", "`http.Server`, `lease.go`, `README.md`", nil},
+		{"missing package", "`gone.Lessor`", []string{"docs/page.md:1: gone.Lessor is not declared"}},
+		{"missing file", "`gone.go`", []string{"docs/page.md:1: file gone.go does not exist"}},
+		{"key of a document", "`limits.body_bytes`", nil},
 		{"test", "`TestRenew`, `TestRenew/case`", nil},
 		{"missing test", "`TestGone`", []string{"docs/page.md:1: test TestGone does not exist"}},
 		{"test in a command", "`go test -run TestGone`", []string{"docs/page.md:1: test TestGone does not exist"}},
