--- a/tools/doccheck/declarations_test.go
+++ b/tools/doccheck/declarations_test.go
@@ -200,6 +200,16 @@
 	return typeName{}, false
 }
 
+// hasTestPrefix reports whether the name of some test begins with prefix.
+func (d *declarations) hasTestPrefix(prefix string) bool {
+	for test := range d.tests {
+		if strings.HasPrefix(test, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
 // resolves reports whether a reference is to something declared: qualifier.name with member empty, or
 // qualifier.name.member. The qualifier is a package or a type. Packages of other modules that this one imports are not
 // looked into.
--- a/tools/doccheck/doccheck_test.go
+++ b/tools/doccheck/doccheck_test.go
@@ -96,6 +96,8 @@
 		{"key of a document", "`limits.body_bytes`", nil},
 		{"test", "`TestRenew`, `TestRenew/case`", nil},
 		{"missing test", "`TestGone`", []string{"docs/page.md:1: test TestGone does not exist"}},
+		{"pattern of tests", "`go test -run TestRen`", nil},
+		{"beginning of a test", "`TestRen`", []string{"docs/page.md:1: test TestRen does not exist"}},
 		{"test in a command", "`go test -run TestGone`", []string{"docs/page.md:1: test TestGone does not exist"}},
 		{"path", "`lease`, `lease/lease.go`, `lease/*.go`, `./lease/...`, `lease.Term`", nil},
 		{"missing path", "`lease/gone.go`", []string{"docs/page.md:1: path lease/gone.go does not exist"}},
