--- a/apierror/apierror_test.go
+++ b/apierror/apierror_test.go
@@ -26,14 +26,14 @@
 
 func TestOfAndIsLookAtTheOutermostError(t *testing.T) {
 	inner := New(Unreachable, "inner")
-	outer := fmt.Errorf("context: %w", Wrap(inner, BadSettings, "outer"))
+	outer := fmt.Errorf("context: %w", Wrap(inner, InvalidSettings, "outer"))
 	for name, test := range map[string]struct {
 		err    error
 		code   Code
 		detail string
 	}{
 		"new":          {inner, Unreachable, "inner"},
-		"wrapped":      {outer, BadSettings, "outer"},
+		"wrapped":      {outer, InvalidSettings, "outer"},
 		"without code": {io.EOF, Internal, ""},
 	} {
 		if found := Of(test.err); found.Code != test.code || found.Detail != test.detail {
@@ -49,15 +49,15 @@
 }
 
 func TestStandardIsAndAsLookAtEveryError(t *testing.T) {
-	err := fmt.Errorf("context: %w", Wrap(New(Unreachable, "inner"), BadSettings, "outer"))
-	if !errors.Is(err, BadSettings) || !errors.Is(err, Unreachable) || errors.Is(err, Busy) {
+	err := fmt.Errorf("context: %w", Wrap(New(Unreachable, "inner"), InvalidSettings, "outer"))
+	if !errors.Is(err, InvalidSettings) || !errors.Is(err, Unreachable) || errors.Is(err, Busy) {
 		t.Error("errors.Is does not find just the codes of the chain")
 	}
 	if cause := Wrap(io.EOF, DiskFailed, ""); !errors.Is(cause, io.EOF) {
 		t.Error("errors.Is does not find the cause")
 	}
 	var found *Error
-	if !errors.As(err, &found) || found.Code != BadSettings {
+	if !errors.As(err, &found) || found.Code != InvalidSettings {
 		t.Errorf("errors.As finds %v", found)
 	}
 }
--- a/apierror/codes.go
+++ b/apierror/codes.go
@@ -22,16 +22,16 @@
 	UnknownAdapter Code = "unknown_adapter"
 	// UnknownKey: the request carries no key of a tenant, and the route isn't public.
 	UnknownKey Code = "unknown_key"
-	// AlreadyTaken: a request with the same id was accepted before.
-	AlreadyTaken Code = "already_taken"
+	// DuplicateRequest: a request with the same id was accepted before.
+	DuplicateRequest Code = "already_taken"
 	// NotFound: there is nothing at the path, or with the id, that was asked for.
 	NotFound Code = "not_found"
 )
 
 // Requests that are rejected because of load. None of them was sent to a runner; they may be retried after Retry-After.
 const (
-	// QuotaSpent: the tenant has used up its quota.
-	QuotaSpent Code = "quota_spent"
+	// QuotaExceeded: the tenant has used up its quota.
+	QuotaExceeded Code = "quota_spent"
 	// ConcurrencyLimitReached: the route occupies its share of the backend while others wait.
 	ConcurrencyLimitReached Code = "purse_spent"
 	// LatencyTargetMissed: the request would be dispatched too late for the route's latency target.
@@ -50,8 +50,8 @@
 	OutcomeUnknown Code = "outcome_unknown"
 	// RunFailed: the run started and broke off.
 	RunFailed Code = "run_failed"
-	// ClientGone: the client disconnected before the response was complete.
-	ClientGone Code = "requester_gone"
+	// ClientDisconnected: the client disconnected before the response was complete.
+	ClientDisconnected Code = "requester_gone"
 )
 
 // Changes of the configuration that are rejected.
@@ -60,22 +60,22 @@
 	StaleBase Code = "stale_base"
 	// InvalidSpec: the configuration that would result has problems; each is listed with its path.
 	InvalidSpec Code = "invalid_spec"
-	// NoMajority: there is no quorum of the control plane.
-	NoMajority Code = "no_majority"
+	// NoQuorum: there is no quorum of the control plane.
+	NoQuorum Code = "no_majority"
 	// Busy: too many changes are pending.
 	Busy Code = "busy"
-	// CutOff: the control node that was asked is partitioned from the daemons and most other nodes.
-	CutOff Code = "cut_off"
+	// Partitioned: the control node that was asked is partitioned from the daemons and most other nodes.
+	Partitioned Code = "cut_off"
 )
 
 // Failures of processes, of their connections and of their storage.
 const (
-	// BadSettings: the settings or flags of a process are invalid; each problem is listed.
-	BadSettings Code = "bad_startup"
-	// BadFrame: what arrived on a connection between processes is no frame of the protocol.
-	BadFrame Code = "bad_frame"
-	// NoMemory: the data folder's content is missing or corrupt.
-	NoMemory Code = "no_memory"
+	// InvalidSettings: the settings or flags of a process are invalid; each problem is listed.
+	InvalidSettings Code = "bad_startup"
+	// InvalidFrame: what arrived on a connection between processes is no frame of the protocol.
+	InvalidFrame Code = "bad_frame"
+	// DataLost: the data folder's content is missing or corrupt.
+	DataLost Code = "no_memory"
 	// DiskFailed: a read or a write of the data folder failed.
 	DiskFailed Code = "disk_failed"
 	// WrongIdentity: another runner than the one expected answered at its address.
--- a/balancer/kvblock/cache_tracker_test.go
+++ b/balancer/kvblock/cache_tracker_test.go
@@ -33,7 +33,7 @@
 		t.Fatal("a request that was rejected still counts")
 	}
 	store(started.Add(IdleTTL), 70)
-	indexer.Pool.Add(Aged{Runner: "r", Now: started.Add(IdleTTL + time.Minute)})
+	indexer.Pool.Add(IdleBlocksExpired{Runner: "r", Now: started.Add(IdleTTL + time.Minute)})
 	if score(58) != 1 || score(70) != 2 {
 		t.Fatalf("age: an old one scores %d, a recent one %d", score(58), score(70))
 	}
@@ -41,9 +41,9 @@
 	if score(70) != 2 {
 		t.Fatal("AllBlocksCleared must do nothing")
 	}
-	indexer.Pool.Add(RunnerGone{Runner: "r"})
-	if score(70) != 0 || indexer.Index.Keys() != 0 {
-		t.Fatalf("a runner that is removed leaves %d keys", indexer.Index.Keys())
+	indexer.Pool.Add(RunnerRemoved{Runner: "r"})
+	if score(70) != 0 || indexer.Index.Len() != 0 {
+		t.Fatalf("a runner that is removed leaves %d keys", indexer.Index.Len())
 	}
 }
 
--- a/balancer/kvblock/events.go
+++ b/balancer/kvblock/events.go
@@ -35,21 +35,21 @@
 	Hit    bool
 }
 
-// RunnerGone says that a runner identity no longer exists.
-type RunnerGone struct{ Runner string }
+// RunnerRemoved says that a runner identity no longer exists.
+type RunnerRemoved struct{ Runner string }
 
-// Aged asks for the removal of blocks that were not used for IdleTTL.
-type Aged struct {
+// IdleBlocksExpired asks for the removal of blocks that were not used for IdleTTL.
+type IdleBlocksExpired struct {
 	Runner string
 	Now    time.Time
 }
 
-func (event BlockStored) runner() string      { return event.Runner }
-func (event BlockRemoved) runner() string     { return event.Runner }
-func (event AllBlocksCleared) runner() string { return event.Runner }
-func (event ReuseObserved) runner() string    { return event.Runner }
-func (event RunnerGone) runner() string       { return event.Runner }
-func (event Aged) runner() string             { return event.Runner }
+func (event BlockStored) runner() string       { return event.Runner }
+func (event BlockRemoved) runner() string      { return event.Runner }
+func (event AllBlocksCleared) runner() string  { return event.Runner }
+func (event ReuseObserved) runner() string     { return event.Runner }
+func (event RunnerRemoved) runner() string     { return event.Runner }
+func (event IdleBlocksExpired) runner() string { return event.Runner }
 
 func (event BlockStored) apply(tracker *cacheTracker) { tracker.store(event) }
 func (event BlockRemoved) apply(tracker *cacheTracker) {
@@ -59,5 +59,5 @@
 func (event ReuseObserved) apply(tracker *cacheTracker) {
 	tracker.adjustCapacity(event.Runner, event.Hit)
 }
-func (event RunnerGone) apply(tracker *cacheTracker) { tracker.removeRunner(event.Runner) }
-func (event Aged) apply(tracker *cacheTracker)       { tracker.expire(event.Runner, event.Now) }
+func (event RunnerRemoved) apply(tracker *cacheTracker)     { tracker.removeRunner(event.Runner) }
+func (event IdleBlocksExpired) apply(tracker *cacheTracker) { tracker.expire(event.Runner, event.Now) }
--- a/balancer/kvblock/index.go
+++ b/balancer/kvblock/index.go
@@ -111,8 +111,8 @@
 	return prefixes
 }
 
-// Keys returns the number of keys in the index.
-func (index *Index) Keys() int {
+// Len returns the number of keys in the index.
+func (index *Index) Len() int {
 	count := 0
 	for _, shard := range index.shards {
 		count += shard.Len()
--- a/balancer/kvblock/index_test.go
+++ b/balancer/kvblock/index_test.go
@@ -14,7 +14,7 @@
 	for number := range 1000 {
 		indexer.Index.Add(started, indexer.Processor.BlockKeys([]string{strconv.Itoa(number)}, Extra{}), "r")
 	}
-	if keys := indexer.Index.Keys(); keys > 64 {
+	if keys := indexer.Index.Len(); keys > 64 {
 		t.Fatalf("%d keys", keys)
 	}
 	key := indexer.Processor.BlockKeys([]string{"x"}, Extra{})
--- a/balancer/load/ejection.go
+++ b/balancer/load/ejection.go
@@ -36,13 +36,13 @@
 	return now.Before(ejection.until)
 }
 
-// Failed ejects a runner for a while, longer after each failure until a success.
-func (table *Table) Failed(now time.Time, runner, reason string) {
+// Eject ejects a runner for a while, longer after each failure until a success.
+func (table *Table) Eject(now time.Time, runner, reason string) {
 	table.update(runner, func(entry *entry) { table.eject(now, entry, reason) })
 }
 
-// Served records that a runner completed a request.
-func (table *Table) Served(runner string) {
+// RequestSucceeded records that a runner completed a request.
+func (table *Table) RequestSucceeded(runner string) {
 	table.update(runner, func(entry *entry) { entry.ejection.succeeded() })
 }
 
--- a/balancer/load/ejection_test.go
+++ b/balancer/load/ejection_test.go
@@ -14,10 +14,10 @@
 		table := tableOf("old")
 		table.Without = without
 		later := started.Add(time.Hour)
-		table.List(later, []*wire.Runner{{RunnerId: "old", State: "ready"}, {RunnerId: "new", State: "ready"}})
-		table.Failed(later, "old", "x")
-		old, _ := table.One(later, "old", nil)
-		fresh, _ := table.One(later, "new", nil)
+		table.UpdateListing(later, []*wire.Runner{{RunnerId: "old", State: "ready"}, {RunnerId: "new", State: "ready"}})
+		table.Eject(later, "old", "x")
+		old, _ := table.Lookup(later, "old", nil)
+		fresh, _ := table.Lookup(later, "new", nil)
 		if old.Usable != (name == "off") || fresh.SlowStart != (name == "on") {
 			t.Errorf("%s: %+v %+v", name, old, fresh)
 		}
--- a/balancer/load/estimate.go
+++ b/balancer/load/estimate.go
@@ -18,10 +18,10 @@
 	Waiting int `json:"waiting"`
 	// Slots is how many requests its engine processes at once; 0: not told.
 	Slots int `json:"slots"`
-	// Tokens is how much of its memory is in use and can't be evicted, in tokens.
-	Tokens int `json:"tokens,omitempty"`
-	// Room is the size of its memory in tokens; 0: not told.
-	Room int `json:"room,omitempty"`
+	// UsedTokens is how much of its memory is in use and can't be evicted, in tokens.
+	UsedTokens int `json:"tokens,omitempty"`
+	// MemoryTokens is the size of its memory in tokens; 0: not told.
+	MemoryTokens int `json:"room,omitempty"`
 }
 
 func (report *Report) valid() bool {
@@ -50,14 +50,14 @@
 	}
 	estimate.smoothedOthers += reportSmoothing * (others - estimate.smoothedOthers)
 	ownWaiting := own.unanswered
-	if report.Room == 0 && ownWaiting > 0 {
+	if report.MemoryTokens == 0 && ownWaiting > 0 {
 		// What a response's head reports no longer counts the request that is being answered.
 		ownWaiting--
 	}
 	estimate.othersWaiting = max(0, report.Waiting-ownWaiting)
 	// A response's head says nothing of memory; what an earlier report said of it stays.
-	if report.Room == 0 {
-		report.Tokens, report.Room = estimate.report.Tokens, estimate.report.Room
+	if report.MemoryTokens == 0 {
+		report.UsedTokens, report.MemoryTokens = estimate.report.UsedTokens, estimate.report.MemoryTokens
 	}
 	estimate.report, estimate.reported, estimate.others = report, now, others
 }
--- a/balancer/load/inflight.go
+++ b/balancer/load/inflight.go
@@ -6,8 +6,8 @@
 	total, unanswered int
 }
 
-// Begin counts a request of ours that is dispatched to a runner.
-func (table *Table) Begin(runner string) {
+// RequestStarted counts a request of ours that is dispatched to a runner.
+func (table *Table) RequestStarted(runner string) {
 	service := ""
 	table.update(runner, func(entry *entry) {
 		entry.requests.total++
@@ -17,13 +17,13 @@
 	table.services.markUsed(service)
 }
 
-// Answered records that the first event of one of our requests has come.
-func (table *Table) Answered(runner string) {
+// FirstEventReceived records that the first event of one of our requests has come.
+func (table *Table) FirstEventReceived(runner string) {
 	table.update(runner, func(entry *entry) { entry.requests.unanswered-- })
 }
 
-// Finish ends a request that was counted; answered says whether its first event was recorded.
-func (table *Table) Finish(runner string, answered bool) {
+// RequestEnded ends a request that was counted; answered says whether its first event was recorded.
+func (table *Table) RequestEnded(runner string, answered bool) {
 	table.update(runner, func(entry *entry) {
 		entry.requests.total--
 		if !answered {
--- a/balancer/load/listing.go
+++ b/balancer/load/listing.go
@@ -23,9 +23,9 @@
 	return state == stateReady || state == stateCold
 }
 
-// List takes over the platform's list. It returns the runners that it removed, ordered by ID: those
+// UpdateListing takes over the platform's list. It returns the runners that it removed, ordered by ID: those
 // that are no longer listed and have no request of ours.
-func (table *Table) List(now time.Time, runners []*wire.Runner) (removed []string) {
+func (table *Table) UpdateListing(now time.Time, runners []*wire.Runner) (removed []string) {
 	listed := map[string]bool{}
 	for _, listing := range runners {
 		listed[listing.RunnerId] = true
--- a/balancer/load/listing_test.go
+++ b/balancer/load/listing_test.go
@@ -11,15 +11,15 @@
 func TestDrainingRunnerStaysDraining(t *testing.T) {
 	table := tableOf("r")
 	for _, state := range []string{stateDraining, stateReady} {
-		table.List(started, []*wire.Runner{{RunnerId: "r", State: state}})
-		found, _ := table.One(started, "r", nil)
-		if found.Usable || found.Reason != ReasonLeaving || found.State != stateDraining {
+		table.UpdateListing(started, []*wire.Runner{{RunnerId: "r", State: state}})
+		found, _ := table.Lookup(started, "r", nil)
+		if found.Usable || found.Reason != ReasonDraining || found.State != stateDraining {
 			t.Errorf("listed as %s: %+v", state, found)
 		}
 	}
-	table.List(started.Add(drainedRetention+time.Second), nil)
-	table.List(started.Add(drainedRetention+time.Second), []*wire.Runner{{RunnerId: "r", State: stateReady}})
-	if found, _ := table.One(started.Add(drainedRetention+time.Second), "r", nil); found.State != stateReady {
+	table.UpdateListing(started.Add(drainedRetention+time.Second), nil)
+	table.UpdateListing(started.Add(drainedRetention+time.Second), []*wire.Runner{{RunnerId: "r", State: stateReady}})
+	if found, _ := table.Lookup(started.Add(drainedRetention+time.Second), "r", nil); found.State != stateReady {
 		t.Errorf("long after it drained: %+v", found)
 	}
 }
--- a/balancer/load/report.go
+++ b/balancer/load/report.go
@@ -9,8 +9,8 @@
 // maxFailedReports is how many reports in a row may fail before a runner counts as failed.
 const maxFailedReports = 3
 
-// Reported takes in a runner's report of its load.
-func (table *Table) Reported(now time.Time, runner string, report Report) {
+// RecordReport takes in a runner's report of its load.
+func (table *Table) RecordReport(now time.Time, runner string, report Report) {
 	table.update(runner, func(entry *entry) {
 		// A runner that registered told its slots then, and its reports need not repeat them.
 		if report.Slots == 0 {
@@ -24,19 +24,19 @@
 	})
 }
 
-// ReportGiven takes in a report that a runner gave because it was asked for one.
-func (table *Table) ReportGiven(now time.Time, runner string, report Report) {
+// RecordPolledReport takes in a report that a runner gave because it was asked for one.
+func (table *Table) RecordPolledReport(now time.Time, runner string, report Report) {
 	table.services.reportGiven(table.service(runner))
-	table.Reported(now, runner, report)
+	table.RecordReport(now, runner, report)
 }
 
-// AnswerTold takes in the load that a runner reported in the response to a request.
+// RecordResponseReport takes in the load that a runner reported in the response to a request.
 //
 // Its service is then no longer asked for reports: a report says little of a moment later, among many daemons less than
 // the responses do, and each report request costs something; docs/decisions.md has the measurements.
-func (table *Table) AnswerTold(now time.Time, runner string, report Report) {
+func (table *Table) RecordResponseReport(now time.Time, runner string, report Report) {
 	table.services.markReportsInResponses(table.service(runner))
-	table.Reported(now, runner, report)
+	table.RecordReport(now, runner, report)
 }
 
 // ReportRefused records that a runner refused to give a report. That is no sign of its being unhealthy: a service whose
@@ -50,10 +50,10 @@
 	table.services.reportRefused(now, service)
 }
 
-// Missed records that a runner gave no report, and ejects it for a while. It reports whether the runner is to be
+// ReportFailed records that a runner gave no report, and ejects it for a while. It reports whether the runner is to be
 // treated as failed: another one answers at its address, it is no longer listed either, or several reports in a row
 // have failed.
-func (table *Table) Missed(now time.Time, runner string, why apierror.Code) (failed bool) {
+func (table *Table) ReportFailed(now time.Time, runner string, why apierror.Code) (failed bool) {
 	table.update(runner, func(entry *entry) {
 		entry.failedReports++
 		table.eject(now, entry, string(why))
@@ -62,11 +62,11 @@
 	return failed
 }
 
-// Stale returns the runners to ask for a report, ordered by ID: those whose newest report is older than
+// RunnersToPoll returns the runners to ask for a report, ordered by ID: those whose newest report is older than
 // maxAge, be it an answer to a report request or a response's head, as far as their service needs polling. They are the
 // listed ones, and those no longer listed that still have requests of ours, whose failure must be noticed as well.
 // reportsOnly says that nothing but a report tells a load.
-func (table *Table) Stale(now time.Time, maxAge time.Duration, reportsOnly bool) []Runner {
+func (table *Table) RunnersToPoll(now time.Time, maxAge time.Duration, reportsOnly bool) []Runner {
 	return table.runners(now, nil, func(entry *entry) bool {
 		return (entry.listed || entry.requests.total > 0) &&
 			now.Sub(entry.estimate.reported) >= maxAge &&
--- a/balancer/load/runner.go
+++ b/balancer/load/runner.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ReasonLeaving is the reason of a runner that is draining or no longer listed.
-const ReasonLeaving = "leaving"
+// ReasonDraining is the reason of a runner that is draining or no longer listed.
+const ReasonDraining = "leaving"
 
 // Runner is one runner as seen at a moment; it is a copy.
 type Runner struct {
@@ -52,15 +52,15 @@
 		Usable:        true,
 		Reported:      estimate.reported,
 		OthersWaiting: estimate.othersWaiting,
-		UsedTokens:    estimate.report.Tokens,
-		MemoryTokens:  estimate.report.Room,
+		UsedTokens:    estimate.report.UsedTokens,
+		MemoryTokens:  estimate.report.MemoryTokens,
 	}
 	runner.Load, runner.LatestLoad = estimate.load(now, runner.InFlight, runner.Slots)
 	runner.Limit = runner.Slots + max(1, runner.Slots/2)
 	runner.SlowStart, runner.Limit = table.slowStartLimit(now, entry, runner.Limit, daemons)
 	switch {
 	case !entry.listed || !acceptsRequests(listing.State):
-		runner.Usable, runner.Reason = false, ReasonLeaving
+		runner.Usable, runner.Reason = false, ReasonDraining
 	case entry.ejection.active(now):
 		runner.Usable, runner.Reason, runner.Until = false, entry.ejection.reason, entry.ejection.until
 	}
--- a/balancer/load/slowstart.go
+++ b/balancer/load/slowstart.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// Ramp is the step of a slow start: after each step one more daemon may use the runner, and after
+	// SlowStartStep is the step of a slow start: after each step one more daemon may use the runner, and after
 	// stepsPerRequest of them each daemon may have one more request on it.
-	Ramp            = 400 * time.Millisecond
+	SlowStartStep   = 400 * time.Millisecond
 	stepsPerRequest = 4
-	// Settled is how long after it became ready a new runner is in slow start.
-	Settled = 6 * time.Second
+	// SlowStartDuration is how long after it became ready a new runner is in slow start.
+	SlowStartDuration = 6 * time.Second
 	// startupGrace is how long after its own start a daemon takes ready runners to be past their slow start.
 	startupGrace = 3 * time.Second
 )
@@ -44,11 +44,11 @@
 	steps := 0
 	if !cold && !state.readySince.IsZero() {
 		ready := now.Sub(state.readySince)
-		if ready >= Settled {
+		if ready >= SlowStartDuration {
 			state.completed = true
 			return false, limit
 		}
-		steps = int(ready / Ramp)
+		steps = int(ready / SlowStartStep)
 	}
 	// All daemons compute the same few from the runner's ID, so that together they send no more than few can.
 	if daemonRank(entry.listing.RunnerId, table.self, daemons) > steps {
--- a/balancer/load/slowstart_test.go
+++ b/balancer/load/slowstart_test.go
@@ -19,16 +19,16 @@
 		slowStart bool
 	}{
 		{0, 1, 1, true},
-		{Ramp, 2, 1, true},
-		{2 * Ramp, 3, 1, true},
-		{stepsPerRequest * Ramp, 3, 2, true},
-		{Settled, 3, 6, false},
+		{SlowStartStep, 2, 1, true},
+		{2 * SlowStartStep, 3, 1, true},
+		{stepsPerRequest * SlowStartStep, 3, 2, true},
+		{SlowStartDuration, 3, 6, false},
 	} {
 		admitted := 0
 		for _, daemon := range daemons {
 			table := NewTable(started, daemon)
-			table.List(listedAt, []*wire.Runner{{RunnerId: "r", State: stateReady}})
-			found, _ := table.One(listedAt.Add(step.after), "r", daemons)
+			table.UpdateListing(listedAt, []*wire.Runner{{RunnerId: "r", State: stateReady}})
+			found, _ := table.Lookup(listedAt.Add(step.after), "r", daemons)
 			if found.SlowStart != step.slowStart || found.Limit != 0 && found.Limit != step.requests {
 				t.Errorf("after %v: %+v", step.after, found)
 			}
--- a/balancer/load/table.go
+++ b/balancer/load/table.go
@@ -79,14 +79,14 @@
 	}
 }
 
-// All returns every known runner as it seems now, ordered by ID. The use of a runner in slow start is
+// Runners returns every known runner as it seems now, ordered by ID. The use of a runner in slow start is
 // divided among the daemons, which are given by their addresses.
-func (table *Table) All(now time.Time, daemons []string) []Runner {
+func (table *Table) Runners(now time.Time, daemons []string) []Runner {
 	return table.runners(now, daemons, func(*entry) bool { return true })
 }
 
-// One returns one runner as it seems now, and whether it is known.
-func (table *Table) One(now time.Time, runner string, daemons []string) (found Runner, known bool) {
+// Lookup returns one runner as it seems now, and whether it is known.
+func (table *Table) Lookup(now time.Time, runner string, daemons []string) (found Runner, known bool) {
 	table.update(runner, func(entry *entry) { found, known = table.view(now, entry, daemons), true })
 	return found, known
 }
--- a/balancer/load/table_test.go
+++ b/balancer/load/table_test.go
@@ -15,6 +15,6 @@
 	for _, runner := range runners {
 		listed = append(listed, &wire.Runner{RunnerId: runner, Zone: "a", State: "ready"})
 	}
-	table.List(started, listed)
+	table.UpdateListing(started, listed)
 	return table
 }
--- a/balancer/retrybudget/retrybudget.go
+++ b/balancer/retrybudget/retrybudget.go
@@ -15,8 +15,8 @@
 	Slack float64
 }
 
-// Default applies where nothing else is set.
-var Default = Settings{Window: 10 * time.Second, Ratio: 0.15}
+// DefaultSettings applies where nothing else is set.
+var DefaultSettings = Settings{Window: 10 * time.Second, Ratio: 0.15}
 
 // grantedSlackRatio is the part of the slack that is granted at all; the rest is a margin for daemons that count each
 // other differently.
@@ -37,7 +37,7 @@
 // slack; nil stands for one.
 func New(settings Settings, daemons func() int) *Budget {
 	if settings == (Settings{}) {
-		settings = Default
+		settings = DefaultSettings
 	}
 	if daemons == nil {
 		daemons = func() int { return 1 }
@@ -50,16 +50,16 @@
 	}
 }
 
-// Request counts a request that is sent for the first time.
-func (budget *Budget) Request(now time.Time) {
+// RecordRequest counts a request that is sent for the first time.
+func (budget *Budget) RecordRequest(now time.Time) {
 	elapsed := budget.elapsed(now)
 	budget.counts.cell(elapsed).requests++
 	budget.peak.observe(elapsed, budget.daemons())
 }
 
-// Repeat takes one retry out of the budget and reports whether there was one. A retry that the runner rejects
+// AllowRetry takes one retry out of the budget and reports whether there was one. A retry that the runner rejects
 // was sent all the same and is not returned.
-func (budget *Budget) Repeat(now time.Time) bool {
+func (budget *Budget) AllowRetry(now time.Time) bool {
 	elapsed := budget.elapsed(now)
 	current := budget.counts.cell(elapsed)
 	slack := budget.slack(now)
--- a/balancer/retrybudget/retrybudget_test.go
+++ b/balancer/retrybudget/retrybudget_test.go
@@ -13,7 +13,7 @@
 // countInWindow counts the times that lie in the window which ends now.
 func countInWindow(now time.Time, times []time.Time) (count int) {
 	for _, at := range times {
-		if now.Sub(at) <= Default.Window {
+		if now.Sub(at) <= DefaultSettings.Window {
 			count++
 		}
 	}
@@ -27,7 +27,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("bound", prop.ForAll(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		budget, now := New(Default, nil), time.Unix(1_700_000_000, 0)
+		budget, now := New(DefaultSettings, nil), time.Unix(1_700_000_000, 0)
 		var requests, retries []time.Time
 		for range 3000 {
 			now = now.Add(time.Duration(random.Int63n(int64(20 * time.Millisecond))))
@@ -35,22 +35,22 @@
 				now = now.Add(time.Duration(random.Int63n(int64(15 * time.Second))))
 			}
 			if random.Intn(3) > 0 {
-				budget.Request(now)
+				budget.RecordRequest(now)
 				requests = append(requests, now)
 				continue
 			}
-			if !budget.Repeat(now) {
+			if !budget.AllowRetry(now) {
 				continue
 			}
 			retries = append(retries, now)
-			if float64(countInWindow(now, retries)) > Default.Ratio*float64(countInWindow(now, requests)) {
+			if float64(countInWindow(now, retries)) > DefaultSettings.Ratio*float64(countInWindow(now, requests)) {
 				return false
 			}
 		}
 		return len(retries) > 0
 	}, gen.Int64()))
 	properties.TestingRun(t)
-	if New(Default, nil).Repeat(time.Unix(1_700_000_000, 0)) {
+	if New(DefaultSettings, nil).AllowRetry(time.Unix(1_700_000_000, 0)) {
 		t.Fatal("credit at the start")
 	}
 }
--- a/balancer/retrybudget/slack_test.go
+++ b/balancer/retrybudget/slack_test.go
@@ -7,7 +7,7 @@
 
 // retries returns how many retries a budget allows at once.
 func retries(budget *Budget, now time.Time) (count int) {
-	for budget.Repeat(now) {
+	for budget.AllowRetry(now) {
 		count++
 	}
 	return count
@@ -26,7 +26,7 @@
 	total := 0
 	for range 9 {
 		budget := New(settings, func() int { return 9 })
-		budget.Request(now.Add(-settings.Window - time.Second))
+		budget.RecordRequest(now.Add(-settings.Window - time.Second))
 		total += retries(budget, now)
 	}
 	if total == 0 || total > 58 {
@@ -39,7 +39,7 @@
 	settings := Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 90}
 	now, seen := time.Unix(1_700_000_000, 0), 9
 	budget := New(settings, func() int { return seen })
-	budget.Request(now)
+	budget.RecordRequest(now)
 	now = now.Add(settings.Window + time.Second)
 	before := retries(budget, now)
 	seen = 1
--- a/balancer/scheduler/context.go
+++ b/balancer/scheduler/context.go
@@ -13,7 +13,7 @@
 type Snapshot struct {
 	Runners []load.Runner
 	Daemons int
-	Pool    config.Pool
+	Backend config.Backend
 }
 
 // SnapshotFunc returns the snapshot of a moment.
@@ -65,11 +65,11 @@
 		Now:              now,
 		CostWeights:      scheduler.enabledCostWeights(),
 		Daemons:          daemons,
-		IgnorePrediction: scheduler.Without[features.EarlyRefusal],
+		IgnorePrediction: scheduler.Without[features.EarlyRejection],
 	}
 	slots, used, capacity := 0.0, 0.0, 0.0
 	for _, runner := range readmitEjected(snapshot.Runners) {
-		if limit := snapshot.Pool.ConnectionLimit; limit > 0 {
+		if limit := snapshot.Backend.ConnectionLimit; limit > 0 {
 			// A runner resets connections beyond its limit, which all daemons share.
 			runner.Limit = min(runner.Limit, max(1, limit/daemons))
 		}
@@ -96,7 +96,7 @@
 	// would move as well.
 	var remaining []load.Runner
 	for index := range cycle.Candidates {
-		if cycle.Candidates[index].Reason != load.ReasonLeaving {
+		if cycle.Candidates[index].Reason != load.ReasonDraining {
 			remaining = append(remaining, cycle.Candidates[index].Runner)
 		}
 	}
@@ -115,7 +115,7 @@
 	rate := forecast.rateAt(cycle.Now) * float64(cycle.Daemons)
 	cycle.ShortRate = rate * forecast.short.count / forecast.requests / float64(short)
 	tokensPerRunner := rate * forecast.tokens / forecast.requests / float64(max(1, len(remaining)))
-	if memory := snapshot.Pool.Engine.MemoryTokens; tokensPerRunner > 0 && memory > 0 {
+	if memory := snapshot.Backend.Engine.MemoryTokens; tokensPerRunner > 0 && memory > 0 {
 		cycle.CacheLifetime = seconds(cacheMemoryRatio * float64(memory) / tokensPerRunner)
 	}
 }
--- a/balancer/scheduler/context_test.go
+++ b/balancer/scheduler/context_test.go
@@ -11,7 +11,7 @@
 	snapshot := fixture.Scheduler.snapshot
 	fixture.Scheduler.snapshot = func(now time.Time) Snapshot {
 		changed := snapshot(now)
-		changed.Daemons, changed.Pool.ConnectionLimit = 9, 30
+		changed.Daemons, changed.Backend.ConnectionLimit = 9, 30
 		return changed
 	}
 	for index := range 4 {
--- a/balancer/scheduler/decide.go
+++ b/balancer/scheduler/decide.go
@@ -28,11 +28,11 @@
 	if best >= 0 && admitted && cycle.Ahead == 0 {
 		candidate := &scored[best].Candidate
 		return Decision{
-			Kind:       Dispatch,
-			Runner:     candidate.Runner,
-			HeldTokens: candidate.HeldTokens,
-			Predicted:  seconds(scored[best].First),
-			Urgency:    urgency(&requirements, candidate),
+			Kind:         Dispatch,
+			Runner:       candidate.Runner,
+			CachedTokens: candidate.CachedTokens,
+			Predicted:    seconds(scored[best].FirstEventSeconds),
+			Urgency:      urgency(&requirements, candidate),
 		}
 	}
 	limited := best >= 0 && !admitted
@@ -44,22 +44,22 @@
 	// A runner that is only ejected or in slow start may become usable in time; without any there is nothing to wait for.
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
-		mayBecomeUsable := candidate.Reason != load.ReasonLeaving && !requirements.Shut[candidate.ID]
+		mayBecomeUsable := candidate.Reason != load.ReasonDraining && !requirements.ExcludedRunners[candidate.ID]
 		if mayBecomeUsable && requirements.Waited < requirements.maxWait() {
 			return Decision{Kind: Enqueue, Reason: "every fit runner is paused or warming"}
 		}
 	}
 	// The end of an ejection says when to retry; where no runner is ejected, only the queue's own pace is known.
-	retry := seconds(cycle.CostWeights.PlaceSeconds)
+	retry := seconds(cycle.CostWeights.SlotSeconds)
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
-		if candidate.Reason != load.ReasonLeaving && candidate.Until.After(cycle.Now) {
+		if candidate.Reason != load.ReasonDraining && candidate.Until.After(cycle.Now) {
 			retry = min(retry, candidate.Until.Sub(cycle.Now))
 		}
 	}
 	return Decision{
 		Kind:       Reject,
-		Fault:      apierror.NoRunner,
+		ErrorCode:  apierror.NoRunner,
 		RetryAfter: max(minRetryAfter, retry),
 		Reason:     "no runner that the spec allows is fit",
 	}
@@ -74,7 +74,7 @@
 	for index := range scored {
 		shortestPrefill = min(shortestPrefill, scored[index].Candidate.Prefill)
 	}
-	turn := max(1, cycle.WaitCorrection) * float64(cycle.Ahead+1) * cycle.CostWeights.PlaceSeconds / max(1, cycle.Slots)
+	turn := max(1, cycle.WaitCorrection) * float64(cycle.Ahead+1) * cycle.CostWeights.SlotSeconds / max(1, cycle.Slots)
 	predicted := seconds(turn + shortestPrefill)
 	maxWait := requirements.maxWait()
 	inTime := requirements.Waited+predicted <= maxWait
@@ -83,13 +83,13 @@
 	}
 	decision := Decision{
 		Kind:       Reject,
-		Fault:      apierror.LatencyTargetMissed,
+		ErrorCode:  apierror.LatencyTargetMissed,
 		Predicted:  predicted,
 		RetryAfter: max(time.Second, predicted-maxWait),
 		Reason:     "the first event would come later than the lane's patience",
 	}
 	if limited {
-		decision.Fault = apierror.ConcurrencyLimitReached
+		decision.ErrorCode = apierror.ConcurrencyLimitReached
 		decision.Reason = "the lane holds its share of the pool and others wait"
 	}
 	return decision
--- a/balancer/scheduler/decision.go
+++ b/balancer/scheduler/decision.go
@@ -24,12 +24,12 @@
 type Decision struct {
 	Kind   DecisionKind `json:"Kind"`
 	Runner load.Runner  `json:"Runner"`
-	// HeldTokens are the tokens that the runner probably has cached.
-	HeldTokens int `json:"HeldTokens"`
+	// CachedTokens are the tokens that the runner probably has cached.
+	CachedTokens int `json:"HeldTokens"`
 	// Predicted is the predicted time until the first event, or until a queued request's turn.
 	Predicted time.Duration `json:"Predicted"`
-	// Fault is the code of a rejection.
-	Fault apierror.Code `json:"Fault"`
+	// ErrorCode is the code of a rejection.
+	ErrorCode apierror.Code `json:"Fault"`
 	// RetryAfter is when another try may succeed after a rejection.
 	RetryAfter time.Duration `json:"RetryAfter"`
 	// Reason says why a request is queued or rejected.
@@ -40,12 +40,12 @@
 
 // The urgencies sent to runners.
 const (
-	// Ahead is that of a prompt that is read in a small part of its latency target.
-	Ahead = 3
-	// Unset is the urgency of a request whose runner is sent none.
-	Unset = 5
-	// Behind is that of a prompt whose reading alone outlasts its latency target.
-	Behind = 8
+	// AheadUrgency is that of a prompt that is read in a small part of its latency target.
+	AheadUrgency = 3
+	// DefaultUrgency is the urgency of a request whose runner is sent none.
+	DefaultUrgency = 5
+	// BehindUrgency is that of a prompt whose reading alone outlasts its latency target.
+	BehindUrgency = 8
 )
 
 // aheadRatio is the part of its latency target within which a prompt that goes ahead is read.
@@ -57,12 +57,12 @@
 	target := requirements.LatencyTarget.Seconds()
 	switch {
 	case requirements.LatencyTarget <= 0:
-		return Unset
+		return DefaultUrgency
 	case candidate.Prefill > target:
-		return Behind
+		return BehindUrgency
 	case candidate.Prefill < aheadRatio*target:
-		return Ahead
+		return AheadUrgency
 	default:
-		return Unset
+		return DefaultUrgency
 	}
 }
--- a/balancer/scheduler/decision_test.go
+++ b/balancer/scheduler/decision_test.go
@@ -11,10 +11,10 @@
 	late := fixture.request("l", 1, 1, 100*time.Millisecond)
 	soon := fixture.request("l", 1, 1, 100*time.Millisecond)
 	late.Requirements.PromptTokens, soon.Requirements.PromptTokens = 100_000, 100
-	if decision, _ := fixture.schedule(late); decision.Urgency != Behind {
+	if decision, _ := fixture.schedule(late); decision.Urgency != BehindUrgency {
 		t.Fatalf("a late one: %+v", decision)
 	}
-	if decision, _ := fixture.schedule(soon); decision.Urgency != Ahead {
+	if decision, _ := fixture.schedule(soon); decision.Urgency != AheadUrgency {
 		t.Fatalf("one in time: %+v", decision)
 	}
 }
--- a/balancer/scheduler/feedback.go
+++ b/balancer/scheduler/feedback.go
@@ -16,8 +16,8 @@
 	minSlotTime, maxSlotTime = 0.01, 120.0
 )
 
-// Sent records that a request went out to its runner.
-func (scheduler *Scheduler) Sent(now time.Time, request *QueuedRequest, decision Decision) {
+// RequestSent records that a request went out to its runner.
+func (scheduler *Scheduler) RequestSent(now time.Time, request *QueuedRequest, decision Decision) {
 	scheduler.indexer.Pool.Add(kvblock.BlockStored{
 		Runner: decision.Runner.ID,
 		Now:    now,
@@ -26,27 +26,27 @@
 	})
 }
 
-// PutBack records that the runner rejected a request before it executed it. The runner has not cached
+// RequestRejected records that the runner rejected a request before it executed it. The runner has not cached
 // the prompt and is ejected for a moment, and this daemon's window becomes narrower.
-func (scheduler *Scheduler) PutBack(now time.Time, request *QueuedRequest, decision Decision) {
+func (scheduler *Scheduler) RequestRejected(now time.Time, request *QueuedRequest, decision Decision) {
 	scheduler.indexer.Pool.Add(kvblock.BlockRemoved{Runner: decision.Runner.ID, Keys: request.Keys})
-	scheduler.table.Failed(now, decision.Runner.ID, "puts requests back")
+	scheduler.table.Eject(now, decision.Runner.ID, "puts requests back")
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	if !scheduler.Without[features.Window] {
+	if !scheduler.Without[features.ConcurrencyWindow] {
 		scheduler.window.narrow(now)
 	}
 }
 
-// First records how long the first event of a response took after the request was sent.
-func (scheduler *Scheduler) First(request *QueuedRequest, decision Decision, took time.Duration) {
+// FirstEventReceived records how long the first event of a response took after the request was sent.
+func (scheduler *Scheduler) FirstEventReceived(request *QueuedRequest, decision Decision, took time.Duration) {
 	scheduler.recordFirstEvent(request, decision, took)
 	// Only on a runner that was not busy does the time of the first event say anything of its cache.
-	if decision.HeldTokens < minReuseTokens || decision.Runner.Load >= float64(decision.Runner.Slots)/2 {
+	if decision.CachedTokens < minReuseTokens || decision.Runner.Load >= float64(decision.Runner.Slots)/2 {
 		return
 	}
 	// Half way between the time with the tokens cached and without.
-	halfCached := float64(request.Requirements.PromptTokens) - float64(decision.HeldTokens)/2
+	halfCached := float64(request.Requirements.PromptTokens) - float64(decision.CachedTokens)/2
 	scheduler.indexer.Pool.Add(kvblock.ReuseObserved{
 		Runner: decision.Runner.ID,
 		Keys:   request.Keys,
@@ -61,14 +61,14 @@
 		return
 	}
 	request.answered = true
-	scheduler.table.Answered(decision.Runner.ID)
+	scheduler.table.FirstEventReceived(decision.Runner.ID)
 	scheduler.forecast.firstEvent(request, decision, took)
 	scheduler.costWeights.TokenSeconds = scheduler.forecast.speeds.token
 }
 
-// Learn records how a request went: how long the first event took of so many tokens that were not
+// RequestCompleted records how a request went: how long the first event took of so many tokens that were not
 // cached, and how long the slot was occupied. A duration of 0 is not known.
-func (scheduler *Scheduler) Learn(uncached int, first, occupied time.Duration) {
+func (scheduler *Scheduler) RequestCompleted(uncached int, first, occupied time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	if uncached > 0 && first > 0 {
@@ -77,20 +77,20 @@
 	}
 	if occupied > 0 {
 		slotTime := min(max(occupied.Seconds(), minSlotTime), maxSlotTime)
-		scheduler.costWeights.PlaceSeconds += slotTimeSmoothing * (slotTime - scheduler.costWeights.PlaceSeconds)
+		scheduler.costWeights.SlotSeconds += slotTimeSmoothing * (slotTime - scheduler.costWeights.SlotSeconds)
 	}
 }
 
-// Paced records how long so many tokens of a response took to come.
-func (scheduler *Scheduler) Paced(tokens int, took time.Duration) {
+// TokensReceived records how long so many tokens of a response took to come.
+func (scheduler *Scheduler) TokensReceived(tokens int, took time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.generationPace.learn(tokens, took)
 }
 
-// Longest is how long a request's response may take in all: its first event within its latency target, and as many
+// MaxDuration is how long a request's response may take in all: its first event within its latency target, and as many
 // tokens as it may have; 0: the pace of responses is not known.
-func (scheduler *Scheduler) Longest(request *QueuedRequest) time.Duration {
+func (scheduler *Scheduler) MaxDuration(request *QueuedRequest) time.Duration {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	generation, known := scheduler.generationPace.duration(request.Requirements.AnswerTokens)
--- a/balancer/scheduler/filter.go
+++ b/balancer/scheduler/filter.go
@@ -12,7 +12,7 @@
 
 // eligible reports whether a request may be sent to a candidate at all, be it saturated or not.
 func eligible(requirements *Requirements, candidate *Candidate) bool {
-	return candidate.Usable && !requirements.Shut[candidate.ID] && candidate.Limit != 0
+	return candidate.Usable && !requirements.ExcludedRunners[candidate.ID] && candidate.Limit != 0
 }
 
 // readmitEjected makes ejected runners usable again where they are more than a half, those whose ejection ends first:
@@ -21,7 +21,7 @@
 	var ejected []int
 	remaining := 0
 	for index := range runners {
-		if runners[index].Reason == load.ReasonLeaving {
+		if runners[index].Reason == load.ReasonDraining {
 			continue
 		}
 		remaining++
--- a/balancer/scheduler/filter_test.go
+++ b/balancer/scheduler/filter_test.go
@@ -10,7 +10,7 @@
 func TestEjectedRunnersAreReadmittedWhereMostAreEjected(t *testing.T) {
 	fixture := newFixture(t, 8)
 	for number := range 8 {
-		fixture.table.Failed(fixture.now, fmt.Sprintf("r%02d", number), "gave no answer")
+		fixture.table.Eject(fixture.now, fmt.Sprintf("r%02d", number), "gave no answer")
 	}
 	decision, answered := fixture.schedule(fixture.request("l", 1, 1, time.Second, "x"))
 	if !answered || decision.Kind != Dispatch {
--- a/balancer/scheduler/fixture_test.go
+++ b/balancer/scheduler/fixture_test.go
@@ -41,9 +41,9 @@
 			State:    "ready",
 		})
 	}
-	created.table.List(started, created.runners)
+	created.table.UpdateListing(started, created.runners)
 	created.Scheduler = NewScheduler(func(now time.Time) Snapshot {
-		return Snapshot{Runners: created.table.All(now, []string{"d1"}), Daemons: 1}
+		return Snapshot{Runners: created.table.Runners(now, []string{"d1"}), Daemons: 1}
 	}, created.table, indexer, rand.New(rand.NewSource(1)))
 	return created
 }
@@ -63,11 +63,11 @@
 		PartTokens:       tokens,
 		Decisions:        make(chan Decision, 1),
 		Requirements: Requirements{
-			Value:         value,
-			LatencyTarget: latencyTarget,
-			PromptTokens:  tokensPerPart*len(parts) + 100,
-			Zone:          "a",
-			Shut:          map[string]bool{},
+			Value:           value,
+			LatencyTarget:   latencyTarget,
+			PromptTokens:    tokensPerPart*len(parts) + 100,
+			Zone:            "a",
+			ExcludedRunners: map[string]bool{},
 		},
 	}
 }
@@ -78,7 +78,7 @@
 	select {
 	case decision := <-request.Decisions:
 		if decision.Kind == Dispatch {
-			fixture.Sent(fixture.now, request, decision)
+			fixture.RequestSent(fixture.now, request, decision)
 		}
 		return decision, true
 	default:
--- a/balancer/scheduler/forecast.go
+++ b/balancer/scheduler/forecast.go
@@ -86,7 +86,7 @@
 func (forecast *forecast) firstEvent(request *QueuedRequest, decision Decision, took time.Duration) {
 	now := request.dispatched.Add(took)
 	forecast.backlog(decision.Runner.ID).firstEvent(now, request, took.Seconds(), decision.Predicted.Seconds())
-	forecast.learnSpeeds(request.Requirements.PromptTokens, decision.HeldTokens, took)
+	forecast.learnSpeeds(request.Requirements.PromptTokens, decision.CachedTokens, took)
 }
 
 // learnSpeeds takes in how long the first event of a prompt took of which so many tokens were cached.
--- a/balancer/scheduler/picker.go
+++ b/balancer/scheduler/picker.go
@@ -28,7 +28,7 @@
 func Sample(requirements Requirements, scoredCandidates []ScoredCandidate, random *rand.Rand) int {
 	mostCached := 0.0
 	for index := range scoredCandidates {
-		if scored := &scoredCandidates[index]; !scored.Full {
+		if scored := &scoredCandidates[index]; !scored.Saturated {
 			mostCached = max(mostCached, scored.Candidate.expectedCachedTokens())
 		}
 	}
@@ -39,11 +39,11 @@
 			cached:   mostCached > 0 && scored.Candidate.expectedCachedTokens() >= cachedRatio*mostCached,
 			sameZone: scored.Candidate.Zone == requirements.Zone,
 		}
-		if scored.Full || drawn[group] >= sampleSizes[group] {
+		if scored.Saturated || drawn[group] >= sampleSizes[group] {
 			continue
 		}
 		drawn[group]++
-		if best < 0 || scored.Net > scoredCandidates[best].Net {
+		if best < 0 || scored.Score > scoredCandidates[best].Score {
 			best = index
 		}
 	}
--- a/balancer/scheduler/prediction.go
+++ b/balancer/scheduler/prediction.go
@@ -40,7 +40,7 @@
 		}
 		probability := probabilities[candidate.ID]
 		if probability*float64(shared) > candidate.expectedCachedTokens() {
-			candidate.HeldTokens, candidate.CacheProbability = shared, probability
+			candidate.CachedTokens, candidate.CacheProbability = shared, probability
 		}
 		scheduler.predict(now, candidate, promptTokens, cycle)
 	}
@@ -81,7 +81,7 @@
 	now time.Time, prefix kvblock.CachedPrefix, partTokens []int, lifetime time.Duration,
 ) {
 	for _, tokens := range partTokens[:min(prefix.Blocks, len(partTokens))] {
-		candidate.HeldTokens += tokens
+		candidate.CachedTokens += tokens
 	}
 	candidate.CacheProbability = indexProbability
 	if lifetime > 0 {
@@ -99,7 +99,7 @@
 		slowdown = 1
 	}
 	uncached := forecast.speeds.prefill(promptTokens, 0)
-	cached := forecast.speeds.prefill(promptTokens, candidate.HeldTokens)
+	cached := forecast.speeds.prefill(promptTokens, candidate.CachedTokens)
 	expected := forecast.speeds.overhead + uncached - candidate.CacheProbability*(uncached-cached)
 	candidate.Prefill = expected * slowdown
 	usual, shortRate := cycle.Short, cycle.ShortRate
@@ -142,6 +142,6 @@
 			long:   scheduler.longPrompts.isLong(work),
 		})
 	}
-	prefill := forecast.speeds.prefill(promptTokens, min(decision.HeldTokens, promptTokens))
+	prefill := forecast.speeds.prefill(promptTokens, min(decision.CachedTokens, promptTokens))
 	forecast.backlog(decision.Runner.ID).add(now, request, prefill, decision.Predicted.Seconds())
 }
--- a/balancer/scheduler/prediction_test.go
+++ b/balancer/scheduler/prediction_test.go
@@ -11,8 +11,8 @@
 	first, _ := fixture.schedule(fixture.request("l", 1, 1, time.Second, "system", "one"))
 	fixture.Release(fixture.now, &QueuedRequest{Route: "l"}, first.Runner.ID)
 	second, _ := fixture.schedule(fixture.request("l", 1, 1, time.Second, "system", "one"))
-	if second.Runner.ID != first.Runner.ID || second.HeldTokens != 2000 {
-		t.Fatalf("first %s, then %s with %d tokens cached", first.Runner.ID, second.Runner.ID, second.HeldTokens)
+	if second.Runner.ID != first.Runner.ID || second.CachedTokens != 2000 {
+		t.Fatalf("first %s, then %s with %d tokens cached", first.Runner.ID, second.Runner.ID, second.CachedTokens)
 	}
 }
 
--- a/balancer/scheduler/request.go
+++ b/balancer/scheduler/request.go
@@ -51,8 +51,8 @@
 	Zone    string `json:"Zone"`
 	// WithinLimit is false when the route already occupies its share of the backend.
 	WithinLimit bool `json:"InPurse"`
-	// Shut names runners that this request must not be sent to again.
-	Shut map[string]bool `json:"Shut"`
+	// ExcludedRunners names runners that this request must not be sent to again.
+	ExcludedRunners map[string]bool `json:"Shut"`
 }
 
 // Await waits for a decision or for the end of a context; it reports whether there is a decision.
--- a/balancer/scheduler/retry.go
+++ b/balancer/scheduler/retry.go
@@ -27,12 +27,12 @@
 type RetryDecision struct {
 	// Retry allows another attempt.
 	Retry bool
-	// Spends says that the attempt must come out of the retry budget.
-	Spends bool
-	// Otherwise is the error to respond with if there is no other attempt.
-	Otherwise apierror.Code
-	// Ran is what that response says of the execution: DidNotRun or Unknown.
-	Ran string
+	// SpendsBudget says that the attempt must come out of the retry budget.
+	SpendsBudget bool
+	// ErrorCode is the error to respond with if there is no other attempt.
+	ErrorCode apierror.Code
+	// Execution is what that response says of the execution: DidNotRun or Unknown.
+	Execution string
 }
 
 // retryCase is what a retry decision depends on.
@@ -46,17 +46,17 @@
 // may have been executed, and no request once part of its response was relayed. What never left the daemon costs
 // nothing to retry; any other retry comes out of the budget.
 var retryPolicy = map[retryCase]RetryDecision{
-	{NotSent, false}: {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
-	{NotSent, true}:  {Retry: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{NotSent, false}: {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
+	{NotSent, true}:  {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
 
-	{NotExecuted, false}: {Retry: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
-	{NotExecuted, true}:  {Retry: true, Spends: true, Otherwise: apierror.NoRunner, Ran: DidNotRun},
+	{NotExecuted, false}: {Retry: true, SpendsBudget: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
+	{NotExecuted, true}:  {Retry: true, SpendsBudget: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
 
-	{Ambiguous, false}: {Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
-	{Ambiguous, true}:  {Retry: true, Spends: true, Otherwise: apierror.OutcomeUnknown, Ran: Unknown},
+	{Ambiguous, false}: {ErrorCode: apierror.OutcomeUnknown, Execution: Unknown},
+	{Ambiguous, true}:  {Retry: true, SpendsBudget: true, ErrorCode: apierror.OutcomeUnknown, Execution: Unknown},
 
-	{Broken, false}: {Otherwise: apierror.RunFailed, Ran: Unknown},
-	{Broken, true}:  {Otherwise: apierror.RunFailed, Ran: Unknown},
+	{Broken, false}: {ErrorCode: apierror.RunFailed, Execution: Unknown},
+	{Broken, true}:  {ErrorCode: apierror.RunFailed, Execution: Unknown},
 }
 
 // DecideRetry returns what may follow an attempt that ended with this outcome.
--- a/balancer/scheduler/retry_test.go
+++ b/balancer/scheduler/retry_test.go
@@ -10,10 +10,10 @@
 			decision := DecideRetry(outcome, idempotent)
 			mayHaveRun := outcome == Ambiguous || outcome == Broken
 			for flaw, found := range map[string]bool{
-				"no decision":             decision.Otherwise == "" || decision.Ran == "",
+				"no decision":             decision.ErrorCode == "" || decision.Execution == "",
 				"executed again":          decision.Retry && (outcome == Broken || outcome == Ambiguous && !idempotent),
-				"retried without budget":  decision.Retry && outcome != NotSent && !decision.Spends,
-				"reported as not started": mayHaveRun && decision.Ran != Unknown,
+				"retried without budget":  decision.Retry && outcome != NotSent && !decision.SpendsBudget,
+				"reported as not started": mayHaveRun && decision.Execution != Unknown,
 			} {
 				if found {
 					t.Errorf("%s, %v: %s", outcome, idempotent, flaw)
--- a/balancer/scheduler/retryafter.go
+++ b/balancer/scheduler/retryafter.go
@@ -21,7 +21,7 @@
 	soonest := maxRetryAfter
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
-		if candidate.Reason != load.ReasonLeaving {
+		if candidate.Reason != load.ReasonDraining {
 			soonest = min(soonest, candidate.Until.Sub(now))
 		}
 	}
@@ -31,5 +31,5 @@
 
 // queueTurn predicts how long so many queued requests take to get a slot of so many.
 func (scheduler *Scheduler) queueTurn(requests int, slots float64) time.Duration {
-	return seconds(float64(requests) * scheduler.costWeights.PlaceSeconds / max(1, slots))
+	return seconds(float64(requests) * scheduler.costWeights.SlotSeconds / max(1, slots))
 }
--- a/balancer/scheduler/saturation.go
+++ b/balancer/scheduler/saturation.go
@@ -48,6 +48,6 @@
 // slot, so that requests with a hot prefix spill over to other runners before they queue at one.
 func occupancyCost(candidate *Candidate, weights CostWeights) float64 {
 	occupied := math.Min(maxOccupancy, (candidate.Load+candidate.UnreportedRequests)/candidate.slots())
-	return weights.PlaceSeconds*occupancyWeight*occupied*occupied +
+	return weights.SlotSeconds*occupancyWeight*occupied*occupied +
 		nearlyFullCost*math.Pow(max(0, occupied-nearlyFullFrom), 2)
 }
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -50,8 +50,8 @@
 	// Queued counts the requests that were not decided at once.
 	Queued   uint64 `json:"Waited"`
 	Rejected uint64 `json:"Refused"`
-	// HeldTokens counts the tokens of dispatched requests that their runners were taken to have cached.
-	HeldTokens uint64 `json:"HeldTokens"`
+	// CachedTokens counts the tokens of dispatched requests that their runners were taken to have cached.
+	CachedTokens uint64 `json:"HeldTokens"`
 	// PromptTokens counts all tokens of their prompts.
 	PromptTokens uint64 `json:"PromptTokens"`
 }
@@ -102,8 +102,8 @@
 	scheduler.runCycle(now)
 }
 
-// Waiting reports whether requests are queued; only then does Rebalance do anything.
-func (scheduler *Scheduler) Waiting() bool {
+// HasQueued reports whether requests are queued; only then does Rebalance do anything.
+func (scheduler *Scheduler) HasQueued() bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.queue.length() > 0
@@ -118,7 +118,7 @@
 
 // Release ends the request that was dispatched to a runner.
 func (scheduler *Scheduler) Release(now time.Time, request *QueuedRequest, runner string) {
-	scheduler.table.Finish(runner, request.answered)
+	scheduler.table.RequestEnded(runner, request.answered)
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.forecast.requestEnded(request, runner)
@@ -187,7 +187,7 @@
 		request.waited = true
 		// A request that waits only for its route's concurrency limit, or for runners shut to it alone, holds up none
 		// behind it.
-		if requirements.WithinLimit && len(requirements.Shut) == 0 {
+		if requirements.WithinLimit && len(requirements.ExcludedRunners) == 0 {
 			cycle.Ahead++
 		}
 		return true
@@ -209,7 +209,7 @@
 	scored := Score(request.Requirements, own.Candidates, own.CostWeights)
 	decision := Decide(request.Requirements, own, scored, scheduler.Picker, scheduler.random)
 	if scheduler.Without[features.Urgency] {
-		decision.Urgency = Unset
+		decision.Urgency = DefaultUrgency
 	}
 	return decision
 }
@@ -220,11 +220,11 @@
 ) {
 	request.answered, request.dispatched = false, now
 	scheduler.forecastDispatch(now, request, decision)
-	scheduler.table.Begin(decision.Runner.ID)
+	scheduler.table.RequestStarted(decision.Runner.ID)
 	scheduler.routes.acquire(request.Route)
 	scheduler.window.acquire()
 	scheduler.Counters.Dispatched++
-	scheduler.Counters.HeldTokens += uint64(decision.HeldTokens)
+	scheduler.Counters.CachedTokens += uint64(decision.CachedTokens)
 	scheduler.Counters.PromptTokens += uint64(request.Requirements.PromptTokens)
 	cycle.countDispatched(decision.Runner.ID)
 }
@@ -246,7 +246,7 @@
 func (scheduler *Scheduler) queueFull() Decision {
 	return Decision{
 		Kind:       Reject,
-		Fault:      apierror.QueueFull,
+		ErrorCode:  apierror.QueueFull,
 		RetryAfter: max(minRetryAfter, scheduler.queueTurn(scheduler.queue.length(), scheduler.slots)),
 		Reason:     "too many better bids wait",
 	}
--- a/balancer/scheduler/scheduler_test.go
+++ b/balancer/scheduler/scheduler_test.go
@@ -43,7 +43,7 @@
 	}
 	decision, answered := fixture.schedule(fixture.request("l", 1, 1, 100*time.Millisecond, "x"))
 	if !answered || decision.Kind != Reject ||
-		decision.Fault != apierror.LatencyTargetMissed || decision.RetryAfter < time.Second {
+		decision.ErrorCode != apierror.LatencyTargetMissed || decision.RetryAfter < time.Second {
 		t.Fatalf("short latency target: %+v", decision)
 	}
 	patient := fixture.request("l", 1, 1, time.Minute, "x")
@@ -84,7 +84,7 @@
 	for _, request := range cheap {
 		select {
 		case decision := <-request.Decisions:
-			if decision.Fault != apierror.QueueFull {
+			if decision.ErrorCode != apierror.QueueFull {
 				t.Fatalf("a cheap one: %+v", decision)
 			}
 			rejected++
@@ -143,7 +143,7 @@
 	if decision, answered := fixture.schedule(request); answered {
 		t.Fatalf("at once: %+v", decision)
 	}
-	if !fixture.Waiting() {
+	if !fixture.HasQueued() {
 		t.Fatal("the queue is empty")
 	}
 	fixture.now = fixture.now.Add(5 * time.Second)
@@ -158,7 +158,7 @@
 	if decision := <-request.Decisions; decision.Kind != Reject {
 		t.Fatalf("past its part of the deadline: %+v", decision)
 	}
-	if fixture.Waiting() {
+	if fixture.HasQueued() {
 		t.Fatal("the queue is not empty")
 	}
 }
@@ -174,9 +174,9 @@
 	for number := range cap(runners) {
 		runners = append(runners, &wire.Runner{RunnerId: fmt.Sprintf("r%02d", number), Zone: "a", State: "ready"})
 	}
-	table.List(started, runners)
+	table.UpdateListing(started, runners)
 	snapshot := func(now time.Time) Snapshot {
-		return Snapshot{Runners: table.All(now, []string{"d1"}), Daemons: 1}
+		return Snapshot{Runners: table.Runners(now, []string{"d1"}), Daemons: 1}
 	}
 	scheduler := NewScheduler(snapshot, table, indexer, rand.New(rand.NewSource(1)))
 	keys := indexer.Processor.BlockKeys([]string{"a", "b", "c"}, kvblock.Extra{})
--- a/balancer/scheduler/scorer.go
+++ b/balancer/scheduler/scorer.go
@@ -9,8 +9,8 @@
 type CostWeights struct {
 	// TokenSeconds is the learned prefill time of one token that is not cached.
 	TokenSeconds float64 `json:"TokenSeconds"`
-	// PlaceSeconds is for how long a request occupies its slot on a runner; it is learned too.
-	PlaceSeconds float64 `json:"PlaceSeconds"`
+	// SlotSeconds is for how long a request occupies its slot on a runner; it is learned too.
+	SlotSeconds float64 `json:"PlaceSeconds"`
 	// CrossZone is the cost of a runner in another zone, CrossZoneTokens that of each thousand prompt tokens beside.
 	CrossZone       float64 `json:"CrossZone"`
 	CrossZoneTokens float64 `json:"ThousandAcross"`
@@ -24,7 +24,7 @@
 // (docs/placement.md).
 var DefaultCostWeights = CostWeights{
 	TokenSeconds:    defaultSpeeds.token,
-	PlaceSeconds:    2,
+	SlotSeconds:     2,
 	CrossZone:       0.02,
 	CrossZoneTokens: 0.003,
 	Recompute:       0.25,
@@ -37,9 +37,9 @@
 // Candidate is a runner that may take the request, with what is predicted for it.
 type Candidate struct {
 	load.Runner
-	// HeldTokens is how many leading tokens of the prompt the runner may have cached, by the index or as a home of the
+	// CachedTokens is how many leading tokens of the prompt the runner may have cached, by the index or as a home of the
 	// prefix.
-	HeldTokens int `json:"HeldTokens"`
+	CachedTokens int `json:"HeldTokens"`
 	// CacheProbability is how likely it has them cached.
 	CacheProbability float64 `json:"Chance"`
 	// SharedTokens is how many tokens of the prompt others are likely to have sent as well.
@@ -55,24 +55,24 @@
 
 // expectedCachedTokens is how many tokens of the prompt the runner is expected to have cached.
 func (candidate *Candidate) expectedCachedTokens() float64 {
-	return candidate.CacheProbability * float64(candidate.HeldTokens)
+	return candidate.CacheProbability * float64(candidate.CachedTokens)
 }
 
 // recomputedTokens is how many tokens of the prompt's shared parts the runner is expected to read once more.
 func (candidate *Candidate) recomputedTokens() float64 {
-	cached := candidate.CacheProbability * float64(min(candidate.HeldTokens, candidate.SharedTokens))
+	cached := candidate.CacheProbability * float64(min(candidate.CachedTokens, candidate.SharedTokens))
 	return float64(candidate.SharedTokens) - cached
 }
 
 // ScoredCandidate is a candidate with its score.
 type ScoredCandidate struct {
 	Candidate Candidate `json:"Offer"`
-	// First is the predicted time to the first event, in seconds.
-	First float64 `json:"First"`
-	// Net is greater the less the candidate costs, in seconds.
-	Net float64 `json:"Net"`
-	// Full says that the runner is saturated.
-	Full bool `json:"Full"`
+	// FirstEventSeconds is the predicted time to the first event, in seconds.
+	FirstEventSeconds float64 `json:"First"`
+	// Score is greater the less the candidate costs, in seconds.
+	Score float64 `json:"Net"`
+	// Saturated says that the runner is saturated.
+	Saturated bool `json:"Full"`
 }
 
 // Score returns the eligible candidates with their scores for a request.
@@ -94,10 +94,10 @@
 			cost += weights.CrossZone + weights.CrossZoneTokens*float64(requirements.PromptTokens)/tokensPerCostUnit
 		}
 		scored = append(scored, ScoredCandidate{
-			Candidate: *candidate,
-			First:     first,
-			Net:       -cost,
-			Full:      saturated(&candidate.Runner),
+			Candidate:         *candidate,
+			FirstEventSeconds: first,
+			Score:             -cost,
+			Saturated:         saturated(&candidate.Runner),
 		})
 	}
 	return scored
@@ -107,16 +107,16 @@
 // one within shares the engine with the others.
 func queueingSeconds(candidate *Candidate, weights CostWeights) float64 {
 	slots := candidate.slots()
-	return max(0, candidate.Load+1-slots) / slots * weights.PlaceSeconds
+	return max(0, candidate.Load+1-slots) / slots * weights.SlotSeconds
 }
 
 // enabledCostWeights returns the cost weights without those of mechanisms that are switched off.
 func (scheduler *Scheduler) enabledCostWeights() CostWeights {
 	weights := scheduler.costWeights
-	if scheduler.Without[features.RereadPrice] {
+	if scheduler.Without[features.RecomputeCost] {
 		weights.Recompute = 0
 	}
-	if scheduler.Without[features.Harm] {
+	if scheduler.Without[features.Interference] {
 		weights.OthersDelay = 0
 	}
 	if scheduler.Without[features.ZonePreference] {
--- a/balancer/scheduler/scorer_test.go
+++ b/balancer/scheduler/scorer_test.go
@@ -10,8 +10,8 @@
 // A runner whose memory is full is avoided.
 func TestRunnersWithFullMemoryAreAvoided(t *testing.T) {
 	fixture := newFixture(t, 2)
-	fixture.table.Reported(fixture.now, "r00", load.Report{Slots: 64, Tokens: 990_000, Room: 1_000_000})
-	fixture.table.Reported(fixture.now, "r01", load.Report{Slots: 64, Tokens: 100_000, Room: 1_000_000})
+	fixture.table.RecordReport(fixture.now, "r00", load.Report{Slots: 64, UsedTokens: 990_000, MemoryTokens: 1_000_000})
+	fixture.table.RecordReport(fixture.now, "r01", load.Report{Slots: 64, UsedTokens: 100_000, MemoryTokens: 1_000_000})
 	for range 3 {
 		request := fixture.request("l", 1, 1, time.Second)
 		request.Requirements.PromptTokens = 10_000
@@ -54,13 +54,13 @@
 	candidates := scoringCandidates()[:6]
 	candidates[4].Usable = false
 	candidates[5].Limit = 0
-	requirements := Requirements{LatencyTarget: time.Second, Zone: "a", Shut: map[string]bool{"r03": true}}
+	requirements := Requirements{LatencyTarget: time.Second, Zone: "a", ExcludedRunners: map[string]bool{"r03": true}}
 	scored := Score(requirements, candidates, DefaultCostWeights)
 	if len(scored) != 3 {
 		t.Fatalf("%d candidates", len(scored))
 	}
 	idle, remote, loaded := scored[0], scored[1], scored[2]
-	if idle.Net <= loaded.Net || idle.Net-remote.Net < DefaultCostWeights.CrossZone {
-		t.Errorf("scores: idle %v, remote %v, loaded %v", idle.Net, remote.Net, loaded.Net)
+	if idle.Score <= loaded.Score || idle.Score-remote.Score < DefaultCostWeights.CrossZone {
+		t.Errorf("scores: idle %v, remote %v, loaded %v", idle.Score, remote.Score, loaded.Score)
 	}
 }
--- a/cmd/wtcore/main.go
+++ b/cmd/wtcore/main.go
@@ -15,6 +15,6 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	needs := process.Needs{Folder: true, Adapters: platform.Settings("wtcore")}
-	service.Main("wtcore", help, needs, platform.Core)
+	needs := process.Requirements{Folder: true, Adapters: platform.SettingsReaders("wtcore")}
+	service.Main("wtcore", help, needs, platform.NewServer)
 }
--- a/cmd/wtctl/command.go
+++ b/cmd/wtctl/command.go
@@ -92,10 +92,10 @@
 		output.printf(", operation %s", reply.Operation)
 	}
 	output.printf("\n")
-	if reply.Kind != "" {
-		output.printf("%s: %s\nremedy: %s\n", reply.Kind, reply.Detail, reply.Remedy)
+	if reply.Code != "" {
+		output.printf("%s: %s\nremedy: %s\n", reply.Code, reply.Detail, reply.Remedy)
 	}
-	for _, problem := range reply.Flaws {
+	for _, problem := range reply.Problems {
 		output.printf("  %s: %s\n", problem.Path, problem.Detail)
 	}
 	return outcomeExits[reply.Outcome], nil
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -66,10 +66,10 @@
 	// Kingpin hands a lone dash on as an empty argument.
 	if path == "-" || path == "" {
 		content, err := io.ReadAll(io.LimitReader(input, config.MaximumBytes+1))
-		return content, apierror.Wrap(err, apierror.BadSettings, "reading standard input")
+		return content, apierror.Wrap(err, apierror.InvalidSettings, "reading standard input")
 	}
 	content, err := os.ReadFile(path)
-	return content, apierror.Wrap(err, apierror.BadSettings, "reading the spec")
+	return content, apierror.Wrap(err, apierror.InvalidSettings, "reading the spec")
 }
 
 // change reads a file and sends it, built on a base epoch, or on the present one if that is empty.
@@ -88,7 +88,7 @@
 		}
 		change.Base = reply.Epoch
 	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-		return exitUsage, apierror.New(apierror.BadSettings, "--base %q is no whole number", base)
+		return exitUsage, apierror.New(apierror.InvalidSettings, "--base %q is no whole number", base)
 	}
 	return session.printReply(send(session.client, content, change))
 }
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -37,8 +37,8 @@
 
 // errorExits maps errors to exit codes; any other code of an error is exitRefused.
 var errorExits = map[apierror.Code]int{
-	apierror.Unreachable: exitUnreachable,
-	apierror.BadSettings: exitUsage,
+	apierror.Unreachable:     exitUnreachable,
+	apierror.InvalidSettings: exitUsage,
 }
 
 // exitOf returns the exit code of an error.
--- a/cmd/wtctl/explain.go
+++ b/cmd/wtctl/explain.go
@@ -93,7 +93,7 @@
 		output.printf(" (%s)", decision.Reason)
 	}
 	output.printf("\n")
-	output.printf("prices: %.0f microseconds a token, %.2f s a place\n", weights.TokenSeconds*1e6, weights.PlaceSeconds)
+	output.printf("prices: %.0f microseconds a token, %.2f s a place\n", weights.TokenSeconds*1e6, weights.SlotSeconds)
 	output.printf("bid: worth %.0f, patience %v, within its purse %v\n",
 		requirements.Value, requirements.LatencyTarget, requirements.WithinLimit)
 }
@@ -101,13 +101,13 @@
 // printCandidates prints a table of the candidates.
 func (explained explanation) printCandidates(output *printer) error {
 	candidates := explained.Candidates
-	sort.SliceStable(candidates, func(left, right int) bool { return candidates[left].Net > candidates[right].Net })
+	sort.SliceStable(candidates, func(left, right int) bool { return candidates[left].Score > candidates[right].Score })
 	table := newTable(output)
 	table.printf("RUNNER\tZONE\tLOAD\tSLOTS\tHELD TOKENS\tNET\tFIRST EVENT\tFULL\n")
 	for _, scored := range candidates {
 		candidate := scored.Candidate
 		table.printf("%s\t%s\t%.0f\t%d\t%d\t%+.4f\t%.3f s\t%v\n", candidate.ID, candidate.Zone, candidate.Load,
-			candidate.Slots, candidate.HeldTokens, scored.Net, scored.First, scored.Full)
+			candidate.Slots, candidate.CachedTokens, scored.Score, scored.FirstEventSeconds, scored.Saturated)
 	}
 	return table.flush()
 }
--- a/cmd/wtctl/status.go
+++ b/cmd/wtctl/status.go
@@ -78,7 +78,7 @@
 			distinct[warning] = true
 		}
 	}
-	for _, address := range fleet.Silent {
+	for _, address := range fleet.Unreachable {
 		distinct["no answer from "+address] = true
 	}
 	return slices.Sorted(maps.Keys(distinct))
--- a/cmd/wtctl/status_control.go
+++ b/cmd/wtctl/status_control.go
@@ -11,8 +11,8 @@
 	table.printf("MACHINE\tZONE\tPLACE\tSYNCED\tCOMMITTED\tEPOCH\tCLAIM\tSICK\tID\n")
 	for _, core := range fleet.Cores {
 		state := core.Core
-		table.printf("%s\t%s\t%s\t%d\t%d\t%d\t%v\t%v\t%s\n", core.Address, core.Zone, state.Place, state.Synced,
-			state.Committed, state.Epoch, state.Claim, state.Unhealthy, state.ID)
+		table.printf("%s\t%s\t%s\t%d\t%d\t%d\t%v\t%v\t%s\n", core.Address, core.Zone, state.Position, state.Synced,
+			state.Committed, state.Epoch, state.HoldsLease, state.Unhealthy, state.ID)
 	}
 }
 
--- a/cmd/wtctl/status_counters.go
+++ b/cmd/wtctl/status_counters.go
@@ -11,23 +11,23 @@
 // routeTotals returns the counters of each route, summed over the daemons. Only those that are printed are summed.
 func routeTotals(fleet operator.FleetStatus) map[string]*metrics.RouteMetrics {
 	totals := map[string]*metrics.RouteMetrics{}
-	for _, data := range fleet.Datas {
+	for _, data := range fleet.Daemons {
 		for name, route := range data.Routes {
 			total := totals[name]
 			if total == nil {
-				total = &metrics.RouteMetrics{Ends: map[string]uint64{}}
+				total = &metrics.RouteMetrics{Outcomes: map[string]uint64{}}
 				totals[name] = total
 			}
 			total.Requests += route.Requests
-			total.Done += route.Done
-			total.Early += route.Early
-			total.Late += route.Late
+			total.Completed += route.Completed
+			total.RejectedEarly += route.RejectedEarly
+			total.RejectedLate += route.RejectedLate
 			total.Retries += route.Retries
-			total.HeldTokens += route.HeldTokens
+			total.CachedTokens += route.CachedTokens
 			total.PromptTokens += route.PromptTokens
-			total.BytesAcross += route.BytesAcross
-			for end, count := range route.Ends {
-				total.Ends[end] += count
+			total.CrossZoneBytes += route.CrossZoneBytes
+			for end, count := range route.Outcomes {
+				total.Outcomes[end] += count
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 	if route.PromptTokens == 0 {
 		return 0
 	}
-	return 100 * float64(route.HeldTokens) / float64(route.PromptTokens)
+	return 100 * float64(route.CachedTokens) / float64(route.PromptTokens)
 }
 
 // showCounters prints the counters of each route over all daemons, and those of each process's connections.
@@ -49,14 +49,14 @@
 		"BYTES ACROSS ZONES\tENDS\n")
 	for _, name := range slices.Sorted(maps.Keys(totals)) {
 		total := totals[name]
-		table.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, total.Requests, total.Done, total.Early,
-			total.Late, total.Retries, cachedPercentage(total), total.BytesAcross, total.Ends)
+		table.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, total.Requests, total.Completed, total.RejectedEarly,
+			total.RejectedLate, total.Retries, cachedPercentage(total), total.CrossZoneBytes, total.Outcomes)
 	}
 	table.printf("PROCESS\tSENT\tDROPPED\tBAD FRAMES\tBYTES OUT\tOF THESE TO OTHER ZONES\n")
 	for _, core := range fleet.Cores {
 		showTransport(table, core.Address, core.Wire)
 	}
-	for _, data := range fleet.Datas {
+	for _, data := range fleet.Daemons {
 		showTransport(table, data.Address, data.Wire)
 	}
 }
--- a/cmd/wtctl/status_data.go
+++ b/cmd/wtctl/status_data.go
@@ -11,7 +11,7 @@
 // showPartialView prints the state of each daemon of the data plane.
 func showPartialView(table *table, fleet operator.FleetStatus) {
 	table.printf("DAEMON\tZONE\tEPOCH\tVIEW\tSERVING\tDRAINING\tIN FLIGHT\tNEIGHBOURS\tUPTIME\n")
-	for _, data := range fleet.Datas {
+	for _, data := range fleet.Daemons {
 		table.printf("%s\t%s\t%d\t%d\t%v\t%v\t%d\t%d\t%s\n", data.Address, data.Zone, data.Epoch, data.View,
 			data.Serving, data.Draining, data.InFlight, len(data.PartialView), data.Uptime)
 	}
@@ -33,7 +33,7 @@
 // runnerRows returns a row for each runner that any daemon knows, by its id.
 func runnerRows(fleet operator.FleetStatus) map[string]*runnerRow {
 	rows := map[string]*runnerRow{}
-	for _, data := range fleet.Datas {
+	for _, data := range fleet.Daemons {
 		for _, runner := range data.Runners {
 			row := rows[runner.ID]
 			if row == nil {
@@ -68,7 +68,7 @@
 // showTenants prints the use of each tenant with a quota: over all daemons together, and at each that knows it.
 func showTenants(table *table, fleet operator.FleetStatus) {
 	totals := map[string]quota.Usage{}
-	for _, data := range fleet.Datas {
+	for _, data := range fleet.Daemons {
 		for name, usage := range data.Tenants {
 			total := totals[name]
 			total.Used += usage.Used
@@ -81,7 +81,7 @@
 	table.printf("TENANT\tDAEMON\tUSED\tREFUSED\tHELD\tASKED A SECOND\n")
 	for _, name := range slices.Sorted(maps.Keys(totals)) {
 		showUsage(table, name, "all", totals[name])
-		for _, data := range fleet.Datas {
+		for _, data := range fleet.Daemons {
 			if usage, known := data.Tenants[name]; known {
 				showUsage(table, name, data.Address, usage)
 			}
--- a/cmd/wtctl/status_test.go
+++ b/cmd/wtctl/status_test.go
@@ -32,7 +32,7 @@
 
 // Each tenant has a row for all daemons together and one for each daemon that knows it.
 func TestShowTenants(t *testing.T) {
-	fleet := operator.FleetStatus{Datas: []daemon.Status{
+	fleet := operator.FleetStatus{Daemons: []daemon.Status{
 		{Address: "d1", Tenants: map[string]quota.Usage{"a": {Used: 10, Refused: 2, Balance: 5, Demand: 3}}},
 		{Address: "d2", Tenants: map[string]quota.Usage{"a": {Used: 1}, "b": {Refused: 7}}},
 	}}
@@ -47,7 +47,7 @@
 	near, far := known, known
 	near.Usable, near.InFlight, near.Load = true, 2, 3
 	far.Reason, far.InFlight, far.Load = "ejected", 1, 5
-	fleet := operator.FleetStatus{Datas: []daemon.Status{
+	fleet := operator.FleetStatus{Daemons: []daemon.Status{
 		{Runners: []load.Runner{near}}, {Runners: []load.Runner{far}},
 	}}
 	want := []string{"r a:1 z s up 3 5 4 1 of 2 ejected"}
@@ -57,9 +57,9 @@
 }
 
 func TestShowCountersSumsOverDaemons(t *testing.T) {
-	route := metrics.RouteMetrics{Requests: 3, Done: 2, Early: 1, HeldTokens: 1, PromptTokens: 4,
-		Ends: map[string]uint64{"done": 2}}
-	fleet := operator.FleetStatus{Datas: []daemon.Status{
+	route := metrics.RouteMetrics{Requests: 3, Completed: 2, RejectedEarly: 1, CachedTokens: 1, PromptTokens: 4,
+		Outcomes: map[string]uint64{"done": 2}}
+	fleet := operator.FleetStatus{Daemons: []daemon.Status{
 		{Address: "d1", Routes: map[string]metrics.RouteMetrics{"chat": route}},
 		{Address: "d2", Routes: map[string]metrics.RouteMetrics{"chat": route}, Wire: map[string]any{"sent": 7}},
 	}}
@@ -73,7 +73,7 @@
 
 func TestWarningsAreDistinct(t *testing.T) {
 	core := server.Status{Core: node.Status{Warnings: []string{"one disk is left", "a chain is short"}}}
-	fleet := operator.FleetStatus{Cores: []server.Status{core, core}, Silent: []string{"a:1"}}
+	fleet := operator.FleetStatus{Cores: []server.Status{core, core}, Unreachable: []string{"a:1"}}
 	want := []string{"a chain is short", "no answer from a:1", "one disk is left"}
 	if got := warnings(fleet); !slices.Equal(got, want) {
 		t.Errorf("%q instead of %q", got, want)
--- a/cmd/wtdata/main.go
+++ b/cmd/wtdata/main.go
@@ -15,6 +15,6 @@
          --seed 127.0.1.1:7100 --seed 127.0.2.1:7100 --seed 127.0.3.1:7100`
 
 func main() {
-	needs := process.Needs{Platform: true, Adapters: platform.Settings("wtdata")}
-	service.Main("wtdata", help, needs, platform.Data)
+	needs := process.Requirements{Platform: true, Adapters: platform.SettingsReaders("wtdata")}
+	service.Main("wtdata", help, needs, platform.NewDaemon)
 }
--- a/config/catalog.go
+++ b/config/catalog.go
@@ -9,7 +9,7 @@
 	Spec *Spec
 	// Routes, Backends and Zones hold the document's entries by name.
 	Routes   map[string]*Route
-	Backends map[string]*Pool
+	Backends map[string]*Backend
 	Zones    map[string]*Zone
 	// hosts holds the routes that have a path prefix, by host.
 	hosts map[string]*hostRoutes
@@ -27,11 +27,11 @@
 
 // backendSplit divides the requests of one route over its backends.
 type backendSplit struct {
-	backends []*Pool
+	backends []*Backend
 	// cumulative holds, for each backend, the sum of the weights up to and including its own.
 	cumulative []int
 	// distinct holds the same backends, each once.
-	distinct []*Pool
+	distinct []*Backend
 }
 
 // NewCatalog indexes a document that has passed Spec.Check.
@@ -39,7 +39,7 @@
 	catalog := &Catalog{
 		Spec:     spec,
 		Routes:   make(map[string]*Route, len(spec.Routes)),
-		Backends: make(map[string]*Pool, len(spec.Backends)),
+		Backends: make(map[string]*Backend, len(spec.Backends)),
 		Zones:    map[string]*Zone{},
 		hosts:    map[string]*hostRoutes{},
 		splits:   make(map[string]*backendSplit, len(spec.Routes)),
@@ -81,11 +81,11 @@
 func (catalog *Catalog) newSplit(route *Route) *backendSplit {
 	shares := route.Split
 	if shares == nil {
-		shares = []Share{{Pool: route.Pool, Weight: 1}}
+		shares = []Share{{Backend: route.Backend, Weight: 1}}
 	}
-	split, total, seen := &backendSplit{}, 0, map[*Pool]bool{}
+	split, total, seen := &backendSplit{}, 0, map[*Backend]bool{}
 	for _, share := range shares {
-		backend := catalog.Backends[share.Pool]
+		backend := catalog.Backends[share.Backend]
 		if backend == nil || share.Weight <= 0 {
 			continue
 		}
@@ -107,8 +107,8 @@
 	return tenant, tenant != nil || route.Public || len(catalog.Spec.Tenants) == 0
 }
 
-// Open reports whether new requests may go to a zone: it is listed and not closed, or the document lists no zones.
-func (catalog *Catalog) Open(zone string) bool {
+// IsOpen reports whether new requests may go to a zone: it is listed and not closed, or the document lists no zones.
+func (catalog *Catalog) IsOpen(zone string) bool {
 	if len(catalog.Zones) == 0 {
 		return true
 	}
@@ -141,7 +141,7 @@
 }
 
 // BackendsOf returns the backends that a route's requests may go to, each once. The caller must not change the list.
-func (catalog *Catalog) BackendsOf(route *Route) []*Pool {
+func (catalog *Catalog) BackendsOf(route *Route) []*Backend {
 	if split := catalog.splits[route.Name]; split != nil {
 		return split.distinct
 	}
@@ -150,7 +150,7 @@
 
 // BackendAt returns the backend at a point of a route's split, or nil if the route has none. Points run from 0 up to
 // but not including 1; a point drawn evenly chooses each backend by its weight.
-func (catalog *Catalog) BackendAt(route *Route, point float64) *Pool {
+func (catalog *Catalog) BackendAt(route *Route, point float64) *Backend {
 	split := catalog.splits[route.Name]
 	if split == nil || len(split.backends) == 0 {
 		return nil
@@ -159,7 +159,7 @@
 }
 
 // at returns the backend at a point; there is at least one.
-func (split *backendSplit) at(point float64) *Pool {
+func (split *backendSplit) at(point float64) *Backend {
 	last := len(split.backends) - 1
 	position := point * float64(split.cumulative[last])
 	for i, end := range split.cumulative {
--- a/config/catalog_test.go
+++ b/config/catalog_test.go
@@ -10,10 +10,10 @@
 
 // catalogOf makes a catalog of routes that are named by their index and given as host and path prefix.
 func catalogOf(matches ...string) *Catalog {
-	spec := &Spec{Backends: []Pool{{Name: "p"}}}
+	spec := &Spec{Backends: []Backend{{Name: "p"}}}
 	for i, match := range matches {
 		host, path, _ := strings.Cut(match, "/")
-		route := Route{Name: strconv.Itoa(i), Pool: "p", Authority: host, PathPrefix: "/" + path}
+		route := Route{Name: strconv.Itoa(i), Backend: "p", Authority: host, PathPrefix: "/" + path}
 		spec.Routes = append(spec.Routes, route)
 	}
 	return NewCatalog(spec)
@@ -90,11 +90,11 @@
 
 func TestBackendAtFollowsTheWeights(t *testing.T) {
 	split := []Share{
-		{Pool: "p", Weight: 60}, {Pool: "r", Weight: 0}, {Pool: "q", Weight: 10}, {Pool: "p", Weight: 30},
+		{Backend: "p", Weight: 60}, {Backend: "r", Weight: 0}, {Backend: "q", Weight: 10}, {Backend: "p", Weight: 30},
 	}
 	catalog := NewCatalog(&Spec{
-		Backends: []Pool{{Name: "p"}, {Name: "q"}, {Name: "r"}},
-		Routes:   []Route{{Name: "split", Split: split}, {Name: "single", Pool: "q"}, {Name: "missing", Pool: "gone"}},
+		Backends: []Backend{{Name: "p"}, {Name: "q"}, {Name: "r"}},
+		Routes:   []Route{{Name: "split", Split: split}, {Name: "single", Backend: "q"}, {Name: "missing", Backend: "gone"}},
 	})
 	route, single, missing := catalog.Routes["split"], catalog.Routes["single"], catalog.Routes["missing"]
 	if backends := catalog.BackendsOf(route); len(backends) != 2 || backends[0].Name != "p" || backends[1].Name != "q" {
--- a/config/change.go
+++ b/config/change.go
@@ -26,7 +26,7 @@
 	next := *present
 	next.Zones = merge(merger, listChange[Zone]{"zones", present.Zones, upsert.Zones, remove.Zones, zoneName})
 	next.Backends = merge(merger,
-		listChange[Pool]{"pools", present.Backends, upsert.Backends, remove.Backends, backendName})
+		listChange[Backend]{"pools", present.Backends, upsert.Backends, remove.Backends, backendName})
 	next.Routes = merge(merger, listChange[Route]{"lanes", present.Routes, upsert.Routes, remove.Routes, routeName})
 	next.Tenants = merge(merger,
 		listChange[Tenant]{"tenants", present.Tenants, upsert.Tenants, remove.Tenants, tenantName})
@@ -41,10 +41,10 @@
 	return &next, merger.problems
 }
 
-func zoneName(zone *Zone) string       { return zone.Name }
-func backendName(backend *Pool) string { return backend.Name }
-func routeName(route *Route) string    { return route.Name }
-func tenantName(tenant *Tenant) string { return tenant.Name }
+func zoneName(zone *Zone) string          { return zone.Name }
+func backendName(backend *Backend) string { return backend.Name }
+func routeName(route *Route) string       { return route.Name }
+func tenantName(tenant *Tenant) string    { return tenant.Name }
 
 // merger applies a change to the lists of a document. It collects the problems of the change itself, and keeps track of
 // where the entries of the result came from.
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -74,7 +74,7 @@
 		return drawn
 	}
 	for range 500 {
-		present, change := &Spec{Zones: []Zone{}, Backends: []Pool{}, Routes: Routes{}}, &Change{}
+		present, change := &Spec{Zones: []Zone{}, Backends: []Backend{}, Routes: Routes{}}, &Change{}
 		for _, name := range names() {
 			present.Zones = append(present.Zones, Zone{Name: name})
 		}
@@ -87,8 +87,8 @@
 			change.Remove.Zones, removed[name], clash = append(change.Remove.Zones, name), true, clash || upsert[name]
 		}
 		want := changedZones(present.Zones, change.Upsert.Zones, upsert, removed)
-		present.Backends = []Pool{{Name: "p", Services: []string{"s"}}}
-		route := Route{Name: "l", Pool: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}
+		present.Backends = []Backend{{Name: "p", Services: []string{"s"}}}
+		route := Route{Name: "l", Backend: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}
 		present.Routes = Routes{route}
 		next, problems := change.Apply(present)
 		if clash != (len(problems) > 0) {
--- a/config/check.go
+++ b/config/check.go
@@ -49,7 +49,7 @@
 }
 
 // backend checks one backend; names holds those of the backends before it.
-func (checker *checker) backend(path string, backend *Pool, names map[string]bool) {
+func (checker *checker) backend(path string, backend *Backend, names map[string]bool) {
 	checker.name(path, backend.Name, names)
 	if backend.Model != "" || backend.Weights != "" {
 		checker.text(path+".model", backend.Model)
@@ -110,20 +110,20 @@
 // destination checks that the route's requests have a backend to go to.
 func (checker *routeChecker) destination(path string, route *Route) {
 	if route.Split == nil {
-		if !checker.backends[route.Pool] {
-			checker.report(path+".pool", "there is no pool %q", route.Pool)
+		if !checker.backends[route.Backend] {
+			checker.report(path+".pool", "there is no pool %q", route.Backend)
 		}
 		return
 	}
-	if route.Pool != "" {
+	if route.Backend != "" {
 		checker.report(path+".split", "stands beside a pool; give one of the two")
 	}
 	checker.length(path+".split", len(route.Split), 1, maximumShares)
 	total := 0
 	for i, share := range route.Split {
 		sharePath := fmt.Sprintf("%s.split[%d]", path, i)
-		if !checker.backends[share.Pool] {
-			checker.report(sharePath+".pool", "there is no pool %q", share.Pool)
+		if !checker.backends[share.Backend] {
+			checker.report(sharePath+".pool", "there is no pool %q", share.Backend)
 		}
 		checker.atMost(sharePath+".weight", share.Weight, MaximumWeight)
 		total += share.Weight
--- a/config/entries.go
+++ b/config/entries.go
@@ -2,25 +2,29 @@
 
 import "slices"
 
-// Allows reports whether runners of a service may be given the backend's requests.
-func (backend *Pool) Allows(service string) bool { return slices.Contains(backend.Services, service) }
+// AllowsService reports whether runners of a service may be given the backend's requests.
+func (backend *Backend) AllowsService(service string) bool {
+	return slices.Contains(backend.Services, service)
+}
 
-// Runs reports whether the backend serves a model; one that names none serves any.
-func (backend *Pool) Runs(model string) bool { return backend.Model == "" || backend.Model == model }
+// ServesModel reports whether the backend serves a model; one that names none serves any.
+func (backend *Backend) ServesModel(model string) bool {
+	return backend.Model == "" || backend.Model == model
+}
 
-// Serves reports whether the backend serves an adapter; requests without an adapter are always served.
-func (backend *Pool) Serves(adapter string) bool {
+// ServesAdapter reports whether the backend serves an adapter; requests without an adapter are always served.
+func (backend *Backend) ServesAdapter(adapter string) bool {
 	return adapter == "" || slices.Contains(backend.Adapters, adapter)
 }
 
-// Cancels reports whether a run of the route is cancelled when its client disconnects.
-func (route *Route) Cancels() bool { return route.Idempotent || route.CancelOnDisconnect }
+// CancelsOnDisconnect reports whether a run of the route is cancelled when its client disconnects.
+func (route *Route) CancelsOnDisconnect() bool { return route.Idempotent || route.CancelOnDisconnect }
 
 // requestCost is what a request counts against a quota whose unit is a request.
 const requestCost = 1
 
-// Limits reports whether the quota bounds anything.
-func (quota Quota) Limits() bool { return quota.Rate > 0 }
+// Limited reports whether the quota bounds anything.
+func (quota Quota) Limited() bool { return quota.Rate > 0 }
 
 // Cost returns the units that a request of so many tokens counts; declared is false for a request that does not declare
 // its tokens.
--- a/config/nginx/nginx.go
+++ b/config/nginx/nginx.go
@@ -138,7 +138,7 @@
 	if name != upstream {
 		importer.note(directive, "upstream %q is pool %q", upstream, name)
 	}
-	backend := config.Pool{Name: name, Model: name, Weights: importedZone, Services: []string{name}}
+	backend := config.Backend{Name: name, Model: name, Weights: importedZone, Services: []string{name}}
 	importer.spec.Backends = append(importer.spec.Backends, backend)
 	importer.note(directive, "pool %q: model, weights and service are placeholders; name the real ones", name)
 	for _, inner := range directive.Block {
@@ -161,7 +161,7 @@
 			unsupported = append(unsupported, inner)
 		}
 	}
-	if route.Pool == "" {
+	if route.Backend == "" {
 		importer.unsupported(directive, strings.TrimSpace(context))
 		return
 	}
@@ -179,7 +179,7 @@
 	switch directive.Directive {
 	case "proxy_pass":
 		if target := passTarget(directive.Args[0]); importer.backends[target] {
-			route.Pool = target
+			route.Backend = target
 		}
 		return true
 	case "proxy_read_timeout":
--- a/config/process/check.go
+++ b/config/process/check.go
@@ -21,8 +21,8 @@
 	maximumZone      = 64
 )
 
-// Needs says which settings a program needs beside those that all need.
-type Needs struct {
+// Requirements says which settings a program needs beside those that all need.
+type Requirements struct {
 	// Folder is set where the program keeps data.
 	Folder bool
 	// Platform is set where the program reads the platform's list of runners.
@@ -32,7 +32,7 @@
 }
 
 // Check returns one BadSettings error that names every problem of the settings, or nil.
-func (settings *Settings) Check(needs Needs) error {
+func (settings *Settings) Check(needs Requirements) error {
 	found := &problems{}
 	settings.checkAddresses(found)
 	settings.checkPeers(found)
@@ -75,7 +75,7 @@
 	if len(found.details) == 0 {
 		return nil
 	}
-	return apierror.New(apierror.BadSettings, "%s", strings.Join(found.details, "; "))
+	return apierror.New(apierror.InvalidSettings, "%s", strings.Join(found.details, "; "))
 }
 
 // checkAddresses checks the process's own addresses and zone.
@@ -112,8 +112,8 @@
 }
 
 // checkFolder checks that there is a data folder where one is needed, and only there.
-func (settings *Settings) checkFolder(needs Needs, found *problems) {
-	if needs.Folder == (settings.Folder == "") && !settings.Idle {
+func (settings *Settings) checkFolder(needs Requirements, found *problems) {
+	if needs.Folder == (settings.Folder == "") && !settings.Diskless {
 		found.add("folder: wtcore needs one, wtdata must have none")
 	}
 	if needs.Folder && settings.Folder != "" {
@@ -124,7 +124,7 @@
 }
 
 // checkPlatform checks that there is a platform's URL where one is needed, and only there.
-func (settings *Settings) checkPlatform(needs Needs, found *problems) {
+func (settings *Settings) checkPlatform(needs Requirements, found *problems) {
 	if !needs.Platform || settings.Registered && settings.Platform == "" {
 		if settings.Platform != "" {
 			found.add("platform: only wtdata has one")
@@ -182,8 +182,8 @@
 	}
 }
 
-// WithoutMechanisms returns the features that are switched off.
-func (settings *Settings) WithoutMechanisms() features.Set {
+// DisabledFeatures returns the features that are switched off.
+func (settings *Settings) DisabledFeatures() features.Set {
 	set, err := features.Parse(settings.Without)
 	if err != nil {
 		return nil // Checked settings name no unknown feature.
--- a/config/process/durations.go
+++ b/config/process/durations.go
@@ -33,7 +33,7 @@
 	}
 	drain, err := time.ParseDuration(text)
 	if err == nil && drain > maximumDrain {
-		return 0, apierror.New(apierror.BadSettings, "too long")
+		return 0, apierror.New(apierror.InvalidSettings, "too long")
 	}
 	return drain, err
 }
--- a/config/process/file.go
+++ b/config/process/file.go
@@ -18,13 +18,13 @@
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "reading %s", path)
+		return nil, apierror.Wrap(err, apierror.InvalidSettings, "reading %s", path)
 	}
 	if err := strictjson.Check(content); err != nil {
-		return nil, apierror.New(apierror.BadSettings, "%s: %s", path, apierror.Of(err).Detail)
+		return nil, apierror.New(apierror.InvalidSettings, "%s: %s", path, apierror.Of(err).Detail)
 	}
 	if err := easyjson.Unmarshal(content, settings); err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "%s", path)
+		return nil, apierror.Wrap(err, apierror.InvalidSettings, "%s", path)
 	}
 	return settings, nil
 }
--- a/config/process/flags.go
+++ b/config/process/flags.go
@@ -18,7 +18,7 @@
 
 // FromCommandLine returns the checked settings of a daemon from its flags and file. If they are invalid, it prints
 // every problem to standard error and ends the process with ExitBadSettings.
-func FromCommandLine(name, help string, needs Needs) *Settings {
+func FromCommandLine(name, help string, needs Requirements) *Settings {
 	settings, err := Parse(name, help, needs, os.Args[1:], os.Exit)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -29,13 +29,13 @@
 
 // Parse returns the checked settings of a daemon from arguments and the file that they name. Invalid ones are a
 // BadSettings error. terminate is called with an exit code after the usage was printed.
-func Parse(name, help string, needs Needs, arguments []string, terminate func(int)) (*Settings, error) {
+func Parse(name, help string, needs Requirements, arguments []string, terminate func(int)) (*Settings, error) {
 	application := kingpin.New(name, help).UsageWriter(os.Stdout).ErrorWriter(io.Discard).Terminate(terminate)
 	application.HelpFlag.Short('h')
 	given := &flags{}
 	given.register(application, needs)
 	if _, err := application.Parse(arguments); err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "flags")
+		return nil, apierror.Wrap(err, apierror.InvalidSettings, "flags")
 	}
 	settings, err := given.readSettings(needs)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // register declares the flags, in the order of the usage text.
-func (given *flags) register(application *kingpin.Application, needs Needs) {
+func (given *flags) register(application *kingpin.Application, needs Requirements) {
 	startup := application.Flag("startup", "Startup file (JSON). Flags go over what it says.")
 	startup.Short('s').StringVar(&given.file)
 	if len(needs.Adapters) > 0 {
@@ -96,7 +96,7 @@
 }
 
 // readSettings reads the settings file, or that of a platform.
-func (given *flags) readSettings(needs Needs) (*Settings, error) {
+func (given *flags) readSettings(needs Requirements) (*Settings, error) {
 	if given.adapter == "" {
 		return Read(given.file)
 	}
--- a/config/process/golden_test.go
+++ b/config/process/golden_test.go
@@ -18,7 +18,7 @@
 	wanted := &Settings{}
 	golden.Fill(wanted)
 	// These two are no keys of the file.
-	wanted.Idle, wanted.Adapter = false, ""
+	wanted.Diskless, wanted.Adapter = false, ""
 	read, err := Read(filepath.Join("testdata", "startup.json"))
 	if err != nil || !reflect.DeepEqual(read, wanted) {
 		t.Errorf("%v, %+v", err, read)
--- a/config/process/settings.go
+++ b/config/process/settings.go
@@ -65,8 +65,8 @@
 	Without string `json:"without,omitempty"`
 	// Registered says that runners register themselves, so that there is no platform's list. Default: false.
 	Registered bool `json:"registered,omitempty"`
-	// Idle is set by platforms for a machine without a disk: a wtcore on it takes no part.
-	Idle bool `json:"-"`
+	// Diskless is set by platforms for a machine without a disk: a wtcore on it takes no part.
+	Diskless bool `json:"-"`
 	// Adapter is the name of the platform that the settings were read from; empty for a file of our own.
 	Adapter string `json:"-"`
 	// Log is the least level of log lines: debug, info, warn or error. Default: info.
--- a/config/process/settings_test.go
+++ b/config/process/settings_test.go
@@ -11,7 +11,7 @@
 	"wardtray/apierror"
 )
 
-func parse(t *testing.T, needs Needs, arguments ...string) (*Settings, error) {
+func parse(t *testing.T, needs Requirements, arguments ...string) (*Settings, error) {
 	t.Helper()
 	return Parse("x", "x", needs, arguments, func(int) { t.Fatal("the parser wanted to end the process") })
 }
@@ -31,9 +31,9 @@
 }
 
 func TestEveryProblemIsNamedAtOnce(t *testing.T) {
-	_, err := parse(t, Needs{Platform: true}, "--address", "here", "--http", "127.0.0.1:0",
+	_, err := parse(t, Requirements{Platform: true}, "--address", "here", "--http", "127.0.0.1:0",
 		"--seed", "x", "--seed", "x", "--platform", "ftp://y", "--drain", "soon", "--log", "loud")
-	if !apierror.Is(err, apierror.BadSettings) {
+	if !apierror.Is(err, apierror.InvalidSettings) {
 		t.Fatal(err)
 	}
 	for _, problem := range []string{"address:", "http:", "zone:", "seeds[0]:", "seeds[1]:", "twice",
@@ -48,7 +48,7 @@
 	path := filepath.Join(t.TempDir(), "startup.json")
 	writeFile(t, path, `{"address":"127.0.0.9:9","http":"127.0.0.1:2","zone":"b","seeds":["127.0.0.1:1"],
 "platform":"http://127.0.0.1:3/x","drain":"5s"}`)
-	read, err := parse(t, Needs{Platform: true}, "--startup", path, "--address", "127.0.0.1:1")
+	read, err := parse(t, Requirements{Platform: true}, "--startup", path, "--address", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,25 +63,25 @@
 	for name, content := range map[string]string{"unknown key": `{"addresses":"x"}`, "repeated key": `{"zone":"a","zone":"b"}`,
 		"wrong type": `{"seeds":"x"}`, "cut short": `{"zone":`} {
 		writeFile(t, path, content)
-		_, err := parse(t, Needs{Platform: true}, withValid("--startup", path)...)
-		if !apierror.Is(err, apierror.BadSettings) {
+		_, err := parse(t, Requirements{Platform: true}, withValid("--startup", path)...)
+		if !apierror.Is(err, apierror.InvalidSettings) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestEachProgramHasItsOwnNeeds(t *testing.T) {
-	if _, err := parse(t, Needs{Folder: true}, valid...); !apierror.Is(err, apierror.BadSettings) {
+	if _, err := parse(t, Requirements{Folder: true}, valid...); !apierror.Is(err, apierror.InvalidSettings) {
 		t.Error("wtcore without a folder")
 	}
-	if _, err := parse(t, Needs{Folder: true}, withValid("--folder", t.TempDir())...); err != nil {
+	if _, err := parse(t, Requirements{Folder: true}, withValid("--folder", t.TempDir())...); err != nil {
 		t.Error(err)
 	}
-	_, err := parse(t, Needs{Platform: true}, withValid("--folder", "x")...)
-	if !apierror.Is(err, apierror.BadSettings) {
+	_, err := parse(t, Requirements{Platform: true}, withValid("--folder", "x")...)
+	if !apierror.Is(err, apierror.InvalidSettings) {
 		t.Error("wtdata with a folder")
 	}
-	if _, err := parse(t, Needs{Platform: true}, withValid("--platform", "http://127.0.0.1:3/x")...); err != nil {
+	if _, err := parse(t, Requirements{Platform: true}, withValid("--platform", "http://127.0.0.1:3/x")...); err != nil {
 		t.Error(err)
 	}
 }
@@ -103,7 +103,7 @@
 	path := filepath.Join(t.TempDir(), "startup.json")
 	writeFile(t, path, `{"contact":"1s","acknowledge":"2s","catch_up":"3s","grace":"4s","without_core":"0s"}`)
 	arguments := withValid("--startup", path, "--folder", t.TempDir(), "--catch-up", "5s")
-	core, err := parse(t, Needs{Folder: true}, arguments...)
+	core, err := parse(t, Requirements{Folder: true}, arguments...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 		t.Errorf("%v instead of %v", got, want)
 	}
 	arguments = withValid("--platform", "http://127.0.0.1:3/x", "--without-core", "0s")
-	if _, err := parse(t, Needs{Platform: true}, arguments...); err != nil {
+	if _, err := parse(t, Requirements{Platform: true}, arguments...); err != nil {
 		t.Error(err)
 	}
 }
@@ -120,7 +120,7 @@
 func TestInvalidDurations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "startup.json")
 	writeFile(t, path, `{"contact":"0s","acknowledge":"-1s","catch_up":"soon","grace":"2h","without_core":"-1s"}`)
-	_, err := parse(t, Needs{Folder: true}, withValid("--startup", path, "--folder", t.TempDir())...)
+	_, err := parse(t, Requirements{Folder: true}, withValid("--startup", path, "--folder", t.TempDir())...)
 	for _, problem := range []string{"contact:", "acknowledge:", "catch_up:", "grace:", "without_core:"} {
 		if err == nil || !strings.Contains(err.Error(), problem) {
 			t.Errorf("%q is not named in %v", problem, err)
--- a/config/spec.go
+++ b/config/spec.go
@@ -16,7 +16,7 @@
 	// Zones lists the zones of the fleet, 0 to 64. Required; without any zone, every zone is open.
 	Zones []Zone `json:"zones"`
 	// Backends lists the groups of runners, at most 10000. Required, and not empty where zones are listed.
-	Backends []Pool `json:"pools"`
+	Backends []Backend `json:"pools"`
 	// Routes lists the kinds of requests, at most 50000. Required, and not empty where zones are listed.
 	Routes Routes `json:"lanes"`
 	// Tenants lists the parties whose keys open the routes that are not public, at most 10000. By default there are
@@ -41,10 +41,10 @@
 	Closed bool `json:"closed"`
 }
 
-// Pool is a backend: the runners that serve one model with one set of weights, or any model where neither is named.
+// Backend is a backend: the runners that serve one model with one set of weights, or any model where neither is named.
 //
 //easyjson:json
-type Pool struct {
+type Backend struct {
 	// Name identifies the backend: 1 to 256 of the characters a-z, A-Z, 0-9, '-', '_' and '.'.
 	Name string `json:"name"`
 	// Model is the model that requests must name, 1 to 256 bytes. Default: any model. Model and Weights are set together.
@@ -87,8 +87,8 @@
 type Route struct {
 	// Name identifies the route: 1 to 256 of the characters a-z, A-Z, 0-9, '-', '_' and '.'.
 	Name string `json:"name"`
-	// Pool names the backend of the route's requests. Required unless Split is set; only one of the two may be.
-	Pool string `json:"pool,omitempty"`
+	// Backend names the backend of the route's requests. Required unless Split is set; only one of the two may be.
+	Backend string `json:"pool,omitempty"`
 	// Value weighs the route's requests against those of other routes, 1 to 1000. Default: 1.
 	Value float64 `json:"worth"`
 	// LatencyTarget is how long the first event of a response may take, 10ms to 1h. Required.
@@ -168,8 +168,8 @@
 //
 //easyjson:json
 type Share struct {
-	// Pool names the backend.
-	Pool string `json:"pool"`
+	// Backend names the backend.
+	Backend string `json:"pool"`
 	// Weight is the backend's part in relation to the sum of the weights, 0 to 1000000; a weight of 0 gets no requests.
 	Weight int `json:"weight"`
 }
@@ -207,10 +207,10 @@
 //
 //easyjson:json
 type Entries struct {
-	Zones    []Zone   `json:"zones,omitempty"`
-	Backends []Pool   `json:"pools,omitempty"`
-	Routes   Routes   `json:"lanes,omitempty"`
-	Tenants  []Tenant `json:"tenants,omitempty"`
+	Zones    []Zone    `json:"zones,omitempty"`
+	Backends []Backend `json:"pools,omitempty"`
+	Routes   Routes    `json:"lanes,omitempty"`
+	Tenants  []Tenant  `json:"tenants,omitempty"`
 }
 
 // Names are the entries to remove. One that does not exist is no problem: it is absent, as was requested.
--- a/config/spec_easyjson.go
+++ b/config/spec_easyjson.go
@@ -330,15 +330,15 @@
 				in.Delim('[')
 				if out.Backends == nil {
 					if !in.IsDelim(']') {
-						out.Backends = make([]Pool, 0, 0)
+						out.Backends = make([]Backend, 0, 0)
 					} else {
-						out.Backends = []Pool{}
+						out.Backends = []Backend{}
 					}
 				} else {
 					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v8 Pool
+					var v8 Backend
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -529,7 +529,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Pool = string(in.String())
+				out.Backend = string(in.String())
 			}
 		case "weight":
 			if in.IsNull() {
@@ -558,7 +558,7 @@
 	{
 		const prefix string = ",\"pool\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Pool))
+		out.String(string(in.Backend))
 	}
 	{
 		const prefix string = ",\"weight\":"
@@ -615,7 +615,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Pool = string(in.String())
+				out.Backend = string(in.String())
 			}
 		case "worth":
 			if in.IsNull() {
@@ -751,10 +751,10 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Name))
 	}
-	if in.Pool != "" {
+	if in.Backend != "" {
 		const prefix string = ",\"pool\":"
 		out.RawString(prefix)
-		out.String(string(in.Pool))
+		out.String(string(in.Backend))
 	}
 	{
 		const prefix string = ",\"worth\":"
@@ -1064,226 +1064,7 @@
 func (v *Problem) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig6(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig7(in *jlexer.Lexer, out *Pool) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "name":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "model":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Model = string(in.String())
-			}
-		case "weights":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Weights = string(in.String())
-			}
-		case "adapters":
-			if in.IsNull() {
-				in.Skip()
-				out.Adapters = nil
-			} else {
-				in.Delim('[')
-				if out.Adapters == nil {
-					if !in.IsDelim(']') {
-						out.Adapters = make([]string, 0, 4)
-					} else {
-						out.Adapters = []string{}
-					}
-				} else {
-					out.Adapters = (out.Adapters)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v22 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v22 = string(in.String())
-					}
-					out.Adapters = append(out.Adapters, v22)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "services":
-			if in.IsNull() {
-				in.Skip()
-				out.Services = nil
-			} else {
-				in.Delim('[')
-				if out.Services == nil {
-					if !in.IsDelim(']') {
-						out.Services = make([]string, 0, 4)
-					} else {
-						out.Services = []string{}
-					}
-				} else {
-					out.Services = (out.Services)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v23 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v23 = string(in.String())
-					}
-					out.Services = append(out.Services, v23)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "connection_limit":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.ConnectionLimit = int(in.Int())
-			}
-		case "health_path":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.HealthPath = string(in.String())
-			}
-		case "engine":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Engine).UnmarshalEasyJSON(in)
-			}
-		case "annotations":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Annotations).UnmarshalEasyJSON(in)
-			}
-		default:
-			in.AddError(&jlexer.LexerError{
-				Offset: in.GetPos(),
-				Reason: "unknown field",
-				Data:   key,
-			})
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson4ca8a529EncodeWardtrayConfig7(out *jwriter.Writer, in Pool) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"name\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Name))
-	}
-	if in.Model != "" {
-		const prefix string = ",\"model\":"
-		out.RawString(prefix)
-		out.String(string(in.Model))
-	}
-	if in.Weights != "" {
-		const prefix string = ",\"weights\":"
-		out.RawString(prefix)
-		out.String(string(in.Weights))
-	}
-	if len(in.Adapters) != 0 {
-		const prefix string = ",\"adapters\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v24, v25 := range in.Adapters {
-				if v24 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v25))
-			}
-			out.RawByte(']')
-		}
-	}
-	{
-		const prefix string = ",\"services\":"
-		out.RawString(prefix)
-		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v26, v27 := range in.Services {
-				if v26 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v27))
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.ConnectionLimit != 0 {
-		const prefix string = ",\"connection_limit\":"
-		out.RawString(prefix)
-		out.Int(int(in.ConnectionLimit))
-	}
-	if in.HealthPath != "" {
-		const prefix string = ",\"health_path\":"
-		out.RawString(prefix)
-		out.String(string(in.HealthPath))
-	}
-	if true {
-		const prefix string = ",\"engine\":"
-		out.RawString(prefix)
-		(in.Engine).MarshalEasyJSON(out)
-	}
-	if len(in.Annotations) != 0 {
-		const prefix string = ",\"annotations\":"
-		out.RawString(prefix)
-		(in.Annotations).MarshalEasyJSON(out)
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Pool) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig7(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Pool) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig7(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Pool) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig7(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Pool) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig7(l, v)
-}
-func easyjson4ca8a529DecodeWardtrayConfig8(in *jlexer.Lexer, out *Names) {
+func easyjson4ca8a529DecodeWardtrayConfig7(in *jlexer.Lexer, out *Names) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1313,13 +1094,13 @@
 					out.Zones = (out.Zones)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v28 string
+					var v22 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v28 = string(in.String())
+						v22 = string(in.String())
 					}
-					out.Zones = append(out.Zones, v28)
+					out.Zones = append(out.Zones, v22)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1340,13 +1121,13 @@
 					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v29 string
+					var v23 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v29 = string(in.String())
+						v23 = string(in.String())
 					}
-					out.Backends = append(out.Backends, v29)
+					out.Backends = append(out.Backends, v23)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1367,13 +1148,13 @@
 					out.Routes = (out.Routes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v30 string
+					var v24 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v30 = string(in.String())
+						v24 = string(in.String())
 					}
-					out.Routes = append(out.Routes, v30)
+					out.Routes = append(out.Routes, v24)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1394,13 +1175,13 @@
 					out.Tenants = (out.Tenants)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v31 string
+					var v25 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v31 = string(in.String())
+						v25 = string(in.String())
 					}
-					out.Tenants = append(out.Tenants, v31)
+					out.Tenants = append(out.Tenants, v25)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1419,7 +1200,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig8(out *jwriter.Writer, in Names) {
+func easyjson4ca8a529EncodeWardtrayConfig7(out *jwriter.Writer, in Names) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1429,11 +1210,11 @@
 		out.RawString(prefix[1:])
 		{
 			out.RawByte('[')
-			for v32, v33 := range in.Zones {
-				if v32 > 0 {
+			for v26, v27 := range in.Zones {
+				if v26 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v33))
+				out.String(string(v27))
 			}
 			out.RawByte(']')
 		}
@@ -1448,11 +1229,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v34, v35 := range in.Backends {
-				if v34 > 0 {
+			for v28, v29 := range in.Backends {
+				if v28 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v35))
+				out.String(string(v29))
 			}
 			out.RawByte(']')
 		}
@@ -1467,11 +1248,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v36, v37 := range in.Routes {
-				if v36 > 0 {
+			for v30, v31 := range in.Routes {
+				if v30 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v37))
+				out.String(string(v31))
 			}
 			out.RawByte(']')
 		}
@@ -1486,11 +1267,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v38, v39 := range in.Tenants {
-				if v38 > 0 {
+			for v32, v33 := range in.Tenants {
+				if v32 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v39))
+				out.String(string(v33))
 			}
 			out.RawByte(']')
 		}
@@ -1501,27 +1282,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Names) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig8(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig7(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Names) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig8(w, v)
+	easyjson4ca8a529EncodeWardtrayConfig7(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Names) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig8(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig7(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Names) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig8(l, v)
+	easyjson4ca8a529DecodeWardtrayConfig7(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig9(in *jlexer.Lexer, out *Limits) {
+func easyjson4ca8a529DecodeWardtrayConfig8(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1573,7 +1354,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig9(out *jwriter.Writer, in Limits) {
+func easyjson4ca8a529EncodeWardtrayConfig8(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1619,27 +1400,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig9(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig8(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig9(w, v)
+	easyjson4ca8a529EncodeWardtrayConfig8(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig9(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig8(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig9(l, v)
+	easyjson4ca8a529DecodeWardtrayConfig8(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig10(in *jlexer.Lexer, out *Entries) {
+func easyjson4ca8a529DecodeWardtrayConfig9(in *jlexer.Lexer, out *Entries) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1669,13 +1450,13 @@
 					out.Zones = (out.Zones)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v40 Zone
+					var v34 Zone
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v40).UnmarshalEasyJSON(in)
+						(v34).UnmarshalEasyJSON(in)
 					}
-					out.Zones = append(out.Zones, v40)
+					out.Zones = append(out.Zones, v34)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1688,21 +1469,21 @@
 				in.Delim('[')
 				if out.Backends == nil {
 					if !in.IsDelim(']') {
-						out.Backends = make([]Pool, 0, 0)
+						out.Backends = make([]Backend, 0, 0)
 					} else {
-						out.Backends = []Pool{}
+						out.Backends = []Backend{}
 					}
 				} else {
 					out.Backends = (out.Backends)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v41 Pool
+					var v35 Backend
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v41).UnmarshalEasyJSON(in)
+						(v35).UnmarshalEasyJSON(in)
 					}
-					out.Backends = append(out.Backends, v41)
+					out.Backends = append(out.Backends, v35)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1729,13 +1510,13 @@
 					out.Tenants = (out.Tenants)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v42 Tenant
+					var v36 Tenant
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v42).UnmarshalEasyJSON(in)
+						(v36).UnmarshalEasyJSON(in)
 					}
-					out.Tenants = append(out.Tenants, v42)
+					out.Tenants = append(out.Tenants, v36)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -1754,7 +1535,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig10(out *jwriter.Writer, in Entries) {
+func easyjson4ca8a529EncodeWardtrayConfig9(out *jwriter.Writer, in Entries) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1764,11 +1545,11 @@
 		out.RawString(prefix[1:])
 		{
 			out.RawByte('[')
-			for v43, v44 := range in.Zones {
-				if v43 > 0 {
+			for v37, v38 := range in.Zones {
+				if v37 > 0 {
 					out.RawByte(',')
 				}
-				(v44).MarshalEasyJSON(out)
+				(v38).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -1783,11 +1564,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v45, v46 := range in.Backends {
-				if v45 > 0 {
+			for v39, v40 := range in.Backends {
+				if v39 > 0 {
 					out.RawByte(',')
 				}
-				(v46).MarshalEasyJSON(out)
+				(v40).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -1812,11 +1593,11 @@
 		}
 		{
 			out.RawByte('[')
-			for v47, v48 := range in.Tenants {
-				if v47 > 0 {
+			for v41, v42 := range in.Tenants {
+				if v41 > 0 {
 					out.RawByte(',')
 				}
-				(v48).MarshalEasyJSON(out)
+				(v42).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -1827,27 +1608,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Entries) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig10(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig9(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Entries) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig10(w, v)
+	easyjson4ca8a529EncodeWardtrayConfig9(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Entries) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig10(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig9(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Entries) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig10(l, v)
+	easyjson4ca8a529DecodeWardtrayConfig9(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig11(in *jlexer.Lexer, out *Engine) {
+func easyjson4ca8a529DecodeWardtrayConfig10(in *jlexer.Lexer, out *Engine) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1893,7 +1674,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig11(out *jwriter.Writer, in Engine) {
+func easyjson4ca8a529EncodeWardtrayConfig10(out *jwriter.Writer, in Engine) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1929,27 +1710,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Engine) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig11(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig10(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Engine) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig11(w, v)
+	easyjson4ca8a529EncodeWardtrayConfig10(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Engine) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig11(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig10(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Engine) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson4ca8a529DecodeWardtrayConfig11(l, v)
+	easyjson4ca8a529DecodeWardtrayConfig10(l, v)
 }
-func easyjson4ca8a529DecodeWardtrayConfig12(in *jlexer.Lexer, out *Change) {
+func easyjson4ca8a529DecodeWardtrayConfig11(in *jlexer.Lexer, out *Change) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -2009,7 +1790,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4ca8a529EncodeWardtrayConfig12(out *jwriter.Writer, in Change) {
+func easyjson4ca8a529EncodeWardtrayConfig11(out *jwriter.Writer, in Change) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -2055,23 +1836,242 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Change) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson4ca8a529EncodeWardtrayConfig12(&w, v)
+	easyjson4ca8a529EncodeWardtrayConfig11(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Change) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson4ca8a529EncodeWardtrayConfig12(w, v)
+	easyjson4ca8a529EncodeWardtrayConfig11(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Change) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson4ca8a529DecodeWardtrayConfig12(&r, v)
+	easyjson4ca8a529DecodeWardtrayConfig11(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Change) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson4ca8a529DecodeWardtrayConfig11(l, v)
+}
+func easyjson4ca8a529DecodeWardtrayConfig12(in *jlexer.Lexer, out *Backend) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "name":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Name = string(in.String())
+			}
+		case "model":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Model = string(in.String())
+			}
+		case "weights":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Weights = string(in.String())
+			}
+		case "adapters":
+			if in.IsNull() {
+				in.Skip()
+				out.Adapters = nil
+			} else {
+				in.Delim('[')
+				if out.Adapters == nil {
+					if !in.IsDelim(']') {
+						out.Adapters = make([]string, 0, 4)
+					} else {
+						out.Adapters = []string{}
+					}
+				} else {
+					out.Adapters = (out.Adapters)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v43 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v43 = string(in.String())
+					}
+					out.Adapters = append(out.Adapters, v43)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "services":
+			if in.IsNull() {
+				in.Skip()
+				out.Services = nil
+			} else {
+				in.Delim('[')
+				if out.Services == nil {
+					if !in.IsDelim(']') {
+						out.Services = make([]string, 0, 4)
+					} else {
+						out.Services = []string{}
+					}
+				} else {
+					out.Services = (out.Services)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v44 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v44 = string(in.String())
+					}
+					out.Services = append(out.Services, v44)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "connection_limit":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.ConnectionLimit = int(in.Int())
+			}
+		case "health_path":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.HealthPath = string(in.String())
+			}
+		case "engine":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Engine).UnmarshalEasyJSON(in)
+			}
+		case "annotations":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Annotations).UnmarshalEasyJSON(in)
+			}
+		default:
+			in.AddError(&jlexer.LexerError{
+				Offset: in.GetPos(),
+				Reason: "unknown field",
+				Data:   key,
+			})
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson4ca8a529EncodeWardtrayConfig12(out *jwriter.Writer, in Backend) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"name\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Name))
+	}
+	if in.Model != "" {
+		const prefix string = ",\"model\":"
+		out.RawString(prefix)
+		out.String(string(in.Model))
+	}
+	if in.Weights != "" {
+		const prefix string = ",\"weights\":"
+		out.RawString(prefix)
+		out.String(string(in.Weights))
+	}
+	if len(in.Adapters) != 0 {
+		const prefix string = ",\"adapters\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v45, v46 := range in.Adapters {
+				if v45 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v46))
+			}
+			out.RawByte(']')
+		}
+	}
+	{
+		const prefix string = ",\"services\":"
+		out.RawString(prefix)
+		if in.Services == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v47, v48 := range in.Services {
+				if v47 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v48))
+			}
+			out.RawByte(']')
+		}
+	}
+	if in.ConnectionLimit != 0 {
+		const prefix string = ",\"connection_limit\":"
+		out.RawString(prefix)
+		out.Int(int(in.ConnectionLimit))
+	}
+	if in.HealthPath != "" {
+		const prefix string = ",\"health_path\":"
+		out.RawString(prefix)
+		out.String(string(in.HealthPath))
+	}
+	if true {
+		const prefix string = ",\"engine\":"
+		out.RawString(prefix)
+		(in.Engine).MarshalEasyJSON(out)
+	}
+	if len(in.Annotations) != 0 {
+		const prefix string = ",\"annotations\":"
+		out.RawString(prefix)
+		(in.Annotations).MarshalEasyJSON(out)
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v Backend) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson4ca8a529EncodeWardtrayConfig12(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v Backend) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson4ca8a529EncodeWardtrayConfig12(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *Backend) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson4ca8a529DecodeWardtrayConfig12(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *Backend) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4ca8a529DecodeWardtrayConfig12(l, v)
 }
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -147,18 +147,18 @@
 		t.Fatalf("%v %+v", parsed.Check(), parsed.Routes[0])
 	}
 	bare := goodWith(t, `"model":"m","weights":"w",`, ``)
-	if len(bare.Check()) > 0 || !bare.Backends[0].Runs("any") {
+	if len(bare.Check()) > 0 || !bare.Backends[0].ServesModel("any") {
 		t.Fatalf("a pool of any model: %v", bare.Check())
 	}
 	named := goodWith(t, zonesKey, zonesKey).Backends[0]
-	if named.Runs("any") || !named.Runs("m") {
+	if named.ServesModel("any") || !named.ServesModel("m") {
 		t.Fatal("a pool of one model serves another")
 	}
 	empty, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[]}`))
 	if err != nil || len(empty.Check()) > 0 {
 		t.Fatalf("a spec that holds nothing on purpose: %v %v", err, empty.Check())
 	}
-	if !NewCatalog(empty).Open("anywhere") || NewCatalog(parsed).Open("anywhere") || !NewCatalog(parsed).Open("a") {
+	if !NewCatalog(empty).IsOpen("anywhere") || NewCatalog(parsed).IsOpen("anywhere") || !NewCatalog(parsed).IsOpen("a") {
 		t.Fatal("a spec without zones leaves all open, one with zones only those it names")
 	}
 }
--- a/control/daemonlease/confirmer.go
+++ b/control/daemonlease/confirmer.go
@@ -34,7 +34,7 @@
 func (confirmer *Confirmer) Confirm(now time.Time, address string, request *wire.DaemonLeaseRequest,
 	isMember bool) bool {
 	if !isMember || !confirmer.mayConfirm(request.View) {
-		confirmer.witness.Heard(address, request.Sequence)
+		confirmer.witness.ObserveDaemon(address, request.Sequence)
 		return false
 	}
 	// What the disk held at the start counts only as far as the history still has it.
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -58,7 +58,7 @@
 // AcceptorReported notes which sequence an acceptor knows to be committed, and when its confirmations of older ones
 // end.
 func (leases *Leases) AcceptorReported(acceptor string, sequence uint64, until time.Time) {
-	leases.progress.Note(acceptor, sequence, until)
+	leases.progress.Report(acceptor, sequence, until)
 }
 
 // IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no
@@ -87,7 +87,7 @@
 func (leases *Leases) majorityKnows(acceptors []*wire.Member, sequence uint64) bool {
 	knowing := 0
 	for _, acceptor := range acceptors {
-		if leases.progress.Knows(acceptor.Id, sequence) {
+		if leases.progress.HasCommitted(acceptor.Id, sequence) {
 			knowing++
 		}
 	}
@@ -113,7 +113,7 @@
 func (leases *Leases) majorityClear(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
-		if leases.progress.Clear(now, acceptor.Id, sequence) {
+		if leases.progress.Fenced(now, acceptor.Id, sequence) {
 			count++
 		}
 	}
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -288,7 +288,7 @@
 			func(time.Time, *wire.View) {})
 		witness := lease.NewWitness(length)
 		if test.told {
-			witness.Told(5)
+			witness.ObserveHead(5)
 		}
 		confirmer := NewConfirmer(test.self, agent, leases.chain, witness)
 		request := &wire.DaemonLeaseRequest{View: test.view, Sequence: test.sequence}
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -87,7 +87,7 @@
 	}
 	limits := map[string]quota.Limit{}
 	for index := range spec.Tenants {
-		if tenantQuota := spec.Tenants[index].Quota; tenantQuota.Limits() {
+		if tenantQuota := spec.Tenants[index].Quota; tenantQuota.Limited() {
 			limits[spec.Tenants[index].Name] = quotas.tolerance.Limit(tenantQuota.Rate, tenantQuota.Burst)
 		}
 	}
--- a/control/directory/learner.go
+++ b/control/directory/learner.go
@@ -34,7 +34,7 @@
 // Tick asks the tail for the whole document if that is due. A process that is decommissioned learns nothing any more.
 func (learner *Learner) Tick(now time.Time, isDecommissioning bool) {
 	current := learner.agent.Current()
-	if current.Epoch == 0 || len(current.Chain) == 0 || learner.chain.Inside() || isDecommissioning {
+	if current.Epoch == 0 || len(current.Chain) == 0 || learner.chain.IsMember() || isDecommissioning {
 		return
 	}
 	interval := LearnInterval
@@ -46,5 +46,5 @@
 	}
 	learner.lastRequest = now
 	tail := current.Chain[len(current.Chain)-1]
-	learner.chain.AskToLearn(learner.addressOf(tail))
+	learner.chain.RequestDocument(learner.addressOf(tail))
 }
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -51,7 +51,7 @@
 	}
 	next := append(remaining, arrivals...)
 	sort.Slice(next, func(left, right int) bool { return next[left].Address < next[right].Address })
-	if updater.chain.Enter(leader.Now, &wire.Entry{Directory: next, SpecEpoch: document.SpecEpoch}) != nil {
+	if updater.chain.Submit(leader.Now, &wire.Entry{Directory: next, SpecEpoch: document.SpecEpoch}) != nil {
 		updater.counters.Refused++ // The next tick tries again.
 	}
 }
--- a/control/durability/durability.go
+++ b/control/durability/durability.go
@@ -59,7 +59,7 @@
 
 // IsUnhealthy reports whether a write failed or has waited for too long.
 func (disk *Disk) IsUnhealthy(now time.Time) bool {
-	return disk.failed || disk.outbox.Oldest(now) > disk.writeTimeout
+	return disk.failed || disk.outbox.OldestWait(now) > disk.writeTimeout
 }
 
 // Appended accounts for writes that the driver is about to carry out.
@@ -84,7 +84,7 @@
 // Replace requests a snapshot at once.
 func (disk *Disk) Replace(now time.Time) {
 	disk.replacing = true
-	disk.outbox.Replace(now, disk.snapshot(), func(time.Time) { disk.replacing, disk.failed = false, false })
+	disk.outbox.PersistSnapshot(now, disk.snapshot(), func(time.Time) { disk.replacing, disk.failed = false, false })
 }
 
 // Tick requests a scrub when one is due, and a snapshot when the log is long or a failed disk must be tried again.
@@ -95,7 +95,7 @@
 	// Damage is found while this process still knows what must be there, and not only when it starts.
 	if now.Sub(disk.lastScrub) >= scrubInterval && !disk.failed && !disk.replacing {
 		disk.lastScrub = now
-		disk.outbox.Sweep(now)
+		disk.outbox.Verify(now)
 	}
 	if disk.replacing || disk.failed && now.Before(disk.retryAt) || !disk.failed && disk.logBytes < logLimit {
 		return
--- a/control/durability/durability_test.go
+++ b/control/durability/durability_test.go
@@ -22,10 +22,10 @@
 	_, writes := outbox.Drain()
 	for _, write := range writes {
 		last = write.Sequence
-		if write.Memory != nil {
+		if write.Snapshot != nil {
 			snapshots++
 		}
-		if write.Sweep {
+		if write.Verify {
 			scrubs++
 		}
 	}
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -25,23 +25,25 @@
 func NewGrantor(now time.Time, self string, agent *view.Agent, outbox *statemachine.Outbox, witness *lease.Witness,
 	clearedTerm uint64) *Grantor {
 	return &Grantor{self: self, agent: agent, outbox: outbox, witness: witness, clearedTerm: clearedTerm,
-		lessor: lease.Restore(now, agent.Current(), clearedTerm)}
+		lessor: lease.NewLessor(now, agent.Current(), clearedTerm)}
 }
 
 // ClearedTerm returns the last term before which no head acts, as far as this process has noted it on its disk.
 func (grantor *Grantor) ClearedTerm() uint64 { return grantor.clearedTerm }
 
 // Adopt handles that another view is agreed on.
-func (grantor *Grantor) Adopt(now time.Time, current *wire.View) { grantor.lessor.Learn(now, current) }
+func (grantor *Grantor) Adopt(now time.Time, current *wire.View) {
+	grantor.lessor.AdoptView(now, current)
+}
 
 // Heard handles that a process acts under a view by now.
 func (grantor *Grantor) Heard(now time.Time, id string, epoch uint64) {
-	grantor.lessor.Heard(now, id, epoch)
+	grantor.lessor.ObserveEpoch(now, id, epoch)
 }
 
 // ConnectionRefused handles that nobody listened at an address when it was tried.
 func (grantor *Grantor) ConnectionRefused(now time.Time, address string, tried time.Time) {
-	grantor.lessor.Refused(now, address, tried)
+	grantor.lessor.ObserveRefusal(now, address, tried)
 }
 
 // Tick seeks proof that the heads before this term act no more, and notes on the disk that none does, so that an
@@ -50,10 +52,10 @@
 	if !membership.IsAcceptor(grantor.agent.Current(), grantor.self) {
 		return
 	}
-	for _, address := range grantor.lessor.Rivals(now) {
-		grantor.agent.Tell(address)
+	for _, address := range grantor.lessor.PreviousHeads(now) {
+		grantor.agent.SendView(address)
 	}
-	if term := grantor.lessor.Term(); term != grantor.clearedTerm && grantor.lessor.Allows(now, false) {
+	if term := grantor.lessor.Term(); term != grantor.clearedTerm && grantor.lessor.CanGrant(now, false) {
 		grantor.clearedTerm = term
 		record := &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: term}}
 		grantor.outbox.Persist(now, record, func(time.Time) {})
@@ -65,7 +67,7 @@
 func (grantor *Grantor) Request(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
 	current := grantor.agent.Current()
 	if request.View < current.Epoch {
-		grantor.agent.Tell(envelope.From)
+		grantor.agent.SendView(envelope.From)
 		return
 	}
 	isAcceptor := membership.IsAcceptor(current, grantor.self)
@@ -73,12 +75,12 @@
 		return
 	}
 	if request.Committed > 0 {
-		grantor.witness.Told(request.Committed)
+		grantor.witness.ObserveHead(request.Committed)
 	}
-	if !grantor.lessor.Allows(now, grantor.agent.Voted()) {
+	if !grantor.lessor.CanGrant(now, grantor.agent.Voted()) {
 		return
 	}
-	known := grantor.witness.Known()
+	known := grantor.witness.Committed()
 	grant := &wire.LeaderLeaseGrant{View: request.View, Nonce: request.Nonce, KnownSequence: known,
 		ConfirmedMilliseconds: ceilMilliseconds(grantor.witness.Outstanding(now, known))}
 	grantor.outbox.Send(envelope.From, &wire.Envelope{Body: &wire.Envelope_LeaderLeaseGrant{LeaderLeaseGrant: grant}})
--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -59,12 +59,12 @@
 
 // Tick requests the lease from every acceptor if this process is head and a request is due.
 func (leadership *Leadership) Tick(now time.Time) {
-	if !leadership.chain.Head() || !leadership.isRequestDue(now) {
+	if !leadership.chain.IsHead() || !leadership.isRequestDue(now) {
 		return
 	}
 	leadership.lastRequest = now
 	current := leadership.agent.Current()
-	request := &wire.LeaderLeaseRequest{View: current.Epoch, Nonce: leadership.lessee.Ask(now, current.Epoch)}
+	request := &wire.LeaderLeaseRequest{View: current.Epoch, Nonce: leadership.lessee.Request(now, current.Epoch)}
 	// A head whose own history is not committed yet does not know what was acknowledged before it.
 	if leadership.IsLeading(now) {
 		request.Committed = leadership.chain.Committed().Sequence
@@ -89,7 +89,7 @@
 	if !membership.IsAcceptor(current, sender) {
 		return false
 	}
-	leadership.lessee.Grant(now, sender, grant.View, grant.Nonce, view.Majority(len(current.Acceptors)))
+	leadership.lessee.AddGrant(now, sender, grant.View, grant.Nonce, view.Majority(len(current.Acceptors)))
 	return true
 }
 
@@ -103,7 +103,7 @@
 func (leadership *Leadership) IsLeading(now time.Time) bool {
 	// Others act by a newer view as soon as this process says that it has learned of it.
 	isOutdated := leadership.agent.Newest().Epoch > leadership.agent.Current().Epoch
-	if !leadership.chain.Head() || isOutdated || !leadership.HoldsLease(now) {
+	if !leadership.chain.IsHead() || isOutdated || !leadership.HoldsLease(now) {
 		return false
 	}
 	// A lease that expires for a while lets nobody else act; only a new term does.
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -113,7 +113,7 @@
 	if !bench.leadership.IsLeading(start) || !bench.leadership.Started().Equal(start) || bench.starts != 1 {
 		t.Errorf("with a majority: started %v, %d starts", bench.leadership.Started(), bench.starts)
 	}
-	if bench.leadership.IsLeading(start.Add(lease.Held)) {
+	if bench.leadership.IsLeading(start.Add(lease.LesseeTTL)) {
 		t.Error("leads after the lease has expired")
 	}
 }
@@ -148,7 +148,7 @@
 	if request := bench.requests(start.Add(RenewInterval))[0]; request.Committed != 0 {
 		t.Errorf("says that %d is committed", request.Committed)
 	}
-	bench.chain.Hold(start, "b", &wire.ChainAck{View: 3, Synced: 5, Committed: 5})
+	bench.chain.HandleAck(start, "b", &wire.ChainAck{View: 3, Synced: 5, Committed: 5})
 	if bench.chain.Committed().Sequence != 5 || !bench.leadership.IsLeading(start) {
 		t.Error("does not lead once its history is committed")
 	}
@@ -196,7 +196,7 @@
 	if _, writes := bench.outbox.Drain(); len(writes) != 0 || grantor.ClearedTerm() != 1 {
 		t.Fatal("a term is cleared while the head before it may act")
 	}
-	later := start.Add(lease.Term)
+	later := start.Add(lease.LessorTTL)
 	grantor.Tick(later)
 	grantor.Tick(later)
 	_, writes := bench.outbox.Drain()
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -52,16 +52,16 @@
 }
 
 // Bounds are the times that the control plane derives from the limits. The leader's lease is none of them: its holder
-// and the acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.Term).
+// and the acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.LessorTTL).
 type Bounds struct {
 	// Suspicion is after what silence a machine counts as failed.
 	Suspicion time.Duration
-	// Unhealthy is for how long a write may wait before a machine reports that its disk fails.
-	Unhealthy time.Duration
-	// Broken is for how long one side of a link of the chain must not hear the other before one of them is excluded.
-	Broken time.Duration
-	// Frozen is after what pause a process assumes that it stood still itself, rather than that all others fell silent.
-	Frozen time.Duration
+	// WriteTimeout is for how long a write may wait before a machine reports that its disk fails.
+	WriteTimeout time.Duration
+	// LinkTimeout is for how long one side of a link of the chain must not hear the other before one of them is excluded.
+	LinkTimeout time.Duration
+	// Pause is after what pause a process assumes that it stood still itself, rather than that all others fell silent.
+	Pause time.Duration
 	// Stagger is how long each acceptor lets those before it propose a view first.
 	Stagger time.Duration
 	// DaemonLease is for how long a daemon may rely on a lease, counted from its request.
@@ -71,8 +71,8 @@
 	QuotaTerm time.Duration
 	// Starting is for how long after its start a machine can't say yet whether there is a head.
 	Starting time.Duration
-	// Leave is how long a machine that is ordered to stop waits for others to take over its positions.
-	Leave time.Duration
+	// DecommissionTimeout is how long a machine that is ordered to stop waits for others to take over its positions.
+	DecommissionTimeout time.Duration
 }
 
 const (
@@ -89,16 +89,16 @@
 	repair := min(limits.Acknowledge, limits.CatchUp)
 	suspicion := max(minimumSuspicion, min(maximumSuspicion, repair*7/40, limits.Contact*7/30))
 	return Bounds{
-		Suspicion:   suspicion,
-		Unhealthy:   suspicion,
-		Broken:      suspicion,
-		Frozen:      suspicion - failuredetector.HeartbeatInterval,
-		Stagger:     max(minimumStagger, min(maximumStagger, repair/10)),
-		DaemonLease: lease.DaemonTermFor(limits.Apply),
-		QuotaTerm:   limits.Acknowledge,
-		Starting:    min(maximumStarting, limits.Contact/2),
+		Suspicion:    suspicion,
+		WriteTimeout: suspicion,
+		LinkTimeout:  suspicion,
+		Pause:        suspicion - failuredetector.HeartbeatInterval,
+		Stagger:      max(minimumStagger, min(maximumStagger, repair/10)),
+		DaemonLease:  lease.DaemonTTLFor(limits.Apply),
+		QuotaTerm:    limits.Acknowledge,
+		Starting:     min(maximumStarting, limits.Contact/2),
 		// The rest of the grace is for closing what is open.
-		Leave: limits.Grace * 9 / 10,
+		DecommissionTimeout: limits.Grace * 9 / 10,
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // Takeover returns after what time at most another head may act once a head has failed.
 func (bounds Bounds) Takeover() time.Duration {
-	return bounds.Detection() + bounds.Stagger + lease.Term + leadership.RetryInterval
+	return bounds.Detection() + bounds.Stagger + lease.LessorTTL + leadership.RetryInterval
 }
 
 // AcceptorRepair returns after what time at most a machine that has just started has the slot of an acceptor that
@@ -127,7 +127,7 @@
 	return bounds.AcceptorRepair() + directory.LearnInterval + bounds.ViewChange()
 }
 
-// Check returns an error of code apierror.BadSettings for limits that are too short for what has to happen within them.
+// Check returns an error of code apierror.InvalidSettings for limits that are too short for what has to happen within them.
 func (limits Limits) Check() error {
 	limits = limits.withDefaults()
 	bounds := BoundsFor(limits)
@@ -140,10 +140,10 @@
 		{"catch_up: the repair of a seat and of a copy", bounds.ReplicaRepair(), limits.CatchUp},
 		{"contact: the detection of a loss", bounds.Detection(), limits.Contact},
 		{"apply: twice a daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
-		{"grace: the handing over of all that a machine holds", bounds.ReplicaRepair(), bounds.Leave},
+		{"grace: the handing over of all that a machine holds", bounds.ReplicaRepair(), bounds.DecommissionTimeout},
 	} {
 		if need.needed > need.limit {
-			return apierror.New(apierror.BadSettings, "%s may take %v, more than %v", need.what, need.needed, need.limit)
+			return apierror.New(apierror.InvalidSettings, "%s may take %v, more than %v", need.what, need.needed, need.limit)
 		}
 	}
 	return nil
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -61,12 +61,12 @@
 	t.Helper()
 	for what, holds := range map[string]bool{
 		"two beats within a suspicion":                   2*failuredetector.HeartbeatInterval < bounds.Suspicion,
-		"a frozen process knows before it suspects":      bounds.Frozen+failuredetector.HeartbeatInterval <= bounds.Suspicion,
+		"a frozen process knows before it suspects":      bounds.Pause+failuredetector.HeartbeatInterval <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
-		"a holder's lease ends before a keeper's":        lease.Held < lease.Term,
-		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.Held,
+		"a holder's lease ends before a keeper's":        lease.LesseeTTL < lease.LessorTTL,
+		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.LesseeTTL,
 		"an attempt at a view outlasts a round of votes": bounds.Stagger >= 100*time.Millisecond,
-		"a leave ends before the grace":                  bounds.Leave < limits.Grace,
+		"a leave ends before the grace":                  bounds.DecommissionTimeout < limits.Grace,
 	} {
 		if !holds {
 			t.Fatalf("%s: not for %+v, which give %+v", what, limits, bounds)
@@ -77,7 +77,7 @@
 // requireFit wants what must hold where the settings pass the check.
 func requireFit(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
-	acknowledgement := bounds.Detection() + bounds.Stagger + lease.Term + bounds.DaemonLease + daemonlease.ClockMargin
+	acknowledgement := bounds.Detection() + bounds.Stagger + lease.LessorTTL + bounds.DaemonLease + daemonlease.ClockMargin
 	for what, holds := range map[string]bool{
 		"a lease, a detection and a view change below acknowledge": acknowledgement < limits.Acknowledge,
 		"a repaired seat below catch_up":                           bounds.AcceptorRepair() < limits.CatchUp,
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -146,10 +146,10 @@
 	fleet.wantAccepted(fleet.members[0], first, 7)
 	for number := range 3 {
 		fresh := fleet.add(fmt.Sprintf("127.0.1.%d:1", number), 10+number, false)
-		fleet.until("the new machine to be in the chain", 10*time.Second, func() bool { return fresh.node.Chain().Inside() })
+		fleet.until("the new machine to be in the chain", 10*time.Second, func() bool { return fresh.node.Chain().IsMember() })
 		old := fleet.members[0]
-		old.node.Leave(fleet.now)
-		fleet.until("the old machine to be out of the chain", 10*time.Second, func() bool { return old.node.Left(fleet.now) })
+		old.node.Decommission(fleet.now)
+		fleet.until("the old machine to be out of the chain", 10*time.Second, func() bool { return old.node.IsDecommissioned(fleet.now) })
 		fleet.kill(old)
 		fleet.members = fleet.members[1:]
 		fleet.seeds = append(fleet.seeds[1:], fresh.address)
@@ -308,12 +308,12 @@
 	if got := lone.send(stale); got.status != 409 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
-	lone.node.Drain()
+	lone.node.Ready()
 	// The copy comes from another machine, so that the reply goes through the outbox.
 	stale.Origin = "elsewhere"
 	lone.node.proposals.Serve(lone.now, stale)
 	again := uint32(0)
-	messages, _ := lone.node.Drain()
+	messages, _ := lone.node.Ready()
 	for _, message := range messages {
 		if response := message.Envelope.GetOperatorResponse(); message.To == "elsewhere" &&
 			response.GetToken() == stale.Token {
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -140,12 +140,12 @@
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
 		operator.tend()
 		if !fleet.now.Before(due) {
-			storage.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
+			storage.WriteBatch(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
 				func(err error) { t.Fatal(err) })
 			taken, away.writes = away.writes, nil
 			due = fleet.now.Add(delay)
 		}
-		return away.node.Chain().Inside()
+		return away.node.Chain().IsMember()
 	})
 }
 
@@ -161,7 +161,7 @@
 		fleet.kill(restarted)
 		fleet.start(restarted)
 		fleet.until("its return", 10*time.Second,
-			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() })
+			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().IsMember() })
 	}
 	for _, member := range fleet.members {
 		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.greatest)
@@ -200,7 +200,7 @@
 				t.Fatal(err)
 			}
 			store, _, err := snapshot.Open(member.disk)
-			if err != nil || store.Replace(content) != nil {
+			if err != nil || store.SaveSnapshot(content) != nil {
 				t.Fatal(err)
 			}
 			fleet.members = append(fleet.members, member)
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -147,7 +147,7 @@
 
 // stop asks a machine to leave, as SIGTERM does. It ends when it may, or once its grace is over.
 func (fleet *fleet) stop(machine *coreMachine) {
-	machine.node.Leave(fleet.now)
+	machine.node.Decommission(fleet.now)
 	machine.leaveBy = fleet.now.Add(fleetGrace)
 }
 
@@ -174,7 +174,7 @@
 func (fleet *fleet) leader() *coreMachine {
 	var leader *coreMachine
 	for _, machine := range fleet.machines {
-		if machine.node == nil || !machine.node.Leading(fleet.now) {
+		if machine.node == nil || !machine.node.IsLeading(fleet.now) {
 			continue
 		}
 		if leader != nil {
@@ -230,7 +230,7 @@
 		}
 		current := machine.node.View()
 		fmt.Fprintf(&text, "\n  %s leads %v leaving %v view %d chain %v acceptors %v", machine.address,
-			machine.node.Leading(fleet.now), !machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain),
+			machine.node.IsLeading(fleet.now), !machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain),
 			ids(current.Acceptors))
 	}
 	return text.String()
@@ -286,12 +286,12 @@
 		return
 	}
 	if sender := fleet.at(envelope.From); sender != nil && sender.node != nil {
-		sender.node.Refused(fleet.now, target, fleet.now.Add(-clusterStep))
+		sender.node.ConnectionRefused(fleet.now, target, fleet.now.Add(-clusterStep))
 	}
 }
 
 func (fleet *fleet) endIfLeft(machine *coreMachine) {
-	if !machine.leaveBy.IsZero() && (machine.node.Left(fleet.now) || fleet.now.After(machine.leaveBy)) {
+	if !machine.leaveBy.IsZero() && (machine.node.IsDecommissioned(fleet.now) || fleet.now.After(machine.leaveBy)) {
 		fleet.end(machine)
 	}
 }
@@ -301,7 +301,7 @@
 	if machine.node == nil {
 		return
 	}
-	messages, writes := machine.node.Drain()
+	messages, writes := machine.node.Ready()
 	if machine.dark {
 		messages = nil
 	}
@@ -310,8 +310,8 @@
 		fleet.targets = append(fleet.targets, message.To)
 	}
 	for _, write := range writes {
-		if write.Memory != nil {
-			machine.memory, machine.records = proto.CloneOf(write.Memory), nil
+		if write.Snapshot != nil {
+			machine.memory, machine.records = proto.CloneOf(write.Snapshot), nil
 		}
 		if write.Record != nil {
 			machine.records = append(machine.records, proto.CloneOf(write.Record))
@@ -338,7 +338,7 @@
 	}
 	operation := fmt.Sprintf("change-%d", fleet.changes)
 	ask := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: whole("l")}
-	running[fleet.changes%len(running)].node.Ask(fleet.now, ask, func(status int, body []byte) {
+	running[fleet.changes%len(running)].node.Submit(fleet.now, ask, func(status int, body []byte) {
 		reply := Reply{}
 		if err := json.Unmarshal(body, &reply); err != nil {
 			fleet.t.Fatalf("answer %q: %v", body, err)
--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -23,7 +23,7 @@
 			},
 		},
 	)
-	messages, _ := node.Drain()
+	messages, _ := node.Ready()
 	for _, message := range messages {
 		if grant := message.Envelope.GetLeaderLeaseGrant(); grant != nil {
 			return grant
@@ -62,9 +62,9 @@
 func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	node, head := restartedAcceptor(now, nil)
-	const length = lease.DaemonTerm + daemonlease.ClockMargin
+	const length = lease.DaemonTTL + daemonlease.ClockMargin
 	for _, test := range []struct{ since, want time.Duration }{
-		{0, length}, {lease.DaemonTerm / 2, length - lease.DaemonTerm/2}, {length, 0},
+		{0, length}, {lease.DaemonTTL / 2, length - lease.DaemonTTL/2}, {length, 0},
 	} {
 		grant := grantOf(t, node, now.Add(test.since), head)
 		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 ||
@@ -82,7 +82,7 @@
 		request := &wire.DaemonLeaseRequest{Nonce: 1, Sequence: sequence, View: 3}
 		node.Receive(now, &wire.Envelope{From: daemon, Sender: daemon,
 			Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: request}})
-		messages, _ := node.Drain()
+		messages, _ := node.Ready()
 		for _, message := range messages {
 			if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == daemon {
 				return grant.Confirmed
--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -36,7 +36,7 @@
 	settings, self := members.settings, members.self
 	daemons := &daemons{members: members}
 	daemons.directory = directory.New(self, agent, history, outbox, random, members.partialView, addressOf)
-	daemons.leases = daemonlease.NewLeases(history, outbox, settings.Staleness, agent.Current())
+	daemons.leases = daemonlease.NewLeases(history, outbox, settings.DaemonLease, agent.Current())
 	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, BoundsFor(settings.Limits).QuotaTerm)
 	daemons.witness = lease.NewWitness(daemons.leases.Length())
 	daemons.confirmer = daemonlease.NewConfirmer(self.Id, agent, history, daemons.witness)
@@ -99,7 +99,7 @@
 	if !grant.Granted {
 		isMember := daemons.directory.Contains(daemons.directory.Newest(), address)
 		grant.Confirmed = daemons.confirmer.Confirm(now, address, request, isMember)
-		grant.Sequence = daemons.witness.Known()
+		grant.Sequence = daemons.witness.Committed()
 	}
 }
 
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -24,19 +24,19 @@
 // handleChain adds what members of the chain say to each other.
 func handleChain(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
-		node.members.chain.Pass(now, envelope.Sender, body.ChainForward)
+		node.members.chain.HandleForward(now, envelope.Sender, body.ChainForward)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainAck) {
-		node.members.chain.Hold(now, envelope.Sender, body.ChainAck)
-		node.members.chain.Aligned(now, envelope.Sender, body.ChainAck)
+		node.members.chain.HandleAck(now, envelope.Sender, body.ChainAck)
+		node.members.chain.HandleAlignment(now, envelope.Sender, body.ChainAck)
 	})
 	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
 		// What a tail has, every member before it has, so in its own view all of it is committed; and what
 		// was learned in a view counts only until the next.
-		node.members.chain.Teach(envelope.From, body.LearnRequest)
+		node.members.chain.HandleLearnRequest(envelope.From, body.LearnRequest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
-		node.members.chain.Learned(now, body.LearnResponse)
+		node.members.chain.HandleLearnResponse(now, body.LearnResponse)
 	})
 }
 
@@ -59,13 +59,13 @@
 		node.members.agent.Accepted(now, envelope.Sender, body.ViewAccepted)
 	})
 	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
-		node.members.agent.Refused(body.ViewRejected)
+		node.members.agent.Rejected(body.ViewRejected)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
 		node.members.agent.Learn(now, body.ViewUpdate.View)
 	})
 	on(table, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewRequest) {
-		node.members.agent.Tell(envelope.From)
+		node.members.agent.SendView(envelope.From)
 	})
 }
 
@@ -97,13 +97,13 @@
 		node.daemons.directory.Request(envelope.From, body.DocumentRequest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
-		node.daemons.directory.Gossip().Rumor(now, body.GossipMessage)
+		node.daemons.directory.Gossip().HandleMessage(now, body.GossipMessage)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Digest) {
-		node.daemons.directory.Gossip().Digest(now, envelope.From, envelope.Zone, body.Digest)
+		node.daemons.directory.Gossip().HandleDigest(now, envelope.From, envelope.Zone, body.Digest)
 		// A daemon that reads a platform's list keeps no table and sends 0.
 		if body.Digest.RunnersChecksum != 0 {
-			node.registrar.Compare(now, envelope.From, body.Digest.RunnersChecksum)
+			node.registrar.HandleChecksum(now, envelope.From, body.Digest.RunnersChecksum)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
@@ -114,16 +114,16 @@
 // handleRunners adds what control processes and daemons say of runners.
 func handleRunners(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdate) {
-		node.registrar.News(now, envelope.From, body.RunnerUpdate)
+		node.registrar.HandleUpdate(now, envelope.From, body.RunnerUpdate)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdateAck) {
-		node.registrar.Held(now, envelope.From, body.RunnerUpdateAck)
+		node.registrar.HandleAck(now, envelope.From, body.RunnerUpdateAck)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerDigest) {
-		node.registrar.Digest(now, envelope.From, body.RunnerDigest)
+		node.registrar.HandleDigest(now, envelope.From, body.RunnerDigest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_RunnerHeartbeats) {
-		node.registrar.Heard(now, body.RunnerHeartbeats)
+		node.registrar.HandleHeartbeats(now, body.RunnerHeartbeats)
 	})
 }
 
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -31,7 +31,7 @@
 	node.counters.Commits++
 	daemons := node.daemons
 	daemons.leases.Committed(now, sequence)
-	daemons.witness.Knows(sequence)
+	daemons.witness.ObserveCommit(sequence)
 	daemons.directory.Publish(now)
 	// The acceptors must know before the change may be acknowledged; they should not wait for the next request.
 	daemons.leadership.ExpediteRequest()
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -140,7 +140,7 @@
 }
 
 func (fleet *testFleet) start(member *testMember) {
-	restored, err := storage.Restore(member.disk, func() string { return member.identity }, "test")
+	restored, err := storage.Recover(member.disk, func() string { return member.identity }, "test")
 	if err != nil {
 		fleet.t.Fatalf("%s does not start: %v", member.address, err)
 	}
@@ -156,7 +156,7 @@
 			Founders: fleet.seeds,
 			Founding: member.founding,
 		},
-		restored.Memory,
+		restored.State,
 		restored.Records,
 		rand.New(rand.NewSource(fleet.random.Int63())),
 	)
@@ -164,7 +164,7 @@
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
 func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
-	memory := proto.CloneOf(restored.Memory)
+	memory := proto.CloneOf(restored.State)
 	for _, record := range restored.Records {
 		Replay(memory, record)
 	}
@@ -190,7 +190,7 @@
 
 func (fleet *testFleet) leader() *testMember {
 	for _, member := range fleet.members {
-		if member.up() && member.node.Leading(fleet.now) {
+		if member.up() && member.node.IsLeading(fleet.now) {
 			return member
 		}
 	}
@@ -240,7 +240,7 @@
 
 // drain takes what a machine sends and wants written.
 func (fleet *testFleet) drain(member *testMember) {
-	messages, writes := member.node.Drain()
+	messages, writes := member.node.Ready()
 	for _, message := range messages {
 		message.Envelope = proto.CloneOf(message.Envelope)
 		fleet.mail = append(fleet.mail, message)
@@ -254,14 +254,14 @@
 	}
 	writes := member.writes
 	member.writes = nil
-	storage.Carry(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
+	storage.WriteBatch(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
 		func(error) { member.node.DiskFailed(fleet.now) })
 }
 
 // check wants every leader to have all that was acknowledged.
 func (fleet *testFleet) check() {
 	for _, member := range fleet.members {
-		if member.up() && member.node.Leading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
+		if member.up() && member.node.IsLeading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
 			fleet.describe()
 			fleet.t.Fatalf("%s leads with epoch %d after %d was acknowledged", member.address,
 				member.node.Chain().Committed().SpecEpoch, fleet.acknowledged)
@@ -276,7 +276,7 @@
 			names := " " + strings.Join(ids(view.Chain), " ")
 			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
 				member.address, member.identity, view.Epoch, names, chain.Committed().SpecEpoch, len(chain.Pending()),
-				chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now),
+				chain.Synced(), chain.LearnedView(), member.node.IsLeading(fleet.now),
 				member.node.members.disk.IsUnhealthy(fleet.now))
 		}
 	}
@@ -288,7 +288,7 @@
 	if member == nil || !member.up() {
 		return given
 	}
-	member.node.Ask(fleet.now, proto.CloneOf(order), func(status int, body []byte) {
+	member.node.Submit(fleet.now, proto.CloneOf(order), func(status int, body []byte) {
 		given.status = status
 		if err := json.Unmarshal(body, &given.reply); err != nil {
 			panic(err)
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -49,14 +49,14 @@
 	observers observers) *members {
 	bounds, outbox := BoundsFor(settings.Limits), statemachine.NewOutbox()
 	self := &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}
-	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Frozen)
+	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Pause)
 	members := &members{settings: settings, self: self, outbox: outbox, detector: detector}
-	members.disk = durability.New(outbox, records, bounds.Unhealthy, observers.snapshot)
+	members.disk = durability.New(outbox, records, bounds.WriteTimeout, observers.snapshot)
 	members.chain = chain.New(self.Id, state.Document, state.Pending, outbox, detector.AddressOf, observers.onCommit)
 	members.chain.RestoreIncomplete(state.Incomplete)
 	members.agent = view.NewAgent(now, self.Id, state.View, state.AcceptorState, outbox, detector.Resolve,
 		observers.onView)
-	planner := reconfiguration.NewPlanner(bounds.Broken)
+	planner := reconfiguration.NewPlanner(bounds.LinkTimeout)
 	members.proposer = viewchange.New(now, viewchange.Settings{Founders: settings.Founders, Founding: state.Founding,
 		Suspicion: bounds.Suspicion, Stagger: bounds.Stagger}, self, members.agent, planner, random)
 	descriptor := &wire.PeerDescriptor{Address: self.Address, Zone: self.Zone, Core: true}
@@ -91,7 +91,7 @@
 		return
 	}
 	if heartbeat.View < current.Epoch {
-		members.agent.Tell(heartbeat.Member.Address)
+		members.agent.SendView(heartbeat.Member.Address)
 	}
 	// Whoever hears less or is about to stop may have to be replaced at once.
 	if changed {
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -139,7 +139,7 @@
 	}
 	fleet.run(servingBound)
 	for _, machine := range fleet.machines {
-		if machine.node != nil && machine.node.Chain().Inside() {
+		if machine.node != nil && machine.node.Chain().IsMember() {
 			fleet.requireKept(machine)
 		}
 	}
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -71,13 +71,13 @@
 	state.Founding = state.Founding || isFoundingNow
 	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now}
 	node.members = newMembers(now, settings, state, records, random,
-		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.Memory})
+		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.DurableState})
 	node.self, node.outbox = node.members.self, node.members.outbox
 	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
 	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
-	node.registrar = registry.NewRegistrar(now, settings.Heartbeat, 0, node.outbox, registry.Environment{
-		Daemons: node.daemons.addresses, Cores: node.members.addresses, Joined: node.members.hearsMajority,
-		Isolated: node.daemons.isIsolated})
+	node.registrar = registry.NewRegistrar(now, settings.RunnerHeartbeat, 0, node.outbox, registry.Environment{
+		Daemons: node.daemons.addresses, Cores: node.members.addresses, HearsMostCores: node.members.hearsMajority,
+		HearsNobody: node.daemons.isIsolated})
 	node.handlers = newHandlers(node)
 	node.resume(now, state, isFoundingNow)
 	return node
@@ -105,7 +105,7 @@
 		node.members.disk.Replace(now)
 	}
 	if current := node.members.agent.Current(); current.Epoch > 0 {
-		node.daemons.witness.Restarted(now)
+		node.daemons.witness.AssumeForgottenConfirmations(now)
 		node.daemons.leases.Restarted(now)
 		node.members.adopt(now, current)
 	}
@@ -133,8 +133,8 @@
 	return counters
 }
 
-// Drain returns messages, stamped with who sends them, and writes.
-func (node *Node) Drain() ([]statemachine.Message, []statemachine.Write) {
+// Ready returns messages, stamped with who sends them, and writes.
+func (node *Node) Ready() ([]statemachine.Message, []statemachine.Write) {
 	messages, writes := node.outbox.Drain()
 	for _, message := range messages {
 		envelope := message.Envelope
@@ -191,9 +191,9 @@
 	node.proposals.Acknowledge(now)
 }
 
-// Refused handles that nobody listened at an address when it was tried: the process that was there has ended, since it
+// ConnectionRefused handles that nobody listened at an address when it was tried: the process that was there has ended, since it
 // listens for as long as it lives, and with it all that it was granted.
-func (node *Node) Refused(now time.Time, address string, tried time.Time) {
+func (node *Node) ConnectionRefused(now time.Time, address string, tried time.Time) {
 	node.daemons.grantor.ConnectionRefused(now, address, tried)
 	if node.daemons.connectionRefused(now, address, tried) {
 		node.proposals.Acknowledge(now)
@@ -203,9 +203,9 @@
 	node.members.propose(now)
 }
 
-// Ask takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
+// Submit takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
 // once.
-func (node *Node) Ask(now time.Time, message *wire.OperatorRequest,
+func (node *Node) Submit(now time.Time, message *wire.OperatorRequest,
 	respond func(status int, body []byte)) (token string) {
 	return node.requests.Submit(now, message, respond)
 }
@@ -214,11 +214,11 @@
 // change goes on: its operator sends it again, here or elsewhere, and learns whatever has come of it meanwhile.
 func (node *Node) Abandon(token string) { node.requests.Abandon(token) }
 
-// Leading reports whether this machine acts as head at this moment.
-func (node *Node) Leading(now time.Time) bool { return node.daemons.leadership.IsLeading(now) }
+// IsLeading reports whether this machine acts as head at this moment.
+func (node *Node) IsLeading(now time.Time) bool { return node.daemons.leadership.IsLeading(now) }
 
-// Leave orders this machine to stop, so that the others first take over what it holds.
-func (node *Node) Leave(now time.Time) {
+// Decommission orders this machine to stop, so that the others first take over what it holds.
+func (node *Node) Decommission(now time.Time) {
 	if !node.members.decommission.Start(now) {
 		return
 	}
@@ -227,8 +227,8 @@
 	node.members.propose(now)
 }
 
-// Left reports whether this machine may stop: others have taken over what it holds, or nobody is there to do so.
-func (node *Node) Left(now time.Time) bool {
+// IsDecommissioned reports whether this machine may stop: others have taken over what it holds, or nobody is there to do so.
+func (node *Node) IsDecommissioned(now time.Time) bool {
 	return node.members.decommission.IsComplete(node.members.facts(now), node.members.chain.Committed().Sequence)
 }
 
@@ -254,12 +254,12 @@
 // Replay folds one record of the log into a state.
 func Replay(state *wire.DurableState, record *wire.Record) { durability.Replay(state, record) }
 
-// Memory returns all that this machine must not forget.
-func (node *Node) Memory() *wire.DurableState {
+// DurableState returns all that this machine must not forget.
+func (node *Node) DurableState() *wire.DurableState {
 	agent := node.members.agent
-	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.Vote(),
+	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.AcceptorState(),
 		Founding: node.members.proposer.IsFounding(), ClearedTerm: node.daemons.grantor.ClearedTerm()}
-	node.members.chain.Memory(state)
+	node.members.chain.AddTo(state)
 	return state
 }
 
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -17,7 +17,7 @@
 		node := New(time.Unix(0, 0), Settings{Address: "127.0.0.1:1", Zone: "a"}, &wire.DurableState{Id: "same"}, nil,
 			rand.New(rand.NewSource(int64(incarnation))))
 		answers := 0
-		token := node.Ask(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
+		token := node.Submit(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
 		if tokens[token] {
 			t.Fatalf("token %s again", token)
 		}
@@ -79,7 +79,7 @@
 
 // drain carries out the node's writes; the other grants every claim, and what goes to the node itself comes to it.
 func (pair *pair) drain() {
-	messages, writes := pair.node.Drain()
+	messages, writes := pair.node.Ready()
 	for _, write := range writes {
 		pair.node.Synced(pair.now, write.Sequence)
 	}
@@ -131,11 +131,11 @@
 	if !node.daemons.leadership.HoldsLease(pair.now) {
 		t.Fatal("no claim, so that nothing was put to the test")
 	}
-	if node.Leading(pair.now) || pair.grants > 0 {
-		t.Fatalf("leads %v, granted %d ticks", node.Leading(pair.now), pair.grants)
+	if node.IsLeading(pair.now) || pair.grants > 0 {
+		t.Fatalf("leads %v, granted %d ticks", node.IsLeading(pair.now), pair.grants)
 	}
 	pair.run(time.Second, true)
-	if !node.Leading(pair.now) || pair.grants == 0 {
-		t.Fatalf("leads %v, granted %d ticks, once its history is committed", node.Leading(pair.now), pair.grants)
+	if !node.IsLeading(pair.now) || pair.grants == 0 {
+		t.Fatalf("leads %v, granted %d ticks, once its history is committed", node.IsLeading(pair.now), pair.grants)
 	}
 }
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -44,7 +44,7 @@
 
 func (lone *lone) settle() {
 	for range 4 {
-		messages, writes := lone.node.Drain()
+		messages, writes := lone.node.Ready()
 		for _, write := range writes {
 			lone.held = append(lone.held, write.Sequence)
 		}
@@ -65,7 +65,7 @@
 // send gives the answer once there is one; its status is 0 before.
 func (lone *lone) send(ask *wire.OperatorRequest) *given {
 	given := &given{}
-	lone.node.Ask(lone.now, ask, func(status int, body []byte) {
+	lone.node.Submit(lone.now, ask, func(status int, body []byte) {
 		given.status = status
 		if err := json.Unmarshal(body, &given.reply); err != nil {
 			panic(err)
@@ -151,7 +151,7 @@
 	} {
 		got := lone.send(step.ask)
 		if got.status != step.status || got.reply.Epoch != step.epoch ||
-			step.path != "" && (len(got.reply.Flaws) != 1 || got.reply.Flaws[0].Path != step.path) {
+			step.path != "" && (len(got.reply.Problems) != 1 || got.reply.Problems[0].Path != step.path) {
 			t.Errorf("%s: %d %+v", step.ask.Operation, got.status, got.reply)
 		}
 	}
@@ -173,7 +173,7 @@
 		"limits.body_bytes":     `{"limits":{"body_bytes":-1},"remove":{"lanes":["a"]}}`,
 	} {
 		got := lone.send(change(path, 1, 0, content))
-		if got.status != 422 || len(got.reply.Flaws) == 0 || got.reply.Flaws[0].Path != path {
+		if got.status != 422 || len(got.reply.Problems) == 0 || got.reply.Problems[0].Path != path {
 			t.Errorf("%s: %d %+v", path, got.status, got.reply)
 		}
 	}
@@ -190,7 +190,7 @@
 			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`),
 	)
 	held, err := config.Decode(lone.node.Chain().Committed().Spec)
-	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Pool != "q" ||
+	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Backend != "q" ||
 		held.Limits.BodyBytes != 5 ||
 		held.Routes[0].Value != 1 {
 		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, held)
@@ -237,7 +237,7 @@
 	if read.status != 200 || lone.routes(t) != "b" {
 		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.routes(t))
 	}
-	lone.run(lease.DaemonTerm + daemonlease.ClockMargin)
+	lone.run(lease.DaemonTTL + daemonlease.ClockMargin)
 	if changed.status != 200 {
 		t.Fatalf("the change: %d %+v", changed.status, changed.reply)
 	}
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -45,7 +45,7 @@
 			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question},
 		},
 	)
-	messages, writes := head.node.Drain()
+	messages, writes := head.node.Ready()
 	head.writes = append(head.writes, writes...)
 	var answer *wire.DaemonLeaseGrant
 	for _, message := range messages {
--- a/control/node/receive_fuzz_test.go
+++ b/control/node/receive_fuzz_test.go
@@ -62,7 +62,7 @@
 		}
 		now = now.Add(100 * time.Millisecond)
 		node.Tick(now)
-		messages, writes := node.Drain()
+		messages, writes := node.Ready()
 		for _, write := range writes {
 			node.Synced(now, write.Sequence)
 		}
--- a/control/node/settings.go
+++ b/control/node/settings.go
@@ -17,8 +17,8 @@
 	Seeds []string
 	// Founders are the addresses of the first disk machines; all must be there for the first view.
 	Founders []string
-	// Heartbeat is how often runners call; 0 stands for the registry's own.
-	Heartbeat time.Duration
+	// RunnerHeartbeat is how often runners call; 0 stands for the registry's own.
+	RunnerHeartbeat time.Duration
 	// Founding is set at the very first start of the whole fleet. A machine whose disk was lost later
 	// starts without it and never founds anything.
 	Founding bool
@@ -26,8 +26,8 @@
 	Faults int
 	// Quotas is by how much the daemons together may exceed tenants' quotas.
 	Quotas quota.Tolerance
-	// Staleness is for how long a data daemon may rely on a lease; 0 stands for what the limits allow.
-	Staleness time.Duration
+	// DaemonLease is for how long a data daemon may rely on a lease; 0 stands for what the limits allow.
+	DaemonLease time.Duration
 	// Limits are the times that the platform grants; zero ones stand for the usual.
 	Limits Limits
 }
@@ -35,8 +35,8 @@
 // withDefaults returns the settings with what stands for zero values.
 func (settings Settings) withDefaults() Settings {
 	settings.Faults = max(1, settings.Faults)
-	if settings.Staleness == 0 {
-		settings.Staleness = BoundsFor(settings.Limits).DaemonLease
+	if settings.DaemonLease == 0 {
+		settings.DaemonLease = BoundsFor(settings.Limits).DaemonLease
 	}
 	return settings
 }
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -14,8 +14,8 @@
 	// View is the epoch of the present view, and Fleet the name of its fleet; 0 and empty before the first view.
 	View  uint64 `json:"view"`
 	Fleet string `json:"fleet"`
-	// Place is the machine's position in the chain: head, middle, tail, head and tail, or outside.
-	Place     string         `json:"place"`
+	// Position is the machine's position in the chain: head, middle, tail, head and tail, or outside.
+	Position  string         `json:"place"`
 	Chain     []MemberStatus `json:"chain"`
 	Acceptors []MemberStatus `json:"keepers"`
 	Daemons   []MemberStatus `json:"daemons"`
@@ -26,12 +26,12 @@
 	Epoch uint64 `json:"epoch"`
 	// Pending counts the entries that are not committed yet.
 	Pending int `json:"pending"`
-	// Asks is how many requests of operators wait for a response here.
-	Asks int `json:"asks"`
-	// Claim is set while it holds the leader's lease, and Leading while it acts as head.
-	Claim     bool `json:"claim"`
-	Leading   bool `json:"leading"`
-	Unhealthy bool `json:"sick"`
+	// Requests is how many requests of operators wait for a response here.
+	Requests int `json:"asks"`
+	// HoldsLease is set while it holds the leader's lease, and Leading while it acts as head.
+	HoldsLease bool `json:"claim"`
+	IsLeading  bool `json:"leading"`
+	Unhealthy  bool `json:"sick"`
 	// Runners counts the runners' calls.
 	Runners registry.Counters `json:"runners"`
 	// Warnings name what the fleet can no longer bear to lose.
@@ -44,8 +44,8 @@
 	Address string `json:"address"`
 	HTTP    string `json:"http,omitempty"`
 	Zone    string `json:"zone"`
-	// Heard is set if it was heard of late.
-	Heard bool `json:"heard"`
+	// IsAlive is set if it was heard of late.
+	IsAlive bool `json:"heard"`
 	// Sequence is the newest one that it reported to have.
 	Sequence  uint64 `json:"sequence,omitempty"`
 	Unhealthy bool   `json:"sick,omitempty"`
@@ -55,10 +55,10 @@
 func (node *Node) Status(now time.Time) Status {
 	members, daemons := node.members, node.daemons
 	current, document := members.agent.Current(), members.chain.Committed()
-	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Place: positionName(members.chain),
+	status := Status{ID: node.self.Id, View: current.Epoch, Fleet: current.Fleet, Position: positionName(members.chain),
 		Synced: members.chain.Synced(), Committed: document.Sequence, Epoch: document.SpecEpoch,
-		Pending: len(members.chain.Pending()), Asks: node.requests.Count(),
-		Claim: daemons.leadership.HoldsLease(now), Leading: daemons.leadership.IsLeading(now),
+		Pending: len(members.chain.Pending()), Requests: node.requests.Count(),
+		HoldsLease: daemons.leadership.HoldsLease(now), IsLeading: daemons.leadership.IsLeading(now),
 		Unhealthy: members.disk.IsUnhealthy(now), Runners: node.registrar.Counters()}
 	for _, member := range current.Chain {
 		status.Chain = append(status.Chain, members.chainMemberStatus(now, member))
@@ -68,7 +68,7 @@
 	}
 	for _, member := range document.Directory {
 		entry := MemberStatus{Address: member.Address, HTTP: member.Http, Zone: member.Zone}
-		entry.Sequence, entry.Heard = daemons.leases.Progress(now, member.Address)
+		entry.Sequence, entry.IsAlive = daemons.leases.Progress(now, member.Address)
 		status.Daemons = append(status.Daemons, entry)
 	}
 	status.Warnings = members.facts(now).Warnings()
@@ -78,7 +78,7 @@
 // memberStatus returns the status of a disk machine but for what it reported.
 func (members *members) memberStatus(now time.Time, member *wire.Member) MemberStatus {
 	return MemberStatus{ID: member.Id, Address: members.detector.AddressOf(member), HTTP: member.Http,
-		Zone: member.Zone, Heard: members.detector.IsAlive(now, member.Id)}
+		Zone: member.Zone, IsAlive: members.detector.IsAlive(now, member.Id)}
 }
 
 // chainMemberStatus returns the status of a member of the chain, with its progress.
@@ -95,13 +95,13 @@
 // positionName returns how operators call a machine's position in the chain.
 func positionName(chain *chain.Chain) string {
 	switch {
-	case !chain.Inside():
+	case !chain.IsMember():
 		return "outside"
-	case chain.Head() && chain.Tail():
+	case chain.IsHead() && chain.IsTail():
 		return "head and tail"
-	case chain.Head():
+	case chain.IsHead():
 		return "head"
-	case chain.Tail():
+	case chain.IsTail():
 		return "tail"
 	}
 	return "middle"
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -71,7 +71,7 @@
 // request asks the control nodes in turn, and returns the first reply, or the last error.
 func (client *Client) request(method, path string, body []byte) (node.Reply, error) {
 	if len(client.Cores) == 0 {
-		return node.Reply{}, apierror.New(apierror.BadSettings, "no core is named; give --core")
+		return node.Reply{}, apierror.New(apierror.InvalidSettings, "no core is named; give --core")
 	}
 	var last error
 	for _, address := range client.Cores {
--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -86,9 +86,9 @@
 		t.Errorf("%+v, %v", reply, err)
 	}
 	for code, cores := range map[apierror.Code][]string{
-		apierror.Unreachable: {malformed, unreachable},
-		apierror.Malformed:   {unreachable, malformed},
-		apierror.BadSettings: nil,
+		apierror.Unreachable:     {malformed, unreachable},
+		apierror.Malformed:       {unreachable, malformed},
+		apierror.InvalidSettings: nil,
 	} {
 		if _, err := New(cores).Get(); !apierror.Is(err, code) {
 			t.Errorf("%s: %v", code, err)
@@ -112,11 +112,11 @@
 	if len(fleet.Cores) != 2 || fleet.Cores[0].Address != "a" || fleet.Cores[1].Address != "b" {
 		t.Errorf("control nodes: %+v", fleet.Cores)
 	}
-	if len(fleet.Datas) != 1 || fleet.Datas[0].Address != "data" {
-		t.Errorf("daemons: %+v", fleet.Datas)
+	if len(fleet.Daemons) != 1 || fleet.Daemons[0].Address != "data" {
+		t.Errorf("daemons: %+v", fleet.Daemons)
 	}
-	if len(fleet.Silent) != 1 || fleet.Silent[0] != unreachable {
-		t.Errorf("unresponsive: %v", fleet.Silent)
+	if len(fleet.Unreachable) != 1 || fleet.Unreachable[0] != unreachable {
+		t.Errorf("unresponsive: %v", fleet.Unreachable)
 	}
 	if _, err := New([]string{unreachable}).Status(); !apierror.Is(err, apierror.Unreachable) {
 		t.Errorf("no node responds: %v", err)
--- a/control/operator/status.go
+++ b/control/operator/status.go
@@ -14,10 +14,10 @@
 
 // FleetStatus is the status of every process that responded, each list ordered by address.
 type FleetStatus struct {
-	Cores []server.Status `json:"cores"`
-	Datas []daemon.Status `json:"datas"`
-	// Silent are the HTTP addresses of the processes that did not respond.
-	Silent []string `json:"silent,omitempty"`
+	Cores   []server.Status `json:"cores"`
+	Daemons []daemon.Status `json:"datas"`
+	// Unreachable are the HTTP addresses of the processes that did not respond.
+	Unreachable []string `json:"silent,omitempty"`
 }
 
 // Status asks the whole fleet: the control nodes named, those of their views, and the data daemons they know. An error
@@ -31,8 +31,8 @@
 	}
 	client.collectDaemons(&fleet, daemons)
 	sort.Slice(fleet.Cores, func(i, j int) bool { return fleet.Cores[i].Address < fleet.Cores[j].Address })
-	sort.Slice(fleet.Datas, func(i, j int) bool { return fleet.Datas[i].Address < fleet.Datas[j].Address })
-	sort.Strings(fleet.Silent)
+	sort.Slice(fleet.Daemons, func(i, j int) bool { return fleet.Daemons[i].Address < fleet.Daemons[j].Address })
+	sort.Strings(fleet.Unreachable)
 	return fleet, nil
 }
 
@@ -50,7 +50,7 @@
 		asked[address] = true
 		status := server.Status{}
 		if !client.fetchStatus(address, &status) {
-			fleet.Silent = append(fleet.Silent, address)
+			fleet.Unreachable = append(fleet.Unreachable, address)
 			continue
 		}
 		fleet.Cores = append(fleet.Cores, status)
@@ -78,9 +78,9 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			if responded {
-				fleet.Datas = append(fleet.Datas, status)
+				fleet.Daemons = append(fleet.Daemons, status)
 			} else {
-				fleet.Silent = append(fleet.Silent, address)
+				fleet.Unreachable = append(fleet.Unreachable, address)
 			}
 		})
 	}
--- a/control/proposal/change.go
+++ b/control/proposal/change.go
@@ -61,7 +61,7 @@
 		return
 	}
 	entry := &wire.Entry{Operation: message.Operation, ChangesSpec: true, SpecEpoch: epoch, Spec: content}
-	if err := proposals.chain.Enter(now, entry); err != nil {
+	if err := proposals.chain.Submit(now, entry); err != nil {
 		found := apierror.Of(err)
 		call.refuse(now, http.StatusServiceUnavailable, call.refusal(found.Code, found.Detail))
 		return
@@ -113,7 +113,7 @@
 	}
 	if len(problems) > 0 {
 		reply := call.refusal(apierror.InvalidSpec, fmt.Sprintf("%d faults", len(problems)))
-		reply.Flaws = problems
+		reply.Problems = problems
 		call.refuse(now, http.StatusUnprocessableEntity, reply)
 		return 0, nil, false
 	}
@@ -136,7 +136,7 @@
 		}
 		return parsed, parsed.Check(), nil
 	}
-	present := &config.Spec{Zones: []config.Zone{}, Backends: []config.Pool{}, Routes: config.Routes{}}
+	present := &config.Spec{Zones: []config.Zone{}, Backends: []config.Backend{}, Routes: config.Routes{}}
 	if len(latest.Spec) > 0 {
 		decoded, err := config.Decode(latest.Spec)
 		if err != nil {
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -86,7 +86,7 @@
 // Adopt handles that another view is agreed on. A process that is not head in it drops those who wait here: where the
 // request came in it is still open and goes to the new head, which finds the change in its history or takes it anew.
 func (proposals *Proposals) Adopt() {
-	if !proposals.chain.Head() {
+	if !proposals.chain.IsHead() {
 		proposals.waiters = nil
 	}
 }
@@ -183,7 +183,7 @@
 // mayAnswer reports whether this process may answer a request as head; a head that may not yet defers it.
 func (proposals *Proposals) mayAnswer(now time.Time, message *wire.OperatorRequest) bool {
 	isLeading := proposals.environment.IsLeading(now)
-	if !isLeading && proposals.chain.Head() {
+	if !isLeading && proposals.chain.IsHead() {
 		proposals.postpone(now, message)
 	}
 	return isLeading
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -49,7 +49,7 @@
 	bench.requests = NewRequests(7, member, agent, bench.chain, bench.outbox, addressOf,
 		func(now time.Time, message *wire.OperatorRequest) { bench.proposals.Serve(now, message) })
 	bench.proposals = NewProposals(member.Address, bench.chain, bench.outbox, bench.requests, Environment{
-		IsLeading: func(time.Time) bool { return bench.leading && bench.chain.Head() },
+		IsLeading: func(time.Time) bool { return bench.leading && bench.chain.IsHead() },
 		IsDelivered: func(_ time.Time, sequence uint64) bool {
 			return bench.delivered && bench.chain.Committed().Sequence >= sequence
 		},
--- a/control/proposal/reply.go
+++ b/control/proposal/reply.go
@@ -49,12 +49,12 @@
 	Outcome string `json:"outcome"`
 	// Epoch is that of the spec that the reply is about.
 	Epoch uint64 `json:"epoch"`
-	// Kind, Detail and Remedy say why a request was refused, as in apierror.Error.
-	Kind   string `json:"kind,omitempty"`
+	// Code, Detail and Remedy say why a request was refused, as in apierror.Error.
+	Code   string `json:"kind,omitempty"`
 	Detail string `json:"detail,omitempty"`
 	Remedy string `json:"remedy,omitempty"`
-	// Flaws are the faults of a spec.
-	Flaws []config.Problem `json:"flaws,omitempty"`
+	// Problems are the faults of a spec.
+	Problems []config.Problem `json:"flaws,omitempty"`
 	// Spec is what a read found.
 	Spec json.RawMessage `json:"spec,omitempty"`
 }
@@ -70,7 +70,7 @@
 
 // refusal returns the reply to a refused request.
 func refusal(code apierror.Code, epoch uint64, operation, detail string) Reply {
-	return Reply{Operation: operation, Outcome: OutcomeRefused, Epoch: epoch, Kind: string(code), Detail: detail,
+	return Reply{Operation: operation, Outcome: OutcomeRefused, Epoch: epoch, Code: string(code), Detail: detail,
 		Remedy: (&apierror.Error{Code: code}).Remedy()}
 }
 
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -131,7 +131,7 @@
 	open.lastSent, open.view = now, newest.Epoch
 	head := newest.Chain[0]
 	if head.Id == requests.self.Id {
-		if requests.chain.Head() {
+		if requests.chain.IsHead() {
 			open.recipients[head.Id] = true
 		}
 		requests.serve(now, open.message)
@@ -151,7 +151,7 @@
 		requests.finish(open.message.Token, http.StatusGatewayTimeout, reply)
 		return
 	}
-	reply := refusal(apierror.NoMajority, 0, operation, "the chain gave no answer in time")
+	reply := refusal(apierror.NoQuorum, 0, operation, "the chain gave no answer in time")
 	requests.finish(open.message.Token, http.StatusServiceUnavailable, reply)
 }
 
--- a/control/server/eventloop.go
+++ b/control/server/eventloop.go
@@ -16,7 +16,7 @@
 // Run serves until the context ends. Then the node leaves: Run returns once others have taken over its duties, nobody
 // is there to do so, or its grace is nearly over.
 func (server *Server) Run(ctx context.Context) error {
-	if server.settings.Idle {
+	if server.settings.Diskless {
 		server.log.Warn("no disk on this machine: standing by")
 		<-ctx.Done()
 		return nil
@@ -47,9 +47,9 @@
 
 // leave hands the node's duties over to others, and returns when that is done or its time is over.
 func (server *Server) leave(ticker *time.Ticker) {
-	leaveBy := time.Now().Add(node.BoundsFor(nodeLimits(server.settings)).Leave)
+	leaveBy := time.Now().Add(node.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
 	server.log.Info("leaving")
-	server.step(func(now time.Time) { server.node.Leave(now) })
+	server.step(func(now time.Time) { server.node.Decommission(now) })
 	for {
 		<-ticker.C
 		server.tick()
@@ -64,7 +64,7 @@
 func (server *Server) hasLeft() bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return server.node.Left(time.Now())
+	return server.node.IsDecommissioned(time.Now())
 }
 
 // tick lets the node act on the time that has passed.
@@ -88,7 +88,7 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	do(time.Now())
-	messages, writes := server.node.Drain()
+	messages, writes := server.node.Ready()
 	server.transport.Send(messages)
 	for _, write := range writes {
 		if !server.writes.Offer(write) {
--- a/control/server/eventloop_test.go
+++ b/control/server/eventloop_test.go
@@ -59,7 +59,7 @@
 
 // A server without a disk stands by until its context ends.
 func TestIdleServerStandsBy(t *testing.T) {
-	server, err := New(&process.Settings{Idle: true}, slog.New(slog.DiscardHandler))
+	server, err := New(&process.Settings{Diskless: true}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/server/helpers_test.go
+++ b/control/server/helpers_test.go
@@ -68,7 +68,7 @@
 // hold returns when its caller has left and the calls are released.
 func (node *singleNode) hold(request *fasthttp.RequestCtx) {
 	node.held <- struct{}{}
-	for !netio.Left(request.Conn()) {
+	for !netio.Disconnected(request.Conn()) {
 		runtime.Gosched()
 	}
 	<-node.release
@@ -93,7 +93,7 @@
 func (node *singleNode) pendingRequests() int {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	return node.node.Status(time.Now()).Asks
+	return node.node.Status(time.Now()).Requests
 }
 
 // sendAndLeave sends a call that is read only after its connection was closed.
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -63,7 +63,7 @@
 	listening := net.ListenConfig{}
 	listener, err := listening.Listen(context.WithoutCancel(ctx), "tcp", server.settings.HTTP)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.BadSettings, "listening on %s", server.settings.HTTP)
+		return nil, apierror.Wrap(err, apierror.InvalidSettings, "listening on %s", server.settings.HTTP)
 	}
 	go func() {
 		if err := httpServer.Serve(listener); err != nil {
@@ -91,13 +91,13 @@
 
 // refusal returns the reply to a call that took no effect.
 func refusal(code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: OutcomeRefused, Kind: string(code), Detail: detail}
+	return node.Reply{Outcome: OutcomeRefused, Code: string(code), Detail: detail}
 }
 
 // WriteReply responds with a reply, and adds the remedy for its error code where it has none.
 func WriteReply(request *fasthttp.RequestCtx, status int, reply node.Reply) {
-	if reply.Kind != "" && reply.Remedy == "" {
-		reply.Remedy = (&apierror.Error{Code: apierror.Code(reply.Kind)}).Remedy()
+	if reply.Code != "" && reply.Remedy == "" {
+		reply.Remedy = (&apierror.Error{Code: apierror.Code(reply.Code)}).Remedy()
 	}
 	content, err := json.Marshal(reply)
 	if err != nil {
@@ -126,11 +126,11 @@
 // RejectAbandoned rejects a call whose caller has closed its connection, and reports whether it did. Such a call was
 // read behind the close, as after a freeze of this machine; a caller that still wants something has called again.
 func RejectAbandoned(request *fasthttp.RequestCtx) bool {
-	if !netio.Left(request.Conn()) {
+	if !netio.Disconnected(request.Conn()) {
 		return false
 	}
 	request.SetConnectionClose()
-	reply := refusal(apierror.ClientGone, "the caller has closed its connection")
+	reply := refusal(apierror.ClientDisconnected, "the caller has closed its connection")
 	WriteReply(request, fasthttp.StatusServiceUnavailable, reply)
 	return true
 }
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -77,7 +77,7 @@
 	}
 	responses := make(chan operatorResponse, 1)
 	server.step(func(now time.Time) {
-		token = server.node.Ask(now, message, func(status int, body []byte) {
+		token = server.node.Submit(now, message, func(status int, body []byte) {
 			responses <- operatorResponse{status, body}
 		})
 	})
@@ -116,7 +116,7 @@
 	request *fasthttp.RequestCtx, message *wire.OperatorRequest,
 ) operatorResponse {
 	left := make(chan struct{})
-	stop := netio.FromHTTP(request).Watch(func() { close(left) })
+	stop := netio.FromHTTP(request).OnDisconnect(func() { close(left) })
 	defer stop()
 	token, responses := server.submit(message)
 	select {
@@ -132,7 +132,7 @@
 
 // unknownOutcome returns the reply to a request that may still take effect.
 func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: OutcomeUnknown, Operation: message.Operation, Kind: string(code), Detail: detail}
+	return node.Reply{Outcome: OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
 }
 
 // parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -20,8 +20,8 @@
 
 // registrationRefusals are the replies to the outcomes that acknowledge nothing.
 var registrationRefusals = map[registry.Outcome]node.Reply{
-	registry.Full:    refusal(apierror.Busy, "more runners are registered than this core remembers"),
-	registry.Unheard: refusal(apierror.CutOff, "no daemon has confirmed it"),
+	registry.TableFull:   refusal(apierror.Busy, "more runners are registered than this core remembers"),
+	registry.Unreachable: refusal(apierror.Partitioned, "no daemon has confirmed it"),
 }
 
 // mountRunners adds the runners' routes.
@@ -33,7 +33,7 @@
 
 // handleRegister handles a runner's heartbeat.
 func (server *Server) handleRegister(request *fasthttp.RequestCtx) {
-	runner, err := registry.Read(pathID(request), request.PostBody())
+	runner, err := registry.ParseCall(pathID(request), request.PostBody())
 	if err != nil {
 		WriteParseError(request, err)
 		return
@@ -47,7 +47,7 @@
 // handleDeregister removes a runner.
 func (server *Server) handleDeregister(request *fasthttp.RequestCtx) {
 	id := pathID(request)
-	if !registry.CheckID(id) {
+	if !registry.ValidID(id) {
 		err := apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes")
 		WriteParseError(request, err)
 		return
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -62,7 +62,7 @@
 // Idle, for a machine without a disk, the server only stands by.
 func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
 	// A node that can't remember must neither vote nor count as a replica, and to exit again and again helps nobody.
-	if settings.Idle {
+	if settings.Diskless {
 		return &Server{settings: settings, log: log}, nil
 	}
 	recovery, err := recoverState(settings, log)
@@ -81,7 +81,7 @@
 		log.Warn("the time limits are too short to be kept after every loss", "cause", err.Error())
 	}
 	random := rand.New(rand.NewSource(randomseed.New()))
-	server.node = node.New(time.Now(), configuration, recovery.Memory, recovery.Records, random)
+	server.node = node.New(time.Now(), configuration, recovery.State, recovery.Records, random)
 	server.transport = transport.New(settings.Address, settings.Zone, server.receive, server.connectionRefused)
 	return server, nil
 }
@@ -91,18 +91,18 @@
 	if err := snapshot.MakeDirectory(settings.Folder, folderMode); err != nil {
 		return storage.Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
 	}
-	recovery, err := storage.RestoreWithin(recoveryTimeout, func() (storage.Recovery, error) {
+	recovery, err := storage.RecoverWithin(recoveryTimeout, func() (storage.Recovery, error) {
 		mark := time.Now().UTC().Format(setAsideFormat)
-		return storage.Restore(snapshot.Directory(settings.Folder), newID, mark)
+		return storage.Recover(snapshot.Directory(settings.Folder), newID, mark)
 	})
 	if err != nil {
 		return storage.Recovery{}, err
 	}
-	if recovery.Lost != nil {
-		log.Error("memory can't be trusted; this machine joins as a new one", "cause", recovery.Lost.Error())
+	if recovery.DiscardCause != nil {
+		log.Error("memory can't be trusted; this machine joins as a new one", "cause", recovery.DiscardCause.Error())
 	}
 	if recovery.Fresh {
-		log.Info("blank folder; new identity", "id", recovery.Memory.Id)
+		log.Info("blank folder; new identity", "id", recovery.State.Id)
 	}
 	return recovery, nil
 }
@@ -110,15 +110,15 @@
 // nodeSettings returns the node's part of a process's settings.
 func nodeSettings(settings *process.Settings) node.Settings {
 	return node.Settings{
-		Limits:    nodeLimits(settings),
-		Address:   settings.Address,
-		HTTP:      settings.HTTP,
-		Zone:      settings.Zone,
-		Seeds:     settings.Seeds,
-		Founders:  settings.Founders,
-		Founding:  !settings.Joins,
-		Faults:    settings.Faults,
-		Heartbeat: settings.HeartbeatTime(),
+		Limits:          nodeLimits(settings),
+		Address:         settings.Address,
+		HTTP:            settings.HTTP,
+		Zone:            settings.Zone,
+		Seeds:           settings.Seeds,
+		Founders:        settings.Founders,
+		Founding:        !settings.Joins,
+		Faults:          settings.Faults,
+		RunnerHeartbeat: settings.HeartbeatTime(),
 		Quotas: quota.Tolerance{
 			Window: settings.QuotasWindow(),
 			Excess: settings.Quotas.Excess,
@@ -154,5 +154,5 @@
 
 // connectionRefused handles that an address refused a connection that was tried at a time.
 func (server *Server) connectionRefused(address string, tried time.Time) {
-	server.step(func(now time.Time) { server.node.Refused(now, address, tried) })
+	server.step(func(now time.Time) { server.node.ConnectionRefused(now, address, tried) })
 }
