--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -52,17 +52,17 @@
 // writeData has the present code write a first state, then another, then records.
 func writeData(t *testing.T, folder Folder, state *wire.DurableState, records []*wire.Record) {
 	t.Helper()
-	recovery, err := Restore(folder, identity, "mark")
+	recovery, err := Recover(folder, identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
 	writes := make([]statemachine.Write, 0, 1+len(records))
-	writes = append(writes, statemachine.Write{Sequence: 1, Memory: state})
+	writes = append(writes, statemachine.Write{Sequence: 1, Snapshot: state})
 	for index, record := range records {
 		writes = append(writes, statemachine.Write{Sequence: uint64(index) + 2, Record: record})
 	}
 	last := uint64(0)
-	Carry(recovery.Store, writes, func(sequence uint64) { last = sequence }, func(err error) { t.Fatal(err) })
+	WriteBatch(recovery.Store, writes, func(sequence uint64) { last = sequence }, func(err error) { t.Fatal(err) })
 	if last != uint64(len(writes)) {
 		t.Fatalf("synced up to %d of %d", last, len(writes))
 	}
@@ -127,11 +127,11 @@
 	for _, version := range versions {
 		t.Run(version.Name(), func(t *testing.T) {
 			folder := loaded(t, version.Name())
-			recovery, err := Restore(folder, identity, "mark")
-			if err != nil || recovery.Fresh || recovery.Lost != nil {
-				t.Fatalf("fresh %v, lost %v, %v", recovery.Fresh, recovery.Lost, err)
+			recovery, err := Recover(folder, identity, "mark")
+			if err != nil || recovery.Fresh || recovery.DiscardCause != nil {
+				t.Fatalf("fresh %v, lost %v, %v", recovery.Fresh, recovery.DiscardCause, err)
 			}
-			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.Memory, recovery.Records))
+			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.State, recovery.Records))
 		})
 	}
 }
@@ -155,13 +155,13 @@
 
 // The folder of the present version has every field of states and records; a field that it lacks requires a new folder.
 func TestPresentFolderHoldsEveryField(t *testing.T) {
-	recovery, err := Restore(loaded(t, presentFolder), identity, "mark")
+	recovery, err := Recover(loaded(t, presentFolder), identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
 	state, records := goldenState(t)
-	if !proto.Equal(recovery.Memory, state) {
-		t.Errorf("the state is %v", recovery.Memory)
+	if !proto.Equal(recovery.State, state) {
+		t.Errorf("the state is %v", recovery.State)
 	}
 	if len(recovery.Records) != len(records) {
 		t.Fatalf("%d records of %d kinds", len(recovery.Records), len(records))
--- a/control/storage/recovery.go
+++ b/control/storage/recovery.go
@@ -24,20 +24,20 @@
 type Recovery struct {
 	// Store is the open folder, to which the node's writes go from now on.
 	Store *snapshot.Store
-	// Memory is the last complete state; its Id is the node's identity and is never empty.
-	Memory *wire.DurableState
+	// State is the last complete state; its Id is the node's identity and is never empty.
+	State *wire.DurableState
 	// Records are those logged after Memory, in the order in which they were written.
 	Records []*wire.Record
 	// Fresh reports that the identity is new, because the folder was blank or could not be trusted.
 	Fresh bool
-	// Lost is why earlier content was set aside; nil where none was.
-	Lost error
+	// DiscardCause is why earlier content was set aside; nil where none was.
+	DiscardCause error
 }
 
-// Restore reads a data folder. A blank folder gets a new identity, and so does one whose content can't be trusted: that
+// Recover reads a data folder. A blank folder gets a new identity, and so does one whose content can't be trusted: that
 // content is set aside under mark, since a node that has forgotten its votes must not vote under its old identity. An
 // error means that the disk does not keep what was read or written; with the code DiskFailed it may do so later.
-func Restore(folder Folder, identity func() string, mark string) (Recovery, error) {
+func Recover(folder Folder, identity func() string, mark string) (Recovery, error) {
 	store, recovered, err := snapshot.Open(folder)
 	if err == nil && !recovered.Blank {
 		var recovery Recovery
@@ -46,7 +46,7 @@
 		}
 	}
 	var untrusted error
-	if apierror.Is(err, apierror.NoMemory) {
+	if apierror.Is(err, apierror.DataLost) {
 		untrusted = err
 		if err = folder.SetAside(mark); err != nil {
 			return Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "setting the old memory aside")
@@ -56,14 +56,14 @@
 	if err != nil {
 		return Recovery{}, err
 	}
-	recovery := Recovery{Store: store, Memory: &wire.DurableState{Id: identity()}, Fresh: true, Lost: untrusted}
-	return recovery, writeFirst(store, recovery.Memory)
+	recovery := Recovery{Store: store, State: &wire.DurableState{Id: identity()}, Fresh: true, DiscardCause: untrusted}
+	return recovery, writeFirst(store, recovery.State)
 }
 
-// RestoreWithin calls restore again while the disk fails, for example because it is full, and returns its last result
+// RecoverWithin calls restore again while the disk fails, for example because it is full, and returns its last result
 // once bound is over. Why: a process that exits over it is restarted anyway, and costs its machine's other processes
 // their time.
-func RestoreWithin(bound time.Duration, restore func() (Recovery, error)) (Recovery, error) {
+func RecoverWithin(bound time.Duration, restore func() (Recovery, error)) (Recovery, error) {
 	for started := time.Now(); ; time.Sleep(retryInterval) {
 		recovery, err := restore()
 		if !apierror.Is(err, apierror.DiskFailed) || time.Since(started) >= bound {
@@ -78,32 +78,32 @@
 	if err != nil {
 		return apierror.Wrap(err, apierror.Internal, "encoding the first memory")
 	}
-	return store.Replace(content)
+	return store.SaveSnapshot(content)
 }
 
 // decode decodes and checks what a folder held. An error has the code NoMemory.
 func decode(store *snapshot.Store, recovered snapshot.Recovered) (Recovery, error) {
 	state := &wire.DurableState{}
-	if err := proto.Unmarshal(recovered.Memory, state); err != nil {
-		return Recovery{}, apierror.Wrap(err, apierror.NoMemory, "decoding the slot")
+	if err := proto.Unmarshal(recovered.Snapshot, state); err != nil {
+		return Recovery{}, apierror.Wrap(err, apierror.DataLost, "decoding the slot")
 	}
 	var records []*wire.Record
 	for _, content := range recovered.Records {
 		record := &wire.Record{}
 		if err := proto.Unmarshal(content, record); err != nil {
-			return Recovery{}, apierror.Wrap(err, apierror.NoMemory, "decoding the log")
+			return Recovery{}, apierror.Wrap(err, apierror.DataLost, "decoding the log")
 		}
 		records = append(records, record)
 	}
 	if state.Id == "" || !isComplete(state.View) {
-		return Recovery{}, apierror.New(apierror.NoMemory, "the slot holds no identity, or a view of nobody")
+		return Recovery{}, apierror.New(apierror.DataLost, "the slot holds no identity, or a view of nobody")
 	}
 	for _, record := range records {
 		if !isComplete(record.GetView()) {
-			return Recovery{}, apierror.New(apierror.NoMemory, "the log holds a view of nobody")
+			return Recovery{}, apierror.New(apierror.DataLost, "the log holds a view of nobody")
 		}
 	}
-	return Recovery{Store: store, Memory: state, Records: records}, nil
+	return Recovery{Store: store, State: state, Records: records}, nil
 }
 
 // isComplete reports whether a view, if there is one, has members and acceptors.
--- a/control/storage/recovery_test.go
+++ b/control/storage/recovery_test.go
@@ -18,22 +18,22 @@
 // Recovery waits for a full disk, up to a bound, and returns nothing that the disk would not keep.
 func TestRestoreWithinWaitsForTheDisk(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
-	if _, err := Restore(folder, identity, "m"); err != nil {
+	if _, err := Recover(folder, identity, "m"); err != nil {
 		t.Fatal(err)
 	}
 	folder.full = true
 	tries := 0
-	recovery, err := RestoreWithin(time.Minute, func() (Recovery, error) {
+	recovery, err := RecoverWithin(time.Minute, func() (Recovery, error) {
 		if tries++; tries == 3 {
 			folder.full = false
 		}
-		return Restore(folder, func() string { return "another" }, "m")
+		return Recover(folder, func() string { return "another" }, "m")
 	})
-	if err != nil || tries != 3 || recovery.Memory.Id != "fresh" || recovery.Fresh {
+	if err != nil || tries != 3 || recovery.State.Id != "fresh" || recovery.Fresh {
 		t.Fatalf("%v after %d tries: %+v", err, tries, recovery)
 	}
 	folder.full = true
-	_, err = RestoreWithin(0, func() (Recovery, error) { return Restore(folder, identity, "m") })
+	_, err = RecoverWithin(0, func() (Recovery, error) { return Recover(folder, identity, "m") })
 	if !apierror.Is(err, apierror.DiskFailed) {
 		t.Fatalf("a full disk: %v", err)
 	}
@@ -78,22 +78,22 @@
 			}
 		}
 		folder := &memoryFolder{files: map[string][]byte{"slot.1": snapshot.EncodeSlot(1, memory), "log": log}}
-		recovery, err := Restore(folder, identity, "m")
+		recovery, err := Recover(folder, identity, "m")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if recovery.Fresh != (recovery.Lost != nil) {
-			t.Fatalf("fresh %v, lost %v", recovery.Fresh, recovery.Lost)
+		if recovery.Fresh != (recovery.DiscardCause != nil) {
+			t.Fatalf("fresh %v, lost %v", recovery.Fresh, recovery.DiscardCause)
 		}
 		now := time.Unix(1_700_000_000, 0)
 		settings := node.Settings{Address: "127.0.0.1:1", Zone: "a"}
-		control := node.New(now, settings, recovery.Memory, recovery.Records, rand.New(rand.NewSource(1)))
+		control := node.New(now, settings, recovery.State, recovery.Records, rand.New(rand.NewSource(1)))
 		for range 20 {
 			now = now.Add(100 * time.Millisecond)
 			control.Tick(now)
-			_, writes := control.Drain()
+			_, writes := control.Ready()
 			synced := func(sequence uint64) { control.Synced(now, sequence) }
-			Carry(recovery.Store, writes, synced, func(err error) { t.Fatal(err) })
+			WriteBatch(recovery.Store, writes, synced, func(err error) { t.Fatal(err) })
 		}
 	})
 }
--- a/control/storage/writequeue.go
+++ b/control/storage/writequeue.go
@@ -23,7 +23,7 @@
 
 // Offer queues a write without blocking and reports whether it was accepted.
 func (queue *WriteQueue) Offer(write statemachine.Write) bool {
-	if queue.overflowed && write.Memory == nil {
+	if queue.overflowed && write.Snapshot == nil {
 		return false
 	}
 	select {
@@ -40,7 +40,7 @@
 // from this goroutine: synced with the sequence of the last write that is synced, failed with the cause of a failure.
 func (queue *WriteQueue) Run(store *snapshot.Store, synced func(sequence uint64), failed func(err error)) {
 	for first := range queue.writes {
-		Carry(store, queue.batch(first), synced, failed)
+		WriteBatch(store, queue.batch(first), synced, failed)
 	}
 }
 
--- a/control/storage/writequeue_test.go
+++ b/control/storage/writequeue_test.go
@@ -25,7 +25,7 @@
 	if queue.Offer(record(4)) {
 		t.Fatal("a write passed a dropped one")
 	}
-	if !queue.Offer(statemachine.Write{Sequence: 5, Memory: &wire.DurableState{}}) || !queue.Offer(record(6)) {
+	if !queue.Offer(statemachine.Write{Sequence: 5, Snapshot: &wire.DurableState{}}) || !queue.Offer(record(6)) {
 		t.Fatal("a complete state did not repair it")
 	}
 }
@@ -46,7 +46,7 @@
 // Run carries out what is queued and reports its last sequence, and a failure where the disk is full.
 func TestWriteQueueRun(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
-	recovery, err := Restore(folder, identity, "mark")
+	recovery, err := Recover(folder, identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/storage/writer.go
+++ b/control/storage/writer.go
@@ -8,18 +8,18 @@
 	"wardtray/coordination/statemachine"
 )
 
-// Carry carries out one batch of writes on a store, in order. It calls synced with the sequence of the last write that
+// WriteBatch carries out one batch of writes on a store, in order. It calls synced with the sequence of the last write that
 // is synced, and failed with the cause of each failure, from the calling goroutine. Records that follow one another are
 // synced together. After a failure nothing more is written until the batch contains a complete state.
-func Carry(
+func WriteBatch(
 	store *snapshot.Store, writes []statemachine.Write, synced func(sequence uint64), failed func(err error),
 ) {
 	writer := &batchWriter{store: store, synced: synced, failed: failed}
 	for _, write := range writes {
 		switch {
-		case write.Sweep:
+		case write.Verify:
 			writer.sweep(write)
-		case write.Memory != nil:
+		case write.Snapshot != nil:
 			writer.replace(write)
 		default:
 			writer.add(write)
@@ -72,9 +72,9 @@
 // replace writes a complete state, which repairs whatever failed before.
 func (writer *batchWriter) replace(write statemachine.Write) {
 	writer.flush()
-	content, err := proto.Marshal(write.Memory)
+	content, err := proto.Marshal(write.Snapshot)
 	if err == nil {
-		err = writer.store.Replace(content)
+		err = writer.store.SaveSnapshot(content)
 	}
 	if err != nil {
 		writer.fail(err)
--- a/control/storage/writer_test.go
+++ b/control/storage/writer_test.go
@@ -10,25 +10,25 @@
 // What was synced is recovered, whatever kinds of writes it came with; a failed write is followed by none.
 func TestSyncedWritesAreRecovered(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
-	recovery, err := Restore(folder, identity, "m")
+	recovery, err := Recover(folder, identity, "m")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var synced []uint64
 	write := func(writes ...statemachine.Write) {
 		completed := func(sequence uint64) { synced = append(synced, sequence) }
-		Carry(recovery.Store, writes, completed, func(err error) { t.Log(err) })
+		WriteBatch(recovery.Store, writes, completed, func(err error) { t.Log(err) })
 	}
 	member := []*wire.Member{{Id: "a"}}
 	view := &wire.View{Epoch: 2, Chain: member, Acceptors: member}
-	write(record(1), statemachine.Write{Sequence: 2, Sweep: true},
-		statemachine.Write{Sequence: 3, Memory: &wire.DurableState{Id: "fresh", View: view}},
+	write(record(1), statemachine.Write{Sequence: 2, Verify: true},
+		statemachine.Write{Sequence: 3, Snapshot: &wire.DurableState{Id: "fresh", View: view}},
 		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 7}}})
 	if len(synced) != 4 || synced[3] != 4 {
 		t.Fatalf("synced %v", synced)
 	}
-	recovered, err := Restore(folder, identity, "m")
-	if err != nil || recovered.Fresh || recovered.Memory.View.Epoch != 2 {
+	recovered, err := Recover(folder, identity, "m")
+	if err != nil || recovered.Fresh || recovered.State.View.Epoch != 2 {
 		t.Fatalf("%v: %+v", err, recovered)
 	}
 	if len(recovered.Records) != 1 || recovered.Records[0].GetClearedTerm() != 7 {
--- a/control/viewchange/proposer.go
+++ b/control/viewchange/proposer.go
@@ -108,7 +108,7 @@
 	}
 	if now.Sub(proposer.votedSince) >= proposer.delay(facts)+proposer.settings.Stagger {
 		proposer.votedSince = now
-		proposer.agent.Propose(now, proposer.agent.Vote().Value)
+		proposer.agent.Propose(now, proposer.agent.AcceptorState().Value)
 	}
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	proposer.lastProposal = now
-	proposer.agent.Found(now, &wire.View{Epoch: 1, Fleet: proposer.fleetName(), Chain: founders,
+	proposer.agent.Bootstrap(now, &wire.View{Epoch: 1, Fleet: proposer.fleetName(), Chain: founders,
 		Acceptors:   founders[:min(len(founders), facts.AcceptorCount())],
 		MinReplicas: facts.MinReplicas(0, len(founders)), HeadTerm: 1}, founders)
 }
--- a/coordination/chain/alignment.go
+++ b/coordination/chain/alignment.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Aligned handles the predecessor's confirmation that this member has all that it had.
-func (chain *Chain) Aligned(now time.Time, sender string, message *wire.ChainAck) {
+// HandleAlignment handles the predecessor's confirmation that this member has all that it had.
+func (chain *Chain) HandleAlignment(now time.Time, sender string, message *wire.ChainAck) {
 	if !chain.isFromPredecessor(message.View, sender) || message.Synced > chain.synced {
 		return
 	}
--- a/coordination/chain/alignment_test.go
+++ b/coordination/chain/alignment_test.go
@@ -29,7 +29,7 @@
 			cluster.writes["b"] = writes[len(writes)-1:]
 		}
 	}
-	if !cluster.chains["b"].Tail() {
+	if !cluster.chains["b"].IsTail() {
 		t.Fatal("the tail waits for what goes on coming in")
 	}
 	if committed := cluster.chains["b"].Committed().Sequence; committed < 20 {
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -9,13 +9,13 @@
 // A Chain is one member's part, a pure state machine under a view that others agree on (see package view):
 //
 //   - It is handed each view by Chain.Adopt.
-//   - Forwarded entries are handed to Chain.Pass, acknowledgements to Chain.Hold and Chain.Aligned.
-//   - Members outside the chain learn by Chain.AskToLearn, Chain.Teach and Chain.Learned.
+//   - Forwarded entries are handed to Chain.HandleForward, acknowledgements to Chain.HandleAck and Chain.HandleAlignment.
+//   - Members outside the chain learn by Chain.RequestDocument, Chain.HandleLearnRequest and Chain.HandleLearnResponse.
 //   - Chain.Tick is called often.
 //
 // After each call its caller drains the outbox (see package statemachine). The head's caller validates a change and
-// holds the head's lease (see package lease) when it calls Chain.Enter. The tail's caller holds the same kind of
-// proof before it serves a read or calls Chain.Teach. A Chain is not safe for concurrent use.
+// holds the head's lease (see package lease) when it calls Chain.Submit. The tail's caller holds the same kind of
+// proof before it serves a read or calls Chain.HandleLearnRequest. A Chain is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and
 // restart from what its disk has synced. Under these assumptions, and with views that differ only
@@ -114,28 +114,28 @@
 		}
 	}
 	chain.successorProgress = progress{}
-	chain.aligned, chain.alignmentTarget = chain.Head(), chain.received
+	chain.aligned, chain.alignmentTarget = chain.IsHead(), chain.received
 	chain.learningView = 0
 	chain.lastRetransmit = time.Time{}
 	// No machine is left that has more than the head of an agreed view.
-	if chain.Head() {
+	if chain.IsHead() {
 		chain.recordComplete(now)
 	}
 	chain.commitAtTail(now)
 	chain.Tick(now)
 }
 
-// Head reports whether this member is the first of the chain. A member may be both head and tail.
-func (chain *Chain) Head() bool { return chain.index == 0 }
+// IsHead reports whether this member is the first of the chain. A member may be both head and tail.
+func (chain *Chain) IsHead() bool { return chain.index == 0 }
 
-// Tail reports whether this member is the last of the chain and has been confirmed by its
+// IsTail reports whether this member is the last of the chain and has been confirmed by its
 // predecessor to have all that that one had.
-func (chain *Chain) Tail() bool {
-	return chain.Inside() && chain.index == len(chain.view.Chain)-1 && chain.aligned
+func (chain *Chain) IsTail() bool {
+	return chain.IsMember() && chain.index == len(chain.view.Chain)-1 && chain.aligned
 }
 
-// Inside reports whether this member is in the chain at all.
-func (chain *Chain) Inside() bool { return chain.index != notMember }
+// IsMember reports whether this member is in the chain at all.
+func (chain *Chain) IsMember() bool { return chain.index != notMember }
 
 // Committed returns the document that is committed as far as this member knows.
 func (chain *Chain) Committed() *wire.Document { return chain.history.committed }
@@ -165,23 +165,23 @@
 // RestoreIncomplete restores Incomplete from what the disk held.
 func (chain *Chain) RestoreIncomplete(incomplete bool) { chain.incomplete = incomplete }
 
-// Memory adds this member's part to a snapshot. Documents and entries are never modified, so that
+// AddTo adds this member's part to a snapshot. Documents and entries are never modified, so that
 // the goroutine of the disk may read them while this member goes on.
-func (chain *Chain) Memory(snapshot *wire.DurableState) {
+func (chain *Chain) AddTo(snapshot *wire.DurableState) {
 	snapshot.Document = chain.history.committed
 	snapshot.Pending = append([]*wire.Entry{}, chain.history.pending...)
 	snapshot.Incomplete = chain.incomplete
 }
 
-// Enter takes a change at the head and numbers it. The caller has validated it and holds the head's
-// lease. The error is apierror.NoMajority where this member is not the head or the chain is too
+// Submit takes a change at the head and numbers it. The caller has validated it and holds the head's
+// lease. The error is apierror.NoQuorum where this member is not the head or the chain is too
 // short, and apierror.Busy where too much is pending.
-func (chain *Chain) Enter(now time.Time, entry *wire.Entry) error {
-	if !chain.Head() {
-		return apierror.New(apierror.NoMajority, "not the head of the chain")
+func (chain *Chain) Submit(now time.Time, entry *wire.Entry) error {
+	if !chain.IsHead() {
+		return apierror.New(apierror.NoQuorum, "not the head of the chain")
 	}
 	if len(chain.view.Chain) < int(chain.view.MinReplicas) {
-		return apierror.New(apierror.NoMajority, "the chain is shorter than %d members", chain.view.MinReplicas)
+		return apierror.New(apierror.NoQuorum, "the chain is shorter than %d members", chain.view.MinReplicas)
 	}
 	if !chain.history.hasRoom(entry) {
 		return apierror.New(apierror.Busy, "%d changes wait already", len(chain.history.pending))
@@ -213,7 +213,7 @@
 
 // commitAtTail commits all that this member has synced, where it is the tail.
 func (chain *Chain) commitAtTail(now time.Time) {
-	if chain.Tail() {
+	if chain.IsTail() {
 		chain.commit(now, chain.synced)
 	}
 }
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -9,7 +9,7 @@
 func TestNoCommitBeforeEverySync(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
-	if err := cluster.chains["a"].Enter(cluster.now, change(1)); err != nil {
+	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
@@ -33,14 +33,14 @@
 func TestUncommittedChangeOfARejoiningMemberIsDropped(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
-	if err := cluster.chains["a"].Enter(cluster.now, change(1)); err != nil {
+	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
 		t.Fatal(err)
 	}
 	cluster.sync("a")
 	cluster.messages = nil
 	cluster.adopt(2, "b", "c")
 	cluster.deliver()
-	if err := cluster.chains["b"].Enter(cluster.now, change(2)); err != nil {
+	if err := cluster.chains["b"].Submit(cluster.now, change(2)); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -49,10 +49,10 @@
 		cluster.sync("c")
 		cluster.deliver()
 	}
-	if err := cluster.chains["a"].Enter(cluster.now, change(3)); err == nil {
+	if err := cluster.chains["a"].Submit(cluster.now, change(3)); err == nil {
 		t.Fatal("a member outside the chain took a change")
 	}
-	cluster.chains["a"].AskToLearn("c")
+	cluster.chains["a"].RequestDocument("c")
 	cluster.deliver()
 	if cluster.chains["a"].LearnedView() == 2 {
 		t.Fatal("learned before its disk had it")
--- a/coordination/chain/cluster_test.go
+++ b/coordination/chain/cluster_test.go
@@ -102,17 +102,17 @@
 func (cluster *cluster) handle(message message) {
 	chain, envelope := cluster.chains[message.to], message.envelope
 	if forward := envelope.GetChainForward(); forward != nil {
-		chain.Pass(cluster.now, message.from, forward)
+		chain.HandleForward(cluster.now, message.from, forward)
 	}
 	if ack := envelope.GetChainAck(); ack != nil {
-		chain.Hold(cluster.now, message.from, ack)
-		chain.Aligned(cluster.now, message.from, ack)
+		chain.HandleAck(cluster.now, message.from, ack)
+		chain.HandleAlignment(cluster.now, message.from, ack)
 	}
 	if request := envelope.GetLearnRequest(); request != nil {
-		chain.Teach(message.from, request)
+		chain.HandleLearnRequest(message.from, request)
 	}
 	if response := envelope.GetLearnResponse(); response != nil {
-		chain.Learned(cluster.now, response)
+		chain.HandleLearnResponse(cluster.now, response)
 	}
 }
 
@@ -153,7 +153,7 @@
 	if chain.Latest() == nil || chain.Outcome(fmt.Sprint("o", number)) != nil {
 		tb.Fatal("taken already")
 	}
-	if err := chain.Enter(cluster.now, change(number)); err != nil {
+	if err := chain.Submit(cluster.now, change(number)); err != nil {
 		tb.Fatal(err)
 	}
 	cluster.sync("a")
@@ -163,7 +163,7 @@
 // enterAndSync submits a change to the head "a" and syncs it there.
 func enterAndSync(t *testing.T, cluster *cluster, number int) {
 	t.Helper()
-	if err := cluster.chains["a"].Enter(cluster.now, change(number)); err != nil {
+	if err := cluster.chains["a"].Submit(cluster.now, change(number)); err != nil {
 		t.Fatal(err)
 	}
 	cluster.sync("a")
--- a/coordination/chain/example_test.go
+++ b/coordination/chain/example_test.go
@@ -16,7 +16,7 @@
 		func(_ time.Time, sequence uint64) { fmt.Println("committed", sequence) })
 	single.Adopt(now, &wire.View{Epoch: 1, MinReplicas: 1, Chain: []*wire.Member{{Id: "a", Address: "127.0.0.1:1"}}})
 	change := &wire.Entry{ChangesSpec: true, SpecEpoch: 1, Operation: "first", Spec: []byte("{}")}
-	if err := single.Enter(now, change); err != nil {
+	if err := single.Submit(now, change); err != nil {
 		panic(err)
 	}
 	_, writes := outbox.Drain()
--- a/coordination/chain/history_test.go
+++ b/coordination/chain/history_test.go
@@ -139,19 +139,19 @@
 		return entry
 	}
 	chain := cluster.chains["a"]
-	if err := chain.Enter(cluster.now, large(1, 2*MaximumPendingBytes)); err != nil {
+	if err := chain.Submit(cluster.now, large(1, 2*MaximumPendingBytes)); err != nil {
 		t.Fatal(err)
 	}
-	if err := chain.Enter(cluster.now, large(2, 1)); !apierror.Is(err, apierror.Busy) {
+	if err := chain.Submit(cluster.now, large(2, 1)); !apierror.Is(err, apierror.Busy) {
 		t.Fatalf("taken beyond the bound: %v", err)
 	}
 	cluster.sync("a")
 	for number := 2; number < 6; number++ {
-		if err := chain.Enter(cluster.now, large(number, MaximumPendingBytes/4)); err != nil {
+		if err := chain.Submit(cluster.now, large(number, MaximumPendingBytes/4)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := chain.Enter(cluster.now, large(6, 1)); !apierror.Is(err, apierror.Busy) {
+	if err := chain.Submit(cluster.now, large(6, 1)); !apierror.Is(err, apierror.Busy) {
 		t.Fatalf("taken beyond the bound: %v", err)
 	}
 }
--- a/coordination/chain/learning.go
+++ b/coordination/chain/learning.go
@@ -6,9 +6,9 @@
 	"wardtray/wire"
 )
 
-// AskToLearn requests the committed document of the tail at an address. A member outside the chain
+// RequestDocument requests the committed document of the tail at an address. A member outside the chain
 // calls it again and again, so that it stays close to the chain that it may join.
-func (chain *Chain) AskToLearn(tail string) {
+func (chain *Chain) RequestDocument(tail string) {
 	known := uint64(0)
 	// What was stored before this view may hold changes that were never committed, so it does not count.
 	if chain.learnedView == chain.view.Epoch {
@@ -18,9 +18,9 @@
 	chain.outbox.Send(tail, &wire.Envelope{Body: &wire.Envelope_LearnRequest{LearnRequest: request}})
 }
 
-// Teach answers the request of a member outside the chain; only a tail whose lease is valid may call it.
-func (chain *Chain) Teach(reply string, message *wire.LearnRequest) {
-	if message.View != chain.view.Epoch || !chain.Tail() {
+// HandleLearnRequest answers the request of a member outside the chain; only a tail whose lease is valid may call it.
+func (chain *Chain) HandleLearnRequest(reply string, message *wire.LearnRequest) {
+	if message.View != chain.view.Epoch || !chain.IsTail() {
 		return
 	}
 	committed := chain.history.committed
@@ -30,9 +30,9 @@
 	}
 }
 
-// Learned handles the tail's document, which replaces everything that this member had.
-func (chain *Chain) Learned(now time.Time, message *wire.LearnResponse) {
-	if message.View != chain.view.Epoch || chain.Inside() || message.Document == nil {
+// HandleLearnResponse handles the tail's document, which replaces everything that this member had.
+func (chain *Chain) HandleLearnResponse(now time.Time, message *wire.LearnResponse) {
+	if message.View != chain.view.Epoch || chain.IsMember() || message.Document == nil {
 		return
 	}
 	view := message.View
@@ -47,7 +47,7 @@
 	chain.learningView, chain.incomplete = view, true
 	chain.replaceHistory(now, message.Document, func(syncedAt time.Time) {
 		chain.learnedView, chain.learningView = view, 0
-		if chain.Inside() {
+		if chain.IsMember() {
 			chain.commitAtTail(syncedAt)
 			chain.acknowledge()
 		}
--- a/coordination/chain/learning_test.go
+++ b/coordination/chain/learning_test.go
@@ -17,7 +17,7 @@
 	cluster.gather()
 	for number := 1; number <= 5; number++ {
 		enterAndSync(t, cluster, number)
-		learner.AskToLearn("a")
+		learner.RequestDocument("a")
 		cluster.deliver()
 	}
 	first := cluster.writes["b"][0]
@@ -26,7 +26,7 @@
 		t.Fatalf("learned in view %d, committed %d, synced %d",
 			learner.LearnedView(), learner.Committed().SpecEpoch, learner.Synced())
 	}
-	learner.AskToLearn("a")
+	learner.RequestDocument("a")
 	cluster.deliver()
 	cluster.sync("b")
 	if learner.Committed().SpecEpoch != 5 || learner.Synced() != 5 {
@@ -43,7 +43,7 @@
 	cluster.deliver()
 	enterAndSync(t, cluster, 1)
 	learner := cluster.chains["b"]
-	learner.AskToLearn("a")
+	learner.RequestDocument("a")
 	cluster.deliver()
 	if write := cluster.writes["b"][0]; write.Record.GetDocument() == nil || !write.Record.Incomplete {
 		t.Fatalf("the disk is told %v", write.Record)
@@ -53,7 +53,7 @@
 	cluster.adopt(3, "a", "b")
 	cluster.deliver()
 	if snapshot := new(wire.DurableState); learner.Incomplete() {
-		learner.Memory(snapshot)
+		learner.AddTo(snapshot)
 		if !snapshot.Incomplete {
 			t.Fatal("a snapshot says nothing of it")
 		}
--- a/coordination/chain/order_test.go
+++ b/coordination/chain/order_test.go
@@ -16,7 +16,7 @@
 
 // enter submits a change to the head.
 func (shuffled *shuffledCluster) enter() {
-	if shuffled.chains["a"].Enter(shuffled.now, change(shuffled.entered+1)) == nil {
+	if shuffled.chains["a"].Submit(shuffled.now, change(shuffled.entered+1)) == nil {
 		shuffled.entered++
 	}
 }
--- a/coordination/chain/replication.go
+++ b/coordination/chain/replication.go
@@ -27,14 +27,14 @@
 }
 
 func (chain *Chain) successor() *wire.Member {
-	if !chain.Inside() || chain.index+1 >= len(chain.view.Chain) {
+	if !chain.IsMember() || chain.index+1 >= len(chain.view.Chain) {
 		return nil
 	}
 	return chain.view.Chain[chain.index+1]
 }
 
 func (chain *Chain) predecessor() *wire.Member {
-	if !chain.Inside() || chain.Head() {
+	if !chain.IsMember() || chain.IsHead() {
 		return nil
 	}
 	return chain.view.Chain[chain.index-1]
@@ -97,8 +97,8 @@
 		View: chain.view.Epoch, Synced: synced, Committed: chain.history.committed.Sequence}}})
 }
 
-// Pass handles what the predecessor forwards: the next entry, or a whole document.
-func (chain *Chain) Pass(now time.Time, sender string, message *wire.ChainForward) {
+// HandleForward handles what the predecessor forwards: the next entry, or a whole document.
+func (chain *Chain) HandleForward(now time.Time, sender string, message *wire.ChainForward) {
 	if !chain.isFromPredecessor(message.View, sender) {
 		return
 	}
@@ -116,8 +116,8 @@
 	chain.acknowledge()
 }
 
-// Hold handles the successor's acknowledgement.
-func (chain *Chain) Hold(now time.Time, sender string, message *wire.ChainAck) {
+// HandleAck handles the successor's acknowledgement.
+func (chain *Chain) HandleAck(now time.Time, sender string, message *wire.ChainAck) {
 	if !chain.isFromSuccessor(message.View, sender) {
 		return
 	}
@@ -135,7 +135,7 @@
 
 // Tick sends again what may have been lost. It is called at least a few times in each retransmitInterval.
 func (chain *Chain) Tick(now time.Time) {
-	if !chain.Inside() || !chain.retransmitDue(now) {
+	if !chain.IsMember() || !chain.retransmitDue(now) {
 		return
 	}
 	chain.lastRetransmit = now
--- a/coordination/chain/replication_test.go
+++ b/coordination/chain/replication_test.go
@@ -10,7 +10,7 @@
 	for number := 1; number <= entries; number++ {
 		entry := change(number)
 		entry.Spec = make([]byte, size)
-		if err := cluster.chains["a"].Enter(cluster.now, entry); err != nil {
+		if err := cluster.chains["a"].Submit(cluster.now, entry); err != nil {
 			t.Fatal(err)
 		}
 		cluster.sync("a")
--- a/coordination/election/election.go
+++ b/coordination/election/election.go
@@ -5,11 +5,11 @@
 //
 // # Contract
 //
-// An Election is one process's part, for one task. Its caller sets the order by Election.Order
-// whenever it changes, calls Election.Heard for each sign of life of another process, and gives
-// signs of life itself while it is an Election.Candidate. Before the task is done it asks
-// Election.Mine, and sends the epoch with each result; whoever receives a result uses it only if
-// Election.Take accepts it.
+// An Election is one process's part, for one task. Its caller sets the order by Election.SetOrder
+// whenever it changes, calls Election.Observe for each sign of life of another process, and gives
+// signs of life itself while it is an Election.IsCandidate. Before the task is done it asks
+// Election.Leading, and sends the epoch with each result; whoever receives a result uses it only if
+// Election.Accept accepts it.
 //
 // Processes may crash, freeze and be cut off, and messages may be lost, repeated and reordered. No
 // process ever accepts an epoch below one that it has accepted, whatever happens. Once all live
@@ -19,8 +19,8 @@
 
 import "time"
 
-// Bound is how long a process may be silent before the next in the order takes over.
-const Bound = 1500 * time.Millisecond
+// LeaderTimeout is how long a process may be silent before the next in the order takes over.
+const LeaderTimeout = 1500 * time.Millisecond
 
 // maximumProcesses bounds the processes whose signs of life are remembered.
 const maximumProcesses = 1024
@@ -43,19 +43,19 @@
 	return &Election{self: self, startedAt: now, lastSeen: map[string]time.Time{}}
 }
 
-// Order sets the agreed order. Without one, each process leads.
-func (election *Election) Order(order []string) { election.order = order }
+// SetOrder sets the agreed order. Without one, each process leads.
+func (election *Election) SetOrder(order []string) { election.order = order }
 
-// Heard records a sign of life of a process.
-func (election *Election) Heard(now time.Time, id string) {
+// Observe records a sign of life of a process.
+func (election *Election) Observe(now time.Time, id string) {
 	if len(election.lastSeen) < maximumProcesses || !election.lastSeen[id].IsZero() {
 		election.lastSeen[id] = now
 	}
 }
 
-// Candidate reports whether this process should give signs of life: it is among the first count of
+// IsCandidate reports whether this process should give signs of life: it is among the first count of
 // the order that seem alive.
-func (election *Election) Candidate(now time.Time, count int) bool {
+func (election *Election) IsCandidate(now time.Time, count int) bool {
 	for _, id := range election.order {
 		if id == election.self {
 			return true
@@ -71,11 +71,11 @@
 }
 
 func (election *Election) isAlive(now time.Time, id string) bool {
-	return id == election.self || now.Sub(election.lastSeen[id]) < Bound
+	return id == election.self || now.Sub(election.lastSeen[id]) < LeaderTimeout
 }
 
-// Mine reports whether this process leads now, and under which epoch; 0 where it does not.
-func (election *Election) Mine(now time.Time) (epoch uint64, mine bool) {
+// Leading reports whether this process leads now, and under which epoch; 0 where it does not.
+func (election *Election) Leading(now time.Time) (epoch uint64, mine bool) {
 	if !election.isLeader(now) {
 		election.leading = false
 		return 0, false
@@ -96,7 +96,7 @@
 	}
 	// A process that has just started has heard nobody; it waits for one bound before it takes
 	// anything over.
-	if now.Sub(election.startedAt) < Bound {
+	if now.Sub(election.startedAt) < LeaderTimeout {
 		return false
 	}
 	for _, id := range election.order {
@@ -107,8 +107,8 @@
 	return false
 }
 
-// Take reports whether a result of a writer may be used, and if so remembers its epoch.
-func (election *Election) Take(epoch uint64, writer string) bool {
+// Accept reports whether a result of a writer may be used, and if so remembers its epoch.
+func (election *Election) Accept(epoch uint64, writer string) bool {
 	if epoch < election.epoch || epoch == election.epoch && writer < election.writer {
 		return false
 	}
--- a/coordination/election/election_test.go
+++ b/coordination/election/election_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, name := range processes.order {
 		processes.elections[name] = election.New(processes.now, name)
-		processes.elections[name].Order(processes.order)
+		processes.elections[name].SetOrder(processes.order)
 	}
 	return processes
 }
@@ -38,14 +38,14 @@
 func (processes *processes) hear(name string, calm bool) {
 	for _, other := range processes.order {
 		if other != name && (calm || processes.random.Intn(20) == 0) {
-			processes.elections[name].Heard(processes.now, other)
+			processes.elections[name].Observe(processes.now, other)
 		}
 	}
 }
 
 // work lets a process do the task if it leads; its results reach everybody in calm, some otherwise.
 func (processes *processes) work(name string, calm bool) error {
-	epoch, leads := processes.elections[name].Mine(processes.now)
+	epoch, leads := processes.elections[name].Leading(processes.now)
 	if !leads {
 		return nil
 	}
@@ -57,7 +57,7 @@
 		if other == name || !calm && processes.random.Intn(3) > 0 {
 			continue
 		}
-		if !processes.elections[other].Take(epoch, name) {
+		if !processes.elections[other].Accept(epoch, name) {
 			continue
 		}
 		if epoch < processes.greatest[other] {
@@ -93,7 +93,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		for _, name := range processes.order {
-			if _, leads := processes.elections[name].Mine(processes.now); leads != (name == "a") {
+			if _, leads := processes.elections[name].Leading(processes.now); leads != (name == "a") {
 				t.Fatalf("seed %d: %s leads: %v", seed, name, leads)
 			}
 		}
@@ -105,7 +105,7 @@
 }
 
 func TestLeading(t *testing.T) {
-	start, bound := time.Unix(0, 0), election.Bound
+	start, bound := time.Unix(0, 0), election.LeaderTimeout
 	for name, test := range map[string]struct {
 		order []string
 		heard string
@@ -122,11 +122,11 @@
 		"second, while the third is alive":    {order: []string{"a", "self", "b"}, heard: "b", after: bound, want: true},
 	} {
 		process := election.New(start, "self")
-		process.Order(test.order)
+		process.SetOrder(test.order)
 		if test.heard != "" {
-			process.Heard(start.Add(test.after), test.heard)
+			process.Observe(start.Add(test.after), test.heard)
 		}
-		if epoch, leads := process.Mine(start.Add(test.after)); leads != test.want || (epoch > 0) != test.want {
+		if epoch, leads := process.Leading(start.Add(test.after)); leads != test.want || (epoch > 0) != test.want {
 			t.Errorf("%s: leads %v under epoch %d", name, leads, epoch)
 		}
 	}
--- a/coordination/election/example_test.go
+++ b/coordination/election/example_test.go
@@ -10,13 +10,13 @@
 func Example() {
 	now := time.Unix(0, 0)
 	second := election.New(now, "b")
-	second.Order([]string{"a", "b", "c"})
-	second.Heard(now, "a")
-	_, leads := second.Mine(now.Add(time.Second))
+	second.SetOrder([]string{"a", "b", "c"})
+	second.Observe(now, "a")
+	_, leads := second.Leading(now.Add(time.Second))
 	fmt.Println("while a is alive:", leads)
-	epoch, leads := second.Mine(now.Add(2 * election.Bound))
+	epoch, leads := second.Leading(now.Add(2 * election.LeaderTimeout))
 	fmt.Println("when a is silent:", leads, "under epoch", epoch)
-	fmt.Println("a result of a's own, older epoch counts:", second.Take(0, "a"))
+	fmt.Println("a result of a's own, older epoch counts:", second.Accept(0, "a"))
 	// Output:
 	// while a is alive: false
 	// when a is silent: true under epoch 1
--- a/coordination/gossip/antientropy.go
+++ b/coordination/gossip/antientropy.go
@@ -49,9 +49,9 @@
 	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Digest{Digest: digest}})
 }
 
-// Digest handles the digest of a peer in a zone: it sends what the peer lacks and, if a response is
+// HandleDigest handles the digest of a peer in a zone: it sends what the peer lacks and, if a response is
 // wanted, our own digest where the peer has something newer.
-func (store *Store) Digest(_ time.Time, from, zone string, message *wire.Digest) {
+func (store *Store) HandleDigest(_ time.Time, from, zone string, message *wire.Digest) {
 	if missing := store.missingIn(message, zone); len(missing) > 0 {
 		store.sendEntries(from, missing, repairHops)
 	}
--- a/coordination/gossip/spread.go
+++ b/coordination/gossip/spread.go
@@ -15,8 +15,8 @@
 	Hops = 4
 )
 
-// Rumor handles entries that a peer forwards.
-func (store *Store) Rumor(now time.Time, message *wire.GossipMessage) {
+// HandleMessage handles entries that a peer forwards.
+func (store *Store) HandleMessage(now time.Time, message *wire.GossipMessage) {
 	for _, entry := range message.Entries {
 		if mayEnter(store.zone, entry.Key) {
 			store.Put(now, entry, min(message.Hops, Hops))
--- a/coordination/gossip/store.go
+++ b/coordination/gossip/store.go
@@ -8,7 +8,7 @@
 // # Contract
 //
 // A Store is one process's part, a pure state machine. Its caller hands it received messages
-// (Store.Rumor, Store.Digest), writes by Store.Put, and calls Store.Tick often; after each call it
+// (Store.HandleMessage, Store.HandleDigest), writes by Store.Put, and calls Store.Tick often; after each call it
 // drains the outbox (see package statemachine). Each writer gives its own entry a greater (epoch,
 // count) at each write. Then every store ends up with the greatest version of each entry of its
 // zone that any connected store has, as long as each process reaches some others over the partners
--- a/coordination/gossip/store_test.go
+++ b/coordination/gossip/store_test.go
@@ -78,10 +78,10 @@
 		}
 		to := network.processes[outgoing.To]
 		if message := outgoing.Envelope.GetGossipMessage(); message != nil {
-			to.store.Rumor(network.now, message)
+			to.store.HandleMessage(network.now, message)
 		}
 		if message := outgoing.Envelope.GetDigest(); message != nil {
-			to.store.Digest(network.now, name, network.processes[name].zone, message)
+			to.store.HandleDigest(network.now, name, network.processes[name].zone, message)
 		}
 	}
 }
--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -76,7 +76,7 @@
 	// stepsPerVote is the number of steps between two votes of one acceptor, on average: calm spans, in which leases
 	// are held, alternate with spans in which one view follows another.
 	stepsPerVote int
-	// handovers counts how often the lease changed hands, quick how often it did within half a lease.Term.
+	// handovers counts how often the lease changed hands, quick how often it did within half a lease.LessorTTL.
 	handovers, quick int
 }
 
@@ -85,7 +85,7 @@
 	random := rand.New(rand.NewSource(seed))
 	trial := &trial{random: random, now: started, newest: 1, last: -1, lastAt: started, stepsPerVote: 40}
 	for index := range 5 {
-		lessor := Restore(started, viewAt(1), 0)
+		lessor := NewLessor(started, viewAt(1), 0)
 		machine := &machine{id: member(index).Id, lessee: NewLessee(0), lessor: lessor, view: 1, up: true}
 		trial.machines = append(trial.machines, machine)
 	}
@@ -117,11 +117,11 @@
 		return
 	}
 	machine.view, machine.voted = epoch, false
-	machine.lessor.Learn(trial.now, viewAt(epoch))
+	machine.lessor.AdoptView(trial.now, viewAt(epoch))
 	for _, other := range trial.machines {
 		trial.send(machine, func(at time.Time) {
 			if other.up {
-				other.lessor.Heard(at, machine.id, epoch)
+				other.lessor.ObserveEpoch(at, machine.id, epoch)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 	if !machine.up {
 		if trial.random.Intn(20) == 0 {
 			machine.up, machine.lessee = true, NewLessee(trial.random.Uint64())
-			machine.lessor = Restore(trial.now, viewAt(machine.view), machine.cleared)
+			machine.lessor = NewLessor(trial.now, viewAt(machine.view), machine.cleared)
 		}
 		return
 	}
@@ -158,7 +158,7 @@
 		machine.delay = delay * time.Duration(trial.random.Intn(2))
 		machine.isolated = false
 	}
-	if machine.lessor.Allows(trial.now, false) {
+	if machine.lessor.CanGrant(trial.now, false) {
 		machine.cleared = machine.lessor.Term()
 	}
 	trial.tryConnection(machine)
@@ -180,7 +180,7 @@
 	}
 	trial.send(machine, func(at time.Time) {
 		if machine.up {
-			machine.lessor.Refused(at, other.id, tried)
+			machine.lessor.ObserveRefusal(at, other.id, tried)
 		}
 	})
 }
@@ -188,12 +188,12 @@
 // requestLease requests the lease of the acceptors of a head's view.
 func (trial *trial) requestLease(machine *machine) {
 	lessee, view := machine.lessee, machine.view
-	nonce := lessee.Ask(trial.now, view)
+	nonce := lessee.Request(trial.now, view)
 	for _, index := range acceptorsOf(view) {
 		acceptor := trial.machines[index]
 		trial.send(machine, func(then time.Time) {
-			if acceptor.up && acceptor.view == view && acceptor.lessor.Allows(then, acceptor.voted) {
-				trial.send(acceptor, func(at time.Time) { lessee.Grant(at, acceptor.id, view, nonce, 2) })
+			if acceptor.up && acceptor.view == view && acceptor.lessor.CanGrant(then, acceptor.voted) {
+				trial.send(acceptor, func(at time.Time) { lessee.AddGrant(at, acceptor.id, view, nonce, 2) })
 			}
 		})
 	}
@@ -236,7 +236,7 @@
 func (trial *trial) count(acting int) {
 	if acting != trial.last {
 		trial.handovers++
-		if trial.now.Sub(trial.lastAt) < Term/2 {
+		if trial.now.Sub(trial.lastAt) < LessorTTL/2 {
 			trial.quick++
 		}
 		trial.last = acting
--- a/coordination/lease/lessee.go
+++ b/coordination/lease/lessee.go
@@ -22,14 +22,14 @@
 // to a request of an earlier incarnation of the same machine is never taken for one of this incarnation.
 func NewLessee(start uint64) *Lessee { return &Lessee{nonce: start} }
 
-// Ask starts a new request in a view and returns its nonce. Earlier requests stay open, so that grants that arrive
+// Request starts a new request in a view and returns its nonce. Earlier requests stay open, so that grants that arrive
 // after the next request was sent count too, each for its own request. A request in another view gives up the lease.
-func (lessee *Lessee) Ask(now time.Time, view uint64) uint64 {
+func (lessee *Lessee) Request(now time.Time, view uint64) uint64 {
 	if view != lessee.view || lessee.requests == nil {
 		lessee.expiresAt, lessee.requests = time.Time{}, map[uint64]*request{}
 	}
 	for nonce, earlier := range lessee.requests {
-		if now.Sub(earlier.sentAt) >= Held {
+		if now.Sub(earlier.sentAt) >= LesseeTTL {
 			delete(lessee.requests, nonce)
 		}
 	}
@@ -39,9 +39,9 @@
 	return lessee.nonce
 }
 
-// Grant counts an acceptor's grant of the request with a nonce; majority is how many of the view's acceptors are
+// AddGrant counts an acceptor's grant of the request with a nonce; majority is how many of the view's acceptors are
 // needed.
-func (lessee *Lessee) Grant(_ time.Time, acceptor string, view, nonce uint64, majority int) {
+func (lessee *Lessee) AddGrant(_ time.Time, acceptor string, view, nonce uint64, majority int) {
 	request := lessee.requests[nonce]
 	if view != lessee.view || request == nil {
 		return
@@ -50,7 +50,7 @@
 	if len(request.grants) < majority {
 		return
 	}
-	if expiresAt := request.sentAt.Add(Held); expiresAt.After(lessee.expiresAt) {
+	if expiresAt := request.sentAt.Add(LesseeTTL); expiresAt.After(lessee.expiresAt) {
 		lessee.expiresAt = expiresAt
 	}
 }
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -10,7 +10,7 @@
 //
 // A leadership term is a run of successive views with the same head. Within a term that machine
 // alone requests the lease, so only the heads of earlier terms have to be waited for. Their leases
-// have expired a lease.Term after this acceptor learned of the new term, or sooner where each of
+// have expired a lease.LessorTTL after this acceptor learned of the new term, or sooner where each of
 // them is proven to act no more: it has adopted the new term itself, or nothing listens at its
 // address any longer.
 type Lessor struct {
@@ -30,19 +30,19 @@
 	headEpoch uint64
 }
 
-// Restore returns the lessor of an acceptor that starts with the view on its disk. cleared is the
+// NewLessor returns the lessor of an acceptor that starts with the view on its disk. cleared is the
 // term, also from its disk, for which it may grant at once; 0 where there is none.
-func Restore(now time.Time, view *wire.View, cleared uint64) *Lessor {
+func NewLessor(now time.Time, view *wire.View, cleared uint64) *Lessor {
 	lessor := &Lessor{unknownHeads: true}
-	lessor.Learn(now, view)
+	lessor.AdoptView(now, view)
 	if lessor.term > 0 && lessor.term == cleared {
 		lessor.grantsFrom = now
 	}
 	return lessor
 }
 
-// Learn adopts a view that is newer than the present one.
-func (lessor *Lessor) Learn(now time.Time, view *wire.View) {
+// AdoptView adopts a view that is newer than the present one.
+func (lessor *Lessor) AdoptView(now time.Time, view *wire.View) {
 	if view.GetEpoch() == 0 || view.HeadTerm == lessor.term && lessor.term > 0 {
 		return
 	}
@@ -60,7 +60,7 @@
 	}
 	lessor.unknownHeads = !known
 	lessor.term, lessor.learnedAt, lessor.head = view.HeadTerm, now, view.Chain[0]
-	lessor.grantsFrom = now.Add(Term)
+	lessor.grantsFrom = now.Add(LessorTTL)
 	lessor.headEpoch = 0
 	if view.HeadTerm == 1 || known && len(lessor.previousHeads) == 0 {
 		lessor.grantsFrom = now
@@ -78,8 +78,8 @@
 // Term returns the epoch of the view in which the present leadership term began.
 func (lessor *Lessor) Term() uint64 { return lessor.term }
 
-// Heard handles the observation that a machine acts under the view of an epoch by now.
-func (lessor *Lessor) Heard(now time.Time, id string, epoch uint64) {
+// ObserveEpoch handles the observation that a machine acts under the view of an epoch by now.
+func (lessor *Lessor) ObserveEpoch(now time.Time, id string, epoch uint64) {
 	if lessor.head != nil && id == lessor.head.Id {
 		lessor.headEpoch = max(lessor.headEpoch, epoch)
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// Refused handles the observation that nothing listened at an address when a connection was tried
+// ObserveRefusal handles the observation that nothing listened at an address when a connection was tried
 // at a moment.
-func (lessor *Lessor) Refused(now time.Time, address string, tried time.Time) {
+func (lessor *Lessor) ObserveRefusal(now time.Time, address string, tried time.Time) {
 	// Before the term was learned a new incarnation of the same machine may still have obtained the lease.
 	if len(lessor.previousHeads) > 0 && tried.After(lessor.learnedAt) {
 		lessor.removePreviousHeads(now, func(head *wire.Member) bool { return head.Address == address })
@@ -112,8 +112,8 @@
 	}
 }
 
-// Rivals returns the addresses of the previous heads whose leases may still be valid.
-func (lessor *Lessor) Rivals(now time.Time) []string {
+// PreviousHeads returns the addresses of the previous heads whose leases may still be valid.
+func (lessor *Lessor) PreviousHeads(now time.Time) []string {
 	var addresses []string
 	if now.Before(lessor.grantsFrom) {
 		for _, head := range lessor.previousHeads {
@@ -123,8 +123,8 @@
 	return addresses
 }
 
-// Allows reports whether the head of the present term may be granted the lease; voted is whether
+// CanGrant reports whether the head of the present term may be granted the lease; voted is whether
 // this acceptor has voted for the next view.
-func (lessor *Lessor) Allows(now time.Time, voted bool) bool {
+func (lessor *Lessor) CanGrant(now time.Time, voted bool) bool {
 	return !voted && lessor.head != nil && !now.Before(lessor.grantsFrom)
 }
--- a/coordination/lease/lessor_test.go
+++ b/coordination/lease/lessor_test.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// An acceptor grants in a new term before a lease.Term is over only with proof of every head that may still act.
+// An acceptor grants in a new term before a lease.LessorTTL is over only with proof of every head that may still act.
 func TestLessorGrantsEarlyOnlyWithProofOfEveryPreviousHead(t *testing.T) {
 	started := time.Unix(1_700_000_000, 0)
 	view := func(epoch, term uint64, head string, previous string, previousTerm uint64) *wire.View {
@@ -21,18 +21,18 @@
 	learn := func(views ...*wire.View) func(*Lessor) {
 		return func(lessor *Lessor) {
 			for _, view := range views {
-				lessor.Learn(later, view)
+				lessor.AdoptView(later, view)
 			}
 		}
 	}
 	acts := func(head string, epoch uint64) func(*Lessor) {
-		return func(lessor *Lessor) { lessor.Heard(later, head, epoch) }
+		return func(lessor *Lessor) { lessor.ObserveEpoch(later, head, epoch) }
 	}
 	refused := func(address string, tried time.Time) func(*Lessor) {
-		return func(lessor *Lessor) { lessor.Refused(later, address, tried) }
+		return func(lessor *Lessor) { lessor.ObserveRefusal(later, address, tried) }
 	}
 	restarted := func(cleared uint64) func(*Lessor) {
-		return func(lessor *Lessor) { *lessor = *Restore(later, second, cleared) }
+		return func(lessor *Lessor) { *lessor = *NewLessor(later, second, cleared) }
 	}
 	type steps = []func(*Lessor)
 	for name, test := range map[string]struct {
@@ -56,17 +56,17 @@
 		"a start with the same term on disk":   {steps{restarted(6)}, true},
 		"a start without anything on the disk": {steps{restarted(0)}, false},
 	} {
-		lessor := Restore(started, first, 0)
-		if lessor.Allows(started.Add(Term-moment), false) || !lessor.Allows(started.Add(Term), false) {
+		lessor := NewLessor(started, first, 0)
+		if lessor.CanGrant(started.Add(LessorTTL-moment), false) || !lessor.CanGrant(started.Add(LessorTTL), false) {
 			t.Fatal("a Term after the start, and not before")
 		}
 		for _, step := range test.steps {
 			step(lessor)
 		}
-		if lessor.Allows(later, false) != test.allows || lessor.Allows(later, true) {
-			t.Errorf("%s: allows %v", name, lessor.Allows(later, false))
+		if lessor.CanGrant(later, false) != test.allows || lessor.CanGrant(later, true) {
+			t.Errorf("%s: allows %v", name, lessor.CanGrant(later, false))
 		}
-		if !lessor.Allows(later.Add(Term), false) {
+		if !lessor.CanGrant(later.Add(LessorTTL), false) {
 			t.Errorf("%s: not a Term later", name)
 		}
 	}
--- a/coordination/lease/progress.go
+++ b/coordination/lease/progress.go
@@ -24,9 +24,9 @@
 	return &ProgressTracker{reports: map[string][]progressReport{}}
 }
 
-// Note records that an acceptor knows a sequence to be committed, and from when on its
+// Report records that an acceptor knows a sequence to be committed, and from when on its
 // confirmations of older ones are no longer relied on.
-func (tracker *ProgressTracker) Note(acceptor string, committed uint64, fencedFrom time.Time) {
+func (tracker *ProgressTracker) Report(acceptor string, committed uint64, fencedFrom time.Time) {
 	reports := tracker.reports[acceptor]
 	// A report that is fenced no later and reaches as far makes an earlier one redundant.
 	for len(reports) > 0 {
@@ -43,8 +43,8 @@
 	tracker.reports[acceptor] = reports
 }
 
-// Knows reports whether an acceptor knows that a sequence is committed.
-func (tracker *ProgressTracker) Knows(acceptor string, sequence uint64) bool {
+// HasCommitted reports whether an acceptor knows that a sequence is committed.
+func (tracker *ProgressTracker) HasCommitted(acceptor string, sequence uint64) bool {
 	for _, report := range tracker.reports[acceptor] {
 		if report.committed >= sequence {
 			return true
@@ -53,9 +53,9 @@
 	return false
 }
 
-// Clear reports whether an acceptor knows that a sequence is committed and no daemon relies on its
+// Fenced reports whether an acceptor knows that a sequence is committed and no daemon relies on its
 // confirmation of an older one any more.
-func (tracker *ProgressTracker) Clear(now time.Time, acceptor string, sequence uint64) bool {
+func (tracker *ProgressTracker) Fenced(now time.Time, acceptor string, sequence uint64) bool {
 	for _, report := range tracker.reports[acceptor] {
 		if report.committed >= sequence && !now.Before(report.fencedFrom) {
 			return true
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -36,28 +36,32 @@
 	return &Witness{duration: duration, confirmations: map[string]confirmation{}}
 }
 
-// Restarted handles that the acceptor had an earlier incarnation, which may have given
+// AssumeForgottenConfirmations handles that the acceptor had an earlier incarnation, which may have given
 // confirmations a moment before it ended. They are assumed to be relied on for as long as any
 // confirmation is.
-func (witness *Witness) Restarted(now time.Time) { witness.forgottenUntil = now.Add(witness.duration) }
+func (witness *Witness) AssumeForgottenConfirmations(now time.Time) {
+	witness.forgottenUntil = now.Add(witness.duration)
+}
 
-// Told handles a head's statement that the history is committed up to a sequence.
-func (witness *Witness) Told(sequence uint64) {
+// ObserveHead handles a head's statement that the history is committed up to a sequence.
+func (witness *Witness) ObserveHead(sequence uint64) {
 	witness.informedByHead = true
-	witness.Knows(sequence)
+	witness.ObserveCommit(sequence)
 }
 
-// Knows handles that a sequence is committed, from whichever source that is known.
-func (witness *Witness) Knows(sequence uint64) { witness.committed = max(witness.committed, sequence) }
+// ObserveCommit handles that a sequence is committed, from whichever source that is known.
+func (witness *Witness) ObserveCommit(sequence uint64) {
+	witness.committed = max(witness.committed, sequence)
+}
 
-// Known returns the newest sequence that is known to be committed.
-func (witness *Witness) Known() uint64 { return witness.committed }
+// Committed returns the newest sequence that is known to be committed.
+func (witness *Witness) Committed() uint64 { return witness.committed }
 
 // Confirm reports whether a daemon that has a sequence may be told that nothing newer is known, and
 // records that it was. stored is what the acceptor's disk held when its process started: an earlier
 // incarnation may have told the head that it knows as much.
 func (witness *Witness) Confirm(now time.Time, daemon string, sequence, stored uint64) bool {
-	witness.Heard(daemon, sequence)
+	witness.ObserveDaemon(daemon, sequence)
 	if !witness.informedByHead || sequence < max(witness.committed, stored) {
 		return false
 	}
@@ -78,8 +82,8 @@
 	return len(witness.confirmations) < maximumConfirmations
 }
 
-// Heard handles that a daemon acts under a sequence by now, and so under none before it.
-func (witness *Witness) Heard(daemon string, sequence uint64) {
+// ObserveDaemon handles that a daemon acts under a sequence by now, and so under none before it.
+func (witness *Witness) ObserveDaemon(daemon string, sequence uint64) {
 	if last, found := witness.confirmations[daemon]; found && sequence > last.sequence {
 		delete(witness.confirmations, daemon)
 	}
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -13,14 +13,14 @@
 	if witness.Confirm(now, "d", 5, 0) {
 		t.Fatal("confirms before any head has told it anything")
 	}
-	witness.Told(5)
+	witness.ObserveHead(5)
 	if !witness.Confirm(now, "d", 5, 0) || witness.Confirm(now, "e", 4, 0) {
 		t.Fatal("confirms less than it knows, or not what it knows")
 	}
 	if witness.Confirm(now, "f", 5, 6) {
 		t.Fatal("confirms less than an earlier incarnation may have said that it knows")
 	}
-	witness.Knows(7)
+	witness.ObserveCommit(7)
 	if witness.Confirm(now, "d", 6, 0) || !witness.Confirm(now, "d", 7, 0) {
 		t.Fatal("confirms an older sequence")
 	}
@@ -29,10 +29,10 @@
 func TestOutstandingConfirmationsExpire(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
-	witness.Told(5)
+	witness.ObserveHead(5)
 	witness.Confirm(now, "d", 5, 0)
 	witness.Confirm(now.Add(duration/2), "e", 5, 0)
-	witness.Knows(6)
+	witness.ObserveCommit(6)
 	now = now.Add(duration / 2)
 	for _, test := range []struct {
 		sequence uint64
@@ -43,8 +43,8 @@
 		}
 	}
 	// The daemon that has the newer sequence relies on the older one no more; one that reports less again still may.
-	witness.Heard("e", 6)
-	witness.Heard("d", 4)
+	witness.ObserveDaemon("e", 6)
+	witness.ObserveDaemon("d", 4)
 	if got := witness.Outstanding(now, 6); got != duration/2 {
 		t.Fatalf("outstanding: %v", got)
 	}
@@ -58,8 +58,8 @@
 func TestRestartedWitnessCountsForgottenConfirmations(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
-	witness.Restarted(now)
-	witness.Told(5)
+	witness.AssumeForgottenConfirmations(now)
+	witness.ObserveHead(5)
 	if got := witness.Outstanding(now.Add(duration/4), 5); got != duration*3/4 {
 		t.Fatalf("outstanding after a restart: %v", got)
 	}
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -125,12 +125,12 @@
 
 func (fleet *testFleet) report(number int) {
 	daemon := fleet.daemons[number]
-	if daemon.limiter.Awaits(fleet.now) {
+	if daemon.limiter.AwaitsGrant(fleet.now) {
 		return
 	}
 	daemon.number++
 	daemon.reported = fleet.now
-	reports := daemon.limiter.TenantReports(fleet.now, daemon.number)
+	reports := daemon.limiter.Report(fleet.now, daemon.number)
 	if fleet.now.Before(daemon.cut) && daemon.cutOut {
 		return
 	}
@@ -156,7 +156,7 @@
 	if fleet.now.Before(daemon.cut) && daemon.cutIn {
 		return
 	}
-	daemon.limiter.Granted(fleet.now, delivered.number, testTerm, delivered.shares)
+	daemon.limiter.ApplyGrant(fleet.now, delivered.number, testTerm, delivered.shares)
 }
 
 func (fleet *testFleet) take(daemon *testDaemon, cost float64) bool {
@@ -176,9 +176,9 @@
 	}
 	if fleet.random.Float64() < daemon.rate*step.Seconds() {
 		cost := fleet.cost()
-		daemon.limiter.Offer(fleet.now, tenantName, cost)
+		daemon.limiter.RecordDemand(fleet.now, tenantName, cost)
 		if !fleet.take(daemon, cost) {
-			done := daemon.limiter.Need(fleet.now, tenantName, cost)
+			done := daemon.limiter.AddWaiting(fleet.now, tenantName, cost)
 			daemon.waiting = append(daemon.waiting, &waiting{cost: cost, since: fleet.now, done: done})
 		}
 	}
@@ -187,7 +187,7 @@
 		switch {
 		case fleet.take(daemon, request.cost):
 			request.done()
-		case daemon.limiter.Short(fleet.now, tenantName) || fleet.now.Sub(request.since) > waitBound:
+		case daemon.limiter.InShortage(fleet.now, tenantName) || fleet.now.Sub(request.since) > waitBound:
 			request.done()
 			daemon.refused += request.cost
 			daemon.refusedOf++
@@ -421,20 +421,20 @@
 func TestGrantsForOldReportsAreVoid(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := NewLimiter()
-	limiter.Offer(now, tenantName, 10)
-	limiter.TenantReports(now, 1)
-	limiter.TenantReports(now, 2)
+	limiter.RecordDemand(now, tenantName, 10)
+	limiter.Report(now, 1)
+	limiter.Report(now, 2)
 	share := []Share{{Tenant: tenantName, Tokens: 100, Capacity: 100}}
-	if limiter.Granted(now, 1, testTerm, share) || limiter.Take(now, tenantName, 1) {
+	if limiter.ApplyGrant(now, 1, testTerm, share) || limiter.Take(now, tenantName, 1) {
 		t.Error("the grant for a report that another one followed counts")
 	}
-	if !limiter.Granted(now, 2, testTerm, share) || limiter.Granted(now, 2, testTerm, share) {
+	if !limiter.ApplyGrant(now, 2, testTerm, share) || limiter.ApplyGrant(now, 2, testTerm, share) {
 		t.Error("a grant does not count once")
 	}
 	if !limiter.Take(now, tenantName, 100) || limiter.Take(now, tenantName, 1) {
 		t.Error("what was given is not what can be used")
 	}
-	limiter.Return(now, tenantName, 100)
+	limiter.Refund(now, tenantName, 100)
 	if limiter.Take(now.Add(testTerm+time.Millisecond), tenantName, 1) {
 		t.Error("a share is used beyond its term")
 	}
--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// AnswerBound is for how long the grant for a report is awaited before another report is sent in its place.
-const AnswerBound = 100 * time.Millisecond
+// GrantTimeout is for how long the grant for a report is awaited before another report is sent in its place.
+const GrantTimeout = 100 * time.Millisecond
 
 // Usage is what a daemon counts of one tenant, in the unit of the quota; Demand is a second.
 type Usage struct {
@@ -57,8 +57,8 @@
 	return share
 }
 
-// Offer counts that a request asks for a cost, whether it is served or not.
-func (limiter *Limiter) Offer(now time.Time, tenant string, cost float64) {
+// RecordDemand counts that a request asks for a cost, whether it is served or not.
+func (limiter *Limiter) RecordDemand(now time.Time, tenant string, cost float64) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.share(now, tenant).recordDemand(now, cost)
@@ -71,22 +71,22 @@
 	return limiter.share(now, tenant).take(cost)
 }
 
-// Return refunds what was taken for a request that has certainly not run.
-func (limiter *Limiter) Return(now time.Time, tenant string, cost float64) {
+// Refund refunds what was taken for a request that has certainly not run.
+func (limiter *Limiter) Refund(now time.Time, tenant string, cost float64) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.share(now, tenant).refund(cost)
 }
 
-// Refused counts a rejected request, and returns when a retry may succeed.
-func (limiter *Limiter) Refused(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
+// Reject counts a rejected request, and returns when a retry may succeed.
+func (limiter *Limiter) Reject(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return limiter.share(now, tenant).reject(cost)
 }
 
-// Need counts a request that waits for a cost, until done is called.
-func (limiter *Limiter) Need(now time.Time, tenant string, cost float64) (done func()) {
+// AddWaiting counts a request that waits for a cost, until done is called.
+func (limiter *Limiter) AddWaiting(now time.Time, tenant string, cost float64) (done func()) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.share(now, tenant).waiting += cost
@@ -97,24 +97,24 @@
 	}
 }
 
-// Short reports whether the allocator had less for this tenant a moment ago than was needed, so
+// InShortage reports whether the allocator had less for this tenant a moment ago than was needed, so
 // that waiting is of no use.
-func (limiter *Limiter) Short(now time.Time, tenant string) bool {
+func (limiter *Limiter) InShortage(now time.Time, tenant string) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return now.Before(limiter.share(now, tenant).shortUntil)
 }
 
-// Awaits reports whether the grant for a report is still to be expected, so that another report
+// AwaitsGrant reports whether the grant for a report is still to be expected, so that another report
 // would only make it void.
-func (limiter *Limiter) Awaits(now time.Time) bool {
+func (limiter *Limiter) AwaitsGrant(now time.Time) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	return !limiter.pending.answered && now.Sub(limiter.pending.sentAt) < AnswerBound
+	return !limiter.pending.answered && now.Sub(limiter.pending.sentAt) < GrantTimeout
 }
 
-// Blank reports whether the limiter has never had anything to do with any tenant.
-func (limiter *Limiter) Blank() bool {
+// IsUnused reports whether the limiter has never had anything to do with any tenant.
+func (limiter *Limiter) IsUnused() bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return len(limiter.shares) == 0
@@ -127,9 +127,9 @@
 	return limiter.changed
 }
 
-// TenantReports returns the report that is sent under a number, greater than all before it, ordered
+// Report returns the report that is sent under a number, greater than all before it, ordered
 // by tenant. Grants for earlier ones are void from then on. An empty report is not answered.
-func (limiter *Limiter) TenantReports(now time.Time, number uint64) []TenantReport {
+func (limiter *Limiter) Report(now time.Time, number uint64) []TenantReport {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	reports := make([]TenantReport, 0, len(limiter.shares))
@@ -148,9 +148,9 @@
 	return reports
 }
 
-// Granted handles the grant for the report with a number, which counts for a term from when that
+// ApplyGrant handles the grant for the report with a number, which counts for a term from when that
 // was sent; it reports whether it was the newest report's.
-func (limiter *Limiter) Granted(now time.Time, number uint64, term time.Duration, shares []Share) bool {
+func (limiter *Limiter) ApplyGrant(now time.Time, number uint64, term time.Duration, shares []Share) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	pending := &limiter.pending
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -81,7 +81,7 @@
 
 // send sends a broadcast's update to those who have not acknowledged it.
 func (broadcasts *broadcasts) send(nonce uint64, broadcast *broadcast) {
-	record := broadcasts.exchange.Line(broadcast.runner)
+	record := broadcasts.exchange.Record(broadcast.runner)
 	if record == nil {
 		return
 	}
@@ -124,7 +124,7 @@
 	if broadcast.answers == nil || !decided {
 		return
 	}
-	if outcome == Unheard {
+	if outcome == Unreachable {
 		// The next call of this runner must not be answered as though the daemons had been told.
 		delete(broadcasts.announced, broadcast.runner)
 		delete(broadcasts.inProgress, nonce)
@@ -142,7 +142,7 @@
 // outcome returns how the calls that wait for a broadcast are answered; decided is false where they have to wait on.
 func (broadcast *broadcast) outcome(elapsed time.Duration) (outcome Outcome, decided bool) {
 	if len(broadcast.unconfirmed) == 0 {
-		return Taken, true
+		return Accepted, true
 	}
 	if elapsed < confirmTimeout {
 		return "", false
@@ -150,10 +150,10 @@
 	// A daemon that so many others leave behind dispatches nothing for long, and learns of the runner before it does so
 	// again.
 	if 2*broadcast.confirmed >= broadcast.daemons {
-		return Taken, true
+		return Accepted, true
 	}
 	// This core would promise what it can't keep; the runner had better call another.
-	return Unheard, elapsed >= halfTimeout
+	return Unreachable, elapsed >= halfTimeout
 }
 
 // tick sends again what was not acknowledged, and answers what has waited long enough.
--- a/coordination/registry/broadcast_test.go
+++ b/coordination/registry/broadcast_test.go
@@ -13,13 +13,13 @@
 		outcome            Outcome
 		decided            bool
 	}{
-		{"no daemon at all", 0, 0, 0, Taken, true},
-		{"every daemon", 4, 4, 0, Taken, true},
+		{"no daemon at all", 0, 0, 0, Accepted, true},
+		{"every daemon", 4, 4, 0, Accepted, true},
 		{"all but one, soon", 4, 3, confirmTimeout - 1, "", false},
-		{"all but one, later", 4, 3, confirmTimeout, Taken, true},
-		{"just half", 4, 2, confirmTimeout, Taken, true},
-		{"less than half, later", 4, 1, halfTimeout - 1, Unheard, false},
-		{"less than half, too late", 4, 1, halfTimeout, Unheard, true},
+		{"all but one, later", 4, 3, confirmTimeout, Accepted, true},
+		{"just half", 4, 2, confirmTimeout, Accepted, true},
+		{"less than half, later", 4, 1, halfTimeout - 1, Unreachable, false},
+		{"less than half, too late", 4, 1, halfTimeout, Unreachable, true},
 	} {
 		broadcast := &broadcast{daemons: test.daemons, confirmed: test.confirmed, unconfirmed: map[string]bool{}}
 		for number := range test.daemons - test.confirmed {
--- a/coordination/registry/call.go
+++ b/coordination/registry/call.go
@@ -19,8 +19,8 @@
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename call_easyjson.go call.go
 
 const (
-	// MaximumCall bounds the body of a runner's call in bytes.
-	MaximumCall = 4 << 10
+	// MaximumCallBytes bounds the body of a runner's call in bytes.
+	MaximumCallBytes = 4 << 10
 	// maximumID and maximumName bound an id, and the names of a zone, a service and a revision, in bytes.
 	maximumID    = 128
 	maximumName  = 128
@@ -51,11 +51,11 @@
 // callStates are the states that a runner reports of itself.
 var callStates = map[string]bool{Ready: true, Draining: true}
 
-// Read parses the body of a call of the runner with an id, strictly, and validates it. The error is
+// ParseCall parses the body of a call of the runner with an id, strictly, and validates it. The error is
 // apierror.TooLarge or apierror.Malformed.
-func Read(id string, content []byte) (*wire.Runner, error) {
-	if len(content) > MaximumCall {
-		return nil, apierror.New(apierror.TooLarge, "a call has at most %d bytes", MaximumCall)
+func ParseCall(id string, content []byte) (*wire.Runner, error) {
+	if len(content) > MaximumCallBytes {
+		return nil, apierror.New(apierror.TooLarge, "a call has at most %d bytes", MaximumCallBytes)
 	}
 	if err := strictjson.Check(content); err != nil {
 		return nil, err
@@ -64,12 +64,12 @@
 	if err := easyjson.Unmarshal(content, &call); err != nil {
 		return nil, apierror.Wrap(err, apierror.Malformed, "the call")
 	}
-	return call.Line(id)
+	return call.Record(id)
 }
 
-// Line validates a call and returns the record that it asks for. The error, apierror.Malformed,
+// Record validates a call and returns the record that it asks for. The error, apierror.Malformed,
 // names the path of every fault.
-func (call Call) Line(id string) (*wire.Runner, error) {
+func (call Call) Record(id string) (*wire.Runner, error) {
 	if faults := call.faults(id); len(faults) > 0 {
 		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(faults, "; "))
 	}
@@ -93,7 +93,7 @@
 	}
 	validRevision := len(call.Revision) <= maximumName && utf8.ValidString(call.Revision)
 	validCold := call.Cold >= 0 && time.Duration(call.Cold) <= maximumCold
-	check(CheckID(id), "id: wants 1 to %d letters without blanks or slashes", maximumID)
+	check(ValidID(id), "id: wants 1 to %d letters without blanks or slashes", maximumID)
 	check(isAddress(call.Address), "address: %q is no ip:port", call.Address)
 	check(isName(call.Zone), "zone: wants 1 to %d letters without blanks or slashes", maximumName)
 	check(isName(call.Service), "service: wants 1 to %d letters without blanks or slashes", maximumName)
@@ -104,8 +104,8 @@
 	return faults
 }
 
-// CheckID reports whether a text can be a runner's id.
-func CheckID(id string) bool { return id != "" && len(id) <= maximumID && isPlain(id) }
+// ValidID reports whether a text can be a runner's id.
+func ValidID(id string) bool { return id != "" && len(id) <= maximumID && isPlain(id) }
 
 func isName(text string) bool { return text != "" && len(text) <= maximumName && isPlain(text) }
 
--- a/coordination/registry/call_fuzz_test.go
+++ b/coordination/registry/call_fuzz_test.go
@@ -19,7 +19,7 @@
 	f.Add("r1", []byte(`{"address":"[::1%eth0]:80","zone":"a","service":"s",`+
 		`"revision":"\ud800","slots":4,"state":"ready"}`))
 	f.Fuzz(func(t *testing.T, id string, content []byte) {
-		record, err := Read(id, content)
+		record, err := ParseCall(id, content)
 		if err != nil {
 			return
 		}
@@ -33,7 +33,7 @@
 	for _, text := range []string{
 		record.RunnerId, record.Address, record.Zone, record.Service, record.Revision, record.State,
 	} {
-		if !utf8.ValidString(text) || len(text) > MaximumCall {
+		if !utf8.ValidString(text) || len(text) > MaximumCallBytes {
 			t.Fatalf("%q was taken", text)
 		}
 	}
--- a/coordination/registry/call_test.go
+++ b/coordination/registry/call_test.go
@@ -9,7 +9,7 @@
 
 func TestCallsAreParsedStrictly(t *testing.T) {
 	good := `{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"ready","cold":"1.5s","call":3}`
-	record, err := Read("r", []byte(good))
+	record, err := ParseCall("r", []byte(good))
 	if err != nil || record.State != Cold || record.SlowStartMilliseconds != 1500 {
 		t.Fatal(record, err)
 	}
@@ -21,9 +21,9 @@
 		`{"call":-1}`:                                       "call",
 		`[]`:                                                "",
 		good + good:                                         "after the end",
-		strings.Repeat(" ", MaximumCall) + good:             "at most",
+		strings.Repeat(" ", MaximumCallBytes) + good: "at most",
 	} {
-		_, err := Read("r", []byte(bad))
+		_, err := ParseCall("r", []byte(bad))
 		if err == nil || !apierror.Is(err, apierror.Malformed) && !apierror.Is(err, apierror.TooLarge) {
 			t.Errorf("%s: %v", bad, err)
 			continue
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	if _, err := Read("a b", []byte(good)); err == nil {
+	if _, err := ParseCall("a b", []byte(good)); err == nil {
 		t.Error("an id with a blank")
 	}
 }
--- a/coordination/registry/digest_test.go
+++ b/coordination/registry/digest_test.go
@@ -12,12 +12,12 @@
 func TestStartingProcessLearnsWhoIsGone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	sender, starting := NewTable(), NewTable()
-	sender.Take(now, []*wire.Runner{
+	sender.Merge(now, []*wire.Runner{
 		{RunnerId: "left", State: "gone", Call: 9, Address: "r1"},
 		{RunnerId: "there", State: "ready", Call: 3, Address: "r2"},
 	})
-	starting.Take(now, sender.missingIn(now, starting.digest(true)))
-	starting.Take(now, []*wire.Runner{{RunnerId: "left", State: "ready", Call: 8, Address: "r1"}})
+	starting.Merge(now, sender.missingIn(now, starting.digest(true)))
+	starting.Merge(now, []*wire.Runner{{RunnerId: "left", State: "ready", Call: 8, Address: "r1"}})
 	for _, runner := range starting.Runners(now) {
 		if runner.RunnerId == "left" {
 			t.Fatal("uses a runner that is gone, sent by one that missed its end")
--- a/coordination/registry/exchange.go
+++ b/coordination/registry/exchange.go
@@ -29,10 +29,10 @@
 	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerUpdate{RunnerUpdate: update}})
 }
 
-// News merges what another process sent, acknowledges it where that is wanted, and corrects a
+// HandleUpdate merges what another process sent, acknowledges it where that is wanted, and corrects a
 // sender that is behind. It returns the records that changed our table.
-func (exchange *Exchange) News(now time.Time, from string, message *wire.RunnerUpdate) []*wire.Runner {
-	merged, newer := exchange.Take(now, message.Runners)
+func (exchange *Exchange) HandleUpdate(now time.Time, from string, message *wire.RunnerUpdate) []*wire.Runner {
+	merged, newer := exchange.Merge(now, message.Runners)
 	if message.Nonce != 0 {
 		ack := &wire.RunnerUpdateAck{Nonce: message.Nonce}
 		exchange.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_RunnerUpdateAck{RunnerUpdateAck: ack}})
@@ -43,9 +43,9 @@
 	return merged
 }
 
-// Digest responds to a digest with what its sender lacks, and with our own digest where the sender
+// HandleDigest responds to a digest with what its sender lacks, and with our own digest where the sender
 // has something newer.
-func (exchange *Exchange) Digest(now time.Time, from string, message *wire.RunnerDigest) {
+func (exchange *Exchange) HandleDigest(now time.Time, from string, message *wire.RunnerDigest) {
 	missing := exchange.missingIn(now, message)
 	// An empty response is one too; a process that has just started waits for it.
 	if len(missing) > 0 || message.ResponseWanted {
@@ -61,24 +61,24 @@
 	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerDigest{RunnerDigest: digest}})
 }
 
-// Compare handles the checksum of another process's table; where ours differs, digests are exchanged.
-func (exchange *Exchange) Compare(now time.Time, from string, checksum uint64) {
+// HandleChecksum handles the checksum of another process's table; where ours differs, digests are exchanged.
+func (exchange *Exchange) HandleChecksum(now time.Time, from string, checksum uint64) {
 	if checksum == exchange.Checksum() || now.Sub(exchange.lastDigest) < digestInterval {
 		return
 	}
-	exchange.Ask(now, from)
+	exchange.RequestMissing(now, from)
 }
 
-// Ask requests of a process all that we lack.
-func (exchange *Exchange) Ask(now time.Time, to string) {
+// RequestMissing requests of a process all that we lack.
+func (exchange *Exchange) RequestMissing(now time.Time, to string) {
 	exchange.lastDigest, exchange.requested = now, to
 	exchange.sendDigest(to, true)
 }
 
-// Insist requests of a process, for whose response something waits, all that we lack, unless it was
+// EnsureRequested requests of a process, for whose response something waits, all that we lack, unless it was
 // requested a moment ago.
-func (exchange *Exchange) Insist(now time.Time, to string) {
+func (exchange *Exchange) EnsureRequested(now time.Time, to string) {
 	if exchange.requested != to || now.Sub(exchange.lastDigest) >= digestInterval {
-		exchange.Ask(now, to)
+		exchange.RequestMissing(now, to)
 	}
 }
--- a/coordination/registry/exchange_test.go
+++ b/coordination/registry/exchange_test.go
@@ -38,10 +38,10 @@
 				count, delivered = count+1, true
 				to := pair.exchanges[1-index]
 				if update := message.Envelope.GetRunnerUpdate(); update != nil {
-					to.News(now, "other", update)
+					to.HandleUpdate(now, "other", update)
 				}
 				if digest := message.Envelope.GetRunnerDigest(); digest != nil {
-					to.Digest(now, "other", digest)
+					to.HandleDigest(now, "other", digest)
 				}
 			}
 			if count > 100 {
@@ -60,16 +60,16 @@
 		random := rand.New(rand.NewSource(seed))
 		pair := newPair()
 		for _, exchange := range pair.exchanges {
-			exchange.Take(started, anyRecords(random))
+			exchange.Merge(started, anyRecords(random))
 		}
 		left, right := pair.exchanges[0], pair.exchanges[1]
-		left.Compare(started, "other", right.Checksum())
+		left.HandleChecksum(started, "other", right.Checksum())
 		if pair.deliver(started) > 6 {
 			return false
 		}
-		right.Compare(started, "other", left.Checksum())
+		right.HandleChecksum(started, "other", left.Checksum())
 		return pair.deliver(started) <= 6 && left.Checksum() == right.Checksum() && func() bool {
-			left.Compare(started.Add(time.Minute), "other", right.Checksum())
+			left.HandleChecksum(started.Add(time.Minute), "other", right.Checksum())
 			return pair.deliver(started) == 0
 		}()
 	}, gen.Int64()))
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -8,8 +8,8 @@
 // Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that no
 // core hears. Both are pure state machines. Their caller hands them received messages:
 //
-//   - updates to Registrar.News or Exchange.News, digests to Exchange.Digest, checksums to Exchange.Compare;
-//   - at a core, acknowledgements to Registrar.Held and the heartbeats of other cores to Registrar.Heard.
+//   - updates to Registrar.HandleUpdate or Exchange.HandleUpdate, digests to Exchange.HandleDigest, checksums to Exchange.HandleChecksum;
+//   - at a core, acknowledgements to Registrar.HandleAck and the heartbeats of other cores to Registrar.HandleHeartbeats.
 //
 // It calls Registrar.Tick often, and after each call drains the outbox (see package statemachine). They are not safe
 // for concurrent use; records are never modified.
@@ -44,14 +44,14 @@
 type Outcome string
 
 const (
-	// Taken is a call that was accepted.
-	Taken Outcome = "taken"
-	// Late is a call that is older than what is known.
-	Late Outcome = "late"
-	// Full is a call for which the table has no room.
-	Full Outcome = "full"
-	// Unheard is a call that was not accepted since this core can't tell the other processes.
-	Unheard Outcome = "unheard"
+	// Accepted is a call that was accepted.
+	Accepted Outcome = "taken"
+	// Outdated is a call that is older than what is known.
+	Outdated Outcome = "late"
+	// TableFull is a call for which the table has no room.
+	TableFull Outcome = "full"
+	// Unreachable is a call that was not accepted since this core can't tell the other processes.
+	Unreachable Outcome = "unheard"
 )
 
 // Environment is what a registrar needs to know of its core.
@@ -59,10 +59,10 @@
 	// Daemons returns the data daemons that must know who leaves, Cores the other cores.
 	Daemons func(now time.Time) []string
 	Cores   func() []string
-	// Joined reports whether this core hears most of the cores, Environment.Isolated that it hears
+	// HearsMostCores reports whether this core hears most of the cores, Environment.HearsNobody that it hears
 	// nobody at all.
-	Joined   func(now time.Time) bool
-	Isolated func(now time.Time) bool
+	HearsMostCores func(now time.Time) bool
+	HearsNobody    func(now time.Time) bool
 }
 
 // Counters are what a registrar counts. Unconfirmed are the calls that were accepted before every
@@ -112,7 +112,7 @@
 
 // latestCall returns the greatest number of a call known of a runner.
 func (registrar *Registrar) latestCall(id string) uint64 {
-	return max(registrar.Line(id).GetCall(), registrar.liveness.call(id))
+	return max(registrar.Record(id).GetCall(), registrar.liveness.call(id))
 }
 
 // Register handles a runner's call. answer is called once: for a runner that drains when the daemons know.
@@ -121,25 +121,25 @@
 	if registrar.rejects(now, answer) {
 		return
 	}
-	present := registrar.Line(record.RunnerId)
+	present := registrar.Record(record.RunnerId)
 	if registrar.isLate(present, record) {
 		registrar.counters.Late++
-		registrar.answerUnchanged(now, present, Late, answer)
+		registrar.answerUnchanged(now, present, Outdated, answer)
 		return
 	}
 	if present == nil && len(registrar.entries) >= MaximumRunners && !registrar.makeRoom() {
 		registrar.counters.Refused++
-		answer(Full)
+		answer(TableFull)
 		return
 	}
 	call := max(record.Call, registrar.latestCall(record.RunnerId))
 	registrar.liveness.heard(now, record.RunnerId, call, true)
 	if present.GetState() == Draining {
-		registrar.answerUnchanged(now, present, Taken, answer)
+		registrar.answerUnchanged(now, present, Accepted, answer)
 		return
 	}
 	if !registrar.differs(now, present, record) {
-		answer(Taken)
+		answer(Accepted)
 		return
 	}
 	registrar.enter(now, present, record)
@@ -168,11 +168,11 @@
 
 // rejects rejects a call where no other process could learn of it, so that the runner calls another core.
 func (registrar *Registrar) rejects(now time.Time, answer func(outcome Outcome)) bool {
-	if !registrar.environment.Isolated(now) {
+	if !registrar.environment.HearsNobody(now) {
 		return false
 	}
 	registrar.counters.Refused++
-	answer(Unheard)
+	answer(Unreachable)
 	return true
 }
 
@@ -183,7 +183,7 @@
 	} else if present.State == Silent {
 		registrar.counters.Revived++
 	}
-	registrar.Take(now, []*wire.Runner{record})
+	registrar.Merge(now, []*wire.Runner{record})
 	if present == nil || present.State == Silent || present.Address != record.Address {
 		registrar.displace(now, record)
 	}
@@ -197,7 +197,7 @@
 // corrects it.
 func (registrar *Registrar) displace(now time.Time, record *wire.Runner) {
 	for _, id := range registrar.ids() {
-		other := registrar.Line(id)
+		other := registrar.Record(id)
 		if id != record.RunnerId && serving[other.State] && other.Address == record.Address {
 			registrar.markSilent(now, id)
 		}
@@ -231,18 +231,18 @@
 	if registrar.rejects(now, answer) {
 		return
 	}
-	present := registrar.Line(id)
+	present := registrar.Record(id)
 	if present.GetState() == Gone {
-		registrar.answerUnchanged(now, present, Late, answer)
+		registrar.answerUnchanged(now, present, Outdated, answer)
 		return
 	}
 	if present == nil {
 		present = &wire.Runner{RunnerId: id}
 	}
 	record := withState(present, Gone, registrar.latestCall(id))
-	if merged, _ := registrar.Take(now, []*wire.Runner{record}); len(merged) == 0 {
+	if merged, _ := registrar.Merge(now, []*wire.Runner{record}); len(merged) == 0 {
 		registrar.counters.Refused++
-		answer(Full)
+		answer(TableFull)
 		return
 	}
 	registrar.counters.Gone++
@@ -271,37 +271,37 @@
 	if registrar.broadcasts.full() {
 		registrar.changed = append(registrar.changed, record)
 		registrar.counters.Unconfirmed++
-		answer(Taken)
+		answer(Accepted)
 		return
 	}
 	registrar.broadcasts.start(now, record, answer)
 }
 
-// Held handles a process's acknowledgement that it knows of a leaving runner.
-func (registrar *Registrar) Held(now time.Time, from string, message *wire.RunnerUpdateAck) {
+// HandleAck handles a process's acknowledgement that it knows of a leaving runner.
+func (registrar *Registrar) HandleAck(now time.Time, from string, message *wire.RunnerUpdateAck) {
 	registrar.broadcasts.acknowledge(now, from, message.Nonce)
 }
 
-// Heard handles which calls another core has heard of. A core forwards what it heard from others
+// HandleHeartbeats handles which calls another core has heard of. A core forwards what it heard from others
 // too, so that two cores that are cut off from each other do not call each other's runners silent.
-func (registrar *Registrar) Heard(now time.Time, message *wire.RunnerHeartbeats) {
+func (registrar *Registrar) HandleHeartbeats(now time.Time, message *wire.RunnerHeartbeats) {
 	for _, version := range message.Calls {
-		if registrar.Line(version.RunnerId) != nil && version.Call > registrar.latestCall(version.RunnerId) {
+		if registrar.Record(version.RunnerId) != nil && version.Call > registrar.latestCall(version.RunnerId) {
 			registrar.liveness.heard(now, version.RunnerId, version.Call, false)
 		}
 	}
 }
 
-// News merges what another process sent. A runner that another core calls silent, but that has
+// HandleUpdate merges what another process sent. A runner that another core calls silent, but that has
 // called since, is announced as ready with the next tick.
-func (registrar *Registrar) News(now time.Time, from string, message *wire.RunnerUpdate) {
-	for _, record := range registrar.Exchange.News(now, from, message) {
+func (registrar *Registrar) HandleUpdate(now time.Time, from string, message *wire.RunnerUpdate) {
+	for _, record := range registrar.Exchange.HandleUpdate(now, from, message) {
 		if record.State != Silent || !registrar.liveness.contradicts(now, record) {
 			continue
 		}
 		registrar.counters.Revived++
 		revived := withState(record, Ready, registrar.liveness.call(record.RunnerId))
-		registrar.Take(now, []*wire.Runner{revived})
+		registrar.Merge(now, []*wire.Runner{revived})
 		registrar.changed = append(registrar.changed, revived)
 	}
 }
@@ -340,7 +340,7 @@
 	waiting := registrar.waiting
 	registrar.waiting = nil
 	for _, answer := range waiting {
-		answer(Taken)
+		answer(Accepted)
 	}
 }
 
@@ -364,7 +364,7 @@
 
 // setState gives a runner a state as its latest version, to be sent to everybody.
 func (registrar *Registrar) setState(now time.Time, id, state string) {
-	record := withState(registrar.Line(id), state, registrar.latestCall(id))
-	registrar.Take(now, []*wire.Runner{record})
+	record := withState(registrar.Record(id), state, registrar.latestCall(id))
+	registrar.Merge(now, []*wire.Runner{record})
 	registrar.changed = append(registrar.changed, record)
 }
--- a/coordination/registry/registrar_test.go
+++ b/coordination/registry/registrar_test.go
@@ -28,10 +28,10 @@
 		t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: started,
 	}
 	core.registrar = NewRegistrar(started, heartbeat, 7, core.outbox, Environment{
-		Daemons:  func(time.Time) []string { return core.daemons },
-		Cores:    func() []string { return []string{"c1"} },
-		Joined:   func(time.Time) bool { return core.joined },
-		Isolated: func(time.Time) bool { return core.isolated },
+		Daemons:        func(time.Time) []string { return core.daemons },
+		Cores:          func() []string { return []string{"c1"} },
+		HearsMostCores: func(time.Time) bool { return core.joined },
+		HearsNobody:    func(time.Time) bool { return core.isolated },
 	})
 	return core
 }
@@ -82,10 +82,10 @@
 }
 
 func (core *core) acknowledge(from string, nonce uint64) {
-	core.registrar.Held(core.now, from, &wire.RunnerUpdateAck{Nonce: nonce})
+	core.registrar.HandleAck(core.now, from, &wire.RunnerUpdateAck{Nonce: nonce})
 }
 
-func (core *core) state(id string) string { return core.registrar.Line(id).GetState() }
+func (core *core) state(id string) string { return core.registrar.Record(id).GetState() }
 
 func TestRetriedCallsSendNothing(t *testing.T) {
 	core := newCore(t)
@@ -96,7 +96,7 @@
 	core.advance(50 * time.Millisecond)
 	updates := core.updates()
 	for _, address := range []string{"d0", "d1", "c1"} {
-		if *got != Taken || len(updates[address]) != 1 {
+		if *got != Accepted || len(updates[address]) != 1 {
 			t.Fatal(address, *got, updates)
 		}
 	}
@@ -121,7 +121,7 @@
 	core.register(ready("r1", 5))
 	late := ready("r1", 5)
 	late.Address = "10.0.0.9:9"
-	if got := core.register(late); *got != Late || core.registrar.Line("r1").Address == late.Address {
+	if got := core.register(late); *got != Outdated || core.registrar.Record("r1").Address == late.Address {
 		t.Fatal(*got)
 	}
 	core.daemons = nil
@@ -132,7 +132,7 @@
 		}
 	}
 	core.registrar.Deregister(core.now, "r1", func(Outcome) {})
-	if got := core.register(ready("r1", 100)); *got != Late || core.state("r1") != Gone {
+	if got := core.register(ready("r1", 100)); *got != Outdated || core.state("r1") != Gone {
 		t.Fatal(*got, core.state("r1"))
 	}
 }
@@ -156,11 +156,11 @@
 		t.Fatal("acknowledged before d1 knew")
 	}
 	core.acknowledge("d1", nonce)
-	if *got != Taken || core.registrar.Counters().Unconfirmed != 0 {
+	if *got != Accepted || core.registrar.Counters().Unconfirmed != 0 {
 		t.Fatal(*got)
 	}
 	// Its later calls are answered at once.
-	if again := core.register(draining(3)); *again != Taken || len(core.updates()) != 0 {
+	if again := core.register(draining(3)); *again != Accepted || len(core.updates()) != 0 {
 		t.Fatal(*again)
 	}
 }
@@ -177,7 +177,7 @@
 		t.Fatal(*got, updates)
 	}
 	core.advance(100 * time.Millisecond)
-	if *got != Taken || *again != Taken || core.registrar.Counters().Unconfirmed != 1 {
+	if *got != Accepted || *again != Accepted || core.registrar.Counters().Unconfirmed != 1 {
 		t.Fatal(*got, *again)
 	}
 	core.updates()
@@ -194,10 +194,10 @@
 		acks    int
 		outcome Outcome
 	}{
-		"none":          {true, 0, Unheard},
-		"few, cut off":  {false, 1, Unheard},
-		"few":           {true, 1, Unheard},
-		"most, cut off": {false, 2, Taken},
+		"none":          {true, 0, Unreachable},
+		"few, cut off":  {false, 1, Unreachable},
+		"few":           {true, 1, Unreachable},
+		"most, cut off": {false, 2, Accepted},
 	} {
 		core := newCore(t)
 		core.daemons, core.joined = []string{"d0", "d1", "d2"}, test.joined
@@ -211,7 +211,7 @@
 			t.Errorf("%s: %q", name, *got)
 		}
 		// Found by the simulator: the call after a refused one was acknowledged at once, without an update to any daemon.
-		if test.outcome == Unheard {
+		if test.outcome == Unreachable {
 			again := core.register(draining(2))
 			core.advance(confirmTimeout)
 			if *again != "" {
@@ -224,18 +224,18 @@
 func TestIsolatedCoreRejectsCalls(t *testing.T) {
 	core := newCore(t)
 	core.isolated = true
-	if got := core.register(ready("r1", 1)); *got != Unheard || core.registrar.Line("r1") != nil {
+	if got := core.register(ready("r1", 1)); *got != Unreachable || core.registrar.Record("r1") != nil {
 		t.Fatal(*got)
 	}
 	core.registrar.Deregister(core.now, "r1", func(outcome Outcome) {
-		if outcome != Unheard {
+		if outcome != Unreachable {
 			t.Error(outcome)
 		}
 	})
 	core.isolated = false
 	got := core.register(ready("r1", 1))
 	core.advance(50 * time.Millisecond)
-	if *got != Taken {
+	if *got != Accepted {
 		t.Fatal(*got)
 	}
 }
@@ -244,7 +244,7 @@
 // other may have crashed in between.
 func TestDrainingLearnedFromAnotherCoreIsBroadcast(t *testing.T) {
 	core := newCore(t)
-	core.registrar.News(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{draining(3)}})
+	core.registrar.HandleUpdate(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{draining(3)}})
 	got := core.register(draining(4))
 	nonce := core.updates()["d0"][0].Nonce
 	if *got != "" {
@@ -252,7 +252,7 @@
 	}
 	core.acknowledge("d0", nonce)
 	core.acknowledge("d1", nonce)
-	if *got != Taken {
+	if *got != Accepted {
 		t.Fatal(*got)
 	}
 }
@@ -290,7 +290,7 @@
 func TestCoreThatCannotKnowCallsNobodySilent(t *testing.T) {
 	records := []*wire.Runner{ready("r1", 1), ready("r2", 1), ready("r3", 1)}
 	fresh := newCore(t)
-	fresh.registrar.News(fresh.now, "c1", &wire.RunnerUpdate{Runners: records})
+	fresh.registrar.HandleUpdate(fresh.now, "c1", &wire.RunnerUpdate{Runners: records})
 	fresh.advance(graceHeartbeats*heartbeat - 100*time.Millisecond)
 	if fresh.state("r1") != Ready {
 		t.Error("silent by a core that has just begun")
@@ -331,10 +331,10 @@
 func TestOtherCoresHeartbeatsCount(t *testing.T) {
 	core := newCore(t)
 	both := &wire.RunnerUpdate{Runners: []*wire.Runner{ready("r1", 1), ready("r2", 1)}}
-	core.registrar.News(core.now, "c1", both)
+	core.registrar.HandleUpdate(core.now, "c1", both)
 	for call := uint64(2); call < 14; call++ {
 		heartbeats := &wire.RunnerHeartbeats{Calls: []*wire.RunnerVersion{{RunnerId: "r1", Call: call}}}
-		core.registrar.Heard(core.now, heartbeats)
+		core.registrar.HandleHeartbeats(core.now, heartbeats)
 		core.advance(heartbeat)
 	}
 	if core.state("r1") != Ready || core.state("r2") != Silent {
@@ -342,7 +342,7 @@
 	}
 	core.updates()
 	silent := withState(ready("r1", 1), Silent, 10)
-	core.registrar.News(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{silent}})
+	core.registrar.HandleUpdate(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{silent}})
 	core.advance(50 * time.Millisecond)
 	updates := core.updates()["d0"]
 	if core.state("r1") != Ready || len(updates) != 1 || updates[0].Runners[0].Call != 13 {
--- a/coordination/registry/survey.go
+++ b/coordination/registry/survey.go
@@ -32,7 +32,7 @@
 	}
 	registrar.liveness.lastCheck = now
 	survey := registrar.survey(now)
-	isKnown := func(id string) bool { return registrar.Line(id) != nil }
+	isKnown := func(id string) bool { return registrar.Record(id) != nil }
 	registrar.liveness.forget(isKnown)
 	registrar.broadcasts.forget(isKnown)
 	if now.Before(registrar.liveness.graceUntil) || registrar.isCutOff(now, survey) {
@@ -49,7 +49,7 @@
 // isCutOff reports whether this core hears neither most cores nor most runners: then it is itself the one that is cut
 // off.
 func (registrar *Registrar) isCutOff(now time.Time, survey survey) bool {
-	return !registrar.environment.Joined(now) && 2*survey.direct < survey.serving
+	return !registrar.environment.HearsMostCores(now) && 2*survey.direct < survey.serving
 }
 
 // unresponsive returns the runners to be called silent. Most runners at once are more likely kept from calling by
@@ -65,7 +65,7 @@
 func (registrar *Registrar) survey(now time.Time) survey {
 	var survey survey
 	for _, id := range registrar.ids() {
-		record := registrar.Line(id)
+		record := registrar.Record(id)
 		if !live[record.State] {
 			registrar.liveness.remove(id)
 			continue
--- a/coordination/registry/table.go
+++ b/coordination/registry/table.go
@@ -46,8 +46,8 @@
 	return &Table{entries: map[string]*entry{}, listing: listing{runners: []*wire.Runner{}}}
 }
 
-// Line returns the record of a runner, or nil.
-func (table *Table) Line(id string) *wire.Runner {
+// Record returns the record of a runner, or nil.
+func (table *Table) Record(id string) *wire.Runner {
 	if entry := table.entries[id]; entry != nil {
 		return entry.record
 	}
@@ -57,9 +57,9 @@
 // Checksum returns the sum over all live records; two tables with one sum hold the same live runners.
 func (table *Table) Checksum() uint64 { return table.checksum }
 
-// Take merges records into the table. It returns those that changed the table, and our own record of each runner of
+// Merge merges records into the table. It returns those that changed the table, and our own record of each runner of
 // which an older one was given.
-func (table *Table) Take(now time.Time, records []*wire.Runner) (merged, newer []*wire.Runner) {
+func (table *Table) Merge(now time.Time, records []*wire.Runner) (merged, newer []*wire.Runner) {
 	for _, record := range records {
 		if _, known := stages[record.GetState()]; !known || record.RunnerId == "" {
 			continue
--- a/coordination/registry/table_test.go
+++ b/coordination/registry/table_test.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	for id := range left.entries {
-		if !proto.Equal(left.Line(id), right.Line(id)) {
+		if !proto.Equal(left.Record(id), right.Record(id)) {
 			return false
 		}
 	}
@@ -50,7 +50,7 @@
 func mergedTable(groups ...[]*wire.Runner) *Table {
 	table := NewTable()
 	for _, group := range groups {
-		table.Take(started, group)
+		table.Merge(started, group)
 	}
 	return table
 }
@@ -67,7 +67,7 @@
 		other := mergedTable(three, two)
 		pair := make([]*wire.Runner, 0, len(other.entries))
 		for _, id := range other.ids() {
-			pair = append(pair, other.Line(id))
+			pair = append(pair, other.Record(id))
 		}
 		return same(merged, mergedTable(three, two, one)) && same(merged, mergedTable(all)) &&
 			same(merged, mergedTable(all, one, all)) && same(merged, mergedTable(one, pair))
@@ -83,8 +83,8 @@
 		table := NewTable()
 		reached := map[string]int{}
 		for _, record := range anyRecords(random) {
-			table.Take(started, []*wire.Runner{record})
-			stage := stages[table.Line(record.RunnerId).State]
+			table.Merge(started, []*wire.Runner{record})
+			stage := stages[table.Record(record.RunnerId).State]
 			if stage < reached[record.RunnerId] {
 				return false
 			}
@@ -98,12 +98,12 @@
 func TestListChangesOnlyWithTheTable(t *testing.T) {
 	table := NewTable()
 	cold := &wire.Runner{RunnerId: "b", State: Cold, SlowStartMilliseconds: 2000, Call: 1, Address: "x"}
-	table.Take(started, []*wire.Runner{{RunnerId: "a", State: Ready, Call: 1, Address: "y"}, cold})
+	table.Merge(started, []*wire.Runner{{RunnerId: "a", State: Ready, Call: 1, Address: "y"}, cold})
 	first := table.Runners(started)
 	if len(first) != 2 || first[1].State != Cold {
 		t.Fatal(first)
 	}
-	table.Take(started.Add(time.Second), []*wire.Runner{cold})
+	table.Merge(started.Add(time.Second), []*wire.Runner{cold})
 	if again := table.Runners(started.Add(1999 * time.Millisecond)); &again[0] != &first[0] {
 		t.Fatal("another list without a change")
 	}
@@ -116,23 +116,23 @@
 	if sent.State != Cold || sent.SlowStartMilliseconds != 1500 {
 		t.Fatal(sent)
 	}
-	table.Take(started, []*wire.Runner{
+	table.Merge(started, []*wire.Runner{
 		{RunnerId: "a", State: Draining, Call: 2},
 		{RunnerId: "b", State: Silent, Call: 2},
 	})
 	if runners := table.Runners(started.Add(3 * time.Second)); len(runners) != 1 || runners[0].State != Draining {
 		t.Fatal(runners)
 	}
-	table.Take(started, []*wire.Runner{{RunnerId: "a", State: Gone, Call: 2}})
+	table.Merge(started, []*wire.Runner{{RunnerId: "a", State: Gone, Call: 2}})
 	if runners := table.Runners(started.Add(3 * time.Second)); runners == nil || len(runners) != 0 {
 		t.Fatal(runners)
 	}
 	table.Prune(started.Add(retention - time.Second))
-	if table.Line("a") == nil {
+	if table.Record("a") == nil {
 		t.Fatal("removed too early")
 	}
 	table.Prune(started.Add(retention + time.Second))
-	if table.Line("a") != nil || table.Line("b") != nil {
+	if table.Record("a") != nil || table.Record("b") != nil {
 		t.Fatal("never removed")
 	}
 }
@@ -140,20 +140,20 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
 	for number := range MaximumRunners + 10 {
-		table.Take(started.Add(time.Duration(number)), []*wire.Runner{{RunnerId: fmt.Sprint("g", number), State: Gone}})
+		table.Merge(started.Add(time.Duration(number)), []*wire.Runner{{RunnerId: fmt.Sprint("g", number), State: Gone}})
 	}
-	oldest, newest := table.Line("g0"), table.Line(fmt.Sprint("g", MaximumRunners+9))
+	oldest, newest := table.Record("g0"), table.Record(fmt.Sprint("g", MaximumRunners+9))
 	if len(table.entries) != MaximumRunners || oldest != nil || newest == nil {
 		t.Fatal(len(table.entries))
 	}
 	for number := range MaximumRunners + 10 {
-		table.Take(started, []*wire.Runner{{RunnerId: fmt.Sprint("r", number), State: Ready}})
+		table.Merge(started, []*wire.Runner{{RunnerId: fmt.Sprint("r", number), State: Ready}})
 	}
 	if len(table.entries) != MaximumRunners || len(table.Runners(started)) != MaximumRunners {
 		t.Fatal(len(table.entries))
 	}
-	table.Take(started, []*wire.Runner{{RunnerId: "", State: Ready}, {RunnerId: "odd", State: "odd"}})
-	if table.Line("odd") != nil {
+	table.Merge(started, []*wire.Runner{{RunnerId: "", State: Ready}, {RunnerId: "odd", State: "odd"}})
+	if table.Record("odd") != nil {
 		t.Fatal("an odd record was merged")
 	}
 }
--- a/coordination/snapshot/example_test.go
+++ b/coordination/snapshot/example_test.go
@@ -18,7 +18,7 @@
 		panic(err)
 	}
 	fmt.Println("blank:", recovered.Blank)
-	for _, err := range []error{store.Replace([]byte("memory")), store.Append([]byte("one"), []byte("two"))} {
+	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one"), []byte("two"))} {
 		if err != nil {
 			panic(err)
 		}
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic(err)
 	}
-	fmt.Printf("%s and %s\n", recovered.Memory, recovered.Records)
+	fmt.Printf("%s and %s\n", recovered.Snapshot, recovered.Records)
 	// Output:
 	// blank: true
 	// memory and [one two]
--- a/coordination/snapshot/logformat.go
+++ b/coordination/snapshot/logformat.go
@@ -50,10 +50,10 @@
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
 }
 
-// decodeLog decodes a log up to its torn end. Damage before the end is apierror.NoMemory.
+// decodeLog decodes a log up to its torn end. Damage before the end is apierror.DataLost.
 func decodeLog(content []byte) (log, error) {
 	if !validLogHeader(content) {
-		return log{}, apierror.New(apierror.NoMemory, "the log's header is damaged")
+		return log{}, apierror.New(apierror.DataLost, "the log's header is damaged")
 	}
 	decoded := log{
 		generation: binary.BigEndian.Uint64(content[logGenerationOffset:]),
@@ -65,7 +65,7 @@
 			// A torn write leaves no valid record behind it; one after an invalid record means that synced bytes were
 			// damaged.
 			if containsRecord(content[decoded.length+1:]) {
-				return log{}, apierror.New(apierror.NoMemory, "the log is damaged at byte %d", decoded.length)
+				return log{}, apierror.New(apierror.DataLost, "the log is damaged at byte %d", decoded.length)
 			}
 			return decoded, nil
 		}
--- a/coordination/snapshot/logformat_test.go
+++ b/coordination/snapshot/logformat_test.go
@@ -30,7 +30,7 @@
 	} {
 		content := bytes.Join(test.parts, nil)
 		decoded, err := decodeLog(content)
-		if apierror.Is(err, apierror.NoMemory) != test.noTrust || (err != nil) != test.noTrust {
+		if apierror.Is(err, apierror.DataLost) != test.noTrust || (err != nil) != test.noTrust {
 			t.Errorf("%s: error %v", name, err)
 			continue
 		}
--- a/coordination/snapshot/open.go
+++ b/coordination/snapshot/open.go
@@ -6,11 +6,11 @@
 type Recovered struct {
 	// Blank is whether the folder holds nothing at all.
 	Blank bool
-	// Memory is the newest snapshot, and Records are those that were appended since.
-	Memory  []byte
-	Records [][]byte
-	// Torn is the number of bytes that were cut off the end of the log.
-	Torn int
+	// Snapshot is the newest snapshot, and Records are those that were appended since.
+	Snapshot []byte
+	Records  [][]byte
+	// TornBytes is the number of bytes that were cut off the end of the log.
+	TornBytes int
 }
 
 // slotFile is what one of the two slot files held.
@@ -22,7 +22,7 @@
 	valid bool
 }
 
-// Open reads a folder back. apierror.NoMemory means that there are files which can't be trusted. apierror.DiskFailed
+// Open reads a folder back. apierror.DataLost means that there are files which can't be trusted. apierror.DiskFailed
 // means that the disk can't be made to keep what was read; it may do so later.
 func Open(folder Folder) (*Store, Recovered, error) {
 	content, found, err := folder.Read(logName)
@@ -37,7 +37,7 @@
 	if !found {
 		// A slot alone may be a first start cut short or a lost log; both are answered by a new identity.
 		if slots[0].valid || slots[1].valid {
-			return nil, Recovered{}, apierror.New(apierror.NoMemory, "a slot without its log")
+			return nil, Recovered{}, apierror.New(apierror.DataLost, "a slot without its log")
 		}
 		return store, Recovered{Blank: true}, nil
 	}
@@ -61,7 +61,7 @@
 	if err := store.folder.Truncate(newest.name, newest.length); err != nil {
 		return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "syncing %s", newest.name)
 	}
-	return store, Recovered{Memory: newest.slot.snapshot}, store.startLog()
+	return store, Recovered{Snapshot: newest.slot.snapshot}, store.startLog()
 }
 
 // recoverSlotAndLog recovers a slot and the log that continues it, which it syncs without its torn end.
@@ -71,7 +71,7 @@
 		return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "syncing the log without its torn end")
 	}
 	return store, Recovered{
-		Memory: newest.slot.snapshot, Records: log.records, Torn: fileLength - log.length,
+		Snapshot: newest.slot.snapshot, Records: log.records, TornBytes: fileLength - log.length,
 	}, nil
 }
 
--- a/coordination/snapshot/powerloss_test.go
+++ b/coordination/snapshot/powerloss_test.go
@@ -20,7 +20,7 @@
 func (progress *progress) run(store *Store, steps string) {
 	for _, step := range steps {
 		if step == 'r' {
-			if store.Replace([]byte("m"+progress.requested)) != nil {
+			if store.SaveSnapshot([]byte("m"+progress.requested)) != nil {
 				return
 			}
 		} else {
@@ -41,13 +41,13 @@
 	if errors.Is(err, errKilled) {
 		return nil
 	}
-	if !started && (apierror.Is(err, apierror.NoMemory) || recovered.Blank) {
+	if !started && (apierror.Is(err, apierror.DataLost) || recovered.Blank) {
 		return nil
 	}
-	if err != nil || recovered.Blank || !strings.HasPrefix(string(recovered.Memory), "m") {
+	if err != nil || recovered.Blank || !strings.HasPrefix(string(recovered.Snapshot), "m") {
 		t.Fatalf("%v: blank %v, %v; synced %q", where, recovered.Blank, err, progress.synced)
 	}
-	text := string(recovered.Memory[1:]) + string(bytes.Join(recovered.Records, nil))
+	text := string(recovered.Snapshot[1:]) + string(bytes.Join(recovered.Records, nil))
 	if !strings.HasPrefix(text, progress.synced) || !strings.HasPrefix(progress.requested, text) {
 		t.Fatalf("%v: synced %q, asked %q, got back %q", where, progress.synced, progress.requested, text)
 	}
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		started := false
-		if store.Replace([]byte("m")) == nil {
+		if store.SaveSnapshot([]byte("m")) == nil {
 			started = true
 			before.run(store, first)
 		}
@@ -122,8 +122,8 @@
 // setAsideFlaw returns what is wrong with a folder whose state was being set aside; done is whether that had ended.
 func setAsideFlaw(after *powerSystem, done bool) string {
 	_, recovered, err := Open(files{"folder", after})
-	if !apierror.Is(err, apierror.NoMemory) && (err != nil || !recovered.Blank) {
-		return fmt.Sprintf("memory %q, %v", recovered.Memory, err)
+	if !apierror.Is(err, apierror.DataLost) && (err != nil || !recovered.Blank) {
+		return fmt.Sprintf("memory %q, %v", recovered.Snapshot, err)
 	}
 	if done && (!recovered.Blank || after.names["log.lost-earlier"] != nil || after.names["log.lost-mark"] == nil) {
 		return fmt.Sprintf("blank %v, names %v", recovered.Blank, after.names)
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 		for _, err := range []error{
-			store.Replace([]byte("one")), store.Replace([]byte("two")), store.Append([]byte("three")),
+			store.SaveSnapshot([]byte("one")), store.SaveSnapshot([]byte("two")), store.Append([]byte("three")),
 			folder.Put("log.lost-earlier", []byte("x")),
 		} {
 			if err != nil {
--- a/coordination/snapshot/store.go
+++ b/coordination/snapshot/store.go
@@ -13,8 +13,8 @@
 // # Contract
 //
 // One Store at a time has a folder open. Its caller calls Open once, then Store.Append for records
-// and Store.Replace for a snapshot that contains all records before it; whatever returned without
-// an error is there after any later crash. After an error only Store.Replace may succeed.
+// and Store.SaveSnapshot for a snapshot that contains all records before it; whatever returned without
+// an error is there after any later crash. After an error only Store.SaveSnapshot may succeed.
 // Store.Verify notices when the disk no longer holds what was synced.
 //
 // A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep
@@ -65,8 +65,8 @@
 	failed bool
 }
 
-// Replace writes a snapshot to the other slot and starts a new log. The error is apierror.DiskFailed.
-func (store *Store) Replace(snapshot []byte) error {
+// SaveSnapshot writes a snapshot to the other slot and starts a new log. The error is apierror.DiskFailed.
+func (store *Store) SaveSnapshot(snapshot []byte) error {
 	// Until the new log is in place the old one does not hold everything; nothing may be appended to it.
 	store.failed = true
 	generation := store.generation + 1
@@ -94,7 +94,7 @@
 }
 
 // Append appends records to the log in one sync. After a failure nobody knows what the disk holds,
-// so every later Append fails too until a Store.Replace has started a new log. The error is
+// so every later Append fails too until a Store.SaveSnapshot has started a new log. The error is
 // apierror.DiskFailed.
 func (store *Store) Append(records ...[]byte) error {
 	if store.failed {
@@ -122,7 +122,7 @@
 
 // Verify reads everything back and compares it with what must be there. A failure,
 // apierror.DiskFailed, means that the disk no longer holds what was synced; as after a failed
-// write, only a Store.Replace may succeed then.
+// write, only a Store.SaveSnapshot may succeed then.
 func (store *Store) Verify() error {
 	if store.failed {
 		return errEarlierWriteFailed()
@@ -148,7 +148,7 @@
 		return err
 	}
 	if log.generation != store.generation || int64(log.length) != store.logLength {
-		return apierror.New(apierror.NoMemory, "the log is another or shorter than was written")
+		return apierror.New(apierror.DataLost, "the log is another or shorter than was written")
 	}
 	return nil
 }
@@ -163,8 +163,8 @@
 }
 
 func errSlotDamaged(generation uint64) error {
-	return apierror.New(apierror.NoMemory, "the slot of generation %d is damaged", generation)
+	return apierror.New(apierror.DataLost, "the slot of generation %d is damaged", generation)
 }
 
-// Logged returns the length of the log in bytes.
-func (store *Store) Logged() int64 { return store.logLength }
+// LogLength returns the length of the log in bytes.
+func (store *Store) LogLength() int64 { return store.logLength }
--- a/coordination/snapshot/store_test.go
+++ b/coordination/snapshot/store_test.go
@@ -75,7 +75,7 @@
 func writeUntilCrash(random *rand.Rand, store *Store, synced, requested string) (string, string) {
 	for {
 		if random.Intn(5) == 0 {
-			if err := store.Replace([]byte("m" + requested)); err != nil {
+			if err := store.SaveSnapshot([]byte("m" + requested)); err != nil {
 				return synced, requested
 			}
 			synced = requested
@@ -101,7 +101,7 @@
 		}
 		// The whole history as one text: a snapshot is the text so far.
 		synced, requested := "", ""
-		if err := store.Replace([]byte("m")); err != nil {
+		if err := store.SaveSnapshot([]byte("m")); err != nil {
 			t.Fatal(err)
 		}
 		for incarnation := 0; incarnation < 4; incarnation++ {
@@ -113,7 +113,7 @@
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			text := string(recovered.Memory[1:]) + string(bytes.Join(recovered.Records, nil))
+			text := string(recovered.Snapshot[1:]) + string(bytes.Join(recovered.Records, nil))
 			if text != synced && text != requested {
 				t.Fatalf("seed %d: synced %q, requested %q, got back %q", seed, synced, requested, text)
 			}
@@ -122,13 +122,13 @@
 	}
 }
 
-// Damage to synced bytes is reported as apierror.NoMemory; never is less read back.
+// Damage to synced bytes is reported as apierror.DataLost; never is less read back.
 func TestDamageIsNeverGuessedAround(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}, crash: never}
 	store, _, _ := Open(folder)
 	for _, err := range []error{
-		store.Replace([]byte("first")), store.Append([]byte("one")),
-		store.Replace([]byte("second")), store.Append([]byte("two")), store.Append([]byte("three")),
+		store.SaveSnapshot([]byte("first")), store.Append([]byte("one")),
+		store.SaveSnapshot([]byte("second")), store.Append([]byte("two")), store.Append([]byte("three")),
 	} {
 		if err != nil {
 			t.Fatal(err)
@@ -146,9 +146,9 @@
 			folder.files[name] = append([]byte{}, intact...)
 			folder.files[name][index] ^= 0x55
 			_, recovered, err := Open(folder)
-			if !apierror.Is(err, apierror.NoMemory) {
+			if !apierror.Is(err, apierror.DataLost) {
 				t.Fatalf("%s byte %d: snapshot %q, records %q, error %v",
-					name, index, recovered.Memory, recovered.Records, err)
+					name, index, recovered.Snapshot, recovered.Records, err)
 			}
 			damaged++
 		}
@@ -163,7 +163,7 @@
 func TestVerifyNoticesDamage(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}, crash: never}
 	store, _, _ := Open(folder)
-	for _, err := range []error{store.Replace([]byte("memory")), store.Append([]byte("one")), store.Verify()} {
+	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one")), store.Verify()} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,12 +184,12 @@
 	if store.Verify() == nil || store.Append([]byte("two")) == nil {
 		t.Fatal("a damaged log was appended to")
 	}
-	if err := store.Replace([]byte("memory and one")); err != nil || store.Verify() != nil {
+	if err := store.SaveSnapshot([]byte("memory and one")); err != nil || store.Verify() != nil {
 		t.Fatal("not repaired by a new snapshot")
 	}
 }
 
-// Whatever the files hold, a folder opens or reports apierror.NoMemory; what was read back once is read back again, and
+// Whatever the files hold, a folder opens or reports apierror.DataLost; what was read back once is read back again, and
 // more can be appended.
 func FuzzOpen(f *testing.F) {
 	log := append(EncodeLogHeader(3), EncodeRecord([]byte("record"))...)
@@ -202,7 +202,7 @@
 		folder := &memoryFolder{files: files, crash: never}
 		store, recovered, err := Open(folder)
 		if err != nil {
-			if !apierror.Is(err, apierror.NoMemory) {
+			if !apierror.Is(err, apierror.DataLost) {
 				t.Fatal(err)
 			}
 			return
@@ -211,7 +211,7 @@
 			t.Fatal(err)
 		}
 		_, again, err := Open(folder)
-		if err != nil || !bytes.Equal(again.Memory, recovered.Memory) {
+		if err != nil || !bytes.Equal(again.Snapshot, recovered.Snapshot) {
 			t.Fatalf("%v: %v then %v", err, recovered, again)
 		}
 		want := append(slices.Clone(recovered.Records), []byte("more"))
--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -24,16 +24,16 @@
 }
 
 // Write is one disk request. Requests are carried out in order; exactly one of Write.Record,
-// Write.Memory and Write.Sweep is set.
+// Write.Snapshot and Write.Verify is set.
 type Write struct {
 	// Sequence numbers the requests of one outbox, beginning at 1.
 	Sequence uint64
 	// Record is a record to be appended to the log.
 	Record *wire.Record
-	// Memory is a snapshot of the whole state, which starts a new log.
-	Memory *wire.DurableState
-	// Sweep requests that everything stored be read back and verified.
-	Sweep bool
+	// Snapshot is a snapshot of the whole state, which starts a new log.
+	Snapshot *wire.DurableState
+	// Verify requests that everything stored be read back and verified.
+	Verify bool
 }
 
 // Outbox collects what one step of a state machine requests of its driver.
@@ -65,16 +65,16 @@
 	outbox.request(now, Write{Record: record}, onSynced)
 }
 
-// Replace requests that a snapshot of the whole state be written to the other slot. The snapshot
+// PersistSnapshot requests that a snapshot of the whole state be written to the other slot. The snapshot
 // must contain all that was requested before it, since its completion completes the earlier writes
 // too.
-func (outbox *Outbox) Replace(now time.Time, memory *wire.DurableState, onSynced func(now time.Time)) {
-	outbox.request(now, Write{Memory: memory}, onSynced)
+func (outbox *Outbox) PersistSnapshot(now time.Time, memory *wire.DurableState, onSynced func(now time.Time)) {
+	outbox.request(now, Write{Snapshot: memory}, onSynced)
 }
 
-// Sweep requests that everything stored be read back and verified.
-func (outbox *Outbox) Sweep(now time.Time) {
-	outbox.request(now, Write{Sweep: true}, func(time.Time) {})
+// Verify requests that everything stored be read back and verified.
+func (outbox *Outbox) Verify(now time.Time) {
+	outbox.request(now, Write{Verify: true}, func(time.Time) {})
 }
 
 func (outbox *Outbox) request(now time.Time, write Write, onSynced func(now time.Time)) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Oldest returns for how long the oldest pending write has waited, 0 where none is pending.
-func (outbox *Outbox) Oldest(now time.Time) time.Duration {
+// OldestWait returns for how long the oldest pending write has waited, 0 where none is pending.
+func (outbox *Outbox) OldestWait(now time.Time) time.Duration {
 	if len(outbox.pending) == 0 {
 		return 0
 	}
--- a/coordination/statemachine/outbox_test.go
+++ b/coordination/statemachine/outbox_test.go
@@ -17,7 +17,7 @@
 	}
 	outbox.Persist(now, &wire.Record{}, note(1))
 	outbox.Persist(now, &wire.Record{}, note(2))
-	outbox.Replace(now, &wire.DurableState{}, note(3))
+	outbox.PersistSnapshot(now, &wire.DurableState{}, note(3))
 	outbox.Persist(now, &wire.Record{}, note(4))
 	_, writes := outbox.Drain()
 	outbox.Done(now, writes[2].Sequence)
@@ -29,17 +29,17 @@
 
 func TestOldestIsTheWaitOfTheFirstPendingWrite(t *testing.T) {
 	now, outbox := time.Unix(1_700_000_000, 0), NewOutbox()
-	if wait := outbox.Oldest(now); wait != 0 {
+	if wait := outbox.OldestWait(now); wait != 0 {
 		t.Fatalf("nothing is pending, but the oldest write has waited %v", wait)
 	}
 	outbox.Persist(now, &wire.Record{}, func(time.Time) {})
-	outbox.Sweep(now.Add(time.Second))
+	outbox.Verify(now.Add(time.Second))
 	_, writes := outbox.Drain()
-	if wait := outbox.Oldest(now.Add(3 * time.Second)); wait != 3*time.Second {
+	if wait := outbox.OldestWait(now.Add(3 * time.Second)); wait != 3*time.Second {
 		t.Fatalf("the oldest write has waited %v", wait)
 	}
 	outbox.Done(now.Add(3*time.Second), writes[0].Sequence)
-	if wait := outbox.Oldest(now.Add(3 * time.Second)); wait != 2*time.Second {
+	if wait := outbox.OldestWait(now.Add(3 * time.Second)); wait != 2*time.Second {
 		t.Fatalf("the oldest write that is left has waited %v", wait)
 	}
 }
--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -64,7 +64,7 @@
 // that is ahead.
 func (agent *Agent) answerOtherInstance(instance uint64, reply string) {
 	if instance <= agent.current.Epoch {
-		agent.Tell(reply)
+		agent.SendView(reply)
 		return
 	}
 	request := &wire.ViewRequest{Epoch: agent.current.Epoch}
--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -16,7 +16,7 @@
 	agent := view.NewAgent(now, "a", nil, nil, outbox, func(string) string { return self.Address },
 		func(_ time.Time, learned *wire.View) { fmt.Println("learned view", learned.Epoch) })
 	founders := []*wire.Member{self}
-	agent.Found(now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}, founders)
+	agent.Bootstrap(now, &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}, founders)
 	for agent.Current().Epoch == 0 {
 		messages, writes := outbox.Drain()
 		for _, write := range writes {
--- a/coordination/view/learner.go
+++ b/coordination/view/learner.go
@@ -35,15 +35,15 @@
 		for _, member := range group {
 			if !notified[member.Id] {
 				notified[member.Id] = true
-				agent.Tell(agent.addressOf(member))
+				agent.SendView(agent.addressOf(member))
 			}
 		}
 	}
 	agent.learned(now, view)
 }
 
-// Tell sends the present view to an address.
-func (agent *Agent) Tell(address string) {
+// SendView sends the present view to an address.
+func (agent *Agent) SendView(address string) {
 	if agent.current.Epoch > 0 {
 		agent.outbox.Send(address, viewUpdate(agent.current))
 	}
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// Patience is how long the first attempt at a view may take before it counts as failed.
-	Patience = 400 * time.Millisecond
+	// AttemptTimeout is how long the first attempt at a view may take before it counts as failed.
+	AttemptTimeout = 400 * time.Millisecond
 	// maximumTimeout is how long a later attempt may take: each may take twice as long as the one before, since a disk
 	// may be too slow for two writes within the timeout of the first.
-	maximumTimeout = 4 * Patience
+	maximumTimeout = 4 * AttemptTimeout
 )
 
 // attempt is a proposer's attempt to have a value chosen in one instance.
@@ -36,15 +36,15 @@
 	agent.start(now, value, agent.current.Acceptors, Majority(len(agent.current.Acceptors)))
 }
 
-// Found starts an attempt at the first view. Every founder must accept it, so that no part of a fleet can found a
+// Bootstrap starts an attempt at the first view. Every founder must accept it, so that no part of a fleet can found a
 // second one.
-func (agent *Agent) Found(now time.Time, value *wire.View, founders []*wire.Member) {
+func (agent *Agent) Bootstrap(now time.Time, value *wire.View, founders []*wire.Member) {
 	agent.start(now, value, founders, len(founders))
 }
 
 func (agent *Agent) start(now time.Time, value *wire.View, acceptors []*wire.Member, quorum int) {
 	agent.round = max(agent.round, agent.vote.GetPromised().GetRound()) + 1
-	agent.timeout = min(max(Patience, 2*agent.timeout), maximumTimeout)
+	agent.timeout = min(max(AttemptTimeout, 2*agent.timeout), maximumTimeout)
 	agent.attempt = &attempt{
 		instance:  agent.current.Epoch + 1,
 		proposal:  &wire.ProposalNumber{Round: agent.round, Proposer: agent.self},
@@ -103,8 +103,8 @@
 	}
 }
 
-// Refused makes the next attempt use a proposal number above the one for which this attempt was rejected.
-func (agent *Agent) Refused(message *wire.ViewRejected) {
+// Rejected makes the next attempt use a proposal number above the one for which this attempt was rejected.
+func (agent *Agent) Rejected(message *wire.ViewRejected) {
 	agent.round = max(agent.round, message.Promised.GetRound())
 }
 
--- a/coordination/view/proposer_test.go
+++ b/coordination/view/proposer_test.go
@@ -40,8 +40,8 @@
 func TestAttemptsAreGivenMoreTime(t *testing.T) {
 	cluster, founders := newFounders(func() {})
 	agent := cluster.agents["k0"]
-	for _, timeout := range []time.Duration{Patience, 2 * Patience, 4 * Patience, 4 * Patience} {
-		agent.Found(cluster.now, &wire.View{Epoch: 1, Fleet: "f"}, founders)
+	for _, timeout := range []time.Duration{AttemptTimeout, 2 * AttemptTimeout, 4 * AttemptTimeout, 4 * AttemptTimeout} {
+		agent.Bootstrap(cluster.now, &wire.View{Epoch: 1, Fleet: "f"}, founders)
 		end := cluster.now.Add(timeout)
 		if !agent.Busy(end.Add(-1)) || agent.Busy(end) {
 			t.Fatalf("an attempt does not end %v after its start", timeout)
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -7,8 +7,8 @@
 //
 // An Agent is proposer, acceptor and learner of one process. It is a pure state machine: its caller
 // hands it received messages (Agent.Prepare, Agent.Promise, Agent.Accept, Agent.Accepted,
-// Agent.Refused and Agent.Learn, each named after the message), starts attempts by Agent.Propose or
-// Agent.Found, and after each call drains the outbox that it was given (see package statemachine).
+// Agent.Rejected and Agent.Learn, each named after the message), starts attempts by Agent.Propose or
+// Agent.Bootstrap, and after each call drains the outbox that it was given (see package statemachine).
 // It is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed without bound, and a process may crash at
@@ -75,11 +75,11 @@
 // process acts in none before it any more, and in it only once it is Current.
 func (agent *Agent) Newest() *wire.View { return agent.newest }
 
-// Since returns when the current view was learned, or when this process started if that was later.
-func (agent *Agent) Since() time.Time { return agent.learnedAt }
+// LearnedAt returns when the current view was learned, or when this process started if that was later.
+func (agent *Agent) LearnedAt() time.Time { return agent.learnedAt }
 
-// Vote returns the acceptor's state, for a snapshot.
-func (agent *Agent) Vote() *wire.AcceptorState { return agent.vote }
+// AcceptorState returns the acceptor's state, for a snapshot.
+func (agent *Agent) AcceptorState() *wire.AcceptorState { return agent.vote }
 
 // Voted reports whether this acceptor has voted for the next view.
 func (agent *Agent) Voted() bool { return agent.vote.Value != nil }
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -223,7 +223,7 @@
 		learned := 0
 		cluster, founders := newFounders(func() { learned++ })
 		first := &wire.View{Epoch: 1, Fleet: "f", Chain: founders, Acceptors: founders}
-		cluster.agents["k0"].Found(cluster.now, first, founders)
+		cluster.agents["k0"].Bootstrap(cluster.now, first, founders)
 		for range 20 {
 			cluster.exchange(founders, fmt.Sprint("k", unreachable))
 		}
@@ -240,9 +240,9 @@
 		func() { agent.Promise(cluster.now, message.from, envelope.GetViewPromise()) },
 		func() { agent.Accept(cluster.now, message.from, envelope.GetViewAccept()) },
 		func() { agent.Accepted(cluster.now, message.from, envelope.GetViewAccepted()) },
-		func() { agent.Refused(envelope.GetViewRejected()) },
+		func() { agent.Rejected(envelope.GetViewRejected()) },
 		func() { agent.Learn(cluster.now, envelope.GetViewUpdate().GetView()) },
-		func() { agent.Tell(message.from) },
+		func() { agent.SendView(message.from) },
 	}
 	handlers[kindOf(envelope)]()
 }
--- a/dataplane/controller/configuration.go
+++ b/dataplane/controller/configuration.go
@@ -75,7 +75,7 @@
 		return false
 	}
 	for index := range configuration.catalog.Spec.Tenants {
-		if configuration.catalog.Spec.Tenants[index].Quota.Limits() {
+		if configuration.catalog.Spec.Tenants[index].Quota.Limited() {
 			return true
 		}
 	}
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -5,7 +5,7 @@
 // the time, and sends what Drain returns.
 //
 // Requests may be dispatched while one of three things holds:
-//   - The head granted a lease in response to a request that was sent less than Settings.Staleness ago. The head
+//   - The head granted a lease in response to a request that was sent less than Settings.DaemonLease ago. The head
 //     acknowledges no change before the holders of such leases know it.
 //   - A majority of the acceptors confirmed, in response to such requests, that they know of nothing newer. No change
 //     is acknowledged before a majority of them knows it and their earlier confirmations have expired.
@@ -41,7 +41,7 @@
 	// Registered is set if runners register themselves; otherwise the platform's list of runners is read.
 	Registered bool
 	// Staleness is for how long a lease or a confirmation is relied on, counted from its request; 0 means
-	// lease.DaemonTerm.
+	// lease.DaemonTTL.
 	Staleness time.Duration
 	// WithoutCore is for how long after its last lease a daemon that reaches no core machine at all continues to serve
 	// with the configuration that it has; 0 means not at all.
@@ -49,9 +49,9 @@
 	// Quota holds the daemon's shares of the tenants' quotas, which the controller requests from the head; nil if there
 	// are none.
 	Quota *quota.Limiter
-	// OnTaken is called with what other daemons of the zone report of requests that run at most once: the
+	// OnDispatched is called with what other daemons of the zone report of requests that run at most once: the
 	// request's key, and whether it was dropped without having been executed. It may be nil.
-	OnTaken func(now time.Time, key []byte, dropped bool)
+	OnDispatched func(now time.Time, key []byte, dropped bool)
 }
 
 // Counters count what a controller has done since it was created.
@@ -90,7 +90,7 @@
 // New returns a controller that knows nothing yet and may not dispatch.
 func New(now time.Time, settings Settings, random *rand.Rand) *Controller {
 	if settings.Staleness == 0 {
-		settings.Staleness = lease.DaemonTerm
+		settings.Staleness = lease.DaemonTTL
 	}
 	// The order of these draws is part of a simulation's seed.
 	incarnation, firstNonce := random.Uint64(), uint64(random.Int63())
@@ -151,10 +151,10 @@
 // Until returns until when this daemon may dispatch requests; a moment in the past means that it may not.
 func (controller *Controller) Until(now time.Time) time.Time { return controller.permission.until(now) }
 
-// TellTaken notifies the other daemons of the zone of a request that must run at most once, and whether
+// NotifyDispatched notifies the other daemons of the zone of a request that must run at most once, and whether
 // it was dropped without having been executed. Other zones are not notified: clients are sent to daemons of their own
 // zone, and traffic between zones is expensive.
-func (controller *Controller) TellTaken(key []byte, dropped bool) {
+func (controller *Controller) NotifyDispatched(key []byte, dropped bool) {
 	for _, member := range controller.configuration.directory {
 		if member.Zone != controller.settings.Zone || member.Address == controller.settings.Address {
 			continue
@@ -165,8 +165,8 @@
 	}
 }
 
-// Leave records that this daemon is about to stop, which its lease requests announce from now on.
-func (controller *Controller) Leave() { controller.draining = true }
+// StartDraining records that this daemon is about to stop, which its lease requests announce from now on.
+func (controller *Controller) StartDraining() { controller.draining = true }
 
 // Snapshot returns the state that the request path needs.
 func (controller *Controller) Snapshot(now time.Time) config.Snapshot {
@@ -198,11 +198,11 @@
 	controller.gossip.Tick(now)
 }
 
-// WantsPoll reports, once for each time, that the owner should read the platform's list of runners and return it.
-func (controller *Controller) WantsPoll() bool { return controller.runnerList.takePollRequest() }
+// TakePollRequest reports, once for each time, that the owner should read the platform's list of runners and return it.
+func (controller *Controller) TakePollRequest() bool { return controller.runnerList.takePollRequest() }
 
-// Polled handles the platform's list of runners; failed means that it could not be read, which changes nothing.
-func (controller *Controller) Polled(now time.Time, runners []*wire.Runner, failed bool) {
+// OnPolled handles the platform's list of runners; failed means that it could not be read, which changes nothing.
+func (controller *Controller) OnPolled(now time.Time, runners []*wire.Runner, failed bool) {
 	controller.counters.Polls++
 	controller.runnerList.polled(now, runners, failed)
 }
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -129,7 +129,7 @@
 	if !serves() {
 		t.Fatal("does not serve with a majority of the acceptors behind it")
 	}
-	if now = now.Add(lease.DaemonTerm); serves() {
+	if now = now.Add(lease.DaemonTTL); serves() {
 		t.Fatal("serves beyond what was asked for")
 	}
 }
@@ -162,22 +162,22 @@
 		response *wire.DaemonLeaseGrant
 		to       time.Duration
 	}{
-		"no core responds": {without: without, to: lease.DaemonTerm + without},
-		"not allowed":      {to: lease.DaemonTerm},
+		"no core responds": {without: without, to: lease.DaemonTTL + without},
+		"not allowed":      {to: lease.DaemonTTL},
 		"a minority responds": {
 			without:  without,
 			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7},
-			to:       lease.DaemonTerm,
+			to:       lease.DaemonTTL,
 		},
 		"a starting machine responds": {
 			without:  without,
 			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Starting: true},
-			to:       lease.DaemonTerm + without,
+			to:       lease.DaemonTTL + without,
 		},
 		"a starting machine knows something newer": {
 			without:  without,
 			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 8, Starting: true},
-			to:       lease.DaemonTerm,
+			to:       lease.DaemonTTL,
 		},
 	}
 	for name, test := range cases {
@@ -185,7 +185,7 @@
 			controller := withDocument(t, Settings{WithoutCore: test.without})
 			start := started.Add(time.Second)
 			grantLease(controller, start)
-			for now := start; now.Before(start.Add(2*lease.DaemonTerm + without)); now = now.Add(50 * time.Millisecond) {
+			for now := start; now.Before(start.Add(2*lease.DaemonTTL + without)); now = now.Add(50 * time.Millisecond) {
 				nonces := request(controller, now)
 				if _, requested := nonces["c1"]; requested && test.response != nil {
 					respond(controller, now, nonces, 1, proto.CloneOf(test.response))
@@ -219,7 +219,7 @@
 	start := started.Add(time.Second)
 	grantLease(controller, start)
 	now := start
-	for now.Before(start.Add(2 * lease.DaemonTerm)) {
+	for now.Before(start.Add(2 * lease.DaemonTTL)) {
 		now = now.Add(50 * time.Millisecond)
 		request(controller, now)
 	}
@@ -282,11 +282,11 @@
 	third := requestFirst(late)
 	late = late.Add(time.Second)
 	grant(late, third, 7, 3)
-	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTerm)) {
+	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTTL)) {
 		t.Fatalf("serves until %v", until.Sub(started))
 	}
 	grant(late.Add(time.Second), third, 7, 3)
-	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTerm)) {
+	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTTL)) {
 		t.Fatal("a response counted twice")
 	}
 }
--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -47,15 +47,15 @@
 	controller.outbox.Send(from, &wire.Envelope{Body: body})
 }
 
-// AskQuota requests quota shares from the head now, unless the response to an earlier report is still expected.
-func (controller *Controller) AskQuota(now time.Time) {
+// RequestQuota requests quota shares from the head now, unless the response to an earlier report is still expected.
+func (controller *Controller) RequestQuota(now time.Time) {
 	if head := controller.leases.head(); head != nil && controller.quota.canReport(now) {
 		controller.requestLeases(now, []string{head.Address})
 	}
 }
 
-// Refused handles a refused connection to an address that was tried at a moment.
-func (controller *Controller) Refused(now time.Time, address string, _ time.Time) {
+// OnRefused handles a refused connection to an address that was tried at a moment.
+func (controller *Controller) OnRefused(now time.Time, address string, _ time.Time) {
 	if controller.schedule.onRefused(address) {
 		controller.requestDueLeases(now)
 	}
--- a/dataplane/controller/leases_test.go
+++ b/dataplane/controller/leases_test.go
@@ -9,7 +9,7 @@
 
 // newTestLeases returns the leases of a daemon that has document 7 and knows view 3.
 func newTestLeases() *leases {
-	created := newLeases(lease.DaemonTerm, &configuration{sequence: 7})
+	created := newLeases(lease.DaemonTTL, &configuration{sequence: 7})
 	created.adoptView(viewOf(3))
 	return created
 }
@@ -21,14 +21,14 @@
 		requested := started.Add(time.Duration(index) * time.Second)
 		current.confirm(requested, acceptor.Id, confirmation{requested: requested, sequence: 7})
 	}
-	if until := current.confirmedUntil(); !until.Equal(started.Add(time.Second + lease.DaemonTerm)) {
+	if until := current.confirmedUntil(); !until.Equal(started.Add(time.Second + lease.DaemonTTL)) {
 		t.Errorf("confirmed until %v", until.Sub(started))
 	}
 	// An acceptor that knows something newer no longer stands for what this daemon has, and an older one changes nothing.
 	latest := started.Add(3 * time.Second)
 	current.confirm(latest, acceptors[2].Id, confirmation{requested: latest, sequence: 8})
 	current.confirm(latest, acceptors[1].Id, confirmation{requested: started, sequence: 7})
-	if until := current.confirmedUntil(); !until.Equal(started.Add(lease.DaemonTerm)) {
+	if until := current.confirmedUntil(); !until.Equal(started.Add(lease.DaemonTTL)) {
 		t.Errorf("confirmed until %v", until.Sub(started))
 	}
 }
@@ -59,7 +59,7 @@
 	if !current.adoptView(viewOf(4)) || !current.confirmedUntil().IsZero() {
 		t.Error("the newer view was not adopted, or confirmations outlived it")
 	}
-	if until := current.until(); !until.Equal(started.Add(lease.DaemonTerm)) {
+	if until := current.until(); !until.Equal(started.Add(lease.DaemonTTL)) {
 		t.Errorf("lease until %v", until.Sub(started))
 	}
 }
@@ -67,9 +67,9 @@
 // A shorter lease of the head's does not end an earlier one.
 func TestGrantNeverShortens(t *testing.T) {
 	current := newTestLeases()
-	current.grant(started, lease.DaemonTerm)
+	current.grant(started, lease.DaemonTTL)
 	current.grant(started, time.Millisecond)
-	if until := current.until(); !until.Equal(started.Add(lease.DaemonTerm)) {
+	if until := current.until(); !until.Equal(started.Add(lease.DaemonTTL)) {
 		t.Errorf("lease until %v", until.Sub(started))
 	}
 	if !current.isHead("c0") || current.isHead("c1") || !current.isAcceptor("k1") || current.isAcceptor("c1") {
--- a/dataplane/controller/permission_test.go
+++ b/dataplane/controller/permission_test.go
@@ -10,7 +10,7 @@
 // Without a lease only a daemon that is isolated from every core machine may dispatch.
 func TestPermissionWithoutLease(t *testing.T) {
 	const withoutCore = 10 * time.Second
-	now := started.Add(lease.DaemonTerm + time.Second)
+	now := started.Add(lease.DaemonTTL + time.Second)
 	isolatedUntil := now.Add(isolationStep)
 	for name, test := range map[string]struct {
 		change func(permission *permission)
@@ -20,19 +20,19 @@
 		"never ready": {func(permission *permission) { permission.leases.ready = false }, time.Time{}},
 		"too few rounds": {
 			func(permission *permission) { permission.unansweredRounds = isolationRounds - 1 },
-			started.Add(lease.DaemonTerm),
+			started.Add(lease.DaemonTTL),
 		},
 		"suspended": {
 			func(permission *permission) { permission.lastTick = now.Add(-suspensionThreshold) },
-			started.Add(lease.DaemonTerm),
+			started.Add(lease.DaemonTTL),
 		},
 		"something newer": {
 			func(permission *permission) { permission.onNewerSequence(8) },
-			started.Add(lease.DaemonTerm),
+			started.Add(lease.DaemonTTL),
 		},
 		"not allowed": {
 			func(permission *permission) { permission.withoutCore = 0 },
-			started.Add(lease.DaemonTerm),
+			started.Add(lease.DaemonTTL),
 		},
 		"at the end": {
 			func(permission *permission) { permission.withoutCore = time.Second + isolationStep/2 },
@@ -40,7 +40,7 @@
 		},
 	} {
 		current := newTestLeases()
-		current.grant(started, lease.DaemonTerm)
+		current.grant(started, lease.DaemonTTL)
 		current.ready = true
 		current.recordEnd()
 		tested := newPermission(withoutCore, current.configuration, current)
--- a/dataplane/controller/quota.go
+++ b/dataplane/controller/quota.go
@@ -23,7 +23,7 @@
 // canReport reports whether there are shares to report on and no response is expected. A report invalidates the
 // responses to all earlier ones, so none is sent while one is expected.
 func (reporter *quotaReporter) canReport(now time.Time) bool {
-	return reporter.limiter != nil && !reporter.limiter.Awaits(now)
+	return reporter.limiter != nil && !reporter.limiter.AwaitsGrant(now)
 }
 
 // report returns the report to be sent to an address with a nonce; nil if the address is not the head's or if no report
@@ -34,10 +34,10 @@
 	}
 	report := &wire.QuotaReport{}
 	// That this daemon holds nothing is worth reporting too: a new head waits to know what all daemons hold.
-	if reporter.limiter.Blank() && !reporter.configuration.hasQuotas() {
+	if reporter.limiter.IsUnused() && !reporter.configuration.hasQuotas() {
 		return report
 	}
-	for _, tenant := range reporter.limiter.TenantReports(now, nonce) {
+	for _, tenant := range reporter.limiter.Report(now, nonce) {
 		report.Tenants = append(report.Tenants, tenantMessage(tenant))
 	}
 	return report
@@ -59,7 +59,7 @@
 		})
 	}
 	term := time.Duration(response.Quota.Milliseconds) * time.Millisecond
-	reporter.limiter.Granted(now, response.Nonce, term, shares)
+	reporter.limiter.ApplyGrant(now, response.Nonce, term, shares)
 }
 
 // tenantMessage returns the wire form of what is reported of one tenant.
--- a/dataplane/controller/quota_test.go
+++ b/dataplane/controller/quota_test.go
@@ -19,7 +19,7 @@
 	if report := reporter.report(started, "c0", 1); report == nil || len(report.Tenants) != 0 {
 		t.Errorf("%v is reported without any share", report)
 	}
-	limiter.Offer(started, "tenant", 1)
+	limiter.RecordDemand(started, "tenant", 1)
 	report := reporter.report(started, "c0", 2)
 	if report == nil || len(report.Tenants) != 1 || report.Tenants[0].Tenant != "tenant" {
 		t.Fatalf("%v is reported", report)
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -24,10 +24,10 @@
 			controller.partialView.Shuffle(now, envelope.From, envelope.GetShuffle())
 		},
 		reflect.TypeFor[*wire.Envelope_GossipMessage](): func(now time.Time, envelope *wire.Envelope) {
-			controller.gossip.Rumor(now, envelope.GetGossipMessage())
+			controller.gossip.HandleMessage(now, envelope.GetGossipMessage())
 		},
 		reflect.TypeFor[*wire.Envelope_RunnerDigest](): func(now time.Time, envelope *wire.Envelope) {
-			controller.runnerSync.exchange.Digest(now, envelope.From, envelope.GetRunnerDigest())
+			controller.runnerSync.exchange.HandleDigest(now, envelope.From, envelope.GetRunnerDigest())
 		},
 		reflect.TypeFor[*wire.Envelope_ViewUpdate](): func(_ time.Time, envelope *wire.Envelope) {
 			controller.adoptView(envelope.GetViewUpdate().View)
@@ -44,7 +44,7 @@
 // onDigest compares gossip entries, and the runners if the sender keeps a registry.
 func (controller *Controller) onDigest(now time.Time, envelope *wire.Envelope) {
 	digest := envelope.GetDigest()
-	controller.gossip.Digest(now, envelope.From, envelope.Zone, digest)
+	controller.gossip.HandleDigest(now, envelope.From, envelope.Zone, digest)
 	// A checksum of 0 is that of an empty registry and of a process that keeps none; the former asks on its own.
 	if digest.RunnersChecksum != 0 {
 		controller.runnerSync.compare(now, envelope.From, digest.RunnersChecksum)
@@ -73,9 +73,9 @@
 
 // onRequestDispatched passes on what a daemon of the zone reports of a request that runs at most once.
 func (controller *Controller) onRequestDispatched(now time.Time, envelope *wire.Envelope) {
-	if controller.settings.OnTaken != nil && envelope.Zone == controller.settings.Zone {
+	if controller.settings.OnDispatched != nil && envelope.Zone == controller.settings.Zone {
 		dispatched := envelope.GetRequestDispatched()
-		controller.settings.OnTaken(now, dispatched.Key, dispatched.NotExecuted)
+		controller.settings.OnDispatched(now, dispatched.Key, dispatched.NotExecuted)
 	}
 }
 
--- a/dataplane/controller/runnerlist.go
+++ b/dataplane/controller/runnerlist.go
@@ -54,7 +54,7 @@
 func (list *runnerList) heartbeatPrefix() string { return "z/" + list.zone + "/beat/" }
 
 // setOrder sets the order in which the zone's daemons are elected.
-func (list *runnerList) setOrder(addresses []string) { list.election.Order(addresses) }
+func (list *runnerList) setOrder(addresses []string) { list.election.SetOrder(addresses) }
 
 // onGossipEntry handles a list or a heartbeat, and ignores other entries. It reports whether the entry is a list of a
 // daemon that was elected earlier.
@@ -63,7 +63,7 @@
 		return list.onList(now, entry)
 	}
 	if address, found := strings.CutPrefix(entry.Key, list.heartbeatPrefix()); found {
-		list.election.Heard(now, address)
+		list.election.Observe(now, address)
 	}
 	return false
 }
@@ -74,7 +74,7 @@
 	if proto.Unmarshal(entry.Value, content) != nil {
 		return false
 	}
-	if !list.election.Take(entry.Epoch, entry.Writer) {
+	if !list.election.Accept(entry.Epoch, entry.Writer) {
 		return true
 	}
 	list.lastList, list.runners = now, content.Runners
@@ -84,13 +84,13 @@
 // tick sends a heartbeat if this daemon may be elected next, and requests a poll if it is elected or if nobody else
 // seems to poll.
 func (list *runnerList) tick(now time.Time) {
-	if now.Sub(list.lastHeartbeat) >= heartbeatInterval && list.election.Candidate(now, candidateCount) {
+	if now.Sub(list.lastHeartbeat) >= heartbeatInterval && list.election.IsCandidate(now, candidateCount) {
 		list.sendHeartbeat(now)
 	}
 	if list.polling || now.Sub(list.lastPoll) < pollInterval {
 		return
 	}
-	_, elected := list.election.Mine(now)
+	_, elected := list.election.Leading(now)
 	if elected || now.Sub(list.lastList) > listTimeout {
 		list.lastPoll, list.polling, list.pollRequested = now, true, true
 	}
@@ -131,7 +131,7 @@
 	if failed {
 		return
 	}
-	epoch, elected := list.election.Mine(now)
+	epoch, elected := list.election.Leading(now)
 	if !elected {
 		// This daemon polled for itself because no list arrived; others must not take it for that of the elected one.
 		list.runners = runners
--- a/dataplane/controller/runnersync.go
+++ b/dataplane/controller/runnersync.go
@@ -76,20 +76,20 @@
 	}
 	runnerSync.lastRequest = now
 	if seeds := runnerSync.seeds; len(seeds) > 0 {
-		runnerSync.exchange.Ask(now, seeds[runnerSync.random.Intn(len(seeds))])
+		runnerSync.exchange.RequestMissing(now, seeds[runnerSync.random.Intn(len(seeds))])
 	}
 }
 
 // compare handles the checksum of the runners that another process knows, and asks for what is missing.
 func (runnerSync *runnerSync) compare(now time.Time, from string, checksum uint64) {
 	if runnerSync.registered {
-		runnerSync.exchange.Compare(now, from, checksum)
+		runnerSync.exchange.HandleChecksum(now, from, checksum)
 	}
 }
 
 // onUpdate adopts runners of another process and reports whether these were all that it knows.
 func (runnerSync *runnerSync) onUpdate(now time.Time, from string, update *wire.RunnerUpdate) bool {
-	runnerSync.exchange.News(now, from, update)
+	runnerSync.exchange.HandleUpdate(now, from, update)
 	if !update.Response {
 		return false
 	}
@@ -121,6 +121,6 @@
 	if runnerSync.lastSource == from && now.Sub(runnerSync.lastSync) < syncWindow {
 		return true
 	}
-	runnerSync.exchange.Insist(now, from)
+	runnerSync.exchange.EnsureRequested(now, from)
 	return disagreement.expired(now)
 }
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -79,9 +79,9 @@
 	if !serves(controller, now) || len(controller.Snapshot(now).Runners) != 1 {
 		t.Fatal("does not serve with what it has learned")
 	}
-	now = now.Add(lease.DaemonTerm / 2)
+	now = now.Add(lease.DaemonTTL / 2)
 	grantAt(controller, now, 123)
-	if until := controller.Until(now); until.Sub(now) < lease.DaemonTerm {
+	if until := controller.Until(now); until.Sub(now) < lease.DaemonTTL {
 		t.Fatal("a daemon that serves was stopped by a runner that came")
 	}
 	// An old list is better than none if nobody has a newer one.
@@ -129,7 +129,7 @@
 	}{
 		"other runners":        {true, func(_ *runnerSync) {}, false},
 		"no registry":          {false, func(_ *runnerSync) {}, true},
-		"lease held":           {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTerm) }, true},
+		"lease held":           {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTTL) }, true},
 		"just learned":         {true, func(sync *runnerSync) { learnAll(sync, started, head) }, true},
 		"learned of another":   {true, func(sync *runnerSync) { learnAll(sync, started, "other") }, false},
 		"learned too long ago": {true, func(sync *runnerSync) { learnAll(sync, started.Add(-syncWindow), head) }, false},
--- a/dataplane/controller/schedule_test.go
+++ b/dataplane/controller/schedule_test.go
@@ -26,7 +26,7 @@
 func TestNextAsksEverybodyOnceTheHeadFails(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.leases.ready = true
-	schedule.leases.grant(started, lease.DaemonTerm)
+	schedule.leases.grant(started, lease.DaemonTTL)
 	schedule.onGrant(started)
 	if addresses, due := schedule.next(started); !due || !slices.Equal(addresses, []string{"c0"}) {
 		t.Errorf("%v, due is %v", addresses, due)
@@ -82,7 +82,7 @@
 	if first != 41 || second != 42 {
 		t.Errorf("nonces %d and %d", first, second)
 	}
-	pending.expire(started.Add(lease.DaemonTerm+1), lease.DaemonTerm)
+	pending.expire(started.Add(lease.DaemonTTL+1), lease.DaemonTTL)
 	if _, found := pending.take(first); found {
 		t.Error("an expired request was found")
 	}
--- a/dataplane/daemon/daemon.go
+++ b/dataplane/daemon/daemon.go
@@ -104,13 +104,13 @@
 			HTTP:        settings.HTTP,
 			Zone:        settings.Zone,
 			Seeds:       settings.Seeds,
-			Staleness:   lease.DaemonTermFor(settings.ApplyTime()),
+			Staleness:   lease.DaemonTTLFor(settings.ApplyTime()),
 			WithoutCore: settings.WithoutCoreTime(),
 			Registered:  settings.Registered,
 		},
 		Codec:   adapted,
 		Retries: retrySettings(settings),
-		Without: settings.WithoutMechanisms(),
+		Without: settings.DisabledFeatures(),
 		Workers: kvblock.DefaultWorkers,
 		Random:  rand.New(rand.NewSource(randomseed.New())),
 		Await:   scheduler.Await,
@@ -139,7 +139,7 @@
 
 // refused notifies the controller of a refused connection to another process.
 func (daemon *Daemon) refused(address string, tried time.Time) {
-	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.Refused(now, address, tried) })
+	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, address, tried) })
 }
 
 // tick lets the controller do what is due.
@@ -150,7 +150,7 @@
 // poll reads the platform's list of runners.
 func (daemon *Daemon) poll() {
 	status, content, err := daemon.platform.GetTimeout(nil, daemon.settings.Platform, pollTimeout)
-	daemon.Listed(content, err == nil && status == fasthttp.StatusOK)
+	daemon.OnPolled(content, err == nil && status == fasthttp.StatusOK)
 }
 
 // Run serves until the context ends, then stops as planned: it returns once the requests in flight are finished or the
@@ -169,11 +169,11 @@
 	working, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	daemon.tick()
-	go every(working, dataplane.TickEvery, daemon.tick)
-	go every(working, dataplane.SettleEvery, daemon.Settle)
-	go every(working, dataplane.PressureEvery, daemon.AskPressures)
-	go every(working, dataplane.AgeEvery, daemon.Age)
-	go every(working, dataplane.WatchEvery, daemon.Watch)
+	go every(working, dataplane.TickInterval, daemon.tick)
+	go every(working, dataplane.RebalanceInterval, daemon.Rebalance)
+	go every(working, dataplane.ProbeInterval, daemon.ProbeStale)
+	go every(working, dataplane.AgeInterval, daemon.AgeIndex)
+	go every(working, dataplane.WatchInterval, daemon.ProbeUnresponsive)
 	<-ctx.Done()
 	return daemon.drain(context.WithoutCancel(ctx), server)
 }
--- a/dataplane/daemon/drain.go
+++ b/dataplane/daemon/drain.go
@@ -29,7 +29,7 @@
 	deadline := started.Add(total)
 	daemon.Handler.StopBy.Store(&deadline)
 	daemon.Drain()
-	ticker := time.NewTicker(dataplane.SettleEvery)
+	ticker := time.NewTicker(dataplane.RebalanceInterval)
 	defer ticker.Stop()
 	for !daemon.Drained(drainTime) && time.Since(started) < total {
 		<-ticker.C
--- a/dataplane/daemon/http.go
+++ b/dataplane/daemon/http.go
@@ -144,7 +144,7 @@
 
 // reject responds with an error to what never became a request of the proxy.
 func (daemon *Daemon) reject(request *fasthttp.RequestCtx, code apierror.Code, detail string) {
-	refusal := codec.Refusal{Kind: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
+	refusal := codec.Refusal{Code: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
 	daemon.Handler.Codec.Refuse(netio.FromHTTP(request), nil, refusal)
 }
 
@@ -165,7 +165,7 @@
 		request.Error("draining\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if !daemon.Fit() {
+	if !daemon.Ready() {
 		request.Error("no present spec, or no runner known\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
--- a/dataplane/daemon/status.go
+++ b/dataplane/daemon/status.go
@@ -64,7 +64,7 @@
 		Serving:    now.Before(snapshot.Until),
 		Draining:   daemon.Handler.Draining.Load(),
 		InFlight:   daemon.Handler.InFlight.Load(),
-		Runners:    daemon.Handler.Loads.All(now, daemon.Daemons()),
+		Runners:    daemon.Handler.Loads.Runners(now, daemon.Daemons()),
 		Routes:     daemon.Handler.Metrics.Routes(),
 		Tenants:    daemon.Handler.Quota.Usage(now),
 		Schedulers: daemon.schedulerStatus(),
@@ -73,7 +73,7 @@
 		Wire:       transport.CounterValues(daemon.transport),
 		Directory:  len(daemon.Daemons()),
 	}
-	daemon.Look(func(machine *controller.Controller) {
+	daemon.WithController(func(machine *controller.Controller) {
 		for _, peer := range machine.PartialView() {
 			status.PartialView = append(status.PartialView, peer.Address)
 		}
@@ -101,7 +101,7 @@
 func (daemon *Daemon) indexStatus() map[string]uint64 {
 	indexer := daemon.Handler.Indexer
 	return map[string]uint64{
-		"keys":              uint64(indexer.Index.Keys()),
+		"keys":              uint64(indexer.Index.Len()),
 		"events":            indexer.Pool.Applied.Load(),
 		"dropped":           indexer.Pool.Dropped.Load(),
 		"inferred_removals": indexer.Pool.Inferred.Load(),
@@ -116,6 +116,6 @@
 		"reused":         counters.Reused.Load(),
 		"wrong_identity": counters.WrongIdentity.Load(),
 		"unreachable":    counters.Unreachable.Load(),
-		"lost":           counters.Lost.Load(),
+		"lost":           counters.Aborted.Load(),
 	}
 }
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -35,11 +35,11 @@
 
 // The intervals at which the owner calls the controller's Tick and the plane's periodic methods.
 const (
-	TickEvery     = 50 * time.Millisecond
-	SettleEvery   = 20 * time.Millisecond
-	PressureEvery = 250 * time.Millisecond
-	AgeEvery      = 30 * time.Second
-	WatchEvery    = 100 * time.Millisecond
+	TickInterval      = 50 * time.Millisecond
+	RebalanceInterval = 20 * time.Millisecond
+	ProbeInterval     = 250 * time.Millisecond
+	AgeInterval       = 30 * time.Second
+	WatchInterval     = 100 * time.Millisecond
 )
 
 // Settings are the settings of a plane. Those of the controller are embedded, of which New sets the quota limiter and
@@ -48,7 +48,7 @@
 	controller.Settings
 	// Workers is how many workers apply events to the index; 0 means that events are applied at once.
 	Workers int
-	// Retries limits retries, over all daemons; the zero value means retrybudget.Default.
+	// Retries limits retries, over all daemons; the zero value means retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
 	// Without names the mechanisms that are switched off.
 	Without features.Set
@@ -115,10 +115,10 @@
 	}
 	dispatched := dedup.New()
 	settings.Quota = quota.NewLimiter()
-	settings.Quota.OnDemand = settings.Without[features.TokensAhead]
-	settings.OnTaken = func(now time.Time, key []byte, dropped bool) {
+	settings.Quota.OnDemand = settings.Without[features.QuotaPrefetch]
+	settings.OnDispatched = func(now time.Time, key []byte, dropped bool) {
 		if len(key) == len(dedup.Key{}) {
-			dispatched.Heard(now, dedup.Key(key), dropped)
+			dispatched.RecordAnnounced(now, dedup.Key(key), dropped)
 		}
 	}
 	// The controller's source is drawn first, the schedulers' ones as they are created.
@@ -148,8 +148,8 @@
 func (plane *Plane) newHandler(settings Settings, indexer *kvblock.Indexer, dispatched *dedup.Table) *proxy.Handler {
 	loads := load.NewTable(plane.started, settings.Address)
 	loads.Without = settings.Without
-	connections := connpool.New(plane.environment, settings.Codec.Identity())
-	connections.Foreign = settings.Codec.Foreign
+	connections := connpool.New(plane.environment, settings.Codec.IdentityPath())
+	connections.IsForeign = settings.Codec.AnswersRequest
 	return &proxy.Handler{
 		Name:        settings.Address,
 		Zone:        settings.Zone,
@@ -157,7 +157,7 @@
 		Started:     plane.started,
 		Codec:       settings.Codec,
 		Retries:     settings.Retries,
-		Without:     settings.Without,
+		Disabled:    settings.Without,
 		Await:       settings.Await,
 		Snapshot:    plane.snapshot.Load,
 		Renewed:     func() <-chan struct{} { return *plane.renewed.Load() },
@@ -167,13 +167,13 @@
 		Connections: connections,
 		Metrics:     metrics.New(),
 		Scheduler:   func(backend string) *scheduler.Scheduler { return plane.schedulers.get(backend) },
-		Once:        dispatched,
-		Tell: func(key dedup.Key, dropped bool) {
-			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.TellTaken(key[:], dropped) })
+		Dedup:       dispatched,
+		Announce: func(key dedup.Key, dropped bool) {
+			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.NotifyDispatched(key[:], dropped) })
 		},
 		Quota: settings.Quota,
-		AskQuota: func() {
-			plane.Step(func(now time.Time, machine *controller.Controller) { machine.AskQuota(now) })
+		RequestQuota: func() {
+			plane.Step(func(now time.Time, machine *controller.Controller) { machine.RequestQuota(now) })
 		},
 	}
 }
@@ -192,7 +192,7 @@
 	if snapshot.Until.After(previous.Until) {
 		close(*plane.renew())
 	}
-	if plane.controller.WantsPoll() {
+	if plane.controller.TakePollRequest() {
 		plane.poll()
 	}
 }
@@ -207,7 +207,7 @@
 func (plane *Plane) Drain() {
 	plane.drainStarted = plane.environment.Now()
 	plane.Handler.Draining.Store(true)
-	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.Leave() })
+	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.StartDraining() })
 }
 
 // Drained reports whether the platform has had some time to notice that, and no request is in flight.
@@ -216,8 +216,8 @@
 	return elapsed >= length && plane.Handler.InFlight.Load() == 0
 }
 
-// Fit reports whether the daemon is ready, so that clients should be sent to it.
-func (plane *Plane) Fit() bool {
+// Ready reports whether the daemon is ready, so that clients should be sent to it.
+func (plane *Plane) Ready() bool {
 	snapshot := plane.Snapshot()
 	if plane.Handler.Draining.Load() || snapshot.Catalog == nil || !plane.environment.Now().Before(snapshot.Until) {
 		return false
@@ -226,8 +226,8 @@
 	return len(snapshot.Runners) > 0 || len(snapshot.Catalog.Routes) == 0
 }
 
-// Listed handles the platform's response to a poll; read is false if there was none.
-func (plane *Plane) Listed(content []byte, read bool) {
+// OnPolled handles the platform's response to a poll; read is false if there was none.
+func (plane *Plane) OnPolled(content []byte, read bool) {
 	var runners []*wire.Runner
 	failed := !read
 	if read {
@@ -235,7 +235,7 @@
 		runners, err = parseList(content)
 		failed = err != nil // The previous list stays; the next poll may return a better one.
 	}
-	plane.Step(func(now time.Time, machine *controller.Controller) { machine.Polled(now, runners, failed) })
+	plane.Step(func(now time.Time, machine *controller.Controller) { machine.OnPolled(now, runners, failed) })
 }
 
 // follow applies a new snapshot to the rest of the plane and logs changes of state. The caller holds the mutex.
@@ -259,9 +259,9 @@
 		return
 	}
 	plane.runners = snapshot.Runners
-	for _, removed := range plane.Handler.Loads.List(now, snapshot.Runners) {
-		plane.Handler.Indexer.Pool.Add(kvblock.RunnerGone{Runner: removed})
-		plane.Handler.Connections.Forget(removed)
+	for _, removed := range plane.Handler.Loads.UpdateListing(now, snapshot.Runners) {
+		plane.Handler.Indexer.Pool.Add(kvblock.RunnerRemoved{Runner: removed})
+		plane.Handler.Connections.Remove(removed)
 	}
 }
 
@@ -294,8 +294,8 @@
 // Started returns when this plane was created.
 func (plane *Plane) Started() time.Time { return plane.started }
 
-// Look calls a function with the controller, under its lock.
-func (plane *Plane) Look(do func(machine *controller.Controller)) {
+// WithController calls a function with the controller, under its lock.
+func (plane *Plane) WithController(do func(machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
 	do(plane.controller)
@@ -310,12 +310,12 @@
 		}
 		found := snapshot.Catalog.Backends[backend]
 		var permitted []load.Runner
-		for _, runner := range plane.Handler.Loads.All(now, daemons) {
+		for _, runner := range plane.Handler.Loads.Runners(now, daemons) {
 			if proxy.Permits(snapshot.Catalog, found, runner) {
 				permitted = append(permitted, runner)
 			}
 		}
-		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Pool: *found}
+		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Backend: *found}
 	}
 }
 
@@ -324,26 +324,26 @@
 	plane.schedulers.each(do)
 }
 
-// Settle lets the schedulers decide on waiting requests.
-func (plane *Plane) Settle() {
+// Rebalance lets the schedulers decide on waiting requests.
+func (plane *Plane) Rebalance() {
 	plane.Schedulers(func(_ string, scheduler *scheduler.Scheduler) {
-		if scheduler.Waiting() {
+		if scheduler.HasQueued() {
 			scheduler.Rebalance(plane.environment.Now())
 		}
 	})
 }
 
-// Age removes index entries that have not been used for long.
-func (plane *Plane) Age() {
+// AgeIndex removes index entries that have not been used for long.
+func (plane *Plane) AgeIndex() {
 	now := plane.environment.Now()
-	for _, runner := range plane.Handler.Loads.All(now, nil) {
-		plane.Handler.Indexer.Pool.Add(kvblock.Aged{Runner: runner.ID, Now: now})
+	for _, runner := range plane.Handler.Loads.Runners(now, nil) {
+		plane.Handler.Indexer.Pool.Add(kvblock.IdleBlocksExpired{Runner: runner.ID, Now: now})
 	}
 }
 
-// AskPressures requests a load report from every runner whose latest one is outdated.
-func (plane *Plane) AskPressures() { plane.prober.probeStale() }
+// ProbeStale requests a load report from every runner whose latest one is outdated.
+func (plane *Plane) ProbeStale() { plane.prober.probeStale() }
 
-// Watch checks the runners on which requests wait without any activity, and lets those requests be retried
+// ProbeUnresponsive checks the runners on which requests wait without any activity, and lets those requests be retried
 // elsewhere if a runner does not respond.
-func (plane *Plane) Watch() { plane.prober.probeUnresponsive() }
+func (plane *Plane) ProbeUnresponsive() { plane.prober.probeUnresponsive() }
--- a/dataplane/prober.go
+++ b/dataplane/prober.go
@@ -41,16 +41,16 @@
 // too old for a decision a moment later anyway. Unresponsive runners are found by the requests that wait for them.
 func (prober *prober) freshness() time.Duration {
 	daemons := time.Duration(max(smallFleet, len(prober.daemons())))
-	return prober.codec.Fresh() * daemons / smallFleet
+	return prober.codec.ReportTTL() * daemons / smallFleet
 }
 
 // probeStale requests a report from every runner whose latest one is outdated, unless a request is under way.
 func (prober *prober) probeStale() {
-	if prober.without[features.Reports] {
+	if prober.without[features.LoadReports] {
 		return
 	}
 	freshness := prober.freshness()
-	for _, runner := range prober.loads.Stale(prober.environment.Now(), freshness, freshness == 0) {
+	for _, runner := range prober.loads.RunnersToPoll(prober.environment.Now(), freshness, freshness == 0) {
 		prober.start(runner, reportTimeout, func() {})
 	}
 }
@@ -61,12 +61,12 @@
 // Why the check: a runner that processes a long prompt is as inactive as an unreachable one, but it responds to this at
 // once.
 func (prober *prober) probeUnresponsive() {
-	if prober.without[features.Watch] {
+	if prober.without[features.SilenceProbes] {
 		return
 	}
-	for _, id := range prober.connections.Silent(inactivityThreshold) {
-		if runner, found := prober.loads.One(prober.environment.Now(), id, nil); found {
-			prober.start(runner, checkTimeout, func() { prober.connections.Hurry(id, inactivityThreshold) })
+	for _, id := range prober.connections.Unresponsive(inactivityThreshold) {
+		if runner, found := prober.loads.Lookup(prober.environment.Now(), id, nil); found {
+			prober.start(runner, checkTimeout, func() { prober.connections.AbortRetryable(id, inactivityThreshold) })
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	report, err := prober.request(connection, timeout)
 	if apierror.Is(err, apierror.NotAnswered) {
 		// A runner that rejects the request is reachable, and the connection can be reused.
-		prober.connections.Keep(connection, 0)
+		prober.connections.Release(connection, 0)
 		prober.loads.ReportRefused(prober.environment.Now(), runner.ID)
 		return true
 	}
@@ -104,24 +104,24 @@
 		prober.onMissed(runner.ID, apierror.Of(err))
 		return false
 	}
-	prober.connections.Keep(connection, 0)
-	prober.loads.ReportGiven(prober.environment.Now(), runner.ID, report)
+	prober.connections.Release(connection, 0)
+	prober.loads.RecordPolledReport(prober.environment.Now(), runner.ID, report)
 	return true
 }
 
 // request requests a report over a connection.
 func (prober *prober) request(connection *connpool.Connection, timeout time.Duration) (load.Report, error) {
-	content, err := connection.Get(prober.codec.Probe(), timeout)
+	content, err := connection.Get(prober.codec.LoadPath(), timeout)
 	if err != nil {
 		return load.Report{}, err
 	}
-	return prober.codec.Report(content)
+	return prober.codec.ParseReport(content)
 }
 
 // onMissed records that a runner returned no report. The connections of one that has failed for certain are aborted at
 // once, so that requests waiting on them learn of it now and not at the end of their latency targets.
 func (prober *prober) onMissed(runner string, err *apierror.Error) {
-	if prober.loads.Missed(prober.environment.Now(), runner, err.Code) {
-		prober.connections.Lose(runner)
+	if prober.loads.ReportFailed(prober.environment.Now(), runner, err.Code) {
+		prober.connections.AbortInactive(runner)
 	}
 }
--- a/dataplane/prober_test.go
+++ b/dataplane/prober_test.go
@@ -29,7 +29,7 @@
 		},
 	}
 	loads := load.NewTable(started.Add(-time.Minute), "d0")
-	loads.List(started.Add(-time.Minute), []*wire.Runner{{RunnerId: "r", Address: "x", State: "ready"}})
+	loads.UpdateListing(started.Add(-time.Minute), []*wire.Runner{{RunnerId: "r", Address: "x", State: "ready"}})
 	return &prober{
 		environment: environment,
 		loads:       loads,
@@ -44,7 +44,7 @@
 func TestProbesDoNotOverlap(t *testing.T) {
 	tested, dials, work := newTestProber(1)
 	failures := 0
-	runner, found := tested.loads.One(started, "r", nil)
+	runner, found := tested.loads.Lookup(started, "r", nil)
 	if !found {
 		t.Fatal("the runner is not listed")
 	}
@@ -68,7 +68,7 @@
 func TestProbeStale(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		tested, _, work := newTestProber(1)
-		tested.without[features.Reports] = off
+		tested.without[features.LoadReports] = off
 		tested.probeStale()
 		if asked := len(*work) > 0; asked == off {
 			t.Errorf("switched off %v: asked %v", off, asked)
--- a/features/features.go
+++ b/features/features.go
@@ -14,10 +14,10 @@
 
 // The features.
 const (
-	// Reports polls the load of runners at regular times.
-	Reports Feature = "reports"
-	// Watch probes runners from which a response has been outstanding for long without any bytes.
-	Watch Feature = "watch"
+	// LoadReports polls the load of runners at regular times.
+	LoadReports Feature = "reports"
+	// SilenceProbes probes runners from which a response has been outstanding for long without any bytes.
+	SilenceProbes Feature = "watch"
 	// LoadHeader uses the load that runners report in the headers of their responses.
 	LoadHeader Feature = "load-header"
 	// PrefixIndex remembers which runner was sent which prefix.
@@ -28,20 +28,20 @@
 	OthersEstimate Feature = "others-estimate"
 	// LongRunners reserves some runners for prompts whose prefill takes long.
 	LongRunners Feature = "long-runners"
-	// Harm adds to a candidate's cost the delay that the prompt's prefill causes for other requests.
-	Harm Feature = "harm"
-	// RereadPrice adds to a candidate's cost the prefill of shared prefix blocks that it does not have cached.
-	RereadPrice Feature = "reread-price"
+	// Interference adds to a candidate's cost the delay that the prompt's prefill causes for other requests.
+	Interference Feature = "harm"
+	// RecomputeCost adds to a candidate's cost the prefill of shared prefix blocks that it does not have cached.
+	RecomputeCost Feature = "reread-price"
 	// Slowness tracks how much slower than the others a runner responds.
 	Slowness Feature = "slowness"
 	// ZonePreference adds to a candidate's cost that it is in another zone.
 	ZonePreference Feature = "zone-preference"
 	// Urgency sends runners the order in which to process requests.
 	Urgency Feature = "urgency"
-	// Window bounds a daemon's requests in flight, and narrows when runners reject some.
-	Window Feature = "window"
-	// EarlyRefusal rejects requests that would be dispatched too late, rather than queueing them.
-	EarlyRefusal Feature = "early-refusal"
+	// ConcurrencyWindow bounds a daemon's requests in flight, and narrows when runners reject some.
+	ConcurrencyWindow Feature = "window"
+	// EarlyRejection rejects requests that would be dispatched too late, rather than queueing them.
+	EarlyRejection Feature = "early-refusal"
 	// Ejection keeps requests from a runner for a time after a failure.
 	Ejection Feature = "ejection"
 	// WarmUp sends new runners few requests at first (slow start).
@@ -50,31 +50,31 @@
 	EarlyRetry Feature = "early-retry"
 	// Resumption continues a broken stream at another runner.
 	Resumption Feature = "resumption"
-	// TokensAhead reserves units of quotas before they are needed.
-	TokensAhead Feature = "tokens-ahead"
+	// QuotaPrefetch reserves units of quotas before they are needed.
+	QuotaPrefetch Feature = "tokens-ahead"
 )
 
 // All lists the features, in the order of docs/decisions.md.
 var All = []Feature{
-	Reports,
-	Watch,
+	LoadReports,
+	SilenceProbes,
 	LoadHeader,
 	PrefixIndex,
 	Homes,
 	OthersEstimate,
 	LongRunners,
-	Harm,
-	RereadPrice,
+	Interference,
+	RecomputeCost,
 	Slowness,
 	ZonePreference,
 	Urgency,
-	Window,
-	EarlyRefusal,
+	ConcurrencyWindow,
+	EarlyRejection,
 	Ejection,
 	WarmUp,
 	EarlyRetry,
 	Resumption,
-	TokensAhead,
+	QuotaPrefetch,
 }
 
 // Set holds the features that are switched off; the nil set holds none.
@@ -88,7 +88,7 @@
 			continue
 		}
 		if !slices.Contains(All, Feature(name)) {
-			return nil, apierror.New(apierror.BadSettings, "without: %q is none of %v", name, All)
+			return nil, apierror.New(apierror.InvalidSettings, "without: %q is none of %v", name, All)
 		}
 		set[Feature(name)] = true
 	}
--- a/features/features_test.go
+++ b/features/features_test.go
@@ -9,14 +9,14 @@
 
 func TestParse(t *testing.T) {
 	set, err := Parse("reports,homes,")
-	if err != nil || !set[Reports] || !set[Homes] || len(set) != 2 {
+	if err != nil || !set[LoadReports] || !set[Homes] || len(set) != 2 {
 		t.Fatal(set, err)
 	}
 	if set, err := Parse(""); err != nil || len(set) != 0 {
 		t.Fatal(set, err)
 	}
 	_, err = Parse("reports,nothing")
-	if !apierror.Is(err, apierror.BadSettings) || !strings.Contains(err.Error(), `"nothing"`) {
+	if !apierror.Is(err, apierror.InvalidSettings) || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Fatal(err)
 	}
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -30,31 +30,31 @@
 type RouteMetrics struct {
 	// Requests counts the requests that were read completely.
 	Requests uint64 `json:"requests"`
-	// Done counts the requests whose response was completed.
-	Done uint64 `json:"done"`
-	// Ends counts the requests by how they ended: an outcome of the proxy or an error code.
-	Ends map[string]uint64 `json:"ends,omitempty"`
-	// Early counts the requests that the scheduler rejected within 50 ms of their arrival.
-	Early uint64 `json:"refused_early"`
-	// Late counts the requests that the scheduler rejected later.
-	Late uint64 `json:"refused_late"`
-	// QuotaSpent counts the requests that were rejected because their tenant had used up its quota.
-	QuotaSpent uint64 `json:"refused_by_quota"`
+	// Completed counts the requests whose response was completed.
+	Completed uint64 `json:"done"`
+	// Outcomes counts the requests by how they ended: an outcome of the proxy or an error code.
+	Outcomes map[string]uint64 `json:"ends,omitempty"`
+	// RejectedEarly counts the requests that the scheduler rejected within 50 ms of their arrival.
+	RejectedEarly uint64 `json:"refused_early"`
+	// RejectedLate counts the requests that the scheduler rejected later.
+	RejectedLate uint64 `json:"refused_late"`
+	// RejectedByQuota counts the requests that were rejected because their tenant had used up its quota.
+	RejectedByQuota uint64 `json:"refused_by_quota"`
 	// Retries counts the attempts after the first that was sent.
 	Retries uint64 `json:"repeats"`
-	// FreeAttempts counts the attempts that ended before the request was sent completely.
-	FreeAttempts uint64 `json:"attempts_not_sent"`
-	// HeldTokens counts those of PromptTokens that were assumed to be in the runner's prefix cache.
-	HeldTokens uint64 `json:"held_tokens"`
+	// UnsentAttempts counts the attempts that ended before the request was sent completely.
+	UnsentAttempts uint64 `json:"attempts_not_sent"`
+	// CachedTokens counts those of PromptTokens that were assumed to be in the runner's prefix cache.
+	CachedTokens uint64 `json:"held_tokens"`
 	// PromptTokens counts the tokens of the prompts of which a response began.
 	PromptTokens uint64 `json:"prompt_tokens"`
 	// FirstEvents is a histogram of the time from a request's arrival to the first event of its response, by the upper
 	// end of the bucket, as in "<=300ms". The buckets are not cumulative.
 	FirstEvents map[string]uint64 `json:"first_events,omitempty"`
-	// OtherZone counts the responses that began at a runner in another zone.
-	OtherZone uint64 `json:"passed_to_other_zone"`
-	// BytesAcross counts the bytes that requests and responses sent between zones.
-	BytesAcross uint64 `json:"bytes_other_zone"`
+	// OtherZoneResponses counts the responses that began at a runner in another zone.
+	OtherZoneResponses uint64 `json:"passed_to_other_zone"`
+	// CrossZoneBytes counts the bytes that requests and responses sent between zones.
+	CrossZoneBytes uint64 `json:"bytes_other_zone"`
 	// Resumed counts the streams that went on at another runner.
 	Resumed uint64 `json:"resumed"`
 }
@@ -68,8 +68,8 @@
 // New returns a registry without any route.
 func New() *Registry { return &Registry{routes: map[string]*RouteMetrics{}} }
 
-// Count calls a function that changes a route's counters, while it holds the lock.
-func (registry *Registry) Count(name string, change func(route *RouteMetrics)) {
+// Update calls a function that changes a route's counters, while it holds the lock.
+func (registry *Registry) Update(name string, change func(route *RouteMetrics)) {
 	registry.mutex.Lock()
 	defer registry.mutex.Unlock()
 	change(registry.route(name))
@@ -85,14 +85,14 @@
 	}
 	route := registry.routes[name]
 	if route == nil {
-		route = &RouteMetrics{Ends: map[string]uint64{}, FirstEvents: map[string]uint64{}}
+		route = &RouteMetrics{Outcomes: map[string]uint64{}, FirstEvents: map[string]uint64{}}
 		registry.routes[name] = route
 	}
 	return route
 }
 
-// First counts the time to a first event.
-func (route *RouteMetrics) First(elapsed time.Duration) {
+// ObserveFirstEvent counts the time to a first event.
+func (route *RouteMetrics) ObserveFirstEvent(elapsed time.Duration) {
 	for _, bound := range firstEventBounds {
 		if elapsed <= bound {
 			route.FirstEvents["<="+bound.String()]++
@@ -115,6 +115,6 @@
 // clone returns a copy that shares no map.
 func (route *RouteMetrics) clone() RouteMetrics {
 	copied := *route
-	copied.Ends, copied.FirstEvents = maps.Clone(route.Ends), maps.Clone(route.FirstEvents)
+	copied.Outcomes, copied.FirstEvents = maps.Clone(route.Outcomes), maps.Clone(route.FirstEvents)
 	return copied
 }
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 
 func TestRoutesBeyondTheBoundAreCountedTogether(t *testing.T) {
 	registry := New()
-	count := func(name string) { registry.Count(name, func(route *RouteMetrics) { route.Requests++ }) }
+	count := func(name string) { registry.Update(name, func(route *RouteMetrics) { route.Requests++ }) }
 	for i := range MaximumRoutes {
 		count(strconv.Itoa(i))
 	}
@@ -31,22 +31,22 @@
 		time.Hour:              "<=1h0m0s",
 	} {
 		route := RouteMetrics{FirstEvents: map[string]uint64{}}
-		route.First(elapsed)
+		route.ObserveFirstEvent(elapsed)
 		if len(route.FirstEvents) != 1 || route.FirstEvents[bucket] != 1 {
 			t.Errorf("%v is counted as %v", elapsed, route.FirstEvents)
 		}
 	}
 	route := RouteMetrics{FirstEvents: map[string]uint64{}}
-	if route.First(time.Hour + 1); len(route.FirstEvents) != 0 {
+	if route.ObserveFirstEvent(time.Hour + 1); len(route.FirstEvents) != 0 {
 		t.Errorf("more than the last bound is counted as %v", route.FirstEvents)
 	}
 }
 
 func TestRoutesReturnsACopy(t *testing.T) {
 	registry := New()
-	registry.Count("a", func(route *RouteMetrics) { route.Ends["done"]++ })
-	registry.Routes()["a"].Ends["done"]++
-	if ends := registry.Routes()["a"].Ends["done"]; ends != 1 {
+	registry.Update("a", func(route *RouteMetrics) { route.Outcomes["done"]++ })
+	registry.Routes()["a"].Outcomes["done"]++
+	if ends := registry.Routes()["a"].Outcomes["done"]; ends != 1 {
 		t.Errorf("the copy changes the registry: %d", ends)
 	}
 }
--- a/proxy/admission/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -26,7 +26,7 @@
 	read, err := Parse(func(name string) []string { return headers[name] }, body)
 	wanted := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: body,
-		Wait: 1500 * time.Millisecond, After: 7, Key: "key", TokensTold: true}
+		Timeout: 1500 * time.Millisecond, LastEventID: 7, Secret: "key", TokensGiven: true}
 	if err != nil || !reflect.DeepEqual(read, wanted) {
 		t.Errorf("%v, %+v", err, read)
 	}
--- a/proxy/admission/parse.go
+++ b/proxy/admission/parse.go
@@ -30,7 +30,7 @@
 
 // Parse checks the headers and the body of a request and returns it, or the first error found.
 func Parse(header Header, body []byte) (*Request, error) {
-	request := &Request{TokensTold: true}
+	request := &Request{TokensGiven: true}
 	if err := request.parseNames(header); err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	if secret, found := Credential(authorization, schemeBearer); found {
-		request.Key = secret
+		request.Secret = secret
 	}
 	if err := request.parsePrefix(header(HeaderPrefix)); err != nil {
 		return nil, err
@@ -77,14 +77,14 @@
 	for _, wanted := range []countHeader{
 		{HeaderPrompt, &request.PromptTokens, MaximumTokens, true},
 		{HeaderAnswer, &request.AnswerTokens, MaximumTokens, true},
-		{HeaderWait, &waitMilliseconds, MaximumWait, false},
-		{HeaderAfter, &request.After, MaximumTokens, false},
+		{HeaderWait, &waitMilliseconds, MaximumTimeoutMilliseconds, false},
+		{HeaderAfter, &request.LastEventID, MaximumTokens, false},
 	} {
 		if err := wanted.parse(header); err != nil {
 			return err
 		}
 	}
-	request.Wait = time.Duration(waitMilliseconds) * time.Millisecond
+	request.Timeout = time.Duration(waitMilliseconds) * time.Millisecond
 	return nil
 }
 
--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -37,12 +37,12 @@
 
 func TestParseWaitAndAfter(t *testing.T) {
 	headers := validHeaders()
-	if plain, err := parse(headers, `{"prompt":"x"}`); err != nil || plain.Wait != 0 || plain.After != 0 {
+	if plain, err := parse(headers, `{"prompt":"x"}`); err != nil || plain.Timeout != 0 || plain.LastEventID != 0 {
 		t.Fatal(plain, err)
 	}
 	headers[HeaderWait], headers[HeaderAfter] = []string{"1500"}, []string{"7"}
 	request, err := parse(headers, `{"prompt":"x"}`)
-	if err != nil || request.Wait != 1500*time.Millisecond || request.After != 7 {
+	if err != nil || request.Timeout != 1500*time.Millisecond || request.LastEventID != 7 {
 		t.Fatal(request, err)
 	}
 }
--- a/proxy/admission/request.go
+++ b/proxy/admission/request.go
@@ -18,8 +18,8 @@
 	MaximumTokens = 4_000_000
 	// MaximumName bounds the value of a header that names something, in bytes.
 	MaximumName = 256
-	// MaximumWait bounds how long a client may say that it waits, in milliseconds.
-	MaximumWait = 3_600_000
+	// MaximumTimeoutMilliseconds bounds how long a client may say that it waits, in milliseconds.
+	MaximumTimeoutMilliseconds = 3_600_000
 )
 
 // Request is a request that was read and checked. It is not changed any more once its codec has returned it.
@@ -41,17 +41,17 @@
 	Authority, Target string
 	// Method is the HTTP method; empty where the codec knows one only.
 	Method string
-	// Passed are the headers that are forwarded to the runner as they were received.
-	Passed []netio.Header
-	// Wait is how long the client waits for the complete answer, counted from the request's arrival; 0: not given.
-	Wait time.Duration
-	// After is the id of the last event that the client already has of this stream; 0: none.
-	After int
-	// Key is the secret that identifies a tenant; empty: none was sent.
-	Key string
-	// TokensTold says that the client itself gave the numbers of tokens; otherwise they are estimates.
-	TokensTold bool
-	// Fresh says that the id belongs to this attempt of the client alone, so that the request is never sent again
+	// ForwardedHeaders are the headers that are forwarded to the runner as they were received.
+	ForwardedHeaders []netio.Header
+	// Timeout is how long the client waits for the complete answer, counted from the request's arrival; 0: not given.
+	Timeout time.Duration
+	// LastEventID is the id of the last event that the client already has of this stream; 0: none.
+	LastEventID int
+	// Secret is the secret that identifies a tenant; empty: none was sent.
+	Secret string
+	// TokensGiven says that the client itself gave the numbers of tokens; otherwise they are estimates.
+	TokensGiven bool
+	// SingleUse says that the id belongs to this attempt of the client alone, so that the request is never sent again
 	// under it and nothing has to be remembered.
-	Fresh bool
+	SingleUse bool
 }
--- a/proxy/atmostonce_test.go
+++ b/proxy/atmostonce_test.go
@@ -72,7 +72,7 @@
 // A request that another daemon sent is known, whatever this daemon's configuration says of its route.
 func TestAtMostOnceIsKnownFromElsewhere(t *testing.T) {
 	table, key := dedup.New(), dedup.KeyOf("route", "id")
-	table.Heard(time.Now(), key, false)
+	table.RecordAnnounced(time.Now(), key, false)
 	guard, _ := newGuard(table)
 	if known := guard.accept(time.Now, key, func() bool { return false }); known != dedup.TakenElsewhere {
 		t.Errorf("known as %q", known)
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -69,8 +69,8 @@
 }
 
 // Permits reports whether a configuration lets a backend use a runner.
-func Permits(catalog *config.Catalog, backend *config.Pool, runner load.Runner) bool {
-	return backend.Allows(runner.Service) && catalog.Open(runner.Zone)
+func Permits(catalog *config.Catalog, backend *config.Backend, runner load.Runner) bool {
+	return backend.AllowsService(runner.Service) && catalog.IsOpen(runner.Zone)
 }
 
 // execute sends the request to the runner and reads up to the first event. It returns how the attempt ended, or
@@ -87,7 +87,7 @@
 	attempt.connection = connection
 	if !attempt.isAllowed() {
 		if attempt.servesOther() {
-			exchange.handler.Loads.Failed(exchange.now(), runner.ID, reasonServesOther)
+			exchange.handler.Loads.Eject(exchange.now(), runner.ID, reasonServesOther)
 		}
 		attempt.countNotSent()
 		return scheduler.NotSent
@@ -127,8 +127,8 @@
 	if backend == nil || backend.Name != exchange.backend.Name || !serves(backend, exchange.request) {
 		return false
 	}
-	runner, known := exchange.handler.Loads.One(now, attempt.decision.Runner.ID, exchange.handler.Daemons())
-	if !known || runner.Reason == load.ReasonLeaving || !Permits(snapshot.Catalog, backend, runner) {
+	runner, known := exchange.handler.Loads.Lookup(now, attempt.decision.Runner.ID, exchange.handler.Daemons())
+	if !known || runner.Reason == load.ReasonDraining || !Permits(snapshot.Catalog, backend, runner) {
 		return false
 	}
 	if !exchange.execution.relayed && exchange.identifyTenant(snapshot.Catalog, route) != nil {
@@ -140,20 +140,20 @@
 
 // isIdentified reports whether the runner at the other end of the connection is the one that is meant. Where runners
 // are not asked who they are, every request names the one that is meant, and another one rejects it.
-func (attempt *attempt) isIdentified(runner load.Runner, backend *config.Pool) bool {
-	if attempt.exchange.handler.Codec.Identity() == "" {
+func (attempt *attempt) isIdentified(runner load.Runner, backend *config.Backend) bool {
+	if attempt.exchange.handler.Codec.IdentityPath() == "" {
 		return true
 	}
 	identity := attempt.connection.Identity
-	return identity.RunnerID == runner.ID && backend.Allows(identity.Service) &&
+	return identity.RunnerID == runner.ID && backend.AllowsService(identity.Service) &&
 		identity.Model == backend.Model && identity.Weights == backend.Weights
 }
 
 // servesOther reports whether the runner itself says that it serves something else than it is listed with.
 func (attempt *attempt) servesOther() bool {
 	identity, backend := attempt.connection.Identity, &attempt.exchange.backend
-	return attempt.exchange.handler.Codec.Identity() != "" &&
-		(!backend.Allows(identity.Service) || identity.Weights != backend.Weights)
+	return attempt.exchange.handler.Codec.IdentityPath() != "" &&
+		(!backend.AllowsService(identity.Service) || identity.Weights != backend.Weights)
 }
 
 // send writes the request. A long one takes its time on the way, so that the decision is checked again before its last
@@ -162,7 +162,7 @@
 	exchange := attempt.exchange
 	exchange.state.to(stateSent)
 	attempt.sentAt = exchange.now()
-	content := exchange.handler.Codec.Outgoing(exchange.request, attempt.describe())
+	content := exchange.handler.Codec.EncodeRequest(exchange.request, attempt.describe())
 	exchange.atMostOnce.announceSend()
 	attempt.bindToClient()
 	written := attempt.write(content)
@@ -174,8 +174,8 @@
 		return scheduler.NotSent
 	}
 	exchange.tries.sends++
-	attempt.connection.Sent(exchange.route.Idempotent && exchange.mayTry())
-	exchange.scheduler.Sent(attempt.sentAt, exchange.queuedRequest, attempt.decision)
+	attempt.connection.RequestSent(exchange.route.Idempotent && exchange.mayTry())
+	exchange.scheduler.RequestSent(attempt.sentAt, exchange.queuedRequest, attempt.decision)
 	return succeeded
 }
 
@@ -208,7 +208,7 @@
 // runner and the deadline are as they were, the client is still there, and the runner has neither closed the connection
 // nor sent anything over it.
 func (attempt *attempt) recheck() bool {
-	return attempt.isAllowed() && attempt.connection.Quiet() && attempt.exchange.client.isPresent()
+	return attempt.isAllowed() && attempt.connection.Idle() && attempt.exchange.client.isPresent()
 }
 
 // respondedEarly reports whether the runner has responded to a request that it did not get completely. It may have run
@@ -226,23 +226,23 @@
 }
 
 // describe is this attempt as codecs see it.
-func (attempt *attempt) describe() codec.Run {
+func (attempt *attempt) describe() codec.Attempt {
 	exchange := attempt.exchange
-	return codec.Run{
-		Runner:  attempt.decision.Runner,
-		Daemon:  exchange.handler.Name,
-		Epoch:   attempt.epoch,
-		Left:    exchange.remaining(),
-		After:   exchange.lastEventID,
-		Urgency: attempt.decision.Urgency,
-		Weights: exchange.backend.Weights,
-		Tenant:  tenantName(exchange.tenant),
+	return codec.Attempt{
+		Runner:      attempt.decision.Runner,
+		Daemon:      exchange.handler.Name,
+		Epoch:       attempt.epoch,
+		Remaining:   exchange.remaining(),
+		LastEventID: exchange.lastEventID,
+		Urgency:     attempt.decision.Urgency,
+		Weights:     exchange.backend.Weights,
+		Tenant:      tenantName(exchange.tenant),
 	}
 }
 
 // bindToClient has the run end with the client, unless it must run at most once and its outcome is worth knowing.
 func (attempt *attempt) bindToClient() {
-	if attempt.exchange.route.Cancels() {
+	if attempt.exchange.route.CancelsOnDisconnect() {
 		attempt.connection.Bind(attempt.exchange.client.ctx)
 	}
 }
@@ -250,25 +250,25 @@
 // isCutOff reports whether the client's departure ended a write in the middle. The runner may have begun on what it
 // got, and over a connection that is closed it can't say so.
 func (attempt *attempt) isCutOff(written int) bool {
-	return written > 0 && attempt.exchange.client.hasLeft() && attempt.exchange.route.Cancels()
+	return written > 0 && attempt.exchange.client.hasLeft() && attempt.exchange.route.CancelsOnDisconnect()
 }
 
 // reportFailure has the runner not used for a while, unless it was cut off because nobody waited for it any more.
 func (attempt *attempt) reportFailure(reason string) {
 	exchange := attempt.exchange
 	if !exchange.client.hasLeft() {
-		exchange.handler.Loads.Failed(exchange.now(), attempt.decision.Runner.ID, reason)
+		exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reason)
 	}
 }
 
 // countNotSent counts an attempt that cost its runner nothing.
 func (attempt *attempt) countNotSent() {
-	attempt.exchange.count(func(route *metrics.RouteMetrics) { route.FreeAttempts++ })
+	attempt.exchange.count(func(route *metrics.RouteMetrics) { route.UnsentAttempts++ })
 }
 
 // returnUnused returns a connection over which nothing was sent to the pool.
 func (attempt *attempt) returnUnused() {
-	attempt.exchange.handler.Connections.Keep(attempt.connection, 0)
+	attempt.exchange.handler.Connections.Release(attempt.connection, 0)
 	attempt.connection = nil
 }
 
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -22,7 +22,7 @@
 // watchClient watches a client's connection until close.
 func watchClient(client netio.Client) *clientConnection {
 	ctx, leave := context.WithCancel(context.Background())
-	return &clientConnection{Client: client, ctx: ctx, leave: leave, stopWatch: client.Watch(leave)}
+	return &clientConnection{Client: client, ctx: ctx, leave: leave, stopWatch: client.OnDisconnect(leave)}
 }
 
 // unwatchedClient is the connection of a client that waits for a short computation only.
@@ -39,7 +39,7 @@
 // Why the watch alone does not do: after a freeze, or where a request was read after its client's close, the request
 // may get here before the watch has been notified.
 func (connection *clientConnection) isPresent() bool {
-	if !connection.hasLeft() && connection.Left() {
+	if !connection.hasLeft() && connection.Disconnected() {
 		connection.leave()
 	}
 	return !connection.hasLeft()
@@ -53,5 +53,5 @@
 
 // errClientLeft is the error of a request that nobody waits for.
 func errClientLeft() error {
-	return apierror.New(apierror.ClientGone, "the requester has closed its connection")
+	return apierror.New(apierror.ClientDisconnected, "the requester has closed its connection")
 }
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -44,7 +44,7 @@
 	if quick.stopped != 1 {
 		t.Errorf("the watch was stopped %d times", quick.stopped)
 	}
-	if !apierror.Is(errClientLeft(), apierror.ClientGone) {
+	if !apierror.Is(errClientLeft(), apierror.ClientDisconnected) {
 		t.Error(errClientLeft())
 	}
 }
--- a/proxy/codec/attempt.go
+++ b/proxy/codec/attempt.go
@@ -6,18 +6,18 @@
 	"wardtray/balancer/load"
 )
 
-// Run describes one attempt: a request that is sent to one runner.
-type Run struct {
+// Attempt describes one attempt: a request that is sent to one runner.
+type Attempt struct {
 	// Runner is the one that the scheduler chose.
 	Runner load.Runner
 	// Daemon is the name of the daemon that sends.
 	Daemon string
 	// Epoch is that of the configuration under which the request is sent.
 	Epoch uint64
-	// Left is how long the client still waits; 0: not known.
-	Left time.Duration
-	// After is the id of the last event that the client has; 0: none.
-	After int
+	// Remaining is how long the client still waits; 0: not known.
+	Remaining time.Duration
+	// LastEventID is the id of the last event that the client has; 0: none.
+	LastEventID int
 	// Urgency is from 0, the most urgent, to 9; 5 is the default.
 	Urgency int
 	// Weights is the version of the model's weights that the backend serves.
@@ -31,16 +31,16 @@
 
 // The dispositions of a response.
 const (
-	// Runs: a stream of events follows.
-	Runs Disposition = "runs"
+	// Streams: a stream of events follows.
+	Streams Disposition = "runs"
 	// Finished: the run has ended with a response that is no stream and is forwarded as a whole.
 	Finished Disposition = "ended"
 	// Failed: the run has ended with an error of the runner's own.
 	Failed Disposition = "failed"
 	// NotExecuted: the request did not run and will not.
 	NotExecuted Disposition = "put back"
-	// Elsewhere: another runner answers at this address; the request did not run.
-	Elsewhere Disposition = "elsewhere"
+	// Misdirected: another runner answers at this address; the request did not run.
+	Misdirected Disposition = "elsewhere"
 	// Stray: the response belongs to another request.
 	Stray Disposition = "stray"
 	// Unclear: the response does not say whether the request ran.
@@ -52,7 +52,7 @@
 	Disposition Disposition
 	// Report is the load that the runner reports, nil where it does not.
 	Report *load.Report
-	// Keep is how long the connection may stay idle; 0: not given. Closes says that it can't be reused at all.
-	Keep   time.Duration
-	Closes bool
+	// IdleTimeout is how long the connection may stay idle; 0: not given. Closes says that it can't be reused at all.
+	IdleTimeout time.Duration
+	Closes      bool
 }
