--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -10,14 +10,17 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"wardtray/verify/modelcheck"
-	"wardtray/verify/scale"
 )
 
 // commands are the functions that run a command, by its full name. An error ends wtverify with exit code 1.
 type commands map[string]func() error
 
 func main() {
-	application := kingpin.New("wtverify", "Proves a wardtray fleet under failure.\n\nExample:\n  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7")
+	application := kingpin.New(
+		"wtverify",
+		"Proves a wardtray fleet under failure.\n\nExample:\n"+
+			"  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7",
+	)
 	application.HelpFlag.Short('h')
 	known := commands{}
 	registerFleet(application, known)
@@ -30,9 +33,6 @@
 	registerScenarios(application, known)
 	search := modelcheck.Register(application)
 	known[search.Command] = func() error { return search.Run(os.Stdout) }
-	for name, run := range scale.Register(application) {
-		known[name] = run
-	}
 	called := kingpin.MustParse(application.Parse(os.Args[1:]))
 	if err := known[called](); err != nil {
 		end(err)
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -42,7 +42,9 @@
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds.", "100")
-	atOnce := command.Flag("at-once", "How many faults at once; above 1 is more than a deployment must bear.").Default("1").Int()
+	atOnce := command.Flag("at-once", "How many faults at once; above 1 is more than a deployment must bear.").
+		Default("1").
+		Int()
 	every := command.Flag("every", "About how often operators send a change.").Default("700ms").Duration()
 	faults := command.Flag("fault", "Only this kind of fault; may be given several times.").Strings()
 	known[command.FullCommand()] = func() error {
@@ -59,13 +61,16 @@
 
 // registerPath adds the command that simulates the request path too.
 func registerPath(application *kingpin.Application, known commands) {
-	command := application.Command("path", "Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.")
+	command := application.Command("path",
+		"Run seeded simulations of a deployment with its request path: requesters, runners and the platform too.")
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds.", "32")
 	atOnce := command.Flag("at-once", "How many faults at once.").Default("1").Int()
 	every := command.Flag("every", "About how often operators send a change.").Default("2s").Duration()
-	faults := command.Flag("fault", "Only this kind of fault; may be given several times, or each to play every kind by itself.").Strings()
+	faults := command.Flag("fault", "Only this kind of fault; may be given several times, "+
+		"or each to play every kind by itself.").
+		Strings()
 	known[command.FullCommand()] = func() error {
 		all := append(simulation.FaultNames(), simulation.RunnerFaultNames()...)
 		checkRange(*seeds, *atOnce, *faults, append(all, eachFault))
@@ -77,14 +82,16 @@
 			}
 			trial := simulation.DefaultTrial
 			trial.Faults, trial.AtOnce, trial.Every = names, *atOnce, *every
-			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
+			clean = simulate(*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) &&
+				clean
 		}
 		endUnless(clean)
 		return nil
 	}
 }
 
-// faultSets gives the kinds of fault of each play: those asked for, all together, or each by itself.
+// faultSets returns the kinds of fault of each play: those asked for, all together, or each by itself.
 func faultSets(asked, all []string) [][]string {
 	if len(asked) == 0 {
 		return [][]string{all}
@@ -101,12 +108,15 @@
 
 // registerRules adds the command that tries each part of each rule.
 func registerRules(application *kingpin.Application, known commands) {
-	command := application.Command("rules", "Try every part of every rule of the brief by the faults that cause it, under many seeds.")
+	command := application.Command("rules",
+		"Try every part of every rule of the brief by the faults that cause it, under many seeds.")
 	deployment := deploymentArgument(command)
 	seeds := &seedRange{}
 	seeds.register(command, "How many seeds for each.", "16")
 	length := command.Flag("length", "For how long harm is done.").Default("40s").Duration()
-	only := command.Flag("rule", "Only this part; may be given several times. One of: "+strings.Join(simulation.AttemptNames(), "; ")+".").Strings()
+	only := command.Flag("rule", "Only this part; may be given several times. One of: "+
+		strings.Join(simulation.AttemptNames(), "; ")+".").
+		Strings()
 	known[command.FullCommand()] = func() error {
 		checkRange(*seeds, 1, *only, simulation.AttemptNames())
 		if len(*only) == 0 {
@@ -116,7 +126,9 @@
 		for _, name := range *only {
 			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.Attempts[name].Faults, ", "))
 			trial := simulation.Attempts[name].Trial(*length)
-			clean = simulate(*seeds, func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) && clean
+			clean = simulate(*seeds,
+				func(seed int64) *simulation.World { return simulation.Try(seed, withPath[*deployment], trial) }) &&
+				clean
 		}
 		endUnless(clean)
 		return nil
@@ -131,7 +143,8 @@
 	worst                *worst
 }
 
-// simulate runs seeds side by side, prints every failure and the worst cases seen, and tells whether no rule was broken.
+// simulate runs seeds side by side, prints every failure and the worst cases seen, and reports whether no rule was
+// broken.
 func simulate(seeds seedRange, play func(seed int64) *simulation.World) bool {
 	waiting := make(chan int64)
 	var workers sync.WaitGroup
@@ -148,9 +161,13 @@
 	}
 	close(waiting)
 	workers.Wait()
-	fmt.Printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds.count, summary.acknowledged, summary.awards)
+	fmt.Printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds.count, summary.acknowledged,
+		summary.awards)
 	summary.worst.print()
-	verdicts := map[bool]string{true: "verdict: clean", false: "verdict: rules broken; run again with --from SEED --seeds 1"}
+	verdicts := map[bool]string{
+		true:  "verdict: clean",
+		false: "verdict: rules broken; run again with --from SEED --seeds 1",
+	}
 	fmt.Println(verdicts[summary.clean])
 	return summary.clean
 }
@@ -159,14 +176,14 @@
 func (summary *summary) add(world *simulation.World) {
 	summary.mutex.Lock()
 	defer summary.mutex.Unlock()
-	for _, line := range world.Check.Broken {
+	for _, line := range world.Check.Violations {
 		summary.clean = false
 		fmt.Println("BROKEN", line)
 	}
-	if len(world.Check.Broken) > 0 {
+	if len(world.Check.Violations) > 0 {
 		fmt.Println("  harm done before:", strings.Join(world.Log[max(0, len(world.Log)-6):], "; "))
 	}
-	summary.awards += world.Check.Awards
+	summary.awards += world.Check.Decisions
 	if world.Traffic != nil {
 		summary.worst.add(histories.Worst(world.Traffic.History))
 		summary.worst.count(world.Traffic.Counts())
@@ -176,7 +193,7 @@
 			summary.acknowledged++
 		}
 	}
-	for rule, length := range world.Check.Margins {
+	for rule, length := range world.Check.WorstCases {
 		summary.worst.lengths[rule] = max(summary.worst.lengths[rule], length)
 	}
 }
@@ -184,7 +201,7 @@
 // worst gathers the worst cases of many runs.
 type worst struct {
 	lengths map[string]time.Duration
-	margins histories.Margins
+	cases   histories.WorstCases
 	counts  map[string]int
 }
 
@@ -192,12 +209,13 @@
 	return &worst{lengths: map[string]time.Duration{}, counts: map[string]int{}}
 }
 
-func (worst *worst) add(margins histories.Margins) {
-	worst.margins.Add(margins)
-	for rule, length := range map[string]time.Duration{"work against an acknowledged spec": worst.margins.Ignored, "work to a leaving runner": worst.margins.Leaving,
-		"work to a closed zone": worst.margins.Closed, "first answer after the machines' return": worst.margins.Return, "final answer after a loss could be known": worst.margins.Held} {
-		worst.lengths[rule] = length
-	}
+func (worst *worst) add(cases histories.WorstCases) {
+	worst.cases.Add(cases)
+	worst.lengths["work against an acknowledged spec"] = worst.cases.Ignored
+	worst.lengths["work to a leaving runner"] = worst.cases.Draining
+	worst.lengths["work to a closed zone"] = worst.cases.Closed
+	worst.lengths["first answer after the machines' return"] = worst.cases.Return
+	worst.lengths["final answer after a loss could be known"] = worst.cases.Overdue
 }
 
 func (worst *worst) count(counts map[string]int) {
@@ -213,7 +231,12 @@
 	if len(worst.counts) == 0 {
 		return
 	}
-	fmt.Printf("  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n", worst.margins.Retried, worst.margins.Requests, worst.margins.Beside)
+	fmt.Printf(
+		"  worst case, repeats in ten seconds: %d to %d requests; most work beside which a cold runner got more: %d\n",
+		worst.cases.Retried,
+		worst.cases.Requests,
+		worst.cases.Concurrent,
+	)
 	fmt.Print("  requests:")
 	for _, name := range sortedNames(worst.counts) {
 		fmt.Printf(" %s %d;", name, worst.counts[name])
--- a/control/node/bounds_test.go
+++ b/control/node/bounds_test.go
@@ -5,6 +5,9 @@
 	"testing"
 	"time"
 
+	"wardtray/control/daemonlease"
+	"wardtray/control/failuredetector"
+	"wardtray/control/leadership"
 	"wardtray/coordination/lease"
 )
 
@@ -22,7 +25,8 @@
 				lengths[place] = time.Duration(values[number%len(values)] * float64(time.Second))
 				number /= len(values)
 			}
-			if !yield(Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]}) {
+			if !yield(
+				Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]}) {
 				return
 			}
 		}
@@ -56,13 +60,13 @@
 func requireOrder(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	for what, holds := range map[string]bool{
-		"two beats within a suspicion":                   2*heartbeatEvery < bounds.Suspicion,
-		"a frozen process knows before it suspects":      bounds.Frozen+heartbeatEvery <= bounds.Suspicion,
+		"two beats within a suspicion":                   2*failuredetector.HeartbeatInterval < bounds.Suspicion,
+		"a frozen process knows before it suspects":      bounds.Pause+failuredetector.HeartbeatInterval <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
-		"a holder's lease ends before a keeper's":        lease.Held < lease.Term,
-		"a lease asked for again before it ends":         2*claimEvery < lease.Held,
+		"a holder's lease ends before a keeper's":        lease.LesseeTTL < lease.LessorTTL,
+		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.LesseeTTL,
 		"an attempt at a view outlasts a round of votes": bounds.Stagger >= 100*time.Millisecond,
-		"a leave ends before the grace":                  bounds.Leave < limits.Grace,
+		"a leave ends before the grace":                  bounds.DecommissionTimeout < limits.Grace,
 	} {
 		if !holds {
 			t.Fatalf("%s: not for %+v, which give %+v", what, limits, bounds)
@@ -73,10 +77,11 @@
 // requireFit wants what must hold where the settings pass the check.
 func requireFit(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
+	acknowledgement := bounds.Detection() + bounds.Stagger + lease.LessorTTL + bounds.DaemonLease + daemonlease.ClockMargin
 	for what, holds := range map[string]bool{
-		"a lease, a detection and a view change below acknowledge": bounds.Detection()+bounds.Stagger+lease.Term+bounds.DaemonLease+leaseMargin < limits.Acknowledge,
-		"a repaired seat below catch_up":                           bounds.SeatRepair() < limits.CatchUp,
-		"a repaired copy within catch_up":                          bounds.CopyRepair() <= limits.CatchUp,
+		"a lease, a detection and a view change below acknowledge": acknowledgement < limits.Acknowledge,
+		"a repaired seat below catch_up":                           bounds.AcceptorRepair() < limits.CatchUp,
+		"a repaired copy within catch_up":                          bounds.ReplicaRepair() <= limits.CatchUp,
 		"a detection below contact":                                bounds.Detection() <= limits.Contact,
 	} {
 		if !holds {
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
@@ -22,7 +22,7 @@
 	}
 	confirmed, refused, retried := 0, 0, 0
 	for seed := int64(1); seed <= seeds; seed++ {
-		fleet := newTestFleet(t, seed, 3)
+		fleet := newTestFleet(t, seed)
 		loss := fleet.random.Float64() * 0.2
 		fleet.lost = func(statemachine.Message) bool { return fleet.random.Float64() < loss }
 		trial := &callTrial{testFleet: fleet}
@@ -124,7 +124,8 @@
 		}
 		if refused > 0 && (accepted > 0 || inEffect) {
 			fleet.describe()
-			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", call.order.Operation, len(call.copies), accepted, refused, inEffect)
+			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", call.order.Operation,
+				len(call.copies), accepted, refused, inEffect)
 		}
 		if accepted == 0 {
 			continue
@@ -140,21 +141,23 @@
 // an empty disk at another address, and after other changes.
 func TestOutcomesOutliveTheWholeCore(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 7, 3)
+	fleet := newTestFleet(t, 7)
 	first := apply("first", 0, 7, "a")
 	fleet.wantAccepted(fleet.members[0], first, 7)
 	for number := range 3 {
 		fresh := fleet.add(fmt.Sprintf("127.0.1.%d:1", number), 10+number, false)
-		fleet.until("the new machine to be in the chain", 10*time.Second, func() bool { return fresh.node.Chain().Inside() })
+		fleet.until("the new machine to be in the chain", 10*time.Second, func() bool { return fresh.node.Chain().IsMember() })
 		old := fleet.members[0]
-		old.node.Leave(fleet.now)
-		fleet.until("the old machine to be out of the chain", 10*time.Second, func() bool { return old.node.Left(fleet.now) })
+		old.node.Decommission(fleet.now)
+		fleet.until("the old machine to be out of the chain", 10*time.Second, func() bool { return old.node.IsDecommissioned(fleet.now) })
 		fleet.kill(old)
 		fleet.members = fleet.members[1:]
 		fleet.seeds = append(fleet.seeds[1:], fresh.address)
-		fleet.until("a leader", 10*time.Second, func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 })
+		fleet.until("a leader", 10*time.Second,
+			func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == 3 })
 		fleet.run(4 * time.Second)
-		fleet.wantAccepted(fleet.members[number%3], apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"), 8+uint64(number))
+		fleet.wantAccepted(fleet.members[number%3],
+			apply(fmt.Sprint("then", number), 7+uint64(number), 8+uint64(number), "b"), 8+uint64(number))
 	}
 	for _, member := range fleet.members {
 		fleet.wantAccepted(member, first, 7)
@@ -180,7 +183,7 @@
 // where only a later head commits it.
 func TestCopyMeetsTheFirstOnItsWay(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 8, 3)
+	fleet := newTestFleet(t, 8)
 	head := fleet.leader()
 	others := []*testMember{}
 	for _, member := range fleet.members {
@@ -190,16 +193,18 @@
 	}
 	// The last of the chain is silent to those before it, so that nothing is committed.
 	tail := fleet.at(head.node.View().Chain[2].Address)
-	fleet.lost = func(parcel statemachine.Message) bool {
-		return parcel.Envelope.GetChainAck() != nil && parcel.Envelope.From == tail.address
+	fleet.lost = func(message statemachine.Message) bool {
+		return message.Envelope.GetChainAck() != nil && message.Envelope.From == tail.address
 	}
 	order := apply("first", 0, 5, "a")
 	first := fleet.send(others[0], order)
 	fleet.run(300 * time.Millisecond)
 	second := fleet.send(others[1], order)
 	fleet.run(300 * time.Millisecond)
-	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 || second.status != 0 {
-		t.Fatalf("committed %d, pending %d, told %d and %d", head.node.Chain().Committed().SpecEpoch, len(head.node.Chain().Pending()), first.status, second.status)
+	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 ||
+		second.status != 0 {
+		t.Fatalf("committed %d, pending %d, told %d and %d", head.node.Chain().Committed().SpecEpoch,
+			len(head.node.Chain().Pending()), first.status, second.status)
 	}
 	fleet.kill(head)
 	fleet.lost = nil
@@ -250,20 +255,30 @@
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 1, "a"))
-	refused := &wire.OperatorRequest{Verb: "change", Operation: "refused", Spec: []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`)}
+	refused := &wire.OperatorRequest{
+		Verb:      "change",
+		Operation: "refused",
+		Spec:      []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`),
+	}
 	if got := lone.send(refused); got.status != 422 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 	late := &wire.OperatorRequest{}
-	*late = wire.OperatorRequest{Verb: refused.Verb, Operation: refused.Operation, Spec: refused.Spec, Token: refused.Token, Origin: refused.Origin}
-	for number := range 3 * refusalWindow {
+	*late = wire.OperatorRequest{
+		Verb:      refused.Verb,
+		Operation: refused.Operation,
+		Spec:      refused.Spec,
+		Token:     refused.Token,
+		Origin:    refused.Origin,
+	}
+	for number := range 3 * proposal.RefusalWindow {
 		if got := lone.send(apply(fmt.Sprint("stale", number), 0, 9, "c")); got.status != 409 {
 			t.Fatalf("%d %+v", got.status, got.reply)
 		}
 		if number%4 == 0 {
 			lone.run(50 * time.Millisecond)
 		}
-		if number == refusalWindow/2 {
+		if number == proposal.RefusalWindow/2 {
 			if got := lone.send(change("mended", 1, 2, `{"upsert":{"pools":[{"name":"q","services":["t"]}]}}`)); got.status != 200 {
 				t.Fatalf("%d %+v", got.status, got.reply)
 			}
@@ -271,14 +286,15 @@
 		if number%100 != 0 {
 			continue
 		}
-		lone.node.serve(lone.now, late)
+		lone.node.proposals.Serve(lone.now, late)
 		lone.settle()
 		if lone.node.Chain().Outcome("refused") != nil {
 			t.Fatalf("taken late, after %d other refusals", number)
 		}
 	}
 	// The same order as a question of its own is another matter.
-	if got := lone.send(&wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}); got.status != 200 {
+	again := &wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}
+	if got := lone.send(again); got.status != 200 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 }
@@ -292,47 +308,19 @@
 	if got := lone.send(stale); got.status != 409 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
-	again := 0
-	lone.node.asks[stale.Token] = &ask{message: stale, until: lone.now.Add(askBound), passed: map[string]bool{}, answer: func(status int, _ []byte) { again = status }}
-	lone.node.serve(lone.now, stale)
-	if again != 409 || lone.node.Counters().Refused != 1 {
-		t.Fatalf("told %d, counted %d", again, lone.node.Counters().Refused)
-	}
-}
-
-// The window of each life of a machine is its own, and what is remembered stays bounded.
-func TestRefusalWindows(t *testing.T) {
-	t.Parallel()
-	refusals := &refusals{}
-	for number := 1; number <= 3*refusalWindow; number++ {
-		token := fmt.Sprintf("a/1/%d", number)
-		if late, refused := refusals.see(token); late || refused {
-			t.Fatalf("%s: late %v, refused %v", token, late, refused)
-		}
-		refusals.tell(token)
-		if _, refused := refusals.see(token); !refused || len(refusals.origins["a/1/"].told) > refusalWindow {
-			t.Fatalf("%s: refused %v of %d", token, refused, len(refusals.origins["a/1/"].told))
+	lone.node.Ready()
+	// The copy comes from another machine, so that the reply goes through the outbox.
+	stale.Origin = "elsewhere"
+	lone.node.proposals.Serve(lone.now, stale)
+	again := uint32(0)
+	messages, _ := lone.node.Ready()
+	for _, message := range messages {
+		if response := message.Envelope.GetOperatorResponse(); message.To == "elsewhere" &&
+			response.GetToken() == stale.Token {
+			again = response.Status
 		}
 	}
-	for _, wants := range []struct {
-		number        int
-		late, refused bool
-	}{{1, true, false}, {2 * refusalWindow, true, false}, {2*refusalWindow + 1, false, true}, {3*refusalWindow + 1, false, false}, {2*refusalWindow + 1, true, false}} {
-		late, refused := refusals.see(fmt.Sprintf("a/1/%d", wants.number))
-		if late != wants.late || refused != wants.refused {
-			t.Errorf("%d: late %v, refused %v", wants.number, late, refused)
-		}
-	}
-	if late, refused := refusals.see("a/2/1"); late || refused {
-		t.Error("another life goes by the window of the one before")
-	}
-	for incarnation := range 2 * maximumOrigins {
-		refusals.see(fmt.Sprintf("b/%d/1", incarnation))
-	}
-	if len(refusals.origins) > maximumOrigins {
-		t.Errorf("%d lives are remembered", len(refusals.origins))
-	}
-	if origin, number := splitToken(strings.Repeat("x", 3)); origin != "xxx" || number != 0 {
-		t.Error("a token of another shape")
+	if again != 409 || lone.node.Counters().Refused != 1 {
+		t.Fatalf("told %d, counted %d", again, lone.node.Counters().Refused)
 	}
 }
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -23,7 +23,7 @@
 		changes = 150
 	}
 	for seed := int64(1); seed <= 3; seed++ {
-		fleet := newTestFleet(t, seed, 3)
+		fleet := newTestFleet(t, seed)
 		operator := &testOperator{fleet: fleet, name: "o", routes: 10}
 		trial := &catchUpTrial{fleet: fleet, operator: operator, every: changes / 5, moved: fleet.now}
 		for operator.number < changes {
@@ -38,14 +38,15 @@
 	}
 }
 
-// catchUpTrial strikes one machine after the other while changes go on. Each trouble lasts for most of a span of changes;
-// before the next, all come back.
+// catchUpTrial strikes one machine after the other while changes go on. Each trouble lasts for most of a span of
+// changes; before the next, all come back.
 type catchUpTrial struct {
 	fleet    *testFleet
 	operator *testOperator
 	// every is how many changes a span has.
 	every uint64
-	// seen is the number of the change that was looked at last, which came at moved; turns is how many troubles there were.
+	// seen is the number of the change that was looked at last, which came at moved; turns is how many troubles there
+	// were.
 	seen   uint64
 	moved  time.Time
 	turns  int
@@ -62,7 +63,7 @@
 
 // step sends the next change when it is due, and begins or ends a trouble when its change has come.
 func (trial *catchUpTrial) step() {
-	trial.operator.tend(100 * time.Millisecond)
+	trial.operator.tend()
 	trial.fleet.step()
 	if trial.operator.number == trial.seen {
 		return
@@ -90,7 +91,7 @@
 	}
 	trial.struck = nil
 	fleet.until("the member that was away to be in the chain", 10*time.Second, func() bool {
-		trial.operator.tend(100 * time.Millisecond)
+		trial.operator.tend()
 		leader := fleet.leader()
 		return leader != nil && len(leader.node.View().Chain) == len(fleet.members)
 	})
@@ -123,11 +124,11 @@
 // brings a newer document, and the member still has to come in.
 func TestSlowDiskLearnsWhileChangesGoOn(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 4, 3)
+	fleet := newTestFleet(t, 4)
 	operator := &testOperator{fleet: fleet, name: "o"}
 	away := fleet.members[2]
 	fleet.kill(away)
-	fleet.until("changes without it", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 20 })
+	fleet.until("changes without it", 30*time.Second, func() bool { operator.tend(); return operator.number >= 20 })
 	away.disk = newTestDisk()
 	away.identity, away.founding = "id99", false
 	fleet.start(away)
@@ -137,13 +138,14 @@
 	var taken []statemachine.Write
 	due := fleet.now
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
-		operator.tend(100 * time.Millisecond)
+		operator.tend()
 		if !fleet.now.Before(due) {
-			storage.Carry(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) }, func(err error) { t.Fatal(err) })
+			storage.WriteBatch(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
+				func(err error) { t.Fatal(err) })
 			taken, away.writes = away.writes, nil
 			due = fleet.now.Add(delay)
 		}
-		return away.node.Chain().Inside()
+		return away.node.Chain().IsMember()
 	})
 }
 
@@ -151,14 +153,15 @@
 // configuration, and what its disk holds stays bounded.
 func TestLogStaysBoundedOverRestarts(t *testing.T) {
 	t.Parallel()
-	fleet := newTestFleet(t, 5, 3)
+	fleet := newTestFleet(t, 5)
 	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
 	for incarnation := range uint64(12) {
-		fleet.until("changes", 30*time.Second, func() bool { operator.tend(100 * time.Millisecond); return operator.number >= 4*(incarnation+1) })
+		fleet.until("changes", 30*time.Second, func() bool { operator.tend(); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
-		fleet.until("its return", 10*time.Second, func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().Inside() })
+		fleet.until("its return", 10*time.Second,
+			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().IsMember() })
 	}
 	for _, member := range fleet.members {
 		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.greatest)
@@ -169,12 +172,12 @@
 }
 
 // All lose their power just after a member has joined the chain, before it was sent what was committed since it
-// learned the document; it comes back first, with a acceptor outside the chain. It must not lead with its old state.
+// learned the document; it comes back first, with an acceptor outside the chain. It must not lead with its old state.
 func TestJoinerDoesNotLeadAlone(t *testing.T) {
 	t.Parallel()
 	for _, wiped := range []bool{false, true} {
 		fleet := &testFleet{t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(9))}
-		var lines []*wire.Member
+		lines := make([]*wire.Member, 0, 3)
 		for number, name := range []string{"head", "joiner", "keeper"} {
 			address := fmt.Sprintf("127.0.0.%d:1", number+1)
 			fleet.seeds = append(fleet.seeds, address)
@@ -184,7 +187,11 @@
 		document := func(epoch uint64) *wire.Document {
 			return &wire.Document{Sequence: epoch, SpecEpoch: epoch, Spec: whole("a")}
 		}
-		for _, memory := range []*wire.DurableState{{Document: document(10)}, {Document: document(4), Incomplete: true}, {Document: document(3)}} {
+		for _, memory := range []*wire.DurableState{
+			{Document: document(10)},
+			{Document: document(4), Incomplete: true},
+			{Document: document(3)},
+		} {
 			line := lines[len(fleet.members)]
 			memory.Id, memory.View = line.Id, view
 			member := &testMember{address: line.Address, identity: line.Id, disk: newTestDisk()}
@@ -193,7 +200,7 @@
 				t.Fatal(err)
 			}
 			store, _, err := snapshot.Open(member.disk)
-			if err != nil || store.Replace(content) != nil {
+			if err != nil || store.SaveSnapshot(content) != nil {
 				t.Fatal(err)
 			}
 			fleet.members = append(fleet.members, member)
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -146,7 +147,7 @@
 
 // stop asks a machine to leave, as SIGTERM does. It ends when it may, or once its grace is over.
 func (fleet *fleet) stop(machine *coreMachine) {
-	machine.node.Leave(fleet.now)
+	machine.node.Decommission(fleet.now)
 	machine.leaveBy = fleet.now.Add(fleetGrace)
 }
 
@@ -173,7 +174,7 @@
 func (fleet *fleet) leader() *coreMachine {
 	var leader *coreMachine
 	for _, machine := range fleet.machines {
-		if machine.node == nil || !machine.node.Leading(fleet.now) {
+		if machine.node == nil || !machine.node.IsLeading(fleet.now) {
 			continue
 		}
 		if leader != nil {
@@ -221,21 +222,22 @@
 
 // state describes every machine, for a failure.
 func (fleet *fleet) state() string {
-	text := ""
+	var text strings.Builder
 	for _, machine := range fleet.machines {
 		if machine.node == nil {
-			text += fmt.Sprintf("\n  %s down", machine.address)
+			fmt.Fprintf(&text, "\n  %s down", machine.address)
 			continue
 		}
 		current := machine.node.View()
-		text += fmt.Sprintf("\n  %s leads %v leaving %v view %d chain %v keepers %v", machine.address, machine.node.Leading(fleet.now),
-			!machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain), ids(current.Acceptors))
+		fmt.Fprintf(&text, "\n  %s leads %v leaving %v view %d chain %v acceptors %v", machine.address,
+			machine.node.IsLeading(fleet.now), !machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain),
+			ids(current.Acceptors))
 	}
-	return text
+	return text.String()
 }
 
 func ids(members []*wire.Member) []string {
-	var ids []string
+	ids := make([]string, 0, len(members))
 	for _, member := range members {
 		ids = append(ids, member.Id)
 	}
@@ -284,12 +286,12 @@
 		return
 	}
 	if sender := fleet.at(envelope.From); sender != nil && sender.node != nil {
-		sender.node.Refused(fleet.now, target, fleet.now.Add(-clusterStep))
+		sender.node.ConnectionRefused(fleet.now, target, fleet.now.Add(-clusterStep))
 	}
 }
 
 func (fleet *fleet) endIfLeft(machine *coreMachine) {
-	if !machine.leaveBy.IsZero() && (machine.node.Left(fleet.now) || fleet.now.After(machine.leaveBy)) {
+	if !machine.leaveBy.IsZero() && (machine.node.IsDecommissioned(fleet.now) || fleet.now.After(machine.leaveBy)) {
 		fleet.end(machine)
 	}
 }
@@ -299,20 +301,20 @@
 	if machine.node == nil {
 		return
 	}
-	parcels, writes := machine.node.Drain()
+	messages, writes := machine.node.Ready()
 	if machine.dark {
-		parcels = nil
+		messages = nil
 	}
-	for _, parcel := range parcels {
-		fleet.mail = append(fleet.mail, proto.Clone(parcel.Envelope).(*wire.Envelope))
-		fleet.targets = append(fleet.targets, parcel.To)
+	for _, message := range messages {
+		fleet.mail = append(fleet.mail, proto.CloneOf(message.Envelope))
+		fleet.targets = append(fleet.targets, message.To)
 	}
 	for _, write := range writes {
-		if write.Memory != nil {
-			machine.memory, machine.records = proto.Clone(write.Memory).(*wire.DurableState), nil
+		if write.Snapshot != nil {
+			machine.memory, machine.records = proto.CloneOf(write.Snapshot), nil
 		}
 		if write.Record != nil {
-			machine.records = append(machine.records, proto.Clone(write.Record).(*wire.Record))
+			machine.records = append(machine.records, proto.CloneOf(write.Record))
 		}
 		machine.writes = append(machine.writes, fleet.begin(machine, write.Sequence))
 	}
@@ -336,7 +338,7 @@
 	}
 	operation := fmt.Sprintf("change-%d", fleet.changes)
 	ask := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: whole("l")}
-	running[fleet.changes%len(running)].node.Ask(fleet.now, ask, func(status int, body []byte) {
+	running[fleet.changes%len(running)].node.Submit(fleet.now, ask, func(status int, body []byte) {
 		reply := Reply{}
 		if err := json.Unmarshal(body, &reply); err != nil {
 			fleet.t.Fatalf("answer %q: %v", body, err)
@@ -361,7 +363,8 @@
 	fleet.t.Helper()
 	for operation, epoch := range fleet.acked {
 		if outcome := machine.node.Chain().Outcome(operation); outcome == nil || outcome.SpecEpoch != epoch {
-			fleet.t.Fatalf("%s was acknowledged as epoch %d, and %s holds %v: %s", operation, epoch, machine.address, outcome, fleet.state())
+			fleet.t.Fatalf("%s was acknowledged as epoch %d, and %s holds %v: %s", operation, epoch, machine.address, outcome,
+				fleet.state())
 		}
 	}
 }
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -104,46 +104,67 @@
 	seeds   []string
 	mail    []statemachine.Message
 	// lost decides which messages don't arrive.
-	lost func(parcel statemachine.Message) bool
+	lost func(message statemachine.Message) bool
 	// acknowledged is the greatest epoch that an operator was told of; every leader must have it.
 	acknowledged uint64
 }
 
-func newTestFleet(t *testing.T, seed int64, size int) *testFleet {
+// testFleetSize is how many machines a test fleet starts with.
+const testFleetSize = 3
+
+func newTestFleet(t *testing.T, seed int64) *testFleet {
+	t.Helper()
 	fleet := &testFleet{t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(seed))}
-	for number := range size {
+	for number := range testFleetSize {
 		fleet.seeds = append(fleet.seeds, fmt.Sprintf("127.0.0.%d:1", number+1))
 	}
-	for number := range size {
+	for number := range testFleetSize {
 		fleet.add(fleet.seeds[number], number, true)
 	}
-	fleet.until("a first view", 10*time.Second, func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == size })
+	fleet.until("a first view", 10*time.Second,
+		func() bool { return fleet.leader() != nil && len(fleet.leader().node.View().Chain) == testFleetSize })
 	return fleet
 }
 
 // add starts a machine with an empty disk at an address.
 func (fleet *testFleet) add(address string, number int, founding bool) *testMember {
-	member := &testMember{address: address, disk: newTestDisk(), identity: fmt.Sprintf("id%02d", number), founding: founding}
+	member := &testMember{
+		address:  address,
+		disk:     newTestDisk(),
+		identity: fmt.Sprintf("id%02d", number),
+		founding: founding,
+	}
 	fleet.members = append(fleet.members, member)
 	fleet.start(member)
 	return member
 }
 
 func (fleet *testFleet) start(member *testMember) {
-	restored, err := storage.Restore(member.disk, func() string { return member.identity }, "test")
+	restored, err := storage.Recover(member.disk, func() string { return member.identity }, "test")
 	if err != nil {
 		fleet.t.Fatalf("%s does not start: %v", member.address, err)
 	}
 	fleet.wantContiguous(member, restored)
 	member.incarnations++
 	member.store, member.writes = restored.Store, nil
-	member.node = New(fleet.now, Settings{Address: member.address, Zone: member.address, Seeds: fleet.seeds, Founders: fleet.seeds, Founding: member.founding},
-		restored.Memory, restored.Records, rand.New(rand.NewSource(fleet.random.Int63())))
+	member.node = New(
+		fleet.now,
+		Settings{
+			Address:  member.address,
+			Zone:     member.address,
+			Seeds:    fleet.seeds,
+			Founders: fleet.seeds,
+			Founding: member.founding,
+		},
+		restored.State,
+		restored.Records,
+		rand.New(rand.NewSource(fleet.random.Int63())),
+	)
 }
 
 // wantContiguous wants what a disk gives back to be one history without a gap.
 func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
-	memory := proto.Clone(restored.Memory).(*wire.DurableState)
+	memory := proto.CloneOf(restored.State)
 	for _, record := range restored.Records {
 		Replay(memory, record)
 	}
@@ -169,7 +190,7 @@
 
 func (fleet *testFleet) leader() *testMember {
 	for _, member := range fleet.members {
-		if member.up() && member.node.Leading(fleet.now) {
+		if member.up() && member.node.IsLeading(fleet.now) {
 			return member
 		}
 	}
@@ -198,9 +219,9 @@
 	fleet.now = fleet.now.Add(fleetStep)
 	mail := fleet.mail
 	fleet.mail = nil
-	for _, parcel := range mail {
-		if member := fleet.at(parcel.To); member != nil && (fleet.lost == nil || !fleet.lost(parcel)) {
-			member.node.Receive(fleet.now, parcel.Envelope)
+	for _, message := range mail {
+		if member := fleet.at(message.To); member != nil && (fleet.lost == nil || !fleet.lost(message)) {
+			member.node.Receive(fleet.now, message.Envelope)
 		}
 	}
 	for _, member := range fleet.members {
@@ -219,10 +240,10 @@
 
 // drain takes what a machine sends and wants written.
 func (fleet *testFleet) drain(member *testMember) {
-	parcels, writes := member.node.Drain()
-	for _, parcel := range parcels {
-		parcel.Envelope = proto.Clone(parcel.Envelope).(*wire.Envelope)
-		fleet.mail = append(fleet.mail, parcel)
+	messages, writes := member.node.Ready()
+	for _, message := range messages {
+		message.Envelope = proto.CloneOf(message.Envelope)
+		fleet.mail = append(fleet.mail, message)
 	}
 	member.writes = append(member.writes, writes...)
 }
@@ -233,16 +254,17 @@
 	}
 	writes := member.writes
 	member.writes = nil
-	storage.Carry(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
+	storage.WriteBatch(member.store, writes, func(sequence uint64) { member.node.Synced(fleet.now, sequence) },
 		func(error) { member.node.DiskFailed(fleet.now) })
 }
 
 // check wants every leader to have all that was acknowledged.
 func (fleet *testFleet) check() {
 	for _, member := range fleet.members {
-		if member.up() && member.node.Leading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
+		if member.up() && member.node.IsLeading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
 			fleet.describe()
-			fleet.t.Fatalf("%s leads with epoch %d after %d was acknowledged", member.address, member.node.Chain().Committed().SpecEpoch, fleet.acknowledged)
+			fleet.t.Fatalf("%s leads with epoch %d after %d was acknowledged", member.address,
+				member.node.Chain().Committed().SpecEpoch, fleet.acknowledged)
 		}
 	}
 }
@@ -251,12 +273,11 @@
 	for _, member := range fleet.members {
 		if member.up() {
 			chain, view := member.node.Chain(), member.node.View()
-			names := ""
-			for _, member := range view.Chain {
-				names += " " + member.Id
-			}
-			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v", member.address, member.identity, view.Epoch, names,
-				chain.Committed().SpecEpoch, len(chain.Pending()), chain.Synced(), chain.LearnedView(), member.node.Leading(fleet.now), member.node.unhealthy(fleet.now))
+			names := " " + strings.Join(ids(view.Chain), " ")
+			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
+				member.address, member.identity, view.Epoch, names, chain.Committed().SpecEpoch, len(chain.Pending()),
+				chain.Synced(), chain.LearnedView(), member.node.IsLeading(fleet.now),
+				member.node.members.disk.IsUnhealthy(fleet.now))
 		}
 	}
 }
@@ -267,7 +288,7 @@
 	if member == nil || !member.up() {
 		return given
 	}
-	member.node.Ask(fleet.now, proto.Clone(order).(*wire.OperatorRequest), func(status int, body []byte) {
+	member.node.Submit(fleet.now, proto.CloneOf(order), func(status int, body []byte) {
 		given.status = status
 		if err := json.Unmarshal(body, &given.reply); err != nil {
 			panic(err)
@@ -290,21 +311,29 @@
 	next   time.Time
 }
 
+// operatorInterval is how often a test's operator starts a change.
+const operatorInterval = 100 * time.Millisecond
+
 // tend sends what is due; every copy of an order must be acknowledged or left without a clear answer.
-func (operator *testOperator) tend(every time.Duration) {
+func (operator *testOperator) tend() {
 	fleet := operator.fleet
 	if operator.order == nil {
 		if fleet.now.Before(operator.next) {
 			return
 		}
-		operator.next = fleet.now.Add(every)
-		operator.order = apply(fmt.Sprintf("%s%d", operator.name, operator.number+1), operator.number, operator.number+1, routes(operator.routes)...)
+		operator.next = fleet.now.Add(operatorInterval)
+		operator.order = apply(
+			fmt.Sprintf("%s%d", operator.name, operator.number+1),
+			operator.number,
+			operator.number+1,
+			routes(operator.routes)...)
 		operator.copies, operator.sent = nil, time.Time{}
 	}
 	for _, copy := range operator.copies {
 		if copy.status >= 400 && copy.status < 500 {
 			fleet.describe()
-			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.order.Operation, len(operator.copies), copy.status, copy.reply)
+			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.order.Operation, len(operator.copies),
+				copy.status, copy.reply)
 		}
 		if copy.status == 200 {
 			operator.number++
@@ -327,7 +356,8 @@
 
 // routes gives names of routes; each takes a quarter of a kilobyte in a configuration.
 func routes(count int) []string {
-	names := []string{"lane"}
+	names := make([]string, 0, count+1)
+	names = append(names, "lane")
 	for number := range count {
 		names = append(names, fmt.Sprintf("lane%d%s", number, strings.Repeat("x", 180)))
 	}
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership"
 	"wardtray/wire"
 )
 
@@ -27,12 +28,13 @@
 	return newest
 }
 
-// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of some.
+// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of
+// some.
 func (fleet *fleet) pick(role string, besides ...*coreMachine) *coreMachine {
 	newest := fleet.newest()
 	members := newest.Chain
 	if role == "other" {
-		members = without(newest.Acceptors, newest.Chain[0].Id)
+		members = membership.Without(newest.Acceptors, newest.Chain[0].Id)
 	}
 	for _, member := range members {
 		if machine := fleet.machine(member.Id); machine != nil && !slices.Contains(besides, machine) {
@@ -52,14 +54,15 @@
 			continue
 		}
 		current := machine.node.View()
-		if keeps(current, machine.node.Self().Id) && !keeps(current, id) && !holds(current.Chain, id) {
+		if membership.IsAcceptor(current, machine.node.Self().Id) && !membership.IsAcceptor(current, id) &&
+			!membership.Contains(current.Chain, id) {
 			count++
 		}
 	}
 	return count
 }
 
-// A acceptor that leaves ends only once a view without it is known to those who stay.
+// An acceptor that leaves ends only once a view without it is known to those who stay.
 func TestALeavingAcceptorPassesItsSeatOnBeforeItEnds(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"head", "other"} {
@@ -83,7 +86,7 @@
 			}
 			knowing := fleet.acceptorsWithout(id)
 			if knowing < 2*fleet.faults+1 {
-				t.Fatalf("%d keepers know a view without it: %s", knowing, fleet.state())
+				t.Fatalf("%d acceptors know a view without it: %s", knowing, fleet.state())
 			}
 			slow.diskTime = 0
 			fleet.requireServing(servingBound)
@@ -127,7 +130,8 @@
 	// What a fleet of three bears only once the successor has the seat, one of five bears once
 	// the loss is known and a view agreed.
 	bounds := BoundsFor(Limits{})
-	bears := time.Second+moment >= bounds.SeatRepair() || cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
+	bears := time.Second+moment >= bounds.AcceptorRepair() ||
+		cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
 	fleet.wipe(fleet.pick(second), wipedFor)
 	if bears {
 		fleet.requireServing(servingBound)
@@ -135,7 +139,7 @@
 	}
 	fleet.run(servingBound)
 	for _, machine := range fleet.machines {
-		if machine.node != nil && machine.node.Chain().Inside() {
+		if machine.node != nil && machine.node.Chain().IsMember() {
 			fleet.requireKept(machine)
 		}
 	}
@@ -180,7 +184,8 @@
 		successor := fleet.add(false)
 		fleet.run(moment)
 		fleet.stop(leaver)
-		fleet.runUntil(servingBound, "successor in the chain", func() bool { return holds(fleet.newest().Chain, successor.node.Self().Id) })
+		fleet.runUntil(servingBound, "successor in the chain",
+			func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) })
 		successor.diskTime = 550 * time.Millisecond
 		fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
 		fleet.runUntil(servingBound, "leader", func() bool { return fleet.leader() != nil })
@@ -204,7 +209,7 @@
 	fleet.requireServing(servingBound)
 }
 
-// A acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
+// An acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
 func TestAnAcceptorThatIsSilentForAMomentDoesNoHarm(t *testing.T) {
 	t.Parallel()
 	for silence := 300 * time.Millisecond; silence <= 1500*time.Millisecond; silence += momentStep {
@@ -220,7 +225,8 @@
 				if newest := fleet.newest(); len(newest.Chain) < len(fleet.machines)-1 {
 					t.Fatalf("one was silent for %v and more were taken out: %s", silence, fleet.state())
 				}
-				return fleet.now.Sub(back) >= 300*time.Millisecond && fleet.whole() && len(fleet.newest().Chain) == len(fleet.machines)
+				return fleet.now.Sub(back) >= 300*time.Millisecond && fleet.whole() &&
+					len(fleet.newest().Chain) == len(fleet.machines)
 			})
 			fleet.run(300 * time.Millisecond)
 		}
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -25,21 +25,35 @@
 		return nil
 	}
 	reporter.nonce++
-	question := &wire.DaemonLeaseRequest{Nonce: reporter.nonce, Sequence: head.node.Chain().Committed().Sequence, Zone: "z", Incarnation: reporter.incarnation, View: head.node.View().Epoch, Quota: &wire.QuotaReport{}}
+	question := &wire.DaemonLeaseRequest{
+		Nonce:       reporter.nonce,
+		Sequence:    head.node.Chain().Committed().Sequence,
+		Zone:        "z",
+		Incarnation: reporter.incarnation,
+		View:        head.node.View().Epoch,
+		Quota:       &wire.QuotaReport{},
+	}
 	if reporter.claim != nil {
 		question.Quota.Tenants = []*wire.QuotaTenantReport{reporter.claim}
 	}
 	fleet.drain(head)
-	head.node.Receive(fleet.now, &wire.Envelope{From: reporter.address, Sender: reporter.address, Body: &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question}})
-	parcels, writes := head.node.Drain()
+	head.node.Receive(
+		fleet.now,
+		&wire.Envelope{
+			From:   reporter.address,
+			Sender: reporter.address,
+			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question},
+		},
+	)
+	messages, writes := head.node.Ready()
 	head.writes = append(head.writes, writes...)
 	var answer *wire.DaemonLeaseGrant
-	for _, parcel := range parcels {
-		if grant := parcel.Envelope.GetDaemonLeaseGrant(); grant != nil && parcel.To == reporter.address {
+	for _, message := range messages {
+		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == reporter.address {
 			answer = grant
 			continue
 		}
-		fleet.mail = append(fleet.mail, parcel)
+		fleet.mail = append(fleet.mail, message)
 	}
 	return answer
 }
@@ -72,9 +86,10 @@
 
 // The head gives daemons tokens of a tenant's quota, and another head none of them a second time.
 func TestTheHeadIssuesQuotas(t *testing.T) {
-	fleet := newTestFleet(t, 3, 3)
+	fleet := newTestFleet(t, 3)
 	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
-	operator := fleet.send(fleet.members[0], &wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
+	operator := fleet.send(fleet.members[0],
+		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
 	fleet.leased(first, second)
 	fleet.until("the spec is acknowledged", 10*time.Second, func() bool {
 		if fleet.now.UnixMilli()%100 == 0 {
@@ -98,7 +113,8 @@
 	head := fleet.leader()
 	fleet.kill(head)
 	fleet.until("another head", 20*time.Second, func() bool { return fleet.leader() != nil && fleet.leader() != head })
-	// The first daemon does not report; what it may hold of the rate and of the burst is given to nobody until its term is over.
+	// The first daemon does not report; what it may hold of the rate and of the burst is given to nobody until its term
+	// is over.
 	if given := fleet.tokens(second, 5000); given > 0 {
 		t.Errorf("a new head gives %v before it knows what is held", given)
 	}
@@ -111,7 +127,7 @@
 
 // A daemon without a lease gets no share, and one that holds nothing is not waited for.
 func TestOnlyLeasedDaemonsGetShares(t *testing.T) {
-	fleet := newTestFleet(t, 4, 3)
+	fleet := newTestFleet(t, 4)
 	fleet.until("a head", 20*time.Second, func() bool { return fleet.leader() != nil })
 	stranger := &reporter{address: "d9", incarnation: 9, claim: &wire.QuotaTenantReport{Tenant: "t", Need: 10}}
 	if grant := fleet.ask(stranger); grant == nil || grant.Granted || grant.Quota != nil {
--- a/proxy/admission/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -10,15 +10,23 @@
 
 // The headers of a request keep their names, which stand here as clients send them, and their meaning.
 func TestHeadersKeepTheirMeaning(t *testing.T) {
-	headers := map[string][]string{"Wardtray-Lane": {"lane"}, "Wardtray-Model": {"model"}, "Wardtray-Adapter": {"adapter"},
-		"Wardtray-Request": {"request"}, "Wardtray-Prompt-Tokens": {"100"}, "Wardtray-Answer-Tokens": {"10"},
-		"Prompt-Prefix": {"system=40, more=20"}, "Wardtray-Wait": {"1500"}, "Wardtray-After": {"7"},
-		"Authorization": {"Bearer key"}}
+	headers := map[string][]string{
+		"Wardtray-Lane":          {"lane"},
+		"Wardtray-Model":         {"model"},
+		"Wardtray-Adapter":       {"adapter"},
+		"Wardtray-Request":       {"request"},
+		"Wardtray-Prompt-Tokens": {"100"},
+		"Wardtray-Answer-Tokens": {"10"},
+		"Prompt-Prefix":          {"system=40, more=20"},
+		"Wardtray-Wait":          {"1500"},
+		"Wardtray-After":         {"7"},
+		"Authorization":          {"Bearer key"},
+	}
 	body := []byte(`{"prompt":"text"}`)
 	read, err := Parse(func(name string) []string { return headers[name] }, body)
 	wanted := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: body,
-		Wait: 1500 * time.Millisecond, After: 7, Key: "key", TokensTold: true}
+		Timeout: 1500 * time.Millisecond, LastEventID: 7, Secret: "key", TokensGiven: true}
 	if err != nil || !reflect.DeepEqual(read, wanted) {
 		t.Errorf("%v, %+v", err, read)
 	}
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"math/rand"
 	"net"
@@ -17,7 +18,7 @@
 // ListLag is by how much the platform's list and its opinion of daemons trail the truth.
 const ListLag = 500 * time.Millisecond
 
-type line struct {
+type listedRunner struct {
 	RunnerID string `json:"runner_id"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
@@ -29,7 +30,7 @@
 type Platform struct {
 	record  *histories.History
 	mutex   sync.Mutex
-	runners map[string]line
+	runners map[string]listedRunner
 	listed  []byte
 	known   map[string]bool
 	// ready is since when runners have been listed as such.
@@ -43,11 +44,29 @@
 }
 
 // NewPlatform opens the list at an address. daemons are the HTTP addresses by zone.
-func NewPlatform(address string, daemons map[string][]string, record *histories.History, seed int64) (*Platform, error) {
-	platform := &Platform{record: record, runners: map[string]line{}, listed: []byte("[]"), known: map[string]bool{}, ready: map[string]time.Time{}, daemons: daemons,
-		fit: map[string]bool{}, random: rand.New(rand.NewSource(seed)), stopped: make(chan struct{}),
-		client: &fasthttp.Client{ReadTimeout: 300 * time.Millisecond, WriteTimeout: 300 * time.Millisecond, MaxIdleConnDuration: time.Second}}
-	listener, err := net.Listen("tcp", address)
+func NewPlatform(
+	address string,
+	daemons map[string][]string,
+	record *histories.History,
+	seed int64,
+) (*Platform, error) {
+	platform := &Platform{
+		record:  record,
+		runners: map[string]listedRunner{},
+		listed:  []byte("[]"),
+		known:   map[string]bool{},
+		ready:   map[string]time.Time{},
+		daemons: daemons,
+		fit:     map[string]bool{},
+		random:  rand.New(rand.NewSource(seed)),
+		stopped: make(chan struct{}),
+		client: &fasthttp.Client{
+			ReadTimeout:         300 * time.Millisecond,
+			WriteTimeout:        300 * time.Millisecond,
+			MaxIdleConnDuration: time.Second,
+		},
+	}
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -78,15 +97,21 @@
 		delete(platform.runners, runner.ID)
 		return
 	}
-	platform.runners[runner.ID] = line{RunnerID: runner.ID, Address: runner.Address, Zone: runner.Zone, Service: runner.Service, State: state}
+	platform.runners[runner.ID] = listedRunner{
+		RunnerID: runner.ID,
+		Address:  runner.Address,
+		Zone:     runner.Zone,
+		Service:  runner.Service,
+		State:    state,
+	}
 }
 
-// Settled tells whether a runner has been listed as ready for as long as it takes to be used in full.
+// Settled reports whether a runner has been listed as ready for as long as it takes to be used in full.
 func (platform *Platform) Settled(runner *Runner) bool {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	since, ready := platform.ready[runner.ID]
-	return ready && time.Since(since) >= load.Settled
+	return ready && time.Since(since) >= load.SlowStartDuration
 }
 
 // follow makes the list, and the opinion of daemons, trail the truth.
@@ -107,7 +132,7 @@
 func (platform *Platform) publish() {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	lines := make([]line, 0, len(platform.runners))
+	lines := make([]listedRunner, 0, len(platform.runners))
 	live := map[string]bool{}
 	for _, entry := range platform.runners {
 		lines = append(lines, entry)
@@ -123,7 +148,7 @@
 	}
 	now := time.Now()
 	platform.record.Change(func(record *histories.History) {
-		for _, leave := range record.Leaves {
+		for _, leave := range record.Drains {
 			// A runner that drains never comes back under its identity; one that was only missing may.
 			if live[leave.Runner] && leave.Back.IsZero() && !leave.Drained {
 				leave.Back = now
@@ -133,7 +158,8 @@
 	for id, was := range platform.known {
 		if was && !live[id] {
 			platform.record.Change(func(record *histories.History) {
-				record.Leaves = append(record.Leaves, &histories.Leaving{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
+				record.Drains = append(record.Drains,
+					&histories.Drain{At: now, Runner: id, Drained: platform.runners[id].State == "draining"})
 			})
 		}
 	}
@@ -158,7 +184,7 @@
 	waiting.Wait()
 }
 
-// Pick gives a fit daemon of a zone, or of another zone where the zone has none.
+// Pick returns a fit daemon of a zone, or of another zone where the zone has none.
 func (platform *Platform) Pick(zone string) string {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -37,10 +37,26 @@
 
 // Shapes are the two deployments of the brief.
 var Shapes = map[string]Shape{
-	"guild": {Name: "guild", Net: 40, Zones: []string{"bangor", "dolgellau", "caerdydd"}, Machines: []int{4, 4, 4}, Disks: []int{1, 1, 1}, Runners: 18,
-		Mix: loadtest.Guild, Rate: 60},
-	"ferries": {Name: "ferries", Net: 50, Zones: []string{"north", "quay", "isle", "south"}, Machines: []int{3, 3, 3, 2}, Disks: []int{1, 1, 1, 1}, Runners: 18,
-		Mix: loadtest.Ferries, Rate: 60},
+	"guild": {
+		Name:     "guild",
+		Net:      40,
+		Zones:    []string{"bangor", "dolgellau", "caerdydd"},
+		Machines: []int{4, 4, 4},
+		Disks:    []int{1, 1, 1},
+		Runners:  18,
+		Mix:      loadtest.Guild,
+		Rate:     60,
+	},
+	"ferries": {
+		Name:     "ferries",
+		Net:      50,
+		Zones:    []string{"north", "quay", "isle", "south"},
+		Machines: []int{3, 3, 3, 2},
+		Disks:    []int{1, 1, 1, 1},
+		Runners:  18,
+		Mix:      loadtest.Ferries,
+		Rate:     60,
+	},
 }
 
 // Program is one process of the fleet.
@@ -83,10 +99,14 @@
 	fleet := &Fleet{Shape: shape, Folder: folder, Binaries: binaries, Record: histories.New(), seed: seed,
 		client: &http.Client{Timeout: 9 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	var seeds []string
-	for place, zone := range shape.Zones {
-		for number := range shape.Machines[place] {
-			machine := &Machine{Name: fmt.Sprintf("%s-%d", zone, number+1), IP: fmt.Sprintf("127.%d.%d.%d", shape.Net, place+1, number+1),
-				Zone: zone, Disk: number < shape.Disks[place]}
+	for index, zone := range shape.Zones {
+		for number := range shape.Machines[index] {
+			machine := &Machine{
+				Name: fmt.Sprintf("%s-%d", zone, number+1),
+				IP:   fmt.Sprintf("127.%d.%d.%d", shape.Net, index+1, number+1),
+				Zone: zone,
+				Disk: number < shape.Disks[index],
+			}
 			fleet.Machines = append(fleet.Machines, machine)
 			if machine.Disk && len(seeds) < 3 {
 				seeds = append(seeds, machine.IP+":7100")
@@ -95,11 +115,23 @@
 	}
 	platform := fmt.Sprintf("127.%d.250.1:9000", shape.Net)
 	for _, machine := range fleet.Machines {
-		machine.Data = &Program{Name: machine.Name + ".data", Kind: "wtdata", Machine: machine, Settings: process.Settings{
-			Address: machine.IP + ":7200", HTTP: machine.IP + ":8200", Zone: machine.Zone, Seeds: seeds, Platform: "http://" + platform + "/runners", Drain: "2s"}}
+		machine.Data = &Program{
+			Name:    machine.Name + ".data",
+			Kind:    "wtdata",
+			Machine: machine,
+			Settings: process.Settings{
+				Address: machine.IP + ":7200", HTTP: machine.IP + ":8200", Zone: machine.Zone, Seeds: seeds,
+				Platform: "http://" + platform + "/runners", Drain: "2s"},
+		}
 		if machine.Disk {
-			machine.Core = &Program{Name: machine.Name + ".core", Kind: "wtcore", Machine: machine, Settings: process.Settings{
-				Address: machine.IP + ":7100", HTTP: machine.IP + ":8100", Zone: machine.Zone, Seeds: seeds, Folder: filepath.Join(folder, machine.Name)}}
+			machine.Core = &Program{
+				Name:    machine.Name + ".core",
+				Kind:    "wtcore",
+				Machine: machine,
+				Settings: process.Settings{
+					Address: machine.IP + ":7100", HTTP: machine.IP + ":8100", Zone: machine.Zone, Seeds: seeds,
+					Folder: filepath.Join(folder, machine.Name)},
+			}
 		}
 	}
 	for _, program := range fleet.Programs() {
@@ -128,7 +160,7 @@
 	return os.WriteFile(program.file, content, 0o640)
 }
 
-// Programs gives every process, control plane first.
+// Programs returns every process, control plane first.
 func (fleet *Fleet) Programs() []*Program {
 	var programs []*Program
 	for _, machine := range fleet.Machines {
@@ -142,10 +174,10 @@
 	return programs
 }
 
-// Cores gives the control plane's processes.
+// Cores returns the control plane's processes.
 func (fleet *Fleet) Cores() []*Program { return fleet.ofKind("wtcore") }
 
-// Datas gives the data plane's processes.
+// Datas returns the data plane's processes.
 func (fleet *Fleet) Datas() []*Program { return fleet.ofKind("wtdata") }
 
 func (fleet *Fleet) ofKind(kind string) []*Program {
@@ -166,8 +198,10 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	command := exec.Command(filepath.Join(fleet.Binaries, program.Kind), "--startup", program.file)
+	// The process has a descriptor of its own.
+	defer func() { _ = log.Close() }()
+	command := exec.CommandContext(
+		context.Background(), filepath.Join(fleet.Binaries, program.Kind), "--startup", program.file)
 	command.Stdout, command.Stderr = log, log
 	// A proof that dies must not leave a fleet behind.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -234,9 +268,16 @@
 	if weights == "" {
 		weights = fleet.Shape.Mix.Weights
 	}
-	runner := &emulator.Runner{ID: fmt.Sprintf("r%02d-%d", number, incarnation), Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
-		Zone: fleet.Shape.Zones[zone], Service: fleet.Shape.Mix.Service, Model: fleet.Shape.Mix.Model, Weights: weights, Pool: fleet.Shape.Mix.Pool}
-	if err := emulator.Start(runner, emulator.DefaultNature, fleet.Record); err != nil {
+	runner := &emulator.Runner{
+		ID:      fmt.Sprintf("r%02d-%d", number, incarnation),
+		Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
+		Zone:    fleet.Shape.Zones[zone],
+		Service: fleet.Shape.Mix.Service,
+		Model:   fleet.Shape.Mix.Model,
+		Weights: weights,
+		Pool:    fleet.Shape.Mix.Pool,
+	}
+	if err := emulator.Start(runner, emulator.DefaultProfile, fleet.Record); err != nil {
 		return nil, err
 	}
 	fleet.mutex.Lock()
@@ -251,7 +292,7 @@
 }
 
 func (fleet *Fleet) warm(runner *emulator.Runner) {
-	timer := time.NewTimer(emulator.DefaultNature.ColdTime)
+	timer := time.NewTimer(emulator.DefaultProfile.ColdTime)
 	<-timer.C
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -305,7 +346,13 @@
 // Harm records that something is done to a runner until a time; knowable is how long it may take the
 // others to know of it.
 func (fleet *Fleet) Harm(what string, runner *emulator.Runner, length, knowable time.Duration) {
-	fault := histories.Fault{At: time.Now(), Until: time.Now().Add(length), What: what, Runner: runner.ID, Knowable: knowable}
+	fault := histories.Fault{
+		At:       time.Now(),
+		Until:    time.Now().Add(length),
+		What:     what,
+		Runner:   runner.ID,
+		Knowable: knowable,
+	}
 	fleet.Record.Change(func(record *histories.History) { record.Faults = append(record.Faults, fault) })
 }
 
@@ -315,7 +362,7 @@
 	defer ticker.Stop()
 	for running.Err() == nil {
 		<-ticker.C
-		room := histories.Room{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
+		room := histories.CapacitySample{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
 		fleet.mutex.Lock()
 		for _, runner := range fleet.Runners {
 			if runner == nil || !fleet.Platform.Settled(runner) {
@@ -326,7 +373,9 @@
 			room.Slots[runner.Zone] += slots
 		}
 		fleet.mutex.Unlock()
-		fleet.Record.Change(func(record *histories.History) { record.Rooms = append(record.Rooms, room) })
+		fleet.Record.Change(
+			func(record *histories.History) { record.CapacitySamples = append(record.CapacitySamples, room) },
+		)
 	}
 }
 
@@ -340,7 +389,8 @@
 }
 
 func (fleet *Fleet) call(method, address, path string, body []byte) (Reply, error) {
-	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(
+		context.Background(), method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return Reply{}, err
 	}
@@ -348,7 +398,8 @@
 	if err != nil {
 		return Reply{}, err
 	}
-	defer response.Body.Close()
+	// The body was read; its close can lose nothing.
+	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Reply{}, err
@@ -363,8 +414,16 @@
 	if marker != "" {
 		markers = []string{marker}
 	}
-	order := &histories.Order{Operation: operation, Verb: "apply", Base: base, HasBase: true, Marker: marker, Spec: fleet.Shape.Mix.Spec(fleet.Shape.Zones, markers...)}
-	fleet.order(order, program, "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation), order.Spec.Encode())
+	order := &histories.Order{
+		Operation: operation,
+		Verb:      "apply",
+		Base:      base,
+		HasBase:   true,
+		Marker:    marker,
+		Spec:      fleet.Shape.Mix.Spec(fleet.Shape.Zones, markers...),
+	}
+	fleet.order(order, program, "PUT", fmt.Sprintf("/v1/spec?base=%d&operation=%s", base, operation),
+		order.Spec.Encode())
 	return order
 }
 
@@ -393,8 +452,11 @@
 // Finish asks what the fleet says at the end, for the checker.
 func (fleet *Fleet) Finish(program *Program) error {
 	reply, err := fleet.Get(program)
-	if err != nil || reply.Status != 200 {
-		return fmt.Errorf("asking for the spec at the end: status %d, %v", reply.Status, err)
+	if err != nil {
+		return fmt.Errorf("asking for the spec at the end: %w", err)
+	}
+	if reply.Status != http.StatusOK {
+		return fmt.Errorf("asking for the spec at the end: status %d", reply.Status)
 	}
 	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
 	held := struct{ Routes []struct{ Name string } }{}
--- a/verify/golden/value.go
+++ b/verify/golden/value.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"reflect"
+	"strconv"
 	"testing"
 )
 
@@ -16,16 +17,16 @@
 	filler.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// Outline gives the value that a pointer points to one element in each list and one entry in each map, and leaves
+// Outline returns the value that a pointer points to one element in each list and one entry in each map, and leaves
 // everything else at its zero, so that each nested type is there with nothing set.
 func Outline(pointer any) { outline(reflect.ValueOf(pointer).Elem()) }
 
 func outline(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
-		for place := range value.NumField() {
-			if value.Type().Field(place).IsExported() {
-				outline(value.Field(place))
+		for index := range value.NumField() {
+			if value.Type().Field(index).IsExported() {
+				outline(value.Field(index))
 			}
 		}
 	case reflect.Slice:
@@ -45,26 +46,26 @@
 }
 
 // filler counts the values given out.
-type filler struct{ given int }
+type filler struct{ count int }
 
 func (filler *filler) next() int {
-	filler.given++
-	return filler.given
+	filler.count++
+	return filler.count
 }
 
 func (filler *filler) fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
-		for place := range value.NumField() {
-			if value.Type().Field(place).IsExported() {
-				filler.fill(value.Field(place))
+		for index := range value.NumField() {
+			if value.Type().Field(index).IsExported() {
+				filler.fill(value.Field(index))
 			}
 		}
 	case reflect.Slice:
 		filler.fillSlice(value)
 	case reflect.Array:
-		for place := range value.Len() {
-			filler.fill(value.Index(place))
+		for index := range value.Len() {
+			filler.fill(value.Index(index))
 		}
 	case reflect.Map:
 		key, held := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
@@ -85,12 +86,12 @@
 // fillSlice fills a list; bytes get a number as a text, which is JSON too, as raw JSON must be.
 func (filler *filler) fillSlice(value reflect.Value) {
 	if value.Type().Elem().Kind() == reflect.Uint8 {
-		value.Set(reflect.ValueOf([]byte(fmt.Sprint(filler.next()))).Convert(value.Type()))
+		value.Set(reflect.ValueOf([]byte(strconv.Itoa(filler.next()))).Convert(value.Type()))
 		return
 	}
 	value.Set(reflect.MakeSlice(value.Type(), elements, elements))
-	for place := range elements {
-		filler.fill(value.Index(place))
+	for index := range elements {
+		filler.fill(value.Index(index))
 	}
 }
 
@@ -111,7 +112,7 @@
 	}
 }
 
-// Indent gives JSON, which must have no blanks, with a line for each key in the order in which it was written.
+// Indent returns JSON, which must have no blanks, with a line for each key in the order in which it was written.
 func Indent(t *testing.T, content []byte) string {
 	t.Helper()
 	var compact bytes.Buffer
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -1,4 +1,4 @@
-// Package load has clients: seeded mixes of the two deployments, sent as separate streams.
+// Package loadtest has clients: seeded mixes of the two deployments, sent as separate streams.
 package loadtest
 
 import (
@@ -27,8 +27,8 @@
 	Record *histories.History
 	// Hot is the part of requests that carry one and the same opening.
 	Hot float64
-	// Leaves is the part of the clients that close their connections at some moment, whatever they have got by then.
-	Leaves float64
+	// HangUps is the part of the clients that close their connections at some moment, whatever they have got by then.
+	HangUps float64
 
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -48,6 +48,8 @@
 
 // Run sends so many requests a second, at random moments, until the context ends, then waits for all answers.
 func (load *Load) Run(running context.Context, rate func() float64) {
+	// Requests under way end by themselves when no more are sent.
+	requests := context.WithoutCancel(running)
 	for running.Err() == nil {
 		load.mutex.Lock()
 		gap := time.Duration(load.random.ExpFloat64() / max(0.1, rate()) * float64(time.Second))
@@ -58,7 +60,7 @@
 			load.waiting.Add(1)
 			go func() {
 				defer load.waiting.Done()
-				load.one()
+				load.sendOne(requests)
 			}()
 		case <-running.Done():
 			timer.Stop()
@@ -67,10 +69,10 @@
 	load.waiting.Wait()
 }
 
-// latestLeave is how long after sending its request a client that leaves does so at the latest.
-const latestLeave = time.Second
+// latestHangUp is how long after sending its request a client that leaves does so at the latest.
+const latestHangUp = time.Second
 
-// draw gives the next request, the zone that it comes from, and when its client leaves; 0: it stays.
+// draw returns the next request, the zone that it comes from, and when its client leaves; 0: it stays.
 func (load *Load) draw() (Drawn, string, time.Duration) {
 	load.mutex.Lock()
 	defer load.mutex.Unlock()
@@ -78,17 +80,26 @@
 	zone := load.Zones[load.random.Intn(len(load.Zones))]
 	drawn := load.Mix.Draw(load.random, load.Hot)
 	drawn.ID = fmt.Sprintf("%s-%d", load.prefix, load.number)
-	if load.Leaves > 0 && load.random.Float64() < load.Leaves {
-		return drawn, zone, 1 + time.Duration(load.random.Int63n(int64(latestLeave)))
+	if load.HangUps > 0 && load.random.Float64() < load.HangUps {
+		return drawn, zone, 1 + time.Duration(load.random.Int63n(int64(latestHangUp)))
 	}
 	return drawn, zone, 0
 }
 
-func (load *Load) one() {
+func (load *Load) sendOne(ctx context.Context) {
 	drawn, zone, leaves := load.draw()
-	record := &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: time.Now(), Resumable: drawn.Kind.Resumable,
-		Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}
-	staying, leave := context.WithCancel(context.Background())
+	record := &histories.Answer{
+		Request:       drawn.ID,
+		Route:         drawn.Kind.Route,
+		Once:          drawn.Kind.Once,
+		LatencyTarget: drawn.Kind.LatencyTarget,
+		Zone:          zone,
+		Sent:          time.Now(),
+		Resumable:     drawn.Kind.Resumable,
+		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
+		Bound:         drawn.TimeLimit(),
+	}
+	staying, leave := context.WithCancel(ctx)
 	defer leave()
 	if leaves > 0 {
 		timer := time.AfterFunc(leaves, leave)
@@ -107,17 +118,18 @@
 	record.Got = time.Now()
 	// The request returns as soon as its connection is closed, and on one machine the close is there at once.
 	if staying.Err() != nil && !record.Done {
-		record.Gone, record.Left = true, record.Got
+		record.HungUp, record.HungUpAt = true, record.Got
 	}
 	if record.Status == 0 {
-		record.Lost = true
+		record.ConnectionLost = true
 	}
 	load.Record.Change(func(history *histories.History) { history.Answers = append(history.Answers, record) })
 }
 
-// send tells whether the request is over with; false means that it was surely not read.
+// send reports whether the request is finished; false means that it was surely not read.
 func (load *Load) send(staying context.Context, drawn Drawn, record *histories.Answer) bool {
-	request, err := http.NewRequestWithContext(staying, "POST", "http://"+record.Daemon+"/v1/stream", bytes.NewReader(drawn.Body()))
+	request, err := http.NewRequestWithContext(staying, http.MethodPost, "http://"+record.Daemon+"/v1/stream",
+		bytes.NewReader(drawn.Body()))
 	if err != nil {
 		return true
 	}
@@ -134,16 +146,18 @@
 		if errors.As(err, &operation) && operation.Op == "dial" {
 			return false
 		}
-		record.Sure = true
+		record.RequestSent = true
 		return true
 	}
-	defer response.Body.Close()
-	record.Sure, record.Status = true, response.StatusCode
-	record.RetryAfter, record.Head = response.Header.Get("Retry-After") != "", response.Header.Get(admission.HeaderRunner)
-	if response.StatusCode != 200 {
+	// The body was read; its close can lose nothing.
+	defer func() { _ = response.Body.Close() }()
+	record.RequestSent, record.Status = true, response.StatusCode
+	record.RetryAfter = response.Header.Get("Retry-After") != ""
+	record.Head = response.Header.Get(admission.HeaderRunner)
+	if response.StatusCode != http.StatusOK {
 		// What can't be read is no refusal as documented, and is found as such below.
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 64<<10))
-		Refused(record, body)
+		ParseRejection(record, body)
 		return true
 	}
 	load.events(response.Body, record)
@@ -152,16 +166,16 @@
 
 // events reads a stream to its end.
 func (load *Load) events(body io.Reader, record *histories.Answer) {
-	reader, ear := bufio.NewReader(body), Ear{Record: record}
+	reader, parser := bufio.NewReader(body), EventParser{Record: record}
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
 			// A stream that ends without its last event is a broken answer, not a lost one: some of it was told.
 			if !record.Done && !record.Error {
-				record.Lost = true
+				record.ConnectionLost = true
 			}
 			return
 		}
-		ear.Line(time.Now(), strings.TrimRight(line, "\n"))
+		parser.ParseLine(time.Now(), strings.TrimRight(line, "\n"))
 	}
 }
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -7,24 +7,25 @@
 	"strings"
 )
 
-// Replay takes the actions of a trace and gives the property that they break, or "". A message whose content has changed
-// since the trace was written is found by its kind, its sender and its receiver.
+// Replay takes the actions of a trace and returns the property that they break, or "". A message whose content has
+// changed since the trace was written is found by its kind, its sender and its receiver.
 func Replay(scenario Scenario, trace []Action) (broken string, err error) {
 	prepared, err := prepare(&scenario)
 	if err != nil {
 		return "", err
 	}
-	world := prepared.begin()
+	world := prepared.start()
 	for _, action := range trace {
-		if err := world.take(world.likest(action)); err != nil {
+		if err := world.apply(world.closestAction(action)); err != nil {
 			return "", err
 		}
 	}
-	return world.judge.broken, nil
+	return world.checker.violation, nil
 }
 
-// likest gives the action itself where it is possible, or else the first that differs from it only by the message.
-func (world *world) likest(action Action) Action {
+// closestAction returns the action itself where it is possible, or else the first that differs from it only by the
+// message.
+func (world *world) closestAction(action Action) Action {
 	possible := world.actions()
 	if slices.Contains(possible, action) {
 		return action
@@ -41,28 +42,28 @@
 // possible any more without another one, it is left out as well.
 func minimize(prepared *prepared, trace []Action, broken string) ([]Action, string) {
 	property, _, _ := strings.Cut(broken, ":")
-	for place := 0; place < len(trace); {
-		shorter := append(append([]Action{}, trace[:place]...), trace[place+1:]...)
+	for index := 0; index < len(trace); {
+		shorter := append(append([]Action{}, trace[:index]...), trace[index+1:]...)
 		taken, found := tryTrace(prepared, shorter)
 		if strings.HasPrefix(found, property+":") {
 			trace, broken = taken, found
 			continue
 		}
-		place++
+		index++
 	}
 	return trace, broken
 }
 
-// tryTrace takes those actions of a trace that are possible; it gives them and the property that they break, or "".
+// tryTrace takes those actions of a trace that are possible; it returns them and the property that they break, or "".
 func tryTrace(prepared *prepared, trace []Action) (taken []Action, broken string) {
-	world := prepared.begin()
+	world := prepared.start()
 	for _, action := range trace {
-		if world.take(action) != nil {
+		if world.apply(action) != nil {
 			continue
 		}
 		taken = append(taken, action)
-		if world.judge.broken != "" {
-			return taken, world.judge.broken
+		if world.checker.violation != "" {
+			return taken, world.checker.violation
 		}
 	}
 	return taken, ""
@@ -84,7 +85,7 @@
 	return trace, nil
 }
 
-// Print searches scenarios one after the other and prints what was seen. It tells whether all properties held.
+// Print searches scenarios one after the other and prints what was seen. It reports whether all properties held.
 func Print(output io.Writer, scenarios []Scenario, options Options) (bool, error) {
 	held := true
 	for _, scenario := range scenarios {
@@ -99,15 +100,24 @@
 		if err != nil {
 			return false, fmt.Errorf("%s: %w", scenario.Name, err)
 		}
-		fmt.Fprintf(output, "%s: %v\n", scenario.Name, result)
-		if result.Broken == "" {
-			continue
+		held = held && result.Violation == ""
+		if err := result.print(output, scenario.Name); err != nil {
+			return false, err
 		}
-		held = false
-		fmt.Fprintf(output, "BROKEN %s\n", result.Broken)
+	}
+	return held, nil
+}
+
+// print writes the counts and, where a property did not hold, the actions that lead there.
+func (result Result) print(output io.Writer, scenario string) error {
+	text := &strings.Builder{}
+	fmt.Fprintf(text, "%s: %v\n", scenario, result)
+	if result.Violation != "" {
+		fmt.Fprintf(text, "BROKEN %s\n", result.Violation)
 		for _, action := range result.Trace {
-			fmt.Fprintf(output, "  %v\n", action)
+			fmt.Fprintf(text, "  %v\n", action)
 		}
 	}
-	return held, nil
+	_, err := io.WriteString(output, text.String())
+	return err
 }
--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -37,32 +37,37 @@
 	read, written int
 	prompt        int
 	began         bool
-	finished      func(whole bool)
+	finished      func(complete bool)
 	first         func()
 	lastEvent     time.Time
 	worstPause    time.Duration
-	gone          bool
+	abandoned     bool
 }
 
 // batch is an engine that runs requests side by side in steps.
 type batch struct {
-	id, zone string
-	figures  Figures
-	slow     float64
-	world    *simulation.World
-	cache    *emulator.Cache[kvblock.BlockKey]
-	running  []*sequence
-	waiting  []*sequence
-	arrivals int
-	stepping bool
-	dark     bool
-	reports  []load.Report
-	busy     time.Duration
-	most     int
+	id, zone     string
+	figures      Figures
+	slow         float64
+	world        *simulation.World
+	cache        *emulator.Cache[kvblock.BlockKey]
+	running      []*sequence
+	waiting      []*sequence
+	arrivals     int
+	stepping     bool
+	unresponsive bool
+	reports      []load.Report
+	busy         time.Duration
+	most         int
 }
 
 func (batch *batch) report() load.Report {
-	report := load.Report{Slots: batch.figures.Slots, Waiting: len(batch.waiting), Tokens: batch.used(), Room: batch.figures.MemoryTokens}
+	report := load.Report{
+		Slots:        batch.figures.Slots,
+		Waiting:      len(batch.waiting),
+		UsedTokens:   batch.used(),
+		MemoryTokens: batch.figures.MemoryTokens,
+	}
 	for _, running := range batch.running {
 		if running.began {
 			report.Running++
@@ -80,7 +85,7 @@
 	return tokens
 }
 
-// take lets a request wait; it tells whether there was room for it.
+// take lets a request wait; it reports whether there was room for it.
 func (batch *batch) take(made *sequence) bool {
 	if len(batch.running)+len(batch.waiting) >= batch.figures.Slots+batch.figures.Queue {
 		return false
@@ -123,9 +128,11 @@
 // step plans one step and does it.
 func (batch *batch) step() {
 	plan := batch.newPlan()
-	sort.SliceStable(batch.waiting, func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) })
+	sort.SliceStable(batch.waiting,
+		func(left, right int) bool { return before(batch.waiting[left], batch.waiting[right]) })
 	if batch.figures.Overtaking {
-		sort.SliceStable(plan.reading, func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) })
+		sort.SliceStable(plan.reading,
+			func(left, right int) bool { return before(plan.reading[left], plan.reading[right]) })
 		plan.overtake()
 	}
 	plan.fill()
@@ -148,7 +155,8 @@
 		}
 		plan.decoding = append(plan.decoding, running)
 		plan.budget--
-		plan.length += batch.figures.PerSlot + scale(batch.figures.PerContext, float64(running.prompt+running.written)/1000)
+		plan.length += batch.figures.PerSlot + scale(batch.figures.PerContext,
+			float64(running.prompt+running.written)/1000)
 	}
 	return plan
 }
@@ -156,7 +164,8 @@
 // overtake admits and reads prompts that are more urgent than those that are half read.
 func (plan *plan) overtake() {
 	batch := plan.batch
-	for len(batch.waiting) > 0 && (len(plan.reading) == 0 || before(batch.waiting[0], plan.reading[0])) && plan.admit() {
+	isNext := func() bool { return len(plan.reading) == 0 || before(batch.waiting[0], plan.reading[0]) }
+	for len(batch.waiting) > 0 && isNext() && plan.admit() {
 		plan.read(plan.reading[len(plan.reading)-1])
 		if plan.budget <= 0 {
 			break
@@ -188,7 +197,7 @@
 	plan.length += scale(plan.batch.figures.PerToken, float64(part)) + scale(plan.batch.figures.PerPairs, pairs/1e6)
 }
 
-// admit moves the first waiting request to those being read; it tells whether one waited and had room.
+// admit moves the first waiting request to those being read; it reports whether one waited and had room.
 func (plan *plan) admit() bool {
 	batch := plan.batch
 	if len(batch.waiting) == 0 || len(batch.running) >= batch.figures.Slots {
@@ -213,10 +222,10 @@
 	return time.Duration(float64(part) * count)
 }
 
-// stepped gives out what a step made.
+// stepped returns out what a step made.
 func (batch *batch) stepped(decoding []*sequence, parts map[*sequence]int) {
 	now := batch.world.Now
-	if batch.dark {
+	if batch.unresponsive {
 		batch.stepping = false
 		return
 	}
@@ -225,7 +234,7 @@
 	finished := batch.removeFinished(now)
 	batch.evict()
 	for _, one := range finished {
-		one.gone = true
+		one.abandoned = true
 		one.finished(one.began && one.written >= one.job.answer)
 	}
 	batch.dropExpired(now)
@@ -239,7 +248,7 @@
 // write adds a token to every sequence that decodes; an event goes out with each Stride of them, and with the last.
 func (batch *batch) write(now time.Time, decoding []*sequence) {
 	for _, one := range decoding {
-		if one.gone {
+		if one.abandoned {
 			continue
 		}
 		one.written++
@@ -250,11 +259,13 @@
 	}
 }
 
-// advance counts what was read of each prompt; it gives the sequences that have now written their first token, by arrival.
+// advance counts what was read of each prompt; it returns the sequences that have now written their first token, by
+// arrival.
 func (batch *batch) advance(now time.Time, parts map[*sequence]int) (started []*sequence) {
-	reading := slices.SortedFunc(maps.Keys(parts), func(left, right *sequence) int { return left.arrival - right.arrival })
+	reading := slices.SortedFunc(maps.Keys(parts),
+		func(left, right *sequence) int { return left.arrival - right.arrival })
 	for _, one := range reading {
-		if one.read += parts[one]; one.read < one.prompt || one.gone {
+		if one.read += parts[one]; one.read < one.prompt || one.abandoned {
 			continue
 		}
 		if !one.began && one.written == 0 {
@@ -267,20 +278,20 @@
 	return started
 }
 
-// removeFinished takes those out of the running that are whole or past their deadline, and gives them.
+// removeFinished takes those out of the running that are whole or past their deadline, and returns them.
 func (batch *batch) removeFinished(now time.Time) (finished []*sequence) {
-	kept := batch.running[:0]
+	remaining := batch.running[:0]
 	for _, one := range batch.running {
-		if one.gone {
+		if one.abandoned {
 			continue
 		}
 		if one.began && one.written >= one.job.answer || one.expired(now) {
 			finished = append(finished, one)
 			continue
 		}
-		kept = append(kept, one)
+		remaining = append(remaining, one)
 	}
-	batch.running = kept
+	batch.running = remaining
 	return finished
 }
 
@@ -306,7 +317,7 @@
 	still := batch.waiting[:0]
 	for _, one := range batch.waiting {
 		if one.expired(now) {
-			one.gone = true
+			one.abandoned = true
 			one.finished(false)
 			continue
 		}
@@ -319,13 +330,13 @@
 	return now.Sub(one.job.started) > one.job.route.Deadline
 }
 
-// die loses everything that runs or waits.
-func (batch *batch) die() {
-	batch.dark = true
+// crash loses everything that runs or waits.
+func (batch *batch) crash() {
+	batch.unresponsive = true
 	lost := append(append([]*sequence{}, batch.running...), batch.waiting...)
 	batch.running, batch.waiting = nil, nil
 	for _, one := range lost {
-		one.gone = true
+		one.abandoned = true
 		one.finished(false)
 	}
 }
--- a/verify/placement/choices.go
+++ b/verify/placement/choices.go
@@ -12,7 +12,7 @@
 	return func(_ scheduler.Requirements, scoredCandidates []scheduler.ScoredCandidate, random *rand.Rand) int {
 		best, drawn := -1, 0
 		for _, place := range random.Perm(len(scoredCandidates)) {
-			if scoredCandidates[place].Full || drawn == 2 {
+			if scoredCandidates[place].Saturated || drawn == 2 {
 				continue
 			}
 			drawn++
@@ -32,10 +32,10 @@
 	"index-only":   Ways["index-only"],
 }
 
-// ChoiceNames gives the ways of choosing in order, wardtray's first.
+// ChoiceNames returns the ways of choosing in order, wardtray's first.
 func ChoiceNames() []string { return append([]string{"wardtray"}, sortedNames(Choices)...) }
 
-// DeploymentNames gives the deployments in order.
+// DeploymentNames returns the deployments in order.
 func DeploymentNames() []string { return sortedNames(Deployments) }
 
 func sortedNames[Value any](table map[string]Value) (names []string) {
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -1,4 +1,4 @@
-// Package place measures placement in simulated time: the daemons' own schedulers, books and indexes award
+// Package placement measures placement in simulated time: the daemons' own schedulers, books and indexes award
 // a seeded mix to model runners, beside baselines that price otherwise.
 package placement
 
@@ -23,7 +23,7 @@
 	return func(_ scheduler.Requirements, scoredCandidates []scheduler.ScoredCandidate, random *rand.Rand) int {
 		best, most := -1, 0.0
 		for _, place := range random.Perm(len(scoredCandidates)) {
-			if scoredCandidates[place].Full {
+			if scoredCandidates[place].Saturated {
 				continue
 			}
 			if here := value(scoredCandidates[place], random); best < 0 || here > most {
@@ -36,11 +36,13 @@
 
 // Ways are wardtray's own way of choosing and the baselines.
 var Ways = map[string]scheduler.Picker{
-	"wardtray":     scheduler.Sample,
-	"random":       greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
-	"least-loaded": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load }),
+	"wardtray": scheduler.Sample,
+	"random":   greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
+	"least-loaded": greatest(
+		func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load },
+	),
 	"index-only": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 {
-		return float64(scored.Candidate.HeldTokens)
+		return float64(scored.Candidate.CachedTokens)
 	}),
 }
 
@@ -55,19 +57,19 @@
 	Hot     float64
 	Seed    int64
 	Way     string
-	Nature  emulator.Nature
+	Profile emulator.RunnerProfile
 }
 
 // Result is what one route, or all together, got.
 type Result struct {
-	Requests, Done, Early, Late, PutBack, NoBudget, Across int
-	Cached, Prompted                                       int
-	First                                                  []time.Duration
+	Requests, Done, Early, Late, PutBack, NoBudget, CrossZone int
+	Cached, Prompted                                          int
+	First                                                     []time.Duration
 	// MostAtOnce is the most work that one runner had.
 	MostAtOnce int
 }
 
-// Quantile gives the value below which such a part of the first events lies.
+// Quantile returns the value below which such a part of the first events lies.
 func (result *Result) Quantile(part float64) time.Duration {
 	if len(result.First) == 0 {
 		return 0
@@ -76,7 +78,7 @@
 	return result.First[min(len(result.First)-1, int(part*float64(len(result.First))))]
 }
 
-// CacheShare gives the part of the prompt tokens that runners had in their caches.
+// CacheShare returns the part of the prompt tokens that runners had in their caches.
 func (result *Result) CacheShare() float64 {
 	return float64(result.Cached) / float64(max(1, result.Prompted))
 }
@@ -116,16 +118,25 @@
 	results map[string]*Result
 }
 
-// Measure plays a setting and gives results for each route and, under "", for all.
+// Measure plays a setting and returns results for each route and, under "", for all.
 func Measure(setting Setting) (map[string]*Result, error) {
-	stage := &stage{setting: setting, world: simulation.NewWorld(setting.Seed), random: rand.New(rand.NewSource(setting.Seed)),
-		engines: map[string]*engine{}, results: map[string]*Result{"": {}}}
+	stage := &stage{
+		setting: setting,
+		world:   simulation.NewWorld(setting.Seed),
+		random:  rand.New(rand.NewSource(setting.Seed)),
+		engines: map[string]*engine{},
+		results: map[string]*Result{"": {}},
+	}
 	for _, kind := range setting.Mix.Kinds {
 		stage.results[kind.Route] = &Result{}
 	}
-	var lines []*wire.Runner
+	lines := make([]*wire.Runner, 0, setting.Runners)
 	for number := range setting.Runners {
-		made := &engine{id: fmt.Sprintf("r%02d", number), zone: setting.Zones[number%len(setting.Zones)], cache: emulator.NewCache[kvblock.BlockKey](setting.Nature.CacheTokens)}
+		made := &engine{
+			id:    fmt.Sprintf("r%02d", number),
+			zone:  setting.Zones[number%len(setting.Zones)],
+			cache: emulator.NewCache[kvblock.BlockKey](setting.Profile.CacheTokens),
+		}
 		stage.engines[made.id] = made
 		stage.list = append(stage.list, made)
 		lines = append(lines, &wire.Runner{RunnerId: made.id, Zone: made.zone, Service: "s", State: "ready"})
@@ -139,17 +150,22 @@
 		if err != nil {
 			return nil, err
 		}
-		made := &daemon{budget: retrybudget.New(retrybudget.Default, nil), zone: setting.Zones[number%len(setting.Zones)], table: load.NewTable(stage.world.Now, name), tickets: map[*scheduler.QueuedRequest]*job{}}
-		made.table.List(stage.world.Now, lines)
+		made := &daemon{
+			budget:  retrybudget.New(retrybudget.DefaultSettings, nil),
+			zone:    setting.Zones[number%len(setting.Zones)],
+			table:   load.NewTable(stage.world.Now, name),
+			tickets: map[*scheduler.QueuedRequest]*job{},
+		}
+		made.table.UpdateListing(stage.world.Now, lines)
 		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
-			return scheduler.Snapshot{Runners: made.table.All(now, names), Daemons: len(names)}
+			return scheduler.Snapshot{Runners: made.table.Runners(now, names), Daemons: len(names)}
 		},
 			made.table, indexer, rand.New(rand.NewSource(stage.random.Int63())))
 		made.scheduler.Picker = Ways[setting.Way]
 		stage.daemons = append(stage.daemons, made)
 	}
 	stage.observe()
-	stage.settle()
+	stage.redispatch()
 	stage.arrive()
 	stage.world.Run(setting.Length + 30*time.Second)
 	return stage.results, nil
@@ -163,11 +179,18 @@
 
 // observe takes reports every 100 ms; daemons read old ones every 250 ms.
 func (stage *stage) observe() {
-	world, age := stage.world, int(stage.setting.Nature.ReportAge/(100*time.Millisecond))
+	world, age := stage.world, int(stage.setting.Profile.ReportAge/(100*time.Millisecond))
 	var take func()
 	take = func() {
 		for _, engine := range stage.list {
-			engine.reports = append(engine.reports, load.Report{Running: engine.running, Waiting: engine.active - engine.running, Slots: stage.setting.Nature.Slots})
+			engine.reports = append(
+				engine.reports,
+				load.Report{
+					Running: engine.running,
+					Waiting: engine.active - engine.running,
+					Slots:   stage.setting.Profile.Slots,
+				},
+			)
 			if len(engine.reports) > age+1 {
 				engine.reports = engine.reports[1:]
 			}
@@ -179,7 +202,7 @@
 		var read func()
 		read = func() {
 			for _, engine := range stage.list {
-				one.table.Reported(world.Now, engine.id, engine.reports[0])
+				one.table.RecordReport(world.Now, engine.id, engine.reports[0])
 			}
 			world.After(250*time.Millisecond, read)
 		}
@@ -187,12 +210,12 @@
 	}
 }
 
-func (stage *stage) settle() {
+func (stage *stage) redispatch() {
 	for _, one := range stage.daemons {
 		one.scheduler.Rebalance(stage.world.Now)
 		stage.steps(one)
 	}
-	stage.world.After(20*time.Millisecond, stage.settle)
+	stage.world.After(20*time.Millisecond, stage.redispatch)
 }
 
 // arrive lets requests come at random moments.
@@ -212,17 +235,28 @@
 	kind := drawn.Kind
 	one := stage.daemons[stage.random.Intn(len(stage.daemons))]
 	parts, tokens := drawn.Parts()
-	queuedRequest := &scheduler.QueuedRequest{Route: kind.Route, ConcurrencyLimit: kind.ConcurrencyLimit, Decisions: make(chan scheduler.Decision, 1), PartTokens: tokens,
-		Keys:         keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
-		Requirements: scheduler.Requirements{Value: kind.Value, LatencyTarget: kind.LatencyTarget, PromptTokens: drawn.PromptTokens(), Zone: one.zone, Shut: map[string]bool{}}}
+	queuedRequest := &scheduler.QueuedRequest{
+		Route:            kind.Route,
+		ConcurrencyLimit: kind.ConcurrencyLimit,
+		Decisions:        make(chan scheduler.Decision, 1),
+		PartTokens:       tokens,
+		Keys:             keys.BlockKeys(parts, kvblock.Extra{Model: stage.setting.Mix.Model}),
+		Requirements: scheduler.Requirements{
+			Value:           kind.Value,
+			LatencyTarget:   kind.LatencyTarget,
+			PromptTokens:    drawn.PromptTokens(),
+			Zone:            one.zone,
+			ExcludedRunners: map[string]bool{},
+		},
+	}
 	stage.both(kind.Route, func(result *Result) { result.Requests++ })
-	one.budget.Request(stage.world.Now)
-	stage.enter(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
+	one.budget.RecordRequest(stage.world.Now)
+	stage.schedule(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
 }
 
 var keys = kvblock.NewTokenProcessor(kvblock.DefaultSeed)
 
-func (stage *stage) enter(one *daemon, job *job) {
+func (stage *stage) schedule(one *daemon, job *job) {
 	one.order = append(one.order, job)
 	one.scheduler.Schedule(stage.world.Now, job.queuedRequest)
 	stage.steps(one)
@@ -236,7 +270,7 @@
 		select {
 		case step := <-job.queuedRequest.Decisions:
 			if step.Kind == scheduler.Dispatch {
-				stage.pass(one, job, step)
+				stage.dispatch(one, job, step)
 				continue
 			}
 			late := stage.world.Now.Sub(job.started) > 50*time.Millisecond
@@ -253,26 +287,26 @@
 	}
 }
 
-func (stage *stage) pass(one *daemon, job *job, step scheduler.Decision) {
-	engine, nature := stage.engines[step.Runner.ID], stage.setting.Nature
+func (stage *stage) dispatch(one *daemon, job *job, step scheduler.Decision) {
+	engine, profile := stage.engines[step.Runner.ID], stage.setting.Profile
 	sent := stage.world.Now
-	one.scheduler.Sent(sent, job.queuedRequest, step)
-	if engine.active >= nature.Slots+nature.PutBackAbove {
-		one.scheduler.PutBack(sent, job.queuedRequest, step)
+	one.scheduler.RequestSent(sent, job.queuedRequest, step)
+	if engine.active >= profile.Slots+profile.PutBackAbove {
+		one.scheduler.RequestRejected(sent, job.queuedRequest, step)
 		one.scheduler.Release(sent, job.queuedRequest, engine.id)
-		job.queuedRequest.Requirements.Shut[engine.id] = true
+		job.queuedRequest.Requirements.ExcludedRunners[engine.id] = true
 		stage.both(job.kind.Route, func(result *Result) { result.PutBack++ })
-		if !one.budget.Repeat(sent) {
+		if !one.budget.AllowRetry(sent) {
 			stage.both(job.kind.Route, func(result *Result) { result.NoBudget++ })
 			return
 		}
-		stage.enter(one, job)
+		stage.schedule(one, job)
 		return
 	}
 	engine.active++
 	stage.both(job.kind.Route, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
 	run := func() { stage.run(one, job, step, engine, sent) }
-	if engine.running < nature.Slots {
+	if engine.running < profile.Slots {
 		run()
 		return
 	}
@@ -281,7 +315,7 @@
 
 // run lets an engine work: prefills one after the other, answers side by side.
 func (stage *stage) run(one *daemon, job *job, step scheduler.Decision, engine *engine, sent time.Time) {
-	world, nature := stage.world, stage.setting.Nature
+	world, profile := stage.world, stage.setting.Profile
 	engine.running++
 	cached := engine.cache.Use(job.queuedRequest.Keys, job.queuedRequest.PartTokens)
 	prompt := job.queuedRequest.Requirements.PromptTokens
@@ -289,25 +323,25 @@
 	if engine.free.After(begin) {
 		begin = engine.free
 	}
-	first := begin.Add(time.Duration(prompt-cached) * nature.TokenTime)
+	first := begin.Add(time.Duration(prompt-cached) * profile.TokenTime)
 	engine.free = first
 	world.At(first, func() {
-		one.scheduler.First(job.queuedRequest, step, world.Now.Sub(sent))
+		one.scheduler.FirstEventReceived(job.queuedRequest, step, world.Now.Sub(sent))
 		stage.both(job.kind.Route, func(result *Result) {
 			result.First = append(result.First, world.Now.Sub(job.started))
 			result.Cached += cached
 			result.Prompted += prompt
 			if engine.zone != one.zone {
-				result.Across++
+				result.CrossZone++
 			}
 		})
-		world.After(time.Duration(job.kind.Answer)*nature.AnswerTime, func() {
+		world.After(time.Duration(job.kind.Answer)*profile.AnswerTime, func() {
 			engine.running--
 			engine.active--
 			stage.both(job.kind.Route, func(result *Result) { result.Done++ })
-			one.scheduler.Learn(0, 0, world.Now.Sub(sent))
+			one.scheduler.RequestCompleted(0, 0, world.Now.Sub(sent))
 			one.scheduler.Release(world.Now, job.queuedRequest, engine.id)
-			if len(engine.waiting) > 0 && engine.running < nature.Slots {
+			if len(engine.waiting) > 0 && engine.running < profile.Slots {
 				next := engine.waiting[0]
 				engine.waiting = engine.waiting[1:]
 				next()
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -12,13 +12,15 @@
 	cutLength = 20 * time.Second
 	// catchUpTime is how long after its start a repaired or new machine may still count as lost.
 	catchUpTime = 4 * time.Second
-	// wholeAckBound is within what time a change is acknowledged while the core is whole, however many daemons are dark.
-	wholeAckBound = 2500 * time.Millisecond
+	// acknowledgementBound is within what time a change is acknowledged while the core is whole, however many daemons
+	// are dark.
+	acknowledgementBound = 2500 * time.Millisecond
 	// graceTime is within what time a machine that was told to stop has to end.
 	graceTime = 5 * time.Second
 )
 
-// ControlDay is what happens to the control plane, for a length of time, while operators race. Its harm is over at its end.
+// ControlDay is what happens to the control plane, for a length of time, while operators race. Its harm is over at its
+// end.
 type ControlDay struct {
 	Length time.Duration
 	// RaceEvery is how often two operators race, LostAnswers the part of the answers that don't reach them.
@@ -26,7 +28,8 @@
 	LostAnswers float64
 	// WithoutCore, where it is given, is the setting of the data daemons; negative stands for 0.
 	WithoutCore time.Duration
-	// Fleeting tells that more was lost than a deployment bears: nothing wrong may be done, but service may not come back.
+	// Fleeting means that more was lost than a deployment bears: nothing wrong may be done, but service may not come
+	// back.
 	Fleeting bool
 	harm     func(world *World)
 }
@@ -50,7 +53,7 @@
 	}
 	world.regain()
 	racers.Stop()
-	if len(world.Check.Broken) == 0 {
+	if len(world.Check.Violations) == 0 {
 		world.verifyOutcomes()
 	}
 	return world, racers
@@ -60,17 +63,17 @@
 func (world *World) regain() {
 	finished := world.Now
 	took, fine := world.Recovered(returnBound)
-	world.Check.worst("service after the last fault", took)
-	if !fine && len(world.Check.Broken) == 0 {
-		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
+	world.Check.recordWorst("service after the last fault", took)
+	if !fine && len(world.Check.Violations) == 0 {
+		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
-	for !world.redundant() && len(world.Check.Broken) == 0 {
+	for !world.redundant() && len(world.Check.Violations) == 0 {
 		if world.Now.Sub(finished) > repairBound {
-			world.Check.broken("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
+			world.Check.violation("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
 		}
 		world.Run(100 * time.Millisecond)
 	}
-	world.Check.worst("full redundancy after the last fault", world.Now.Sub(finished))
+	world.Check.recordWorst("full redundancy after the last fault", world.Now.Sub(finished))
 }
 
 // verifyOutcomes reads back from every core machine what became of each change that was answered.
@@ -82,30 +85,37 @@
 		for _, outcome := range document.Outcomes {
 			outcomes[outcome.Operation] = outcome.SpecEpoch
 		}
-		for _, order := range world.Check.acked {
+		for _, order := range world.Check.acknowledged {
 			if epoch, found := outcomes[order.Operation]; !found || epoch != order.Epoch {
-				world.Check.broken("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address, order.Operation, epoch, order.Epoch)
+				world.Check.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address,
+					order.Operation, epoch, order.Epoch)
 			}
 		}
 		for operation := range world.Check.refused {
 			if _, found := outcomes[operation]; found {
-				world.Check.broken("%s was refused and is in effect at %s", operation, host.Address)
+				world.Check.violation("%s was refused and is in effect at %s", operation, host.Address)
 			}
 		}
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
-		if read.Status != 200 || read.Epoch < world.Check.greatest() {
-			world.Check.broken("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status, read.Epoch, world.Check.greatest())
+		if read.Status != 200 || read.Epoch < world.Check.greatestAcknowledged() {
+			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status,
+				read.Epoch, world.Check.greatestAcknowledged())
 		}
 	}
 }
 
 // cutDay cuts for cutLength and lets the races go on for a while after it.
 func cutDay(cut func(world *World)) ControlDay {
-	return ControlDay{Length: cutLength + 4*time.Second, RaceEvery: 500 * time.Millisecond, LostAnswers: 0.2, harm: func(world *World) {
-		cut(world)
-		world.After(cutLength, world.Heal)
-	}}
+	return ControlDay{
+		Length:      cutLength + 4*time.Second,
+		RaceEvery:   500 * time.Millisecond,
+		LostAnswers: 0.2,
+		harm: func(world *World) {
+			cut(world)
+			world.After(cutLength, world.Heal)
+		},
+	}
 }
 
 // CutDays are cuts of each shape, with changes, races and reads that meet them at machines on both sides.
@@ -273,12 +283,12 @@
 		world.leaveInOrder(old, func() { world.After(time.Second, func() { world.Boot(old) }) })
 	},
 	"planned replacement": func(world *World, old *Host) {
-		world.leaveInOrder(old, func() { old.gone = true })
+		world.leaveInOrder(old, func() { old.removed = true })
 		world.replacement(old)
 	},
 	"unplanned replacement": func(world *World, old *Host) {
 		world.Power(old)
-		old.gone = true
+		old.removed = true
 		world.After(time.Second, func() { world.replacement(old) })
 	},
 }
@@ -286,10 +296,10 @@
 // leaveInOrder has a core machine stop as its process does: it says so, ends once it may, or when its time is over.
 func (world *World) leaveInOrder(host *Host, then func()) {
 	started := world.Now
-	world.on(host, host.incarnation, func() { host.node.Leave(world.local(host)) })
+	world.on(host, host.incarnation, func() { host.node.Decommission(world.local(host)) })
 	var look func()
 	look = func() {
-		if host.up && !host.node.Left(world.local(host)) && world.Now.Sub(started) < graceTime {
+		if host.up && !host.node.IsDecommissioned(world.local(host)) && world.Now.Sub(started) < graceTime {
 			world.After(20*time.Millisecond, look)
 			return
 		}
@@ -303,43 +313,54 @@
 func (world *World) replacement(old *Host) {
 	world.replaced++
 	host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-	host.newcomer = true
+	host.everStarted = true
 	world.shuffleSeeds()
 	world.Boot(host)
 }
 
-// SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its disk or
-// dark for a while, so long after that began.
+// SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its
+// disk or dark for a while, so long after that began.
 func SecondLossDay(first string, wiped bool, after time.Duration) ControlDay {
 	// A repaired machine starts a second after its loss. Before it counts as whole, a second disk is one too many.
 	whole := after >= time.Second+catchUpTime
-	return ControlDay{Length: after + 8*time.Second, RaceEvery: 400 * time.Millisecond, LostAnswers: 0.2, Fleeting: wiped && !whole, harm: func(world *World) {
-		old := world.pick(world.Cores())
-		if world.random.Intn(2) == 0 {
-			old = world.head()
-		}
-		firstLosses[first](world, old)
-		world.After(after, func() {
-			var others []*Host
-			for _, host := range world.Cores() {
-				// One that has not come yet, or a new one, is no second loss.
-				if host != old && host.up && (whole || world.replaced == 0 || host != world.Hosts[len(world.Hosts)-1]) {
-					others = append(others, host)
-				}
-			}
-			second := world.pick(others)
-			world.Log = append(world.Log, fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address, old.Address))
-			world.Power(second)
-			if wiped {
-				world.Wipe(second)
-				second.dark = true
+	return ControlDay{
+		Length:      after + 8*time.Second,
+		RaceEvery:   400 * time.Millisecond,
+		LostAnswers: 0.2,
+		Fleeting:    wiped && !whole,
+		harm: func(world *World) {
+			old := world.pick(world.Cores())
+			if world.random.Intn(2) == 0 {
+				old = world.head()
 			}
-			world.After(5*time.Second, func() { world.Boot(second) })
-		})
-	}}
+			firstLosses[first](world, old)
+			world.After(after, func() {
+				var others []*Host
+				for _, host := range world.Cores() {
+					// One that has not come yet, or a new one, is no second loss.
+					if host != old && host.up &&
+						(whole || world.replaced == 0 || host != world.Hosts[len(world.Hosts)-1]) {
+						others = append(others, host)
+					}
+				}
+				second := world.pick(others)
+				world.Log = append(
+					world.Log,
+					fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address,
+						old.Address),
+				)
+				world.Power(second)
+				if wiped {
+					world.Wipe(second)
+					second.poweredOff = true
+				}
+				world.After(5*time.Second, func() { world.Boot(second) })
+			})
+		},
+	}
 }
 
-// FirstLossNames gives the ways in which a machine is taken out or mended.
+// FirstLossNames returns the ways in which a machine is taken out or mended.
 func FirstLossNames() []string { return sorted(firstLosses) }
 
 // manyChanges is 500 changes, one each 100 ms.
@@ -347,20 +368,24 @@
 
 // ManyChangeDays are hundreds of changes while members are away for long, or their disks are full, slow or stalled.
 var ManyChangeDays = map[string]ControlDay{
-	"a member away": manyChangeDay(func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) }),
+	"a member away": manyChangeDay(
+		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+	),
 	"a member cut off": manyChangeDay(func(world *World, host *Host) func() {
 		world.CutOff([]*Host{host}, without(world.Hosts, host))
 		return world.Heal
 	}),
-	"a member's disk replaced": manyChangeDay(func(world *World, host *Host) func() { world.Wipe(host); return reboot(world, host) }),
+	"a member's disk replaced": manyChangeDay(
+		func(world *World, host *Host) func() { world.Wipe(host); return reboot(world, host) },
+	),
 	"a disk full": manyChangeDay(func(_ *World, host *Host) func() {
 		full := host.disk
 		full.full = true
 		return func() { full.full = false }
 	}),
 	"a disk slow": manyChangeDay(func(_ *World, host *Host) func() {
-		host.slow = 300 * time.Millisecond
-		return func() { host.slow = 0 }
+		host.diskDelay = 300 * time.Millisecond
+		return func() { host.diskDelay = 0 }
 	}),
 	"a disk stalled": manyChangeDay(func(world *World, host *Host) func() {
 		host.stalled = true
@@ -409,20 +434,27 @@
 
 // DarkDays are most data daemons gone while the core is whole.
 var DarkDays = map[string]ControlDay{
-	"most daemons without power": darkDay(func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) }),
+	"most daemons without power": darkDay(
+		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+	),
 	"most daemons cut off": darkDay(func(world *World, host *Host) func() {
 		world.CutOff([]*Host{host}, without(world.Hosts, host))
 		return world.Heal
 	}),
-	"most daemons frozen":  darkDay(func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } }),
-	"most daemons removed": darkDay(func(world *World, host *Host) func() { world.Kill(host); host.gone = true; return func() {} }),
+	"most daemons frozen": darkDay(
+		func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } },
+	),
+	"most daemons removed": darkDay(
+		func(world *World, host *Host) func() { world.Kill(host); host.removed = true; return func() {} },
+	),
 }
 
 func darkDay(harm func(world *World, host *Host) (undo func())) ControlDay {
 	const length = 12 * time.Second
 	return ControlDay{Length: length + 3*time.Second, RaceEvery: time.Second, harm: func(world *World) {
 		datas := world.Datas()
-		world.random.Shuffle(len(datas), func(left, right int) { datas[left], datas[right] = datas[right], datas[left] })
+		world.random.Shuffle(len(datas),
+			func(left, right int) { datas[left], datas[right] = datas[right], datas[left] })
 		for _, host := range datas[:int(float64(len(datas))*darkShare+0.5)] {
 			world.After(length, harm(world, host))
 		}
@@ -441,14 +473,15 @@
 		}
 		operators.base = world.Check.greatestKnown()
 		order := operators.apply(world.pick(world.Cores()))
-		world.After(wholeAckBound, func() {
-			took := wholeAckBound
+		world.After(acknowledgementBound, func() {
+			took := acknowledgementBound
 			if order.Outcome != "unknown" {
 				took = order.Got.Sub(order.Sent)
 			}
-			world.Check.worst("answer to a change while most daemons are gone", took)
+			world.Check.recordWorst("answer to a change while most daemons are gone", took)
 			if order.Outcome == "unknown" {
-				world.Check.broken("no-ack: %s had no answer within %v, though the core is whole", order.Operation, wholeAckBound)
+				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
+					acknowledgementBound)
 			}
 		})
 		world.After(every, next)
--- /dev/null
+++ b/verify/simulation/isolation.go
@@ -0,0 +1,122 @@
+package simulation
+
+import (
+	"time"
+
+	"wardtray/verify/histories"
+)
+
+const (
+	// reconnectBound is within what time of getting back a path to the core a daemon has learned of what it missed, or
+	// serves no more. The users' rule leaves it three seconds.
+	reconnectBound = time.Second
+	// leaseBound is how much longer than the last answer of a core machine a lease counts, with what clocks go wrong.
+	leaseBound = 1200 * time.Millisecond
+)
+
+// isolation is how a data daemon stands to the core: since when it has had no path both ways to any core machine that
+// runs, is not frozen and itself reaches more than half of the core; and the last such time that is over.
+type isolation struct {
+	since, previous, finished time.Time
+	history                   *histories.Isolation
+}
+
+// topologyChanged says that links, machines or processes are other than before.
+func (world *World) topologyChanged() { world.topologyDirty = true }
+
+// refreshIsolation brings each daemon's separation from the core up to date after a change of the topology.
+func (world *World) refreshIsolation() {
+	if !world.topologyDirty {
+		return
+	}
+	world.topologyDirty = false
+	settled := world.quorumCores()
+	for _, host := range world.Datas() {
+		world.setIsolated(host, !world.reachesAny(host, settled))
+	}
+}
+
+// quorumCores returns the running, unfrozen core machines that reach more than half of the core.
+func (world *World) quorumCores() []*Host {
+	cores := world.Cores()
+	var settled []*Host
+	for _, host := range cores {
+		if !host.up || host.frozen {
+			continue
+		}
+		reached := 0
+		for _, other := range cores {
+			if other == host || world.linked(host, other) {
+				reached++
+			}
+		}
+		if 2*reached > len(cores) {
+			settled = append(settled, host)
+		}
+	}
+	return settled
+}
+
+func (world *World) reachesAny(host *Host, cores []*Host) bool {
+	for _, core := range cores {
+		if world.linked(host, core) {
+			return true
+		}
+	}
+	return false
+}
+
+// linked reports whether there is a path both ways between two machines.
+func (world *World) linked(one, other *Host) bool {
+	return world.passes(one, other) && world.passes(other, one)
+}
+
+// setIsolated notes that a daemon has lost the core, or has it back.
+func (world *World) setIsolated(host *Host, apart bool) {
+	isolation := &host.isolation
+	if apart != isolation.since.IsZero() {
+		return
+	}
+	if !apart {
+		isolation.previous, isolation.finished = isolation.since, world.Now
+		isolation.since = time.Time{}
+		if isolation.history != nil {
+			isolation.history.Until = world.Now.Add(reconnectBound)
+		}
+		return
+	}
+	isolation.since, isolation.history = world.Now, nil
+	if world.Traffic != nil && world.WithoutCore > 0 {
+		isolation.history = &histories.Isolation{
+			Daemon: host.Address,
+			From:   world.Now,
+			Until:  world.Now.Add(world.WithoutCore + leaseBound),
+		}
+		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
+	}
+}
+
+// mayIgnore reports whether a daemon may still award by what it knew before something was acknowledged a while ago:
+// within a bound in any case, and while it has been without the core, for the time that its settings allow.
+func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
+	world := checker.world
+	if late <= bound {
+		checker.recordWorst("change ignored after the acknowledgement", late)
+		return true
+	}
+	if world.WithoutCore == 0 {
+		return false
+	}
+	isolation := &host.isolation
+	if !isolation.since.IsZero() {
+		length := world.Now.Sub(isolation.since)
+		checker.recordWorst("older news used without the core", length)
+		return length <= world.WithoutCore+leaseBound
+	}
+	back := world.Now.Sub(isolation.finished)
+	if isolation.finished.IsZero() || back > reconnectBound {
+		return false
+	}
+	checker.recordWorst("older news used after the core was back", back)
+	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
+}
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"time"
 
 	"wardtray/verify/histories"
@@ -11,23 +12,23 @@
 const (
 	returnBound = histories.ReturnBound
 	repairBound = 15 * time.Second
-	// sweepAllowance is how long damage on a disk may go unfound: until the next sweep, and a while to mend it.
-	sweepAllowance = 6 * time.Second
+	// scrubAllowance is how long damage on a disk may go unfound: until the next sweep, and a while to mend it.
+	scrubAllowance = 6 * time.Second
 )
 
-// head gives the machine that leads, or any if none does.
+// head returns the machine that leads, or any if none does.
 func (world *World) head() *Host {
 	for _, host := range world.Cores() {
-		if host.up && !host.frozen && host.node.Leading(world.local(host)) {
+		if host.up && !host.frozen && host.node.IsLeading(world.local(host)) {
 			return host
 		}
 	}
 	return world.pick(world.Cores())
 }
 
-// redundant tells whether every core is in the chain and the acceptors are live and complete.
+// redundant reports whether every core is in the chain and the acceptors are live and complete.
 func (world *World) redundant() bool {
-	if world.Now.Before(world.unswept) {
+	if world.Now.Before(world.unscrubbedUntil) {
 		return false
 	}
 	for _, host := range world.Cores() {
@@ -35,21 +36,23 @@
 			return false
 		}
 		status := host.node.Status(world.local(host))
-		place, view := status.Place, host.node.View()
-		if place != "outside" && status.Pending > 2 || len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.Claim {
+		index, view := status.Position, host.node.View()
+		if index != "outside" && status.Pending > 2 ||
+			len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.HoldsLease {
 			return false
 		}
-		if len(status.Warnings) > 0 && world.roomy() || len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
-			false || view.Epoch != world.newestView().Epoch {
+		if len(status.Warnings) > 0 && world.hasSpareDisks() ||
+			len(view.Chain) != min(len(world.Cores()), host.node.ChainLimit()) ||
+			view.Epoch != world.newestView().Epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// roomy tells whether there are disks and zones enough for everything that the status page wants; where there
+// hasSpareDisks reports whether there are disks and zones enough for everything that the status page wants; where there
 // are not, its warnings stay.
-func (world *World) roomy() bool {
+func (world *World) hasSpareDisks() bool {
 	zones := map[string]bool{}
 	for _, host := range world.Cores() {
 		zones[host.Zone] = true
@@ -57,7 +60,7 @@
 	return len(world.Cores()) > 2*world.Faults && len(zones) > 2
 }
 
-// newestView gives the newest view that any machine knows.
+// newestView returns the newest view that any machine knows.
 func (world *World) newestView() *wire.View {
 	newest := &wire.View{}
 	for _, host := range world.Cores() {
@@ -68,9 +71,9 @@
 	return newest
 }
 
-// insist has an operator send a change again and again until one is accepted or a moment has come, so
-// that somebody asks for what the machines' return is judged by.
-func (world *World) insist(until time.Time) {
+// retryChange has an operator send a change again and again until one is accepted or a moment has come, so
+// that somebody asks for what the machines' return is checked by.
+func (world *World) retryChange(until time.Time) {
 	operators := &Operators{world: world, number: 700_000 + 100*len(world.Check.Orders)}
 	var order *Order
 	var ask func()
@@ -85,13 +88,14 @@
 	world.After(time.Second, ask)
 }
 
-// Recovered tells whether, within a bound, a change is acknowledged and every daemon serves under it.
+// Recovered reports whether, within a bound, a change is acknowledged and every daemon serves under it.
 func (world *World) Recovered(bound time.Duration) (time.Duration, bool) {
 	started := world.Now
 	operators := &Operators{world: world, number: 1_000_000}
 	var order *Order
-	for world.Now.Sub(started) < bound && len(world.Check.Broken) == 0 {
-		if order == nil || order.Outcome == "refused" || order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
+	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
+		if order == nil || order.Outcome == "refused" ||
+			order.Outcome == "unknown" && world.Now.Sub(order.Sent) > 2*time.Second {
 			operators.base = world.Check.greatestKnown()
 			order = operators.apply(world.pick(world.Cores()))
 		}
@@ -106,7 +110,8 @@
 func (world *World) allServe(epoch uint64) bool {
 	for _, host := range world.Datas() {
 		local := world.local(host)
-		if !host.up || !local.Before(host.data.Until(local)) || host.data.Snapshot(local).SpecEpoch < epoch {
+		if !host.up || !local.Before(host.controller.Until(local)) ||
+			host.controller.Snapshot(local).SpecEpoch < epoch {
 			return false
 		}
 	}
@@ -127,51 +132,53 @@
 	world.Schedule(time.Minute, names, atOnce)
 	world.Run(time.Minute + time.Millisecond)
 	operators.Stop()
-	if len(world.Check.Broken) > 0 {
+	if len(world.Check.Violations) > 0 {
 		return world
 	}
 	took, fine := world.Recovered(returnBound)
-	world.Check.worst("service after the last fault", took)
-	if !fine && len(world.Check.Broken) == 0 {
-		world.Check.broken("not recovered %v after the last fault\n%s", returnBound, world.Describe())
+	world.Check.recordWorst("service after the last fault", took)
+	if !fine && len(world.Check.Violations) == 0 {
+		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
 	}
 	return world
 }
 
-// Describe tells how each machine stands, for whoever seeks the cause of a failure.
+// Describe reports the state of each machine, for whoever looks for the cause of a failure.
 func (world *World) Describe() string {
-	text := ""
-	for _, line := range world.Log[max(0, len(world.Log)-8):] {
-		text += "  " + line + "\n"
+	text := &strings.Builder{}
+	for _, entry := range world.Log[max(0, len(world.Log)-8):] {
+		fmt.Fprintf(text, "  %s\n", entry)
 	}
 	for _, host := range world.Hosts {
-		if host.engine != nil || host.gone {
-			continue
-		}
-		if !host.up {
-			text += fmt.Sprintf("  %s is down\n", host.Address)
-			continue
-		}
-		local := world.local(host)
-		if host.engine != nil {
-			continue
-		}
-		if !host.Core {
-			snapshot := host.data.Snapshot(local)
-			text += fmt.Sprintf("  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address, local.Before(snapshot.Until), snapshot.Sequence,
-				snapshot.SpecEpoch, host.data.View().GetEpoch())
-			continue
-		}
-		status := host.node.Status(local)
-		text += fmt.Sprintf("  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, learned in %d, frozen %v, stalled %v\n", host.Address, status.ID,
-			status.Place, status.View, status.Leading, status.Claim, status.Unhealthy, status.Synced, status.Committed, status.Pending,
-			host.node.Chain().LearnedView(), host.frozen, host.stalled)
-		for _, member := range status.Chain {
-			text += fmt.Sprintf("    chain  %s %s heard %v\n", member.ID, member.Address, member.Heard)
-		}
-		for _, member := range status.Acceptors {
-			text += fmt.Sprintf("    keeper %s %s heard %v\n", member.ID, member.Address, member.Heard)
+		if host.engine == nil && !host.removed {
+			world.describeHost(text, host)
 		}
 	}
-	return text
+	return text.String()
+}
+
+func (world *World) describeHost(text *strings.Builder, host *Host) {
+	if !host.up {
+		fmt.Fprintf(text, "  %s is down\n", host.Address)
+		return
+	}
+	local := world.local(host)
+	if !host.Core {
+		snapshot := host.controller.Snapshot(local)
+		fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address,
+			local.Before(snapshot.Until), snapshot.Sequence, snapshot.SpecEpoch, host.controller.View().GetEpoch())
+		return
+	}
+	status := host.node.Status(local)
+	fmt.Fprintf(text, "  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, ",
+		host.Address, status.ID, status.Position, status.View, status.IsLeading, status.HoldsLease, status.Unhealthy,
+		status.Synced, status.Committed, status.Pending)
+	fmt.Fprintf(text, "learned in %d, frozen %v, stalled %v\n",
+		host.node.Chain().LearnedView(), host.frozen, host.stalled)
+	for _, member := range status.Chain {
+		fmt.Fprintf(text, "    chain  %s %s heard %v\n", member.ID, member.Address, member.IsAlive)
+	}
+	for _, member := range status.Acceptors {
+		fmt.Fprintf(text, "    keeper %s %s heard %v\n", member.ID, member.Address, member.IsAlive)
+	}
 }
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// silentLoss is how long a loss of which nobody says anything may take to be known.
-const silentLoss = 4 * time.Second
+// unresponsiveBound is how long a loss of which nobody says anything may take to be known.
+const unresponsiveBound = 4 * time.Second
 
 // touch records that something touches daemons and runners, where there is a request path; the
-// function that it gives ends that.
+// function that it returns ends that.
 func (world *World) touch(kills bool, knowable time.Duration, hosts ...*Host) func() {
 	if world.Traffic == nil {
 		return func() {}
@@ -43,14 +43,16 @@
 		if active < atOnce {
 			name := names[world.random.Intn(len(names))]
 			undo := harm(name)(world)
-			world.Log = append(world.Log, fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
+			world.Log = append(world.Log,
+				fmt.Sprintf("%v %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
 			active++
 			doing++
 			done := false
 			once := func() {
 				if !done {
 					done = true
-					world.Log = append(world.Log, fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
+					world.Log = append(world.Log,
+						fmt.Sprintf("%v end of %s", world.Now.Sub(world.started).Round(time.Millisecond), name))
 					undo()
 					doing--
 					since = world.Now
@@ -76,12 +78,12 @@
 func (world *World) freed(last func() (since time.Time, harmed bool), then func()) {
 	since, harmed := last()
 	if world.redundant() {
-		world.Check.worst("full redundancy after a fault", world.Now.Sub(since))
+		world.Check.recordWorst("full redundancy after a fault", world.Now.Sub(since))
 		then()
 		return
 	}
 	if !harmed && world.Now.Sub(since) > repairBound {
-		world.Check.broken("not fully redundant %v after a fault\n%s", repairBound, world.Describe())
+		world.Check.violation("not fully redundant %v after a fault\n%s", repairBound, world.Describe())
 	}
 	world.After(100*time.Millisecond, func() { world.freed(last, then) })
 }
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -1,18 +1,11 @@
 package simulation
 
 import (
-	"errors"
 	"fmt"
-	"io"
-	"maps"
 	"math/rand"
-	"slices"
-	"strings"
 	"time"
 
 	"wardtray/config"
-	"wardtray/proxy/admission"
-	"wardtray/transport/netio"
 	"wardtray/verify/emulator"
 	"wardtray/verify/histories"
 	"wardtray/verify/loadtest"
@@ -20,109 +13,121 @@
 
 // Traffic is the request path of a world: clients, runners, and what all of them saw.
 type Traffic struct {
-	world   *World
-	random  *rand.Rand
-	Mix     loadtest.Mix
-	Rate    float64
-	Hot     float64
-	History *histories.History
-	judge   *histories.Judge
-	number  int
-	crowds  int
-	stopped bool
-	fit     map[string]bool
-	ready   map[string]time.Time
-	weights string
-	specs   map[string]*config.Spec
+	world          *World
+	random         *rand.Rand
+	Mix            loadtest.Mix
+	Rate           float64
+	Hot            float64
+	History        *histories.History
+	checker        *histories.Checker
+	number         int
+	overloadBursts int
+	stopped        bool
+	eligible       map[string]bool
+	readySince     map[string]time.Time
+	weights        string
+	specs          map[string]*config.Spec
 	// Uneven sends most clients of a zone to one of its daemons.
 	Uneven bool
-	// Takes is the part of the operators' specs that take away what requests need.
-	Takes float64
-	// Quits is the part of the clients that hang up in the middle, Leaves that of those that hang up at any moment,
-	// also before they are read and while nothing has come.
-	Quits, Leaves float64
+	// TakeAway is the part of the operators' specs that take away what requests need.
+	TakeAway float64
+	// HangUpsMidway is the part of the clients that hang up in the middle, Leaves that of those that hang up at any
+	// moment, also before they are read and while nothing has come.
+	HangUpsMidway, HangUps float64
 	// Retries is the part of the requests that their clients send again.
 	Retries float64
 }
 
 // StartTraffic brings the request path in: so many runners, and clients once Rate is above zero.
 func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
-	traffic := &Traffic{world: world, random: rand.New(rand.NewSource(world.random.Int63())), Mix: mix, History: histories.New(), fit: map[string]bool{},
-		ready: map[string]time.Time{}, weights: mix.Weights, specs: map[string]*config.Spec{}}
+	traffic := &Traffic{
+		world:      world,
+		random:     rand.New(rand.NewSource(world.random.Int63())),
+		Mix:        mix,
+		History:    histories.New(),
+		eligible:   map[string]bool{},
+		readySince: map[string]time.Time{},
+		weights:    mix.Weights,
+		specs:      map[string]*config.Spec{},
+	}
 	world.Traffic = traffic
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
-	traffic.judge = histories.NewJudge(traffic.History, world.Check.known)
+	traffic.checker = histories.NewChecker(traffic.History, world.Check.known)
 	for number := range runners {
 		world.AddRunner(fmt.Sprintf("r%02d", number), zones[number%len(zones)])
 	}
 	world.Platform.publish()
-	traffic.look()
-	traffic.sample()
+	traffic.updateEligible()
+	traffic.sampleCapacity()
 	traffic.arrive()
 	return traffic
 }
 
-// verdict hands what the judge found to the checker, so that a run stops at its first broken rule.
-func (traffic *Traffic) verdict() {
-	for _, violation := range traffic.judge.Violations {
-		traffic.world.Check.broken("%s: %s", violation.Rule, violation.Detail)
+// reportViolations passes what the history's checker found to the world's, so that a run stops at its first broken
+// rule.
+func (traffic *Traffic) reportViolations() {
+	for _, violation := range traffic.checker.Violations {
+		traffic.world.Check.violation("%s: %s", violation.Rule, violation.Detail)
 	}
-	traffic.judge.Violations = nil
+	traffic.checker.Violations = nil
 }
 
-func (traffic *Traffic) ran(run *histories.Run) {
+func (traffic *Traffic) recordRun(run *histories.Run) {
 	traffic.History.Runs = append(traffic.History.Runs, run)
-	traffic.world.mark(uint64(len(run.Request) + len(run.Runner)))
-	traffic.judge.Ran(run)
-	traffic.verdict()
+	traffic.world.addToTrace(uint64(len(run.Request) + len(run.Runner)))
+	traffic.checker.ObserveRun(run)
+	traffic.reportViolations()
 }
 
-// look is the platform's opinion of the daemons; it trails the truth.
-func (traffic *Traffic) look() {
+// updateEligible is the platform's opinion of the daemons; it trails the truth.
+func (traffic *Traffic) updateEligible() {
 	for _, host := range traffic.world.Datas() {
-		traffic.fit[host.Address] = host.up && !host.frozen && host.plane.Fit()
+		traffic.eligible[host.Address] = host.up && !host.frozen && host.plane.Ready()
 	}
-	traffic.world.After(emulator.ListLag, traffic.look)
+	traffic.world.After(emulator.ListLag, traffic.updateEligible)
 }
 
-// sample notes again and again how much room the backend truly has.
-func (traffic *Traffic) sample() {
-	traffic.note()
-	traffic.world.After(100*time.Millisecond, traffic.sample)
+// sampleCapacity notes again and again how much room the backend truly has.
+func (traffic *Traffic) sampleCapacity() {
+	traffic.recordCapacity()
+	traffic.world.After(100*time.Millisecond, traffic.sampleCapacity)
 }
 
-// note takes the backend's room by what each runner is and how it is listed.
-func (traffic *Traffic) note() {
+// recordCapacity takes the backend's room by what each runner is and how it is listed.
+func (traffic *Traffic) recordCapacity() {
 	world := traffic.world
 	listed := map[string]bool{}
-	for _, line := range world.Platform.runners {
-		if line.State != "ready" {
+	for _, runner := range world.Platform.listed {
+		if runner.State != "ready" {
 			continue
 		}
-		if traffic.ready[line.RunnerId].IsZero() {
-			traffic.ready[line.RunnerId] = world.Now
+		if traffic.readySince[runner.RunnerId].IsZero() {
+			traffic.readySince[runner.RunnerId] = world.Now
 		}
-		listed[line.RunnerId] = world.Now.Sub(traffic.ready[line.RunnerId]) >= settledAllowance
+		listed[runner.RunnerId] = world.Now.Sub(traffic.readySince[runner.RunnerId]) >= warmUpAllowance
 	}
-	room := histories.Room{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
+	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.engine
-		well := host.up && !host.frozen && !engine.mute && !engine.partial && !engine.putsBack && !engine.fails && engine.garble == "" && engine.slow < 2
-		if well && listed[engine.id] && !engine.cold() && traffic.reachable(host) {
-			room.Free[host.Zone] += max(0, engine.nature.Slots-engine.active)
-			room.Slots[host.Zone] += engine.nature.Slots
+		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects &&
+			!engine.fails &&
+			engine.garble == "" &&
+			engine.slow < 2
+		if well && listed[engine.id] && !engine.warmingUp() && traffic.reachable(host) {
+			room.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
+			room.Slots[host.Zone] += engine.profile.Slots
 		}
 	}
-	traffic.History.Rooms = append(traffic.History.Rooms, room)
+	traffic.History.CapacitySamples = append(traffic.History.CapacitySamples, room)
 }
 
-// settledAllowance is how long after it is listed as ready a runner is used in full: daemons can't know
+// warmUpAllowance is how long after it is listed as ready a runner is used in full: daemons can't know
 // sooner that it is warm, and take it up step by step.
-const settledAllowance = 6 * time.Second
+const warmUpAllowance = 6 * time.Second
 
-// reachable tells whether most daemons can talk to a runner.
+// reachable reports whether most daemons can talk to a runner.
 func (traffic *Traffic) reachable(runner *Host) bool {
 	reached, all := 0, 0
 	for _, host := range traffic.world.Datas() {
@@ -134,14 +139,14 @@
 	return reached*2 > all
 }
 
-// pick gives a daemon that the platform takes to be fit, in the client's zone if there is one.
+// pick returns a daemon that the platform takes to be fit, in the client's zone if there is one.
 func (traffic *Traffic) pick(zone string) *Host {
 	var near, far []*Host
 	for _, host := range traffic.world.Datas() {
-		if traffic.fit[host.Address] && host.Zone == zone {
+		if traffic.eligible[host.Address] && host.Zone == zone {
 			near = append(near, host)
 		}
-		if traffic.fit[host.Address] && host.Zone != zone {
+		if traffic.eligible[host.Address] && host.Zone != zone {
 			far = append(far, host)
 		}
 	}
@@ -160,7 +165,7 @@
 // arrive lets requests come at random moments.
 func (traffic *Traffic) arrive() {
 	rate := traffic.Rate
-	if traffic.crowds > 0 {
+	if traffic.overloadBursts > 0 {
 		rate *= 5
 	}
 	gap := time.Duration(traffic.random.ExpFloat64() / max(rate, 1) * float64(time.Second))
@@ -177,235 +182,22 @@
 	drawn := traffic.Mix.Draw(traffic.random, traffic.Hot)
 	drawn.ID = fmt.Sprintf("q%d", traffic.number)
 	zone := traffic.History.Zones[traffic.random.Intn(len(traffic.History.Zones))]
-	one := traffic.ask(drawn, zone, traffic.pick(zone))
-	if traffic.random.Float64() < traffic.Quits {
-		one.quits = 1 + traffic.random.Intn(4)
+	one := traffic.sendRequest(drawn, zone, traffic.pick(zone))
+	if traffic.random.Float64() < traffic.HangUpsMidway {
+		one.hangsUpAfter = 1 + traffic.random.Intn(4)
 	}
-	if traffic.Leaves > 0 && traffic.random.Float64() < traffic.Leaves {
-		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.leave)
+	if traffic.HangUps > 0 && traffic.random.Float64() < traffic.HangUps {
+		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.hangUp)
 	}
 	if traffic.random.Float64() < traffic.Retries {
-		traffic.sendAgain(drawn, one)
+		traffic.resend(drawn, one)
 	}
 }
 
 // latestLeave is how long after sending its request a client that leaves does so at the latest.
 const latestLeave = time.Second
 
-// sendAgain has a client send its request once more to the same daemon, at some moment during the
-// first's life or after it.
-func (traffic *Traffic) sendAgain(drawn loadtest.Drawn, first *asker) {
-	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
-		if host := first.host; host != nil && host.up && first.incarnation == host.incarnation {
-			second := traffic.asker(drawn, first.record.Zone)
-			second.record.Again = true
-			second.send(host)
-		}
-	})
-}
-
-// asker is one client with its request.
-type asker struct {
-	traffic     *Traffic
-	drawn       loadtest.Drawn
-	headers     map[string][]string
-	record      *histories.Answer
-	ear         loadtest.Ear
-	host        *Host
-	incarnation int
-	read        bool
-	over        bool
-	quits       int
-	// leaving tells that the client has closed its connection; told is whom the daemon wants told of that.
-	leaving bool
-	told    func()
-	lines   string
-	tries   int
-}
-
-func (traffic *Traffic) asker(drawn loadtest.Drawn, zone string) *asker {
-	made := &asker{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
-		record: &histories.Answer{Request: drawn.ID, Route: drawn.Kind.Route, Once: drawn.Kind.Once, LatencyTarget: drawn.Kind.LatencyTarget, Zone: zone, Sent: traffic.world.Now,
-			Resumable: drawn.Kind.Resumable, Cancels: drawn.Kind.Cancel || !drawn.Kind.Once, Bound: drawn.Bound()}}
-	made.ear.Record = made.record
-	traffic.judge.Asked(made.record)
-	return made
-}
-
-func (traffic *Traffic) ask(drawn loadtest.Drawn, zone string, host *Host) *asker {
-	made := traffic.asker(drawn, zone)
-	made.send(host)
-	return made
-}
-
-// send hands the request to a daemon. One whose connection is refused goes to another: nothing was read.
-func (asker *asker) send(host *Host) {
-	traffic := asker.traffic
-	if host == nil {
-		asker.finish(true)
-		return
-	}
-	traffic.world.After(traffic.world.wayTime(), func() {
-		if !host.up {
-			asker.tries++
-			if asker.tries >= 5 || asker.record.Again {
-				asker.finish(true)
-				return
-			}
-			asker.send(traffic.pick(asker.record.Zone))
-			return
-		}
-		asker.host, asker.incarnation, asker.record.Daemon = host, host.incarnation, host.Address
-		host.askers = append(host.askers, asker)
-		if asker.leaving {
-			asker.closed()
-		}
-		traffic.world.spawn(host, func() {
-			asker.read, asker.record.Started = true, traffic.world.Now
-			host.plane.Handler.Serve(asker)
-			asker.finish(asker.record.Status == 0 || asker.record.Status == 200 && !asker.record.Done && !asker.record.Error)
-		})
-	})
-}
-
-// finish records what the client got.
-func (asker *asker) finish(lost bool) {
-	if asker.over {
-		return
-	}
-	asker.over = true
-	if asker.host != nil {
-		for place, other := range asker.host.askers {
-			if other == asker {
-				asker.host.askers = append(asker.host.askers[:place], asker.host.askers[place+1:]...)
-				break
-			}
-		}
-	}
-	traffic, record := asker.traffic, asker.record
-	record.Got, record.Lost, record.Sure = traffic.world.Now, lost, asker.read
-	traffic.History.Answers = append(traffic.History.Answers, record)
-	if !record.Done {
-		traffic.note()
-	}
-	traffic.judge.Answered(record)
-	traffic.verdict()
-}
-
-// lose is how a client sees the end of its daemon.
-func (asker *asker) lose() {
-	lost := !asker.record.Done && !asker.record.Error && !asker.leaving
-	asker.finish(lost)
-	traffic := asker.traffic
-	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || asker.record.Again {
-		return
-	}
-	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
-		if host := traffic.pick(asker.record.Zone); host != nil && host.up && host.Zone == asker.host.Zone {
-			second := traffic.asker(asker.drawn, asker.record.Zone)
-			second.record.Again = true
-			second.send(host)
-		}
-	})
-}
-
-func (asker *asker) Header(name string) []string { return asker.headers[name] }
-
-func (asker *asker) Method() string { return "POST" }
-
-func (asker *asker) Authority() string { return "sim" }
-
-func (asker *asker) Target() string { return "/v1/stream" }
-
-func (asker *asker) Headers(each func(name, value string)) {
-	for _, name := range slices.Sorted(maps.Keys(asker.headers)) {
-		for _, value := range asker.headers[name] {
-			each(name, value)
-		}
-	}
-}
-
-func (asker *asker) Body() []byte { return asker.drawn.Body() }
-
-func (asker *asker) Last() {}
-
-func (asker *asker) head(status int, headers []netio.Header) {
-	asker.record.Status = status
-	for _, header := range headers {
-		asker.record.RetryAfter = asker.record.RetryAfter || header.Name == "Retry-After"
-		if header.Name == admission.HeaderRunner {
-			asker.record.Head = header.Value
-		}
-	}
-}
-
-func (asker *asker) Answer(status int, headers []netio.Header, body []byte) {
-	asker.head(status, headers)
-	loadtest.Refused(asker.record, body)
-	if asker.leaving {
-		return
-	}
-	// From the moment at which its last way was lost a request has nothing to wait for, but that its daemon is sure of
-	// its spec: only then can it be said whether there is another way.
-	world := asker.traffic.world
-	decided := world.current.decided
-	if asker.host.sureSince.After(decided) {
-		decided = asker.host.sureSince
-	}
-	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound && world.local(asker.host).Before(asker.host.plane.Snapshot().Until) {
-		world.Check.broken("held-back: %s got its final %q %v after it was decided", asker.record.Request, asker.record.Kind, held)
-	}
-}
-
-func (asker *asker) Stream(status int, headers []netio.Header, source io.ReadCloser) {
-	asker.head(status, headers)
-	asker.relay(source)
-	// Not deferred: a process that ends in the middle closes nothing in order.
-	_ = source.Close()
-}
-
-// relay takes what a source gives up to its end, or until the client has hung up.
-func (asker *asker) relay(source io.Reader) {
-	for buffer := make([]byte, 4<<10); ; {
-		count, err := source.Read(buffer)
-		if count > 0 {
-			if _, gone := asker.Write(buffer[:count]); gone != nil {
-				return
-			}
-		}
-		if err != nil {
-			return
-		}
-	}
-}
-
-// answerBound is how long a decided answer may take, which is nothing but the daemon's own work.
-const answerBound = time.Millisecond
-
-var errQuit = errors.New("the requester hung up")
-
-// Write is what reaches the client.
-func (asker *asker) Write(content []byte) (int, error) {
-	if asker.record.Gone {
-		return 0, errQuit
-	}
-	asker.lines += string(content)
-	for {
-		line, rest, found := strings.Cut(asker.lines, "\n")
-		if !found {
-			break
-		}
-		asker.lines = rest
-		asker.ear.Line(asker.traffic.world.Now, line)
-	}
-	if asker.quits > 0 && len(asker.record.IDs) >= asker.quits && !asker.record.Done {
-		asker.leave()
-	}
-	return len(content), nil
-}
-
-// Spec gives a spec for an operator to send; the number marks it. Now and then it takes away what
+// Spec returns a spec for an operator to send; the number marks it. Now and then it takes away what
 // requests may be waiting for: a route, a zone, the service or the weights.
 func (traffic *Traffic) Spec(number int) *config.Spec {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
@@ -415,30 +207,32 @@
 		2: func() { made.Backends[0].Services = []string{"another-service"} },
 		3: func() { made.Backends[0].Weights = "other-weights" },
 	}
-	if traffic.random.Float64() < traffic.Takes {
+	if traffic.random.Float64() < traffic.TakeAway {
 		takes[traffic.random.Intn(len(takes))]()
 	}
 	return made
 }
 
-// draft makes a spec and keeps it for the judge.
-func (traffic *Traffic) draft(operation string, number int) []byte {
+// draftSpec makes a spec and keeps it for the checker of the history.
+func (traffic *Traffic) draftSpec(operation string, number int) []byte {
 	made := traffic.Spec(number)
 	traffic.specs[operation] = made
 	return made.Encode()
 }
 
-// amend makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
-func (traffic *Traffic) amend(number int) *config.Change {
+// draftChange makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
+func (traffic *Traffic) draftChange(number int) *config.Change {
 	made := traffic.Mix.Spec(traffic.History.Zones, fmt.Sprintf("marker-%d", number))
 	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
-	if traffic.random.Float64() >= traffic.Takes {
+	if traffic.random.Float64() >= traffic.TakeAway {
 		return change
 	}
 	takes := []func(){
 		func() { change.Remove.Routes, change.Upsert.Routes = []string{made.Routes[0].Name}, made.Routes[1:] },
 		func() {
-			change.Upsert = config.Entries{Zones: []config.Zone{{Name: made.Zones[traffic.random.Intn(len(made.Zones))].Name, Closed: true}}}
+			change.Upsert = config.Entries{
+				Zones: []config.Zone{{Name: made.Zones[traffic.random.Intn(len(made.Zones))].Name, Closed: true}},
+			}
 		},
 		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
 	}
@@ -446,7 +240,7 @@
 	return change
 }
 
-// Fault records that something touches a daemon or a runner, and gives what ends it.
+// Fault records that something touches a daemon or a runner, and returns what ends it.
 func (traffic *Traffic) Fault(what string, host *Host, kills bool, knowable time.Duration) func() {
 	record, now := traffic.History, traffic.world.Now
 	fault := histories.Fault{At: now, Until: now.Add(time.Hour), What: what, Kills: kills, Knowable: knowable}
@@ -456,11 +250,11 @@
 		fault.Daemon = host.Address
 	}
 	record.Faults = append(record.Faults, fault)
-	place := len(record.Faults) - 1
-	return func() { record.Faults[place].Until = traffic.world.Now }
+	index := len(record.Faults) - 1
+	return func() { record.Faults[index].Until = traffic.world.Now }
 }
 
-// End asks for the state at the end and judges the whole.
+// End reads the final state and checks the whole history.
 func (traffic *Traffic) End() {
 	world := traffic.world
 	final := histories.Final{Asked: true, Known: map[string]uint64{}}
@@ -482,8 +276,8 @@
 		}
 	}
 	traffic.History.Final = final
-	traffic.judge.Finished()
-	traffic.verdict()
+	traffic.checker.Finish()
+	traffic.reportViolations()
 }
 
 // Counts tells what clients got.
@@ -494,13 +288,13 @@
 		if answer.Done {
 			name = "done"
 		}
-		if answer.Lost {
+		if answer.ConnectionLost {
 			name = "lost"
 		}
-		if answer.Gone {
+		if answer.HungUp {
 			name = "hung up"
 		}
-		if answer.Again {
+		if answer.Resent {
 			name = "sent again: " + name
 		}
 		counts[name]++
@@ -511,5 +305,3 @@
 
 // Summary tells the same in one line.
 func (traffic *Traffic) Summary() string { return fmt.Sprint(traffic.Counts()) }
-
-var _ netio.Client = (*asker)(nil)
