--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -51,14 +51,16 @@
 	return limits
 }
 
-// Bounds are the times that the control plane derives from the limits. The leader's lease is none of them: its holder
-// and the acceptors must count alike, also while their settings differ for a while, so it is a constant (lease.LessorTTL).
+// Bounds are the times that the control plane derives from the limits. The leader's lease is none of them: its
+// holder and the acceptors must count alike, also while their settings differ for a while, so it is a constant
+// (lease.LessorTTL).
 type Bounds struct {
 	// Suspicion is after what silence a machine counts as failed.
 	Suspicion time.Duration
 	// WriteTimeout is for how long a write may wait before a machine reports that its disk fails.
 	WriteTimeout time.Duration
-	// LinkTimeout is for how long one side of a link of the chain must not hear the other before one of them is excluded.
+	// LinkTimeout is for how long one side of a link of the chain must not hear the other before one of them is
+	// excluded.
 	LinkTimeout time.Duration
 	// Pause is after what pause a process assumes that it stood still itself, rather than that all others fell silent.
 	Pause time.Duration
@@ -127,7 +129,8 @@
 	return bounds.AcceptorRepair() + directory.LearnInterval + bounds.ViewChange()
 }
 
-// Check returns an error of code apierror.InvalidSettings for limits that are too short for what has to happen within them.
+// Check returns an error of code apierror.InvalidSettings for limits that are too short for what has to happen
+// within them.
 func (limits Limits) Check() error {
 	limits = limits.withDefaults()
 	bounds := BoundsFor(limits)
--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -146,10 +146,18 @@
 	fleet.wantAccepted(fleet.members[0], first, 7)
 	for number := range 3 {
 		fresh := fleet.add(fmt.Sprintf("127.0.1.%d:1", number), 10+number, false)
-		fleet.until("the new machine to be in the chain", 10*time.Second, func() bool { return fresh.node.Chain().IsMember() })
+		fleet.until(
+			"the new machine to be in the chain",
+			10*time.Second,
+			func() bool { return fresh.node.Chain().IsMember() },
+		)
 		old := fleet.members[0]
 		old.node.Decommission(fleet.now)
-		fleet.until("the old machine to be out of the chain", 10*time.Second, func() bool { return old.node.IsDecommissioned(fleet.now) })
+		fleet.until(
+			"the old machine to be out of the chain",
+			10*time.Second,
+			func() bool { return old.node.IsDecommissioned(fleet.now) },
+		)
 		fleet.kill(old)
 		fleet.members = fleet.members[1:]
 		fleet.seeds = append(fleet.seeds[1:], fresh.address)
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -191,8 +191,8 @@
 	node.proposals.Acknowledge(now)
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried: the process that was there has ended, since it
-// listens for as long as it lives, and with it all that it was granted.
+// ConnectionRefused handles that nobody listened at an address when it was tried: the process that was there has
+// ended, since it listens for as long as it lives, and with it all that it was granted.
 func (node *Node) ConnectionRefused(now time.Time, address string, tried time.Time) {
 	node.daemons.grantor.ConnectionRefused(now, address, tried)
 	if node.daemons.connectionRefused(now, address, tried) {
@@ -227,7 +227,8 @@
 	node.members.propose(now)
 }
 
-// IsDecommissioned reports whether this machine may stop: others have taken over what it holds, or nobody is there to do so.
+// IsDecommissioned reports whether this machine may stop: others have taken over what it holds, or nobody is there
+// to do so.
 func (node *Node) IsDecommissioned(now time.Time) bool {
 	return node.members.decommission.IsComplete(node.members.facts(now), node.members.chain.Committed().Sequence)
 }
--- a/control/server/golden_test.go
+++ b/control/server/golden_test.go
@@ -30,7 +30,10 @@
 // Each outcome of a runner's call keeps its HTTP status and its refusal.
 func TestRegistrationStatusesStay(t *testing.T) {
 	var text strings.Builder
-	for _, outcome := range []registry.Outcome{registry.Accepted, registry.Outdated, registry.TableFull, registry.Unreachable} {
+	outcomes := []registry.Outcome{
+		registry.Accepted, registry.Outdated, registry.TableFull, registry.Unreachable,
+	}
+	for _, outcome := range outcomes {
 		status, refusal := RegistrationStatus(outcome)
 		fmt.Fprintf(&text, "%s %d %s\n", outcome, status, refusal.Encode())
 	}
--- a/control/storage/writer.go
+++ b/control/storage/writer.go
@@ -8,9 +8,10 @@
 	"wardtray/coordination/statemachine"
 )
 
-// WriteBatch carries out one batch of writes on a store, in order. It calls synced with the sequence of the last write that
-// is synced, and failed with the cause of each failure, from the calling goroutine. Records that follow one another are
-// synced together. After a failure nothing more is written until the batch contains a complete state.
+// WriteBatch carries out one batch of writes on a store, in order. It calls synced with the sequence of the last
+// write that is synced, and failed with the cause of each failure, from the calling goroutine. Records that follow
+// one another are synced together. After a failure nothing more is written until the batch contains a complete
+// state.
 func WriteBatch(
 	store *snapshot.Store, writes []statemachine.Write, synced func(sequence uint64), failed func(err error),
 ) {
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,15 +1,15 @@
-// Package chain replicates one document along a chain of machines with disks. A change enters at
-// the head, is synced by each member before it is forwarded to the successor, and is committed once
-// the tail has synced it; the tail answers reads. Each member's history begins with its
-// successor's, which is why a member may only be removed from the chain, or added at its end after
-// it has learned a committed document whole.
+// Package chain replicates one document along a chain of machines with disks. A change enters at the head, is
+// synced by each member before it is forwarded to the successor, and is committed once the tail has synced it; the
+// tail answers reads. Each member's history begins with its successor's, which is why a member may only be removed
+// from the chain, or added at its end after it has learned a committed document whole.
 //
 // # Contract
 //
 // A Chain is one member's part, a pure state machine under a view that others agree on (see package view):
 //
 //   - It is handed each view by Chain.Adopt.
-//   - Forwarded entries are handed to Chain.HandleForward, acknowledgements to Chain.HandleAck and Chain.HandleAlignment.
+//   - Forwarded entries are handed to Chain.HandleForward, acknowledgements to Chain.HandleAck and
+//     Chain.HandleAlignment.
 //   - Members outside the chain learn by Chain.RequestDocument, Chain.HandleLearnRequest and Chain.HandleLearnResponse.
 //   - Chain.Tick is called often.
 //
@@ -17,11 +17,10 @@
 // holds the head's lease (see package lease) when it calls Chain.Submit. The tail's caller holds the same kind of
 // proof before it serves a read or calls Chain.HandleLearnRequest. A Chain is not safe for concurrent use.
 //
-// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and
-// restart from what its disk has synced. Under these assumptions, and with views that differ only
-// as said above, a committed change is never lost while a member of the present view that is not
-// Incomplete survives, members commit the same changes in the same order, and changes go on being
-// committed while the members of the view are connected.
+// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what
+// its disk has synced. Under these assumptions, and with views that differ only as said above, a committed change
+// is never lost while a member of the present view that is not Incomplete survives, members commit the same changes
+// in the same order, and changes go on being committed while the members of the view are connected.
 //
 // Documents and entries are never modified once they were handed to a Chain or returned by it.
 package chain
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -1,24 +1,26 @@
-// Package registry is the table of runners that register themselves, replicated to every core and
-// every data daemon. The records of a runner are merged by an order that all agree on, so that
-// losses, repeats and the order of arrival do not matter. See docs/registry.md.
+// Package registry is the table of runners that register themselves, replicated to every core and every data
+// daemon. The records of a runner are merged by an order that all agree on, so that losses, repeats and the order
+// of arrival do not matter. See docs/registry.md.
 //
 // # Contract
 //
 // Every process has an Exchange: a Table with the messages that keep it the same as those of others. A core has a
-// Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that no
-// core hears. Both are pure state machines. Their caller hands them received messages:
+// Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that
+// no core hears. Both are pure state machines. Their caller hands them received messages:
 //
-//   - updates to Registrar.HandleUpdate or Exchange.HandleUpdate, digests to Exchange.HandleDigest, checksums to Exchange.HandleChecksum;
-//   - at a core, acknowledgements to Registrar.HandleAck and the heartbeats of other cores to Registrar.HandleHeartbeats.
+//   - updates to Registrar.HandleUpdate or Exchange.HandleUpdate, digests to Exchange.HandleDigest, checksums to
+//     Exchange.HandleChecksum;
+//   - at a core, acknowledgements to Registrar.HandleAck and the heartbeats of other cores to
+//     Registrar.HandleHeartbeats.
 //
-// It calls Registrar.Tick often, and after each call drains the outbox (see package statemachine). They are not safe
-// for concurrent use; records are never modified.
+// It calls Registrar.Tick often, and after each call drains the outbox (see package statemachine). They are not
+// safe for concurrent use; records are never modified.
 //
-// A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that
-// drains or is gone never comes back under its id. Messages may be lost, repeated and reordered;
-// processes may crash, freeze and be cut off. The call of a leaving runner is accepted only once
-// the data daemons know, or after a bounded wait at least half of them, and is rejected where this
-// core can't tell them; so a runner that was accepted as leaving may stop.
+// A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that drains or is
+// gone never comes back under its id. Messages may be lost, repeated and reordered; processes may crash, freeze and
+// be cut off. The call of a leaving runner is accepted only once the data daemons know, or after a bounded wait at
+// least half of them, and is rejected where this core can't tell them; so a runner that was accepted as leaving may
+// stop.
 package registry
 
 import (
--- a/proxy/codec/golden_test.go
+++ b/proxy/codec/golden_test.go
@@ -48,7 +48,10 @@
 // A refusal keeps its keys, and the event that ends a broken stream its form.
 func TestRefusalKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "refusal", golden.Marshal[Refusal])
-	broken := Native{}.ErrorEvent(4, Refusal{Code: apierror.RunFailed, Detail: "detail", Ran: "yes", RetryAfter: time.Second})
+	broken := Native{}.ErrorEvent(
+		4,
+		Refusal{Code: apierror.RunFailed, Detail: "detail", Ran: "yes", RetryAfter: time.Second},
+	)
 	golden.Compare(t, "broken.txt", string(broken))
 }
 
--- a/proxy/codec/native_test.go
+++ b/proxy/codec/native_test.go
@@ -65,7 +65,9 @@
 			admission.HeaderAdapter: "cy",
 			admission.HeaderPrompt:  "100",
 		}},
-		"resumed, with a bound": {Attempt{Runner: runner, Remaining: 1500 * time.Millisecond, LastEventID: 3}, map[string]string{
+		"resumed, with a bound": {Attempt{
+			Runner: runner, Remaining: 1500 * time.Millisecond, LastEventID: 3,
+		}, map[string]string{
 			admission.HeaderWait:  "1500",
 			admission.HeaderAfter: "3",
 		}},
--- a/proxy/dedup/table.go
+++ b/proxy/dedup/table.go
@@ -99,8 +99,8 @@
 	shard.remove(key)
 }
 
-// RecordAnnounced records what another daemon announced of a request: that it sent it to a runner, or, with dropped, that it
-// certainly did not run. What this daemon knows of its own requests takes precedence.
+// RecordAnnounced records what another daemon announced of a request: that it sent it to a runner, or, with
+// dropped, that it certainly did not run. What this daemon knows of its own requests takes precedence.
 func (table *Table) RecordAnnounced(now time.Time, key Key, dropped bool) {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
--- a/proxy/execution_test.go
+++ b/proxy/execution_test.go
@@ -31,7 +31,8 @@
 			execution{ambiguous: true}, apierror.NotServing, scheduler.DidNotRun, apierror.OutcomeUnknown, scheduler.Unknown,
 		},
 		"the client leaves in doubt": {
-			execution{ambiguous: true}, apierror.ClientDisconnected, scheduler.DidNotRun, apierror.ClientDisconnected, scheduler.Unknown,
+			execution{ambiguous: true}, apierror.ClientDisconnected, scheduler.DidNotRun,
+			apierror.ClientDisconnected, scheduler.Unknown,
 		},
 		"it was relayed in part": {
 			execution{relayed: true}, apierror.NoRunner, scheduler.DidNotRun, apierror.RunFailed, scheduler.Unknown,
@@ -41,7 +42,8 @@
 			apierror.RunFailed, scheduler.Unknown,
 		},
 		"it ran before": {
-			execution{earlier: dedup.Ran}, apierror.DuplicateRequest, scheduler.DidNotRun, apierror.DuplicateRequest, ranCompletely,
+			execution{earlier: dedup.Ran}, apierror.DuplicateRequest, scheduler.DidNotRun,
+			apierror.DuplicateRequest, ranCompletely,
 		},
 		"it is running": {
 			execution{earlier: dedup.Running}, apierror.DuplicateRequest, scheduler.DidNotRun,
