--- a/balancer/load/ejection.go
+++ b/balancer/load/ejection.go
@@ -41,7 +41,7 @@
 	table.update(runner, func(entry *entry) { table.eject(now, entry, reason) })
 }
 
-// RequestSucceeded records that a runner completed a request.
+// RequestSucceeded ends a runner's ejection: the first event of a response without an error has arrived.
 func (table *Table) RequestSucceeded(runner string) {
 	table.update(runner, func(entry *entry) { entry.ejection.succeeded() })
 }
--- a/balancer/scheduler/retry.go
+++ b/balancer/scheduler/retry.go
@@ -7,7 +7,7 @@
 
 // The outcomes of an attempt.
 const (
-	// NotSent means that no byte of the request went out.
+	// NotSent means that the request did not go out completely, so that no runner can have executed it.
 	NotSent AttemptOutcome = "not sent"
 	// NotExecuted means that the runner rejected the request explicitly, before it began to execute it.
 	NotExecuted AttemptOutcome = "put back"
@@ -27,7 +27,7 @@
 type RetryDecision struct {
 	// Retry allows another attempt.
 	Retry bool
-	// SpendsBudget says that the attempt must come out of the retry budget.
+	// SpendsBudget says that the attempt must come out of the retry budget, as each further send does in the proxy.
 	SpendsBudget bool
 	// ErrorCode is the error to respond with if there is no other attempt.
 	ErrorCode apierror.Code
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -61,7 +61,7 @@
 	return exitFine, session.output.printJSON(reply.Spec)
 }
 
-// readFile reads a file, or the input for a dash. Failures are BadSettings errors.
+// readFile reads a file, or the input for a dash. Failures are InvalidSettings errors.
 func readFile(path string, input io.Reader) ([]byte, error) {
 	// Kingpin hands a lone dash on as an empty argument.
 	if path == "-" || path == "" {
--- a/config/process/check.go
+++ b/config/process/check.go
@@ -31,7 +31,7 @@
 	Adapters map[string]func() (*Settings, error)
 }
 
-// Check returns one BadSettings error that names every problem of the settings, or nil.
+// Check returns one InvalidSettings error that names every problem of the settings, or nil.
 func (settings *Settings) Check(needs Requirements) error {
 	found := &problems{}
 	settings.checkAddresses(found)
--- a/config/process/file.go
+++ b/config/process/file.go
@@ -10,7 +10,7 @@
 )
 
 // Read reads a settings file; an empty path returns empty settings. Unknown and repeated keys, and a file that can't be
-// read, are BadSettings errors. Values are not checked; see Settings.Check.
+// read, are InvalidSettings errors. Values are not checked; see Settings.Check.
 func Read(path string) (*Settings, error) {
 	settings := &Settings{}
 	if path == "" {
--- a/config/process/flags.go
+++ b/config/process/flags.go
@@ -28,7 +28,7 @@
 }
 
 // Parse returns the checked settings of a daemon from arguments and the file that they name. Invalid ones are a
-// BadSettings error. terminate is called with an exit code after the usage was printed.
+// InvalidSettings error. terminate is called with an exit code after the usage was printed.
 func Parse(name, help string, needs Requirements, arguments []string, terminate func(int)) (*Settings, error) {
 	application := kingpin.New(name, help).UsageWriter(os.Stdout).ErrorWriter(io.Discard).Terminate(terminate)
 	application.HelpFlag.Short('h')
--- a/control/daemonlease/confirmer.go
+++ b/control/daemonlease/confirmer.go
@@ -17,11 +17,11 @@
 	agent   *view.Agent
 	chain   *chain.Chain
 	witness *lease.Witness
-	// durableAtStart is the newest sequence that the disk held when this process began.
+	// durableAtStart is the newest sequence that was on disk when this process started.
 	durableAtStart uint64
 }
 
-// NewConfirmer returns the part of a process that has just begun, with the history that its disk holds.
+// NewConfirmer returns the acceptor's part of a process that has just started, with the history on its disk.
 func NewConfirmer(self string, agent *view.Agent, history *chain.Chain, witness *lease.Witness) *Confirmer {
 	return &Confirmer{self: self, agent: agent, chain: history, witness: witness,
 		durableAtStart: newestSequence(history.Committed(), history.Pending())}
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -20,7 +20,7 @@
 }
 
 // previousAcceptors are the acceptors of a view before the present one, whose confirmations to daemons may be relied on
-// for a while. No members stand for acceptors that this process never heard of.
+// for a while. Empty members mean unknown acceptors, whose confirmations can only expire.
 type previousAcceptors struct {
 	members []*wire.Member
 	until   time.Time
@@ -70,7 +70,7 @@
 	if document.Sequence < sequence || leader.Since.IsZero() {
 		return false
 	}
-	// A chain that shrank since the change was requested has fewer copies than a change needs.
+	// A chain that shrank since the change was requested has fewer replicas than a change needs.
 	if len(leader.View.Chain) < int(leader.View.MinReplicas) || leader.IsGrowing() {
 		return false
 	}
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -152,7 +152,7 @@
 }
 
 // Prompt asks the daemons that are not known to have the last change to request a lease, unless gossip still has time
-// to bring it or the change is delivered. Where nobody listens any more, the attempt itself shows it.
+// to bring it or the change is delivered. If an address refuses the connection, ConnectionRefused is called.
 func (leases *Leases) Prompt(leader Leader) {
 	document := leases.chain.Committed()
 	committed, found := leases.commits[document.Sequence]
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -141,7 +141,7 @@
 	directory.outbox.Send(sender, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: message}})
 }
 
-// partners returns, sorted, whom gossip goes to: the directory's daemons, the neighbours and the control processes.
+// partners returns, sorted, whom gossip goes to: the directory's daemons, the partial view and the chain's members.
 func (directory *Directory) partners() []gossip.Peer {
 	zones := map[string]string{}
 	for _, descriptor := range directory.partialView.Peers() {
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -34,7 +34,7 @@
 func (updater *Updater) Counters() Counters { return updater.counters }
 
 // Tick enters a change of the directory where one is due; this process must be leading. The next change enters only
-// when the last is delivered, which takes most of the old directory as well as most of the new one.
+// when the last is delivered: no daemon of the old or the new directory can hold a lease on an older document.
 func (updater *Updater) Tick(leader daemonlease.Leader) {
 	if len(updater.chain.Pending()) > 0 {
 		return
--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -14,7 +14,7 @@
 const (
 	// HeartbeatInterval is how often a process sends its heartbeat.
 	HeartbeatInterval = 200 * time.Millisecond
-	// MaximumPeers bounds the peers that are told apart; heartbeats of further ones are dropped.
+	// MaximumPeers bounds the peers that are tracked; heartbeats of further ones are dropped.
 	MaximumPeers = 64
 	// forgetAfter is after what silence a peer is forgotten altogether.
 	forgetAfter = 5 * time.Minute
--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -26,7 +26,7 @@
 	chain     *chain.Chain
 	outbox    *statemachine.Outbox
 	addressOf func(member *wire.Member) string
-	// onStart runs when this process first leads in a term.
+	// onStart runs when this process first holds the lease as head of a term.
 	onStart func()
 
 	lessee      *lease.Lessee
@@ -40,7 +40,7 @@
 }
 
 // New returns the head's side of a process. Nonce numbers its first request; it must differ between incarnations.
-// OnStart runs each time that this process first leads in a term, before anybody is told so.
+// onStart runs once in each term, when this process first holds the lease as head, before IsLeading returns true.
 func New(nonce uint64, agent *view.Agent, history *chain.Chain, outbox *statemachine.Outbox,
 	addressOf func(member *wire.Member) string, onStart func()) *Leadership {
 	return &Leadership{agent: agent, chain: history, outbox: outbox, addressOf: addressOf, onStart: onStart,
@@ -99,7 +99,7 @@
 }
 
 // IsLeading reports whether this process may act as head at this moment: it is the chain's head, holds the lease, and
-// everything that it found in its history when its term started is committed.
+// all that its history held when its term started is committed. The first call under the lease starts the term.
 func (leadership *Leadership) IsLeading(now time.Time) bool {
 	// Others act by a newer view as soon as this process says that it has learned of it.
 	isOutdated := leadership.agent.Newest().Epoch > leadership.agent.Current().Epoch
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -3,7 +3,7 @@
 // proposal, directory, durability), over chain, view, lease and gossip of coordination. The node dispatches each
 // message to the one that it is for, ticks them in a stated order, and passes facts between them.
 //
-// A driver hands it the time, messages, ticks and completed writes, and carries out what Drain returns. It starts no
+// A driver hands it the time, messages, ticks and completed writes, and carries out what Ready returns. It starts no
 // goroutine, reads no clock and does no I/O.
 package node
 
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// requestTimeout bounds a call that the chain responds to. It is below the time that a node lets a caller wait.
+	// requestTimeout bounds a call that the chain responds to. A node answers within 6 s (package proposal).
 	requestTimeout = 9 * time.Second
 	// statusTimeout bounds a call that a process responds to by itself.
 	statusTimeout = 2 * time.Second
@@ -98,7 +98,7 @@
 	return reply, nil
 }
 
-// Get reads the newest configuration from the tail of the chain.
+// Get reads the newest committed configuration. The head of the chain answers, under its lease.
 func (client *Client) Get() (node.Reply, error) {
 	return client.request(http.MethodGet, "/v1/spec", nil)
 }
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Serve answers a request as head; a process that is not stays silent, and the origin tries again.
+// Serve answers a request as head; a head without a lease defers it, any other process drops it: its origin retries.
 func (proposals *Proposals) Serve(now time.Time, message *wire.OperatorRequest) {
 	verbs := map[string]func(now time.Time, message *wire.OperatorRequest){
 		verbGet: proposals.serveGet, verbOperation: proposals.serveOperation, verbApply: proposals.serveChange,
@@ -91,7 +91,7 @@
 	}
 }
 
-// Acknowledge answers every waiting operator whose change is committed and known where it must be.
+// Acknowledge answers every waiting operator whose change is delivered (Environment.IsDelivered) or whose time is over.
 func (proposals *Proposals) Acknowledge(now time.Time) {
 	if len(proposals.waiters) == 0 {
 		return
--- a/control/proposal/refusals.go
+++ b/control/proposal/refusals.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// RefusalWindow is how many requests of one incarnation of a process are told apart; a copy of an older one is late.
+	// RefusalWindow is how many requests of one incarnation of a process are tracked; a copy of an older one is late.
 	RefusalWindow = 4 * maximumRequests
 	// maximumOrigins bounds the incarnations of processes whose requests are told apart.
 	maximumOrigins = 4 * failuredetector.MaximumPeers
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -124,7 +124,7 @@
 func (requests *Requests) send(now time.Time, open *request) {
 	// A process whose disk hangs still knows whom to ask, though it can't act under that view itself.
 	newest := requests.agent.Newest()
-	// Another view has another head, which need not be left waiting.
+	// Another view may have another head, to which the request goes at once.
 	if newest.Epoch == 0 || open.view == newest.Epoch && now.Sub(open.lastSent) < resendInterval {
 		return
 	}
@@ -142,7 +142,7 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
 }
 
-// timeOut answers for a chain that did not.
+// finishUnresolved answers for a chain that gave no answer, or none that is final (see Response).
 func (requests *Requests) timeOut(open *request) {
 	operation := open.message.Operation
 	if isWrite(open.message) && len(open.recipients) > 0 {
--- a/control/reconfiguration/facts.go
+++ b/control/reconfiguration/facts.go
@@ -45,7 +45,7 @@
 // ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
 func ChainLimit(faults int) int { return max(minimumChainLimit, 2*faults+1) }
 
-// MinReplicas returns the fewest copies that a change needs: one more than may be lost, but not more than there ever
+// MinReplicas returns the fewest replicas that a change needs: one more than may be lost, but not more than there ever
 // were. It never falls below the present number.
 func (facts *Facts) MinReplicas(present uint32, members int) uint32 {
 	return max(present, uint32(min(facts.Faults+1, members)))
--- a/control/reconfiguration/planner.go
+++ b/control/reconfiguration/planner.go
@@ -46,7 +46,7 @@
 	return next
 }
 
-// planChain sets the chain of the next view and its fewest copies, and reports whether the chain changes.
+// planChain sets the chain of the next view and its MinReplicas, and reports whether the chain changes.
 func (planner *Planner) planChain(facts *Facts, next *wire.View) (changed bool) {
 	current := facts.View
 	connected := planner.excludeBroken(facts, facts.excludeFailed(current.Chain))
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -37,7 +37,7 @@
 
 // The outcomes of a call, as node.Reply names them.
 const (
-	// OutcomeAccepted is that of a change which every data daemon that serves has acknowledged.
+	// OutcomeAccepted is that of a change which is committed, and which no serving data daemon can lack any more.
 	OutcomeAccepted = "accepted"
 	// OutcomeRefused is that of a call which took no effect and never will.
 	OutcomeRefused = "refused"
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -59,7 +59,7 @@
 }
 
 // New opens the data folder and recovers the node from it. Nothing is sent or served before Run. Where the settings say
-// Idle, for a machine without a disk, the server only stands by.
+// Diskless, for a machine without a disk, the server only stands by.
 func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
 	// A node that can't remember must neither vote nor count as a replica, and to exit again and again helps nobody.
 	if settings.Diskless {
--- a/control/storage/doc.go
+++ b/control/storage/doc.go
@@ -10,8 +10,8 @@
 //
 // # Writes
 //
-// A write is a record, which is appended to the log; a complete state, which replaces the slot and starts a new log;
-// or a sweep, which reads everything back and compares it with what must be there. Writes carry ascending sequence
+// A write is a record, which is appended to the log; a complete state, which goes to the other slot and starts a log;
+// or a scrub, which reads everything back and compares it with what must be there. Writes carry ascending sequence
 // numbers and are carried out in that order. Records that stand side by side in a batch share one sync. A completion
 // is reported with the sequence of the last write that is synced, and stands for every write before it.
 //
--- a/control/storage/recovery.go
+++ b/control/storage/recovery.go
@@ -26,7 +26,7 @@
 	Store *snapshot.Store
 	// State is the last complete state; its Id is the node's identity and is never empty.
 	State *wire.DurableState
-	// Records are those logged after Memory, in the order in which they were written.
+	// Records are those logged after State, in the order in which they were written.
 	Records []*wire.Record
 	// Fresh reports that the identity is new, because the folder was blank or could not be trusted.
 	Fresh bool
@@ -81,7 +81,7 @@
 	return store.SaveSnapshot(content)
 }
 
-// decode decodes and checks what a folder held. An error has the code NoMemory.
+// decode decodes and checks what a folder held. An error has the code DataLost.
 func decode(store *snapshot.Store, recovered snapshot.Recovered) (Recovery, error) {
 	state := &wire.DurableState{}
 	if err := proto.Unmarshal(recovered.Snapshot, state); err != nil {
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,7 +1,7 @@
 // Package chain replicates one document along a chain of machines with disks. A change enters at the head, is
 // synced by each member before it is forwarded to the successor, and is committed once the tail has synced it; the
-// tail answers reads. Each member's history begins with its successor's, which is why a member may only be removed
-// from the chain, or added at its end after it has learned a committed document whole.
+// tail answers learners. Each member's history begins with its successor's, which is why a member may only be removed
+// from the chain, or added at its end after it has learned a complete committed document.
 //
 // # Contract
 //
@@ -14,8 +14,8 @@
 //   - Chain.Tick is called often.
 //
 // After each call its caller drains the outbox (see package statemachine). The head's caller validates a change and
-// holds the head's lease (see package lease) when it calls Chain.Submit. The tail's caller holds the same kind of
-// proof before it serves a read or calls Chain.HandleLearnRequest. A Chain is not safe for concurrent use.
+// holds the head's lease (see package lease) when it calls Chain.Submit. A tail needs no lease for
+// Chain.HandleLearnRequest: all that it has is committed in its view. A Chain is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what
 // its disk has synced. Under these assumptions, and with views that differ only as said above, a committed change
@@ -69,7 +69,7 @@
 	lastRetransmit    time.Time
 
 	// aligned is whether the predecessor has confirmed, in this view, that this member has all that
-	// it had; a tail answers nothing before.
+	// it had; before that a tail commits nothing and answers no learner.
 	aligned bool
 	// alignmentTarget is what this member had when it was first known to be aligned in this view:
 	// the successor is aligned once it has as much.
--- a/coordination/chain/learning.go
+++ b/coordination/chain/learning.go
@@ -18,7 +18,7 @@
 	chain.outbox.Send(tail, &wire.Envelope{Body: &wire.Envelope_LearnRequest{LearnRequest: request}})
 }
 
-// HandleLearnRequest answers the request of a member outside the chain; only a tail whose lease is valid may call it.
+// HandleLearnRequest answers a process outside the chain. Any member may call it; only a tail answers, without a lease.
 func (chain *Chain) HandleLearnRequest(reply string, message *wire.LearnRequest) {
 	if message.View != chain.view.Epoch || !chain.IsTail() {
 		return
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -42,5 +42,5 @@
 )
 
 // DaemonTTLFor returns for how long a daemon may rely on a lease where a change must be in force
-// within the duration apply after its acknowledgement: half of that, and at most DaemonTerm.
+// within the duration apply after its acknowledgement: half of that, and at most DaemonTTL.
 func DaemonTTLFor(apply time.Duration) time.Duration { return min(DaemonTTL, apply/2) }
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -5,7 +5,7 @@
 // the time, and sends what Drain returns.
 //
 // Requests may be dispatched while one of three things holds:
-//   - The head granted a lease in response to a request that was sent less than Settings.DaemonLease ago. The head
+//   - The head granted a lease in response to a request that was sent less than Settings.LeaseDuration ago. The head
 //     acknowledges no change before the holders of such leases know it.
 //   - A majority of the acceptors confirmed, in response to such requests, that they know of nothing newer. No change
 //     is acknowledged before a majority of them knows it and their earlier confirmations have expired.
@@ -118,7 +118,7 @@
 	return controller
 }
 
-// Drain returns the messages to be sent since the last call, each with this daemon as its sender.
+// Ready empties the outbox and returns its messages, with this daemon as sender. A planned stop is StartDraining.
 func (controller *Controller) Drain() []statemachine.Message {
 	messages, _ := controller.outbox.Drain() // A data daemon writes nothing to disk.
 	for _, message := range messages {
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -247,7 +247,7 @@
 	}
 	if serving := now.Before(snapshot.Until); serving != plane.serving {
 		plane.serving = serving
-		plane.log.Info("serving", "serving", serving)
+		plane.log.Info("permission to serve changed", "serving", serving)
 	}
 	plane.followDirectory()
 }
@@ -288,7 +288,7 @@
 // Snapshot returns the state that requests are handled by at this moment.
 func (plane *Plane) Snapshot() *config.Snapshot { return plane.snapshot.Load() }
 
-// Daemons returns the addresses of the daemons that share the work.
+// Daemons returns the addresses of the daemons in the directory, in which a lost one stays for a minute.
 func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
 
 // Started returns when this plane was created.
--- a/features/features.go
+++ b/features/features.go
@@ -80,7 +80,7 @@
 // Set holds the features that are switched off; the nil set holds none.
 type Set map[Feature]bool
 
-// Parse returns the set of names that are separated by commas. An unknown name is a BadSettings error that lists all.
+// Parse returns the set of names that are separated by commas. An unknown name is an InvalidSettings error listing all.
 func Parse(text string) (Set, error) {
 	set := Set{}
 	for _, name := range strings.Split(text, ",") {
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -157,7 +157,7 @@
 }
 
 // send writes the request. A long one takes its time on the way, so that the decision is checked again before its last
-// part: without that the runner has no request. It returns succeeded when all of it went out.
+// part: without that the runner has no request. It returns responseReady when all went out or it responded early.
 func (attempt *attempt) send() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.state.to(stateSent)
--- a/proxy/codec/codec.go
+++ b/proxy/codec/codec.go
@@ -30,7 +30,7 @@
 	// EncodeRequest returns the bytes of the request that one attempt writes to its runner.
 	EncodeRequest(request *admission.Request, run Attempt) []byte
 	// Classify classifies the head of a response that arrived from the runner of an attempt. It may claim NotExecuted or
-	// Elsewhere only where the runner itself states that the request did not run: the proxy will send it again.
+	// Misdirected only where the runner itself states that the request did not run: the proxy will send it again.
 	Classify(response *fasthttp.Response, request *admission.Request, run Attempt) ResponseHead
 	// Rules are the rules that the events of a run obey.
 	Rules() stream.Rules
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// close lets go of the client's connection.
+// close ends the watch of the client's connection; the request is no longer in flight.
 func (exchange *Exchange) close() {
 	exchange.client.close()
 	exchange.handler.InFlight.Add(-1)
@@ -188,8 +188,8 @@
 		scheduler.DidNotRun, exchange.handler.Quota.Reject(exchange.now(), tenant.Name, cost))
 }
 
-// findRunner schedules the request and sends it where it is told to, until a runner's response may be relayed;
-// otherwise it returns what to tell the client. last is how the attempt before ended.
+// findRunner schedules the request and sends it to the chosen runner, until a runner's response may be relayed;
+// otherwise it returns the refusal. last is how the attempt before ended.
 func (exchange *Exchange) findRunner(last scheduler.AttemptOutcome) *codec.Refusal {
 	for {
 		exchange.state.to(stateScheduling)
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -56,7 +56,7 @@
 	Snapshot func() *config.Snapshot
 	// Renewed returns a channel that is closed when a later snapshot is known to be current for longer.
 	Renewed func() <-chan struct{}
-	// Daemons returns the names of the daemons that serve at present, among which the retry budget is divided.
+	// Daemons returns the addresses in the directory, where a lost daemon stays for a minute; the retry budget uses it.
 	Daemons func() []string
 
 	// Scheduler returns the scheduler of a backend, the same one at each call.
@@ -70,12 +70,12 @@
 	// Retries bounds what is sent again, over all daemons; the zero value stands for retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
 
-	// Dedup remembers the requests that run at most once, and Tell tells the zone's other daemons that one of them is
+	// Dedup remembers the requests that run at most once; Announce notifies the zone's other daemons that one is being
 	// sent to a runner or, with dropped, that it certainly did not run.
 	Dedup    *dedup.Table
 	Announce func(key dedup.Key, dropped bool)
 
-	// Quota holds this daemon's shares of the tenants' quotas, and AskQuota requests more of what they lack at once.
+	// Quota holds this daemon's shares of the tenants' quotas; RequestQuota requests more of what they lack at once.
 	// Neither is used where no tenant has a quota.
 	Quota        *quota.Limiter
 	RequestQuota func()
@@ -95,7 +95,7 @@
 	budgets sync.Map
 }
 
-// Serve takes one request that has been received completely to its end.
+// Serve handles a request that was received completely. A stream outlives the call: its relay finishes the exchange.
 func (handler *Handler) Serve(client netio.Client) {
 	handler.InFlight.Add(1)
 	exchange := newExchange(handler, watchClient(client))
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -17,7 +17,7 @@
 // errCutOff ends a response that is not complete.
 var errCutOff = errors.New("the run broke off")
 
-// relay is the body of a response: whole events, each forwarded as it comes, out of one run or, where the route may be
+// relay is the body of a response: complete events, each forwarded as it comes, of one run or, where the route may be
 // resumed, out of several that follow one another. It implements io.ReadCloser for the client's connection.
 type relay struct {
 	exchange *Exchange
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -140,7 +140,7 @@
 func (attempt *attempt) handleFailedRun() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonFailedRun)
-	// No later error of a resumed stream may be forwarded; the response has its head already.
+	// An idempotent run is retried; else readBody forwards the error, unless part of a stream was relayed already.
 	if exchange.route.Idempotent && exchange.mayTry() {
 		return scheduler.Ambiguous
 	}
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -21,7 +21,7 @@
 	"wardtray/wire"
 )
 
-// goesOn answers like a runner that can begin behind an event: it gives so many events up to a whole of total, and
+// resumes answers like a runner that can begin behind an event: it gives so many events up to a whole of total, and
 // the end if it got that far.
 func resumes(name string, count, total int) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
--- a/proxy/state.go
+++ b/proxy/state.go
@@ -16,7 +16,7 @@
 	stateSent state = "sent"
 	// stateRelaying: the response is forwarded to the client.
 	stateRelaying state = "relaying"
-	// stateFinished: the client has its final response and no resource is held any more.
+	// stateFinished: no attempt may follow; what remains is to respond, to record the outcome and to release resources.
 	stateFinished state = "finished"
 )
 
--- a/proxy/tries.go
+++ b/proxy/tries.go
@@ -19,7 +19,7 @@
 
 // tries counts what was tried for one request.
 type tries struct {
-	// attempts counts the runners that were chosen, sends those which got the complete request.
+	// attempts counts the chosen runners (maximumAttempts once the budget denies a send), sends those that went out.
 	attempts, sends int
 	// counted says that the request is in the count of the retry budget, where each counts once.
 	counted bool
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -47,7 +47,7 @@
 }
 
 // CheckDeparture checks whether anybody still works for a client that has left, at a moment by which its daemon has had
-// LeftBound to learn of that. Runs that must come to their end are none of these; a daemon in trouble within that time
+// DepartureBound to learn it. Runs that must come to their end are none of these; a daemon in trouble within that time
 // is excused.
 func (checker *Checker) CheckDeparture(answer *Answer, until time.Time) {
 	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.sentTwice(answer) {
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -19,8 +19,8 @@
 	WarmUpAllowance = 2
 	// OverdueBound is how long after a loss could be known a final answer may come.
 	OverdueBound = 2 * time.Second
-	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. ClockPart
-	// is the part by which a daemon's clock may go wrong.
+	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. Clocks may
+	// be wrong by one part in ClockErrorDivisor.
 	DeadlineAllowance = 100 * time.Millisecond
 	ClockErrorDivisor = 50
 	faultShadow       = 12 * time.Second
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -265,7 +265,7 @@
 }
 
 // recordReachability notes since when a daemon reaches at least one core machine. One that reaches none may go on by
-// what it has for as long as it is told to. A machine that began less than startingBound ago can't tell whether there
+// what it has for as long as it is told to. A machine that began less than startupTime ago can't tell whether there
 // is a head and counts as none, as docs/control.md says under "Without any core".
 func (checker *checker) recordReachability(daemon *host) {
 	for _, host := range checker.world.hosts {
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -50,7 +50,7 @@
 }
 
 const (
-	// tickLength is how long one tick takes, waitSteps how many of them one Wait is.
+	// tickLength is how long one tick takes, ticksPerWait how many of them one Wait is.
 	tickLength   = 100 * time.Millisecond
 	ticksPerWait = 8
 	// startupTime is for how long after its start a machine can't tell daemons whether there is a head.
--- a/verify/placement/earned.go
+++ b/verify/placement/earned.go
@@ -13,7 +13,7 @@
 	Large, LargeServed int
 	// Shared are the tokens of shared parts, Reread those read though some runner kept them.
 	Shared, RereadTokens int
-	// Probes are reports asked for, AcrossBytes what went between zones.
+	// Probes are reports asked for, CrossZoneBytes what went between zones.
 	Probes         int
 	CrossZoneBytes float64
 	First          []time.Duration
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -27,7 +27,7 @@
 	Way    string
 	// ReportAge is how old a runner's word may grow before it is asked; 0: never.
 	ReportAge time.Duration
-	// Hot is the part of HotLane's requests that carry one opening, from a third to two thirds of the time.
+	// Hot is the part of HotRoute's requests that carry one opening, from a third to two thirds of the time.
 	Hot      float64
 	HotRoute string
 	// Slow is the part of the runners that are three times slower, Crash of those that crash, in the same time.
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -59,10 +59,10 @@
 	})
 }
 
-// Left reports whether the close has reached the daemon's machine.
+// Disconnected reports whether the close has reached the daemon's machine.
 func (client *client) Disconnected() bool { return !client.record.HungUpAt.IsZero() }
 
-// Watch has a function called when the close comes, or a moment later where it is there.
+// OnDisconnect has a function called when the close comes, or a moment later where it is there.
 func (client *client) OnDisconnect(left func()) (stop func()) {
 	client.onHangUp = left
 	if client.Disconnected() {
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// knownBound is when a new runner must be known, and arrivesApart where cuts may last for 8.2 s, one after the
+	// knownBound is when a new runner must be known, knownBoundWithCuts where cuts may last for 8.2 s, one after the
 	// other.
 	knownBound         = 2 * time.Second
 	knownBoundWithCuts = 20 * time.Second
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -64,7 +64,7 @@
 	isolation   isolation
 	// resetAt is when the machine's connections were last reset: what was on its way then is lost.
 	resetAt time.Time
-	// leasedUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; sureSince is
+	// leasedUntil is up to when a data daemon was last seen to be sure of its spec, by its own clock; leasedSince is
 	// since when it has been so without a break.
 	leasedUntil, leasedSince time.Time
 }
