--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -8,9 +8,9 @@
 	"wardtray/wire"
 )
 
-// Leader is what delivery depends on beside the leases: since when this process leads, and how redundant the chain and
-// its acceptors are.
-type Leader struct {
+// DeliveryContext is what delivery depends on beside the leases: since when this process leads, and how redundant
+// the chain and its acceptors are.
+type DeliveryContext struct {
 	Now time.Time
 	// Since is when this process first led in the present term; zero if it has not.
 	Since time.Time
@@ -58,14 +58,14 @@
 // AcceptorReported notes which sequence an acceptor knows to be committed, and when its confirmations of older ones
 // end.
 func (leases *Leases) AcceptorReported(acceptor string, sequence uint64, until time.Time) {
-	leases.progress.Report(acceptor, sequence, until)
+	leases.acceptorProgress.Report(acceptor, sequence, until)
 }
 
 // IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no
 // lease from before can still run at a daemon that does not, whether this head granted it, the head before it, or a
 // majority of acceptors. Only daemons of the directory get leases, so where all of them are known to have the change
 // none can.
-func (leases *Leases) IsDelivered(leader Leader, sequence uint64) bool {
+func (leases *Leases) IsDelivered(leader DeliveryContext, sequence uint64) bool {
 	document := leases.chain.Committed()
 	if document.Sequence < sequence || leader.Since.IsZero() {
 		return false
@@ -87,7 +87,7 @@
 func (leases *Leases) majorityKnows(acceptors []*wire.Member, sequence uint64) bool {
 	knowing := 0
 	for _, acceptor := range acceptors {
-		if leases.progress.HasCommitted(acceptor.Id, sequence) {
+		if leases.acceptorProgress.HasCommitted(acceptor.Id, sequence) {
 			knowing++
 		}
 	}
@@ -96,7 +96,7 @@
 
 // confirmationsExpired reports whether no majority of acceptors, of this view or of one that ended a moment ago, can
 // have a daemon rely on less than a sequence.
-func (leases *Leases) confirmationsExpired(leader Leader, sequence uint64) bool {
+func (leases *Leases) confirmationsExpired(leader DeliveryContext, sequence uint64) bool {
 	if !leases.majorityClear(leader.Now, leader.View.Acceptors, sequence) {
 		return false
 	}
@@ -113,7 +113,7 @@
 func (leases *Leases) majorityClear(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
-		if leases.progress.Fenced(now, acceptor.Id, sequence) {
+		if leases.acceptorProgress.Fenced(now, acceptor.Id, sequence) {
 			count++
 		}
 	}
@@ -128,7 +128,7 @@
 
 // previousLeasesExpired reports whether no lease of the head before this one can run at a daemon that does not know a
 // sequence. It may have granted one to anybody in the directory, or in the one before, until this term began.
-func (leases *Leases) previousLeasesExpired(leader Leader, document *wire.Document, sequence uint64) bool {
+func (leases *Leases) previousLeasesExpired(leader DeliveryContext, document *wire.Document, sequence uint64) bool {
 	return leader.Now.Sub(leader.Since) >= leases.Length() || leases.allUpToDate(document, sequence, leader.Since)
 }
 
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -55,14 +55,14 @@
 type Leases struct {
 	chain  *chain.Chain
 	outbox *statemachine.Outbox
-	// term is for how long a daemon may rely on a lease, counted from its request.
-	term time.Duration
+	// duration is for how long a daemon may rely on a lease, counted from its request.
+	duration time.Duration
 
 	daemons map[string]*daemon
 	// firstRequest is when the first daemon requested a lease in this term.
 	firstRequest time.Time
-	// progress is what the acceptors reported of the sequences that they know.
-	progress *lease.ProgressTracker
+	// acceptorProgress is what the acceptors reported of the sequences that they know.
+	acceptorProgress *lease.ProgressTracker
 	// commits is when recent sequences were first seen committed here.
 	commits    map[uint64]time.Time
 	lastPrompt time.Time
@@ -71,9 +71,15 @@
 	previous []previousAcceptors
 }
 
-// NewLeases returns an empty table; term is for how long a daemon may rely on a lease, view the present one.
-func NewLeases(history *chain.Chain, outbox *statemachine.Outbox, term time.Duration, view *wire.View) *Leases {
-	leases := &Leases{chain: history, outbox: outbox, term: term, progress: lease.NewProgressTracker(), view: view}
+// NewLeases returns an empty table; duration is for how long a daemon may rely on a lease, view the present one.
+func NewLeases(history *chain.Chain, outbox *statemachine.Outbox, duration time.Duration, view *wire.View) *Leases {
+	leases := &Leases{
+		chain:            history,
+		outbox:           outbox,
+		duration:         duration,
+		acceptorProgress: lease.NewProgressTracker(),
+		view:             view,
+	}
 	leases.Reset()
 	return leases
 }
@@ -86,7 +92,7 @@
 
 // Length returns for how long a lease may run, counted from whenever it was granted, with a margin for clocks that
 // drift.
-func (leases *Leases) Length() time.Duration { return leases.term + ClockMargin }
+func (leases *Leases) Length() time.Duration { return leases.duration + ClockMargin }
 
 // Committed notes when a sequence was first seen committed here.
 func (leases *Leases) Committed(now time.Time, sequence uint64) {
@@ -125,7 +131,7 @@
 func (leases *Leases) Grant(now time.Time, address string, grant *wire.DaemonLeaseGrant) {
 	leases.daemons[address].lastGrant = now
 	grant.Granted, grant.Sequence = true, leases.chain.Committed().Sequence
-	grant.Milliseconds = uint32(leases.term.Milliseconds())
+	grant.Milliseconds = uint32(leases.duration.Milliseconds())
 }
 
 // ConnectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon's
@@ -153,7 +159,7 @@
 
 // Prompt asks the daemons that are not known to have the last change to request a lease, unless gossip still has time
 // to bring it or the change is delivered. If an address refuses the connection, ConnectionRefused is called.
-func (leases *Leases) Prompt(leader Leader) {
+func (leases *Leases) Prompt(leader DeliveryContext) {
 	document := leases.chain.Committed()
 	committed, found := leases.commits[document.Sequence]
 	if found && leader.Now.Sub(committed) < promptDelay || leases.IsDelivered(leader, document.Sequence) {
@@ -192,7 +198,7 @@
 func (leases *Leases) Active(now time.Time) []string {
 	active := make([]string, 0, len(leases.daemons))
 	for address, known := range leases.daemons {
-		if now.Sub(known.lastRequest) < leases.term {
+		if now.Sub(known.lastRequest) < leases.duration {
 			active = append(active, address)
 		}
 	}
@@ -205,7 +211,7 @@
 	if known == nil {
 		return 0, false
 	}
-	return known.sequence, now.Sub(known.lastRequest) < leases.term
+	return known.sequence, now.Sub(known.lastRequest) < leases.duration
 }
 
 // Arrivals lists the daemons that request leases and are not in a directory yet, in no order.
@@ -216,7 +222,7 @@
 	}
 	var arrivals []*wire.Member
 	for address, known := range leases.daemons {
-		isActive := known.requests >= joinRequests && !known.draining && now.Sub(known.lastRequest) < leases.term
+		isActive := known.requests >= joinRequests && !known.draining && now.Sub(known.lastRequest) < leases.duration
 		if !inside[address] && isActive {
 			arrivals = append(arrivals, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
 		}
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -48,8 +48,13 @@
 }
 
 // leaderAt is a leader for so long that no lease of the head before it can run.
-func leaderAt(now time.Time) Leader {
-	return Leader{Now: now, Since: start.Add(-time.Hour), View: threeMembers(), IsGrowing: func() bool { return false }}
+func leaderAt(now time.Time) DeliveryContext {
+	return DeliveryContext{
+		Now:       now,
+		Since:     start.Add(-time.Hour),
+		View:      threeMembers(),
+		IsGrowing: func() bool { return false },
+	}
 }
 
 // acceptorsKnow lets acceptors report that they know sequence 5, with nothing older confirmed.
@@ -63,63 +68,63 @@
 	t.Parallel()
 	for name, test := range map[string]struct {
 		directory string
-		prepare   func(leases *Leases, leader *Leader)
+		prepare   func(leases *Leases, leader *DeliveryContext)
 		want      bool
 	}{
-		"a majority of the acceptors knows": {"", func(leases *Leases, _ *Leader) {
+		"a majority of the acceptors knows": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 		}, true},
-		"one acceptor knows": {"", func(leases *Leases, _ *Leader) { acceptorsKnow(leases, "a") }, false},
-		"this process has not led": {"", func(leases *Leases, leader *Leader) {
+		"one acceptor knows": {"", func(leases *Leases, _ *DeliveryContext) { acceptorsKnow(leases, "a") }, false},
+		"this process has not led": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.Since = time.Time{}
 		}, false},
-		"the chain is too short": {"", func(leases *Leases, leader *Leader) {
+		"the chain is too short": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.View.Chain = members("a")
 		}, false},
-		"the acceptors are still growing": {"", func(leases *Leases, leader *Leader) {
+		"the acceptors are still growing": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.IsGrowing = func() bool { return true }
 		}, false},
-		"a lease runs at a daemon that has less": {"d", func(leases *Leases, _ *Leader) {
+		"a lease runs at a daemon that has less": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start, 4)
 		}, false},
-		"the daemon with less has ended": {"d", func(leases *Leases, _ *Leader) {
+		"the daemon with less has ended": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start.Add(-2), 4)
 			leases.ConnectionRefused("d", start.Add(-1))
 		}, true},
-		"the lease with less has expired": {"d", func(leases *Leases, _ *Leader) {
+		"the lease with less has expired": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start.Add(-length), 4)
 		}, true},
-		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *Leader) {
+		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leases.Committed(start.Add(-length), 5)
 			grant(leases, start, 4)
 		}, true},
-		"every daemon knows": {"d", func(leases *Leases, leader *Leader) {
+		"every daemon knows": {"d", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leases.Committed(start, 5)
 			leader.Since = start
 			grant(leases, start, 5)
 		}, true},
-		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *Leader) {
+		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
 			leases.Committed(start, 5)
 			grant(leases, start, 5)
 		}, false},
-		"the head before may have granted a lease": {"d", func(leases *Leases, leader *Leader) {
+		"the head before may have granted a lease": {"d", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.Since = start
 		}, false},
-		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *Leader) {
+		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
 			leases.AcceptorReported("b", 5, start.Add(1))
 		}, false},
-		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *Leader) {
+		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			next := threeMembers()
 			next.Epoch, next.Acceptors = 4, members("abd")
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -56,9 +56,9 @@
 // Gossip returns the store that spreads the document, for what else is gossiped.
 func (directory *Directory) Gossip() *gossip.Store { return directory.gossip }
 
-// Newest returns the newest document that this process knows of. Of one that gossip brought only the sequence and the
-// directory are set.
-func (directory *Directory) Newest() *wire.Document {
+// NewestDocument returns the newest document that this process knows of. Of one that gossip brought only the
+// sequence and the directory are set.
+func (directory *Directory) NewestDocument() *wire.Document {
 	document := directory.chain.Committed()
 	entry := directory.gossip.Get(gossip.DocumentKey)
 	if entry == nil || entry.Epoch <= document.Sequence {
@@ -92,7 +92,7 @@
 // daemon serves nobody, and learns of the runners before it gets one again.
 func (directory *Directory) ServingDaemons(active, unleased []string) []string {
 	found := map[string]bool{}
-	for _, member := range directory.Newest().Directory {
+	for _, member := range directory.NewestDocument().Directory {
 		found[member.Address] = true
 	}
 	for _, address := range active {
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -71,7 +71,7 @@
 	for sequence, want := range map[uint64]uint64{4: 5, 5: 5, 6: 6} {
 		bench := newBench("a", "d")
 		bench.gossiped(t, &wire.Document{Sequence: sequence, Directory: members("de")})
-		got := bench.directory.Newest()
+		got := bench.directory.NewestDocument()
 		if got.Sequence != want || len(got.Directory) != int(want)-4 {
 			t.Errorf("gossip of %d: %v", sequence, got)
 		}
@@ -168,7 +168,7 @@
 			leases.AcceptorReported("b", 5, start)
 		}
 		updater := NewUpdater(bench.chain, leases)
-		updater.Tick(daemonlease.Leader{Now: now, Since: start, View: bench.agent.Current(),
+		updater.Tick(daemonlease.DeliveryContext{Now: now, Since: start, View: bench.agent.Current(),
 			IsGrowing: func() bool { return false }})
 		var addresses []string
 		if pending := bench.chain.Pending(); len(pending) > 0 {
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -35,15 +35,15 @@
 
 // Tick enters a change of the directory where one is due; this process must be leading. The next change enters only
 // when the last is delivered: no daemon of the old or the new directory can hold a lease on an older document.
-func (updater *Updater) Tick(leader daemonlease.Leader) {
+func (updater *Updater) Tick(leader daemonlease.DeliveryContext) {
 	if len(updater.chain.Pending()) > 0 {
 		return
 	}
 	document := updater.chain.Committed()
 	arrivals := updater.leases.Arrivals(leader.Now, document.Directory)
 	remaining := updater.leases.ExcludeMissing(leader.Now, leader.Since, document.Directory)
-	isRight := len(arrivals) == 0 && len(remaining) == len(document.Directory)
-	if isRight || !updater.leases.IsDelivered(leader, document.Sequence) {
+	isUnchanged := len(arrivals) == 0 && len(remaining) == len(document.Directory)
+	if isUnchanged || !updater.leases.IsDelivered(leader, document.Sequence) {
 		return
 	}
 	if len(document.Directory) == 0 && leader.Now.Sub(updater.leases.FirstRequest()) < firstDirectoryDelay {
--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -51,9 +51,13 @@
 }
 
 // leader returns what the delivery of a change depends on beside the daemons' leases.
-func (daemons *daemons) leader(now time.Time) daemonlease.Leader {
-	return daemonlease.Leader{Now: now, Since: daemons.leadership.Started(), View: daemons.members.agent.Current(),
-		IsGrowing: func() bool { return daemons.members.facts(now).IsGrowing() }}
+func (daemons *daemons) leader(now time.Time) daemonlease.DeliveryContext {
+	return daemonlease.DeliveryContext{
+		Now:       now,
+		Since:     daemons.leadership.Started(),
+		View:      daemons.members.agent.Current(),
+		IsGrowing: func() bool { return daemons.members.facts(now).IsGrowing() },
+	}
 }
 
 // isDelivered reports whether the change with a sequence may be acknowledged.
@@ -81,8 +85,8 @@
 	return true
 }
 
-// answer fills in a grant for a data daemon: the head grants a lease, an acceptor confirms what the daemon has.
-func (daemons *daemons) answer(now time.Time, address string, request *wire.DaemonLeaseRequest,
+// fillGrant fills in a grant for a data daemon: the head grants a lease, an acceptor confirms what the daemon has.
+func (daemons *daemons) fillGrant(now time.Time, address string, request *wire.DaemonLeaseRequest,
 	grant *wire.DaemonLeaseGrant) {
 	if newest := daemons.members.agent.Newest(); request.View < newest.Epoch {
 		grant.View = newest
@@ -97,7 +101,7 @@
 		}
 	}
 	if !grant.Granted {
-		isMember := daemons.directory.Contains(daemons.directory.Newest(), address)
+		isMember := daemons.directory.Contains(daemons.directory.NewestDocument(), address)
 		grant.Confirmed = daemons.confirmer.Confirm(now, address, request, isMember)
 		grant.Sequence = daemons.witness.Committed()
 	}
@@ -137,5 +141,5 @@
 // isIsolated reports whether this machine has heard nobody for a while, though there are others.
 func (daemons *daemons) isIsolated(now time.Time) bool {
 	return daemons.members.detector.IsSilent(now) &&
-		(len(daemons.members.addresses()) > 0 || len(daemons.directory.Newest().Directory) > 0)
+		(len(daemons.members.addresses()) > 0 || len(daemons.directory.NewestDocument().Directory) > 0)
 }
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -15,7 +15,7 @@
 	table := handlers{}
 	handleChain(table, node)
 	handleViews(table, node)
-	handleHeads(table, node)
+	handleLeasesAndRequests(table, node)
 	handleDocuments(table, node)
 	handleRunners(table, node)
 	return table
@@ -69,8 +69,8 @@
 	})
 }
 
-// handleHeads adds what concerns leases, heartbeats and operators' requests.
-func handleHeads(table handlers, node *Node) {
+// handleLeasesAndRequests adds what concerns leases, heartbeats and operators' requests.
+func handleLeasesAndRequests(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
 		node.daemons.grantor.Request(now, envelope, body.LeaderLeaseRequest)
 	})
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -52,7 +52,7 @@
 func (node *Node) onDaemonLeaseRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) {
 	grant := &wire.DaemonLeaseGrant{Nonce: request.Nonce, ViewEpoch: node.members.agent.Newest().Epoch,
 		RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
-	node.daemons.answer(now, address, request, grant)
+	node.daemons.fillGrant(now, address, request, grant)
 	node.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_DaemonLeaseGrant{DaemonLeaseGrant: grant}})
 	node.proposals.Acknowledge(now)
 }
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		if now.After(open.deadline) {
-			requests.timeOut(open)
+			requests.finishUnresolved(open)
 			continue
 		}
 		requests.send(now, open)
@@ -143,7 +143,7 @@
 }
 
 // finishUnresolved answers for a chain that gave no answer, or none that is final (see Response).
-func (requests *Requests) timeOut(open *request) {
+func (requests *Requests) finishUnresolved(open *request) {
 	operation := open.message.Operation
 	if isWrite(open.message) && len(open.recipients) > 0 {
 		requests.counters.Unknown++
@@ -174,7 +174,7 @@
 	}
 	// A refusal by one head says nothing of another head that was asked too and may yet accept.
 	if isWrite(open.message) && response.Status != http.StatusOK && len(open.recipients) > 1 {
-		requests.timeOut(open)
+		requests.finishUnresolved(open)
 		return
 	}
 	requests.finishEncoded(response.Token, int(response.Status), response.Body)
--- a/control/storage/writer.go
+++ b/control/storage/writer.go
@@ -19,9 +19,9 @@
 	for _, write := range writes {
 		switch {
 		case write.Verify:
-			writer.sweep(write)
+			writer.verify(write)
 		case write.Snapshot != nil:
-			writer.replace(write)
+			writer.saveSnapshot(write)
 		default:
 			writer.add(write)
 		}
@@ -60,8 +60,8 @@
 	writer.synced(writer.lastSequence)
 }
 
-// sweep reads back everything on disk and compares it with what must be there.
-func (writer *batchWriter) sweep(write statemachine.Write) {
+// verify reads back everything on disk and compares it with what must be there.
+func (writer *batchWriter) verify(write statemachine.Write) {
 	writer.flush()
 	if err := writer.store.Verify(); err != nil {
 		writer.fail(err)
@@ -70,8 +70,8 @@
 	}
 }
 
-// replace writes a complete state, which repairs whatever failed before.
-func (writer *batchWriter) replace(write statemachine.Write) {
+// saveSnapshot writes a complete state, which repairs whatever failed before.
+func (writer *batchWriter) saveSnapshot(write statemachine.Write) {
 	writer.flush()
 	content, err := proto.Marshal(write.Snapshot)
 	if err == nil {
--- a/control/viewchange/proposer.go
+++ b/control/viewchange/proposer.go
@@ -81,7 +81,7 @@
 	}
 	current := facts.View
 	if current.Epoch == 0 {
-		proposer.found(facts)
+		proposer.bootstrap(facts)
 		return
 	}
 	if !membership.IsAcceptor(current, proposer.self.Id) {
@@ -144,8 +144,8 @@
 	return rank * proposer.settings.Stagger
 }
 
-// found proposes the first view once every founder is there and blank.
-func (proposer *Proposer) found(facts *reconfiguration.Facts) {
+// bootstrap proposes the first view once every founder is there and blank.
+func (proposer *Proposer) bootstrap(facts *reconfiguration.Facts) {
 	now := facts.Now
 	if !proposer.MayVote() || now.Sub(proposer.lastProposal) < proposer.settings.Stagger {
 		return
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -37,8 +37,8 @@
 const (
 	// DaemonTTL is for how long a data daemon usually relies on its lease, from the moment of its request.
 	DaemonTTL = time.Second
-	// RenewInterval is how often a data daemon that holds a lease asks the head to renew it.
-	RenewInterval = 300 * time.Millisecond
+	// DaemonRenewInterval is how often a data daemon that holds a lease asks the head to renew it.
+	DaemonRenewInterval = 300 * time.Millisecond
 )
 
 // DaemonTTLFor returns for how long a daemon may rely on a lease where a change must be in force
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -40,9 +40,9 @@
 	Seeds []string
 	// Registered is set if runners register themselves; otherwise the platform's list of runners is read.
 	Registered bool
-	// Staleness is for how long a lease or a confirmation is relied on, counted from its request; 0 means
+	// LeaseDuration is for how long a lease or a confirmation is relied on, counted from its request; 0 means
 	// lease.DaemonTTL.
-	Staleness time.Duration
+	LeaseDuration time.Duration
 	// WithoutCore is for how long after its last lease a daemon that reaches no core machine at all continues to serve
 	// with the configuration that it has; 0 means not at all.
 	WithoutCore time.Duration
@@ -89,8 +89,8 @@
 
 // New returns a controller that knows nothing yet and may not dispatch.
 func New(now time.Time, settings Settings, random *rand.Rand) *Controller {
-	if settings.Staleness == 0 {
-		settings.Staleness = lease.DaemonTTL
+	if settings.LeaseDuration == 0 {
+		settings.LeaseDuration = lease.DaemonTTL
 	}
 	// The order of these draws is part of a simulation's seed.
 	incarnation, firstNonce := random.Uint64(), uint64(random.Int63())
@@ -105,7 +105,7 @@
 		incarnation:   incarnation,
 	}
 	controller.gossip = gossip.New(settings.Zone, outbox, random, controller.gossipPeers, controller.onGossipEntry)
-	controller.leases = newLeases(settings.Staleness, controller.configuration)
+	controller.leases = newLeases(settings.LeaseDuration, controller.configuration)
 	controller.permission = newPermission(settings.WithoutCore, controller.configuration, controller.leases)
 	controller.schedule = newRequestSchedule(
 		settings.Seeds, controller.partialView, controller.leases, controller.permission)
@@ -119,7 +119,7 @@
 }
 
 // Ready empties the outbox and returns its messages, with this daemon as sender. A planned stop is StartDraining.
-func (controller *Controller) Drain() []statemachine.Message {
+func (controller *Controller) Ready() []statemachine.Message {
 	messages, _ := controller.outbox.Drain() // A data daemon writes nothing to disk.
 	for _, message := range messages {
 		envelope := message.Envelope
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -60,7 +60,7 @@
 func request(controller *Controller, now time.Time) map[string]uint64 {
 	controller.Tick(now)
 	nonces := map[string]uint64{}
-	for _, message := range controller.Drain() {
+	for _, message := range controller.Ready() {
 		if sent := message.Envelope.GetDaemonLeaseRequest(); sent != nil {
 			nonces[message.To] = sent.Nonce
 		}
@@ -92,7 +92,7 @@
 	controller := New(started, settings, rand.New(rand.NewSource(1)))
 	controller.Receive(started, document(t, 7))
 	controller.Receive(started, viewUpdate(viewOf(3)))
-	controller.Drain()
+	controller.Ready()
 	return controller
 }
 
@@ -117,7 +117,7 @@
 		t.Fatal("serves by an acceptor that knows more and one that confirms nothing")
 	}
 	controller.Receive(now, document(t, 8))
-	controller.Drain()
+	controller.Ready()
 	now = now.Add(time.Second)
 	nonces = request(controller, now)
 	respond(controller, now, nonces, 1, confirms(8, 2))
@@ -254,7 +254,7 @@
 	controller.Receive(started, document(t, 7))
 	requestFirst := func(now time.Time) uint64 {
 		controller.Tick(now)
-		for _, message := range controller.Drain() {
+		for _, message := range controller.Ready() {
 			if sent := message.Envelope.GetDaemonLeaseRequest(); sent != nil {
 				return sent.Nonce
 			}
--- a/dataplane/controller/receive_fuzz_test.go
+++ b/dataplane/controller/receive_fuzz_test.go
@@ -47,7 +47,7 @@
 		}
 		now = now.Add(100 * time.Millisecond)
 		controller.Tick(now)
-		for _, message := range controller.Drain() {
+		for _, message := range controller.Ready() {
 			if _, err := frame.Encode(message.Envelope); err != nil {
 				t.Fatal(err)
 			}
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -17,7 +17,7 @@
 func grantAt(controller *Controller, now time.Time, checksum uint64) {
 	controller.Tick(now)
 	var nonce uint64
-	for _, message := range controller.Drain() {
+	for _, message := range controller.Ready() {
 		if sent := message.Envelope.GetDaemonLeaseRequest(); sent != nil && message.To == head {
 			nonce = sent.Nonce
 		}
@@ -57,7 +57,7 @@
 func TestLeasesCountOnceTheRunnersAreLearned(t *testing.T) {
 	controller, now := startRegistered(t)
 	requested := false
-	for _, message := range controller.Drain() {
+	for _, message := range controller.Ready() {
 		requested = requested || message.To == head && message.Envelope.GetRunnerDigest().GetResponseWanted()
 	}
 	if !requested {
@@ -68,7 +68,7 @@
 	body := &wire.Envelope_RunnerUpdate{RunnerUpdate: update}
 	controller.Receive(now, &wire.Envelope{From: head, Body: body})
 	again := false
-	for _, message := range controller.Drain() {
+	for _, message := range controller.Ready() {
 		again = again || message.To == head && message.Envelope.GetDaemonLeaseRequest() != nil
 	}
 	if !again {
--- a/dataplane/controller/schedule.go
+++ b/dataplane/controller/schedule.go
@@ -12,7 +12,7 @@
 
 const (
 	// renewInterval is how often a daemon that may dispatch requests a lease.
-	renewInterval = lease.RenewInterval
+	renewInterval = lease.DaemonRenewInterval
 	// retryInterval is how often one that may not yet does.
 	retryInterval = 100 * time.Millisecond
 	// headTimeout is for how long the head may grant nothing before every core machine is asked, and broadcastInterval
--- a/dataplane/daemon/daemon.go
+++ b/dataplane/daemon/daemon.go
@@ -100,13 +100,13 @@
 	}
 	return dataplane.Settings{
 		Settings: controller.Settings{
-			Address:     settings.Address,
-			HTTP:        settings.HTTP,
-			Zone:        settings.Zone,
-			Seeds:       settings.Seeds,
-			Staleness:   lease.DaemonTTLFor(settings.ApplyTime()),
-			WithoutCore: settings.WithoutCoreTime(),
-			Registered:  settings.Registered,
+			Address:       settings.Address,
+			HTTP:          settings.HTTP,
+			Zone:          settings.Zone,
+			Seeds:         settings.Seeds,
+			LeaseDuration: lease.DaemonTTLFor(settings.ApplyTime()),
+			WithoutCore:   settings.WithoutCoreTime(),
+			Registered:    settings.Registered,
 		},
 		Codec:   adapted,
 		Retries: retrySettings(settings),
@@ -172,8 +172,8 @@
 	go every(working, dataplane.TickInterval, daemon.tick)
 	go every(working, dataplane.RebalanceInterval, daemon.Rebalance)
 	go every(working, dataplane.ProbeInterval, daemon.ProbeStale)
-	go every(working, dataplane.AgeInterval, daemon.AgeIndex)
-	go every(working, dataplane.WatchInterval, daemon.ProbeUnresponsive)
+	go every(working, dataplane.IndexAgingInterval, daemon.AgeIndex)
+	go every(working, dataplane.UnresponsiveProbeInterval, daemon.ProbeUnresponsive)
 	<-ctx.Done()
 	return daemon.drain(context.WithoutCancel(ctx), server)
 }
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -35,11 +35,11 @@
 
 // The intervals at which the owner calls the controller's Tick and the plane's periodic methods.
 const (
-	TickInterval      = 50 * time.Millisecond
-	RebalanceInterval = 20 * time.Millisecond
-	ProbeInterval     = 250 * time.Millisecond
-	AgeInterval       = 30 * time.Second
-	WatchInterval     = 100 * time.Millisecond
+	TickInterval              = 50 * time.Millisecond
+	RebalanceInterval         = 20 * time.Millisecond
+	ProbeInterval             = 250 * time.Millisecond
+	IndexAgingInterval        = 30 * time.Second
+	UnresponsiveProbeInterval = 100 * time.Millisecond
 )
 
 // Settings are the settings of a plane. Those of the controller are embedded, of which New sets the quota limiter and
@@ -185,7 +185,7 @@
 	defer plane.mutex.Unlock()
 	now := plane.environment.Now()
 	do(now, plane.controller)
-	plane.send(plane.controller.Drain())
+	plane.send(plane.controller.Ready())
 	snapshot := plane.controller.Snapshot(now)
 	previous := plane.snapshot.Swap(&snapshot)
 	plane.follow(now, snapshot)
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -42,8 +42,8 @@
 	reasonFailedRun       = "failed a run"
 )
 
-// succeeded is the outcome of an attempt whose response may be relayed.
-const succeeded scheduler.AttemptOutcome = ""
+// responseReady is the outcome of an attempt whose response may be relayed.
+const responseReady scheduler.AttemptOutcome = ""
 
 // attempt is one request at one runner: the connection, what was sent over it and the response.
 type attempt struct {
@@ -99,15 +99,15 @@
 	if !exchange.spendTry() {
 		return scheduler.NotSent
 	}
-	if outcome := attempt.send(); outcome != succeeded {
+	if outcome := attempt.send(); outcome != responseReady {
 		attempt.countNotSent()
 		return outcome
 	}
-	if outcome := attempt.readResponse(); outcome != succeeded {
+	if outcome := attempt.readResponse(); outcome != responseReady {
 		return outcome
 	}
 	exchange.state.to(stateRelaying)
-	return succeeded
+	return responseReady
 }
 
 // isAllowed checks the decision against the newest configuration, the newest list of runners and the deadline, at the
@@ -176,7 +176,7 @@
 	exchange.tries.sends++
 	attempt.connection.RequestSent(exchange.route.Idempotent && exchange.mayTry())
 	exchange.scheduler.RequestSent(attempt.sentAt, exchange.queuedRequest, attempt.decision)
-	return succeeded
+	return responseReady
 }
 
 // write passes the bytes of a request to the operating system and returns how many of them that accepted.
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -200,7 +200,7 @@
 		exchange.tries.attempts++
 		exchange.attempt = &attempt{exchange: exchange, decision: exchange.decision}
 		outcome := exchange.attempt.execute()
-		if outcome == succeeded {
+		if outcome == responseReady {
 			return nil
 		}
 		exchange.attempt.release()
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -43,10 +43,10 @@
 	until := handler.Snapshot().Until
 	// One that has just started knows its configuration to be current within a moment; there is no outage to go by yet.
 	if until.Before(handler.Started) {
-		return max(lease.RenewInterval, usualStartup-now.Sub(handler.Started))
+		return max(lease.DaemonRenewInterval, usualStartup-now.Sub(handler.Started))
 	}
 	// An outage lasts, as far as can be known, about as long again as it has lasted.
-	return min(longestRetryAfter, max(lease.RenewInterval, now.Sub(until)))
+	return min(longestRetryAfter, max(lease.DaemonRenewInterval, now.Sub(until)))
 }
 
 // rejectedByScheduler counts and returns the rejection that the scheduler decided on.
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -110,7 +110,7 @@
 		return scheduler.Ambiguous
 	}
 	attempt.first = first
-	return succeeded
+	return responseReady
 }
 
 // readBody reads a response that is no stream.
@@ -132,7 +132,7 @@
 	}
 	attempt.response.StreamBody = false
 	attempt.body = body
-	return succeeded
+	return responseReady
 }
 
 // handleFailedRun handles an error of the runner's own: the run has ended and may be started again only where that does
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -186,7 +186,7 @@
 
 func (world *world) drain(host *host) {
 	if !host.core {
-		for _, outgoing := range host.controller.Drain() {
+		for _, outgoing := range host.controller.Ready() {
 			world.transmit(host, outgoing)
 		}
 		return
--- a/verify/simulation/process.go
+++ b/verify/simulation/process.go
@@ -216,8 +216,8 @@
 	}
 	world.every(host, incarnation, dataplane.RebalanceInterval, made.Rebalance)
 	world.every(host, incarnation, dataplane.ProbeInterval, made.ProbeStale)
-	world.every(host, incarnation, dataplane.WatchInterval, made.ProbeUnresponsive)
-	world.every(host, incarnation, dataplane.AgeInterval, made.AgeIndex)
+	world.every(host, incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
+	world.every(host, incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
 }
 
 // recordLease notes since when a data daemon has been sure of its spec.
