--- a/dataplane/prober_test.go
+++ b/dataplane/prober_test.go
@@ -79,7 +79,7 @@
 // freshCodec keeps reports fresh for one second.
 type freshCodec struct{ codec.Native }
 
-func (freshCodec) Fresh() time.Duration { return time.Second }
+func (freshCodec) ReportTTL() time.Duration { return time.Second }
 
 // Reports stay fresh for longer in large fleets.
 func TestFreshnessGrowsWithTheFleet(t *testing.T) {
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -14,9 +14,9 @@
 	stopped int
 }
 
-func (client *watchedClient) Left() bool { return client.left }
+func (client *watchedClient) Disconnected() bool { return client.left }
 
-func (client *watchedClient) Watch(left func()) (stop func()) {
+func (client *watchedClient) OnDisconnect(left func()) (stop func()) {
 	client.notify = left
 	return func() { client.stopped++ }
 }
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -24,9 +24,9 @@
 	return client.departed.Header(name)
 }
 
-func (client *recordingClient) Left() bool { return false }
+func (client *recordingClient) Disconnected() bool { return false }
 
-func (client *recordingClient) Answer(status int, _ []netio.Header, body []byte) {
+func (client *recordingClient) Respond(status int, _ []netio.Header, body []byte) {
 	client.status, client.content = status, body
 }
 
