--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -105,12 +105,12 @@
 		checker.committed[document.Sequence] = digest
 		checker.checkOutcomes(host, document)
 	}
-	if !host.node.IsLeading(checker.world.local(host)) {
+	if !host.node.IsLeading(host.local()) {
 		return
 	}
 	checker.countCopies(host)
 	for _, other := range checker.world.Hosts {
-		if other != host && other.Core && other.up && !other.frozen && other.node.IsLeading(checker.world.local(other)) {
+		if other != host && other.Core && other.up && !other.frozen && other.node.IsLeading(other.local()) {
 			checker.violation("%s and %s lead at once", host.Address, other.Address)
 		}
 	}
@@ -143,8 +143,8 @@
 
 // checkDaemon has a data daemon award work at this moment, if it would, and checks what it would go by.
 func (checker *Checker) checkDaemon(host *Host) {
-	world, local := checker.world, checker.world.local(host)
-	world.refreshIsolation()
+	world, local := checker.world, host.local()
+	world.isolations.refresh()
 	snapshot := host.controller.Snapshot(local)
 	if !local.Before(snapshot.Until) || snapshot.Catalog == nil {
 		checker.Refusals++
@@ -214,8 +214,8 @@
 		return order
 	}
 	least := checker.greatestAcknowledged()
-	world.on(host, host.incarnation, func() {
-		host.node.Submit(world.local(host), ask, func(status int, body []byte) {
+	host.on(host.incarnation, func() {
+		host.node.Submit(host.local(), ask, func(status int, body []byte) {
 			reply := node.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
 				checker.violation("an answer that is no JSON: %s", body)
@@ -226,7 +226,8 @@
 			if status == 504 || order.Resent && status == 503 {
 				order.Outcome = "unknown"
 			}
-			recorded.Got, recorded.Outcome, recorded.Epoch, recorded.HTTPStatus = world.Now, order.Outcome, order.Epoch, status
+			recorded.Got, recorded.Outcome = world.Now, order.Outcome
+			recorded.Epoch, recorded.HTTPStatus = order.Epoch, status
 			checker.checkReply(order, ask, least)
 		})
 	})
@@ -310,7 +311,7 @@
 func (checker *Checker) checkCopies(order *Order) {
 	// With three disks or more no change may be told as accepted that stands on one disk only.
 	for _, host := range checker.world.Cores() {
-		if host.up && !host.frozen && host.node.IsLeading(checker.world.local(host)) {
+		if host.up && !host.frozen && host.node.IsLeading(host.local()) {
 			checker.countCopies(host)
 		}
 	}
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -76,7 +76,7 @@
 		client.finish(true)
 		return
 	}
-	traffic.world.After(traffic.world.transitTime(), func() {
+	traffic.world.After(traffic.world.network.transitTime(), func() {
 		if !host.up {
 			client.attempts++
 			if client.attempts >= 5 || client.record.Resent {
@@ -91,7 +91,7 @@
 		if client.hungUp {
 			client.deliverHangUp()
 		}
-		traffic.world.spawn(host, func() {
+		traffic.world.coroutines.spawn(host, func() {
 			client.read, client.record.Started = true, traffic.world.Now
 			host.plane.Handler.Serve(client)
 			client.finish(
@@ -131,7 +131,8 @@
 	client.finish(lost)
 	traffic := client.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	if !lost || traffic.Retries == 0 || traffic.world.Loss > 0 || len(traffic.world.cuts) > 0 || client.record.Resent {
+	troubled := traffic.world.network.Loss > 0 || traffic.world.topology.hasCuts()
+	if !lost || traffic.Retries == 0 || troubled || client.record.Resent {
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
@@ -182,12 +183,12 @@
 	// From the moment at which its last way was lost a request has nothing to wait for, but that its daemon is sure of
 	// its spec: only then can it be said whether there is another way.
 	world := client.traffic.world
-	decided := world.current.decided
+	decided := world.coroutines.current.decided
 	if client.host.leasedSince.After(decided) {
 		decided = client.host.leasedSince
 	}
-	if held := world.Now.Sub(decided); !world.current.decided.IsZero() && held > answerBound &&
-		world.local(client.host).Before(client.host.plane.Snapshot().Until) {
+	if held := world.Now.Sub(decided); !world.coroutines.current.decided.IsZero() && held > answerBound &&
+		client.host.local().Before(client.host.plane.Snapshot().Until) {
 		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request,
 			client.record.Kind, held)
 	}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -61,29 +61,25 @@
 func (address address) Network() string { return "sim" }
 func (address address) String() string  { return string(address) }
 
-// passes reports whether anything gets from one host's machine to another's now.
-func (world *World) passes(from, to *Host) bool {
-	return !world.cuts[[2]string{from.Address, to.Address}] && !from.poweredOff && !to.poweredOff
-}
-
-func (world *World) transitTime() time.Duration {
-	return world.Delay/4 + time.Duration(world.random.Int63n(int64(world.Jitter)/4+1))
+func (network *network) transitTime() time.Duration {
+	return network.Delay/4 + time.Duration(network.world.random.Int63n(int64(network.Jitter)/4+1))
 }
 
 // dial makes a connection from the running coroutine.
-func (world *World) dial(ctx context.Context, from *Host, target string, terms netio.Timeouts) (netio.Conn, error) {
-	to, started, coroutine := world.byName[target], world.Now, world.current
+func (network *network) dial(ctx context.Context, from *Host, target string, terms netio.Timeouts) (netio.Conn, error) {
+	world := network.world
+	to, started, coroutine := world.byName[target], world.Now, world.coroutines.current
 	defer func() { coroutine.decided = world.Now }()
-	for to != nil && !(world.passes(from, to) && world.passes(to, from)) {
+	for to != nil && !(world.topology.passes(from, to) && world.topology.passes(to, from)) {
 		if world.Now.Sub(started) >= terms.Dial {
 			return nil, apierror.Wrap(os.ErrDeadlineExceeded, apierror.Unreachable, "dialing %s", target)
 		}
-		world.wait(ctx, min(retryEvery, terms.Dial), nil)
+		world.coroutines.wait(ctx, min(retryEvery, terms.Dial), nil)
 		if err := ctx.Err(); err != nil {
 			return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 		}
 	}
-	world.wait(ctx, 2*world.transitTime(), nil)
+	world.coroutines.wait(ctx, 2*network.transitTime(), nil)
 	if err := ctx.Err(); err != nil {
 		return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 	}
@@ -95,7 +91,7 @@
 	near.peer = far
 	from.conns, to.conns = append(from.conns, near), append(to.conns, far)
 	engine := to.engine
-	world.spawn(to, func() { engine.serve(far) })
+	world.coroutines.spawn(to, func() { engine.serve(far) })
 	return near, nil
 }
 
@@ -105,8 +101,8 @@
 	}
 	conn.cancelRun()
 	conn.inFlight = nil
-	conn.world.wake(conn.reader)
-	conn.world.wake(conn.server)
+	conn.world.coroutines.wake(conn.reader)
+	conn.world.coroutines.wake(conn.server)
 	for index, other := range conn.owner.conns {
 		if other == conn {
 			conn.owner.conns = append(conn.owner.conns[:index], conn.owner.conns[index+1:]...)
@@ -118,10 +114,10 @@
 // reset tells the other side that this end is no more, if that can be told.
 func (conn *conn) reset() {
 	world, peer := conn.world, conn.peer
-	if !world.passes(conn.owner, peer.owner) {
+	if !world.topology.passes(conn.owner, peer.owner) {
 		return
 	}
-	world.After(world.transitTime(), func() { peer.fail(errReset) })
+	world.After(world.network.transitTime(), func() { peer.fail(errReset) })
 }
 
 // crash ends this end with its process; reachable is whether its machine still answers for it.
@@ -154,7 +150,7 @@
 		return
 	}
 	conn.pumping = true
-	conn.world.After(conn.world.transitTime(), conn.transfer)
+	conn.world.After(conn.world.network.transitTime(), conn.transfer)
 }
 
 func (conn *conn) transfer() {
@@ -163,7 +159,7 @@
 		return
 	}
 	world, peer, first := conn.world, conn.peer, conn.inFlight[0]
-	if !world.passes(conn.owner, peer.owner) || !world.passes(peer.owner, conn.owner) {
+	if !world.topology.passes(conn.owner, peer.owner) || !world.topology.passes(peer.owner, conn.owner) {
 		if conn.terms.Unacknowledged > 0 && world.Now.Sub(first.sent) >= conn.terms.Unacknowledged {
 			conn.fail(errNotAccepted)
 			return
@@ -181,13 +177,13 @@
 		peer.receivedAt, peer.sentAt = world.Now, first.sent
 	}
 	peer.received, peer.finished = append(peer.received, first.content...), peer.finished || first.end
-	world.wake(peer.reader)
+	world.coroutines.wake(peer.reader)
 	conn.startTransfer()
 }
 
 // Read returns what has arrived, and parks until something has.
 func (conn *conn) Read(into []byte) (int, error) {
-	coroutine := conn.world.current
+	coroutine := conn.world.coroutines.current
 	defer func() { coroutine.decided = conn.world.Now }()
 	for {
 		if conn.closed || conn.contextEnded() {
@@ -204,10 +200,10 @@
 		if conn.finished {
 			return 0, io.EOF
 		}
-		if !conn.deadline.IsZero() && !conn.world.local(conn.owner).Before(conn.deadline) {
+		if !conn.deadline.IsZero() && !conn.owner.local().Before(conn.deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		conn.reader = conn.world.current
+		conn.reader = conn.world.coroutines.current
 		conn.reader.arrive = conn.contextEnded
 		conn.reader.park()
 		conn.reader.arrive = nil
@@ -236,7 +232,7 @@
 	}
 	conn.closed = true
 	conn.peer.cancelRun()
-	conn.world.wake(conn.reader)
+	conn.world.coroutines.wake(conn.reader)
 	if conn.owner.engine != nil {
 		conn.inFlight = append(conn.inFlight, packet{sent: conn.world.Now, end: true})
 		conn.startTransfer()
@@ -273,11 +269,11 @@
 	if at.IsZero() {
 		return nil
 	}
-	left := at.Sub(conn.world.local(conn.owner))
+	left := at.Sub(conn.owner.local())
 	// The owner's clock may go half a percent slower than the world's.
 	conn.world.After(max(0, left+left/100+time.Millisecond), func() {
 		if conn.deadline.Equal(at) {
-			conn.world.wake(conn.reader)
+			conn.world.coroutines.wake(conn.reader)
 		}
 	})
 	return nil
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -113,7 +113,7 @@
 		LostAnswers: 0.2,
 		harm: func(world *World) {
 			cut(world)
-			world.After(cutLength, world.Heal)
+			world.After(cutLength, world.topology.Heal)
 		},
 	}
 }
@@ -122,20 +122,20 @@
 var CutDays = map[string]ControlDay{
 	"leader off": cutDay(func(world *World) {
 		head := world.head()
-		world.CutOff([]*Host{head}, without(world.Hosts, head))
+		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 	}),
 	"leader off from the core": cutDay(func(world *World) {
 		head := world.head()
-		world.CutOff([]*Host{head}, without(world.Cores(), head))
+		world.topology.CutOff([]*Host{head}, without(world.Cores(), head))
 	}),
 	"leader off, back at the worst moment": cutDay(func(world *World) {
 		head := world.head()
 		var flap func()
 		flap = func() {
-			world.CutOff([]*Host{head}, without(world.Cores(), head))
+			world.topology.CutOff([]*Host{head}, without(world.Cores(), head))
 			// It comes back about when the next leader begins to act, and goes again.
 			world.After(time.Duration(world.random.Int63n(int64(3*time.Second))), func() {
-				world.Heal()
+				world.topology.Heal()
 				world.After(time.Duration(world.random.Int63n(int64(time.Second))), flap)
 			})
 		}
@@ -150,40 +150,40 @@
 	}),
 	"leader off and killed before it is back": cutDay(func(world *World) {
 		head := world.head()
-		world.CutOff([]*Host{head}, without(world.Hosts, head))
+		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		world.After(cutLength-time.Second, func() {
-			world.Kill(head)
-			world.After(1500*time.Millisecond, func() { world.Boot(head) })
+			head.Kill()
+			world.After(1500*time.Millisecond, func() { head.Boot() })
 		})
 	}),
-	"leader unheard": cutDay(func(world *World) { world.cutOneWay(world.head(), true) }),
-	"leader deaf":    cutDay(func(world *World) { world.cutOneWay(world.head(), false) }),
+	"leader unheard": cutDay(func(world *World) { world.topology.cutOneWay(world.head(), world.Hosts, true) }),
+	"leader deaf":    cutDay(func(world *World) { world.topology.cutOneWay(world.head(), world.Hosts, false) }),
 	"one link, one way": cutDay(func(world *World) {
 		head := world.head()
 		other := world.pick(without(world.Cores(), head))
 		pair := []*Host{head, other}
 		from := world.random.Intn(2)
-		world.Cut(pair[from], pair[1-from])
+		world.topology.Cut(pair[from], pair[1-from])
 	}),
 	"both halves": cutDay(func(world *World) {
 		left, right := world.halves()
-		world.CutOff(left, right)
+		world.topology.CutOff(left, right)
 	}),
 	"both halves, one way": cutDay(func(world *World) {
 		left, right := world.halves()
 		for _, one := range left {
 			for _, other := range right {
-				world.Cut(one, other)
+				world.topology.Cut(one, other)
 			}
 		}
 	}),
 	"leader off by resets": cutDay(func(world *World) {
 		head := world.head()
-		world.CutOff([]*Host{head}, without(world.Hosts, head))
+		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		var reset func()
 		end := world.Now.Add(cutLength + time.Second)
 		reset = func() {
-			world.resetConnections(head)
+			head.resetConnections()
 			if world.Now.Before(end) {
 				world.After(300*time.Millisecond, reset)
 			}
@@ -192,7 +192,7 @@
 	}),
 	"seeds on the wrong side": cutDay(func(world *World) {
 		head := world.head()
-		world.CutOff([]*Host{head}, without(world.Hosts, head))
+		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		// Whoever starts now knows no core machine but the one that is cut off.
 		for _, host := range world.Hosts {
 			host.seeds = []string{head.Address}
@@ -217,23 +217,12 @@
 		// Without the other daemons too, or they would hear of changes by gossip.
 		datas := world.Datas()
 		lost, rest := datas[:len(datas)/3], append(world.Cores(), datas[len(datas)/3:]...)
-		world.CutOff(lost, rest)
+		world.topology.CutOff(lost, rest)
 	})
 	day.WithoutCore = setting
 	return day
 }
 
-// cutOneWay lets a machine be heard by nobody, or hear nobody.
-func (world *World) cutOneWay(host *Host, unheard bool) {
-	for _, other := range without(world.Hosts, host) {
-		if unheard {
-			world.Cut(host, other)
-		} else {
-			world.Cut(other, host)
-		}
-	}
-}
-
 // halves parts the zones into two sides at random.
 func (world *World) halves() (left, right []*Host) {
 	first := world.pick(world.Cores()).Zone
@@ -247,9 +236,6 @@
 	return left, right
 }
 
-// resetConnections loses all that is on its way to or from a machine.
-func (world *World) resetConnections(host *Host) { host.resetAt = world.Now }
-
 // RaceDays are races with lost answers, with the core whole and with a leader that changes.
 var RaceDays = map[string]ControlDay{
 	"answers lost": {Length: 20 * time.Second, LostAnswers: 0.6, harm: func(*World) {}},
@@ -257,8 +243,8 @@
 		for count := range 3 {
 			world.After(time.Duration(count)*6*time.Second, func() {
 				head := world.head()
-				world.Kill(head)
-				world.After(time.Second, func() { world.Boot(head) })
+				head.Kill()
+				world.After(time.Second, func() { head.Boot() })
 			})
 		}
 	}},
@@ -266,8 +252,8 @@
 		for count := range 3 {
 			world.After(time.Duration(count)*6*time.Second, func() {
 				head := world.head()
-				world.Freeze(head)
-				world.After(2500*time.Millisecond, func() { world.Wake(head) })
+				head.Freeze()
+				world.After(2500*time.Millisecond, func() { head.Wake() })
 			})
 		}
 	}},
@@ -276,46 +262,30 @@
 // firstLosses are how a machine is taken out, or mended; each gives the machine that is new, and is over by itself.
 var firstLosses = map[string]func(world *World, old *Host){
 	"repair": func(world *World, old *Host) {
-		world.Wipe(old)
-		world.After(time.Second, func() { world.Boot(old) })
+		old.Wipe()
+		world.After(time.Second, func() { old.Boot() })
 	},
 	"planned leave and return": func(world *World, old *Host) {
-		world.leaveInOrder(old, func() { world.After(time.Second, func() { world.Boot(old) }) })
+		old.leaveInOrder(func() { world.After(time.Second, func() { old.Boot() }) })
 	},
 	"planned replacement": func(world *World, old *Host) {
-		world.leaveInOrder(old, func() { old.removed = true })
+		old.leaveInOrder(func() { old.removed = true })
 		world.replacement(old)
 	},
 	"unplanned replacement": func(world *World, old *Host) {
-		world.Power(old)
+		old.Power()
 		old.removed = true
 		world.After(time.Second, func() { world.replacement(old) })
 	},
 }
 
-// leaveInOrder has a core machine stop as its process does: it says so, ends once it may, or when its time is over.
-func (world *World) leaveInOrder(host *Host, then func()) {
-	started := world.Now
-	world.on(host, host.incarnation, func() { host.node.Decommission(world.local(host)) })
-	var look func()
-	look = func() {
-		if host.up && !host.node.IsDecommissioned(world.local(host)) && world.Now.Sub(started) < graceTime {
-			world.After(20*time.Millisecond, look)
-			return
-		}
-		world.Kill(host)
-		then()
-	}
-	look()
-}
-
 // replacement starts a machine with an empty disk at another address.
 func (world *World) replacement(old *Host) {
 	world.replaced++
 	host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
 	host.everStarted = true
 	world.shuffleSeeds()
-	world.Boot(host)
+	host.Boot()
 }
 
 // SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its
@@ -349,12 +319,12 @@
 					fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address,
 						old.Address),
 				)
-				world.Power(second)
+				second.Power()
 				if wiped {
-					world.Wipe(second)
+					second.Wipe()
 					second.poweredOff = true
 				}
-				world.After(5*time.Second, func() { world.Boot(second) })
+				world.After(5*time.Second, func() { second.Boot() })
 			})
 		},
 	}
@@ -369,14 +339,14 @@
 // ManyChangeDays are hundreds of changes while members are away for long, or their disks are full, slow or stalled.
 var ManyChangeDays = map[string]ControlDay{
 	"a member away": manyChangeDay(
-		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+		func(_ *World, host *Host) func() { host.Power(); return reboot(host) },
 	),
 	"a member cut off": manyChangeDay(func(world *World, host *Host) func() {
-		world.CutOff([]*Host{host}, without(world.Hosts, host))
-		return world.Heal
+		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
+		return world.topology.Heal
 	}),
 	"a member's disk replaced": manyChangeDay(
-		func(world *World, host *Host) func() { world.Wipe(host); return reboot(world, host) },
+		func(_ *World, host *Host) func() { host.Wipe(); return reboot(host) },
 	),
 	"a disk full": manyChangeDay(func(_ *World, host *Host) func() {
 		full := host.disk
@@ -387,9 +357,9 @@
 		host.diskDelay = 300 * time.Millisecond
 		return func() { host.diskDelay = 0 }
 	}),
-	"a disk stalled": manyChangeDay(func(world *World, host *Host) func() {
+	"a disk stalled": manyChangeDay(func(_ *World, host *Host) func() {
 		host.stalled = true
-		return func() { host.stalled = false; world.write(host) }
+		return func() { host.stalled = false; host.write() }
 	}),
 	"restarts": manyChangeDay(func(world *World, _ *Host) func() {
 		return world.restart(append(world.Cores(), world.Datas()...))
@@ -401,7 +371,7 @@
 	const turns, pause = 3, 4 * time.Second
 	length := manyChanges/turns - pause
 	return ControlDay{Length: manyChanges, RaceEvery: 2 * time.Second, harm: func(world *World) {
-		world.changeSteadily(100*time.Millisecond, world.Now.Add(manyChanges))
+		newOperators(world, 4_000_000).changeSteadily(100*time.Millisecond, world.Now.Add(manyChanges))
 		for turn := range turns {
 			world.After(time.Duration(turn)*(length+pause), func() {
 				host := world.pick(world.Cores())
@@ -414,38 +384,23 @@
 	}}
 }
 
-// changeSteadily has one operator send a change every so often, each on what is known by then.
-func (world *World) changeSteadily(every time.Duration, until time.Time) {
-	operators := &Operators{world: world, number: 4_000_000}
-	var next func()
-	next = func() {
-		if !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.greatestKnown()
-		operators.apply(world.pick(world.Cores()))
-		world.After(every, next)
-	}
-	next()
-}
-
 // darkShare is the part of the data daemons that is lost on the days of the fifth kind.
 const darkShare = 0.7
 
 // DarkDays are most data daemons gone while the core is whole.
 var DarkDays = map[string]ControlDay{
 	"most daemons without power": darkDay(
-		func(world *World, host *Host) func() { world.Power(host); return reboot(world, host) },
+		func(_ *World, host *Host) func() { host.Power(); return reboot(host) },
 	),
 	"most daemons cut off": darkDay(func(world *World, host *Host) func() {
-		world.CutOff([]*Host{host}, without(world.Hosts, host))
-		return world.Heal
+		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
+		return world.topology.Heal
 	}),
 	"most daemons frozen": darkDay(
-		func(world *World, host *Host) func() { world.Freeze(host); return func() { world.Wake(host) } },
+		func(_ *World, host *Host) func() { host.Freeze(); return func() { host.Wake() } },
 	),
 	"most daemons removed": darkDay(
-		func(world *World, host *Host) func() { world.Kill(host); host.removed = true; return func() {} },
+		func(_ *World, host *Host) func() { host.Kill(); host.removed = true; return func() {} },
 	),
 }
 
@@ -458,33 +413,6 @@
 		for _, host := range datas[:int(float64(len(datas))*darkShare+0.5)] {
 			world.After(length, harm(world, host))
 		}
-		world.wantAcknowledged(700*time.Millisecond, world.Now.Add(length))
+		newOperators(world, 5_000_000).wantAcknowledged(700*time.Millisecond, world.Now.Add(length))
 	}}
 }
-
-// wantAcknowledged sends a change every so often, on the newest version, and wants each acknowledged within the bound
-// unless another one won the race.
-func (world *World) wantAcknowledged(every time.Duration, until time.Time) {
-	operators := &Operators{world: world, number: 5_000_000}
-	var next func()
-	next = func() {
-		if !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.greatestKnown()
-		order := operators.apply(world.pick(world.Cores()))
-		world.After(acknowledgementBound, func() {
-			took := acknowledgementBound
-			if order.Outcome != "unknown" {
-				took = order.Got.Sub(order.Sent)
-			}
-			world.Check.recordWorst("answer to a change while most daemons are gone", took)
-			if order.Outcome == "unknown" {
-				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
-					acknowledgementBound)
-			}
-		})
-		world.After(every, next)
-	}
-	next()
-}
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -15,8 +15,8 @@
 	Do func(world *World) (undo func())
 }
 
-func reboot(world *World, host *Host) func() {
-	return func() { world.Boot(host) }
+func reboot(host *Host) func() {
+	return func() { host.Boot() }
 }
 
 func (world *World) pick(hosts []*Host) *Host { return hosts[world.random.Intn(len(hosts))] }
@@ -26,14 +26,14 @@
 	"data killed": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(true, 0, host)
-		world.Kill(host)
-		return both(over, reboot(world, host))
+		host.Kill()
+		return both(over, reboot(host))
 	},
 	"data without power": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(true, unresponsiveBound, host)
-		world.Power(host)
-		return both(over, reboot(world, host))
+		host.Power()
+		return both(over, reboot(host))
 	},
 	"daemons restarted": func(world *World) func() {
 		return world.restart(world.Datas())
@@ -47,48 +47,48 @@
 			return func() {}
 		}
 		old := world.pick(world.Cores())
-		world.Kill(old)
+		old.Kill()
 		old.removed, old.poweredOff = true, world.random.Intn(2) == 0
 		world.replaced++
 		host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
 		host.everStarted = true
 		world.shuffleSeeds()
-		return reboot(world, host)
+		return reboot(host)
 	},
 	"data frozen": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(false, 0, host)
-		world.Freeze(host)
-		return both(over, func() { world.Wake(host) })
+		host.Freeze()
+		return both(over, func() { host.Wake() })
 	},
 	"data cut off": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(false, 0, host)
-		world.CutOff([]*Host{host}, without(world.Hosts, host))
-		return both(over, world.Heal)
+		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
+		return both(over, world.topology.Heal)
 	},
 	"data cut from control": func(world *World) func() {
 		host := world.pick(world.Datas())
-		world.CutOff([]*Host{host}, world.Cores())
-		return world.Heal
+		world.topology.CutOff([]*Host{host}, world.Cores())
+		return world.topology.Heal
 	},
 	"data deaf": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(false, 0, host)
 		for _, other := range without(world.Hosts, host) {
-			world.Cut(other, host)
+			world.topology.Cut(other, host)
 		}
-		return both(over, world.Heal)
+		return both(over, world.topology.Heal)
 	},
 	"core killed": func(world *World) func() {
 		host := world.pick(world.Cores())
-		world.Kill(host)
-		return reboot(world, host)
+		host.Kill()
+		return reboot(host)
 	},
 	"core without power": func(world *World) func() {
 		host := world.pick(world.Cores())
-		world.Power(host)
-		return reboot(world, host)
+		host.Power()
+		return reboot(host)
 	},
 	"core wiped": func(world *World) func() {
 		// Two disks lost at once are more than any deployment bears, and nothing could be checked after that.
@@ -96,28 +96,28 @@
 			return func() {}
 		}
 		host := world.pick(world.Cores())
-		world.Wipe(host)
-		return reboot(world, host)
+		host.Wipe()
+		return reboot(host)
 	},
 	"core frozen": func(world *World) func() {
 		host := world.pick(world.Cores())
-		world.Freeze(host)
-		return func() { world.Wake(host) }
+		host.Freeze()
+		return func() { host.Wake() }
 	},
 	"disk stalled": func(world *World) func() {
 		host := world.pick(world.Cores())
 		host.stalled = true
-		return func() { host.stalled = false; world.write(host) }
+		return func() { host.stalled = false; host.write() }
 	},
 	"head's disk stalled": func(world *World) func() {
 		host := world.head()
 		host.stalled = true
-		return func() { host.stalled = false; world.write(host) }
+		return func() { host.stalled = false; host.write() }
 	},
 	"head killed": func(world *World) func() {
 		host := world.head()
-		world.Kill(host)
-		return reboot(world, host)
+		host.Kill()
+		return reboot(host)
 	},
 	"core slow": func(world *World) func() {
 		host := world.pick(world.Cores())
@@ -128,8 +128,8 @@
 		cores := world.Cores()
 		world.random.Shuffle(len(cores),
 			func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
-		world.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
-		return world.Heal
+		world.topology.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
+		return world.topology.Heal
 	},
 	"disk slow": func(world *World) func() {
 		host := world.pick(world.Cores())
@@ -156,7 +156,7 @@
 				for _, host := range world.Hosts {
 					if host.up && (host.Core || world.random.Intn(2) == 0) {
 						overs = append(overs, world.touch(true, unresponsiveBound, host))
-						world.Power(host)
+						host.Power()
 						lost = append(lost, host)
 					}
 				}
@@ -165,7 +165,7 @@
 		return func() {
 			world.Check.OnAccepted = nil
 			for index, host := range lost {
-				world.Boot(host)
+				host.Boot()
 				overs[index]()
 			}
 		}
@@ -186,10 +186,10 @@
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
 					overs = append(overs, world.touch(true, unresponsiveBound, host))
-					world.Power(host)
+					host.Power()
 				}
 				for _, host := range cores[:min(world.Faults, len(cores)-1)] {
-					world.Wipe(host)
+					host.Wipe()
 					host.poweredOff = true
 				}
 			})
@@ -197,7 +197,7 @@
 		return func() {
 			world.Check.OnAccepted = nil
 			for index, host := range lost {
-				world.Boot(host)
+				host.Boot()
 				overs[index]()
 			}
 		}
@@ -221,77 +221,78 @@
 	},
 	"core cut off": func(world *World) func() {
 		host := world.pick(world.Cores())
-		world.CutOff([]*Host{host}, without(world.Hosts, host))
-		return world.Heal
+		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
+		return world.topology.Heal
 	},
 	"core deaf": func(world *World) func() {
 		host := world.pick(world.Cores())
 		for _, other := range without(world.Hosts, host) {
-			world.Cut(other, host)
+			world.topology.Cut(other, host)
 		}
-		return world.Heal
+		return world.topology.Heal
 	},
 	"core mute": func(world *World) func() {
 		host := world.pick(world.Cores())
 		for _, other := range without(world.Hosts, host) {
-			world.Cut(host, other)
+			world.topology.Cut(host, other)
 		}
-		return world.Heal
+		return world.topology.Heal
 	},
 	"core link cut one way": func(world *World) func() {
 		host := world.pick(world.Cores())
-		world.Cut(host, world.pick(without(world.Cores(), host)))
-		return world.Heal
+		world.topology.Cut(host, world.pick(without(world.Cores(), host)))
+		return world.topology.Heal
 	},
 	"control cut from data": func(world *World) func() {
-		world.CutOff(world.Cores(), world.Datas())
-		return world.Heal
+		world.topology.CutOff(world.Cores(), world.Datas())
+		return world.topology.Heal
 	},
 	"zone cut off": func(world *World) func() {
 		zone := world.pick(world.Cores()).Zone
 		inside, outside := world.zone(zone)
 		over := world.touch(false, unresponsiveBound, inside...)
-		world.CutOff(inside, outside)
-		return both(over, world.Heal)
+		world.topology.CutOff(inside, outside)
+		return both(over, world.topology.Heal)
 	},
 	"zone lost": func(world *World) func() {
 		inside, _ := world.zone(world.pick(world.Cores()).Zone)
 		over := world.touch(true, unresponsiveBound, inside...)
 		for _, host := range inside {
-			world.Power(host)
+			host.Power()
 		}
 		return func() {
 			over()
 			for _, host := range inside {
-				world.Boot(host)
+				host.Boot()
 			}
 		}
 	},
 	"all down": func(world *World) func() {
 		over := world.touch(true, unresponsiveBound, world.Hosts...)
 		for _, host := range world.Hosts {
-			world.Power(host)
+			host.Power()
 		}
 		return func() {
 			over()
 			for _, host := range world.Hosts {
-				world.Boot(host)
+				host.Boot()
 			}
 			if traffic := world.Traffic; traffic != nil {
 				traffic.History.Returns = append(traffic.History.Returns, histories.Return{At: world.Now})
-				world.retryChange(world.Now.Add(returnBound))
+				operators := newOperators(world, 700_000+100*len(world.Check.Orders))
+				operators.retryChange(world.Now.Add(returnBound))
 			}
 		}
 	},
 	"lossy network": func(world *World) func() {
-		world.Loss = 0.15
-		return func() { world.Loss = 0 }
+		world.network.Loss = 0.15
+		return func() { world.network.Loss = 0 }
 	},
 	"slow network": func(world *World) func() {
 		// At 0.4 s a message no daemon can be sure of a new spec in time; the brief knows no such network.
 		over := world.touch(false, unresponsiveBound, world.Hosts...)
-		world.Jitter = 400 * time.Millisecond
-		return both(over, func() { world.Jitter = 4 * time.Millisecond })
+		world.network.Jitter = 400 * time.Millisecond
+		return both(over, func() { world.network.Jitter = defaultJitter })
 	},
 	"runner replaced": func(world *World) func() {
 		if world.Traffic != nil {
@@ -311,12 +312,12 @@
 				return
 			}
 			over := world.touch(true, 0, restarted)
-			world.Kill(restarted)
+			restarted.Kill()
 			incarnation := restarted.incarnation
 			world.After(200*time.Millisecond+time.Duration(world.random.Int63n(int64(200*time.Millisecond))), func() {
 				over()
 				if restarted.incarnation == incarnation {
-					world.Boot(restarted)
+					restarted.Boot()
 				}
 			})
 		})
@@ -348,17 +349,6 @@
 	return rest
 }
 
-func (world *World) zone(zone string) (inside, outside []*Host) {
-	for _, host := range world.Hosts {
-		if host.Zone == zone {
-			inside = append(inside, host)
-		} else {
-			outside = append(outside, host)
-		}
-	}
-	return inside, outside
-}
-
 // harm finds a kind of fault by its name.
 func harm(name string) func(world *World) (undo func()) {
 	if found := Faults[name]; found != nil {
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -31,8 +31,15 @@
 // processEnded unwinds a coroutine whose process has ended.
 type processEnded struct{}
 
+// coroutines runs the pieces of work of all hosts, one at a time.
+type coroutines struct {
+	world *World
+	// current is the coroutine that runs now; nil: none does.
+	current *coroutine
+}
+
 // spawn begins a piece of work in a host's process.
-func (world *World) spawn(host *Host, work func()) {
+func (coroutines *coroutines) spawn(host *Host, work func()) {
 	made := &coroutine{host: host, incarnation: host.incarnation}
 	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
 		made.yield = yield
@@ -44,29 +51,30 @@
 		work()
 	})
 	host.coroutines = append(host.coroutines, made)
-	world.wake(made)
+	coroutines.wake(made)
 }
 
 // wake lets a coroutine go on a moment later, or when its host wakes from a freeze.
-func (world *World) wake(coroutine *coroutine) {
+func (coroutines *coroutines) wake(coroutine *coroutine) {
+	world := coroutines.world
 	if coroutine == nil || coroutine.woken || coroutine.finished {
 		return
 	}
 	coroutine.woken = true
 	world.After(time.Duration(world.random.Int63n(int64(60*time.Microsecond))), func() {
-		world.on(coroutine.host, coroutine.incarnation, func() { world.goOn(coroutine) })
+		coroutine.host.on(coroutine.incarnation, func() { coroutines.goOn(coroutine) })
 	})
 }
 
-func (world *World) goOn(coroutine *coroutine) {
+func (coroutines *coroutines) goOn(coroutine *coroutine) {
 	coroutine.woken = false
 	if coroutine.finished {
 		return
 	}
-	previous := world.current
-	world.current = coroutine
+	previous := coroutines.current
+	coroutines.current = coroutine
 	_, going := coroutine.next()
-	world.current = previous
+	coroutines.current = previous
 	if going {
 		return
 	}
@@ -89,19 +97,21 @@
 }
 
 // sleep parks the running coroutine for a length of true time.
-func (world *World) sleep(length time.Duration) {
-	coroutine, until := world.current, world.Now.Add(length)
-	world.At(until, func() { world.wake(coroutine) })
+func (coroutines *coroutines) sleep(length time.Duration) {
+	world := coroutines.world
+	coroutine, until := coroutines.current, world.Now.Add(length)
+	world.At(until, func() { coroutines.wake(coroutine) })
 	for world.Now.Before(until) {
 		coroutine.park()
 	}
 }
 
 // wait parks the running coroutine for a length of true time, or until a channel is closed or a context ends.
-func (world *World) wait(ctx context.Context, length time.Duration, woken <-chan struct{}) {
-	coroutine, end := world.current, world.Now.Add(length)
-	world.At(end, func() { world.wake(coroutine) })
-	world.until(func() bool { return closed(woken) || ctx.Err() != nil || !world.Now.Before(end) })
+func (coroutines *coroutines) wait(ctx context.Context, length time.Duration, woken <-chan struct{}) {
+	world := coroutines.world
+	coroutine, end := coroutines.current, world.Now.Add(length)
+	world.At(end, func() { coroutines.wake(coroutine) })
+	coroutines.until(func() bool { return closed(woken) || ctx.Err() != nil || !world.Now.Before(end) })
 }
 
 func closed(channel <-chan struct{}) bool {
@@ -114,8 +124,8 @@
 }
 
 // until parks the running coroutine until something of its own process holds.
-func (world *World) until(holds func() bool) {
-	coroutine := world.current
+func (coroutines *coroutines) until(holds func() bool) {
+	coroutine := coroutines.current
 	for !holds() {
 		coroutine.arrive = holds
 		coroutine.park()
@@ -124,52 +134,23 @@
 }
 
 // stir wakes whoever waited for something of its process that has come about.
-func (world *World) stir(host *Host) {
+func (coroutines *coroutines) stir(host *Host) {
 	for _, coroutine := range host.coroutines {
 		if coroutine.arrive != nil && coroutine.arrive() {
-			world.wake(coroutine)
+			coroutines.wake(coroutine)
 		}
 	}
 }
 
 // await is how a course waits for its scheduler's next step.
-func (world *World) await(
+func (coroutines *coroutines) await(
 	ctx context.Context,
 	steps <-chan scheduler.Decision,
 ) (step scheduler.Decision, decided bool) {
-	world.until(func() bool { return len(steps) > 0 || ctx.Err() != nil })
-	world.current.decided = world.Now
+	coroutines.until(func() bool { return len(steps) > 0 || ctx.Err() != nil })
+	coroutines.current.decided = coroutines.world.Now
 	if len(steps) == 0 {
 		return scheduler.Decision{}, false
 	}
 	return <-steps, true
 }
-
-// endStreams ends all work of a host that is about to end, and the connections that it had.
-func (world *World) endStreams(host *Host) {
-	for _, coroutine := range host.coroutines {
-		coroutine.finished = true
-		coroutine.stop()
-	}
-	host.coroutines = nil
-	for _, conn := range host.conns {
-		conn.crash(!host.poweredOff)
-	}
-	host.conns = nil
-	clients := host.clients
-	host.clients = nil
-	for _, client := range clients {
-		client.loseDaemon()
-	}
-}
-
-// Close ends all work, so that nothing is left behind when a run is over.
-func (world *World) Close() {
-	for _, host := range world.Hosts {
-		for _, coroutine := range host.coroutines {
-			coroutine.finished = true
-			coroutine.stop()
-		}
-		host.coroutines = nil
-	}
-}
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -64,7 +64,7 @@
 	}
 	for _, host := range world.Hosts {
 		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { world.Boot(booted) })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
 	}
 	return world
 }
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -50,7 +50,8 @@
 }
 
 // bootRunner starts a runner under a new identity with an empty cache.
-func (world *World) bootRunner(host *Host) {
+func (host *Host) bootRunner() {
+	world := host.world
 	world.identities++
 	traffic := world.Traffic
 	service, weights := traffic.Mix.Service, traffic.weights
@@ -67,7 +68,7 @@
 		started: world.Now,
 		cache:   emulator.NewCache[string](emulator.DefaultProfile.CacheTokens),
 	}
-	world.every(host, host.incarnation, 100*time.Millisecond, host.engine.observe)
+	host.every(host.incarnation, 100*time.Millisecond, host.engine.observe)
 	// A stranger at a runner's address is nobody's runner, and the platform does not list it.
 	if host.service == "" {
 		world.Platform.set(host, "cold")
@@ -125,10 +126,10 @@
 			if request.URL.Path == "/run" {
 				connection.bindRun(engine.recordRun(connection, request, reached, true))
 			}
-			engine.world.until(func() bool { return false })
+			engine.world.coroutines.until(func() bool { return false })
 		}
 		if engine.late > 0 {
-			engine.world.sleep(engine.late)
+			engine.world.coroutines.sleep(engine.late)
 		}
 		if path := paths[request.URL.Path]; path == nil || !path(connection, request, reached) {
 			return
@@ -219,7 +220,7 @@
 	if engine.fails {
 		return answer(connection, 500, map[string]any{"oh": "no"})
 	}
-	connection.server = engine.world.current
+	connection.server = engine.world.coroutines.current
 	defer func() { connection.server = nil }()
 	if !engine.acquireSlot(connection) {
 		return false
@@ -246,13 +247,13 @@
 		engine.running++
 		return true
 	}
-	world, coroutine, granted, over := engine.world, engine.world.current, false, false
+	world, coroutine, granted, over := engine.world, engine.world.coroutines.current, false, false
 	engine.waiting = append(engine.waiting, func() bool {
 		if over {
 			return false
 		}
 		granted = true
-		world.wake(coroutine)
+		world.coroutines.wake(coroutine)
 		return true
 	})
 	for !granted {
@@ -280,9 +281,9 @@
 // work lets a length of time pass; it reports whether the request's connection stood so long. A runner drops a request
 // whose connection ends.
 func (engine *engine) work(connection *conn, length time.Duration) bool {
-	world, coroutine := engine.world, engine.world.current
+	world, coroutine := engine.world, engine.world.coroutines.current
 	until := world.Now.Add(length)
-	world.At(until, func() { world.wake(coroutine) })
+	world.At(until, func() { world.coroutines.wake(coroutine) })
 	for world.Now.Before(until) && connection.err == nil {
 		coroutine.park()
 	}
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -27,16 +27,6 @@
 	return world.pick(well)
 }
 
-// delist has the platform notice after a while that a runner is gone.
-func (world *World) delist(host *Host) {
-	incarnation := host.incarnation
-	world.After(noticed, func() {
-		if !host.up && host.incarnation == incarnation {
-			world.Platform.set(host, "")
-		}
-	})
-}
-
 // misbehave changes a runner's nature for a while.
 func misbehave(knowable time.Duration, change func(engine *engine, on bool)) func(world *World) func() {
 	return func(world *World) func() {
@@ -61,43 +51,43 @@
 	"runner killed": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, 0, host)
-		world.Kill(host)
-		world.delist(host)
-		return both(over, reboot(world, host))
+		host.Kill()
+		world.Platform.delist(host)
+		return both(over, reboot(host))
 	},
 	"runner dark": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, unresponsiveBound, host)
-		world.Power(host)
-		world.delist(host)
-		return both(over, reboot(world, host))
+		host.Power()
+		world.Platform.delist(host)
+		return both(over, reboot(host))
 	},
 	"runner frozen": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, unresponsiveBound, host)
-		world.Freeze(host)
-		return both(over, func() { world.Wake(host) })
+		host.Freeze()
+		return both(over, func() { host.Wake() })
 	},
 	"runner deaf": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
-			world.Cut(daemon, host)
+			world.topology.Cut(daemon, host)
 		}
-		return both(over, world.Heal)
+		return both(over, world.topology.Heal)
 	},
 	"runner unheard": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
-			world.Cut(host, daemon)
+			world.topology.Cut(host, daemon)
 		}
-		return both(over, world.Heal)
+		return both(over, world.topology.Heal)
 	},
 	"runner cut and delisted": func(world *World) func() {
 		host := world.runner()
 		incarnation, over := host.incarnation, world.touch(false, unresponsiveBound, host)
-		world.CutOff([]*Host{host}, world.Datas())
+		world.topology.CutOff([]*Host{host}, world.Datas())
 		world.After(noticed, func() {
 			if host.incarnation == incarnation {
 				world.Platform.set(host, "")
@@ -105,7 +95,7 @@
 		})
 		return func() {
 			over()
-			world.Heal()
+			world.topology.Heal()
 			if host.incarnation == incarnation && host.up {
 				world.Platform.set(host, "ready")
 			}
@@ -114,8 +104,8 @@
 	"daemon cut from runners": func(world *World) func() {
 		host := world.pick(world.Datas())
 		over := world.touch(false, unresponsiveBound, host)
-		world.CutOff([]*Host{host}, world.Runners())
-		return both(over, world.Heal)
+		world.topology.CutOff([]*Host{host}, world.Runners())
+		return both(over, world.topology.Heal)
 	},
 	"runner mute":    misbehave(unresponsiveBound, func(engine *engine, on bool) { engine.unresponsive = on }),
 	"runner partial": misbehave(0, func(engine *engine, on bool) { engine.partial = on }),
@@ -144,8 +134,8 @@
 			for _, conn := range append([]*conn{}, host.conns...) {
 				if world.random.Intn(2) == 0 {
 					torn := conn
-					world.After(world.transitTime(), func() { torn.fail(errReset) })
-					world.After(world.transitTime(), func() { torn.peer.fail(errReset) })
+					world.After(world.network.transitTime(), func() { torn.fail(errReset) })
+					world.After(world.network.transitTime(), func() { torn.peer.fail(errReset) })
 				}
 			}
 			world.After(time.Duration(world.random.Int63n(int64(200*time.Millisecond))), reset)
@@ -162,9 +152,9 @@
 			if !going {
 				return
 			}
-			world.Freeze(host)
+			host.Freeze()
 			world.After(time.Duration(world.random.Int63n(int64(1500*time.Millisecond))), func() {
-				world.Wake(host)
+				host.Wake()
 				world.After(time.Duration(world.random.Int63n(int64(300*time.Millisecond))), stop)
 			})
 		}
@@ -189,12 +179,12 @@
 	"pool killed": func(world *World) func() {
 		over := world.touch(false, 0, world.Runners()...)
 		for _, host := range world.Runners() {
-			world.Kill(host)
-			world.delist(host)
+			host.Kill()
+			world.Platform.delist(host)
 		}
 		return func() {
 			for _, host := range world.Runners() {
-				world.Boot(host)
+				host.Boot()
 			}
 			over()
 		}
@@ -208,8 +198,8 @@
 				return
 			}
 			over := world.touch(false, 0, host)
-			world.Kill(host)
-			world.Boot(host)
+			host.Kill()
+			host.Boot()
 			over()
 		}
 	},
@@ -226,10 +216,10 @@
 	"address taken": func(world *World) func() {
 		host := world.runner()
 		over := world.touch(false, 0, host)
-		world.Kill(host)
+		host.Kill()
 		incarnation := host.incarnation + 1
 		host.service = "a-stranger"
-		world.Boot(host)
+		host.Boot()
 		world.After(noticed, func() {
 			if host.incarnation == incarnation {
 				world.Platform.set(host, "")
@@ -237,8 +227,8 @@
 		})
 		return func() {
 			host.service = ""
-			world.Kill(host)
-			world.Boot(host)
+			host.Kill()
+			host.Boot()
 			over()
 		}
 	},
@@ -248,7 +238,7 @@
 	"list half":   list(func(platform *platform, on bool) { platform.truncated = on }),
 	"list older":  list(func(platform *platform, on bool) { platform.outdated = on }),
 	"daemon drained": func(world *World) func() {
-		world.drainData(world.pick(world.Datas()))
+		world.pick(world.Datas()).drainData()
 		return func() {}
 	},
 	"crowd": func(world *World) func() {
@@ -268,29 +258,6 @@
 // drainTime is how long a daemon told to stop goes on taking requests.
 const drainTime = 2 * time.Second
 
-// drainData restarts a data daemon as planned: it fails its fitness, finishes all that it has read, ends
-// and is started again.
-func (world *World) drainData(host *Host) {
-	if !host.up || host.frozen {
-		return
-	}
-	incarnation := host.incarnation
-	world.on(host, incarnation, host.plane.Drain)
-	var look func()
-	look = func() {
-		if host.incarnation != incarnation || !host.up {
-			return
-		}
-		if host.frozen || !host.plane.Drained(drainTime) {
-			world.After(20*time.Millisecond, look)
-			return
-		}
-		world.Kill(host)
-		world.Boot(host)
-	}
-	look()
-}
-
 // Trial says how a deployment with its request path is tried.
 type Trial struct {
 	// Faults are the kinds of harm done, AtOnce how many at once, for Length.
@@ -328,7 +295,7 @@
 	defer world.Close()
 	traffic := world.Traffic
 	world.Run(8 * time.Second)
-	first := &Operators{world: world, number: 500_000}
+	first := newOperators(world, 500_000)
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
 	traffic.Rate, traffic.Retries, traffic.TakeAway = trial.Rate, trial.Retries, trial.TakeAway
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -21,7 +21,7 @@
 // deliverHangUp carries the close to the daemon's machine, whose process learns of it when it runs.
 func (client *client) deliverHangUp() {
 	traffic, host := client.traffic, client.host
-	traffic.world.After(traffic.world.transitTime(), func() {
+	traffic.world.After(traffic.world.network.transitTime(), func() {
 		if client.finished || !host.up || host.incarnation != client.incarnation {
 			return
 		}
@@ -51,7 +51,7 @@
 
 // notifyHangUp has the daemon's process learn of the close, at once or when it wakes from a freeze.
 func (client *client) notifyHangUp() {
-	client.traffic.world.on(client.host, client.incarnation, func() {
+	client.host.on(client.incarnation, func() {
 		if notify := client.onHangUp; notify != nil {
 			client.onHangUp = nil
 			notify()
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -70,7 +70,7 @@
 				continue
 			}
 			run.samples[run.period]++
-			if !run.world.local(host).Before(host.plane.Snapshot().Until) {
+			if !host.local().Before(host.plane.Snapshot().Until) {
 				run.unleased[run.period]++
 			}
 		}
@@ -89,10 +89,10 @@
 	for index, host := range run.world.Datas() {
 		if index%2 == 0 {
 			run.lost[host] = true
-			run.world.Power(host)
+			host.Power()
 		}
 	}
-	run.world.Power(head)
+	head.Power()
 	return head
 }
 
@@ -117,7 +117,7 @@
 			run.samples[withHalf])
 	}
 	for _, host := range run.world.Datas() {
-		if !run.world.local(host).Before(host.plane.Snapshot().Until) {
+		if !host.local().Before(host.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
@@ -142,7 +142,7 @@
 	world := Found(seed, Guild)
 	world.Run(10 * time.Second)
 	run := &lossRun{world: world, lost: map[*Host]bool{}}
-	world.Metrics = func(from, _ *Host, _ string, _ int) {
+	world.network.Metrics = func(from, _ *Host, _ string, _ int) {
 		if !from.Core {
 			run.messages[run.period]++
 		}
@@ -160,10 +160,10 @@
 	}
 	run.period = withHalf
 	run.advance(started.Add(returnAt), never)
-	world.Boot(head)
+	head.Boot()
 	for _, host := range world.Datas() {
 		if run.lost[host] {
-			world.Boot(host)
+			host.Boot()
 		}
 	}
 	clear(run.lost)
@@ -179,7 +179,7 @@
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
 	kinds, unaddressed := map[string]bool{}, 0
 	world := Found(1, shape, func(world *World) { world.StartRegisteringRunners(6, shape.Zones) })
-	world.Metrics = func(from, to *Host, kind string, _ int) {
+	world.network.Metrics = func(from, to *Host, kind string, _ int) {
 		if to == nil {
 			unaddressed++
 			return
@@ -198,7 +198,7 @@
 	if order.Outcome != "accepted" {
 		t.Errorf("the change's outcome is %s", order.Outcome)
 	}
-	directory := head.Node().Status(world.local(head)).Daemons
+	directory := head.Node().Status(head.local()).Daemons
 	if len(directory) != len(world.Datas()) {
 		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
 	}
--- a/verify/simulation/headless_test.go
+++ b/verify/simulation/headless_test.go
@@ -26,7 +26,7 @@
 // leader returns the core that acts as head, or nil.
 func leader(world *World) *Host {
 	for _, host := range world.Cores() {
-		if host.Up() && host.Node().IsLeading(world.local(host)) {
+		if host.Up() && host.Node().IsLeading(host.local()) {
 			return host
 		}
 	}
@@ -52,7 +52,7 @@
 		t.Fatalf("seed %d: %d keepers, the comparison wants 3", seed, acceptors)
 	}
 	messages := 0
-	world.Metrics = func(from, to *Host, _ string, _ int) {
+	world.network.Metrics = func(from, to *Host, _ string, _ int) {
 		if !from.Core {
 			messages++
 		}
@@ -77,10 +77,10 @@
 func TestSilentHeadMessages(t *testing.T) {
 	t.Parallel()
 	losses := map[string]func(world *World, head *Host){
-		"the head loses its power": func(world *World, head *Host) { world.Power(head) },
+		"the head loses its power": func(_ *World, head *Host) { head.Power() },
 		"all cores lose their power": func(world *World, _ *Host) {
 			for _, host := range world.Cores() {
-				world.Power(host)
+				host.Power()
 			}
 		},
 	}
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -1,11 +1,7 @@
 package simulation
 
 import (
-	"reflect"
-	"strings"
 	"time"
-
-	"wardtray/wire"
 )
 
 // Idle is what a process of one kind sends and receives in a second in which nothing happens.
@@ -15,13 +11,6 @@
 	Kinds map[string]float64
 }
 
-// countMessage counts a message that a host sends.
-func (world *World) countMessage(from, to *Host, envelope *wire.Envelope, size int) {
-	if world.Metrics != nil {
-		world.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
-	}
-}
-
 // MeasureIdle returns what data daemons, cores, and the busiest core do in a second of quiet.
 func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
 	const length = 10 * time.Second
@@ -34,7 +23,7 @@
 		}
 		return counts[host]
 	}
-	world.Metrics = func(from, to *Host, kind string, size int) {
+	world.network.Metrics = func(from, to *Host, kind string, size int) {
 		of(from).Sent += 1 / length.Seconds()
 		of(from).Bytes += float64(size) / length.Seconds()
 		of(from).Kinds[kind] += 1 / length.Seconds()
@@ -44,7 +33,7 @@
 		}
 	}
 	world.Run(length)
-	world.Metrics = nil
+	world.network.Metrics = nil
 	mean := func(hosts []*Host) Idle {
 		sum := Idle{Kinds: map[string]float64{}}
 		for _, host := range hosts {
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -21,23 +21,24 @@
 	history                   *histories.Isolation
 }
 
-// topologyChanged says that links, machines or processes are other than before.
-func (world *World) topologyChanged() { world.topologyDirty = true }
+// isolationTracker notes for each data daemon when it lost the core and when it had it back.
+type isolationTracker struct{ world *World }
 
-// refreshIsolation brings each daemon's separation from the core up to date after a change of the topology.
-func (world *World) refreshIsolation() {
-	if !world.topologyDirty {
+// refresh brings each daemon's separation from the core up to date after a change of the topology.
+func (tracker *isolationTracker) refresh() {
+	world := tracker.world
+	if !world.topology.takeChange() {
 		return
 	}
-	world.topologyDirty = false
-	settled := world.quorumCores()
+	settled := tracker.quorumCores()
 	for _, host := range world.Datas() {
-		world.setIsolated(host, !world.reachesAny(host, settled))
+		tracker.set(host, !tracker.reachesAny(host, settled))
 	}
 }
 
 // quorumCores returns the running, unfrozen core machines that reach more than half of the core.
-func (world *World) quorumCores() []*Host {
+func (tracker *isolationTracker) quorumCores() []*Host {
+	world := tracker.world
 	cores := world.Cores()
 	var settled []*Host
 	for _, host := range cores {
@@ -46,7 +47,7 @@
 		}
 		reached := 0
 		for _, other := range cores {
-			if other == host || world.linked(host, other) {
+			if other == host || world.topology.linked(host, other) {
 				reached++
 			}
 		}
@@ -57,22 +58,19 @@
 	return settled
 }
 
-func (world *World) reachesAny(host *Host, cores []*Host) bool {
+// reachesAny reports whether a daemon has a path both ways to any of these core machines.
+func (tracker *isolationTracker) reachesAny(host *Host, cores []*Host) bool {
 	for _, core := range cores {
-		if world.linked(host, core) {
+		if tracker.world.topology.linked(host, core) {
 			return true
 		}
 	}
 	return false
 }
 
-// linked reports whether there is a path both ways between two machines.
-func (world *World) linked(one, other *Host) bool {
-	return world.passes(one, other) && world.passes(other, one)
-}
-
-// setIsolated notes that a daemon has lost the core, or has it back.
-func (world *World) setIsolated(host *Host, apart bool) {
+// set notes that a daemon has lost the core, or has it back.
+func (tracker *isolationTracker) set(host *Host, apart bool) {
+	world := tracker.world
 	isolation := &host.isolation
 	if apart != isolation.since.IsZero() {
 		return
--- a/verify/simulation/network.go
+++ b/verify/simulation/network.go
@@ -2,6 +2,8 @@
 
 import (
 	"hash/fnv"
+	"reflect"
+	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -11,56 +13,85 @@
 	"wardtray/wire"
 )
 
-func (world *World) send(host *Host, outbox []statemachine.Message) {
+// network carries the messages between hosts: each arrives after a random delay, unless it is lost or its link is cut.
+type network struct {
+	world *World
+	// lastSent is when one host last sent to another; its connection stays for a while.
+	lastSent map[link]time.Time
+	// Loss is the part of all messages that get lost.
+	Loss float64
+	// Delay is the least time that a message takes, Jitter the most that chance adds to it.
+	Delay  time.Duration
+	Jitter time.Duration
+	// Messages, Bytes and CrossZoneBytes count what was sent; for the measurements of cost and spread.
+	Messages, Bytes, CrossZoneBytes uint64
+	// Metrics, if set, is called for every message.
+	Metrics func(from, to *Host, kind string, size int)
+}
+
+const (
+	defaultDelay  = time.Millisecond
+	defaultJitter = 4 * time.Millisecond
+)
+
+func newNetwork(world *World) *network {
+	return &network{world: world, lastSent: map[link]time.Time{}, Delay: defaultDelay, Jitter: defaultJitter}
+}
+
+// send sends the messages of a host's outbox.
+func (network *network) send(host *Host, outbox []statemachine.Message) {
+	world := network.world
 	for _, outgoing := range outbox {
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(outgoing.Envelope)
 		if err != nil {
 			panic(err)
 		}
-		world.Messages++
-		world.Bytes += uint64(len(content))
+		network.Messages++
+		network.Bytes += uint64(len(content))
 		host.Sent += uint64(len(content))
 		target := world.byName[outgoing.To]
-		world.countMessage(host, target, outgoing.Envelope, len(content))
+		network.countMessage(host, target, outgoing.Envelope, len(content))
 		if target != nil && target.Zone != host.Zone {
-			world.CrossZoneBytes += uint64(len(content))
+			network.CrossZoneBytes += uint64(len(content))
 		}
 		hash := fnv.New64a()
 		_, _ = hash.Write(content)
 		world.addToTrace(hash.Sum64())
-		if target == nil || world.random.Float64() < world.Loss {
+		if target == nil || world.random.Float64() < network.Loss {
 			continue
 		}
-		from, tried, sent := host, world.local(host), world.Now
-		world.links[[2]string{host.Address, outgoing.To}] = world.Now
-		world.After(world.lag()+target.processingDelay, func() {
+		from, tried, sent := host, host.local(), world.Now
+		network.lastSent[link{host.Address, outgoing.To}] = world.Now
+		world.After(network.lag()+target.processingDelay, func() {
 			if !sent.After(from.resetAt) || !sent.After(target.resetAt) {
 				return
 			}
-			world.deliver(from, target, content)
-			world.refuseConnection(from, target, tried)
+			network.deliver(from, target, content)
+			network.refuseConnection(from, target, tried)
 		})
 	}
 }
 
-func (world *World) lag() time.Duration {
-	return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1))
+// lag draws how long a message takes.
+func (network *network) lag() time.Duration {
+	return network.Delay + time.Duration(network.world.random.Int63n(int64(network.Jitter)+1))
 }
 
 // refuseConnection tells a sender that nobody listened where its message came to, if the machine there is alive to say
 // so.
-func (world *World) refuseConnection(from, to *Host, tried time.Time) {
-	if to.up || to.poweredOff || to.engine != nil || world.disconnected(from, to) {
+func (network *network) refuseConnection(from, to *Host, tried time.Time) {
+	world := network.world
+	if to.up || to.poweredOff || to.engine != nil || world.topology.disconnected(from, to) {
 		return
 	}
 	incarnation := from.incarnation
-	world.After(world.lag(), func() {
-		if world.disconnected(from, to) {
+	world.After(network.lag(), func() {
+		if world.topology.disconnected(from, to) {
 			return
 		}
-		world.on(from, incarnation, func() {
+		from.on(incarnation, func() {
 			if from.Core {
-				from.node.ConnectionRefused(world.local(from), to.Address, tried)
+				from.node.ConnectionRefused(from.local(), to.Address, tried)
 				return
 			}
 			from.plane.Step(
@@ -70,67 +101,50 @@
 	})
 }
 
-func (world *World) disconnected(one, other *Host) bool {
-	return world.cuts[[2]string{one.Address, other.Address}] || world.cuts[[2]string{other.Address, one.Address}]
-}
-
 // connectionLasts is how long an idle connection is kept.
 const connectionLasts = time.Minute
 
 // closeConnections has the system of a machine whose process ended close its connections; whoever had one tries again
 // at once.
-func (world *World) closeConnections(host *Host) {
+func (network *network) closeConnections(host *Host) {
+	world := network.world
 	for _, other := range world.Hosts {
-		sent, linked := world.links[[2]string{other.Address, host.Address}]
+		sent, linked := network.lastSent[link{other.Address, host.Address}]
 		if !linked || !other.up || other == host || world.Now.Sub(sent) > connectionLasts {
 			continue
 		}
 		from, incarnation := other, other.incarnation
-		world.After(world.lag(), func() {
-			if from.incarnation == incarnation && !world.disconnected(from, host) {
-				tried := world.local(from)
-				world.After(world.lag(), func() { world.refuseConnection(from, host, tried) })
+		world.After(network.lag(), func() {
+			if from.incarnation == incarnation && !world.topology.disconnected(from, host) {
+				tried := from.local()
+				world.After(network.lag(), func() { network.refuseConnection(from, host, tried) })
 			}
 		})
 	}
 }
 
-func (world *World) deliver(from, to *Host, content []byte) {
+// deliver gives a message to the process that it is for, if that runs and can be reached.
+func (network *network) deliver(from, to *Host, content []byte) {
 	// A frozen machine's sockets hold only so much.
-	if world.cuts[[2]string{from.Address, to.Address}] || !to.up || to.frozen && len(to.backlog) >= backlogLimit {
+	if network.world.topology.isCut(from, to) || !to.up || to.frozen && len(to.backlog) >= backlogLimit {
 		return
 	}
 	envelope := &wire.Envelope{}
 	if err := proto.Unmarshal(content, envelope); err != nil {
 		panic(err)
 	}
-	world.on(to, to.incarnation, func() {
+	to.on(to.incarnation, func() {
 		if to.Core {
-			to.node.Receive(world.local(to), envelope)
+			to.node.Receive(to.local(), envelope)
 			return
 		}
 		to.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Receive(now, envelope) })
 	})
 }
 
-// Cut stops messages from one host to another; Heal ends all cuts.
-func (world *World) Cut(from, to *Host) {
-	world.cuts[[2]string{from.Address, to.Address}] = true
-	world.topologyChanged()
-}
-
-// CutOff parts two groups from each other.
-func (world *World) CutOff(left, right []*Host) {
-	for _, one := range left {
-		for _, other := range right {
-			world.Cut(one, other)
-			world.Cut(other, one)
-		}
+// countMessage counts a message that a host sends.
+func (network *network) countMessage(from, to *Host, envelope *wire.Envelope, size int) {
+	if network.Metrics != nil {
+		network.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
 	}
 }
-
-// Heal ends all cuts.
-func (world *World) Heal() {
-	world.cuts = map[[2]string]bool{}
-	world.topologyChanged()
-}
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -35,6 +35,11 @@
 	order *Order
 }
 
+// newOperators returns operators that number their changes from one above a number.
+func newOperators(world *World, number int) *Operators {
+	return &Operators{world: world, number: number}
+}
+
 // StartOperators begins.
 func (world *World) StartOperators(every time.Duration) *Operators {
 	operators := &Operators{world: world, every: every}
@@ -161,3 +166,62 @@
 	}
 	return greatest
 }
+
+// retryChange has an operator send a change again and again until one is accepted or a moment has come, so
+// that somebody asks for what the machines' return is checked by.
+func (operators *Operators) retryChange(until time.Time) {
+	world := operators.world
+	var order *Order
+	var ask func()
+	ask = func() {
+		if order != nil && order.Outcome == "accepted" || !world.Now.Before(until) {
+			return
+		}
+		operators.base = world.Check.greatestKnown()
+		order = operators.apply(world.pick(world.Cores()))
+		world.After(time.Second, ask)
+	}
+	world.After(time.Second, ask)
+}
+
+// changeSteadily has one operator send a change every so often, each on what is known by then.
+func (operators *Operators) changeSteadily(every time.Duration, until time.Time) {
+	world := operators.world
+	var next func()
+	next = func() {
+		if !world.Now.Before(until) {
+			return
+		}
+		operators.base = world.Check.greatestKnown()
+		operators.apply(world.pick(world.Cores()))
+		world.After(every, next)
+	}
+	next()
+}
+
+// wantAcknowledged sends a change every so often, on the newest version, and wants each acknowledged within the bound
+// unless another one won the race.
+func (operators *Operators) wantAcknowledged(every time.Duration, until time.Time) {
+	world := operators.world
+	var next func()
+	next = func() {
+		if !world.Now.Before(until) {
+			return
+		}
+		operators.base = world.Check.greatestKnown()
+		order := operators.apply(world.pick(world.Cores()))
+		world.After(acknowledgementBound, func() {
+			took := acknowledgementBound
+			if order.Outcome != "unknown" {
+				took = order.Got.Sub(order.Sent)
+			}
+			world.Check.recordWorst("answer to a change while most daemons are gone", took)
+			if order.Outcome == "unknown" {
+				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
+					acknowledgementBound)
+			}
+		})
+		world.After(every, next)
+	}
+	next()
+}
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -56,7 +56,7 @@
 	watch := &paceWatch{
 		world:        world,
 		pace:         &Pace{},
-		operators:    &Operators{world: world, number: 2_000_000},
+		operators:    newOperators(world, 2_000_000),
 		end:          world.Now.Add(paceLength),
 		paused:       map[*Host]time.Time{},
 		starting:     map[*Host]time.Time{},
@@ -77,7 +77,7 @@
 func (watch *paceWatch) sample() {
 	world := watch.world
 	if watch.asked != nil &&
-		(watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.severed(watch.asked)) {
+		(watch.asked.incarnation != watch.incarnation || watch.asked.frozen || world.topology.severed(watch.asked)) {
 		watch.order = nil
 	}
 	watch.askAgain()
@@ -135,13 +135,13 @@
 
 // look takes down a daemon's starts and its pauses while it is left alone.
 func (watch *paceWatch) look(host *Host) {
-	world, local := watch.world, watch.world.local(host)
+	world, local := watch.world, host.local()
 	serves := host.up && !host.frozen && local.Before(host.controller.Until(local))
 	if host.incarnation != watch.incarnations[host] && host.up {
 		watch.incarnations[host], watch.starting[host] = host.incarnation, world.Now
 		watch.quietSince[host] = world.Now
 	}
-	if !host.up || host.frozen || world.severed(host) {
+	if !host.up || host.frozen || world.topology.severed(host) {
 		watch.quietSince[host] = world.Now
 		delete(watch.paused, host)
 		return
@@ -161,13 +161,3 @@
 		delete(watch.paused, host)
 	}
 }
-
-// severed reports whether a cut stands between a host and any other.
-func (world *World) severed(host *Host) bool {
-	for pair := range world.cuts {
-		if pair[0] == host.Address || pair[1] == host.Address {
-			return true
-		}
-	}
-	return false
-}
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -61,7 +61,7 @@
 	content, read := platform.served(), !platform.unreachable
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
-		world.on(host, incarnation, func() { host.plane.OnPolled(content, read) })
+		host.on(incarnation, func() { host.plane.OnPolled(content, read) })
 	})
 }
 
@@ -159,3 +159,13 @@
 		)
 	}
 }
+
+// delist has the platform notice after a while that a runner is gone.
+func (platform *platform) delist(host *Host) {
+	incarnation := host.incarnation
+	platform.world.After(noticed, func() {
+		if !host.up && host.incarnation == incarnation {
+			platform.set(host, "")
+		}
+	})
+}
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -19,7 +19,7 @@
 // head returns the machine that leads, or any if none does.
 func (world *World) head() *Host {
 	for _, host := range world.Cores() {
-		if host.up && !host.frozen && host.node.IsLeading(world.local(host)) {
+		if host.up && !host.frozen && host.node.IsLeading(host.local()) {
 			return host
 		}
 	}
@@ -35,7 +35,7 @@
 		if !host.up || host.frozen {
 			return false
 		}
-		status := host.node.Status(world.local(host))
+		status := host.node.Status(host.local())
 		index, view := status.Position, host.node.View()
 		if index != "outside" && status.Pending > 2 ||
 			len(view.Chain) > 0 && view.Chain[0].Id == status.ID && !status.HoldsLease {
@@ -71,27 +71,10 @@
 	return newest
 }
 
-// retryChange has an operator send a change again and again until one is accepted or a moment has come, so
-// that somebody asks for what the machines' return is checked by.
-func (world *World) retryChange(until time.Time) {
-	operators := &Operators{world: world, number: 700_000 + 100*len(world.Check.Orders)}
-	var order *Order
-	var ask func()
-	ask = func() {
-		if order != nil && order.Outcome == "accepted" || !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.greatestKnown()
-		order = operators.apply(world.pick(world.Cores()))
-		world.After(time.Second, ask)
-	}
-	world.After(time.Second, ask)
-}
-
 // Recovered reports whether, within a bound, a change is acknowledged and every daemon serves under it.
 func (world *World) Recovered(bound time.Duration) (time.Duration, bool) {
 	started := world.Now
-	operators := &Operators{world: world, number: 1_000_000}
+	operators := newOperators(world, 1_000_000)
 	var order *Order
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
 		if order == nil || order.Outcome == "refused" ||
@@ -109,7 +92,7 @@
 
 func (world *World) allServe(epoch uint64) bool {
 	for _, host := range world.Datas() {
-		local := world.local(host)
+		local := host.local()
 		if !host.up || !local.Before(host.controller.Until(local)) ||
 			host.controller.Snapshot(local).SpecEpoch < epoch {
 			return false
@@ -151,18 +134,19 @@
 	}
 	for _, host := range world.Hosts {
 		if host.engine == nil && !host.removed {
-			world.describeHost(text, host)
+			host.describe(text)
 		}
 	}
 	return text.String()
 }
 
-func (world *World) describeHost(text *strings.Builder, host *Host) {
+// describe writes the state of the host.
+func (host *Host) describe(text *strings.Builder) {
 	if !host.up {
 		fmt.Fprintf(text, "  %s is down\n", host.Address)
 		return
 	}
-	local := world.local(host)
+	local := host.local()
 	if !host.Core {
 		snapshot := host.controller.Snapshot(local)
 		fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address,
--- a/verify/simulation/process.go
+++ b/verify/simulation/process.go
@@ -15,21 +15,22 @@
 )
 
 // Boot starts a host's process from what its disk holds.
-func (world *World) Boot(host *Host) {
+func (host *Host) Boot() {
+	world := host.world
 	if host.up || host.removed {
 		return
 	}
-	world.topologyChanged()
+	world.topology.changed()
 	host.up, host.frozen, host.backlog, host.writes, host.writing, host.poweredOff = true, false, nil, nil, false, false
 	host.incarnation++
 	if host.engine != nil {
-		world.bootRunner(host)
+		host.bootRunner()
 		return
 	}
-	now, random := world.local(host), rand.New(rand.NewSource(world.random.Int63()))
+	now, random := host.local(), rand.New(rand.NewSource(world.random.Int63()))
 	if !host.Core {
-		world.bootData(host, random)
-		world.tick(host, host.incarnation)
+		host.bootData(random)
+		host.tick(host.incarnation)
 		return
 	}
 	host.disk.dying = false
@@ -43,7 +44,7 @@
 		incarnation := host.incarnation
 		world.After(time.Second, func() {
 			if host.incarnation == incarnation {
-				world.Boot(host)
+				host.Boot()
 			}
 		})
 		return
@@ -60,35 +61,36 @@
 		restored.Records,
 		random,
 	)
-	world.tick(host, host.incarnation)
+	host.tick(host.incarnation)
 }
 
 // on runs something in a host's process, or later if it is frozen, or never if it ended.
-func (world *World) on(host *Host, incarnation int, do func()) {
+func (host *Host) on(incarnation int, do func()) {
+	world := host.world
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.frozen {
-		host.backlog = append(host.backlog, func() { world.on(host, incarnation, do) })
+		host.backlog = append(host.backlog, func() { host.on(incarnation, do) })
 		return
 	}
 	do()
 	if host.engine != nil {
 		return
 	}
-	world.drain(host)
-	world.recordLease(host)
-	world.stir(host)
+	host.drain()
+	host.recordLease()
+	world.coroutines.stir(host)
 	world.Check.step(host)
 }
 
-func (world *World) tick(host *Host, incarnation int) {
+func (host *Host) tick(incarnation int) {
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if !host.frozen {
-		world.on(host, incarnation, func() {
-			now := world.local(host)
+		host.on(incarnation, func() {
+			now := host.local()
 			if host.Core {
 				host.node.Tick(now)
 				return
@@ -96,21 +98,22 @@
 			host.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Tick(now) })
 		})
 	}
-	world.After(tickEvery, func() { world.tick(host, incarnation) })
+	host.world.After(tickEvery, func() { host.tick(incarnation) })
 }
 
-func (world *World) drain(host *Host) {
+func (host *Host) drain() {
 	if !host.Core {
 		return
 	}
 	outbox, writes := host.node.Ready()
-	world.send(host, outbox)
+	host.world.network.send(host, outbox)
 	host.writes = append(host.writes, writes...)
-	world.write(host)
+	host.write()
 }
 
 // write lets the disk carry out what waits, one batch at a time.
-func (world *World) write(host *Host) {
+func (host *Host) write() {
+	world := host.world
 	if host.writing || len(host.writes) == 0 || host.stalled {
 		return
 	}
@@ -118,35 +121,36 @@
 	batch, incarnation := host.writes, host.incarnation
 	host.writes = nil
 	world.After(time.Millisecond+time.Duration(world.random.Int63n(int64(3*time.Millisecond)))+host.diskDelay, func() {
-		world.finishWrite(host, incarnation, batch)
+		host.finishWrite(incarnation, batch)
 	})
 }
 
-func (world *World) finishWrite(host *Host, incarnation int, batch []statemachine.Write) {
+func (host *Host) finishWrite(incarnation int, batch []statemachine.Write) {
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.stalled {
-		world.After(20*time.Millisecond, func() { world.finishWrite(host, incarnation, batch) })
+		host.world.After(20*time.Millisecond, func() { host.finishWrite(incarnation, batch) })
 		return
 	}
 	host.writing = false
 	// The disk works on while the process is frozen; the process hears of it when it wakes.
 	storage.WriteBatch(host.store, batch, func(sequence uint64) {
-		world.on(host, incarnation, func() { host.node.Synced(world.local(host), sequence) })
+		host.on(incarnation, func() { host.node.Synced(host.local(), sequence) })
 	}, func(error) {
-		world.on(host, incarnation, func() { host.node.DiskFailed(world.local(host)) })
+		host.on(incarnation, func() { host.node.DiskFailed(host.local()) })
 	})
-	world.write(host)
+	host.write()
 }
 
 // Kill ends a process; what its disk has synced stays.
-func (world *World) Kill(host *Host) {
-	world.endStreams(host)
+func (host *Host) Kill() {
+	world := host.world
+	host.endStreams()
 	if host.up && !host.poweredOff && host.engine == nil {
-		world.closeConnections(host)
+		world.network.closeConnections(host)
 	}
-	world.topologyChanged()
+	world.topology.changed()
 	host.up = false
 	host.incarnation++
 	host.backlog, host.writes, host.writing = nil, nil, false
@@ -154,34 +158,35 @@
 }
 
 // Power takes the power from a machine in the middle of whatever it was writing.
-func (world *World) Power(host *Host) {
+func (host *Host) Power() {
 	if host.Core && host.up && len(host.writes) > 0 {
 		host.disk.dying = true
 		storage.WriteBatch(host.store, host.writes, func(uint64) {}, func(error) {})
 	}
 	host.poweredOff = true
-	world.Kill(host)
+	host.Kill()
 }
 
 // Wipe loses a disk; the next start is of a new identity.
-func (world *World) Wipe(host *Host) {
-	world.Kill(host)
-	host.disk, host.node = newDisk(world.random), nil
+func (host *Host) Wipe() {
+	host.Kill()
+	host.disk, host.node = newDisk(host.world.random), nil
 }
 
 // Freeze stops a process without ending it; Wake lets it go on, with all that came meanwhile.
-func (world *World) Freeze(host *Host) {
+func (host *Host) Freeze() {
 	host.frozen = true
-	world.topologyChanged()
+	host.world.topology.changed()
 }
 
 // Wake ends a freeze.
-func (world *World) Wake(host *Host) {
+func (host *Host) Wake() {
+	world := host.world
 	if !host.frozen {
 		return
 	}
 	host.frozen, host.wokenAt = false, world.Now
-	world.topologyChanged()
+	world.topology.changed()
 	held := host.backlog
 	host.backlog = nil
 	for _, do := range held {
@@ -190,20 +195,21 @@
 }
 
 // bootData starts a data daemon as its process would.
-func (world *World) bootData(host *Host, random *rand.Rand) {
+func (host *Host) bootData(random *rand.Rand) {
+	world := host.world
 	incarnation := host.incarnation
 	made, err := dataplane.New(netio.Environment{
-		Now:  func() time.Time { return world.local(host) },
-		Go:   func(work func()) { world.spawn(host, work) },
-		Wait: world.wait,
+		Now:  func() time.Time { return host.local() },
+		Go:   func(work func()) { world.coroutines.spawn(host, work) },
+		Wait: world.coroutines.wait,
 		Dial: func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
-			return world.dial(ctx, host, address, terms)
+			return world.network.dial(ctx, host, address, terms)
 		},
 	}, dataplane.Settings{
 		Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds,
 			Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore},
-		Random: random, Await: world.await,
-		Send: func(outbox []statemachine.Message) { world.send(host, outbox) },
+		Random: random, Await: world.coroutines.await,
+		Send: func(outbox []statemachine.Message) { world.network.send(host, outbox) },
 		Poll: func() { world.Platform.poll(host, incarnation) }, Log: discardLog,
 	})
 	if err != nil {
@@ -214,35 +220,110 @@
 	if world.Traffic == nil {
 		return
 	}
-	world.every(host, incarnation, dataplane.RebalanceInterval, made.Rebalance)
-	world.every(host, incarnation, dataplane.ProbeInterval, made.ProbeStale)
-	world.every(host, incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
-	world.every(host, incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
+	host.every(incarnation, dataplane.RebalanceInterval, made.Rebalance)
+	host.every(incarnation, dataplane.ProbeInterval, made.ProbeStale)
+	host.every(incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
+	host.every(incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
 }
 
 // recordLease notes since when a data daemon has been sure of its spec.
-func (world *World) recordLease(host *Host) {
+func (host *Host) recordLease() {
 	if host.plane == nil {
 		return
 	}
-	if local := world.local(host); !local.Before(host.leasedUntil) {
-		host.leasedSince = world.Now
+	if local := host.local(); !local.Before(host.leasedUntil) {
+		host.leasedSince = host.world.Now
 	}
 	host.leasedUntil = host.plane.Snapshot().Until
 }
 
 // every does something in a host's process again and again, while that lives and is not frozen.
-func (world *World) every(host *Host, incarnation int, length time.Duration, do func()) {
+func (host *Host) every(incarnation int, length time.Duration, do func()) {
+	world := host.world
 	world.After(time.Duration(world.random.Int63n(int64(length))),
-		func() { world.again(host, incarnation, length, do) })
+		func() { host.again(incarnation, length, do) })
 }
 
-func (world *World) again(host *Host, incarnation int, length time.Duration, do func()) {
+func (host *Host) again(incarnation int, length time.Duration, do func()) {
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if !host.frozen {
-		world.on(host, incarnation, do)
+		host.on(incarnation, do)
 	}
-	world.After(length, func() { world.again(host, incarnation, length, do) })
+	host.world.After(length, func() { host.again(incarnation, length, do) })
 }
+
+// endCoroutines unwinds all work of a host.
+func (host *Host) endCoroutines() {
+	for _, coroutine := range host.coroutines {
+		coroutine.finished = true
+		coroutine.stop()
+	}
+	host.coroutines = nil
+}
+
+// endStreams ends all work of a host that is about to end, and the connections that it had.
+func (host *Host) endStreams() {
+	host.endCoroutines()
+	for _, conn := range host.conns {
+		conn.crash(!host.poweredOff)
+	}
+	host.conns = nil
+	clients := host.clients
+	host.clients = nil
+	for _, client := range clients {
+		client.loseDaemon()
+	}
+}
+
+// leaveInOrder has a core machine stop as its process does: it says so, ends once it may, or when its time is over.
+func (host *Host) leaveInOrder(then func()) {
+	world := host.world
+	started := world.Now
+	host.on(host.incarnation, func() { host.node.Decommission(host.local()) })
+	var look func()
+	look = func() {
+		if host.up && !host.node.IsDecommissioned(host.local()) && world.Now.Sub(started) < graceTime {
+			world.After(20*time.Millisecond, look)
+			return
+		}
+		host.Kill()
+		then()
+	}
+	look()
+}
+
+// drainData restarts a data daemon as planned: it fails its fitness, finishes all that it has read, ends
+// and is started again.
+func (host *Host) drainData() {
+	if !host.up || host.frozen {
+		return
+	}
+	incarnation := host.incarnation
+	host.on(incarnation, host.plane.Drain)
+	var look func()
+	look = func() {
+		if host.incarnation != incarnation || !host.up {
+			return
+		}
+		if host.frozen || !host.plane.Drained(drainTime) {
+			host.world.After(20*time.Millisecond, look)
+			return
+		}
+		host.Kill()
+		host.Boot()
+	}
+	look()
+}
+
+// reach runs something at a host, if it is there.
+func (host *Host) reach(do func()) {
+	if !host.up || host.poweredOff || host.frozen && len(host.backlog) >= backlogLimit {
+		return
+	}
+	host.on(host.incarnation, do)
+}
+
+// resetConnections loses all that is on its way to or from a machine.
+func (host *Host) resetConnections() { host.resetAt = host.world.Now }
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -129,7 +129,7 @@
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
 			host := world.pick(world.Cores())
-			world.reach(host, func() { host.node.Register(world.local(host), registration, func(registry.Outcome) {}) })
+			host.reach(func() { host.node.Register(host.local(), registration, func(registry.Outcome) {}) })
 		})
 	}
 	world.After(ackBound, func() {
@@ -159,12 +159,11 @@
 	world := incarnation.runners.world
 	cores := world.Cores()
 	host := cores[incarnation.core%len(cores)]
-	way := func() time.Duration { return world.Delay + time.Duration(world.random.Int63n(int64(world.Jitter)+1)) }
-	world.After(way(), func() {
-		world.reach(host, func() {
+	world.After(world.network.lag(), func() {
+		host.reach(func() {
 			sent := host.incarnation
-			do(world.local(host), host, func(outcome registry.Outcome) {
-				world.After(way(), func() {
+			do(host.local(), host, func(outcome registry.Outcome) {
+				world.After(world.network.lag(), func() {
 					if host.incarnation != sent {
 						return
 					}
@@ -180,14 +179,6 @@
 	})
 }
 
-// reach runs something at a host, if it is there.
-func (world *World) reach(host *Host, do func()) {
-	if !host.up || host.poweredOff || host.frozen && len(host.backlog) >= backlogLimit {
-		return
-	}
-	world.on(host, host.incarnation, do)
-}
-
 // drain has a life end as planned: it says so, serves on for a while after the acknowledgement, ends its
 // registration and is gone.
 func (incarnation *runnerIncarnation) drain() {
@@ -306,7 +297,7 @@
 	checker := registering.world.Check
 	for _, host := range registering.world.Datas() {
 		listed := map[string]bool{}
-		for _, runner := range host.controller.Snapshot(registering.world.local(host)).Runners {
+		for _, runner := range host.controller.Snapshot(host.local()).Runners {
 			listed[runner.RunnerId] = true
 			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running &&
 				runner.State != registry.Draining {
@@ -327,11 +318,11 @@
 var RegistrationFaults = map[string]func(world *World) (undo func()){
 	"control lost": func(world *World) func() {
 		for _, host := range world.Cores() {
-			world.Kill(host)
+			host.Kill()
 		}
 		return func() {
 			for _, host := range world.Cores() {
-				world.Boot(host)
+				host.Boot()
 			}
 		}
 	},
@@ -380,24 +371,24 @@
 	registering := world.StartRegisteringRunners(runners, zones)
 	for _, host := range world.Hosts {
 		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { world.Boot(booted) })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
 	}
 	world.Run(30 * time.Second)
-	calm = world.cost(10 * time.Second)
+	calm = measureCost(world, 10*time.Second)
 	registering.Start(every)
-	release = world.cost(20 * time.Second)
+	release = measureCost(world, 20*time.Second)
 	return calm, release
 }
 
-// cost runs for a while and tells what was sent a second.
-func (world *World) cost(length time.Duration) RegistryCost {
+// measureCost runs for a while and returns what was sent a second.
+func measureCost(world *World, length time.Duration) RegistryCost {
 	sum := func(hosts []*Host) (total uint64) {
 		for _, host := range hosts {
 			total += host.Sent
 		}
 		return total
 	}
-	cores, datas, messages := sum(world.Cores()), sum(world.Datas()), world.Messages
+	cores, datas, messages := sum(world.Cores()), sum(world.Datas()), world.network.Messages
 	world.Run(length)
 	per := func(now, before uint64, count int) float64 {
 		return float64(now-before) / float64(max(1, count)) / length.Seconds()
@@ -405,6 +396,6 @@
 	return RegistryCost{
 		Core:     per(sum(world.Cores()), cores, len(world.Cores())),
 		Daemon:   per(sum(world.Datas()), datas, len(world.Datas())),
-		Messages: per(world.Messages, messages, len(world.Hosts)),
+		Messages: per(world.network.Messages, messages, len(world.Hosts)),
 	}
 }
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -80,9 +80,9 @@
 	for _, count := range []int{0, 60} {
 		world := Found(1, Guild, func(world *World) { world.StartRegisteringRunners(count, Guild.Zones) })
 		world.Run(20 * time.Second)
-		before := world.Messages
+		before := world.network.Messages
 		world.Run(20 * time.Second)
-		counts[count] = world.Messages - before
+		counts[count] = world.network.Messages - before
 	}
 	// The cores tell each other twice a beat who has called.
 	if allowed := counts[0] + 20*2*6*2; counts[60] > allowed {
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -69,7 +69,7 @@
 		for _, undo := range undos {
 			undo()
 		}
-		world.Heal()
+		world.topology.Heal()
 	})
 }
 
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -34,20 +34,19 @@
 	world.Platform.fill(18)
 	for _, host := range world.Hosts {
 		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { world.Boot(booted) })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
 	}
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
-	messages, bytes, crossZone := world.Messages, world.Bytes, world.CrossZoneBytes
+	network := world.network
+	messages, bytes, crossZone := network.Messages, network.Bytes, network.CrossZoneBytes
 	const quiet = 4 * time.Second
 	world.Run(quiet)
 	per := float64(daemons) * quiet.Seconds()
-	spread.Messages, spread.Bytes, spread.CrossZoneBytes = float64(world.Messages-messages)/per, float64(
-		world.Bytes-bytes,
-	)/per, float64(
-		world.CrossZoneBytes-crossZone,
-	)/per
-	bytes = world.Bytes
+	spread.Messages = float64(network.Messages-messages) / per
+	spread.Bytes = float64(network.Bytes-bytes) / per
+	spread.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
+	bytes = network.Bytes
 	order := world.Check.Send(world.Hosts[1],
 		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
@@ -59,7 +58,7 @@
 			committed = world.Now
 		}
 		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(world.local(host)).SpecEpoch == 1 {
+			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(host.local()).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
@@ -68,9 +67,8 @@
 		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
 			order.Outcome, world.Check.Violations)
 	}
-	spread.ChangeBytes = (float64(world.Bytes-bytes) - spread.Bytes*float64(daemons)*window.Seconds()) / float64(
-		daemons,
-	)
+	quietBytes := spread.Bytes * float64(daemons) * window.Seconds()
+	spread.ChangeBytes = (float64(network.Bytes-bytes) - quietBytes) / float64(daemons)
 	lengths := make([]time.Duration, 0, daemons)
 	for _, length := range arrived {
 		lengths = append(lengths, length)
--- /dev/null
+++ b/verify/simulation/topology.go
@@ -0,0 +1,90 @@
+package simulation
+
+// link is one direction between two hosts, by their addresses.
+type link struct{ from, to string }
+
+// topology is which hosts' machines reach each other: all do, except over a link that is cut or with a machine that is
+// powered off.
+type topology struct {
+	cuts map[link]bool
+	// dirty means that the topology has changed since takeChange was last called.
+	dirty bool
+}
+
+func newTopology() *topology { return &topology{cuts: map[link]bool{}} }
+
+// hasCuts reports whether any link is cut.
+func (topology *topology) hasCuts() bool { return len(topology.cuts) > 0 }
+
+// isCut reports whether messages from one host to another are stopped.
+func (topology *topology) isCut(from, to *Host) bool {
+	return topology.cuts[link{from.Address, to.Address}]
+}
+
+// Cut stops messages from one host to another; Heal ends all cuts.
+func (topology *topology) Cut(from, to *Host) {
+	topology.cuts[link{from.Address, to.Address}] = true
+	topology.changed()
+}
+
+// CutOff parts two groups from each other.
+func (topology *topology) CutOff(left, right []*Host) {
+	for _, one := range left {
+		for _, other := range right {
+			topology.Cut(one, other)
+			topology.Cut(other, one)
+		}
+	}
+}
+
+// Heal ends all cuts.
+func (topology *topology) Heal() {
+	topology.cuts = map[link]bool{}
+	topology.changed()
+}
+
+// passes reports whether anything gets from one host's machine to another's now.
+func (topology *topology) passes(from, to *Host) bool {
+	return !topology.isCut(from, to) && !from.poweredOff && !to.poweredOff
+}
+
+// linked reports whether there is a path both ways between two machines.
+func (topology *topology) linked(one, other *Host) bool {
+	return topology.passes(one, other) && topology.passes(other, one)
+}
+
+// disconnected reports whether the link between two hosts is cut in either direction.
+func (topology *topology) disconnected(one, other *Host) bool {
+	return topology.isCut(one, other) || topology.isCut(other, one)
+}
+
+// severed reports whether a cut stands between a host and any other.
+func (topology *topology) severed(host *Host) bool {
+	for cut := range topology.cuts {
+		if cut.from == host.Address || cut.to == host.Address {
+			return true
+		}
+	}
+	return false
+}
+
+// changed notes that links, machines or processes are other than before.
+func (topology *topology) changed() { topology.dirty = true }
+
+// cutOneWay has a host be heard by none of the others, or hear none of them.
+func (topology *topology) cutOneWay(host *Host, others []*Host, unheard bool) {
+	for _, other := range without(others, host) {
+		if unheard {
+			topology.Cut(host, other)
+		} else {
+			topology.Cut(other, host)
+		}
+	}
+}
+
+// takeChange reports whether the topology has changed since it was last asked.
+func (topology *topology) takeChange() bool {
+	changed := topology.dirty
+	topology.dirty = false
+	return changed
+}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -132,7 +132,7 @@
 	reached, all := 0, 0
 	for _, host := range traffic.world.Datas() {
 		all++
-		if traffic.world.passes(host, runner) && traffic.world.passes(runner, host) {
+		if traffic.world.topology.passes(host, runner) && traffic.world.topology.passes(runner, host) {
 			reached++
 		}
 	}
