--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -48,7 +48,7 @@
 func (world *world) messageActions() []Action {
 	var actions []Action
 	listed := map[uint64]bool{}
-	for _, message := range world.inFlight {
+	for _, message := range world.network.inFlight {
 		if listed[message.digest] || world.byName[message.to].frozen {
 			continue
 		}
@@ -71,7 +71,7 @@
 			about(Hold)
 		}
 	}
-	for _, message := range world.delayedMessages {
+	for _, message := range world.network.delayed {
 		if !listed[message.digest] {
 			listed[message.digest] = true
 			actions = append(
@@ -89,7 +89,7 @@
 
 // quiescent means that no message and no write waits for anything but a held message or the end of a freeze.
 func (world *world) quiescent() bool {
-	for _, message := range world.inFlight {
+	for _, message := range world.network.inFlight {
 		if !world.byName[message.to].frozen {
 			return false
 		}
@@ -138,7 +138,7 @@
 
 // partitionActions lists the ways to cut off somebody or, where somebody is, to heal that.
 func (world *world) partitionActions() []Action {
-	if len(world.isolated) > 0 {
+	if world.network.isPartitioned() {
 		return []Action{{Verb: Heal}}
 	}
 	if world.remaining[Cut] == 0 {
@@ -217,23 +217,17 @@
 	} else {
 		actionHandlers[action.Verb](world, world.byName[action.Subject], action.Subject)
 	}
-	world.runQueue()
+	world.queue.run()
 	return nil
 }
 
 func (world *world) moveMessage(action Action) {
-	list := &world.inFlight
-	if action.Verb == Release {
-		list = &world.delayedMessages
-	}
-	index := slices.IndexFunc(*list, func(message message) bool { return message.digest == action.Message })
-	message := (*list)[index]
-	*list = slices.Delete(slices.Clone(*list), index, index+1)
+	message := world.network.take(action.Verb, action.Message)
 	if action.Verb == Deliver || action.Verb == Release {
 		world.deliver(message)
 	}
 	if action.Verb == Hold {
-		world.delayedMessages = append(world.delayedMessages, message)
+		world.network.delayed = append(world.network.delayed, message)
 	}
 }
 
@@ -252,12 +246,12 @@
 	},
 	Start: func(world *world, host *host, _ string) {
 		world.boot(host)
-		world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
+		world.step(host, host.incarnation, 0, func() { host.tick(world.now) })
 	},
 	Freeze: func(_ *world, host *host, _ string) { host.frozen = true },
-	Wake:   func(world *world, host *host, _ string) { world.resume(host) },
-	Cut:    func(world *world, _ *host, subject string) { world.isolate(subject) },
-	Heal:   func(world *world, _ *host, _ string) { world.isolated = map[string]bool{} },
+	Wake:   func(_ *world, host *host, _ string) { host.resume() },
+	Cut:    func(world *world, _ *host, subject string) { world.network.isolate(subject) },
+	Heal:   func(world *world, _ *host, _ string) { world.network.heal() },
 	Leave: func(world *world, host *host, _ string) {
 		host.decommissioning = true
 		world.step(host, host.incarnation, 0, func() { host.node.Decommission(world.now) })
@@ -269,23 +263,6 @@
 	Blackout: func(world *world, host *host, _ string) { world.blackout(host) },
 }
 
-// isolate cuts off a group of machines, or one link.
-func (world *world) isolate(subject string) {
-	for _, name := range strings.Split(subject, ",") {
-		world.isolated[name] = true
-	}
-	world.dropMessages(func(message message) bool { return world.disconnected(message.from, message.to) })
-}
-
-func (world *world) resume(host *host) {
-	host.frozen = false
-	backlog := host.backlog
-	host.backlog = nil
-	for _, delayed := range backlog {
-		delayed.run()
-	}
-}
-
 // send has an operator ask a question.
 func (world *world) send(subject string) {
 	index := 0
@@ -325,11 +302,11 @@
 // lead with all that was acknowledged.
 func (world *world) blackout(lost *host) {
 	world.finished = true
-	world.isolated = map[string]bool{}
+	world.network.heal()
 	for _, host := range world.hosts {
 		world.stopProcess(host, true)
 	}
-	world.queue = nil
+	world.queue.clear()
 	if lost != nil {
 		lost.disk = newDisk()
 	}
@@ -352,12 +329,5 @@
 		world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
 }
 
-func (host *host) nameOrNobody() string {
-	if host == nil {
-		return "nobody"
-	}
-	return host.name
-}
-
 // settleTime is for how long a prepared fleet runs before a search begins; every machine then counts as reached.
 const settleTime = 2 * time.Second
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -270,7 +270,7 @@
 func (checker *checker) recordReachability(daemon *host) {
 	for _, host := range checker.world.hosts {
 		if host.core && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime &&
-			!checker.world.disconnected(daemon.name, host.name) {
+			!checker.world.network.disconnected(daemon.name, host.name) {
 			if checker.reachableSince[daemon.name].IsZero() {
 				checker.reachableSince[daemon.name] = checker.world.now
 			}
--- /dev/null
+++ b/verify/modelcheck/network.go
@@ -0,0 +1,81 @@
+package modelcheck
+
+import (
+	"slices"
+	"strings"
+)
+
+// message is one that is on its way.
+type message struct {
+	from, to string
+	kind     string
+	content  string
+	digest   uint64
+}
+
+// network is what is on its way between machines, and who can't reach whom.
+type network struct {
+	// inFlight are the messages whose order is explored, delayed those that Hold took out of them.
+	inFlight []message
+	delayed  []message
+	// isolated names the machines of the group that is cut off and the links that are cut.
+	isolated map[string]bool
+}
+
+func newNetwork() *network { return &network{isolated: map[string]bool{}} }
+
+func linkName(one, other string) string { return one + "|" + other }
+
+// isPartitioned reports whether a machine or a link is cut off.
+func (network *network) isPartitioned() bool { return len(network.isolated) > 0 }
+
+// isolate cuts off a group of machines, or one link; messages on their way over the cut are lost.
+func (network *network) isolate(subject string) {
+	for _, name := range strings.Split(subject, ",") {
+		network.isolated[name] = true
+	}
+	network.drop(func(message message) bool { return network.disconnected(message.from, message.to) })
+}
+
+// heal ends every cut.
+func (network *network) heal() { network.isolated = map[string]bool{} }
+
+// disconnected reports whether two machines can't reach each other: only one of them is in the group that is cut off,
+// or the link between them is cut.
+func (network *network) disconnected(one, other string) bool {
+	return network.isolated[one] != network.isolated[other] || network.isolated[linkName(one, other)] ||
+		network.isolated[linkName(other, one)]
+}
+
+// drop takes messages out of those on their way.
+func (network *network) drop(lost func(message message) bool) {
+	for _, list := range []*[]message{&network.inFlight, &network.delayed} {
+		remaining := (*list)[:0:0]
+		for _, message := range *list {
+			if !lost(message) {
+				remaining = append(remaining, message)
+			}
+		}
+		*list = remaining
+	}
+}
+
+// take takes out the first message that a verb is about: Release those that are delayed, any other those in flight.
+func (network *network) take(verb Verb, digest uint64) message {
+	list := &network.inFlight
+	if verb == Release {
+		list = &network.delayed
+	}
+	index := slices.IndexFunc(*list, func(message message) bool { return message.digest == digest })
+	taken := (*list)[index]
+	*list = slices.Delete(slices.Clone(*list), index, index+1)
+	return taken
+}
+
+func digestsOf(messages []message) []uint64 {
+	digests := make([]uint64, 0, len(messages))
+	for _, message := range messages {
+		digests = append(digests, message.digest)
+	}
+	return digests
+}
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -60,3 +60,12 @@
 	// toleratedFaults is how many disks may be lost at once.
 	toleratedFaults = 1
 )
+
+// founders names the core machines that found the fleet.
+func (scenario *Scenario) founders() []string {
+	names := make([]string, 0, scenario.Founders)
+	for number := range scenario.Founders {
+		names = append(names, coreName(number))
+	}
+	return names
+}
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -15,48 +15,6 @@
 	"wardtray/wire"
 )
 
-// host is one machine of the model.
-type host struct {
-	name        string
-	zone        string
-	core        bool
-	incarnation int
-	// everStarted means that its process was ever started; a later start founds nothing.
-	everStarted bool
-	up          bool
-	frozen      bool
-	// bootedAt is when its process began.
-	bootedAt time.Time
-	// poweredOff means that nothing at all answers; a machine that is down but not powered off refuses connections.
-	poweredOff bool
-	// removed means that the machine left by order and was taken away.
-	removed         bool
-	decommissioning bool
-	node            *node.Node
-	controller      *controller.Controller
-	disk            *disk
-	// document and view are those of this host that were checked last.
-	document *wire.Document
-	view     *wire.View
-	// writes wait for the disk, backlog for the end of a freeze.
-	writes  []statemachine.Write
-	backlog []deferredStep
-}
-
-// deferredStep is a step that waits for the end of a freeze; digest stands for what it does.
-type deferredStep struct {
-	digest uint64
-	run    func()
-}
-
-// message is one that is on its way.
-type message struct {
-	from, to string
-	kind     string
-	content  string
-	digest   uint64
-}
-
 // world is one state: the machines, what is on its way between them, and what the checks remember.
 type world struct {
 	scenario *Scenario
@@ -66,16 +24,14 @@
 	byName   map[string]*host
 	explored map[string]bool
 	// synchronous has every message delivered and every write synced at once.
-	synchronous     bool
-	queue           []func()
-	inFlight        []message
-	delayedMessages []message
-	isolated        map[string]bool
-	remaining       map[Verb]int
-	sent            []bool
-	identities      int
-	finished        bool
-	checker         *checker
+	synchronous bool
+	queue       *taskQueue
+	network     *network
+	remaining   map[Verb]int
+	sent        []bool
+	identities  int
+	finished    bool
+	checker     *checker
 }
 
 func newWorld(scenario *Scenario) *world {
@@ -87,7 +43,8 @@
 		byName:      map[string]*host{},
 		explored:    map[string]bool{},
 		synchronous: true,
-		isolated:    map[string]bool{},
+		queue:       &taskQueue{},
+		network:     newNetwork(),
 		remaining:   map[Verb]int{},
 		sent:        make([]bool, len(scenario.Requests)),
 	}
@@ -116,14 +73,6 @@
 	world.byName[host.name] = host
 }
 
-func (world *world) founders() []string {
-	names := make([]string, 0, world.scenario.Founders)
-	for number := range world.scenario.Founders {
-		names = append(names, coreName(number))
-	}
-	return names
-}
-
 // boot starts a process from what its disk holds.
 func (world *world) boot(host *host) {
 	first := !host.everStarted
@@ -138,7 +87,7 @@
 				Address:     host.name,
 				HTTP:        host.name,
 				Zone:        host.zone,
-				Seeds:       world.founders(),
+				Seeds:       world.scenario.founders(),
 				Registered:  true,
 				WithoutCore: withoutCore,
 			},
@@ -150,15 +99,15 @@
 		world.identities++
 		host.disk.state = &wire.DurableState{Id: fmt.Sprintf("disk%d-%s", world.identities, host.name)}
 	}
-	founding := first && strings.Contains(strings.Join(world.founders(), " "), host.name)
+	founding := first && strings.Contains(strings.Join(world.scenario.founders(), " "), host.name)
 	host.node = node.New(
 		world.now,
 		node.Settings{
 			Address:  host.name,
 			HTTP:     host.name,
 			Zone:     host.zone,
-			Seeds:    world.founders(),
-			Founders: world.founders(),
+			Seeds:    world.scenario.founders(),
+			Founders: world.scenario.founders(),
 			Founding: founding,
 			Faults:   toleratedFaults,
 		},
@@ -199,7 +148,7 @@
 	}
 	if len(host.writes) > 0 && !world.exploresDisks() {
 		incarnation := host.incarnation
-		world.enqueue(func() {
+		world.queue.add(func() {
 			if host.up && host.incarnation == incarnation {
 				world.sync(host)
 			}
@@ -209,21 +158,10 @@
 
 func (world *world) exploresDisks() bool { return world.scenario.Disks && !world.synchronous }
 
-func (world *world) enqueue(do func()) { world.queue = append(world.queue, do) }
-
-// runQueue does all that needs no choice.
-func (world *world) runQueue() {
-	for len(world.queue) > 0 {
-		next := world.queue[0]
-		world.queue = world.queue[1:]
-		next()
-	}
-}
-
 // transmit sends a message on its way: among those explored, or at once.
 func (world *world) transmit(from *host, outgoing statemachine.Message) {
 	target := world.byName[outgoing.To]
-	if target == nil || world.disconnected(from.name, target.name) {
+	if target == nil || world.network.disconnected(from.name, target.name) {
 		return
 	}
 	if !target.up {
@@ -237,10 +175,10 @@
 	sending := message{from: from.name, to: target.name, kind: kindOf(outgoing.Envelope), content: string(content)}
 	sending.digest = digestOf(sending.from + ">" + sending.to + ":" + sending.content)
 	if world.synchronous || !world.explored[sending.kind] || from == target {
-		world.enqueue(func() { world.deliver(sending) })
+		world.queue.add(func() { world.deliver(sending) })
 		return
 	}
-	world.inFlight = append(world.inFlight, sending)
+	world.network.inFlight = append(world.network.inFlight, sending)
 }
 
 // kindOf names the kind of an envelope's body, such as ChainPass.
@@ -254,7 +192,7 @@
 // deliver delivers a message.
 func (world *world) deliver(message message) {
 	target := world.byName[message.to]
-	if !target.up || world.disconnected(message.from, message.to) {
+	if !target.up || world.network.disconnected(message.from, message.to) {
 		return
 	}
 	envelope := &wire.Envelope{}
@@ -276,8 +214,8 @@
 		return
 	}
 	incarnation, tried := from.incarnation, world.now
-	world.enqueue(func() {
-		if to.up || world.disconnected(from.name, to.name) {
+	world.queue.add(func() {
+		if to.up || world.network.disconnected(from.name, to.name) {
 			return
 		}
 		world.step(from, incarnation, digestOf("refused "+to.name), func() {
@@ -290,15 +228,6 @@
 	})
 }
 
-// disconnected reports whether two machines can't reach each other: only one of them is in the group that is cut off,
-// or the link between them is cut.
-func (world *world) disconnected(one, other string) bool {
-	return world.isolated[one] != world.isolated[other] || world.isolated[linkName(one, other)] ||
-		world.isolated[linkName(other, one)]
-}
-
-func linkName(one, other string) string { return one + "|" + other }
-
 // sync completes all writes that a machine's disk was asked for.
 func (world *world) sync(host *host) {
 	writes := host.writes
@@ -319,20 +248,12 @@
 	for _, host := range world.hosts {
 		// A frozen process misses its ticks.
 		if host.up && !host.frozen {
-			world.step(host, host.incarnation, 0, func() { world.tickHost(host) })
-			world.runQueue()
+			world.step(host, host.incarnation, 0, func() { host.tick(world.now) })
+			world.queue.run()
 		}
 	}
 }
 
-func (world *world) tickHost(host *host) {
-	if host.core {
-		host.node.Tick(world.now)
-		return
-	}
-	host.controller.Tick(world.now)
-}
-
 // wait lets time pass while every message is delivered and every write synced.
 func (world *world) wait(steps int) {
 	world.synchronous = true
@@ -350,47 +271,34 @@
 			world.sync(host)
 		}
 	}
-	flying := world.inFlight
-	world.inFlight = nil
+	flying := world.network.inFlight
+	world.network.inFlight = nil
 	for _, message := range flying {
 		if world.byName[message.to].frozen {
-			world.inFlight = append(world.inFlight, message)
+			world.network.inFlight = append(world.network.inFlight, message)
 			continue
 		}
 		world.deliver(message)
 	}
-	world.runQueue()
+	world.queue.run()
 }
 
 // stopProcess stops a process; what waited for its disk is lost.
 func (world *world) stopProcess(host *host, dark bool) {
 	host.up, host.poweredOff, host.frozen, host.writes, host.backlog = false, dark, false, nil, nil
 	host.node, host.controller = nil, nil
-	world.dropMessages(func(message message) bool { return message.to == host.name })
+	world.network.drop(func(message message) bool { return message.to == host.name })
 	if dark {
 		return
 	}
 	// The system of a machine whose process ended closes its connections; whoever had one tries again at once.
 	for _, other := range world.hosts {
-		if other.up && !world.disconnected(other.name, host.name) {
+		if other.up && !world.network.disconnected(other.name, host.name) {
 			world.refuseConnection(other, host)
 		}
 	}
 }
 
-// dropMessages takes messages out of those on their way.
-func (world *world) dropMessages(lost func(message message) bool) {
-	for _, list := range []*[]message{&world.inFlight, &world.delayedMessages} {
-		remaining := (*list)[:0:0]
-		for _, message := range *list {
-			if !lost(message) {
-				remaining = append(remaining, message)
-			}
-		}
-		*list = remaining
-	}
-}
-
 // leader returns the machine that leads at this moment, if one does.
 func (world *world) leader() *host {
 	for _, host := range world.hosts {
@@ -405,11 +313,11 @@
 func (world *world) fingerprint() uint64 {
 	hash, walker := digestSeed, newWalker(world.now)
 	for _, host := range world.hosts {
-		world.addHost(&hash, walker, host)
+		host.addToFingerprint(&hash, walker, world.now)
 	}
-	hash.addSorted(digestsOf(world.inFlight))
-	hash.addSorted(digestsOf(world.delayedMessages))
-	hash.add(walker.walk(reflect.ValueOf(world.isolated)))
+	hash.addSorted(digestsOf(world.network.inFlight))
+	hash.addSorted(digestsOf(world.network.delayed))
+	hash.add(walker.walk(reflect.ValueOf(world.network.isolated)))
 	hash.add(walker.walk(reflect.ValueOf(world.remaining)))
 	hash.add(walker.walk(reflect.ValueOf(world.sent)))
 	hash.add(uint64(world.identities))
@@ -417,31 +325,6 @@
 	return uint64(hash)
 }
 
-func (world *world) addHost(hash *digest, walker *walker, host *host) {
-	hash.addText(
-		fmt.Sprint(host.incarnation, host.everStarted, host.up, host.frozen, host.poweredOff, host.removed,
-			host.decommissioning),
-	)
-	hash.addTime(world.now, host.bootedAt)
-	for _, delayed := range host.backlog {
-		hash.add(delayed.digest)
-	}
-	hash.add(walker.walk(reflect.ValueOf(host.node)))
-	hash.add(walker.walk(reflect.ValueOf(host.controller)))
-	if host.core {
-		hash.add(uint64(host.disk.digest))
-	}
-	hash.add(walker.walk(reflect.ValueOf(host.writes)))
-}
-
-func digestsOf(messages []message) []uint64 {
-	digests := make([]uint64, 0, len(messages))
-	for _, message := range messages {
-		digests = append(digests, message.digest)
-	}
-	return digests
-}
-
 // names sorts the names of hosts that a condition holds for.
 func (world *world) names(is func(host *host) bool) []string {
 	var names []string
