--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -63,8 +63,7 @@
 		world.StartTraffic(shape.Mix, shape.Zones, 18)
 	}
 	for _, host := range world.Hosts {
-		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
 	}
 	return world
 }
--- /dev/null
+++ b/verify/simulation/isolation_test.go
@@ -0,0 +1,29 @@
+package simulation
+
+import (
+	"testing"
+	"time"
+)
+
+func TestIsolationTrackerNotesLossAndReturnOfTheCore(t *testing.T) {
+	world := NewWorld(1)
+	core, daemon := world.AddCore("core", "a"), world.AddData("data", "a")
+	core.up, daemon.up = true, true
+	world.isolations.refresh()
+	if !daemon.isolation.since.IsZero() {
+		t.Fatal("a daemon that reaches the core is isolated")
+	}
+	lost := world.Now
+	world.topology.Cut(core, daemon)
+	world.isolations.refresh()
+	if !daemon.isolation.since.Equal(lost) {
+		t.Fatalf("isolated since %v, want %v", daemon.isolation.since, lost)
+	}
+	world.Now = world.Now.Add(time.Second)
+	world.topology.Heal()
+	world.isolations.refresh()
+	isolation := daemon.isolation
+	if !isolation.since.IsZero() || !isolation.previous.Equal(lost) || !isolation.finished.Equal(world.Now) {
+		t.Errorf("after the return: %+v", isolation)
+	}
+}
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -370,8 +370,7 @@
 	world.Platform.fill(1)
 	registering := world.StartRegisteringRunners(runners, zones)
 	for _, host := range world.Hosts {
-		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
 	}
 	world.Run(30 * time.Second)
 	calm = measureCost(world, 10*time.Second)
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -33,8 +33,7 @@
 	world.SetSeeds(seeds)
 	world.Platform.fill(18)
 	for _, host := range world.Hosts {
-		booted := host
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, func() { booted.Boot() })
+		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
 	}
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
