--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -10,6 +10,7 @@
 
 	"wardtray/apierror"
 	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/control/server"
 	"wardtray/dataplane/daemon"
 )
@@ -82,7 +83,7 @@
 	malformed := serve(t, respond(http.StatusOK, "no JSON"))
 	refusing := serve(t, respond(http.StatusConflict, `{"outcome":"refused","kind":"stale_base"}`))
 	reply, err := New([]string{unreachable, malformed, refusing}).Get()
-	if err != nil || reply.Outcome != server.OutcomeRefused {
+	if err != nil || reply.Outcome != proposal.OutcomeRefused {
 		t.Errorf("%+v, %v", reply, err)
 	}
 	for code, cores := range map[apierror.Code][]string{
--- a/control/proposal/change.go
+++ b/control/proposal/change.go
@@ -129,7 +129,7 @@
 
 // changedSpec returns the spec that a request asks for, and its faults.
 func changedSpec(message *wire.OperatorRequest, latest *wire.Document) (*config.Spec, []config.Problem, error) {
-	if message.Verb == verbApply {
+	if message.Verb == VerbApply {
 		parsed, err := config.Parse(message.Spec)
 		if err != nil {
 			return nil, nil, err
@@ -144,7 +144,7 @@
 		}
 		present = decoded
 	}
-	if message.Verb == verbChange {
+	if message.Verb == VerbChange {
 		change, err := config.ParseChange(message.Spec)
 		if err != nil {
 			return nil, nil, err
@@ -155,7 +155,7 @@
 	if len(latest.Spec) == 0 {
 		return nil, nil, apierror.New(apierror.InvalidSpec, "there is no spec yet whose zones could be closed")
 	}
-	return withZoneClosed(present, message.Zone, message.Verb == verbClose)
+	return withZoneClosed(present, message.Zone, message.Verb == VerbClose)
 }
 
 // withZoneClosed closes or opens a zone of a spec.
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -75,8 +75,8 @@
 // Serve answers a request as head; a head without a lease defers it, any other process drops it: its origin retries.
 func (proposals *Proposals) Serve(now time.Time, message *wire.OperatorRequest) {
 	verbs := map[string]func(now time.Time, message *wire.OperatorRequest){
-		verbGet: proposals.serveGet, verbOperation: proposals.serveOperation, verbApply: proposals.serveChange,
-		verbChange: proposals.serveChange, verbClose: proposals.serveChange, verbOpen: proposals.serveChange,
+		VerbGet: proposals.serveGet, VerbOperation: proposals.serveOperation, VerbApply: proposals.serveChange,
+		VerbChange: proposals.serveChange, VerbClose: proposals.serveChange, VerbOpen: proposals.serveChange,
 	}
 	if verb := verbs[message.Verb]; verb != nil {
 		verb(now, message)
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -100,7 +100,7 @@
 }
 
 func apply(operation string) *wire.OperatorRequest {
-	return &wire.OperatorRequest{Verb: verbApply, Operation: operation, Spec: spec("p")}
+	return &wire.OperatorRequest{Verb: VerbApply, Operation: operation, Spec: spec("p")}
 }
 
 func TestChangeIsAcknowledgedOnceDelivered(t *testing.T) {
@@ -157,18 +157,18 @@
 
 func TestRefusals(t *testing.T) {
 	t.Parallel()
-	staleBase := &wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}
+	staleBase := &wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}
 	for name, test := range map[string]struct {
 		message   *wire.OperatorRequest
 		unhealthy bool
 		want      int
 	}{
 		"stale base":   {staleBase, false, 409},
-		"no JSON":      {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: []byte("{")}, false, 400},
-		"stale epoch":  {&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), HasEpoch: true}, false, 422},
-		"no spec yet":  {&wire.OperatorRequest{Verb: verbClose, Operation: "o", Zone: "z"}, false, 422},
+		"no JSON":      {&wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: []byte("{")}, false, 400},
+		"stale epoch":  {&wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), HasEpoch: true}, false, 422},
+		"no spec yet":  {&wire.OperatorRequest{Verb: VerbClose, Operation: "o", Zone: "z"}, false, 422},
 		"failing disk": {apply("o"), true, 503},
-		"no such id":   {&wire.OperatorRequest{Verb: verbOperation, Operation: "o"}, false, 404},
+		"no such id":   {&wire.OperatorRequest{Verb: VerbOperation, Operation: "o"}, false, 404},
 	} {
 		bench := newBench("a", "a")
 		bench.unhealthy = test.unhealthy
@@ -186,7 +186,7 @@
 	t.Parallel()
 	bench := newBench("a", "a")
 	bench.submit(start, apply("first"))
-	stale := &wire.OperatorRequest{Verb: verbApply, Operation: "second", Spec: spec("q"), HasBase: true}
+	stale := &wire.OperatorRequest{Verb: VerbApply, Operation: "second", Spec: spec("q"), HasBase: true}
 	bench.submit(start, stale)
 	if bench.replies != 0 {
 		t.Fatal("refused before the change that it rests on is committed")
@@ -206,7 +206,7 @@
 	}{"in time": {deferTimeout, 1}, "too late": {deferTimeout + 1, 0}} {
 		bench := newBench("a", "a")
 		bench.leading = false
-		get := &wire.OperatorRequest{Verb: verbGet, Token: "b/1/1", Origin: "b:1"}
+		get := &wire.OperatorRequest{Verb: VerbGet, Token: "b/1/1", Origin: "b:1"}
 		bench.proposals.Receive(start, get)
 		bench.proposals.Receive(start, get)
 		if len(bench.responses()) != 0 {
@@ -225,7 +225,7 @@
 	bench := newBench("a", "ab")
 	bench.proposals.Receive(
 		start,
-		&wire.OperatorRequest{Verb: verbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"},
+		&wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"},
 	)
 	if len(bench.proposals.waiters) != 1 {
 		t.Fatal("nobody waits, so that nothing is tested")
@@ -241,7 +241,7 @@
 func TestRequestsAreSentToTheHeadAgain(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
-	bench.submit(start, &wire.OperatorRequest{Verb: verbGet})
+	bench.submit(start, &wire.OperatorRequest{Verb: VerbGet})
 	for _, test := range []struct {
 		after time.Duration
 		want  int
@@ -301,7 +301,7 @@
 func TestAbandonKeepsChanges(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
-	bench.requests.Abandon(bench.submit(start, &wire.OperatorRequest{Verb: verbGet}))
+	bench.requests.Abandon(bench.submit(start, &wire.OperatorRequest{Verb: VerbGet}))
 	bench.requests.Abandon(bench.submit(start, apply("o")))
 	if bench.requests.Count() != 1 {
 		t.Errorf("%d are open", bench.requests.Count())
@@ -312,9 +312,9 @@
 	t.Parallel()
 	bench := newBench("c", "ab")
 	for range maximumRequests {
-		bench.submit(start, &wire.OperatorRequest{Verb: verbGet})
+		bench.submit(start, &wire.OperatorRequest{Verb: VerbGet})
 	}
-	if bench.submit(start, &wire.OperatorRequest{Verb: verbGet}) != "" || bench.status != http.StatusServiceUnavailable {
+	if bench.submit(start, &wire.OperatorRequest{Verb: VerbGet}) != "" || bench.status != http.StatusServiceUnavailable {
 		t.Errorf("%d %+v", bench.status, bench.reply)
 	}
 }
--- a/control/proposal/reply.go
+++ b/control/proposal/reply.go
@@ -13,7 +13,7 @@
 
 // The outcomes that a reply names.
 const (
-	// OutcomeAccepted is a change that is committed and delivered, and stays.
+	// OutcomeAccepted is a change that is committed, and that no serving data daemon can lack any more.
 	OutcomeAccepted = "accepted"
 	// OutcomeRefused is a change that is not, and never will be, in effect.
 	OutcomeRefused = "refused"
@@ -26,19 +26,20 @@
 	OutcomeEmpty = "empty"
 )
 
-// The verbs of operators' requests.
+// The verbs of operators' requests, as wire.OperatorRequest names them: a read, the outcome of an operation, and
+// changes that replace the whole configuration, edit named entries of it, close a zone and open it.
 const (
-	verbGet       = "get"
-	verbOperation = "operation"
-	verbApply     = "apply"
-	verbChange    = "change"
-	verbClose     = "close"
-	verbOpen      = "open"
+	VerbGet       = "get"
+	VerbOperation = "operation"
+	VerbApply     = "apply"
+	VerbChange    = "change"
+	VerbClose     = "close"
+	VerbOpen      = "open"
 )
 
 // isWrite reports whether a request asks for a change.
 func isWrite(message *wire.OperatorRequest) bool {
-	return message.Verb != verbGet && message.Verb != verbOperation
+	return message.Verb != VerbGet && message.Verb != VerbOperation
 }
 
 // Reply is the form of every reply to an operator.
--- a/control/server/abandoned_test.go
+++ b/control/server/abandoned_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -74,11 +75,11 @@
 // A read that timed out is removed as well.
 func TestTimedOutReadsAreRemoved(t *testing.T) {
 	node := newSingleNode(t)
-	status, _ := node.Execute(&wire.OperatorRequest{Verb: VerbGet}, time.Millisecond)
+	status, _ := node.Execute(&wire.OperatorRequest{Verb: proposal.VerbGet}, time.Millisecond)
 	if status != 504 || node.pendingRequests() != 0 {
 		t.Errorf("%d, %d pending", status, node.pendingRequests())
 	}
-	status, _ = node.Execute(&wire.OperatorRequest{Verb: VerbApply, HasBase: true}, time.Millisecond)
+	status, _ = node.Execute(&wire.OperatorRequest{Verb: proposal.VerbApply, HasBase: true}, time.Millisecond)
 	if status != 504 || node.pendingRequests() != 1 {
 		t.Errorf("%d, %d pending", status, node.pendingRequests())
 	}
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -12,6 +12,7 @@
 	"wardtray/apierror"
 	"wardtray/config"
 	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/transport/netio"
 )
 
@@ -35,16 +36,6 @@
 	retryAfter = "1"
 )
 
-// The outcomes of a call, as node.Reply names them.
-const (
-	// OutcomeAccepted is that of a change which is committed, and which no serving data daemon can lack any more.
-	OutcomeAccepted = "accepted"
-	// OutcomeRefused is that of a call which took no effect and never will.
-	OutcomeRefused = "refused"
-	// OutcomeUnknown is that of a call which may still take effect.
-	OutcomeUnknown = "unknown"
-)
-
 // listenHTTP opens the HTTP side and serves it in the background.
 func (server *Server) listenHTTP(ctx context.Context) (*fasthttp.Server, error) {
 	httpServer := &fasthttp.Server{
@@ -91,7 +82,7 @@
 
 // refusal returns the reply to a call that took no effect.
 func refusal(code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: OutcomeRefused, Code: string(code), Detail: detail}
+	return node.Reply{Outcome: proposal.OutcomeRefused, Code: string(code), Detail: detail}
 }
 
 // WriteReply responds with a reply, and adds the remedy for its error code where it has none.
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -11,6 +11,7 @@
 
 	"wardtray/apierror"
 	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/transport/netio"
 	"wardtray/wire"
 )
@@ -18,28 +19,14 @@
 // maximumOperation bounds the id of an operator's change, and a zone's name, in bytes.
 const maximumOperation = 128
 
-// The verbs of an operator's request, as wire.OperatorRequest names them.
-const (
-	// VerbGet reads the newest configuration.
-	VerbGet = "get"
-	// VerbApply replaces the whole configuration.
-	VerbApply = "apply"
-	// VerbChange adds, replaces and removes named entries of the configuration.
-	VerbChange = "change"
-
-	verbCloseZone = "close"
-	verbOpenZone  = "open"
-	verbOperation = "operation"
-)
-
 // mountOperator adds the operators' routes.
 func (server *Server) mountOperator(routes *router.Router) {
-	routes.GET("/v1/spec", server.operatorHandler(VerbGet))
-	routes.PUT("/v1/spec", server.operatorHandler(VerbApply))
-	routes.PATCH("/v1/spec", server.operatorHandler(VerbChange))
-	routes.POST("/v1/zones/{zone}/close", server.operatorHandler(verbCloseZone))
-	routes.POST("/v1/zones/{zone}/open", server.operatorHandler(verbOpenZone))
-	routes.GET("/v1/operations/{operation}", server.operatorHandler(verbOperation))
+	routes.GET("/v1/spec", server.operatorHandler(proposal.VerbGet))
+	routes.PUT("/v1/spec", server.operatorHandler(proposal.VerbApply))
+	routes.PATCH("/v1/spec", server.operatorHandler(proposal.VerbChange))
+	routes.POST("/v1/zones/{zone}/close", server.operatorHandler(proposal.VerbClose))
+	routes.POST("/v1/zones/{zone}/open", server.operatorHandler(proposal.VerbOpen))
+	routes.GET("/v1/operations/{operation}", server.operatorHandler(proposal.VerbOperation))
 }
 
 // operatorHandler returns the handler of one verb: it submits the request to the chain and waits for the response.
@@ -72,7 +59,7 @@
 // plane, unless the request is abandoned by its token first.
 func (server *Server) submit(message *wire.OperatorRequest) (token string, _ <-chan operatorResponse) {
 	// Without an id of its own an operation could neither be looked up nor told from a retry.
-	if message.Operation == "" && message.Verb != VerbGet {
+	if message.Operation == "" && message.Verb != proposal.VerbGet {
 		message.Operation = newID()
 	}
 	responses := make(chan operatorResponse, 1)
@@ -132,7 +119,7 @@
 
 // unknownOutcome returns the reply to a request that may still take effect.
 func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
+	return node.Reply{Outcome: proposal.OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
 }
 
 // parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
@@ -154,7 +141,7 @@
 	if message.Base, message.HasBase, err = queryNumber(request, "base"); err != nil {
 		return nil, err
 	}
-	if verb != VerbApply && verb != VerbChange {
+	if verb != proposal.VerbApply && verb != proposal.VerbChange {
 		return message, nil
 	}
 	if message.Epoch, message.HasEpoch, err = queryNumber(request, "epoch"); err != nil {
--- a/control/server/operator_test.go
+++ b/control/server/operator_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -27,7 +28,7 @@
 		"base=1&operation=" + strings.Repeat("x", 129): "operation",
 		"base=1&operation=%ff":                         "operation",
 	}
-	for _, verb := range []string{VerbApply, VerbChange} {
+	for _, verb := range []string{proposal.VerbApply, proposal.VerbChange} {
 		got, err := read(verb, "base=5&epoch=9&operation=x")
 		if err != nil || !got.HasBase || got.Base != 5 || !got.HasEpoch || got.Epoch != 9 {
 			t.Errorf("%s: %v %v", verb, got, err)
@@ -52,9 +53,9 @@
 func TestExecuteTimesOut(t *testing.T) {
 	// There is no chain and nothing ticks, so that no response can come.
 	server := newNode(t)
-	request := &wire.OperatorRequest{Verb: VerbApply, HasBase: true}
+	request := &wire.OperatorRequest{Verb: proposal.VerbApply, HasBase: true}
 	status, reply := server.Execute(request, time.Millisecond)
-	if status != 504 || reply.Outcome != OutcomeUnknown || reply.Operation == "" {
+	if status != 504 || reply.Outcome != proposal.OutcomeUnknown || reply.Operation == "" {
 		t.Errorf("%d %+v", status, reply)
 	}
 }
