--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,7 +1,8 @@
 // Package chain replicates one document along a chain of machines with disks. A change enters at the head, is
-// synced by each member before it is forwarded to the successor, and is committed once the tail has synced it; the
-// tail answers learners. Each member's history begins with its successor's, which is why a member may only be removed
-// from the chain, or added at its end after it has learned a complete committed document.
+// synced by each member before it is forwarded to the successor, and is committed once the tail has synced it, if the
+// chain has at least the view's MinReplicas members; the tail answers learners. Each member's history begins with its
+// successor's, which is why a member may only be removed from the chain, or added at its end after it has learned a
+// complete committed document.
 //
 // # Contract
 //
@@ -15,7 +16,7 @@
 //
 // After each call its caller drains the outbox (see package statemachine). The head's caller validates a change and
 // holds the head's lease (see package lease) when it calls Chain.Submit. A tail needs no lease for
-// Chain.HandleLearnRequest: all that it has is committed in its view. A Chain is not safe for concurrent use.
+// Chain.HandleLearnRequest: it teaches what is committed in its view. A Chain is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what
 // its disk has synced. Under these assumptions, and with views that differ only as said above, a committed change
@@ -60,6 +61,9 @@
 	// received is the sequence of the newest entry, and synced up to where the disk holds the history.
 	received uint64
 	synced   uint64
+	// restored is the sequence of the newest entry that this member began with: whether it and those before it were
+	// committed is not known. Zero once the history was replaced by a committed document.
+	restored uint64
 	// replacements counts how often the whole history was replaced, so that late completions of
 	// writes of an earlier one are recognized.
 	replacements uint64
@@ -97,7 +101,7 @@
 		view: &wire.View{}, index: notMember, history: newHistory(base, pending),
 	}
 	chain.received = chain.history.latest().Sequence
-	chain.synced = chain.received
+	chain.synced, chain.restored = chain.received, chain.received
 	return chain
 }
 
@@ -179,7 +183,7 @@
 	if !chain.IsHead() {
 		return apierror.New(apierror.NoQuorum, "not the head of the chain")
 	}
-	if len(chain.view.Chain) < int(chain.view.MinReplicas) {
+	if !chain.isWritable() {
 		return apierror.New(apierror.NoQuorum, "the chain is shorter than %d members", chain.view.MinReplicas)
 	}
 	if !chain.history.hasRoom(entry) {
@@ -210,11 +214,23 @@
 	chain.acknowledge()
 }
 
-// commitAtTail commits all that this member has synced, where it is the tail.
+// isWritable reports whether the chain has as many members as a change needs replicas.
+func (chain *Chain) isWritable() bool { return len(chain.view.Chain) >= int(chain.view.MinReplicas) }
+
+// commitAtTail commits what this member has synced, where it is the tail. In a chain that is not writable, whose members
+// may all lose their disks without exceeding the tolerated faults, it commits only what it was restored with, since
+// that may have been acknowledged. What it received since and did not commit was acknowledged by no head: a head
+// acknowledges what its successor has committed, as all members behind it have. That remains pending until the chain
+// is writable again.
 func (chain *Chain) commitAtTail(now time.Time) {
-	if chain.IsTail() {
+	if !chain.IsTail() {
+		return
+	}
+	if chain.isWritable() {
 		chain.commit(now, chain.synced)
+		return
 	}
+	chain.commit(now, chain.restored)
 }
 
 func (chain *Chain) commit(now time.Time, sequence uint64) {
--- a/coordination/chain/cluster_test.go
+++ b/coordination/chain/cluster_test.go
@@ -48,17 +48,20 @@
 
 func (cluster *cluster) add(name string) { cluster.addWith(name, nil) }
 
-// addWith adds a member whose disk holds a document.
-func (cluster *cluster) addWith(name string, document *wire.Document) {
+// addWith adds a member whose disk holds a document and the entries after it.
+func (cluster *cluster) addWith(name string, document *wire.Document, pending ...*wire.Entry) {
 	cluster.outbox[name] = statemachine.NewOutbox()
 	address := func(member *wire.Member) string { return member.Id }
-	cluster.chains[name] = New(name, document, nil, cluster.outbox[name], address,
+	cluster.chains[name] = New(name, document, pending, cluster.outbox[name], address,
 		func(_ time.Time, sequence uint64) { cluster.commits[name] = sequence })
 }
 
-// adopt lets all members adopt a view.
-func (cluster *cluster) adopt(epoch uint64, names ...string) {
-	view := &wire.View{Epoch: epoch, MinReplicas: 1}
+// adopt lets all members adopt a view in which a change needs a single replica.
+func (cluster *cluster) adopt(epoch uint64, names ...string) { cluster.adoptWith(1, epoch, names...) }
+
+// adoptWith lets all members adopt a view in which a change needs some number of replicas.
+func (cluster *cluster) adoptWith(minReplicas uint32, epoch uint64, names ...string) {
+	view := &wire.View{Epoch: epoch, MinReplicas: minReplicas}
 	for _, name := range names {
 		view.Chain = append(view.Chain, &wire.Member{Id: name, Address: name})
 	}
--- a/coordination/chain/learning.go
+++ b/coordination/chain/learning.go
@@ -59,7 +59,7 @@
 func (chain *Chain) replaceHistory(now time.Time, document *wire.Document, onSynced func(now time.Time)) {
 	chain.history, chain.received = newHistory(document, nil), document.Sequence
 	// Nothing of the old history may count as synced before the new one is.
-	chain.synced = 0
+	chain.synced, chain.restored = 0, 0
 	chain.replacements++
 	replacements := chain.replacements
 	record := &wire.Record{Body: &wire.Record_Document{Document: document}, Incomplete: chain.incomplete}
