--- a/cmd/wtctl/command.go
+++ b/cmd/wtctl/command.go
@@ -7,8 +7,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"wardtray/control/node"
 	"wardtray/control/operator"
+	"wardtray/control/proposal"
 )
 
 // session is what every command works with; client and json are set once the flags are parsed.
@@ -76,7 +76,7 @@
 }
 
 // printReply prints a reply and returns the exit code of its outcome; an error is returned as it is.
-func (session *session) printReply(reply node.Reply, err error) (int, error) {
+func (session *session) printReply(reply proposal.Reply, err error) (int, error) {
 	if err != nil {
 		return exitRefused, err
 	}
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -9,8 +9,8 @@
 
 	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/control/node"
 	"wardtray/control/operator"
+	"wardtray/control/proposal"
 )
 
 // registerDocument declares the commands that read and change the configuration document.
@@ -28,7 +28,7 @@
 }
 
 // sender sends a document, or a change of one, to the control plane.
-type sender func(client *operator.Client, content []byte, change operator.Change) (node.Reply, error)
+type sender func(client *operator.Client, content []byte, change operator.Change) (proposal.Reply, error)
 
 // registerChange declares a command that sends a file.
 func (session *session) registerChange(known commands, command *kingpin.CmdClause, content string, send sender) {
--- a/cmd/wtverify/capacity_test.go
+++ b/cmd/wtverify/capacity_test.go
@@ -8,7 +8,7 @@
 
 	"wardtray/balancer/kvblock"
 	"wardtray/balancer/scheduler"
-	"wardtray/control/node"
+	"wardtray/control/daemonlease"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/registry"
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	bounds := map[string]int{
-		"daemons that one head keeps ticks for, daemons":                            node.MaximumDaemons,
+		"daemons that one head keeps ticks for, daemons":                            daemonlease.MaximumDaemons,
 		"runners that a book remembers, runners":                                    registry.MaximumRunners,
 		"prefixes in an index, keys":                                                kvblock.DefaultKeys,
 		"operations whose outcome is remembered for a day, operations":              chain.MaximumOutcomes,
--- a/control/node/bounds.go
+++ b/control/node/bounds.go
@@ -151,6 +151,3 @@
 	}
 	return nil
 }
-
-// MaximumDaemons bounds the daemons that one head grants leases to.
-const MaximumDaemons = daemonlease.MaximumDaemons
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -11,6 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -339,7 +340,7 @@
 	operation := fmt.Sprintf("change-%d", fleet.changes)
 	ask := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: whole("l")}
 	running[fleet.changes%len(running)].node.Submit(fleet.now, ask, func(status int, body []byte) {
-		reply := Reply{}
+		reply := proposal.Reply{}
 		if err := json.Unmarshal(body, &reply); err != nil {
 			fleet.t.Fatalf("answer %q: %v", body, err)
 		}
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -11,6 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/durability"
 	"wardtray/control/storage"
 	"wardtray/coordination/snapshot"
 	"wardtray/coordination/statemachine"
@@ -166,7 +167,7 @@
 func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
 	memory := proto.CloneOf(restored.State)
 	for _, record := range restored.Records {
-		Replay(memory, record)
+		durability.Replay(memory, record)
 	}
 	last := memory.Document.GetSequence()
 	for _, entry := range memory.Pending {
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -23,9 +23,6 @@
 	"wardtray/wire"
 )
 
-// Reply is the form of every reply to an operator.
-type Reply = proposal.Reply
-
 // Counters are what a machine counts of its own work.
 type Counters struct {
 	// Views counts the views that it learned of, and Commits the changes that it saw committed.
@@ -62,7 +59,7 @@
 func New(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
 	state = proto.CloneOf(state)
 	for _, record := range records {
-		Replay(state, record)
+		durability.Replay(state, record)
 	}
 	settings = settings.withDefaults()
 	// The draws keep their order, by which a simulation with the same seed repeats.
@@ -252,9 +249,6 @@
 // Registry returns what was counted of the runners' calls.
 func (node *Node) Registry() registry.Counters { return node.registrar.Counters() }
 
-// Replay folds one record of the log into a state.
-func Replay(state *wire.DurableState, record *wire.Record) { durability.Replay(state, record) }
-
 // DurableState returns all that this machine must not forget.
 func (node *Node) DurableState() *wire.DurableState {
 	agent := node.members.agent
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -10,6 +10,7 @@
 
 	"wardtray/config"
 	"wardtray/control/daemonlease"
+	"wardtray/control/proposal"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -77,7 +78,7 @@
 
 type given struct {
 	status int
-	reply  Reply
+	reply  proposal.Reply
 }
 
 func whole(routes ...string) []byte {
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 )
 
 const (
@@ -69,9 +69,9 @@
 }
 
 // request asks the control nodes in turn, and returns the first reply, or the last error.
-func (client *Client) request(method, path string, body []byte) (node.Reply, error) {
+func (client *Client) request(method, path string, body []byte) (proposal.Reply, error) {
 	if len(client.Cores) == 0 {
-		return node.Reply{}, apierror.New(apierror.InvalidSettings, "no core is named; give --core")
+		return proposal.Reply{}, apierror.New(apierror.InvalidSettings, "no core is named; give --core")
 	}
 	var last error
 	for _, address := range client.Cores {
@@ -81,25 +81,25 @@
 		}
 		last = err
 	}
-	return node.Reply{}, last
+	return proposal.Reply{}, last
 }
 
 // requestFrom asks one control node. The reply says what became of the request, whatever its HTTP status is.
-func (client *Client) requestFrom(address, method, path string, body []byte) (node.Reply, error) {
+func (client *Client) requestFrom(address, method, path string, body []byte) (proposal.Reply, error) {
 	call := httpRequest{method: method, address: address, path: path, body: body, timeout: requestTimeout}
 	_, content, err := client.send(call)
 	if err != nil {
-		return node.Reply{}, err
+		return proposal.Reply{}, err
 	}
-	reply := node.Reply{}
+	reply := proposal.Reply{}
 	if err := json.Unmarshal(content, &reply); err != nil {
-		return node.Reply{}, apierror.Wrap(err, apierror.Malformed, "the answer of %s", address)
+		return proposal.Reply{}, apierror.Wrap(err, apierror.Malformed, "the answer of %s", address)
 	}
 	return reply, nil
 }
 
 // Get reads the newest committed configuration. The head of the chain answers, under its lease.
-func (client *Client) Get() (node.Reply, error) {
+func (client *Client) Get() (proposal.Reply, error) {
 	return client.request(http.MethodGet, "/v1/spec", nil)
 }
 
@@ -122,23 +122,23 @@
 }
 
 // Apply replaces the configuration by a complete document.
-func (client *Client) Apply(content []byte, change Change) (node.Reply, error) {
+func (client *Client) Apply(content []byte, change Change) (proposal.Reply, error) {
 	return client.request(http.MethodPut, change.path(), content)
 }
 
 // Change adds, replaces and removes named entries of the configuration.
-func (client *Client) Change(content []byte, change Change) (node.Reply, error) {
+func (client *Client) Change(content []byte, change Change) (proposal.Reply, error) {
 	return client.request(http.MethodPatch, change.path(), content)
 }
 
 // Zone closes or opens a zone; verb is "close" or "open".
-func (client *Client) Zone(verb, zone, operation string) (node.Reply, error) {
+func (client *Client) Zone(verb, zone, operation string) (proposal.Reply, error) {
 	path := "/v1/zones/" + url.PathEscape(zone) + "/" + verb + "?operation=" + url.QueryEscape(operation)
 	return client.request(http.MethodPost, path, nil)
 }
 
 // Operation returns what became of a change.
-func (client *Client) Operation(operation string) (node.Reply, error) {
+func (client *Client) Operation(operation string) (proposal.Reply, error) {
 	return client.request(http.MethodGet, "/v1/operations/"+url.PathEscape(operation), nil)
 }
 
--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -58,18 +58,18 @@
 	client := New([]string{address})
 	change := Change{Base: 3, Operation: "a b"}
 	named := Change{Operation: "o", Epoch: 9}
-	for want, call := range map[string]func() (node.Reply, error){
+	for want, call := range map[string]func() (proposal.Reply, error){
 		"GET /v1/spec ": client.Get,
-		"PUT /v1/spec?base=3&operation=a+b {}": func() (node.Reply, error) {
+		"PUT /v1/spec?base=3&operation=a+b {}": func() (proposal.Reply, error) {
 			return client.Apply([]byte("{}"), change)
 		},
-		"PATCH /v1/spec?base=0&operation=o&epoch=9 {}": func() (node.Reply, error) {
+		"PATCH /v1/spec?base=0&operation=o&epoch=9 {}": func() (proposal.Reply, error) {
 			return client.Change([]byte("{}"), named)
 		},
-		"POST /v1/zones/z%20one/close?operation=o ": func() (node.Reply, error) {
+		"POST /v1/zones/z%20one/close?operation=o ": func() (proposal.Reply, error) {
 			return client.Zone("close", "z one", "o")
 		},
-		"GET /v1/operations/a%20b ": func() (node.Reply, error) { return client.Operation("a b") },
+		"GET /v1/operations/a%20b ": func() (proposal.Reply, error) { return client.Operation("a b") },
 	} {
 		reply, err := call()
 		if err != nil || reply.Epoch != 5 || got != want {
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -11,7 +11,6 @@
 
 	"wardtray/apierror"
 	"wardtray/config"
-	"wardtray/control/node"
 	"wardtray/control/proposal"
 	"wardtray/transport/netio"
 )
@@ -81,12 +80,12 @@
 }
 
 // refusal returns the reply to a call that took no effect.
-func refusal(code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: proposal.OutcomeRefused, Code: string(code), Detail: detail}
+func refusal(code apierror.Code, detail string) proposal.Reply {
+	return proposal.Reply{Outcome: proposal.OutcomeRefused, Code: string(code), Detail: detail}
 }
 
 // WriteReply responds with a reply, and adds the remedy for its error code where it has none.
-func WriteReply(request *fasthttp.RequestCtx, status int, reply node.Reply) {
+func WriteReply(request *fasthttp.RequestCtx, status int, reply proposal.Reply) {
 	if reply.Code != "" && reply.Remedy == "" {
 		reply.Remedy = (&apierror.Error{Code: apierror.Code(reply.Code)}).Remedy()
 	}
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -10,7 +10,6 @@
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
-	"wardtray/control/node"
 	"wardtray/control/proposal"
 	"wardtray/transport/netio"
 	"wardtray/wire"
@@ -79,13 +78,13 @@
 // Execute submits an operator's request to the chain, whichever node must answer it, and waits for at most timeout. A
 // change proceeds beyond that: its outcome is unknown then, and the same operation id submitted again, here or at
 // another node, finds it.
-func (server *Server) Execute(message *wire.OperatorRequest, timeout time.Duration) (int, node.Reply) {
+func (server *Server) Execute(message *wire.OperatorRequest, timeout time.Duration) (int, proposal.Reply) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	token, responses := server.submit(message)
 	select {
 	case response := <-responses:
-		reply := node.Reply{}
+		reply := proposal.Reply{}
 		if err := json.Unmarshal(response.body, &reply); err != nil {
 			return fasthttp.StatusInternalServerError, unknownOutcome(message, apierror.Internal, err.Error())
 		}
@@ -118,8 +117,8 @@
 }
 
 // unknownOutcome returns the reply to a request that may still take effect.
-func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) node.Reply {
-	return node.Reply{Outcome: proposal.OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
+func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) proposal.Reply {
+	return proposal.Reply{Outcome: proposal.OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
 }
 
 // parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
@@ -19,7 +19,7 @@
 }
 
 // registrationRefusals are the replies to the outcomes that acknowledge nothing.
-var registrationRefusals = map[registry.Outcome]node.Reply{
+var registrationRefusals = map[registry.Outcome]proposal.Reply{
 	registry.TableFull:   refusal(apierror.Busy, "more runners are registered than this core remembers"),
 	registry.Unreachable: refusal(apierror.Partitioned, "no daemon has confirmed it"),
 }
@@ -86,11 +86,11 @@
 }
 
 // RegistrationStatus returns the HTTP status of an outcome, and the reply where it acknowledges nothing.
-func RegistrationStatus(outcome registry.Outcome) (status int, refusal node.Reply) {
+func RegistrationStatus(outcome registry.Outcome) (status int, refusal proposal.Reply) {
 	if refusal, refused := registrationRefusals[outcome]; refused {
 		return fasthttp.StatusServiceUnavailable, refusal
 	}
-	return fasthttp.StatusOK, node.Reply{}
+	return fasthttp.StatusOK, proposal.Reply{}
 }
 
 // RejectAbandonedHeartbeat rejects a runner's call whose caller has left, as RejectAbandoned does, unless it says that
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"time"
 
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -289,7 +289,7 @@
 	checker.responded[index] = true
 	least := checker.epochAtRequest[index]
 	delete(checker.epochAtRequest, index)
-	reply := node.Reply{}
+	reply := proposal.Reply{}
 	if err := json.Unmarshal(body, &reply); err != nil {
 		checker.fail("P5", "question %d got an answer that is no JSON", index)
 		return
@@ -308,7 +308,7 @@
 
 // checkChangeResponse takes the answer to a change. 503 and 504 of an operation that was sent more than once say
 // nothing of its other copies; 504 says nothing at all.
-func (checker *checker) checkChangeResponse(request Request, status int, reply node.Reply) {
+func (checker *checker) checkChangeResponse(request Request, status int, reply proposal.Reply) {
 	operation := request.Operation
 	if status == 200 {
 		checker.checkAccepted(request, reply.Epoch)
--- a/verify/modelcheck/checker_test.go
+++ b/verify/modelcheck/checker_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 )
 
 // TestCheckerComparesResponses wants each pair of answers that can't both be true noticed, and honest ones let pass.
@@ -49,7 +49,7 @@
 				checker.effective[one.operation] = max(checker.effective[one.operation], one.epoch)
 			}
 			checker.checkResponse(one.index, one.status,
-				encode(t, node.Reply{Operation: one.operation, Epoch: one.epoch}))
+				encode(t, proposal.Reply{Operation: one.operation, Epoch: one.epoch}))
 		}
 		if !strings.HasPrefix(checker.violation, attempt.broken) || attempt.broken == "" && checker.violation != "" {
 			t.Errorf("%s: %q, wanted %q", name, checker.violation, attempt.broken)
@@ -68,7 +68,7 @@
 	} {
 		checker := newWorld(scenario).checker
 		prepare(checker)
-		checker.checkResponse(0, 200, encode(t, node.Reply{Operation: "left", Epoch: 2}))
+		checker.checkResponse(0, 200, encode(t, proposal.Reply{Operation: "left", Epoch: 2}))
 		if !strings.HasPrefix(checker.violation, "P3") {
 			t.Errorf("%s: %q", name, checker.violation)
 		}
@@ -81,14 +81,14 @@
 	for epoch, broken := range map[uint64]string{1: "P1", 2: "", 3: ""} {
 		checker := newWorld(scenario).checker
 		checker.epochAtRequest[0] = 2
-		checker.checkResponse(0, 200, encode(t, node.Reply{Epoch: epoch}))
+		checker.checkResponse(0, 200, encode(t, proposal.Reply{Epoch: epoch}))
 		if got, _, _ := strings.Cut(checker.violation, ":"); got != broken {
 			t.Errorf("epoch %d: %q", epoch, checker.violation)
 		}
 	}
 }
 
-func encode(t *testing.T, reply node.Reply) []byte {
+func encode(t *testing.T, reply proposal.Reply) []byte {
 	t.Helper()
 	content, err := json.Marshal(reply)
 	if err != nil {
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/node"
+	"wardtray/control/durability"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, record := range disk.records {
-		node.Replay(disk.state, record)
+		durability.Replay(disk.state, record)
 	}
 	disk.records = nil
 	disk.indexOperations(disk.state.Document, disk.state.Pending)
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/verify/histories"
 	"wardtray/wire"
 )
@@ -216,7 +216,7 @@
 	least := checker.greatestAcknowledged()
 	host.on(host.incarnation, func() {
 		host.node.Submit(host.local(), ask, func(status int, body []byte) {
-			reply := node.Reply{}
+			reply := proposal.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
 				checker.violation("an answer that is no JSON: %s", body)
 				return
