--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -7,6 +7,7 @@
 	"wardtray/control/daemonlease"
 	"wardtray/control/directory"
 	"wardtray/control/leadership"
+	"wardtray/control/timing"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -37,7 +38,7 @@
 	daemons := &daemons{members: members}
 	daemons.directory = directory.New(self, agent, history, outbox, random, members.partialView, addressOf)
 	daemons.leases = daemonlease.NewLeases(history, outbox, settings.DaemonLease, agent.Current())
-	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, BoundsFor(settings.Limits).QuotaTerm)
+	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, timing.BoundsFor(settings.Limits).QuotaTerm)
 	daemons.witness = lease.NewWitness(daemons.leases.Length())
 	daemons.confirmer = daemonlease.NewConfirmer(self.Id, agent, history, daemons.witness)
 	daemons.grantor = leadership.NewGrantor(now, self.Id, agent, outbox, daemons.witness, clearedTerm)
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -9,6 +9,7 @@
 	"wardtray/control/failuredetector"
 	"wardtray/control/membership"
 	"wardtray/control/reconfiguration"
+	"wardtray/control/timing"
 	"wardtray/control/viewchange"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/peersampling"
@@ -47,7 +48,7 @@
 // newMembers restores the members from what the disk held.
 func newMembers(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand,
 	observers observers) *members {
-	bounds, outbox := BoundsFor(settings.Limits), statemachine.NewOutbox()
+	bounds, outbox := timing.BoundsFor(settings.Limits), statemachine.NewOutbox()
 	self := &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}
 	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Pause)
 	members := &members{settings: settings, self: self, outbox: outbox, detector: detector}
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wardtray/control/membership"
+	"wardtray/control/timing"
 	"wardtray/wire"
 )
 
@@ -129,7 +130,7 @@
 	fleet.run(moment)
 	// What a fleet of three bears only once the successor has the seat, one of five bears once
 	// the loss is known and a view agreed.
-	bounds := BoundsFor(Limits{})
+	bounds := timing.BoundsFor(timing.Limits{})
 	bears := time.Second+moment >= bounds.AcceptorRepair() ||
 		cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
 	fleet.wipe(fleet.pick(second), wipedFor)
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -17,6 +17,7 @@
 	"wardtray/control/durability"
 	"wardtray/control/proposal"
 	"wardtray/control/reconfiguration"
+	"wardtray/control/timing"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
@@ -40,7 +41,7 @@
 // Node is one disk machine.
 type Node struct {
 	settings Settings
-	bounds   Bounds
+	bounds   timing.Bounds
 	self     *wire.Member
 	started  time.Time
 	outbox   *statemachine.Outbox
@@ -66,7 +67,7 @@
 	incarnation, leaseNonce := random.Uint64(), random.Uint64()
 	isFoundingNow := settings.Founding && !state.Founding && state.View.GetEpoch() == 0
 	state.Founding = state.Founding || isFoundingNow
-	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now}
+	node := &Node{settings: settings, bounds: timing.BoundsFor(settings.Limits), started: now}
 	node.members = newMembers(now, settings, state, records, random,
 		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.DurableState})
 	node.self, node.outbox = node.members.self, node.members.outbox
--- a/control/node/settings.go
+++ b/control/node/settings.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"wardtray/control/timing"
 	"wardtray/coordination/quota"
 )
 
@@ -28,15 +29,15 @@
 	Quotas quota.Tolerance
 	// DaemonLease is for how long a data daemon may rely on a lease; 0 stands for what the limits allow.
 	DaemonLease time.Duration
-	// Limits are the times that the platform grants; zero ones stand for the usual.
-	Limits Limits
+	// Limits are the times that the platform grants; zero ones stand for their defaults.
+	Limits timing.Limits
 }
 
 // withDefaults returns the settings with what stands for zero values.
 func (settings Settings) withDefaults() Settings {
 	settings.Faults = max(1, settings.Faults)
 	if settings.DaemonLease == 0 {
-		settings.DaemonLease = BoundsFor(settings.Limits).DaemonLease
+		settings.DaemonLease = timing.BoundsFor(settings.Limits).DaemonLease
 	}
 	return settings
 }
--- a/control/server/eventloop.go
+++ b/control/server/eventloop.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wardtray/apierror"
-	"wardtray/control/node"
+	"wardtray/control/timing"
 	"wardtray/wire"
 )
 
@@ -47,7 +47,7 @@
 
 // leave hands the node's duties over to others, and returns when that is done or its time is over.
 func (server *Server) leave(ticker *time.Ticker) {
-	leaveBy := time.Now().Add(node.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
+	leaveBy := time.Now().Add(timing.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
 	server.log.Info("leaving")
 	server.step(func(now time.Time) { server.node.Decommission(now) })
 	for {
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -20,6 +20,7 @@
 	"wardtray/config/process"
 	"wardtray/control/node"
 	"wardtray/control/storage"
+	"wardtray/control/timing"
 	"wardtray/coordination/quota"
 	"wardtray/coordination/snapshot"
 	"wardtray/randomseed"
@@ -128,8 +129,8 @@
 }
 
 // nodeLimits returns the time limits that the node must keep.
-func nodeLimits(settings *process.Settings) node.Limits {
-	return node.Limits{
+func nodeLimits(settings *process.Settings) timing.Limits {
+	return timing.Limits{
 		Contact:     settings.ContactTime(),
 		Acknowledge: settings.AcknowledgeTime(),
 		Apply:       settings.ApplyTime(),
--- a/control/node/bounds_test.go
+++ b/control/timing/bounds_test.go
@@ -1,4 +1,4 @@
-package node
+package timing
 
 import (
 	"iter"
@@ -33,6 +33,34 @@
 	}
 }
 
+func TestBoundsFor(t *testing.T) {
+	t.Parallel()
+	const milliseconds = time.Millisecond
+	for name, test := range map[string]struct {
+		limits Limits
+		want   Bounds
+	}{
+		"the default limits": {Limits{}, Bounds{
+			Suspicion: 700 * milliseconds, WriteTimeout: 700 * milliseconds, LinkTimeout: 700 * milliseconds,
+			Pause: 500 * milliseconds, Stagger: 400 * milliseconds, DaemonLease: time.Second, QuotaTerm: 4 * time.Second,
+			Starting: 1500 * milliseconds, DecommissionTimeout: 7200 * milliseconds}},
+		"limits of a tenth of a second": {Limits{Contact: 100 * milliseconds, Acknowledge: 100 * milliseconds,
+			Apply: 100 * milliseconds, CatchUp: 100 * milliseconds, Grace: 100 * milliseconds}, Bounds{
+			Suspicion: 500 * milliseconds, WriteTimeout: 500 * milliseconds, LinkTimeout: 500 * milliseconds,
+			Pause: 300 * milliseconds, Stagger: 200 * milliseconds, DaemonLease: 50 * milliseconds,
+			QuotaTerm: 100 * milliseconds, Starting: 50 * milliseconds, DecommissionTimeout: 90 * milliseconds}},
+		"limits of a minute": {Limits{Contact: time.Minute, Acknowledge: time.Minute, Apply: time.Minute,
+			CatchUp: time.Minute, Grace: time.Minute}, Bounds{
+			Suspicion: 700 * milliseconds, WriteTimeout: 700 * milliseconds, LinkTimeout: 700 * milliseconds,
+			Pause: 500 * milliseconds, Stagger: 400 * milliseconds, DaemonLease: time.Second, QuotaTerm: time.Minute,
+			Starting: 2 * time.Second, DecommissionTimeout: 54 * time.Second}},
+	} {
+		if got := BoundsFor(test.limits); got != test.want {
+			t.Errorf("%s: %+v", name, got)
+		}
+	}
+}
+
 // The bounds that are derived from the settings must fit into these, whatever these are as long as they pass the check.
 func TestDerivedBoundsFitTheSettings(t *testing.T) {
 	t.Parallel()
@@ -60,13 +88,13 @@
 func requireOrder(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	for what, holds := range map[string]bool{
-		"two beats within a suspicion":                   2*failuredetector.HeartbeatInterval < bounds.Suspicion,
+		"two heartbeats within a suspicion":              2*failuredetector.HeartbeatInterval < bounds.Suspicion,
 		"a frozen process knows before it suspects":      bounds.Pause+failuredetector.HeartbeatInterval <= bounds.Suspicion,
 		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
-		"a holder's lease ends before a keeper's":        lease.LesseeTTL < lease.LessorTTL,
-		"a lease asked for again before it ends":         2*leadership.RenewInterval < lease.LesseeTTL,
+		"a lessee's lease ends before a lessor's":        lease.LesseeTTL < lease.LessorTTL,
+		"a lease is requested again before it ends":      2*leadership.RenewInterval < lease.LesseeTTL,
 		"an attempt at a view outlasts a round of votes": bounds.Stagger >= 100*time.Millisecond,
-		"a leave ends before the grace":                  bounds.DecommissionTimeout < limits.Grace,
+		"a decommission ends before the grace":           bounds.DecommissionTimeout < limits.Grace,
 	} {
 		if !holds {
 			t.Fatalf("%s: not for %+v, which give %+v", what, limits, bounds)
@@ -80,8 +108,8 @@
 	acknowledgement := bounds.Detection() + bounds.Stagger + lease.LessorTTL + bounds.DaemonLease + daemonlease.ClockMargin
 	for what, holds := range map[string]bool{
 		"a lease, a detection and a view change below acknowledge": acknowledgement < limits.Acknowledge,
-		"a repaired seat below catch_up":                           bounds.AcceptorRepair() < limits.CatchUp,
-		"a repaired copy within catch_up":                          bounds.ReplicaRepair() <= limits.CatchUp,
+		"a repaired acceptor below catch_up":                       bounds.AcceptorRepair() < limits.CatchUp,
+		"a repaired replica within catch_up":                       bounds.ReplicaRepair() <= limits.CatchUp,
 		"a detection below contact":                                bounds.Detection() <= limits.Contact,
 	} {
 		if !holds {
