--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -90,28 +90,38 @@
 		return false
 	}
 	leadership.lessee.AddGrant(now, sender, grant.View, grant.Nonce, view.Majority(len(current.Acceptors)))
+	leadership.startTerm(now)
 	return true
 }
 
+// startTerm starts the term if this process holds the lease as head for the first time in it. Every view needs a lease
+// of its own, so only a grant can bring this about.
+func (leadership *Leadership) startTerm(now time.Time) {
+	// A lease that expires for a while lets nobody else act; only a new term does.
+	if !leadership.mayAct(now) || !leadership.started.IsZero() {
+		return
+	}
+	leadership.started, leadership.watermark = now, leadership.chain.Latest().Sequence
+	leadership.onStart()
+}
+
 // HoldsLease reports whether this process holds the lease of the present view.
 func (leadership *Leadership) HoldsLease(now time.Time) bool {
 	return leadership.lessee.Valid(now, leadership.agent.Current().Epoch)
 }
 
 // IsLeading reports whether this process may act as head at this moment: it is the chain's head, holds the lease, and
-// all that its history held when its term started is committed. The first call under the lease starts the term.
+// all that its history held when its term started is committed.
 func (leadership *Leadership) IsLeading(now time.Time) bool {
+	hasStarted := !leadership.started.IsZero()
+	return leadership.mayAct(now) && hasStarted && leadership.chain.Committed().Sequence >= leadership.watermark
+}
+
+// mayAct reports whether this process is the chain's head and holds the lease of the newest view that it knows of.
+func (leadership *Leadership) mayAct(now time.Time) bool {
 	// Others act by a newer view as soon as this process says that it has learned of it.
 	isOutdated := leadership.agent.Newest().Epoch > leadership.agent.Current().Epoch
-	if !leadership.chain.IsHead() || isOutdated || !leadership.HoldsLease(now) {
-		return false
-	}
-	// A lease that expires for a while lets nobody else act; only a new term does.
-	if leadership.started.IsZero() {
-		leadership.started, leadership.watermark = now, leadership.chain.Latest().Sequence
-		leadership.onStart()
-	}
-	return leadership.chain.Committed().Sequence >= leadership.watermark
+	return leadership.chain.IsHead() && !isOutdated && leadership.HoldsLease(now)
 }
 
 // Started returns when this process first held the lease in the present term as head; zero if it has not.
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -118,11 +118,24 @@
 	}
 }
 
+// A term starts with the grant that completes a majority, and not when somebody asks who leads.
+func TestIsLeadingOnlyReads(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a")
+	bench.lead(t, start)
+	later := start.Add(time.Millisecond)
+	if bench.starts != 1 || !bench.leadership.Started().Equal(start) {
+		t.Fatalf("by the grants: started %v, %d starts", bench.leadership.Started(), bench.starts)
+	}
+	if !bench.leadership.IsLeading(later) || bench.starts != 1 || !bench.leadership.Started().Equal(start) {
+		t.Errorf("by a look: started %v, %d starts", bench.leadership.Started(), bench.starts)
+	}
+}
+
 func TestTermStartsOnce(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a")
 	bench.lead(t, start)
-	bench.leadership.IsLeading(start)
 	later := start.Add(time.Minute)
 	bench.lead(t, later)
 	if !bench.leadership.IsLeading(later) || bench.starts != 1 || !bench.leadership.Started().Equal(start) {
