--- a/control/proposal/change.go
+++ b/control/proposal/change.go
@@ -12,7 +12,7 @@
 
 // serveChange decides on a request for a change, and enters it into the chain if it is accepted.
 func (proposals *Proposals) serveChange(now time.Time, message *wire.OperatorRequest) {
-	if !proposals.mayAnswer(now, message) {
+	if !proposals.admit(now, message) {
 		return
 	}
 	latest := proposals.chain.Latest()
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// mayAnswer reports whether this process may answer a request as head; a head that may not yet defers it.
-func (proposals *Proposals) mayAnswer(now time.Time, message *wire.OperatorRequest) bool {
+// admit reports whether this process may answer a request as head; a head that may not yet defers it.
+func (proposals *Proposals) admit(now time.Time, message *wire.OperatorRequest) bool {
 	isLeading := proposals.environment.IsLeading(now)
 	if !isLeading && proposals.chain.IsHead() {
 		proposals.postpone(now, message)
@@ -190,7 +190,7 @@
 }
 
 func (proposals *Proposals) serveGet(now time.Time, message *wire.OperatorRequest) {
-	if !proposals.mayAnswer(now, message) {
+	if !proposals.admit(now, message) {
 		return
 	}
 	document := proposals.chain.Committed()
@@ -202,7 +202,7 @@
 }
 
 func (proposals *Proposals) serveOperation(now time.Time, message *wire.OperatorRequest) {
-	if !proposals.mayAnswer(now, message) {
+	if !proposals.admit(now, message) {
 		return
 	}
 	outcome := proposals.chain.Outcome(message.Operation)
--- a/control/proposal/refusals.go
+++ b/control/proposal/refusals.go
@@ -45,7 +45,7 @@
 // observe notes a copy of a request; it reports whether the copy is late, and whether the request was refused before.
 func (refusals *refusals) observe(token string) (late, refused bool) {
 	origin, number := splitToken(token)
-	known := refusals.origin(origin)
+	known := refusals.touch(origin)
 	if number > known.newest {
 		known.newest = number
 		for other := range known.refused {
@@ -63,11 +63,11 @@
 // add notes a refusal that is about to be sent.
 func (refusals *refusals) add(token string) {
 	origin, number := splitToken(token)
-	refusals.origin(origin).refused[number] = true
+	refusals.touch(origin).refused[number] = true
 }
 
-// origin returns what is known of an incarnation, and notes that it was observed.
-func (refusals *refusals) origin(origin string) *originRefusals {
+// touch notes that an incarnation was observed, and returns what is known of it.
+func (refusals *refusals) touch(origin string) *originRefusals {
 	if refusals.origins == nil {
 		refusals.origins = map[string]*originRefusals{}
 	}
--- a/control/reconfiguration/planner.go
+++ b/control/reconfiguration/planner.go
@@ -28,8 +28,9 @@
 // Reset forgets the broken links of the view before.
 func (planner *Planner) Reset() { planner.brokenSince = map[link]time.Time{} }
 
-// NextView returns the view that should follow, or nil if the present one is right.
-func (planner *Planner) NextView(facts *Facts) *wire.View {
+// Plan notes which links of the chain are broken, and returns the view that should follow, or nil if the present one is
+// right.
+func (planner *Planner) Plan(facts *Facts) *wire.View {
 	current := facts.View
 	next := &wire.View{Epoch: current.Epoch + 1, Fleet: current.Fleet}
 	chainChanged := planner.planChain(facts, next)
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -68,7 +68,7 @@
 	return &Facts{Now: start, View: view, Detector: detector, Local: local, Faults: 1}
 }
 
-func TestNextView(t *testing.T) {
+func TestPlan(t *testing.T) {
 	t.Parallel()
 	identity := func(id, address string) *wire.Heartbeat {
 		return &wire.Heartbeat{Member: &wire.Member{Id: id, Address: address, Zone: id}, View: 3}
@@ -107,7 +107,7 @@
 			scene{chain: "d", acceptors: "abc", alive: "bc", minReplicas: 2, lastWritable: "abd"}, "", ""},
 	} {
 		facts := test.scene.facts(t)
-		next := NewPlanner(suspicion).NextView(facts)
+		next := NewPlanner(suspicion).Plan(facts)
 		if next == nil {
 			next = &wire.View{}
 		}
@@ -120,13 +120,13 @@
 	}
 }
 
-func TestNextViewBeginsATermWithAnotherHead(t *testing.T) {
+func TestPlanBeginsATermWithAnotherHead(t *testing.T) {
 	t.Parallel()
-	same := NewPlanner(suspicion).NextView(scene{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
+	same := NewPlanner(suspicion).Plan(scene{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
 	if same.HeadTerm != 2 || same.PreviousHead != nil {
 		t.Errorf("the same head: %v", same)
 	}
-	other := NewPlanner(suspicion).NextView(scene{chain: "cab", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
+	other := NewPlanner(suspicion).Plan(scene{chain: "cab", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
 	if other.HeadTerm != 4 || other.PreviousHead.GetId() != "c" || other.PreviousTerm != 2 {
 		t.Errorf("another head: %v", other)
 	}
@@ -144,7 +144,7 @@
 		"was below and stays": {scene{chain: "a", acceptors: "abc", alive: "bd", minReplicas: 3, lastWritable: "abc"}, "abc"},
 	} {
 		test.scene.heartbeats = notLearned
-		next := NewPlanner(suspicion).NextView(test.scene.facts(t))
+		next := NewPlanner(suspicion).Plan(test.scene.facts(t))
 		if got := idsOf(next.GetLastWritableChain()); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
 		}
@@ -162,13 +162,13 @@
 		want  string
 	}{{0, ""}, {timeout - 1, ""}, {timeout, "ab"}} {
 		facts.Now = start.Add(test.after)
-		next := planner.NextView(facts)
+		next := planner.Plan(facts)
 		if got := idsOf(next.GetChain()); got != test.want {
 			t.Errorf("after %v: %q, want %q", test.after, got, test.want)
 		}
 	}
 	planner.Reset()
-	if planner.NextView(facts) != nil {
+	if planner.Plan(facts) != nil {
 		t.Error("a new view takes over since when the link was broken")
 	}
 }
--- a/control/viewchange/proposer.go
+++ b/control/viewchange/proposer.go
@@ -115,7 +115,7 @@
 // proposeNext proposes the view that should follow, if the present one is not right.
 func (proposer *Proposer) proposeNext(facts *reconfiguration.Facts) {
 	now := facts.Now
-	wanted := proposer.planner.NextView(facts)
+	wanted := proposer.planner.Plan(facts)
 	if wanted == nil {
 		proposer.wantedSince = time.Time{}
 		return
--- a/coordination/election/election.go
+++ b/coordination/election/election.go
@@ -74,8 +74,9 @@
 	return id == election.self || now.Sub(election.lastSeen[id]) < LeaderTimeout
 }
 
-// Leading reports whether this process leads now, and under which epoch; 0 where it does not.
-func (election *Election) Leading(now time.Time) (epoch uint64, mine bool) {
+// Campaign takes the lead if this process is the first live one of the order. It reports whether this process leads
+// now, and under which epoch; 0 where it does not.
+func (election *Election) Campaign(now time.Time) (epoch uint64, mine bool) {
 	if !election.isLeader(now) {
 		election.leading = false
 		return 0, false
--- a/coordination/election/election_test.go
+++ b/coordination/election/election_test.go
@@ -45,7 +45,7 @@
 
 // work lets a process do the task if it leads; its results reach everybody in calm, some otherwise.
 func (processes *processes) work(name string, calm bool) error {
-	epoch, leads := processes.elections[name].Leading(processes.now)
+	epoch, leads := processes.elections[name].Campaign(processes.now)
 	if !leads {
 		return nil
 	}
@@ -93,7 +93,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		for _, name := range processes.order {
-			if _, leads := processes.elections[name].Leading(processes.now); leads != (name == "a") {
+			if _, leads := processes.elections[name].Campaign(processes.now); leads != (name == "a") {
 				t.Fatalf("seed %d: %s leads: %v", seed, name, leads)
 			}
 		}
@@ -126,7 +126,7 @@
 		if test.heard != "" {
 			process.Observe(start.Add(test.after), test.heard)
 		}
-		if epoch, leads := process.Leading(start.Add(test.after)); leads != test.want || (epoch > 0) != test.want {
+		if epoch, leads := process.Campaign(start.Add(test.after)); leads != test.want || (epoch > 0) != test.want {
 			t.Errorf("%s: leads %v under epoch %d", name, leads, epoch)
 		}
 	}
--- a/coordination/election/example_test.go
+++ b/coordination/election/example_test.go
@@ -12,9 +12,9 @@
 	second := election.New(now, "b")
 	second.SetOrder([]string{"a", "b", "c"})
 	second.Observe(now, "a")
-	_, leads := second.Leading(now.Add(time.Second))
+	_, leads := second.Campaign(now.Add(time.Second))
 	fmt.Println("while a is alive:", leads)
-	epoch, leads := second.Leading(now.Add(2 * election.LeaderTimeout))
+	epoch, leads := second.Campaign(now.Add(2 * election.LeaderTimeout))
 	fmt.Println("when a is silent:", leads, "under epoch", epoch)
 	fmt.Println("a result of a's own, older epoch counts:", second.Accept(0, "a"))
 	// Output:
--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -9,7 +9,7 @@
 // requestDueLeases requests leases if that is due.
 func (controller *Controller) requestDueLeases(now time.Time) {
 	controller.leases.recordEnd()
-	addresses, due := controller.schedule.next(now)
+	addresses, due := controller.schedule.takeAddresses(now)
 	if !due {
 		return
 	}
@@ -117,7 +117,7 @@
 ) {
 	controller.counters.LeaseGrants++
 	controller.leases.ready = true
-	if !controller.runnerSync.agreesWithHead(now, from, response.RunnersChecksum) {
+	if !controller.runnerSync.compareWithHead(now, from, response.RunnersChecksum) {
 		return
 	}
 	term := controller.leases.term
@@ -134,7 +134,7 @@
 		return
 	}
 	controller.counters.Confirmations++
-	if controller.runnerSync.agreesWithAcceptor(now, envelope.From, response.RunnersChecksum) {
+	if controller.runnerSync.compareWithAcceptor(now, envelope.From, response.RunnersChecksum) {
 		confirmed := confirmation{requested: requested, sequence: response.Sequence}
 		controller.leases.confirm(now, envelope.Sender, confirmed)
 	}
--- a/dataplane/controller/runnerlist.go
+++ b/dataplane/controller/runnerlist.go
@@ -90,7 +90,7 @@
 	if list.polling || now.Sub(list.lastPoll) < pollInterval {
 		return
 	}
-	_, elected := list.election.Leading(now)
+	_, elected := list.election.Campaign(now)
 	if elected || now.Sub(list.lastList) > listTimeout {
 		list.lastPoll, list.polling, list.pollRequested = now, true, true
 	}
@@ -131,7 +131,7 @@
 	if failed {
 		return
 	}
-	epoch, elected := list.election.Leading(now)
+	epoch, elected := list.election.Campaign(now)
 	if !elected {
 		// This daemon polled for itself because no list arrived; others must not take it for that of the elected one.
 		list.runners = runners
--- a/dataplane/controller/runnersync.go
+++ b/dataplane/controller/runnersync.go
@@ -25,8 +25,8 @@
 	since, last time.Time
 }
 
-// expired records one more such lease and reports whether they have arrived for so long that it counts after all.
-func (disagreement *disagreement) expired(now time.Time) bool {
+// observe records one more such lease and reports whether they have arrived for so long that it counts after all.
+func (disagreement *disagreement) observe(now time.Time) bool {
 	// After a pause this is a new disagreement: in between there was nobody to learn from.
 	if now.Sub(disagreement.last) > disagreementGap {
 		disagreement.since = now
@@ -97,20 +97,22 @@
 	return true
 }
 
-// agreesWithHead reports whether a lease of the head's counts, given the checksum of the runners that it knows.
-func (runnerSync *runnerSync) agreesWithHead(now time.Time, from string, checksum uint64) bool {
-	return runnerSync.agrees(now, from, checksum, &runnerSync.withHead)
+// compareWithHead compares the runners with the checksum of those that the head knows, and reports whether a lease of
+// the head's counts.
+func (runnerSync *runnerSync) compareWithHead(now time.Time, from string, checksum uint64) bool {
+	return runnerSync.compareChecksum(now, from, checksum, &runnerSync.withHead)
 }
 
-// agreesWithAcceptor reports whether an acceptor's confirmation counts, given the checksum of its runners.
-func (runnerSync *runnerSync) agreesWithAcceptor(now time.Time, from string, checksum uint64) bool {
-	return runnerSync.agrees(now, from, checksum, &runnerSync.withAcceptors)
+// compareWithAcceptor compares the runners with the checksum of an acceptor's, and reports whether its confirmation
+// counts.
+func (runnerSync *runnerSync) compareWithAcceptor(now time.Time, from string, checksum uint64) bool {
+	return runnerSync.compareChecksum(now, from, checksum, &runnerSync.withAcceptors)
 }
 
-// agrees reports whether the lease of a process counts. A daemon that has just started, or was partitioned, knows
-// neither which runners came nor which left meanwhile, and must learn that before it dispatches again; one that
-// dispatches already learns it meanwhile.
-func (runnerSync *runnerSync) agrees(
+// compareChecksum requests the runners of a process that knows others than this one, and reports whether the lease of
+// that process counts. A daemon that has just started, or was partitioned, knows neither which runners came nor which
+// left meanwhile, and must learn that before it dispatches again; one that dispatches already learns it meanwhile.
+func (runnerSync *runnerSync) compareChecksum(
 	now time.Time, from string, checksum uint64, disagreement *disagreement,
 ) bool {
 	if !runnerSync.registered || checksum == runnerSync.checksum() || now.Before(runnerSync.leases.until()) {
@@ -122,5 +124,5 @@
 		return true
 	}
 	runnerSync.exchange.EnsureRequested(now, from)
-	return disagreement.expired(now)
+	return disagreement.observe(now)
 }
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -106,15 +106,15 @@
 	tested := &disagreement{}
 	now := started
 	for now.Before(started.Add(disagreementTimeout)) {
-		if tested.expired(now) {
+		if tested.observe(now) {
 			t.Fatalf("expired after %v", now.Sub(started))
 		}
 		now = now.Add(disagreementGap)
 	}
-	if !tested.expired(now) {
+	if !tested.observe(now) {
 		t.Error("never expires")
 	}
-	if tested.expired(now.Add(disagreementGap + 1)) {
+	if tested.observe(now.Add(disagreementGap + 1)) {
 		t.Error("a new disagreement is expired")
 	}
 }
@@ -138,7 +138,7 @@
 		random := rand.New(rand.NewSource(1))
 		sync := newRunnerSync(test.registered, nil, exchange, newTestLeases(), random)
 		test.change(sync)
-		if agrees := sync.agreesWithHead(started, head, others); agrees != test.agrees {
+		if agrees := sync.compareWithHead(started, head, others); agrees != test.agrees {
 			t.Errorf("%s: %v", name, agrees)
 		}
 	}
--- a/dataplane/controller/schedule.go
+++ b/dataplane/controller/schedule.go
@@ -64,9 +64,9 @@
 	schedule.lastGrant, schedule.headUnreachable = now, false
 }
 
-// next returns, in order, whom to request leases from at this moment: the head and, if it does not respond, the
-// acceptors and everybody who may know the present head. due is false if no request is due.
-func (schedule *requestSchedule) next(now time.Time) (addresses []string, due bool) {
+// takeAddresses notes a request as sent if one is due, and returns, in order, whom to send it to: the head and, if it
+// does not respond, the acceptors and everybody who may know the present head. due is false if no request is due.
+func (schedule *requestSchedule) takeAddresses(now time.Time) (addresses []string, due bool) {
 	if now.Sub(schedule.lastRequest) < schedule.interval(now) {
 		return nil, false
 	}
--- a/dataplane/controller/schedule_test.go
+++ b/dataplane/controller/schedule_test.go
@@ -28,14 +28,14 @@
 	schedule.leases.ready = true
 	schedule.leases.grant(started, lease.DaemonTTL)
 	schedule.onGrant(started)
-	if addresses, due := schedule.next(started); !due || !slices.Equal(addresses, []string{"c0"}) {
+	if addresses, due := schedule.takeAddresses(started); !due || !slices.Equal(addresses, []string{"c0"}) {
 		t.Errorf("%v, due is %v", addresses, due)
 	}
-	if _, due := schedule.next(started.Add(renewInterval - 1)); due {
+	if _, due := schedule.takeAddresses(started.Add(renewInterval - 1)); due {
 		t.Error("a request is due before the interval has passed")
 	}
 	now := started.Add(renewInterval + headTimeout)
-	if addresses, due := schedule.next(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2", "seed"}) {
+	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2", "seed"}) {
 		t.Errorf("%v, due is %v", addresses, due)
 	}
 	if rounds := schedule.permission.unansweredRounds; rounds != 1 {
@@ -47,11 +47,11 @@
 func TestRefusedHeadIsReplacedAtOnce(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.onGrant(started)
-	schedule.next(started)
+	schedule.takeAddresses(started)
 	if schedule.onRefused("c1") || !schedule.onRefused("c0") || schedule.onRefused("c0") {
 		t.Error("not the first refused connection to the head")
 	}
-	if addresses, due := schedule.next(started); !due || len(addresses) != 4 {
+	if addresses, due := schedule.takeAddresses(started); !due || len(addresses) != 4 {
 		t.Errorf("%v, due is %v", addresses, due)
 	}
 	schedule.onNewView()
@@ -67,7 +67,7 @@
 		schedule.leases.confirm(started, acceptor.Id, confirmation{requested: started, sequence: 7})
 	}
 	now := started.Add(time.Millisecond)
-	if addresses, due := schedule.next(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2"}) {
+	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2"}) {
 		t.Errorf("%v, due is %v", addresses, due)
 	}
 	if interval := schedule.broadcastInterval(now); interval != renewInterval {
