--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -102,8 +102,8 @@
 	leases.commits[sequence] = now
 }
 
-// Request notes what a daemon says in its request for a lease. It reports false if there are too many daemons.
-func (leases *Leases) Request(now time.Time, address string, request *wire.DaemonLeaseRequest) bool {
+// HandleRequest notes what a daemon says in its request for a lease. It reports false if there are too many daemons.
+func (leases *Leases) HandleRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) bool {
 	known := leases.daemons[address]
 	if known == nil {
 		if len(leases.daemons) >= MaximumDaemons {
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -43,7 +43,7 @@
 
 // grant lets daemon d, which has a sequence, request a lease and get it.
 func grant(leases *Leases, now time.Time, sequence uint64) {
-	leases.Request(now, "d", &wire.DaemonLeaseRequest{Sequence: sequence})
+	leases.HandleRequest(now, "d", &wire.DaemonLeaseRequest{Sequence: sequence})
 	leases.Grant(now, "d", &wire.DaemonLeaseGrant{})
 }
 
@@ -176,7 +176,7 @@
 	if got := leases.Unleased(start, leader); len(got) != 0 {
 		t.Errorf("with a lease: %v", got)
 	}
-	leases.Request(start, "d", &wire.DaemonLeaseRequest{Incarnation: 9, Sequence: 5})
+	leases.HandleRequest(start, "d", &wire.DaemonLeaseRequest{Incarnation: 9, Sequence: 5})
 	if got := leases.Unleased(start, leader); !slices.Equal(got, []string{"d"}) {
 		t.Errorf("a new incarnation: %v", got)
 	}
@@ -189,12 +189,12 @@
 	t.Parallel()
 	leases, _ := newLeases("")
 	for number := range MaximumDaemons {
-		leases.Request(start, string(rune(number+1000)), &wire.DaemonLeaseRequest{})
+		leases.HandleRequest(start, string(rune(number+1000)), &wire.DaemonLeaseRequest{})
 	}
-	if leases.Request(start, "more", &wire.DaemonLeaseRequest{}) {
+	if leases.HandleRequest(start, "more", &wire.DaemonLeaseRequest{}) {
 		t.Error("more daemons than the bound")
 	}
-	if !leases.Request(start, string(rune(1000)), &wire.DaemonLeaseRequest{}) {
+	if !leases.HandleRequest(start, string(rune(1000)), &wire.DaemonLeaseRequest{}) {
 		t.Error("a known daemon is turned down")
 	}
 	leases.Reset()
@@ -240,11 +240,11 @@
 	leases, _ := newLeases("d")
 	request := &wire.DaemonLeaseRequest{Zone: "z"}
 	for range joinRequests {
-		leases.Request(start, "d", request)
-		leases.Request(start, "new", request)
-		leases.Request(start, "draining", &wire.DaemonLeaseRequest{Draining: true})
+		leases.HandleRequest(start, "d", request)
+		leases.HandleRequest(start, "new", request)
+		leases.HandleRequest(start, "draining", &wire.DaemonLeaseRequest{Draining: true})
 	}
-	leases.Request(start, "once", request)
+	leases.HandleRequest(start, "once", request)
 	arrivals := leases.Arrivals(start, members("d"))
 	if len(arrivals) != 1 || arrivals[0].Address != "new" || arrivals[0].Zone != "z" {
 		t.Errorf("%v", arrivals)
@@ -257,7 +257,7 @@
 func TestExcludeMissing(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
-	leases.Request(start.Add(time.Second), "e", &wire.DaemonLeaseRequest{})
+	leases.HandleRequest(start.Add(time.Second), "e", &wire.DaemonLeaseRequest{})
 	for _, test := range []struct {
 		after time.Duration
 		want  int
@@ -308,14 +308,14 @@
 	quotas := NewQuotas(quota.Tolerance{}, term)
 	document := &wire.Document{}
 	report := &wire.QuotaReport{Tenants: []*wire.QuotaTenantReport{{Tenant: "t"}}}
-	if quotas.Grant(start, document, "d", report, false) != nil {
+	if quotas.HandleReport(start, document, "d", report, false) != nil {
 		t.Error("a share without a lease")
 	}
-	got := quotas.Grant(start, document, "d", report, true)
+	got := quotas.HandleReport(start, document, "d", report, true)
 	if got == nil || got.Milliseconds != uint32(term.Milliseconds()) {
 		t.Errorf("with a lease: %v", got)
 	}
-	if quotas.Grant(start, document, "d", &wire.QuotaReport{}, true) != nil {
+	if quotas.HandleReport(start, document, "d", &wire.QuotaReport{}, true) != nil {
 		t.Error("an answer to an empty report")
 	}
 	quotas.Reset()
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Grant answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that was
+// HandleReport answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that was
 // granted no lease gets no share.
-func (quotas *Quotas) Grant(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
+func (quotas *Quotas) HandleReport(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
 	if len(report.Tenants) == 0 {
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -131,8 +131,8 @@
 	return directory.packedSpec
 }
 
-// Request handles a request for a document newer than the sender's.
-func (directory *Directory) Request(sender string, request *wire.DocumentRequest) {
+// HandleRequest handles a request for a document newer than the sender's.
+func (directory *Directory) HandleRequest(sender string, request *wire.DocumentRequest) {
 	entry := directory.gossip.Get(gossip.DocumentKey)
 	if entry == nil || entry.Epoch <= request.Sequence {
 		return
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -96,7 +96,7 @@
 	bench.directory.Publish(start)
 	bench.outbox.Drain()
 	for sequence, want := range map[uint64]int{4: 1, 5: 0} {
-		bench.directory.Request("d", &wire.DocumentRequest{Sequence: sequence})
+		bench.directory.HandleRequest("d", &wire.DocumentRequest{Sequence: sequence})
 		messages, _ := bench.outbox.Drain()
 		if len(messages) != want {
 			t.Errorf("a request of a daemon with %d: %v", sequence, messages)
@@ -158,7 +158,7 @@
 		now := start.Add(test.after)
 		request := func(at time.Time) {
 			for _, address := range test.requesting {
-				leases.Request(at, string(address), &wire.DaemonLeaseRequest{Sequence: 5})
+				leases.HandleRequest(at, string(address), &wire.DaemonLeaseRequest{Sequence: 5})
 			}
 		}
 		request(start)
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -28,10 +28,10 @@
 	return list
 }
 
-// hear lets a detector observe a peer that says whom it hears.
+// hear lets a detector handle a heartbeat of a peer that says whom it hears.
 func hear(t *testing.T, detector *Detector, now time.Time, id string, reachable ...string) {
 	t.Helper()
-	if accepted, _ := detector.Observe(now, "", &wire.Heartbeat{Member: member(id), Reachable: reachable}); !accepted {
+	if accepted, _ := detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: member(id), Reachable: reachable}); !accepted {
 		t.Fatalf("the heartbeat of %s was dropped", id)
 	}
 }
@@ -98,14 +98,14 @@
 		"no member": {}, "no id": {Member: &wire.Member{}}, "itself": {Member: member("a")},
 		"another fleet": {Member: member("b"), Fleet: "other"},
 	} {
-		if accepted, _ := detector.Observe(start, "fleet", heartbeat); accepted {
+		if accepted, _ := detector.HandleHeartbeat(start, "fleet", heartbeat); accepted {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 	for number := range MaximumPeers {
 		hear(t, detector, start, fmt.Sprint("peer", number))
 	}
-	if accepted, _ := detector.Observe(start, "", &wire.Heartbeat{Member: member("more")}); accepted {
+	if accepted, _ := detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: member("more")}); accepted {
 		t.Error("more peers than the bound")
 	}
 	hear(t, detector, start, "peer0")
@@ -129,7 +129,7 @@
 		detector := newDetector()
 		hear(t, detector, start, "b", "a")
 		test.next.Member = member("b")
-		if _, changed := detector.Observe(start, "", test.next); changed != test.want {
+		if _, changed := detector.HandleHeartbeat(start, "", test.next); changed != test.want {
 			t.Errorf("%s: changed %v", name, changed)
 		}
 	}
@@ -143,7 +143,7 @@
 		t.Error("replaced by itself")
 	}
 	successor := &wire.Member{Id: "z", Address: "b:1"}
-	detector.Observe(start, "", &wire.Heartbeat{Member: successor})
+	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: successor})
 	if !detector.IsReplaced(member("b")) || detector.Peer("b") != nil {
 		t.Error("two identities at one address")
 	}
@@ -153,7 +153,7 @@
 	t.Parallel()
 	detector := newDetector()
 	for _, test := range []struct{ view, synced, want uint64 }{{1, 3, 3}, {1, 7, 3}, {2, 8, 8}, {2, 9, 8}} {
-		detector.Observe(start, "", &wire.Heartbeat{Member: member("b"), View: test.view, Synced: test.synced})
+		detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: member("b"), View: test.view, Synced: test.synced})
 		if got := detector.Peer("b").InitialSynced; got != test.want {
 			t.Errorf("view %d, synced %d: %d", test.view, test.synced, got)
 		}
@@ -198,7 +198,7 @@
 func TestAddressOf(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
-	detector.Observe(start, "", &wire.Heartbeat{Member: &wire.Member{Id: "b", Address: "moved:1"}})
+	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: &wire.Member{Id: "b", Address: "moved:1"}})
 	for id, want := range map[string]string{"a": "a:1", "b": "moved:1", "c": "c:1"} {
 		if got := detector.AddressOf(member(id)); got != want {
 			t.Errorf("%s: %s", id, got)
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Request handles a head's request for the lease: a grant is sent where one may be given, and the present view to a
+// HandleRequest handles a head's request for the lease: a grant is sent where one may be given, and the present view to a
 // head of an older one.
-func (grantor *Grantor) Request(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
+func (grantor *Grantor) HandleRequest(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
 	current := grantor.agent.Current()
 	if request.View < current.Epoch {
 		grantor.agent.SendView(envelope.From)
--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -83,8 +83,8 @@
 	return now.Sub(leadership.lastRequest) >= interval
 }
 
-// Granted handles an acceptor's grant, and reports whether the sender is an acceptor of the present view.
-func (leadership *Leadership) Granted(now time.Time, sender string, grant *wire.LeaderLeaseGrant) bool {
+// HandleGrant handles an acceptor's grant, and reports whether the sender is an acceptor of the present view.
+func (leadership *Leadership) HandleGrant(now time.Time, sender string, grant *wire.LeaderLeaseGrant) bool {
 	current := leadership.agent.Current()
 	if !membership.IsAcceptor(current, sender) {
 		return false
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -67,7 +67,7 @@
 		t.Fatal("no request")
 	}
 	for _, acceptor := range []string{"a", "b"} {
-		bench.leadership.Granted(now, acceptor, &wire.LeaderLeaseGrant{View: 3, Nonce: requests[0].Nonce})
+		bench.leadership.HandleGrant(now, acceptor, &wire.LeaderLeaseGrant{View: 3, Nonce: requests[0].Nonce})
 	}
 }
 
@@ -103,13 +103,13 @@
 	bench := newBench("a")
 	nonce := bench.requests(start)[0].Nonce
 	grant := &wire.LeaderLeaseGrant{View: 3, Nonce: nonce}
-	if bench.leadership.Granted(start, "stranger", grant) || !bench.leadership.Granted(start, "a", grant) {
+	if bench.leadership.HandleGrant(start, "stranger", grant) || !bench.leadership.HandleGrant(start, "a", grant) {
 		t.Error("who is an acceptor")
 	}
 	if bench.leadership.IsLeading(start) {
 		t.Error("leads by one grant of three")
 	}
-	bench.leadership.Granted(start, "c", grant)
+	bench.leadership.HandleGrant(start, "c", grant)
 	if !bench.leadership.IsLeading(start) || !bench.leadership.Started().Equal(start) || bench.starts != 1 {
 		t.Errorf("with a majority: started %v, %d starts", bench.leadership.Started(), bench.starts)
 	}
@@ -187,7 +187,7 @@
 		witness := lease.NewWitness(time.Second)
 		grantor := NewGrantor(start, test.self, bench.agent, bench.outbox, witness, test.cleared)
 		envelope := &wire.Envelope{From: "a:1", Sender: test.sender}
-		grantor.Request(start, envelope, &wire.LeaderLeaseRequest{View: test.view, Nonce: 7, Committed: 4})
+		grantor.HandleRequest(start, envelope, &wire.LeaderLeaseRequest{View: test.view, Nonce: 7, Committed: 4})
 		messages, _ := bench.outbox.Drain()
 		granted, updated := false, false
 		for _, message := range messages {
--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -94,11 +94,11 @@
 	}
 	if daemons.leadership.IsLeading(now) {
 		document := daemons.members.chain.Committed()
-		if daemons.leases.Request(now, address, request) && daemons.directory.Contains(document, address) {
+		if daemons.leases.HandleRequest(now, address, request) && daemons.directory.Contains(document, address) {
 			daemons.leases.Grant(now, address, grant)
 		}
 		if request.Quota != nil {
-			grant.Quota = daemons.quotas.Grant(now, document, address, request.Quota, grant.Granted)
+			grant.Quota = daemons.quotas.HandleReport(now, document, address, request.Quota, grant.Granted)
 		}
 	}
 	if !grant.Granted {
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -13,16 +13,16 @@
 // newHandlers returns a handler for every message that a node takes; it drops the others.
 func newHandlers(node *Node) handlers {
 	table := handlers{}
-	handleChain(table, node)
-	handleViews(table, node)
-	handleLeasesAndRequests(table, node)
-	handleDocuments(table, node)
-	handleRunners(table, node)
+	addChainHandlers(table, node)
+	addViewHandlers(table, node)
+	addLeaseAndRequestHandlers(table, node)
+	addDocumentHandlers(table, node)
+	addRunnerHandlers(table, node)
 	return table
 }
 
-// handleChain adds what members of the chain say to each other.
-func handleChain(table handlers, node *Node) {
+// addChainHandlers adds what members of the chain say to each other.
+func addChainHandlers(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
 		node.members.chain.HandleForward(now, envelope.Sender, body.ChainForward)
 	})
@@ -40,8 +40,8 @@
 	})
 }
 
-// handleViews adds what proposers and acceptors of views say to each other.
-func handleViews(table handlers, node *Node) {
+// addViewHandlers adds what proposers and acceptors of views say to each other.
+func addViewHandlers(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
 		if node.members.proposer.MayVote() {
 			node.members.agent.Prepare(now, envelope.From, body.ViewPrepare)
@@ -69,32 +69,32 @@
 	})
 }
 
-// handleLeasesAndRequests adds what concerns leases, heartbeats and operators' requests.
-func handleLeasesAndRequests(table handlers, node *Node) {
+// addLeaseAndRequestHandlers adds what concerns leases, heartbeats and operators' requests.
+func addLeaseAndRequestHandlers(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
-		node.daemons.grantor.Request(now, envelope, body.LeaderLeaseRequest)
+		node.daemons.grantor.HandleRequest(now, envelope, body.LeaderLeaseRequest)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
-		node.onLeaderLeaseGrant(now, envelope.Sender, body.LeaderLeaseGrant)
+		node.handleLeaderLeaseGrant(now, envelope.Sender, body.LeaderLeaseGrant)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
-		node.members.observe(now, body.Heartbeat)
+		node.members.handleHeartbeat(now, body.Heartbeat)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorRequest) {
-		node.proposals.Receive(now, body.OperatorRequest)
+		node.proposals.HandleRequest(now, body.OperatorRequest)
 	})
 	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorResponse) {
-		node.requests.Response(body.OperatorResponse)
+		node.requests.HandleResponse(body.OperatorResponse)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_DaemonLeaseRequest) {
-		node.onDaemonLeaseRequest(now, envelope.From, body.DaemonLeaseRequest)
+		node.handleDaemonLeaseRequest(now, envelope.From, body.DaemonLeaseRequest)
 	})
 }
 
-// handleDocuments adds what spreads the document and the peers.
-func handleDocuments(table handlers, node *Node) {
+// addDocumentHandlers adds what spreads the document and the peers.
+func addDocumentHandlers(table handlers, node *Node) {
 	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
-		node.daemons.directory.Request(envelope.From, body.DocumentRequest)
+		node.daemons.directory.HandleRequest(envelope.From, body.DocumentRequest)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
 		node.daemons.directory.Gossip().HandleMessage(now, body.GossipMessage)
@@ -111,8 +111,8 @@
 	})
 }
 
-// handleRunners adds what control processes and daemons say of runners.
-func handleRunners(table handlers, node *Node) {
+// addRunnerHandlers adds what control processes and daemons say of runners.
+func addRunnerHandlers(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdate) {
 		node.registrar.HandleUpdate(now, envelope.From, body.RunnerUpdate)
 	})
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -38,9 +38,9 @@
 	daemons.leadership.Tick(now)
 }
 
-// onLeaderLeaseGrant handles an acceptor's grant, and what it reports to know to be committed.
-func (node *Node) onLeaderLeaseGrant(now time.Time, sender string, grant *wire.LeaderLeaseGrant) {
-	if !node.daemons.leadership.Granted(now, sender, grant) {
+// handleLeaderLeaseGrant handles an acceptor's grant, and what it reports to know to be committed.
+func (node *Node) handleLeaderLeaseGrant(now time.Time, sender string, grant *wire.LeaderLeaseGrant) {
+	if !node.daemons.leadership.HandleGrant(now, sender, grant) {
 		return
 	}
 	expiry := now.Add(time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond)
@@ -48,8 +48,8 @@
 	node.proposals.Acknowledge(now)
 }
 
-// onDaemonLeaseRequest answers a data daemon, also with a newer view than its own.
-func (node *Node) onDaemonLeaseRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) {
+// handleDaemonLeaseRequest answers a data daemon, also with a newer view than its own.
+func (node *Node) handleDaemonLeaseRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) {
 	grant := &wire.DaemonLeaseGrant{Nonce: request.Nonce, ViewEpoch: node.members.agent.Newest().Epoch,
 		RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
 	node.daemons.fillGrant(now, address, request, grant)
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -84,10 +84,10 @@
 // propose proposes a view where that is due.
 func (members *members) propose(now time.Time) { members.proposer.Tick(members.facts(now)) }
 
-// observe handles another machine's heartbeat.
-func (members *members) observe(now time.Time, heartbeat *wire.Heartbeat) {
+// handleHeartbeat handles another machine's heartbeat.
+func (members *members) handleHeartbeat(now time.Time, heartbeat *wire.Heartbeat) {
 	current := members.agent.Current()
-	accepted, changed := members.detector.Observe(now, current.Fleet, heartbeat)
+	accepted, changed := members.detector.HandleHeartbeat(now, current.Fleet, heartbeat)
 	if !accepted {
 		return
 	}
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -23,7 +23,7 @@
 		}
 		tokens[token] = true
 		// A response to a request that nobody made in this incarnation changes nothing.
-		node.requests.Response(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
+		node.requests.HandleResponse(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
 		if answers != 0 || node.requests.Count() != 1 {
 			t.Fatal("a stranger's answer was given")
 		}
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -65,8 +65,8 @@
 // Counters returns what was counted here.
 func (proposals *Proposals) Counters() Counters { return proposals.counters }
 
-// Receive handles a request that another process passed on.
-func (proposals *Proposals) Receive(now time.Time, message *wire.OperatorRequest) {
+// HandleRequest handles a request that another process passed on.
+func (proposals *Proposals) HandleRequest(now time.Time, message *wire.OperatorRequest) {
 	if message.Origin != proposals.self {
 		proposals.Serve(now, message)
 	}
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -207,8 +207,8 @@
 		bench := newBench("a", "a")
 		bench.leading = false
 		get := &wire.OperatorRequest{Verb: VerbGet, Token: "b/1/1", Origin: "b:1"}
-		bench.proposals.Receive(start, get)
-		bench.proposals.Receive(start, get)
+		bench.proposals.HandleRequest(start, get)
+		bench.proposals.HandleRequest(start, get)
 		if len(bench.responses()) != 0 {
 			t.Fatalf("%s: answered without leading", name)
 		}
@@ -223,7 +223,7 @@
 func TestAnotherHeadDropsTheWaiting(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "ab")
-	bench.proposals.Receive(
+	bench.proposals.HandleRequest(
 		start,
 		&wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"},
 	)
@@ -285,13 +285,13 @@
 		for _, head := range test.heads {
 			bench.requests.open[token].recipients[head] = true
 		}
-		bench.requests.Response(&wire.OperatorResponse{Token: "c/7/99", Status: 200, Body: []byte("{}")})
+		bench.requests.HandleResponse(&wire.OperatorResponse{Token: "c/7/99", Status: 200, Body: []byte("{}")})
 		if bench.replies != 0 {
 			t.Errorf("%s: a response to another request", name)
 		}
 		response := &wire.OperatorResponse{Token: token, Status: test.status, Body: []byte("{}")}
-		bench.requests.Response(response)
-		bench.requests.Response(response)
+		bench.requests.HandleResponse(response)
+		bench.requests.HandleResponse(response)
 		if bench.status != test.want || bench.replies != 1 {
 			t.Errorf("%s: %d, %d replies", name, bench.status, bench.replies)
 		}
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -142,7 +142,7 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
 }
 
-// finishUnresolved answers for a chain that gave no answer, or none that is final (see Response).
+// finishUnresolved answers for a chain that gave no answer, or none that is final (see HandleResponse).
 func (requests *Requests) finishUnresolved(open *request) {
 	operation := open.message.Operation
 	if isWrite(open.message) && len(open.recipients) > 0 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// Response handles the head's response to a request.
-func (requests *Requests) Response(response *wire.OperatorResponse) {
+// HandleResponse handles the head's response to a request.
+func (requests *Requests) HandleResponse(response *wire.OperatorResponse) {
 	open := requests.open[response.Token]
 	if open == nil {
 		return
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -57,7 +57,7 @@
 		if heartbeat.Reachable == nil {
 			heartbeat.Reachable = strings.Split(scene.alive+"a", "")
 		}
-		if accepted, _ := detector.Observe(start, "", heartbeat); !accepted {
+		if accepted, _ := detector.HandleHeartbeat(start, "", heartbeat); !accepted {
 			t.Fatalf("the heartbeat of %s was dropped", id)
 		}
 	}
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -52,7 +52,7 @@
 // hear lets the bench's process hear from peers that hear only those in reachable.
 func (bench *bench) hear(now time.Time, ids string, heartbeat *wire.Heartbeat) {
 	for _, id := range ids {
-		bench.detector.Observe(now, "", &wire.Heartbeat{Member: member(string(id)), View: heartbeat.View,
+		bench.detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: member(string(id)), View: heartbeat.View,
 			Blank: heartbeat.Blank, Reachable: heartbeat.Reachable})
 	}
 }
