--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// onLeasePrompt responds to a head that waits to learn which document this daemon has.
-func (controller *Controller) onLeasePrompt(now time.Time, envelope *wire.Envelope) {
+// handleLeasePrompt responds to a head that waits to learn which document this daemon has.
+func (controller *Controller) handleLeasePrompt(now time.Time, envelope *wire.Envelope) {
 	if envelope.GetDaemonLeasePrompt().Sequence > controller.configuration.sequence {
 		controller.requestDocument(envelope.From)
 		return
@@ -77,17 +77,17 @@
 	controller.requestLeases(now, []string{envelope.From})
 }
 
-// onLeaseGrant handles a core machine's response to a lease request: the head's lease, an acceptor's confirmation, or
+// handleLeaseGrant handles a core machine's response to a lease request: the head's lease, an acceptor's confirmation, or
 // neither.
-func (controller *Controller) onLeaseGrant(now time.Time, envelope *wire.Envelope) {
+func (controller *Controller) handleLeaseGrant(now time.Time, envelope *wire.Envelope) {
 	response := envelope.GetDaemonLeaseGrant()
 	controller.adoptView(response.View)
-	controller.runnerSync.compare(now, envelope.From, response.RunnersChecksum)
+	controller.runnerSync.handleChecksum(now, envelope.From, response.RunnersChecksum)
 	requested, found := controller.pending.take(response.Nonce)
 	if !found {
 		return
 	}
-	controller.quota.onGrant(now, response)
+	controller.quota.handleGrant(now, response)
 	if response.Granted || !response.Starting {
 		controller.permission.unansweredRounds = 0
 	}
--- a/dataplane/controller/quota.go
+++ b/dataplane/controller/quota.go
@@ -43,9 +43,9 @@
 	return report
 }
 
-// onGrant handles the shares in a lease response. Those of a previous head count as well: they are valid from their
+// handleGrant handles the shares in a lease response. Those of a previous head count as well: they are valid from their
 // request on, and the new head waits for their end or for this daemon's report, which invalidates them.
-func (reporter *quotaReporter) onGrant(now time.Time, response *wire.DaemonLeaseGrant) {
+func (reporter *quotaReporter) handleGrant(now time.Time, response *wire.DaemonLeaseGrant) {
 	if reporter.limiter == nil || response.Quota == nil {
 		return
 	}
--- a/dataplane/controller/quota_test.go
+++ b/dataplane/controller/quota_test.go
@@ -29,7 +29,7 @@
 	}
 	shares := []*wire.QuotaShare{{Tenant: "tenant", Tokens: 5, Capacity: 5, Rate: 1}}
 	response := &wire.DaemonLeaseGrant{Nonce: 2, Quota: &wire.QuotaGrant{Milliseconds: 1000, Shares: shares}}
-	reporter.onGrant(started, response)
+	reporter.handleGrant(started, response)
 	if !limiter.Take(started, "tenant", 5) || !reporter.canReport(started.Add(time.Millisecond)) {
 		t.Error("the granted share was not received")
 	}
@@ -39,7 +39,7 @@
 func TestWithoutQuotasNothingIsReported(t *testing.T) {
 	current := newTestLeases()
 	reporter := newQuotaReporter(nil, current.configuration, current)
-	reporter.onGrant(started, &wire.DaemonLeaseGrant{Quota: &wire.QuotaGrant{}})
+	reporter.handleGrant(started, &wire.DaemonLeaseGrant{Quota: &wire.QuotaGrant{}})
 	if reporter.canReport(started) || reporter.report(started, "c0", 1) != nil {
 		t.Error("reported")
 	}
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -32,36 +32,36 @@
 		reflect.TypeFor[*wire.Envelope_ViewUpdate](): func(_ time.Time, envelope *wire.Envelope) {
 			controller.adoptView(envelope.GetViewUpdate().View)
 		},
-		reflect.TypeFor[*wire.Envelope_Digest]():            controller.onDigest,
-		reflect.TypeFor[*wire.Envelope_RunnerUpdate]():      controller.onRunnerUpdate,
-		reflect.TypeFor[*wire.Envelope_DaemonLeaseGrant]():  controller.onLeaseGrant,
-		reflect.TypeFor[*wire.Envelope_DaemonLeasePrompt](): controller.onLeasePrompt,
-		reflect.TypeFor[*wire.Envelope_DocumentRequest]():   controller.onDocumentRequest,
-		reflect.TypeFor[*wire.Envelope_RequestDispatched](): controller.onRequestDispatched,
+		reflect.TypeFor[*wire.Envelope_Digest]():            controller.handleDigest,
+		reflect.TypeFor[*wire.Envelope_RunnerUpdate]():      controller.handleRunnerUpdate,
+		reflect.TypeFor[*wire.Envelope_DaemonLeaseGrant]():  controller.handleLeaseGrant,
+		reflect.TypeFor[*wire.Envelope_DaemonLeasePrompt](): controller.handleLeasePrompt,
+		reflect.TypeFor[*wire.Envelope_DocumentRequest]():   controller.handleDocumentRequest,
+		reflect.TypeFor[*wire.Envelope_RequestDispatched](): controller.handleRequestDispatched,
 	}
 }
 
-// onDigest compares gossip entries, and the runners if the sender keeps a registry.
-func (controller *Controller) onDigest(now time.Time, envelope *wire.Envelope) {
+// handleDigest compares gossip entries, and the runners if the sender keeps a registry.
+func (controller *Controller) handleDigest(now time.Time, envelope *wire.Envelope) {
 	digest := envelope.GetDigest()
 	controller.gossip.HandleDigest(now, envelope.From, envelope.Zone, digest)
 	// A checksum of 0 is that of an empty registry and of a process that keeps none; the former asks on its own.
 	if digest.RunnersChecksum != 0 {
-		controller.runnerSync.compare(now, envelope.From, digest.RunnersChecksum)
+		controller.runnerSync.handleChecksum(now, envelope.From, digest.RunnersChecksum)
 	}
 }
 
-// onRunnerUpdate adopts runners of a peer, and requests a lease anew once what kept the last one from counting is
+// handleRunnerUpdate adopts runners of a peer, and requests a lease anew once what kept the last one from counting is
 // learned.
-func (controller *Controller) onRunnerUpdate(now time.Time, envelope *wire.Envelope) {
-	complete := controller.runnerSync.onUpdate(now, envelope.From, envelope.GetRunnerUpdate())
+func (controller *Controller) handleRunnerUpdate(now time.Time, envelope *wire.Envelope) {
+	complete := controller.runnerSync.handleUpdate(now, envelope.From, envelope.GetRunnerUpdate())
 	if complete && !now.Before(controller.Until(now)) && controller.leases.isHead(envelope.From) {
 		controller.requestLeases(now, []string{envelope.From})
 	}
 }
 
-// onDocumentRequest sends the configuration document to a process that has an older one.
-func (controller *Controller) onDocumentRequest(_ time.Time, envelope *wire.Envelope) {
+// handleDocumentRequest sends the configuration document to a process that has an older one.
+func (controller *Controller) handleDocumentRequest(_ time.Time, envelope *wire.Envelope) {
 	entry := controller.gossip.Get(gossip.DocumentKey)
 	if entry == nil || entry.Epoch <= envelope.GetDocumentRequest().Sequence {
 		return
@@ -71,8 +71,8 @@
 	controller.outbox.Send(envelope.From, &wire.Envelope{Body: body})
 }
 
-// onRequestDispatched passes on what a daemon of the zone reports of a request that runs at most once.
-func (controller *Controller) onRequestDispatched(now time.Time, envelope *wire.Envelope) {
+// handleRequestDispatched passes on what a daemon of the zone reports of a request that runs at most once.
+func (controller *Controller) handleRequestDispatched(now time.Time, envelope *wire.Envelope) {
 	if controller.settings.OnDispatched != nil && envelope.Zone == controller.settings.Zone {
 		dispatched := envelope.GetRequestDispatched()
 		controller.settings.OnDispatched(now, dispatched.Key, dispatched.NotExecuted)
--- a/dataplane/controller/runnersync.go
+++ b/dataplane/controller/runnersync.go
@@ -80,15 +80,15 @@
 	}
 }
 
-// compare handles the checksum of the runners that another process knows, and asks for what is missing.
-func (runnerSync *runnerSync) compare(now time.Time, from string, checksum uint64) {
+// handleChecksum handles the checksum of the runners that another process knows, and asks for what is missing.
+func (runnerSync *runnerSync) handleChecksum(now time.Time, from string, checksum uint64) {
 	if runnerSync.registered {
 		runnerSync.exchange.HandleChecksum(now, from, checksum)
 	}
 }
 
-// onUpdate adopts runners of another process and reports whether these were all that it knows.
-func (runnerSync *runnerSync) onUpdate(now time.Time, from string, update *wire.RunnerUpdate) bool {
+// handleUpdate adopts runners of another process and reports whether these were all that it knows.
+func (runnerSync *runnerSync) handleUpdate(now time.Time, from string, update *wire.RunnerUpdate) bool {
 	runnerSync.exchange.HandleUpdate(now, from, update)
 	if !update.Response {
 		return false
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -146,5 +146,5 @@
 
 // learnAll lets a process send all runners that it knows, which are none.
 func learnAll(sync *runnerSync, now time.Time, from string) {
-	sync.onUpdate(now, from, &wire.RunnerUpdate{Response: true})
+	sync.handleUpdate(now, from, &wire.RunnerUpdate{Response: true})
 }
