--- a/control/durability/durability.go
+++ b/control/durability/durability.go
@@ -95,7 +95,7 @@
 	// Damage is found while this process still knows what must be there, and not only when it starts.
 	if now.Sub(disk.lastScrub) >= scrubInterval && !disk.failed && !disk.replacing {
 		disk.lastScrub = now
-		disk.outbox.Verify(now)
+		disk.outbox.Scrub(now)
 	}
 	if disk.replacing || disk.failed && now.Before(disk.retryAt) || !disk.failed && disk.logBytes < logLimit {
 		return
--- a/control/durability/durability_test.go
+++ b/control/durability/durability_test.go
@@ -25,7 +25,7 @@
 		if write.Snapshot != nil {
 			snapshots++
 		}
-		if write.Verify {
+		if write.Scrub {
 			scrubs++
 		}
 	}
--- a/control/storage/writer.go
+++ b/control/storage/writer.go
@@ -18,8 +18,8 @@
 	writer := &batchWriter{store: store, synced: synced, failed: failed}
 	for _, write := range writes {
 		switch {
-		case write.Verify:
-			writer.verify(write)
+		case write.Scrub:
+			writer.scrub(write)
 		case write.Snapshot != nil:
 			writer.saveSnapshot(write)
 		default:
@@ -60,10 +60,10 @@
 	writer.synced(writer.lastSequence)
 }
 
-// verify reads back everything on disk and compares it with what must be there.
-func (writer *batchWriter) verify(write statemachine.Write) {
+// scrub reads back everything on disk and compares it with what must be there.
+func (writer *batchWriter) scrub(write statemachine.Write) {
 	writer.flush()
-	if err := writer.store.Verify(); err != nil {
+	if err := writer.store.Scrub(); err != nil {
 		writer.fail(err)
 	} else if !writer.broken {
 		writer.synced(write.Sequence)
--- a/control/storage/writer_test.go
+++ b/control/storage/writer_test.go
@@ -21,7 +21,7 @@
 	}
 	member := []*wire.Member{{Id: "a"}}
 	view := &wire.View{Epoch: 2, Chain: member, Acceptors: member}
-	write(record(1), statemachine.Write{Sequence: 2, Verify: true},
+	write(record(1), statemachine.Write{Sequence: 2, Scrub: true},
 		statemachine.Write{Sequence: 3, Snapshot: &wire.DurableState{Id: "fresh", View: view}},
 		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 7}}})
 	if len(synced) != 4 || synced[3] != 4 {
--- a/coordination/snapshot/store.go
+++ b/coordination/snapshot/store.go
@@ -15,7 +15,7 @@
 // One Store at a time has a folder open. Its caller calls Open once, then Store.Append for records
 // and Store.SaveSnapshot for a snapshot that contains all records before it; whatever returned without
 // an error is there after any later crash. After an error only Store.SaveSnapshot may succeed.
-// Store.Verify notices when the disk no longer holds what was synced.
+// Store.Scrub notices when the disk no longer holds what was synced.
 //
 // A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep
 // each name that was created, renamed or removed since the folder was last synced. What is read
@@ -120,10 +120,10 @@
 	return apierror.New(apierror.DiskFailed, "an earlier write failed")
 }
 
-// Verify reads everything back and compares it with what must be there. A failure,
+// Scrub reads everything back and compares it with what must be there. A failure,
 // apierror.DiskFailed, means that the disk no longer holds what was synced; as after a failed
 // write, only a Store.SaveSnapshot may succeed then.
-func (store *Store) Verify() error {
+func (store *Store) Scrub() error {
 	if store.failed {
 		return errEarlierWriteFailed()
 	}
--- a/coordination/snapshot/store_test.go
+++ b/coordination/snapshot/store_test.go
@@ -163,7 +163,7 @@
 func TestVerifyNoticesDamage(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}, crash: never}
 	store, _, _ := Open(folder)
-	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one")), store.Verify()} {
+	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one")), store.Scrub()} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +173,7 @@
 		for index := range intact {
 			folder.files[name] = append([]byte{}, intact...)
 			folder.files[name][index] ^= 0x10
-			if store.Verify() == nil {
+			if store.Scrub() == nil {
 				t.Fatalf("%s byte %d", name, index)
 			}
 			store.failed = false
@@ -181,10 +181,10 @@
 		folder.files[name] = intact
 	}
 	folder.files["log"][20] ^= 1
-	if store.Verify() == nil || store.Append([]byte("two")) == nil {
+	if store.Scrub() == nil || store.Append([]byte("two")) == nil {
 		t.Fatal("a damaged log was appended to")
 	}
-	if err := store.SaveSnapshot([]byte("memory and one")); err != nil || store.Verify() != nil {
+	if err := store.SaveSnapshot([]byte("memory and one")); err != nil || store.Scrub() != nil {
 		t.Fatal("not repaired by a new snapshot")
 	}
 }
--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -24,7 +24,7 @@
 }
 
 // Write is one disk request. Requests are carried out in order; exactly one of Write.Record,
-// Write.Snapshot and Write.Verify is set.
+// Write.Snapshot and Write.Scrub is set.
 type Write struct {
 	// Sequence numbers the requests of one outbox, beginning at 1.
 	Sequence uint64
@@ -32,8 +32,8 @@
 	Record *wire.Record
 	// Snapshot is a snapshot of the whole state, which starts a new log.
 	Snapshot *wire.DurableState
-	// Verify requests that everything stored be read back and verified.
-	Verify bool
+	// Scrub requests that everything stored be read back and compared with what must be there.
+	Scrub bool
 }
 
 // Outbox collects what one step of a state machine requests of its driver.
@@ -72,9 +72,9 @@
 	outbox.request(now, Write{Snapshot: memory}, onSynced)
 }
 
-// Verify requests that everything stored be read back and verified.
-func (outbox *Outbox) Verify(now time.Time) {
-	outbox.request(now, Write{Verify: true}, func(time.Time) {})
+// Scrub requests that everything stored be read back and compared with what must be there.
+func (outbox *Outbox) Scrub(now time.Time) {
+	outbox.request(now, Write{Scrub: true}, func(time.Time) {})
 }
 
 func (outbox *Outbox) request(now time.Time, write Write, onSynced func(now time.Time)) {
--- a/coordination/statemachine/outbox_test.go
+++ b/coordination/statemachine/outbox_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("nothing is pending, but the oldest write has waited %v", wait)
 	}
 	outbox.Persist(now, &wire.Record{}, func(time.Time) {})
-	outbox.Verify(now.Add(time.Second))
+	outbox.Scrub(now.Add(time.Second))
 	_, writes := outbox.Drain()
 	if wait := outbox.OldestWait(now.Add(3 * time.Second)); wait != 3*time.Second {
 		t.Fatalf("the oldest write has waited %v", wait)
