--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// requestTimeout bounds a call that the chain responds to. A node answers within 6 s (package proposal).
-	requestTimeout = 9 * time.Second
+	// requestTimeout bounds a call that the chain responds to.
+	requestTimeout = proposal.ClientTimeout
 	// statusTimeout bounds a call that a process responds to by itself.
 	statusTimeout = 2 * time.Second
 	// maximumResponse bounds the body of a response, in bytes.
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -10,14 +10,6 @@
 	"wardtray/wire"
 )
 
-const (
-	// acknowledgeTimeout is after what time an operator is told that the outcome of an entered change is unknown.
-	acknowledgeTimeout = 5 * time.Second
-	// deferTimeout is for how long a request waits at the head for the moment at which it can be answered; its origin
-	// sends it again meanwhile.
-	deferTimeout = 2 * time.Second
-)
-
 // Environment is what proposals ask of the process around them.
 type Environment struct {
 	// IsLeading reports whether this process may act as head.
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -252,7 +252,7 @@
 			t.Errorf("after %v: %v", test.after, messages)
 		}
 	}
-	bench.requests.Tick(start.Add(requestTimeout + 1))
+	bench.requests.Tick(start.Add(RequestTimeout + 1))
 	if bench.status != http.StatusServiceUnavailable || bench.reply.Outcome != OutcomeRefused {
 		t.Errorf("%d %+v", bench.status, bench.reply)
 	}
@@ -262,7 +262,7 @@
 	t.Parallel()
 	bench := newBench("c", "ab")
 	bench.submit(start, apply("o"))
-	bench.requests.Tick(start.Add(requestTimeout + 1))
+	bench.requests.Tick(start.Add(RequestTimeout + 1))
 	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown ||
 		bench.requests.Counters().Unknown != 1 {
 		t.Errorf("%d %+v", bench.status, bench.reply)
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -14,8 +14,6 @@
 )
 
 const (
-	// requestTimeout is after what time a request is answered here if the head did not.
-	requestTimeout = 6 * time.Second
 	// resendInterval is how often an open request is sent to the head again.
 	resendInterval = 300 * time.Millisecond
 	// maximumRequests bounds the open requests of one process, and those that a head defers.
@@ -86,7 +84,7 @@
 	requests.nonce++
 	message.Token = fmt.Sprintf("%s/%x/%d", requests.self.Id, requests.incarnation, requests.nonce)
 	message.Origin = requests.self.Address
-	requests.open[message.Token] = &request{message: message, respond: respond, deadline: now.Add(requestTimeout),
+	requests.open[message.Token] = &request{message: message, respond: respond, deadline: now.Add(RequestTimeout),
 		recipients: map[string]bool{}}
 	requests.Tick(now)
 	return message.Token
--- /dev/null
+++ b/control/proposal/timeouts_test.go
@@ -0,0 +1,36 @@
+package proposal
+
+import (
+	"testing"
+	"time"
+)
+
+// Each wait outlasts the one inside it.
+func TestTimeoutsOutlastOneAnother(t *testing.T) {
+	t.Parallel()
+	waits := []struct {
+		name string
+		wait time.Duration
+		want time.Duration
+	}{
+		{"a deferred request at the head", deferTimeout, 2 * time.Second},
+		{"an entered change at the head", acknowledgeTimeout, 5 * time.Second},
+		{"a request where it came in", RequestTimeout, 6 * time.Second},
+		{"a client", ClientTimeout, 9 * time.Second},
+		{"a connection", ConnectionTimeout, 10 * time.Second},
+	}
+	for index, outer := range waits {
+		if outer.wait != outer.want {
+			t.Errorf("%s waits %v", outer.name, outer.wait)
+		}
+		if index == 0 {
+			continue
+		}
+		if inner := waits[index-1]; outer.wait <= inner.wait {
+			t.Errorf("%s waits %v, %s %v", outer.name, outer.wait, inner.name, inner.wait)
+		}
+	}
+	if resendInterval >= deferTimeout {
+		t.Errorf("a deferred request is dropped before its origin sends it again, after %v", resendInterval)
+	}
+}
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -20,7 +20,7 @@
 	programName = "wtcore"
 
 	// requestTimeout bounds reading a request, and writing its response.
-	requestTimeout = 10 * time.Second
+	requestTimeout = proposal.ConnectionTimeout
 	// idleTimeout is how long a connection stays open between two requests.
 	idleTimeout = time.Minute
 	// envelopeBytes is how much longer than a configuration document a request body may be.
