--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -102,14 +102,19 @@
 	return runner.State != registry.Draining && RejectAbandoned(request)
 }
 
-// WriteParseError rejects a request that can't be read. The error has the code Malformed or TooLarge.
+// WriteParseError rejects a request that can't be read. An error of another code than Malformed and TooLarge is this
+// process's own and answered as such.
 func WriteParseError(request *fasthttp.RequestCtx, err error) {
 	found := apierror.Of(err)
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	WriteReply(request, parseErrorStatuses[found.Code], refusal(found.Code, detail))
+	status, isCallers := parseErrorStatuses[found.Code]
+	if !isCallers {
+		status = fasthttp.StatusInternalServerError
+	}
+	WriteReply(request, status, refusal(found.Code, detail))
 }
 
 // WriteRegistrationRefusal rejects a runner's call whose outcome acknowledges nothing, and reports whether it did.
--- a/control/server/runners_test.go
+++ b/control/server/runners_test.go
@@ -1,10 +1,14 @@
 package server
 
 import (
+	"encoding/json"
+	"errors"
 	"testing"
 
 	"github.com/valyala/fasthttp"
 
+	"wardtray/apierror"
+	"wardtray/control/proposal"
 	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
@@ -29,3 +33,26 @@
 		t.Errorf("not warming up: %+v", got)
 	}
 }
+
+func TestWriteParseError(t *testing.T) {
+	for name, test := range map[string]struct {
+		err    error
+		status int
+		code   apierror.Code
+	}{
+		"malformed":                   {apierror.New(apierror.Malformed, "d"), 400, apierror.Malformed},
+		"too large":                   {apierror.New(apierror.TooLarge, "d"), 413, apierror.TooLarge},
+		"a code that parsing has not": {apierror.New(apierror.DiskFailed, "d"), 500, apierror.DiskFailed},
+		"an error without a code":     {errors.New("d"), 500, apierror.Internal},
+	} {
+		request := &fasthttp.RequestCtx{}
+		WriteParseError(request, test.err)
+		reply := proposal.Reply{}
+		if err := json.Unmarshal(request.Response.Body(), &reply); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if status := request.Response.StatusCode(); status != test.status || reply.Code != string(test.code) {
+			t.Errorf("%s: status %d, code %q", name, status, reply.Code)
+		}
+	}
+}
