--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -40,6 +40,8 @@
 		MaxResponseBodySize:       maximumResponse,
 		NoDefaultUserAgentHeader:  true,
 		MaxIdemponentCallAttempts: 1,
+		// An id in a path is sent as it was escaped; normalizing would decode its slashes.
+		DisablePathNormalizing: true,
 	}}
 }
 
--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -69,7 +69,10 @@
 		"POST /v1/zones/z%20one/close?operation=o ": func() (proposal.Reply, error) {
 			return client.Zone("close", "z one", "o")
 		},
-		"GET /v1/operations/a%20b ": func() (proposal.Reply, error) { return client.Operation("a b") },
+		"GET /v1/operations/a%20b ":    func() (proposal.Reply, error) { return client.Operation("a b") },
+		"GET /v1/operations/a%2Fb ":    func() (proposal.Reply, error) { return client.Operation("a/b") },
+		"GET /v1/operations/a%2F%2Fb ": func() (proposal.Reply, error) { return client.Operation("a//b") },
+		"GET /v1/operations/.. ":       func() (proposal.Reply, error) { return client.Operation("..") },
 	} {
 		reply, err := call()
 		if err != nil || reply.Epoch != 5 || got != want {
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/url"
 	"strconv"
 	"time"
 	"unicode/utf8"
@@ -15,8 +16,12 @@
 	"wardtray/wire"
 )
 
-// maximumOperation bounds the id of an operator's change, and a zone's name, in bytes.
-const maximumOperation = 128
+const (
+	// maximumOperation bounds the id of an operator's change, and a zone's name, in bytes.
+	maximumOperation = 128
+	// pathOperation is the route that looks an operation up; its id is escaped as one segment of the path.
+	pathOperation = "/v1/operations/{operation}"
+)
 
 // mountOperator adds the operators' routes.
 func (server *Server) mountOperator(routes *router.Router) {
@@ -25,7 +30,7 @@
 	routes.PATCH("/v1/spec", server.operatorHandler(proposal.VerbChange))
 	routes.POST("/v1/zones/{zone}/close", server.operatorHandler(proposal.VerbClose))
 	routes.POST("/v1/zones/{zone}/open", server.operatorHandler(proposal.VerbOpen))
-	routes.GET("/v1/operations/{operation}", server.operatorHandler(proposal.VerbOperation))
+	routes.GET(pathOperation, server.operatorHandler(proposal.VerbOperation))
 }
 
 // operatorHandler returns the handler of one verb: it submits the request to the chain and waits for the response.
@@ -124,11 +129,11 @@
 // parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
 func parseOperatorRequest(verb string, request *fasthttp.RequestCtx) (*wire.OperatorRequest, error) {
 	message := &wire.OperatorRequest{Verb: verb, Operation: string(request.QueryArgs().Peek("operation"))}
-	if named, found := request.UserValue("operation").(string); found {
-		message.Operation = named
+	if err := readSegment(request, "operation", &message.Operation); err != nil {
+		return nil, err
 	}
-	if zone, found := request.UserValue("zone").(string); found {
-		message.Zone = zone
+	if err := readSegment(request, "zone", &message.Zone); err != nil {
+		return nil, err
 	}
 	// A message, and a record on a disk, can't hold other bytes than UTF-8: one such change could be neither sent nor
 	// synced.
@@ -154,6 +159,21 @@
 	return message, nil
 }
 
+// readSegment reads the segment of the path that the route names into value, unescaped; a route without it changes
+// nothing.
+func readSegment(request *fasthttp.RequestCtx, name string, value *string) error {
+	escaped, found := request.UserValue(name).(string)
+	if !found {
+		return nil
+	}
+	unescaped, err := url.PathUnescape(escaped)
+	if err != nil {
+		return apierror.New(apierror.Malformed, "%s: not escaped as a segment of a path", name)
+	}
+	*value = unescaped
+	return nil
+}
+
 // queryNumber reads a whole number of the query; found is false where there is none.
 func queryNumber(request *fasthttp.RequestCtx, name string) (value uint64, found bool, err error) {
 	text := request.QueryArgs().Peek(name)
--- a/control/server/operator_test.go
+++ b/control/server/operator_test.go
@@ -1,12 +1,15 @@
 package server
 
 import (
+	"net/url"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
+	"wardtray/apierror"
 	"wardtray/control/proposal"
 	"wardtray/wire"
 )
@@ -59,3 +62,27 @@
 		t.Errorf("%d %+v", status, reply)
 	}
 }
+
+// An operation is looked up by the id that its change was submitted under, escaped as one segment of the path.
+func TestParseOperationPath(t *testing.T) {
+	var got *wire.OperatorRequest
+	var err error
+	routes := router.New()
+	routes.GET(pathOperation, func(request *fasthttp.RequestCtx) {
+		got, err = parseOperatorRequest(proposal.VerbOperation, request)
+	})
+	for _, id := range []string{"a", "a b", "a+b", "a/b", "/", "a//b", ".", "..", "a/../b", "a%2Fb", "100%", "ŵ", "a?b#c"} {
+		got, err = nil, nil
+		request := &fasthttp.RequestCtx{}
+		request.Request.SetRequestURI("/v1/operations/" + url.PathEscape(id))
+		routes.Handler(request)
+		if err != nil || got.GetOperation() != id {
+			t.Errorf("%q: found %q, %v", id, got.GetOperation(), err)
+		}
+	}
+	request := &fasthttp.RequestCtx{}
+	request.Request.SetRequestURI("/v1/operations/a%zz")
+	if routes.Handler(request); !apierror.Is(err, apierror.Malformed) {
+		t.Errorf("a malformed escape: %v", err)
+	}
+}
