--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// HandleReport answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that was
-// granted no lease gets no share.
+// HandleReport answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that
+// was granted no lease gets no share.
 func (quotas *Quotas) HandleReport(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -91,10 +91,11 @@
 	}
 }
 
-// HandleHeartbeat handles a peer's heartbeat. It reports whether the heartbeat was accepted, and whether what it says of the
-// peer's surroundings or health differs from the one before, so that a member may have to be replaced at once.
+// HandleHeartbeat handles a peer's heartbeat. It reports whether the heartbeat was accepted, and whether what it says
+// of the peer's surroundings or health differs from the one before, so that a member may have to be replaced at once.
 // The fleet is the one of this process, empty if it has none yet.
-func (detector *Detector) HandleHeartbeat(now time.Time, fleet string, heartbeat *wire.Heartbeat) (accepted, changed bool) {
+func (detector *Detector) HandleHeartbeat(now time.Time, fleet string,
+	heartbeat *wire.Heartbeat) (accepted, changed bool) {
 	if !detector.accepts(fleet, heartbeat) {
 		return false, false
 	}
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -31,7 +31,8 @@
 // hear lets a detector handle a heartbeat of a peer that says whom it hears.
 func hear(t *testing.T, detector *Detector, now time.Time, id string, reachable ...string) {
 	t.Helper()
-	if accepted, _ := detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: member(id), Reachable: reachable}); !accepted {
+	heartbeat := &wire.Heartbeat{Member: member(id), Reachable: reachable}
+	if accepted, _ := detector.HandleHeartbeat(now, "", heartbeat); !accepted {
 		t.Fatalf("the heartbeat of %s was dropped", id)
 	}
 }
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// HandleRequest handles a head's request for the lease: a grant is sent where one may be given, and the present view to a
-// head of an older one.
+// HandleRequest handles a head's request for the lease: a grant is sent where one may be given, and the present view to
+// a head of an older one.
 func (grantor *Grantor) HandleRequest(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
 	current := grantor.agent.Current()
 	if request.View < current.Epoch {
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -123,7 +123,12 @@
 
 // unknownOutcome returns the reply to a request that may still take effect.
 func unknownOutcome(message *wire.OperatorRequest, code apierror.Code, detail string) proposal.Reply {
-	return proposal.Reply{Outcome: proposal.OutcomeUnknown, Operation: message.Operation, Code: string(code), Detail: detail}
+	return proposal.Reply{
+		Outcome:   proposal.OutcomeUnknown,
+		Operation: message.Operation,
+		Code:      string(code),
+		Detail:    detail,
+	}
 }
 
 // parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
--- a/control/server/operator_test.go
+++ b/control/server/operator_test.go
@@ -71,7 +71,8 @@
 	routes.GET(pathOperation, func(request *fasthttp.RequestCtx) {
 		got, err = parseOperatorRequest(proposal.VerbOperation, request)
 	})
-	for _, id := range []string{"a", "a b", "a+b", "a/b", "/", "a//b", ".", "..", "a/../b", "a%2Fb", "100%", "ŵ", "a?b#c"} {
+	ids := []string{"a", "a b", "a+b", "a/b", "/", "a//b", ".", "..", "a/../b", "a%2Fb", "100%", "ŵ", "a?b#c"}
+	for _, id := range ids {
 		got, err = nil, nil
 		request := &fasthttp.RequestCtx{}
 		request.Request.SetRequestURI("/v1/operations/" + url.PathEscape(id))
--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -77,8 +77,8 @@
 	controller.requestLeases(now, []string{envelope.From})
 }
 
-// handleLeaseGrant handles a core machine's response to a lease request: the head's lease, an acceptor's confirmation, or
-// neither.
+// handleLeaseGrant handles a core machine's response to a lease request: the head's lease, an acceptor's confirmation,
+// or neither.
 func (controller *Controller) handleLeaseGrant(now time.Time, envelope *wire.Envelope) {
 	response := envelope.GetDaemonLeaseGrant()
 	controller.adoptView(response.View)
--- a/dataplane/controller/schedule_test.go
+++ b/dataplane/controller/schedule_test.go
@@ -35,7 +35,8 @@
 		t.Error("a request is due before the interval has passed")
 	}
 	now := started.Add(renewInterval + headTimeout)
-	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2", "seed"}) {
+	everybody := []string{"c0", "c1", "c2", "seed"}
+	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, everybody) {
 		t.Errorf("%v, due is %v", addresses, due)
 	}
 	if rounds := schedule.permission.unansweredRounds; rounds != 1 {
