--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership/membertest"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/lease"
 	"wardtray/coordination/quota"
@@ -20,22 +21,15 @@
 	length = term + ClockMargin
 )
 
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, &wire.Member{Id: string(id), Address: string(id)})
-	}
-	return list
-}
-
 func threeMembers() *wire.View {
-	return &wire.View{Epoch: 3, HeadTerm: 3, Chain: members("abc"), Acceptors: members("abc"), MinReplicas: 2}
+	members := membertest.Members("abc")
+	return &wire.View{Epoch: 3, HeadTerm: 3, Chain: members, Acceptors: members, MinReplicas: 2}
 }
 
 // newLeases returns the leases of a head whose committed document, of sequence 5, has a directory.
 func newLeases(directory string) (*Leases, *statemachine.Outbox) {
 	outbox := statemachine.NewOutbox()
-	document := &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: members(directory)}
+	document := &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: membertest.Daemons(directory)}
 	history := chain.New("a", document, nil, outbox, func(member *wire.Member) string { return member.Address },
 		func(time.Time, uint64) {})
 	return NewLeases(history, outbox, term, threeMembers()), outbox
@@ -81,7 +75,7 @@
 		}, false},
 		"the chain is too short": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
-			leader.View.Chain = members("a")
+			leader.View.Chain = membertest.Members("a")
 		}, false},
 		"the acceptors are still growing": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
@@ -127,8 +121,8 @@
 		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			next := threeMembers()
-			next.Epoch, next.Acceptors = 4, members("abd")
-			leases.view = &wire.View{Epoch: 3, Acceptors: members("ade")}
+			next.Epoch, next.Acceptors = 4, membertest.Members("abd")
+			leases.view = &wire.View{Epoch: 3, Acceptors: membertest.Members("ade")}
 			leases.Adopt(start, next)
 		}, false},
 	} {
@@ -245,7 +239,7 @@
 		leases.HandleRequest(start, "draining", &wire.DaemonLeaseRequest{Draining: true})
 	}
 	leases.HandleRequest(start, "once", request)
-	arrivals := leases.Arrivals(start, members("d"))
+	arrivals := leases.Arrivals(start, membertest.Daemons("d"))
 	if len(arrivals) != 1 || arrivals[0].Address != "new" || arrivals[0].Zone != "z" {
 		t.Errorf("%v", arrivals)
 	}
@@ -262,7 +256,7 @@
 		after time.Duration
 		want  int
 	}{{missingAfter, 2}, {missingAfter + 1, 1}, {missingAfter + time.Minute, 2}} {
-		if got := leases.ExcludeMissing(start.Add(test.after), start, members("de")); len(got) != test.want {
+		if got := leases.ExcludeMissing(start.Add(test.after), start, membertest.Daemons("de")); len(got) != test.want {
 			t.Errorf("after %v: %v", test.after, got)
 		}
 	}
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/control/daemonlease"
+	"wardtray/control/membership/membertest"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
 	"wardtray/coordination/peersampling"
@@ -20,14 +21,6 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, &wire.Member{Id: string(id), Address: string(id)})
-	}
-	return list
-}
-
 // bench is a process of a chain of itself and b, with what a directory needs.
 type bench struct {
 	directory *Directory
@@ -39,15 +32,16 @@
 
 func newBench(self, directory string) *bench {
 	bench := &bench{outbox: statemachine.NewOutbox()}
-	current := &wire.View{Epoch: 3, Chain: members("ab"), Acceptors: members("ab"), MinReplicas: 1}
+	members := membertest.Members("ab")
+	current := &wire.View{Epoch: 3, Chain: members, Acceptors: members, MinReplicas: 1}
 	addressOf := func(member *wire.Member) string { return member.Address }
-	bench.chain = chain.New(self, &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: members(directory)}, nil,
+	bench.chain = chain.New(self, &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: membertest.Daemons(directory)}, nil,
 		bench.outbox, addressOf, func(time.Time, uint64) {})
 	bench.agent = view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
 		func(time.Time, *wire.View) {})
 	random := rand.New(rand.NewSource(1))
-	member := members(self)[0]
-	partialView := peersampling.New(&wire.PeerDescriptor{Address: self, Core: true}, nil, bench.outbox, random)
+	member := membertest.Member(self)
+	partialView := peersampling.New(&wire.PeerDescriptor{Address: member.Address, Core: true}, nil, bench.outbox, random)
 	bench.directory = New(member, bench.agent, bench.chain, bench.outbox, random, partialView, addressOf)
 	bench.learner = NewLearner(bench.agent, bench.chain, addressOf)
 	bench.chain.Adopt(start, current)
@@ -70,7 +64,7 @@
 	t.Parallel()
 	for sequence, want := range map[uint64]uint64{4: 5, 5: 5, 6: 6} {
 		bench := newBench("a", "d")
-		bench.gossiped(t, &wire.Document{Sequence: sequence, Directory: members("de")})
+		bench.gossiped(t, &wire.Document{Sequence: sequence, Directory: membertest.Daemons("de")})
 		got := bench.directory.NewestDocument()
 		if got.Sequence != want || len(got.Directory) != int(want)-4 {
 			t.Errorf("gossip of %d: %v", sequence, got)
@@ -111,7 +105,7 @@
 	for _, partner := range partners {
 		addresses = append(addresses, partner.Address)
 	}
-	if !slices.Equal(addresses, []string{"b", "d", "e"}) {
+	if !slices.Equal(addresses, []string{"b:1", "d", "e"}) {
 		t.Errorf("%v", addresses)
 	}
 }
@@ -127,7 +121,7 @@
 		bench.learner.Tick(start, test.decommissioning)
 		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
 		messages, _ := bench.outbox.Drain()
-		if len(messages) != test.want || test.want == 1 && messages[0].To != "b" {
+		if len(messages) != test.want || test.want == 1 && messages[0].To != "b:1" {
 			t.Errorf("%s: %v", name, messages)
 		}
 		bench.learner.Expedite()
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership/membertest"
 	"wardtray/wire"
 )
 
@@ -16,22 +17,12 @@
 	pause     = 500 * time.Millisecond
 )
 
-func newDetector() *Detector { return New(start, member("a"), suspicion, pause) }
-
-func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1"} }
-
-func members(ids ...string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, member(id))
-	}
-	return list
-}
+func newDetector() *Detector { return New(start, membertest.Member("a"), suspicion, pause) }
 
 // hear lets a detector handle a heartbeat of a peer that says whom it hears.
 func hear(t *testing.T, detector *Detector, now time.Time, id string, reachable ...string) {
 	t.Helper()
-	heartbeat := &wire.Heartbeat{Member: member(id), Reachable: reachable}
+	heartbeat := &wire.Heartbeat{Member: membertest.Member(id), Reachable: reachable}
 	if accepted, _ := detector.HandleHeartbeat(now, "", heartbeat); !accepted {
 		t.Fatalf("the heartbeat of %s was dropped", id)
 	}
@@ -96,8 +87,8 @@
 	t.Parallel()
 	detector := newDetector()
 	for name, heartbeat := range map[string]*wire.Heartbeat{
-		"no member": {}, "no id": {Member: &wire.Member{}}, "itself": {Member: member("a")},
-		"another fleet": {Member: member("b"), Fleet: "other"},
+		"no member": {}, "no id": {Member: &wire.Member{}}, "itself": {Member: membertest.Member("a")},
+		"another fleet": {Member: membertest.Member("b"), Fleet: "other"},
 	} {
 		if accepted, _ := detector.HandleHeartbeat(start, "fleet", heartbeat); accepted {
 			t.Errorf("%s: accepted", name)
@@ -106,7 +97,7 @@
 	for number := range MaximumPeers {
 		hear(t, detector, start, fmt.Sprint("peer", number))
 	}
-	if accepted, _ := detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: member("more")}); accepted {
+	if accepted, _ := detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: membertest.Member("more")}); accepted {
 		t.Error("more peers than the bound")
 	}
 	hear(t, detector, start, "peer0")
@@ -129,7 +120,7 @@
 	} {
 		detector := newDetector()
 		hear(t, detector, start, "b", "a")
-		test.next.Member = member("b")
+		test.next.Member = membertest.Member("b")
 		if _, changed := detector.HandleHeartbeat(start, "", test.next); changed != test.want {
 			t.Errorf("%s: changed %v", name, changed)
 		}
@@ -140,12 +131,12 @@
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
-	if detector.IsReplaced(member("b")) {
+	if detector.IsReplaced(membertest.Member("b")) {
 		t.Error("replaced by itself")
 	}
 	successor := &wire.Member{Id: "z", Address: "b:1"}
 	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: successor})
-	if !detector.IsReplaced(member("b")) || detector.Peer("b") != nil {
+	if !detector.IsReplaced(membertest.Member("b")) || detector.Peer("b") != nil {
 		t.Error("two identities at one address")
 	}
 }
@@ -154,7 +145,8 @@
 	t.Parallel()
 	detector := newDetector()
 	for _, test := range []struct{ view, synced, want uint64 }{{1, 3, 3}, {1, 7, 3}, {2, 8, 8}, {2, 9, 8}} {
-		detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: member("b"), View: test.view, Synced: test.synced})
+		heartbeat := &wire.Heartbeat{Member: membertest.Member("b"), View: test.view, Synced: test.synced}
+		detector.HandleHeartbeat(start, "", heartbeat)
 		if got := detector.Peer("b").InitialSynced; got != test.want {
 			t.Errorf("view %d, synced %d: %d", test.view, test.synced, got)
 		}
@@ -163,7 +155,7 @@
 
 func TestIsUnreachableNeedsAMajority(t *testing.T) {
 	t.Parallel()
-	acceptors := members("a", "b", "c")
+	acceptors := membertest.Members("abc")
 	for name, test := range map[string]struct {
 		heard map[string][]string
 		want  bool
@@ -201,7 +193,7 @@
 	detector := newDetector()
 	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: &wire.Member{Id: "b", Address: "moved:1"}})
 	for id, want := range map[string]string{"a": "a:1", "b": "moved:1", "c": "c:1"} {
-		if got := detector.AddressOf(member(id)); got != want {
+		if got := detector.AddressOf(membertest.Member(id)); got != want {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership/membertest"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/lease"
 	"wardtray/coordination/statemachine"
@@ -13,14 +14,6 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
-	}
-	return list
-}
-
 // bench is a process with its leadership, of a chain of three in view 3 and term 2.
 type bench struct {
 	leadership *Leadership
@@ -33,7 +26,8 @@
 
 func newBench(self string, pending ...*wire.Entry) *bench {
 	bench := &bench{outbox: statemachine.NewOutbox()}
-	current := &wire.View{Epoch: 3, HeadTerm: 2, Chain: members("abc"), Acceptors: members("abc"), MinReplicas: 2}
+	members := membertest.Members("abc")
+	current := &wire.View{Epoch: 3, HeadTerm: 2, Chain: members, Acceptors: members, MinReplicas: 2}
 	addressOf := func(member *wire.Member) string { return member.Address }
 	bench.chain = chain.New(self, &wire.Document{Sequence: 4, SpecEpoch: 4}, pending, bench.outbox, addressOf,
 		func(time.Time, uint64) {})
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/membership/membertest"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/statemachine"
 	"wardtray/coordination/view"
@@ -15,14 +16,6 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, &wire.Member{Id: string(id), Address: string(id) + ":1"})
-	}
-	return list
-}
-
 // bench is a process with its requests and proposals, of a chain in view 3; what they ask of the process around them is
 // set by the test.
 type bench struct {
@@ -40,9 +33,10 @@
 
 func newBench(self, chainIDs string) *bench {
 	bench := &bench{outbox: statemachine.NewOutbox(), leading: true, delivered: true}
-	current := &wire.View{Epoch: 3, Chain: members(chainIDs), Acceptors: members("abc"), MinReplicas: 1}
+	current := &wire.View{Epoch: 3, MinReplicas: 1,
+		Chain: membertest.Members(chainIDs), Acceptors: membertest.Members("abc")}
 	addressOf := func(member *wire.Member) string { return member.Address }
-	member := members(self)[0]
+	member := membertest.Members(self)[0]
 	bench.chain = chain.New(self, &wire.Document{}, nil, bench.outbox, addressOf, func(time.Time, uint64) {})
 	agent := view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
 		func(time.Time, *wire.View) {})
@@ -230,7 +224,7 @@
 	if len(bench.proposals.waiters) != 1 {
 		t.Fatal("nobody waits, so that nothing is tested")
 	}
-	bench.chain.Adopt(start, &wire.View{Epoch: 4, Chain: members("ba")})
+	bench.chain.Adopt(start, &wire.View{Epoch: 4, Chain: membertest.Members("ba")})
 	bench.proposals.Adopt()
 	bench.proposals.Acknowledge(start.Add(time.Hour))
 	if got := bench.responses(); len(got) != 0 {
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wardtray/control/failuredetector"
+	"wardtray/control/membership/membertest"
 	"wardtray/wire"
 )
 
@@ -14,24 +15,6 @@
 const suspicion = 700 * time.Millisecond
 
 // member returns the member with a one-letter id, alone in its zone.
-func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1", Zone: id} }
-
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, member(string(id)))
-	}
-	return list
-}
-
-func idsOf(list []*wire.Member) string {
-	var joined strings.Builder
-	for _, member := range list {
-		joined.WriteString(member.Id)
-	}
-	return joined.String()
-}
-
 // scene is the situation of process a in view 3; every process in alive hears all the others but those in deafTo.
 type scene struct {
 	chain, acceptors, alive string
@@ -44,7 +27,7 @@
 
 func (scene scene) facts(t *testing.T) *Facts {
 	t.Helper()
-	detector := failuredetector.New(start, member("a"), suspicion, suspicion)
+	detector := failuredetector.New(start, membertest.Member("a"), suspicion, suspicion)
 	for _, letter := range scene.alive {
 		id := string(letter)
 		heartbeat := &wire.Heartbeat{View: 3, LearnedView: 3}
@@ -52,7 +35,7 @@
 			heartbeat = given
 		}
 		if heartbeat.Member == nil {
-			heartbeat.Member = member(id)
+			heartbeat.Member = membertest.Member(id)
 		}
 		if heartbeat.Reachable == nil {
 			heartbeat.Reachable = strings.Split(scene.alive+"a", "")
@@ -62,9 +45,9 @@
 		}
 	}
 	local := scene.local
-	local.Member = member("a")
-	view := &wire.View{Epoch: 3, Chain: members(scene.chain), Acceptors: members(scene.acceptors),
-		MinReplicas: scene.minReplicas, LastWritableChain: members(scene.lastWritable), HeadTerm: 2}
+	local.Member = membertest.Member("a")
+	view := &wire.View{Epoch: 3, Chain: membertest.Members(scene.chain), Acceptors: membertest.Members(scene.acceptors),
+		MinReplicas: scene.minReplicas, LastWritableChain: membertest.Members(scene.lastWritable), HeadTerm: 2}
 	return &Facts{Now: start, View: view, Detector: detector, Local: local, Faults: 1}
 }
 
@@ -111,10 +94,10 @@
 		if next == nil {
 			next = &wire.View{}
 		}
-		if got := idsOf(next.Chain); got != test.chain {
+		if got := membertest.IDs(next.Chain); got != test.chain {
 			t.Errorf("%s: chain %q, want %q", name, got, test.chain)
 		}
-		if got := idsOf(next.Acceptors); got != test.acceptors {
+		if got := membertest.IDs(next.Acceptors); got != test.acceptors {
 			t.Errorf("%s: acceptors %q, want %q", name, got, test.acceptors)
 		}
 	}
@@ -145,7 +128,7 @@
 	} {
 		test.scene.heartbeats = notLearned
 		next := NewPlanner(suspicion).Plan(test.scene.facts(t))
-		if got := idsOf(next.GetLastWritableChain()); got != test.want {
+		if got := membertest.IDs(next.GetLastWritableChain()); got != test.want {
 			t.Errorf("%s: %q, want %q", name, got, test.want)
 		}
 	}
@@ -163,7 +146,7 @@
 	}{{0, ""}, {timeout - 1, ""}, {timeout, "ab"}} {
 		facts.Now = start.Add(test.after)
 		next := planner.Plan(facts)
-		if got := idsOf(next.GetChain()); got != test.want {
+		if got := membertest.IDs(next.GetChain()); got != test.want {
 			t.Errorf("after %v: %q, want %q", test.after, got, test.want)
 		}
 	}
@@ -187,12 +170,12 @@
 
 func TestAcceptorsAreSpreadOverZones(t *testing.T) {
 	t.Parallel()
-	crowded := members("abcd")
+	crowded := membertest.Members("abcd")
 	crowded[1].Zone, crowded[2].Zone = "a", "x"
-	if isSpread(crowded[:3]) || !isSpread(crowded[:2]) || !isSpread(members("abc")) {
+	if isSpread(crowded[:3]) || !isSpread(crowded[:2]) || !isSpread(membertest.Members("abc")) {
 		t.Error("two of three in one zone")
 	}
-	if got := idsOf(spreadAcceptors(crowded[:3], crowded[3:])); got != "acd" {
+	if got := membertest.IDs(spreadAcceptors(crowded[:3], crowded[3:])); got != "acd" {
 		t.Errorf("spread: %q", got)
 	}
 	if got := spreadAcceptors(crowded[:3], nil); got != nil {
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"wardtray/control/failuredetector"
+	"wardtray/control/membership/membertest"
 	"wardtray/control/reconfiguration"
 	"wardtray/coordination/statemachine"
 	"wardtray/coordination/view"
@@ -19,16 +20,6 @@
 	stagger   = 400 * time.Millisecond
 )
 
-func member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1", Zone: id} }
-
-func members(ids string) []*wire.Member {
-	list := make([]*wire.Member, 0, len(ids))
-	for _, id := range ids {
-		list = append(list, member(string(id)))
-	}
-	return list
-}
-
 // bench is a proposer with what it reads; everything that it sends stays in the outbox.
 type bench struct {
 	proposer *Proposer
@@ -39,7 +30,7 @@
 }
 
 func newBench(self string, current *wire.View, vote *wire.AcceptorState, founders ...string) *bench {
-	bench := &bench{self: member(self), outbox: statemachine.NewOutbox()}
+	bench := &bench{self: membertest.Member(self), outbox: statemachine.NewOutbox()}
 	bench.detector = failuredetector.New(start, bench.self, suspicion, time.Hour)
 	bench.agent = view.NewAgent(start, self, current, vote, bench.outbox, bench.detector.Resolve,
 		func(time.Time, *wire.View) {})
@@ -52,7 +43,7 @@
 // hear lets the bench's process hear from peers that hear only those in reachable.
 func (bench *bench) hear(now time.Time, ids string, heartbeat *wire.Heartbeat) {
 	for _, id := range ids {
-		bench.detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: member(string(id)), View: heartbeat.View,
+		bench.detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: membertest.Member(string(id)), View: heartbeat.View,
 			Blank: heartbeat.Blank, Reachable: heartbeat.Reachable})
 	}
 }
@@ -66,7 +57,8 @@
 }
 
 func threeMembers() *wire.View {
-	return &wire.View{Epoch: 3, Fleet: "f", Chain: members("abc"), Acceptors: members("abc"), MinReplicas: 2}
+	members := membertest.Members("abc")
+	return &wire.View{Epoch: 3, Fleet: "f", Chain: members, Acceptors: members, MinReplicas: 2}
 }
 
 func TestNothingIsProposedForARightView(t *testing.T) {
@@ -109,7 +101,8 @@
 
 func TestOpenVoteIsFinishedInTurn(t *testing.T) {
 	t.Parallel()
-	vote := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4, Chain: members("ab"), Acceptors: members("abc")}}
+	voted := &wire.View{Epoch: 4, Chain: membertest.Members("ab"), Acceptors: membertest.Members("abc")}
+	vote := &wire.AcceptorState{Instance: 4, Value: voted}
 	for self, delay := range map[string]time.Duration{"a": stagger, "b": 2 * stagger, "c": 3 * stagger} {
 		bench := newBench(self, threeMembers(), vote)
 		if !bench.agent.Voted() {
