--- /dev/null
+++ b/control/daemonlease/delivery_test.go
@@ -0,0 +1,127 @@
+package daemonlease
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/control/membership/membertest"
+	"wardtray/wire"
+)
+
+// leaderAt is a leader for so long that no lease of the head before it can run.
+func leaderAt(now time.Time) DeliveryContext {
+	return DeliveryContext{
+		Now:       now,
+		Since:     start.Add(-time.Hour),
+		View:      threeMembers(),
+		IsGrowing: func() bool { return false },
+	}
+}
+
+// acceptorsKnow lets acceptors report that they know sequence 5, with nothing older confirmed.
+func acceptorsKnow(leases *Leases, ids ...string) {
+	for _, id := range ids {
+		leases.AcceptorReported(id, 5, start)
+	}
+}
+
+func TestIsDelivered(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		directory string
+		prepare   func(leases *Leases, leader *DeliveryContext)
+		want      bool
+	}{
+		"a majority of the acceptors knows": {"", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+		}, true},
+		"one acceptor knows": {"", func(leases *Leases, _ *DeliveryContext) { acceptorsKnow(leases, "a") }, false},
+		"this process has not led": {"", func(leases *Leases, leader *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leader.Since = time.Time{}
+		}, false},
+		"the chain is too short": {"", func(leases *Leases, leader *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leader.View.Chain = membertest.Members("a")
+		}, false},
+		"the acceptors are still growing": {"", func(leases *Leases, leader *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leader.IsGrowing = func() bool { return true }
+		}, false},
+		"a lease runs at a daemon that has less": {"d", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start, 4)
+		}, false},
+		"the daemon with less has ended": {"d", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start.Add(-2), 4)
+			leases.ConnectionRefused("d", start.Add(-1))
+		}, true},
+		"the lease with less has expired": {"d", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			grant(leases, start.Add(-length), 4)
+		}, true},
+		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leases.Committed(start.Add(-length), 5)
+			grant(leases, start, 4)
+		}, true},
+		"every daemon knows": {"d", func(leases *Leases, leader *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leases.Committed(start, 5)
+			leader.Since = start
+			grant(leases, start, 5)
+		}, true},
+		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a")
+			leases.Committed(start, 5)
+			grant(leases, start, 5)
+		}, false},
+		"the head before may have granted a lease": {"d", func(leases *Leases, leader *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			leader.Since = start
+		}, false},
+		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a")
+			leases.AcceptorReported("b", 5, start.Add(1))
+		}, false},
+		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *DeliveryContext) {
+			acceptorsKnow(leases, "a", "b")
+			next := threeMembers()
+			next.Epoch, next.Acceptors = 4, membertest.Members("abd")
+			leases.view = &wire.View{Epoch: 3, Acceptors: membertest.Members("ade")}
+			leases.Adopt(start, next)
+		}, false},
+	} {
+		leases, _ := newLeases(test.directory)
+		leader := leaderAt(start)
+		test.prepare(leases, &leader)
+		if got := leases.IsDelivered(leader, 5); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
+		if leases.IsDelivered(leader, 6) {
+			t.Errorf("%s: a sequence that is not committed", name)
+		}
+	}
+}
+
+func TestAdoptRemembersAcceptorsForALease(t *testing.T) {
+	t.Parallel()
+	leases, _ := newLeases("")
+	same := threeMembers()
+	same.Epoch = 4
+	leases.Adopt(start, same)
+	if len(leases.previous) != 0 {
+		t.Error("the same acceptors count twice")
+	}
+	skipped := threeMembers()
+	skipped.Epoch = 6
+	leases.Adopt(start, skipped)
+	if len(leases.previous) != 1 || leases.previous[0].members != nil {
+		t.Error("acceptors of a view that this process never heard of")
+	}
+	acceptorsKnow(leases, "a", "b", "c")
+	if leases.IsDelivered(leaderAt(start.Add(length-1)), 5) || !leases.IsDelivered(leaderAt(start.Add(length)), 5) {
+		t.Error("for another time than a lease")
+	}
+}
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -3,13 +3,11 @@
 import (
 	"math/rand"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"wardtray/control/daemonlease"
 	"wardtray/control/membership/membertest"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/gossip"
@@ -109,69 +107,3 @@
 		t.Errorf("%v", addresses)
 	}
 }
-
-func TestLearnerAsksTheTail(t *testing.T) {
-	t.Parallel()
-	for name, test := range map[string]struct {
-		self            string
-		decommissioning bool
-		want            int
-	}{"outside": {"c", false, 1}, "inside": {"b", false, 0}, "decommissioned": {"c", true, 0}} {
-		bench := newBench(test.self, "")
-		bench.learner.Tick(start, test.decommissioning)
-		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
-		messages, _ := bench.outbox.Drain()
-		if len(messages) != test.want || test.want == 1 && messages[0].To != "b:1" {
-			t.Errorf("%s: %v", name, messages)
-		}
-		bench.learner.Expedite()
-		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
-		if messages, _ := bench.outbox.Drain(); len(messages) != test.want {
-			t.Errorf("%s, expedited: %v", name, messages)
-		}
-	}
-}
-
-func TestUpdaterAddsAndRemoves(t *testing.T) {
-	t.Parallel()
-	for name, test := range map[string]struct {
-		directory, requesting string
-		acceptorsKnow         bool
-		after                 time.Duration
-		want                  string
-	}{
-		"a new daemon":                     {"d", "de", true, 0, "de"},
-		"the last change is not delivered": {"d", "de", false, 0, ""},
-		"nothing to change":                {"d", "d", true, 0, ""},
-		"a missing daemon":                 {"df", "d", true, 2 * time.Minute, "d"},
-		"the first, gathering":             {"", "d", true, firstDirectoryDelay - 1, ""},
-		"the first":                        {"", "d", true, firstDirectoryDelay, "d"},
-	} {
-		bench := newBench("a", test.directory)
-		leases := daemonlease.NewLeases(bench.chain, bench.outbox, time.Second, bench.agent.Current())
-		now := start.Add(test.after)
-		request := func(at time.Time) {
-			for _, address := range test.requesting {
-				leases.HandleRequest(at, string(address), &wire.DaemonLeaseRequest{Sequence: 5})
-			}
-		}
-		request(start)
-		request(now)
-		if test.acceptorsKnow {
-			leases.AcceptorReported("a", 5, start)
-			leases.AcceptorReported("b", 5, start)
-		}
-		updater := NewUpdater(bench.chain, leases)
-		updater.Tick(daemonlease.DeliveryContext{Now: now, Since: start, View: bench.agent.Current(),
-			IsGrowing: func() bool { return false }})
-		var addresses []string
-		if pending := bench.chain.Pending(); len(pending) > 0 {
-			for _, member := range pending[0].Directory {
-				addresses = append(addresses, member.Address)
-			}
-		}
-		if got := strings.Join(addresses, ""); got != test.want {
-			t.Errorf("%s: %q, want %q", name, got, test.want)
-		}
-	}
-}
--- /dev/null
+++ b/control/directory/learner_test.go
@@ -0,0 +1,25 @@
+package directory
+
+import "testing"
+
+func TestLearnerAsksTheTail(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		self            string
+		decommissioning bool
+		want            int
+	}{"outside": {"c", false, 1}, "inside": {"b", false, 0}, "decommissioned": {"c", true, 0}} {
+		bench := newBench(test.self, "")
+		bench.learner.Tick(start, test.decommissioning)
+		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		messages, _ := bench.outbox.Drain()
+		if len(messages) != test.want || test.want == 1 && messages[0].To != "b:1" {
+			t.Errorf("%s: %v", name, messages)
+		}
+		bench.learner.Expedite()
+		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		if messages, _ := bench.outbox.Drain(); len(messages) != test.want {
+			t.Errorf("%s, expedited: %v", name, messages)
+		}
+	}
+}
--- a/control/durability/durability_test.go
+++ b/control/durability/durability_test.go
@@ -114,21 +114,3 @@
 		t.Error("a write that waits")
 	}
 }
-
-func TestReplay(t *testing.T) {
-	t.Parallel()
-	state := &wire.DurableState{}
-	Replay(state, entryRecord(3))
-	Replay(state, &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 4}})
-	if len(state.Pending) != 1 || state.ClearedTerm != 4 {
-		t.Errorf("%v", state)
-	}
-	Replay(state, &wire.Record{Incomplete: true, Body: &wire.Record_Document{Document: &wire.Document{Sequence: 9}}})
-	if len(state.Pending) != 0 || state.Document.Sequence != 9 || !state.Incomplete {
-		t.Errorf("a document replaces what was pending: %v", state)
-	}
-	Replay(state, &wire.Record{Body: &wire.Record_Complete{}})
-	if state.Incomplete {
-		t.Error("still incomplete")
-	}
-}
