--- a/control/daemonlease/confirmer_test.go
+++ b/control/daemonlease/confirmer_test.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-func TestConfirmer(t *testing.T) {
+func TestConfirmerConfirm(t *testing.T) {
 	t.Parallel()
 	voted := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4}}
 	for name, test := range map[string]struct {
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestIsDelivered(t *testing.T) {
+func TestLeasesIsDelivered(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		directory string
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestAdoptRemembersAcceptorsForALease(t *testing.T) {
+func TestLeasesAdopt(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
 	same := threeMembers()
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -38,7 +38,7 @@
 	leases.Grant(now, "d", &wire.DaemonLeaseGrant{})
 }
 
-func TestRequestOfANewIncarnationEndsTheLease(t *testing.T) {
+func TestLeasesUnleased(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("d")
 	leader := start.Add(-time.Hour)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestRequestBoundsTheDaemons(t *testing.T) {
+func TestLeasesHandleRequestIsBounded(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
 	for number := range MaximumDaemons {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestConnectionRefusedAfterARequestSaysNothing(t *testing.T) {
+func TestLeasesConnectionRefused(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("d")
 	grant(leases, start, 5)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestPromptWaitsForGossip(t *testing.T) {
+func TestLeasesPrompt(t *testing.T) {
 	t.Parallel()
 	leases, outbox := newLeases("de")
 	leases.Committed(start, 5)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestArrivals(t *testing.T) {
+func TestLeasesArrivals(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("d")
 	request := &wire.DaemonLeaseRequest{Zone: "z"}
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestExcludeMissing(t *testing.T) {
+func TestLeasesExcludeMissing(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
 	leases.HandleRequest(start.Add(time.Second), "e", &wire.DaemonLeaseRequest{})
--- a/control/daemonlease/quotas_test.go
+++ b/control/daemonlease/quotas_test.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-func TestQuotasNeedALease(t *testing.T) {
+func TestQuotasHandleReport(t *testing.T) {
 	t.Parallel()
 	quotas := NewQuotas(quota.Tolerance{}, term)
 	document := &wire.Document{}
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -58,7 +58,7 @@
 	bench.directory.Gossip().Put(start, entry, gossip.Hops)
 }
 
-func TestNewestIsOfHistoryOrGossip(t *testing.T) {
+func TestDirectoryNewestDocument(t *testing.T) {
 	t.Parallel()
 	for sequence, want := range map[uint64]uint64{4: 5, 5: 5, 6: 6} {
 		bench := newBench("a", "d")
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestServingDaemons(t *testing.T) {
+func TestDirectoryServingDaemons(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "de")
 	got := bench.directory.ServingDaemons([]string{"f", "d"}, []string{"e"})
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestRequestIsAnsweredWithANewerDocument(t *testing.T) {
+func TestDirectoryHandleRequest(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "d")
 	bench.directory.Publish(start)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestPartners(t *testing.T) {
+func TestDirectoryPartners(t *testing.T) {
 	t.Parallel()
 	partners := newBench("a", "ed").directory.partners()
 	addresses := make([]string, 0, len(partners))
--- a/control/directory/learner_test.go
+++ b/control/directory/learner_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestLearnerAsksTheTail(t *testing.T) {
+func TestLearnerTick(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		self            string
--- a/control/directory/updater_test.go
+++ b/control/directory/updater_test.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-func TestUpdaterAddsAndRemoves(t *testing.T) {
+func TestUpdaterTick(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		directory, requesting string
--- a/control/durability/durability_test.go
+++ b/control/durability/durability_test.go
@@ -36,7 +36,7 @@
 	return &wire.Record{Body: &wire.Record_Entry{Entry: &wire.Entry{Spec: make([]byte, bytes)}}}
 }
 
-func TestFailedWriteIsRetriedBySnapshot(t *testing.T) {
+func TestDiskTickRetriesAFailedWrite(t *testing.T) {
 	t.Parallel()
 	disk, outbox := newDisk()
 	disk.Tick(start)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestFailedSnapshotIsRetried(t *testing.T) {
+func TestDiskTickRetriesAFailedSnapshot(t *testing.T) {
 	t.Parallel()
 	disk, outbox := newDisk()
 	disk.Failed(start)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestLongLogIsReplaced(t *testing.T) {
+func TestDiskTickReplacesALongLog(t *testing.T) {
 	t.Parallel()
 	disk, outbox := newDisk(entryRecord(logLimit / 2))
 	disk.Tick(start)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestScrubInterval(t *testing.T) {
+func TestDiskTickScrubs(t *testing.T) {
 	t.Parallel()
 	disk, outbox := newDisk()
 	for _, test := range []struct {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestSlowWriteIsUnhealthy(t *testing.T) {
+func TestDiskIsUnhealthy(t *testing.T) {
 	t.Parallel()
 	disk, outbox := newDisk()
 	outbox.Persist(start, entryRecord(1), func(time.Time) {})
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestIsAliveWithinSuspicion(t *testing.T) {
+func TestIsAlive(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestTickAfterPauseSuspectsNobody(t *testing.T) {
+func TestTick(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTerminatedOnlyIfNotHeardSince(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestObserveDropsStrangers(t *testing.T) {
+func TestHandleHeartbeatDropsStrangers(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	for name, heartbeat := range map[string]*wire.Heartbeat{
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestObserveReportsChanges(t *testing.T) {
+func TestHandleHeartbeatReportsChanges(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		next *wire.Heartbeat
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestNewIdentityReplacesTheOneAtItsAddress(t *testing.T) {
+func TestIsReplaced(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	hear(t, detector, start, "b")
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestInitialSyncedIsOfTheView(t *testing.T) {
+func TestHandleHeartbeatKeepsInitialSynced(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	for _, test := range []struct{ view, synced, want uint64 }{{1, 3, 3}, {1, 7, 3}, {2, 8, 8}, {2, 9, 8}} {
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestIsUnreachableNeedsAMajority(t *testing.T) {
+func TestIsUnreachable(t *testing.T) {
 	t.Parallel()
 	acceptors := membertest.Members("abc")
 	for name, test := range map[string]struct {
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestHeartbeatInterval(t *testing.T) {
+func TestTakeHeartbeat(t *testing.T) {
 	t.Parallel()
 	detector := newDetector()
 	for _, test := range []struct {
--- a/control/leadership/grantor_test.go
+++ b/control/leadership/grantor_test.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-func TestGrantorGrantsTheHeadOfItsView(t *testing.T) {
+func TestGrantorHandleRequest(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		self, sender string
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestGrantorNotesAClearedTerm(t *testing.T) {
+func TestGrantorTick(t *testing.T) {
 	t.Parallel()
 	bench := newBench("b")
 	grantor := NewGrantor(start, "b", bench.agent, bench.outbox, lease.NewWitness(time.Second), 1)
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestOnlyTheHeadRequests(t *testing.T) {
+func TestLeadershipTickRequestsAsHead(t *testing.T) {
 	t.Parallel()
 	for self, want := range map[string]int{"a": 3, "b": 0, "d": 0} {
 		if got := len(newBench(self).requests(start)); got != want {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRequestIntervals(t *testing.T) {
+func TestLeadershipTickIntervals(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a")
 	bench.requests(start)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestIsLeadingNeedsAMajority(t *testing.T) {
+func TestLeadershipHandleGrant(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a")
 	nonce := bench.requests(start)[0].Nonce
@@ -113,7 +113,7 @@
 }
 
 // A term starts with the grant that completes a majority, and not when somebody asks who leads.
-func TestIsLeadingOnlyReads(t *testing.T) {
+func TestLeadershipIsLeadingOnlyReads(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a")
 	bench.lead(t, start)
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestTermStartsOnce(t *testing.T) {
+func TestLeadershipAdopt(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a")
 	bench.lead(t, start)
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestHeadWaitsForWhatItFoundInItsHistory(t *testing.T) {
+func TestLeadershipIsLeadingWaitsForItsHistory(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", &wire.Entry{Sequence: 5, ChangesSpec: true, SpecEpoch: 5})
 	bench.lead(t, start)
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -97,7 +97,7 @@
 	return &wire.OperatorRequest{Verb: VerbApply, Operation: operation, Spec: spec("p")}
 }
 
-func TestChangeIsAcknowledgedOnceDelivered(t *testing.T) {
+func TestProposalsAcknowledge(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "a")
 	bench.delivered = false
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestSameOperationHasOneEffect(t *testing.T) {
+func TestProposalsServeOneOperationOnce(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "a")
 	for range 2 {
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestUndeliveredChangeHasAnUnknownOutcome(t *testing.T) {
+func TestProposalsAcknowledgeTimesOut(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "a")
 	bench.delivered = false
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestProposalsServeRefuses(t *testing.T) {
 	t.Parallel()
 	staleBase := &wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), HasBase: true, Base: 4}
 	for name, test := range map[string]struct {
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestRefusalWaitsUntilWhatItRestsOnIsCommitted(t *testing.T) {
+func TestProposalsServePostponesARefusal(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "a")
 	bench.submit(start, apply("first"))
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestDeferredUntilLeading(t *testing.T) {
+func TestProposalsRetryDeferred(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		after time.Duration
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestAnotherHeadDropsTheWaiting(t *testing.T) {
+func TestProposalsAdopt(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", "ab")
 	bench.proposals.HandleRequest(
--- a/control/proposal/requests_test.go
+++ b/control/proposal/requests_test.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-func TestRequestsAreSentToTheHeadAgain(t *testing.T) {
+func TestRequestsTick(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
 	bench.submit(start, &wire.OperatorRequest{Verb: VerbGet})
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestTimeoutOfAChangeIsUnknown(t *testing.T) {
+func TestRequestsTickTimesOutAChange(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
 	bench.submit(start, apply("o"))
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestResponseOfOneOfTwoHeads(t *testing.T) {
+func TestRequestsHandleResponse(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		heads  []string
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestAbandonKeepsChanges(t *testing.T) {
+func TestRequestsAbandon(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
 	bench.requests.Abandon(bench.submit(start, &wire.OperatorRequest{Verb: VerbGet}))
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestSubmitBoundsTheOpenRequests(t *testing.T) {
+func TestRequestsSubmitIsBounded(t *testing.T) {
 	t.Parallel()
 	bench := newBench("c", "ab")
 	for range maximumRequests {
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestBrokenLinkIsExcludedAfterItsTimeout(t *testing.T) {
+func TestPlanExcludesABrokenLink(t *testing.T) {
 	t.Parallel()
 	const timeout = suspicion / 2
 	planner := NewPlanner(timeout)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestJoinerComesFromTheZoneWithFewestCopies(t *testing.T) {
+func TestJoiner(t *testing.T) {
 	t.Parallel()
 	inZone := func(id, zone string) *wire.Heartbeat {
 		return &wire.Heartbeat{Member: &wire.Member{Id: id, Address: id + ":1", Zone: zone}, View: 3, LearnedView: 3}
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestAcceptorsAreSpreadOverZones(t *testing.T) {
+func TestSpreadAcceptors(t *testing.T) {
 	t.Parallel()
 	crowded := membertest.Members("abcd")
 	crowded[1].Zone, crowded[2].Zone = "a", "x"
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestMinReplicasNeverFalls(t *testing.T) {
+func TestMinReplicas(t *testing.T) {
 	t.Parallel()
 	facts := &Facts{Faults: 1}
 	for _, test := range []struct {
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -61,7 +61,7 @@
 	return &wire.View{Epoch: 3, Fleet: "f", Chain: members, Acceptors: members, MinReplicas: 2}
 }
 
-func TestNothingIsProposedForARightView(t *testing.T) {
+func TestTickKeepsARightView(t *testing.T) {
 	t.Parallel()
 	bench := newBench("a", threeMembers(), nil)
 	now := start.Add(time.Minute)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestFailedMemberStartsAProposal(t *testing.T) {
+func TestTickProposes(t *testing.T) {
 	t.Parallel()
 	failed := &wire.Heartbeat{View: 3, Reachable: []string{"a", "b"}}
 	for name, test := range map[string]struct {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestOpenVoteIsFinishedInTurn(t *testing.T) {
+func TestTickFinishesAnOpenVote(t *testing.T) {
 	t.Parallel()
 	voted := &wire.View{Epoch: 4, Chain: membertest.Members("ab"), Acceptors: membertest.Members("abc")}
 	vote := &wire.AcceptorState{Instance: 4, Value: voted}
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestFoundingNeedsEveryBlankFounder(t *testing.T) {
+func TestTickBootstraps(t *testing.T) {
 	t.Parallel()
 	now := start.Add(time.Second)
 	for name, test := range map[string]struct {
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -102,7 +102,7 @@
 }
 
 // A disagreement counts from its first lease, and anew after a pause.
-func TestDisagreementsExpire(t *testing.T) {
+func TestDisagreementObserve(t *testing.T) {
 	tested := &disagreement{}
 	now := started
 	for now.Before(started.Add(disagreementTimeout)) {
@@ -120,7 +120,7 @@
 }
 
 // Leases of a process with other runners count only if all of its runners were just learned, or if a lease is held.
-func TestAgreement(t *testing.T) {
+func TestCompareWithHead(t *testing.T) {
 	const others = 99
 	for name, test := range map[string]struct {
 		registered bool
--- a/dataplane/controller/schedule_test.go
+++ b/dataplane/controller/schedule_test.go
@@ -23,7 +23,7 @@
 }
 
 // The head alone is asked while it grants leases, and everybody once it does not.
-func TestNextAsksEverybodyOnceTheHeadFails(t *testing.T) {
+func TestTakeAddressesOnceTheHeadFails(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.leases.ready = true
 	schedule.leases.grant(started, lease.DaemonTTL)
@@ -45,7 +45,7 @@
 }
 
 // The first refused connection to the head makes requests to everybody due at once.
-func TestRefusedHeadIsReplacedAtOnce(t *testing.T) {
+func TestOnRefused(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.onGrant(started)
 	schedule.takeAddresses(started)
@@ -62,7 +62,7 @@
 }
 
 // Seeds are spared while the acceptors stand in for the head.
-func TestNextSparesSeedsWhileAcceptorsConfirm(t *testing.T) {
+func TestTakeAddressesWhileAcceptorsConfirm(t *testing.T) {
 	schedule := newTestSchedule()
 	for _, acceptor := range acceptors {
 		schedule.leases.confirm(started, acceptor.Id, confirmation{requested: started, sequence: 7})
