--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -40,21 +40,34 @@
 
 func TestLeasesUnleased(t *testing.T) {
 	t.Parallel()
-	leases, _ := newLeases("d")
-	leader := start.Add(-time.Hour)
-	if got := leases.Unleased(start, leader); !slices.Equal(got, []string{"d"}) {
-		t.Errorf("before any lease: %v", got)
-	}
-	grant(leases, start, 5)
-	if got := leases.Unleased(start, leader); len(got) != 0 {
-		t.Errorf("with a lease: %v", got)
-	}
-	leases.HandleRequest(start, "d", &wire.DaemonLeaseRequest{Incarnation: 9, Sequence: 5})
-	if got := leases.Unleased(start, leader); !slices.Equal(got, []string{"d"}) {
-		t.Errorf("a new incarnation: %v", got)
-	}
-	if got := leases.Unleased(start, start.Add(-length+1)); got != nil {
-		t.Errorf("a head that is younger than a lease: %v", got)
+	longAgo := start.Add(-time.Hour)
+	for name, test := range map[string]struct {
+		prepare     func(leases *Leases)
+		leaderSince time.Time
+		now         time.Time
+		want        []string
+	}{
+		"before any lease": {func(*Leases) {}, longAgo, start, []string{"d"}},
+		"with a lease":     {func(leases *Leases) { grant(leases, start, 5) }, longAgo, start, nil},
+		"with a lease that is about to expire": {func(leases *Leases) { grant(leases, start, 5) }, longAgo,
+			start.Add(length - 1), nil},
+		"with an expired lease": {func(leases *Leases) { grant(leases, start, 5) }, longAgo, start.Add(length),
+			[]string{"d"}},
+		"a new incarnation": {func(leases *Leases) {
+			grant(leases, start, 5)
+			leases.HandleRequest(start, "d", &wire.DaemonLeaseRequest{Incarnation: 9, Sequence: 5})
+		}, longAgo, start, []string{"d"}},
+		"a process that has ended": {func(leases *Leases) {
+			grant(leases, start, 5)
+			leases.ConnectionRefused("d", start.Add(1))
+		}, longAgo, start.Add(1), []string{"d"}},
+		"a head that is younger than a lease": {func(*Leases) {}, start.Add(-length + 1), start, nil},
+	} {
+		leases, _ := newLeases("d")
+		test.prepare(leases)
+		if got := leases.Unleased(test.now, test.leaderSince); !slices.Equal(got, test.want) {
+			t.Errorf("%s: %v", name, got)
+		}
 	}
 }
 
@@ -78,13 +91,21 @@
 
 func TestLeasesConnectionRefused(t *testing.T) {
 	t.Parallel()
-	leases, _ := newLeases("d")
-	grant(leases, start, 5)
-	if leases.ConnectionRefused("d", start) || leases.ConnectionRefused("stranger", start.Add(1)) {
-		t.Error("a daemon that was heard since")
-	}
-	if !leases.ConnectionRefused("d", start.Add(1)) {
-		t.Error("a daemon that was not heard since")
+	for name, test := range map[string]struct {
+		address string
+		tried   time.Time
+		want    bool
+	}{
+		"a daemon that was heard since":          {"d", start, false},
+		"a daemon that was not heard since":      {"d", start.Add(1), true},
+		"a daemon of the directory, never heard": {"e", start.Add(1), true},
+		"a process that is not of the directory": {"stranger", start.Add(1), false},
+	} {
+		leases, _ := newLeases("de")
+		grant(leases, start, 5)
+		if got := leases.ConnectionRefused(test.address, test.tried); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
 	}
 }
 
--- a/control/daemonlease/quotas_test.go
+++ b/control/daemonlease/quotas_test.go
@@ -9,19 +9,24 @@
 
 func TestQuotasHandleReport(t *testing.T) {
 	t.Parallel()
-	quotas := NewQuotas(quota.Tolerance{}, term)
-	document := &wire.Document{}
 	report := &wire.QuotaReport{Tenants: []*wire.QuotaTenantReport{{Tenant: "t"}}}
-	if quotas.HandleReport(start, document, "d", report, false) != nil {
-		t.Error("a share without a lease")
+	granted := &wire.QuotaGrant{Milliseconds: uint32(term.Milliseconds())}
+	for name, test := range map[string]struct {
+		report   *wire.QuotaReport
+		isLeased bool
+		want     *wire.QuotaGrant
+	}{
+		"without a lease":        {report, false, nil},
+		"with a lease":           {report, true, granted},
+		"an empty report":        {&wire.QuotaReport{}, true, nil},
+		"an empty one, no lease": {&wire.QuotaReport{}, false, nil},
+	} {
+		quotas := NewQuotas(quota.Tolerance{}, term)
+		got := quotas.HandleReport(start, &wire.Document{}, "d", test.report, test.isLeased)
+		if (got == nil) != (test.want == nil) || got.GetMilliseconds() != test.want.GetMilliseconds() {
+			t.Errorf("%s: %v", name, got)
+		}
+		quotas.Reset()
+		quotas.Release(start, "d")
 	}
-	got := quotas.HandleReport(start, document, "d", report, true)
-	if got == nil || got.Milliseconds != uint32(term.Milliseconds()) {
-		t.Errorf("with a lease: %v", got)
-	}
-	if quotas.HandleReport(start, document, "d", &wire.QuotaReport{}, true) != nil {
-		t.Error("an answer to an empty report")
-	}
-	quotas.Reset()
-	quotas.Release(start, "d")
 }
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -63,23 +63,36 @@
 
 func TestConnectionRefused(t *testing.T) {
 	t.Parallel()
-	detector := newDetector()
-	hear(t, detector, start, "b")
-	detector.ConnectionRefused("b:1", start)
-	if !detector.IsAlive(start, "b") {
-		t.Error("heard at the moment of the attempt")
-	}
-	detector.TakeHeartbeat(start)
-	detector.ConnectionRefused("b:1", start.Add(1))
-	if detector.IsAlive(start.Add(1), "b") || !detector.WasSeenRecently(start.Add(1), detector.Peer("b")) {
-		t.Error("refused after it was heard")
-	}
-	if !detector.TakeHeartbeat(start.Add(1)) {
-		t.Error("the others are not notified at once")
-	}
-	hear(t, detector, start.Add(2), "b")
-	if !detector.IsAlive(start.Add(2), "b") {
-		t.Error("heard again")
+	for name, test := range map[string]struct {
+		address string
+		tried   time.Time
+		// heard is when the peer is heard again; zero if it is not.
+		heard                       time.Time
+		wantAlive, wantHeartbeatDue bool
+	}{
+		"heard at the moment of the attempt": {"b:1", start, time.Time{}, true, false},
+		"refused after it was heard":         {"b:1", start.Add(1), time.Time{}, false, true},
+		"heard again":                        {"b:1", start.Add(1), start.Add(2), true, true},
+		"another address":                    {"c:1", start.Add(1), time.Time{}, true, false},
+	} {
+		detector := newDetector()
+		hear(t, detector, start, "b")
+		detector.TakeHeartbeat(start)
+		detector.ConnectionRefused(test.address, test.tried)
+		if !test.heard.IsZero() {
+			hear(t, detector, test.heard, "b")
+		}
+		now := start.Add(2)
+		if got := detector.IsAlive(now, "b"); got != test.wantAlive {
+			t.Errorf("%s: alive %v", name, got)
+		}
+		if !detector.WasSeenRecently(now, detector.Peer("b")) {
+			t.Errorf("%s: not seen recently", name)
+		}
+		// The others must be notified at once.
+		if got := detector.TakeHeartbeat(now); got != test.wantHeartbeatDue {
+			t.Errorf("%s: heartbeat due %v", name, got)
+		}
 	}
 }
 
@@ -129,15 +142,23 @@
 
 func TestIsReplaced(t *testing.T) {
 	t.Parallel()
-	detector := newDetector()
-	hear(t, detector, start, "b")
-	if detector.IsReplaced(membertest.Member("b")) {
-		t.Error("replaced by itself")
-	}
-	successor := &wire.Member{Id: "z", Address: "b:1"}
-	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: successor})
-	if !detector.IsReplaced(membertest.Member("b")) || detector.Peer("b") != nil {
-		t.Error("two identities at one address")
+	for name, test := range map[string]struct {
+		heard *wire.Member
+		want  bool
+	}{
+		"by itself":                          {membertest.Member("b"), false},
+		"by a process at another address":    {membertest.Member("c"), false},
+		"by another identity at its address": {&wire.Member{Id: "z", Address: "b:1"}, true},
+	} {
+		detector := newDetector()
+		hear(t, detector, start, "b")
+		detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: test.heard})
+		if got := detector.IsReplaced(membertest.Member("b")); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
+		if isKnown := detector.Peer("b") != nil; isKnown == test.want {
+			t.Errorf("%s: known %v", name, isKnown)
+		}
 	}
 }
 
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -94,21 +94,40 @@
 
 func TestLeadershipHandleGrant(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a")
-	nonce := bench.requests(start)[0].Nonce
-	grant := &wire.LeaderLeaseGrant{View: 3, Nonce: nonce}
-	if bench.leadership.HandleGrant(start, "stranger", grant) || !bench.leadership.HandleGrant(start, "a", grant) {
-		t.Error("who is an acceptor")
-	}
-	if bench.leadership.IsLeading(start) {
-		t.Error("leads by one grant of three")
-	}
-	bench.leadership.HandleGrant(start, "c", grant)
-	if !bench.leadership.IsLeading(start) || !bench.leadership.Started().Equal(start) || bench.starts != 1 {
-		t.Errorf("with a majority: started %v, %d starts", bench.leadership.Started(), bench.starts)
-	}
-	if bench.leadership.IsLeading(start.Add(lease.LesseeTTL)) {
-		t.Error("leads after the lease has expired")
+	for name, test := range map[string]struct {
+		senders    []string
+		view       uint64
+		nonceAfter uint64
+		leads      bool
+	}{
+		"by one of three":           {[]string{"a"}, 3, 0, false},
+		"by one of three, twice":    {[]string{"a", "a"}, 3, 0, false},
+		"by an acceptor and others": {[]string{"a", "stranger"}, 3, 0, false},
+		"by a majority":             {[]string{"a", "c"}, 3, 0, true},
+		"by all":                    {[]string{"a", "b", "c"}, 3, 0, true},
+		"for another view":          {[]string{"a", "c"}, 2, 0, false},
+		"for another request":       {[]string{"a", "c"}, 3, 1, false},
+	} {
+		bench := newBench("a")
+		nonce := bench.requests(start)[0].Nonce + test.nonceAfter
+		for _, sender := range test.senders {
+			grant := &wire.LeaderLeaseGrant{View: test.view, Nonce: nonce}
+			isAcceptor := sender != "stranger"
+			if got := bench.leadership.HandleGrant(start, sender, grant); got != isAcceptor {
+				t.Errorf("%s: %s is an acceptor: %v", name, sender, got)
+			}
+		}
+		starts, started := 0, time.Time{}
+		if test.leads {
+			starts, started = 1, start
+		}
+		got := bench.leadership.IsLeading(start)
+		if got != test.leads || bench.starts != starts || !bench.leadership.Started().Equal(started) {
+			t.Errorf("%s: leads %v, %d starts, started %v", name, got, bench.starts, bench.leadership.Started())
+		}
+		if bench.leadership.IsLeading(start.Add(lease.LesseeTTL)) {
+			t.Errorf("%s: leads after the lease has expired", name)
+		}
 	}
 }
 
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -45,14 +45,31 @@
 	}
 }
 
-func TestContainsAndJoin(t *testing.T) {
+func TestJoin(t *testing.T) {
 	t.Parallel()
-	list := membertest.Members("ab")
-	if got := membertest.IDs(Join(list, membertest.Members("c"), list)); got != "abcab" {
-		t.Errorf("joined: %s", got)
+	for _, test := range []struct{ first, second, third, want string }{
+		{"ab", "c", "ab", "abcab"}, {"", "c", "", "c"}, {"", "", "", ""},
+	} {
+		joined := Join(membertest.Members(test.first), membertest.Members(test.second), membertest.Members(test.third))
+		if got := membertest.IDs(joined); got != test.want {
+			t.Errorf("%+v: %s", test, got)
+		}
 	}
-	if !Contains(list, "b") || Contains(list, "c") || !IsAcceptor(&wire.View{Acceptors: list}, "a") {
-		t.Error("contains")
+}
+
+func TestContains(t *testing.T) {
+	t.Parallel()
+	for _, test := range []struct {
+		list, id string
+		want     bool
+	}{{"ab", "a", true}, {"ab", "b", true}, {"ab", "c", false}, {"", "a", false}} {
+		list := membertest.Members(test.list)
+		if got := Contains(list, test.id); got != test.want {
+			t.Errorf("%s in %q: %v", test.id, test.list, got)
+		}
+		if got := IsAcceptor(&wire.View{Acceptors: list}, test.id); got != test.want {
+			t.Errorf("%s among the acceptors %q: %v", test.id, test.list, got)
+		}
 	}
 }
 
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -61,31 +61,24 @@
 	return &wire.View{Epoch: 3, Fleet: "f", Chain: members, Acceptors: members, MinReplicas: 2}
 }
 
-func TestTickKeepsARightView(t *testing.T) {
-	t.Parallel()
-	bench := newBench("a", threeMembers(), nil)
-	now := start.Add(time.Minute)
-	bench.hear(now, "bc", &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}})
-	if bench.proposes(now) {
-		t.Error("proposes a view in the place of a right one")
-	}
-}
-
 func TestTickProposes(t *testing.T) {
 	t.Parallel()
 	failed := &wire.Heartbeat{View: 3, Reachable: []string{"a", "b"}}
+	complete := &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}}
 	for name, test := range map[string]struct {
 		self, peers string
+		heartbeat   *wire.Heartbeat
 		after       time.Duration
 		want        bool
 	}{
-		"the first acceptor, just started": {"a", "b", suspicion - 1, false},
-		"the first acceptor":               {"a", "b", suspicion, true},
-		"the second acceptor":              {"b", "a", suspicion, false},
-		"no acceptor":                      {"d", "ab", suspicion, false},
+		"the view is right":                {"a", "bc", complete, time.Minute, false},
+		"the first acceptor, just started": {"a", "b", failed, suspicion - 1, false},
+		"the first acceptor":               {"a", "b", failed, suspicion, true},
+		"the second acceptor":              {"b", "a", failed, suspicion, false},
+		"no acceptor":                      {"d", "ab", failed, suspicion, false},
 	} {
 		bench := newBench(test.self, threeMembers(), nil)
-		bench.hear(start.Add(test.after), test.peers, failed)
+		bench.hear(start.Add(test.after), test.peers, test.heartbeat)
 		if got := bench.proposes(start.Add(test.after)); got != test.want {
 			t.Errorf("%s: %v", name, got)
 		}
