--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -9,7 +9,6 @@
 	"context"
 	"log/slog"
 	"math/rand"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -178,161 +177,9 @@
 	}
 }
 
-// Step runs one step of the controller under its lock, then publishes the new state to the request path and carries out
-// what the controller asks for.
-func (plane *Plane) Step(do func(now time.Time, machine *controller.Controller)) {
-	plane.mutex.Lock()
-	defer plane.mutex.Unlock()
-	now := plane.environment.Now()
-	do(now, plane.controller)
-	plane.send(plane.controller.Ready())
-	snapshot := plane.controller.Snapshot(now)
-	previous := plane.snapshot.Swap(&snapshot)
-	plane.follow(now, snapshot)
-	if snapshot.Until.After(previous.Until) {
-		close(*plane.renew())
-	}
-	if plane.controller.TakePollRequest() {
-		plane.poll()
-	}
-}
-
-// renew replaces the channel by which requests wait for the next renewal, and returns the previous one.
-func (plane *Plane) renew() *chan struct{} {
-	next := make(chan struct{})
-	return plane.renewed.Swap(&next)
-}
-
-// Drain starts a planned stop: the daemon is no longer ready, but requests that still arrive are accepted.
-func (plane *Plane) Drain() {
-	plane.drainStarted = plane.environment.Now()
-	plane.Handler.Draining.Store(true)
-	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.StartDraining() })
-}
-
-// Drained reports whether the platform has had some time to notice that, and no request is in flight.
-func (plane *Plane) Drained(length time.Duration) bool {
-	elapsed := plane.environment.Now().Sub(plane.drainStarted)
-	return elapsed >= length && plane.Handler.InFlight.Load() == 0
-}
-
-// Ready reports whether the daemon is ready, so that clients should be sent to it.
-func (plane *Plane) Ready() bool {
-	snapshot := plane.Snapshot()
-	if plane.Handler.Draining.Load() || snapshot.Catalog == nil || !plane.environment.Now().Before(snapshot.Until) {
-		return false
-	}
-	// A daemon that knows no runner serves nobody; clients do better elsewhere until it knows some.
-	return len(snapshot.Runners) > 0 || len(snapshot.Catalog.Routes) == 0
-}
-
-// OnPolled handles the platform's response to a poll; read is false if there was none.
-func (plane *Plane) OnPolled(content []byte, read bool) {
-	var runners []*wire.Runner
-	failed := !read
-	if read {
-		var err error
-		runners, err = parseList(content)
-		failed = err != nil // The previous list stays; the next poll may return a better one.
-	}
-	plane.Step(func(now time.Time, machine *controller.Controller) { machine.OnPolled(now, runners, failed) })
-}
-
-// follow applies a new snapshot to the rest of the plane and logs changes of state. The caller holds the mutex.
-func (plane *Plane) follow(now time.Time, snapshot config.Snapshot) {
-	plane.followRunners(now, snapshot)
-	if snapshot.SpecEpoch != plane.epoch {
-		plane.epoch = snapshot.SpecEpoch
-		plane.log.Info("new spec", "epoch", plane.epoch)
-	}
-	if serving := now.Before(snapshot.Until); serving != plane.serving {
-		plane.serving = serving
-		plane.log.Info("permission to serve changed", "serving", serving)
-	}
-	plane.followDirectory()
-}
-
-// followRunners removes runners that are no longer listed. An empty list of the platform changes nothing.
-func (plane *Plane) followRunners(now time.Time, snapshot config.Snapshot) {
-	listed := len(snapshot.Runners) > 0 || snapshot.Registered
-	if !listed || sameList(snapshot.Runners, plane.runners) {
-		return
-	}
-	plane.runners = snapshot.Runners
-	for _, removed := range plane.Handler.Loads.UpdateListing(now, snapshot.Runners) {
-		plane.Handler.Indexer.Pool.Add(kvblock.RunnerRemoved{Runner: removed})
-		plane.Handler.Connections.Remove(removed)
-	}
-}
-
-// followDirectory publishes the daemons of the configuration document; until there is one, this daemon alone.
-func (plane *Plane) followDirectory() {
-	directory := plane.controller.Directory()
-	daemons := make([]string, 0, max(1, len(directory)))
-	for _, member := range directory {
-		daemons = append(daemons, member.Address)
-	}
-	if len(daemons) == 0 {
-		daemons = append(daemons, plane.address)
-	}
-	if !slices.Equal(daemons, *plane.daemons.Load()) {
-		plane.daemons.Store(&daemons)
-	}
-}
-
-// sameList reports whether two lists are the very same one: the controller replaces a list that has changed.
-func sameList(left, right []*wire.Runner) bool {
-	return len(left) == len(right) && (len(left) == 0 || &left[0] == &right[0])
-}
-
-// Snapshot returns the state that requests are handled by at this moment.
-func (plane *Plane) Snapshot() *config.Snapshot { return plane.snapshot.Load() }
-
-// Daemons returns the addresses of the daemons in the directory, in which a lost one stays for a minute.
-func (plane *Plane) Daemons() []string { return *plane.daemons.Load() }
-
 // Started returns when this plane was created.
 func (plane *Plane) Started() time.Time { return plane.started }
 
-// WithController calls a function with the controller, under its lock.
-func (plane *Plane) WithController(do func(machine *controller.Controller)) {
-	plane.mutex.Lock()
-	defer plane.mutex.Unlock()
-	do(plane.controller)
-}
-
-// candidates returns a function that returns the runners that the schedulers of a backend choose from at a moment.
-func (plane *Plane) candidates(backend string) func(now time.Time) scheduler.Snapshot {
-	return func(now time.Time) scheduler.Snapshot {
-		snapshot, daemons := plane.Snapshot(), plane.Daemons()
-		if snapshot.Catalog == nil || snapshot.Catalog.Backends[backend] == nil {
-			return scheduler.Snapshot{Daemons: 1}
-		}
-		found := snapshot.Catalog.Backends[backend]
-		var permitted []load.Runner
-		for _, runner := range plane.Handler.Loads.Runners(now, daemons) {
-			if proxy.Permits(snapshot.Catalog, found, runner) {
-				permitted = append(permitted, runner)
-			}
-		}
-		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Backend: *found}
-	}
-}
-
-// Schedulers calls a function for each scheduler, in the order of the backends' names.
-func (plane *Plane) Schedulers(do func(backend string, scheduler *scheduler.Scheduler)) {
-	plane.schedulers.each(do)
-}
-
-// Rebalance lets the schedulers decide on waiting requests.
-func (plane *Plane) Rebalance() {
-	plane.Schedulers(func(_ string, scheduler *scheduler.Scheduler) {
-		if scheduler.HasQueued() {
-			scheduler.Rebalance(plane.environment.Now())
-		}
-	})
-}
-
 // AgeIndex removes index entries that have not been used for long.
 func (plane *Plane) AgeIndex() {
 	now := plane.environment.Now()
--- a/dataplane/schedulers.go
+++ b/dataplane/schedulers.go
@@ -4,8 +4,11 @@
 	"math/rand"
 	"sort"
 	"sync"
+	"time"
 
+	"wardtray/balancer/load"
 	"wardtray/balancer/scheduler"
+	"wardtray/proxy"
 )
 
 // schedulerSet holds the scheduler of each backend. Schedulers are created when they are first used and never removed.
@@ -54,3 +57,35 @@
 		do(name, set.get(name))
 	}
 }
+
+// candidates returns a function that returns the runners that the schedulers of a backend choose from at a moment.
+func (plane *Plane) candidates(backend string) func(now time.Time) scheduler.Snapshot {
+	return func(now time.Time) scheduler.Snapshot {
+		snapshot, daemons := plane.Snapshot(), plane.Daemons()
+		if snapshot.Catalog == nil || snapshot.Catalog.Backends[backend] == nil {
+			return scheduler.Snapshot{Daemons: 1}
+		}
+		found := snapshot.Catalog.Backends[backend]
+		var permitted []load.Runner
+		for _, runner := range plane.Handler.Loads.Runners(now, daemons) {
+			if proxy.Permits(snapshot.Catalog, found, runner) {
+				permitted = append(permitted, runner)
+			}
+		}
+		return scheduler.Snapshot{Runners: permitted, Daemons: len(daemons), Backend: *found}
+	}
+}
+
+// Schedulers calls a function for each scheduler, in the order of the backends' names.
+func (plane *Plane) Schedulers(do func(backend string, scheduler *scheduler.Scheduler)) {
+	plane.schedulers.each(do)
+}
+
+// Rebalance lets the schedulers decide on waiting requests.
+func (plane *Plane) Rebalance() {
+	plane.Schedulers(func(_ string, scheduler *scheduler.Scheduler) {
+		if scheduler.HasQueued() {
+			scheduler.Rebalance(plane.environment.Now())
+		}
+	})
+}
