--- a/control/node/calls_test.go
+++ b/control/node/calls_test.go
@@ -58,7 +58,7 @@
 		trial.calls = append(trial.calls, &retriedCall{order: apply(name, trial.epoch, trial.epoch+1, "lane"+name)})
 	}
 	for range 400 {
-		trial.harm()
+		trial.injectFaults()
 		// Orders of earlier rounds come again too, though their callers have their answers.
 		if trial.random.Intn(8) == 0 {
 			call := trial.calls[max(0, len(trial.calls)-1-trial.random.Intn(8))]
@@ -67,25 +67,25 @@
 		trial.step()
 		trial.wantOneOutcome(trial.calls)
 	}
-	trial.revive()
+	trial.restart()
 	trial.until("a leader", 20*time.Second, func() bool { return trial.leader() != nil })
 	trial.epoch = trial.leader().node.Chain().Committed().SpecEpoch
 }
 
-// harm kills the leader now and then, and starts it again later.
-func (trial *callTrial) harm() {
+// injectFaults kills the leader now and then, and starts it again later.
+func (trial *callTrial) injectFaults() {
 	if trial.random.Intn(150) == 0 && trial.dead == nil {
 		if trial.dead = trial.leader(); trial.dead != nil {
 			trial.kill(trial.dead)
 		}
 	}
 	if trial.dead != nil && trial.random.Intn(100) == 0 {
-		trial.revive()
+		trial.restart()
 	}
 }
 
-// revive starts the machine that is down, if one is.
-func (trial *callTrial) revive() {
+// restart starts the machine that is down, if one is.
+func (trial *callTrial) restart() {
 	if trial.dead != nil {
 		trial.start(trial.dead)
 		trial.dead = nil
--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -38,60 +38,61 @@
 	}
 }
 
-// catchUpTrial strikes one machine after the other while changes go on. Each trouble lasts for most of a span of
-// changes; before the next, all come back.
+// catchUpTrial injects a fault into one machine after the other while changes go on. Each fault lasts for most of a
+// span of changes; before the next, all come back.
 type catchUpTrial struct {
 	fleet    *testFleet
 	operator *testOperator
 	// every is how many changes a span has.
 	every uint64
-	// seen is the number of the change that was looked at last, which came at moved; turns is how many troubles there
+	// seen is the number of the change that was looked at last, which came at moved; turns is how many faults there
 	// were.
 	seen   uint64
 	moved  time.Time
 	turns  int
-	struck *testMember
+	faulty *testMember
 }
 
-// troubles are what may happen to a machine.
-var troubles = []func(fleet *testFleet, member *testMember){
+// faults are what may happen to a machine, in turn.
+var faults = []func(fleet *testFleet, member *testMember){
 	func(fleet *testFleet, member *testMember) { fleet.kill(member) },
 	func(_ *testFleet, member *testMember) { member.disk.full = true },
 	func(_ *testFleet, member *testMember) { member.disk.stalled = true },
 	func(fleet *testFleet, member *testMember) { fleet.kill(member); fleet.start(member) },
 }
 
-// step sends the next change when it is due, and begins or ends a trouble when its change has come.
+// step sends the next change when it is due, and begins or ends a fault when its change has come.
 func (trial *catchUpTrial) step() {
-	trial.operator.tend()
+	trial.operator.tick()
 	trial.fleet.step()
 	if trial.operator.number == trial.seen {
 		return
 	}
 	trial.seen, trial.moved = trial.operator.number, trial.fleet.now
 	if trial.seen%trial.every == 1 {
-		trial.strike()
-	} else if trial.struck != nil && trial.seen%trial.every == trial.every-30 {
-		trial.mend()
+		trial.injectFault()
+	} else if trial.faulty != nil && trial.seen%trial.every == trial.every-30 {
+		trial.repair()
 	}
 }
 
-func (trial *catchUpTrial) strike() {
-	trial.struck = trial.fleet.members[trial.fleet.random.Intn(len(trial.fleet.members))]
-	troubles[trial.turns%len(troubles)](trial.fleet, trial.struck)
+// injectFault lets the next fault happen to a machine that is drawn.
+func (trial *catchUpTrial) injectFault() {
+	trial.faulty = trial.fleet.members[trial.fleet.random.Intn(len(trial.fleet.members))]
+	faults[trial.turns%len(faults)](trial.fleet, trial.faulty)
 	trial.turns++
 }
 
-// mend brings the machine back that was struck and waits until it is in the chain.
-func (trial *catchUpTrial) mend() {
+// repair ends the fault of the machine and waits until it is in the chain.
+func (trial *catchUpTrial) repair() {
 	fleet := trial.fleet
-	trial.struck.disk.full, trial.struck.disk.stalled = false, false
-	if !trial.struck.up() {
-		fleet.start(trial.struck)
+	trial.faulty.disk.full, trial.faulty.disk.stalled = false, false
+	if !trial.faulty.up() {
+		fleet.start(trial.faulty)
 	}
-	trial.struck = nil
+	trial.faulty = nil
 	fleet.until("the member that was away to be in the chain", 10*time.Second, func() bool {
-		trial.operator.tend()
+		trial.operator.tick()
 		leader := fleet.leader()
 		return leader != nil && len(leader.node.View().Chain) == len(fleet.members)
 	})
@@ -128,7 +129,7 @@
 	operator := &testOperator{fleet: fleet, name: "o"}
 	away := fleet.members[2]
 	fleet.kill(away)
-	fleet.until("changes without it", 30*time.Second, func() bool { operator.tend(); return operator.number >= 20 })
+	fleet.until("changes without it", 30*time.Second, func() bool { operator.tick(); return operator.number >= 20 })
 	away.disk = newTestDisk()
 	away.identity, away.founding = "id99", false
 	fleet.start(away)
@@ -138,7 +139,7 @@
 	var taken []statemachine.Write
 	due := fleet.now
 	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
-		operator.tend()
+		operator.tick()
 		if !fleet.now.Before(due) {
 			storage.WriteBatch(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
 				func(err error) { t.Fatal(err) })
@@ -157,7 +158,7 @@
 	operator := &testOperator{fleet: fleet, name: "o", routes: 800}
 	restarted := fleet.members[1]
 	for incarnation := range uint64(12) {
-		fleet.until("changes", 30*time.Second, func() bool { operator.tend(); return operator.number >= 4*(incarnation+1) })
+		fleet.until("changes", 30*time.Second, func() bool { operator.tick(); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
 		fleet.until("its return", 10*time.Second,
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -36,7 +36,7 @@
 	faults   int
 	seeds    []string
 	machines []*coreMachine
-	mail     []*wire.Envelope
+	messages []*wire.Envelope
 	targets  []string
 	// changing says that an operator sends a change now and then, each through the next machine.
 	changing bool
@@ -58,10 +58,10 @@
 	diskTime time.Duration
 	memory   *wire.DurableState
 	records  []*wire.Record
-	// dark says that the machine is gone, so that nothing refuses a connection to it.
-	dark       bool
-	finishedAt time.Time
-	leaveBy    time.Time
+	// unreachable says that the machine is gone, so that nothing refuses a connection to it.
+	unreachable bool
+	finishedAt  time.Time
+	leaveBy     time.Time
 }
 
 // write is one that the disk has under way.
@@ -134,15 +134,15 @@
 // remove takes a machine away for good, as a loss of power does.
 func (fleet *fleet) remove(machine *coreMachine) {
 	fleet.end(machine)
-	machine.dark = true
+	machine.unreachable = true
 }
 
 // wipe ends a process whose disk is lost, and starts the machine again with an empty one after a time.
 func (fleet *fleet) wipe(machine *coreMachine, down time.Duration) {
 	fleet.end(machine)
-	machine.dark, machine.memory, machine.records = true, nil, nil
+	machine.unreachable, machine.memory, machine.records = true, nil, nil
 	fleet.run(down)
-	machine.dark = false
+	machine.unreachable = false
 	fleet.start(machine, false)
 }
 
@@ -249,9 +249,9 @@
 func (fleet *fleet) step() {
 	fleet.now = fleet.now.Add(clusterStep)
 	fleet.steps++
-	mail, targets := fleet.mail, fleet.targets
-	fleet.mail, fleet.targets = nil, nil
-	for place, envelope := range mail {
+	messages, targets := fleet.messages, fleet.targets
+	fleet.messages, fleet.targets = nil, nil
+	for place, envelope := range messages {
 		fleet.deliver(targets[place], envelope)
 	}
 	for place, machine := range fleet.machines {
@@ -279,7 +279,7 @@
 
 func (fleet *fleet) deliver(target string, envelope *wire.Envelope) {
 	machine := fleet.at(target)
-	if machine == nil || machine.dark {
+	if machine == nil || machine.unreachable {
 		return
 	}
 	if machine.node != nil {
@@ -303,11 +303,11 @@
 		return
 	}
 	messages, writes := machine.node.Ready()
-	if machine.dark {
+	if machine.unreachable {
 		messages = nil
 	}
 	for _, message := range messages {
-		fleet.mail = append(fleet.mail, proto.CloneOf(message.Envelope))
+		fleet.messages = append(fleet.messages, proto.CloneOf(message.Envelope))
 		fleet.targets = append(fleet.targets, message.To)
 	}
 	for _, write := range writes {
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -315,8 +315,8 @@
 // operatorInterval is how often a test's operator starts a change.
 const operatorInterval = 100 * time.Millisecond
 
-// tend sends what is due; every copy of an order must be acknowledged or left without a clear answer.
-func (operator *testOperator) tend() {
+// tick sends what is due; every copy of an order must be acknowledged or left without a clear answer.
+func (operator *testOperator) tick() {
 	fleet := operator.fleet
 	if operator.order == nil {
 		if fleet.now.Before(operator.next) {
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -218,9 +218,9 @@
 		fleet.gap = 0
 		for range 5 {
 			machine := fleet.otherAcceptor()
-			machine.dark = true
+			machine.unreachable = true
 			fleet.run(silence)
-			machine.dark = false
+			machine.unreachable = false
 			back := fleet.now
 			fleet.runUntil(servingBound, "return of the one that was silent", func() bool {
 				if newest := fleet.newest(); len(newest.Chain) < len(fleet.machines)-1 {
--- a/control/node/reserve_test.go
+++ b/control/node/reserve_test.go
@@ -19,7 +19,7 @@
 	fleet.changing = false
 	fleet.run(time.Second)
 	fleet.remove(second)
-	third.dark = false
+	third.unreachable = false
 	fleet.start(third, false)
 	fleet.runUntil(10*time.Second, "chain of the first alone", func() bool { return len(first.node.View().Chain) == 1 })
 	for _, machine := range []*coreMachine{first, third} {
@@ -27,7 +27,7 @@
 	}
 	first.memory, first.records = nil, nil
 	for _, machine := range fleet.machines {
-		machine.dark = false
+		machine.unreachable = false
 		fleet.start(machine, false)
 	}
 	fleet.runUntil(10*time.Second, "leader after the loss", func() bool { return fleet.leader() != nil })
