--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -7,6 +7,7 @@
 	"wardtray/control/daemonlease"
 	"wardtray/control/directory"
 	"wardtray/control/leadership"
+	"wardtray/control/timing"
 	"wardtray/coordination/lease"
 	"wardtray/wire"
 )
@@ -37,7 +38,7 @@
 	daemons := &daemons{members: members}
 	daemons.directory = directory.New(self, agent, history, outbox, random, members.partialView, addressOf)
 	daemons.leases = daemonlease.NewLeases(history, outbox, settings.DaemonLease, agent.Current())
-	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, BoundsFor(settings.Limits).QuotaTerm)
+	daemons.quotas = daemonlease.NewQuotas(settings.Quotas, timing.BoundsFor(settings.Limits).QuotaTerm)
 	daemons.witness = lease.NewWitness(daemons.leases.Length())
 	daemons.confirmer = daemonlease.NewConfirmer(self.Id, agent, history, daemons.witness)
 	daemons.grantor = leadership.NewGrantor(now, self.Id, agent, outbox, daemons.witness, clearedTerm)
@@ -93,11 +94,11 @@
 	}
 	if daemons.leadership.IsLeading(now) {
 		document := daemons.members.chain.Committed()
-		if daemons.leases.Request(now, address, request) && daemons.directory.Contains(document, address) {
+		if daemons.leases.HandleRequest(now, address, request) && daemons.directory.Contains(document, address) {
 			daemons.leases.Grant(now, address, grant)
 		}
 		if request.Quota != nil {
-			grant.Quota = daemons.quotas.Grant(now, document, address, request.Quota, grant.Granted)
+			grant.Quota = daemons.quotas.HandleReport(now, document, address, request.Quota, grant.Granted)
 		}
 	}
 	if !grant.Granted {
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -9,6 +9,7 @@
 	"wardtray/control/failuredetector"
 	"wardtray/control/membership"
 	"wardtray/control/reconfiguration"
+	"wardtray/control/timing"
 	"wardtray/control/viewchange"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/peersampling"
@@ -47,7 +48,7 @@
 // newMembers restores the members from what the disk held.
 func newMembers(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand,
 	observers observers) *members {
-	bounds, outbox := BoundsFor(settings.Limits), statemachine.NewOutbox()
+	bounds, outbox := timing.BoundsFor(settings.Limits), statemachine.NewOutbox()
 	self := &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}
 	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Pause)
 	members := &members{settings: settings, self: self, outbox: outbox, detector: detector}
@@ -83,10 +84,10 @@
 // propose proposes a view where that is due.
 func (members *members) propose(now time.Time) { members.proposer.Tick(members.facts(now)) }
 
-// observe handles another machine's heartbeat.
-func (members *members) observe(now time.Time, heartbeat *wire.Heartbeat) {
+// handleHeartbeat handles another machine's heartbeat.
+func (members *members) handleHeartbeat(now time.Time, heartbeat *wire.Heartbeat) {
 	current := members.agent.Current()
-	accepted, changed := members.detector.Observe(now, current.Fleet, heartbeat)
+	accepted, changed := members.detector.HandleHeartbeat(now, current.Fleet, heartbeat)
 	if !accepted {
 		return
 	}
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -17,15 +17,13 @@
 	"wardtray/control/durability"
 	"wardtray/control/proposal"
 	"wardtray/control/reconfiguration"
+	"wardtray/control/timing"
 	"wardtray/coordination/chain"
 	"wardtray/coordination/registry"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
 
-// Reply is the form of every reply to an operator.
-type Reply = proposal.Reply
-
 // Counters are what a machine counts of its own work.
 type Counters struct {
 	// Views counts the views that it learned of, and Commits the changes that it saw committed.
@@ -43,7 +41,7 @@
 // Node is one disk machine.
 type Node struct {
 	settings Settings
-	bounds   Bounds
+	bounds   timing.Bounds
 	self     *wire.Member
 	started  time.Time
 	outbox   *statemachine.Outbox
@@ -62,14 +60,14 @@
 func New(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
 	state = proto.CloneOf(state)
 	for _, record := range records {
-		Replay(state, record)
+		durability.Replay(state, record)
 	}
 	settings = settings.withDefaults()
 	// The draws keep their order, by which a simulation with the same seed repeats.
 	incarnation, leaseNonce := random.Uint64(), random.Uint64()
 	isFoundingNow := settings.Founding && !state.Founding && state.View.GetEpoch() == 0
 	state.Founding = state.Founding || isFoundingNow
-	node := &Node{settings: settings, bounds: BoundsFor(settings.Limits), started: now}
+	node := &Node{settings: settings, bounds: timing.BoundsFor(settings.Limits), started: now}
 	node.members = newMembers(now, settings, state, records, random,
 		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.DurableState})
 	node.self, node.outbox = node.members.self, node.members.outbox
@@ -252,9 +250,6 @@
 // Registry returns what was counted of the runners' calls.
 func (node *Node) Registry() registry.Counters { return node.registrar.Counters() }
 
-// Replay folds one record of the log into a state.
-func Replay(state *wire.DurableState, record *wire.Record) { durability.Replay(state, record) }
-
 // DurableState returns all that this machine must not forget.
 func (node *Node) DurableState() *wire.DurableState {
 	agent := node.members.agent
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -10,14 +10,6 @@
 	"wardtray/wire"
 )
 
-const (
-	// acknowledgeTimeout is after what time an operator is told that the outcome of an entered change is unknown.
-	acknowledgeTimeout = 5 * time.Second
-	// deferTimeout is for how long a request waits at the head for the moment at which it can be answered; its origin
-	// sends it again meanwhile.
-	deferTimeout = 2 * time.Second
-)
-
 // Environment is what proposals ask of the process around them.
 type Environment struct {
 	// IsLeading reports whether this process may act as head.
@@ -65,8 +57,8 @@
 // Counters returns what was counted here.
 func (proposals *Proposals) Counters() Counters { return proposals.counters }
 
-// Receive handles a request that another process passed on.
-func (proposals *Proposals) Receive(now time.Time, message *wire.OperatorRequest) {
+// HandleRequest handles a request that another process passed on.
+func (proposals *Proposals) HandleRequest(now time.Time, message *wire.OperatorRequest) {
 	if message.Origin != proposals.self {
 		proposals.Serve(now, message)
 	}
@@ -180,8 +172,8 @@
 	}
 }
 
-// mayAnswer reports whether this process may answer a request as head; a head that may not yet defers it.
-func (proposals *Proposals) mayAnswer(now time.Time, message *wire.OperatorRequest) bool {
+// admit reports whether this process may answer a request as head; a head that may not yet defers it.
+func (proposals *Proposals) admit(now time.Time, message *wire.OperatorRequest) bool {
 	isLeading := proposals.environment.IsLeading(now)
 	if !isLeading && proposals.chain.IsHead() {
 		proposals.postpone(now, message)
@@ -190,7 +182,7 @@
 }
 
 func (proposals *Proposals) serveGet(now time.Time, message *wire.OperatorRequest) {
-	if !proposals.mayAnswer(now, message) {
+	if !proposals.admit(now, message) {
 		return
 	}
 	document := proposals.chain.Committed()
@@ -202,7 +194,7 @@
 }
 
 func (proposals *Proposals) serveOperation(now time.Time, message *wire.OperatorRequest) {
-	if !proposals.mayAnswer(now, message) {
+	if !proposals.admit(now, message) {
 		return
 	}
 	outcome := proposals.chain.Outcome(message.Operation)
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -14,8 +14,6 @@
 )
 
 const (
-	// requestTimeout is after what time a request is answered here if the head did not.
-	requestTimeout = 6 * time.Second
 	// resendInterval is how often an open request is sent to the head again.
 	resendInterval = 300 * time.Millisecond
 	// maximumRequests bounds the open requests of one process, and those that a head defers.
@@ -86,7 +84,7 @@
 	requests.nonce++
 	message.Token = fmt.Sprintf("%s/%x/%d", requests.self.Id, requests.incarnation, requests.nonce)
 	message.Origin = requests.self.Address
-	requests.open[message.Token] = &request{message: message, respond: respond, deadline: now.Add(requestTimeout),
+	requests.open[message.Token] = &request{message: message, respond: respond, deadline: now.Add(RequestTimeout),
 		recipients: map[string]bool{}}
 	requests.Tick(now)
 	return message.Token
@@ -142,7 +140,7 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: open.message}})
 }
 
-// finishUnresolved answers for a chain that gave no answer, or none that is final (see Response).
+// finishUnresolved answers for a chain that gave no answer, or none that is final (see HandleResponse).
 func (requests *Requests) finishUnresolved(open *request) {
 	operation := open.message.Operation
 	if isWrite(open.message) && len(open.recipients) > 0 {
@@ -166,8 +164,8 @@
 	}
 }
 
-// Response handles the head's response to a request.
-func (requests *Requests) Response(response *wire.OperatorResponse) {
+// HandleResponse handles the head's response to a request.
+func (requests *Requests) HandleResponse(response *wire.OperatorResponse) {
 	open := requests.open[response.Token]
 	if open == nil {
 		return
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/coordination/registry"
 	"wardtray/wire"
 )
@@ -19,7 +19,7 @@
 }
 
 // registrationRefusals are the replies to the outcomes that acknowledge nothing.
-var registrationRefusals = map[registry.Outcome]node.Reply{
+var registrationRefusals = map[registry.Outcome]proposal.Reply{
 	registry.TableFull:   refusal(apierror.Busy, "more runners are registered than this core remembers"),
 	registry.Unreachable: refusal(apierror.Partitioned, "no daemon has confirmed it"),
 }
@@ -86,11 +86,11 @@
 }
 
 // RegistrationStatus returns the HTTP status of an outcome, and the reply where it acknowledges nothing.
-func RegistrationStatus(outcome registry.Outcome) (status int, refusal node.Reply) {
+func RegistrationStatus(outcome registry.Outcome) (status int, refusal proposal.Reply) {
 	if refusal, refused := registrationRefusals[outcome]; refused {
 		return fasthttp.StatusServiceUnavailable, refusal
 	}
-	return fasthttp.StatusOK, node.Reply{}
+	return fasthttp.StatusOK, proposal.Reply{}
 }
 
 // RejectAbandonedHeartbeat rejects a runner's call whose caller has left, as RejectAbandoned does, unless it says that
@@ -102,14 +102,19 @@
 	return runner.State != registry.Draining && RejectAbandoned(request)
 }
 
-// WriteParseError rejects a request that can't be read. The error has the code Malformed or TooLarge.
+// WriteParseError rejects a request that can't be read. An error of another code than Malformed and TooLarge is this
+// process's own and answered as such.
 func WriteParseError(request *fasthttp.RequestCtx, err error) {
 	found := apierror.Of(err)
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	WriteReply(request, parseErrorStatuses[found.Code], refusal(found.Code, detail))
+	status, isCallers := parseErrorStatuses[found.Code]
+	if !isCallers {
+		status = fasthttp.StatusInternalServerError
+	}
+	WriteReply(request, status, refusal(found.Code, detail))
 }
 
 // WriteRegistrationRefusal rejects a runner's call whose outcome acknowledges nothing, and reports whether it did.
