--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -17,6 +17,8 @@
 	key *dedup.Key
 	// announced says that the other daemons were told of the request.
 	announced bool
+	// readOnly has accept look a request up without recording it, for a dry run.
+	readOnly bool
 }
 
 // accept records a request, unless it was sent before: then it returns what is known of it. It is called before
@@ -26,7 +28,7 @@
 	if known := guard.table.Lookup(key); known != dedup.NotSeen {
 		return known
 	}
-	if !applies() {
+	if guard.readOnly || !applies() {
 		return dedup.NotSeen
 	}
 	known, isNew := guard.table.Begin(clock(), key)
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -80,3 +80,29 @@
 		t.Errorf("%d %s", client.status, client.content)
 	}
 }
+
+// An explanation is a dry run: the same id can be explained again and then sent, on a route that runs at most once too,
+// and nothing is counted, announced or remembered.
+func TestExplainLeavesNoTrace(t *testing.T) {
+	runner := startRunner(t, "r1", events(2, done(2), true))
+	daemon := newDaemon(t, runner)
+	for range 3 {
+		client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+		daemon.Explain(client)
+		if client.status != 200 {
+			t.Fatalf("%d %s", client.status, client.content)
+		}
+	}
+	if daemon.Dedup.Len() != 0 || daemon.InFlight.Load() != 0 || len(daemon.announced) != 0 || runner.reached.Load() != 0 {
+		t.Errorf("%d remembered, %d in flight, announced %v, %d sent", daemon.Dedup.Len(), daemon.InFlight.Load(),
+			daemon.announced, runner.reached.Load())
+	}
+	if status, body := daemon.send(t, "once", "q"); status != 200 {
+		t.Errorf("sent after its explanation: %d %s", status, body)
+	}
+	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	daemon.Explain(client)
+	if client.status != 409 {
+		t.Errorf("explained after it ran: %d %s", client.status, client.content)
+	}
+}
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -144,9 +144,11 @@
 	Decision scheduler.Decision `json:"step"`
 }
 
-// Explain responds with what would happen to a request, without sending it to a runner.
+// Explain responds with what would happen to a request, without sending it to a runner. It is a dry run: nothing of the
+// request is remembered, so that the same id can be explained again, or sent.
 func (handler *Handler) Explain(client netio.Client) {
 	exchange := newExchange(handler, unwatchedClient(client))
+	exchange.atMostOnce.readOnly = true
 	if err := exchange.read(); err != nil {
 		found := apierror.Of(err)
 		exchange.refuseExplanation(found.Code, found.Detail)
