--- a/balancer/scheduler/longprompts.go
+++ b/balancer/scheduler/longprompts.go
@@ -40,11 +40,16 @@
 }
 
 // isLong reports whether a prompt takes so many seconds to read that short ones behind it would miss their latency
-// target.
-func (policy *longPromptPolicy) isLong(prefill float64) bool {
+// target. target is that of the prompt's own route, in place of the recorded one; 0 is none.
+func (policy *longPromptPolicy) isLong(prefill float64, route string, target time.Duration) bool {
 	least := time.Duration(math.MaxInt64)
-	for _, target := range policy.latencyTargets {
-		least = min(least, target)
+	if target > 0 {
+		least = target
+	}
+	for recorded, recordedTarget := range policy.latencyTargets {
+		if recorded != route || target <= 0 {
+			least = min(least, recordedTarget)
+		}
 	}
 	return prefill > longPromptFactor*least.Seconds()
 }
--- a/balancer/scheduler/longprompts_test.go
+++ b/balancer/scheduler/longprompts_test.go
@@ -21,15 +21,21 @@
 // A prompt is long if it takes longer to read than the least latency target.
 func TestLongPromptsOutlastTheLeastLatencyTarget(t *testing.T) {
 	policy := newLongPromptPolicy()
-	if policy.isLong(3600) {
+	if policy.isLong(3600, "none", 0) {
 		t.Error("a prompt is long where no route has a latency target")
 	}
 	policy.recordTarget("slow", 10*time.Second)
 	policy.recordTarget("fast", 2*time.Second)
 	policy.recordTarget("none", 0)
-	if policy.isLong(2) || !policy.isLong(2.1) {
+	if policy.isLong(2, "none", 0) || !policy.isLong(2.1, "none", 0) {
 		t.Error("the bound is not the least latency target")
 	}
+	if policy.isLong(1, "own", time.Second) || !policy.isLong(1.1, "own", time.Second) {
+		t.Error("the bound is not the prompt's own latency target")
+	}
+	if policy.isLong(3, "fast", 4*time.Second) || !policy.isLong(4.1, "fast", 4*time.Second) {
+		t.Error("the bound is the recorded target of a route whose prompt has another")
+	}
 }
 
 // A quarter of a large fleet is reserved, and nothing of a small one.
--- a/balancer/scheduler/prediction.go
+++ b/balancer/scheduler/prediction.go
@@ -23,8 +23,8 @@
 	now time.Time, request *QueuedRequest, cycle *SchedulingContext,
 ) []Candidate {
 	promptTokens, shared := request.Requirements.PromptTokens, request.sharedTokens()
-	scheduler.longPrompts.recordTarget(request.Route, request.Requirements.LatencyTarget)
-	long := scheduler.longPrompts.isLong(scheduler.forecast.speeds.prefill(promptTokens, shared))
+	prefill := scheduler.forecast.speeds.prefill(promptTokens, shared)
+	long := scheduler.longPrompts.isLong(prefill, request.Route, request.Requirements.LatencyTarget)
 	candidates := make([]Candidate, len(cycle.Candidates))
 	copy(candidates, cycle.Candidates)
 	cached := scheduler.cachedPrefixes(request, candidates)
@@ -139,7 +139,7 @@
 			prefix: prefixKey(request.Keys),
 			work:   work,
 			tokens: promptTokens - shared + request.Requirements.AnswerTokens/2,
-			long:   scheduler.longPrompts.isLong(work),
+			long:   scheduler.longPrompts.isLong(work, request.Route, request.Requirements.LatencyTarget),
 		})
 	}
 	prefill := forecast.speeds.prefill(promptTokens, min(decision.CachedTokens, promptTokens))
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -202,6 +202,7 @@
 // decide scores the candidates for a request and returns the decision.
 func (scheduler *Scheduler) decide(now time.Time, request *QueuedRequest, cycle *SchedulingContext) Decision {
 	own := *cycle
+	scheduler.longPrompts.recordTarget(request.Route, request.Requirements.LatencyTarget)
 	own.Candidates = scheduler.predictCandidates(now, request, cycle)
 	if !request.waited {
 		own.WaitCorrection = scheduler.waitCorrections[request.Route]
--- a/balancer/scheduler/scheduler_test.go
+++ b/balancer/scheduler/scheduler_test.go
@@ -195,3 +195,24 @@
 		scheduler.Release(started, request, decision.Runner.ID)
 	}
 }
+
+// An explanation is a dry run: neither the request nor its latency target is remembered.
+func TestExplainRecordsNothing(t *testing.T) {
+	fixture := newFixture(t, 4)
+	fixture.schedule(fixture.request("l", 1, 1, 2*time.Second, "shared"))
+	state := func() string {
+		counters, queued, inFlight := fixture.State()
+		return fmt.Sprint(counters, queued, inFlight, fixture.longPrompts.latencyTargets)
+	}
+	before := state()
+	for range 3 {
+		_, decision := fixture.Explain(fixture.now, fixture.request("l", 1, 1, time.Second, "shared"))
+		if decision.Kind != Dispatch {
+			t.Fatalf("%+v", decision)
+		}
+		fixture.Explain(fixture.now, fixture.request("other", 1, 1, time.Second, "other"))
+	}
+	if after := state(); after != before {
+		t.Errorf("%s became %s", before, after)
+	}
+}
