--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -191,6 +191,20 @@
 	}
 }
 
+// An error of the runner's own counts as run: the same request sent again is not run again, and its refusal says so.
+func TestOwnErrorCountsAsRun(t *testing.T) {
+	runner := startRunner(t, "r1", fails, events(1, done(1), true))
+	daemon := newDaemon(t, runner)
+	daemon.Codec = plainCodec{daemon.Codec}
+	if _, body := daemon.send(t, "once", "same"); !strings.Contains(body, `"oh"`) {
+		t.Errorf("the runner's error is not forwarded: %s", body)
+	}
+	status, body := daemon.send(t, "once", "same")
+	if status != 409 || !strings.Contains(body, `"ran":"ran"`) || runner.reached.Load() != 1 {
+		t.Errorf("%d %s, the runner saw %d", status, body, runner.reached.Load())
+	}
+}
+
 // A long request's last part goes out only after another check: a change that comes while its bytes are on
 // their way keeps it from being whole, and so from running.
 func TestLongRequestsAreCheckedAgain(t *testing.T) {
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -136,7 +136,8 @@
 }
 
 // handleFailedRun handles an error of the runner's own: the run has ended and may be started again only where that does
-// no harm.
+// no harm. Such an error counts as run: where a request runs at most once it is remembered as dedup.Ran, and sent again
+// under its id it is refused without the promise that it did not run.
 func (attempt *attempt) handleFailedRun() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonFailedRun)
