--- /dev/null
+++ b/proxy/attempt_test.go
@@ -0,0 +1,336 @@
+package proxy
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/balancer/scheduler"
+	"wardtray/config"
+	"wardtray/proxy/admission"
+	"wardtray/proxy/codec"
+)
+
+// Each row is what a runner does with one request, and what that means for the attempt.
+func TestAttemptOutcomes(t *testing.T) {
+	const latencyTarget, grace = 2 * time.Second, firstEventGrace
+	stray, rejected := wholeResponse(codec.Stray), wholeResponse(codec.NotExecuted)
+	for name, trial := range map[string]struct {
+		route    string
+		incoming []delivery
+		closes   bool
+		outcome  scheduler.AttemptOutcome
+		reason   string
+		took     time.Duration
+		// kept says that the connection goes back to the pool.
+		kept bool
+	}{
+		"a stream": {"once", []delivery{{time.Second, streamed(tokenEvents("x", 1, 1))}}, false,
+			responseReady, "", time.Second, false},
+		"a stream without an event": {"once", []delivery{{0, streamed("id: 1\n")}}, true,
+			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
+		"a stream that begins with another event": {"once", []delivery{{0, streamed(tokenEvents("x", 2, 2))}}, false,
+			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
+		"a whole response": {"once", []delivery{{time.Second, wholeResponse(codec.Finished)}}, false,
+			responseReady, "", time.Second, false},
+		"a response cut short": {"once", []delivery{{0, head(codec.Finished, "Content-Length: 9\r\n") + "body"}}, true,
+			scheduler.Ambiguous, reasonBrokenResponse, 0, false},
+		"a response of unknown length": {"once",
+			[]delivery{{0, head(codec.Finished, "Connection: close\r\n") + "body"}}, true,
+			scheduler.Ambiguous, "", 0, false},
+		"its own error, once": {"once", []delivery{{0, wholeResponse(codec.Failed)}}, false,
+			responseReady, reasonFailedRun, 0, false},
+		"its own error, idempotent": {"free", []delivery{{0, wholeResponse(codec.Failed)}}, false,
+			scheduler.Ambiguous, reasonFailedRun, 0, false},
+		"a rejection": {"once", []delivery{{0, rejected}}, false,
+			scheduler.NotExecuted, "puts requests back", 0, true},
+		"a rejection that closes": {"once",
+			[]delivery{{0, head(codec.NotExecuted, "Connection: close\r\nContent-Length: 4\r\n") + "body"}}, false,
+			scheduler.NotExecuted, "puts requests back", 0, false},
+		"another runner": {"once", []delivery{{0, wholeResponse(codec.Misdirected)}}, false,
+			scheduler.NotExecuted, reasonAddressReused, 0, false},
+		"nothing clear": {"once", []delivery{{0, wholeResponse(codec.Unclear)}}, false,
+			scheduler.Ambiguous, reasonUnclearResponse, 0, false},
+		"a stray response before": {"once", []delivery{{0, stray}, {time.Second, wholeResponse(codec.Finished)}}, false,
+			responseReady, "", time.Second, false},
+		"stray responses only": {"once", []delivery{{0, strings.Repeat(stray, maximumStrays)}}, false,
+			scheduler.Ambiguous, reasonNoResponse, 0, false},
+		"no response": {"once", nil, true, scheduler.Ambiguous, reasonNoResponse, 0, false},
+		"no HTTP": {"once", []delivery{{0, "\x00\x01\r\n\r\n"}}, true,
+			scheduler.Ambiguous, reasonNoResponse, 0, false},
+		"silence, once":       {"once", nil, false, scheduler.Ambiguous, reasonNoResponse, 2 * latencyTarget, false},
+		"silence, idempotent": {"free", nil, false, scheduler.Ambiguous, reasonNoResponse, latencyTarget + grace, false},
+	} {
+		clock := &steppedClock{}
+		connection := responding(clock, trial.incoming...)
+		connection.closes = trial.closes
+		daemon := newSteppedDaemon(t, clock, connection)
+		attempt := steppedAttempt(daemon, trial.route)
+		outcome := attempt.execute()
+		if took := clock.now.Sub(attempt.sentAt); outcome != trial.outcome || took != trial.took {
+			t.Errorf("%s: %q after %v, not %q after %v", name, outcome, took, trial.outcome, trial.took)
+		}
+		if reason := daemon.reason(clock); reason != trial.reason {
+			t.Errorf("%s: the runner is not used because it %q, not %q", name, reason, trial.reason)
+		}
+		attempt.release()
+		if connection.closed == trial.kept || attempt.connection != nil {
+			t.Errorf("%s: closed %v", name, connection.closed)
+		}
+		if sends := attempt.exchange.tries.sends; sends != 1 {
+			t.Errorf("%s: %d sends", name, sends)
+		}
+	}
+}
+
+// What keeps an attempt from going out leaves no bytes at the runner and costs no send.
+func TestAttemptIsNotSent(t *testing.T) {
+	for name, trial := range map[string]struct {
+		prepare func(daemon *testDaemon, attempt *attempt)
+		reason  string
+		// kept says that the connection goes back to the pool, unsent that the attempt is counted as one not sent.
+		kept   bool
+		unsent uint64
+	}{
+		"the runner can't be dialed": {func(_ *testDaemon, attempt *attempt) {
+			attempt.decision.Runner.Address = "127.0.0.1:9"
+		}, "unreachable", false, 1},
+		"the configuration is not current": {func(daemon *testDaemon, _ *attempt) {
+			daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
+		}, "", false, 1},
+		"the deadline has passed": {func(_ *testDaemon, attempt *attempt) {
+			now := attempt.exchange.now()
+			attempt.exchange.deadline = newDeadline(now.Add(-time.Second), time.Second)
+		}, "", false, 1},
+		"the client has left": {func(_ *testDaemon, attempt *attempt) {
+			attempt.exchange.client = watchClient(&departed{})
+		}, "", true, 0},
+		"the retry budget is used up": {func(daemon *testDaemon, attempt *attempt) {
+			daemon.budgets.Clear()
+			attempt.exchange.tries.sends = 1
+		}, "", false, 0},
+	} {
+		clock := &steppedClock{}
+		connection := responding(clock)
+		daemon := newSteppedDaemon(t, clock, connection)
+		attempt := steppedAttempt(daemon, "once")
+		trial.prepare(daemon, attempt)
+		before := attempt.exchange.tries.sends
+		outcome := attempt.execute()
+		attempt.release()
+		if outcome != scheduler.NotSent || connection.written.Len() != 0 || attempt.exchange.tries.sends != before {
+			t.Errorf("%s: %q, %d bytes, %d sends", name, outcome, connection.written.Len(), attempt.exchange.tries.sends)
+		}
+		if reason := daemon.reason(clock); reason != trial.reason {
+			t.Errorf("%s: the runner is not used because %q, not %q", name, reason, trial.reason)
+		}
+		if unsent := daemon.Metrics.Routes()["once"].UnsentAttempts; unsent != trial.unsent {
+			t.Errorf("%s: %d counted as not sent", name, unsent)
+		}
+		if dialed := name != "the runner can't be dialed"; dialed && connection.closed == trial.kept {
+			t.Errorf("%s: closed %v", name, connection.closed)
+		}
+	}
+}
+
+// A write that ends in the middle: a response decides if the runner has given one, else the request did not go out,
+// unless its client's departure cut it off.
+func TestAttemptWrittenInPart(t *testing.T) {
+	rejected := []delivery{{0, wholeResponse(codec.NotExecuted)}}
+	for name, trial := range map[string]struct {
+		route    string
+		capacity int
+		incoming []delivery
+		leaves   bool
+		outcome  scheduler.AttemptOutcome
+		sends    int
+	}{
+		"nothing":                              {"once", 0, nil, false, scheduler.NotSent, 0},
+		"a part":                               {"once", 10, nil, false, scheduler.NotSent, 0},
+		"a part, with a response":              {"once", 10, rejected, false, responseReady, 1},
+		"a part, with a late response":         {"once", 10, []delivery{{time.Second, "HTTP"}}, false, scheduler.NotSent, 0},
+		"a part, the client left":              {"free", 10, nil, true, scheduler.Ambiguous, 0},
+		"nothing, the client left":             {"free", 0, nil, true, scheduler.NotSent, 0},
+		"a part, the client left a once route": {"once", 10, nil, true, scheduler.NotSent, 0},
+	} {
+		clock := &steppedClock{}
+		connection := responding(clock, trial.incoming...)
+		connection.capacity = trial.capacity
+		daemon := newSteppedDaemon(t, clock, connection)
+		attempt := steppedAttempt(daemon, trial.route)
+		var err error
+		if attempt.connection, err = daemon.Connections.Take("r0", "127.0.0.1:0"); err != nil {
+			t.Fatal(err)
+		}
+		attempt.checkedAt = clock.now
+		if trial.leaves {
+			attempt.exchange.client.leave()
+		}
+		outcome := attempt.send()
+		if outcome != trial.outcome || attempt.exchange.tries.sends != trial.sends || !attempt.partial {
+			t.Errorf("%s: %q, %d sends, partial %v", name, outcome, attempt.exchange.tries.sends, attempt.partial)
+		}
+		if took := clock.now.Sub(attempt.sentAt); took > earlyResponseTimeout {
+			t.Errorf("%s: an early response was waited for %v", name, took)
+		}
+		// The runner may still read the rest, so that no other request follows.
+		if outcome == responseReady && attempt.readResponse() != scheduler.NotExecuted {
+			t.Errorf("%s: the response is not read", name)
+		}
+		attempt.release()
+		if !connection.closed {
+			t.Errorf("%s: the connection is kept", name)
+		}
+	}
+}
+
+// A decision that is too old when the bytes are to go out is checked again, and the last part of a long request is held
+// back for a check of its own.
+func TestAttemptIsCheckedBeforeItsBytes(t *testing.T) {
+	for name, trial := range map[string]struct {
+		age     time.Duration
+		size    int
+		written int
+	}{
+		"young":         {recheckAfter - 1, 100, 100},
+		"old":           {recheckAfter, 100, 0},
+		"young, longer": {0, longRequest + 1, longRequest + 1 - lastPartSize},
+		"young, long":   {0, longRequest, longRequest},
+	} {
+		clock := &steppedClock{}
+		connection := responding(clock)
+		daemon := newSteppedDaemon(t, clock, connection)
+		attempt := steppedAttempt(daemon, "once")
+		var err error
+		if attempt.connection, err = daemon.Connections.Take("r0", "127.0.0.1:0"); err != nil {
+			t.Fatal(err)
+		}
+		attempt.checkedAt = clock.now.Add(-trial.age)
+		daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
+		if written := attempt.write(make([]byte, trial.size)); written != trial.written ||
+			connection.written.Len() != written {
+			t.Errorf("%s: %d bytes, not %d", name, written, trial.written)
+		}
+	}
+}
+
+// A run is bound to its client, unless it must come to its end.
+func TestAttemptIsBoundToItsClient(t *testing.T) {
+	for route, bound := range map[string]bool{"free": true, "resumed": true, "once": false} {
+		clock := &steppedClock{}
+		connection := responding(clock, delivery{0, wholeResponse(codec.Finished)})
+		steppedAttempt(newSteppedDaemon(t, clock, connection), route).execute()
+		if connection.bound != bound {
+			t.Errorf("%s: bound %v", route, connection.bound)
+		}
+	}
+}
+
+// A runner is not blamed for what was cut off because nobody waited for it any more.
+func TestAttemptBlamesNoRunnerForItsClient(t *testing.T) {
+	for leaves, want := range map[bool]string{true: "", false: reasonNoResponse} {
+		clock := &steppedClock{}
+		daemon := newSteppedDaemon(t, clock, responding(clock))
+		attempt := steppedAttempt(daemon, "free")
+		if leaves {
+			attempt.exchange.client.leave()
+		}
+		attempt.reportFailure(reasonNoResponse)
+		if reason := daemon.reason(clock); reason != want {
+			t.Errorf("client left %v: %q", leaves, reason)
+		}
+	}
+}
+
+// A codec is told all that an attempt rests on.
+func TestAttemptDescribesItself(t *testing.T) {
+	clock := &steppedClock{}
+	attempt := steppedAttempt(newSteppedDaemon(t, clock, responding(clock)), "once")
+	exchange := attempt.exchange
+	attempt.epoch, attempt.decision.Urgency = 7, 3
+	exchange.lastEventID, exchange.tenant = 4, &config.Tenant{Name: "tenant"}
+	exchange.deadline = newDeadline(clock.now, time.Minute)
+	clock.advance(time.Second)
+	want := codec.Attempt{Runner: attempt.decision.Runner, Daemon: "d", Epoch: 7, Remaining: 59 * time.Second,
+		LastEventID: 4, Urgency: 3, Weights: "w", Tenant: "tenant"}
+	if got := attempt.describe(); !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v instead of %+v", got, want)
+	}
+}
+
+// After a complete run the connection goes back to the pool only where the response ends with it.
+func TestAttemptKeepsItsConnection(t *testing.T) {
+	whole := "HTTP/1.1 200 OK\r\nDisposition: runs\r\nTransfer-Encoding: chunked\r\n"
+	body := "\r\n" + chunk(tokenEvents("x", 1, 1)+done(1))
+	for name, trial := range map[string]struct {
+		text string
+		kept bool
+	}{
+		"ended":              {whole + body + "0\r\n\r\n", true},
+		"ended, and closes":  {whole + "Connection: close\r\n" + body + "0\r\n\r\n", false},
+		"not ended in time":  {whole + body, false},
+		"more after its end": {whole + body + chunk("more") + "0\r\n\r\n", false},
+	} {
+		clock := &steppedClock{}
+		connection := responding(clock, delivery{0, trial.text})
+		attempt := steppedAttempt(newSteppedDaemon(t, clock, connection), "once")
+		if outcome := attempt.execute(); outcome != responseReady {
+			t.Fatalf("%s: %q", name, outcome)
+		}
+		if _, err := attempt.reader.Next(); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		started := clock.now
+		attempt.keepAfterRun()
+		if took := clock.now.Sub(started); took > tailTimeout {
+			t.Errorf("%s: the end was waited for %v", name, took)
+		}
+		attempt.release()
+		if connection.closed == trial.kept {
+			t.Errorf("%s: closed %v", name, connection.closed)
+		}
+	}
+}
+
+// A body that is no stream can't follow events that the client already has.
+func TestAttemptGivesNoBodyAfterEvents(t *testing.T) {
+	clock := &steppedClock{}
+	daemon := newSteppedDaemon(t, clock, responding(clock, delivery{0, wholeResponse(codec.Finished)}))
+	attempt := steppedAttempt(daemon, "resumed")
+	attempt.exchange.execution.relayed = true
+	if outcome := attempt.execute(); outcome != scheduler.Ambiguous || daemon.reason(clock) != reasonNoEvents {
+		t.Errorf("%q, the runner %q", outcome, daemon.reason(clock))
+	}
+}
+
+// A release gives the scheduler the runner's slot back.
+func TestAttemptReleasesItsSlot(t *testing.T) {
+	clock := &steppedClock{}
+	daemon := newSteppedDaemon(t, clock, responding(clock))
+	exchange := newExchange(daemon.Handler, watchClient(&recordingClient{}))
+	exchange.request = &admission.Request{Route: "once", Model: "m", ID: "q"}
+	if err := exchange.resolve(); err != nil {
+		t.Fatal(err)
+	}
+	if !exchange.awaitDecision() || exchange.decision.Kind != scheduler.Dispatch {
+		t.Fatalf("%+v", exchange.decision)
+	}
+	inFlight := func() int {
+		_, _, routes := exchange.scheduler.State()
+		return routes["once"]
+	}
+	attempt := &attempt{exchange: exchange, decision: exchange.decision}
+	before := inFlight()
+	attempt.release()
+	if before != 1 || inFlight() != 0 {
+		t.Errorf("%d and then %d in flight", before, inFlight())
+	}
+}
+
+// chunk is one chunk of a body.
+func chunk(text string) string {
+	var written strings.Builder
+	sendChunk(&written, text)
+	return written.String()
+}
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -53,7 +53,7 @@
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // sendChunk writes one chunk of a body, and endBody what ends it.
-func sendChunk(connection net.Conn, text string) { send(connection, "%x\r\n%s\r\n", len(text), text) }
+func sendChunk(connection io.Writer, text string) { send(connection, "%x\r\n%s\r\n", len(text), text) }
 
 func endBody(connection net.Conn) { send(connection, "0\r\n\r\n") }
 
--- /dev/null
+++ b/proxy/steppedtime_test.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"wardtray/apierror"
+	"wardtray/proxy/admission"
+	"wardtray/proxy/codec"
+	"wardtray/proxy/dedup"
+	"wardtray/transport/connpool"
+	"wardtray/transport/netio"
+)
+
+// steppedClock is a clock that stands still but where somebody waits for a fakeConnection: then it moves at once to the
+// moment that was waited for. What a test measures by it does not depend on the machine's speed.
+type steppedClock struct{ now time.Time }
+
+func (clock *steppedClock) advance(length time.Duration) { clock.now = clock.now.Add(length) }
+
+// delivery is what a runner sends, so long after the bytes before it.
+type delivery struct {
+	after time.Duration
+	text  string
+}
+
+// fakeConnection is a connection to a runner in stepped time. All of it is used by one goroutine.
+type fakeConnection struct {
+	net.Conn // Nil: other methods are not called.
+	clock    *steppedClock
+	// incoming is what is still to come; then the runner is silent, or closes the connection if closes is set.
+	incoming []delivery
+	closes   bool
+	// capacity is how many bytes can be written before writes fail; negative: any number.
+	capacity int
+	written  bytes.Buffer
+	deadline time.Time
+	closed   bool
+	bound    bool
+}
+
+// responding returns a connection over which a runner sends so much and is silent after that.
+func responding(clock *steppedClock, incoming ...delivery) *fakeConnection {
+	return &fakeConnection{clock: clock, incoming: incoming, capacity: -1}
+}
+
+// Read returns what came first, and waits for it until the deadline.
+func (connection *fakeConnection) Read(into []byte) (int, error) {
+	if len(connection.incoming) == 0 {
+		if connection.closes {
+			return 0, io.EOF
+		}
+		return 0, connection.waitUntilDeadline()
+	}
+	first := &connection.incoming[0]
+	if at := connection.clock.now.Add(first.after); !connection.deadline.IsZero() && at.After(connection.deadline) {
+		first.after = at.Sub(connection.deadline)
+		return 0, connection.waitUntilDeadline()
+	}
+	connection.clock.advance(first.after)
+	first.after = 0
+	count := copy(into, first.text)
+	first.text = first.text[count:]
+	if first.text == "" {
+		connection.incoming = connection.incoming[1:]
+	}
+	return count, nil
+}
+
+func (connection *fakeConnection) waitUntilDeadline() error {
+	if connection.deadline.IsZero() {
+		panic("a read without a deadline would wait for ever")
+	}
+	if connection.deadline.After(connection.clock.now) {
+		connection.clock.now = connection.deadline
+	}
+	return os.ErrDeadlineExceeded
+}
+
+// Write accepts as much as there is room for.
+func (connection *fakeConnection) Write(content []byte) (int, error) {
+	room := connection.capacity - connection.written.Len()
+	if connection.capacity < 0 || len(content) <= room {
+		return connection.written.Write(content)
+	}
+	count, _ := connection.written.Write(content[:room])
+	return count, errors.New("the connection is full")
+}
+
+func (connection *fakeConnection) SetDeadline(deadline time.Time) error {
+	connection.deadline = deadline
+	return nil
+}
+
+func (connection *fakeConnection) Close() error {
+	connection.closed = true
+	return nil
+}
+
+func (connection *fakeConnection) Idle() bool { return !connection.closed }
+
+func (connection *fakeConnection) Bind(context.Context) (release func() bool) {
+	connection.bound = true
+	return func() bool { return true }
+}
+
+// headerDisposition is the header by which the runners of these tests say what their response is.
+const headerDisposition = "Disposition"
+
+// statedCodec believes what a response says of itself, and that every request reaches the runner that it names.
+type statedCodec struct{ codec.Codec }
+
+func (statedCodec) IdentityPath() string { return "" }
+
+func (statedCodec) Classify(response *fasthttp.Response, _ *admission.Request, _ codec.Attempt) codec.ResponseHead {
+	return codec.ResponseHead{
+		Disposition: codec.Disposition(response.Header.Peek(headerDisposition)),
+		Closes:      response.Header.ConnectionClose(),
+	}
+}
+
+// newSteppedDaemon returns a daemon in stepped time with a runner behind each connection, r0 and on in this order. A
+// runner without a connection can't be dialed.
+func newSteppedDaemon(t *testing.T, clock *steppedClock, connections ...*fakeConnection) *testDaemon {
+	t.Helper()
+	runners := make([]*scriptedRunner, len(connections))
+	byAddress := map[string]*fakeConnection{}
+	for index, connection := range connections {
+		name := string(rune('0' + index))
+		runners[index] = &scriptedRunner{id: "r" + name, address: "127.0.0.1:" + name}
+		byAddress[runners[index].address] = connection
+	}
+	clock.now = time.Now()
+	daemon := newDaemon(t, runners...)
+	daemon.Environment = netio.Environment{
+		Now:  func() time.Time { return clock.now },
+		Go:   func(work func()) { work() },
+		Wait: func(_ context.Context, length time.Duration, _ <-chan struct{}) { clock.advance(length) },
+		Dial: func(_ context.Context, address string, _ netio.Timeouts) (netio.Conn, error) {
+			if connection := byAddress[address]; connection != nil {
+				return connection, nil
+			}
+			return nil, apierror.New(apierror.Unreachable, "nobody listens at %s", address)
+		},
+	}
+	daemon.Codec = statedCodec{daemon.Codec}
+	daemon.Connections = connpool.New(daemon.Environment, daemon.Codec.IdentityPath())
+	daemon.Announce = func(dedup.Key, bool) {}
+	return daemon
+}
+
+// steppedAttempt returns an attempt of a request of a route at the runner r0, whose client stays.
+func steppedAttempt(daemon *testDaemon, route string) *attempt {
+	made := daemon.attempt(route, &scriptedRunner{id: "r0", address: "127.0.0.1:0"},
+		&admission.Request{Route: route, Model: "m", ID: "q", Body: []byte(`{"prompt":"x"}`)})
+	made.exchange.client = watchClient(&recordingClient{})
+	return made
+}
+
+// reason is why the runner r0 is not used for now.
+func (daemon *testDaemon) reason(clock *steppedClock) string {
+	found, _ := daemon.Loads.Lookup(clock.now, "r0", daemon.Daemons())
+	return found.Reason
+}
+
+// head is the head of a response that states its disposition, with further header lines.
+func head(disposition codec.Disposition, headers string) string {
+	return "HTTP/1.1 200 OK\r\n" + headerDisposition + ": " + string(disposition) + "\r\n" + headers + "\r\n"
+}
+
+// wholeResponse is a complete response with a body of a known length.
+func wholeResponse(disposition codec.Disposition) string {
+	return head(disposition, "Content-Length: 4\r\n") + "body"
+}
+
+// streamed is a stream whose body has no end of its own.
+func streamed(text string) string {
+	return head(codec.Streams, "Content-Type: text/event-stream\r\nContent-Length: 1000000\r\n") + text
+}
