--- a/balancer/scheduler/retry.go
+++ b/balancer/scheduler/retry.go
@@ -27,8 +27,6 @@
 type RetryDecision struct {
 	// Retry allows another attempt.
 	Retry bool
-	// SpendsBudget says that the attempt must come out of the retry budget, as each further send does in the proxy.
-	SpendsBudget bool
 	// ErrorCode is the error to respond with if there is no other attempt.
 	ErrorCode apierror.Code
 	// Execution is what that response says of the execution: DidNotRun or Unknown.
@@ -43,17 +41,17 @@
 }
 
 // retryPolicy is the decision for every case. The request of a route that is not idempotent is never sent again once it
-// may have been executed, and no request once part of its response was relayed. What never left the daemon costs
-// nothing to retry; any other retry comes out of the budget.
+// may have been executed, and no request once part of its response was relayed. Whether a retry
+// comes out of the retry budget does not depend on the case: the proxy takes every further send out of it.
 var retryPolicy = map[retryCase]RetryDecision{
 	{NotSent, false}: {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
 	{NotSent, true}:  {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
 
-	{NotExecuted, false}: {Retry: true, SpendsBudget: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
-	{NotExecuted, true}:  {Retry: true, SpendsBudget: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
+	{NotExecuted, false}: {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
+	{NotExecuted, true}:  {Retry: true, ErrorCode: apierror.NoRunner, Execution: DidNotRun},
 
 	{Ambiguous, false}: {ErrorCode: apierror.OutcomeUnknown, Execution: Unknown},
-	{Ambiguous, true}:  {Retry: true, SpendsBudget: true, ErrorCode: apierror.OutcomeUnknown, Execution: Unknown},
+	{Ambiguous, true}:  {Retry: true, ErrorCode: apierror.OutcomeUnknown, Execution: Unknown},
 
 	{Broken, false}: {ErrorCode: apierror.RunFailed, Execution: Unknown},
 	{Broken, true}:  {ErrorCode: apierror.RunFailed, Execution: Unknown},
--- a/balancer/scheduler/retry_test.go
+++ b/balancer/scheduler/retry_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Every outcome has a decision, which never executes a request twice that must not be, spends the budget for whatever
-// may have reached a runner, and claims no more than is known.
+// Every outcome has a decision, which never executes a request twice that must not be and claims no more than is known.
 func TestRetryPolicyCoversEveryOutcome(t *testing.T) {
 	for _, outcome := range []AttemptOutcome{NotSent, NotExecuted, Ambiguous, Broken} {
 		for _, idempotent := range []bool{false, true} {
@@ -12,7 +11,6 @@
 			for flaw, found := range map[string]bool{
 				"no decision":             decision.ErrorCode == "" || decision.Execution == "",
 				"executed again":          decision.Retry && (outcome == Broken || outcome == Ambiguous && !idempotent),
-				"retried without budget":  decision.Retry && outcome != NotSent && !decision.SpendsBudget,
 				"reported as not started": mayHaveRun && decision.Execution != Unknown,
 			} {
 				if found {
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -274,7 +274,7 @@
 	// What was relayed stands; a stream that may be resumed goes on after it at another runner.
 	resumes := exchange.route.Resumable && !exchange.handler.Disabled[features.Resumption]
 	if outcome == scheduler.Broken && resumes {
-		next.Retry, next.SpendsBudget = true, true
+		next.Retry = true
 	}
 	return next
 }
--- a/proxy/steppedtime_test.go
+++ b/proxy/steppedtime_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"os"
+	"slices"
 	"testing"
 	"time"
 
@@ -49,7 +50,7 @@
 
 // responding returns a connection over which a runner sends so much and is silent after that.
 func responding(clock *steppedClock, incoming ...delivery) *fakeConnection {
-	return &fakeConnection{clock: clock, incoming: incoming, capacity: -1}
+	return &fakeConnection{clock: clock, incoming: slices.Clone(incoming), capacity: -1}
 }
 
 // Read returns what came first, and waits for it until the deadline.
--- a/proxy/tries_test.go
+++ b/proxy/tries_test.go
@@ -4,8 +4,11 @@
 	"testing"
 	"time"
 
+	"wardtray/balancer/load"
 	"wardtray/balancer/retrybudget"
+	"wardtray/balancer/scheduler"
 	"wardtray/config"
+	"wardtray/proxy/codec"
 )
 
 func TestTriesRemain(t *testing.T) {
@@ -51,3 +54,75 @@
 		t.Errorf("40 requests allow a retry: %v, %+v", got, other)
 	}
 }
+
+// Whatever may have reached a runner is sent again only out of the retry budget: for each outcome of an attempt that
+// allows a retry, on each kind of route, the next send is counted as a retry, and does not go out without budget.
+func TestRetriesSpendTheBudget(t *testing.T) {
+	retried := 0
+	for _, outcome := range []scheduler.AttemptOutcome{
+		scheduler.NotSent, scheduler.NotExecuted, scheduler.Ambiguous, scheduler.Broken,
+	} {
+		for _, route := range []string{"once", "free", "resumed"} {
+			for _, hasBudget := range []bool{true, false} {
+				if testRetry(t, outcome, route, hasBudget) {
+					retried++
+				}
+			}
+		}
+	}
+	// Not sent and rejected on three routes, ambiguous on the two idempotent ones, broken on the resumable one.
+	if want := 2 * (3 + 3 + 2 + 1); retried != want {
+		t.Errorf("%d retries were allowed, not %d", retried, want)
+	}
+}
+
+// testRetry tests one further attempt after one that ended so, and reports whether that is allowed.
+func testRetry(t *testing.T, outcome scheduler.AttemptOutcome, route string, hasBudget bool) bool {
+	t.Helper()
+	responses := map[scheduler.AttemptOutcome][]delivery{
+		scheduler.NotExecuted: {{0, wholeResponse(codec.NotExecuted)}},
+		scheduler.Ambiguous:   {{0, wholeResponse(codec.Unclear)}},
+		scheduler.Broken:      {{0, streamed(tokenEvents("x", 1, 1))}},
+	}
+	clock := &steppedClock{}
+	second := responding(clock, delivery{0, wholeResponse(codec.Finished)})
+	daemon := newSteppedDaemon(t, clock, responding(clock, responses[outcome]...), second)
+	first := steppedAttempt(daemon, route)
+	if !first.exchange.decideRetry(outcome).Retry {
+		return false
+	}
+	wantOutcome(t, first, outcome)
+	if !hasBudget {
+		daemon.budgets.Clear()
+	}
+	again := &attempt{exchange: first.exchange, decision: first.decision}
+	again.decision.Runner = load.Runner{ID: "r1", Address: "127.0.0.1:1"}
+	again.execute()
+	reached := outcome != scheduler.NotSent
+	if sent := second.written.Len() > 0; sent != (hasBudget || !reached) {
+		t.Errorf("%s, %s, budget %v: sent again %v", outcome, route, hasBudget, sent)
+	}
+	if counted := daemon.Metrics.Routes()[route].Retries == 1; counted != (hasBudget && reached) {
+		t.Errorf("%s, %s, budget %v: counted as a retry %v", outcome, route, hasBudget, counted)
+	}
+	return true
+}
+
+// wantOutcome executes an attempt that is to end so, up to where the next one is connected. An attempt that is not sent
+// finds that its runner can't be dialed; one that breaks does so after its first event.
+func wantOutcome(t *testing.T, first *attempt, want scheduler.AttemptOutcome) {
+	t.Helper()
+	if want == scheduler.NotSent {
+		first.decision.Runner.Address = "127.0.0.1:9"
+	}
+	got := first.execute()
+	if got == responseReady && want == scheduler.Broken {
+		got = want
+	}
+	if got != want {
+		t.Fatalf("%q instead of %q", got, want)
+	}
+	first.release()
+	first.exchange.state.to(stateScheduling)
+	first.exchange.state.to(stateConnecting)
+}
