--- a/proxy/deadline_test.go
+++ b/proxy/deadline_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"wardtray/config"
+	"wardtray/proxy/codec"
 )
 
 var arrival = time.Unix(1_700_000_000, 0)
@@ -100,3 +101,41 @@
 		}
 	}
 }
+
+// A runner that says nothing is waited for until the deadline where its request runs at most once, and refused then at
+// once; otherwise for half of the time, so that another runner has its turn.
+func TestSilentRunner(t *testing.T) {
+	const text = `{"zones":[{"name":"a","closed":false}],
+"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
+"lanes":[{"name":"once","pool":"p","worth":1,"patience":"200ms","purse":1,"repeatable":false,"deadline":"700ms"},
+{"name":"free","pool":"p","worth":1,"patience":"200ms","purse":1,"repeatable":true,"deadline":"2s"}]}`
+	for route, want := range map[string]struct {
+		status, sends int
+		took          time.Duration
+	}{
+		"once": {504, 1, 700 * time.Millisecond},
+		"free": {200, 2, time.Second},
+	} {
+		clock := &steppedClock{}
+		connections := []*fakeConnection{
+			responding(clock),
+			responding(clock, delivery{0, wholeResponse(codec.Finished)}),
+		}
+		daemon := newSteppedDaemon(t, clock, connections...)
+		daemon.snapshot = newSnapshot(t, 1, text)
+		// The other runner is usable again by the time that the silent one is given up.
+		daemon.Loads.Eject(clock.now, "r1", "another's turn")
+		started := clock.now
+		client := &recordingClient{departed: departed{route: route, body: []byte(`{"prompt":"x"}`)}}
+		daemon.Serve(client)
+		sends := 0
+		for _, connection := range connections {
+			if connection.written.Len() > 0 {
+				sends++
+			}
+		}
+		if took := clock.now.Sub(started); client.status != want.status || sends != want.sends || took != want.took {
+			t.Errorf("%s: %d after %v with %d sends: %s", route, client.status, took, sends, client.content)
+		}
+	}
+}
