--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -15,12 +15,6 @@
 	"wardtray/proxy/dedup"
 )
 
-// How a request ended that was relayed, as it is counted.
-const (
-	endDone       = "done"
-	endClientGone = string(apierror.ClientDisconnected)
-)
-
 // Exchange is one request on its way from its client to a runner and back. It orders the steps; what each of them
 // rests on is kept by the type of that step. One goroutine has it at any time.
 type Exchange struct {
@@ -287,76 +281,3 @@
 	}
 	return permission != sendDenied
 }
-
-// relay forwards the response, beginning with the event that showed that the request runs.
-func (exchange *Exchange) relay() {
-	exchange.recordFirstEvent()
-	client, attempt := exchange.client, exchange.attempt
-	if exchange.handler.Draining.Load() {
-		client.CloseAfterResponse()
-	}
-	status, headers := exchange.handler.Codec.ResponseHeaders(attempt.response, exchange.request, attempt.describe())
-	if attempt.reader == nil {
-		client.Respond(status, headers, attempt.body)
-		exchange.finish(endDone, true)
-		return
-	}
-	exchange.execution.relayed = true
-	client.Stream(status, headers, &relay{exchange: exchange})
-}
-
-// recordFirstEvent notes that the runner has responded, and how long that took.
-func (exchange *Exchange) recordFirstEvent() {
-	attempt := exchange.attempt
-	if attempt.connection != nil {
-		attempt.connection.ResponseStarted()
-	}
-	took, runner := exchange.now().Sub(attempt.sentAt), attempt.decision.Runner
-	// An error of the runner's own is forwarded, and is no reason to send it more at once.
-	if attempt.head.Disposition != codec.Failed {
-		exchange.handler.Loads.RequestSucceeded(runner.ID)
-	}
-	exchange.scheduler.FirstEventReceived(exchange.queuedRequest, attempt.decision, took)
-	exchange.count(func(route *metrics.RouteMetrics) {
-		route.ObserveFirstEvent(exchange.now().Sub(exchange.deadline.started))
-		route.CachedTokens += uint64(attempt.decision.CachedTokens)
-		route.PromptTokens += uint64(exchange.request.PromptTokens)
-		if runner.Zone != exchange.handler.Zone {
-			route.OtherZoneResponses++
-			route.CrossZoneBytes += uint64(len(exchange.request.Body))
-		}
-	})
-}
-
-// outcomes are what is remembered of a request that was relayed, by whether its run came to its end.
-var outcomes = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
-
-// finish finishes a request that was relayed; end is counted, ran says whether the run came to its own end.
-func (exchange *Exchange) finish(end string, ran bool) {
-	exchange.state.to(stateFinished)
-	attempt := exchange.attempt
-	if ran {
-		attempt.keepAfterRun()
-		exchange.scheduler.RequestCompleted(0, 0, exchange.now().Sub(attempt.sentAt))
-	}
-	exchange.atMostOnce.finish(exchange.now(), outcomes[ran])
-	attempt.release()
-	exchange.count(func(route *metrics.RouteMetrics) {
-		route.Outcomes[end]++
-		if end == endDone {
-			route.Completed++
-		}
-		if attempt.decision.Runner.Zone != exchange.handler.Zone {
-			route.CrossZoneBytes += uint64(exchange.relayedBytes)
-		}
-	})
-	exchange.close()
-}
-
-// finishWithoutRunner finishes a request that was relayed in part and has no runner any more.
-func (exchange *Exchange) finishWithoutRunner(code apierror.Code) {
-	exchange.state.to(stateFinished)
-	exchange.atMostOnce.finish(exchange.now(), dedup.Unknown)
-	exchange.count(func(route *metrics.RouteMetrics) { route.Outcomes[string(code)]++ })
-	exchange.close()
-}
