--- a/balancer/kvblock/index.go
+++ b/balancer/kvblock/index.go
@@ -12,9 +12,12 @@
 // holders are the runners that probably hold one block, with the time when each was last sent it.
 type holders = lru.Cache[string, time.Time]
 
+// blockCache leads from the keys of a shard to the holders of their blocks.
+type blockCache = lru.Cache[BlockKey, *holders]
+
 // Index is the two-level LRU: a key leads to the runners that probably hold its block. It is safe for concurrent use.
 type Index struct {
-	shards [indexShards]*lru.Cache[BlockKey, *holders]
+	shards [indexShards]*blockCache
 	// runners is the number of runners remembered for each key.
 	runners int
 }
@@ -32,7 +35,7 @@
 	return index, nil
 }
 
-func (index *Index) shard(key BlockKey) *lru.Cache[BlockKey, *holders] {
+func (index *Index) shard(key BlockKey) *blockCache {
 	return index.shards[uint64(key)%indexShards]
 }
 
@@ -95,9 +98,21 @@
 // CachedPrefixes returns what each runner of a set probably holds of the prompt with these keys. Runners that hold
 // nothing of it are missing.
 func (index *Index) CachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
+	return index.cachedPrefixes(keys, runners, (*blockCache).Get)
+}
+
+// PeekCachedPrefixes is CachedPrefixes for a dry run: the blocks do not count as used.
+func (index *Index) PeekCachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
+	return index.cachedPrefixes(keys, runners, (*blockCache).Peek)
+}
+
+// cachedPrefixes looks each block up by a method of its shard.
+func (index *Index) cachedPrefixes(
+	keys []BlockKey, runners map[string]bool, lookup func(*blockCache, BlockKey) (*holders, bool),
+) map[string]CachedPrefix {
 	prefixes := map[string]CachedPrefix{}
 	for number, key := range keys {
-		current, found := index.shard(key).Get(key)
+		current, found := lookup(index.shard(key), key)
 		if !found {
 			return prefixes
 		}
--- a/balancer/kvblock/index_test.go
+++ b/balancer/kvblock/index_test.go
@@ -46,3 +46,33 @@
 		t.Fatalf("cached prefixes: %v", prefixes)
 	}
 }
+
+// A lookup keeps a block in a full index; a peek, which returns the same, does not.
+func TestPeekDoesNotCountAsUse(t *testing.T) {
+	const first, second, third = BlockKey(1), BlockKey(1 + indexShards), BlockKey(1 + 2*indexShards) // Of one shard.
+	runners := map[string]bool{"r": true}
+	for name, trial := range map[string]struct {
+		lookup func(index *Index) map[string]CachedPrefix
+		kept   bool
+	}{
+		"lookup": {func(index *Index) map[string]CachedPrefix {
+			return index.CachedPrefixes([]BlockKey{first}, runners)
+		}, true},
+		"peek": {func(index *Index) map[string]CachedPrefix {
+			return index.PeekCachedPrefixes([]BlockKey{first}, runners)
+		}, false},
+	} {
+		index, err := NewIndex(2*indexShards, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		index.Add(time.Unix(1, 0), []BlockKey{first, second}, "r")
+		if found := trial.lookup(index); found["r"].Blocks != 1 {
+			t.Errorf("%s: %v", name, found)
+		}
+		index.Add(time.Unix(2, 0), []BlockKey{third}, "r")
+		if kept := len(index.PeekCachedPrefixes([]BlockKey{first}, runners)) > 0; kept != trial.kept {
+			t.Errorf("%s: kept %v", name, kept)
+		}
+	}
+}
--- a/balancer/kvblock/kvblock.go
+++ b/balancer/kvblock/kvblock.go
@@ -57,3 +57,8 @@
 func (indexer *Indexer) Score(keys []BlockKey, runners map[string]bool) map[string]int {
 	return indexer.scorer.Score(indexer.Index.Lookup(keys, runners))
 }
+
+// PeekCachedPrefixes is CachedPrefixes for a dry run: the blocks do not count as used.
+func (indexer *Indexer) PeekCachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
+	return indexer.Index.PeekCachedPrefixes(keys, runners)
+}
--- a/balancer/scheduler/prediction.go
+++ b/balancer/scheduler/prediction.go
@@ -18,16 +18,19 @@
 	evenRequests = 0.3
 )
 
+// prefixLookup returns what each runner of a set probably has cached of the prompt with these keys.
+type prefixLookup func(keys []kvblock.BlockKey, runners map[string]bool) map[string]kvblock.CachedPrefix
+
 // predictCandidates returns the cycle's candidates with what each runner means for one request.
 func (scheduler *Scheduler) predictCandidates(
-	now time.Time, request *QueuedRequest, cycle *SchedulingContext,
+	now time.Time, request *QueuedRequest, cycle *SchedulingContext, lookup prefixLookup,
 ) []Candidate {
 	promptTokens, shared := request.Requirements.PromptTokens, request.sharedTokens()
 	prefill := scheduler.forecast.speeds.prefill(promptTokens, shared)
 	long := scheduler.longPrompts.isLong(prefill, request.Route, request.Requirements.LatencyTarget)
 	candidates := make([]Candidate, len(cycle.Candidates))
 	copy(candidates, cycle.Candidates)
-	cached := scheduler.cachedPrefixes(request, candidates)
+	cached := scheduler.cachedPrefixes(request, candidates, lookup)
 	probabilities := map[string]float64{}
 	if !scheduler.Without[features.Homes] {
 		probabilities = scheduler.homeProbabilities(request, cycle, cycle.preferredRunners(long), shared)
@@ -49,7 +52,7 @@
 
 // cachedPrefixes returns what the index says that each candidate has cached of the prompt.
 func (scheduler *Scheduler) cachedPrefixes(
-	request *QueuedRequest, candidates []Candidate,
+	request *QueuedRequest, candidates []Candidate, lookup prefixLookup,
 ) map[string]kvblock.CachedPrefix {
 	if scheduler.Without[features.PrefixIndex] {
 		return nil
@@ -58,7 +61,7 @@
 	for index := range candidates {
 		ids[candidates[index].ID] = true
 	}
-	return scheduler.indexer.CachedPrefixes(request.Keys, ids)
+	return lookup(request.Keys, ids)
 }
 
 // preferredRunners returns the usable runners where prompts of a class go first: the reserved ones for long prompts, if
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -147,7 +147,7 @@
 	defer scheduler.mutex.Unlock()
 	cycle := scheduler.schedulingContext(now)
 	request.Requirements.WithinLimit = scheduler.routes.withinLimit(request, cycle.Capacity)
-	cycle.Candidates = scheduler.predictCandidates(now, request, &cycle)
+	cycle.Candidates = scheduler.predictCandidates(now, request, &cycle, scheduler.indexer.PeekCachedPrefixes)
 	scored := Score(request.Requirements, cycle.Candidates, cycle.CostWeights)
 	return scored, Decide(request.Requirements, cycle, scored, scheduler.Picker, scheduler.random)
 }
@@ -203,7 +203,7 @@
 func (scheduler *Scheduler) decide(now time.Time, request *QueuedRequest, cycle *SchedulingContext) Decision {
 	own := *cycle
 	scheduler.longPrompts.recordTarget(request.Route, request.Requirements.LatencyTarget)
-	own.Candidates = scheduler.predictCandidates(now, request, cycle)
+	own.Candidates = scheduler.predictCandidates(now, request, cycle, scheduler.indexer.CachedPrefixes)
 	if !request.waited {
 		own.WaitCorrection = scheduler.waitCorrections[request.Route]
 	}
--- a/balancer/scheduler/scheduler_test.go
+++ b/balancer/scheduler/scheduler_test.go
@@ -216,3 +216,35 @@
 		t.Errorf("%s became %s", before, after)
 	}
 }
+
+// An explanation does not keep a prompt's blocks in a full index.
+func TestExplainDoesNotCountAsUseOfBlocks(t *testing.T) {
+	fixture := newFixture(t, 4)
+	// Two blocks for each of the index's 16 shards.
+	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 32, 16, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.indexer, fixture.Scheduler.indexer = indexer, indexer
+	var parts []string
+	for number := 0; len(parts) < 3; number++ {
+		part := fmt.Sprint("part", number)
+		if indexer.Processor.BlockKeys([]string{part}, kvblock.Extra{})[0]%16 == 0 {
+			parts = append(parts, part)
+		}
+	}
+	requests := make([]*QueuedRequest, len(parts))
+	for index, part := range parts {
+		requests[index] = fixture.request("l", 1, 1, time.Second, part)
+	}
+	indexer.Index.Add(fixture.now, requests[0].Keys, "r00")
+	indexer.Index.Add(fixture.now, requests[1].Keys, "r00")
+	scored, _ := fixture.Explain(fixture.now, requests[0])
+	if scored[0].Candidate.CachedTokens != tokensPerPart {
+		t.Fatalf("%+v", scored[0])
+	}
+	indexer.Index.Add(fixture.now, requests[2].Keys, "r00")
+	if kept := indexer.PeekCachedPrefixes(requests[0].Keys, map[string]bool{"r00": true}); len(kept) > 0 {
+		t.Errorf("the explained blocks were kept: %v", kept)
+	}
+}
