--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -101,7 +101,7 @@
 	if !leadership.mayAct(now) || !leadership.started.IsZero() {
 		return
 	}
-	leadership.started, leadership.watermark = now, leadership.chain.Latest().Sequence
+	leadership.started, leadership.watermark = now, leadership.chain.Watermark()
 	leadership.onStart()
 }
 
@@ -111,10 +111,11 @@
 }
 
 // IsLeading reports whether this process may act as head at this moment: it is the chain's head, holds the lease, and
-// all that its history held when its term started is committed.
+// all that its history held when its term started is committed, as far as the chain commits it at its present length.
 func (leadership *Leadership) IsLeading(now time.Time) bool {
 	hasStarted := !leadership.started.IsZero()
-	return leadership.mayAct(now) && hasStarted && leadership.chain.Committed().Sequence >= leadership.watermark
+	watermark := min(leadership.watermark, leadership.chain.Watermark())
+	return leadership.mayAct(now) && hasStarted && leadership.chain.Committed().Sequence >= watermark
 }
 
 // mayAct reports whether this process is the chain's head and holds the lease of the newest view that it knows of.
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -179,3 +179,24 @@
 		t.Error("does not lead once its history is committed")
 	}
 }
+
+// What a chain that became too short for changes still holds pending was acknowledged by nobody, and waits until the
+// chain is long enough again; its head leads meanwhile.
+func TestLeadershipIsLeadingWithAShortChain(t *testing.T) {
+	t.Parallel()
+	bench := newBench("a")
+	if err := bench.chain.Submit(start, &wire.Entry{ChangesSpec: true, SpecEpoch: 5}); err != nil {
+		t.Fatal(err)
+	}
+	bench.lead(t, start)
+	if bench.leadership.IsLeading(start) {
+		t.Error("leads before its history is committed")
+	}
+	bench.chain.Adopt(start, &wire.View{Epoch: 4, HeadTerm: 2, Chain: membertest.Members("a"), MinReplicas: 2})
+	if pending := len(bench.chain.Pending()); pending != 1 {
+		t.Fatalf("%d changes are pending, want 1", pending)
+	}
+	if !bench.leadership.IsLeading(start) {
+		t.Error("does not lead although nothing that may have been acknowledged is pending")
+	}
+}
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -61,8 +61,8 @@
 	// received is the sequence of the newest entry, and synced up to where the disk holds the history.
 	received uint64
 	synced   uint64
-	// restored is the sequence of the newest entry that this member began with: whether it and those before it were
-	// committed is not known. Zero once the history was replaced by a committed document.
+	// restored is the sequence of the newest entry that this member began with: what of it was committed, and so may
+	// have been acknowledged, is not known. Zero once the history was replaced by a committed document.
 	restored uint64
 	// replacements counts how often the whole history was replaced, so that late completions of
 	// writes of an earlier one are recognized.
@@ -219,9 +219,8 @@
 
 // commitAtTail commits what this member has synced, where it is the tail. In a chain that is not writable, whose members
 // may all lose their disks without exceeding the tolerated faults, it commits only what it was restored with, since
-// that may have been acknowledged. What it received since and did not commit was acknowledged by no head: a head
-// acknowledges what its successor has committed, as all members behind it have. That remains pending until the chain
-// is writable again.
+// that may have been acknowledged. The rest was acknowledged by no head: a head acknowledges what its successor has
+// committed, as all members behind it have. It remains pending until the chain is writable again.
 func (chain *Chain) commitAtTail(now time.Time) {
 	if !chain.IsTail() {
 		return
@@ -233,6 +232,15 @@
 	chain.commit(now, chain.restored)
 }
 
+// Watermark returns the sequence up to which this member's history must be committed before it may act as head: all of
+// it where the chain is writable, and otherwise what may have been acknowledged.
+func (chain *Chain) Watermark() uint64 {
+	if chain.isWritable() {
+		return chain.received
+	}
+	return max(chain.restored, chain.history.committed.Sequence)
+}
+
 func (chain *Chain) commit(now time.Time, sequence uint64) {
 	advanced := false
 	for len(chain.history.pending) > 0 && chain.history.pending[0].Sequence <= min(sequence, chain.synced) {
--- a/coordination/chain/shortchain_test.go
+++ b/coordination/chain/shortchain_test.go
@@ -50,6 +50,9 @@
 	if got := cluster.commits["a"]; got != 0 {
 		t.Fatalf("the only member committed up to %d alone", got)
 	}
+	if got := cluster.chains["a"].Watermark(); got != 0 {
+		t.Errorf("the only member may not act before it has committed up to %d, want 0", got)
+	}
 	if got := cluster.chains["c"].Latest().Sequence; got != 0 || cluster.chains["c"].LearnedView() != 2 {
 		t.Fatalf("c learned up to %d in view %d, want 0 in view 2", got, cluster.chains["c"].LearnedView())
 	}
@@ -78,6 +81,51 @@
 	}
 }
 
+// What the head had committed before a member joined may have been acknowledged: the member gets it as committed, so that
+// whoever learns from it as the tail learns it.
+func TestShortChainTeachesWhatItsHeadHadCommitted(t *testing.T) {
+	cluster := newEmptyCluster()
+	for _, name := range []string{"a", "b", "c", "d"} {
+		cluster.add(name)
+	}
+	cluster.adoptWith(replicas, 1, "a", "b")
+	cluster.chains["c"].RequestDocument("b")
+	cluster.settle()
+	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
+		t.Fatal(err)
+	}
+	cluster.settle()
+	delete(cluster.chains, "b")
+	cluster.adoptWith(replicas+1, 2, "a", "c")
+	cluster.chains["d"].RequestDocument("c")
+	cluster.settle()
+	cluster.chains["d"].RequestDocument("c")
+	cluster.settle()
+	for _, name := range []string{"c", "d"} {
+		if got := cluster.chains[name].Committed().Sequence; got != 1 {
+			t.Errorf("%s holds %d as committed, want 1", name, got)
+		}
+	}
+}
+
+// Where the chain is writable, a head has to see all of its history committed before it may act.
+func TestWatermarkOfAWritableChainIsItsHistory(t *testing.T) {
+	cluster := newEmptyCluster()
+	cluster.addWith("a", nil, numbered(1))
+	cluster.add("b")
+	cluster.adoptWith(replicas, 2, "a", "b")
+	if err := cluster.chains["a"].Submit(cluster.now, change(2)); err != nil {
+		t.Fatal(err)
+	}
+	if got := cluster.chains["a"].Watermark(); got != 2 {
+		t.Errorf("a may act once it has committed up to %d, want 2", got)
+	}
+	cluster.adoptWith(replicas, 3, "a")
+	if got := cluster.chains["a"].Watermark(); got != 1 {
+		t.Errorf("a, alone, may act once it has committed up to %d, want 1", got)
+	}
+}
+
 // A history that was replaced by a learned document holds nothing that the member was restored with: a later entry with
 // the sequence of a dropped one may be on one disk only.
 func TestShortChainForgetsWhatItWasRestoredWith(t *testing.T) {
