--- a/control/node/node.go
+++ b/control/node/node.go
@@ -75,7 +75,7 @@
 	node.self, node.outbox = node.members.self, node.members.outbox
 	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
 	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
-	node.registrar = registry.NewRegistrar(now, settings.RunnerHeartbeat, 0, node.outbox, registry.Environment{
+	node.registrar = registry.NewRegistrar(now, settings.RunnerHeartbeat, incarnation, node.outbox, registry.Environment{
 		Daemons: node.daemons.addresses, Cores: node.members.addresses, HearsMostCores: node.members.hearsMajority,
 		HearsNobody: node.daemons.isIsolated})
 	node.handlers = newHandlers(node)
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -43,12 +43,13 @@
 	inProgress  map[uint64]*broadcast
 	// announced are the leaving runners of which this core itself has told every daemon.
 	announced map[string]bool
+	// lastNonce is the nonce of the latest broadcast; the first follows the number of the incarnation.
 	lastNonce uint64
 }
 
-func newBroadcasts(exchange *Exchange, environment Environment, counters *Counters, nonce uint64) broadcasts {
+func newBroadcasts(exchange *Exchange, environment Environment, counters *Counters, incarnation uint64) broadcasts {
 	return broadcasts{
-		exchange: exchange, environment: environment, counters: counters, lastNonce: nonce,
+		exchange: exchange, environment: environment, counters: counters, lastNonce: incarnation,
 		inProgress: map[uint64]*broadcast{}, announced: map[string]bool{},
 	}
 }
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -95,9 +95,11 @@
 	counters Counters
 }
 
-// NewRegistrar returns the registrar of a core that has just started. The first nonce differs
-// between incarnations. Without a heartbeat DefaultHeartbeat holds.
-func NewRegistrar(now time.Time, heartbeat time.Duration, nonce uint64, outbox *statemachine.Outbox,
+// NewRegistrar returns the registrar of a core that has just started. The nonces of its broadcasts begin above
+// incarnation, which has to be drawn at random by each start of the process: an acknowledgement of a broadcast of an
+// earlier incarnation, which a daemon that was paused may send late, then never counts for one of this incarnation.
+// Without a heartbeat DefaultHeartbeat holds.
+func NewRegistrar(now time.Time, heartbeat time.Duration, incarnation uint64, outbox *statemachine.Outbox,
 	environment Environment) *Registrar {
 	if heartbeat <= 0 {
 		heartbeat = DefaultHeartbeat
@@ -105,7 +107,7 @@
 	registrar := &Registrar{
 		Exchange: NewExchange(outbox), environment: environment, liveness: newLiveness(now, heartbeat),
 	}
-	registrar.broadcasts = newBroadcasts(registrar.Exchange, environment, &registrar.counters, nonce)
+	registrar.broadcasts = newBroadcasts(registrar.Exchange, environment, &registrar.counters, incarnation)
 	return registrar
 }
 
