--- a/cmd/wtverify/capacity_test.go
+++ b/cmd/wtverify/capacity_test.go
@@ -21,12 +21,12 @@
 		t.Fatal(err)
 	}
 	bounds := map[string]int{
-		"daemons that one head keeps ticks for, daemons":                            node.MaximumDaemons,
-		"runners that a book remembers, runners":                                    registry.MaximumRunners,
+		"daemons that one head grants leases to, daemons":                           node.MaximumDaemons,
+		"runners in a table, runners":                                               registry.MaximumRunners,
 		"prefixes in an index, keys":                                                kvblock.DefaultKeys,
 		"operations whose outcome is remembered for a day, operations":              chain.MaximumOutcomes,
-		"registers of rumors, registers":                                            gossip.MaximumEntries,
-		"requests that wait at a daemon for one pool, one second's worth, requests": scheduler.QueueLength,
+		"entries of a gossip store, entries":                                        gossip.MaximumEntries,
+		"requests queued at a daemon for one backend, one second's worth, requests": scheduler.QueueLength,
 	}
 	for figure, bound := range bounds {
 		if cells := fmt.Sprintf("| %s | %d |", figure, bound); !strings.Contains(string(page), cells) {
