--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -46,7 +46,7 @@
 
 // get prints the present document, and its epoch to the errors.
 func (session *session) get() (int, error) {
-	reply, err := session.client.Get()
+	reply, err := session.readPresent()
 	if err != nil {
 		return exitRefused, err
 	}
@@ -61,6 +61,19 @@
 	return exitFine, session.output.printJSON(reply.Spec)
 }
 
+// readPresent reads the present spec. The reply says that there is one, that there is none yet, or that the read was
+// refused. A read that nobody answered in time is an error of code Unreachable.
+func (session *session) readPresent() (node.Reply, error) {
+	reply, err := session.client.Get()
+	if err != nil {
+		return node.Reply{}, err
+	}
+	if reply.Outcome == outcomeUnknown {
+		return node.Reply{}, apierror.New(apierror.Unreachable, "reading the present spec: %s", reply.Detail)
+	}
+	return reply, nil
+}
+
 // readFile reads a file, or the input for a dash. Failures are InvalidSettings errors.
 func readFile(path string, input io.Reader) ([]byte, error) {
 	// Kingpin hands a lone dash on as an empty argument.
@@ -79,7 +92,7 @@
 		return exitUsage, err
 	}
 	if base == "" {
-		reply, err := session.client.Get()
+		reply, err := session.readPresent()
 		if err != nil {
 			return exitRefused, err
 		}
@@ -112,10 +125,13 @@
 	if err != nil {
 		return exitRefused, err
 	}
-	reply, err := session.client.Get()
+	reply, err := session.readPresent()
 	if err != nil {
 		return exitRefused, err
 	}
+	if reply.Outcome == outcomeRefused {
+		return session.printReply(reply, nil)
+	}
 	present := &config.Spec{}
 	if len(reply.Spec) > 0 {
 		if present, err = config.Parse(reply.Spec); err != nil {
--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -82,3 +82,32 @@
 		t.Errorf("code %d, errors %s", code, errors.String())
 	}
 }
+
+// A command that needs the present spec, and gets none, says so: it neither prints nor compares with an empty one, nor
+// sends a change that is built on epoch 0.
+func TestCommandsThatCannotReadThePresentSpec(t *testing.T) {
+	for outcome, want := range map[string]struct {
+		reply  string
+		code   int
+		output string
+	}{
+		"refused": {`{"outcome":"refused","kind":"no_majority","detail":"no head","remedy":"wait"}`, exitRefused, "no_majority"},
+		"unknown": {`{"outcome":"unknown","kind":"outcome_unknown","detail":"no answer in time"}`, exitUnreachable, ""},
+	} {
+		address := fakeCore(t, map[string]string{
+			"GET /v1/spec":   want.reply,
+			"PUT /v1/spec":   `{"outcome":"accepted","epoch":1}`,
+			"PATCH /v1/spec": `{"outcome":"accepted","epoch":1}`,
+		})
+		for _, arguments := range [][]string{{"get"}, {"diff", "-"}, {"apply", "-"}, {"change", "-"}} {
+			var output, errors bytes.Buffer
+			code := run(append([]string{"--core", address}, arguments...), strings.NewReader(present), &output, &errors)
+			if code != want.code || !strings.Contains(output.String(), want.output) {
+				t.Errorf("%s, %s: code %d, output %q, errors %q", arguments[0], outcome, code, output.String(), errors.String())
+			}
+			if want.output == "" && (output.Len() > 0 || !strings.Contains(errors.String(), "no answer in time")) {
+				t.Errorf("%s, %s: output %q, errors %q", arguments[0], outcome, output.String(), errors.String())
+			}
+		}
+	}
+}
