--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -11,6 +11,7 @@
 	"wardtray/config"
 	"wardtray/control/node"
 	"wardtray/control/operator"
+	"wardtray/control/proposal"
 )
 
 // registerDocument declares the commands that read and change the configuration document.
@@ -50,10 +51,10 @@
 	if err != nil {
 		return exitRefused, err
 	}
-	if session.json || reply.Outcome == outcomeRefused {
+	if session.json || reply.Outcome == proposal.OutcomeRefused {
 		return session.printReply(reply, nil)
 	}
-	if reply.Outcome == outcomeEmpty {
+	if reply.Outcome == proposal.OutcomeEmpty {
 		session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
 		return exitFine, nil
 	}
@@ -68,7 +69,7 @@
 	if err != nil {
 		return node.Reply{}, err
 	}
-	if reply.Outcome == outcomeUnknown {
+	if reply.Outcome == proposal.OutcomeUnknown {
 		return node.Reply{}, apierror.New(apierror.Unreachable, "reading the present spec: %s", reply.Detail)
 	}
 	return reply, nil
@@ -96,7 +97,7 @@
 		if err != nil {
 			return exitRefused, err
 		}
-		if reply.Outcome == outcomeRefused {
+		if reply.Outcome == proposal.OutcomeRefused {
 			return session.printReply(reply, nil)
 		}
 		change.Base = reply.Epoch
@@ -129,7 +130,7 @@
 	if err != nil {
 		return exitRefused, err
 	}
-	if reply.Outcome == outcomeRefused {
+	if reply.Outcome == proposal.OutcomeRefused {
 		return session.printReply(reply, nil)
 	}
 	present := &config.Spec{}
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"wardtray/apierror"
+	"wardtray/control/proposal"
 )
 
 // The exit codes; wtctl --help documents them.
@@ -15,24 +16,14 @@
 	exitUnreachable = 4
 )
 
-// The outcomes of a request to the control plane, as replies name them.
-const (
-	outcomeAccepted = "accepted"
-	outcomeFound    = "found"
-	outcomeEmpty    = "empty"
-	outcomeRefused  = "refused"
-	outcomeUnknown  = "unknown"
-	outcomePending  = "pending"
-)
-
 // outcomeExits maps outcomes to exit codes.
 var outcomeExits = map[string]int{
-	outcomeAccepted: exitFine,
-	outcomeFound:    exitFine,
-	outcomeEmpty:    exitFine,
-	outcomeRefused:  exitRefused,
-	outcomeUnknown:  exitUnknown,
-	outcomePending:  exitUnknown,
+	proposal.OutcomeAccepted: exitFine,
+	proposal.OutcomeFound:    exitFine,
+	proposal.OutcomeEmpty:    exitFine,
+	proposal.OutcomeRefused:  exitRefused,
+	proposal.OutcomeUnknown:  exitUnknown,
+	proposal.OutcomePending:  exitUnknown,
 }
 
 // errorExits maps errors to exit codes; any other code of an error is exitRefused.
