--- a/cmd/wtctl/command.go
+++ b/cmd/wtctl/command.go
@@ -81,7 +81,7 @@
 		return exitRefused, err
 	}
 	if session.json {
-		return outcomeExits[reply.Outcome], session.output.printJSON(reply)
+		return exitOfOutcome(reply.Outcome), session.output.printJSON(reply)
 	}
 	output := session.output
 	output.printf("%s", reply.Outcome)
@@ -98,5 +98,5 @@
 	for _, problem := range reply.Problems {
 		output.printf("  %s: %s\n", problem.Path, problem.Detail)
 	}
-	return outcomeExits[reply.Outcome], nil
+	return exitOfOutcome(reply.Outcome), nil
 }
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -32,6 +32,15 @@
 	apierror.InvalidSettings: exitUsage,
 }
 
+// exitOfOutcome returns the exit code of a reply's outcome. One that is not known, as from a newer control plane, tells
+// nothing.
+func exitOfOutcome(outcome string) int {
+	if code, known := outcomeExits[outcome]; known {
+		return code
+	}
+	return exitUnknown
+}
+
 // exitOf returns the exit code of an error.
 func exitOf(err error) int {
 	if code, known := errorExits[apierror.Of(err).Code]; known {
--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -111,3 +111,15 @@
 		}
 	}
 }
+
+// An outcome that this version does not know, or none at all, is no success.
+func TestExitOfAnOutcomeThatIsNotKnown(t *testing.T) {
+	for _, reply := range []string{`{"outcome":"postponed"}`, `{}`} {
+		address := fakeCore(t, map[string]string{"POST /v1/zones/a/close": reply})
+		var output, errors bytes.Buffer
+		code := run([]string{"--core", address, "close", "a"}, strings.NewReader(""), &output, &errors)
+		if code != exitUnknown {
+			t.Errorf("%s: code %d", reply, code)
+		}
+	}
+}
