--- /dev/null
+++ b/cmd/wtctl/diff.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"wardtray/config"
+	"wardtray/control/proposal"
+)
+
+// difference is how a document differs from the present one.
+type difference struct {
+	Changes []string `json:"changes"`
+	// Epoch is the version of the present document.
+	Epoch    uint64           `json:"epoch"`
+	Problems []config.Problem `json:"flaws"`
+}
+
+// diff prints how the document in a file differs from the present one, and its problems. The exit code is exitRefused
+// if there is anything to print.
+func (session *session) diff(path string) (int, error) {
+	content, err := readFile(path, session.input)
+	if err != nil {
+		return exitUsage, err
+	}
+	wanted, err := config.Parse(content)
+	if err != nil {
+		return exitRefused, err
+	}
+	reply, err := session.readPresent()
+	if err != nil {
+		return exitRefused, err
+	}
+	if reply.Outcome == proposal.OutcomeRefused {
+		return session.printReply(reply, nil)
+	}
+	present := &config.Spec{}
+	if len(reply.Spec) > 0 {
+		if present, err = config.Parse(reply.Spec); err != nil {
+			return exitRefused, err
+		}
+	}
+	found := difference{Changes: config.Diff(present, wanted), Epoch: reply.Epoch, Problems: wanted.Check()}
+	code := exitFine
+	if len(found.Changes)+len(found.Problems) > 0 {
+		code = exitRefused
+	}
+	if session.json {
+		return code, session.output.printJSON(found)
+	}
+	found.print(session.output)
+	return code, nil
+}
+
+// print prints a line for each change and each problem.
+func (found difference) print(output *printer) {
+	output.printf("against epoch %d\n", found.Epoch)
+	for _, change := range found.Changes {
+		output.printf("%s\n", change)
+	}
+	for _, problem := range found.Problems {
+		output.printf("! %s: %s\n", problem.Path, problem.Detail)
+	}
+}
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -1,7 +1,8 @@
 // Command wtctl is the operators' command line for a whole fleet.
 //
-// Each group of commands has a file: the configuration document (document.go), zones, operations, the state of the
-// fleet (status.go and the tables in it), explanations of scheduling, and the import of other programs' configurations.
+// Each group of commands has a file: the configuration document (document.go, diff.go), zones, operations, the state of
+// the fleet (status.go, with a status_*.go for each of its tables), explanations of scheduling, and the import of other
+// programs' configurations. session.go joins them, exit.go has the exit codes, printer.go and table.go the output.
 package main
 
 import (
--- /dev/null
+++ b/cmd/wtctl/reply.go
@@ -0,0 +1,29 @@
+package main
+
+import "wardtray/control/node"
+
+// printReply prints a reply and returns the exit code of its outcome; an error is returned as it is.
+func (session *session) printReply(reply node.Reply, err error) (int, error) {
+	if err != nil {
+		return exitRefused, err
+	}
+	if session.json {
+		return exitOfOutcome(reply.Outcome), session.output.printJSON(reply)
+	}
+	output := session.output
+	output.printf("%s", reply.Outcome)
+	if reply.Epoch > 0 {
+		output.printf(", epoch %d", reply.Epoch)
+	}
+	if reply.Operation != "" {
+		output.printf(", operation %s", reply.Operation)
+	}
+	output.printf("\n")
+	if reply.Code != "" {
+		output.printf("%s: %s\nremedy: %s\n", reply.Code, reply.Detail, reply.Remedy)
+	}
+	for _, problem := range reply.Problems {
+		output.printf("  %s: %s\n", problem.Path, problem.Detail)
+	}
+	return exitOfOutcome(reply.Outcome), nil
+}
--- /dev/null
+++ b/cmd/wtctl/session.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"io"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"wardtray/control/operator"
+)
+
+// session is what every command works with; client and json are set once the flags are parsed.
+type session struct {
+	client *operator.Client
+	// json says that replies are printed as JSON.
+	json   bool
+	input  io.Reader
+	output *printer
+	errors *printer
+}
+
+// commands maps the full name of each command to the function that runs it. It returns the exit code; an error is
+// printed by the caller, and replaces the exit code by its own.
+type commands map[string]func() (exitCode int, err error)
+
+// register declares every command, in the order of the usage text.
+func (session *session) register(application *kingpin.Application) commands {
+	known := commands{}
+	session.registerDocument(known, application)
+	session.registerZones(known, application)
+	session.registerOperation(known, application)
+	session.registerStatus(known, application)
+	session.registerExplain(known, application)
+	session.registerImport(known, application)
+	return known
+}
--- a/cmd/wtctl/status.go
+++ b/cmd/wtctl/status.go
@@ -22,7 +22,7 @@
 var statusParts = []statusPart{
 	{"chain", showChain},
 	{"view", showView},
-	{"cohort", showPartialView},
+	{"cohort", showDaemons},
 	{"runners", showRunners},
 	{"tenants", showTenants},
 	{"counters", showCounters},
--- a/cmd/wtctl/status_data.go
+++ b/cmd/wtctl/status_runners.go
@@ -5,18 +5,8 @@
 	"slices"
 
 	"wardtray/control/operator"
-	"wardtray/coordination/quota"
 )
 
-// showPartialView prints the state of each daemon of the data plane.
-func showPartialView(table *table, fleet operator.FleetStatus) {
-	table.printf("DAEMON\tZONE\tEPOCH\tVIEW\tSERVING\tDRAINING\tIN FLIGHT\tNEIGHBOURS\tUPTIME\n")
-	for _, data := range fleet.Daemons {
-		table.printf("%s\t%s\t%d\t%d\t%v\t%v\t%d\t%d\t%s\n", data.Address, data.Zone, data.Epoch, data.View,
-			data.Serving, data.Draining, data.InFlight, len(data.PartialView), data.Uptime)
-	}
-}
-
 // runnerRow is what the daemons together know of a runner.
 type runnerRow struct {
 	address, zone, service, state string
@@ -64,32 +54,3 @@
 			row.state, row.inFlight, row.load, row.slots, row.usable, row.daemons, row.reason)
 	}
 }
-
-// showTenants prints the use of each tenant with a quota: over all daemons together, and at each that knows it.
-func showTenants(table *table, fleet operator.FleetStatus) {
-	totals := map[string]quota.Usage{}
-	for _, data := range fleet.Daemons {
-		for name, usage := range data.Tenants {
-			total := totals[name]
-			total.Used += usage.Used
-			total.Refused += usage.Refused
-			total.Balance += usage.Balance
-			total.Demand += usage.Demand
-			totals[name] = total
-		}
-	}
-	table.printf("TENANT\tDAEMON\tUSED\tREFUSED\tHELD\tASKED A SECOND\n")
-	for _, name := range slices.Sorted(maps.Keys(totals)) {
-		showUsage(table, name, "all", totals[name])
-		for _, data := range fleet.Daemons {
-			if usage, known := data.Tenants[name]; known {
-				showUsage(table, name, data.Address, usage)
-			}
-		}
-	}
-}
-
-func showUsage(table *table, tenant, daemon string, usage quota.Usage) {
-	table.printf("%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\n", tenant, daemon, usage.Used, usage.Refused, usage.Balance,
-		usage.Demand)
-}
