--- a/cmd/wtctl/diff.go
+++ b/cmd/wtctl/diff.go
@@ -2,6 +2,7 @@
 
 import (
 	"wardtray/config"
+	"wardtray/control/node"
 	"wardtray/control/proposal"
 )
 
@@ -15,7 +16,7 @@
 
 // diff prints how the document in a file differs from the present one, and its problems. The exit code is exitRefused
 // if there is anything to print.
-func (session *session) diff(path string) (int, error) {
+func (session *session) diff(path string) (exitCode, error) {
 	content, err := readFile(path, session.input)
 	if err != nil {
 		return exitUsage, err
@@ -31,22 +32,41 @@
 	if reply.Outcome == proposal.OutcomeRefused {
 		return session.printReply(reply, nil)
 	}
+	found, err := compare(reply, wanted)
+	if err != nil {
+		return exitRefused, err
+	}
+	return found.exitCode(), session.printDifference(found)
+}
+
+// compare returns how a document differs from the present one, which a reply holds; without one from an empty one.
+func compare(reply node.Reply, wanted *config.Spec) (difference, error) {
 	present := &config.Spec{}
 	if len(reply.Spec) > 0 {
-		if present, err = config.Parse(reply.Spec); err != nil {
-			return exitRefused, err
+		parsed, err := config.Parse(reply.Spec)
+		if err != nil {
+			return difference{}, err
 		}
+		present = parsed
 	}
-	found := difference{Changes: config.Diff(present, wanted), Epoch: reply.Epoch, Problems: wanted.Check()}
-	code := exitFine
+	return difference{Changes: config.Diff(present, wanted), Epoch: reply.Epoch, Problems: wanted.Check()}, nil
+}
+
+// exitCode returns exitRefused if there is a change or a problem.
+func (found difference) exitCode() exitCode {
 	if len(found.Changes)+len(found.Problems) > 0 {
-		code = exitRefused
+		return exitRefused
 	}
+	return exitFine
+}
+
+// printDifference prints a difference, as JSON if that is wanted.
+func (session *session) printDifference(found difference) error {
 	if session.json {
-		return code, session.output.printJSON(found)
+		return session.output.printJSON(found)
 	}
 	found.print(session.output)
-	return code, nil
+	return nil
 }
 
 // print prints a line for each change and each problem.
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -25,7 +25,7 @@
 	session.registerChange(known, change, "The change", (*operator.Client).Change)
 	diff := application.Command("diff", "Show how a spec differs from the present one.")
 	file := diff.Arg("file", "The spec; - for standard input.").Required().String()
-	known[diff.FullCommand()] = func() (int, error) { return session.diff(*file) }
+	known[diff.FullCommand()] = func() (exitCode, error) { return session.diff(*file) }
 }
 
 // sender sends a document, or a change of one, to the control plane.
@@ -39,14 +39,14 @@
 	operation := command.Flag("operation", "An id of your own, to ask by and to repeat safely.").String()
 	epochFlag := command.Flag("epoch", "The epoch that the spec is to have; the next one if left out.")
 	epoch := epochFlag.Uint64()
-	known[command.FullCommand()] = func() (int, error) {
+	known[command.FullCommand()] = func() (exitCode, error) {
 		change := operator.Change{Operation: operationID(*operation), Epoch: *epoch}
 		return session.change(send, *file, *base, change)
 	}
 }
 
 // get prints the present document, and its epoch to the errors.
-func (session *session) get() (int, error) {
+func (session *session) get() (exitCode, error) {
 	reply, err := session.readPresent()
 	if err != nil {
 		return exitRefused, err
@@ -87,7 +87,7 @@
 }
 
 // change reads a file and sends it, built on a base epoch, or on the present one if that is empty.
-func (session *session) change(send sender, path, base string, change operator.Change) (int, error) {
+func (session *session) change(send sender, path, base string, change operator.Change) (exitCode, error) {
 	content, err := readFile(path, session.input)
 	if err != nil {
 		return exitUsage, err
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -7,17 +7,19 @@
 	"wardtray/control/proposal"
 )
 
-// The exit codes; wtctl --help documents them.
+// exitCode is the exit code of the process. Scripts branch on it; wtctl --help documents the codes.
+type exitCode int
+
 const (
-	exitFine        = 0
-	exitRefused     = 1
-	exitUsage       = 2
-	exitUnknown     = 3
-	exitUnreachable = 4
+	exitFine        exitCode = 0
+	exitRefused     exitCode = 1
+	exitUsage       exitCode = 2
+	exitUnknown     exitCode = 3
+	exitUnreachable exitCode = 4
 )
 
 // outcomeExits maps outcomes to exit codes.
-var outcomeExits = map[string]int{
+var outcomeExits = map[string]exitCode{
 	proposal.OutcomeAccepted: exitFine,
 	proposal.OutcomeFound:    exitFine,
 	proposal.OutcomeEmpty:    exitFine,
@@ -27,14 +29,14 @@
 }
 
 // errorExits maps errors to exit codes; any other code of an error is exitRefused.
-var errorExits = map[apierror.Code]int{
+var errorExits = map[apierror.Code]exitCode{
 	apierror.Unreachable:     exitUnreachable,
 	apierror.InvalidSettings: exitUsage,
 }
 
 // exitOfOutcome returns the exit code of a reply's outcome. One that is not known, as from a newer control plane, tells
 // nothing.
-func exitOfOutcome(outcome string) int {
+func exitOfOutcome(outcome string) exitCode {
 	if code, known := outcomeExits[outcome]; known {
 		return code
 	}
@@ -42,7 +44,7 @@
 }
 
 // exitOf returns the exit code of an error.
-func exitOf(err error) int {
+func exitOf(err error) exitCode {
 	if code, known := errorExits[apierror.Of(err).Code]; known {
 		return code
 	}
@@ -51,7 +53,7 @@
 
 // exitOfUsage returns the exit code where only the usage was printed: kingpin ends alike when help is requested and
 // when no command is given.
-func exitOfUsage(arguments []string) int {
+func exitOfUsage(arguments []string) exitCode {
 	for _, argument := range arguments {
 		if strings.HasPrefix(argument, "--help") || argument == "-h" || argument == "help" {
 			return exitFine
--- a/cmd/wtctl/explain.go
+++ b/cmd/wtctl/explain.go
@@ -20,41 +20,54 @@
 	explainResponseTokens = "1"
 )
 
+// explainedRequest is the request that explain asks about, as the flags describe it.
+type explainedRequest struct {
+	route, model, adapter string
+	// key is a tenant's; empty where the route needs none.
+	key string
+	// promptTokens is the length of the prompt, and prefix its parts in order as name=tokens, separated by commas.
+	promptTokens, prefix string
+}
+
 // registerExplain declares the command that asks a daemon where it would send a request.
 func (session *session) registerExplain(known commands, application *kingpin.Application) {
 	command := application.Command("explain", "Tell where a request would go and why, without sending it.")
 	daemon := command.Arg("daemon", "HTTP address of a wtdata.").Required().String()
-	route := command.Flag("lane", "The lane.").Required().String()
-	model := command.Flag("model", "The model.").Required().String()
-	adapter := command.Flag("adapter", "The adapter.").String()
-	keyFlag := command.Flag("key", "A tenant's key, where the lane needs one.")
-	key := keyFlag.Envar("WTCTL_KEY").String()
-	tokens := command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").String()
-	prefix := command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").String()
-	known[command.FullCommand()] = func() (int, error) {
-		headers := map[string]string{
-			admission.HeaderRoute:   *route,
-			admission.HeaderModel:   *model,
-			admission.HeaderRequest: explainID,
-			admission.HeaderPrompt:  *tokens,
-			admission.HeaderAnswer:  explainResponseTokens,
-		}
-		if *key != "" {
-			headers[admission.HeaderAuthorization] = "Bearer " + *key
-		}
-		if *adapter != "" {
-			headers[admission.HeaderAdapter] = *adapter
-		}
-		if *prefix != "" {
-			headers[admission.HeaderPrefix] = *prefix
-		}
-		return session.explain(*daemon, headers)
+	request := explainedRequest{}
+	command.Flag("lane", "The lane.").Required().StringVar(&request.route)
+	command.Flag("model", "The model.").Required().StringVar(&request.model)
+	command.Flag("adapter", "The adapter.").StringVar(&request.adapter)
+	key := command.Flag("key", "A tenant's key, where the lane needs one.")
+	key.Envar("WTCTL_KEY").StringVar(&request.key)
+	command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").StringVar(&request.promptTokens)
+	command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").StringVar(&request.prefix)
+	known[command.FullCommand()] = func() (exitCode, error) { return session.explain(*daemon, request) }
+}
+
+// headers returns the headers of the request.
+func (request explainedRequest) headers() map[string]string {
+	headers := map[string]string{
+		admission.HeaderRoute:   request.route,
+		admission.HeaderModel:   request.model,
+		admission.HeaderRequest: explainID,
+		admission.HeaderPrompt:  request.promptTokens,
+		admission.HeaderAnswer:  explainResponseTokens,
+	}
+	if request.key != "" {
+		headers[admission.HeaderAuthorization] = "Bearer " + request.key
+	}
+	if request.adapter != "" {
+		headers[admission.HeaderAdapter] = request.adapter
+	}
+	if request.prefix != "" {
+		headers[admission.HeaderPrefix] = request.prefix
 	}
+	return headers
 }
 
-// explain prints how a daemon would schedule a request with some headers.
-func (session *session) explain(daemon string, headers map[string]string) (int, error) {
-	content, err := session.client.Explain(daemon, headers, []byte(explainBody))
+// explain prints how a daemon would schedule a request.
+func (session *session) explain(daemon string, request explainedRequest) (exitCode, error) {
+	content, err := session.client.Explain(daemon, request.headers(), []byte(explainBody))
 	if err != nil {
 		return exitRefused, err
 	}
--- a/cmd/wtctl/explain_test.go
+++ b/cmd/wtctl/explain_test.go
@@ -1,6 +1,10 @@
 package main
 
 import (
+	"io"
+	"maps"
+	"net/http"
+	"net/http/httptest"
 	"strings"
 	"testing"
 )
@@ -21,3 +25,42 @@
 		}
 	}
 }
+
+// Every flag becomes its header of the request that the daemon is asked about; what is not given is left out.
+func TestExplainSendsItsFlagsAsHeaders(t *testing.T) {
+	names := []string{"Wardtray-Lane", "Wardtray-Model", "Wardtray-Request", "Wardtray-Prompt-Tokens",
+		"Wardtray-Answer-Tokens", "Wardtray-Adapter", "Prompt-Prefix", "Authorization"}
+	var got map[string]string
+	daemon := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		got = map[string]string{"path": request.Method + " " + request.URL.Path}
+		for _, name := range names {
+			if value := request.Header.Get(name); value != "" {
+				got[name] = value
+			}
+		}
+		if _, err := io.WriteString(writer, `{"step":{"Kind":"refuse","Reason":"full"}}`); err != nil {
+			t.Error(err)
+		}
+	}))
+	t.Cleanup(daemon.Close)
+	least := map[string]string{"path": "POST /v1/explain", "Wardtray-Lane": "l", "Wardtray-Model": "m",
+		"Wardtray-Request": "explain", "Wardtray-Prompt-Tokens": "1000", "Wardtray-Answer-Tokens": "1"}
+	all := maps.Clone(least)
+	maps.Copy(all, map[string]string{"Wardtray-Prompt-Tokens": "9", "Wardtray-Adapter": "cy", "Prompt-Prefix": "a=4",
+		"Authorization": "Bearer k"})
+	for name, test := range map[string]struct {
+		flags []string
+		want  map[string]string
+	}{
+		"required ones": {nil, least},
+		"all":           {[]string{"--adapter", "cy", "--key", "k", "--prompt-tokens", "9", "--prefix", "a=4"}, all},
+	} {
+		arguments := append([]string{"explain", strings.TrimPrefix(daemon.URL, "http://"), "--lane", "l", "--model", "m"},
+			test.flags...)
+		var output, errors strings.Builder
+		code := run(arguments, strings.NewReader(""), &output, &errors)
+		if code != exitFine || !maps.Equal(got, test.want) || !strings.Contains(output.String(), "refuse (full)") {
+			t.Errorf("%s: code %d, request %v, output %q, errors %q", name, code, got, output.String(), errors.String())
+		}
+	}
+}
--- a/cmd/wtctl/import.go
+++ b/cmd/wtctl/import.go
@@ -13,7 +13,7 @@
 	command := application.Command("import",
 		"Read an nginx configuration's upstreams into a spec to be reviewed; notes go to standard error.")
 	file := command.Arg("file", "The configuration.").Required().String()
-	known[command.FullCommand()] = func() (int, error) {
+	known[command.FullCommand()] = func() (exitCode, error) {
 		spec, notes, err := nginx.Import(*file)
 		if err != nil {
 			return exitRefused, err
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -34,12 +34,12 @@
   wtctl explain 127.0.1.1:8200 --lane chat --model m --prompt-tokens 900 --prefix system=400`
 
 func main() {
-	os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
+	os.Exit(int(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)))
 }
 
 // run runs one command and returns the exit code. A failure to write the output is an error of the command; one to
 // write to the errors can't be reported anywhere, and shows in nothing but the exit code of what went wrong before.
-func run(arguments []string, input io.Reader, output, errors io.Writer) int {
+func run(arguments []string, input io.Reader, output, errors io.Writer) exitCode {
 	session := &session{
 		input:  input,
 		output: &printer{writer: output},
--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -35,7 +35,7 @@
 	for name, test := range map[string]struct {
 		arguments []string
 		input     string
-		code      int
+		code      exitCode
 		output    string
 	}{
 		"get":            {[]string{"get"}, "", exitFine, `"patience": "1s"`},
@@ -88,7 +88,7 @@
 func TestCommandsThatCannotReadThePresentSpec(t *testing.T) {
 	for outcome, want := range map[string]struct {
 		reply  string
-		code   int
+		code   exitCode
 		output string
 	}{
 		"refused": {`{"outcome":"refused","kind":"no_majority","detail":"no head","remedy":"wait"}`, exitRefused, "no_majority"},
--- a/cmd/wtctl/operation.go
+++ b/cmd/wtctl/operation.go
@@ -11,7 +11,7 @@
 func (session *session) registerOperation(known commands, application *kingpin.Application) {
 	command := application.Command("operation", "Tell what became of a change.")
 	id := command.Arg("id", "Its operation id.").Required().String()
-	known[command.FullCommand()] = func() (int, error) {
+	known[command.FullCommand()] = func() (exitCode, error) {
 		return session.printReply(session.client.Operation(*id))
 	}
 }
--- a/cmd/wtctl/reply.go
+++ b/cmd/wtctl/reply.go
@@ -3,7 +3,7 @@
 import "wardtray/control/node"
 
 // printReply prints a reply and returns the exit code of its outcome; an error is returned as it is.
-func (session *session) printReply(reply node.Reply, err error) (int, error) {
+func (session *session) printReply(reply node.Reply, err error) (exitCode, error) {
 	if err != nil {
 		return exitRefused, err
 	}
--- a/cmd/wtctl/session.go
+++ b/cmd/wtctl/session.go
@@ -19,8 +19,8 @@
 }
 
 // commands maps the full name of each command to the function that runs it. It returns the exit code; an error is
-// printed by the caller, and replaces the exit code by its own.
-type commands map[string]func() (exitCode int, err error)
+// printed by the caller, and its own code (exitOf) takes the place of the one returned.
+type commands map[string]func() (code exitCode, err error)
 
 // register declares every command, in the order of the usage text.
 func (session *session) register(application *kingpin.Application) commands {
--- a/cmd/wtctl/status.go
+++ b/cmd/wtctl/status.go
@@ -43,11 +43,11 @@
 	command := application.Command("status", "Show the fleet.")
 	argument := command.Arg("part", "all, chain, view, cohort, runners, tenants or counters.")
 	part := argument.Default(allParts).Enum(partNames()...)
-	known[command.FullCommand()] = func() (int, error) { return session.status(*part) }
+	known[command.FullCommand()] = func() (exitCode, error) { return session.status(*part) }
 }
 
 // status prints one part of the fleet's state, or all, and then the warnings.
-func (session *session) status(name string) (int, error) {
+func (session *session) status(name string) (exitCode, error) {
 	fleet, err := session.client.Status()
 	if err != nil {
 		return exitRefused, err
--- a/cmd/wtctl/zones.go
+++ b/cmd/wtctl/zones.go
@@ -11,7 +11,7 @@
 func (session *session) registerZone(known commands, command *kingpin.CmdClause, verb string) {
 	zone := command.Arg("zone", "The zone's name.").Required().String()
 	operation := command.Flag("operation", "An id of your own.").String()
-	known[command.FullCommand()] = func() (int, error) {
+	known[command.FullCommand()] = func() (exitCode, error) {
 		return session.printReply(session.client.Zone(verb, *zone, operationID(*operation)))
 	}
 }
