--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -23,7 +23,8 @@
 
 const present = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
-func TestExitCodes(t *testing.T) {
+// Each outcome of a command has its exit code, and its output or an error.
+func TestRunReturnsTheExitCodeOfTheOutcome(t *testing.T) {
 	address := fakeCore(t, map[string]string{
 		"GET /v1/spec":            `{"outcome":"found","epoch":4,"spec":` + present + `}`,
 		"PUT /v1/spec":            `{"outcome":"refused","epoch":4,"kind":"invalid_spec","detail":"1 faults","remedy":"mend it","flaws":[{"path":"lanes[0].purse","detail":"wants more"}]}`,
@@ -57,19 +58,25 @@
 		"help":           {[]string{"--help"}, "", exitFine, "Exit codes"},
 		"help of a part": {[]string{"apply", "--help"}, "", exitFine, "--base"},
 	} {
-		var output, errors bytes.Buffer
-		code := run(append([]string{"--core", address}, test.arguments...), strings.NewReader(test.input), &output, &errors)
-		if code != test.code || !strings.Contains(output.String(), test.output) {
-			t.Errorf("%s: code %d, output %s, errors %s", name, code, output.String(), errors.String())
-		}
-		if code != exitFine && test.output == "" && errors.Len() == 0 {
-			t.Errorf("%s: no error is printed", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			var output, errors bytes.Buffer
+			arguments := append([]string{"--core", address}, test.arguments...)
+			code := run(arguments, strings.NewReader(test.input), &output, &errors)
+			if code != test.code || !strings.Contains(output.String(), test.output) {
+				t.Errorf("code %d, output %s, errors %s", code, output.String(), errors.String())
+			}
+			if code != exitFine && test.output == "" && errors.Len() == 0 {
+				t.Error("no error is printed")
+			}
+		})
 	}
+}
+
+func TestRunWithoutAnyCore(t *testing.T) {
 	var output, errors bytes.Buffer
 	code := run([]string{"--core", "127.0.0.1:1", "get"}, strings.NewReader(""), &output, &errors)
 	if code != exitUnreachable || !strings.Contains(errors.String(), "remedy") {
-		t.Errorf("nobody there: %d %s", code, errors.String())
+		t.Errorf("code %d, errors %s", code, errors.String())
 	}
 }
 
