--- a/cmd/wtctl/diff.go
+++ b/cmd/wtctl/diff.go
@@ -3,7 +3,6 @@
 import (
 	"wardtray/config"
 	"wardtray/control/node"
-	"wardtray/control/proposal"
 )
 
 // difference is how a document differs from the present one.
@@ -25,18 +24,13 @@
 	if err != nil {
 		return exitRefused, err
 	}
-	reply, err := session.readPresent()
-	if err != nil {
-		return exitRefused, err
-	}
-	if reply.Outcome == proposal.OutcomeRefused {
-		return session.printReply(reply, nil)
-	}
-	found, err := compare(reply, wanted)
-	if err != nil {
-		return exitRefused, err
-	}
-	return found.exitCode(), session.printDifference(found)
+	return session.withPresent(func(reply node.Reply) (exitCode, error) {
+		found, err := compare(reply, wanted)
+		if err != nil {
+			return exitRefused, err
+		}
+		return found.exitCode(), session.printDifference(found)
+	})
 }
 
 // compare returns how a document differs from the present one, which a reply holds; without one from an empty one.
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -47,32 +47,33 @@
 
 // get prints the present document, and its epoch to the errors.
 func (session *session) get() (exitCode, error) {
-	reply, err := session.readPresent()
-	if err != nil {
-		return exitRefused, err
-	}
-	if session.json || reply.Outcome == proposal.OutcomeRefused {
-		return session.printReply(reply, nil)
-	}
-	if reply.Outcome == proposal.OutcomeEmpty {
-		session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
-		return exitFine, nil
-	}
-	session.errors.printf("epoch %d\n", reply.Epoch)
-	return exitFine, session.output.printJSON(reply.Spec)
+	return session.withPresent(func(reply node.Reply) (exitCode, error) {
+		if session.json {
+			return session.printReply(reply, nil)
+		}
+		if reply.Outcome == proposal.OutcomeEmpty {
+			session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
+			return exitFine, nil
+		}
+		session.errors.printf("epoch %d\n", reply.Epoch)
+		return exitFine, session.output.printJSON(reply.Spec)
+	})
 }
 
-// readPresent reads the present spec. The reply says that there is one, that there is none yet, or that the read was
-// refused. A read that nobody answered in time is an error of code Unreachable.
-func (session *session) readPresent() (node.Reply, error) {
+// withPresent reads the present spec and hands the reply on, which says that there is one or that there is none yet. A
+// refusal is printed instead. A read that nobody answered in time is an error of code Unreachable.
+func (session *session) withPresent(use func(reply node.Reply) (exitCode, error)) (exitCode, error) {
 	reply, err := session.client.Get()
 	if err != nil {
-		return node.Reply{}, err
+		return exitRefused, err
 	}
-	if reply.Outcome == proposal.OutcomeUnknown {
-		return node.Reply{}, apierror.New(apierror.Unreachable, "reading the present spec: %s", reply.Detail)
+	switch reply.Outcome {
+	case proposal.OutcomeUnknown:
+		return exitUnreachable, apierror.New(apierror.Unreachable, "reading the present spec: %s", reply.Detail)
+	case proposal.OutcomeRefused:
+		return session.printReply(reply, nil)
 	}
-	return reply, nil
+	return use(reply)
 }
 
 // readFile reads a file, or the input for a dash. Failures are InvalidSettings errors.
@@ -93,15 +94,12 @@
 		return exitUsage, err
 	}
 	if base == "" {
-		reply, err := session.readPresent()
-		if err != nil {
-			return exitRefused, err
-		}
-		if reply.Outcome == proposal.OutcomeRefused {
-			return session.printReply(reply, nil)
-		}
-		change.Base = reply.Epoch
-	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
+		return session.withPresent(func(reply node.Reply) (exitCode, error) {
+			change.Base = reply.Epoch
+			return session.printReply(send(session.client, content, change))
+		})
+	}
+	if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
 		return exitUsage, apierror.New(apierror.InvalidSettings, "--base %q is no whole number", base)
 	}
 	return session.printReply(send(session.client, content, change))
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -254,6 +254,19 @@
 	}
 }
 
+// refusedPart returns what part of the demand was refused, over the fleets that play returns for some seeds.
+func refusedPart(t *testing.T, seeds int64, play func(seed int64) *testFleet) float64 {
+	t.Helper()
+	var served, refused float64
+	for seed := range seeds {
+		servedThere, refusedThere := play(seed).totals()
+		served, refused = served+servedThere, refused+refusedThere
+	}
+	part := refused / (served + refused)
+	t.Logf("refused %.4f", part)
+	return part
+}
+
 // Below its limit a tenant is served, large or small, on few daemons or on many.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
 	for _, test := range []struct {
@@ -269,17 +282,13 @@
 		{"requests counted", 40, 50, 1, 0.7, 0.01},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var served, refused float64
-			for seed := range int64(4) {
+			part := refusedPart(t, 4, func(seed int64) *testFleet {
 				fleet := newFleet(seed, test.daemons, test.rate, test.rate*test.use, test.meanCost)
 				fleet.run(8*time.Second, nil)
 				fleet.forget()
 				fleet.run(20*time.Second, nil)
-				some, none := fleet.totals()
-				served, refused = served+some, refused+none
-			}
-			part := refused / (served + refused)
-			t.Logf("refused %.4f", part)
+				return fleet
+			})
 			if part > test.most {
 				t.Errorf("refused %.4f of what was asked below the limit, more than %.4f", part, test.most)
 			}
@@ -343,8 +352,7 @@
 
 // While the allocator is replaced, daemons go on with what they were allocated.
 func TestTakeoverKeepsServing(t *testing.T) {
-	var served, refused float64
-	for seed := range int64(6) {
+	part := refusedPart(t, 6, func(seed int64) *testFleet {
 		fleet := newFleet(seed, 90, 730_000, 730_000*0.7, 5_300)
 		fleet.run(8*time.Second, nil)
 		fleet.forget()
@@ -352,11 +360,8 @@
 		fleet.run(2500*time.Millisecond, nil)
 		fleet.lead()
 		fleet.run(2*time.Second, nil)
-		some, none := fleet.totals()
-		served, refused = served+some, refused+none
-	}
-	part := refused / (served + refused)
-	t.Logf("refused %.4f", part)
+		return fleet
+	})
 	if part > 0.2 {
 		t.Errorf("refused %.4f around a takeover", part)
 	}
