--- a/tools/layers/layers_test.go
+++ b/tools/layers/layers_test.go
@@ -1,6 +1,8 @@
-// Package layers_test checks that the rooms of the repository, its top-level folders, form layers: what one imports
-// stands below it. docs/style.md describes the rooms. Run it with -count=1, as ./check does: the cache of tests does
-// not know which files go list reads.
+// Package layers_test checks that imports go downwards: each top-level folder of the repository is a layer, and its
+// packages import those of their own layer and of the layers below it. docs/architecture.md says what each folder
+// contains.
+//
+// Run it with -count=1, as ./check does: the cache of tests does not know which files go list reads.
 package layers_test
 
 import (
@@ -17,8 +19,8 @@
 // module is the path of the module.
 const module = "wardtray"
 
-// rooms lists the rooms from top to bottom. A package may import packages of its own room and of those below.
-var rooms = []string{
+// layers lists the top-level folders from top to bottom.
+var layers = []string{
 	"cmd",
 	"tools",
 	"deploy",
@@ -42,39 +44,56 @@
 }
 
 // goPackage is what the check needs of a package, as go list prints it. Imports are those of the package itself: tests
-// may import any room, since many use the libraries of verify.
+// may import any layer, since many use the libraries of verify.
 type goPackage struct {
 	ImportPath string
 	Imports    []string
 }
 
-// roomOf returns the room of a package of the module. It is empty for the root and for other modules' packages.
-func roomOf(importPath string) string {
+// unknownLayerError is a package that is in no known layer.
+type unknownLayerError struct {
+	importPath string
+}
+
+// Error names the package.
+func (err unknownLayerError) Error() string { return err.importPath + " is in no layer" }
+
+// upwardImportError is an import of a layer above the importer's.
+type upwardImportError struct {
+	importer, imported string
+}
+
+// Error names both packages.
+func (err upwardImportError) Error() string {
+	return fmt.Sprintf("%s imports %s, which is in a layer above", err.importer, err.imported)
+}
+
+// layerOf returns the position of a package's layer, 0 for the top. A package in no known layer, as the root's and
+// those of other modules, has none.
+func layerOf(importPath string) (layer int, found bool) {
 	path, inModule := strings.CutPrefix(importPath, module+"/")
 	if !inModule {
-		return ""
+		return 0, false
 	}
-	room, _, _ := strings.Cut(path, "/")
-	return room
+	folder, _, _ := strings.Cut(path, "/")
+	layer = slices.Index(layers, folder)
+	return layer, layer >= 0
 }
 
-// violations returns the packages that stand in no room, and the imports that run up, a line each.
-func violations(packages []goPackage) []string {
-	var found []string
-	for _, importer := range packages {
-		layer := slices.Index(rooms, roomOf(importer.ImportPath))
-		if layer < 0 {
-			found = append(found, importer.ImportPath+" stands in no room")
-			continue
-		}
-		for _, imported := range importer.Imports {
-			// An imported package in no room is a violation by itself.
-			if importedLayer := slices.Index(rooms, roomOf(imported)); importedLayer >= 0 && importedLayer < layer {
-				found = append(found, fmt.Sprintf("%s imports %s, which stands above it", importer.ImportPath, imported))
-			}
+// check returns an unknownLayerError or upwardImportErrors of a package.
+func (listed goPackage) check() []error {
+	layer, found := layerOf(listed.ImportPath)
+	if !found {
+		return []error{unknownLayerError{listed.ImportPath}}
+	}
+	var violations []error
+	for _, imported := range listed.Imports {
+		// An imported package in no layer is a violation by itself.
+		if importedLayer, found := layerOf(imported); found && importedLayer < layer {
+			violations = append(violations, upwardImportError{listed.ImportPath, imported})
 		}
 	}
-	return found
+	return violations
 }
 
 // listPackages returns all packages of the module.
@@ -102,33 +121,43 @@
 	}
 }
 
-func TestNoImportRunsUp(t *testing.T) {
+func TestImportsGoDownwards(t *testing.T) {
 	packages := listPackages(t)
-	if len(packages) < len(rooms) {
-		t.Fatalf("go list knows %d packages, less than there are rooms", len(packages))
+	if len(packages) < len(layers) {
+		t.Fatalf("go list knows %d packages, less than there are layers", len(packages))
 	}
-	for _, violation := range violations(packages) {
-		t.Error(violation)
+	for _, listed := range packages {
+		for _, violation := range listed.check() {
+			t.Error(violation)
+		}
 	}
 }
 
-func TestViolations(t *testing.T) {
+func TestCheckOfAPackage(t *testing.T) {
 	for name, test := range map[string]struct {
 		listed goPackage
-		want   string
+		want   []error
 	}{
-		"down":           {goPackage{module + "/proxy/codec", []string{"fmt", module + "/config"}}, ""},
-		"same room":      {goPackage{module + "/proxy", []string{module + "/proxy/codec"}}, ""},
-		"another module": {goPackage{module + "/wire", []string{module + "tools/cmd"}}, ""},
-		"up":             {goPackage{module + "/config", []string{module + "/control/node"}}, "stands above it"},
-		"up from a leaf": {goPackage{module + "/apierror", []string{module + "/wire"}}, "stands above it"},
-		"of no room":     {goPackage{module + "/proxy", []string{module + "/process"}}, ""},
-		"in no room":     {goPackage{module + "/process/fault", nil}, "stands in no room"},
-		"in the root":    {goPackage{module, nil}, "stands in no room"},
+		"down":           {goPackage{module + "/proxy/codec", []string{"fmt", module + "/config"}}, nil},
+		"same layer":     {goPackage{module + "/proxy", []string{module + "/proxy/codec"}}, nil},
+		"another module": {goPackage{module + "/wire", []string{module + "tools/cmd"}}, nil},
+		"up": {
+			goPackage{module + "/config", []string{module + "/wire", module + "/control/node"}},
+			[]error{upwardImportError{module + "/config", module + "/control/node"}},
+		},
+		"up from a leaf": {
+			goPackage{module + "/apierror", []string{module + "/wire"}},
+			[]error{upwardImportError{module + "/apierror", module + "/wire"}},
+		},
+		"of no layer": {goPackage{module + "/proxy", []string{module + "/process"}}, nil},
+		"in no layer": {
+			goPackage{module + "/process/fault", nil},
+			[]error{unknownLayerError{module + "/process/fault"}},
+		},
+		"in the root": {goPackage{module, nil}, []error{unknownLayerError{module}}},
 	} {
-		found := strings.Join(violations([]goPackage{test.listed}), "\n")
-		if (found == "") != (test.want == "") || !strings.Contains(found, test.want) {
-			t.Errorf("%s: %q", name, found)
+		if violations := test.listed.check(); !slices.Equal(violations, test.want) {
+			t.Errorf("%s: %v, want %v", name, violations, test.want)
 		}
 	}
 }
