--- a/tools/knownred/declared.go
+++ b/tools/knownred/declared.go
@@ -7,8 +7,20 @@
 	"strings"
 )
 
+// declarationError is a test that is not declared in just one package.
+type declarationError struct {
+	// function is the name of the test function, and packages the number of packages that declare it.
+	function string
+	packages int
+}
+
+// Error names the test and how many packages declare it.
+func (err declarationError) Error() string {
+	return fmt.Sprintf("%s is declared in %d packages, want 1", err.function, err.packages)
+}
+
 // checkDeclared checks that each test is declared in just one package of a tree: go test -skip looks at names only and
-// would skip a namesake too.
+// would skip a namesake too. The error of one that is not is a declarationError.
 func checkDeclared(tree fs.FS, tests []knownRed) error {
 	if len(tests) == 0 {
 		return nil
@@ -19,7 +31,7 @@
 	}
 	for _, test := range tests {
 		if count := len(declarations[test.function()]); count != 1 {
-			return fmt.Errorf("%s is declared in %d packages, want 1", test.function(), count)
+			return declarationError{function: test.function(), packages: count}
 		}
 	}
 	return nil
--- a/tools/knownred/knownred_test.go
+++ b/tools/knownred/knownred_test.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"errors"
+	"io/fs"
 	"strings"
 	"testing"
 	"testing/fstest"
@@ -30,22 +32,25 @@
 }
 
 func TestParseListRejectsInvalidLines(t *testing.T) {
-	for name, content := range map[string]string{
-		"four lines":        strings.Repeat("^TestA$ | cause | 1\n", maximumListed+1),
-		"no cause":          "^TestA$ | | 1",
-		"no issue":          "^TestA$ | cause |",
-		"one field":         "^TestA$",
-		"two fields":        "^TestA$ | cause",
-		"every test":        ". | cause | 1",
-		"a beginning":       "^TestA | cause | 1",
-		"any subtest":       "^TestA$/ | cause | 1",
-		"part of a subtest": "^TestA$/part | cause | 1",
-		"a pattern":         "^TestA$/^.*$ | cause | 1",
-		"any subtest of a":  "^TestA$/^.+$ | cause | 1",
-		"two tests":         "^TestA$|^TestB$ | cause | 1",
+	for name, test := range map[string]struct {
+		content string
+		want    error
+	}{
+		"four lines":        {strings.Repeat("^TestA$ | cause | 1\n", maximumListed+1), errTooMany},
+		"no cause":          {"^TestA$ | | 1", errFields},
+		"no issue":          {"^TestA$ | cause |", errFields},
+		"one field":         {"^TestA$", errFields},
+		"two fields":        {"^TestA$ | cause", errFields},
+		"every test":        {". | cause | 1", errNotOneTest},
+		"a beginning":       {"^TestA | cause | 1", errNotOneTest},
+		"any subtest":       {"^TestA$/ | cause | 1", errNotOneTest},
+		"part of a subtest": {"^TestA$/part | cause | 1", errNotOneTest},
+		"a pattern":         {"^TestA$/^.*$ | cause | 1", errNotOneTest},
+		"any subtest of a":  {"^TestA$/^.+$ | cause | 1", errNotOneTest},
+		"two tests":         {"^TestA$|^TestB$ | cause | 1", errNotOneTest},
 	} {
-		if tests, err := parseList(content); err == nil {
-			t.Errorf("%s: parsed as %+v", name, tests)
+		if tests, err := parseList(test.content); !errors.Is(err, test.want) {
+			t.Errorf("%s: parsed as %+v, %v, want the error %v", name, tests, err, test.want)
 		}
 	}
 }
@@ -57,12 +62,14 @@
 		"b/c/b_test.go":  {Data: []byte("package c\n\n" + declaration)},
 		"b/c/program.go": {Data: []byte("package c\n\nfunc TestNot() {}\n")},
 	}
-	for function, declared := range map[string]bool{
-		"TestOnce": true, "TestTwice": false, "TestNot": false, "TestMissing": false,
+	for function, want := range map[string]error{
+		"TestOnce":    nil,
+		"TestTwice":   declarationError{"TestTwice", 2},
+		"TestNot":     declarationError{"TestNot", 0},
+		"TestMissing": declarationError{"TestMissing", 0},
 	} {
-		err := checkDeclared(tree, []knownRed{{pattern: "^" + function + "$"}})
-		if (err == nil) != declared {
-			t.Errorf("%s: %v", function, err)
+		if err := checkDeclared(tree, []knownRed{{pattern: "^" + function + "$"}}); !errors.Is(err, want) {
+			t.Errorf("%s: %v, want %v", function, err, want)
 		}
 	}
 	if err := checkDeclared(tree, nil); err != nil {
@@ -79,3 +86,41 @@
 		t.Errorf("one test: %q", text)
 	}
 }
+
+// The pattern goes to one writer, for go test -skip, and the report to the other.
+func TestRunPrintsThePatternAndTheReport(t *testing.T) {
+	tree := fstest.MapFS{
+		listFile:      {Data: []byte("^TestA$/^x$ | slow disk | 17\n")},
+		"a/a_test.go": {Data: []byte("package a\n\nfunc TestA(t *testing.T) {}\n")},
+	}
+	var output, report strings.Builder
+	if err := run(tree, &output, &report); err != nil {
+		t.Fatal(err)
+	}
+	if output.String() != "^TestA$/^x$\n" {
+		t.Errorf("output %q", output.String())
+	}
+	if report.String() != "known red, passed over: ^TestA$/^x$ (slow disk; issue 17)\n" {
+		t.Errorf("report %q", report.String())
+	}
+}
+
+// A list that is missing, malformed or stale prints nothing.
+func TestRunRejectsTheList(t *testing.T) {
+	for name, test := range map[string]struct {
+		tree fstest.MapFS
+		want error
+	}{
+		"missing":   {fstest.MapFS{}, fs.ErrNotExist},
+		"malformed": {fstest.MapFS{listFile: {Data: []byte("^TestA$")}}, errFields},
+		"stale":     {fstest.MapFS{listFile: {Data: []byte("^TestA$ | cause | 1")}}, declarationError{"TestA", 0}},
+	} {
+		var output, report strings.Builder
+		if err := run(test.tree, &output, &report); !errors.Is(err, test.want) {
+			t.Errorf("%s: %v, want %v", name, err, test.want)
+		}
+		if output.Len()+report.Len() > 0 {
+			t.Errorf("%s: printed %q and %q", name, output.String(), report.String())
+		}
+	}
+}
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -13,8 +13,15 @@
 // separator stands between the fields of a line.
 const separator = " | "
 
-// errFields is the error of a line that lacks a field.
-var errFields = errors.New("want test | cause | issue")
+// The errors of a list.
+var (
+	// errFields: a line lacks a field.
+	errFields = errors.New("want test | cause | issue")
+	// errTooMany: more tests are listed than may be.
+	errTooMany = fmt.Errorf("more than %d tests are listed", maximumListed)
+	// errNotOneTest: a pattern matches any number of tests.
+	errNotOneTest = errors.New("does not mean one test; write ^TestName$ or ^TestName$/^subtest$")
+)
 
 // knownRed is a test that is known to fail: one line of the list.
 type knownRed struct {
@@ -47,7 +54,7 @@
 		tests = append(tests, test)
 	}
 	if len(tests) > maximumListed {
-		return nil, fmt.Errorf("%d tests are listed, %d at most may be", len(tests), maximumListed)
+		return nil, errTooMany
 	}
 	return tests, nil
 }
@@ -69,7 +76,7 @@
 		return knownRed{}, errFields
 	}
 	if !singleTest.MatchString(test.pattern) {
-		return knownRed{}, fmt.Errorf("%q does not mean one test; write ^TestName$ or ^TestName$/^subtest$", test.pattern)
+		return knownRed{}, fmt.Errorf("%q %w", test.pattern, errNotOneTest)
 	}
 	return test, nil
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"io"
+	"io/fs"
 	"os"
 	"strings"
 )
@@ -14,15 +15,15 @@
 const listFile = "KNOWN-RED.txt"
 
 func main() {
-	if err := run(os.Stdout, os.Stderr); err != nil {
+	if err := run(os.DirFS("."), os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
 }
 
-// run checks the list and prints the pattern and the report.
-func run(output, report io.Writer) error {
-	tests, err := readList(listFile)
+// run checks the list of a tree and prints the pattern and the report.
+func run(tree fs.FS, output, report io.Writer) error {
+	tests, err := readList(tree)
 	if err != nil {
 		return fmt.Errorf("%s: %w", listFile, err)
 	}
@@ -33,9 +34,9 @@
 	return err
 }
 
-// readList reads the list and checks that its tests are declared.
-func readList(path string) ([]knownRed, error) {
-	content, err := os.ReadFile(path)
+// readList reads the list of a tree and checks that its tests are declared there.
+func readList(tree fs.FS) ([]knownRed, error) {
+	content, err := fs.ReadFile(tree, listFile)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return tests, checkDeclared(os.DirFS("."), tests)
+	return tests, checkDeclared(tree, tests)
 }
 
 // describe returns a line for each test that is skipped.
