--- a/tools/doccheck/checker_test.go
+++ b/tools/doccheck/checker_test.go
@@ -24,47 +24,77 @@
 	".log", ".lock", ".html", ".csv", ".jsonl", ".gz", ".service", ".map", ".key",
 }
 
+// problem is something that a page names and the module does not have, or that can't be read.
+type problem struct {
+	// path and line are where it is, the path from the root and the line from 1.
+	path string
+	line int
+	text string
+}
+
+// String returns the problem in the form of a compiler's error.
+func (problem problem) String() string {
+	return fmt.Sprintf("%s:%d: %s", problem.path, problem.line, problem.text)
+}
+
 // checker checks pages against the files and the declarations of a module.
 type checker struct {
 	root     string
 	declared *declarations
 }
 
-// check returns what a page names and the module does not have, a line each: file, line, and the reference.
-func (c checker) check(checked page) []string {
-	var problems []string
-	inCodeBlock := false
-	for index, line := range strings.Split(checked.text, "\n") {
-		if strings.HasPrefix(strings.TrimSpace(line), "```") {
-			inCodeBlock = !inCodeBlock
-			continue
-		}
-		if inCodeBlock {
-			continue
+// check returns the problems of a page, in the order of its lines.
+func (c checker) check(checked page) []problem {
+	var problems []problem
+	table := &tableChecker{}
+	for _, line := range checked.prose() {
+		texts := c.checkLinks(checked, line.text)
+		for _, span := range codeSpanPattern.FindAllStringSubmatch(line.text, -1) {
+			texts = append(texts, c.checkSpan(span[1])...)
 		}
-		for _, problem := range c.checkLine(filepath.Dir(checked.path), line) {
-			problems = append(problems, fmt.Sprintf("%s:%d: %s", checked.path, index+1, problem))
+		texts = append(texts, table.check(line)...)
+		for _, text := range texts {
+			problems = append(problems, problem{path: checked.path, line: line.number, text: text})
 		}
 	}
 	return problems
 }
 
-// checkLine checks the links and code spans of a line of a page in the given folder.
-func (c checker) checkLine(folder, line string) []string {
+// checkLinks checks the links of a line: the file that each leads to, and the heading in it.
+func (c checker) checkLinks(checked page, line string) []string {
 	var problems []string
 	for _, link := range linkPattern.FindAllStringSubmatch(line, -1) {
-		target, _, _ := strings.Cut(link[1], "#")
-		isExternal := strings.Contains(target, "://") || strings.HasPrefix(target, "mailto:")
-		if target != "" && !isExternal && !c.exists(filepath.Join(folder, target)) {
+		target, anchor, _ := strings.Cut(link[1], "#")
+		if strings.Contains(target, "://") || strings.HasPrefix(target, "mailto:") {
+			continue
+		}
+		path := checked.path
+		if target != "" {
+			path = filepath.Join(filepath.Dir(checked.path), target)
+		}
+		if target != "" && !c.exists(path) {
 			problems = append(problems, fmt.Sprintf("link %s leads to no file", target))
+			continue
+		}
+		if anchor != "" && !c.hasAnchor(checked, path, anchor) {
+			problems = append(problems, fmt.Sprintf("link %s leads to no heading", link[1]))
 		}
-	}
-	for _, span := range codeSpanPattern.FindAllStringSubmatch(line, -1) {
-		problems = append(problems, c.checkSpan(span[1])...)
 	}
 	return problems
 }
 
+// hasAnchor reports whether a heading of the page at a path has an anchor. The checked page itself needs no file.
+func (c checker) hasAnchor(checked page, path, anchor string) bool {
+	if path != checked.path {
+		text, err := os.ReadFile(filepath.Join(c.root, path))
+		if err != nil {
+			return false
+		}
+		checked = page{path: path, text: string(text)}
+	}
+	return checked.anchors()[anchor]
+}
+
 // checkSpan checks the text of one code span: the tests that it names, or the identifier or path that it is.
 func (c checker) checkSpan(span string) []string {
 	var problems []string
--- a/tools/doccheck/doccheck_test.go
+++ b/tools/doccheck/doccheck_test.go
@@ -1,23 +1,18 @@
 // Package doccheck_test checks the pages of the documentation against the repository: every relative link leads to a
-// file, and every name in backticks that looks like a Go identifier, a test or a path of this module exists.
+// file and to a heading in it, every name in backticks that looks like a Go identifier, a test or a path of this module
+// exists, and the rows of each table have as many cells as its head.
 package doccheck_test
 
 import (
 	"os"
 	"path/filepath"
-	"strings"
+	"slices"
 	"testing"
 )
 
 // repositoryRoot is the root of the module, seen from the folder in which the tests run.
 const repositoryRoot = "../.."
 
-// page is a Markdown file of the documentation.
-type page struct {
-	path string // path from the root of the module
-	text string
-}
-
 // readPages returns the README and every page below docs/.
 func readPages(t *testing.T, root string) []page {
 	t.Helper()
@@ -59,7 +54,7 @@
 func TestCheck(t *testing.T) {
 	root := t.TempDir()
 	writeFile(t, root, "go.mod", "module example\n")
-	writeFile(t, root, "docs/other.md", "# Other\n")
+	writeFile(t, root, "docs/other.md", "# Other [1 of 2] a/b\n\n## Part\n")
 	writeFile(t, root, "lease/lease.go", "package lease\n\n"+
 		"import \"net/http\"\n\nvar server http.Server\n\nconst Term = 1\n\n"+
 		"type Base struct{ Granted int }\n\ntype Lessee struct{ Base }\n\n"+
@@ -71,8 +66,31 @@
 		name, text string
 		problems   []string
 	}{
-		{"link", "[a](other.md) [b](other.md#part) [c](https://example.org/x) [d](#here)", nil},
+		{"link", "[a](other.md) [b](other.md#part) [c](https://example.org/x#y) [d](#here)\n\n## Here", nil},
 		{"missing link", "first\n\n[a](gone.md)", []string{"docs/page.md:3: link gone.md leads to no file"}},
+		{"heading", "[a](other.md#other-1-of-2-ab) [b](#one-and-two)\n\n## One *and* `two`", nil},
+		{
+			"missing heading",
+			"[a](other.md#gone) [b](#gone)\n\n```\n# gone\n```",
+			[]string{
+				"docs/page.md:1: link other.md#gone leads to no heading",
+				"docs/page.md:1: link #gone leads to no heading",
+			},
+		},
+		{"table", "| a | b |\n| --- | --- |\n| 1 \\| 2 | `3 \\| 4` |\n\n| c |\n| --- |\n| 5 |", nil},
+		{
+			"rows of other lengths",
+			"| a | b |\n| --- | --- |\n| 1 |\n| 1 | 2 |\n| 1 | 2 | 3 |",
+			[]string{
+				"docs/page.md:3: 1 cells in a table of 2 columns",
+				"docs/page.md:5: 3 cells in a table of 2 columns",
+			},
+		},
+		{
+			"table without a line below its head",
+			"| a | b |\n| 1 | 2 |",
+			[]string{"docs/page.md:2: no line of --- below the head of a table"},
+		},
 		{"constant", "`lease.Term`", nil},
 		{"method, call and pointer", "`lease.Lessee.Renew`, `lease.Lessee.Renew()`", nil},
 		{"embedded field and alias", "`lease.Lessee.Granted`, `lease.Alias.Renew`, `lease.Grantor.Grant`", nil},
@@ -110,8 +128,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			problems := checker.check(page{path: "docs/page.md", text: test.text})
-			if strings.Join(problems, "\n") != strings.Join(test.problems, "\n") {
+			var problems []string
+			for _, found := range checker.check(page{path: "docs/page.md", text: test.text}) {
+				problems = append(problems, found.String())
+			}
+			if !slices.Equal(problems, test.problems) {
 				t.Errorf("problems are %q, want %q", problems, test.problems)
 			}
 		})
