--- a/tools/ablation/main.go
+++ b/tools/ablation/main.go
@@ -7,6 +7,7 @@
 	"context"
 	"fmt"
 	"io"
+	"log"
 	"os"
 
 	"github.com/alecthomas/kingpin/v2"
@@ -33,7 +34,7 @@
 
 func main() {
 	chosen := parseOptions(os.Args[1:])
-	if err := run(context.Background(), chosen, os.Stdout); err != nil {
+	if err := run(context.Background(), chosen, os.Stdout, log.New(os.Stderr, "", 0)); err != nil {
 		fmt.Fprintln(os.Stderr, "ablation:", err)
 		os.Exit(1)
 	}
@@ -62,10 +63,10 @@
 	return chosen
 }
 
-// run runs the trials that have no report and prints the table.
-func run(ctx context.Context, chosen options, output io.Writer) error {
+// run runs the trials that have no report, logs those that fail, and prints the table.
+func run(ctx context.Context, chosen options, output io.Writer, failures *log.Logger) error {
 	if !chosen.tableOnly {
-		if err := runTrials(ctx, chosen); err != nil {
+		if err := runTrials(ctx, chosen, failures); err != nil {
 			return err
 		}
 	}
--- a/tools/ablation/sources.go
+++ b/tools/ablation/sources.go
@@ -21,6 +21,9 @@
 // dataPlaneCommand begins the line of the deploy file that starts the data plane.
 const dataPlaneCommand = `run = "target/wtdata `
 
+// errNoDataPlane is the error of a deploy file that starts no data plane.
+var errNoDataPlane = fmt.Errorf("%s has no line that begins with %s", deployFile, dataPlaneCommand)
+
 // copySources copies all files that git would track to the folder $0, without the journal.
 const copySources = `git ls-files -co --exclude-standard -- . ':!journal' | tar cf - -T - | tar xf - -C "$0"`
 
@@ -59,7 +62,7 @@
 // switchOff returns the content of a deploy file with a feature of the data plane switched off.
 func switchOff(content, feature string) (string, error) {
 	if !strings.Contains(content, dataPlaneCommand) {
-		return "", fmt.Errorf("%s has no line that begins with %s", deployFile, dataPlaneCommand)
+		return "", errNoDataPlane
 	}
 	return strings.Replace(content, dataPlaneCommand, dataPlaneCommand+"--without "+feature+" ", 1), nil
 }
--- a/tools/ablation/ablation_test.go
+++ b/tools/ablation/table_test.go
@@ -4,31 +4,10 @@
 	"encoding/json"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"testing"
 )
 
-func TestSwitchOff(t *testing.T) {
-	content, err := os.ReadFile(filepath.Join("..", "..", deployFile))
-	if err != nil {
-		t.Fatal(err)
-	}
-	changed, err := switchOff(string(content), "homes")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !strings.Contains(changed, "target/wtdata --without homes --adapter") {
-		t.Errorf("nothing is switched off in %s", changed)
-	}
-	if strings.Contains(changed, "wtcore --without") {
-		t.Errorf("the control plane is changed too in %s", changed)
-	}
-	if _, err := switchOff("[roles]", "homes"); err == nil {
-		t.Fatal("a deploy file without a data plane is accepted")
-	}
-}
-
 // writeReport writes the report of a trial.
 func writeReport(t *testing.T, chosen options, next trial, value float64, breaks map[string]any) {
 	t.Helper()
@@ -75,12 +54,3 @@
 		t.Errorf("prices add up to %v", price)
 	}
 }
-
-func TestTrialsBeginWithTheBaseline(t *testing.T) {
-	chosen := options{sites: []string{"a.toml"}, days: []string{"d"}, seeds: []int64{1, 2}, features: []string{"homes"}}
-	want := []trial{{baseline, "a.toml", "d", 1}, {baseline, "a.toml", "d", 2},
-		{"homes", "a.toml", "d", 1}, {"homes", "a.toml", "d", 2}}
-	if got := chosen.trials(); !slices.Equal(got, want) {
-		t.Errorf("%v instead of %v", got, want)
-	}
-}
--- a/tools/ablation/trial.go
+++ b/tools/ablation/trial.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"log"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -61,8 +62,24 @@
 	return trials
 }
 
-// runTrials runs the trials that have no report, several at once. A trial that fails is printed, and has no report.
-func runTrials(ctx context.Context, chosen options) error {
+// trialError is a trial that failed.
+type trialError struct {
+	trial trial
+	cause error
+}
+
+// Error names the trial and the cause.
+func (err trialError) Error() string {
+	failed := err.trial
+	site := siteName(failed.site)
+	return fmt.Sprintf("%s without %s, %s %d: %v", site, failed.feature, failed.day, failed.seed, err.cause)
+}
+
+// Unwrap returns the cause.
+func (err trialError) Unwrap() error { return err.cause }
+
+// runTrials runs the trials that have no report, several at once. A trial that fails is logged, and has no report.
+func runTrials(ctx context.Context, chosen options, failures *log.Logger) error {
 	if err := os.MkdirAll(filepath.Join(chosen.out, "reports"), directoryMode); err != nil {
 		return err
 	}
@@ -72,8 +89,7 @@
 		workers.Go(func() {
 			for next := range waiting {
 				if err := runTrial(ctx, chosen, next); err != nil {
-					fmt.Fprintf(os.Stderr, "%s without %s, %s %d: %v\n",
-						siteName(next.site), next.feature, next.day, next.seed, err)
+					failures.Print(trialError{trial: next, cause: err})
 				}
 			}
 		})
