--- a/tools/ablation/trial.go
+++ b/tools/ablation/trial.go
@@ -96,11 +96,8 @@
 	}
 	err := startTrials(ctx, chosen, waiting)
 	close(waiting)
-	if err != nil {
-		return err
-	}
 	workers.Wait()
-	return nil
+	return err
 }
 
 // startTrials prepares the sources of the trials that have no report, and hands them to the workers.
--- a/tools/ablation/trial_test.go
+++ b/tools/ablation/trial_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"log"
 	"os"
 	"os/exec"
@@ -88,3 +89,15 @@
 		t.Errorf("a report is written again: %q, %v", content, err)
 	}
 }
+
+// Where the sources of a trial can't be prepared, those that run already come to their end and have their reports.
+func TestRunTrialsWaitsForThoseThatRun(t *testing.T) {
+	chosen := newRepository(t, "[roles]\n")
+	err := runTrials(t.Context(), chosen, log.New(os.Stderr, "", 0))
+	if !errors.Is(err, errNoDataPlane) {
+		t.Errorf("%v, want %v", err, errNoDataPlane)
+	}
+	if _, err := os.Stat(chosen.trials()[0].reportPath(chosen.out)); err != nil {
+		t.Errorf("the trial that ran has no report: %v", err)
+	}
+}
