--- a/coordination/registry/announcement.go
+++ b/coordination/registry/announcement.go
@@ -29,12 +29,12 @@
 	}
 	waiting := registrar.waiting
 	registrar.waiting = nil
-	for _, answer := range waiting {
-		answer(Accepted)
+	for _, respond := range waiting {
+		respond(Accepted)
 	}
 }
 
-// announceCalls tells the other cores which runners have called since this was last announced.
+// announceCalls notifies the other cores which runners have called since this was last announced.
 func (registrar *Registrar) announceCalls(now time.Time) {
 	calls := registrar.liveness.unannounced(now)
 	if len(calls) == 0 {
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// confirmTimeout is how long the answer to a call waits for every daemon, and halfTimeout how long for half of
+	// confirmTimeout is how long the response to a call waits for every daemon, and halfTimeout how long for half of
 	// them.
 	confirmTimeout = 400 * time.Millisecond
 	halfTimeout    = 750 * time.Millisecond
-	// retryInterval is how often an update is sent again to those who have not acknowledged it, answeredRetryInterval
-	// how often once the call was answered, and retryTimeout for how long.
-	retryInterval         = 100 * time.Millisecond
-	answeredRetryInterval = 300 * time.Millisecond
-	retryTimeout          = 2 * time.Second
+	// retryInterval is how often an update is sent again to those who have not acknowledged it, respondedRetryInterval
+	// how often once the call has its response, and retryTimeout for how long.
+	retryInterval          = 100 * time.Millisecond
+	respondedRetryInterval = 300 * time.Millisecond
+	retryTimeout           = 2 * time.Second
 	// maximumBroadcasts bounds the broadcasts of leaving runners in progress.
 	maximumBroadcasts = 1024
 )
@@ -31,8 +31,8 @@
 	unconfirmed map[string]bool
 	confirmed   int
 	daemons     int
-	// answers are the calls that wait for it; nil once they were answered.
-	answers []func(outcome Outcome)
+	// waiting are the responses to the calls that wait for it; nil once they were given.
+	waiting []func(outcome Outcome)
 }
 
 // broadcasts are those of one registrar.
@@ -41,7 +41,7 @@
 	environment Environment
 	counters    *Counters
 	inProgress  map[uint64]*broadcast
-	// announced are the leaving runners of which this core itself has told every daemon.
+	// announced are the leaving runners of which this core itself has notified every daemon.
 	announced map[string]bool
 	// lastNonce is the nonce of the latest broadcast; the first follows the number of the incarnation.
 	lastNonce uint64
@@ -56,15 +56,15 @@
 
 func (broadcasts *broadcasts) full() bool { return len(broadcasts.inProgress) >= maximumBroadcasts }
 
-// start sends a leaving runner's record to every daemon and core; answer is called once the daemons have acknowledged
+// start sends a leaving runner's record to every daemon and core; respond is called once the daemons have acknowledged
 // it, or can't be reached.
-func (broadcasts *broadcasts) start(now time.Time, record *wire.Runner, answer func(outcome Outcome)) {
+func (broadcasts *broadcasts) start(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	broadcasts.lastNonce++
 	nonce := broadcasts.lastNonce
 	broadcasts.announced[record.RunnerId] = true
 	broadcast := &broadcast{
 		runner: record.RunnerId, startedAt: now, sentAt: now, unconfirmed: map[string]bool{},
-		answers: []func(outcome Outcome){answer},
+		waiting: []func(outcome Outcome){respond},
 	}
 	broadcasts.inProgress[nonce] = broadcast
 	for _, daemon := range broadcasts.environment.Daemons(now) {
@@ -93,10 +93,10 @@
 }
 
 // attach lets a further call of a runner wait for its broadcast; it reports whether there is one to wait for.
-func (broadcasts *broadcasts) attach(runner string, answer func(outcome Outcome)) bool {
+func (broadcasts *broadcasts) attach(runner string, respond func(outcome Outcome)) bool {
 	for _, broadcast := range broadcasts.inProgress {
-		if broadcast.runner == runner && broadcast.answers != nil {
-			broadcast.answers = append(broadcast.answers, answer)
+		if broadcast.runner == runner && broadcast.waiting != nil {
+			broadcast.waiting = append(broadcast.waiting, respond)
 			return true
 		}
 	}
@@ -114,33 +114,33 @@
 	broadcasts.complete(now, nonce, broadcast)
 }
 
-// complete answers a broadcast that every daemon has acknowledged, or whose time is over, and ends it when it has
-// nothing left to do.
+// complete responds to the calls that wait for a broadcast that every daemon has acknowledged, or whose time is over,
+// and ends it when it has nothing left to do.
 func (broadcasts *broadcasts) complete(now time.Time, nonce uint64, broadcast *broadcast) {
 	elapsed, confirmed := now.Sub(broadcast.startedAt), len(broadcast.unconfirmed) == 0
 	if confirmed || elapsed >= retryTimeout {
 		delete(broadcasts.inProgress, nonce)
 	}
 	outcome, decided := broadcast.outcome(elapsed)
-	if broadcast.answers == nil || !decided {
+	if broadcast.waiting == nil || !decided {
 		return
 	}
 	if outcome == Unreachable {
-		// The next call of this runner must not be answered as though the daemons had been told.
+		// The response to the next call of this runner must not be as though the daemons had been notified.
 		delete(broadcasts.announced, broadcast.runner)
 		delete(broadcasts.inProgress, nonce)
 		broadcasts.counters.Refused++
 	} else if !confirmed {
 		broadcasts.counters.Unconfirmed++
 	}
-	answers := broadcast.answers
-	broadcast.answers = nil
-	for _, answer := range answers {
-		answer(outcome)
+	waiting := broadcast.waiting
+	broadcast.waiting = nil
+	for _, respond := range waiting {
+		respond(outcome)
 	}
 }
 
-// outcome returns how the calls that wait for a broadcast are answered; decided is false where they have to wait on.
+// outcome returns the outcome of the calls that wait for a broadcast; decided is false where they have to wait on.
 func (broadcast *broadcast) outcome(elapsed time.Duration) (outcome Outcome, decided bool) {
 	if len(broadcast.unconfirmed) == 0 {
 		return Accepted, true
@@ -157,13 +157,13 @@
 	return Unreachable, elapsed >= halfTimeout
 }
 
-// tick sends again what was not acknowledged, and answers what has waited long enough.
+// tick sends again what was not acknowledged, and responds to calls that have waited long enough.
 func (broadcasts *broadcasts) tick(now time.Time) {
 	for _, nonce := range slices.Sorted(maps.Keys(broadcasts.inProgress)) {
 		broadcast := broadcasts.inProgress[nonce]
 		interval := retryInterval
-		if broadcast.answers == nil {
-			interval = answeredRetryInterval
+		if broadcast.waiting == nil {
+			interval = respondedRetryInterval
 		}
 		if now.Sub(broadcast.sentAt) >= interval {
 			broadcast.sentAt = now
--- a/coordination/registry/departure.go
+++ b/coordination/registry/departure.go
@@ -6,15 +6,15 @@
 	"wardtray/wire"
 )
 
-// Deregister handles that a runner has ended. answer is called once, when the daemons know.
-func (registrar *Registrar) Deregister(now time.Time, id string, answer func(outcome Outcome)) {
+// Deregister handles that a runner has ended. respond is called once, when the daemons know.
+func (registrar *Registrar) Deregister(now time.Time, id string, respond func(outcome Outcome)) {
 	registrar.counters.Calls++
-	if registrar.rejects(now, answer) {
+	if registrar.rejects(now, respond) {
 		return
 	}
 	present := registrar.Record(id)
 	if present.GetState() == Gone {
-		registrar.answerUnchanged(now, present, Outdated, answer)
+		registrar.respondUnchanged(now, present, Outdated, respond)
 		return
 	}
 	if present == nil {
@@ -23,39 +23,38 @@
 	record := withState(present, Gone, registrar.latestCall(id))
 	if merged, _ := registrar.Merge(now, []*wire.Runner{record}); len(merged) == 0 {
 		registrar.counters.Refused++
-		answer(TableFull)
+		respond(TableFull)
 		return
 	}
 	registrar.counters.Gone++
 	registrar.liveness.remove(id)
-	registrar.broadcast(now, record, answer)
+	registrar.broadcast(now, record, respond)
 }
 
-// answerUnchanged answers a call that changes nothing: at once, or with a broadcast of the leaving
-// runner that is in progress.
-func (registrar *Registrar) answerUnchanged(now time.Time, present *wire.Runner, outcome Outcome,
-	answer func(outcome Outcome)) {
-	// A core that heard of it only from another can't know whether that one lived to tell the daemons.
+// respondUnchanged responds to a call that changes nothing: at once, or with a broadcast of the leaving runner that is
+// in progress.
+func (registrar *Registrar) respondUnchanged(now time.Time, present *wire.Runner, outcome Outcome,
+	respond func(outcome Outcome)) {
+	// A core that heard of it only from another can't know whether that one lived to notify the daemons.
 	if stages[present.State] > 0 && !registrar.broadcasts.announced[present.RunnerId] {
-		registrar.broadcast(now, present, answer)
+		registrar.broadcast(now, present, respond)
 		return
 	}
-	if !registrar.broadcasts.attach(present.RunnerId, answer) {
-		answer(outcome)
+	if !registrar.broadcasts.attach(present.RunnerId, respond) {
+		respond(outcome)
 	}
 }
 
-// broadcast tells everybody of a leaving runner and answers once every daemon has acknowledged.
-// Where too many broadcasts are in progress, the record is sent with the next tick and not waited
-// for.
-func (registrar *Registrar) broadcast(now time.Time, record *wire.Runner, answer func(outcome Outcome)) {
+// broadcast notifies everybody of a leaving runner and responds once every daemon has acknowledged. Where too many
+// broadcasts are in progress, the record is sent with the next tick and not waited for.
+func (registrar *Registrar) broadcast(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	if registrar.broadcasts.full() {
 		registrar.changed = append(registrar.changed, record)
 		registrar.counters.Unconfirmed++
-		answer(Accepted)
+		respond(Accepted)
 		return
 	}
-	registrar.broadcasts.start(now, record, answer)
+	registrar.broadcasts.start(now, record, respond)
 }
 
 // HandleAck handles a process's acknowledgement that it knows of a leaving runner.
--- a/coordination/registry/liveness.go
+++ b/coordination/registry/liveness.go
@@ -25,7 +25,7 @@
 	// heardAt is when we learned of it, and direct is whether the runner called this core.
 	heardAt time.Time
 	direct  bool
-	// announced is the call that the other cores were last told of.
+	// announced is the latest call that was announced to the other cores.
 	announced uint64
 }
 
--- a/coordination/registry/outcome.go
+++ b/coordination/registry/outcome.go
@@ -10,6 +10,6 @@
 	Outdated Outcome = "late"
 	// TableFull is a call for which the table has no room.
 	TableFull Outcome = "full"
-	// Unreachable is a call that was not accepted since this core can't tell the other processes.
+	// Unreachable is a call that was not accepted since this core can't notify the other processes.
 	Unreachable Outcome = "unheard"
 )
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -5,8 +5,8 @@
 // # Contract
 //
 // Every process has an Exchange: a Table with the messages that keep it the same as those of others. A core has a
-// Registrar besides, which accepts the runners' calls, tells everybody what changed, and calls runners silent that
-// no core hears. Both are pure state machines. Their caller hands them received messages:
+// Registrar besides, which accepts the runners' calls, notifies everybody of what changed, and reports runners silent
+// that no core hears. Both are pure state machines. Their caller hands them received messages:
 //
 //   - updates to Registrar.HandleUpdate or Exchange.HandleUpdate, digests to Exchange.HandleDigest, checksums to
 //     Exchange.HandleChecksum;
@@ -19,7 +19,7 @@
 // A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that drains or is
 // gone never comes back under its id. Messages may be lost, repeated and reordered; processes may crash, freeze and
 // be cut off. The call of a leaving runner is accepted only once the data daemons know, or after a bounded wait at
-// least half of them, and is rejected where this core can't tell them; so a runner that was accepted as leaving may
+// least half of them, and is rejected where this core can't notify them; so a runner that was accepted as leaving may
 // stop.
 package registry
 
@@ -132,7 +132,7 @@
 	registrar.sendChanged(now)
 }
 
-// markSilent calls a runner silent.
+// markSilent reports a runner silent.
 func (registrar *Registrar) markSilent(now time.Time, id string) {
 	registrar.counters.Silent++
 	registrar.setState(now, id, Silent)
--- a/coordination/registry/registration.go
+++ b/coordination/registry/registration.go
@@ -13,41 +13,41 @@
 	minimumCold   = 250 * time.Millisecond
 )
 
-// Register handles a runner's call. answer is called once: for a runner that drains when the daemons know.
-func (registrar *Registrar) Register(now time.Time, record *wire.Runner, answer func(outcome Outcome)) {
+// Register handles a runner's call. respond is called once: for a runner that drains when the daemons know.
+func (registrar *Registrar) Register(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	registrar.counters.Calls++
-	if registrar.rejects(now, answer) {
+	if registrar.rejects(now, respond) {
 		return
 	}
 	present := registrar.Record(record.RunnerId)
 	if registrar.isLate(present, record) {
 		registrar.counters.Late++
-		registrar.answerUnchanged(now, present, Outdated, answer)
+		registrar.respondUnchanged(now, present, Outdated, respond)
 		return
 	}
 	if present == nil && len(registrar.entries) >= MaximumRunners && !registrar.makeRoom() {
 		registrar.counters.Refused++
-		answer(TableFull)
+		respond(TableFull)
 		return
 	}
 	call := max(record.Call, registrar.latestCall(record.RunnerId))
 	registrar.liveness.heard(now, record.RunnerId, call, true)
 	if present.GetState() == Draining {
-		registrar.answerUnchanged(now, present, Accepted, answer)
+		registrar.respondUnchanged(now, present, Accepted, respond)
 		return
 	}
 	if !registrar.differs(now, present, record) {
-		answer(Accepted)
+		respond(Accepted)
 		return
 	}
 	registrar.enter(now, present, record)
 	if record.State == Draining {
 		registrar.counters.Drained++
-		registrar.broadcast(now, record, answer)
+		registrar.broadcast(now, record, respond)
 		return
 	}
 	// A core that stops immediately after an acknowledgement must not be the only one that knows.
-	registrar.waiting = append(registrar.waiting, answer)
+	registrar.waiting = append(registrar.waiting, respond)
 	if len(registrar.others(now)) == 0 {
 		registrar.sendChanged(now)
 	}
@@ -65,12 +65,12 @@
 }
 
 // rejects rejects a call where no other process could learn of it, so that the runner calls another core.
-func (registrar *Registrar) rejects(now time.Time, answer func(outcome Outcome)) bool {
+func (registrar *Registrar) rejects(now time.Time, respond func(outcome Outcome)) bool {
 	if !registrar.environment.HearsNobody(now) {
 		return false
 	}
 	registrar.counters.Refused++
-	answer(Unreachable)
+	respond(Unreachable)
 	return true
 }
 
