--- a/cmd/wtctl/status_test.go
+++ b/cmd/wtctl/status_test.go
@@ -34,3 +34,24 @@
 		t.Errorf("%q instead of %q", got, want)
 	}
 }
+
+// The whole status has a heading for each part, in order, and the warnings at its end; one part has no heading.
+func TestStatusPrintsItsPartsAndThenTheWarnings(t *testing.T) {
+	address := fakeCore(t, map[string]string{"GET /v1/status": `{"address":"c1","core":{"warnings":["a chain is short"]}}`})
+	for part, want := range map[string][]string{
+		"all":   {"== chain", "== view", "== cohort", "== runners", "== tenants", "== counters", "warning: a chain is short"},
+		"chain": {"warning: a chain is short"},
+	} {
+		var output, errors strings.Builder
+		code := run([]string{"--core", address, "status", part}, strings.NewReader(""), &output, &errors)
+		var found []string
+		for line := range strings.Lines(output.String()) {
+			if line = strings.TrimSpace(line); strings.HasPrefix(line, "==") || strings.HasPrefix(line, "warning") {
+				found = append(found, line)
+			}
+		}
+		if code != exitFine || !slices.Equal(found, want) {
+			t.Errorf("%s: code %d, %q instead of %q, errors %q", part, code, found, want, errors.String())
+		}
+	}
+}
--- /dev/null
+++ b/cmd/wtctl/status_view_test.go
@@ -0,0 +1,23 @@
+package main
+
+import (
+	"slices"
+	"testing"
+
+	"wardtray/control/node"
+	"wardtray/control/operator"
+	"wardtray/control/server"
+)
+
+// Each machine's view is shown as that machine has it.
+func TestShowView(t *testing.T) {
+	chain := []node.MemberStatus{{Address: "c1"}, {Address: "c2"}}
+	fleet := operator.FleetStatus{Cores: []server.Status{
+		{Address: "c1", Core: node.Status{View: 5, Fleet: "f", Chain: chain, Acceptors: chain[:1]}},
+		{Address: "c2", Core: node.Status{View: 4, Fleet: "f", Chain: chain[1:], Acceptors: chain[:1]}},
+	}}
+	want := []string{"c1 5 f c1 c2 c1", "c2 4 f c2 c1"}
+	if rows := tableRows(t, showView, fleet); !slices.Equal(rows, want) {
+		t.Errorf("%q instead of %q", rows, want)
+	}
+}
