--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -24,7 +24,7 @@
 	session.registerChange(known, change, "The change", (*operator.Client).Change)
 	diff := application.Command("diff", "Show how a spec differs from the present one.")
 	file := diff.Arg("file", "The spec; - for standard input.").Required().String()
-	known[diff.FullCommand()] = func() (int, error) { return session.diff(*file) }
+	known[diff.FullCommand()] = func() (exitCode, error) { return session.diff(*file) }
 }
 
 // sender sends a document, or a change of one, to the control plane.
@@ -38,27 +38,41 @@
 	operation := command.Flag("operation", "An id of your own, to ask by and to repeat safely.").String()
 	epochFlag := command.Flag("epoch", "The epoch that the spec is to have; the next one if left out.")
 	epoch := epochFlag.Uint64()
-	known[command.FullCommand()] = func() (int, error) {
+	known[command.FullCommand()] = func() (exitCode, error) {
 		change := operator.Change{Operation: operationID(*operation), Epoch: *epoch}
 		return session.change(send, *file, *base, change)
 	}
 }
 
 // get prints the present document, and its epoch to the errors.
-func (session *session) get() (int, error) {
+func (session *session) get() (exitCode, error) {
+	return session.withPresent(func(reply proposal.Reply) (exitCode, error) {
+		if session.json {
+			return session.printReply(reply, nil)
+		}
+		if reply.Outcome == proposal.OutcomeEmpty {
+			session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
+			return exitFine, nil
+		}
+		session.errors.printf("epoch %d\n", reply.Epoch)
+		return exitFine, session.output.printJSON(reply.Spec)
+	})
+}
+
+// withPresent reads the present spec and hands the reply on, which says that there is one or that there is none yet. A
+// refusal is printed instead. A read that nobody answered in time is an error of code Unreachable.
+func (session *session) withPresent(use func(reply proposal.Reply) (exitCode, error)) (exitCode, error) {
 	reply, err := session.client.Get()
 	if err != nil {
 		return exitRefused, err
 	}
-	if session.json || reply.Outcome == outcomeRefused {
+	switch reply.Outcome {
+	case proposal.OutcomeUnknown:
+		return exitUnreachable, apierror.New(apierror.Unreachable, "reading the present spec: %s", reply.Detail)
+	case proposal.OutcomeRefused:
 		return session.printReply(reply, nil)
 	}
-	if reply.Outcome == outcomeEmpty {
-		session.errors.printf("there is no spec yet; the first one is built on epoch 0\n")
-		return exitFine, nil
-	}
-	session.errors.printf("epoch %d\n", reply.Epoch)
-	return exitFine, session.output.printJSON(reply.Spec)
+	return use(reply)
 }
 
 // readFile reads a file, or the input for a dash. Failures are InvalidSettings errors.
@@ -73,74 +87,19 @@
 }
 
 // change reads a file and sends it, built on a base epoch, or on the present one if that is empty.
-func (session *session) change(send sender, path, base string, change operator.Change) (int, error) {
+func (session *session) change(send sender, path, base string, change operator.Change) (exitCode, error) {
 	content, err := readFile(path, session.input)
 	if err != nil {
 		return exitUsage, err
 	}
 	if base == "" {
-		reply, err := session.client.Get()
-		if err != nil {
-			return exitRefused, err
-		}
-		if reply.Outcome == outcomeRefused {
-			return session.printReply(reply, nil)
-		}
-		change.Base = reply.Epoch
-	} else if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
+		return session.withPresent(func(reply proposal.Reply) (exitCode, error) {
+			change.Base = reply.Epoch
+			return session.printReply(send(session.client, content, change))
+		})
+	}
+	if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
 		return exitUsage, apierror.New(apierror.InvalidSettings, "--base %q is no whole number", base)
 	}
 	return session.printReply(send(session.client, content, change))
 }
-
-// difference is how a document differs from the present one.
-type difference struct {
-	Changes []string `json:"changes"`
-	// Epoch is the version of the present document.
-	Epoch    uint64           `json:"epoch"`
-	Problems []config.Problem `json:"flaws"`
-}
-
-// diff prints how the document in a file differs from the present one, and its problems. The exit code is exitRefused
-// if there is anything to print.
-func (session *session) diff(path string) (int, error) {
-	content, err := readFile(path, session.input)
-	if err != nil {
-		return exitUsage, err
-	}
-	wanted, err := config.Parse(content)
-	if err != nil {
-		return exitRefused, err
-	}
-	reply, err := session.client.Get()
-	if err != nil {
-		return exitRefused, err
-	}
-	present := &config.Spec{}
-	if len(reply.Spec) > 0 {
-		if present, err = config.Parse(reply.Spec); err != nil {
-			return exitRefused, err
-		}
-	}
-	found := difference{Changes: config.Diff(present, wanted), Epoch: reply.Epoch, Problems: wanted.Check()}
-	code := exitFine
-	if len(found.Changes)+len(found.Problems) > 0 {
-		code = exitRefused
-	}
-	if session.json {
-		return code, session.output.printJSON(found)
-	}
-	found.print(session.output)
-	return code, nil
-}
-
-// print prints a line for each change and each problem.
-func (found difference) print(output *printer) {
-	output.printf("against epoch %d\n", found.Epoch)
-	for _, change := range found.Changes {
-		output.printf("%s\n", change)
-	}
-	for _, problem := range found.Problems {
-		output.printf("! %s: %s\n", problem.Path, problem.Detail)
-	}
-}
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -4,45 +4,47 @@
 	"strings"
 
 	"wardtray/apierror"
+	"wardtray/control/proposal"
 )
 
-// The exit codes; wtctl --help documents them.
-const (
-	exitFine        = 0
-	exitRefused     = 1
-	exitUsage       = 2
-	exitUnknown     = 3
-	exitUnreachable = 4
-)
+// exitCode is the exit code of the process. Scripts branch on it; wtctl --help documents the codes.
+type exitCode int
 
-// The outcomes of a request to the control plane, as replies name them.
 const (
-	outcomeAccepted = "accepted"
-	outcomeFound    = "found"
-	outcomeEmpty    = "empty"
-	outcomeRefused  = "refused"
-	outcomeUnknown  = "unknown"
-	outcomePending  = "pending"
+	exitFine        exitCode = 0
+	exitRefused     exitCode = 1
+	exitUsage       exitCode = 2
+	exitUnknown     exitCode = 3
+	exitUnreachable exitCode = 4
 )
 
 // outcomeExits maps outcomes to exit codes.
-var outcomeExits = map[string]int{
-	outcomeAccepted: exitFine,
-	outcomeFound:    exitFine,
-	outcomeEmpty:    exitFine,
-	outcomeRefused:  exitRefused,
-	outcomeUnknown:  exitUnknown,
-	outcomePending:  exitUnknown,
+var outcomeExits = map[string]exitCode{
+	proposal.OutcomeAccepted: exitFine,
+	proposal.OutcomeFound:    exitFine,
+	proposal.OutcomeEmpty:    exitFine,
+	proposal.OutcomeRefused:  exitRefused,
+	proposal.OutcomeUnknown:  exitUnknown,
+	proposal.OutcomePending:  exitUnknown,
 }
 
 // errorExits maps errors to exit codes; any other code of an error is exitRefused.
-var errorExits = map[apierror.Code]int{
+var errorExits = map[apierror.Code]exitCode{
 	apierror.Unreachable:     exitUnreachable,
 	apierror.InvalidSettings: exitUsage,
 }
 
+// exitOfOutcome returns the exit code of a reply's outcome. One that is not known, as from a newer control plane, tells
+// nothing.
+func exitOfOutcome(outcome string) exitCode {
+	if code, known := outcomeExits[outcome]; known {
+		return code
+	}
+	return exitUnknown
+}
+
 // exitOf returns the exit code of an error.
-func exitOf(err error) int {
+func exitOf(err error) exitCode {
 	if code, known := errorExits[apierror.Of(err).Code]; known {
 		return code
 	}
@@ -51,7 +53,7 @@
 
 // exitOfUsage returns the exit code where only the usage was printed: kingpin ends alike when help is requested and
 // when no command is given.
-func exitOfUsage(arguments []string) int {
+func exitOfUsage(arguments []string) exitCode {
 	for _, argument := range arguments {
 		if strings.HasPrefix(argument, "--help") || argument == "-h" || argument == "help" {
 			return exitFine
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -1,7 +1,8 @@
 // Command wtctl is the operators' command line for a whole fleet.
 //
-// Each group of commands has a file: the configuration document (document.go), zones, operations, the state of the
-// fleet (status.go and the tables in it), explanations of scheduling, and the import of other programs' configurations.
+// Each group of commands has a file: the configuration document (document.go, diff.go), zones, operations, the state of
+// the fleet (status.go, with a status_*.go for each of its tables), explanations of scheduling, and the import of other
+// programs' configurations. session.go joins them, exit.go has the exit codes, printer.go and table.go the output.
 package main
 
 import (
@@ -33,12 +34,12 @@
   wtctl explain 127.0.1.1:8200 --lane chat --model m --prompt-tokens 900 --prefix system=400`
 
 func main() {
-	os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
+	os.Exit(int(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)))
 }
 
 // run runs one command and returns the exit code. A failure to write the output is an error of the command; one to
 // write to the errors can't be reported anywhere, and shows in nothing but the exit code of what went wrong before.
-func run(arguments []string, input io.Reader, output, errors io.Writer) int {
+func run(arguments []string, input io.Reader, output, errors io.Writer) exitCode {
 	session := &session{
 		input:  input,
 		output: &printer{writer: output},
