--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -44,22 +44,22 @@
 func addViewHandlers(table handlers, node *Node) {
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
 		if node.members.proposer.MayVote() {
-			node.members.agent.Prepare(now, envelope.From, body.ViewPrepare)
+			node.members.agent.HandlePrepare(now, envelope.From, body.ViewPrepare)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPromise) {
-		node.members.agent.Promise(now, envelope.Sender, body.ViewPromise)
+		node.members.agent.HandlePromise(now, envelope.Sender, body.ViewPromise)
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccept) {
 		if node.members.proposer.MayVote() {
-			node.members.agent.Accept(now, envelope.From, body.ViewAccept)
+			node.members.agent.HandleAccept(now, envelope.From, body.ViewAccept)
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccepted) {
-		node.members.agent.Accepted(now, envelope.Sender, body.ViewAccepted)
+		node.members.agent.HandleAccepted(now, envelope.Sender, body.ViewAccepted)
 	})
 	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
-		node.members.agent.Rejected(body.ViewRejected)
+		node.members.agent.HandleRejected(body.ViewRejected)
 	})
 	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
 		node.members.agent.Learn(now, body.ViewUpdate.View)
@@ -107,7 +107,7 @@
 		}
 	})
 	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
-		node.members.partialView.Shuffle(now, envelope.From, body.Shuffle)
+		node.members.partialView.HandleShuffle(now, envelope.From, body.Shuffle)
 	})
 }
 
--- a/coordination/peersampling/example_test.go
+++ b/coordination/peersampling/example_test.go
@@ -17,7 +17,7 @@
 	view.Tick(now)
 	messages, _ := outbox.Drain()
 	fmt.Println("contacts its seed:", messages[0].To)
-	view.Shuffle(now, "127.0.0.9:1", &wire.Shuffle{Response: true, Peers: []*wire.PeerDescriptor{
+	view.HandleShuffle(now, "127.0.0.9:1", &wire.Shuffle{Response: true, Peers: []*wire.PeerDescriptor{
 		{Address: "127.0.0.9:1", Zone: "b"},
 		{Address: "127.0.0.2:1", Zone: "a"},
 	}})
--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -5,7 +5,7 @@
 // # Contract
 //
 // A PartialView is one process's part, a pure state machine. Its caller calls Tick often, hands it received shuffles
-// by Shuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated and
+// by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated and
 // reordered. As long as every process reaches a seed or some neighbour, the views connect all live processes and
 // forget those that are gone within some rounds; a view has at most Size descriptors, none of itself and none twice.
 // A PartialView is not safe for concurrent use.
@@ -140,8 +140,8 @@
 	return &wire.PeerDescriptor{Address: peer.Address, Zone: peer.Zone, Core: peer.Core, Age: age}
 }
 
-// Shuffle handles a neighbour's descriptors and, where it is a request, responds with some of ours.
-func (view *PartialView) Shuffle(now time.Time, from string, message *wire.Shuffle) {
+// HandleShuffle handles a neighbour's descriptors and, where it is a request, responds with some of ours.
+func (view *PartialView) HandleShuffle(now time.Time, from string, message *wire.Shuffle) {
 	view.lastSeen[from] = now
 	if !message.Response {
 		view.send(from, true)
--- a/coordination/peersampling/partialview_test.go
+++ b/coordination/peersampling/partialview_test.go
@@ -60,7 +60,7 @@
 	messages, _ := network.outboxes[name].Drain()
 	for _, message := range messages {
 		if !network.stopped[message.To] && network.random.Intn(10) > 0 {
-			network.views[message.To].Shuffle(network.now, name, message.Envelope.GetShuffle())
+			network.views[message.To].HandleShuffle(network.now, name, message.Envelope.GetShuffle())
 		}
 	}
 }
--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -6,8 +6,8 @@
 	"wardtray/wire"
 )
 
-// Prepare answers a proposer's first message: by a promise, once it is synced, or by a rejection.
-func (agent *Agent) Prepare(now time.Time, reply string, message *wire.ViewPrepare) {
+// HandlePrepare answers a proposer's first message: by a promise, once it is synced, or by a rejection.
+func (agent *Agent) HandlePrepare(now time.Time, reply string, message *wire.ViewPrepare) {
 	if agent.rejects(reply, message.Instance, message.Proposal) {
 		return
 	}
@@ -21,8 +21,8 @@
 	})
 }
 
-// Accept votes for a value, and says so once the vote is synced, unless a greater proposal number was promised.
-func (agent *Agent) Accept(now time.Time, reply string, message *wire.ViewAccept) {
+// HandleAccept votes for a value, and says so once the vote is synced, unless a greater proposal number was promised.
+func (agent *Agent) HandleAccept(now time.Time, reply string, message *wire.ViewAccept) {
 	if agent.rejects(reply, message.Instance, message.Proposal) {
 		return
 	}
--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -24,16 +24,16 @@
 		}
 		for _, sent := range messages {
 			if message := sent.Envelope.GetViewPrepare(); message != nil {
-				agent.Prepare(now, sent.To, message)
+				agent.HandlePrepare(now, sent.To, message)
 			}
 			if message := sent.Envelope.GetViewPromise(); message != nil {
-				agent.Promise(now, "a", message)
+				agent.HandlePromise(now, "a", message)
 			}
 			if message := sent.Envelope.GetViewAccept(); message != nil {
-				agent.Accept(now, sent.To, message)
+				agent.HandleAccept(now, sent.To, message)
 			}
 			if message := sent.Envelope.GetViewAccepted(); message != nil {
-				agent.Accepted(now, "a", message)
+				agent.HandleAccepted(now, "a", message)
 			}
 		}
 	}
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Promise counts an acceptor's promise. Once there is a quorum, the acceptors are asked to accept the value.
-func (agent *Agent) Promise(_ time.Time, sender string, message *wire.ViewPromise) {
+// HandlePromise counts an acceptor's promise. Once there is a quorum, the acceptors are asked to accept the value.
+func (agent *Agent) HandlePromise(_ time.Time, sender string, message *wire.ViewPromise) {
 	attempt := agent.running(message.Instance, message.Proposal)
 	if attempt == nil || attempt.accepting || !attempt.includes(sender) {
 		return
@@ -79,8 +79,8 @@
 		Instance: attempt.instance, Proposal: attempt.proposal, Value: attempt.value}}})
 }
 
-// Accepted counts an acceptor's vote. Once there is a quorum, the view is chosen.
-func (agent *Agent) Accepted(now time.Time, sender string, message *wire.ViewAccepted) {
+// HandleAccepted counts an acceptor's vote. Once there is a quorum, the view is chosen.
+func (agent *Agent) HandleAccepted(now time.Time, sender string, message *wire.ViewAccepted) {
 	attempt := agent.running(message.Instance, message.Proposal)
 	if attempt == nil || !attempt.accepting || !attempt.includes(sender) {
 		return
@@ -103,8 +103,8 @@
 	}
 }
 
-// Rejected makes the next attempt use a proposal number above the one for which this attempt was rejected.
-func (agent *Agent) Rejected(message *wire.ViewRejected) {
+// HandleRejected makes the next attempt use a proposal number above the one for which this attempt was rejected.
+func (agent *Agent) HandleRejected(message *wire.ViewRejected) {
 	agent.round = max(agent.round, message.Promised.GetRound())
 }
 
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -6,9 +6,9 @@
 // # Contract
 //
 // An Agent is proposer, acceptor and learner of one process. It is a pure state machine: its caller
-// hands it received messages (Agent.Prepare, Agent.Promise, Agent.Accept, Agent.Accepted,
-// Agent.Rejected and Agent.Learn, each named after the message), starts attempts by Agent.Propose or
-// Agent.Bootstrap, and after each call drains the outbox that it was given (see package statemachine).
+// hands it received messages (Agent.HandlePrepare, Agent.HandlePromise, Agent.HandleAccept, Agent.HandleAccepted and
+// Agent.HandleRejected) and views (Agent.Learn), starts attempts by Agent.Propose or Agent.Bootstrap, and after each
+// call drains the outbox that it was given (see package statemachine).
 // It is not safe for concurrent use.
 //
 // Messages may be lost, repeated, reordered and delayed without bound, and a process may crash at
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -236,11 +236,11 @@
 func deliverOnly(cluster *cluster, message message) {
 	agent, envelope := cluster.agents[message.to], message.envelope
 	handlers := []func(){
-		func() { agent.Prepare(cluster.now, message.from, envelope.GetViewPrepare()) },
-		func() { agent.Promise(cluster.now, message.from, envelope.GetViewPromise()) },
-		func() { agent.Accept(cluster.now, message.from, envelope.GetViewAccept()) },
-		func() { agent.Accepted(cluster.now, message.from, envelope.GetViewAccepted()) },
-		func() { agent.Rejected(envelope.GetViewRejected()) },
+		func() { agent.HandlePrepare(cluster.now, message.from, envelope.GetViewPrepare()) },
+		func() { agent.HandlePromise(cluster.now, message.from, envelope.GetViewPromise()) },
+		func() { agent.HandleAccept(cluster.now, message.from, envelope.GetViewAccept()) },
+		func() { agent.HandleAccepted(cluster.now, message.from, envelope.GetViewAccepted()) },
+		func() { agent.HandleRejected(envelope.GetViewRejected()) },
 		func() { agent.Learn(cluster.now, envelope.GetViewUpdate().GetView()) },
 		func() { agent.SendView(message.from) },
 	}
@@ -252,10 +252,10 @@
 	cluster := newCluster(t, 1)
 	agent, outbox, proposal := cluster.agents["k0"], cluster.outbox["k0"], &wire.ProposalNumber{Round: 1, Proposer: "k1"}
 	for name, receive := range map[string]func(){
-		"promise": func() { agent.Prepare(cluster.now, "k1", &wire.ViewPrepare{Instance: 2, Proposal: proposal}) },
+		"promise": func() { agent.HandlePrepare(cluster.now, "k1", &wire.ViewPrepare{Instance: 2, Proposal: proposal}) },
 		"vote": func() {
 			value := &wire.View{Epoch: 2, Fleet: "f"}
-			agent.Accept(cluster.now, "k1", &wire.ViewAccept{Instance: 2, Proposal: proposal, Value: value})
+			agent.HandleAccept(cluster.now, "k1", &wire.ViewAccept{Instance: 2, Proposal: proposal, Value: value})
 		},
 	} {
 		receive()
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -21,7 +21,7 @@
 func (controller *Controller) registerHandlers() {
 	controller.handlers = map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
 		reflect.TypeFor[*wire.Envelope_Shuffle](): func(now time.Time, envelope *wire.Envelope) {
-			controller.partialView.Shuffle(now, envelope.From, envelope.GetShuffle())
+			controller.partialView.HandleShuffle(now, envelope.From, envelope.GetShuffle())
 		},
 		reflect.TypeFor[*wire.Envelope_GossipMessage](): func(now time.Time, envelope *wire.Envelope) {
 			controller.gossip.HandleMessage(now, envelope.GetGossipMessage())
