--- a/coordination/quota/allocator.go
+++ b/coordination/quota/allocator.go
@@ -44,12 +44,13 @@
 
 // SetLimits sets the limits of all tenants; one that is not named has none, and needs no shares.
 func (allocator *Allocator) SetLimits(now time.Time, limits map[string]Limit) {
+	allocator.updateComplete(now)
 	for tenant, limit := range limits {
 		account := allocator.accounts[tenant]
 		if account == nil {
 			account = newAccount(now)
 			// A tenant that is new while this allocator knows of all shares has used nothing yet.
-			if allocator.knowsAll(now) {
+			if allocator.complete {
 				account.balance = limit.Capacity
 			}
 			allocator.accounts[tenant] = account
@@ -66,20 +67,21 @@
 	}
 }
 
-// knowsAll reports whether no daemon can hold a share that this allocator does not know of.
-func (allocator *Allocator) knowsAll(now time.Time) bool {
+// updateComplete notes when no daemon can hold a share any more that this allocator does not know of: each has
+// reported, or whatever was granted before this allocator started has expired. From then on tenants have their bursts.
+func (allocator *Allocator) updateComplete(now time.Time) {
 	if allocator.complete {
-		return true
+		return
 	}
 	expired := now.Sub(allocator.startedAt) >= allocator.term+expiryMargin
-	allocator.complete = expired || allocator.allReported()
-	if allocator.complete {
-		for _, account := range allocator.accounts {
-			account.balance += account.limit.Start
-			account.clamp()
-		}
+	if !expired && !allocator.allReported() {
+		return
+	}
+	allocator.complete = true
+	for _, account := range allocator.accounts {
+		account.balance += account.limit.Start
+		account.clamp()
 	}
-	return allocator.complete
 }
 
 func (allocator *Allocator) allReported() bool {
@@ -94,6 +96,7 @@
 // Release handles that a daemon's process has ended, and with it all that it held.
 func (allocator *Allocator) Release(now time.Time, daemon string) {
 	allocator.reported[daemon] = true
+	allocator.updateComplete(now)
 	allocator.reclaim(now, daemon, map[string]bool{})
 	delete(allocator.tenants, daemon)
 }
@@ -111,6 +114,7 @@
 // Report handles what a daemon holds, whose reports cover all its tenants, and returns the shares that it is granted.
 func (allocator *Allocator) Report(now time.Time, daemon string, reports []TenantReport) []Share {
 	allocator.reported[daemon] = true
+	allocator.updateComplete(now)
 	named := make(map[string]bool, len(reports))
 	for _, report := range reports {
 		named[report.Tenant] = true
@@ -141,7 +145,7 @@
 	})
 	account.balance += report.Returned
 	account.clamp()
-	share := account.share(report, allocator.knowsAll(now))
+	share := account.share(report, allocator.complete)
 	account.balance -= share.Tokens
 	// Until it reports again, a daemon may hold what it reported or what it is granted.
 	account.replace(daemon, &allocation{
@@ -178,7 +182,7 @@
 	}
 	account.filledAt = now
 	rate := account.limit.Rate
-	if !allocator.knowsAll(now) {
+	if !allocator.complete {
 		// The others still fill by their parts of the rate.
 		rate = min(rate, account.rate)
 	}
