--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -33,7 +33,12 @@
 
 // handleRegister handles a runner's heartbeat.
 func (server *Server) handleRegister(request *fasthttp.RequestCtx) {
-	runner, err := registry.ParseCall(pathID(request), request.PostBody())
+	id, err := RunnerID(request)
+	if err != nil {
+		WriteParseError(request, err)
+		return
+	}
+	runner, err := registry.ParseCall(id, request.PostBody())
 	if err != nil {
 		WriteParseError(request, err)
 		return
@@ -46,20 +51,23 @@
 
 // handleDeregister removes a runner.
 func (server *Server) handleDeregister(request *fasthttp.RequestCtx) {
-	id := pathID(request)
-	if !registry.ValidID(id) {
-		err := apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes")
+	id, err := RunnerID(request)
+	if err == nil && !registry.ValidID(id) {
+		err = apierror.New(apierror.Malformed, "id: wants up to 128 letters without blanks or slashes")
+	}
+	if err != nil {
 		WriteParseError(request, err)
 		return
 	}
 	writeRegistration(request, server.Deregister(id))
 }
 
-// pathID returns the id that a request's path names.
-func pathID(request *fasthttp.RequestCtx) string {
-	// The router sets it on every route that has one; without it the id is empty, which is refused.
-	id, _ := request.UserValue("id").(string)
-	return id
+// RunnerID returns the id that the path of a runner's call names, unescaped; empty where its route has none. The error
+// is apierror.Malformed.
+func RunnerID(request *fasthttp.RequestCtx) (string, error) {
+	var id string
+	err := readSegment(request, "id", &id)
+	return id, err
 }
 
 // Register handles a runner's heartbeat and waits, well under a second, until it may be acknowledged.
--- a/control/server/runners_test.go
+++ b/control/server/runners_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"testing"
 
+	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 
 	"wardtray/apierror"
@@ -34,6 +35,36 @@
 	}
 }
 
+func TestRunnerID(t *testing.T) {
+	for path, want := range map[string]struct {
+		id string
+		ok bool
+	}{
+		"/v1/runners/r-1":    {"r-1", true},
+		"/v1/runners/%C5%B5": {"ŵ", true},
+		"/v1/runners/a+b":    {"a+b", true},
+		"/v1/runners/a%2Fb":  {"a/b", true},
+		"/v1/runners/%25C5":  {"%C5", true},
+		"/v1/runners/a%zz":   {"", false},
+		"/v1/runners/100%":   {"", false},
+		"/elsewhere/r-1":     {"", true},
+	} {
+		var id string
+		var err error
+		routes := router.New()
+		read := func(request *fasthttp.RequestCtx) { id, err = RunnerID(request) }
+		routes.PUT("/v1/runners/{id}", read)
+		routes.PUT("/elsewhere/r-1", read)
+		request := &fasthttp.RequestCtx{}
+		request.Request.Header.SetMethod(fasthttp.MethodPut)
+		request.Request.SetRequestURI(path)
+		routes.Handler(request)
+		if id != want.id || want.ok != (err == nil) || err != nil && !apierror.Is(err, apierror.Malformed) {
+			t.Errorf("%s: %q, %v", path, id, err)
+		}
+	}
+}
+
 func TestWriteParseError(t *testing.T) {
 	for name, test := range map[string]struct {
 		err    error
