--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -5,12 +5,15 @@
 	"fmt"
 )
 
-// Cache is an engine's: blocks of prompts' openings by chained key, the longest unused let go first.
+// Cache is an engine's prefix cache: blocks of prompts' openings by chained key. It evicts the block that was unused for
+// longest. It is not safe for concurrent use.
 type Cache[Key comparable] struct {
-	room   int
-	used   int
+	// capacity and used are in tokens.
+	capacity int
+	used     int
+	// order has the blocks from the one that was unused for longest to the one that was used last.
 	order  *list.List
-	places map[Key]*list.Element
+	blocks map[Key]*list.Element
 }
 
 type block[Key comparable] struct {
@@ -18,41 +21,54 @@
 	tokens int
 }
 
-// NewCache makes an empty cache with room for so many tokens.
-func NewCache[Key comparable](room int) *Cache[Key] {
-	return &Cache[Key]{room: room, order: list.New(), places: map[Key]*list.Element{}}
+// NewCache returns an empty cache with room for so many tokens.
+func NewCache[Key comparable](capacity int) *Cache[Key] {
+	return &Cache[Key]{capacity: capacity, order: list.New(), blocks: map[Key]*list.Element{}}
 }
 
-// Use returns how many tokens of an opening were held without a gap, and holds all of it from now on.
+// Use returns how many tokens of an opening were cached without a gap, and caches all of it. The keys are those of its
+// blocks, in order, and tokens how many each block has.
 func (cache *Cache[Key]) Use(keys []Key, tokens []int) int {
-	held, complete := 0, true
-	for index, key := range keys {
-		if complete = complete && cache.places[key] != nil; complete {
-			held += tokens[index]
-		}
-	}
+	cached := cache.cachedTokens(keys, tokens)
+	// The first block of an opening is used last, so that an opening loses its end first.
 	for index := len(keys) - 1; index >= 0; index-- {
-		if element := cache.places[keys[index]]; element != nil {
+		if element := cache.blocks[keys[index]]; element != nil {
 			cache.order.MoveToBack(element)
 			continue
 		}
-		cache.places[keys[index]] = cache.order.PushBack(block[Key]{keys[index], tokens[index]})
+		cache.blocks[keys[index]] = cache.order.PushBack(block[Key]{keys[index], tokens[index]})
 		cache.used += tokens[index]
 	}
-	for cache.used > cache.room {
-		oldest := cache.order.Front()
-		evicted, isBlock := oldest.Value.(block[Key])
-		if !isBlock {
-			panic(fmt.Sprintf("a cache holds a %T", oldest.Value))
+	for cache.used > cache.capacity {
+		cache.evict()
+	}
+	return cached
+}
+
+// cachedTokens returns how many tokens of an opening are cached without a gap.
+func (cache *Cache[Key]) cachedTokens(keys []Key, tokens []int) (cached int) {
+	for index, key := range keys {
+		if cache.blocks[key] == nil {
+			break
 		}
-		cache.used -= evicted.tokens
-		delete(cache.places, evicted.key)
-		cache.order.Remove(oldest)
+		cached += tokens[index]
+	}
+	return cached
+}
+
+// evict removes the block that was unused for longest.
+func (cache *Cache[Key]) evict() {
+	oldest := cache.order.Front()
+	evicted, isBlock := oldest.Value.(block[Key])
+	if !isBlock {
+		panic(fmt.Sprintf("a cache holds a %T", oldest.Value))
 	}
-	return held
+	cache.used -= evicted.tokens
+	delete(cache.blocks, evicted.key)
+	cache.order.Remove(oldest)
 }
 
-// Chained returns each part the name of all before it, as an engine's keys do.
+// Chained returns for each part the key of all parts up to it, as an engine's keys do.
 func Chained(parts []string) []string {
 	keys, key := make([]string, len(parts)), ""
 	for index, part := range parts {
