--- a/transport/connpool/pool_test.go
+++ b/transport/connpool/pool_test.go
@@ -41,8 +41,9 @@
 // startRunner emulates a runner until the test ends.
 func startRunner(t *testing.T, id, address string) *emulator.Runner {
 	t.Helper()
-	emulated := &emulator.Runner{ID: id, Address: address, Zone: "a", Service: "s", Model: "m", Weights: "w"}
-	if err := emulator.Start(emulated, emulator.DefaultProfile, histories.New()); err != nil {
+	identity := emulator.Identity{ID: id, Address: address, Zone: "a", Service: "s", Model: "m", Weights: "w"}
+	emulated, err := emulator.Start(identity, emulator.DefaultProfile, histories.New())
+	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(emulated.Crash)
--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Cache is an engine's prefix cache: blocks of prompts' openings by chained key. It evicts the block that was unused for
-// longest. It is not safe for concurrent use.
+// Cache is an engine's prefix cache: blocks of prompts' openings by chained key. It evicts the block that was unused
+// for longest. It is not safe for concurrent use.
 type Cache[Key comparable] struct {
 	// capacity and used are in tokens.
 	capacity int
@@ -26,8 +26,8 @@
 	return &Cache[Key]{capacity: capacity, order: list.New(), blocks: map[Key]*list.Element{}}
 }
 
-// Use returns how many tokens of an opening were cached without a gap, and caches all of it. The keys are those of its
-// blocks, in order, and tokens how many each block has.
+// Use returns how many tokens of an opening were cached without a gap, and caches all of it. The keys are those of
+// its blocks, in order, and tokens how many each block has.
 func (cache *Cache[Key]) Use(keys []Key, tokens []int) int {
 	cached := cache.cachedTokens(keys, tokens)
 	// The first block of an opening is used last, so that an opening loses its end first.
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -268,16 +268,17 @@
 	if weights == "" {
 		weights = fleet.Shape.Mix.Weights
 	}
-	runner := &emulator.Runner{
+	identity := emulator.Identity{
 		ID:      fmt.Sprintf("r%02d-%d", number, incarnation),
 		Address: fmt.Sprintf("127.%d.%d.%d:9100", fleet.Shape.Net, 100+zone, number+1),
 		Zone:    fleet.Shape.Zones[zone],
 		Service: fleet.Shape.Mix.Service,
 		Model:   fleet.Shape.Mix.Model,
 		Weights: weights,
-		Pool:    fleet.Shape.Mix.Pool,
+		Backend: fleet.Shape.Mix.Pool,
 	}
-	if err := emulator.Start(runner, emulator.DefaultProfile, fleet.Record); err != nil {
+	runner, err := emulator.Start(identity, emulator.DefaultProfile, fleet.Record)
+	if err != nil {
 		return nil, err
 	}
 	fleet.mutex.Lock()
@@ -368,7 +369,7 @@
 			if runner == nil || !fleet.Platform.Settled(runner) {
 				continue
 			}
-			free, slots := runner.Free()
+			free, slots := runner.Capacity()
 			room.Free[runner.Zone] += free
 			room.Slots[runner.Zone] += slots
 		}
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -67,8 +67,9 @@
 	defer fleet.mutex.Unlock()
 	for _, runner := range fleet.Runners {
 		if runner != nil {
-			cached += runner.Cached.Load()
-			prompted += runner.Prompted.Load()
+			cachedHere, promptedHere := runner.CacheUse()
+			cached += cachedHere
+			prompted += promptedHere
 		}
 	}
 	if prompted == 0 {
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -105,8 +105,8 @@
 		stage.Harm(fmt.Sprintf("runner %d goes dark", number), stage.Runners[number],
 			time.Duration(stage.Options.Seconds)*time.Second, unresponsiveBound)
 	}
-	stage.Runners[2].Dark.Store(true)
-	stage.Runners[9].Dark.Store(true)
+	stage.Runners[2].Faults.Unresponsive.Store(true)
+	stage.Runners[9].Faults.Unresponsive.Store(true)
 	stage.span(0.5)
 	stage.Remove(2, true)
 	stage.Remove(9, true)
@@ -124,11 +124,11 @@
 	stage.Harm("runner 4 breaks streams", stage.Runners[4], time.Duration(stage.Options.Seconds)*time.Second/2, 0)
 	stage.Harm("runner 5 is ten times slower", stage.Runners[5], time.Duration(stage.Options.Seconds)*time.Second/2,
 		unresponsiveBound)
-	stage.Runners[4].Partial.Store(true)
-	stage.Runners[5].Slow.Store(10)
+	stage.Runners[4].Faults.Partial.Store(true)
+	stage.Runners[5].Faults.Slowdown.Store(10)
 	stage.span(0.5)
-	stage.Runners[4].Partial.Store(false)
-	stage.Runners[5].Slow.Store(1)
+	stage.Runners[4].Faults.Partial.Store(false)
+	stage.Runners[5].Faults.Slowdown.Store(1)
 	return nil
 }
 
@@ -138,16 +138,17 @@
 	previous := stage.Runners[number]
 	stage.Harm("a stranger takes over runner 6's address", previous, 5*time.Second, 0)
 	previous.Crash()
-	stranger := &emulator.Runner{
+	identity := emulator.Identity{
 		ID:      "stranger",
 		Address: previous.Address,
 		Zone:    previous.Zone,
 		Service: "somebody-elses",
 		Model:   previous.Model,
 		Weights: previous.Weights,
-		Pool:    previous.Pool,
+		Backend: previous.Backend,
 	}
-	if err := emulator.Start(stranger, emulator.DefaultProfile, stage.Record); err != nil {
+	stranger, err := emulator.Start(identity, emulator.DefaultProfile, stage.Record)
+	if err != nil {
 		return err
 	}
 	// The platform goes on listing the gone runner for a while, which is when the mistake would be made.
@@ -188,16 +189,17 @@
 	incarnation := stage.Fleet.retired
 	previous := stage.Fleet.Runners[number]
 	stage.Fleet.mutex.Unlock()
-	fresh := &emulator.Runner{
+	identity := emulator.Identity{
 		ID:      fmt.Sprintf("r%02d-%d", number, incarnation),
 		Address: fmt.Sprintf("127.%d.%d.%d:9100", stage.Shape.Net, 150+number%len(stage.Shape.Zones), number+1),
 		Zone:    previous.Zone,
 		Service: previous.Service,
 		Model:   previous.Model,
 		Weights: previous.Weights,
-		Pool:    previous.Pool,
+		Backend: previous.Backend,
 	}
-	if err := emulator.Start(fresh, emulator.DefaultProfile, stage.Record); err != nil {
+	fresh, err := emulator.Start(identity, emulator.DefaultProfile, stage.Record)
+	if err != nil {
 		return err
 	}
 	stage.Fleet.mutex.Lock()
@@ -226,7 +228,7 @@
 	stage.span(0.1)
 	stage.Harm(fmt.Sprintf("runner %d goes dark", dark), stage.Runners[dark],
 		time.Duration(stage.Options.Seconds)*time.Second, unresponsiveBound)
-	stage.Runners[dark].Dark.Store(true)
+	stage.Runners[dark].Faults.Unresponsive.Store(true)
 	stage.span(0.2)
 	stage.Scale(4)
 	stage.span(0.5)
