--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -287,7 +287,7 @@
 		fleet.Runners = append(fleet.Runners, nil)
 	}
 	fleet.Runners[number] = runner
-	fleet.Platform.Set(runner, "cold")
+	fleet.Platform.Set(runner, emulator.StateCold)
 	go fleet.warm(runner)
 	return runner, nil
 }
@@ -299,7 +299,7 @@
 	defer fleet.mutex.Unlock()
 	for _, present := range fleet.Runners {
 		if present == runner {
-			fleet.Platform.Set(runner, "ready")
+			fleet.Platform.Set(runner, emulator.StateReady)
 		}
 	}
 }
@@ -313,7 +313,7 @@
 	if runner == nil {
 		return
 	}
-	fleet.Platform.Set(runner, "")
+	fleet.Platform.Remove(runner)
 	if crash {
 		runner.Crash()
 	}
--- a/verify/fleet/scenarios.go
+++ b/verify/fleet/scenarios.go
@@ -155,7 +155,7 @@
 	stage.span(0.5)
 	stage.Remove(number, false)
 	stage.span(0.6)
-	stage.Platform.Set(stranger, "ready")
+	stage.Platform.Set(stranger, emulator.StateReady)
 	stage.span(0.9)
 	stranger.Crash()
 	return nil
@@ -166,13 +166,13 @@
 	for number := range stage.Shape.Runners {
 		stage.span(0.1 + step*float64(number))
 		leaving := stage.Runners[number]
-		stage.Platform.Set(leaving, "draining")
+		stage.Platform.Set(leaving, emulator.StateDraining)
 		go func() {
 			timer := time.NewTimer(4 * time.Second)
 			<-timer.C
 			// A release waits a while for runs to end, then does not care.
 			stage.Harm("ended by the release", leaving, time.Second, 0)
-			stage.Platform.Set(leaving, "")
+			stage.Platform.Remove(leaving)
 			leaving.Crash()
 		}()
 		if err := stage.replaceAt(number); err != nil {
@@ -205,7 +205,7 @@
 	stage.Fleet.mutex.Lock()
 	stage.Fleet.Runners[number] = fresh
 	stage.Fleet.mutex.Unlock()
-	stage.Platform.Set(fresh, "cold")
+	stage.Platform.Set(fresh, emulator.StateCold)
 	go stage.warm(fresh)
 	return nil
 }
