--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -460,7 +460,9 @@
 		return fmt.Errorf("asking for the spec at the end: status %d", reply.Status)
 	}
 	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
-	held := struct{ Routes []struct{ Name string } }{}
+	held := struct {
+		Routes []struct{ Name string } `json:"lanes"`
+	}{}
 	if err := json.Unmarshal(reply.Spec, &held); err != nil {
 		return err
 	}
