--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net"
 	"sync"
 	"time"
 
@@ -28,12 +29,14 @@
 	daemons    *daemonPool
 	client     *fasthttp.Client
 	server     *fasthttp.Server
+	listener   net.Listener
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 }
 
 // NewPlatform starts a platform that serves its list at an address, on any path, until Close. daemons are the HTTP
-// addresses of the data daemons by zone, the seed is that of the choice among them.
+// addresses of the data daemons by zone, the seed is that of the choice among them. The context is for opening the
+// address alone.
 func NewPlatform(
 	address string,
 	daemons map[string][]string,
@@ -46,10 +49,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	platform := &Platform{
-		history: history,
-		runners: newRunnerList(),
-		daemons: newDaemonPool(daemons, seed),
-		cancel:  cancel,
+		history:  history,
+		runners:  newRunnerList(),
+		daemons:  newDaemonPool(daemons, seed),
+		cancel:   cancel,
+		listener: listener,
 		client: &fasthttp.Client{
 			ReadTimeout:         probeTimeout,
 			WriteTimeout:        probeTimeout,
@@ -70,6 +74,8 @@
 	platform.cancel()
 	// Connections that can't be closed end with the process.
 	_ = platform.server.Shutdown()
+	// A server that was shut down before it began to serve has not closed it.
+	_ = platform.listener.Close()
 	platform.background.Wait()
 }
 
--- a/verify/emulator/platform_test.go
+++ b/verify/emulator/platform_test.go
@@ -5,8 +5,20 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"wardtray/verify/histories"
 )
 
+func TestPlatformCanBeClosedAtOnce(t *testing.T) {
+	for range 100 {
+		platform, err := NewPlatform("127.0.0.1:0", nil, histories.New(), 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		platform.Close()
+	}
+}
+
 func TestPlatformServesItsListAndProbesDaemons(t *testing.T) {
 	listener, err := listen("127.0.0.1:0")
 	if err != nil {
