--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -48,7 +49,7 @@
 	clean := true
 	for _, name := range scenarios {
 		fmt.Printf("--- %s, %s, seed %d\n", deployment, name, options.Seed)
-		held, err := fleet.Prove(fleet.Shapes[deployment], fleet.Scenarios[name], options)
+		held, err := fleet.Prove(context.Background(), fleet.Deployments[deployment], fleet.Scenarios[name], options)
 		if err != nil {
 			return err
 		}
--- a/transport/connpool/pool_test.go
+++ b/transport/connpool/pool_test.go
@@ -42,7 +42,7 @@
 func startRunner(t *testing.T, id, address string) *emulator.Runner {
 	t.Helper()
 	identity := emulator.Identity{ID: id, Address: address, Zone: "a", Service: "s", Model: "m", Weights: "w"}
-	emulated, err := emulator.Start(identity, emulator.DefaultProfile, histories.New())
+	emulated, err := emulator.Start(t.Context(), identity, emulator.DefaultProfile, histories.New())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -38,16 +38,17 @@
 // addresses of the data daemons by zone, the seed is that of the choice among them. The context is for opening the
 // address alone.
 func NewPlatform(
+	ctx context.Context,
 	address string,
 	daemons map[string][]string,
 	history *histories.History,
 	seed int64,
 ) (*Platform, error) {
-	listener, err := listen(address)
+	listener, err := listen(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	platform := &Platform{
 		history:  history,
 		runners:  newRunnerList(),
@@ -65,7 +66,7 @@
 		// A server that was shut down ends its serving without an error, and one whose listener fails serves no more.
 		_ = platform.server.Serve(listener)
 	})
-	platform.background.Go(func() { platform.follow(ctx) })
+	platform.background.Go(func() { platform.follow(life) })
 	return platform, nil
 }
 
--- a/verify/emulator/platform_test.go
+++ b/verify/emulator/platform_test.go
@@ -11,7 +11,7 @@
 
 func TestPlatformCanBeClosedAtOnce(t *testing.T) {
 	for range 100 {
-		platform, err := NewPlatform("127.0.0.1:0", nil, histories.New(), 1)
+		platform, err := NewPlatform(t.Context(), "127.0.0.1:0", nil, histories.New(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -20,7 +20,7 @@
 }
 
 func TestPlatformServesItsListAndProbesDaemons(t *testing.T) {
-	listener, err := listen("127.0.0.1:0")
+	listener, err := listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	runner, history, _ := startRunner(t, warmProfile)
 	ready, refuses := listener.Addr().String(), freeAddress(t)
 	address := freeAddress(t)
-	platform, err := NewPlatform(address, map[string][]string{"a": {refuses}, "b": {ready}}, history, 1)
+	platform, err := NewPlatform(t.Context(), address, map[string][]string{"a": {refuses}, "b": {ready}}, history, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/verify/emulator/runner.go
+++ b/verify/emulator/runner.go
@@ -54,9 +54,15 @@
 	background  sync.WaitGroup
 }
 
-// Start starts a runner that listens at its address and records what it reads. It runs until Crash.
-func Start(identity Identity, profile RunnerProfile, history *histories.History) (*Runner, error) {
-	listener, err := listen(identity.Address)
+// Start starts a runner that listens at its address and records what it reads. It runs until Crash; the
+// context is for opening the address alone.
+func Start(
+	ctx context.Context,
+	identity Identity,
+	profile RunnerProfile,
+	history *histories.History,
+) (*Runner, error) {
+	listener, err := listen(ctx, identity.Address)
 	if err != nil {
 		return nil, err
 	}
@@ -90,8 +96,8 @@
 }
 
 // listen opens an address for the life of a server, which closes it.
-func listen(address string) (net.Listener, error) {
-	return (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
+func listen(ctx context.Context, address string) (net.Listener, error) {
+	return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 }
 
 // Capacity returns how many of the runner's slots are free, and how many it has; one that is unresponsive or warming
--- a/verify/emulator/runner_test.go
+++ b/verify/emulator/runner_test.go
@@ -21,7 +21,7 @@
 // freeAddress returns an address of the loopback interface that nobody listens at.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	listener, err := listen("127.0.0.1:0")
+	listener, err := listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	address := freeAddress(t)
 	history := histories.New()
 	identity := Identity{ID: "r1", Address: address, Zone: "a", Service: "s", Model: "m", Weights: "w", Backend: "b"}
-	runner, err := Start(identity, profile, history)
+	runner, err := Start(t.Context(), identity, profile, history)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 
 func TestStartFailsWhereTheAddressIsInUse(t *testing.T) {
 	runner, history, _ := startRunner(t, warmProfile)
-	if _, err := Start(runner.Identity, warmProfile, history); err == nil {
+	if _, err := Start(t.Context(), runner.Identity, warmProfile, history); err == nil {
 		t.Error("two runners listen at one address")
 	}
 }
--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("%v: %s", err, output)
 	}
 	told := &strings.Builder{}
-	clean, err := Prove(Shapes["guild"], Scenarios["default"],
+	clean, err := Prove(t.Context(), Deployments["guild"], Scenarios["default"],
 		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true})
 	if err != nil || !clean {
 		t.Fatalf("%v\n%s", err, told)
--- /dev/null
+++ b/verify/fleet/operator.go
@@ -0,0 +1,166 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"wardtray/control/proposal"
+	"wardtray/verify/histories"
+)
+
+const (
+	// operatorTimeout is how long an operator waits for a response; a core gives one within 6 s.
+	operatorTimeout = 9 * time.Second
+	// maximumResponse bounds the body of a response, in bytes.
+	maximumResponse = 64 << 20
+)
+
+// Operator changes the configuration of a fleet through any of its cores and records each change. It is safe for
+// concurrent use. It uses net/http and types of its own, so that it can't share the faults of the fleet's own
+// client.
+type Operator struct {
+	client  *http.Client
+	history *histories.History
+}
+
+func newOperator(history *histories.History) *Operator {
+	transport := &http.Transport{DisableKeepAlives: true}
+	return &Operator{client: &http.Client{Timeout: operatorTimeout, Transport: transport}, history: history}
+}
+
+// Reply is what a core replies to an operator.
+type Reply struct {
+	// Status is that of the response.
+	Status  int `json:"-"`
+	Outcome string
+	Epoch   uint64
+	Spec    json.RawMessage
+}
+
+// Get reads the committed configuration. Where there is none, or none can be read, the error is a StatusError.
+func (operator *Operator) Get(ctx context.Context, core *Process) (Reply, error) {
+	return operator.read(ctx, core, "/v1/spec")
+}
+
+// Outcome reads what became of a change. Where that is not known, the error is a StatusError.
+func (operator *Operator) Outcome(ctx context.Context, core *Process, operation string) (Reply, error) {
+	return operator.read(ctx, core, "/v1/operations/"+url.PathEscape(operation))
+}
+
+func (operator *Operator) read(ctx context.Context, core *Process, path string) (Reply, error) {
+	reply, err := operator.call(ctx, http.MethodGet, core, path, nil)
+	if err == nil && reply.Status != http.StatusOK {
+		return reply, &StatusError{Path: path, Status: reply.Status}
+	}
+	return reply, err
+}
+
+// Apply replaces the configuration by the order's Spec, on the epoch that is its Base, and records the order.
+func (operator *Operator) Apply(ctx context.Context, core *Process, order *histories.Order) {
+	order.Verb, order.HasBase = proposal.VerbApply, true
+	path := fmt.Sprintf("/v1/spec?base=%d&operation=%s", order.Base, url.QueryEscape(order.Operation))
+	operator.submit(ctx, core, order, http.MethodPut, path, order.Spec.Encode())
+}
+
+// Zone closes or opens a zone, by the verbs of package proposal, and records the order.
+func (operator *Operator) Zone(ctx context.Context, core *Process, operation, verb, zone string) *histories.Order {
+	order := &histories.Order{Operation: operation, Verb: verb, Zone: zone}
+	path := fmt.Sprintf("/v1/zones/%s/%s?operation=%s", url.PathEscape(zone), verb, url.QueryEscape(operation))
+	operator.submit(ctx, core, order, http.MethodPost, path, nil)
+	return order
+}
+
+// submit sends a change, and completes and records its order. A change without a reply has an unknown outcome.
+func (operator *Operator) submit(
+	ctx context.Context,
+	core *Process,
+	order *histories.Order,
+	method, path string,
+	body []byte,
+) {
+	order.Sent = time.Now()
+	reply, err := operator.call(ctx, method, core, path, body)
+	order.Got = time.Now()
+	order.HTTPStatus, order.Outcome, order.Epoch = reply.Status, reply.Outcome, reply.Epoch
+	if err != nil {
+		order.Outcome = proposal.OutcomeUnknown
+	}
+	operator.history.Change(func(history *histories.History) { history.Orders = append(history.Orders, order) })
+}
+
+// call sends a request. A reply that can't be decoded is returned with its status and the error.
+func (operator *Operator) call(
+	ctx context.Context,
+	method string,
+	core *Process,
+	path string,
+	body []byte,
+) (Reply, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+core.Settings.HTTP+path, bytes.NewReader(body))
+	if err != nil {
+		return Reply{}, err
+	}
+	response, err := operator.client.Do(request)
+	if err != nil {
+		return Reply{}, err
+	}
+	// The body was read; its close can lose nothing.
+	defer func() { _ = response.Body.Close() }()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maximumResponse))
+	if err != nil {
+		return Reply{}, err
+	}
+	reply := Reply{Status: response.StatusCode}
+	if err := json.Unmarshal(content, &reply); err != nil {
+		return reply, fmt.Errorf("the reply of %s to %s: %w", core.Name, path, err)
+	}
+	return reply, nil
+}
+
+// FinalState reads through a core what the fleet says of the configuration and of all changes that were recorded.
+func (operator *Operator) FinalState(ctx context.Context, core *Process) (histories.Final, error) {
+	reply, err := operator.Get(ctx, core)
+	if err != nil {
+		return histories.Final{}, fmt.Errorf("reading the configuration at the end: %w", err)
+	}
+	spec := struct {
+		Routes []struct{ Name string } `json:"lanes"`
+	}{}
+	if err := json.Unmarshal(reply.Spec, &spec); err != nil {
+		return histories.Final{}, fmt.Errorf("the configuration at the end: %w", err)
+	}
+	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
+	for _, route := range spec.Routes {
+		final.Routes = append(final.Routes, route.Name)
+	}
+	for _, operation := range operator.operations() {
+		reply, err := operator.Outcome(ctx, core, operation)
+		var notKnown *StatusError
+		if errors.As(err, &notKnown) {
+			continue
+		}
+		if err != nil {
+			return histories.Final{}, fmt.Errorf("reading the outcome of %s at the end: %w", operation, err)
+		}
+		final.Known[operation] = reply.Epoch
+	}
+	return final, nil
+}
+
+// operations returns the ids of all recorded changes.
+func (operator *Operator) operations() []string {
+	var operations []string
+	operator.history.Change(func(history *histories.History) {
+		for _, order := range history.Orders {
+			operations = append(operations, order.Operation)
+		}
+	})
+	return operations
+}
--- /dev/null
+++ b/verify/fleet/process_test.go
@@ -0,0 +1,154 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/config/process"
+)
+
+// script prepares a process that runs a shell script, which says "up" in its log when it is up.
+func script(t *testing.T, body string) *Process {
+	t.Helper()
+	folder := t.TempDir()
+	text := "#!/bin/sh\n" + body + "\n"
+	if err := os.WriteFile(filepath.Join(folder, "program"), []byte(text), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	prepared, err := newProcess("one", "program", process.Settings{Zone: "a"}, folder, folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(prepared.Kill)
+	return prepared
+}
+
+// awaitUp waits until a script has said "up" so many times.
+func awaitUp(t *testing.T, process *Process, times int) {
+	t.Helper()
+	if err := waitFor(t.Context(), 10*time.Second, func() bool {
+		log, err := os.ReadFile(process.logFile)
+		return err == nil && strings.Count(string(log), "up\n") == times
+	}); err != nil {
+		t.Fatalf("%s is not up: %v", process.Name, err)
+	}
+}
+
+const waiting = "echo up; while :; do sleep 0.01; done"
+
+func TestProcessWritesItsSettings(t *testing.T) {
+	process := script(t, waiting)
+	content, err := os.ReadFile(process.settingsFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings := process.Settings
+	settings.Zone = ""
+	if err := json.Unmarshal(content, &settings); err != nil || settings.Zone != "a" {
+		t.Errorf("%s, %v", content, err)
+	}
+}
+
+func TestProcessRunsUntilItIsKilledAndAgain(t *testing.T) {
+	process := script(t, waiting)
+	process.Kill()
+	for start := 1; start <= 2; start++ {
+		if err := process.Start(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		awaitUp(t, process, start)
+		if err := process.Start(t.Context()); !errors.Is(err, ErrRunning) {
+			t.Errorf("a process that runs was started again: %v", err)
+		}
+		process.Kill()
+	}
+}
+
+func TestProcessTerminates(t *testing.T) {
+	process := script(t, "trap 'echo ended; exit 0' TERM; "+waiting)
+	if err := process.Start(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	awaitUp(t, process, 1)
+	if err := process.Terminate(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if log, err := os.ReadFile(process.logFile); err != nil || !strings.HasSuffix(string(log), "ended\n") {
+		t.Errorf("its log: %q, %v", log, err)
+	}
+}
+
+func TestTerminateReturnsWithItsContext(t *testing.T) {
+	process := script(t, "trap '' TERM; "+waiting)
+	if err := process.Start(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	awaitUp(t, process, 1)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	defer cancel()
+	if err := process.Terminate(ctx); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("a process that ignores SIGTERM: %v", err)
+	}
+}
+
+func TestFrozenProcessDoesNothingUntilItResumes(t *testing.T) {
+	process := script(t, "trap 'echo ended; exit 0' TERM; "+waiting)
+	if err := process.Start(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	awaitUp(t, process, 1)
+	process.Freeze()
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+	defer cancel()
+	if err := process.Terminate(ctx); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("a frozen process ended: %v", err)
+	}
+	process.Resume()
+	if err := process.Terminate(t.Context()); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestProcessEndsWithItsContext(t *testing.T) {
+	process := script(t, waiting)
+	ctx, cancel := context.WithCancel(t.Context())
+	if err := process.Start(ctx); err != nil {
+		t.Fatal(err)
+	}
+	awaitUp(t, process, 1)
+	cancel()
+	select {
+	case <-process.finished:
+	case <-time.After(10 * time.Second):
+		t.Error("it runs on")
+	}
+}
+
+func TestStartOfAProgramThatIsNotThere(t *testing.T) {
+	missing, err := newProcess("one", "program", process.Settings{}, t.TempDir(), t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := missing.Start(t.Context()); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v", err)
+	}
+}
+
+func TestStartAllAndKillAll(t *testing.T) {
+	processes := []*Process{script(t, waiting), script(t, waiting)}
+	if err := startAll(t.Context(), processes); err != nil {
+		t.Fatal(err)
+	}
+	killAll(processes)
+	for _, process := range processes {
+		if process.isRunning() {
+			t.Errorf("%s still runs", process.Name)
+		}
+	}
+}
--- /dev/null
+++ b/verify/fleet/report_test.go
@@ -0,0 +1,59 @@
+package fleet
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/verify/histories"
+)
+
+func TestReportPrintsFiguresEventsAndVerdict(t *testing.T) {
+	history := histories.New()
+	history.Answers = []*histories.Answer{
+		{Route: "chat", Done: true, First: 10 * time.Millisecond},
+		{Route: "chat", Status: 503, Kind: "waitlist_full"},
+	}
+	sent := history.Started.Add(time.Second)
+	history.Orders = []*histories.Order{{
+		Operation: "first", Verb: "apply", Outcome: "accepted", Epoch: 1, Sent: sent, Got: sent.Add(30 * time.Millisecond),
+	}}
+	history.Faults = []histories.Fault{{At: history.Started.Add(9060 * time.Millisecond), What: "runner 3 killed"}}
+	want := `requests 2: done 1, refused 1, unknown 0, broken off 0, lost with a killed daemon 0
+prompt tokens found in runners' caches: 75%; repeats: 0
+worst cases: a change ignored 0s after its acknowledgement (2 s), work to a leaving runner 0s (3 s), ` +
+		`to a closed zone 0s (5 s), first answer after return 0s (12 s), 0 repeats to 0 requests in 10 s
+  chat       done     1   first event: median 10ms, 95% 10ms, worst 10ms
+  refused or unknown: chat waitlist_full           1
+  order first        apply  accepted   epoch 1 in 30ms
+  at   9.06s runner 3 killed
+`
+	clean := fmt.Sprintf("verdict: clean, all %d rules held\n", len(histories.Rules))
+	report := newReport(history, 0.75, nil)
+	if text := printed(report); text != want+clean || !report.Clean() {
+		t.Errorf("%s\ninstead of\n%s", text, want+clean)
+	}
+	report.Violations = []histories.Violation{{Rule: "down", Detail: "for 13 s"}}
+	broken := "BROKEN down: for 13 s\nverdict: 1 violations\n"
+	if text := printed(report); text != want+broken || report.Clean() {
+		t.Errorf("%s\ninstead of\n%s", text, want+broken)
+	}
+}
+
+func TestReportPrintsTheFirstViolations(t *testing.T) {
+	violations := make([]histories.Violation, mostViolations+5)
+	text := printed(newReport(histories.New(), 0, violations))
+	if count := strings.Count(text, "BROKEN"); count != mostViolations {
+		t.Errorf("%d violations are printed", count)
+	}
+	if !strings.HasSuffix(text, "verdict: 45 violations\n") {
+		t.Errorf("%s", text)
+	}
+}
+
+func printed(report Report) string {
+	text := &strings.Builder{}
+	report.Print(text)
+	return text.String()
+}
--- a/verify/fleet/scenario.go
+++ b/verify/fleet/scenario.go
@@ -1,231 +1,93 @@
 package fleet
 
-import (
-	"context"
-	"fmt"
-	"io"
-	"math"
-	"math/rand"
-	"os"
-	"time"
+import "context"
 
-	"wardtray/verify/histories"
-	"wardtray/verify/loadtest"
-)
-
-// Options say how a proof runs.
-type Options struct {
-	Binaries string
-	Folder   string
-	Seconds  int
-	Seed     int64
-	Rate     float64
-	Hot      float64
-	Output   io.Writer
-	Keep     bool
-	// Timeless judges only by the rules that a slow machine can't break.
-	Timeless bool
-}
-
-// Stage is what a scenario works with.
-type Stage struct {
-	*Fleet
-	Random  *rand.Rand
-	Options Options
-	// Factor multiplies the rate of requests.
-	Factor  func() float64
-	factor  float64
-	started time.Time
-}
-
-// Scenario is a named course of faults during the load.
+// Scenario is a named course of faults and changes under load.
 type Scenario struct {
 	Help string
 	// Hot is the part of the requests that carry one and the same opening, Leaves that whose clients leave early.
 	Hot, Leaves float64
-	Run         func(stage *Stage) error
+	// Steps returns what is done to a deployment, in order; nil where nothing is.
+	Steps func(deployment Deployment) []Step
 }
 
-// At waits until so many seconds of the load have passed.
-func (stage *Stage) At(seconds float64) {
-	waitUntil(stage.started.Add(time.Duration(seconds * float64(time.Second))))
+// Step is what is done at one time. A step whose time has passed when the one before is done comes at once.
+type Step struct {
+	// At is when, as a part of the load's length.
+	At      float64
+	Actions []Action
 }
 
-// waitUntil waits for a moment, which may have passed.
-func waitUntil(moment time.Time) {
-	timer := time.NewTimer(time.Until(moment))
-	defer timer.Stop()
-	<-timer.C
-}
+// Action does one thing to a fleet under load. An error ends the scenario; a change that is not accepted is none,
+// unless the scenario relies on it.
+type Action func(ctx context.Context, stage *Stage) error
 
-// timeout is how long a fleet may take to come up, and to answer at the end.
-const timeout = time.Minute
+// at returns a step.
+func at(part float64, actions ...Action) Step { return Step{At: part, Actions: actions} }
 
-// Prove runs one scenario on one deployment and reports whether every rule held.
-func Prove(shape Shape, scenario Scenario, options Options) (bool, error) {
-	folder, remove, err := options.workFolder()
-	if err != nil {
-		return false, err
-	}
-	defer remove()
-	fleet, err := New(shape, folder, options.Binaries, options.Seed)
-	if err != nil {
-		return false, err
-	}
-	defer fleet.Stop()
-	if err := fleet.StartAll(); err != nil {
-		return false, err
-	}
-	if err := fleet.bringUp(folder, options.Output); err != nil {
-		return false, err
-	}
-	if err := fleet.runScenario(scenario, options); err != nil {
-		return false, err
-	}
-	if !Await(timeout, fleet.finished) {
-		// The report is printed all the same.
-		_, _ = fmt.Fprintln(options.Output, "nobody answered for the state at the end")
-	}
-	violations := histories.Check(fleet.Record)
-	if options.Timeless {
-		violations = histories.Timeless(violations)
-	}
-	return fleet.Print(options.Output, violations), nil
-}
+// steps returns the steps of a scenario that are the same for each deployment.
+func steps(all ...Step) func(Deployment) []Step { return func(Deployment) []Step { return all } }
 
-// workFolder returns the folder for startup files, data and logs, and the function that removes it if it is temporary.
-func (options Options) workFolder() (folder string, remove func(), err error) {
-	keep := func() {}
-	if options.Folder != "" {
-		return options.Folder, keep, nil
+// stepsFor returns the steps for a deployment.
+func (scenario Scenario) stepsFor(deployment Deployment) []Step {
+	if scenario.Steps == nil {
+		return nil
 	}
-	folder, err = os.MkdirTemp("", "wtverify-")
-	if err != nil || options.Keep {
-		return folder, keep, err
-	}
-	return folder, func() {
-		// A temporary folder that stays behind does no harm.
-		_ = os.RemoveAll(folder)
-	}, nil
+	return scenario.Steps(deployment)
 }
 
-// bringUp waits for the first view, applies the first spec and lets runners warm up.
-func (fleet *Fleet) bringUp(folder string, output io.Writer) error {
-	started := time.Now()
-	// A slow machine may take its time; the bounds of the rules are measured elsewhere.
-	if !Await(timeout, func() bool {
-		reply, err := fleet.Get(fleet.Cores()[0])
-		return err == nil && reply.Status == 200
-	}) {
-		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s", timeout, folder)
-	}
-	var first *histories.Order
-	for first == nil || first.Outcome == "unknown" && time.Since(started) < timeout {
-		first = fleet.Apply(fleet.Cores()[len(fleet.Cores())-1], "first", 0, "")
-	}
-	if first.Outcome != "accepted" {
-		return fmt.Errorf("the first spec was not accepted: %+v", first)
-	}
-	// A note on the way; the report follows.
-	_, _ = fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
-		fleet.Shape.Name, len(fleet.Machines), len(fleet.Cores()), fleet.Shape.Runners,
-		time.Since(started).Round(time.Millisecond))
-	// The brief's traffic begins about ten seconds after the machines, when runners are warm and daemons known to be
-	// fit.
-	waitUntil(started.Add(6 * time.Second))
-	return nil
-}
-
-// runScenario sends the deployment's mix of requests while the scenario does its harm.
-func (fleet *Fleet) runScenario(scenario Scenario, options Options) error {
-	rate := options.Rate
-	if rate == 0 {
-		rate = fleet.Shape.Rate
-	}
-	stage := &Stage{
-		Fleet:   fleet,
-		Random:  rand.New(rand.NewSource(options.Seed)),
-		Options: options,
-		factor:  1,
-		started: time.Now(),
-	}
-	stage.Factor = func() float64 {
-		value := 1.0
-		fleet.Record.Change(func(*histories.History) { value = stage.factor })
-		return value
-	}
-	sender := loadtest.New(fleet.Shape.Mix, fleet.Shape.Zones, fleet.Platform.Pick, fleet.Record, options.Seed)
-	sender.Hot, sender.HangUps = max(options.Hot, scenario.Hot), scenario.Leaves
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
-	go fleet.Sample(running)
-	finished := make(chan struct{})
-	go func() {
-		sender.Run(running, func() float64 { return rate * stage.Factor() })
-		close(finished)
-	}()
-	err := scenario.Run(stage)
-	stage.At(float64(options.Seconds))
-	stage.At(float64(max(options.Seconds, stage.secondsToReturn())))
-	stop()
-	<-finished
-	return err
-}
-
-// secondsToReturn returns how long the load must last to show whether service is back in time after each return, which
-// can only be seen while somebody asks for it.
-func (stage *Stage) secondsToReturn() (seconds int) {
-	stage.Record.Change(func(record *histories.History) {
-		for _, back := range record.Returns {
-			until := back.At.Add(histories.ReturnBound).Sub(stage.started).Seconds()
-			seconds = max(seconds, int(math.Ceil(until)))
-		}
-	})
-	return seconds
-}
-
-// finished asks the cores for the state at the end until one has answered.
-func (fleet *Fleet) finished() bool {
-	for _, core := range fleet.Cores() {
-		if fleet.Finish(core) == nil {
-			return true
-		}
-	}
-	return false
-}
-
-// Scale changes the rate of requests.
-func (stage *Stage) Scale(factor float64) {
-	stage.Record.Change(func(*histories.History) { stage.factor = factor })
-}
-
-func defaultScenario(stage *Stage) error {
-	span := float64(stage.Options.Seconds)
-	stage.At(span * 0.2)
-	stage.Harm("runner 3 killed", stage.Runners[3], time.Second, 0)
-	stage.Remove(3, true)
-	stage.At(span * 0.35)
-	victim := stage.Datas()[5]
-	stage.Fault(victim.Name+" killed", victim, true, 2*time.Second)
-	victim.Kill()
-	stage.At(span * 0.45)
-	if err := stage.Start(victim); err != nil {
-		return err
-	}
-	if _, err := stage.AddRunner(3, ""); err != nil {
-		return err
-	}
-	stage.At(span * 0.5)
-	head := stage.Cores()[0]
-	stage.Fault(head.Name+" killed", head, true, 5*time.Second)
-	head.Kill()
-	last := stage.Cores()[len(stage.Cores())-1]
-	stage.Apply(last, "during", 1, "extra-lane")
-	stage.At(span * 0.7)
-	if err := stage.Start(head); err != nil {
-		return err
-	}
-	stage.Zone(last, "closing", "close", stage.Shape.Zones[1])
-	stage.At(span * 0.95)
-	return nil
+// Scenarios are all that a real fleet is put through, by name.
+var Scenarios = map[string]Scenario{
+	"calm": {Help: "no fault at all; a fleet to look at with wtctl"},
+	"default": {
+		Help:  "kill a runner, a data daemon and a disk machine's core, and change the spec meanwhile",
+		Steps: oneOfEach,
+	},
+	"crowd":   {Help: "five times the requests for a quarter of the time", Steps: overload},
+	"hot-key": {Help: "nine requests of ten carry one opening", Hot: 0.9},
+
+	"runner-dark":    {Help: "two runners read requests and never answer", Steps: runnersUnresponsive},
+	"runner-partial": {Help: "a runner breaks its streams in the middle, another becomes slow", Steps: runnersFaulty},
+	"address-reused": {
+		Help:  "a runner crashes and a stranger of another service answers at its address",
+		Steps: addressReused,
+	},
+	"rolling-release": {
+		Help:  "every runner is drained and comes back under a new identity, one after the other",
+		Steps: rollingRelease,
+	},
+
+	"daemon-frozen": {
+		Help:  "data daemons are frozen for seconds and woken, while the spec changes",
+		Steps: daemonsFrozen,
+	},
+	"daemon-killed": {Help: "data daemons are killed and come back", Steps: daemonsKilled},
+	"requesters-leave": {
+		Help:   "half of the requesters leave early, while a crowd comes, a runner is dark and daemons are frozen",
+		Leaves: 0.5,
+		Steps:  clientsLeave,
+	},
+
+	"core-frozen": {Help: "the head is frozen in the middle of changes and woken", Steps: coresFrozen},
+	"core-wiped":  {Help: "a disk machine loses its disk and comes back blank", Steps: coreWiped},
+	"core-swapped": {
+		Help:  "every control machine in turn is swapped for a blank one at a new address",
+		Steps: coresSwapped,
+	},
+	"control-off": {Help: "the whole control plane is down for ten seconds; traffic goes on", Steps: controlOff},
+
+	"zone-lost": {Help: "all machines of a zone are killed and come back", Steps: zoneLost},
+	"all-down":  {Help: "every process is killed at once and started again", Steps: allDown},
+	"rolling-restart": {
+		Help:  "every wtdata and wtcore is restarted by SIGTERM, one after the other",
+		Steps: rollingRestart,
+	},
+	"fault-at-the-end": {
+		Help:  "power is lost everywhere directly after an acknowledgement, at the very end",
+		Steps: faultAtTheEnd,
+	},
+
+	"storm":        {Help: "two operators race each other as fast as they can", Steps: storm},
+	"many-routes":  {Help: "thousands of lanes are added at once", Steps: manyRoutes},
+	"zones-closed": {Help: "zones are closed and opened again", Steps: zonesClosed},
 }
