--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -4,8 +4,10 @@
 	"context"
 	"fmt"
 	"os"
+	"os/signal"
 	"path/filepath"
 	"strings"
+	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
 
@@ -33,12 +35,16 @@
 		if *scenario == "all" {
 			chosen = names
 		}
-		return proveFleet(*deployment, chosen, options)
+		// An interrupt ends the fleet's processes and removes its folder; a second one ends wtverify at once.
+		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+		defer stop()
+		context.AfterFunc(ctx, stop)
+		return proveFleet(ctx, *deployment, chosen, options)
 	}
 }
 
-// proveFleet runs scenarios one after the other. Where a rule was broken it ends with exit code 1.
-func proveFleet(deployment string, scenarios []string, options fleet.Options) error {
+// proveFleet runs scenarios one after the other.
+func proveFleet(ctx context.Context, deployment string, scenarios []string, options fleet.Options) error {
 	if options.Binaries == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -49,14 +55,13 @@
 	clean := true
 	for _, name := range scenarios {
 		fmt.Printf("--- %s, %s, seed %d\n", deployment, name, options.Seed)
-		held, err := fleet.Prove(context.Background(), fleet.Deployments[deployment], fleet.Scenarios[name], options)
+		held, err := fleet.Prove(ctx, fleet.Deployments[deployment], fleet.Scenarios[name], options)
 		if err != nil {
 			return err
 		}
 		clean = clean && held
 	}
-	endUnless(clean)
-	return nil
+	return verdict(clean)
 }
 
 // registerScenarios adds the command that lists the scenarios.
--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -1,18 +1,19 @@
-// Command wtverify proves a fleet: it starts one as real processes with stand-in runners, platform
-// and clients, does harm to it, and checks what everybody saw.
+// Command wtverify verifies a fleet: it runs one as real processes with emulated runners, platform and clients, or in
+// simulated time, does harm to it, and checks what everybody saw. The exit code is 0 where every rule held, 1 where one
+// was broken or the command failed, and 2 where its flags make no sense.
 package main
 
 import (
-	"fmt"
+	"maps"
 	"os"
-	"sort"
+	"slices"
 
 	"github.com/alecthomas/kingpin/v2"
 
 	"wardtray/verify/modelcheck"
 )
 
-// commands are the functions that run a command, by its full name. An error ends wtverify with exit code 1.
+// commands are the functions that run a command, by its full name. exitCode says what an error means.
 type commands map[string]func() error
 
 func main() {
@@ -34,9 +35,7 @@
 	search := modelcheck.Register(application)
 	known[search.Command] = func() error { return search.Run(os.Stdout) }
 	called := kingpin.MustParse(application.Parse(os.Args[1:]))
-	if err := known[called](); err != nil {
-		end(err)
-	}
+	os.Exit(exitCode(known[called](), os.Stderr))
 }
 
 // deploymentArgument is the deployment that most commands want.
@@ -44,16 +43,5 @@
 	return command.Arg("deployment", "guild or ferries").Required().Enum("guild", "ferries")
 }
 
-func sortedNames[Value any](of map[string]Value) []string {
-	names := make([]string, 0, len(of))
-	for name := range of {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
-
-func end(err error) {
-	fmt.Fprintln(os.Stderr, "wtverify:", err)
-	os.Exit(1)
-}
+// sortedNames returns the keys of a table in order.
+func sortedNames[Value any](table map[string]Value) []string { return slices.Sorted(maps.Keys(table)) }
--- /dev/null
+++ b/cmd/wtverify/summary.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+
+	"wardtray/control/proposal"
+	"wardtray/verify/histories"
+	"wardtray/verify/simulation"
+)
+
+// summary gathers what many runs showed. It is safe for concurrent use.
+type summary struct {
+	printer
+	mutex                sync.Mutex
+	clean                bool
+	awards, acknowledged int
+	worst                *worst
+}
+
+func newSummary(output io.Writer) *summary {
+	return &summary{printer: printer{output}, clean: true, worst: newWorst()}
+}
+
+// add takes in a run that has ended; it prints what broke.
+func (summary *summary) add(world *simulation.World) {
+	summary.mutex.Lock()
+	defer summary.mutex.Unlock()
+	for _, line := range world.Check.Violations {
+		summary.clean = false
+		summary.println("BROKEN", line)
+	}
+	if len(world.Check.Violations) > 0 {
+		summary.println("  harm done before:", strings.Join(world.Log[max(0, len(world.Log)-6):], "; "))
+	}
+	summary.awards += world.Check.Decisions
+	if world.Traffic != nil {
+		summary.worst.add(histories.Worst(world.Traffic.History))
+		summary.worst.count(world.Traffic.Counts())
+	}
+	for _, order := range world.Check.Orders {
+		if order.Outcome == proposal.OutcomeAccepted {
+			summary.acknowledged++
+		}
+	}
+	for rule, length := range world.Check.WorstCases {
+		summary.worst.lengths[rule] = max(summary.worst.lengths[rule], length)
+	}
+}
+
+// print writes what was seen in so many seeds.
+func (summary *summary) print(seeds int64) {
+	summary.printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds, summary.acknowledged, summary.awards)
+	summary.worst.print(summary.printer)
+	if summary.clean {
+		summary.println("verdict: clean")
+		return
+	}
+	summary.println("verdict: rules broken; run again with --from SEED --seeds 1")
+}
+
+// printer writes what the reader of the terminal sees; an output that takes no more says nothing about the fleet.
+type printer struct {
+	output io.Writer
+}
+
+func (printer printer) printf(format string, values ...any) {
+	_, _ = fmt.Fprintf(printer.output, format, values...)
+}
+
+func (printer printer) println(values ...any) { _, _ = fmt.Fprintln(printer.output, values...) }
