--- a/verify/fleet/control_scenarios.go
+++ b/verify/fleet/control_scenarios.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"time"
+
+	"wardtray/verify/histories"
 )
 
 // coresFrozen freezes the head of the chain, and the next one later, in the middle of changes.
@@ -77,19 +80,19 @@
 	return []Step{at(0.2, kill), at(0.7, start, changeUntilAccepted)}
 }
 
-// changeUntilAccepted sends changes until one is accepted.
+// changeUntilAccepted sends changes through the first core until one is accepted; the error is a NotAcceptedError where
+// none is within the bound of a return.
 func changeUntilAccepted(ctx context.Context, stage *Stage) error {
-	const bound = 12 * time.Second
 	back := time.Now()
 	order := stage.change(ctx, stage.Cores()[0], "after-control")
-	err := waitFor(ctx, bound, func() bool {
+	err := waitFor(ctx, histories.ReturnBound, func() bool {
 		if !isAccepted(order) {
 			order = stage.change(ctx, stage.Cores()[0], fmt.Sprintf("after-control-%v", time.Since(back)))
 		}
 		return isAccepted(order)
 	})
 	if err != nil {
-		return fmt.Errorf("after the control plane's return, in %v: %w: %w", bound, err, &NotAcceptedError{order})
+		return fmt.Errorf("within %v of the return: %w: %w", histories.ReturnBound, err, &NotAcceptedError{order})
 	}
 	return nil
 }
@@ -158,11 +161,18 @@
 	}
 }
 
-// faultAtTheEnd kills every process directly after a change was acknowledged.
+// faultAtTheEnd kills every process directly after a change was acknowledged. When they are back, a change is sent.
 var faultAtTheEnd = steps(at(0.97, func(ctx context.Context, stage *Stage) error {
 	order := stage.change(ctx, stage.Cores()[0], "last")
 	if !isAccepted(order) {
 		return &NotAcceptedError{order}
 	}
-	return stage.restartAll(ctx, "killed at the very end")
+	if err := stage.restartAll(ctx, "killed at the very end"); err != nil {
+		return err
+	}
+	// The rule of returns wants a change that is accepted, and judges where there is none.
+	if err := changeUntilAccepted(ctx, stage); !errors.Is(err, ErrTimeout) {
+		return err
+	}
+	return nil
 }))
--- /dev/null
+++ b/verify/fleet/control_scenarios_test.go
@@ -0,0 +1,57 @@
+package fleet
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/config/process"
+	"wardtray/verify/histories"
+)
+
+// A change is sent again until one is accepted, each time under an id of its own.
+func TestChangeUntilAccepted(t *testing.T) {
+	changes := 0
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		body := `{"outcome":"found","epoch":1}`
+		if request.Method == http.MethodPut {
+			changes++
+			body = `{"outcome":"refused"}`
+			if changes == 3 {
+				body = `{"outcome":"accepted","epoch":2}`
+			}
+		}
+		_, _ = writer.Write([]byte(body))
+	}))
+	t.Cleanup(server.Close)
+	stage := newTestStage(time.Second)
+	stage.Operator = newOperator(stage.History)
+	settings := process.Settings{HTTP: strings.TrimPrefix(server.URL, "http://")}
+	stage.Machines = []*Machine{{Core: &Process{Settings: settings}}}
+	if err := changeUntilAccepted(t.Context(), stage); err != nil {
+		t.Fatal(err)
+	}
+	operations := map[string]bool{}
+	for _, order := range stage.History.Orders {
+		operations[order.Operation] = true
+	}
+	if len(stage.History.Orders) != 3 || len(operations) != 3 {
+		t.Errorf("%d changes, operations %v", len(stage.History.Orders), operations)
+	}
+}
+
+func TestNotAcceptedErrorIsFoundBesideItsCause(t *testing.T) {
+	order := &histories.Order{Operation: "last", HTTPStatus: 503, Outcome: "refused", Epoch: 2, Base: 1}
+	err := errors.Join(ErrTimeout, &NotAcceptedError{order})
+	var notAccepted *NotAcceptedError
+	if !errors.Is(err, ErrTimeout) || !errors.As(err, &notAccepted) || notAccepted.Order != order {
+		t.Errorf("%v", err)
+	}
+	want := `the change "last" was not accepted: status 503, outcome "refused", epoch 2, on epoch 1`
+	if notAccepted.Error() != want {
+		t.Errorf("%q instead of %q", notAccepted, want)
+	}
+}
