--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -1,24 +1,113 @@
 package fleet
 
 import (
-	"os/exec"
-	"strings"
+	"errors"
+	"os"
+	"path/filepath"
+	"slices"
 	"testing"
+	"time"
+
+	"wardtray/verify/histories"
 )
 
-// A short fleet of real processes: a runner, a daemon and the head are killed and the spec changes. It is
-// judged by the rules that no slow machine can break; the others are judged in simulated time.
-func TestShortFleet(t *testing.T) {
-	folder := t.TempDir()
-	build := exec.CommandContext(t.Context(), "go", "build", "-o", folder, "wardtray/cmd/wtdata", "wardtray/cmd/wtcore")
-	if output, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
-	}
-	told := &strings.Builder{}
-	clean, err := Prove(t.Context(), Deployments["guild"], Scenarios["default"],
-		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true})
-	if err != nil || !clean {
-		t.Fatalf("%v\n%s", err, told)
-	}
-	t.Log(told)
+// newTestFleet lays out a fleet of the test's deployment until the test ends.
+func newTestFleet(t *testing.T) *Fleet {
+	t.Helper()
+	fleet, err := New(t.Context(), testDeployment, t.TempDir(), t.TempDir(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(fleet.Stop)
+	return fleet
+}
+
+func processNames(processes []*Process) []string {
+	names := make([]string, 0, len(processes))
+	for _, process := range processes {
+		names = append(names, process.Name)
+	}
+	return names
+}
+
+func TestNewLaysOutProcesses(t *testing.T) {
+	fleet := newTestFleet(t)
+	want := []string{"a-1.core", "a-1.data", "a-2.data", "b-1.data"}
+	if names := processNames(fleet.Processes()); !slices.Equal(names, want) {
+		t.Errorf("processes %q instead of %q", names, want)
+	}
+	if names := processNames(fleet.processesIn("b")); !slices.Equal(names, want[3:]) {
+		t.Errorf("processes in b: %q", names)
+	}
+	core, data := fleet.lastCore().Settings, fleet.DataDaemons()[2].Settings
+	if core.Address != "127.61.1.1:7100" || core.HTTP != "127.61.1.1:8100" || core.Folder == "" || core.Platform != "" {
+		t.Errorf("settings of a core: %+v", core)
+	}
+	if data.Address != "127.61.2.1:7200" || data.HTTP != "127.61.2.1:8200" || data.Folder != "" || data.Zone != "b" {
+		t.Errorf("settings of a daemon: %+v", data)
+	}
+	if data.Platform != "http://127.61.250.1:9000/runners" || !slices.Equal(data.Seeds, core.Seeds) {
+		t.Errorf("settings of a daemon: %+v", data)
+	}
+	if history := fleet.History; history.Daemons != 3 || !slices.Equal(history.Zones, []string{"a", "b"}) {
+		t.Errorf("the history has %d daemons in %q", history.Daemons, history.Zones)
+	}
+}
+
+func TestSwappedCoreHasANewAddressAndFolder(t *testing.T) {
+	fleet := newTestFleet(t)
+	previous := fleet.Cores()[0]
+	// Its binary is not there.
+	if err := fleet.swapCore(t.Context(), 0); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v", err)
+	}
+	swapped := fleet.Cores()[0]
+	if swapped.Name != "a-1.core-swapped" || swapped.Settings.Address != "127.61.200.1:7100" {
+		t.Errorf("%s at %s", swapped.Name, swapped.Settings.Address)
+	}
+	if swapped.Settings.HTTP != "127.61.200.1:8100" || swapped.Settings.Folder == previous.Settings.Folder {
+		t.Errorf("%+v", swapped.Settings)
+	}
+}
+
+func TestWipedCoreLosesItsFolder(t *testing.T) {
+	fleet := newTestFleet(t)
+	folder := fleet.Cores()[0].Settings.Folder
+	if err := os.MkdirAll(filepath.Join(folder, "log"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := fleet.wipeCore(0); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v", err)
+	}
+}
+
+// A fault excuses only what it touched: it names the data daemon or the runner.
+func TestFaultsAreRecorded(t *testing.T) {
+	fleet := newTestFleet(t)
+	if err := fleet.Runners.Start(t.Context(), 0); err != nil {
+		t.Fatal(err)
+	}
+	fleet.recordFault("core", fleet.Cores()[0], false, time.Second)
+	fleet.recordFault("daemon", fleet.DataDaemons()[0], true, 2*time.Second)
+	fleet.recordRunnerFault("runner", fleet.Runners.At(0), 3*time.Second, 4*time.Second)
+	want := []histories.Fault{
+		{What: "core"},
+		{What: "daemon", Daemon: "127.61.1.1:8200", Kills: true},
+		{What: "runner", Runner: "r00-1", Knowable: 4 * time.Second},
+	}
+	for number, fault := range fleet.History.Faults {
+		if length := fault.Until.Sub(fault.At); length != time.Duration(number+1)*time.Second {
+			t.Errorf("%s: %v", fault.What, length)
+		}
+		fault.At, fault.Until = time.Time{}, time.Time{}
+		if fault != want[number] {
+			t.Errorf("%+v instead of %+v", fault, want[number])
+		}
+	}
+	if len(fleet.History.Faults) != len(want) {
+		t.Errorf("%d faults", len(fleet.History.Faults))
+	}
 }
--- /dev/null
+++ b/verify/fleet/prove_test.go
@@ -0,0 +1,48 @@
+package fleet
+
+import (
+	"errors"
+	"os"
+	"os/exec"
+	"strings"
+	"testing"
+)
+
+// A short fleet of real processes: a runner, a daemon and the head are killed and the spec changes. It is
+// judged by the rules that no slow machine can break; the others are judged in simulated time.
+func TestShortFleet(t *testing.T) {
+	folder := t.TempDir()
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", folder, "wardtray/cmd/wtdata", "wardtray/cmd/wtcore")
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	told := &strings.Builder{}
+	clean, err := Prove(t.Context(), Deployments["guild"], Scenarios["default"],
+		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true})
+	if err != nil || !clean {
+		t.Fatalf("%v\n%s", err, told)
+	}
+	t.Log(told)
+}
+
+func TestWorkFolderIsRemovedUnlessItIsKept(t *testing.T) {
+	given := t.TempDir()
+	t.Setenv("TMPDIR", t.TempDir())
+	for name, test := range map[string]struct {
+		options Options
+		remains bool
+	}{
+		"given":     {Options{Folder: given}, true},
+		"temporary": {Options{}, false},
+		"kept":      {Options{Keep: true}, true},
+	} {
+		folder, remove, err := test.options.workFolder()
+		if err != nil {
+			t.Fatal(err)
+		}
+		remove()
+		if _, err := os.Stat(folder); errors.Is(err, os.ErrNotExist) == test.remains {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
