--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -40,13 +40,15 @@
 		t.Errorf("processes in b: %q", names)
 	}
 	core, data := fleet.lastCore().Settings, fleet.DataDaemons()[2].Settings
-	if core.Address != "127.61.1.1:7100" || core.HTTP != "127.61.1.1:8100" || core.Folder == "" || core.Platform != "" {
+	if core.Address != testAddress("1.1:7100") || core.HTTP != testAddress("1.1:8100") ||
+		core.Folder == "" || core.Platform != "" {
 		t.Errorf("settings of a core: %+v", core)
 	}
-	if data.Address != "127.61.2.1:7200" || data.HTTP != "127.61.2.1:8200" || data.Folder != "" || data.Zone != "b" {
+	if data.Address != testAddress("2.1:7200") || data.HTTP != testAddress("2.1:8200") ||
+		data.Folder != "" || data.Zone != "b" {
 		t.Errorf("settings of a daemon: %+v", data)
 	}
-	if data.Platform != "http://127.61.250.1:9000/runners" || !slices.Equal(data.Seeds, core.Seeds) {
+	if data.Platform != "http://"+testAddress("250.1:9000")+"/runners" || !slices.Equal(data.Seeds, core.Seeds) {
 		t.Errorf("settings of a daemon: %+v", data)
 	}
 	if history := fleet.History; history.Daemons != 3 || !slices.Equal(history.Zones, []string{"a", "b"}) {
@@ -62,10 +64,10 @@
 		t.Errorf("%v", err)
 	}
 	swapped := fleet.Cores()[0]
-	if swapped.Name != "a-1.core-swapped" || swapped.Settings.Address != "127.61.200.1:7100" {
+	if swapped.Name != "a-1.core-swapped" || swapped.Settings.Address != testAddress("200.1:7100") {
 		t.Errorf("%s at %s", swapped.Name, swapped.Settings.Address)
 	}
-	if swapped.Settings.HTTP != "127.61.200.1:8100" || swapped.Settings.Folder == previous.Settings.Folder {
+	if swapped.Settings.HTTP != testAddress("200.1:8100") || swapped.Settings.Folder == previous.Settings.Folder {
 		t.Errorf("%+v", swapped.Settings)
 	}
 }
@@ -95,7 +97,7 @@
 	fleet.recordRunnerFault("runner", fleet.Runners.At(0), 3*time.Second, 4*time.Second)
 	want := []histories.Fault{
 		{What: "core"},
-		{What: "daemon", Daemon: "127.61.1.1:8200", Kills: true},
+		{What: "daemon", Daemon: testAddress("1.1:8200"), Kills: true},
 		{What: "runner", Runner: "r00-1", Knowable: 4 * time.Second},
 	}
 	for number, fault := range fleet.History.Faults {
--- a/verify/fleet/runners_test.go
+++ b/verify/fleet/runners_test.go
@@ -1,6 +1,8 @@
 package fleet
 
 import (
+	"fmt"
+	"os"
 	"testing"
 	"time"
 
@@ -9,15 +11,18 @@
 	"wardtray/verify/loadtest"
 )
 
-// testDeployment has addresses that no other deployment has.
+// testDeployment has addresses that no other deployment has, and hardly any other run of these tests at the same time.
 var testDeployment = Deployment{
 	Name:    "test",
-	Network: 61,
+	Network: 61 + os.Getpid()%180,
 	Zones:   []Zone{{Name: "a", Machines: 2, Disks: 1}, {Name: "b", Machines: 1}},
 	Runners: 3,
 	Mix:     loadtest.Guild,
 }
 
+// testAddress returns an address of testDeployment, by all but its first two bytes.
+func testAddress(end string) string { return fmt.Sprintf("127.%d.%s", testDeployment.Network, end) }
+
 // newTestRunners returns runners that are warm at once, on a platform without daemons.
 func newTestRunners(t *testing.T) *Runners {
 	t.Helper()
@@ -40,7 +45,7 @@
 		t.Fatal(err)
 	}
 	first := runners.At(1)
-	if first.ID != "r01-1" || first.Address != "127.61.101.2:9100" || first.Zone != "b" {
+	if first.ID != "r01-1" || first.Address != testAddress("101.2:9100") || first.Zone != "b" {
 		t.Errorf("%+v", first.Identity)
 	}
 	if first.Service != testDeployment.Mix.Service || first.Backend != testDeployment.Mix.Pool {
@@ -49,7 +54,7 @@
 	if err := runners.StartBeside(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	if beside := runners.At(1); beside.ID != "r01-2" || beside.Address != "127.61.151.2:9100" {
+	if beside := runners.At(1); beside.ID != "r01-2" || beside.Address != testAddress("151.2:9100") {
 		t.Errorf("%+v", beside.Identity)
 	}
 	if err := runners.Start(t.Context(), 1); err == nil {
@@ -88,7 +93,7 @@
 	if len(runners.Present()) != 0 {
 		t.Error("runners are in their places after all were stopped")
 	}
-	for _, address := range []string{crashed.Address, "127.61.100.3:9100"} {
+	for _, address := range []string{crashed.Address, testAddress("100.3:9100")} {
 		identity := emulator.Identity{ID: "later", Address: address}
 		later, err := emulator.Start(t.Context(), identity, emulator.DefaultProfile, histories.New())
 		if err != nil {
