--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -51,7 +51,9 @@
 		racers.Stop()
 		return world, racers
 	}
-	world.regain()
+	faultsEnded := world.Now
+	world.recovery.requireService()
+	world.recovery.requireRedundancy(faultsEnded)
 	racers.Stop()
 	if len(world.Check.Violations) == 0 {
 		world.verifyOutcomes()
@@ -59,23 +61,6 @@
 	return world, racers
 }
 
-// regain waits until service and full redundancy are back.
-func (world *World) regain() {
-	finished := world.Now
-	took, fine := world.Recovered(returnBound)
-	world.Check.recordWorst("service after the last fault", took)
-	if !fine && len(world.Check.Violations) == 0 {
-		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
-	}
-	for !world.redundant() && len(world.Check.Violations) == 0 {
-		if world.Now.Sub(finished) > repairBound {
-			world.Check.violation("not fully redundant %v after the last fault\n%s", repairBound, world.Describe())
-		}
-		world.Run(100 * time.Millisecond)
-	}
-	world.Check.recordWorst("full redundancy after the last fault", world.Now.Sub(finished))
-}
-
 // verifyOutcomes reads back from every core machine what became of each change that was answered.
 func (world *World) verifyOutcomes() {
 	world.Run(2 * time.Second)
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -43,7 +43,7 @@
 		return world.restart(append(world.Cores(), world.Datas()...))
 	},
 	"core replaced": func(world *World) func() {
-		if !world.redundant() {
+		if !world.recovery.isRedundant() {
 			return func() {}
 		}
 		old := world.pick(world.Cores())
@@ -92,7 +92,7 @@
 	},
 	"core wiped": func(world *World) func() {
 		// Two disks lost at once are more than any deployment bears, and nothing could be checked after that.
-		if !world.redundant() {
+		if !world.recovery.isRedundant() {
 			return func() {}
 		}
 		host := world.pick(world.Cores())
@@ -175,7 +175,7 @@
 		var overs []func()
 		world.Check.OnAccepted = func() {
 			// As many disks as may be lost, while the memory of every other machine is only what its disk holds.
-			if !world.redundant() {
+			if !world.recovery.isRedundant() {
 				return
 			}
 			world.Check.OnAccepted = nil
@@ -206,10 +206,10 @@
 		host := world.pick(world.Cores())
 		names := []string{"slot.0", "slot.1", "log"}
 		// Other copies must be whole, or the fleet would have lost two disks.
-		if content := host.disk.files[names[world.random.Intn(3)]]; len(content) > 0 && world.redundant() {
+		if content := host.disk.files[names[world.random.Intn(3)]]; len(content) > 0 && world.recovery.isRedundant() {
 			content[world.random.Intn(len(content))] ^= 0x40
 			// Until a sweep has found it, or the machine has started anew, the loss of another disk is one too many.
-			world.unscrubbedUntil = world.Now.Add(scrubAllowance)
+			world.recovery.noteDiskDamage()
 		}
 		return func() {}
 	},
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -310,11 +310,7 @@
 	traffic.TakeAway = 0
 	world.Run(returnBound)
 	operators.Stop()
-	took, fine := world.Recovered(returnBound)
-	world.Check.recordWorst("service after the last fault", took)
-	if !fine && len(world.Check.Violations) == 0 {
-		world.Check.violation("not recovered %v after the last fault\n%s", returnBound, world.Describe())
-	}
+	world.recovery.requireService()
 	traffic.stopped = true
 	// The longest patience must be over before a request can be called forgotten.
 	end := world.Now.Add(45 * time.Second)
--- a/verify/simulation/schedule.go
+++ b/verify/simulation/schedule.go
@@ -56,7 +56,7 @@
 					undo()
 					doing--
 					since = world.Now
-					world.freed(func() (time.Time, bool) { return since, doing > 0 }, func() { active-- })
+					world.recovery.whenRepaired(func() (time.Time, bool) { return since, doing > 0 }, func() { active-- })
 				}
 			}
 			undos = append(undos, once)
@@ -72,18 +72,3 @@
 		world.topology.Heal()
 	})
 }
-
-// freed waits until nothing the last fault took is missing any more: a deployment must bear one loss
-// at a time, and a loss lasts until it is repaired.
-func (world *World) freed(last func() (since time.Time, harmed bool), then func()) {
-	since, harmed := last()
-	if world.redundant() {
-		world.Check.recordWorst("full redundancy after a fault", world.Now.Sub(since))
-		then()
-		return
-	}
-	if !harmed && world.Now.Sub(since) > repairBound {
-		world.Check.violation("not fully redundant %v after a fault\n%s", repairBound, world.Describe())
-	}
-	world.After(100*time.Millisecond, func() { world.freed(last, then) })
-}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -25,6 +25,7 @@
 	network    *network
 	coroutines *coroutines
 	isolations *isolationTracker
+	recovery   *recoveryCheck
 	Platform   platform
 	Check      *Checker
 	// Traffic is the request path, where there is one.
@@ -36,8 +37,6 @@
 	Faults     int
 	identities int
 	replaced   int
-	// unscrubbedUntil is up to when damage on a disk may not have been found yet.
-	unscrubbedUntil time.Time
 	// Log names the faults done and undone.
 	Log []string
 	// WithoutCore is for how long data daemons go on while they reach no core machine.
@@ -57,6 +56,7 @@
 	world.network = newNetwork(world)
 	world.coroutines = &coroutines{world: world}
 	world.isolations = &isolationTracker{world: world}
+	world.recovery = &recoveryCheck{world: world}
 	world.Check = newChecker(world)
 	world.Platform.world = world
 	return world
