--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"time"
 
 	"wardtray/wire"
@@ -106,15 +105,15 @@
 // CutDays are cuts of each shape, with changes, races and reads that meet them at machines on both sides.
 var CutDays = map[string]ControlDay{
 	"leader off": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 	}),
 	"leader off from the core": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		world.topology.CutOff([]*Host{head}, without(world.Cores(), head))
 	}),
 	"leader off, back at the worst moment": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		var flap func()
 		flap = func() {
 			world.topology.CutOff([]*Host{head}, without(world.Cores(), head))
@@ -134,28 +133,28 @@
 		flap()
 	}),
 	"leader off and killed before it is back": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		world.After(cutLength-time.Second, func() {
 			head.Kill()
 			world.After(1500*time.Millisecond, func() { head.Boot() })
 		})
 	}),
-	"leader unheard": cutDay(func(world *World) { world.topology.cutOneWay(world.head(), world.Hosts, true) }),
-	"leader deaf":    cutDay(func(world *World) { world.topology.cutOneWay(world.head(), world.Hosts, false) }),
+	"leader unheard": cutDay(func(world *World) { world.topology.cutOneWay(world.injector.head(), world.Hosts, true) }),
+	"leader deaf":    cutDay(func(world *World) { world.topology.cutOneWay(world.injector.head(), world.Hosts, false) }),
 	"one link, one way": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		other := world.pick(without(world.Cores(), head))
 		pair := []*Host{head, other}
 		from := world.random.Intn(2)
 		world.topology.Cut(pair[from], pair[1-from])
 	}),
 	"both halves": cutDay(func(world *World) {
-		left, right := world.halves()
+		left, right := world.injector.halves()
 		world.topology.CutOff(left, right)
 	}),
 	"both halves, one way": cutDay(func(world *World) {
-		left, right := world.halves()
+		left, right := world.injector.halves()
 		for _, one := range left {
 			for _, other := range right {
 				world.topology.Cut(one, other)
@@ -163,7 +162,7 @@
 		}
 	}),
 	"leader off by resets": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		var reset func()
 		end := world.Now.Add(cutLength + time.Second)
@@ -176,14 +175,14 @@
 		reset()
 	}),
 	"seeds on the wrong side": cutDay(func(world *World) {
-		head := world.head()
+		head := world.injector.head()
 		world.topology.CutOff([]*Host{head}, without(world.Hosts, head))
 		// Whoever starts now knows no core machine but the one that is cut off.
 		for _, host := range world.Hosts {
 			host.seeds = []string{head.Address}
 		}
-		world.restart(without(world.Cores(), head))
-		world.After(5*time.Second, func() { world.restart(world.Datas()) })
+		world.injector.restart(without(world.Cores(), head))
+		world.After(5*time.Second, func() { world.injector.restart(world.Datas()) })
 	}),
 }
 
@@ -208,26 +207,13 @@
 	return day
 }
 
-// halves parts the zones into two sides at random.
-func (world *World) halves() (left, right []*Host) {
-	first := world.pick(world.Cores()).Zone
-	for _, host := range world.Hosts {
-		if host.Zone == first || host.Zone == "d" && first != "d" {
-			left = append(left, host)
-		} else {
-			right = append(right, host)
-		}
-	}
-	return left, right
-}
-
 // RaceDays are races with lost answers, with the core whole and with a leader that changes.
 var RaceDays = map[string]ControlDay{
 	"answers lost": {Length: 20 * time.Second, LostAnswers: 0.6, harm: func(*World) {}},
 	"answers lost, leaders killed": {Length: 20 * time.Second, LostAnswers: 0.6, harm: func(world *World) {
 		for count := range 3 {
 			world.After(time.Duration(count)*6*time.Second, func() {
-				head := world.head()
+				head := world.injector.head()
 				head.Kill()
 				world.After(time.Second, func() { head.Boot() })
 			})
@@ -236,7 +222,7 @@
 	"answers lost, leaders frozen": {Length: 20 * time.Second, LostAnswers: 0.6, harm: func(world *World) {
 		for count := range 3 {
 			world.After(time.Duration(count)*6*time.Second, func() {
-				head := world.head()
+				head := world.injector.head()
 				head.Freeze()
 				world.After(2500*time.Millisecond, func() { head.Wake() })
 			})
@@ -255,24 +241,15 @@
 	},
 	"planned replacement": func(world *World, old *Host) {
 		old.leaveInOrder(func() { old.removed = true })
-		world.replacement(old)
+		world.injector.addReplacement(old).Boot()
 	},
 	"unplanned replacement": func(world *World, old *Host) {
 		old.Power()
 		old.removed = true
-		world.After(time.Second, func() { world.replacement(old) })
+		world.After(time.Second, func() { world.injector.addReplacement(old).Boot() })
 	},
 }
 
-// replacement starts a machine with an empty disk at another address.
-func (world *World) replacement(old *Host) {
-	world.replaced++
-	host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-	host.everStarted = true
-	world.shuffleSeeds()
-	host.Boot()
-}
-
 // SecondLossDay has a machine taken out or mended in one of the ways of FirstLossNames, and another one lost, with its
 // disk or dark for a while, so long after that began.
 func SecondLossDay(first string, wiped bool, after time.Duration) ControlDay {
@@ -286,7 +263,7 @@
 		harm: func(world *World) {
 			old := world.pick(world.Cores())
 			if world.random.Intn(2) == 0 {
-				old = world.head()
+				old = world.injector.head()
 			}
 			firstLosses[first](world, old)
 			world.After(after, func() {
@@ -294,16 +271,12 @@
 				for _, host := range world.Cores() {
 					// One that has not come yet, or a new one, is no second loss.
 					if host != old && host.up &&
-						(whole || world.replaced == 0 || host != world.Hosts[len(world.Hosts)-1]) {
+						(whole || world.injector.replacements == 0 || host != world.Hosts[len(world.Hosts)-1]) {
 						others = append(others, host)
 					}
 				}
 				second := world.pick(others)
-				world.Log = append(
-					world.Log,
-					fmt.Sprintf("%v second loss: %s, first %s", world.Now.Sub(world.started), second.Address,
-						old.Address),
-				)
+				world.injector.log("second loss: %s, first %s", second.Address, old.Address)
 				second.Power()
 				if wiped {
 					second.Wipe()
@@ -347,7 +320,8 @@
 		return func() { host.stalled = false; host.write() }
 	}),
 	"restarts": manyChangeDay(func(world *World, _ *Host) func() {
-		return world.restart(append(world.Cores(), world.Datas()...))
+		world.injector.restart(append(world.Cores(), world.Datas()...))
+		return func() {}
 	}),
 }
 
@@ -361,7 +335,7 @@
 			world.After(time.Duration(turn)*(length+pause), func() {
 				host := world.pick(world.Cores())
 				if turn == 0 {
-					host = world.head()
+					host = world.injector.head()
 				}
 				world.After(length, harm(world, host))
 			})
--- a/verify/simulation/control_faults.go
+++ b/verify/simulation/control_faults.go
@@ -1,46 +1,38 @@
 package simulation
 
 import (
-	"fmt"
 	"sort"
 	"time"
 
 	"wardtray/verify/histories"
 )
 
-// Fault is something that is done to a world and undone later.
-type Fault struct {
-	Name string
-	// Do does it and gives what undoes it.
-	Do func(world *World) (undo func())
-}
-
 func reboot(host *Host) func() {
 	return func() { host.Boot() }
 }
 
-func (world *World) pick(hosts []*Host) *Host { return hosts[world.random.Intn(len(hosts))] }
-
 // Faults are all the kinds of harm of the brief, each within what a deployment must bear alone.
 var Faults = map[string]func(world *World) (undo func()){
 	"data killed": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(true, 0, host)
+		over := world.injector.record(true, 0, host)
 		host.Kill()
 		return both(over, reboot(host))
 	},
 	"data without power": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(true, unresponsiveBound, host)
+		over := world.injector.record(true, unresponsiveBound, host)
 		host.Power()
 		return both(over, reboot(host))
 	},
 	"daemons restarted": func(world *World) func() {
-		return world.restart(world.Datas())
+		world.injector.restart(world.Datas())
+		return func() {}
 	},
 	"all restarted": func(world *World) func() {
-		world.shuffleSeeds()
-		return world.restart(append(world.Cores(), world.Datas()...))
+		world.injector.shuffleSeeds()
+		world.injector.restart(append(world.Cores(), world.Datas()...))
+		return func() {}
 	},
 	"core replaced": func(world *World) func() {
 		if !world.recovery.isRedundant() {
@@ -49,21 +41,17 @@
 		old := world.pick(world.Cores())
 		old.Kill()
 		old.removed, old.poweredOff = true, world.random.Intn(2) == 0
-		world.replaced++
-		host := world.add(fmt.Sprintf("%s+%d", old.Address, world.replaced), old.Zone, true)
-		host.everStarted = true
-		world.shuffleSeeds()
-		return reboot(host)
+		return reboot(world.injector.addReplacement(old))
 	},
 	"data frozen": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(false, 0, host)
+		over := world.injector.record(false, 0, host)
 		host.Freeze()
 		return both(over, func() { host.Wake() })
 	},
 	"data cut off": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(false, 0, host)
+		over := world.injector.record(false, 0, host)
 		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
 		return both(over, world.topology.Heal)
 	},
@@ -74,7 +62,7 @@
 	},
 	"data deaf": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(false, 0, host)
+		over := world.injector.record(false, 0, host)
 		for _, other := range without(world.Hosts, host) {
 			world.topology.Cut(other, host)
 		}
@@ -110,12 +98,12 @@
 		return func() { host.stalled = false; host.write() }
 	},
 	"head's disk stalled": func(world *World) func() {
-		host := world.head()
+		host := world.injector.head()
 		host.stalled = true
 		return func() { host.stalled = false; host.write() }
 	},
 	"head killed": func(world *World) func() {
-		host := world.head()
+		host := world.injector.head()
 		host.Kill()
 		return reboot(host)
 	},
@@ -155,7 +143,7 @@
 			world.After(0, func() {
 				for _, host := range world.Hosts {
 					if host.up && (host.Core || world.random.Intn(2) == 0) {
-						overs = append(overs, world.touch(true, unresponsiveBound, host))
+						overs = append(overs, world.injector.record(true, unresponsiveBound, host))
 						host.Power()
 						lost = append(lost, host)
 					}
@@ -185,7 +173,7 @@
 					func(left, right int) { cores[left], cores[right] = cores[right], cores[left] })
 				lost = append([]*Host{}, world.Hosts...)
 				for _, host := range lost {
-					overs = append(overs, world.touch(true, unresponsiveBound, host))
+					overs = append(overs, world.injector.record(true, unresponsiveBound, host))
 					host.Power()
 				}
 				for _, host := range cores[:min(world.Faults, len(cores)-1)] {
@@ -250,13 +238,13 @@
 	"zone cut off": func(world *World) func() {
 		zone := world.pick(world.Cores()).Zone
 		inside, outside := world.zone(zone)
-		over := world.touch(false, unresponsiveBound, inside...)
+		over := world.injector.record(false, unresponsiveBound, inside...)
 		world.topology.CutOff(inside, outside)
 		return both(over, world.topology.Heal)
 	},
 	"zone lost": func(world *World) func() {
 		inside, _ := world.zone(world.pick(world.Cores()).Zone)
-		over := world.touch(true, unresponsiveBound, inside...)
+		over := world.injector.record(true, unresponsiveBound, inside...)
 		for _, host := range inside {
 			host.Power()
 		}
@@ -268,7 +256,7 @@
 		}
 	},
 	"all down": func(world *World) func() {
-		over := world.touch(true, unresponsiveBound, world.Hosts...)
+		over := world.injector.record(true, unresponsiveBound, world.Hosts...)
 		for _, host := range world.Hosts {
 			host.Power()
 		}
@@ -290,7 +278,7 @@
 	},
 	"slow network": func(world *World) func() {
 		// At 0.4 s a message no daemon can be sure of a new spec in time; the brief knows no such network.
-		over := world.touch(false, unresponsiveBound, world.Hosts...)
+		over := world.injector.record(false, unresponsiveBound, world.Hosts...)
 		world.network.Jitter = 400 * time.Millisecond
 		return both(over, func() { world.network.Jitter = defaultJitter })
 	},
@@ -303,42 +291,6 @@
 	},
 }
 
-// restart ends processes one after the other within a second, each for a moment.
-func (world *World) restart(hosts []*Host) func() {
-	for _, host := range hosts {
-		restarted := host
-		world.After(time.Duration(world.random.Int63n(int64(time.Second))), func() {
-			if !restarted.up || restarted.frozen {
-				return
-			}
-			over := world.touch(true, 0, restarted)
-			restarted.Kill()
-			incarnation := restarted.incarnation
-			world.After(200*time.Millisecond+time.Duration(world.random.Int63n(int64(200*time.Millisecond))), func() {
-				over()
-				if restarted.incarnation == incarnation {
-					restarted.Boot()
-				}
-			})
-		})
-	}
-	return func() {}
-}
-
-// shuffleSeeds returns every process, from its next start on, other seeds out of the present core machines.
-func (world *World) shuffleSeeds() {
-	addresses := make([]string, 0, len(world.Cores()))
-	for _, host := range world.Cores() {
-		addresses = append(addresses, host.Address)
-	}
-	for _, host := range world.Hosts {
-		seeds := append([]string{}, addresses...)
-		world.random.Shuffle(len(seeds),
-			func(left, right int) { seeds[left], seeds[right] = seeds[right], seeds[left] })
-		host.seeds = seeds[:min(3, len(seeds))]
-	}
-}
-
 func without(hosts []*Host, out *Host) []*Host {
 	var rest []*Host
 	for _, host := range hosts {
@@ -349,8 +301,8 @@
 	return rest
 }
 
-// harm finds a kind of fault by its name.
-func harm(name string) func(world *World) (undo func()) {
+// faultNamed returns a kind of fault by its name, or nil.
+func faultNamed(name string) func(world *World) (undo func()) {
 	if found := Faults[name]; found != nil {
 		return found
 	}
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -13,25 +13,11 @@
 // lasts.
 const anyTime = 10 * time.Second
 
-// runner picks a runner that is up and well.
-func (world *World) runner() *Host {
-	var well []*Host
-	for _, host := range world.Runners() {
-		if host.up && !host.frozen {
-			well = append(well, host)
-		}
-	}
-	if len(well) == 0 {
-		return world.pick(world.Runners())
-	}
-	return world.pick(well)
-}
-
 // misbehave changes a runner's nature for a while.
 func misbehave(knowable time.Duration, change func(engine *engine, on bool)) func(world *World) func() {
 	return func(world *World) func() {
-		host := world.runner()
-		engine, over := host.engine, world.touch(false, knowable, host)
+		host := world.injector.runner()
+		engine, over := host.engine, world.injector.record(false, knowable, host)
 		change(engine, true)
 		return both(over, func() { change(engine, false) })
 	}
@@ -49,44 +35,44 @@
 // planned work, and of clients.
 var RunnerFaults = map[string]func(world *World) (undo func()){
 	"runner killed": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, 0, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, 0, host)
 		host.Kill()
 		world.Platform.delist(host)
 		return both(over, reboot(host))
 	},
 	"runner dark": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, unresponsiveBound, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, unresponsiveBound, host)
 		host.Power()
 		world.Platform.delist(host)
 		return both(over, reboot(host))
 	},
 	"runner frozen": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, unresponsiveBound, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, unresponsiveBound, host)
 		host.Freeze()
 		return both(over, func() { host.Wake() })
 	},
 	"runner deaf": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, unresponsiveBound, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
 			world.topology.Cut(daemon, host)
 		}
 		return both(over, world.topology.Heal)
 	},
 	"runner unheard": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, unresponsiveBound, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, unresponsiveBound, host)
 		for _, daemon := range world.Datas() {
 			world.topology.Cut(host, daemon)
 		}
 		return both(over, world.topology.Heal)
 	},
 	"runner cut and delisted": func(world *World) func() {
-		host := world.runner()
-		incarnation, over := host.incarnation, world.touch(false, unresponsiveBound, host)
+		host := world.injector.runner()
+		incarnation, over := host.incarnation, world.injector.record(false, unresponsiveBound, host)
 		world.topology.CutOff([]*Host{host}, world.Datas())
 		world.After(noticed, func() {
 			if host.incarnation == incarnation {
@@ -103,7 +89,7 @@
 	},
 	"daemon cut from runners": func(world *World) func() {
 		host := world.pick(world.Datas())
-		over := world.touch(false, unresponsiveBound, host)
+		over := world.injector.record(false, unresponsiveBound, host)
 		world.topology.CutOff([]*Host{host}, world.Runners())
 		return both(over, world.topology.Heal)
 	},
@@ -113,8 +99,8 @@
 	"runner slow": misbehave(unresponsiveBound,
 		func(engine *engine, on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }),
 	"runner garbles": func(world *World) func() {
-		host := world.runner()
-		engine, over := host.engine, world.touch(false, 0, host)
+		host := world.injector.runner()
+		engine, over := host.engine, world.injector.record(false, 0, host)
 		names := []string{"skip", "repeat", "false count", "strange", "no number"}
 		engine.garble = names[world.random.Intn(len(names))]
 		return both(over, func() { engine.garble = "" })
@@ -123,7 +109,7 @@
 		func(engine *engine, on bool) { engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on] }),
 	"runner gives surplus answers": misbehave(anyTime, func(engine *engine, on bool) { engine.surplus = on }),
 	"connections reset": func(world *World) func() {
-		over, going := world.touch(false, anyTime, world.Runners()...), true
+		over, going := world.injector.record(false, anyTime, world.Runners()...), true
 		var reset func()
 		reset = func() {
 			if !going {
@@ -145,7 +131,7 @@
 	},
 	"daemon frozen for a moment": func(world *World) func() {
 		host, going := world.pick(world.Datas()), true
-		over := world.touch(false, 0, host)
+		over := world.injector.record(false, 0, host)
 		// It stops wherever a course reads, waits or dials, which is as near to a write as the simulator comes.
 		var stop func()
 		stop = func() {
@@ -164,7 +150,7 @@
 	"all put back": func(world *World) func() {
 		overs := make([]func(), 0, len(world.Runners()))
 		for _, host := range world.Runners() {
-			overs = append(overs, world.touch(false, 0, host))
+			overs = append(overs, world.injector.record(false, 0, host))
 			host.engine.rejects = true
 		}
 		return func() {
@@ -177,7 +163,7 @@
 		}
 	},
 	"pool killed": func(world *World) func() {
-		over := world.touch(false, 0, world.Runners()...)
+		over := world.injector.record(false, 0, world.Runners()...)
 		for _, host := range world.Runners() {
 			host.Kill()
 			world.Platform.delist(host)
@@ -190,21 +176,21 @@
 		}
 	},
 	"runner drained": func(world *World) func() {
-		host := world.runner()
+		host := world.injector.runner()
 		incarnation := host.incarnation
 		world.Platform.set(host, "draining")
 		return func() {
 			if host.incarnation != incarnation {
 				return
 			}
-			over := world.touch(false, 0, host)
+			over := world.injector.record(false, 0, host)
 			host.Kill()
 			host.Boot()
 			over()
 		}
 	},
 	"runner delisted": func(world *World) func() {
-		host := world.runner()
+		host := world.injector.runner()
 		incarnation := host.incarnation
 		world.Platform.set(host, "")
 		return func() {
@@ -214,8 +200,8 @@
 		}
 	},
 	"address taken": func(world *World) func() {
-		host := world.runner()
-		over := world.touch(false, 0, host)
+		host := world.injector.runner()
+		over := world.injector.record(false, 0, host)
 		host.Kill()
 		incarnation := host.incarnation + 1
 		host.service = "a-stranger"
@@ -303,7 +289,7 @@
 	operators := world.StartOperators(trial.Every)
 	world.Run(5 * time.Second)
 	if len(trial.Faults) > 0 {
-		world.Schedule(trial.Length, trial.Faults, trial.AtOnce)
+		scheduleFaults(world, trial.Length, trial.Faults, trial.AtOnce)
 	}
 	world.Run(trial.Length + time.Millisecond)
 	// Whether service is back can only be seen while somebody asks for it.
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -67,7 +67,7 @@
 		watch.incarnations[host] = host.incarnation
 	}
 	watch.sample()
-	world.Schedule(paceLength, names, 1)
+	scheduleFaults(world, paceLength, names, 1)
 	world.Run(paceLength + time.Second)
 	watch.pace.Broken = world.Check.Violations
 	return watch.pace
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -6,16 +6,6 @@
 	"time"
 )
 
-// head returns the machine that leads, or any if none does.
-func (world *World) head() *Host {
-	for _, host := range world.Cores() {
-		if host.up && !host.frozen && host.node.IsLeading(host.local()) {
-			return host
-		}
-	}
-	return world.pick(world.Cores())
-}
-
 // Play founds a deployment, does harm to it for a minute, and sees whether it recovers. Beyond what
 // a deployment must bear, with several faults at once, the rules still hold; only service may rest.
 func Play(seed int64, shape Shape, names []string, atOnce int) *World {
@@ -27,7 +17,7 @@
 	world := Found(seed, shape)
 	world.Run(8 * time.Second)
 	operators := world.StartOperators(every)
-	world.Schedule(time.Minute, names, atOnce)
+	scheduleFaults(world, time.Minute, names, atOnce)
 	world.Run(time.Minute + time.Millisecond)
 	operators.Stop()
 	if len(world.Check.Violations) > 0 {
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -337,7 +337,7 @@
 	registering.KnownBound = knownBound
 	registering.Start(time.Second)
 	operators := world.StartOperators(3 * time.Second)
-	world.Schedule(40*time.Second, names, atOnce)
+	scheduleFaults(world, 40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
 	registering.Every = 0
 	world.Run(unresponsiveKnown)
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -26,6 +26,7 @@
 	coroutines *coroutines
 	isolations *isolationTracker
 	recovery   *recoveryCheck
+	injector   *faultInjector
 	Platform   platform
 	Check      *Checker
 	// Traffic is the request path, where there is one.
@@ -36,8 +37,7 @@
 	// Faults is how many machines may lose their disks at once.
 	Faults     int
 	identities int
-	replaced   int
-	// Log names the faults done and undone.
+	// Log names the faults injected and undone, with the time since the start.
 	Log []string
 	// WithoutCore is for how long data daemons go on while they reach no core machine.
 	WithoutCore time.Duration
@@ -57,6 +57,7 @@
 	world.coroutines = &coroutines{world: world}
 	world.isolations = &isolationTracker{world: world}
 	world.recovery = &recoveryCheck{world: world}
+	world.injector = &faultInjector{world: world}
 	world.Check = newChecker(world)
 	world.Platform.world = world
 	return world
@@ -90,6 +91,9 @@
 	return host
 }
 
+// pick draws one of some hosts.
+func (world *World) pick(hosts []*Host) *Host { return hosts[world.random.Intn(len(hosts))] }
+
 // SetSeeds says which addresses all processes begin with; founders are the same.
 func (world *World) SetSeeds(seeds []string) {
 	world.seeds, world.founders = seeds, seeds
