--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -120,6 +120,13 @@
 	world.After(world.network.transitTime(), func() { peer.fail(errReset) })
 }
 
+// resetBothEnds has both ends learn of a reset when it comes to them, before, while or after they write.
+func (conn *conn) resetBothEnds() {
+	world := conn.world
+	world.After(world.network.transitTime(), func() { conn.fail(errReset) })
+	world.After(world.network.transitTime(), func() { conn.peer.fail(errReset) })
+}
+
 // crash ends this end with its process; reachable is whether its machine still answers for it.
 func (conn *conn) crash(reachable bool) {
 	conn.closed = true
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -296,37 +296,20 @@
 
 // ManyChangeDays are hundreds of changes while members are away for long, or their disks are full, slow or stalled.
 var ManyChangeDays = map[string]ControlDay{
-	"a member away": manyChangeDay(
-		func(_ *World, host *Host) func() { host.Power(); return reboot(host) },
-	),
-	"a member cut off": manyChangeDay(func(world *World, host *Host) func() {
-		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
-		return world.topology.Heal
-	}),
-	"a member's disk replaced": manyChangeDay(
-		func(_ *World, host *Host) func() { host.Wipe(); return reboot(host) },
-	),
-	"a disk full": manyChangeDay(func(_ *World, host *Host) func() {
-		full := host.disk
-		full.full = true
-		return func() { full.full = false }
-	}),
-	"a disk slow": manyChangeDay(func(_ *World, host *Host) func() {
-		host.diskDelay = 300 * time.Millisecond
-		return func() { host.diskDelay = 0 }
-	}),
-	"a disk stalled": manyChangeDay(func(_ *World, host *Host) func() {
-		host.stalled = true
-		return func() { host.stalled = false; host.write() }
-	}),
+	"a member away":            manyChangeDay(powerOff),
+	"a member cut off":         manyChangeDay(cutOff),
+	"a member's disk replaced": manyChangeDay(wipeDisk),
+	"a disk full":              manyChangeDay(fillDisk),
+	"a disk slow":              manyChangeDay(slowDisk),
+	"a disk stalled":           manyChangeDay(stallDisk),
 	"restarts": manyChangeDay(func(world *World, _ *Host) func() {
 		world.injector.restart(append(world.Cores(), world.Datas()...))
-		return func() {}
+		return nothingToUndo
 	}),
 }
 
 // manyChangeDay harms one member after the other, each for a quarter of the changes, while changes go on.
-func manyChangeDay(harm func(world *World, host *Host) (undo func())) ControlDay {
+func manyChangeDay(fault hostFault) ControlDay {
 	const turns, pause = 3, 4 * time.Second
 	length := manyChanges/turns - pause
 	return ControlDay{Length: manyChanges, RaceEvery: 2 * time.Second, harm: func(world *World) {
@@ -337,7 +320,7 @@
 				if turn == 0 {
 					host = world.injector.head()
 				}
-				world.After(length, harm(world, host))
+				world.After(length, fault(world, host))
 			})
 		}
 	}}
@@ -348,29 +331,25 @@
 
 // DarkDays are most data daemons gone while the core is whole.
 var DarkDays = map[string]ControlDay{
-	"most daemons without power": darkDay(
-		func(_ *World, host *Host) func() { host.Power(); return reboot(host) },
-	),
-	"most daemons cut off": darkDay(func(world *World, host *Host) func() {
-		world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
-		return world.topology.Heal
-	}),
-	"most daemons frozen": darkDay(
-		func(_ *World, host *Host) func() { host.Freeze(); return func() { host.Wake() } },
-	),
-	"most daemons removed": darkDay(
-		func(_ *World, host *Host) func() { host.Kill(); host.removed = true; return func() {} },
-	),
+	"most daemons without power": darkDay(powerOff),
+	"most daemons cut off":       darkDay(cutOff),
+	"most daemons frozen":        darkDay(freezeProcess),
+	"most daemons removed":       darkDay(removeForGood),
+}
+
+// removeForGood takes a machine away for good.
+func removeForGood(_ *World, host *Host) func() {
+	host.Kill()
+	host.removed = true
+	return nothingToUndo
 }
 
-func darkDay(harm func(world *World, host *Host) (undo func())) ControlDay {
+func darkDay(fault hostFault) ControlDay {
 	const length = 12 * time.Second
 	return ControlDay{Length: length + 3*time.Second, RaceEvery: time.Second, harm: func(world *World) {
-		datas := world.Datas()
-		world.random.Shuffle(len(datas),
-			func(left, right int) { datas[left], datas[right] = datas[right], datas[left] })
+		datas := world.injector.shuffled(world.Datas())
 		for _, host := range datas[:int(float64(len(datas))*darkShare+0.5)] {
-			world.After(length, harm(world, host))
+			world.After(length, fault(world, host))
 		}
 		newOperators(world, 5_000_000).wantAcknowledged(700*time.Millisecond, world.Now.Add(length))
 	}}
--- /dev/null
+++ b/verify/simulation/disk_faults.go
@@ -0,0 +1,46 @@
+package simulation
+
+// diskFaults are the kinds of fault of cores' disks.
+var diskFaults = map[string]Fault{
+	"disk stalled":        onCore(stallDisk),
+	"head's disk stalled": onHead(stallDisk),
+	"disk slow":           onCore(slowDisk),
+	"all disks slow":      slowAllDisks,
+	"disk full":           onCore(fillDisk),
+	"disk damaged":        damageDisk,
+	"core wiped":          wipeCore,
+}
+
+// wipeCore wipes a core's disk. Two disks lost at once are more than any deployment bears, and nothing could be checked
+// after that.
+func wipeCore(world *World) func() {
+	if !world.recovery.isRedundant() {
+		return nothingToUndo
+	}
+	return onCore(wipeDisk)(world)
+}
+
+func slowAllDisks(world *World) func() {
+	for _, host := range world.Cores() {
+		host.diskDelay = slowDelay
+	}
+	return func() {
+		for _, host := range world.Cores() {
+			host.diskDelay = 0
+		}
+	}
+}
+
+// damageDisk changes one bit on a core's disk. Other copies must be complete, or the fleet would have lost two
+// disks; and until a sweep has found it, or the machine has started anew, the loss of another disk is one too many.
+func damageDisk(world *World) func() {
+	const damagedBit = 0x40
+	host := world.pick(world.Cores())
+	names := []string{"slot.0", "slot.1", "log"}
+	content := host.disk.files[names[world.random.Intn(len(names))]]
+	if len(content) > 0 && world.recovery.isRedundant() {
+		content[world.random.Intn(len(content))] ^= damagedBit
+		world.recovery.noteDiskDamage()
+	}
+	return nothingToUndo
+}
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -94,6 +94,14 @@
 	return engine.world.Now.Sub(engine.started) < engine.profile.ColdTime
 }
 
+// setSlow has the runner take far longer for each token, or no longer.
+func (engine *engine) setSlow(on bool) { engine.slow = map[bool]int{true: 8, false: 1}[on] }
+
+// setLate has each of the runner's answers wait for a while, or no longer.
+func (engine *engine) setLate(on bool) {
+	engine.late = map[bool]time.Duration{true: 400 * time.Millisecond}[on]
+}
+
 // capacity is how much the runner can truly do at once now.
 func (engine *engine) capacity() int {
 	if engine.warmingUp() {
--- a/verify/simulation/fault_injector.go
+++ b/verify/simulation/fault_injector.go
@@ -8,6 +8,14 @@
 // unresponsiveBound is how long a loss of which nobody says anything may take to be known.
 const unresponsiveBound = 4 * time.Second
 
+// impact is what a fault means for the requests at the daemons and runners that it touches.
+type impact struct {
+	// kills means that it ends their processes.
+	kills bool
+	// knowable is after what time others can know of it; 0: at once.
+	knowable time.Duration
+}
+
 // faultInjector chooses what faults are done to, does those that several kinds of fault share, and records them: in the
 // world's log, and for the checker of the request path where there is one.
 type faultInjector struct {
@@ -23,9 +31,9 @@
 	world.Log = append(world.Log, fmt.Sprintf("%v "+format, append([]any{passed}, values...)...))
 }
 
-// record tells the checker of the request path, where there is one, that a fault touches daemons and runners, whether it
-// ends their processes, and after what time it can be known. The function that it returns records the fault's end.
-func (injector *faultInjector) record(kills bool, knowable time.Duration, hosts ...*Host) (end func()) {
+// record tells the checker of the request path, where there is one, that a fault touches daemons and runners. The
+// function that it returns records the fault's end.
+func (injector *faultInjector) record(impact impact, hosts ...*Host) (end func()) {
 	traffic := injector.world.Traffic
 	if traffic == nil {
 		return func() {}
@@ -33,7 +41,7 @@
 	var ends []func()
 	for _, host := range hosts {
 		if !host.Core {
-			ends = append(ends, traffic.Fault("", host, kills, knowable))
+			ends = append(ends, traffic.Fault("", host, impact.kills, impact.knowable))
 		}
 	}
 	return func() {
@@ -69,6 +77,13 @@
 	return world.pick(running)
 }
 
+// shuffled puts hosts into a random order, in place, and returns them.
+func (injector *faultInjector) shuffled(hosts []*Host) []*Host {
+	injector.world.random.Shuffle(len(hosts),
+		func(left, right int) { hosts[left], hosts[right] = hosts[right], hosts[left] })
+	return hosts
+}
+
 // halves parts the zones into two sides at random.
 func (injector *faultInjector) halves() (left, right []*Host) {
 	world := injector.world
@@ -97,7 +112,7 @@
 	if !host.up || host.frozen {
 		return
 	}
-	end := injector.record(true, 0, host)
+	end := injector.record(impact{kills: true}, host)
 	host.Kill()
 	incarnation := host.incarnation
 	world.After(200*time.Millisecond+time.Duration(world.random.Int63n(int64(200*time.Millisecond))), func() {
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -163,9 +163,25 @@
 // delist has the platform notice after a while that a runner is gone.
 func (platform *platform) delist(host *Host) {
 	incarnation := host.incarnation
-	platform.world.After(noticed, func() {
+	platform.world.After(delistingDelay, func() {
 		if !host.up && host.incarnation == incarnation {
 			platform.set(host, "")
 		}
 	})
 }
+
+// delistAfterwards takes one incarnation of a runner off after a while, whether it runs or not.
+func (platform *platform) delistAfterwards(host *Host, incarnation int) {
+	platform.world.After(delistingDelay, func() {
+		if host.incarnation == incarnation {
+			platform.set(host, "")
+		}
+	})
+}
+
+// relist lists one incarnation of a runner as ready again, if it still runs.
+func (platform *platform) relist(host *Host, incarnation int) {
+	if host.incarnation == incarnation && host.up {
+		platform.set(host, "ready")
+	}
+}
--- a/verify/simulation/process.go
+++ b/verify/simulation/process.go
@@ -294,6 +294,9 @@
 	look()
 }
 
+// drainTime is how long a daemon told to stop goes on taking requests.
+const drainTime = 2 * time.Second
+
 // drainData restarts a data daemon as planned: it fails its fitness, finishes all that it has read, ends
 // and is started again.
 func (host *Host) drainData() {
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -314,20 +314,6 @@
 	}
 }
 
-// RegistrationFaults are the kinds of harm that only concern runners that register themselves.
-var RegistrationFaults = map[string]func(world *World) (undo func()){
-	"control lost": func(world *World) func() {
-		for _, host := range world.Cores() {
-			host.Kill()
-		}
-		return func() {
-			for _, host := range world.Cores() {
-				host.Boot()
-			}
-		}
-	},
-}
-
 // PlayRegisteringRunners founds a deployment whose runners register themselves, does harm to it while they come and
 // go, and sees whether everybody knows who is there in the end.
 func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
