--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -44,8 +44,10 @@
 	invalid      map[string]bool
 	acknowledged []*Order
 	seen         map[string]uint64
-	Decisions    int
-	Refusals     int
+	// served is the greatest epoch under which a data daemon awarded work.
+	served    map[*Host]uint64
+	Decisions int
+	Refusals  int
 	// OnAccepted, if set, runs when a change has been acknowledged.
 	OnAccepted func()
 }
@@ -60,6 +62,7 @@
 		refused:    map[string]bool{},
 		invalid:    map[string]bool{},
 		seen:       map[string]uint64{},
+		served:     map[*Host]uint64{},
 	}
 }
 
@@ -81,7 +84,7 @@
 	if !host.up || host.frozen {
 		return
 	}
-	if host.Core {
+	if host.core != nil {
 		checker.checkCore(host)
 		return
 	}
@@ -90,7 +93,7 @@
 
 // checkCore checks that all agree on history and that one machine at most leads.
 func (checker *Checker) checkCore(host *Host) {
-	document := host.node.Chain().Committed()
+	document := host.core.node.Chain().Committed()
 	if document.Sequence > checker.seen[host.Address] ||
 		document.Sequence > 0 && checker.committed[document.Sequence] == [32]byte{} {
 		checker.seen[host.Address] = document.Sequence
@@ -105,12 +108,12 @@
 		checker.committed[document.Sequence] = digest
 		checker.checkOutcomes(host, document)
 	}
-	if !host.node.IsLeading(host.local()) {
+	if !host.core.node.IsLeading(host.local()) {
 		return
 	}
 	checker.countCopies(host)
 	for _, other := range checker.world.Hosts {
-		if other != host && other.Core && other.up && !other.frozen && other.node.IsLeading(other.local()) {
+		if other != host && other.core != nil && other.core.isLeading() {
 			checker.violation("%s and %s lead at once", host.Address, other.Address)
 		}
 	}
@@ -132,9 +135,10 @@
 // countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself
 // may reach its client much later, when the chain is another.
 func (checker *Checker) countCopies(head *Host) {
-	epoch, copies := head.node.Chain().Committed().SpecEpoch, 0
+	epoch, copies := head.core.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range checker.world.Cores() {
-		if host.node != nil && holds(head.node.View().Chain, host.node.Self().Id) && holdsOnDisk(host, epoch) {
+		other := host.core.node
+		if other != nil && holds(head.core.node.View().Chain, other.Self().Id) && host.core.hasSynced(epoch) {
 			copies++
 		}
 	}
@@ -145,16 +149,16 @@
 func (checker *Checker) checkDaemon(host *Host) {
 	world, local := checker.world, host.local()
 	world.isolations.refresh()
-	snapshot := host.controller.Snapshot(local)
+	snapshot := host.daemon.controller.Snapshot(local)
 	if !local.Before(snapshot.Until) || snapshot.Catalog == nil {
 		checker.Refusals++
 		return
 	}
 	checker.Decisions++
-	if snapshot.SpecEpoch < host.servedEpoch {
-		checker.violation("%s slipped back from epoch %d to %d", host.Address, host.servedEpoch, snapshot.SpecEpoch)
+	if served := checker.served[host]; snapshot.SpecEpoch < served {
+		checker.violation("%s slipped back from epoch %d to %d", host.Address, served, snapshot.SpecEpoch)
 	}
-	host.servedEpoch = snapshot.SpecEpoch
+	checker.served[host] = snapshot.SpecEpoch
 	for index := len(checker.acknowledged) - 1; index >= 0; index-- {
 		order := checker.acknowledged[index]
 		if order.Epoch <= snapshot.SpecEpoch {
@@ -215,7 +219,7 @@
 	}
 	least := checker.greatestAcknowledged()
 	host.on(host.incarnation, func() {
-		host.node.Submit(host.local(), ask, func(status int, body []byte) {
+		host.core.node.Submit(host.local(), ask, func(status int, body []byte) {
 			reply := node.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
 				checker.violation("an answer that is no JSON: %s", body)
@@ -311,7 +315,7 @@
 func (checker *Checker) checkCopies(order *Order) {
 	// With three disks or more no change may be told as accepted that stands on one disk only.
 	for _, host := range checker.world.Cores() {
-		if host.up && !host.frozen && host.node.IsLeading(host.local()) {
+		if host.core.isLeading() {
 			checker.countCopies(host)
 		}
 	}
@@ -334,16 +338,3 @@
 	}
 	return false
 }
-
-func holdsOnDisk(host *Host, epoch uint64) bool {
-	chain := host.node.Chain()
-	if chain.Committed().SpecEpoch >= epoch && chain.Synced() >= chain.Committed().Sequence {
-		return true
-	}
-	for _, entry := range chain.Pending() {
-		if entry.SpecEpoch >= epoch && entry.Sequence <= chain.Synced() {
-			return true
-		}
-	}
-	return false
-}
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -87,13 +87,13 @@
 			return
 		}
 		client.host, client.incarnation, client.record.Daemon = host, host.incarnation, host.Address
-		host.clients = append(host.clients, client)
+		host.daemon.clients = append(host.daemon.clients, client)
 		if client.hungUp {
 			client.deliverHangUp()
 		}
 		traffic.world.coroutines.spawn(host, func() {
 			client.read, client.record.Started = true, traffic.world.Now
-			host.plane.Handler.Serve(client)
+			host.daemon.plane.Handler.Serve(client)
 			client.finish(
 				client.record.Status == 0 || client.record.Status == 200 && !client.record.Done && !client.record.Error,
 			)
@@ -108,12 +108,7 @@
 	}
 	client.finished = true
 	if client.host != nil {
-		for index, other := range client.host.clients {
-			if other == client {
-				client.host.clients = append(client.host.clients[:index], client.host.clients[index+1:]...)
-				break
-			}
-		}
+		client.host.daemon.removeClient(client)
 	}
 	traffic, record := client.traffic, client.record
 	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, client.read
@@ -184,11 +179,11 @@
 	// its spec: only then can it be said whether there is another way.
 	world := client.traffic.world
 	decided := world.coroutines.current.decided
-	if client.host.leasedSince.After(decided) {
-		decided = client.host.leasedSince
+	if client.host.daemon.leasedSince.After(decided) {
+		decided = client.host.daemon.leasedSince
 	}
 	if held := world.Now.Sub(decided); !world.coroutines.current.decided.IsZero() && held > answerBound &&
-		client.host.local().Before(client.host.plane.Snapshot().Until) {
+		client.host.local().Before(client.host.daemon.plane.Snapshot().Until) {
 		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request,
 			client.record.Kind, held)
 	}
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -83,14 +83,14 @@
 	if err := ctx.Err(); err != nil {
 		return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 	}
-	if to == nil || !to.up || to.engine == nil {
+	if to == nil || !to.up || to.runner == nil {
 		return nil, apierror.Wrap(errRefused, apierror.Unreachable, "dialing %s", target)
 	}
 	near := &conn{world: world, owner: from, remote: target, terms: terms}
 	far := &conn{world: world, owner: to, remote: from.Address, peer: near}
 	near.peer = far
 	from.conns, to.conns = append(from.conns, near), append(to.conns, far)
-	engine := to.engine
+	engine := to.runner.engine
 	world.coroutines.spawn(to, func() { engine.serve(far) })
 	return near, nil
 }
@@ -240,7 +240,7 @@
 	conn.closed = true
 	conn.peer.cancelRun()
 	conn.world.coroutines.wake(conn.reader)
-	if conn.owner.engine != nil {
+	if conn.owner.runner != nil {
 		conn.inFlight = append(conn.inFlight, packet{sent: conn.world.Now, end: true})
 		conn.startTransfer()
 		return nil
--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -14,8 +14,6 @@
 	// acknowledgementBound is within what time a change is acknowledged while the core is whole, however many daemons
 	// are dark.
 	acknowledgementBound = 2500 * time.Millisecond
-	// graceTime is within what time a machine that was told to stop has to end.
-	graceTime = 5 * time.Second
 )
 
 // ControlDay is what happens to the control plane, for a length of time, while operators race. Its harm is over at its
@@ -64,7 +62,7 @@
 func (world *World) verifyOutcomes() {
 	world.Run(2 * time.Second)
 	for _, host := range world.Cores() {
-		document := host.node.Chain().Committed()
+		document := host.core.node.Chain().Committed()
 		outcomes := map[string]uint64{}
 		for _, outcome := range document.Outcomes {
 			outcomes[outcome.Operation] = outcome.SpecEpoch
@@ -233,14 +231,14 @@
 // firstLosses are how a machine is taken out, or mended; each gives the machine that is new, and is over by itself.
 var firstLosses = map[string]func(world *World, old *Host){
 	"repair": func(world *World, old *Host) {
-		old.Wipe()
+		old.core.wipe()
 		world.After(time.Second, func() { old.Boot() })
 	},
 	"planned leave and return": func(world *World, old *Host) {
-		old.leaveInOrder(func() { world.After(time.Second, func() { old.Boot() }) })
+		old.core.decommission(func() { world.After(time.Second, func() { old.Boot() }) })
 	},
 	"planned replacement": func(world *World, old *Host) {
-		old.leaveInOrder(func() { old.removed = true })
+		old.core.decommission(func() { old.removed = true })
 		world.injector.addReplacement(old).Boot()
 	},
 	"unplanned replacement": func(world *World, old *Host) {
@@ -279,7 +277,7 @@
 				world.injector.log("second loss: %s, first %s", second.Address, old.Address)
 				second.Power()
 				if wiped {
-					second.Wipe()
+					second.core.wipe()
 					second.poweredOff = true
 				}
 				world.After(5*time.Second, func() { second.Boot() })
--- a/verify/simulation/disk_faults.go
+++ b/verify/simulation/disk_faults.go
@@ -22,11 +22,11 @@
 
 func slowAllDisks(world *World) func() {
 	for _, host := range world.Cores() {
-		host.diskDelay = slowDelay
+		host.core.storage.delay = slowDelay
 	}
 	return func() {
 		for _, host := range world.Cores() {
-			host.diskDelay = 0
+			host.core.storage.delay = 0
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	const damagedBit = 0x40
 	host := world.pick(world.Cores())
 	names := []string{"slot.0", "slot.1", "log"}
-	content := host.disk.files[names[world.random.Intn(len(names))]]
+	content := host.core.storage.disk.files[names[world.random.Intn(len(names))]]
 	if len(content) > 0 && world.recovery.isRedundant() {
 		content[world.random.Intn(len(content))] ^= damagedBit
 		world.recovery.noteDiskDamage()
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -42,45 +42,6 @@
 	slow    int
 }
 
-// AddRunner brings in a runner's machine.
-func (world *World) AddRunner(address, zone string) *Host {
-	host := world.add(address, zone, false)
-	host.engine = &engine{}
-	return host
-}
-
-// bootRunner starts a runner under a new identity with an empty cache.
-func (host *Host) bootRunner() {
-	world := host.world
-	world.identities++
-	traffic := world.Traffic
-	service, weights := traffic.Mix.Service, traffic.weights
-	if host.service != "" {
-		service = host.service
-	}
-	host.engine = &engine{
-		world:   world,
-		host:    host,
-		id:      fmt.Sprintf("%s-%d", host.Address, world.identities),
-		service: service,
-		weights: weights,
-		profile: emulator.DefaultProfile,
-		started: world.Now,
-		cache:   emulator.NewCache[string](emulator.DefaultProfile.CacheTokens),
-	}
-	host.every(host.incarnation, 100*time.Millisecond, host.engine.observe)
-	// A stranger at a runner's address is nobody's runner, and the platform does not list it.
-	if host.service == "" {
-		world.Platform.set(host, "cold")
-		incarnation := host.incarnation
-		world.After(emulator.DefaultProfile.ColdTime, func() {
-			if host.up && host.incarnation == incarnation {
-				world.Platform.set(host, "ready")
-			}
-		})
-	}
-}
-
 func (engine *engine) observe() {
 	running := min(engine.active, engine.profile.Slots)
 	engine.reports = append(engine.reports,
--- a/verify/simulation/fault_injector.go
+++ b/verify/simulation/fault_injector.go
@@ -40,7 +40,7 @@
 	}
 	var ends []func()
 	for _, host := range hosts {
-		if !host.Core {
+		if host.core == nil {
 			ends = append(ends, traffic.Fault("", host, impact.kills, impact.knowable))
 		}
 	}
@@ -55,7 +55,7 @@
 func (injector *faultInjector) head() *Host {
 	cores := injector.world.Cores()
 	for _, host := range cores {
-		if host.up && !host.frozen && host.node.IsLeading(host.local()) {
+		if host.core.isLeading() {
 			return host
 		}
 	}
@@ -128,7 +128,7 @@
 func (injector *faultInjector) addReplacement(old *Host) *Host {
 	injector.replacements++
 	host := injector.world.AddCore(fmt.Sprintf("%s+%d", old.Address, injector.replacements), old.Zone)
-	host.everStarted = true
+	host.core.hasStarted = true
 	injector.shuffleSeeds()
 	return host
 }
--- a/verify/simulation/fault_scheduler_test.go
+++ b/verify/simulation/fault_scheduler_test.go
@@ -131,8 +131,9 @@
 	old := world.AddCore("core", "a")
 	for number := 1; number <= 2; number++ {
 		added := world.injector.addReplacement(old)
-		if want := fmt.Sprint("core+", number); added.Address != want || added.Zone != "a" || !added.Core || added.up {
-			t.Errorf("%s in %s, core %v, up %v; want %s", added.Address, added.Zone, added.Core, added.up, want)
+		if want := fmt.Sprint("core+", number); added.Address != want || added.Zone != "a" || added.core == nil ||
+			added.up {
+			t.Errorf("%s in %s, core %v, up %v; want %s", added.Address, added.Zone, added.core != nil, added.up, want)
 		}
 		if !slices.Contains(old.seeds, added.Address) {
 			t.Errorf("seeds %v, without %s", old.seeds, added.Address)
--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -36,8 +36,16 @@
 }
 
 func stateOf(host *Host) hostState {
-	return hostState{up: host.up, frozen: host.frozen, stalled: host.stalled, full: host.disk.full,
-		cut: host.world.topology.severed(host), processingDelay: host.processingDelay, diskDelay: host.diskDelay}
+	storage := host.core.storage
+	return hostState{
+		up:              host.up,
+		frozen:          host.frozen,
+		stalled:         storage.stalled,
+		full:            storage.disk.full,
+		cut:             host.world.topology.severed(host),
+		processingDelay: host.processingDelay,
+		diskDelay:       storage.delay,
+	}
 }
 
 func TestHostFaultsAreUndone(t *testing.T) {
--- a/verify/simulation/fleet.go
+++ b/verify/simulation/fleet.go
@@ -15,26 +15,24 @@
 }
 
 // Cores returns the hosts with a disk that were not removed for good.
-func (fleet *fleet) Cores() []*Host { return fleet.daemons(true) }
+func (fleet *fleet) Cores() []*Host {
+	return fleet.filter(func(host *Host) bool { return host.core != nil && !host.removed })
+}
 
 // Datas returns the data daemons that were not removed for good.
-func (fleet *fleet) Datas() []*Host { return fleet.daemons(false) }
-
-func (fleet *fleet) daemons(isCore bool) []*Host {
-	var hosts []*Host
-	for _, host := range fleet.Hosts {
-		if host.Core == isCore && host.engine == nil && !host.removed {
-			hosts = append(hosts, host)
-		}
-	}
-	return hosts
+func (fleet *fleet) Datas() []*Host {
+	return fleet.filter(func(host *Host) bool { return host.daemon != nil && !host.removed })
 }
 
 // Runners returns the runners' hosts.
 func (fleet *fleet) Runners() []*Host {
+	return fleet.filter(func(host *Host) bool { return host.runner != nil })
+}
+
+func (fleet *fleet) filter(matches func(host *Host) bool) []*Host {
 	var hosts []*Host
 	for _, host := range fleet.Hosts {
-		if host.engine != nil {
+		if matches(host) {
 			hosts = append(hosts, host)
 		}
 	}
--- a/verify/simulation/fleet_test.go
+++ b/verify/simulation/fleet_test.go
@@ -8,11 +8,11 @@
 func TestFleetSortsHostsByKind(t *testing.T) {
 	fleet := newFleet()
 	for _, host := range []*Host{
-		{Address: "core", Zone: "a", Core: true},
-		{Address: "data", Zone: "b"},
-		{Address: "removed core", Zone: "a", Core: true, removed: true},
-		{Address: "removed data", Zone: "a", removed: true},
-		{Address: "runner", Zone: "b", engine: &engine{}},
+		{Address: "core", Zone: "a", core: &coreProcess{}},
+		{Address: "data", Zone: "b", daemon: &daemonProcess{}},
+		{Address: "removed core", Zone: "a", core: &coreProcess{}, removed: true},
+		{Address: "removed data", Zone: "a", daemon: &daemonProcess{}, removed: true},
+		{Address: "runner", Zone: "b", runner: &runnerProcess{}},
 	} {
 		fleet.insert(host)
 	}
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -70,7 +70,7 @@
 				continue
 			}
 			run.samples[run.period]++
-			if !host.local().Before(host.plane.Snapshot().Until) {
+			if !host.local().Before(host.daemon.plane.Snapshot().Until) {
 				run.unleased[run.period]++
 			}
 		}
@@ -117,7 +117,7 @@
 			run.samples[withHalf])
 	}
 	for _, host := range run.world.Datas() {
-		if !host.local().Before(host.plane.Snapshot().Until) {
+		if !host.local().Before(host.daemon.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
@@ -143,7 +143,7 @@
 	world.Run(10 * time.Second)
 	run := &lossRun{world: world, lost: map[*Host]bool{}}
 	world.network.Metrics = func(from, _ *Host, _ string, _ int) {
-		if !from.Core {
+		if from.core == nil {
 			run.messages[run.period]++
 		}
 	}
@@ -185,7 +185,7 @@
 			return
 		}
 		sides := map[bool]string{true: "core", false: "daemon"}
-		kinds[sides[from.Core]+" to "+sides[to.Core]+" "+kind] = true
+		kinds[sides[from.core != nil]+" to "+sides[to.core != nil]+" "+kind] = true
 	}
 	world.Run(10 * time.Second)
 	head := leader(world)
@@ -198,7 +198,7 @@
 	if order.Outcome != "accepted" {
 		t.Errorf("the change's outcome is %s", order.Outcome)
 	}
-	directory := head.Node().Status(head.local()).Daemons
+	directory := head.core.node.Status(head.local()).Daemons
 	if len(directory) != len(world.Datas()) {
 		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
 	}
--- a/verify/simulation/headless_test.go
+++ b/verify/simulation/headless_test.go
@@ -26,7 +26,7 @@
 // leader returns the core that acts as head, or nil.
 func leader(world *World) *Host {
 	for _, host := range world.Cores() {
-		if host.Up() && host.Node().IsLeading(host.local()) {
+		if host.Up() && host.core.node.IsLeading(host.local()) {
 			return host
 		}
 	}
@@ -48,15 +48,15 @@
 	if head == nil {
 		t.Fatalf("seed %d: no head after 20 s", seed)
 	}
-	if acceptors := len(head.Node().View().Acceptors); acceptors != 3 {
+	if acceptors := len(head.core.node.View().Acceptors); acceptors != 3 {
 		t.Fatalf("seed %d: %d keepers, the comparison wants 3", seed, acceptors)
 	}
 	messages := 0
 	world.network.Metrics = func(from, to *Host, _ string, _ int) {
-		if !from.Core {
+		if from.core == nil {
 			messages++
 		}
-		if to != nil && to.Up() && !to.Core {
+		if to != nil && to.Up() && to.core == nil {
 			messages++
 		}
 	}
--- a/verify/simulation/host_faults.go
+++ b/verify/simulation/host_faults.go
@@ -50,7 +50,7 @@
 
 // wipeDisk ends a core and replaces its disk by an empty one.
 func wipeDisk(_ *World, host *Host) func() {
-	host.Wipe()
+	host.core.wipe()
 	return host.Boot
 }
 
@@ -68,19 +68,19 @@
 
 // stallDisk has a core's disk complete no write.
 func stallDisk(_ *World, host *Host) func() {
-	host.stalled = true
-	return func() { host.stalled = false; host.write() }
+	host.core.storage.stalled = true
+	return host.core.storage.resume
 }
 
 // slowDisk has a core's disk take long for each write.
 func slowDisk(_ *World, host *Host) func() {
-	host.diskDelay = slowDelay
-	return func() { host.diskDelay = 0 }
+	host.core.storage.delay = slowDelay
+	return func() { host.core.storage.delay = 0 }
 }
 
 // fillDisk leaves no space on the disk that a core has now.
 func fillDisk(_ *World, host *Host) func() {
-	disk := host.disk
+	disk := host.core.storage.disk
 	disk.full = true
 	return func() { disk.full = false }
 }
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -22,7 +22,22 @@
 }
 
 // isolationTracker notes for each data daemon when it lost the core and when it had it back.
-type isolationTracker struct{ world *World }
+type isolationTracker struct {
+	world  *World
+	states map[*Host]*isolation
+}
+
+func newIsolationTracker(world *World) *isolationTracker {
+	return &isolationTracker{world: world, states: map[*Host]*isolation{}}
+}
+
+// of returns how a data daemon stands to the core.
+func (tracker *isolationTracker) of(host *Host) *isolation {
+	if tracker.states[host] == nil {
+		tracker.states[host] = &isolation{}
+	}
+	return tracker.states[host]
+}
 
 // refresh brings each daemon's separation from the core up to date after a change of the topology.
 func (tracker *isolationTracker) refresh() {
@@ -70,8 +85,7 @@
 
 // set notes that a daemon has lost the core, or has it back.
 func (tracker *isolationTracker) set(host *Host, apart bool) {
-	world := tracker.world
-	isolation := &host.isolation
+	world, isolation := tracker.world, tracker.of(host)
 	if apart != isolation.since.IsZero() {
 		return
 	}
@@ -105,7 +119,7 @@
 	if world.WithoutCore == 0 {
 		return false
 	}
-	isolation := &host.isolation
+	isolation := world.isolations.of(host)
 	if !isolation.since.IsZero() {
 		length := world.Now.Sub(isolation.since)
 		checker.recordWorst("older news used without the core", length)
--- a/verify/simulation/load_faults.go
+++ b/verify/simulation/load_faults.go
@@ -12,7 +12,7 @@
 }
 
 func drainDaemon(world *World) func() {
-	world.pick(world.Datas()).drainData()
+	world.pick(world.Datas()).daemon.drainAndRestart()
 	return nothingToUndo
 }
 
--- a/verify/simulation/machine_faults.go
+++ b/verify/simulation/machine_faults.go
@@ -82,7 +82,7 @@
 		world.Check.OnAccepted = nil
 		world.After(0, func() {
 			for _, host := range world.Hosts {
-				if host.up && (host.Core || world.random.Intn(2) == 0) {
+				if host.up && (host.core != nil || world.random.Intn(2) == 0) {
 					loss.add(host)
 				}
 			}
@@ -106,7 +106,7 @@
 				loss.add(host)
 			}
 			for _, host := range cores[:min(world.Faults, len(cores)-1)] {
-				host.Wipe()
+				host.core.wipe()
 				host.poweredOff = true
 			}
 		})
--- a/verify/simulation/network.go
+++ b/verify/simulation/network.go
@@ -9,7 +9,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/coordination/statemachine"
-	"wardtray/dataplane/controller"
 	"wardtray/wire"
 )
 
@@ -81,7 +80,7 @@
 // so.
 func (network *network) refuseConnection(from, to *Host, tried time.Time) {
 	world := network.world
-	if to.up || to.poweredOff || to.engine != nil || world.topology.disconnected(from, to) {
+	if to.up || to.poweredOff || to.runner != nil || world.topology.disconnected(from, to) {
 		return
 	}
 	incarnation := from.incarnation
@@ -89,15 +88,7 @@
 		if world.topology.disconnected(from, to) {
 			return
 		}
-		from.on(incarnation, func() {
-			if from.Core {
-				from.node.ConnectionRefused(from.local(), to.Address, tried)
-				return
-			}
-			from.plane.Step(
-				func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, to.Address, tried) },
-			)
-		})
+		from.on(incarnation, func() { from.process.connectionRefused(to.Address, tried) })
 	})
 }
 
@@ -126,20 +117,14 @@
 // deliver gives a message to the process that it is for, if that runs and can be reached.
 func (network *network) deliver(from, to *Host, content []byte) {
 	// A frozen machine's sockets hold only so much.
-	if network.world.topology.isCut(from, to) || !to.up || to.frozen && len(to.backlog) >= backlogLimit {
+	if network.world.topology.isCut(from, to) || !to.up || to.isFull() {
 		return
 	}
 	envelope := &wire.Envelope{}
 	if err := proto.Unmarshal(content, envelope); err != nil {
 		panic(err)
 	}
-	to.on(to.incarnation, func() {
-		if to.Core {
-			to.node.Receive(to.local(), envelope)
-			return
-		}
-		to.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Receive(now, envelope) })
-	})
+	to.on(to.incarnation, func() { to.process.receive(envelope) })
 }
 
 // countMessage counts a message that a host sends.
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -135,8 +135,8 @@
 
 // look takes down a daemon's starts and its pauses while it is left alone.
 func (watch *paceWatch) look(host *Host) {
-	world, local := watch.world, host.local()
-	serves := host.up && !host.frozen && local.Before(host.controller.Until(local))
+	world := watch.world
+	serves := host.up && !host.frozen && host.daemon.holdsLease()
 	if host.incarnation != watch.incarnations[host] && host.up {
 		watch.incarnations[host], watch.starting[host] = host.incarnation, world.Now
 		watch.quietSince[host] = world.Now
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -61,7 +61,7 @@
 	content, read := platform.served(), !platform.unreachable
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
-		host.on(incarnation, func() { host.plane.OnPolled(content, read) })
+		host.on(incarnation, func() { host.daemon.plane.OnPolled(content, read) })
 	})
 }
 
@@ -102,10 +102,10 @@
 		remaining = append(
 			remaining,
 			&wire.Runner{
-				RunnerId: host.engine.id,
+				RunnerId: host.runner.engine.id,
 				Address:  host.Address,
 				Zone:     host.Zone,
-				Service:  host.engine.service,
+				Service:  host.runner.engine.service,
 				State:    state,
 			},
 		)
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -1,8 +1,6 @@
 package simulation
 
 import (
-	"fmt"
-	"strings"
 	"time"
 )
 
@@ -26,44 +24,3 @@
 	world.recovery.requireService()
 	return world
 }
-
-// Describe reports the state of each machine, for whoever looks for the cause of a failure.
-func (world *World) Describe() string {
-	text := &strings.Builder{}
-	for _, entry := range world.Log[max(0, len(world.Log)-8):] {
-		fmt.Fprintf(text, "  %s\n", entry)
-	}
-	for _, host := range world.Hosts {
-		if host.engine == nil && !host.removed {
-			host.describe(text)
-		}
-	}
-	return text.String()
-}
-
-// describe writes the state of the host.
-func (host *Host) describe(text *strings.Builder) {
-	if !host.up {
-		fmt.Fprintf(text, "  %s is down\n", host.Address)
-		return
-	}
-	local := host.local()
-	if !host.Core {
-		snapshot := host.controller.Snapshot(local)
-		fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", host.Address,
-			local.Before(snapshot.Until), snapshot.Sequence, snapshot.SpecEpoch, host.controller.View().GetEpoch())
-		return
-	}
-	status := host.node.Status(local)
-	fmt.Fprintf(text, "  %s %s %s, view %d, leading %v, claim %v, sick %v, synced %d, committed %d, pending %d, ",
-		host.Address, status.ID, status.Position, status.View, status.IsLeading, status.HoldsLease, status.Unhealthy,
-		status.Synced, status.Committed, status.Pending)
-	fmt.Fprintf(text, "learned in %d, frozen %v, stalled %v\n",
-		host.node.Chain().LearnedView(), host.frozen, host.stalled)
-	for _, member := range status.Chain {
-		fmt.Fprintf(text, "    chain  %s %s heard %v\n", member.ID, member.Address, member.IsAlive)
-	}
-	for _, member := range status.Acceptors {
-		fmt.Fprintf(text, "    keeper %s %s heard %v\n", member.ID, member.Address, member.IsAlive)
-	}
-}
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -55,7 +55,7 @@
 // hasRejoined reports whether a running core is up to date, holds the lease where it is the chain's head, has nothing
 // to warn of that can be mended, and knows a chain of all cores under the newest view.
 func (recovery *recoveryCheck) hasRejoined(host *Host) bool {
-	status, view := host.node.Status(host.local()), host.node.View()
+	status, view := host.core.node.Status(host.local()), host.core.node.View()
 	if status.Position != "outside" && status.Pending > toleratedPending {
 		return false
 	}
@@ -65,7 +65,7 @@
 	if len(status.Warnings) > 0 && recovery.hasSpareDisks() {
 		return false
 	}
-	return len(view.Chain) == min(len(recovery.world.Cores()), host.node.ChainLimit()) &&
+	return len(view.Chain) == min(len(recovery.world.Cores()), host.core.node.ChainLimit()) &&
 		view.Epoch == recovery.newestView().Epoch
 }
 
@@ -88,8 +88,8 @@
 func (recovery *recoveryCheck) newestView() *wire.View {
 	newest := &wire.View{}
 	for _, host := range recovery.world.Cores() {
-		if host.node != nil && host.node.View().Epoch > newest.Epoch {
-			newest = host.node.View()
+		if host.core.node != nil && host.core.node.View().Epoch > newest.Epoch {
+			newest = host.core.node.View()
 		}
 	}
 	return newest
@@ -128,9 +128,8 @@
 // allServe reports whether every daemon holds a lease on a configuration of at least an epoch.
 func (recovery *recoveryCheck) allServe(epoch uint64) bool {
 	for _, host := range recovery.world.Datas() {
-		local := host.local()
-		if !host.up || !local.Before(host.controller.Until(local)) ||
-			host.controller.Snapshot(local).SpecEpoch < epoch {
+		if !host.up || !host.daemon.holdsLease() ||
+			host.daemon.controller.Snapshot(host.local()).SpecEpoch < epoch {
 			return false
 		}
 	}
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -117,7 +117,7 @@
 	incarnation.pendingCall = call
 	draining := incarnation.state == registry.Draining
 	incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
-		host.node.Register(now, registration, answer)
+		host.core.node.Register(now, registration, answer)
 	}, func() {
 		if incarnation.pendingCall == call {
 			incarnation.pendingCall = 0
@@ -129,7 +129,7 @@
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
 			host := world.pick(world.Cores())
-			host.reach(func() { host.node.Register(host.local(), registration, func(registry.Outcome) {}) })
+			host.reach(func() { host.core.node.Register(host.local(), registration, func(registry.Outcome) {}) })
 		})
 	}
 	world.After(ackBound, func() {
@@ -194,7 +194,7 @@
 		}
 		world.After(drainServe, func() {
 			incarnation.send(func(now time.Time, host *Host, answer func(outcome registry.Outcome)) {
-				host.node.Deregister(now, incarnation.id, answer)
+				host.core.node.Deregister(now, incarnation.id, answer)
 			},
 				func() { incarnation.recordAcknowledged(true) })
 			world.After(200*time.Millisecond, incarnation.stop)
@@ -297,7 +297,7 @@
 	checker := registering.world.Check
 	for _, host := range registering.world.Datas() {
 		listed := map[string]bool{}
-		for _, runner := range host.controller.Snapshot(host.local()).Runners {
+		for _, runner := range host.daemon.controller.Snapshot(host.local()).Runners {
 			listed[runner.RunnerId] = true
 			if incarnation := registering.byID[runner.RunnerId]; !incarnation.running &&
 				runner.State != registry.Draining {
--- a/verify/simulation/runner_faults.go
+++ b/verify/simulation/runner_faults.go
@@ -37,7 +37,7 @@
 // misbehave changes a runner's nature for a while.
 func misbehave(impact impact, change func(engine *engine, on bool)) Fault {
 	return onRunner(impact, func(_ *World, host *Host) func() {
-		engine := host.engine
+		engine := host.runner.engine
 		change(engine, true)
 		return func() { change(engine, false) }
 	})
@@ -84,7 +84,7 @@
 // garbleRunner has a runner tell the third event of each stream wrongly, in one of the ways that there are.
 func garbleRunner(world *World) func() {
 	return onRunner(impact{}, func(world *World, host *Host) func() {
-		engine := host.engine
+		engine := host.runner.engine
 		names := []string{"skip", "repeat", "false count", "strange", "no number"}
 		engine.garble = names[world.random.Intn(len(names))]
 		return func() { engine.garble = "" }
@@ -103,7 +103,7 @@
 
 func setRejects(hosts []*Host, rejects bool) {
 	for _, host := range hosts {
-		host.engine.rejects = rejects
+		host.runner.engine.rejects = rejects
 	}
 }
 
@@ -140,12 +140,12 @@
 	host := world.injector.runner()
 	end := world.injector.record(impact{}, host)
 	host.Kill()
-	host.service = "a-stranger"
+	host.runner.strangersService = "a-stranger"
 	incarnation := host.incarnation + 1
 	host.Boot()
 	world.Platform.delistAfterwards(host, incarnation)
 	return func() {
-		host.service = ""
+		host.runner.strangersService = ""
 		host.Kill()
 		host.Boot()
 		end()
--- /dev/null
+++ b/verify/simulation/runner_process.go
@@ -0,0 +1,67 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"wardtray/verify/emulator"
+	"wardtray/wire"
+)
+
+// reportInterval is how often a runner notes its load.
+const reportInterval = 100 * time.Millisecond
+
+// runnerProcess is the runner of one host. It exchanges no messages with the daemons: they connect to it.
+type runnerProcess struct {
+	host *Host
+	// engine is that of the last process, which may have ended.
+	engine *engine
+	// strangersService, where it is set, makes the next process a runner of another service, which the platform does not
+	// list.
+	strangersService string
+}
+
+// boot starts a runner under a new identity with an empty cache.
+func (runner *runnerProcess) boot() {
+	host, world := runner.host, runner.host.world
+	world.identities++
+	traffic := world.Traffic
+	service := traffic.Mix.Service
+	if runner.strangersService != "" {
+		service = runner.strangersService
+	}
+	runner.engine = &engine{
+		world:   world,
+		host:    host,
+		id:      fmt.Sprintf("%s-%d", host.Address, world.identities),
+		service: service,
+		weights: traffic.weights,
+		profile: emulator.DefaultProfile,
+		started: world.Now,
+		cache:   emulator.NewCache[string](emulator.DefaultProfile.CacheTokens),
+	}
+	host.every(host.incarnation, reportInterval, runner.engine.observe)
+	if runner.strangersService == "" {
+		runner.list()
+	}
+}
+
+// list has the platform list the present process, as cold until it is warm.
+func (runner *runnerProcess) list() {
+	host, world := runner.host, runner.host.world
+	world.Platform.set(host, "cold")
+	incarnation := host.incarnation
+	world.After(emulator.DefaultProfile.ColdTime, func() { world.Platform.relist(host, incarnation) })
+}
+
+// afterStep does nothing: a runner's coroutines wake each other.
+func (runner *runnerProcess) afterStep() {}
+
+// receive does nothing: nobody sends messages to a runner.
+func (runner *runnerProcess) receive(*wire.Envelope) {}
+
+// connectionRefused does nothing: a runner sends no messages.
+func (runner *runnerProcess) connectionRefused(string, time.Time) {}
+
+// end does nothing: the platform learns of it by itself.
+func (runner *runnerProcess) end() {}
--- /dev/null
+++ b/verify/simulation/runner_process_test.go
@@ -0,0 +1,48 @@
+package simulation
+
+import (
+	"testing"
+	"time"
+
+	"wardtray/verify/emulator"
+)
+
+// listedState is how the platform's truth has a host's runner; empty: not at all.
+func listedState(world *World, host *Host) string {
+	for _, runner := range world.Platform.actual {
+		if runner.Address == host.Address {
+			return runner.State
+		}
+	}
+	return ""
+}
+
+func TestRunnerProcessIsListedAsColdUntilItIsWarm(t *testing.T) {
+	t.Parallel()
+	world := settledPath(t)
+	host := world.Runners()[0]
+	host.Kill()
+	previous := host.runner.engine.id
+	host.Boot()
+	if state := listedState(world, host); state != "cold" || host.runner.engine.id == previous {
+		t.Errorf("%s after %s is listed as %q", host.runner.engine.id, previous, state)
+	}
+	world.Run(emulator.DefaultProfile.ColdTime)
+	if state := listedState(world, host); state != "ready" {
+		t.Errorf("listed as %q when it is warm", state)
+	}
+}
+
+func TestRunnerProcessOfAnotherServiceIsNotListed(t *testing.T) {
+	t.Parallel()
+	world := settledPath(t)
+	host := world.Runners()[0]
+	host.Kill()
+	world.Platform.set(host, "")
+	host.runner.strangersService = "another"
+	host.Boot()
+	world.Run(emulator.DefaultProfile.ColdTime + time.Second)
+	if state := listedState(world, host); state != "" || host.runner.engine.service != "another" {
+		t.Errorf("a runner of %s is listed as %q", host.runner.engine.service, state)
+	}
+}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -53,11 +53,11 @@
 	const window = 6 * time.Second
 	for world.Now.Sub(sent) < window && len(world.Check.Violations) == 0 {
 		world.Run(5 * time.Millisecond)
-		if committed.IsZero() && world.byName["c:core"].node.Chain().Committed().SpecEpoch == 1 {
+		if committed.IsZero() && world.byName["c:core"].core.node.Chain().Committed().SpecEpoch == 1 {
 			committed = world.Now
 		}
 		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(host.local()).SpecEpoch == 1 {
+			if _, had := arrived[host.Address]; !had && host.daemon.controller.Snapshot(host.local()).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -84,7 +84,7 @@
 // updateEligible is the platform's opinion of the daemons; it trails the truth.
 func (traffic *Traffic) updateEligible() {
 	for _, host := range traffic.world.Datas() {
-		traffic.eligible[host.Address] = host.up && !host.frozen && host.plane.Ready()
+		traffic.eligible[host.Address] = host.up && !host.frozen && host.daemon.plane.Ready()
 	}
 	traffic.world.After(emulator.ListLag, traffic.updateEligible)
 }
@@ -110,7 +110,7 @@
 	}
 	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
-		engine := host.engine
+		engine := host.runner.engine
 		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects &&
 			!engine.fails &&
 			engine.garble == "" &&
@@ -244,8 +244,8 @@
 func (traffic *Traffic) Fault(what string, host *Host, kills bool, knowable time.Duration) func() {
 	record, now := traffic.History, traffic.world.Now
 	fault := histories.Fault{At: now, Until: now.Add(time.Hour), What: what, Kills: kills, Knowable: knowable}
-	if host.engine != nil {
-		fault.Runner = host.engine.id
+	if host.runner != nil {
+		fault.Runner = host.runner.engine.id
 	} else {
 		fault.Daemon = host.Address
 	}
@@ -259,8 +259,8 @@
 	world := traffic.world
 	final := histories.Final{Asked: true, Known: map[string]uint64{}}
 	for _, host := range world.Cores() {
-		if host.node != nil {
-			document := host.node.Chain().Committed()
+		if host.core.node != nil {
+			document := host.core.node.Chain().Committed()
 			if document.SpecEpoch >= final.Epoch {
 				final.Epoch = document.SpecEpoch
 				for _, outcome := range document.Outcomes {
--- a/verify/simulation/trial.go
+++ b/verify/simulation/trial.go
@@ -78,7 +78,7 @@
 func (traffic *Traffic) waiting() int {
 	count := 0
 	for _, host := range traffic.world.Datas() {
-		count += len(host.clients)
+		count += len(host.daemon.clients)
 	}
 	return count
 }
@@ -86,7 +86,7 @@
 // finishAll looks for requests that were never answered although nothing keeps them any more.
 func (traffic *Traffic) finishAll() {
 	for _, host := range traffic.world.Datas() {
-		for _, client := range host.clients {
+		for _, client := range host.daemon.clients {
 			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", client.record.Request,
 				host.Address, traffic.world.Now.Sub(client.record.Sent))
 		}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -9,8 +9,10 @@
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
+	// backlogLimit is how much a frozen machine's sockets hold.
 	backlogLimit = 2000
+	// driftRange is by what part the fastest and the slowest clock of hosts may differ.
+	driftRange = 0.01
 	// defaultWithoutCore is for how long daemons go on while they reach no core machine.
 	defaultWithoutCore = 5 * time.Minute
 )
@@ -55,7 +57,7 @@
 	}
 	world.network = newNetwork(world)
 	world.coroutines = &coroutines{world: world}
-	world.isolations = &isolationTracker{world: world}
+	world.isolations = newIsolationTracker(world)
 	world.recovery = &recoveryCheck{world: world}
 	world.injector = &faultInjector{world: world}
 	world.Check = newChecker(world)
@@ -68,24 +70,39 @@
 	world.run(length, func() bool { return len(world.Check.Violations) > 0 }, world.isolations.refresh)
 }
 
-// AddCore and AddData bring in machines; Boot starts them.
-func (world *World) AddCore(address, zone string) *Host { return world.add(address, zone, true) }
+// AddCore brings in a core machine; Boot starts it.
+func (world *World) AddCore(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.core = newCoreProcess(host)
+	host.process = host.core
+	return host
+}
 
 // AddData brings in a data daemon.
-func (world *World) AddData(address, zone string) *Host { return world.add(address, zone, false) }
+func (world *World) AddData(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.daemon = &daemonProcess{host: host}
+	host.process = host.daemon
+	return host
+}
 
-func (world *World) add(address, zone string, isCore bool) *Host {
+// AddRunner brings in a runner's machine.
+func (world *World) AddRunner(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.runner = &runnerProcess{host: host, engine: &engine{}}
+	host.process = host.runner
+	return host
+}
+
+// add brings in a machine without a process.
+func (world *World) add(address, zone string) *Host {
 	host := &Host{
 		world:   world,
 		Address: address,
 		Zone:    zone,
-		Core:    isCore,
-		drift:   (world.random.Float64() - 0.5) * 0.01,
+		drift:   (world.random.Float64() - 0.5) * driftRange,
 		seeds:   world.seeds,
 	}
-	if isCore {
-		host.disk = newDisk(world.random)
-	}
 	world.insert(host)
 	world.topology.changed()
 	return host
