--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -40,7 +40,7 @@
 		}
 	})
 	world.Run(8 * time.Second)
-	racers := world.StartRacers(day.RaceEvery, day.LostAnswers)
+	racers := startRacers(world, day.RaceEvery, day.LostAnswers)
 	world.Run(time.Second)
 	day.harm(world)
 	world.Run(day.Length + time.Millisecond)
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -60,7 +60,7 @@
 	if shape.Mix.Model == "" {
 		world.Platform.fill(18)
 	} else {
-		world.StartTraffic(shape.Mix, shape.Zones, 18)
+		startTraffic(world, shape.Mix, shape.Zones, 18)
 	}
 	for _, host := range world.Hosts {
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -178,7 +178,7 @@
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
 	kinds, unaddressed := map[string]bool{}, 0
-	world := Found(1, shape, func(world *World) { world.StartRegisteringRunners(6, shape.Zones) })
+	world := Found(1, shape, func(world *World) { startRegisteringRunners(world, 6, shape.Zones) })
 	world.network.Metrics = func(from, to *Host, kind string, _ int) {
 		if to == nil {
 			unaddressed++
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle.go
@@ -14,7 +14,7 @@
 // MeasureIdle returns what data daemons, cores, and the busiest core do in a second of quiet.
 func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
 	const length = 10 * time.Second
-	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
+	world := Found(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
 	world.Run(10 * time.Second)
 	counts := map[*Host]*Idle{}
 	of := func(host *Host) *Idle {
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -40,8 +40,8 @@
 	return &Operators{world: world, number: number}
 }
 
-// StartOperators begins.
-func (world *World) StartOperators(every time.Duration) *Operators {
+// startOperators has operators send a change about every so often, from now on.
+func startOperators(world *World, every time.Duration) *Operators {
 	operators := &Operators{world: world, every: every}
 	operators.next()
 	return operators
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -14,7 +14,7 @@
 func PlayEvery(seed int64, shape Shape, names []string, atOnce int, every time.Duration) *World {
 	world := Found(seed, shape)
 	world.Run(8 * time.Second)
-	operators := world.StartOperators(every)
+	operators := startOperators(world, every)
 	scheduleFaults(world, time.Minute, names, atOnce)
 	world.Run(time.Minute + time.Millisecond)
 	operators.Stop()
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -43,8 +43,8 @@
 	tries   int
 }
 
-// StartRacers begins.
-func (world *World) StartRacers(every time.Duration, lostAnswers float64) *Racers {
+// startRacers has operators begin a race every so often, of whose answers a part is lost, from now on.
+func startRacers(world *World, every time.Duration, lostAnswers float64) *Racers {
 	racers := &Racers{world: world, number: 3_000_000, Every: every, LostAnswers: lostAnswers}
 	racers.step()
 	return racers
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -54,8 +54,8 @@
 	knownSince, leftAt, finishedAt time.Time
 }
 
-// StartRegisteringRunners brings in so many runners.
-func (world *World) StartRegisteringRunners(count int, zones []string) *RegisteringRunners {
+// startRegisteringRunners brings in so many runners.
+func startRegisteringRunners(world *World, count int, zones []string) *RegisteringRunners {
 	registering := &RegisteringRunners{world: world, byID: map[string]*runnerIncarnation{}}
 	world.RegisteringRunners = registering
 	for number := range count {
@@ -317,12 +317,12 @@
 // PlayRegisteringRunners founds a deployment whose runners register themselves, does harm to it while they come and
 // go, and sees whether everybody knows who is there in the end.
 func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
-	world := Found(seed, shape, func(world *World) { world.StartRegisteringRunners(18, shape.Zones) })
+	world := Found(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
 	registering := world.RegisteringRunners
 	world.Run(10 * time.Second)
 	registering.KnownBound = knownBound
 	registering.Start(time.Second)
-	operators := world.StartOperators(3 * time.Second)
+	operators := startOperators(world, 3*time.Second)
 	scheduleFaults(world, 40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
 	registering.Every = 0
@@ -354,7 +354,7 @@
 	}
 	world.SetSeeds(seeds)
 	world.Platform.fill(1)
-	registering := world.StartRegisteringRunners(runners, zones)
+	registering := startRegisteringRunners(world, runners, zones)
 	for _, host := range world.Hosts {
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
 	}
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -78,7 +78,7 @@
 	t.Parallel()
 	counts := map[int]uint64{}
 	for _, count := range []int{0, 60} {
-		world := Found(1, Guild, func(world *World) { world.StartRegisteringRunners(count, Guild.Zones) })
+		world := Found(1, Guild, func(world *World) { startRegisteringRunners(world, count, Guild.Zones) })
 		world.Run(20 * time.Second)
 		before := world.network.Messages
 		world.Run(20 * time.Second)
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -38,8 +38,8 @@
 	Retries float64
 }
 
-// StartTraffic brings the request path in: so many runners, and clients once Rate is above zero.
-func (world *World) StartTraffic(mix loadtest.Mix, zones []string, runners int) *Traffic {
+// startTraffic brings the request path in: so many runners, and clients once Rate is above zero.
+func startTraffic(world *World, mix loadtest.Mix, zones []string, runners int) *Traffic {
 	traffic := &Traffic{
 		world:      world,
 		random:     rand.New(rand.NewSource(world.random.Int63())),
--- a/verify/simulation/trial.go
+++ b/verify/simulation/trial.go
@@ -48,7 +48,7 @@
 	world.Run(3 * time.Second)
 	traffic.Rate, traffic.Retries, traffic.TakeAway = trial.Rate, trial.Retries, trial.TakeAway
 	traffic.HangUpsMidway, traffic.HangUps = trial.HangUpsMidway, trial.HangUps
-	operators := world.StartOperators(trial.Every)
+	operators := startOperators(world, trial.Every)
 	world.Run(5 * time.Second)
 	if len(trial.Faults) > 0 {
 		scheduleFaults(world, trial.Length, trial.Faults, trial.AtOnce)
