--- a/verify/simulation/control_days.go
+++ b/verify/simulation/control_days.go
@@ -67,22 +67,22 @@
 		for _, outcome := range document.Outcomes {
 			outcomes[outcome.Operation] = outcome.SpecEpoch
 		}
-		for _, order := range world.Check.acknowledged {
+		for _, order := range world.Check.outcomes.acknowledged {
 			if epoch, found := outcomes[order.Operation]; !found || epoch != order.Epoch {
 				world.Check.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address,
 					order.Operation, epoch, order.Epoch)
 			}
 		}
-		for operation := range world.Check.refused {
+		for operation := range world.Check.outcomes.refused {
 			if _, found := outcomes[operation]; found {
 				world.Check.violation("%s was refused and is in effect at %s", operation, host.Address)
 			}
 		}
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: "get"})
 		world.Run(2 * time.Second)
-		if read.Status != 200 || read.Epoch < world.Check.greatestAcknowledged() {
+		if read.Status != 200 || read.Epoch < world.Check.outcomes.greatestAcknowledged() {
 			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status,
-				read.Epoch, world.Check.greatestAcknowledged())
+				read.Epoch, world.Check.outcomes.greatestAcknowledged())
 		}
 	}
 }
--- a/verify/simulation/control_days_test.go
+++ b/verify/simulation/control_days_test.go
@@ -16,7 +16,7 @@
 		t.Log(world.Log)
 	}
 	t.Logf("seed %d: %d orders in races, %d sent again, %d acknowledged; %v", seed, racers.Sent, racers.Resent,
-		len(world.Check.acknowledged), world.Check.WorstCases)
+		len(world.Check.outcomes.acknowledged), world.Check.WorstCases)
 }
 
 // playDays plays each day of a table on each of the deployments; WARDTRAY_SEEDS asks for more seeds.
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -49,7 +49,7 @@
 		if !core.Up() {
 			continue
 		}
-		operators.base = run.world.Check.greatestKnown()
+		operators.base = run.world.Check.outcomes.greatestCommitted()
 		order, period := operators.apply(core), run.period
 		run.world.After(changeEvery, func() {
 			if order.Outcome == "accepted" {
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -107,28 +107,3 @@
 		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
 	}
 }
-
-// mayIgnore reports whether a daemon may still award by what it knew before something was acknowledged a while ago:
-// within a bound in any case, and while it has been without the core, for the time that its settings allow.
-func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
-	world := checker.world
-	if late <= bound {
-		checker.recordWorst("change ignored after the acknowledgement", late)
-		return true
-	}
-	if world.WithoutCore == 0 {
-		return false
-	}
-	isolation := world.isolations.of(host)
-	if !isolation.since.IsZero() {
-		length := world.Now.Sub(isolation.since)
-		checker.recordWorst("older news used without the core", length)
-		return length <= world.WithoutCore+leaseBound
-	}
-	back := world.Now.Sub(isolation.finished)
-	if isolation.finished.IsZero() || back > reconnectBound {
-		return false
-	}
-	checker.recordWorst("older news used after the core was back", back)
-	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
-}
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -57,7 +57,7 @@
 	world := operators.world
 	cores := world.Cores()
 	pick := func() *Host { return cores[world.random.Intn(len(cores))] }
-	operators.base = world.Check.greatestKnown()
+	operators.base = world.Check.outcomes.greatestCommitted()
 	choices := []func(){
 		func() {
 			operators.change(pick())
@@ -86,7 +86,7 @@
 		func() {
 			operators.number++
 			operation := fmt.Sprintf("o%d", operators.number)
-			world.Check.invalid[operation] = true
+			world.Check.outcomes.expectRefusal(operation)
 			invalid := []*wire.OperatorRequest{
 				{Verb: "apply", Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`),
 					Base: operators.base, HasBase: true},
@@ -158,15 +158,6 @@
 	return operators.world.Check.Resend(host, operators.order, operators.last)
 }
 
-// greatestKnown is what an operator who reads would build on.
-func (checker *Checker) greatestKnown() uint64 {
-	greatest := uint64(0)
-	for _, epoch := range checker.known {
-		greatest = max(greatest, epoch)
-	}
-	return greatest
-}
-
 // retryChange has an operator send a change again and again until one is accepted or a moment has come, so
 // that somebody asks for what the machines' return is checked by.
 func (operators *Operators) retryChange(until time.Time) {
@@ -177,7 +168,7 @@
 		if order != nil && order.Outcome == "accepted" || !world.Now.Before(until) {
 			return
 		}
-		operators.base = world.Check.greatestKnown()
+		operators.base = world.Check.outcomes.greatestCommitted()
 		order = operators.apply(world.pick(world.Cores()))
 		world.After(time.Second, ask)
 	}
@@ -192,7 +183,7 @@
 		if !world.Now.Before(until) {
 			return
 		}
-		operators.base = world.Check.greatestKnown()
+		operators.base = world.Check.outcomes.greatestCommitted()
 		operators.apply(world.pick(world.Cores()))
 		world.After(every, next)
 	}
@@ -208,7 +199,7 @@
 		if !world.Now.Before(until) {
 			return
 		}
-		operators.base = world.Check.greatestKnown()
+		operators.base = world.Check.outcomes.greatestCommitted()
 		order := operators.apply(world.pick(world.Cores()))
 		world.After(acknowledgementBound, func() {
 			took := acknowledgementBound
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -120,7 +120,7 @@
 // ask sends the next change to a machine that is well, if there is one.
 func (watch *paceWatch) ask() {
 	world := watch.world
-	watch.operators.base = world.Check.greatestKnown()
+	watch.operators.base = world.Check.outcomes.greatestCommitted()
 	var well []*Host
 	for _, host := range world.Cores() {
 		if host.up && !host.frozen {
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -71,7 +71,7 @@
 
 // race sends two changes that build on one version.
 func (racers *Racers) race() {
-	base := racers.world.Check.greatestKnown()
+	base := racers.world.Check.outcomes.greatestCommitted()
 	epoch := base + 1 + uint64(racers.world.random.Intn(3))
 	for range 2 {
 		racers.number++
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -114,7 +114,7 @@
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
 		if order == nil || order.Outcome == "refused" ||
 			order.Outcome == "unknown" && world.Now.Sub(order.Sent) > recoveryOrderTimeout {
-			operators.base = world.Check.greatestKnown()
+			operators.base = world.Check.outcomes.greatestCommitted()
 			order = operators.apply(world.pick(world.Cores()))
 		}
 		world.Run(recoveryPollInterval)
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -285,7 +285,7 @@
 	}
 	late := registering.world.Now.Sub(incarnation.leftAt)
 	checker.recordWorst("work to a runner that said it leaves", late)
-	if !checker.mayIgnore(host, late, leaveKnown) {
+	if !checker.daemons.mayIgnore(host, late, leaveKnown) {
 		checker.violation("leaving-used: %s still uses %s, %v after its leaving was acknowledged", host.Address,
 			runner.RunnerId, late)
 	}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -54,7 +54,7 @@
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
 	traffic.History.Daemons = len(world.Datas())
-	traffic.checker = histories.NewChecker(traffic.History, world.Check.known)
+	traffic.checker = histories.NewChecker(traffic.History, world.Check.outcomes.committed)
 	for number := range runners {
 		world.AddRunner(fmt.Sprintf("r%02d", number), zones[number%len(zones)])
 	}
