--- a/verify/simulation/outcomes.go
+++ b/verify/simulation/outcomes.go
@@ -78,6 +78,25 @@
 	outcomes.acknowledged = append(outcomes.acknowledged, order)
 }
 
+// requireKept checks that a core has every acknowledged change under its epoch, and no refused one.
+func (outcomes *outcomes) requireKept(host *Host) {
+	checker, kept := outcomes.checker, map[string]uint64{}
+	for _, outcome := range host.core.node.Chain().Committed().Outcomes {
+		kept[outcome.Operation] = outcome.SpecEpoch
+	}
+	for _, order := range outcomes.acknowledged {
+		if epoch, found := kept[order.Operation]; !found || epoch != order.Epoch {
+			checker.violation("forgotten: %s has %s as epoch %d, which was acknowledged as %d", host.Address,
+				order.Operation, epoch, order.Epoch)
+		}
+	}
+	for operation := range outcomes.refused {
+		if _, found := kept[operation]; found {
+			checker.violation("%s was refused and is in effect at %s", operation, host.Address)
+		}
+	}
+}
+
 // greatestCommitted is the epoch that an operator who reads would build on.
 func (outcomes *outcomes) greatestCommitted() uint64 {
 	greatest := uint64(0)
--- /dev/null
+++ b/verify/simulation/read_back.go
@@ -0,0 +1,26 @@
+package simulation
+
+import (
+	"net/http"
+	"time"
+
+	"wardtray/control/proposal"
+	"wardtray/wire"
+)
+
+// readBackTime is how long the fleet has to settle before it is read back, and each core to answer a read.
+const readBackTime = 2 * time.Second
+
+// readBack runs the world and reads back from every core what became of each change that was answered.
+func readBack(world *World) {
+	world.Run(readBackTime)
+	for _, host := range world.Cores() {
+		world.Check.outcomes.requireKept(host)
+		read := world.Check.Send(host, &wire.OperatorRequest{Verb: proposal.VerbGet})
+		world.Run(readBackTime)
+		if least := world.Check.outcomes.greatestAcknowledged(); read.Status != http.StatusOK || read.Epoch < least {
+			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status,
+				read.Epoch, least)
+		}
+	}
+}
