--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -4,6 +4,7 @@
 	"errors"
 	"io"
 	"maps"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -95,7 +96,7 @@
 			client.read, client.record.Started = true, traffic.world.Now
 			host.daemon.plane.Handler.Serve(client)
 			client.finish(
-				client.record.Status == 0 || client.record.Status == 200 && !client.record.Done && !client.record.Error,
+				client.record.Status == 0 || client.record.Status == http.StatusOK && !client.record.Done && !client.record.Error,
 			)
 		})
 	})
--- a/verify/simulation/core_process_test.go
+++ b/verify/simulation/core_process_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/coordination/statemachine"
 	"wardtray/wire"
 )
@@ -76,17 +77,17 @@
 	world := settledFleet(t)
 	core := world.injector.head().core
 	order := world.Check.Send(core.host,
-		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "change"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: SpecText(1), HasBase: true, Operation: "change"})
 	core.storage.stalled = true
 	synced := core.node.Chain().Synced()
 	world.Run(300 * time.Millisecond)
-	if core.node.Chain().Synced() != synced || order.Outcome != "unknown" {
+	if core.node.Chain().Synced() != synced || order.isAnswered() {
 		t.Errorf("synced %d after %d, the change is %s, while the disk stalls", core.node.Chain().Synced(), synced,
 			order.Outcome)
 	}
 	core.storage.resume()
 	world.Run(2 * time.Second)
-	if core.node.Chain().Synced() == synced || order.Outcome != "accepted" {
+	if core.node.Chain().Synced() == synced || !order.isAccepted() {
 		t.Errorf("synced %d, the change is %s, after the stall", core.node.Chain().Synced(), order.Outcome)
 	}
 }
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -49,10 +50,10 @@
 		if !core.Up() {
 			continue
 		}
-		operators.base = run.world.Check.outcomes.greatestCommitted()
+		operators.readNewest()
 		order, period := operators.apply(core), run.period
 		run.world.After(changeEvery, func() {
-			if order.Outcome == "accepted" {
+			if order.isAccepted() {
 				run.accepted[period]++
 			}
 		})
@@ -193,9 +194,9 @@
 		t.Fatal("no head after 10 s")
 	}
 	order := world.Check.Send(head,
-		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: SpecText(1), HasBase: true, Operation: "first"})
 	world.Run(3 * time.Second)
-	if order.Outcome != "accepted" {
+	if !order.isAccepted() {
 		t.Errorf("the change's outcome is %s", order.Outcome)
 	}
 	directory := head.core.node.Status(head.local()).Daemons
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -22,98 +22,51 @@
 	)
 }
 
-// Operators send changes now and then: two at once on one base, whole specs and named entries, with epochs
-// that climb in uneven steps, closures, reads, and changes sent again unchanged.
+// Operators send changes through cores: whole specs and named entries, built on a version that they read, with epochs
+// that climb in uneven steps, and again unchanged.
 type Operators struct {
-	world  *World
+	world *World
+	// number is that of the newest operation, base the version on which changes are built.
 	number int
 	base   uint64
-	stop   bool
-	every  time.Duration
-	// The newest change, and what became of it.
+	// last is the newest change, order what became of it.
 	last  *wire.OperatorRequest
 	order *Order
 }
 
-// newOperators returns operators that number their changes from one above a number.
+// newOperators returns operators that number their operations from one above a number.
 func newOperators(world *World, number int) *Operators {
 	return &Operators{world: world, number: number}
 }
 
-// startOperators has operators send a change about every so often, from now on.
-func startOperators(world *World, every time.Duration) *Operators {
-	operators := &Operators{world: world, every: every}
-	operators.next()
-	return operators
+// applyNewest sends a whole spec that is built on the newest version, through any core.
+func (operators *Operators) applyNewest() *Order {
+	operators.readNewest()
+	return operators.apply(operators.world.pick(operators.world.Cores()))
 }
 
-// Stop ends them.
-func (operators *Operators) Stop() { operators.stop = true }
+// readNewest has the next changes be built on the newest version.
+func (operators *Operators) readNewest() {
+	operators.base = operators.world.Check.outcomes.greatestCommitted()
+}
 
-func (operators *Operators) next() {
-	if operators.stop {
-		return
-	}
-	world := operators.world
-	cores := world.Cores()
-	pick := func() *Host { return cores[world.random.Intn(len(cores))] }
-	operators.base = world.Check.outcomes.greatestCommitted()
-	choices := []func(){
-		func() {
-			operators.change(pick())
-			operators.change(pick())
-		},
-		func() { operators.change(pick()) },
-		func() { operators.changeEntries(pick()) },
-		func() {
-			operators.changeEntries(pick())
-			operators.resend(pick())
-		},
-		func() {
-			operators.apply(pick())
-			world.After(time.Duration(world.random.Int63n(int64(2*time.Second))), func() { operators.resend(pick()) })
-		},
-		func() {
-			operators.number++
-			verb := []string{"close", "open"}[world.random.Intn(2)]
-			world.Check.Send(
-				pick(),
-				&wire.OperatorRequest{Verb: verb, Zone: []string{"a", "b", "c"}[world.random.Intn(3)],
-					Operation: fmt.Sprintf("o%d", operators.number)},
-			)
-		},
-		func() { world.Check.Send(pick(), &wire.OperatorRequest{Verb: "get"}) },
-		func() {
-			operators.number++
-			operation := fmt.Sprintf("o%d", operators.number)
-			world.Check.outcomes.expectRefusal(operation)
-			invalid := []*wire.OperatorRequest{
-				{Verb: "apply", Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`),
-					Base: operators.base, HasBase: true},
-				{Verb: "apply", Spec: []byte(`{"zones":`), Base: operators.base, HasBase: true},
-				{Verb: "close", Zone: "nowhere"},
-				{Verb: "apply", Spec: SpecText(operators.number), Base: operators.base, HasBase: true,
-					Epoch: operators.base, HasEpoch: true},
-				{Verb: "change",
-					Spec: []byte(`{"upsert":{"lanes":[{"name":"lost","pool":"nowhere","patience":"1s"}]}}`),
-					Base: operators.base, HasBase: true},
-				{Verb: "change", Spec: []byte(`{"remove":{"lanes":["l"]`), Base: operators.base, HasBase: true},
-			}[world.random.Intn(6)]
-			invalid.Operation = operation
-			world.Check.Send(pick(), invalid)
-		},
-	}
-	choices[world.random.Intn(len(choices))]()
-	world.After(operators.every/2+time.Duration(world.random.Int63n(int64(operators.every))), operators.next)
+// nextOperation returns the name of the operator's next operation.
+func (operators *Operators) nextOperation() string {
+	operators.number++
+	return operators.operation()
 }
 
+// operation returns the name of the operator's present operation.
+func (operators *Operators) operation() string { return fmt.Sprintf("o%d", operators.number) }
+
+// apply sends a whole spec.
 func (operators *Operators) apply(host *Host) *Order {
-	operators.number++
+	operation := operators.nextOperation()
 	content := SpecText(operators.number)
 	if traffic := operators.world.Traffic; traffic != nil {
-		content = traffic.draftSpec(fmt.Sprintf("o%d", operators.number), operators.number)
+		content = traffic.draftSpec(operation, operators.number)
 	}
-	return operators.send(host, &wire.OperatorRequest{Verb: "apply", Spec: content})
+	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbApply, Spec: content})
 }
 
 // change sends a whole spec or named entries.
@@ -134,13 +87,13 @@
 	if traffic := operators.world.Traffic; traffic != nil {
 		content = string(traffic.draftChange(operators.number).Encode())
 	}
-	return operators.send(host, &wire.OperatorRequest{Verb: "change", Spec: []byte(content)})
+	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbChange, Spec: []byte(content)})
 }
 
 // send completes a change with its base, its operation and, now and then, an epoch some steps on.
 func (operators *Operators) send(host *Host, ask *wire.OperatorRequest) *Order {
 	random := operators.world.random
-	ask.Base, ask.HasBase, ask.Operation = operators.base, true, fmt.Sprintf("o%d", operators.number)
+	ask.Base, ask.HasBase, ask.Operation = operators.base, true, operators.operation()
 	if random.Intn(2) == 0 {
 		ask.Epoch, ask.HasEpoch = operators.base+1+uint64(random.Intn(5)), true
 	}
@@ -157,62 +110,3 @@
 	}
 	return operators.world.Check.Resend(host, operators.order, operators.last)
 }
-
-// retryChange has an operator send a change again and again until one is accepted or a moment has come, so
-// that somebody asks for what the machines' return is checked by.
-func (operators *Operators) retryChange(until time.Time) {
-	world := operators.world
-	var order *Order
-	var ask func()
-	ask = func() {
-		if order != nil && order.Outcome == "accepted" || !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.outcomes.greatestCommitted()
-		order = operators.apply(world.pick(world.Cores()))
-		world.After(time.Second, ask)
-	}
-	world.After(time.Second, ask)
-}
-
-// changeSteadily has one operator send a change every so often, each on what is known by then.
-func (operators *Operators) changeSteadily(every time.Duration, until time.Time) {
-	world := operators.world
-	var next func()
-	next = func() {
-		if !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.outcomes.greatestCommitted()
-		operators.apply(world.pick(world.Cores()))
-		world.After(every, next)
-	}
-	next()
-}
-
-// wantAcknowledged sends a change every so often, on the newest version, and wants each acknowledged within the bound
-// unless another one won the race.
-func (operators *Operators) wantAcknowledged(every time.Duration, until time.Time) {
-	world := operators.world
-	var next func()
-	next = func() {
-		if !world.Now.Before(until) {
-			return
-		}
-		operators.base = world.Check.outcomes.greatestCommitted()
-		order := operators.apply(world.pick(world.Cores()))
-		world.After(acknowledgementBound, func() {
-			took := acknowledgementBound
-			if order.Outcome != "unknown" {
-				took = order.Got.Sub(order.Sent)
-			}
-			world.Check.recordWorst("answer to a change while most daemons are gone", took)
-			if order.Outcome == "unknown" {
-				world.Check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
-					acknowledgementBound)
-			}
-		})
-		world.After(every, next)
-	}
-	next()
-}
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"wardtray/config"
-	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/verify/histories"
 	"wardtray/wire"
 )
@@ -25,14 +26,20 @@
 	Resent bool
 }
 
+// isAnswered reports whether it is known what became of the change.
+func (order *Order) isAnswered() bool { return order.Outcome != proposal.OutcomeUnknown }
+
+// isAccepted reports whether the change was acknowledged.
+func (order *Order) isAccepted() bool { return order.Outcome == proposal.OutcomeAccepted }
+
 // namesBase names the verbs that name the epoch they are built on.
-var namesBase = map[string]bool{"apply": true, "change": true}
+var namesBase = map[string]bool{proposal.VerbApply: true, proposal.VerbChange: true}
 
 // Resend has an operator send a change that was sent before, unchanged, through another core.
 func (checker *Checker) Resend(host *Host, order *Order, ask *wire.OperatorRequest) *Order {
 	order.Resent = true
 	// A way to the head that was not found is no word on the change, which may be sent again.
-	if order.Status == 503 {
+	if order.Status == http.StatusServiceUnavailable {
 		checker.outcomes.withdrawRefusal(order.Operation)
 	}
 	return checker.send(host, proto.CloneOf(ask), true)
@@ -50,7 +57,7 @@
 		Verb:      ask.Verb,
 		Base:      ask.Base,
 		Sent:      world.Now,
-		Outcome:   "unknown",
+		Outcome:   proposal.OutcomeUnknown,
 		Resent:    again,
 	}
 	checker.Orders = append(checker.Orders, order)
@@ -61,15 +68,15 @@
 	least := checker.outcomes.greatestAcknowledged()
 	host.on(host.incarnation, func() {
 		host.core.node.Submit(host.local(), ask, func(status int, body []byte) {
-			reply := node.Reply{}
+			reply := proposal.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
 				checker.violation("an answer that is no JSON: %s", body)
 				return
 			}
 			order.Got, order.Outcome, order.Epoch, order.Status = world.Now, reply.Outcome, reply.Epoch, status
 			// Of an operation that was sent twice, one copy may find no way to the head while the other does.
-			if status == 504 || order.Resent && status == 503 {
-				order.Outcome = "unknown"
+			if status == http.StatusGatewayTimeout || order.Resent && status == http.StatusServiceUnavailable {
+				order.Outcome = proposal.OutcomeUnknown
 			}
 			recorded.Got, recorded.Outcome = world.Now, order.Outcome
 			recorded.Epoch, recorded.HTTPStatus = order.Epoch, status
@@ -88,11 +95,11 @@
 		Base:      ask.Base,
 		HasBase:   ask.HasBase,
 		Sent:      order.Sent,
-		Outcome:   "unknown",
+		Outcome:   proposal.OutcomeUnknown,
 	}
-	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != "get" {
+	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != proposal.VerbGet {
 		recorded.Spec = traffic.specs[ask.Operation]
-		if change, err := config.ParseChange(ask.Spec); ask.Verb == "change" && err == nil {
+		if change, err := config.ParseChange(ask.Spec); ask.Verb == proposal.VerbChange && err == nil {
 			recorded.Change = change
 		}
 		traffic.History.Orders = append(traffic.History.Orders, recorded)
@@ -102,19 +109,19 @@
 
 // checkReply checks the answer to an operator's question.
 func (checker *Checker) checkReply(order *Order, ask *wire.OperatorRequest, least uint64) {
-	if ask.Verb == "get" {
-		if order.Status == 200 && order.Epoch < least {
+	if ask.Verb == proposal.VerbGet {
+		if order.Status == http.StatusOK && order.Epoch < least {
 			checker.violation("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
 		}
 		return
 	}
-	if ask.Verb == "operation" {
+	if ask.Verb == proposal.VerbOperation {
 		return
 	}
-	if order.Outcome == "refused" {
+	if order.Outcome == proposal.OutcomeRefused {
 		checker.outcomes.recordRefusal(order)
 	}
-	if order.Outcome != "accepted" {
+	if !order.isAccepted() {
 		return
 	}
 	checker.outcomes.checkAccepted(order)
--- a/verify/simulation/outcomes_test.go
+++ b/verify/simulation/outcomes_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -13,8 +14,8 @@
 }
 
 func TestOutcomesAgreeEverywhere(t *testing.T) {
-	accepted := &Order{Operation: "one", Verb: "apply", Base: 1, Epoch: 2}
-	rival := &Order{Operation: "two", Verb: "change", Base: 1, Epoch: 3}
+	accepted := &Order{Operation: "one", Verb: proposal.VerbApply, Base: 1, Epoch: 2}
+	rival := &Order{Operation: "two", Verb: proposal.VerbChange, Base: 1, Epoch: 3}
 	tests := []struct {
 		name string
 		do   func(outcomes *outcomes, host *Host)
--- a/verify/simulation/pace.go
+++ b/verify/simulation/pace.go
@@ -1,8 +1,11 @@
 package simulation
 
 import (
+	"net/http"
 	"sort"
 	"time"
+
+	"wardtray/control/proposal"
 )
 
 // Pace is how fast changes were acknowledged, and how long daemons that nothing was done to could not serve,
@@ -81,7 +84,7 @@
 		watch.order = nil
 	}
 	watch.askAgain()
-	if watch.order == nil || watch.order.Outcome != "unknown" || world.Now.Sub(watch.order.Sent) > 7*time.Second {
+	if watch.order == nil || watch.order.isAnswered() || world.Now.Sub(watch.order.Sent) > 7*time.Second {
 		watch.count()
 		watch.ask()
 	}
@@ -96,7 +99,7 @@
 // askAgain sends an order again, unchanged and elsewhere, that got no clear answer; its time goes on from the first
 // sending.
 func (watch *paceWatch) askAgain() {
-	if watch.order == nil || watch.order.Outcome != "unknown" || watch.order.Status != 504 {
+	if watch.order == nil || watch.order.isAnswered() || watch.order.Status != http.StatusGatewayTimeout {
 		return
 	}
 	sent := watch.order.Sent
@@ -108,10 +111,10 @@
 // count takes down how long the last order took; one without an answer took until now.
 func (watch *paceWatch) count() {
 	order := watch.order
-	if order == nil || order.Outcome == "refused" {
+	if order == nil || order.Outcome == proposal.OutcomeRefused {
 		return
 	}
-	if order.Outcome == "unknown" {
+	if !order.isAnswered() {
 		order.Got = watch.world.Now
 	}
 	watch.pace.Acks = append(watch.pace.Acks, order.Got.Sub(order.Sent))
@@ -120,7 +123,7 @@
 // ask sends the next change to a machine that is well, if there is one.
 func (watch *paceWatch) ask() {
 	world := watch.world
-	watch.operators.base = world.Check.outcomes.greatestCommitted()
+	watch.operators.readNewest()
 	var well []*Host
 	for _, host := range world.Cores() {
 		if host.up && !host.frozen {
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -64,7 +65,7 @@
 		racers.race()
 	}
 	if world.random.Intn(3) == 0 {
-		world.Check.Send(world.pick(world.Cores()), &wire.OperatorRequest{Verb: "get"})
+		world.Check.Send(world.pick(world.Cores()), &wire.OperatorRequest{Verb: proposal.VerbGet})
 	}
 	world.After(racerEvery, racers.step)
 }
@@ -77,7 +78,7 @@
 		racers.number++
 		racers.Sent++
 		ask := &wire.OperatorRequest{
-			Verb:      "apply",
+			Verb:      proposal.VerbApply,
 			Spec:      SpecText(racers.number),
 			Operation: fmt.Sprintf("o%d", racers.number),
 			Base:      base,
@@ -104,13 +105,13 @@
 // finished reports whether nothing more is done about an order.
 func (racers *Racers) finished(raced *racedOrder) bool {
 	world := racers.world
-	answered := raced.order.Outcome != "unknown"
+	answered := raced.order.isAnswered()
 	if answered && world.random.Float64() >= racers.LostAnswers {
 		return true
 	}
 	if answered {
 		// The answer is lost: the operator hears nothing, now or later, of this try.
-		raced.order = &Order{Operation: raced.order.Operation, Outcome: "unknown", Sent: raced.order.Sent}
+		raced.order = &Order{Operation: raced.order.Operation, Outcome: proposal.OutcomeUnknown, Sent: raced.order.Sent}
 	}
 	if world.Now.Sub(raced.order.Sent) < answerTimeout+time.Duration(raced.tries)*retryGrowth {
 		return false
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"wardtray/control/node"
+	"wardtray/control/proposal"
 	"wardtray/verify/histories"
 	"wardtray/wire"
 )
@@ -112,13 +113,12 @@
 	started, operators := world.Now, newOperators(world, recoveryOrders)
 	var order *Order
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
-		if order == nil || order.Outcome == "refused" ||
-			order.Outcome == "unknown" && world.Now.Sub(order.Sent) > recoveryOrderTimeout {
-			operators.base = world.Check.outcomes.greatestCommitted()
-			order = operators.apply(world.pick(world.Cores()))
+		if order == nil || order.Outcome == proposal.OutcomeRefused ||
+			!order.isAnswered() && world.Now.Sub(order.Sent) > recoveryOrderTimeout {
+			order = operators.applyNewest()
 		}
 		world.Run(recoveryPollInterval)
-		if order.Outcome == "accepted" && recovery.allServe(order.Epoch) {
+		if order.isAccepted() && recovery.allServe(order.Epoch) {
 			return world.Now.Sub(started), true
 		}
 	}
--- a/verify/simulation/replica_check_test.go
+++ b/verify/simulation/replica_check_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -26,9 +27,9 @@
 	t.Parallel()
 	world := settledFleet(t)
 	order := world.Check.Send(world.injector.head(),
-		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "change"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: SpecText(1), HasBase: true, Operation: "change"})
 	world.recovery.requireService()
-	if order.Outcome != "accepted" || len(world.Check.Violations) > 0 {
+	if !order.isAccepted() || len(world.Check.Violations) > 0 {
 		t.Fatalf("the change is %s; %v", order.Outcome, world.Check.Violations)
 	}
 	if copies := world.Check.replicas.copies[order.Epoch]; copies < world.Faults+1 {
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -47,7 +48,7 @@
 	spread.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
 	bytes = network.Bytes
 	order := world.Check.Send(world.Hosts[1],
-		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
@@ -62,7 +63,7 @@
 			}
 		}
 	}
-	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
+	if len(world.Check.Violations) > 0 || len(arrived) < daemons || !order.isAccepted() {
 		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
 			order.Outcome, world.Check.Violations)
 	}
