--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -33,7 +33,7 @@
 	check.requireNoOlderEpoch(host, snapshot.SpecEpoch)
 	check.requireAcknowledged(host, snapshot.SpecEpoch)
 	if world.RegisteringRunners != nil {
-		world.RegisteringRunners.check(host, snapshot.Runners)
+		world.RegisteringRunners.check.step(host, snapshot.Runners)
 	}
 	check.requireNoRemovedRunner(host, snapshot.Runners)
 }
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -62,8 +62,36 @@
 	} else {
 		startTraffic(world, shape.Mix, shape.Zones, 18)
 	}
+	bootEverything(world)
+	return world
+}
+
+// wideZones are the zones of a wide deployment.
+var wideZones = []string{"a", "b", "c"}
+
+// foundWide builds a deployment of one core in each of three zones and so many daemons beside them, with a platform
+// that lists so many runners, and boots it; what comes before that may change the world.
+func foundWide(seed int64, daemons, listed int, before ...func(world *World)) *World {
+	world := NewWorld(seed)
+	seeds := make([]string, 0, len(wideZones))
+	for _, zone := range wideZones {
+		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
+	}
+	for number := range daemons {
+		world.AddData(fmt.Sprintf("d%04d", number), wideZones[number%len(wideZones)])
+	}
+	world.SetSeeds(seeds)
+	world.Platform.fill(listed)
+	for _, change := range before {
+		change(world)
+	}
+	bootEverything(world)
+	return world
+}
+
+// bootEverything starts each process within half a second.
+func bootEverything(world *World) {
 	for _, host := range world.Hosts {
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
 	}
-	return world
 }
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -219,7 +219,7 @@
 	if unaddressed > 0 {
 		t.Errorf("%d messages went to nobody", unaddressed)
 	}
-	world.RegisteringRunners.checkFinalLists()
+	world.RegisteringRunners.check.requireFinalLists()
 	for _, violation := range world.Check.Violations {
 		t.Error(violation)
 	}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -23,19 +23,7 @@
 
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
 func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
-	world := NewWorld(seed)
-	seeds := make([]string, 0, 3)
-	for _, zone := range []string{"a", "b", "c"} {
-		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
-	}
-	for number := range daemons {
-		world.AddData(fmt.Sprintf("d%04d", number), string(rune('a'+number%3)))
-	}
-	world.SetSeeds(seeds)
-	world.Platform.fill(18)
-	for _, host := range world.Hosts {
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
-	}
+	world := foundWide(seed, daemons, 18)
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
 	network := world.network
