--- /dev/null
+++ b/verify/simulation/engine_test.go
@@ -0,0 +1,155 @@
+package simulation
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"wardtray/proxy/admission"
+	"wardtray/transport/netio"
+)
+
+// exchange is what came back for a request to a runner.
+type exchange struct {
+	status int
+	body   string
+	took   time.Duration
+	over   bool
+}
+
+// runAt sends a request for a run of 48 tokens from a daemon's host to a runner, and reads the response to its end.
+func runAt(world *World, daemon, runner *Host) *exchange {
+	result := &exchange{}
+	world.coroutines.spawn(daemon, func() {
+		sent := world.Now
+		defer func() { result.took, result.over = world.Now.Sub(sent), true }()
+		conn, err := world.network.dial(context.Background(), daemon, runner.Address,
+			netio.Timeouts{Dial: time.Second})
+		if err != nil {
+			return
+		}
+		if _, err = fmt.Fprintf(conn, "POST /run HTTP/1.1\r\nHost: sim\r\nContent-Length: 0\r\n%s: 100\r\n%s: 48\r\n\r\n",
+			admission.HeaderPrompt, admission.HeaderAnswer); err != nil {
+			return
+		}
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil {
+			return
+		}
+		defer func() { _ = response.Body.Close() }()
+		result.status = response.StatusCode
+		scanner := bufio.NewScanner(response.Body)
+		for scanner.Scan() {
+			result.body += scanner.Text() + "\n"
+		}
+	})
+	return result
+}
+
+// runThroughViolations runs a world on although a request that no daemon scheduled breaks the rules.
+func runThroughViolations(world *World, length time.Duration) { world.run(length, runsOn, func() {}) }
+
+func TestRunnersMisbehaveAsTheyAreTold(t *testing.T) {
+	t.Parallel()
+	const complete = "event: done\n"
+	tests := []struct {
+		name   string
+		wrong  misbehavior
+		status int
+		want   string
+		whole  bool
+	}{
+		{"sound", misbehavior{}, http.StatusOK, "id: 4\nevent: token\n", true},
+		{"partial", misbehavior{partial: true}, http.StatusOK, "id: 2\nevent: token\n", false},
+		{"rejects", misbehavior{rejects: true}, http.StatusServiceUnavailable, `"started":false`, false},
+		{"fails", misbehavior{fails: true}, http.StatusInternalServerError, "", false},
+		{"skips an event", misbehavior{garble: skipsEvent}, http.StatusOK, "id: 4\nevent: token\n", false},
+		{"repeats an event", misbehavior{garble: repeatsEvent}, http.StatusOK, "id: 2\nevent: token\n", false},
+		{"counts wrongly", misbehavior{garble: countsWrongly}, http.StatusOK, `"events":7`, true},
+		{"unknown event", misbehavior{garble: unknownEvent}, http.StatusOK, "event: other\n", false},
+		{"unnumbered event", misbehavior{garble: unnumberedEvent}, http.StatusOK, "id: x\n", false},
+		{"unresponsive", misbehavior{unresponsive: true}, 0, "", false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			world := settledPath(t)
+			runner := world.Runners()[0]
+			runner.runner.engine.misbehavior = test.wrong
+			result := runAt(world, world.Datas()[0], runner)
+			runThroughViolations(world, 10*time.Second)
+			if result.over == test.wrong.unresponsive {
+				t.Fatalf("over %v", result.over)
+			}
+			if result.status != test.status || !strings.Contains(result.body, test.want) ||
+				strings.Contains(result.body, complete) != test.whole {
+				t.Errorf("status %d, body\n%s", result.status, result.body)
+			}
+			if test.wrong.servesRequests() != (test.name == "sound") {
+				t.Errorf("serves requests: %v", test.wrong.servesRequests())
+			}
+		})
+	}
+}
+
+func TestSlowAndLateRunnersTakeLonger(t *testing.T) {
+	t.Parallel()
+	took := map[string]time.Duration{}
+	for name, change := range map[string]func(wrong *misbehavior, on bool){
+		"sound": func(*misbehavior, bool) {}, "slow": (*misbehavior).setSlow, "late": (*misbehavior).setLate,
+	} {
+		world := settledPath(t)
+		runner := world.Runners()[0]
+		change(&runner.runner.engine.misbehavior, true)
+		result := runAt(world, world.Datas()[0], runner)
+		runThroughViolations(world, time.Minute)
+		if result.status != http.StatusOK {
+			t.Fatalf("%s: status %d", name, result.status)
+		}
+		took[name] = result.took
+		change(&runner.runner.engine.misbehavior, false)
+		if !runner.runner.engine.servesRequests() {
+			t.Errorf("%s: is not sound again", name)
+		}
+	}
+	if took["slow"] < 4*took["sound"] || took["late"] < took["sound"]+lateAnswer/2 {
+		t.Errorf("took %v", took)
+	}
+}
+
+func TestEngineSlotsAreHandedOverInOrder(t *testing.T) {
+	host := runningHost(t)
+	world := host.world
+	slots := &engineSlots{coroutines: world.coroutines, limit: 1}
+	var happened []string
+	use := func(name string, connection *conn) {
+		world.coroutines.spawn(host, func() {
+			if !slots.acquire(connection) {
+				happened = append(happened, name+" gave up")
+				return
+			}
+			happened = append(happened, name)
+			world.coroutines.sleep(time.Second)
+			slots.release()
+		})
+		world.Run(time.Millisecond)
+	}
+	reset := &conn{}
+	use("first", &conn{})
+	use("second", reset)
+	use("third", &conn{})
+	reset.err = errReset
+	world.coroutines.wake(host.coroutines[1])
+	world.Run(5 * time.Second)
+	if want := []string{"first", "second gave up", "third"}; !slices.Equal(happened, want) {
+		t.Errorf("happened %v, want %v", happened, want)
+	}
+	if slots.used != 0 || len(slots.waiting) != 0 {
+		t.Errorf("%d slots used, %d waiting in the end", slots.used, len(slots.waiting))
+	}
+}
--- a/verify/simulation/runner_faults.go
+++ b/verify/simulation/runner_faults.go
@@ -20,14 +20,14 @@
 	"runner deaf":             onRunner(unresponsive, cutFromDaemons),
 	"runner unheard":          onRunner(unresponsive, cutToDaemons),
 	"runner cut and delisted": cutAndDelistRunner,
-	"runner mute":             misbehave(unresponsive, func(engine *engine, on bool) { engine.unresponsive = on }),
-	"runner partial":          misbehave(impact{}, func(engine *engine, on bool) { engine.partial = on }),
-	"runner fails":            misbehave(impact{}, func(engine *engine, on bool) { engine.fails = on }),
-	"runner slow":             misbehave(unresponsive, (*engine).setSlow),
-	"runner late":             misbehave(unresponsive, (*engine).setLate),
+	"runner mute":             misbehave(unresponsive, func(wrong *misbehavior, on bool) { wrong.unresponsive = on }),
+	"runner partial":          misbehave(impact{}, func(wrong *misbehavior, on bool) { wrong.partial = on }),
+	"runner fails":            misbehave(impact{}, func(wrong *misbehavior, on bool) { wrong.fails = on }),
+	"runner slow":             misbehave(unresponsive, (*misbehavior).setSlow),
+	"runner late":             misbehave(unresponsive, (*misbehavior).setLate),
 	"runner garbles":          garbleRunner,
 	"runner gives surplus answers": misbehave(impact{knowable: perConnection},
-		func(engine *engine, on bool) { engine.surplus = on }),
+		func(wrong *misbehavior, on bool) { wrong.surplus = on }),
 	"all put back":   rejectEverywhere,
 	"pool killed":    killAllRunners,
 	"runner drained": drainRunner,
@@ -35,11 +35,11 @@
 }
 
 // misbehave changes a runner's nature for a while.
-func misbehave(impact impact, change func(engine *engine, on bool)) Fault {
+func misbehave(impact impact, change func(wrong *misbehavior, on bool)) Fault {
 	return onRunner(impact, func(_ *World, host *Host) func() {
-		engine := host.runner.engine
-		change(engine, true)
-		return func() { change(engine, false) }
+		wrong := &host.runner.engine.misbehavior
+		change(wrong, true)
+		return func() { change(wrong, false) }
 	})
 }
 
@@ -85,8 +85,7 @@
 func garbleRunner(world *World) func() {
 	return onRunner(impact{}, func(world *World, host *Host) func() {
 		engine := host.runner.engine
-		names := []string{"skip", "repeat", "false count", "strange", "no number"}
-		engine.garble = names[world.random.Intn(len(names))]
+		engine.garble = garblings[world.random.Intn(len(garblings))]
 		return func() { engine.garble = "" }
 	})(world)
 }
--- a/verify/simulation/runner_process.go
+++ b/verify/simulation/runner_process.go
@@ -30,16 +30,8 @@
 	if runner.strangersService != "" {
 		service = runner.strangersService
 	}
-	runner.engine = &engine{
-		world:   world,
-		host:    host,
-		id:      fmt.Sprintf("%s-%d", host.Address, world.identities),
-		service: service,
-		weights: traffic.weights,
-		profile: emulator.DefaultProfile,
-		started: world.Now,
-		cache:   emulator.NewCache[string](emulator.DefaultProfile.CacheTokens),
-	}
+	id := fmt.Sprintf("%s-%d", host.Address, world.identities)
+	runner.engine = newEngine(host, id, service, traffic.weights)
 	host.every(host.incarnation, reportInterval, runner.engine.observe)
 	if runner.strangersService == "" {
 		runner.list()
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -111,10 +111,7 @@
 	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.runner.engine
-		well := host.up && !host.frozen && !engine.unresponsive && !engine.partial && !engine.rejects &&
-			!engine.fails &&
-			engine.garble == "" &&
-			engine.slow < 2
+		well := host.up && !host.frozen && engine.servesRequests()
 		if well && listed[engine.id] && !engine.warmingUp() && traffic.reachable(host) {
 			room.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
 			room.Slots[host.Zone] += engine.profile.Slots
