--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -84,7 +84,7 @@
 				client.finish(true)
 				return
 			}
-			client.send(traffic.pick(client.record.Zone))
+			client.send(traffic.daemons.pick(client.record.Zone))
 			return
 		}
 		client.host, client.incarnation, client.record.Daemon = host, host.incarnation, host.Address
@@ -115,7 +115,7 @@
 	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, client.read
 	traffic.History.Answers = append(traffic.History.Answers, record)
 	if !record.Done {
-		traffic.recordCapacity()
+		traffic.capacity.record()
 	}
 	traffic.checker.ObserveAnswer(record)
 	traffic.reportViolations()
@@ -132,7 +132,7 @@
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
-		if host := traffic.pick(client.record.Zone); host != nil && host.up && host.Zone == client.host.Zone {
+		if host := traffic.daemons.pick(client.record.Zone); host != nil && host.up && host.Zone == client.host.Zone {
 			second := traffic.newClient(client.drawn, client.record.Zone)
 			second.record.Resent = true
 			second.send(host)
--- a/verify/simulation/fault_injector.go
+++ b/verify/simulation/fault_injector.go
@@ -41,7 +41,7 @@
 	var ends []func()
 	for _, host := range hosts {
 		if host.core == nil {
-			ends = append(ends, traffic.Fault("", host, impact.kills, impact.knowable))
+			ends = append(ends, traffic.recordFault(host, impact))
 		}
 	}
 	return func() {
--- a/verify/simulation/load_faults.go
+++ b/verify/simulation/load_faults.go
@@ -27,6 +27,6 @@
 }
 
 func loadUnevenly(world *World) func() {
-	world.Traffic.Uneven = true
-	return func() { world.Traffic.Uneven = false }
+	world.Traffic.daemons.uneven = true
+	return func() { world.Traffic.daemons.uneven = false }
 }
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -64,7 +64,7 @@
 	operation := operators.nextOperation()
 	content := SpecText(operators.number)
 	if traffic := operators.world.Traffic; traffic != nil {
-		content = traffic.draftSpec(operation, operators.number)
+		content = traffic.drafter.draft(operation, operators.number)
 	}
 	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbApply, Spec: content})
 }
@@ -85,7 +85,7 @@
 		operators.number-1,
 	)
 	if traffic := operators.world.Traffic; traffic != nil {
-		content = string(traffic.draftChange(operators.number).Encode())
+		content = string(traffic.drafter.draftChange(operators.number).Encode())
 	}
 	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbChange, Spec: []byte(content)})
 }
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -98,7 +98,7 @@
 		Outcome:   proposal.OutcomeUnknown,
 	}
 	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != proposal.VerbGet {
-		recorded.Spec = traffic.specs[ask.Operation]
+		recorded.Spec = traffic.drafter.specs[ask.Operation]
 		if change, err := config.ParseChange(ask.Spec); ask.Verb == proposal.VerbChange && err == nil {
 			recorded.Change = change
 		}
--- /dev/null
+++ b/verify/simulation/spec_drafter.go
@@ -0,0 +1,67 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand"
+
+	"wardtray/config"
+	"wardtray/verify/loadtest"
+)
+
+// specDrafter makes the configurations and changes that operators send where there is a request path.
+type specDrafter struct {
+	random *rand.Rand
+	mix    loadtest.Mix
+	zones  []string
+	// takeAway is the part of them that take away what requests need.
+	takeAway float64
+	// specs are the complete configurations of each operation, for the checker of the history.
+	specs map[string]*config.Spec
+}
+
+func newSpecDrafter(random *rand.Rand, mix loadtest.Mix, zones []string) *specDrafter {
+	return &specDrafter{random: random, mix: mix, zones: zones, specs: map[string]*config.Spec{}}
+}
+
+// spec returns a spec for an operator to send; the number marks it. Now and then it takes away what
+// requests may be waiting for: a route, a zone, the service or the weights.
+func (drafter *specDrafter) spec(number int) *config.Spec {
+	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
+	takes := map[int]func(){
+		0: func() { made.Routes = made.Routes[1:] },
+		1: func() { made.Zones[drafter.random.Intn(len(made.Zones))].Closed = true },
+		2: func() { made.Backends[0].Services = []string{"another-service"} },
+		3: func() { made.Backends[0].Weights = "other-weights" },
+	}
+	if drafter.random.Float64() < drafter.takeAway {
+		takes[drafter.random.Intn(len(takes))]()
+	}
+	return made
+}
+
+// draft makes a spec and keeps it for the checker of the history.
+func (drafter *specDrafter) draft(operation string, number int) []byte {
+	made := drafter.spec(number)
+	drafter.specs[operation] = made
+	return made.Encode()
+}
+
+// draftChange makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
+func (drafter *specDrafter) draftChange(number int) *config.Change {
+	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
+	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
+	if drafter.random.Float64() >= drafter.takeAway {
+		return change
+	}
+	takes := []func(){
+		func() { change.Remove.Routes, change.Upsert.Routes = []string{made.Routes[0].Name}, made.Routes[1:] },
+		func() {
+			change.Upsert = config.Entries{
+				Zones: []config.Zone{{Name: made.Zones[drafter.random.Intn(len(made.Zones))].Name, Closed: true}},
+			}
+		},
+		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
+	}
+	takes[drafter.random.Intn(len(takes))]()
+	return change
+}
--- a/verify/simulation/trial.go
+++ b/verify/simulation/trial.go
@@ -46,7 +46,7 @@
 	first := newOperators(world, 500_000)
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate, traffic.Retries, traffic.TakeAway = trial.Rate, trial.Retries, trial.TakeAway
+	traffic.Rate, traffic.Retries, traffic.drafter.takeAway = trial.Rate, trial.Retries, trial.TakeAway
 	traffic.HangUpsMidway, traffic.HangUps = trial.HangUpsMidway, trial.HangUps
 	operators := startOperators(world, trial.Every)
 	world.Run(5 * time.Second)
@@ -55,7 +55,7 @@
 	}
 	world.Run(trial.Length + time.Millisecond)
 	// Whether service is back can only be seen while somebody asks for it.
-	traffic.TakeAway = 0
+	traffic.drafter.takeAway = 0
 	world.Run(returnBound)
 	operators.Stop()
 	world.recovery.requireService()
