--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -1,20 +1,16 @@
 package simulation
 
 import (
-	"errors"
-	"io"
-	"maps"
 	"net/http"
-	"slices"
-	"strings"
 	"time"
 
-	"wardtray/proxy/admission"
-	"wardtray/transport/netio"
 	"wardtray/verify/histories"
 	"wardtray/verify/loadtest"
 )
 
+// maximumAttempts is how many daemons may refuse a client's connection before it gives up.
+const maximumAttempts = 5
+
 // resend has a client send its request once more to the same daemon, at some moment during the
 // first's life or after it.
 func (traffic *Traffic) resend(drawn loadtest.Drawn, first *client) {
@@ -29,41 +25,42 @@
 
 // client is one client with its request.
 type client struct {
-	traffic      *Traffic
-	drawn        loadtest.Drawn
-	headers      map[string][]string
-	record       *histories.Answer
-	parser       loadtest.EventParser
-	host         *Host
-	incarnation  int
-	read         bool
-	finished     bool
-	hangsUpAfter int
-	// hungUp means that the client has closed its connection; onHangUp is what the daemon wants called then.
-	hungUp   bool
-	onHangUp func()
-	unparsed string
+	traffic  *Traffic
+	drawn    loadtest.Drawn
+	record   *histories.Answer
+	exchange *clientExchange
+	// host is the daemon's, in its incarnation at that time, that took the request; nil: none has yet.
+	host        *Host
+	incarnation int
+	// attempts counts the daemons that refused the connection.
 	attempts int
+	// read means that the daemon has the request, finished that the client waits for nothing more.
+	read, finished bool
+	// hangsUpAfter is after how many events the client hangs up; 0: it does not for their number.
+	hangsUpAfter int
+	// hungUp means that the client has closed its connection.
+	hungUp bool
 }
 
+// newClient makes a client of a zone, whose request is not sent yet.
 func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
-	made := &client{traffic: traffic, drawn: drawn, headers: drawn.Headers(traffic.Mix.Model),
-		record: &histories.Answer{
-			Request:       drawn.ID,
-			Route:         drawn.Kind.Route,
-			Once:          drawn.Kind.Once,
-			LatencyTarget: drawn.Kind.LatencyTarget,
-			Zone:          zone,
-			Sent:          traffic.world.Now,
-			Resumable:     drawn.Kind.Resumable,
-			Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
-			Bound:         drawn.TimeLimit(),
-		}}
-	made.parser.Record = made.record
+	made := &client{traffic: traffic, drawn: drawn, record: &histories.Answer{
+		Request:       drawn.ID,
+		Route:         drawn.Kind.Route,
+		Once:          drawn.Kind.Once,
+		LatencyTarget: drawn.Kind.LatencyTarget,
+		Zone:          zone,
+		Sent:          traffic.world.Now,
+		Resumable:     drawn.Kind.Resumable,
+		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
+		Bound:         drawn.TimeLimit(),
+	}}
+	made.exchange = newClientExchange(made)
 	traffic.checker.ObserveRequest(made.record)
 	return made
 }
 
+// sendRequest has a client of a zone send a request to a daemon; nil: there is none.
 func (traffic *Traffic) sendRequest(drawn loadtest.Drawn, zone string, host *Host) *client {
 	made := traffic.newClient(drawn, zone)
 	made.send(host)
@@ -80,7 +77,7 @@
 	traffic.world.After(traffic.world.network.transitTime(), func() {
 		if !host.up {
 			client.attempts++
-			if client.attempts >= 5 || client.record.Resent {
+			if client.attempts >= maximumAttempts || client.record.Resent {
 				client.finish(true)
 				return
 			}
@@ -94,7 +91,7 @@
 		}
 		traffic.world.coroutines.spawn(host, func() {
 			client.read, client.record.Started = true, traffic.world.Now
-			host.daemon.plane.Handler.Serve(client)
+			host.daemon.plane.Handler.Serve(client.exchange)
 			client.finish(
 				client.record.Status == 0 || client.record.Status == http.StatusOK && !client.record.Done && !client.record.Error,
 			)
@@ -139,102 +136,3 @@
 		}
 	})
 }
-
-func (client *client) Header(name string) []string { return client.headers[name] }
-
-func (client *client) Method() string { return "POST" }
-
-func (client *client) Authority() string { return "sim" }
-
-func (client *client) Target() string { return "/v1/stream" }
-
-func (client *client) Headers(each func(name, value string)) {
-	for _, name := range slices.Sorted(maps.Keys(client.headers)) {
-		for _, value := range client.headers[name] {
-			each(name, value)
-		}
-	}
-}
-
-func (client *client) Body() []byte { return client.drawn.Body() }
-
-func (client *client) CloseAfterResponse() {}
-
-func (client *client) recordHead(status int, headers []netio.Header) {
-	client.record.Status = status
-	for _, header := range headers {
-		client.record.RetryAfter = client.record.RetryAfter || header.Name == "Retry-After"
-		if header.Name == admission.HeaderRunner {
-			client.record.Head = header.Value
-		}
-	}
-}
-
-func (client *client) Respond(status int, headers []netio.Header, body []byte) {
-	client.recordHead(status, headers)
-	loadtest.ParseRejection(client.record, body)
-	if client.hungUp {
-		return
-	}
-	// From the moment at which its last way was lost a request has nothing to wait for, but that its daemon is sure of
-	// its spec: only then can it be said whether there is another way.
-	world := client.traffic.world
-	decided := world.coroutines.current.decided
-	if client.host.daemon.leasedSince.After(decided) {
-		decided = client.host.daemon.leasedSince
-	}
-	if held := world.Now.Sub(decided); !world.coroutines.current.decided.IsZero() && held > answerBound &&
-		client.host.local().Before(client.host.daemon.plane.Snapshot().Until) {
-		world.Check.violation("held-back: %s got its final %q %v after it was decided", client.record.Request,
-			client.record.Kind, held)
-	}
-}
-
-func (client *client) Stream(status int, headers []netio.Header, source io.ReadCloser) {
-	client.recordHead(status, headers)
-	client.relay(source)
-	// Not deferred: a process that ends in the middle closes nothing in order.
-	_ = source.Close()
-}
-
-// relay takes what a source gives up to its end, or until the client has hung up.
-func (client *client) relay(source io.Reader) {
-	for buffer := make([]byte, 4<<10); ; {
-		count, err := source.Read(buffer)
-		if count > 0 {
-			if _, err := client.Write(buffer[:count]); err != nil {
-				return
-			}
-		}
-		if err != nil {
-			return
-		}
-	}
-}
-
-// answerBound is how long a decided answer may take, which is nothing but the daemon's own work.
-const answerBound = time.Millisecond
-
-var errHungUp = errors.New("the requester hung up")
-
-// Write is what reaches the client.
-func (client *client) Write(content []byte) (int, error) {
-	if client.record.HungUp {
-		return 0, errHungUp
-	}
-	client.unparsed += string(content)
-	for {
-		line, rest, found := strings.Cut(client.unparsed, "\n")
-		if !found {
-			break
-		}
-		client.unparsed = rest
-		client.parser.ParseLine(client.traffic.world.Now, line)
-	}
-	if client.hangsUpAfter > 0 && len(client.record.IDs) >= client.hangsUpAfter && !client.record.Done {
-		client.hangUp()
-	}
-	return len(content), nil
-}
-
-var _ netio.Client = (*client)(nil)
--- /dev/null
+++ b/verify/simulation/client_exchange_test.go
@@ -0,0 +1,53 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestClientExchangeReportsAnAnswerThatIsHeldBack(t *testing.T) {
+	t.Parallel()
+	for name, delay := range map[string]time.Duration{"at once": 0, "held back": 10 * answerBound} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			world := settledPath(t)
+			traffic, host := world.Traffic, world.Datas()[0]
+			waiting := traffic.newClient(traffic.Mix.Draw(traffic.random, 0), host.Zone)
+			waiting.host, waiting.incarnation = host, host.incarnation
+			world.coroutines.spawn(host, func() {
+				world.coroutines.current.decided = world.Now
+				world.coroutines.sleep(delay)
+				waiting.exchange.Respond(503, nil, []byte("{}"))
+			})
+			world.Run(time.Second)
+			violations := strings.Join(world.Check.Violations, "; ")
+			if reported := strings.Contains(violations, "held-back:"); reported != (delay > 0) {
+				t.Errorf("violations %q", violations)
+			}
+		})
+	}
+}
+
+func TestClientExchangeEndsWhenItsClientHangsUp(t *testing.T) {
+	t.Parallel()
+	world := settledPath(t)
+	host := world.Datas()[0]
+	leaving := request(world, host)
+	leaving.hangsUpAfter = 2
+	world.Run(30 * time.Second)
+	record := leaving.record
+	if !record.HungUp || record.HungUpAt.IsZero() || record.Done || len(record.IDs) != 2 {
+		t.Errorf("hung up %v, done %v, %d events", record.HungUp, record.Done, len(record.IDs))
+	}
+	if !leaving.exchange.Disconnected() || !leaving.finished || len(host.daemon.clients) != 0 {
+		t.Errorf("disconnected %v, finished %v, %d clients", leaving.exchange.Disconnected(), leaving.finished,
+			len(host.daemon.clients))
+	}
+	if _, err := leaving.exchange.Write([]byte("id: 3\n")); err == nil {
+		t.Error("a client that has hung up takes events")
+	}
+	for _, violation := range world.Check.Violations {
+		t.Error(violation)
+	}
+}
--- a/verify/simulation/hang_up.go
+++ b/verify/simulation/hang_up.go
@@ -18,6 +18,13 @@
 	}
 }
 
+// hangUpMidway hangs up if the client does so after as many events as it has now.
+func (client *client) hangUpMidway() {
+	if client.hangsUpAfter > 0 && len(client.record.IDs) >= client.hangsUpAfter && !client.record.Done {
+		client.hangUp()
+	}
+}
+
 // deliverHangUp carries the close to the daemon's machine, whose process learns of it when it runs.
 func (client *client) deliverHangUp() {
 	traffic, host := client.traffic, client.host
@@ -26,7 +33,7 @@
 			return
 		}
 		client.record.HungUpAt = traffic.world.Now
-		client.notifyHangUp()
+		client.exchange.notifyHangUp()
 		client.checkDeparture(traffic.world.Now)
 	})
 }
@@ -48,25 +55,3 @@
 		traffic.reportViolations()
 	})
 }
-
-// notifyHangUp has the daemon's process learn of the close, at once or when it wakes from a freeze.
-func (client *client) notifyHangUp() {
-	client.host.on(client.incarnation, func() {
-		if notify := client.onHangUp; notify != nil {
-			client.onHangUp = nil
-			notify()
-		}
-	})
-}
-
-// Disconnected reports whether the close has reached the daemon's machine.
-func (client *client) Disconnected() bool { return !client.record.HungUpAt.IsZero() }
-
-// OnDisconnect has a function called when the close comes, or a moment later where it is there.
-func (client *client) OnDisconnect(left func()) (stop func()) {
-	client.onHangUp = left
-	if client.Disconnected() {
-		client.traffic.world.After(0, client.notifyHangUp)
-	}
-	return func() { client.onHangUp = nil }
-}
