--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -32,6 +32,9 @@
 // isAccepted reports whether the change was acknowledged.
 func (order *Order) isAccepted() bool { return order.Outcome == proposal.OutcomeAccepted }
 
+// isRefused reports whether the operator was told that the change is refused.
+func (order *Order) isRefused() bool { return order.Outcome == proposal.OutcomeRefused }
+
 // namesBase names the verbs that name the epoch they are built on.
 var namesBase = map[string]bool{proposal.VerbApply: true, proposal.VerbChange: true}
 
@@ -118,7 +121,7 @@
 	if ask.Verb == proposal.VerbOperation {
 		return
 	}
-	if order.Outcome == proposal.OutcomeRefused {
+	if order.isRefused() {
 		checker.outcomes.recordRefusal(order)
 	}
 	if !order.isAccepted() {
--- a/verify/simulation/pace_test.go
+++ b/verify/simulation/pace_test.go
@@ -73,3 +73,54 @@
 			bounds.pause)
 	}
 }
+
+func TestOrderWatchCountsEachChangeOnce(t *testing.T) {
+	t.Parallel()
+	world := settledFleet(t)
+	watch := &orderWatch{world: world, operators: newOperators(world, 0)}
+	for range 100 {
+		watch.sample()
+		world.Run(paceSample)
+	}
+	accepted := len(world.Check.outcomes.acknowledged)
+	if len(watch.acks) == 0 || accepted < len(watch.acks) || accepted > len(watch.acks)+1 {
+		t.Fatalf("%d acknowledgements taken down of %d", len(watch.acks), accepted)
+	}
+	before := len(watch.acks)
+	watch.ask()
+	watch.asked.Freeze()
+	watch.sample()
+	if watch.order != nil && watch.order.isAnswered() || len(watch.acks) > before {
+		t.Errorf("%d acknowledgements after %d, though the machine that was asked is frozen", len(watch.acks), before)
+	}
+}
+
+func TestDaemonWatchTellsStartsFromPauses(t *testing.T) {
+	t.Parallel()
+	world := settledFleet(t)
+	watch, host := newDaemonWatch(world), world.Datas()[0]
+	sample := func(length time.Duration) {
+		for end := world.Now.Add(length); world.Now.Before(end); {
+			watch.sample()
+			world.Run(paceSample)
+		}
+	}
+	world.recovery.requireService()
+	sample(2 * settledAfter)
+	host.Kill()
+	host.Boot()
+	sample(2 * settledAfter)
+	if len(watch.starts) != 1 || len(watch.gaps) != 0 {
+		t.Fatalf("starts %v, pauses %v after a restart", watch.starts, watch.gaps)
+	}
+	for _, core := range world.Cores() {
+		core.Kill()
+	}
+	world.topology.Cut(host, world.Datas()[1])
+	sample(2 * settledAfter)
+	boot(world.Cores())
+	sample(2 * settledAfter)
+	if _, paused := watch.paused[host]; paused || len(watch.starts) != 1 {
+		t.Errorf("a daemon whose link is cut counts as paused; starts %v", watch.starts)
+	}
+}
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -13,7 +13,7 @@
 // PlayEvery is Play with operators that send about so often; often enough makes a storm.
 func PlayEvery(seed int64, shape Shape, names []string, atOnce int, every time.Duration) *World {
 	world := Found(seed, shape)
-	world.Run(8 * time.Second)
+	world.Run(foundingTime)
 	operators := startOperators(world, every)
 	scheduleFaults(world, time.Minute, names, atOnce)
 	world.Run(time.Minute + time.Millisecond)
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"wardtray/control/node"
-	"wardtray/control/proposal"
 	"wardtray/verify/histories"
 	"wardtray/wire"
 )
@@ -113,7 +112,7 @@
 	started, operators := world.Now, newOperators(world, recoveryOrders)
 	var order *Order
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
-		if order == nil || order.Outcome == proposal.OutcomeRefused ||
+		if order == nil || order.isRefused() ||
 			!order.isAnswered() && world.Now.Sub(order.Sent) > recoveryOrderTimeout {
 			order = operators.applyNewest()
 		}
--- a/verify/simulation/trial.go
+++ b/verify/simulation/trial.go
@@ -42,7 +42,7 @@
 	world := Found(seed, shape)
 	defer world.Close()
 	traffic := world.Traffic
-	world.Run(8 * time.Second)
+	world.Run(foundingTime)
 	first := newOperators(world, 500_000)
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
