--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -124,8 +124,8 @@
 	client.finish(lost)
 	traffic := client.traffic
 	// Where daemons can't hear one another no word of a taken request can pass; docs/interface.md says so.
-	troubled := traffic.world.network.Loss > 0 || traffic.world.topology.hasCuts()
-	if !lost || traffic.Retries == 0 || troubled || client.record.Resent {
+	disturbed := traffic.world.network.Loss > 0 || traffic.world.topology.hasCuts()
+	if !lost || traffic.Retries == 0 || disturbed || client.record.Resent {
 		return
 	}
 	traffic.world.After(200*time.Millisecond+time.Duration(traffic.random.Int63n(int64(time.Second))), func() {
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// await is how a course waits for its scheduler's next step.
+// await is how an exchange waits for its scheduler's next step.
 func (coroutines *coroutines) await(
 	ctx context.Context,
 	steps <-chan scheduler.Decision,
--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// mayIgnore reports whether a daemon may still award by what it knew before something was acknowledged a while ago:
+// mayIgnore reports whether a daemon may still schedule by what it knew before something was acknowledged a while ago:
 // within a bound in any case, and while it has been without the core, for the time that its settings allow.
 func (check *daemonCheck) mayIgnore(host *Host, late, bound time.Duration) bool {
 	checker, world := check.checker, check.checker.world
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-// platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
+// platform is the simulated list of runners. What it serves trails the truth, and may be wrong.
 type platform struct {
 	world        *World
 	actual       []*wire.Runner
--- a/verify/simulation/play.go
+++ b/verify/simulation/play.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Play founds a deployment, does harm to it for a minute, and sees whether it recovers. Beyond what
-// a deployment must bear, with several faults at once, the rules still hold; only service may rest.
+// Play founds a deployment, injects faults for a minute, and sees whether it recovers. Beyond what a deployment must
+// bear, with several faults at once, the rules still hold; only service may rest.
 func Play(seed int64, shape Shape, names []string, atOnce int) *World {
 	return PlayEvery(seed, shape, names, atOnce, 700*time.Millisecond)
 }
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -87,7 +87,7 @@
 	return steady
 }
 
-// PlayRegisteringRunners founds a deployment whose runners register themselves, does harm to it while they come and
+// PlayRegisteringRunners founds a deployment whose runners register themselves, injects faults while they come and
 // go, and sees whether everybody knows who is there in the end.
 func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
 	world := Found(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
--- a/verify/simulation/registration_check.go
+++ b/verify/simulation/registration_check.go
@@ -13,12 +13,12 @@
 // registrationCheck compares the runners that daemons list with those that registered themselves.
 type registrationCheck struct {
 	runners *RegisteringRunners
-	// knownBound is from when on a runner that calls must be listed by every daemon that awards work, after its first
+	// knownBound is from when on a runner that calls must be listed by every daemon that schedules, after its first
 	// acknowledgement; 0: no daemon must, since cores are cut apart.
 	knownBound time.Duration
 }
 
-// step looks at what a daemon that awards work goes by.
+// step looks at what a daemon that schedules goes by.
 func (check *registrationCheck) step(host *Host, runners []*wire.Runner) {
 	listed := map[string]bool{}
 	for _, runner := range runners {
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -14,12 +14,12 @@
 
 // Attempt is a trial aimed at one part of a rule of the brief.
 type Attempt struct {
-	// Faults are the kinds of harm that cause what must not happen.
+	// Faults are the kinds of fault that cause what must not happen.
 	Faults []string
 	change func(trial *Trial)
 }
 
-// Trial returns the trial of an attempt, with harm for a length of time.
+// Trial returns the trial of an attempt, with faults for a length of time.
 func (attempt Attempt) Trial(length time.Duration) Trial {
 	trial := DefaultTrial
 	trial.Faults, trial.Length = attempt.Faults, length
@@ -32,6 +32,7 @@
 // AttemptNames returns the names of all attempts in order.
 func AttemptNames() []string { return sorted(Attempts) }
 
+// often has operators send many changes, most of which take away what requests need.
 func often(trial *Trial) { trial.Every, trial.TakeAway = 800*time.Millisecond, 0.6 }
 
 // Attempts has one row for each part of each point of "What must never happen". docs/rules.md names the
--- a/verify/simulation/runner_faults.go
+++ b/verify/simulation/runner_faults.go
@@ -139,12 +139,12 @@
 	host := world.injector.runner()
 	end := world.injector.record(impact{}, host)
 	host.Kill()
-	host.runner.strangersService = "a-stranger"
+	host.runner.otherService = "a-stranger"
 	incarnation := host.incarnation + 1
 	host.Boot()
 	world.Platform.delistAfterwards(host, incarnation)
 	return func() {
-		host.runner.strangersService = ""
+		host.runner.otherService = ""
 		host.Kill()
 		host.Boot()
 		end()
--- a/verify/simulation/runner_process.go
+++ b/verify/simulation/runner_process.go
@@ -16,9 +16,8 @@
 	host *Host
 	// engine is that of the last process, which may have ended.
 	engine *engine
-	// strangersService, where it is set, makes the next process a runner of another service, which the platform does not
-	// list.
-	strangersService string
+	// otherService, where it is set, makes the next process a runner of that service, which the platform does not list.
+	otherService string
 }
 
 // boot starts a runner under a new identity with an empty cache.
@@ -27,13 +26,13 @@
 	world.identities++
 	traffic := world.Traffic
 	service := traffic.Mix.Service
-	if runner.strangersService != "" {
-		service = runner.strangersService
+	if runner.otherService != "" {
+		service = runner.otherService
 	}
 	id := fmt.Sprintf("%s-%d", host.Address, world.identities)
 	runner.engine = newEngine(host, id, service, traffic.weights)
 	host.every(host.incarnation, reportInterval, runner.engine.observe)
-	if runner.strangersService == "" {
+	if runner.otherService == "" {
 		runner.list()
 	}
 }
--- a/verify/simulation/runner_process_test.go
+++ b/verify/simulation/runner_process_test.go
@@ -39,7 +39,7 @@
 	host := world.Runners()[0]
 	host.Kill()
 	world.Platform.set(host, "")
-	host.runner.strangersService = "another"
+	host.runner.otherService = "another"
 	host.Boot()
 	world.Run(emulator.DefaultProfile.ColdTime + time.Second)
 	if state := listedState(world, host); state != "" || host.runner.engine.service != "another" {
--- a/verify/simulation/trial.go
+++ b/verify/simulation/trial.go
@@ -8,7 +8,7 @@
 
 // Trial says how a deployment with its request path is tried.
 type Trial struct {
-	// Faults are the kinds of harm done, AtOnce how many at once, for Length.
+	// Faults are the kinds of fault injected, AtOnce how many at once, for Length.
 	Faults []string
 	AtOnce int
 	Length time.Duration
@@ -23,7 +23,7 @@
 	Mix func(mix loadtest.Mix) loadtest.Mix
 }
 
-// DefaultTrial is that of the proofs, without any harm yet.
+// DefaultTrial is that of the proofs, without any fault yet.
 var DefaultTrial = Trial{
 	AtOnce:        1,
 	Length:        40 * time.Second,
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -1,6 +1,11 @@
 // Package simulation is a seeded world in one thread: a network, clocks and disks on which the very state
 // machines of the daemons run, while faults are done to them and the rules are checked after each
 // step. The same seed gives the same run; a failure names its seed.
+//
+// A World has hosts, each with the process that it runs: a core, a data daemon or a runner. Scenarios (Play, Try,
+// PlayControlDay, PlayRegisteringRunners) found a deployment, start workloads (operators, racers, traffic), schedule
+// faults, and require that the fleet recovers. The Checker reports what breaks a rule. All randomness is drawn from the
+// world's seed and all that happens is an event of its loop, so that a change of the order of either changes every run.
 package simulation
 
 import (
@@ -21,23 +26,31 @@
 type World struct {
 	*eventLoop
 	*fleet
-	Seed       int64
-	random     *rand.Rand
+	Seed   int64
+	random *rand.Rand
+
+	// These connect the hosts: which reach each other, their messages and connections, and the work of their processes.
 	topology   *topology
 	network    *network
 	coroutines *coroutines
+	// Platform is the list of runners that the data daemons read.
+	Platform platform
+
+	// These judge what happens, and injector does faults.
+	Check      *Checker
 	isolations *isolationTracker
 	recovery   *recoveryCheck
 	injector   *faultInjector
-	Platform   platform
-	Check      *Checker
+
 	// Traffic is the request path, where there is one.
 	Traffic *Traffic
 	// RegisteringRunners are the runners that register themselves, where they do.
 	RegisteringRunners *RegisteringRunners
-	founders, seeds    []string
+	// founders are the cores that found the fleet, seeds the addresses that new processes begin with.
+	founders, seeds []string
 	// Faults is how many machines may lose their disks at once.
-	Faults     int
+	Faults int
+	// identities counts the identities that disks and runners were given.
 	identities int
 	// Log names the faults injected and undone, with the time since the start.
 	Log []string
