--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -49,10 +50,10 @@
 		if !core.Up() {
 			continue
 		}
-		operators.base = run.world.Check.greatestKnown()
+		operators.readNewest()
 		order, period := operators.apply(core), run.period
 		run.world.After(changeEvery, func() {
-			if order.Outcome == "accepted" {
+			if order.isAccepted() {
 				run.accepted[period]++
 			}
 		})
@@ -70,7 +71,7 @@
 				continue
 			}
 			run.samples[run.period]++
-			if !host.local().Before(host.plane.Snapshot().Until) {
+			if !host.local().Before(host.daemon.plane.Snapshot().Until) {
 				run.unleased[run.period]++
 			}
 		}
@@ -117,7 +118,7 @@
 			run.samples[withHalf])
 	}
 	for _, host := range run.world.Datas() {
-		if !host.local().Before(host.plane.Snapshot().Until) {
+		if !host.local().Before(host.daemon.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
@@ -143,7 +144,7 @@
 	world.Run(10 * time.Second)
 	run := &lossRun{world: world, lost: map[*Host]bool{}}
 	world.network.Metrics = func(from, _ *Host, _ string, _ int) {
-		if !from.Core {
+		if from.core == nil {
 			run.messages[run.period]++
 		}
 	}
@@ -178,14 +179,14 @@
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
 	kinds, unaddressed := map[string]bool{}, 0
-	world := Found(1, shape, func(world *World) { world.StartRegisteringRunners(6, shape.Zones) })
+	world := Found(1, shape, func(world *World) { startRegisteringRunners(world, 6, shape.Zones) })
 	world.network.Metrics = func(from, to *Host, kind string, _ int) {
 		if to == nil {
 			unaddressed++
 			return
 		}
 		sides := map[bool]string{true: "core", false: "daemon"}
-		kinds[sides[from.Core]+" to "+sides[to.Core]+" "+kind] = true
+		kinds[sides[from.core != nil]+" to "+sides[to.core != nil]+" "+kind] = true
 	}
 	world.Run(10 * time.Second)
 	head := leader(world)
@@ -193,12 +194,12 @@
 		t.Fatal("no head after 10 s")
 	}
 	order := world.Check.Send(head,
-		&wire.OperatorRequest{Verb: "apply", Spec: SpecText(1), HasBase: true, Operation: "first"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: SpecText(1), HasBase: true, Operation: "first"})
 	world.Run(3 * time.Second)
-	if order.Outcome != "accepted" {
+	if !order.isAccepted() {
 		t.Errorf("the change's outcome is %s", order.Outcome)
 	}
-	directory := head.Node().Status(head.local()).Daemons
+	directory := head.core.node.Status(head.local()).Daemons
 	if len(directory) != len(world.Datas()) {
 		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
 	}
@@ -218,7 +219,7 @@
 	if unaddressed > 0 {
 		t.Errorf("%d messages went to nobody", unaddressed)
 	}
-	world.RegisteringRunners.checkFinalLists()
+	world.RegisteringRunners.check.requireFinalLists()
 	for _, violation := range world.Check.Violations {
 		t.Error(violation)
 	}
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -22,7 +22,22 @@
 }
 
 // isolationTracker notes for each data daemon when it lost the core and when it had it back.
-type isolationTracker struct{ world *World }
+type isolationTracker struct {
+	world  *World
+	states map[*Host]*isolation
+}
+
+func newIsolationTracker(world *World) *isolationTracker {
+	return &isolationTracker{world: world, states: map[*Host]*isolation{}}
+}
+
+// of returns how a data daemon stands to the core.
+func (tracker *isolationTracker) of(host *Host) *isolation {
+	if tracker.states[host] == nil {
+		tracker.states[host] = &isolation{}
+	}
+	return tracker.states[host]
+}
 
 // refresh brings each daemon's separation from the core up to date after a change of the topology.
 func (tracker *isolationTracker) refresh() {
@@ -70,8 +85,7 @@
 
 // set notes that a daemon has lost the core, or has it back.
 func (tracker *isolationTracker) set(host *Host, apart bool) {
-	world := tracker.world
-	isolation := &host.isolation
+	world, isolation := tracker.world, tracker.of(host)
 	if apart != isolation.since.IsZero() {
 		return
 	}
@@ -93,28 +107,3 @@
 		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
 	}
 }
-
-// mayIgnore reports whether a daemon may still award by what it knew before something was acknowledged a while ago:
-// within a bound in any case, and while it has been without the core, for the time that its settings allow.
-func (checker *Checker) mayIgnore(host *Host, late, bound time.Duration) bool {
-	world := checker.world
-	if late <= bound {
-		checker.recordWorst("change ignored after the acknowledgement", late)
-		return true
-	}
-	if world.WithoutCore == 0 {
-		return false
-	}
-	isolation := &host.isolation
-	if !isolation.since.IsZero() {
-		length := world.Now.Sub(isolation.since)
-		checker.recordWorst("older news used without the core", length)
-		return length <= world.WithoutCore+leaseBound
-	}
-	back := world.Now.Sub(isolation.finished)
-	if isolation.finished.IsZero() || back > reconnectBound {
-		return false
-	}
-	checker.recordWorst("older news used after the core was back", back)
-	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
-}
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-// platform is the simulated list of runners. What it serves trails the truth, and may be troubled.
+// platform is the simulated list of runners. What it serves trails the truth, and may be wrong.
 type platform struct {
 	world        *World
 	actual       []*wire.Runner
@@ -61,7 +61,7 @@
 	content, read := platform.served(), !platform.unreachable
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
-		host.on(incarnation, func() { host.plane.OnPolled(content, read) })
+		host.on(incarnation, func() { host.daemon.plane.OnPolled(content, read) })
 	})
 }
 
@@ -102,10 +102,10 @@
 		remaining = append(
 			remaining,
 			&wire.Runner{
-				RunnerId: host.engine.id,
+				RunnerId: host.runner.engine.id,
 				Address:  host.Address,
 				Zone:     host.Zone,
-				Service:  host.engine.service,
+				Service:  host.runner.engine.service,
 				State:    state,
 			},
 		)
@@ -163,9 +163,25 @@
 // delist has the platform notice after a while that a runner is gone.
 func (platform *platform) delist(host *Host) {
 	incarnation := host.incarnation
-	platform.world.After(noticed, func() {
+	platform.world.After(delistingDelay, func() {
 		if !host.up && host.incarnation == incarnation {
 			platform.set(host, "")
 		}
 	})
 }
+
+// delistAfterwards takes one incarnation of a runner off after a while, whether it runs or not.
+func (platform *platform) delistAfterwards(host *Host, incarnation int) {
+	platform.world.After(delistingDelay, func() {
+		if host.incarnation == incarnation {
+			platform.set(host, "")
+		}
+	})
+}
+
+// relist lists one incarnation of a runner as ready again, if it still runs.
+func (platform *platform) relist(host *Host, incarnation int) {
+	if host.incarnation == incarnation && host.up {
+		platform.set(host, "ready")
+	}
+}
--- a/verify/simulation/racers.go
+++ b/verify/simulation/racers.go
@@ -6,6 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -43,8 +44,8 @@
 	tries   int
 }
 
-// StartRacers begins.
-func (world *World) StartRacers(every time.Duration, lostAnswers float64) *Racers {
+// startRacers has operators begin a race every so often, of whose answers a part is lost, from now on.
+func startRacers(world *World, every time.Duration, lostAnswers float64) *Racers {
 	racers := &Racers{world: world, number: 3_000_000, Every: every, LostAnswers: lostAnswers}
 	racers.step()
 	return racers
@@ -64,20 +65,20 @@
 		racers.race()
 	}
 	if world.random.Intn(3) == 0 {
-		world.Check.Send(world.pick(world.Cores()), &wire.OperatorRequest{Verb: "get"})
+		world.Check.Send(world.pick(world.Cores()), &wire.OperatorRequest{Verb: proposal.VerbGet})
 	}
 	world.After(racerEvery, racers.step)
 }
 
 // race sends two changes that build on one version.
 func (racers *Racers) race() {
-	base := racers.world.Check.greatestKnown()
+	base := racers.world.Check.outcomes.greatestCommitted()
 	epoch := base + 1 + uint64(racers.world.random.Intn(3))
 	for range 2 {
 		racers.number++
 		racers.Sent++
 		ask := &wire.OperatorRequest{
-			Verb:      "apply",
+			Verb:      proposal.VerbApply,
 			Spec:      SpecText(racers.number),
 			Operation: fmt.Sprintf("o%d", racers.number),
 			Base:      base,
@@ -104,13 +105,13 @@
 // finished reports whether nothing more is done about an order.
 func (racers *Racers) finished(raced *racedOrder) bool {
 	world := racers.world
-	answered := raced.order.Outcome != "unknown"
+	answered := raced.order.isAnswered()
 	if answered && world.random.Float64() >= racers.LostAnswers {
 		return true
 	}
 	if answered {
 		// The answer is lost: the operator hears nothing, now or later, of this try.
-		raced.order = &Order{Operation: raced.order.Operation, Outcome: "unknown", Sent: raced.order.Sent}
+		raced.order = &Order{Operation: raced.order.Operation, Outcome: proposal.OutcomeUnknown, Sent: raced.order.Sent}
 	}
 	if world.Now.Sub(raced.order.Sent) < answerTimeout+time.Duration(raced.tries)*retryGrowth {
 		return false
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"wardtray/control/proposal"
 	"wardtray/wire"
 )
 
@@ -22,19 +23,7 @@
 
 // MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
 func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
-	world := NewWorld(seed)
-	seeds := make([]string, 0, 3)
-	for _, zone := range []string{"a", "b", "c"} {
-		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
-	}
-	for number := range daemons {
-		world.AddData(fmt.Sprintf("d%04d", number), string(rune('a'+number%3)))
-	}
-	world.SetSeeds(seeds)
-	world.Platform.fill(18)
-	for _, host := range world.Hosts {
-		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
-	}
+	world := foundWide(seed, daemons, 18)
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
 	network := world.network
@@ -47,22 +36,22 @@
 	spread.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
 	bytes = network.Bytes
 	order := world.Check.Send(world.Hosts[1],
-		&wire.OperatorRequest{Verb: "apply", Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
+		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
 	sent, committed := world.Now, time.Time{}
 	arrived := map[string]time.Duration{}
 	const window = 6 * time.Second
 	for world.Now.Sub(sent) < window && len(world.Check.Violations) == 0 {
 		world.Run(5 * time.Millisecond)
-		if committed.IsZero() && world.byName["c:core"].node.Chain().Committed().SpecEpoch == 1 {
+		if committed.IsZero() && world.byName["c:core"].core.node.Chain().Committed().SpecEpoch == 1 {
 			committed = world.Now
 		}
 		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.controller.Snapshot(host.local()).SpecEpoch == 1 {
+			if _, had := arrived[host.Address]; !had && host.daemon.controller.Snapshot(host.local()).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
 	}
-	if len(world.Check.Violations) > 0 || len(arrived) < daemons || order.Outcome != "accepted" {
+	if len(world.Check.Violations) > 0 || len(arrived) < daemons || !order.isAccepted() {
 		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
 			order.Outcome, world.Check.Violations)
 	}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -1,6 +1,11 @@
 // Package simulation is a seeded world in one thread: a network, clocks and disks on which the very state
 // machines of the daemons run, while faults are done to them and the rules are checked after each
 // step. The same seed gives the same run; a failure names its seed.
+//
+// A World has hosts, each with the process that it runs: a core, a data daemon or a runner. Scenarios (Play, Try,
+// PlayControlDay, PlayRegisteringRunners) found a deployment, start workloads (operators, racers, traffic), schedule
+// faults, and require that the fleet recovers. The Checker reports what breaks a rule. All randomness is drawn from the
+// world's seed and all that happens is an event of its loop, so that a change of the order of either changes every run.
 package simulation
 
 import (
@@ -9,8 +14,10 @@
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
+	// backlogLimit is how much a frozen machine's sockets hold.
 	backlogLimit = 2000
+	// driftRange is by what part the fastest and the slowest clock of hosts may differ.
+	driftRange = 0.01
 	// defaultWithoutCore is for how long daemons go on while they reach no core machine.
 	defaultWithoutCore = 5 * time.Minute
 )
@@ -19,26 +26,33 @@
 type World struct {
 	*eventLoop
 	*fleet
-	Seed       int64
-	random     *rand.Rand
+	Seed   int64
+	random *rand.Rand
+
+	// These connect the hosts: which reach each other, their messages and connections, and the work of their processes.
 	topology   *topology
 	network    *network
 	coroutines *coroutines
-	isolations *isolationTracker
-	Platform   platform
+	// Platform is the list of runners that the data daemons read.
+	Platform platform
+
+	// These judge what happens, and injector does faults.
 	Check      *Checker
+	isolations *isolationTracker
+	recovery   *recoveryCheck
+	injector   *faultInjector
+
 	// Traffic is the request path, where there is one.
 	Traffic *Traffic
 	// RegisteringRunners are the runners that register themselves, where they do.
 	RegisteringRunners *RegisteringRunners
-	founders, seeds    []string
+	// founders are the cores that found the fleet, seeds the addresses that new processes begin with.
+	founders, seeds []string
 	// Faults is how many machines may lose their disks at once.
-	Faults     int
+	Faults int
+	// identities counts the identities that disks and runners were given.
 	identities int
-	replaced   int
-	// unscrubbedUntil is up to when damage on a disk may not have been found yet.
-	unscrubbedUntil time.Time
-	// Log names the faults done and undone.
+	// Log names the faults injected and undone, with the time since the start.
 	Log []string
 	// WithoutCore is for how long data daemons go on while they reach no core machine.
 	WithoutCore time.Duration
@@ -56,7 +70,9 @@
 	}
 	world.network = newNetwork(world)
 	world.coroutines = &coroutines{world: world}
-	world.isolations = &isolationTracker{world: world}
+	world.isolations = newIsolationTracker(world)
+	world.recovery = &recoveryCheck{world: world}
+	world.injector = &faultInjector{world: world}
 	world.Check = newChecker(world)
 	world.Platform.world = world
 	return world
@@ -67,29 +83,47 @@
 	world.run(length, func() bool { return len(world.Check.Violations) > 0 }, world.isolations.refresh)
 }
 
-// AddCore and AddData bring in machines; Boot starts them.
-func (world *World) AddCore(address, zone string) *Host { return world.add(address, zone, true) }
+// AddCore brings in a core machine; Boot starts it.
+func (world *World) AddCore(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.core = newCoreProcess(host)
+	host.process = host.core
+	return host
+}
 
 // AddData brings in a data daemon.
-func (world *World) AddData(address, zone string) *Host { return world.add(address, zone, false) }
+func (world *World) AddData(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.daemon = &daemonProcess{host: host}
+	host.process = host.daemon
+	return host
+}
 
-func (world *World) add(address, zone string, isCore bool) *Host {
+// AddRunner brings in a runner's machine.
+func (world *World) AddRunner(address, zone string) *Host {
+	host := world.add(address, zone)
+	host.runner = &runnerProcess{host: host, engine: &engine{}}
+	host.process = host.runner
+	return host
+}
+
+// add brings in a machine without a process.
+func (world *World) add(address, zone string) *Host {
 	host := &Host{
 		world:   world,
 		Address: address,
 		Zone:    zone,
-		Core:    isCore,
-		drift:   (world.random.Float64() - 0.5) * 0.01,
+		drift:   (world.random.Float64() - 0.5) * driftRange,
 		seeds:   world.seeds,
 	}
-	if isCore {
-		host.disk = newDisk(world.random)
-	}
 	world.insert(host)
 	world.topology.changed()
 	return host
 }
 
+// pick draws one of some hosts.
+func (world *World) pick(hosts []*Host) *Host { return hosts[world.random.Intn(len(hosts))] }
+
 // SetSeeds says which addresses all processes begin with; founders are the same.
 func (world *World) SetSeeds(seeds []string) {
 	world.seeds, world.founders = seeds, seeds
