--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -37,8 +37,8 @@
 		Default("0.7", "1", "1.3").
 		Float64List()
 	ways := command.Flag("way", "Ways of choosing; may be given several times.").
-		Default(placement.ChoiceNames()...).
-		Enums(placement.ChoiceNames()...)
+		Default(placement.PolicyNames()...).
+		Enums(placement.PolicyNames()...)
 	seeds := command.Flag("seeds", "How many seeds are added up.").Default("2").Int()
 	play := placement.Play{}
 	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&play.Length)
--- a/verify/placement/deployment.go
+++ b/verify/placement/deployment.go
@@ -1,8 +1,10 @@
 package placement
 
 import (
+	"maps"
 	"math"
 	"math/rand"
+	"slices"
 	"time"
 )
 
@@ -100,6 +102,9 @@
 	}
 }
 
+// DeploymentNames returns the names of Deployments in order.
+func DeploymentNames() []string { return slices.Sorted(maps.Keys(Deployments)) }
+
 // Deployments are the two fleets, small and grown, and engines of other kinds.
 var Deployments = map[string]Deployment{
 	"guild": {Zones: 4, Daemons: 9, Runners: 18, Clients: 57, Engine: batching(64, 678_399, 5, 3.82, 68.2),
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -18,34 +18,6 @@
 	"wardtray/wire"
 )
 
-// greatest takes the offer of the whole backend that is worth most, equal ones by lot.
-func greatest(value func(scored scheduler.ScoredCandidate, random *rand.Rand) float64) scheduler.Picker {
-	return func(_ scheduler.Requirements, scoredCandidates []scheduler.ScoredCandidate, random *rand.Rand) int {
-		best, most := -1, 0.0
-		for _, place := range random.Perm(len(scoredCandidates)) {
-			if scoredCandidates[place].Saturated {
-				continue
-			}
-			if here := value(scoredCandidates[place], random); best < 0 || here > most {
-				best, most = place, here
-			}
-		}
-		return best
-	}
-}
-
-// Ways are wardtray's own way of choosing and the baselines.
-var Ways = map[string]scheduler.Picker{
-	"wardtray": scheduler.Sample,
-	"random":   greatest(func(_ scheduler.ScoredCandidate, random *rand.Rand) float64 { return random.Float64() }),
-	"least-loaded": greatest(
-		func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 { return -scored.Candidate.Load },
-	),
-	"index-only": greatest(func(scored scheduler.ScoredCandidate, _ *rand.Rand) float64 {
-		return float64(scored.Candidate.CachedTokens)
-	}),
-}
-
 // Setting is one measurement.
 type Setting struct {
 	Mix     loadtest.Mix
@@ -56,7 +28,8 @@
 	Length  time.Duration
 	Hot     float64
 	Seed    int64
-	Way     string
+	// Policy is one of PolicyNames.
+	Policy  string
 	Profile emulator.RunnerProfile
 }
 
@@ -161,7 +134,7 @@
 			return scheduler.Snapshot{Runners: made.table.Runners(now, names), Daemons: len(names)}
 		},
 			made.table, indexer, rand.New(rand.NewSource(stage.random.Int63())))
-		made.scheduler.Picker = Ways[setting.Way]
+		made.scheduler.Picker = policies[setting.Policy]
 		stage.daemons = append(stage.daemons, made)
 	}
 	stage.observe()
--- a/verify/placement/place_test.go
+++ b/verify/placement/place_test.go
@@ -10,7 +10,7 @@
 func measure(t *testing.T, deployment, way string, rate, hot float64) map[string]*Result {
 	t.Helper()
 	setting := Settings[deployment]
-	setting.Way, setting.Rate, setting.Hot, setting.Length, setting.Seed = way, rate, hot, 8*time.Second, 3
+	setting.Policy, setting.Rate, setting.Hot, setting.Length, setting.Seed = way, rate, hot, 8*time.Second, 3
 	results, err := Measure(setting)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		crossZone := map[string]int{}
 		for _, way := range []string{"wardtray", "random"} {
 			setting := Settings[deployment]
-			setting.Way, setting.Rate, setting.Length, setting.Seed = way, 60, 8*time.Second, 3
+			setting.Policy, setting.Rate, setting.Length, setting.Seed = way, 60, 8*time.Second, 3
 			setting.Mix.Kinds = append([]loadtest.Kind{}, setting.Mix.Kinds...)
 			for place := range setting.Mix.Kinds {
 				setting.Mix.Kinds[place].Opening, setting.Mix.Kinds[place].Own = 0, 800
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -24,7 +24,8 @@
 	Load   float64
 	Length time.Duration
 	Seed   int64
-	Way    string
+	// Policy is one of PolicyNames.
+	Policy string
 	// ReportAge is how old a runner's word may grow before it is asked; 0: never.
 	ReportAge time.Duration
 	// Hot is the part of HotRoute's requests that carry one opening, from a third to two thirds of the time.
@@ -182,9 +183,7 @@
 				Backend: backend,
 			}
 		}, made.table, indexer, rand.New(rand.NewSource(fleet.random.Int63())))
-		if choice := Choices[play.Way]; choice != nil {
-			made.scheduler.Picker = choice
-		}
+		made.scheduler.Picker = policies[play.Policy]
 		fleet.daemons = append(fleet.daemons, made)
 	}
 	// Clients are handed to daemons of their zone by a hash, so that shares are uneven.
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -12,7 +12,7 @@
 		Load:       1,
 		Length:     9 * time.Second,
 		Seed:       5,
-		Way:        way,
+		Policy:     way,
 		ReportAge:  time.Second,
 	}
 	if change != nil {
--- a/verify/placement/report.go
+++ b/verify/placement/report.go
@@ -59,7 +59,7 @@
 		go func() {
 			defer waiting.Done()
 			one := play
-			one.Load, one.Way, one.Seed = load, way, play.Seed+int64(place)
+			one.Load, one.Policy, one.Seed = load, way, play.Seed+int64(place)
 			all[place], failures[place] = one.Run()
 		}()
 	}
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -5,7 +5,6 @@
 	"io"
 	"maps"
 	"slices"
-	"sort"
 	"text/tabwriter"
 	"time"
 
@@ -31,19 +30,7 @@
 	},
 }
 
-// WayNames returns the ways of pricing in order, wardtray's first.
-func WayNames() []string {
-	names := []string{"wardtray"}
-	for name := range Ways {
-		if name != "wardtray" {
-			names = append(names, name)
-		}
-	}
-	sort.Strings(names[1:])
-	return names
-}
-
-// Table measures every way at every rate and prints a line for each route.
+// Table measures every policy at every rate and prints a line for each route.
 func Table(output io.Writer, setting Setting, rates []float64) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	// The table is held in memory up to Flush, which returns what went wrong.
@@ -53,8 +40,8 @@
 			"LATE\tPUT BACK\tNO BUDGET\tCACHED\tFIRST 50%\t95%\t99%\tACROSS ZONES\tMOST AT ONCE",
 	)
 	for _, rate := range rates {
-		for _, way := range WayNames() {
-			setting.Rate, setting.Way = rate, way
+		for _, policy := range slotPolicies {
+			setting.Rate, setting.Policy = rate, policy
 			results, err := Measure(setting)
 			if err != nil {
 				return err
@@ -66,7 +53,7 @@
 					name = "all"
 				}
 				_, _ = fmt.Fprintf(writer, "%.0f\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%v\t%v\t%v\t%.0f%%\t%d\n",
-					rate, way, name, result.Requests, result.Done, result.Early, result.Late, result.PutBack,
+					rate, policy, name, result.Requests, result.Done, result.Early, result.Late, result.PutBack,
 					result.NoBudget, 100*result.CacheShare(), result.Quantile(0.5).Round(time.Millisecond),
 					result.Quantile(0.95).Round(time.Millisecond), result.Quantile(0.99).Round(time.Millisecond),
 					100*float64(result.CrossZone)/float64(max(1, len(result.First))), result.MostAtOnce)
