--- a/verify/placement/earned.go
+++ b/verify/placement/earned.go
@@ -1,34 +1,52 @@
 package placement
 
 import (
-	"sort"
 	"time"
 )
 
-// Earned is what one route, or all together, earned.
+const (
+	// windowLength is how long each window lasts for which values are added up.
+	windowLength = 3 * time.Second
+	// windowsPerSeed keeps the windows of several seeds apart.
+	windowsPerSeed = 1000
+)
+
+// The prices of rereading a thousand tokens, of a poll and of a gigabyte between zones, in units of value.
+const (
+	rereadPrice    = 0.62
+	probePrice     = 0.019
+	crossZonePrice = 3300
+)
+
+// Earned is what one route, or all together, earned on batch runners.
 type Earned struct {
-	Requests, InTime, Late, Refused, Failed, Sends, CrossZone int
-	MaximumValue, Value                                       float64
+	// Requests arrived. InTime were answered completely within their latency target and pauses, Late otherwise; Refused
+	// were refused, and Failed were not answered completely.
+	Requests, InTime, Late, Refused, Failed int
+	// Sends are attempts at runners; CrossZone are first events from a runner of another zone than the daemon's.
+	Sends, CrossZone int
+	// MaximumValue is the value of all requests, Value that of those answered.
+	MaximumValue, Value float64
 	// Large and LargeServed count the largest tenth.
 	Large, LargeServed int
-	// Shared are the tokens of shared parts, Reread those read though some runner kept them.
+	// Shared are the tokens of shared parts, RereadTokens those read though some runner had read them before.
 	Shared, RereadTokens int
-	// Probes are reports asked for, CrossZoneBytes what went between zones.
+	// Probes are polls for reports, CrossZoneBytes what went between zones.
 	Probes         int
 	CrossZoneBytes float64
-	First          []time.Duration
-	Window         map[int][2]float64
+	// First are the times from arrival to first event.
+	First []time.Duration
+	// Windows are the values of requests by the window in which they arrived.
+	Windows map[int]windowValue
 }
 
-// Share is the part of what is owed that was earned.
-func (earned *Earned) Share() float64 { return earned.Value / max(1e-9, earned.MaximumValue) }
+// windowValue is the value of the requests that arrived in a window, and what of it was earned.
+type windowValue struct{ maximum, earned float64 }
 
-// The prices of rereading a thousand tokens, of a probe and of a gigabyte between zones, in worth.
-const (
-	rereadPrice    = 0.62
-	probePrice     = 0.019
-	crossZonePrice = 3300
-)
+func newEarned() *Earned { return &Earned{Windows: map[int]windowValue{}} }
+
+// Share is the part (0 to 1) of the value of all requests that was earned.
+func (earned *Earned) Share() float64 { return earned.Value / max(1e-9, earned.MaximumValue) }
 
 // Net is the same less the prices.
 func (earned *Earned) Net() float64 {
@@ -37,46 +55,74 @@
 	return net / max(1e-9, earned.MaximumValue)
 }
 
-// Worst is the same over the worst three seconds of which a good part was owed.
+// Worst is the same as Share over the worst window of those in which a good part of the value arrived.
 func (earned *Earned) Worst() float64 {
-	worst, mean := 1.0, earned.MaximumValue/float64(max(1, len(earned.Window)))
-	for _, window := range earned.Window {
-		if window[0] > mean/2 {
-			worst = min(worst, window[1]/window[0])
+	worst, mean := 1.0, earned.MaximumValue/float64(max(1, len(earned.Windows)))
+	for _, window := range earned.Windows {
+		if window.maximum > mean/2 {
+			worst = min(worst, window.earned/window.maximum)
 		}
 	}
 	return worst
 }
 
-// Quantile returns the value below which such a part of the first events lies.
-func (earned *Earned) Quantile(part float64) time.Duration {
-	if len(earned.First) == 0 {
-		return 0
+// Quantile returns the time within which such a part (0 to 1) of the first events came.
+func (earned *Earned) Quantile(part float64) time.Duration { return quantile(earned.First, part) }
+
+// arrived counts a request at its arrival.
+func (earned *Earned) arrived(request *order) {
+	earned.Requests++
+	earned.MaximumValue += request.value
+	earned.Shared += request.sharedTokens
+	if request.large {
+		earned.Large++
 	}
-	sort.Slice(earned.First, func(left, right int) bool { return earned.First[left] < earned.First[right] })
-	return earned.First[min(len(earned.First)-1, int(part*float64(len(earned.First))))]
+	window := earned.Windows[request.window]
+	window.maximum += request.value
+	earned.Windows[request.window] = window
 }
 
-// windowLength is how long each window lasts for which worth is added up.
-const windowLength = 3 * time.Second
-
-// end adds up the end of one request.
-func (earned *Earned) end(made *order, window int, complete, inTime bool) {
-	value := 0.0
+// ended counts the end of a request that had been sent to a runner.
+func (earned *Earned) ended(request *order, complete, inTime bool) {
 	if !complete {
 		earned.Failed++
-	} else if inTime {
+		return
+	}
+	if request.large {
+		earned.LargeServed++
+	}
+	value := request.late
+	if inTime {
 		earned.InTime++
-		value = made.value
+		value = request.value
 	} else {
 		earned.Late++
-		value = made.late
-	}
-	if complete && made.large {
-		earned.LargeServed++
 	}
 	earned.Value += value
-	cell := earned.Window[window]
-	cell[1] += value
-	earned.Window[window] = cell
+	window := earned.Windows[request.window]
+	window.earned += value
+	earned.Windows[request.window] = window
+}
+
+// add adds what was earned with another seed, which is the index of the seed among those that are added up.
+func (earned *Earned) add(seed int, other *Earned) {
+	earned.Requests += other.Requests
+	earned.InTime += other.InTime
+	earned.Late += other.Late
+	earned.Refused += other.Refused
+	earned.Failed += other.Failed
+	earned.Sends += other.Sends
+	earned.CrossZone += other.CrossZone
+	earned.MaximumValue += other.MaximumValue
+	earned.Value += other.Value
+	earned.Large += other.Large
+	earned.LargeServed += other.LargeServed
+	earned.Shared += other.Shared
+	earned.RereadTokens += other.RereadTokens
+	earned.Probes += other.Probes
+	earned.CrossZoneBytes += other.CrossZoneBytes
+	earned.First = append(earned.First, other.First...)
+	for window, value := range other.Windows {
+		earned.Windows[seed*windowsPerSeed+window] = value
+	}
 }
--- a/verify/placement/place.go
+++ b/verify/placement/place.go
@@ -5,7 +5,6 @@
 import (
 	"fmt"
 	"math/rand"
-	"sort"
 	"time"
 
 	"wardtray/balancer/kvblock"
@@ -33,29 +32,6 @@
 	Profile emulator.RunnerProfile
 }
 
-// Result is what one route, or all together, got.
-type Result struct {
-	Requests, Done, Early, Late, PutBack, NoBudget, CrossZone int
-	Cached, Prompted                                          int
-	First                                                     []time.Duration
-	// MostAtOnce is the most work that one runner had.
-	MostAtOnce int
-}
-
-// Quantile returns the value below which such a part of the first events lies.
-func (result *Result) Quantile(part float64) time.Duration {
-	if len(result.First) == 0 {
-		return 0
-	}
-	sort.Slice(result.First, func(left, right int) bool { return result.First[left] < result.First[right] })
-	return result.First[min(len(result.First)-1, int(part*float64(len(result.First))))]
-}
-
-// CacheShare returns the part of the prompt tokens that runners had in their caches.
-func (result *Result) CacheShare() float64 {
-	return float64(result.Cached) / float64(max(1, result.Prompted))
-}
-
 type engine struct {
 	id, zone string
 	active   int
@@ -88,7 +64,7 @@
 	engines map[string]*engine
 	list    []*engine
 	daemons []*daemon
-	results map[string]*Result
+	results byRoute[Result]
 }
 
 // Measure plays a setting and returns results for each route and, under "", for all.
@@ -98,7 +74,7 @@
 		world:   simulation.NewWorld(setting.Seed),
 		random:  rand.New(rand.NewSource(setting.Seed)),
 		engines: map[string]*engine{},
-		results: map[string]*Result{"": {}},
+		results: byRoute[Result]{allRoutes: {}},
 	}
 	for _, kind := range setting.Mix.Kinds {
 		stage.results[kind.Route] = &Result{}
@@ -144,12 +120,6 @@
 	return stage.results, nil
 }
 
-// both changes the results of a route and of all.
-func (stage *stage) both(route string, change func(result *Result)) {
-	change(stage.results[route])
-	change(stage.results[""])
-}
-
 // observe takes reports every 100 ms; daemons read old ones every 250 ms.
 func (stage *stage) observe() {
 	world, age := stage.world, int(stage.setting.Profile.ReportAge/(100*time.Millisecond))
@@ -222,7 +192,7 @@
 			ExcludedRunners: map[string]bool{},
 		},
 	}
-	stage.both(kind.Route, func(result *Result) { result.Requests++ })
+	stage.results.update(kind.Route, func(result *Result) { result.Requests++ })
 	one.budget.RecordRequest(stage.world.Now)
 	stage.schedule(one, &job{kind: kind, queuedRequest: queuedRequest, started: stage.world.Now})
 }
@@ -246,14 +216,8 @@
 				stage.dispatch(one, job, step)
 				continue
 			}
-			late := stage.world.Now.Sub(job.started) > 50*time.Millisecond
-			stage.both(job.kind.Route, func(result *Result) {
-				if late {
-					result.Late++
-				} else {
-					result.Early++
-				}
-			})
+			waited := stage.world.Now.Sub(job.started)
+			stage.results.update(job.kind.Route, func(result *Result) { result.refused(waited) })
 		default:
 			one.order = append(one.order, job)
 		}
@@ -268,16 +232,16 @@
 		one.scheduler.RequestRejected(sent, job.queuedRequest, step)
 		one.scheduler.Release(sent, job.queuedRequest, engine.id)
 		job.queuedRequest.Requirements.ExcludedRunners[engine.id] = true
-		stage.both(job.kind.Route, func(result *Result) { result.PutBack++ })
+		stage.results.update(job.kind.Route, func(result *Result) { result.PutBack++ })
 		if !one.budget.AllowRetry(sent) {
-			stage.both(job.kind.Route, func(result *Result) { result.NoBudget++ })
+			stage.results.update(job.kind.Route, func(result *Result) { result.NoBudget++ })
 			return
 		}
 		stage.schedule(one, job)
 		return
 	}
 	engine.active++
-	stage.both(job.kind.Route, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
+	stage.results.update(job.kind.Route, func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, engine.active) })
 	run := func() { stage.run(one, job, step, engine, sent) }
 	if engine.running < profile.Slots {
 		run()
@@ -300,7 +264,7 @@
 	engine.free = first
 	world.At(first, func() {
 		one.scheduler.FirstEventReceived(job.queuedRequest, step, world.Now.Sub(sent))
-		stage.both(job.kind.Route, func(result *Result) {
+		stage.results.update(job.kind.Route, func(result *Result) {
 			result.First = append(result.First, world.Now.Sub(job.started))
 			result.Cached += cached
 			result.Prompted += prompt
@@ -311,7 +275,7 @@
 		world.After(time.Duration(job.kind.Answer)*profile.AnswerTime, func() {
 			engine.running--
 			engine.active--
-			stage.both(job.kind.Route, func(result *Result) { result.Done++ })
+			stage.results.update(job.kind.Route, func(result *Result) { result.Done++ })
 			one.scheduler.RequestCompleted(0, 0, world.Now.Sub(sent))
 			one.scheduler.Release(world.Now, job.queuedRequest, engine.id)
 			if len(engine.waiting) > 0 && engine.running < profile.Slots {
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -59,7 +59,7 @@
 	cachedBlocks map[kvblock.BlockKey]bool
 	sizes        map[string][][]int
 	weights      map[string][]float64
-	results      map[string]*Earned
+	results      byRoute[Earned]
 	mean         map[string]float64
 	largest      map[string]float64
 	incarnations int
@@ -77,7 +77,7 @@
 		cachedBlocks: map[kvblock.BlockKey]bool{},
 		sizes:        map[string][][]int{},
 		weights:      map[string][]float64{},
-		results:      map[string]*Earned{"": {Window: map[int][2]float64{}}},
+		results:      byRoute[Earned]{allRoutes: newEarned()},
 		mean:         map[string]float64{},
 		largest:      map[string]float64{},
 	}
@@ -118,7 +118,7 @@
 // prepare draws the shared parts and reckons what is large.
 func (fleet *fleet) prepare() {
 	for _, route := range fleet.play.Deployment.Routes {
-		fleet.results[route.Name] = &Earned{Window: map[int][2]float64{}}
+		fleet.results[route.Name] = newEarned()
 		for _, shared := range route.Chain {
 			tokens := make([]int, shared.Items)
 			for place := range tokens {
@@ -224,7 +224,7 @@
 			for _, runner := range daemon.table.RunnersToPoll(fleet.world.Now, fleet.play.ReportAge, true) {
 				if batch := fleet.batches[runner.ID]; batch != nil && !batch.unresponsive && len(batch.reports) > 0 {
 					daemon.table.RecordReport(fleet.world.Now, runner.ID, batch.reports[0])
-					fleet.results[""].Probes++
+					fleet.results[allRoutes].Probes++
 				}
 			}
 			fleet.world.After(fleet.play.ReportAge/2, ask)
--- a/verify/placement/play_test.go
+++ b/verify/placement/play_test.go
@@ -33,8 +33,14 @@
 		results := map[string]*Earned{}
 		for _, way := range []string{"wardtray", "least-loaded"} {
 			// Three seeds, since engines with few slots get few requests.
-			play := Play{Deployment: Deployments[deployment], Length: 9 * time.Second, Seed: 5, ReportAge: time.Second}
-			sums, err := total(play, 1, way, 3)
+			sums, err := total(Play{
+				Deployment: Deployments[deployment],
+				Load:       1,
+				Length:     9 * time.Second,
+				Seed:       5,
+				Policy:     way,
+				ReportAge:  time.Second,
+			}, 3)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/verify/placement/requests.go
+++ b/verify/placement/requests.go
@@ -19,8 +19,10 @@
 	value         float64
 	late          float64
 	large         bool
-	sends         int
-	firstAt       time.Time
+	// sharedTokens are the tokens of the prompt's shared parts, window the window of time in which the request arrived.
+	sharedTokens, window int
+	sends                int
+	firstAt              time.Time
 }
 
 // arrive lets clumps of requests come in a zone, in a wave.
@@ -83,6 +85,9 @@
 		value:   route.Value * scale,
 		late:    route.Late * scale,
 		large:   size > fleet.largest[route.Name],
+
+		sharedTokens: shared,
+		window:       int(fleet.world.Now.Sub(fleet.started) / windowLength),
 	}
 	made.queuedRequest = &scheduler.QueuedRequest{
 		Route:            route.Name,
@@ -101,27 +106,11 @@
 			ExcludedRunners: map[string]bool{},
 		},
 	}
-	fleet.both(made, func(earned *Earned) {
-		earned.Requests++
-		earned.MaximumValue += made.value
-		earned.Shared += shared
-		if made.large {
-			earned.Large++
-		}
-		window := int(made.started.Sub(fleet.started) / windowLength)
-		cell := earned.Window[window]
-		cell[0] += made.value
-		earned.Window[window] = cell
-	})
+	fleet.results.update(made.route.Name, func(earned *Earned) { earned.arrived(made) })
 	daemon.budget.RecordRequest(fleet.world.Now)
 	fleet.schedule(daemon, made)
 }
 
-func (fleet *fleet) both(made *order, change func(earned *Earned)) {
-	change(fleet.results[made.route.Name])
-	change(fleet.results[""])
-}
-
 func (fleet *fleet) schedule(daemon *schedulingDaemon, made *order) {
 	daemon.order = append(daemon.order, made)
 	daemon.scheduler.Schedule(fleet.world.Now, made.queuedRequest)
@@ -138,7 +127,7 @@
 				fleet.dispatch(daemon, made, step)
 				continue
 			}
-			fleet.both(made, func(earned *Earned) { earned.Refused++ })
+			fleet.results.update(made.route.Name, func(earned *Earned) { earned.Refused++ })
 		default:
 			daemon.order = append(daemon.order, made)
 		}
@@ -151,7 +140,7 @@
 	made.queuedRequest.Requirements.ExcludedRunners[step.Runner.ID] = true
 	made.sends++
 	if made.sends > 3 || !free && !daemon.budget.AllowRetry(fleet.world.Now) {
-		fleet.both(made, func(earned *Earned) { earned.Failed++ })
+		fleet.results.update(made.route.Name, func(earned *Earned) { earned.Failed++ })
 		return
 	}
 	fleet.schedule(daemon, made)
@@ -170,7 +159,7 @@
 func (fleet *fleet) dispatch(daemon *schedulingDaemon, made *order, step scheduler.Decision) {
 	world := fleet.world
 	batch := fleet.batches[step.Runner.ID]
-	fleet.both(made, func(earned *Earned) { earned.Sends++ })
+	fleet.results.update(made.route.Name, func(earned *Earned) { earned.Sends++ })
 	if batch == nil || batch.unresponsive {
 		daemon.table.Eject(world.Now, step.Runner.ID, "unreachable")
 		world.After(time.Millisecond, func() { fleet.again(daemon, made, step, true) })
@@ -202,7 +191,7 @@
 	daemon.table.RecordReport(now, batch.id, report)
 	daemon.scheduler.FirstEventReceived(made.queuedRequest, send.step, now.Sub(send.at))
 	reread := fleet.reread(made)
-	fleet.both(made, func(earned *Earned) {
+	fleet.results.update(made.route.Name, func(earned *Earned) {
 		earned.First = append(earned.First, now.Sub(made.started))
 		if batch.zone != daemon.zone {
 			earned.CrossZone++
@@ -233,8 +222,7 @@
 	fleet, daemon, made := send.fleet, send.daemon, send.made
 	now := fleet.world.Now
 	inTime := one.worstPause <= made.route.Pause && made.firstAt.Sub(made.started) <= made.route.LatencyTarget
-	window := int(made.started.Sub(fleet.started) / windowLength)
-	fleet.both(made, func(earned *Earned) { earned.end(made, window, complete, inTime) })
+	fleet.results.update(made.route.Name, func(earned *Earned) { earned.ended(made, complete, inTime) })
 	if complete {
 		daemon.scheduler.RequestCompleted(0, 0, now.Sub(send.at))
 	} else if !one.began {
