--- a/verify/placement/batch.go
+++ b/verify/placement/batch.go
@@ -56,7 +56,7 @@
 	arrivals     int
 	stepping     bool
 	unresponsive bool
-	reports      []load.Report
+	reports      reportHistory
 	busy         time.Duration
 	most         int
 }
--- a/verify/placement/play.go
+++ b/verify/placement/play.go
@@ -8,15 +8,19 @@
 	"time"
 
 	"wardtray/balancer/kvblock"
-	"wardtray/balancer/load"
 	"wardtray/balancer/retrybudget"
-	"wardtray/balancer/scheduler"
 	"wardtray/config"
 	"wardtray/verify/emulator"
 	"wardtray/verify/simulation"
 	"wardtray/wire"
 )
 
+// batchReportPeriod is how often batch runners report.
+const batchReportPeriod = 25 * time.Millisecond
+
+// batchRetrySettings allow a fifth of the requests to be retried, and some more over the whole fleet.
+var batchRetrySettings = retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}
+
 // Play is one measurement of a deployment.
 type Play struct {
 	Deployment Deployment
@@ -37,14 +41,6 @@
 	Release float64
 }
 
-type schedulingDaemon struct {
-	name, zone string
-	table      *load.Table
-	scheduler  *scheduler.Scheduler
-	budget     *retrybudget.Budget
-	order      []*order
-}
-
 type fleet struct {
 	play         Play
 	world        *simulation.World
@@ -53,9 +49,8 @@
 	batches      map[string]*batch
 	list         []*batch
 	lines        []*wire.Runner
-	daemons      []*schedulingDaemon
-	clients      []*schedulingDaemon
-	names        []string
+	daemons      []*daemon
+	clients      []*daemon
 	cachedBlocks map[kvblock.BlockKey]bool
 	sizes        map[string][][]int
 	weights      map[string][]float64
@@ -85,11 +80,12 @@
 		fleet.add(fmt.Sprint("z", number%play.Deployment.Zones))
 	}
 	fleet.prepare()
-	if err := fleet.addBatch(); err != nil {
+	if err := fleet.addDaemons(); err != nil {
 		return nil, err
 	}
+	fleet.addClients()
 	fleet.observe()
-	fleet.redispatch()
+	rebalancePeriodically(world, fleet.daemons)
 	for number := range play.Deployment.Zones {
 		fleet.arrive(number)
 	}
@@ -107,12 +103,13 @@
 		slow:    1,
 		world:   fleet.world,
 		cache:   emulator.NewCache[kvblock.BlockKey](figures.MemoryTokens * 3 / 4),
+		reports: reportHistory{lag: int(figures.ReportLag / batchReportPeriod)},
 	}
 	fleet.incarnations++
 	fleet.batches[made.id] = made
 	fleet.list = append(fleet.list, made)
 	fleet.lines = append(fleet.lines,
-		&wire.Runner{RunnerId: made.id, Zone: zone, Service: "s", State: "ready", Slots: uint32(figures.Slots)})
+		&wire.Runner{RunnerId: made.id, Zone: zone, Service: runnerService, State: runnerReady, Slots: uint32(figures.Slots)})
 }
 
 // prepare draws the shared parts and reckons what is large.
@@ -151,45 +148,37 @@
 	}
 }
 
-func (fleet *fleet) addBatch() error {
-	play := fleet.play
-	for number := range play.Deployment.Daemons {
-		fleet.names = append(fleet.names, fmt.Sprint("d", number))
+func (fleet *fleet) addDaemons() error {
+	deployment := fleet.play.Deployment
+	zones := make([]string, deployment.Zones)
+	for number := range zones {
+		zones[number] = fmt.Sprint("z", number)
 	}
-	backend := config.Backend{
-		Engine: config.Engine{
-			Slots:        play.Deployment.Engine.Slots,
-			MemoryTokens: play.Deployment.Engine.MemoryTokens,
-			EventTokens:  play.Deployment.Engine.Stride,
+	daemonCount := func() int { return deployment.Daemons }
+	daemons, err := newDaemons(fleet.world.Now, daemonSettings{
+		count:   deployment.Daemons,
+		zones:   zones,
+		listing: fleet.lines,
+		backend: config.Backend{
+			Engine: config.Engine{
+				Slots:        deployment.Engine.Slots,
+				MemoryTokens: deployment.Engine.MemoryTokens,
+				EventTokens:  deployment.Engine.Stride,
+			},
 		},
-	}
-	for number, name := range fleet.names {
-		indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 100_000, kvblock.DefaultRunners, 0)
-		if err != nil {
-			return err
-		}
-		made := &schedulingDaemon{
-			name:  name,
-			zone:  fmt.Sprint("z", number%play.Deployment.Zones),
-			table: load.NewTable(fleet.world.Now, name),
-			budget: retrybudget.New(retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60},
-				func() int { return len(fleet.names) }),
-		}
-		made.table.UpdateListing(fleet.world.Now, fleet.lines)
-		made.scheduler = scheduler.NewScheduler(func(now time.Time) scheduler.Snapshot {
-			return scheduler.Snapshot{
-				Runners: made.table.Runners(now, fleet.names),
-				Daemons: len(fleet.names),
-				Backend: backend,
-			}
-		}, made.table, indexer, rand.New(rand.NewSource(fleet.random.Int63())))
-		made.scheduler.Picker = policies[play.Policy]
-		fleet.daemons = append(fleet.daemons, made)
-	}
-	// Clients are handed to daemons of their zone by a hash, so that shares are uneven.
+		policy: fleet.play.Policy,
+		budget: func() *retrybudget.Budget { return retrybudget.New(batchRetrySettings, daemonCount) },
+	}, fleet.random)
+	fleet.daemons = daemons
+	return err
+}
+
+// addClients gives each client a daemon of its zone at random, so that shares are uneven.
+func (fleet *fleet) addClients() {
+	play := fleet.play
 	for number := range play.Deployment.Clients {
 		zone := fmt.Sprint("z", number%play.Deployment.Zones)
-		var near []*schedulingDaemon
+		var near []*daemon
 		for _, daemon := range fleet.daemons {
 			if daemon.zone == zone {
 				near = append(near, daemon)
@@ -197,22 +186,16 @@
 		}
 		fleet.clients = append(fleet.clients, near[fleet.random.Intn(len(near))])
 	}
-	return nil
 }
 
 // observe keeps reports and lets daemons ask for them.
 func (fleet *fleet) observe() {
-	const every = 25 * time.Millisecond
-	lag := int(fleet.play.Deployment.Engine.ReportLag/every) + 1
 	var take func()
 	take = func() {
 		for _, batch := range fleet.list {
-			batch.reports = append(batch.reports, batch.report())
-			if len(batch.reports) > lag {
-				batch.reports = batch.reports[1:]
-			}
+			batch.reports.record(batch.report())
 		}
-		fleet.world.After(every, take)
+		fleet.world.After(batchReportPeriod, take)
 	}
 	take()
 	if fleet.play.ReportAge == 0 {
@@ -222,10 +205,7 @@
 		var ask func()
 		ask = func() {
 			for _, runner := range daemon.table.RunnersToPoll(fleet.world.Now, fleet.play.ReportAge, true) {
-				if batch := fleet.batches[runner.ID]; batch != nil && !batch.unresponsive && len(batch.reports) > 0 {
-					daemon.table.RecordReport(fleet.world.Now, runner.ID, batch.reports[0])
-					fleet.results[allRoutes].Probes++
-				}
+				fleet.pollRunner(daemon, runner.ID)
 			}
 			fleet.world.After(fleet.play.ReportAge/2, ask)
 		}
@@ -233,12 +213,13 @@
 	}
 }
 
-func (fleet *fleet) redispatch() {
-	for _, daemon := range fleet.daemons {
-		if daemon.scheduler.HasQueued() {
-			daemon.scheduler.Rebalance(fleet.world.Now)
-			fleet.steps(daemon)
-		}
+func (fleet *fleet) pollRunner(daemon *daemon, id string) {
+	batch := fleet.batches[id]
+	if batch == nil || batch.unresponsive {
+		return
+	}
+	if report, found := batch.reports.read(); found {
+		daemon.table.RecordReport(fleet.world.Now, id, report)
+		fleet.results[allRoutes].Probes++
 	}
-	fleet.world.After(20*time.Millisecond, fleet.redispatch)
 }
--- a/verify/placement/requests.go
+++ b/verify/placement/requests.go
@@ -6,7 +6,6 @@
 	"sort"
 	"time"
 
-	"wardtray/balancer/kvblock"
 	"wardtray/balancer/scheduler"
 )
 
@@ -49,7 +48,7 @@
 	})
 }
 
-func (fleet *fleet) request(daemon *schedulingDaemon, total float64) {
+func (fleet *fleet) request(daemon *daemon, total float64) {
 	routes := fleet.play.Deployment.Routes
 	point, route := fleet.random.Float64()*total, routes[len(routes)-1]
 	for _, candidate := range routes {
@@ -65,18 +64,19 @@
 	}
 	chain := fleet.sizes[route.Name]
 	parts, tokens := make([]string, 0, len(chain)+1), make([]int, 0, len(chain)+1)
-	prompt := 0
+	promptTokens := 0
 	for place, sizes := range chain {
 		here := thing % len(sizes)
 		parts = append(parts, fmt.Sprint(route.Name, place, "-", here))
 		tokens = append(tokens, sizes[here])
-		prompt += sizes[here]
+		promptTokens += sizes[here]
 	}
-	shared := prompt
+	shared := promptTokens
 	own := route.Prompt.draw(fleet.random)
 	answer := route.Events.draw(fleet.random) * fleet.play.Deployment.Engine.Stride
-	parts, tokens, prompt = append(parts, fmt.Sprint("own", fleet.random.Int63())), append(tokens, own), prompt+own
-	size := float64(prompt + 10*answer)
+	promptTokens += own
+	drawn := prompt{append(parts, fmt.Sprint("own", fleet.random.Int63())), append(tokens, own)}
+	size := float64(promptTokens + 10*answer)
 	scale := min(4, 0.3+0.7*size/fleet.mean[route.Name])
 	made := &order{
 		route:   route,
@@ -89,53 +89,33 @@
 		sharedTokens: shared,
 		window:       int(fleet.world.Now.Sub(fleet.started) / windowLength),
 	}
-	made.queuedRequest = &scheduler.QueuedRequest{
-		Route:            route.Name,
-		ConcurrencyLimit: 1,
-		Decisions:        make(chan scheduler.Decision, 1),
-		PartTokens:       tokens,
-		Keys:             keys.BlockKeys(parts, kvblock.Extra{}),
-		Requirements: scheduler.Requirements{
-			Value:           route.Value,
-			LatencyTarget:   route.LatencyTarget,
-			Deadline:        route.Deadline,
-			PromptTokens:    prompt,
-			AnswerTokens:    answer,
-			Rank:            route.Rank,
-			Zone:            daemon.zone,
-			ExcludedRunners: map[string]bool{},
-		},
-	}
+	made.queuedRequest = newQueuedRequest(route.Name, 1, drawn, "", scheduler.Requirements{
+		Value:         route.Value,
+		LatencyTarget: route.LatencyTarget,
+		Deadline:      route.Deadline,
+		PromptTokens:  promptTokens,
+		AnswerTokens:  answer,
+		Rank:          route.Rank,
+		Zone:          daemon.zone,
+	})
 	fleet.results.update(made.route.Name, func(earned *Earned) { earned.arrived(made) })
 	daemon.budget.RecordRequest(fleet.world.Now)
 	fleet.schedule(daemon, made)
 }
 
-func (fleet *fleet) schedule(daemon *schedulingDaemon, made *order) {
-	daemon.order = append(daemon.order, made)
-	daemon.scheduler.Schedule(fleet.world.Now, made.queuedRequest)
-	fleet.steps(daemon)
-}
-
-func (fleet *fleet) steps(daemon *schedulingDaemon) {
-	waiting := daemon.order
-	daemon.order = nil
-	for _, made := range waiting {
-		select {
-		case step := <-made.queuedRequest.Decisions:
-			if step.Kind == scheduler.Dispatch {
-				fleet.dispatch(daemon, made, step)
-				continue
-			}
-			fleet.results.update(made.route.Name, func(earned *Earned) { earned.Refused++ })
-		default:
-			daemon.order = append(daemon.order, made)
+// schedule gives a request to a daemon, at its arrival or for a retry.
+func (fleet *fleet) schedule(daemon *daemon, made *order) {
+	daemon.schedule(fleet.world.Now, made.queuedRequest, func(decision scheduler.Decision) {
+		if decision.Kind == scheduler.Dispatch {
+			fleet.dispatch(daemon, made, decision)
+			return
 		}
-	}
+		fleet.results.update(made.route.Name, func(earned *Earned) { earned.Refused++ })
+	})
 }
 
 // again sends a request once more, or gives it up.
-func (fleet *fleet) again(daemon *schedulingDaemon, made *order, step scheduler.Decision, free bool) {
+func (fleet *fleet) again(daemon *daemon, made *order, step scheduler.Decision, free bool) {
 	daemon.scheduler.Release(fleet.world.Now, made.queuedRequest, step.Runner.ID)
 	made.queuedRequest.Requirements.ExcludedRunners[step.Runner.ID] = true
 	made.sends++
@@ -149,14 +129,14 @@
 // send is one request at one runner.
 type send struct {
 	fleet  *fleet
-	daemon *schedulingDaemon
+	daemon *daemon
 	made   *order
 	step   scheduler.Decision
 	batch  *batch
 	at     time.Time
 }
 
-func (fleet *fleet) dispatch(daemon *schedulingDaemon, made *order, step scheduler.Decision) {
+func (fleet *fleet) dispatch(daemon *daemon, made *order, step scheduler.Decision) {
 	world := fleet.world
 	batch := fleet.batches[step.Runner.ID]
 	fleet.results.update(made.route.Name, func(earned *Earned) { earned.Sends++ })
@@ -228,6 +208,5 @@
 	} else if !one.began {
 		daemon.table.Eject(now, send.batch.id, "gave no first event")
 	}
-	daemon.scheduler.Release(now, made.queuedRequest, send.batch.id)
-	fleet.steps(daemon)
+	daemon.release(now, made.queuedRequest, send.batch.id)
 }
--- a/verify/placement/runner_faults.go
+++ b/verify/placement/runner_faults.go
@@ -48,7 +48,7 @@
 func (fleet *fleet) replace(batch *batch) {
 	for _, line := range fleet.lines {
 		if line.RunnerId == batch.id {
-			line.State = "draining"
+			line.State = runnerDraining
 		}
 	}
 	fleet.add(batch.zone)
--- /dev/null
+++ b/verify/placement/slot_runner_test.go
@@ -0,0 +1,93 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"wardtray/balancer/kvblock"
+	"wardtray/verify/emulator"
+	"wardtray/verify/simulation"
+)
+
+// Two slots, one place in the queue, a millisecond for each prompt token and each answer token.
+func newTestSlotRunner() *slotRunner {
+	return &slotRunner{
+		profile: emulator.RunnerProfile{
+			Slots:        2,
+			PutBackAbove: 1,
+			TokenTime:    time.Millisecond,
+			AnswerTime:   time.Millisecond,
+		},
+		world: simulation.NewWorld(1),
+		cache: emulator.NewCache[kvblock.BlockKey](1000),
+	}
+}
+
+func TestSlotRunnerQueuesAndRejects(t *testing.T) {
+	runner := newTestSlotRunner()
+	run := slotRun{prompt: 10, answer: 10, firstEvent: func(int) {}, finished: func() {}}
+	accepted := make([]bool, 0, 4)
+	for range 4 {
+		accepted = append(accepted, runner.accept(run))
+	}
+	if want := []bool{true, true, true, false}; !slices.Equal(accepted, want) {
+		t.Errorf("accepted %v instead of %v", accepted, want)
+	}
+	if report := runner.report(); report.Running != 2 || report.Waiting != 1 || report.Slots != 2 {
+		t.Errorf("reported %+v", report)
+	}
+	runner.world.Run(time.Second)
+	if runner.active() != 0 {
+		t.Errorf("%d requests left", runner.active())
+	}
+}
+
+// Prefills are one after the other: the second begins when the first is over, the third when a slot is free.
+func TestSlotRunnerPrefillsOneAfterTheOther(t *testing.T) {
+	runner := newTestSlotRunner()
+	started := runner.world.Now
+	var first, finished []time.Duration
+	for range 3 {
+		runner.accept(slotRun{
+			prompt: 10,
+			answer: 20,
+			firstEvent: func(int) {
+				first = append(first, runner.world.Now.Sub(started))
+			},
+			finished: func() { finished = append(finished, runner.world.Now.Sub(started)) },
+		})
+	}
+	runner.world.Run(time.Second)
+	milliseconds := func(values ...int) (times []time.Duration) {
+		for _, value := range values {
+			times = append(times, time.Duration(value)*time.Millisecond)
+		}
+		return times
+	}
+	if want := milliseconds(10, 20, 40); !slices.Equal(first, want) {
+		t.Errorf("first events at %v instead of %v", first, want)
+	}
+	if want := milliseconds(30, 40, 60); !slices.Equal(finished, want) {
+		t.Errorf("finished at %v instead of %v", finished, want)
+	}
+}
+
+// What is cached is not read again.
+func TestSlotRunnerReadsOnlyWhatIsNotCached(t *testing.T) {
+	runner := newTestSlotRunner()
+	cachedTokens := []int{}
+	run := slotRun{
+		keys:       blockKeys.BlockKeys([]string{"opening"}, kvblock.Extra{}),
+		partTokens: []int{400},
+		prompt:     500,
+		firstEvent: func(cached int) { cachedTokens = append(cachedTokens, cached) },
+		finished:   func() {},
+	}
+	runner.accept(run)
+	runner.accept(run)
+	runner.world.Run(time.Second)
+	if want := []int{0, 400}; !slices.Equal(cachedTokens, want) {
+		t.Errorf("cached %v instead of %v", cachedTokens, want)
+	}
+}
