--- a/verify/placement/earned.go
+++ b/verify/placement/earned.go
@@ -70,7 +70,7 @@
 func (earned *Earned) Quantile(part float64) time.Duration { return quantile(earned.First, part) }
 
 // arrived counts a request at its arrival.
-func (earned *Earned) arrived(request *order) {
+func (earned *Earned) arrived(request *batchRequest) {
 	earned.Requests++
 	earned.MaximumValue += request.value
 	earned.Shared += request.sharedTokens
@@ -83,7 +83,7 @@
 }
 
 // ended counts the end of a request that had been sent to a runner.
-func (earned *Earned) ended(request *order, complete, inTime bool) {
+func (earned *Earned) ended(request *batchRequest, complete, inTime bool) {
 	if !complete {
 		earned.Failed++
 		return
--- a/verify/placement/earned_test.go
+++ b/verify/placement/earned_test.go
@@ -10,8 +10,9 @@
 func threeEnds() *Earned {
 	earned := newEarned()
 	for window, end := range []struct{ complete, inTime bool }{{true, true}, {true, false}, {false, false}} {
-		request := &order{
-			value: 4, late: 1, large: window < 2, sharedTokens: 500, window: window,
+		request := &batchRequest{
+			drawnRequest: drawnRequest{value: 4, late: 1, large: window < 2, sharedTokens: 500},
+			window:       window,
 		}
 		earned.arrived(request)
 		earned.ended(request, end.complete, end.inTime)
--- a/verify/placement/runner_faults.go
+++ b/verify/placement/runner_faults.go
@@ -3,99 +3,79 @@
 import (
 	"math"
 	"time"
+)
 
-	"wardtray/wire"
+const (
+	// slowRunnerFactor is how many times slower the runners of Play.Slow are.
+	slowRunnerFactor = 3
+	// crashDetectionTime is after how long a crashed runner is off the list: some of its calls have to be missing.
+	crashDetectionTime = 3600 * time.Millisecond
+	// runnerDrainTime is how long a runner that is replaced still has for its work.
+	runnerDrainTime = 3 * time.Second
 )
 
-// scheduleFaults plans what goes wrong in the middle third.
-func (fleet *fleet) scheduleFaults() {
-	play := fleet.play
-	from, length := play.Length/3, play.Length/3
-	fleet.world.After(from, func() {
-		for _, batch := range fleet.draw(play.Slow) {
-			batch.slow = 3
-			fleet.world.After(length, func() { batch.slow = 1 })
+// scheduleFaults plans what goes wrong in the middle third, and the replacements over the whole length.
+func (simulated *batchSimulation) scheduleFaults() {
+	play, world := simulated.play, simulated.world
+	third := play.Length / 3
+	world.After(third, func() {
+		for _, runner := range simulated.drawRunners(play.Slow) {
+			runner.slowdown = slowRunnerFactor
+			world.After(third, func() { runner.slowdown = 1 })
 		}
-		for _, batch := range fleet.draw(play.Crash) {
-			fleet.crash(batch, length)
+		for _, runner := range simulated.drawRunners(play.Crash) {
+			simulated.crashRunner(runner, third)
 		}
 	})
-	parts := time.Duration(1 + int(play.Release*float64(len(fleet.list))))
-	for place, batch := range fleet.draw(play.Release) {
-		fleet.world.After(time.Duration(place+1)*play.Length/parts, func() { fleet.replace(batch) })
+	intervals := time.Duration(1 + int(play.Release*float64(len(simulated.runners.list))))
+	for index, runner := range simulated.drawRunners(play.Release) {
+		world.After(time.Duration(index+1)*play.Length/intervals, func() { simulated.replaceRunner(runner) })
 	}
 }
 
-// draw returns a share of the runners at random.
-func (fleet *fleet) draw(share float64) []*batch {
-	count := int(math.Round(share * float64(len(fleet.list))))
-	list := make([]*batch, 0, count)
-	for _, place := range fleet.random.Perm(len(fleet.list))[:count] {
-		list = append(list, fleet.list[place])
-	}
-	return list
+// inMiddle reports whether the middle third of the length is now.
+func (simulated *batchSimulation) inMiddle() bool {
+	since := simulated.world.Now.Sub(simulated.started)
+	return since >= simulated.play.Length/3 && since < 2*simulated.play.Length/3
 }
 
-// crash ends a runner without a word; another takes its place after a while.
-func (fleet *fleet) crash(batch *batch, length time.Duration) {
-	batch.crash()
-	// One that says nothing any more is taken off the list only after some calls have not come.
-	fleet.world.After(3600*time.Millisecond, func() { fleet.remove(batch) })
-	fleet.world.After(length, func() { fleet.add(batch.zone); fleet.relist() })
+// drawRunners returns a part (0 to 1) of the runners at random.
+func (simulated *batchSimulation) drawRunners(part float64) []*batchRunner {
+	all := simulated.runners.list
+	count := int(math.Round(part * float64(len(all))))
+	drawn := make([]*batchRunner, 0, count)
+	for _, index := range simulated.random.Perm(len(all))[:count] {
+		drawn = append(drawn, all[index])
+	}
+	return drawn
 }
 
-// replace drains a runner beside one that takes its place.
-func (fleet *fleet) replace(batch *batch) {
-	for _, line := range fleet.lines {
-		if line.RunnerId == batch.id {
-			line.State = runnerDraining
-		}
-	}
-	fleet.add(batch.zone)
-	fleet.relist()
-	fleet.world.After(3*time.Second, func() { fleet.remove(batch) })
+// crashRunner ends a runner without notice; another takes its place after a while.
+func (simulated *batchSimulation) crashRunner(runner *batchRunner, replacedAfter time.Duration) {
+	runner.crash()
+	simulated.world.After(crashDetectionTime, func() { simulated.removeRunner(runner) })
+	simulated.world.After(replacedAfter, func() {
+		simulated.runners.add(runner.zone)
+		simulated.updateListings()
+	})
 }
 
-func (fleet *fleet) remove(gone *batch) {
-	delete(fleet.batches, gone.id)
-	remaining := []*wire.Runner{}
-	for _, line := range fleet.lines {
-		if line.RunnerId != gone.id {
-			remaining = append(remaining, line)
-		}
-	}
-	fleet.lines = remaining
-	list := []*batch{}
-	for _, one := range fleet.list {
-		if one != gone {
-			list = append(list, one)
-		}
-	}
-	fleet.list = list
-	gone.crash()
-	fleet.relist()
+// replaceRunner drains a runner beside one that takes its place.
+func (simulated *batchSimulation) replaceRunner(runner *batchRunner) {
+	simulated.runners.drain(runner)
+	simulated.runners.add(runner.zone)
+	simulated.updateListings()
+	simulated.world.After(runnerDrainTime, func() { simulated.removeRunner(runner) })
 }
 
-func (fleet *fleet) relist() {
-	for _, daemon := range fleet.daemons {
-		lines := make([]*wire.Runner, 0, len(fleet.lines))
-		for _, line := range fleet.lines {
-			lines = append(
-				lines,
-				&wire.Runner{
-					RunnerId: line.RunnerId,
-					Zone:     line.Zone,
-					Service:  line.Service,
-					State:    line.State,
-					Slots:    line.Slots,
-				},
-			)
-		}
-		daemon.table.UpdateListing(fleet.world.Now, lines)
-	}
+func (simulated *batchSimulation) removeRunner(runner *batchRunner) {
+	simulated.runners.remove(runner)
+	simulated.updateListings()
 }
 
-func (fleet *fleet) middle() bool {
-	since := fleet.world.Now.Sub(fleet.started)
-	return since >= fleet.play.Length/3 && since < 2*fleet.play.Length/3
+// updateListings gives all daemons the list of runners.
+func (simulated *batchSimulation) updateListings() {
+	for _, daemon := range simulated.daemons {
+		daemon.table.UpdateListing(simulated.world.Now, simulated.runners.copyListing())
+	}
 }
