--- /dev/null
+++ b/verify/loadtest/deployments.go
@@ -0,0 +1,91 @@
+package loadtest
+
+import "time"
+
+// Guild is the fibre guild's mix: survey summaries lead, chats in Welsh and English and confirmations are close.
+var Guild = Mix{Model: "cynorthwyydd", Pool: "booking", Weights: "w-2026-11", Service: "booking-runners", Kinds: []Kind{
+	{
+		Route:            "survey",
+		Share:            0.42,
+		Value:            1,
+		LatencyTarget:    20 * time.Second,
+		ConcurrencyLimit: 0.5,
+		Opening:          6,
+		OpeningTokens:    500,
+		Own:              600,
+		Answer:           120,
+		Families:         24,
+		Text:             "Write up the survey of the duct and its joints.",
+	},
+	{
+		Route:            "chat",
+		Share:            0.31,
+		Value:            4,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          3,
+		OpeningTokens:    400,
+		Own:              120,
+		Answer:           60,
+		Families:         12,
+		Text:             "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te.",
+	},
+	{
+		Route:            "confirm",
+		Share:            0.27,
+		Once:             true,
+		Value:            10,
+		LatencyTarget:    3 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          2,
+		OpeningTokens:    400,
+		Own:              80,
+		Answer:           30,
+		Families:         4,
+		Text:             "Confirm the slot on Thursday at ten.",
+	},
+}}
+
+// Ferries is the ferry company's mix: counter queries and reconciliations lead, rulings come a little behind.
+var Ferries = Mix{Model: "tocyn", Pool: "ticketing", Weights: "t-7", Service: "ticket-runners", Kinds: []Kind{
+	{
+		Route:            "counter",
+		Share:            0.40,
+		Value:            5,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          3,
+		OpeningTokens:    400,
+		Own:              100,
+		Answer:           50,
+		Families:         10,
+		Text:             "What does a car and four cost on the evening crossing?",
+	},
+	{
+		Route:            "reconcile",
+		Share:            0.33,
+		Value:            1,
+		LatencyTarget:    20 * time.Second,
+		ConcurrencyLimit: 0.5,
+		Opening:          6,
+		OpeningTokens:    500,
+		Own:              800,
+		Answer:           110,
+		Families:         16,
+		Text:             "Reconcile the manifest with the tickets.",
+	},
+	{
+		Route:            "ruling",
+		Share:            0.27,
+		Once:             true,
+		Value:            8,
+		LatencyTarget:    4 * time.Second,
+		ConcurrencyLimit: 0.4,
+		Opening:          4,
+		OpeningTokens:    400,
+		Own:              200,
+		Answer:           40,
+		Families:         6,
+		Text:             "Rule on the refund of the cancelled crossing.",
+	},
+}}
--- a/verify/placement/daemon.go
+++ b/verify/placement/daemon.go
@@ -10,6 +10,7 @@
 	"wardtray/balancer/retrybudget"
 	"wardtray/balancer/scheduler"
 	"wardtray/config"
+	"wardtray/verify/loadtest"
 	"wardtray/verify/simulation"
 	"wardtray/wire"
 )
@@ -141,6 +142,14 @@
 	tokens []int
 }
 
+// newPrompt returns a prompt of the parts of a mix's request.
+func newPrompt(parts []loadtest.Part) (made prompt) {
+	for _, part := range parts {
+		made.parts, made.tokens = append(made.parts, part.Name), append(made.tokens, part.Tokens)
+	}
+	return made
+}
+
 // newQueuedRequest makes a request of a route as the proxy gives it to the scheduler.
 func newQueuedRequest(
 	route string,
--- a/verify/placement/slot_simulation.go
+++ b/verify/placement/slot_simulation.go
@@ -154,10 +154,9 @@
 func (simulated *slotSimulation) arrive() {
 	drawn := simulated.setting.Mix.Draw(simulated.random, simulated.setting.Hot)
 	daemon := simulated.daemons[simulated.random.Intn(len(simulated.daemons))]
-	parts, tokens := drawn.Parts()
 	request := &slotRequest{
 		kind: drawn.Kind,
-		queued: newQueuedRequest(drawn.Kind.Route, drawn.Kind.ConcurrencyLimit, prompt{parts, tokens},
+		queued: newQueuedRequest(drawn.Kind.Route, drawn.Kind.ConcurrencyLimit, newPrompt(drawn.Parts()),
 			simulated.setting.Mix.Model, scheduler.Requirements{
 				Value:         drawn.Kind.Value,
 				LatencyTarget: drawn.Kind.LatencyTarget,
