--- a/verify/histories/answer_rules.go
+++ b/verify/histories/answer_rules.go
@@ -71,7 +71,7 @@
 			broken("%s was refused with %d %q by %s", answer.Request, answer.Status, answer.Kind, answer.Daemon)
 			return
 		}
-		if checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if why := check(checker, answer); why != "" {
@@ -87,7 +87,7 @@
 	"held-back": func(checker *Checker, answer *Answer, broken reportFunc) {
 		// What is sent again is refused for what became of the first, at any time.
 		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent ||
-			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if late := checker.overdue(answer); late > OverdueBound {
@@ -106,7 +106,7 @@
 	},
 	"past-deadline": func(checker *Checker, answer *Answer, broken reportFunc) {
 		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp ||
-			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound))
@@ -162,7 +162,7 @@
 func (checker *Checker) overdue(answer *Answer) time.Duration {
 	known := answer.Sent.Add(answer.LatencyTarget)
 	for _, run := range checker.runs[answer.Request] {
-		fault, found := checker.runnerFault(run.Runner, run.At, answer.Got)
+		fault, found := checker.history.runnerFault(run.Runner, run.At, answer.Got)
 		if !found {
 			// A runner that is only slow may yet answer, so there is nothing to be known.
 			return 0
@@ -211,7 +211,7 @@
 func lonelyDaemon(checker *Checker, answer *Answer) string {
 	touched := map[string]bool{}
 	for _, fault := range checker.history.Faults {
-		if fault.Daemon != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.Until.Add(faultShadow)) {
+		if fault.Daemon != "" && fault.shadows(answer.Sent, answer.Got) {
 			touched[fault.Daemon] = true
 		}
 	}
@@ -224,7 +224,7 @@
 // soundRunner finds a run given up although nothing was done to its runner.
 func soundRunner(checker *Checker, answer *Answer) string {
 	for _, run := range checker.runs[answer.Request] {
-		if _, found := checker.runnerFault(run.Runner, run.At, answer.Got); found {
+		if _, found := checker.history.runnerFault(run.Runner, run.At, answer.Got); found {
 			return ""
 		}
 	}
--- /dev/null
+++ b/verify/histories/capacity_test.go
@@ -0,0 +1,59 @@
+package histories
+
+import (
+	"testing"
+	"time"
+)
+
+// sampled returns a checker of a history with samples a second apart, in which zone a has so many slots of ten free and
+// zone b, which is closed from 20 s on, all of its thirty.
+func sampled(free ...int) (checker *Checker, at func(seconds float64) time.Time) {
+	history := clean()
+	at = func(seconds float64) time.Time {
+		return history.Started.Add(time.Duration(seconds * float64(time.Second)))
+	}
+	history.CapacitySamples = nil
+	for second, count := range free {
+		history.CapacitySamples = append(history.CapacitySamples, CapacitySample{
+			At:    at(30 + float64(second)),
+			Free:  map[string]int{"a": count, "b": 30},
+			Slots: map[string]int{"a": 10, "b": 30},
+		})
+	}
+	checker = NewChecker(history, history.Final.Known)
+	checker.refresh()
+	return checker, at
+}
+
+func TestLeastFreeShareLooksAtOpenZones(t *testing.T) {
+	checker, at := sampled(5, 8, 2, 9, 1)
+	for _, trial := range []struct {
+		name        string
+		from, until float64
+		want        float64
+	}{
+		{"from the sample before on", 30.5, 30.6, 0.5},
+		{"up to the sample after", 31.2, 31.5, 0.2},
+		{"a span", 30.5, 32.5, 0.2},
+		{"beyond the last", 40, 41, 0.1},
+	} {
+		if got := checker.leastFreeShare(at(trial.from), at(trial.until)); got != trial.want {
+			t.Errorf("%s: %v instead of %v", trial.name, got, trial.want)
+		}
+	}
+}
+
+func TestNothingIsFreeWhereNobodyLooked(t *testing.T) {
+	checker, at := sampled()
+	if got := checker.leastFreeShare(at(30), at(31)); got != 0 {
+		t.Errorf("%v instead of 0", got)
+	}
+}
+
+func TestNothingIsFreeWhereTheSpecAllowsNoRunner(t *testing.T) {
+	checker, at := sampled(10, 10)
+	checker.history.Weights = "other"
+	if got := checker.leastFreeShare(at(30), at(31)); got != 0 {
+		t.Errorf("%v instead of 0", got)
+	}
+}
--- a/verify/histories/departure.go
+++ b/verify/histories/departure.go
@@ -1,7 +1,6 @@
 package histories
 
 import (
-	"fmt"
 	"strings"
 	"time"
 )
@@ -21,7 +20,7 @@
 		return 0
 	}
 	late := sent.Sub(answer.HungUpAt)
-	if _, heldUp := checker.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() &&
+	if _, heldUp := checker.history.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() &&
 		late <= DepartureBound+transitTime {
 		return 0
 	}
@@ -53,28 +52,17 @@
 	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.sentTwice(answer) {
 		return
 	}
-	if checker.faultOverlaps(answer.Daemon, until.Add(-DepartureBound), until) {
+	if checker.history.daemonFaulty(answer.Daemon, until.Add(-DepartureBound), until) {
 		return
 	}
 	for _, run := range checker.runs[answer.Request] {
 		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
-			checker.Violations = append(checker.Violations, Violation{Rule: "left-requester",
-				Detail: fmt.Sprintf("%s was still worked on at %s %v after its requester had left %s",
-					answer.Request, run.Runner, DepartureBound, run.Daemon)})
+			checker.reporter("left-requester")("%s was still worked on at %s %v after its requester had left %s",
+				answer.Request, run.Runner, DepartureBound, run.Daemon)
 		}
 	}
 }
 
-// faultOverlaps reports whether something was done to a daemon in a span of time.
-func (checker *Checker) faultOverlaps(daemon string, from, until time.Time) bool {
-	for _, fault := range checker.history.Faults {
-		if fault.Daemon == daemon && !until.Before(fault.At) && from.Before(fault.Until) {
-			return true
-		}
-	}
-	return false
-}
-
 // finishedBy reports whether a run had ended, or its daemon had let go of it, by a moment.
 func (run *Run) finishedBy(at time.Time) bool {
 	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Canceled.IsZero() && !run.Canceled.After(at)
--- a/verify/histories/final_rules.go
+++ b/verify/histories/final_rules.go
@@ -19,7 +19,7 @@
 func (history *History) accepted() []*Order {
 	var accepted []*Order
 	for _, order := range history.Orders {
-		if order.Outcome == "accepted" && order.Verb != "get" && order.Verb != "operation" {
+		if order.Outcome == outcomeAccepted && order.changesSpec() {
 			accepted = append(accepted, order)
 		}
 	}
@@ -27,13 +27,14 @@
 	return accepted
 }
 
+// refusedInEffect wants that no order that was refused took effect.
 func refusedInEffect(checker *Checker, broken reportFunc) {
 	history, routes := checker.history, map[string]bool{}
 	for _, route := range history.Final.Routes {
 		routes[route] = true
 	}
 	for _, order := range history.Orders {
-		if order.Outcome != "refused" {
+		if order.Outcome != outcomeRefused {
 			continue
 		}
 		if order.Marker != "" && routes[order.Marker] {
@@ -45,10 +46,11 @@
 	}
 }
 
+// twoOnOneBase wants that each epoch is given to one order, and is the base of one.
 func twoOnOneBase(checker *Checker, broken reportFunc) {
 	bases, epochs := map[uint64]string{}, map[uint64]string{}
 	for _, order := range checker.history.accepted() {
-		if (order.Verb == "apply" || order.Verb == "change") && order.HasBase {
+		if (order.Verb == verbApply || order.Verb == verbChange) && order.HasBase {
 			if other, found := bases[order.Base]; found && other != order.Operation {
 				broken("%s and %s were both accepted on epoch %d", other, order.Operation, order.Base)
 			}
@@ -61,70 +63,7 @@
 	}
 }
 
-// RetryPeak looks at every window. It returns the most repeats beyond what the rule allows anywhere, and
-// both counts of the window that used up most of its allowance.
-func RetryPeak(history *History, backend string) (over float64, retried, requests int) {
-	used := -1.0
-	type send struct {
-		at    time.Time
-		retry bool
-	}
-	var sends []send
-	seen, asked := map[string]int{}, map[string][]time.Time{}
-	for _, answer := range history.Answers {
-		asked[answer.Request] = append(asked[answer.Request], answer.Sent)
-	}
-	for _, run := range history.Runs {
-		if run.Pool != backend {
-			continue
-		}
-		// What a client itself sends again is another request, not a repeat of ours.
-		asks := 0
-		for _, at := range asked[run.Request] {
-			if !at.After(run.At) {
-				asks++
-			}
-		}
-		sends = append(sends, send{run.At, seen[run.Request] >= max(1, asks)})
-		seen[run.Request]++
-	}
-	over = -1e9
-	start, windowRetries, windowRequests := 0, 0, 0
-	for _, last := range sends {
-		if last.retry {
-			windowRetries++
-		} else {
-			windowRequests++
-		}
-		for last.at.Sub(sends[start].at) > RetryWindow {
-			if sends[start].retry {
-				windowRetries--
-			} else {
-				windowRequests--
-			}
-			start++
-		}
-		allowed := RetryShare*float64(windowRequests) + RetryAllowance
-		over = max(over, float64(windowRetries)-allowed)
-		if part := float64(windowRetries) / allowed; part > used {
-			used, retried, requests = part, windowRetries, windowRequests
-		}
-	}
-	return over, retried, requests
-}
-
-func retries(checker *Checker, broken reportFunc) {
-	backends := map[string]bool{}
-	for _, run := range checker.history.Runs {
-		backends[run.Pool] = true
-	}
-	for backend := range backends {
-		if over, retried, requests := RetryPeak(checker.history, backend); over > 0 {
-			broken("pool %s: %d repeats to %d requests within ten seconds", backend, retried, requests)
-		}
-	}
-}
-
+// forgotten wants that the fleet knows every acknowledged order at the end.
 func forgotten(checker *Checker, broken reportFunc) {
 	history := checker.history
 	if !history.Final.Asked {
--- a/verify/histories/run_rules.go
+++ b/verify/histories/run_rules.go
@@ -45,23 +45,24 @@
 			func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
 			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec",
 				run.Request, run.Route, run.Weights, run.Daemon,
-				checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
+				checker.specs.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
 	"slipped-back": func(checker *Checker, run *Run, broken reportFunc) {
 		// Requests of one daemon overtake each other while bytes are on their way; a slip back lasts.
-		if run.Epoch < checker.greatest[run.Daemon] && run.At.Sub(checker.greatestSince[run.Daemon]) > transitTime {
-			broken("%s went from epoch %d back to %d", run.Daemon, checker.greatest[run.Daemon], run.Epoch)
+		greatest := checker.epochs[run.Daemon]
+		if run.Epoch < greatest.epoch && run.At.Sub(greatest.since) > transitTime {
+			broken("%s went from epoch %d back to %d", run.Daemon, greatest.epoch, run.Epoch)
 		}
-		if run.Epoch > checker.greatest[run.Daemon] {
-			checker.greatest[run.Daemon], checker.greatestSince[run.Daemon] = run.Epoch, run.At
+		if run.Epoch > greatest.epoch {
+			checker.epochs[run.Daemon] = workedEpoch{epoch: run.Epoch, since: run.At}
 		}
 	},
 	"closed-zone": func(checker *Checker, run *Run, broken reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.IsOpen(run.Zone) }
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
 			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone,
-				checker.outdatedFor(run.At, open))
+				checker.specs.outdatedFor(run.At, open))
 		}
 	},
 	"left-requester": func(checker *Checker, run *Run, broken reportFunc) {
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -1,6 +1,7 @@
 package histories
 
 import (
+	"math"
 	"time"
 
 	"wardtray/config"
@@ -31,17 +32,15 @@
 	worst := WorstCases{}
 	checker := NewChecker(history, history.Final.Known)
 	checker.refresh()
-	backends := map[string]bool{}
 	for _, run := range history.Runs {
-		backends[run.Pool] = true
 		worst.Draining = max(worst.Draining, checker.drainingFor(run))
 		worst.Ignored = max(
 			worst.Ignored,
-			checker.outdatedFor(run.At,
+			checker.specs.outdatedFor(run.At,
 				func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }),
 		)
 		worst.Closed = max(worst.Closed,
-			checker.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.IsOpen(run.Zone) }))
+			checker.specs.outdatedFor(run.At, func(catalog *config.Catalog) bool { return catalog.IsOpen(run.Zone) }))
 		if run.WarmingUp {
 			worst.Concurrent = max(worst.Concurrent, run.Concurrent)
 		}
@@ -51,33 +50,35 @@
 	}
 	for _, answer := range history.Answers {
 		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent &&
-			!checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			!checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			worst.Overdue = max(worst.Overdue, checker.overdue(answer))
 		}
 	}
 	for _, back := range history.Returns {
-		first := time.Duration(1<<63 - 1)
-		for _, answer := range history.Answers {
-			if answer.Done && answer.Sent.After(back.At) {
-				first = min(first, answer.Got.Sub(back.At))
-			}
-		}
-		worst.Return = max(worst.Return, first)
+		worst.Return = max(worst.Return, history.firstAnswerAfter(back.At))
 	}
-	for backend := range backends {
-		_, retried, requests := RetryPeak(history, backend)
-		worst.retries(retried, requests)
+	for backend := range history.backends() {
+		worst.addRetries(findRetryPeak(history, backend).worst)
 	}
 	return worst
 }
 
-// retries keeps the worse of two windows.
-func (worst *WorstCases) retries(retried, requests int) {
-	used := func(retried, requests int) float64 {
-		return float64(retried) / (RetryShare*float64(requests) + RetryAllowance)
+// firstAnswerAfter returns how long after a moment the first complete answer to a request sent since then was there;
+// the greatest time where there is none.
+func (history *History) firstAnswerAfter(at time.Time) time.Duration {
+	first := time.Duration(math.MaxInt64)
+	for _, answer := range history.Answers {
+		if answer.Done && answer.Sent.After(at) {
+			first = min(first, answer.Got.Sub(at))
+		}
 	}
-	if used(retried, requests) > used(worst.Retried, worst.Requests) {
-		worst.Retried, worst.Requests = retried, requests
+	return first
+}
+
+// addRetries keeps the worse of two windows.
+func (worst *WorstCases) addRetries(window retryCount) {
+	if window.used() > (retryCount{worst.Retried, worst.Requests}).used() {
+		worst.Retried, worst.Requests = window.retries, window.requests
 	}
 }
 
@@ -89,5 +90,5 @@
 	worst.Return = max(worst.Return, other.Return)
 	worst.Overdue = max(worst.Overdue, other.Overdue)
 	worst.Concurrent = max(worst.Concurrent, other.Concurrent)
-	worst.retries(other.Retried, other.Requests)
+	worst.addRetries(retryCount{other.Retried, other.Requests})
 }
