--- /dev/null
+++ b/verify/histories/wrongful_rejections.go
@@ -0,0 +1,67 @@
+package histories
+
+// wrongfulRejections tell for each kind of refusal why it was our own mistake; "" where it was not.
+var wrongfulRejections = map[string]func(checker *Checker, answer *Answer) string{
+	"patience_short":  ampleCapacity,
+	"purse_spent":     ampleCapacity,
+	"waitlist_full":   ampleCapacity,
+	"no_fit_runner":   ampleCapacity,
+	"not_serving":     lonelyDaemon,
+	"outcome_unknown": soundRunner,
+	"run_failed":      soundRunner,
+	"unknown_lane":    inSpec,
+	"unknown_model":   inSpec,
+	"already_taken":   func(*Checker, *Answer) string { return "it was sent only once" },
+}
+
+// ampleCapacity finds a refusal for want of room beside a backend that had plenty all the while.
+func ampleCapacity(checker *Checker, answer *Answer) string {
+	if room := checker.leastFreeShare(answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
+		return "a good part of the pool was free all the while"
+	}
+	return ""
+}
+
+// lonelyDaemon finds a daemon that did not serve although nothing was done to it and most others were there:
+// it could be sure of its spec by the head or by them.
+func lonelyDaemon(checker *Checker, answer *Answer) string {
+	touched := map[string]bool{}
+	for _, fault := range checker.history.Faults {
+		if fault.Daemon != "" && fault.shadows(answer.Sent, answer.Got) {
+			touched[fault.Daemon] = true
+		}
+	}
+	if 2*len(touched) >= checker.history.Daemons {
+		return ""
+	}
+	return "no fault touched it, nor half of the others"
+}
+
+// soundRunner finds a run given up although nothing was done to its runner.
+func soundRunner(checker *Checker, answer *Answer) string {
+	for _, run := range checker.runs[answer.Request] {
+		if _, found := checker.history.runnerFault(run.Runner, run.At, answer.Got); found {
+			return ""
+		}
+	}
+	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known.
+	if len(checker.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
+		for _, fault := range checker.history.Faults {
+			if fault.Runner != "" && !answer.Got.Before(fault.At) &&
+				answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
+				return ""
+			}
+		}
+	}
+	return "nothing was done to its runner"
+}
+
+// inSpec finds a request refused as unknown although every spec that could be in force has its route.
+func inSpec(checker *Checker, answer *Answer) string {
+	for _, version := range checker.specsInForce(answer.Daemon, answer.Got, SpecBound) {
+		if version.catalog.Routes[answer.Route] == nil {
+			return ""
+		}
+	}
+	return "every spec in force has its lane"
+}
