--- a/verify/histories/answer_rules.go
+++ b/verify/histories/answer_rules.go
@@ -71,7 +71,7 @@
 			broken("%s was refused with %d %q by %s", answer.Request, answer.Status, answer.Kind, answer.Daemon)
 			return
 		}
-		if checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if why := check(checker, answer); why != "" {
@@ -87,7 +87,7 @@
 	"held-back": func(checker *Checker, answer *Answer, broken reportFunc) {
 		// What is sent again is refused for what became of the first, at any time.
 		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent ||
-			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		if late := checker.overdue(answer); late > OverdueBound {
@@ -106,7 +106,7 @@
 	},
 	"past-deadline": func(checker *Checker, answer *Answer, broken reportFunc) {
 		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp ||
-			checker.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
 			return
 		}
 		late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound))
@@ -162,7 +162,7 @@
 func (checker *Checker) overdue(answer *Answer) time.Duration {
 	known := answer.Sent.Add(answer.LatencyTarget)
 	for _, run := range checker.runs[answer.Request] {
-		fault, found := checker.runnerFault(run.Runner, run.At, answer.Got)
+		fault, found := checker.history.runnerFault(run.Runner, run.At, answer.Got)
 		if !found {
 			// A runner that is only slow may yet answer, so there is nothing to be known.
 			return 0
@@ -183,69 +183,3 @@
 	}
 	return answer.Got.Sub(known)
 }
-
-// wrongfulRejections tell for each kind of refusal why it was our own mistake; "" where it was not.
-var wrongfulRejections = map[string]func(checker *Checker, answer *Answer) string{
-	"patience_short":  ampleCapacity,
-	"purse_spent":     ampleCapacity,
-	"waitlist_full":   ampleCapacity,
-	"no_fit_runner":   ampleCapacity,
-	"not_serving":     lonelyDaemon,
-	"outcome_unknown": soundRunner,
-	"run_failed":      soundRunner,
-	"unknown_lane":    inSpec,
-	"unknown_model":   inSpec,
-	"already_taken":   func(*Checker, *Answer) string { return "it was sent only once" },
-}
-
-// ampleCapacity finds a refusal for want of room beside a backend that had plenty all the while.
-func ampleCapacity(checker *Checker, answer *Answer) string {
-	if room := checker.leastFreeShare(answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
-		return "a good part of the pool was free all the while"
-	}
-	return ""
-}
-
-// lonelyDaemon finds a daemon that did not serve although nothing was done to it and most others were there:
-// it could be sure of its spec by the head or by them.
-func lonelyDaemon(checker *Checker, answer *Answer) string {
-	touched := map[string]bool{}
-	for _, fault := range checker.history.Faults {
-		if fault.Daemon != "" && !answer.Got.Before(fault.At) && answer.Sent.Before(fault.Until.Add(faultShadow)) {
-			touched[fault.Daemon] = true
-		}
-	}
-	if 2*len(touched) >= checker.history.Daemons {
-		return ""
-	}
-	return "no fault touched it, nor half of the others"
-}
-
-// soundRunner finds a run given up although nothing was done to its runner.
-func soundRunner(checker *Checker, answer *Answer) string {
-	for _, run := range checker.runs[answer.Request] {
-		if _, found := checker.runnerFault(run.Runner, run.At, answer.Got); found {
-			return ""
-		}
-	}
-	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known.
-	if len(checker.runs[answer.Request]) == 0 && answer.Kind == "outcome_unknown" {
-		for _, fault := range checker.history.Faults {
-			if fault.Runner != "" && !answer.Got.Before(fault.At) &&
-				answer.Sent.Before(fault.At.Add(fault.Knowable+resetTransitTime)) {
-				return ""
-			}
-		}
-	}
-	return "nothing was done to its runner"
-}
-
-// inSpec finds a request refused as unknown although every spec that could be in force has its route.
-func inSpec(checker *Checker, answer *Answer) string {
-	for _, version := range checker.specsInForce(answer.Daemon, answer.Got, SpecBound) {
-		if version.catalog.Routes[answer.Route] == nil {
-			return ""
-		}
-	}
-	return "every spec in force has its lane"
-}
