--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"regexp"
 	"slices"
 	"strings"
 	"sync"
@@ -15,14 +14,17 @@
 // outputBound is how many bytes of a command's output are printed.
 const outputBound = 600
 
-// testName matches the test or fuzz test at the head of a pattern for go test -run.
-var testName = regexp.MustCompile(`^\^?((?:Test|Fuzz)\w+)`)
-
 // checkAll reports whether every patch still fits the tree; it prints those that don't.
 func checkAll(patches []patch, jobs int) bool {
+	folder, err := os.MkdirTemp("", "broken-tests-")
+	if err != nil {
+		exit(err)
+	}
+	defer removeAll(folder)
+	checker := &checker{subtests: newSubtestFinder(folder, subtestTimeout)}
 	var printing sync.Mutex
 	fitting := forEach(patches, jobs, func(patch patch) bool {
-		err := check(patch)
+		err := checker.check(patch)
 		if err != nil {
 			printing.Lock()
 			fmt.Printf("STALE   %-24s %v\n", patch.name, err)
@@ -34,10 +36,17 @@
 	return fitting == len(patches)
 }
 
+// checker checks that patches still fit the tree, without running their tests to the end. It doesn't see whether a test
+// still notices its patch, nor whether a pattern selects more, or fewer, tests than was meant, as long as it selects
+// one.
+type checker struct {
+	subtests *subtestFinder
+}
+
 // check sees that a patch applies, that the packages it touches build with it, and that its test exists. The tree stays
 // as it is: the patched files replace it by the build's overlay.
-func check(patch patch) error {
-	if err := checkTest(patch); err != nil {
+func (checker *checker) check(patch patch) error {
+	if err := checker.checkTest(patch); err != nil {
 		return err
 	}
 	folder, err := os.MkdirTemp("", "broken-check-")
@@ -58,27 +67,16 @@
 	return buildOverlaid(patch, folder)
 }
 
-// checkTest sees that a test file of the patch's folder has a test function whose name begins as the patch says:
-// without an end of line, a pattern of go test -run matches every name that holds it.
-func checkTest(patch patch) error {
-	match := testName.FindStringSubmatch(patch.test)
-	if match == nil {
-		return fmt.Errorf("%q names no test function", patch.test)
-	}
-	files, err := filepath.Glob(filepath.Join(patch.folder, "*_test.go"))
+// checkTest sees that the unpatched tree has a test function, and a subtest, that the patch's pattern selects.
+func (checker *checker) checkTest(patch patch) error {
+	pattern, err := parseTestPattern(patch.test)
 	if err != nil {
 		return err
 	}
-	for _, file := range files {
-		content, err := os.ReadFile(file)
-		if err != nil {
-			return err
-		}
-		if strings.Contains(string(content), "\nfunc "+match[1]) {
-			return nil
-		}
+	if err := pattern.findFunction(patch.folder); err != nil || !pattern.hasSubtests() {
+		return err
 	}
-	return fmt.Errorf("%s has no test function %s", patch.folder, match[1])
+	return checker.subtests.find(patch.folder, pattern, patch.seeds)
 }
 
 // shortened returns the beginning of a command's output.
@@ -110,7 +108,7 @@
 	}
 	arguments := append([]string{"build", "-overlay", overlayFile}, slices.Compact(packages)...)
 	if output, err := run(".", nil, "go", arguments...); err != nil {
-		return errors.New("the patched packages do not build: " + shortened(output))
+		return fmt.Errorf("%w: %s", errNotBuilding, shortened(output))
 	}
 	return nil
 }
--- a/verify/mutation/check_test.go
+++ b/verify/mutation/check_test.go
@@ -1,10 +1,12 @@
 package main
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 )
 
 const sampleHead = "Rule: a rule\nTest: ./code TestCode/^part\nSeeds: 1\nRed: broken:\n\n"
@@ -22,6 +24,31 @@
  }
 `
 
+// shortTimeout is how long the check waits for a test that takes long to start a subtest.
+const shortTimeout = 200 * time.Millisecond
+
+// sampleTest has tests and subtests that the check must not wait for.
+const sampleTest = `package code
+
+import (
+	"testing"
+	"time"
+)
+
+func TestCode(t *testing.T) {
+	for _, name := range []string{"part one", "part/two"} {
+		t.Run(name, func(t *testing.T) { time.Sleep(time.Hour) })
+	}
+}
+
+func TestCodeAlone(t *testing.T) { _ = one() }
+
+func TestLate(t *testing.T) {
+	time.Sleep(time.Hour)
+	t.Run("part", func(t *testing.T) {})
+}
+`
+
 // sampleTree makes a module with one package and its test, and makes it the working directory.
 func sampleTree(t *testing.T) {
 	t.Helper()
@@ -30,7 +57,7 @@
 	for name, content := range map[string]string{
 		"go.mod":            "module sample\n\ngo 1.26\n",
 		"code/code.go":      "package code\n\nfunc one() int {\n\treturn 1\n}\n",
-		"code/code_test.go": "package code\n\nimport \"testing\"\n\nfunc TestCode(t *testing.T) { _ = one() }\n",
+		"code/code_test.go": sampleTest,
 	} {
 		if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 			t.Fatal(err)
@@ -55,31 +82,21 @@
 }
 
 func TestCheckFindsStalePatches(t *testing.T) {
-	cases := []struct{ name, content, finding string }{
-		{"fits", sampleHead + strings.ReplaceAll(sampleDiff, "RESULT", "2"), ""},
-		{"does not apply", sampleHead + strings.ReplaceAll(sampleDiff, "return 1", "return 3"), "no longer applies"},
-		{"file is gone", sampleHead + strings.ReplaceAll(sampleDiff, "code.go", "gone.go"), "no longer applies"},
-		{"does not build", sampleHead + strings.ReplaceAll(sampleDiff, "RESULT", "unknown"), "do not build"},
-		{
-			"test is gone",
-			strings.ReplaceAll(sampleHead, "TestCode", "TestGone") + sampleDiff,
-			"no test function TestGone",
-		},
-		{
-			"names no test",
-			strings.ReplaceAll(sampleHead, "TestCode", "everything") + sampleDiff,
-			"names no test function",
-		},
+	cases := []struct {
+		name, content string
+		finding       error
+	}{
+		{"fits", sampleHead + strings.ReplaceAll(sampleDiff, "RESULT", "2"), nil},
+		{"does not apply", sampleHead + strings.ReplaceAll(sampleDiff, "return 1", "return 3"), errNotApplying},
+		{"file is gone", sampleHead + strings.ReplaceAll(sampleDiff, "code.go", "gone.go"), errNotApplying},
+		{"does not build", sampleHead + strings.ReplaceAll(sampleDiff, "RESULT", "unknown"), errNotBuilding},
 	}
 	for _, tried := range cases {
 		t.Run(tried.name, func(t *testing.T) {
 			sampleTree(t)
-			err := check(samplePatch(t, tried.content))
-			if tried.finding == "" && err != nil {
-				t.Fatal(err)
-			}
-			if tried.finding != "" && (err == nil || !strings.Contains(err.Error(), tried.finding)) {
-				t.Fatalf("wanted %q, got %v", tried.finding, err)
+			checker := &checker{subtests: newSubtestFinder(t.TempDir(), subtestTimeout)}
+			if err := checker.check(samplePatch(t, tried.content)); !errors.Is(err, tried.finding) {
+				t.Fatalf("wanted %v, got %v", tried.finding, err)
 			}
 			content, err := os.ReadFile("code/code.go")
 			if err != nil || !strings.Contains(string(content), "return 1") {
@@ -89,6 +106,45 @@
 	}
 }
 
+func TestCheckFindsMissingTests(t *testing.T) {
+	cases := []struct {
+		name, pattern string
+		finding       error
+	}{
+		{"beginnings of names", "TestCode/^part", nil},
+		{"complete names", "TestCode$/^part_one$", nil},
+		{"pattern has a space", "TestCode$/^part one$", nil},
+		{"subtest of a subtest", "TestCode$/^part$/^two$", nil},
+		{"function without subtests", "TestCodeAlone$", nil},
+		{"one of two functions", "TestCode(Alone|Twice)$", nil},
+		{"function is gone", "TestGone/^part", errNoFunction},
+		{"function with a longer name", "TestCod$", errNoFunction},
+		{"no function", "everything/^part", errNoFunctionNamed},
+		{"subtest is gone", "TestCode$/^part_three", errNoSubtest},
+		{"subtest of a subtest is gone", "TestCode$/^part$/^three", errNoSubtest},
+		{"subtest of a function without any", "TestCodeAlone$/^part", errNoSubtest},
+		{"not a pattern", "TestCode$/(", errBadPattern},
+		{"one of two patterns", "TestCode$/^gone|TestCodeAlone$", errAmbiguousTest},
+		{"no subtest in time", "TestLate$/^part", errSubtestTimeout},
+	}
+	sampleTree(t)
+	subtests := newSubtestFinder(t.TempDir(), subtestTimeout)
+	for _, tried := range cases {
+		t.Run(tried.name, func(t *testing.T) {
+			subtests.timeout = subtestTimeout
+			if errors.Is(tried.finding, errSubtestTimeout) {
+				subtests.timeout = shortTimeout
+			}
+			head := strings.ReplaceAll(sampleHead, "TestCode/^part", tried.pattern)
+			patch := samplePatch(t, head+strings.ReplaceAll(sampleDiff, "RESULT", "2"))
+			checker := &checker{subtests: subtests}
+			if err := checker.check(patch); !errors.Is(err, tried.finding) {
+				t.Fatalf("wanted %v, got %v", tried.finding, err)
+			}
+		})
+	}
+}
+
 func TestPatchesWantAWholeHead(t *testing.T) {
 	for _, content := range []string{
 		strings.ReplaceAll(sampleHead, "Rule: a rule\n", "") + sampleDiff,
--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -6,7 +6,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -34,7 +33,7 @@
 	}
 	patches = matching(patches, chosen.only)
 	if len(patches) == 0 || chosen.jobs < 1 {
-		exit(errors.New("nothing to do: give --only a pattern of names that --list shows, and --jobs of at least 1"))
+		exit(errNothingToDo)
 	}
 	if chosen.list {
 		list(patches)
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("listing the patches in %s: %w", folder, err)
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("no patches in %s: start this from the root of the tree", folder)
+		return nil, fmt.Errorf("%s: %w", folder, errNoPatches)
 	}
 	sort.Strings(files)
 	patches := make([]patch, 0, len(files))
@@ -69,18 +69,18 @@
 	}
 	read.folder, read.test, _ = strings.Cut(fields["Test"], " ")
 	if read.rule == "" || read.test == "" || fields["Red"] == "" {
-		return patch{}, fmt.Errorf("%s: its head wants Rule, Test and Red", file)
+		return patch{}, fmt.Errorf("%s: %w", file, errIncompleteHead)
 	}
 	red, err := regexp.Compile(fields["Red"])
 	if err != nil {
-		return patch{}, fmt.Errorf("%s: Red: %w", file, err)
+		return patch{}, fmt.Errorf("%s: Red: %w: %w", file, errBadPattern, err)
 	}
 	read.red = red
 	for _, match := range touchedFile.FindAllStringSubmatch(body, -1) {
 		read.touched = append(read.touched, match[1])
 	}
 	if len(read.touched) == 0 {
-		return patch{}, fmt.Errorf("%s: it changes no file", file)
+		return patch{}, fmt.Errorf("%s: %w", file, errNoFiles)
 	}
 	return read, nil
 }
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -8,6 +8,9 @@
 	"sync"
 )
 
+// seedsVariable is the environment variable by which the tests of the simulator get their number of seeds.
+const seedsVariable = "WARDTRAY_SEEDS"
+
 // tryAll runs each patch's test on a patched copy of the tree and reports whether every one was noticed.
 func tryAll(patches []patch, jobs int) bool {
 	var printing sync.Mutex
@@ -41,19 +44,19 @@
 		return "", err
 	}
 	if output, err := run(folder, nil, "go", "build", "./..."); err != nil {
-		return "", fmt.Errorf("the patched tree does not build: %s", shortened(output))
+		return "", fmt.Errorf("%w: %s", errNotBuilding, shortened(output))
 	}
-	output, err := run(folder, []string{"WARDTRAY_SEEDS=" + patch.seeds}, "go", "test", patch.folder, "-run",
+	output, err := run(folder, []string{seedsVariable + "=" + patch.seeds}, "go", "test", patch.folder, "-run",
 		patch.test, "-count=1", "-timeout", "20m")
 	if err == nil {
-		return "", fmt.Errorf("%s stays green", patch.test)
+		return "", fmt.Errorf("%w: %s", errStaysGreen, patch.test)
 	}
 	for _, line := range strings.Split(output, "\n") {
 		if patch.red.MatchString(line) {
 			return strings.TrimSpace(line[:min(len(line), 200)]), nil
 		}
 	}
-	return "", fmt.Errorf("red, but not for %q: %s", patch.red, shortened(output))
+	return "", fmt.Errorf("%w than %q: %s", errOtherFailure, patch.red, shortened(output))
 }
 
 // apply applies a patch to the files in a folder, which holds at least those that the patch changes.
@@ -65,7 +68,7 @@
 	// Outside a repository git applies to the folder it runs in; a repository around the folder must not change that.
 	environment := []string{"GIT_CEILING_DIRECTORIES=" + filepath.Dir(folder)}
 	if output, err := run(folder, environment, "git", "apply", "--whitespace=nowarn", absolute); err != nil {
-		return fmt.Errorf("the patch no longer applies: %s", strings.TrimSpace(output))
+		return fmt.Errorf("%w: %s", errNotApplying, strings.TrimSpace(output))
 	}
 	return nil
 }
