--- a/verify/mutation/check_test.go
+++ b/verify/mutation/check_test.go
@@ -41,7 +41,11 @@
 	}
 }
 
-func TestCodeAlone(t *testing.T) { _ = one() }
+func TestCodeAlone(t *testing.T) {
+	if got := one(); got != 1 {
+		t.Errorf("broken: %d", got)
+	}
+}
 
 func TestLate(t *testing.T) {
 	time.Sleep(time.Hour)
--- /dev/null
+++ b/verify/mutation/trial_test.go
@@ -0,0 +1,36 @@
+package main
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestTrial(t *testing.T) {
+	const red = "Red: broken:"
+	cases := []struct {
+		name, red, result string
+		finding           error
+	}{
+		{"noticed", red, "2", nil},
+		{"does not build", red, "unknown", errNotBuilding},
+		{"stays green", red, "1 + 0", errStaysGreen},
+		{"red for another reason", "Red: lost:", "2", errOtherFailure},
+	}
+	sampleTree(t)
+	if output, err := run(".", nil, "git", "init", "--quiet"); err != nil {
+		t.Fatal(err, output)
+	}
+	for _, tried := range cases {
+		t.Run(tried.name, func(t *testing.T) {
+			head := strings.NewReplacer("TestCode/^part", "TestCodeAlone$", red, tried.red).Replace(sampleHead)
+			line, err := try(samplePatch(t, head+strings.ReplaceAll(sampleDiff, "RESULT", tried.result)))
+			if !errors.Is(err, tried.finding) {
+				t.Fatalf("wanted %v, got %v", tried.finding, err)
+			}
+			if noticed := strings.HasSuffix(line, "broken: 2"); noticed != (tried.finding == nil) {
+				t.Errorf("noticed by %q", line)
+			}
+		})
+	}
+}
