--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -6,11 +6,15 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"time"
 )
 
 // seedsVariable is the environment variable by which the tests of the simulator get their number of seeds.
 const seedsVariable = "WARDTRAY_SEEDS"
 
+// trialTimeout is how long the test of a patch may take.
+const trialTimeout = 20 * time.Minute
+
 // tryAll runs each patch's test on a patched copy of the tree and reports whether every one was noticed.
 func tryAll(patches []patch, jobs int) bool {
 	var printing sync.Mutex
@@ -43,11 +47,15 @@
 	if err := apply(patch, folder); err != nil {
 		return "", err
 	}
-	if output, err := run(folder, nil, "go", "build", "./..."); err != nil {
+	if output, err := run(folder, nil, "go", "build", "-trimpath", "./..."); err != nil {
 		return "", fmt.Errorf("%w: %s", errNotBuilding, shortened(output))
 	}
-	output, err := run(folder, []string{seedsVariable + "=" + patch.seeds}, "go", "test", patch.folder, "-run",
-		patch.test, "-count=1", "-timeout", "20m")
+	binary := filepath.Join(folder, "trial.test")
+	if err := compileTests(folder, patch.folder, binary); err != nil {
+		return "", err
+	}
+	output, err := run(filepath.Join(folder, patch.folder), []string{seedsVariable + "=" + patch.seeds}, binary,
+		"-test.paniconexit0", "-test.timeout", trialTimeout.String(), "-test.run", patch.test)
 	if err == nil {
 		return "", fmt.Errorf("%w: %s", errStaysGreen, patch.test)
 	}
