--- a/coordination/registry/registrar_test.go
+++ b/coordination/registry/registrar_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -165,6 +166,39 @@
 	}
 }
 
+// No call of a leaving runner, whether it drains or is removed, is accepted while a daemon that might acknowledge has
+// not.
+func TestLeavingIsNotAcceptedBeforeTheDaemonsKnow(t *testing.T) {
+	for name, leave := range map[string]func(core *core, answer func(outcome Outcome)){
+		"draining": func(core *core, answer func(outcome Outcome)) {
+			core.registrar.Register(core.now, draining(2), answer)
+		},
+		"removed": func(core *core, answer func(outcome Outcome)) {
+			core.registrar.Deregister(core.now, "r1", answer)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			core := newCore(t)
+			core.daemons = []string{"d0", "d1", "d2"}
+			core.register(ready("r1", 1))
+			core.advance(50 * time.Millisecond)
+			core.updates()
+			var outcomes []Outcome
+			leave(core, func(outcome Outcome) { outcomes = append(outcomes, outcome) })
+			nonce := core.updates()["d0"][0].Nonce
+			for _, daemon := range core.daemons {
+				if core.advance(50 * time.Millisecond); len(outcomes) != 0 {
+					t.Fatalf("%q before %s knew", outcomes, daemon)
+				}
+				core.acknowledge(daemon, nonce)
+			}
+			if !slices.Equal(outcomes, []Outcome{Accepted}) {
+				t.Errorf("%q once all knew", outcomes)
+			}
+		})
+	}
+}
+
 // A daemon that does not acknowledge is sent the update again and again; the runner does not wait for it.
 func TestDrainingIsSentAgainUntilAcknowledged(t *testing.T) {
 	core := newCore(t)
