--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -29,6 +29,31 @@
 	}
 }
 
+// No member passes an entry on, or acknowledges it, before its own disk has synced it.
+func TestMembersAnnounceOnlyWhatTheySynced(t *testing.T) {
+	cluster := newCluster("a", "b")
+	cluster.deliver()
+	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
+		t.Fatal(err)
+	}
+	cluster.gather()
+	for _, message := range cluster.messages {
+		if message.envelope.GetChainForward().GetEntry() != nil {
+			t.Fatalf("%s passes on what it has not synced", message.from)
+		}
+	}
+	cluster.sync("a")
+	cluster.deliver()
+	if synced := cluster.chains["a"].successorProgress.synced; synced != 0 {
+		t.Fatalf("b announces sequence %d, which it has not synced", synced)
+	}
+	cluster.sync("b")
+	cluster.deliver()
+	if synced := cluster.chains["a"].successorProgress.synced; synced != 1 {
+		t.Errorf("b announces sequence %d after it has synced the first", synced)
+	}
+}
+
 // A member that left the chain with a change that no other has drops it when it rejoins.
 func TestUncommittedChangeOfARejoiningMemberIsDropped(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
