--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -7,13 +7,9 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 )
 
-// outputBound is how many bytes of a command's output are printed.
-const outputBound = 600
-
 // checkAll reports whether every patch still fits the tree; it prints those that don't.
 func checkAll(patches []patch, jobs int) bool {
 	folder, err := os.MkdirTemp("", "broken-tests-")
@@ -79,12 +75,6 @@
 	return checker.subtests.find(patch.folder, pattern, patch.seeds)
 }
 
-// shortened returns the beginning of a command's output.
-func shortened(output string) string {
-	output = strings.TrimSpace(output)
-	return output[:min(len(output), outputBound)]
-}
-
 // buildOverlaid builds the packages that a patch touches, with the patched files from a folder in place of the tree's.
 func buildOverlaid(patch patch, folder string) error {
 	replacements := map[string]string{}
--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -5,12 +5,9 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"os"
-	"os/exec"
 	"regexp"
-	"sync"
 
 	"github.com/alecthomas/kingpin/v2"
 )
@@ -66,54 +63,3 @@
 	fmt.Fprintln(os.Stderr, "broken:", err)
 	os.Exit(2)
 }
-
-func matching(patches []patch, only *regexp.Regexp) []patch {
-	var chosen []patch
-	for _, patch := range patches {
-		if only == nil || only.MatchString(patch.name) {
-			chosen = append(chosen, patch)
-		}
-	}
-	return chosen
-}
-
-func list(patches []patch) {
-	for _, patch := range patches {
-		fmt.Printf("%-24s %s\n", patch.name, patch.rule)
-	}
-}
-
-// forEach calls work for every patch, with at most jobs of them at once, and returns the number of calls that returned
-// true.
-func forEach(patches []patch, jobs int, work func(patch) bool) int {
-	waiting := make(chan patch)
-	var mutex sync.Mutex
-	var workers sync.WaitGroup
-	succeeded := 0
-	for range jobs {
-		workers.Go(func() {
-			for patch := range waiting {
-				if work(patch) {
-					mutex.Lock()
-					succeeded++
-					mutex.Unlock()
-				}
-			}
-		})
-	}
-	for _, patch := range patches {
-		waiting <- patch
-	}
-	close(waiting)
-	workers.Wait()
-	return succeeded
-}
-
-// run returns a command's standard output and standard error together; environment is added to the process's own.
-func run(folder string, environment []string, program string, arguments ...string) (string, error) {
-	command := exec.CommandContext(context.Background(), program, arguments...)
-	command.Dir = folder
-	command.Env = append(os.Environ(), environment...)
-	output, err := command.CombinedOutput()
-	return string(output), err
-}
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -84,3 +84,19 @@
 	}
 	return read, nil
 }
+
+func matching(patches []patch, only *regexp.Regexp) []patch {
+	var chosen []patch
+	for _, patch := range patches {
+		if only == nil || only.MatchString(patch.name) {
+			chosen = append(chosen, patch)
+		}
+	}
+	return chosen
+}
+
+func list(patches []patch) {
+	for _, patch := range patches {
+		fmt.Printf("%-24s %s\n", patch.name, patch.rule)
+	}
+}
--- /dev/null
+++ b/verify/mutation/tree.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+)
+
+// apply applies a patch to the files in a folder, which holds at least those that the patch changes.
+func apply(patch patch, folder string) error {
+	absolute, err := filepath.Abs(patch.file)
+	if err != nil {
+		return err
+	}
+	// Outside a repository git applies to the folder it runs in; a repository around the folder must not change that.
+	environment := []string{"GIT_CEILING_DIRECTORIES=" + filepath.Dir(folder)}
+	if output, err := run(folder, environment, "git", "apply", "--whitespace=nowarn", absolute); err != nil {
+		return fmt.Errorf("%w: %s", errNotApplying, strings.TrimSpace(output))
+	}
+	return nil
+}
+
+// copyTree copies what git tracks, or would, into a folder.
+func copyTree(folder string) error {
+	listed, err := run(".", nil, "git", "ls-files", "--cached", "--others", "--exclude-standard")
+	if err != nil {
+		return fmt.Errorf("asking git for the tree: %s", listed)
+	}
+	for _, file := range strings.Split(strings.TrimSpace(listed), "\n") {
+		if err := copyFile(file, filepath.Join(folder, file)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// copyFile copies a file's content; it makes the folders above the target.
+func copyFile(source, target string) error {
+	content, err := os.ReadFile(source)
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
+		return err
+	}
+	return os.WriteFile(target, content, 0o644)
+}
+
+func removeAll(folder string) { _ = os.RemoveAll(folder) }
