--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -7,29 +7,24 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"sync"
 )
 
 // checkAll reports whether every patch still fits the tree; it prints those that don't.
-func checkAll(patches []patch, jobs int) bool {
+func checkAll(patches []mutation, jobs int) (bool, error) {
 	folder, err := os.MkdirTemp("", "broken-tests-")
 	if err != nil {
-		exit(err)
+		return false, err
 	}
 	defer removeAll(folder)
 	checker := &checker{subtests: newSubtestFinder(folder, subtestTimeout)}
-	var printing sync.Mutex
-	fitting := forEach(patches, jobs, func(patch patch) bool {
-		err := checker.check(patch)
-		if err != nil {
-			printing.Lock()
-			fmt.Printf("STALE   %-24s %v\n", patch.name, err)
-			printing.Unlock()
+	fitting := judgeAll(patches, jobs, func(patch mutation) verdict {
+		if err := checker.check(patch); err != nil {
+			return verdict{line: labelled("STALE", patch, err.Error())}
 		}
-		return err == nil
+		return verdict{succeeded: true}
 	})
 	fmt.Printf("%d of %d pieces of broken code apply, build and name their test\n", fitting, len(patches))
-	return fitting == len(patches)
+	return fitting == len(patches), nil
 }
 
 // checker checks that patches still fit the tree, without running their tests to the end. It doesn't see whether a test
@@ -41,7 +36,7 @@
 
 // check sees that a patch applies, that the packages it touches build with it, and that its test exists. The tree stays
 // as it is: the patched files replace it by the build's overlay.
-func (checker *checker) check(patch patch) error {
+func (checker *checker) check(patch mutation) error {
 	if err := checker.checkTest(patch); err != nil {
 		return err
 	}
@@ -49,7 +44,6 @@
 	if err != nil {
 		return err
 	}
-	// A copy that stays behind in the temporary folder does no harm.
 	defer removeAll(folder)
 	for _, file := range patch.touched {
 		// A file that the tree doesn't have may be one that the patch makes; applying it tells.
@@ -64,41 +58,46 @@
 }
 
 // checkTest sees that the unpatched tree has a test function, and a subtest, that the patch's pattern selects.
-func (checker *checker) checkTest(patch patch) error {
+func (checker *checker) checkTest(patch mutation) error {
 	pattern, err := parseTestPattern(patch.test)
 	if err != nil {
 		return err
 	}
-	if err := pattern.findFunction(patch.folder); err != nil || !pattern.hasSubtests() {
+	if err := pattern.findFunction(patch.packageFolder); err != nil || !pattern.hasSubtests() {
 		return err
 	}
-	return checker.subtests.find(patch.folder, pattern, patch.seeds)
+	return checker.subtests.find(patch.packageFolder, pattern, patch.seeds)
+}
+
+// overlay is the file of go build's flag of that name: paths, and the files that replace them.
+type overlay struct {
+	Replace map[string]string
 }
 
 // buildOverlaid builds the packages that a patch touches, with the patched files from a folder in place of the tree's.
-func buildOverlaid(patch patch, folder string) error {
-	replacements := map[string]string{}
-	var packages []string
+func buildOverlaid(patch mutation, folder string) error {
+	patched := overlay{Replace: map[string]string{}}
+	packages := make([]string, 0, len(patch.touched))
 	for _, file := range patch.touched {
 		absolute, err := filepath.Abs(file)
 		if err != nil {
 			return err
 		}
-		replacements[absolute] = filepath.Join(folder, file)
+		patched.Replace[absolute] = filepath.Join(folder, file)
 		packages = append(packages, "./"+filepath.Dir(file))
 	}
 	slices.Sort(packages)
-	overlay, err := json.Marshal(map[string]map[string]string{"Replace": replacements})
+	content, err := json.Marshal(patched)
 	if err != nil {
 		return err
 	}
 	overlayFile := filepath.Join(folder, "overlay.json")
-	if err := os.WriteFile(overlayFile, overlay, 0o644); err != nil {
+	if err := os.WriteFile(overlayFile, content, filePermissions); err != nil {
 		return err
 	}
 	arguments := append([]string{"build", "-overlay", overlayFile}, slices.Compact(packages)...)
 	if output, err := run(".", nil, "go", arguments...); err != nil {
-		return fmt.Errorf("%w: %s", errNotBuilding, shortened(output))
+		return fmt.Errorf("%w: %s", errNotBuilding, beginning(output))
 	}
 	return nil
 }
--- a/verify/mutation/check_test.go
+++ b/verify/mutation/check_test.go
@@ -73,7 +73,7 @@
 }
 
 // samplePatch writes and reads a patch.
-func samplePatch(t *testing.T, content string) patch {
+func samplePatch(t *testing.T, content string) mutation {
 	t.Helper()
 	if err := os.WriteFile("sample.patch", []byte(content), 0o644); err != nil {
 		t.Fatal(err)
@@ -150,15 +150,19 @@
 }
 
 func TestPatchesWantAWholeHead(t *testing.T) {
-	for _, content := range []string{
-		strings.ReplaceAll(sampleHead, "Rule: a rule\n", "") + sampleDiff,
-		strings.ReplaceAll(sampleHead, "Test: ./code TestCode/^part\n", "") + sampleDiff,
-		strings.ReplaceAll(sampleHead, "Red: broken:\n", "") + sampleDiff,
-		strings.ReplaceAll(sampleHead, "Red: broken:", "Red: (") + sampleDiff,
-		sampleHead,
+	for _, tried := range []struct {
+		content string
+		finding error
+	}{
+		{sampleHead + sampleDiff, nil},
+		{strings.ReplaceAll(sampleHead, "Rule: a rule\n", "") + sampleDiff, errIncompleteHead},
+		{strings.ReplaceAll(sampleHead, "Test: ./code TestCode/^part\n", "") + sampleDiff, errIncompleteHead},
+		{strings.ReplaceAll(sampleHead, "Red: broken:\n", "") + sampleDiff, errIncompleteHead},
+		{strings.ReplaceAll(sampleHead, "Red: broken:", "Red: (") + sampleDiff, errBadPattern},
+		{sampleHead, errNoFiles},
 	} {
-		if read, err := parsePatch("sample.patch", content); err == nil {
-			t.Errorf("taken as %+v: %q", read, content)
+		if read, err := parsePatch("sample.patch", tried.content); !errors.Is(err, tried.finding) {
+			t.Errorf("wanted %v, got %v, %+v: %q", tried.finding, err, read, tried.content)
 		}
 	}
 }
--- a/verify/mutation/command.go
+++ b/verify/mutation/command.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// outputBound is how many bytes of a command's output are printed.
-const outputBound = 600
+// outputLimit is how many bytes of a command's output are printed.
+const outputLimit = 600
 
 // run returns a command's standard output and standard error together; environment is added to the process's own.
 func run(folder string, environment []string, program string, arguments ...string) (string, error) {
@@ -19,8 +19,8 @@
 	return string(output), err
 }
 
-// shortened returns the beginning of a command's output.
-func shortened(output string) string {
+// beginning returns the beginning of a command's output.
+func beginning(output string) string {
 	output = strings.TrimSpace(output)
-	return output[:min(len(output), outputBound)]
+	return output[:min(len(output), outputLimit)]
 }
--- a/verify/mutation/errors.go
+++ b/verify/mutation/errors.go
@@ -22,6 +22,9 @@
 	errSubtestTimeout   = errors.New("the test started no subtest of the pattern in time")
 )
 
+// errNoTree is returned where git does not list the files of the tree.
+var errNoTree = errors.New("git does not list the tree")
+
 // Why a trial did not notice a patch.
 var (
 	errStaysGreen   = errors.New("the test stays green")
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// patch is one piece of broken code with what must notice it.
-type patch struct {
+// mutation is one piece of broken code, kept as a patch, with the test that must notice it.
+type mutation struct {
 	// name is the file's name without its ending; file is the path of the patch.
 	name, file string
 	// rule says which rule the code breaks, and how.
 	rule string
-	// test is the pattern of the test that must fail, in the package at folder.
-	folder, test string
+	// packageFolder is the folder of the test's package, and test the pattern of the test that must fail.
+	packageFolder, test string
 	// seeds is the value of WARDTRAY_SEEDS for the test.
 	seeds string
 	// red is the pattern of the line by which the test must fail.
@@ -29,7 +29,7 @@
 var touchedFile = regexp.MustCompile(`(?m)^\+\+\+ b/(\S+)$`)
 
 // readPatches reads every patch in a folder, sorted by name.
-func readPatches(folder string) ([]patch, error) {
+func readPatches(folder string) ([]mutation, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.patch"))
 	if err != nil {
 		return nil, fmt.Errorf("listing the patches in %s: %w", folder, err)
@@ -38,7 +38,7 @@
 		return nil, fmt.Errorf("%s: %w", folder, errNoPatches)
 	}
 	sort.Strings(files)
-	patches := make([]patch, 0, len(files))
+	patches := make([]mutation, 0, len(files))
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
@@ -54,48 +54,50 @@
 }
 
 // parsePatch reads a patch's head, which ends with the first empty line, and the names of the files it changes.
-func parsePatch(file, content string) (patch, error) {
+func parsePatch(file, content string) (mutation, error) {
 	head, body, _ := strings.Cut(content, "\n\n")
 	fields := map[string]string{}
 	for _, line := range strings.Split(head, "\n") {
 		name, value, _ := strings.Cut(line, ": ")
 		fields[name] = value
 	}
-	read := patch{
+	read := mutation{
 		name:  strings.TrimSuffix(filepath.Base(file), ".patch"),
 		file:  file,
 		rule:  fields["Rule"],
 		seeds: fields["Seeds"],
 	}
-	read.folder, read.test, _ = strings.Cut(fields["Test"], " ")
+	read.packageFolder, read.test, _ = strings.Cut(fields["Test"], " ")
 	if read.rule == "" || read.test == "" || fields["Red"] == "" {
-		return patch{}, fmt.Errorf("%s: %w", file, errIncompleteHead)
+		return mutation{}, fmt.Errorf("%s: %w", file, errIncompleteHead)
 	}
 	red, err := regexp.Compile(fields["Red"])
 	if err != nil {
-		return patch{}, fmt.Errorf("%s: Red: %w: %w", file, errBadPattern, err)
+		return mutation{}, fmt.Errorf("%s: Red: %w: %w", file, errBadPattern, err)
 	}
 	read.red = red
 	for _, match := range touchedFile.FindAllStringSubmatch(body, -1) {
 		read.touched = append(read.touched, match[1])
 	}
 	if len(read.touched) == 0 {
-		return patch{}, fmt.Errorf("%s: %w", file, errNoFiles)
+		return mutation{}, fmt.Errorf("%s: %w", file, errNoFiles)
 	}
 	return read, nil
 }
 
-func matching(patches []patch, only *regexp.Regexp) []patch {
-	var chosen []patch
+// selectPatches returns the patches whose names match a pattern; nil matches all.
+func selectPatches(patches []mutation, only *regexp.Regexp) []mutation {
+	var selected []mutation
 	for _, patch := range patches {
 		if only == nil || only.MatchString(patch.name) {
-			chosen = append(chosen, patch)
+			selected = append(selected, patch)
 		}
 	}
-	return chosen
+	return selected
 }
 
-func list(patches []patch) {
+// printRules prints the patches with the rules that they break.
+func printRules(patches []mutation) {
 	for _, patch := range patches {
 		fmt.Printf("%-24s %s\n", patch.name, patch.rule)
 	}
--- a/verify/mutation/subtests.go
+++ b/verify/mutation/subtests.go
@@ -78,7 +78,7 @@
 func compileTests(tree, packageFolder, path string) error {
 	output, err := run(tree, nil, "go", "test", "-c", "-trimpath", "-o", path, packageFolder)
 	if err != nil {
-		return fmt.Errorf("%w: %s", errTestsNotBuilding, shortened(output))
+		return fmt.Errorf("%w: %s", errTestsNotBuilding, beginning(output))
 	}
 	return nil
 }
--- a/verify/mutation/tree.go
+++ b/verify/mutation/tree.go
@@ -7,8 +7,14 @@
 	"strings"
 )
 
+// Permissions of what is written into temporary folders.
+const (
+	filePermissions   = 0o644
+	folderPermissions = 0o755
+)
+
 // apply applies a patch to the files in a folder, which holds at least those that the patch changes.
-func apply(patch patch, folder string) error {
+func apply(patch mutation, folder string) error {
 	absolute, err := filepath.Abs(patch.file)
 	if err != nil {
 		return err
@@ -16,7 +22,7 @@
 	// Outside a repository git applies to the folder it runs in; a repository around the folder must not change that.
 	environment := []string{"GIT_CEILING_DIRECTORIES=" + filepath.Dir(folder)}
 	if output, err := run(folder, environment, "git", "apply", "--whitespace=nowarn", absolute); err != nil {
-		return fmt.Errorf("%w: %s", errNotApplying, strings.TrimSpace(output))
+		return fmt.Errorf("%w: %s", errNotApplying, beginning(output))
 	}
 	return nil
 }
@@ -25,7 +31,7 @@
 func copyTree(folder string) error {
 	listed, err := run(".", nil, "git", "ls-files", "--cached", "--others", "--exclude-standard")
 	if err != nil {
-		return fmt.Errorf("asking git for the tree: %s", listed)
+		return fmt.Errorf("%w: %s", errNoTree, beginning(listed))
 	}
 	for _, file := range strings.Split(strings.TrimSpace(listed), "\n") {
 		if err := copyFile(file, filepath.Join(folder, file)); err != nil {
@@ -41,10 +47,11 @@
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(target), folderPermissions); err != nil {
 		return err
 	}
-	return os.WriteFile(target, content, 0o644)
+	return os.WriteFile(target, content, filePermissions)
 }
 
+// removeAll removes a folder. One that stays behind in the temporary folder does no harm.
 func removeAll(folder string) { _ = os.RemoveAll(folder) }
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -1,45 +1,52 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
 	"time"
 )
 
 // seedsVariable is the environment variable by which the tests of the simulator get their number of seeds.
 const seedsVariable = "WARDTRAY_SEEDS"
 
+// lineLimit is how many bytes are printed of the line by which a test notices a patch.
+const lineLimit = 200
+
 // trialTimeout is how long the test of a patch may take.
 const trialTimeout = 20 * time.Minute
 
 // tryAll runs each patch's test on a patched copy of the tree and reports whether every one was noticed.
-func tryAll(patches []patch, jobs int) bool {
-	var printing sync.Mutex
-	noticed := forEach(patches, jobs, func(patch patch) bool {
+func tryAll(patches []mutation, jobs int) bool {
+	noticed := judgeAll(patches, jobs, func(patch mutation) verdict {
 		line, err := try(patch)
-		printing.Lock()
-		defer printing.Unlock()
-		if err != nil {
-			fmt.Printf("MISSED  %-24s %v\n", patch.name, err)
-			return false
-		}
-		fmt.Printf("noticed %-24s %s\n", patch.name, line)
-		return true
+		return trialVerdict(patch, line, err)
 	})
 	fmt.Printf("%d of %d pieces of broken code noticed\n", noticed, len(patches))
 	return noticed == len(patches)
 }
 
-// try returns the line by which the test noticed a patch.
-func try(patch patch) (string, error) {
+// trialVerdict tells a patch that its test missed from one that could not be tried.
+func trialVerdict(patch mutation, line string, err error) verdict {
+	switch {
+	case err == nil:
+		return verdict{succeeded: true, line: labelled("noticed", patch, line)}
+	case errors.Is(err, errStaysGreen), errors.Is(err, errOtherFailure):
+		return verdict{line: labelled("MISSED", patch, err.Error())}
+	default:
+		return verdict{line: labelled("NOT RUN", patch, err.Error())}
+	}
+}
+
+// try returns the line by which the test noticed a patch. The error is errStaysGreen or errOtherFailure where the test
+// did not; with any other error the test was not run.
+func try(patch mutation) (string, error) {
 	folder, err := os.MkdirTemp("", "broken-")
 	if err != nil {
 		return "", err
 	}
-	// A copy that stays behind in the temporary folder does no harm.
 	defer removeAll(folder)
 	if err := copyTree(folder); err != nil {
 		return "", err
@@ -48,21 +55,27 @@
 		return "", err
 	}
 	if output, err := run(folder, nil, "go", "build", "-trimpath", "./..."); err != nil {
-		return "", fmt.Errorf("%w: %s", errNotBuilding, shortened(output))
+		return "", fmt.Errorf("%w: %s", errNotBuilding, beginning(output))
 	}
 	binary := filepath.Join(folder, "trial.test")
-	if err := compileTests(folder, patch.folder, binary); err != nil {
+	if err := compileTests(folder, patch.packageFolder, binary); err != nil {
 		return "", err
 	}
-	output, err := run(filepath.Join(folder, patch.folder), []string{seedsVariable + "=" + patch.seeds}, binary,
+	return runTest(patch, folder, binary)
+}
+
+// runTest runs the test of a patch by its binary and returns the line by which it noticed the patch.
+func runTest(patch mutation, folder, binary string) (string, error) {
+	output, err := run(filepath.Join(folder, patch.packageFolder), []string{seedsVariable + "=" + patch.seeds}, binary,
 		"-test.paniconexit0", "-test.timeout", trialTimeout.String(), "-test.run", patch.test)
 	if err == nil {
 		return "", fmt.Errorf("%w: %s", errStaysGreen, patch.test)
 	}
-	for _, line := range strings.Split(output, "\n") {
+	for line := range strings.Lines(output) {
+		line = strings.TrimSuffix(line, "\n")
 		if patch.red.MatchString(line) {
-			return strings.TrimSpace(line[:min(len(line), 200)]), nil
+			return strings.TrimSpace(line[:min(len(line), lineLimit)]), nil
 		}
 	}
-	return "", fmt.Errorf("%w than %q: %s", errOtherFailure, patch.red, shortened(output))
+	return "", fmt.Errorf("%w than %q: %s", errOtherFailure, patch.red, beginning(output))
 }
--- a/verify/mutation/trial_test.go
+++ b/verify/mutation/trial_test.go
@@ -11,11 +11,12 @@
 	cases := []struct {
 		name, red, result string
 		finding           error
+		label             string
 	}{
-		{"noticed", red, "2", nil},
-		{"does not build", red, "unknown", errNotBuilding},
-		{"stays green", red, "1 + 0", errStaysGreen},
-		{"red for another reason", "Red: lost:", "2", errOtherFailure},
+		{"noticed", red, "2", nil, "noticed "},
+		{"does not build", red, "unknown", errNotBuilding, "NOT RUN "},
+		{"stays green", red, "1 + 0", errStaysGreen, "MISSED  "},
+		{"red for another reason", "Red: lost:", "2", errOtherFailure, "MISSED  "},
 	}
 	sampleTree(t)
 	if output, err := run(".", nil, "git", "init", "--quiet"); err != nil {
@@ -24,13 +25,18 @@
 	for _, tried := range cases {
 		t.Run(tried.name, func(t *testing.T) {
 			head := strings.NewReplacer("TestCode/^part", "TestCodeAlone$", red, tried.red).Replace(sampleHead)
-			line, err := try(samplePatch(t, head+strings.ReplaceAll(sampleDiff, "RESULT", tried.result)))
+			patch := samplePatch(t, head+strings.ReplaceAll(sampleDiff, "RESULT", tried.result))
+			line, err := try(patch)
 			if !errors.Is(err, tried.finding) {
 				t.Fatalf("wanted %v, got %v", tried.finding, err)
 			}
 			if noticed := strings.HasSuffix(line, "broken: 2"); noticed != (tried.finding == nil) {
 				t.Errorf("noticed by %q", line)
 			}
+			judged := trialVerdict(patch, line, err)
+			if judged.succeeded != (tried.finding == nil) || !strings.HasPrefix(judged.line, tried.label) {
+				t.Errorf("judged %+v", judged)
+			}
 		})
 	}
 }
