--- a/balancer/load/report_test.go
+++ b/balancer/load/report_test.go
@@ -31,7 +31,7 @@
 	}
 	later := now.Add(time.Minute)
 	if stale := table.RunnersToPoll(later, time.Second, true); len(stale) != 1 || stale[0].ID != "busy" {
-		t.Fatal(stale)
+		t.Fatalf("polled: %v, want only the busy runner", stale)
 	}
 	if !table.ReportFailed(later, "busy", apierror.Unreachable) {
 		t.Fatal("it does not count as failed")
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -19,7 +19,8 @@
 	packageFolder, test string
 	// seeds is the value of WARDTRAY_SEEDS for the test.
 	seeds string
-	// red is the pattern of the line by which the test must fail.
+	// red is the pattern of the reason for which the test must fail: a line of its output, without the position, that does
+	// not only name the test.
 	red *regexp.Regexp
 	// touched are the files that the patch changes, relative to the root of the tree.
 	touched []string
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"time"
 )
@@ -28,6 +29,22 @@
 	return noticed == len(patches)
 }
 
+var (
+	// failedTest matches the line by which a test binary reports any failed test.
+	failedTest = regexp.MustCompile(`^--- FAIL: `)
+	// failurePosition matches what stands before the text of any failure: the file and the line.
+	failurePosition = regexp.MustCompile(`^\w+_test\.go:\d+: `)
+)
+
+// reason returns what a trimmed line of a failed test's output says about the reason: nothing where it only names the
+// test, and the text without the position where it reports a failure.
+func reason(line string) string {
+	if failedTest.MatchString(line) {
+		return ""
+	}
+	return failurePosition.ReplaceAllString(line, "")
+}
+
 // trialVerdict tells a patch that its test missed from one that could not be tried.
 func trialVerdict(patch mutation, line string, err error) verdict {
 	switch {
@@ -72,9 +89,9 @@
 		return "", fmt.Errorf("%w: %s", errStaysGreen, patch.test)
 	}
 	for line := range strings.Lines(output) {
-		line = strings.TrimSuffix(line, "\n")
-		if patch.red.MatchString(line) {
-			return strings.TrimSpace(line[:min(len(line), lineLimit)]), nil
+		line = strings.TrimSpace(line)
+		if patch.red.MatchString(reason(line)) {
+			return line[:min(len(line), lineLimit)], nil
 		}
 	}
 	return "", fmt.Errorf("%w than %q: %s", errOtherFailure, patch.red, beginning(output))
--- a/verify/mutation/trial_test.go
+++ b/verify/mutation/trial_test.go
@@ -17,6 +17,8 @@
 		{"does not build", red, "unknown", errNotBuilding, "NOT RUN "},
 		{"stays green", red, "1 + 0", errStaysGreen, "MISSED  "},
 		{"red for another reason", "Red: lost:", "2", errOtherFailure, "MISSED  "},
+		{"red by the test's name only", "Red: TestCodeAlone", "2", errOtherFailure, "MISSED  "},
+		{"red by the file's name only", "Red: code_test", "2", errOtherFailure, "MISSED  "},
 	}
 	sampleTree(t)
 	if output, err := run(".", nil, "git", "init", "--quiet"); err != nil {
