--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -1,54 +1,75 @@
-// Command broken proves that the tests can fail: it applies each patch of broken code to a copy of the
-// tree, runs the test that the patch names, and wants it red for the reason that the patch names.
+// Command mutation proves that the tests can fail: it applies each patch of broken code to a copy of the tree, runs the
+// test that the patch names, and wants it red for the reason that the patch names.
 //
-// With --check no test is run: each patch must still apply, build, and name a test that exists.
+// With --check no test is run to its end: each patch must still apply, build, and name a test, and a subtest, that
+// exists.
 package main
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"regexp"
-	"sync"
 
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// patchFolder is where the patches lie, below the root of the tree.
-const patchFolder = "verify/mutation"
+const (
+	// patchFolder is where the patches lie, below the root of the tree.
+	patchFolder = "verify/mutation"
+	// programName is the name of the script at the root of the tree that runs this command.
+	programName = "broken"
+)
+
+// Exit codes: the result is not as wanted, and nothing could be done.
+const (
+	exitFailed = 1
+	exitError  = 2
+)
 
 // options are the command's flags.
 type options struct {
-	only        *regexp.Regexp
+	// only is nil for all patches.
+	only *regexp.Regexp
+	// jobs is how many patches are tried at once.
 	jobs        int
 	list, check bool
 }
 
 func main() {
-	chosen := parse(os.Args[1:])
-	patches, err := readPatches(patchFolder)
+	succeeded, err := execute(parseOptions(os.Args[1:]))
 	if err != nil {
-		exit(err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", programName, err)
+		os.Exit(exitError)
+	}
+	if !succeeded {
+		os.Exit(exitFailed)
 	}
-	patches = matching(patches, chosen.only)
-	if len(patches) == 0 || chosen.jobs < 1 {
-		exit(errors.New("nothing to do: give --only a pattern of names that --list shows, and --jobs of at least 1"))
+}
+
+// execute does what the options say and reports whether the result is as wanted.
+func execute(options options) (bool, error) {
+	patches, err := readPatches(patchFolder)
+	if err != nil {
+		return false, err
 	}
-	if chosen.list {
-		list(patches)
-		return
+	patches = selectPatches(patches, options.only)
+	if len(patches) == 0 || options.jobs < 1 {
+		return false, errNothingToDo
 	}
-	work := map[bool]func([]patch, int) bool{true: checkAll, false: tryAll}[chosen.check]
-	if !work(patches, chosen.jobs) {
-		os.Exit(1)
+	switch {
+	case options.list:
+		printRules(patches)
+		return true, nil
+	case options.check:
+		return checkAll(patches, options.jobs)
+	default:
+		return tryAll(patches, options.jobs), nil
 	}
 }
 
-func parse(arguments []string) options {
+func parseOptions(arguments []string) options {
 	application := kingpin.New(
-		"broken",
+		programName,
 		"Applies each patch below verify/mutation to a copy of the tree "+
 			"and wants the named test red for the named reason.",
 	)
@@ -56,65 +77,9 @@
 	only := application.Flag("only", "Only patches whose name matches this pattern.").Regexp()
 	jobs := application.Flag("jobs", "How many at once.").Default("3").Int()
 	list := application.Flag("list", "Only list the patches.").Bool()
-	check := application.Flag("check", "Run no tests: only see that each patch applies, "+
-		"builds and names a test that exists.").
+	check := application.Flag("check", "Run no tests to their end: only see that each patch applies, "+
+		"builds and names a test, and a subtest, that exists.").
 		Bool()
 	kingpin.MustParse(application.Parse(arguments))
 	return options{only: *only, jobs: *jobs, list: *list, check: *check}
 }
-
-func exit(err error) {
-	fmt.Fprintln(os.Stderr, "broken:", err)
-	os.Exit(2)
-}
-
-func matching(patches []patch, only *regexp.Regexp) []patch {
-	var chosen []patch
-	for _, patch := range patches {
-		if only == nil || only.MatchString(patch.name) {
-			chosen = append(chosen, patch)
-		}
-	}
-	return chosen
-}
-
-func list(patches []patch) {
-	for _, patch := range patches {
-		fmt.Printf("%-24s %s\n", patch.name, patch.rule)
-	}
-}
-
-// forEach calls work for every patch, with at most jobs of them at once, and returns the number of calls that returned
-// true.
-func forEach(patches []patch, jobs int, work func(patch) bool) int {
-	waiting := make(chan patch)
-	var mutex sync.Mutex
-	var workers sync.WaitGroup
-	succeeded := 0
-	for range jobs {
-		workers.Go(func() {
-			for patch := range waiting {
-				if work(patch) {
-					mutex.Lock()
-					succeeded++
-					mutex.Unlock()
-				}
-			}
-		})
-	}
-	for _, patch := range patches {
-		waiting <- patch
-	}
-	close(waiting)
-	workers.Wait()
-	return succeeded
-}
-
-// run returns a command's standard output and standard error together; environment is added to the process's own.
-func run(folder string, environment []string, program string, arguments ...string) (string, error) {
-	command := exec.CommandContext(context.Background(), program, arguments...)
-	command.Dir = folder
-	command.Env = append(os.Environ(), environment...)
-	output, err := command.CombinedOutput()
-	return string(output), err
-}
--- a/verify/mutation/trial.go
+++ b/verify/mutation/trial.go
@@ -1,38 +1,69 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
-	"sync"
+	"time"
 )
 
+// seedsVariable is the environment variable by which the tests of the simulator get their number of seeds.
+const seedsVariable = "WARDTRAY_SEEDS"
+
+// lineLimit is how many bytes are printed of the line by which a test notices a patch.
+const lineLimit = 200
+
+// trialTimeout is how long the test of a patch may take.
+const trialTimeout = 20 * time.Minute
+
 // tryAll runs each patch's test on a patched copy of the tree and reports whether every one was noticed.
-func tryAll(patches []patch, jobs int) bool {
-	var printing sync.Mutex
-	noticed := forEach(patches, jobs, func(patch patch) bool {
+func tryAll(patches []mutation, jobs int) bool {
+	noticed := judgeAll(patches, jobs, func(patch mutation) verdict {
 		line, err := try(patch)
-		printing.Lock()
-		defer printing.Unlock()
-		if err != nil {
-			fmt.Printf("MISSED  %-24s %v\n", patch.name, err)
-			return false
-		}
-		fmt.Printf("noticed %-24s %s\n", patch.name, line)
-		return true
+		return trialVerdict(patch, line, err)
 	})
 	fmt.Printf("%d of %d pieces of broken code noticed\n", noticed, len(patches))
 	return noticed == len(patches)
 }
 
-// try returns the line by which the test noticed a patch.
-func try(patch patch) (string, error) {
+var (
+	// failedTest matches the line by which a test binary reports any failed test.
+	failedTest = regexp.MustCompile(`^--- FAIL: `)
+	// failurePosition matches what stands before the text of any failure: the file and the line.
+	failurePosition = regexp.MustCompile(`^\w+_test\.go:\d+: `)
+)
+
+// reason returns what a trimmed line of a failed test's output says about the reason: nothing where it only names the
+// test, and the text without the position where it reports a failure.
+func reason(line string) string {
+	if failedTest.MatchString(line) {
+		return ""
+	}
+	return failurePosition.ReplaceAllString(line, "")
+}
+
+// trialVerdict tells a patch that its test missed from one that could not be tried.
+func trialVerdict(patch mutation, line string, err error) verdict {
+	switch {
+	case err == nil:
+		return verdict{succeeded: true, line: labelled("noticed", patch, line)}
+	case errors.Is(err, errStaysGreen), errors.Is(err, errOtherFailure):
+		return verdict{line: labelled("MISSED", patch, err.Error())}
+	default:
+		return verdict{line: labelled("NOT RUN", patch, err.Error())}
+	}
+}
+
+// try returns the line by which the test noticed a patch. The error is errStaysGreen or errOtherFailure where the test
+// did not; with any other error the test was not run.
+func try(patch mutation) (string, error) {
 	folder, err := os.MkdirTemp("", "broken-")
 	if err != nil {
 		return "", err
 	}
-	// A copy that stays behind in the temporary folder does no harm.
 	defer removeAll(folder)
 	if err := copyTree(folder); err != nil {
 		return "", err
@@ -40,60 +71,28 @@
 	if err := apply(patch, folder); err != nil {
 		return "", err
 	}
-	if output, err := run(folder, nil, "go", "build", "./..."); err != nil {
-		return "", fmt.Errorf("the patched tree does not build: %s", shortened(output))
+	if output, err := run(folder, nil, "go", "build", "-trimpath", "./..."); err != nil {
+		return "", fmt.Errorf("%w: %s", errNotBuilding, beginning(output))
 	}
-	output, err := run(folder, []string{"WARDTRAY_SEEDS=" + patch.seeds}, "go", "test", patch.folder, "-run",
-		patch.test, "-count=1", "-timeout", "20m")
-	if err == nil {
-		return "", fmt.Errorf("%s stays green", patch.test)
-	}
-	for _, line := range strings.Split(output, "\n") {
-		if patch.red.MatchString(line) {
-			return strings.TrimSpace(line[:min(len(line), 200)]), nil
-		}
-	}
-	return "", fmt.Errorf("red, but not for %q: %s", patch.red, shortened(output))
-}
-
-// apply applies a patch to the files in a folder, which holds at least those that the patch changes.
-func apply(patch patch, folder string) error {
-	absolute, err := filepath.Abs(patch.file)
-	if err != nil {
-		return err
-	}
-	// Outside a repository git applies to the folder it runs in; a repository around the folder must not change that.
-	environment := []string{"GIT_CEILING_DIRECTORIES=" + filepath.Dir(folder)}
-	if output, err := run(folder, environment, "git", "apply", "--whitespace=nowarn", absolute); err != nil {
-		return fmt.Errorf("the patch no longer applies: %s", strings.TrimSpace(output))
+	binary := filepath.Join(folder, "trial.test")
+	if err := compileTests(folder, patch.packageFolder, binary); err != nil {
+		return "", err
 	}
-	return nil
+	return runTest(patch, folder, binary)
 }
 
-// copyTree copies what git tracks, or would, into a folder.
-func copyTree(folder string) error {
-	listed, err := run(".", nil, "git", "ls-files", "--cached", "--others", "--exclude-standard")
-	if err != nil {
-		return fmt.Errorf("asking git for the tree: %s", listed)
+// runTest runs the test of a patch by its binary and returns the line by which it noticed the patch.
+func runTest(patch mutation, folder, binary string) (string, error) {
+	output, err := run(filepath.Join(folder, patch.packageFolder), []string{seedsVariable + "=" + patch.seeds}, binary,
+		"-test.paniconexit0", "-test.timeout", trialTimeout.String(), "-test.run", patch.test)
+	if err == nil {
+		return "", fmt.Errorf("%w: %s", errStaysGreen, patch.test)
 	}
-	for _, file := range strings.Split(strings.TrimSpace(listed), "\n") {
-		if err := copyFile(file, filepath.Join(folder, file)); err != nil {
-			return err
+	for line := range strings.Lines(output) {
+		line = strings.TrimSpace(line)
+		if patch.red.MatchString(reason(line)) {
+			return line[:min(len(line), lineLimit)], nil
 		}
 	}
-	return nil
+	return "", fmt.Errorf("%w than %q: %s", errOtherFailure, patch.red, beginning(output))
 }
-
-// copyFile copies a file's content; it makes the folders above the target.
-func copyFile(source, target string) error {
-	content, err := os.ReadFile(source)
-	if err != nil {
-		return err
-	}
-	if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
-		return err
-	}
-	return os.WriteFile(target, content, 0o644)
-}
-
-func removeAll(folder string) { _ = os.RemoveAll(folder) }
