--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -217,10 +217,10 @@
 // isWritable reports whether the chain has as many members as a change needs replicas.
 func (chain *Chain) isWritable() bool { return len(chain.view.Chain) >= int(chain.view.MinReplicas) }
 
-// commitAtTail commits what this member has synced, where it is the tail. In a chain that is not writable, whose members
-// may all lose their disks without exceeding the tolerated faults, it commits only what it was restored with, since
-// that may have been acknowledged. The rest was acknowledged by no head: a head acknowledges what its successor has
-// committed, as all members behind it have. It remains pending until the chain is writable again.
+// commitAtTail commits what this member has synced, where it is the tail. In a chain that is not writable, whose
+// members may all lose their disks without exceeding the tolerated faults, it commits only what it was restored with,
+// since that may have been acknowledged. The rest was acknowledged by no head: a head acknowledges what its successor
+// has committed, as all members behind it have. It remains pending until the chain is writable again.
 func (chain *Chain) commitAtTail(now time.Time) {
 	if !chain.IsTail() {
 		return
--- a/coordination/chain/shortchain_test.go
+++ b/coordination/chain/shortchain_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// What the head had committed before a member joined may have been acknowledged: the member gets it as committed, so that
-// whoever learns from it as the tail learns it.
+// What the head had committed before a member joined may have been acknowledged: the member gets it as committed, so
+// that whoever learns from it as the tail learns it.
 func TestShortChainTeachesWhatItsHeadHadCommitted(t *testing.T) {
 	cluster := newEmptyCluster()
 	for _, name := range []string{"a", "b", "c", "d"} {
--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -5,8 +5,8 @@
 // # Contract
 //
 // A PartialView is one process's part, a pure state machine. Its caller calls Tick often, hands it received shuffles
-// by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated and
-// reordered. As long as every process reaches a seed or some neighbour, the views connect all live processes and
+// by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated
+// and reordered. As long as every process reaches a seed or some neighbour, the views connect all live processes and
 // forget those that are gone within some rounds; a view has at most Size descriptors, none of itself and none twice.
 // A PartialView is not safe for concurrent use.
 package peersampling
