--- a/proxy/codec/native.go
+++ b/proxy/codec/native.go
@@ -97,11 +97,7 @@
 	outgoing.SetRequestURI(pathRun)
 	outgoing.Header.SetHost(run.Runner.Address)
 	outgoing.Header.SetContentType(typeJSON)
-	for _, header := range runnerHeaders(request, run) {
-		if header.Value != "" {
-			outgoing.Header.Set(header.Name, header.Value)
-		}
-	}
+	setRunnerHeaders(&outgoing.Header, request, run)
 	for index, part := range request.Parts {
 		outgoing.Header.Add(admission.HeaderPrefix, part+"="+strconv.Itoa(request.PartTokens[index]))
 	}
@@ -112,9 +108,9 @@
 	return content.Bytes()
 }
 
-// runnerHeaders are the headers of a request to a runner in their order; one without a value is left out.
-func runnerHeaders(request *admission.Request, run Attempt) []netio.Header {
-	return []netio.Header{
+// setRunnerHeaders sets the headers of a request to a runner in their order; one without a value is left out.
+func setRunnerHeaders(outgoing *fasthttp.RequestHeader, request *admission.Request, run Attempt) {
+	for _, header := range []netio.Header{
 		{Name: admission.HeaderRoute, Value: request.Route},
 		{Name: admission.HeaderModel, Value: request.Model},
 		{Name: admission.HeaderAdapter, Value: request.Adapter},
@@ -127,6 +123,10 @@
 		{Name: admission.HeaderTenant, Value: run.Tenant},
 		{Name: admission.HeaderWait, Value: optionalCount(int(run.Remaining.Milliseconds()))},
 		{Name: admission.HeaderAfter, Value: optionalCount(run.LastEventID)},
+	} {
+		if header.Value != "" {
+			outgoing.Set(header.Name, header.Value)
+		}
 	}
 }
 
