--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -3,8 +3,9 @@
 package directory
 
 import (
+	"maps"
 	"math/rand"
-	"sort"
+	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -101,12 +102,7 @@
 	for _, address := range unleased {
 		delete(found, address)
 	}
-	addresses := make([]string, 0, len(found))
-	for address := range found {
-		addresses = append(addresses, address)
-	}
-	sort.Strings(addresses)
-	return addresses
+	return slices.Sorted(maps.Keys(found))
 }
 
 // Publish gossips the committed document, without what only the chain needs.
@@ -154,10 +150,5 @@
 		zones[directory.addressOf(member)] = member.Zone
 	}
 	delete(zones, directory.self.Address)
-	partners := make([]gossip.Peer, 0, len(zones))
-	for address, zone := range zones {
-		partners = append(partners, gossip.Peer{Address: address, Zone: zone})
-	}
-	sort.Slice(partners, func(left, right int) bool { return partners[left].Address < partners[right].Address })
-	return partners
+	return gossip.SortedPeers(zones)
 }
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -1,8 +1,9 @@
 package node
 
 import (
+	"maps"
 	"math/rand"
-	"sort"
+	"slices"
 	"time"
 
 	"wardtray/control/durability"
@@ -146,10 +147,5 @@
 		}
 	}
 	delete(found, members.self.Address)
-	addresses := make([]string, 0, len(found))
-	for address := range found {
-		addresses = append(addresses, address)
-	}
-	sort.Strings(addresses)
-	return addresses
+	return slices.Sorted(maps.Keys(found))
 }
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/http"
-	"sort"
+	"slices"
 	"time"
 
 	"wardtray/apierror"
@@ -100,12 +101,7 @@
 
 // Tick sends each open request to the head where that is due, and answers those whose time is over.
 func (requests *Requests) Tick(now time.Time) {
-	tokens := make([]string, 0, len(requests.open))
-	for token := range requests.open {
-		tokens = append(tokens, token)
-	}
-	sort.Strings(tokens)
-	for _, token := range tokens {
+	for _, token := range slices.Sorted(maps.Keys(requests.open)) {
 		open := requests.open[token]
 		if open == nil {
 			continue
--- a/coordination/gossip/store.go
+++ b/coordination/gossip/store.go
@@ -19,7 +19,9 @@
 package gossip
 
 import (
+	"maps"
 	"math/rand"
+	"slices"
 	"strings"
 	"time"
 
@@ -42,6 +44,15 @@
 	Zone    string
 }
 
+// SortedPeers returns the peers of a table from addresses to zones, in the order of their addresses.
+func SortedPeers(zones map[string]string) []Peer {
+	peers := make([]Peer, 0, len(zones))
+	for _, address := range slices.Sorted(maps.Keys(zones)) {
+		peers = append(peers, Peer{Address: address, Zone: zones[address]})
+	}
+	return peers
+}
+
 // Store holds the entries of one process.
 type Store struct {
 	zone     string
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -2,7 +2,6 @@
 
 import (
 	"reflect"
-	"sort"
 	"time"
 
 	"wardtray/coordination/gossip"
@@ -117,10 +116,5 @@
 		}
 	}
 	delete(zones, controller.settings.Address)
-	peers := make([]gossip.Peer, 0, len(zones))
-	for address, zone := range zones {
-		peers = append(peers, gossip.Peer{Address: address, Zone: zone})
-	}
-	sort.Slice(peers, func(left, right int) bool { return peers[left].Address < peers[right].Address })
-	return peers
+	return gossip.SortedPeers(zones)
 }
--- a/dataplane/schedulers.go
+++ b/dataplane/schedulers.go
@@ -1,8 +1,9 @@
 package dataplane
 
 import (
+	"maps"
 	"math/rand"
-	"sort"
+	"slices"
 	"sync"
 	"time"
 
@@ -47,12 +48,8 @@
 // each calls a function for each scheduler, in the order of the backends' names.
 func (set *schedulerSet) each(do func(backend string, scheduler *scheduler.Scheduler)) {
 	set.mutex.RLock()
-	names := make([]string, 0, len(set.byBackend))
-	for name := range set.byBackend {
-		names = append(names, name)
-	}
+	names := slices.Sorted(maps.Keys(set.byBackend))
 	set.mutex.RUnlock()
-	sort.Strings(names)
 	for _, name := range names {
 		do(name, set.get(name))
 	}
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -44,17 +44,7 @@
 
 // newClient makes a client of a zone, whose request is not sent yet.
 func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
-	made := &client{traffic: traffic, drawn: drawn, record: &histories.Answer{
-		Request:       drawn.ID,
-		Route:         drawn.Kind.Route,
-		Once:          drawn.Kind.Once,
-		LatencyTarget: drawn.Kind.LatencyTarget,
-		Zone:          zone,
-		Sent:          traffic.world.Now,
-		Resumable:     drawn.Kind.Resumable,
-		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
-		Bound:         drawn.TimeLimit(),
-	}}
+	made := &client{traffic: traffic, drawn: drawn, record: drawn.NewAnswer(zone, traffic.world.Now)}
 	made.exchange = newClientExchange(made)
 	traffic.checker.ObserveRequest(made.record)
 	return made
--- a/verify/simulation/disk.go
+++ b/verify/simulation/disk.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"math/rand"
-	"sort"
 )
 
 // disk is a simulated data folder: what is written is synced, unless the power goes in the middle,
@@ -67,13 +66,6 @@
 }
 
 func (disk *disk) SetAside(_ string) error {
-	names := make([]string, 0, len(disk.files))
-	for name := range disk.files {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
-		delete(disk.files, name)
-	}
+	clear(disk.files)
 	return nil
 }
