--- a/coordination/chain/alignment.go
+++ b/coordination/chain/alignment.go
@@ -6,9 +6,9 @@
 	"wardtray/wire"
 )
 
-// confirmAlignment tells the successor that it has all that this member had when the view began. What came since then
-// was committed by no member before the view began, so a successor that follows at a distance while changes go on need
-// not catch up with it first.
+// confirmAlignment notifies the successor that it has synced the complete history that this member had when the view
+// began. No member had committed a later entry before the view began, so a successor that lags behind a steady stream
+// of changes need not catch up with those entries first.
 func (chain *Chain) confirmAlignment() {
 	successor := chain.successor()
 	if successor != nil && chain.aligned && chain.successorProgress.synced >= chain.alignmentTarget {
@@ -16,7 +16,8 @@
 	}
 }
 
-// HandleAlignment handles the predecessor's confirmation that this member has all that it had.
+// HandleAlignment handles the predecessor's confirmation that this member has synced the complete history that the
+// predecessor had when the view began.
 func (chain *Chain) HandleAlignment(now time.Time, sender string, message *wire.ChainAck) {
 	if !chain.isFromPredecessor(message.View, sender) || message.Synced > chain.synced {
 		return
@@ -29,8 +30,7 @@
 	}
 }
 
-// recordComplete records on the disk that this member has all of the chain's history; Incomplete turns false once that
-// is synced.
+// recordComplete persists that this member's history is complete. Incomplete becomes false once that record is synced.
 func (chain *Chain) recordComplete(now time.Time) {
 	if !chain.incomplete {
 		return
--- a/coordination/chain/alignment_test.go
+++ b/coordination/chain/alignment_test.go
@@ -2,11 +2,12 @@
 
 import "testing"
 
-// A tail whose disk is slower than changes come in never has all that its predecessor has by now. It needs only what
-// that had when the view began, since nothing newer was committed before; else no change is ever committed again.
+// A tail whose disk is slower than the stream of changes never catches up with its predecessor. It is aligned once it
+// has synced the entries that the predecessor had when the view began, since nothing newer was committed before. If it
+// had to catch up with all entries, no change would ever be committed again.
 func TestSlowTailIsAlignedWhileChangesArrive(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
-	enter(t, cluster, 1)
+	submitOperation(t, cluster, 1)
 	for range 4 {
 		cluster.deliver()
 		cluster.sync("a")
@@ -16,7 +17,7 @@
 	cluster.deliver()
 	cluster.adopt(2, "a", "b")
 	for number := range 30 {
-		enterAndSync(t, cluster, number+2)
+		submitAndSync(t, cluster, number+2)
 		cluster.now = cluster.now.Add(retransmitInterval)
 		cluster.chains["a"].Tick(cluster.now)
 		cluster.chains["b"].Tick(cluster.now)
@@ -30,9 +31,9 @@
 		}
 	}
 	if !cluster.chains["b"].IsTail() {
-		t.Fatal("the tail waits for what goes on coming in")
+		t.Fatal("the tail is not aligned while changes keep arriving")
 	}
 	if committed := cluster.chains["b"].Committed().Sequence; committed < 20 {
-		t.Fatalf("committed up to %d only", committed)
+		t.Fatalf("committed up to %d, want at least 20", committed)
 	}
 }
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nothing is committed before every disk of the chain has synced it, one after the other.
+// No member commits an entry before every member of the chain has synced it, in the order of the chain.
 func TestNoCommitBeforeEverySync(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
@@ -16,7 +16,7 @@
 		cluster.deliver()
 		for member, sequence := range cluster.commits {
 			if sequence > 0 {
-				t.Fatalf("%s committed before the disk of %s", member, name)
+				t.Fatalf("%s committed before %s had synced", member, name)
 			}
 		}
 		cluster.sync(name)
@@ -24,12 +24,12 @@
 	cluster.deliver()
 	for _, name := range []string{"a", "b", "c"} {
 		if cluster.commits[name] != 1 {
-			t.Errorf("%s did not commit", name)
+			t.Errorf("%s did not commit the change after every member had synced it", name)
 		}
 	}
 }
 
-// No member passes an entry on, or acknowledges it, before its own disk has synced it.
+// No member forwards or acknowledges an entry before its own disk has synced it.
 func TestMembersAnnounceOnlyWhatTheySynced(t *testing.T) {
 	cluster := newCluster("a", "b")
 	cluster.deliver()
@@ -39,22 +39,23 @@
 	cluster.gather()
 	for _, message := range cluster.messages {
 		if message.envelope.GetChainForward().GetEntry() != nil {
-			t.Fatalf("%s passes on what it has not synced", message.from)
+			t.Fatalf("%s forwards an entry that it has not synced", message.from)
 		}
 	}
 	cluster.sync("a")
 	cluster.deliver()
 	if synced := cluster.chains["a"].successorProgress.synced; synced != 0 {
-		t.Fatalf("b announces sequence %d, which it has not synced", synced)
+		t.Fatalf("b acknowledges sequence %d, which it has not synced", synced)
 	}
 	cluster.sync("b")
 	cluster.deliver()
 	if synced := cluster.chains["a"].successorProgress.synced; synced != 1 {
-		t.Errorf("b announces sequence %d after it has synced the first", synced)
+		t.Errorf("b acknowledges sequence %d after it has synced sequence 1", synced)
 	}
 }
 
-// A member that left the chain with a change that no other has drops it when it rejoins.
+// A member that was removed from the chain holds a change that no other member has. It drops that change when it learns
+// the committed document and rejoins; otherwise histories would differ under the same sequence.
 func TestUncommittedChangeOfARejoiningMemberIsDropped(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
@@ -75,12 +76,12 @@
 		cluster.deliver()
 	}
 	if err := cluster.chains["a"].Submit(cluster.now, change(3)); err == nil {
-		t.Fatal("a member outside the chain took a change")
+		t.Fatal("a member outside the chain accepted a change")
 	}
 	cluster.chains["a"].RequestDocument("c")
 	cluster.deliver()
 	if cluster.chains["a"].LearnedView() == 2 {
-		t.Fatal("learned before its disk had it")
+		t.Fatal("the document counts as learned before it is synced")
 	}
 	cluster.sync("a")
 	cluster.adopt(3, "b", "c", "a")
@@ -93,7 +94,7 @@
 	}
 	for name, chain := range cluster.chains {
 		if got := chain.Latest(); got.SpecEpoch != 2 || len(got.Outcomes) != 1 || got.Outcomes[0].Operation != "o2" {
-			t.Errorf("%s holds %v", name, got)
+			t.Errorf("%s holds %v, want only the outcome of o2 at epoch 2", name, got)
 		}
 	}
 }
--- a/coordination/chain/cluster_test.go
+++ b/coordination/chain/cluster_test.go
@@ -12,9 +12,9 @@
 	"wardtray/wire"
 )
 
-var started = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-// cluster is a chain whose members are stepped by hand.
+// cluster is a chain whose messages and disk writes the test delivers and completes explicitly.
 type cluster struct {
 	now      time.Time
 	chains   map[string]*Chain
@@ -24,7 +24,7 @@
 	commits  map[string]uint64
 }
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	from, to string
 	envelope *wire.Envelope
@@ -41,14 +41,14 @@
 
 func newEmptyCluster() *cluster {
 	return &cluster{
-		now: started, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{},
+		now: startTime, chains: map[string]*Chain{}, outbox: map[string]*statemachine.Outbox{},
 		writes: map[string][]statemachine.Write{}, commits: map[string]uint64{},
 	}
 }
 
 func (cluster *cluster) add(name string) { cluster.addWith(name, nil) }
 
-// addWith adds a member whose disk holds a document and the entries after it.
+// addWith adds a member that is restored from a document and the pending entries after it.
 func (cluster *cluster) addWith(name string, document *wire.Document, pending ...*wire.Entry) {
 	cluster.outbox[name] = statemachine.NewOutbox()
 	address := func(member *wire.Member) string { return member.Id }
@@ -56,10 +56,10 @@
 		func(_ time.Time, sequence uint64) { cluster.commits[name] = sequence })
 }
 
-// adopt lets all members adopt a view in which a change needs a single replica.
+// adopt makes all members adopt a view in which a change needs a single replica.
 func (cluster *cluster) adopt(epoch uint64, names ...string) { cluster.adoptWith(1, epoch, names...) }
 
-// adoptWith lets all members adopt a view in which a change needs some number of replicas.
+// adoptWith makes all members adopt a view in which a change needs minReplicas replicas.
 func (cluster *cluster) adoptWith(minReplicas uint32, epoch uint64, names ...string) {
 	view := &wire.View{Epoch: epoch, MinReplicas: minReplicas}
 	for _, name := range names {
@@ -70,7 +70,7 @@
 	}
 }
 
-// gather collects what the members sent and request to be written.
+// gather collects the messages and disk writes from the members' outboxes.
 func (cluster *cluster) gather() {
 	for name, outbox := range cluster.outbox {
 		sent, writes := outbox.Drain()
@@ -82,6 +82,7 @@
 	}
 }
 
+// sync completes all of a member's outstanding disk writes.
 func (cluster *cluster) sync(name string) {
 	cluster.gather()
 	for _, write := range cluster.writes[name] {
@@ -91,7 +92,7 @@
 	cluster.gather()
 }
 
-// deliver delivers all messages until there are none.
+// deliver delivers messages, and those sent in response, until none is in flight.
 func (cluster *cluster) deliver() {
 	cluster.gather()
 	for len(cluster.messages) > 0 {
@@ -126,7 +127,7 @@
 	}
 }
 
-// newSingle returns a chain of one member, whose disk holds a document if one is given.
+// newSingle returns a chain of one member, which is restored from a document if one is given.
 func newSingle(documents ...*wire.Document) *cluster {
 	cluster := newEmptyCluster()
 	cluster.add("a")
@@ -137,7 +138,7 @@
 	return cluster
 }
 
-// newSingleWith returns a chain of one that has committed some changes.
+// newSingleWith returns a chain of one member that has committed a number of changes.
 func newSingleWith(changes int) *cluster {
 	document := &wire.Document{}
 	for number := 1; number <= changes; number++ {
@@ -149,12 +150,12 @@
 	return newSingle(document)
 }
 
-// enter submits a change to the only member of a chain as an operator's call does, and syncs it.
-func enter(tb testing.TB, cluster *cluster, number int) {
+// submitOperation looks up and submits a change at the only member "a", as an operator's request does, and syncs it.
+func submitOperation(tb testing.TB, cluster *cluster, number int) {
 	tb.Helper()
 	chain := cluster.chains["a"]
 	if chain.Latest() == nil || chain.Outcome(fmt.Sprint("o", number)) != nil {
-		tb.Fatal("taken already")
+		tb.Fatalf("operation o%d has an outcome already", number)
 	}
 	if err := chain.Submit(cluster.now, change(number)); err != nil {
 		tb.Fatal(err)
@@ -163,8 +164,8 @@
 	cluster.messages = nil
 }
 
-// enterAndSync submits a change to the head "a" and syncs it there.
-func enterAndSync(t *testing.T, cluster *cluster, number int) {
+// submitAndSync submits a change at the head "a" and syncs it there.
+func submitAndSync(t *testing.T, cluster *cluster, number int) {
 	t.Helper()
 	if err := cluster.chains["a"].Submit(cluster.now, change(number)); err != nil {
 		t.Fatal(err)
--- a/coordination/chain/example_test.go
+++ b/coordination/chain/example_test.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-// A chain of one: the driver hands in the time and the disk's completions and drains the outbox.
+// A chain of one member: the driver passes in the time and the completed writes, and drains the outbox.
 func Example() {
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	single := chain.New("a", nil, nil, outbox, func(member *wire.Member) string { return member.Address },
--- a/coordination/chain/history.go
+++ b/coordination/chain/history.go
@@ -2,16 +2,16 @@
 
 import "wardtray/wire"
 
-// memberBytes is about what one member of a directory takes.
+// memberBytes is the approximate size of one member of a directory, in memory and on disk.
 const memberBytes = 96
 
-// history is what one member holds: the committed document, the entries after it, and the document that results from
-// each of them. Every document is made once, when its entry arrives, so that neither a commit nor a look at the latest
-// document costs more the longer the history is. Documents are never modified.
+// history holds one member's committed document, the pending entries after it, and the document that results from each
+// of them. Each document is built once, when its entry arrives, so the cost of a commit or of reading the latest
+// document does not grow with the history. Documents are immutable.
 type history struct {
 	committed *wire.Document
 	pending   []*wire.Entry
-	// documents holds, for each pending entry, the document with it applied.
+	// documents holds, for each pending entry, the document that results from applying it.
 	documents    []*wire.Document
 	pendingBytes int
 	outcomes     outcomeWindow
@@ -33,7 +33,7 @@
 	return history.committed
 }
 
-// hasRoom reports whether one more entry may be pending. A single entry of any size may.
+// hasRoom reports whether one more entry may be pending. If none is pending, an entry of any size may.
 func (history *history) hasRoom(entry *wire.Entry) bool {
 	if len(history.pending) == 0 {
 		return true
@@ -41,7 +41,7 @@
 	return len(history.pending) < MaximumPending && history.pendingBytes+entryBytes(entry) <= MaximumPendingBytes
 }
 
-// append adds an entry after all others.
+// append adds an entry to the end of the history.
 func (history *history) append(entry *wire.Entry) {
 	document := foldWithoutOutcomes(history.latest(), entry)
 	if entry.ChangesSpec {
@@ -56,12 +56,12 @@
 func (history *history) commitFirst() {
 	history.pendingBytes -= entryBytes(history.pending[0])
 	history.committed = history.documents[0]
-	// The arrays behind both slices would keep what is committed from being freed.
+	// The arrays behind both slices would otherwise keep committed entries and documents from being freed.
 	history.pending[0], history.documents[0] = nil, nil
 	history.pending, history.documents = history.pending[1:], history.documents[1:]
 }
 
-// entryBytes returns about how much memory and disk an entry takes.
+// entryBytes returns the approximate size of an entry, in memory and on disk.
 func entryBytes(entry *wire.Entry) int {
 	members := len(entry.Directory)
 	for _, zone := range entry.Reservations.GetZones() {
@@ -70,7 +70,7 @@
 	return len(entry.Spec) + memberBytes*members
 }
 
-// foldWithoutOutcomes applies all of an entry but the outcome of a changed configuration.
+// foldWithoutOutcomes applies an entry to a document, except for the outcome of a configuration change.
 func foldWithoutOutcomes(document *wire.Document, entry *wire.Entry) *wire.Document {
 	folded := &wire.Document{
 		Sequence: entry.Sequence, SpecEpoch: document.SpecEpoch, Spec: document.Spec,
--- a/coordination/chain/history_test.go
+++ b/coordination/chain/history_test.go
@@ -12,8 +12,8 @@
 	"wardtray/wire"
 )
 
-// fold returns the document that results from applying an entry to another, by its definition: it copies all outcomes.
-// The history must agree with it while it does without that copy.
+// fold is the reference implementation of applying an entry to a document: it copies all outcomes. The history must
+// give equal documents without that copy.
 func fold(document *wire.Document, entry *wire.Entry) *wire.Document {
 	folded := foldWithoutOutcomes(document, entry)
 	if entry.ChangesSpec {
@@ -23,23 +23,24 @@
 	return folded
 }
 
-// checkRemembered wants just the operations to be found that a document remembers.
-func checkRemembered(t *testing.T, history history, want *wire.Document, entries int) {
+// checkRetainedOutcomes fails unless the history finds exactly the operations whose outcomes the document want retains.
+func checkRetainedOutcomes(t *testing.T, history history, want *wire.Document, entries int) {
 	t.Helper()
-	remembered := map[string]bool{}
+	retained := map[string]bool{}
 	for _, outcome := range want.Outcomes {
-		remembered[outcome.Operation] = true
+		retained[outcome.Operation] = true
 	}
 	for number := 1; number <= entries; number++ {
 		operation := fmt.Sprint("o", number)
-		if found := history.outcomes.byOperation[operation]; (found != nil) != remembered[operation] {
-			t.Fatalf("%s found %v, remembered %v", operation, found, remembered[operation])
+		if found := history.outcomes.byOperation[operation]; (found != nil) != retained[operation] {
+			t.Fatalf("%s: found outcome %v, retained in the document: %v", operation, found, retained[operation])
 		}
 	}
 }
 
-// The history gives what folding each entry into a document gives, byte for byte, also past the bound of what is
-// remembered, also for documents that were looked at earlier, and an operation is found as long as it is remembered.
+// The history's documents equal those of fold byte for byte, also beyond MaximumOutcomes, and documents that were read
+// earlier stay unchanged although they share the array of outcomes. An operation is found exactly as long as its
+// outcome is retained.
 func TestHistoryAgreesWithFold(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	history, want := newHistory(&wire.Document{}, nil), &wire.Document{}
@@ -60,7 +61,7 @@
 		if number%97 == 0 || number > MaximumOutcomes && number%31 == 0 {
 			content := encoded(t, want)
 			if got := encoded(t, history.latest()); got != content {
-				t.Fatalf("entry %d: another document", number)
+				t.Fatalf("entry %d: the history's document differs from that of fold", number)
 			}
 			documents = append(documents, observed{history.latest(), content})
 		}
@@ -73,12 +74,13 @@
 			t.Fatalf("document %d was changed later", observed.document.Sequence)
 		}
 	}
-	checkRemembered(t, history, want, entries)
+	checkRetainedOutcomes(t, history, want, entries)
 	for len(history.pending) > 0 {
 		history.commitFirst()
 	}
 	if encoded(t, history.committed) != encoded(t, want) || history.pendingBytes != 0 {
-		t.Fatalf("in the end another document, %d bytes pending", history.pendingBytes)
+		t.Fatalf("after all commits: the document differs from that of fold, or %d pending bytes remain",
+			history.pendingBytes)
 	}
 }
 
@@ -91,46 +93,47 @@
 	return string(content)
 }
 
-// A fixed amount of memory for each change, however many were accepted before.
+// The memory allocated for each change doesn't depend on the number of changes accepted before. It would if each change
+// copied all outcomes.
 func TestCostOfAChangeIsConstant(t *testing.T) {
 	cost := func(before int) float64 {
 		cluster, number := newSingleWith(before), before
 		return testing.AllocsPerRun(2000, func() {
 			number++
-			enter(t, cluster, number)
+			submitOperation(t, cluster, number)
 		})
 	}
 	bytes := func(before int) int64 {
-		return testing.Benchmark(benchmarkOfChange(before)).AllocedBytesPerOp()
+		return testing.Benchmark(benchmarkChange(before)).AllocedBytesPerOp()
 	}
 	if first, last := cost(10), cost(MaximumOutcomes); last > first+2 {
-		t.Errorf("%.1f allocations a change at first, %.1f later", first, last)
+		t.Errorf("%.1f allocations per change after 10 changes, %.1f after %d", first, last, MaximumOutcomes)
 	}
 	if last := bytes(MaximumOutcomes); last > 4096 {
-		t.Errorf("%d bytes a change after %d", last, MaximumOutcomes)
+		t.Errorf("%d bytes per change after %d changes", last, MaximumOutcomes)
 	}
 }
 
-// benchmarkOfChange returns a benchmark of one change after some others were committed.
-func benchmarkOfChange(before int) func(b *testing.B) {
+// benchmarkChange returns a benchmark of one change after a number of others were committed.
+func benchmarkChange(before int) func(b *testing.B) {
 	return func(b *testing.B) {
 		b.Helper()
 		cluster := newSingleWith(before)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for number := range b.N {
-			enter(b, cluster, before+number+1)
+			submitOperation(b, cluster, before+number+1)
 		}
 	}
 }
 
 func BenchmarkChange(b *testing.B) {
 	for _, before := range []int{0, 500, MaximumOutcomes} {
-		b.Run(fmt.Sprintf("after %d", before), benchmarkOfChange(before))
+		b.Run(fmt.Sprintf("after %d", before), benchmarkChange(before))
 	}
 }
 
-// What is pending together is bounded in bytes; a single entry of any size passes.
+// The total size of pending changes is bounded; a single change of any size is accepted while none is pending.
 func TestPendingBytesAreBounded(t *testing.T) {
 	cluster := newSingle()
 	large := func(number, size int) *wire.Entry {
@@ -143,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if err := chain.Submit(cluster.now, large(2, 1)); !apierror.Is(err, apierror.Busy) {
-		t.Fatalf("taken beyond the bound: %v", err)
+		t.Fatalf("accepted a change beyond MaximumPendingBytes: %v", err)
 	}
 	cluster.sync("a")
 	for number := 2; number < 6; number++ {
@@ -152,6 +155,6 @@
 		}
 	}
 	if err := chain.Submit(cluster.now, large(6, 1)); !apierror.Is(err, apierror.Busy) {
-		t.Fatalf("taken beyond the bound: %v", err)
+		t.Fatalf("accepted a change beyond MaximumPendingBytes: %v", err)
 	}
 }
--- a/coordination/chain/learning.go
+++ b/coordination/chain/learning.go
@@ -6,15 +6,15 @@
 	"wardtray/wire"
 )
 
-// RequestDocument requests the committed document of the tail at an address. A member outside the chain calls it
-// again and again, so that it stays close to the chain that it may join. While a document of this view is on its way
-// to the disk another one would not be taken, so that none is requested.
+// RequestDocument requests the committed document from the tail at an address. A member outside the chain calls it
+// periodically, so that it stays close to the history of the chain that it may join. It requests nothing while a
+// document of this view is being written to the disk, since another one would be dropped.
 func (chain *Chain) RequestDocument(tail string) {
 	if chain.learningView == chain.view.Epoch {
 		return
 	}
 	known := uint64(0)
-	// What was stored before this view may hold changes that were never committed, so it does not count.
+	// A history stored before this view may hold changes that were never committed, so it does not count.
 	if chain.learnedView == chain.view.Epoch {
 		known = chain.synced
 	}
@@ -22,7 +22,8 @@
 	chain.outbox.Send(tail, &wire.Envelope{Body: &wire.Envelope_LearnRequest{LearnRequest: request}})
 }
 
-// HandleLearnRequest answers a process outside the chain. Any member may call it; only a tail answers, without a lease.
+// HandleLearnRequest answers a process outside the chain. It may be called at any member; only the tail answers, and it
+// needs no lease.
 func (chain *Chain) HandleLearnRequest(reply string, message *wire.LearnRequest) {
 	if message.View != chain.view.Epoch || !chain.IsTail() {
 		return
@@ -34,7 +35,7 @@
 	}
 }
 
-// HandleLearnResponse handles the tail's document, which replaces everything that this member had.
+// HandleLearnResponse handles the tail's document, which replaces this member's complete history.
 func (chain *Chain) HandleLearnResponse(now time.Time, message *wire.LearnResponse) {
 	if message.View != chain.view.Epoch || chain.IsMember() || message.Document == nil {
 		return
@@ -43,8 +44,8 @@
 	if chain.learnedView == view && message.Document.Sequence <= chain.received {
 		return
 	}
-	// While one document is on its way to the disk no other replaces it: where changes go on, each
-	// response is newer, and a disk slower than the requests would never complete one.
+	// No other document replaces one that is being written to the disk. During a steady stream of changes each response
+	// is newer, and a disk slower than the requests would never complete any of them.
 	if chain.learningView == view {
 		return
 	}
@@ -58,8 +59,8 @@
 	})
 }
 
-// replaceHistory replaces the whole history by a committed document; onSynced is called once that
-// is synced, unless it was replaced again meanwhile.
+// replaceHistory replaces the complete history by a committed document. onSynced is called once the document is synced,
+// unless the history was replaced again before that.
 func (chain *Chain) replaceHistory(now time.Time, document *wire.Document, onSynced func(now time.Time)) {
 	chain.history, chain.received = newHistory(document, nil), document.Sequence
 	// Nothing of the old history may count as synced before the new one is.
@@ -73,6 +74,6 @@
 		}
 		chain.synced = document.Sequence
 		onSynced(syncedAt)
-		chain.committed(syncedAt, document.Sequence)
+		chain.onCommitted(syncedAt, document.Sequence)
 	})
 }
--- a/coordination/chain/learning_test.go
+++ b/coordination/chain/learning_test.go
@@ -6,8 +6,8 @@
 	"wardtray/wire"
 )
 
-// Of several documents that a member outside the chain is sent while its disk is at work on the first, the first is
-// brought to its end. If each took the index of the one before, a slow disk would never come in.
+// A member outside the chain receives newer documents while its disk still writes the first. It completes the first and
+// ignores the others. If each replaced the one before, a member with a slow disk would never finish learning.
 func TestLearningCompletesWhileDocumentsArrive(t *testing.T) {
 	cluster := newCluster("a")
 	cluster.add("b")
@@ -16,7 +16,7 @@
 	learner := cluster.chains["b"]
 	cluster.gather()
 	for number := 1; number <= 5; number++ {
-		enterAndSync(t, cluster, number)
+		submitAndSync(t, cluster, number)
 		learner.RequestDocument("a")
 		cluster.deliver()
 	}
@@ -30,12 +30,13 @@
 	cluster.deliver()
 	cluster.sync("b")
 	if learner.Committed().SpecEpoch != 5 || learner.Synced() != 5 {
-		t.Fatalf("then committed %d, synced %d", learner.Committed().SpecEpoch, learner.Synced())
+		t.Fatalf("after the second document: committed %d, synced %d, want 5 and 5",
+			learner.Committed().SpecEpoch, learner.Synced())
 	}
 }
 
-// While a document is on its way to the disk of a member outside the chain, the tail sends no other one in vain: each
-// is as long as the whole configuration.
+// While the disk of a member outside the chain writes a document, the member requests no other one, which it would
+// drop: each is as large as the complete configuration.
 func TestLearnerRequestsNothingThatItWouldDrop(t *testing.T) {
 	cluster := newCluster("a")
 	cluster.add("b")
@@ -57,68 +58,69 @@
 		}
 		return sent
 	}
-	enterAndSync(t, cluster, 1)
+	submitAndSync(t, cluster, 1)
 	if sent := documents(); sent != 1 {
-		t.Fatalf("%d documents at first", sent)
+		t.Fatalf("%d documents sent for the first request, want 1", sent)
 	}
 	for number := 2; number <= 4; number++ {
-		enterAndSync(t, cluster, number)
+		submitAndSync(t, cluster, number)
 		if sent := documents(); sent != 0 {
-			t.Errorf("%d documents while the first is written", sent)
+			t.Errorf("%d documents sent while the first is being written, want 0", sent)
 		}
 	}
 	cluster.sync("b")
 	if sent := documents(); sent != 1 {
-		t.Errorf("%d documents once it is written", sent)
+		t.Errorf("%d documents sent once the first is synced, want 1", sent)
 	}
 	cluster.sync("b")
 	if sent := documents(); sent != 0 || learner.Committed().SpecEpoch != 4 {
-		t.Errorf("%d documents, committed %d, in the end", sent, learner.Committed().SpecEpoch)
+		t.Errorf("%d documents sent with nothing new, want 0; committed %d, want 4", sent, learner.Committed().SpecEpoch)
 	}
-	// Another view wants another document, whatever becomes of the one on its way.
-	enterAndSync(t, cluster, 5)
+	// A new view requires a new document, even while one is being written.
+	submitAndSync(t, cluster, 5)
 	documents()
 	cluster.adopt(3, "a")
 	cluster.deliver()
 	if sent := documents(); sent != 1 {
-		t.Errorf("%d documents in another view", sent)
+		t.Errorf("%d documents sent in a new view, want 1", sent)
 	}
 }
 
-// A member that learned the document outside the chain says, also on its disk, that it may lack something, until its
-// predecessor in the chain has seen it to have all and the disk holds that.
+// A member that learned the document outside the chain is marked as incomplete, in memory and on its disk, until its
+// predecessor in the chain confirms its alignment and that is synced. Otherwise it could become the only member of the
+// chain without entries that were committed before it joined.
 func TestLearnerIsIncompleteUntilAligned(t *testing.T) {
 	cluster := newCluster("a")
 	cluster.add("b")
 	cluster.adopt(2, "a")
 	cluster.deliver()
-	enterAndSync(t, cluster, 1)
+	submitAndSync(t, cluster, 1)
 	learner := cluster.chains["b"]
 	learner.RequestDocument("a")
 	cluster.deliver()
 	if write := cluster.writes["b"][0]; write.Record.GetDocument() == nil || !write.Record.Incomplete {
-		t.Fatalf("the disk is told %v", write.Record)
+		t.Fatalf("the record of the learned document is not marked as incomplete: %v", write.Record)
 	}
 	cluster.sync("b")
-	enterAndSync(t, cluster, 2)
+	submitAndSync(t, cluster, 2)
 	cluster.adopt(3, "a", "b")
 	cluster.deliver()
 	if snapshot := new(wire.DurableState); learner.Incomplete() {
 		learner.AddTo(snapshot)
 		if !snapshot.Incomplete {
-			t.Fatal("a snapshot says nothing of it")
+			t.Fatal("the snapshot of an incomplete member is not marked as incomplete")
 		}
 	} else {
-		t.Fatal("complete before it was sent what came meanwhile")
+		t.Fatal("complete before it received the entry that was committed meanwhile")
 	}
 	cluster.sync("b")
 	cluster.deliver()
 	if !learner.Incomplete() || learner.Committed().SpecEpoch != 2 {
-		t.Fatalf("incomplete %v with %d committed, before the disk holds that it is not",
+		t.Fatalf("before the completion record is synced: incomplete %v, committed %d, want true and 2",
 			learner.Incomplete(), learner.Committed().SpecEpoch)
 	}
 	cluster.sync("b")
 	if learner.Incomplete() {
-		t.Fatal("still incomplete")
+		t.Fatal("still incomplete after the completion record is synced")
 	}
 }
--- a/coordination/chain/outcomes.go
+++ b/coordination/chain/outcomes.go
@@ -4,8 +4,8 @@
 
 // outcomeWindow holds the newest outcomes in order, at most MaximumOutcomes, with an index by operation.
 type outcomeWindow struct {
-	// list is only ever appended to, and its array is replaced when full. So the slices returned earlier, one for each
-	// document, go on holding what they held, without a copy for each.
+	// list is append-only, and its array is replaced when it is full. The slices returned earlier, one for each document,
+	// therefore keep their contents without a copy for each.
 	list        []*wire.Outcome
 	byOperation map[string]*wire.Outcome
 }
@@ -21,15 +21,15 @@
 	return window
 }
 
-// add appends an outcome and returns those that a document has after it.
+// add appends an outcome, evicts the oldest beyond MaximumOutcomes, and returns the outcomes of the resulting document.
 func (window *outcomeWindow) add(outcome *wire.Outcome) []*wire.Outcome {
 	window.list = append(window.list, outcome)
 	window.byOperation[outcome.Operation] = outcome
 	for len(window.list) > MaximumOutcomes {
-		forgotten := window.list[0]
+		evicted := window.list[0]
 		window.list = window.list[1:]
-		if window.byOperation[forgotten.Operation] == forgotten {
-			delete(window.byOperation, forgotten.Operation)
+		if window.byOperation[evicted.Operation] == evicted {
+			delete(window.byOperation, evicted.Operation)
 		}
 	}
 	return window.list[:len(window.list):len(window.list)]
--- a/coordination/chain/replication.go
+++ b/coordination/chain/replication.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// sendWindow bounds the bytes on their way to the successor, beyond a single entry.
+	// sendWindow bounds the size of the entries in flight to the successor; a single entry may exceed it.
 	sendWindow = 1 << 20
-	// retransmitInterval is how often a member sends again what may have been lost, and idleRetransmitInterval how
-	// often where it knows of nothing that a neighbour lacks.
+	// retransmitInterval is the interval at which a member retransmits messages that may have been lost, and
+	// idleRetransmitInterval the interval while it knows of nothing that a neighbour in the chain lacks.
 	retransmitInterval     = 200 * time.Millisecond
 	idleRetransmitInterval = time.Second
 )
 
-// progress is what a member knows of its successor in the present view.
+// progress tracks the replication to the successor in the current view.
 type progress struct {
-	// acknowledged is whether the successor has sent an acknowledgement yet, and synced up to where it has synced.
+	// acknowledged reports whether the successor has sent any acknowledgement, and synced is the sequence up to which it
+	// has synced.
 	acknowledged bool
 	synced       uint64
-	// sent is up to where the history was sent to it, and syncedAtRetransmit what synced was at the last
-	// retransmission.
+	// sent is the sequence up to which the history was sent to the successor, and syncedAtRetransmit the value of synced
+	// at the last retransmission.
 	sent               uint64
 	syncedAtRetransmit uint64
 }
@@ -40,20 +41,21 @@
 	return chain.view.Chain[chain.index-1]
 }
 
-// isFromPredecessor reports whether a message of a view comes from this member's predecessor in the present view.
+// isFromPredecessor reports whether a message belongs to the current view and comes from the predecessor in it.
 func (chain *Chain) isFromPredecessor(view uint64, sender string) bool {
 	predecessor := chain.predecessor()
 	return view == chain.view.Epoch && predecessor != nil && predecessor.Id == sender
 }
 
-// isFromSuccessor reports whether a message of a view comes from this member's successor in the present view.
+// isFromSuccessor reports whether a message belongs to the current view and comes from the successor in it.
 func (chain *Chain) isFromSuccessor(view uint64, sender string) bool {
 	successor := chain.successor()
 	return view == chain.view.Epoch && successor != nil && successor.Id == sender
 }
 
-// forward sends the successor what it lacks and was not sent yet, as far as the window reaches. It sends the whole
-// committed document first if the entries that the successor lacks are no longer kept one by one.
+// forward sends the successor the synced entries that it lacks and that were not sent yet, within sendWindow. It sends
+// the complete committed document first if the entries that the successor lacks are part of it and no longer kept one
+// by one.
 func (chain *Chain) forward() {
 	successor := chain.successor()
 	if successor == nil || !chain.successorProgress.acknowledged {
@@ -85,7 +87,7 @@
 	chain.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_ChainForward{ChainForward: message}})
 }
 
-// acknowledge tells the predecessor up to where this member has synced and committed.
+// acknowledge sends the predecessor the sequences up to which this member has synced and committed.
 func (chain *Chain) acknowledge() {
 	if predecessor := chain.predecessor(); predecessor != nil {
 		chain.sendAck(predecessor, chain.synced)
@@ -97,7 +99,7 @@
 		View: chain.view.Epoch, Synced: synced, Committed: chain.history.committed.Sequence}}})
 }
 
-// HandleForward handles what the predecessor forwards: the next entry, or a whole document.
+// HandleForward handles the next entry, or a complete document, from the predecessor.
 func (chain *Chain) HandleForward(now time.Time, sender string, message *wire.ChainForward) {
 	if !chain.isFromPredecessor(message.View, sender) {
 		return
@@ -129,18 +131,18 @@
 		chain.acknowledge()
 	}
 	chain.forward()
-	// The successor may only answer as a tail once it has all that its predecessor had when the view began.
+	// The successor may answer as the tail only once it has synced all entries that this member had when the view began.
 	chain.confirmAlignment()
 }
 
-// Tick sends again what may have been lost. It is called at least a few times in each retransmitInterval.
+// Tick retransmits messages that may have been lost. It is called at least a few times in each retransmitInterval.
 func (chain *Chain) Tick(now time.Time) {
 	if !chain.IsMember() || !chain.retransmitDue(now) {
 		return
 	}
 	chain.lastRetransmit = now
 	chain.acknowledge()
-	// A successor that makes progress has lost nothing; it is slow at most.
+	// A successor that makes progress lost no message; it may only be slow.
 	progress := &chain.successorProgress
 	if progress.synced == progress.syncedAtRetransmit {
 		progress.sent = progress.synced
@@ -158,7 +160,7 @@
 	return now.Sub(chain.lastRetransmit) >= interval
 }
 
-// idle reports whether this member knows of nothing that its neighbours lack.
+// idle reports whether this member knows of nothing that a neighbour in the chain lacks.
 func (chain *Chain) idle() bool {
 	if len(chain.history.pending) > 0 || !chain.aligned {
 		return false
--- a/coordination/chain/replication_test.go
+++ b/coordination/chain/replication_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each entry goes to the successor once while nothing is lost, and what waits for a slow successor is bounded.
+// While no message is lost, each entry is sent to the successor once, and the entries in flight to a slow successor are
+// bounded by sendWindow. Sending all unacknowledged entries at each sync would break both.
 func TestEntriesAreForwardedOnce(t *testing.T) {
 	cluster := newCluster("a", "b")
 	cluster.deliver()
@@ -15,8 +16,9 @@
 		}
 		cluster.sync("a")
 	}
-	if waiting := countEntries(cluster.messages); waiting*size > sendWindow {
-		t.Fatalf("%d bytes on their way to a successor that says nothing", waiting*size)
+	if inFlight := countEntries(cluster.messages); inFlight*size > sendWindow {
+		t.Fatalf("%d bytes in flight to a successor that has acknowledged nothing, want at most %d",
+			inFlight*size, sendWindow)
 	}
 	sent := 0
 	for range 2 * entries {
@@ -35,19 +37,19 @@
 
 func countEntries(messages []message) (count int) {
 	for _, message := range messages {
-		if pass := message.envelope.GetChainForward(); pass != nil && pass.Entry != nil {
+		if forward := message.envelope.GetChainForward(); forward != nil && forward.Entry != nil {
 			count++
 		}
 	}
 	return count
 }
 
-// A successor that makes progress between two retransmissions is sent nothing twice; one that does not is.
+// Entries are retransmitted to a successor that made no progress since the last retransmission, and to no other.
 func TestRetransmissionOnlyWithoutProgress(t *testing.T) {
 	cluster := newCluster("a", "b")
 	cluster.deliver()
-	enterAndSync(t, cluster, 1)
-	enterAndSync(t, cluster, 2)
+	submitAndSync(t, cluster, 1)
+	submitAndSync(t, cluster, 2)
 	// Both entries are lost.
 	cluster.messages = nil
 	for _, test := range []struct {
@@ -64,13 +66,13 @@
 		cluster.chains["a"].Tick(cluster.now)
 		cluster.gather()
 		if sent := countEntries(cluster.messages); sent != test.want {
-			t.Errorf("%s: %d entries sent again, want %d", test.name, sent, test.want)
+			t.Errorf("%s: %d entries retransmitted, want %d", test.name, sent, test.want)
 		}
 		cluster.messages = nil
 	}
 }
 
-// A member whose neighbours lack nothing retransmits less often.
+// A member whose neighbours in the chain lack nothing retransmits at idleRetransmitInterval.
 func TestIdleMemberRetransmitsLessOften(t *testing.T) {
 	cluster := newCluster("a", "b")
 	cluster.deliver()
@@ -81,7 +83,7 @@
 	if !head.retransmitDue(cluster.now.Add(idleRetransmitInterval)) {
 		t.Fatal("an idle head never retransmits")
 	}
-	enterAndSync(t, cluster, 1)
+	submitAndSync(t, cluster, 1)
 	if head.idle() || !head.retransmitDue(cluster.now.Add(retransmitInterval)) {
 		t.Fatal("a head with a pending entry does not retransmit")
 	}
--- a/coordination/chain/shortchain_test.go
+++ b/coordination/chain/shortchain_test.go
@@ -7,10 +7,10 @@
 	"wardtray/wire"
 )
 
-// replicas is how many replicas a change needs in the tests of chains that are too short to be writable.
-const replicas = 2
+// minReplicas is the number of replicas that a change needs in the tests of chains too short to be writable.
+const minReplicas = 2
 
-// settle lets time pass, messages arrive and disks sync until nothing changes any more.
+// settle lets enough time pass for all messages to be delivered and all disks to sync.
 func (cluster *cluster) settle() {
 	for range 6 {
 		cluster.now = cluster.now.Add(time.Second)
@@ -22,21 +22,21 @@
 	}
 }
 
-// numbered returns a change with its number as its sequence, as a disk holds it.
-func numbered(number int) *wire.Entry {
+// storedChange returns a change whose sequence equals its number, as a disk holds it.
+func storedChange(number int) *wire.Entry {
 	entry := change(number)
 	entry.Sequence = uint64(number)
 	return entry
 }
 
-// A change that only the last remaining member has synced was acknowledged by nobody. Committed by that member alone it
-// would be lost with its disk, so it stays pending until there are two members again.
+// A change that only the last remaining member has synced was never acknowledged. If that member committed it alone,
+// the committed change would be lost with its disk, so it stays pending until the chain has two members again.
 func TestShortChainKeepsWhatWasNotAcknowledgedPending(t *testing.T) {
 	cluster := newEmptyCluster()
 	for _, name := range []string{"a", "b", "c"} {
 		cluster.add(name)
 	}
-	cluster.adoptWith(replicas, 1, "a", "b")
+	cluster.adoptWith(minReplicas, 1, "a", "b")
 	cluster.deliver()
 	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
 		t.Fatal(err)
@@ -44,19 +44,19 @@
 	cluster.sync("a")
 	cluster.messages = nil
 	delete(cluster.chains, "b")
-	cluster.adoptWith(replicas, 2, "a")
+	cluster.adoptWith(minReplicas, 2, "a")
 	cluster.chains["c"].RequestDocument("a")
 	cluster.settle()
 	if got := cluster.commits["a"]; got != 0 {
 		t.Fatalf("the only member committed up to %d alone", got)
 	}
 	if got := cluster.chains["a"].Watermark(); got != 0 {
-		t.Errorf("the only member may not act before it has committed up to %d, want 0", got)
+		t.Errorf("the only member may act once it has committed up to %d, want 0", got)
 	}
 	if got := cluster.chains["c"].Latest().Sequence; got != 0 || cluster.chains["c"].LearnedView() != 2 {
 		t.Fatalf("c learned up to %d in view %d, want 0 in view 2", got, cluster.chains["c"].LearnedView())
 	}
-	cluster.adoptWith(replicas, 3, "a", "c")
+	cluster.adoptWith(minReplicas, 3, "a", "c")
 	cluster.settle()
 	for _, name := range []string{"a", "c"} {
 		if got := cluster.chains[name].Committed().Sequence; got != 1 {
@@ -65,13 +65,13 @@
 	}
 }
 
-// What a member was restored with may have been acknowledged before it ended, so that a read has to return it, and
-// whoever learns has to learn it, although nobody else is left.
+// The entries that a member was restored with may have been acknowledged before it stopped. As the only member left it
+// commits them, so that reads return them and other machines learn them.
 func TestShortChainCommitsWhatItWasRestoredWith(t *testing.T) {
 	cluster := newEmptyCluster()
-	cluster.addWith("a", nil, numbered(1))
+	cluster.addWith("a", nil, storedChange(1))
 	cluster.add("b")
-	cluster.adoptWith(replicas, 2, "a")
+	cluster.adoptWith(minReplicas, 2, "a")
 	cluster.chains["b"].RequestDocument("a")
 	cluster.settle()
 	for _, name := range []string{"a", "b"} {
@@ -81,14 +81,14 @@
 	}
 }
 
-// What the head had committed before a member joined may have been acknowledged: the member gets it as committed, so
-// that whoever learns from it as the tail learns it.
+// The entries that the head committed before a member joined may have been acknowledged. The joining member receives
+// them as committed, so that machines that learn from it as the tail learn them, although the chain is not writable.
 func TestShortChainTeachesWhatItsHeadHadCommitted(t *testing.T) {
 	cluster := newEmptyCluster()
 	for _, name := range []string{"a", "b", "c", "d"} {
 		cluster.add(name)
 	}
-	cluster.adoptWith(replicas, 1, "a", "b")
+	cluster.adoptWith(minReplicas, 1, "a", "b")
 	cluster.chains["c"].RequestDocument("b")
 	cluster.settle()
 	if err := cluster.chains["a"].Submit(cluster.now, change(1)); err != nil {
@@ -96,7 +96,7 @@
 	}
 	cluster.settle()
 	delete(cluster.chains, "b")
-	cluster.adoptWith(replicas+1, 2, "a", "c")
+	cluster.adoptWith(minReplicas+1, 2, "a", "c")
 	cluster.chains["d"].RequestDocument("c")
 	cluster.settle()
 	cluster.chains["d"].RequestDocument("c")
@@ -108,36 +108,36 @@
 	}
 }
 
-// Where the chain is writable, a head has to see all of its history committed before it may act.
+// In a writable chain, a head may act only once its complete history is committed.
 func TestWatermarkOfAWritableChainIsItsHistory(t *testing.T) {
 	cluster := newEmptyCluster()
-	cluster.addWith("a", nil, numbered(1))
+	cluster.addWith("a", nil, storedChange(1))
 	cluster.add("b")
-	cluster.adoptWith(replicas, 2, "a", "b")
+	cluster.adoptWith(minReplicas, 2, "a", "b")
 	if err := cluster.chains["a"].Submit(cluster.now, change(2)); err != nil {
 		t.Fatal(err)
 	}
 	if got := cluster.chains["a"].Watermark(); got != 2 {
 		t.Errorf("a may act once it has committed up to %d, want 2", got)
 	}
-	cluster.adoptWith(replicas, 3, "a")
+	cluster.adoptWith(minReplicas, 3, "a")
 	if got := cluster.chains["a"].Watermark(); got != 1 {
 		t.Errorf("a, alone, may act once it has committed up to %d, want 1", got)
 	}
 }
 
-// A history that was replaced by a learned document holds nothing that the member was restored with: a later entry with
-// the sequence of a dropped one may be on one disk only.
+// Once a learned document has replaced a member's history, none of its entries counts as restored. Otherwise the member
+// would commit alone a later entry that has the sequence of a dropped one and may be on its disk only.
 func TestShortChainForgetsWhatItWasRestoredWith(t *testing.T) {
 	cluster := newEmptyCluster()
 	cluster.add("a")
-	cluster.addWith("b", nil, numbered(1), numbered(2))
+	cluster.addWith("b", nil, storedChange(1), storedChange(2))
 	cluster.add("c")
-	cluster.adoptWith(replicas, 2, "a", "c")
+	cluster.adoptWith(minReplicas, 2, "a", "c")
 	cluster.settle()
 	cluster.chains["b"].RequestDocument("c")
 	cluster.settle()
-	cluster.adoptWith(replicas, 3, "a", "b", "c")
+	cluster.adoptWith(minReplicas, 3, "a", "b", "c")
 	cluster.settle()
 	if err := cluster.chains["a"].Submit(cluster.now, change(3)); err != nil {
 		t.Fatal(err)
@@ -149,9 +149,9 @@
 	if got := cluster.chains["b"].Synced(); got != 1 {
 		t.Fatalf("b synced up to %d, want 1", got)
 	}
-	cluster.adoptWith(replicas, 4, "b")
+	cluster.adoptWith(minReplicas, 4, "b")
 	cluster.settle()
 	if got := cluster.commits["b"]; got != 0 {
-		t.Errorf("b committed up to %d alone", got)
+		t.Errorf("b committed up to %d alone, want 0", got)
 	}
 }
