--- a/coordination/lease/lessee.go
+++ b/coordination/lease/lessee.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Lessee is the side that requests the head's lease.
+// Lessee requests the head's lease and tracks its expiry, at the head of the chain.
 type Lessee struct {
 	view uint64
-	// nonce is that of the last request.
+	// nonce is the nonce of the last request.
 	nonce uint64
-	// requests are those whose grants may still prolong the lease, by nonce.
+	// requests holds, by nonce, the requests whose grants may still extend the lease.
 	requests  map[uint64]*request
 	expiresAt time.Time
 }
 
-// request is one request to all acceptors of a view.
+// request is a request to all acceptors of a view and the acceptors that have granted it.
 type request struct {
 	sentAt time.Time
 	grants map[string]bool
 }
 
-// NewLessee returns a lessee without a lease. Its nonces begin above start, which has to be random, so that a grant
-// to a request of an earlier incarnation of the same machine is never taken for one of this incarnation.
+// NewLessee returns a lessee without a lease. Its nonces begin above start, which has to be random, so that a grant to
+// an earlier incarnation of the same machine is never counted as a grant to this one.
 func NewLessee(start uint64) *Lessee { return &Lessee{nonce: start} }
 
 // Request starts a new request in a view and returns its nonce. Earlier requests stay open, so that grants that arrive
-// after the next request was sent count too, each for its own request. A request in another view gives up the lease.
+// after the next request was sent count too, each for its own request. A request in another view releases the lease.
 func (lessee *Lessee) Request(now time.Time, view uint64) uint64 {
 	if view != lessee.view || lessee.requests == nil {
 		lessee.expiresAt, lessee.requests = time.Time{}, map[uint64]*request{}
@@ -39,8 +39,8 @@
 	return lessee.nonce
 }
 
-// AddGrant counts an acceptor's grant of the request with a nonce; majority is how many of the view's acceptors are
-// needed.
+// AddGrant counts an acceptor's grant of the request with a nonce. majority is the number of grants from the view's
+// acceptors that a lease needs.
 func (lessee *Lessee) AddGrant(_ time.Time, acceptor string, view, nonce uint64, majority int) {
 	request := lessee.requests[nonce]
 	if view != lessee.view || request == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Valid reports whether the lease of a view is held at this very moment.
+// Valid reports whether the lease of a view is held at the moment now.
 func (lessee *Lessee) Valid(now time.Time, view uint64) bool {
 	return view == lessee.view && now.Before(lessee.expiresAt)
 }
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -6,32 +6,31 @@
 	"wardtray/wire"
 )
 
-// Lessor is the side that grants the head's lease, at one acceptor.
+// Lessor decides whether the head's lease may be granted, at one acceptor.
 //
-// A leadership term is a run of successive views with the same head. Within a term that machine
-// alone requests the lease, so only the heads of earlier terms have to be waited for. Their leases
-// have expired a lease.LessorTTL after this acceptor learned of the new term, or sooner where each of
-// them is proven to act no more: it has adopted the new term itself, or nothing listens at its
-// address any longer.
+// A leadership term is a sequence of successive views with the same head. Within a term only that machine requests the
+// lease, so only the leases of the heads of earlier terms have to expire. They have expired LessorTTL after this
+// acceptor learned of the new term. Grants are possible sooner if each of those heads is proven to be inactive: it has
+// adopted the new term itself, or nothing listens at its address any longer.
 type Lessor struct {
-	// term is the epoch of the view in which the present leadership term began; 0 before any view
-	// was learned.
-	term      uint64
+	// term is the epoch of the view in which the current leadership term began; 0 before any view was learned.
+	term uint64
+	// learnedAt is the moment at which this acceptor learned of the term.
 	learnedAt time.Time
-	// grantsFrom is from when on the head of the present term may be granted the lease.
+	// grantsFrom is the moment from which the head of the current term may be granted the lease.
 	grantsFrom time.Time
-	// previousHeads are those of earlier terms whose leases may still be valid. unknownHeads is set
-	// where there may be others, of terms that this acceptor never learned of.
+	// previousHeads are the heads of earlier terms whose leases may still be valid. unknownHeads reports whether there may
+	// be others, of terms that this acceptor never learned of.
 	previousHeads []*wire.Member
 	unknownHeads  bool
 	head          *wire.Member
-	// headEpoch is the newest epoch that the head was observed to act under, perhaps one that this
-	// acceptor is yet to learn of.
+	// headEpoch is the newest view epoch that the head was observed to act under. This acceptor may not have learned of
+	// that view yet.
 	headEpoch uint64
 }
 
-// NewLessor returns the lessor of an acceptor that starts with the view on its disk. cleared is the
-// term, also from its disk, for which it may grant at once; 0 where there is none.
+// NewLessor returns the lessor of an acceptor that starts with the view on its disk. cleared is the term, also from its
+// disk, in which it may grant immediately because it could before the restart; 0 if there is none.
 func NewLessor(now time.Time, view *wire.View, cleared uint64) *Lessor {
 	lessor := &Lessor{unknownHeads: true}
 	lessor.AdoptView(now, view)
@@ -41,20 +40,20 @@
 	return lessor
 }
 
-// AdoptView adopts a view that is newer than the present one.
+// AdoptView adopts a view that is newer than the current one.
 func (lessor *Lessor) AdoptView(now time.Time, view *wire.View) {
 	if view.GetEpoch() == 0 || view.HeadTerm == lessor.term && lessor.term > 0 {
 		return
 	}
 	previous := lessor.head
-	// Heads of terms that this acceptor never learned of may hold leases too.
+	// If this acceptor missed a term, the head of that term may hold a lease too.
 	known := lessor.precedes(view)
 	if now.Before(lessor.grantsFrom) {
 		known = known && !lessor.unknownHeads
 	} else {
 		lessor.previousHeads = nil
 	}
-	// A head that leaves in order announces the new term before this acceptor has synced its view.
+	// In a planned handover the previous head announces the new term before this acceptor has synced the view.
 	if known && lessor.headEpoch < view.HeadTerm {
 		lessor.previousHeads = append(lessor.previousHeads, previous)
 	}
@@ -67,7 +66,7 @@
 	}
 }
 
-// precedes reports whether the present term is the one immediately before that of a view.
+// precedes reports whether the current term is the one immediately before the term of a view.
 func (lessor *Lessor) precedes(view *wire.View) bool {
 	if lessor.head == nil || view.PreviousHead == nil {
 		return false
@@ -75,10 +74,10 @@
 	return view.PreviousHead.Id == lessor.head.Id && view.PreviousTerm == lessor.term
 }
 
-// Term returns the epoch of the view in which the present leadership term began.
+// Term returns the epoch of the view in which the current leadership term began; 0 before any view was learned.
 func (lessor *Lessor) Term() uint64 { return lessor.term }
 
-// ObserveEpoch handles the observation that a machine acts under the view of an epoch by now.
+// ObserveEpoch handles the observation that a machine acts under the view of an epoch.
 func (lessor *Lessor) ObserveEpoch(now time.Time, id string, epoch uint64) {
 	if lessor.head != nil && id == lessor.head.Id {
 		lessor.headEpoch = max(lessor.headEpoch, epoch)
@@ -88,17 +87,17 @@
 	}
 }
 
-// ObserveRefusal handles the observation that nothing listened at an address when a connection was tried
-// at a moment.
+// ObserveRefusal handles the observation that a connection to an address, attempted at the moment tried, was refused
+// because nothing listened there.
 func (lessor *Lessor) ObserveRefusal(now time.Time, address string, tried time.Time) {
-	// Before the term was learned a new incarnation of the same machine may still have obtained the lease.
+	// An earlier refusal proves nothing: a new incarnation of the same machine may have obtained the lease after it and
+	// before the term was learned.
 	if len(lessor.previousHeads) > 0 && tried.After(lessor.learnedAt) {
 		lessor.removePreviousHeads(now, func(head *wire.Member) bool { return head.Address == address })
 	}
 }
 
-// removePreviousHeads removes the heads that are proven to act no more, and permits grants once
-// none is left.
+// removePreviousHeads removes the heads that are proven to be inactive, and permits grants once none is left.
 func (lessor *Lessor) removePreviousHeads(now time.Time, inactive func(head *wire.Member) bool) {
 	var remaining []*wire.Member
 	for _, head := range lessor.previousHeads {
@@ -123,8 +122,8 @@
 	return addresses
 }
 
-// CanGrant reports whether the head of the present term may be granted the lease; voted is whether
-// this acceptor has voted for the next view.
+// CanGrant reports whether the head of the current term may be granted the lease. voted reports whether this acceptor
+// has voted for the next view.
 func (lessor *Lessor) CanGrant(now time.Time, voted bool) bool {
 	return !voted && lessor.head != nil && !now.Before(lessor.grantsFrom)
 }
--- a/coordination/lease/progress.go
+++ b/coordination/lease/progress.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// maximumReports bounds the reports kept of one acceptor; the oldest are dropped first.
+// maximumReports is the number of reports kept of each acceptor; the oldest are dropped first.
 const maximumReports = 64
 
-// ProgressTracker is what the head knows of the acceptors as witnesses: which sequence each of them
-// knows to be committed, and from when on no daemon relies on its confirmation of an older one.
+// ProgressTracker tracks, at the head, the reports of the acceptors as witnesses: up to which sequence each of them
+// knows the history to be committed, and from which moment no daemon relies on its confirmations of older sequences.
 type ProgressTracker struct {
 	reports map[string][]progressReport
 }
 
-// progressReport is what one acceptor has reported.
+// progressReport is a report of one acceptor.
 type progressReport struct {
 	committed uint64
-	// fencedFrom is from when on no daemon relies on the acceptor's confirmation of anything older
-	// than committed.
+	// fencedFrom is the moment from which no daemon relies on the acceptor's confirmation of a sequence below committed.
 	fencedFrom time.Time
 }
 
@@ -24,11 +23,11 @@
 	return &ProgressTracker{reports: map[string][]progressReport{}}
 }
 
-// Report records that an acceptor knows a sequence to be committed, and from when on its
-// confirmations of older ones are no longer relied on.
+// Report records that an acceptor knows a sequence to be committed, and that no daemon relies on its confirmations of
+// older sequences from the moment fencedFrom.
 func (tracker *ProgressTracker) Report(acceptor string, committed uint64, fencedFrom time.Time) {
 	reports := tracker.reports[acceptor]
-	// A report that is fenced no later and reaches as far makes an earlier one redundant.
+	// An earlier report is redundant if this one covers its sequence and is fenced no later.
 	for len(reports) > 0 {
 		last := reports[len(reports)-1]
 		if last.committed > committed || fencedFrom.After(last.fencedFrom) {
@@ -53,8 +52,8 @@
 	return false
 }
 
-// Fenced reports whether an acceptor knows that a sequence is committed and no daemon relies on its
-// confirmation of an older one any more.
+// Fenced reports whether an acceptor knows that a sequence is committed and no daemon relies on its confirmations of
+// older sequences any more.
 func (tracker *ProgressTracker) Fenced(now time.Time, acceptor string, sequence uint64) bool {
 	for _, report := range tracker.reports[acceptor] {
 		if report.committed >= sequence && !now.Before(report.fencedFrom) {
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -2,54 +2,52 @@
 
 import "time"
 
-// maximumConfirmations bounds the daemons whose confirmations one acceptor keeps track of.
+// maximumConfirmations is the number of daemons whose confirmations one acceptor tracks.
 const maximumConfirmations = 4096
 
-// Witness is an acceptor's part in the leases of daemons that the head does not reach. A daemon
-// that asks is told whether the acceptor knows of anything newer than what the daemon has;
-// confirmations by a majority of the acceptors stand in for the head's own lease. To the head the
-// witness reports for how long confirmations of older sequences may still be relied on.
+// Witness issues an acceptor's confirmations to daemons that can't reach the head. A confirmation states that the
+// acceptor knows of no committed sequence newer than the daemon's; confirmations by a majority of the acceptors replace
+// a lease from the head. To the head the witness reports how long daemons may still rely on confirmations of older
+// sequences.
 type Witness struct {
-	// duration is for how long a daemon relies on a confirmation.
+	// duration is the time for which a daemon relies on a confirmation.
 	duration time.Duration
-	// committed is the newest sequence known to be committed; informedByHead is whether a head has
-	// said so in this incarnation of the process.
+	// committed is the newest sequence known to be committed; informedByHead reports whether a head has reported a
+	// committed sequence to this incarnation of the process.
 	committed      uint64
 	informedByHead bool
 	confirmations  map[string]confirmation
-	// forgottenUntil is until when confirmations of an earlier incarnation, which are known no
-	// more, may be relied on.
+	// forgottenUntil is the moment until which daemons may rely on confirmations of an earlier incarnation, of which this
+	// one has no record.
 	forgottenUntil time.Time
 }
 
-// confirmation is the last one that was given to a daemon.
+// confirmation is the last confirmation issued to a daemon.
 type confirmation struct {
 	sequence  uint64
 	expiresAt time.Time
 }
 
-// NewWitness returns a witness that knows nothing. It confirms nothing before a head has told it up
-// to where the history is committed: a process that has just started has forgotten what it was told
-// before. Daemons rely on a confirmation for the given duration, which includes a margin for clocks
-// that drift.
+// NewWitness returns a witness without a known committed sequence. It confirms nothing before a head has reported the
+// committed sequence, since a restarted process has no record of earlier reports. Daemons rely on a confirmation for
+// the given duration, which includes a margin for clock drift.
 func NewWitness(duration time.Duration) *Witness {
 	return &Witness{duration: duration, confirmations: map[string]confirmation{}}
 }
 
-// AssumeForgottenConfirmations handles that the acceptor had an earlier incarnation, which may have given
-// confirmations a moment before it ended. They are assumed to be relied on for as long as any
-// confirmation is.
+// AssumeForgottenConfirmations accounts for an earlier incarnation of the acceptor, which may have issued confirmations
+// immediately before it stopped. Daemons are assumed to rely on them for the duration of a confirmation from now.
 func (witness *Witness) AssumeForgottenConfirmations(now time.Time) {
 	witness.forgottenUntil = now.Add(witness.duration)
 }
 
-// ObserveHead handles a head's statement that the history is committed up to a sequence.
+// ObserveHead handles a head's report that the history is committed up to a sequence.
 func (witness *Witness) ObserveHead(sequence uint64) {
 	witness.informedByHead = true
 	witness.ObserveCommit(sequence)
 }
 
-// ObserveCommit handles that a sequence is committed, from whichever source that is known.
+// ObserveCommit records that a sequence is committed, as learned from any source.
 func (witness *Witness) ObserveCommit(sequence uint64) {
 	witness.committed = max(witness.committed, sequence)
 }
@@ -57,9 +55,9 @@
 // Committed returns the newest sequence that is known to be committed.
 func (witness *Witness) Committed() uint64 { return witness.committed }
 
-// Confirm reports whether a daemon that has a sequence may be told that nothing newer is known, and
-// records that it was. stored is what the acceptor's disk held when its process started: an earlier
-// incarnation may have told the head that it knows as much.
+// Confirm reports whether a confirmation may be issued to a daemon that has a sequence, and if so records it. stored is
+// the sequence that the acceptor's disk held when its process started: an earlier incarnation may have reported to the
+// head that it knows this sequence to be committed.
 func (witness *Witness) Confirm(now time.Time, daemon string, sequence, stored uint64) bool {
 	witness.ObserveDaemon(daemon, sequence)
 	if !witness.informedByHead || sequence < max(witness.committed, stored) {
@@ -72,8 +70,7 @@
 	return true
 }
 
-// hasRoom reports whether a confirmation for a daemon can be recorded; it removes expired ones
-// where that is needed.
+// hasRoom reports whether a confirmation for a daemon can be recorded; it removes expired ones if needed.
 func (witness *Witness) hasRoom(now time.Time, daemon string) bool {
 	if _, found := witness.confirmations[daemon]; found || len(witness.confirmations) < maximumConfirmations {
 		return true
@@ -82,15 +79,15 @@
 	return len(witness.confirmations) < maximumConfirmations
 }
 
-// ObserveDaemon handles that a daemon acts under a sequence by now, and so under none before it.
+// ObserveDaemon handles the observation that a daemon acts under a sequence, and so no longer under an older one.
 func (witness *Witness) ObserveDaemon(daemon string, sequence uint64) {
 	if last, found := witness.confirmations[daemon]; found && sequence > last.sequence {
 		delete(witness.confirmations, daemon)
 	}
 }
 
-// Outstanding returns for how long a daemon may still rely on the confirmation of something older
-// than a sequence; 0 where none does.
+// Outstanding returns the longest time for which any daemon may still rely on a confirmation of a sequence older than
+// the given one; 0 if none does.
 func (witness *Witness) Outstanding(now time.Time, sequence uint64) time.Duration {
 	longest := max(0, witness.forgottenUntil.Sub(now))
 	for _, last := range witness.confirmations {
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -7,25 +7,29 @@
 
 const duration = time.Second
 
+// A witness confirms a sequence only if it knows of no newer one, and only after a head has reported to this
+// incarnation. A daemon would otherwise act on an outdated document.
 func TestWitnessConfirmsOnlyWhatItWasTold(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
 	if witness.Confirm(now, "d", 5, 0) {
-		t.Fatal("confirms before any head has told it anything")
+		t.Fatal("confirms before any head has reported a committed sequence")
 	}
 	witness.ObserveHead(5)
 	if !witness.Confirm(now, "d", 5, 0) || witness.Confirm(now, "e", 4, 0) {
-		t.Fatal("confirms less than it knows, or not what it knows")
+		t.Fatal("want the committed sequence confirmed, and no older one")
 	}
 	if witness.Confirm(now, "f", 5, 6) {
-		t.Fatal("confirms less than an earlier incarnation may have said that it knows")
+		t.Fatal("confirms a sequence older than an earlier incarnation may have reported as committed")
 	}
 	witness.ObserveCommit(7)
 	if witness.Confirm(now, "d", 6, 0) || !witness.Confirm(now, "d", 7, 0) {
-		t.Fatal("confirms an older sequence")
+		t.Fatal("after a newer commit: want the newer sequence confirmed, and no older one")
 	}
 }
 
+// The time for which daemons may rely on older confirmations ends when the confirmations expire or their daemons have
+// newer sequences. If it were too short, the head would consider daemons fenced that still act on older sequences.
 func TestOutstandingConfirmationsExpire(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
@@ -39,31 +43,32 @@
 		want     time.Duration
 	}{{5, 0}, {6, duration}} {
 		if got := witness.Outstanding(now, test.sequence); got != test.want {
-			t.Fatalf("outstanding below %d: %v", test.sequence, got)
+			t.Fatalf("outstanding confirmations below sequence %d: %v", test.sequence, got)
 		}
 	}
-	// The daemon that has the newer sequence relies on the older one no more; one that reports less again still may.
+	// A daemon that has the newer sequence no longer relies on the older one; one that reports an older sequence still
+	// may.
 	witness.ObserveDaemon("e", 6)
 	witness.ObserveDaemon("d", 4)
 	if got := witness.Outstanding(now, 6); got != duration/2 {
-		t.Fatalf("outstanding: %v", got)
+		t.Fatalf("outstanding after the reports of daemons: %v, want %v", got, duration/2)
 	}
 	if got := witness.Outstanding(now.Add(duration/2), 6); got != 0 {
-		t.Fatalf("outstanding at the end: %v", got)
+		t.Fatalf("outstanding after the expiry: %v, want 0", got)
 	}
 }
 
-// Found by verify/modelcheck: an acceptor confirmed what a daemon had, was killed and came back, and told the head
-// that nobody relied on any of its confirmations.
+// Found by verify/modelcheck: an acceptor issued a confirmation to a daemon, was killed, restarted, and reported to the
+// head that no daemon relied on any of its confirmations.
 func TestRestartedWitnessCountsForgottenConfirmations(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
 	witness.AssumeForgottenConfirmations(now)
 	witness.ObserveHead(5)
 	if got := witness.Outstanding(now.Add(duration/4), 5); got != duration*3/4 {
-		t.Fatalf("outstanding after a restart: %v", got)
+		t.Fatalf("outstanding %v after a restart: %v", duration/4, got)
 	}
 	if got := witness.Outstanding(now.Add(duration), 5); got != 0 {
-		t.Fatalf("outstanding a lease after a restart: %v", got)
+		t.Fatalf("outstanding %v after a restart: %v, want 0", duration, got)
 	}
 }
