--- a/coordination/view/acceptor.go
+++ b/coordination/view/acceptor.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// HandlePrepare answers a proposer's first message: by a promise, once it is synced, or by a rejection.
+// HandlePrepare answers a proposer's prepare message: with a promise, once that is synced, or with a rejection.
 func (agent *Agent) HandlePrepare(now time.Time, reply string, message *wire.ViewPrepare) {
 	if agent.rejects(reply, message.Instance, message.Proposal) {
 		return
@@ -21,7 +21,8 @@
 	})
 }
 
-// HandleAccept votes for a value, and says so once the vote is synced, unless a greater proposal number was promised.
+// HandleAccept votes for a value, and answers once the vote is synced. It rejects the value if a greater proposal
+// number was promised.
 func (agent *Agent) HandleAccept(now time.Time, reply string, message *wire.ViewAccept) {
 	if agent.rejects(reply, message.Instance, message.Proposal) {
 		return
@@ -35,7 +36,8 @@
 	})
 }
 
-// persistVote adopts the acceptor's next state. onSynced sends what may be said only once the state is synced.
+// persistVote adopts and persists the acceptor's next state. onSynced sends the answer, which must not precede the
+// sync.
 func (agent *Agent) persistVote(now time.Time, vote *wire.AcceptorState, onSynced func()) {
 	agent.vote = vote
 	agent.unsynced++
@@ -46,7 +48,8 @@
 	})
 }
 
-// rejects answers a proposal of another instance, or of a number below the promised one, and reports whether it did.
+// rejects reports whether a proposal is of another instance or has a number below the promised one, and if so answers
+// it.
 func (agent *Agent) rejects(reply string, instance uint64, proposal *wire.ProposalNumber) bool {
 	if instance != agent.current.Epoch+1 {
 		agent.answerOtherInstance(instance, reply)
@@ -60,8 +63,8 @@
 	return false
 }
 
-// answerOtherInstance sends the view that this agent knows to a proposer that is behind, and requests the view from one
-// that is ahead.
+// answerOtherInstance sends the current view to a proposer that is behind, and requests the view from one that is
+// ahead.
 func (agent *Agent) answerOtherInstance(instance uint64, reply string) {
 	if instance <= agent.current.Epoch {
 		agent.SendView(reply)
--- a/coordination/view/example_test.go
+++ b/coordination/view/example_test.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-// A lone founder agrees with itself; messages to its own address are handed straight back.
+// A single founder chooses the first view; its messages to its own address are delivered to it.
 func Example() {
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1"}
--- a/coordination/view/learner.go
+++ b/coordination/view/learner.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// Learn adopts a chosen view that is newer than the present one, once it is synced.
+// Learn adopts a chosen view that is newer than the newest known one, once it is synced.
 func (agent *Agent) Learn(now time.Time, view *wire.View) {
 	if view == nil || view.Epoch <= agent.newest.Epoch {
 		return
@@ -21,8 +21,8 @@
 	})
 }
 
-// adopt acts under a view that is synced from now on, and sends it to everybody who was or is part of the chain or its
-// acceptors.
+// adopt makes a synced view the current one, and sends it to all chain members and acceptors of it and of the previous
+// view.
 func (agent *Agent) adopt(now time.Time, view *wire.View) {
 	if view.Epoch <= agent.current.Epoch {
 		return
@@ -39,10 +39,10 @@
 			}
 		}
 	}
-	agent.learned(now, view)
+	agent.onLearned(now, view)
 }
 
-// SendView sends the present view to an address.
+// SendView sends the current view to an address, if there is one.
 func (agent *Agent) SendView(address string) {
 	if agent.current.Epoch > 0 {
 		agent.outbox.Send(address, viewUpdate(agent.current))
--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// AttemptTimeout is how long the first attempt at a view may take before it counts as failed.
+	// AttemptTimeout is the time limit of the first attempt at a view, after which it counts as failed.
 	AttemptTimeout = 400 * time.Millisecond
-	// maximumTimeout is how long a later attempt may take: each may take twice as long as the one before, since a disk
-	// may be too slow for two writes within the timeout of the first.
+	// maximumTimeout bounds the time limit of later attempts. It doubles with each attempt, since a disk may be too slow
+	// for two writes within AttemptTimeout.
 	maximumTimeout = 4 * AttemptTimeout
 )
 
@@ -26,18 +26,18 @@
 	value     *wire.View
 	promises  map[string]*wire.ViewPromise
 	accepted  map[string]bool
-	// accepting is whether the promises are complete and the acceptors were asked to accept the value.
+	// accepting reports whether a quorum has promised and the acceptors were requested to accept the value.
 	accepting bool
 	startedAt time.Time
 }
 
-// Propose starts an attempt at the next view among the present acceptors.
+// Propose starts an attempt to have the current acceptors choose the next view.
 func (agent *Agent) Propose(now time.Time, value *wire.View) {
 	agent.start(now, value, agent.current.Acceptors, Majority(len(agent.current.Acceptors)))
 }
 
-// Bootstrap starts an attempt at the first view. Every founder must accept it, so that no part of a fleet can found a
-// second one.
+// Bootstrap starts an attempt at the first view. Every founder must accept it, so that no subset of the founders can
+// found a second fleet.
 func (agent *Agent) Bootstrap(now time.Time, value *wire.View, founders []*wire.Member) {
 	agent.start(now, value, founders, len(founders))
 }
@@ -61,9 +61,9 @@
 	}
 }
 
-// HandlePromise counts an acceptor's promise. Once there is a quorum, the acceptors are asked to accept the value.
+// HandlePromise counts an acceptor's promise. Once there is a quorum, it requests the acceptors to accept the value.
 func (agent *Agent) HandlePromise(_ time.Time, sender string, message *wire.ViewPromise) {
-	attempt := agent.running(message.Instance, message.Proposal)
+	attempt := agent.currentAttempt(message.Instance, message.Proposal)
 	if attempt == nil || attempt.accepting || !attempt.includes(sender) {
 		return
 	}
@@ -81,7 +81,7 @@
 
 // HandleAccepted counts an acceptor's vote. Once there is a quorum, the view is chosen.
 func (agent *Agent) HandleAccepted(now time.Time, sender string, message *wire.ViewAccepted) {
-	attempt := agent.running(message.Instance, message.Proposal)
+	attempt := agent.currentAttempt(message.Instance, message.Proposal)
 	if attempt == nil || !attempt.accepting || !attempt.includes(sender) {
 		return
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// announce sends a chosen view to its acceptors at once. They have voted, so they let nobody act until they learn it;
-// this process sends it to everybody once its own disk has the view, but that disk may be the one that has failed.
+// announce sends a chosen view to its acceptors immediately. They have voted and grant no lease until they learn the
+// view. This process sends the view to all machines once it has synced it, but its disk may be the one that has failed.
 func (agent *Agent) announce(attempt *attempt) {
 	for _, acceptor := range attempt.acceptors {
 		if acceptor.Id != agent.self {
@@ -103,13 +103,13 @@
 	}
 }
 
-// HandleRejected makes the next attempt use a proposal number above the one for which this attempt was rejected.
+// HandleRejected makes the next attempt use a proposal number above the one that an acceptor has promised.
 func (agent *Agent) HandleRejected(message *wire.ViewRejected) {
 	agent.round = max(agent.round, message.Promised.GetRound())
 }
 
-// running returns the present attempt if it is the one with this instance and proposal number.
-func (agent *Agent) running(instance uint64, proposal *wire.ProposalNumber) *attempt {
+// currentAttempt returns the current attempt if it has this instance and proposal number, and nil otherwise.
+func (agent *Agent) currentAttempt(instance uint64, proposal *wire.ProposalNumber) *attempt {
 	attempt := agent.attempt
 	if attempt == nil || attempt.instance != instance || compareProposals(attempt.proposal, proposal) != 0 {
 		return nil
@@ -126,8 +126,9 @@
 	return false
 }
 
-// greatestAccepted returns the value that was accepted under the greatest proposal number in the promises, nil where
-// none was. A value that some majority may already have chosen must be proposed again, and only this one can have been.
+// greatestAccepted returns the value that was accepted under the greatest proposal number in the promises; nil if none
+// was accepted. A value that a majority may already have chosen must be proposed again, and only this one can have been
+// chosen.
 func (attempt *attempt) greatestAccepted() *wire.View {
 	var greatest *wire.ViewPromise
 	for _, promise := range attempt.promises {
@@ -141,7 +142,7 @@
 	return greatest.GetValue()
 }
 
-// compareProposals orders proposal numbers by round, then proposer.
+// compareProposals orders proposal numbers by round, then by proposer.
 func compareProposals(left, right *wire.ProposalNumber) int {
 	return cmp.Or(
 		cmp.Compare(left.GetRound(), right.GetRound()),
--- a/coordination/view/proposer_test.go
+++ b/coordination/view/proposer_test.go
@@ -16,27 +16,29 @@
 		for right := range ascending {
 			got := compareProposals(ascending[left], ascending[right])
 			if got < 0 != (left < right) || got > 0 != (left > right) {
-				t.Errorf("comparing number %d with %d gives %d", left, right, got)
+				t.Errorf("compareProposals of numbers %d and %d returns %d", left, right, got)
 			}
 		}
 	}
 }
 
-// A value that a majority may have chosen is proposed again: the one accepted under the greatest number.
+// A new attempt proposes the value accepted under the greatest proposal number, since a majority may have chosen it.
+// With another value two views of one epoch could be chosen.
 func TestGreatestAcceptedValueIsProposedAgain(t *testing.T) {
 	older, newer := &wire.View{Epoch: 2, Fleet: "older"}, &wire.View{Epoch: 2, Fleet: "newer"}
 	attempt := &attempt{promises: map[string]*wire.ViewPromise{"a": {}}}
 	if value := attempt.greatestAccepted(); value != nil {
-		t.Fatalf("no promise names a value, but %v counts as accepted", value)
+		t.Fatalf("no promise contains a value, but %v is returned as accepted", value)
 	}
 	attempt.promises["b"] = &wire.ViewPromise{Accepted: &wire.ProposalNumber{Round: 1, Proposer: "z"}, Value: older}
 	attempt.promises["c"] = &wire.ViewPromise{Accepted: &wire.ProposalNumber{Round: 2, Proposer: "y"}, Value: newer}
 	if value := attempt.greatestAccepted(); value != newer {
-		t.Fatalf("the greatest accepted value is %v", value)
+		t.Fatalf("the greatest accepted value is %v, want %v", value, newer)
 	}
 }
 
-// Each attempt may take twice as long as the one before, up to a bound.
+// The time limit of an attempt doubles with each attempt up to a maximum. With a constant limit, founders with slow
+// disks would never choose a view.
 func TestAttemptsAreGivenMoreTime(t *testing.T) {
 	cluster, founders := newFounders(func() {})
 	agent := cluster.agents["k0"]
@@ -44,7 +46,7 @@
 		agent.Bootstrap(cluster.now, &wire.View{Epoch: 1, Fleet: "f"}, founders)
 		end := cluster.now.Add(timeout)
 		if !agent.Busy(end.Add(-1)) || agent.Busy(end) {
-			t.Fatalf("an attempt does not end %v after its start", timeout)
+			t.Fatalf("the attempt does not time out exactly %v after its start", timeout)
 		}
 	}
 }
--- a/coordination/view/view_test.go
+++ b/coordination/view/view_test.go
@@ -12,8 +12,8 @@
 	"wardtray/wire"
 )
 
-// cluster is three acceptors that propose against each other over a network that loses, repeats and reorders, while any
-// of them may crash between two writes.
+// cluster simulates three acceptors that make competing proposals over a network that loses, repeats and reorders
+// messages, while any of them may crash between two writes.
 type cluster struct {
 	random    *rand.Rand
 	now       time.Time
@@ -22,19 +22,21 @@
 	outbox    map[string]*statemachine.Outbox
 	disks     map[string]*disk
 	messages  []message
-	learned   map[uint64]*wire.View
-	t         *testing.T
-	seed      int64
-	// lossOfSix is how many of six messages are lost.
-	lossOfSix int
+	// learned holds the learned view of each epoch.
+	learned map[uint64]*wire.View
+	t       *testing.T
+	seed    int64
+	// lossThreshold sets the loss rate: on average lossThreshold+1 of 6 messages are lost.
+	lossThreshold int
 }
 
+// disk holds the synced records of an acceptor.
 type disk struct {
 	view *wire.View
 	vote *wire.AcceptorState
 }
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	from, to string
 	envelope *wire.Envelope
@@ -45,7 +47,7 @@
 	cluster := &cluster{
 		random: rand.New(rand.NewSource(seed)), now: time.Unix(1_700_000_000, 0), acceptors: threeMembers(),
 		agents: map[string]*Agent{}, outbox: map[string]*statemachine.Outbox{}, disks: map[string]*disk{},
-		learned: map[uint64]*wire.View{}, t: t, seed: seed, lossOfSix: int(seed % 4),
+		learned: map[uint64]*wire.View{}, t: t, seed: seed, lossThreshold: int(seed % 4),
 	}
 	first := &wire.View{Epoch: 1, Fleet: "f", Acceptors: cluster.acceptors, Chain: cluster.acceptors}
 	for _, acceptor := range cluster.acceptors {
@@ -64,10 +66,10 @@
 	return members
 }
 
-// addressOfID is the address of a member in these tests: its id.
+// addressOfID returns the address of a member, which in these tests is its id.
 func addressOfID(id string) string { return id }
 
-// boot starts an acceptor from what its disk holds.
+// boot starts or restarts an acceptor from the records on its disk.
 func (cluster *cluster) boot(name string) {
 	cluster.outbox[name] = statemachine.NewOutbox()
 	stored := cluster.disks[name]
@@ -77,12 +79,13 @@
 
 func (cluster *cluster) learn(name string, view *wire.View) {
 	if other := cluster.learned[view.Epoch]; other != nil && !proto.Equal(other, view) {
-		cluster.t.Fatalf("seed %d: %s learned another view %d than others", cluster.seed, name, view.Epoch)
+		cluster.t.Fatalf("seed %d: %s learned a view of epoch %d that differs from another acceptor's",
+			cluster.seed, name, view.Epoch)
 	}
 	cluster.learned[view.Epoch] = view
 }
 
-// drain sends an acceptor's messages and carries out its writes, the rest of which a crash may cut off.
+// drain sends an acceptor's messages and executes its writes; a crash at random drops the remaining ones.
 func (cluster *cluster) drain(name string) {
 	outbox := cluster.outbox[name]
 	for {
@@ -104,16 +107,16 @@
 	}
 }
 
-// send puts a message on its way once or twice, unless it is lost.
+// send sends one or two copies of a message, each of which may be lost.
 func (cluster *cluster) send(from string, outgoing statemachine.Message) {
 	for range 1 + cluster.random.Intn(2) {
-		if cluster.random.Intn(6) > cluster.lossOfSix {
+		if cluster.random.Intn(6) > cluster.lossThreshold {
 			cluster.messages = append(cluster.messages, message{from: from, to: outgoing.To, envelope: outgoing.Envelope})
 		}
 	}
 }
 
-// store writes a record.
+// store stores a record.
 func (disk *disk) store(record *wire.Record) {
 	if vote := record.GetAcceptorState(); vote != nil {
 		disk.vote = vote
@@ -124,14 +127,15 @@
 }
 
 func (cluster *cluster) deliver(message message) {
-	// Views name chain members that are no acceptors; nothing listens at their addresses here.
+	// Views also contain chain members that are no acceptors; nothing listens at their addresses.
 	if cluster.agents[message.to] == nil {
 		return
 	}
-	deliverOnly(cluster, message)
+	dispatch(cluster, message)
 	cluster.drain(message.to)
 }
 
+// kindOf returns the index of an envelope's handler in dispatch.
 func kindOf(envelope *wire.Envelope) int {
 	matches := []bool{
 		envelope.GetViewPrepare() != nil, envelope.GetViewPromise() != nil,
@@ -146,7 +150,7 @@
 	return len(matches) - 1
 }
 
-// Whatever three acceptors propose against each other, no two learn different views of one epoch.
+// No two of three acceptors learn different views of one epoch, while they make competing proposals, crash and restart.
 func TestAcceptorsNeverDisagree(t *testing.T) {
 	views := 0
 	for seed := int64(1); seed <= 600; seed++ {
@@ -176,7 +180,7 @@
 		views += len(cluster.learned)
 	}
 	if views < 1200 {
-		t.Fatalf("only %d views were agreed over all seeds; nothing was put to the test", views)
+		t.Fatalf("%d views were chosen over all seeds, want at least 1200", views)
 	}
 }
 
@@ -196,7 +200,7 @@
 	return cluster, founders
 }
 
-// exchange carries out all writes and delivers all messages but those to one agent.
+// exchange executes all writes and delivers all messages but those to the unreachable agent.
 func (cluster *cluster) exchange(founders []*wire.Member, unreachable string) {
 	for _, founder := range founders {
 		sent, writes := cluster.outbox[founder.Id].Drain()
@@ -212,12 +216,13 @@
 	cluster.messages = nil
 	for _, message := range messages {
 		if message.to != unreachable {
-			deliverOnly(cluster, message)
+			dispatch(cluster, message)
 		}
 	}
 }
 
-// The first view needs every founder: with one of them unreachable there is none. No founder has the number 3.
+// The first view needs the votes of all founders: with one of them unreachable none is chosen. Otherwise two subsets of
+// the founders could found two fleets. No founder has the number 3, so in that case all are reachable.
 func TestFoundingNeedsEveryFounder(t *testing.T) {
 	for unreachable := range 4 {
 		learned := 0
@@ -228,12 +233,13 @@
 			cluster.exchange(founders, fmt.Sprint("k", unreachable))
 		}
 		if want := map[bool]int{true: 0, false: 3}[unreachable < 3]; learned != want {
-			t.Errorf("founder %d unreachable: %d learned a view, not %d", unreachable, learned, want)
+			t.Errorf("founder %d unreachable: %d agents learned a view, want %d", unreachable, learned, want)
 		}
 	}
 }
 
-func deliverOnly(cluster *cluster, message message) {
+// dispatch passes a message to the handler of its kind.
+func dispatch(cluster *cluster, message message) {
 	agent, envelope := cluster.agents[message.to], message.envelope
 	handlers := []func(){
 		func() { agent.HandlePrepare(cluster.now, message.from, envelope.GetViewPrepare()) },
@@ -247,7 +253,8 @@
 	handlers[kindOf(envelope)]()
 }
 
-// What an acceptor says must be on its disk first, or a crash would let it say the contrary.
+// An acceptor syncs each promise and vote before it sends it. Otherwise it could send a contradicting one after a
+// crash.
 func TestNothingIsSentBeforeItIsSynced(t *testing.T) {
 	cluster := newCluster(t, 1)
 	agent, outbox, proposal := cluster.agents["k0"], cluster.outbox["k0"], &wire.ProposalNumber{Round: 1, Proposer: "k1"}
@@ -261,11 +268,11 @@
 		receive()
 		sent, writes := outbox.Drain()
 		if len(sent) > 0 || len(writes) != 1 {
-			t.Fatalf("%s: %d messages before %d writes", name, len(sent), len(writes))
+			t.Fatalf("%s: %d messages sent before %d requested writes are synced, want 0 and 1", name, len(sent), len(writes))
 		}
 		outbox.Done(cluster.now, writes[0].Sequence)
 		if sent, _ := outbox.Drain(); len(sent) != 1 {
-			t.Fatalf("%s: %d messages after the sync", name, len(sent))
+			t.Fatalf("%s: %d messages sent after the sync, want 1", name, len(sent))
 		}
 	}
 }
