--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -1,8 +1,8 @@
-// Package chain replicates one document along a chain of machines with disks. A change enters at the head, is
-// synced by each member before it is forwarded to the successor, and is committed once the tail has synced it, if the
-// chain has at least the view's MinReplicas members; the tail answers learners. The successor's history is a prefix of
-// each member's own, which is why a member may only be removed from the chain, or added at its end after it has learned
-// a complete committed document.
+// Package chain replicates one document along a chain of machines with disks. A change enters at the head, is synced by
+// each member before it is forwarded to the successor, and is committed once the tail has synced it, if the chain has
+// at least the view's MinReplicas members; the tail answers learners. The successor's history is a prefix of each
+// member's own, which is why a member may only be removed from the chain, or added at its end after it has learned a
+// complete committed document.
 //
 // # Contract
 //
@@ -19,10 +19,10 @@
 // holds the head's lease (see package lease) when it calls Chain.Submit. A tail needs no lease for
 // Chain.HandleLearnRequest: it sends only what is committed in its view. A Chain is not safe for concurrent use.
 //
-// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what
-// its disk has synced. Under these assumptions, and if chains change only in the two ways above, a committed change
-// is never lost while a member of the current view that is not Incomplete survives, members commit the same changes
-// in the same order, and changes continue to be committed while the members of the view are connected.
+// Messages may be lost, repeated, reordered and delayed, and a member may crash at any moment and restart from what its
+// disk has synced. Under these assumptions, and if chains change only in the two ways above, a committed change is
+// never lost while a member of the current view that is not Incomplete survives, members commit the same changes in the
+// same order, and changes continue to be committed while the members of the view are connected.
 //
 // Documents and entries are immutable once they were passed to a Chain or returned by it.
 package chain
--- a/coordination/election/example_test.go
+++ b/coordination/election/example_test.go
@@ -15,10 +15,10 @@
 	_, leads := second.Campaign(now.Add(time.Second))
 	fmt.Println("while a is alive:", leads)
 	epoch, leads := second.Campaign(now.Add(2 * election.LeaderTimeout))
-	fmt.Println("when a is silent:", leads, "under epoch", epoch)
-	fmt.Println("a result of a's own, older epoch counts:", second.Accept(0, "a"))
+	fmt.Println("after the timeout of a:", leads, "under epoch", epoch)
+	fmt.Println("a result of a under an older epoch is accepted:", second.Accept(0, "a"))
 	// Output:
 	// while a is alive: false
-	// when a is silent: true under epoch 1
-	// a result of a's own, older epoch counts: false
+	// after the timeout of a: true under epoch 1
+	// a result of a under an older epoch is accepted: false
 }
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -4,24 +4,22 @@
 //
 // # The head's lease
 //
-// A majority of the view's acceptors grants the head's lease, which is bound to that view. The
-// Lessee, at the head, counts its lease from the moment of its request on its own clock, and a
-// Lessor, at each acceptor, grants only after it received the request. So a head always considers
-// its lease expired before any acceptor does, and the clocks need not agree; they only have to run
-// at rates whose drift over LessorTTL is below the margin between LessorTTL and LesseeTTL.
+// A majority of the view's acceptors grants the head's lease, which is bound to that view. The Lessee, at the head,
+// counts its lease from the moment of its request on its own clock, and a Lessor, at each acceptor, grants only after
+// it received the request. So a head always considers its lease expired before any acceptor does, and the clocks need
+// not agree; they only have to run at rates whose drift over LessorTTL is below the margin between LessorTTL and
+// LesseeTTL.
 //
-// An acceptor that has voted for the next view grants no more in the old one, and it grants to the
-// head of a new term only once the leases of the heads before it have expired. These two rules
-// together keep two heads from acting at the same time, whatever messages are lost, repeated or
-// delayed and whichever machines crash or freeze.
+// An acceptor that has voted for the next view grants no more in the old one, and it grants to the head of a new term
+// only once the leases of the heads before it have expired. These two rules together keep two heads from acting at the
+// same time, whatever messages are lost, repeated or delayed and whichever machines crash or freeze.
 //
 // # Usage
 //
-// The head calls Lessee.Request, sends the request, calls Lessee.AddGrant for each grant that comes back,
-// and checks Lessee.Valid immediately before each action that needs the lease. An acceptor calls
-// Lessor.AdoptView for each view that its disk holds, Lessor.ObserveEpoch and Lessor.ObserveRefusal for what it
-// observes of other machines, and grants where Lessor.CanGrant. The state machines do no I/O, read no
-// clock, and are not safe for concurrent use.
+// The head calls Lessee.Request, sends the request, calls Lessee.AddGrant for each grant that comes back, and checks
+// Lessee.Valid immediately before each action that needs the lease. An acceptor calls Lessor.AdoptView for each view
+// that its disk holds, Lessor.ObserveEpoch and Lessor.ObserveRefusal for what it observes of other machines, and grants
+// where Lessor.CanGrant. The state machines do no I/O, read no clock, and are not safe for concurrent use.
 package lease
 
 import "time"
--- a/coordination/lease/progress.go
+++ b/coordination/lease/progress.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maximumReports is the number of reports kept of each acceptor; the oldest are dropped first.
+// maximumReports is the maximum number of reports kept of each acceptor; the oldest are dropped first.
 const maximumReports = 64
 
 // ProgressTracker tracks, at the head, the reports of the acceptors as witnesses: up to which sequence each of them
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maximumConfirmations is the number of daemons whose confirmations one acceptor tracks.
+// maximumConfirmations is the maximum number of daemons whose confirmations one acceptor tracks.
 const maximumConfirmations = 4096
 
 // Witness issues an acceptor's confirmations to daemons that can't reach the head. A confirmation states that the
--- a/coordination/statemachine/example_test.go
+++ b/coordination/statemachine/example_test.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-// A promise is sent only once the disk has it: the state machine sends it from the callback of the write.
+// A promise is sent only once it is synced: the state machine sends it from the callback of the write.
 func Example() {
 	now, outbox := time.Unix(0, 0), statemachine.NewOutbox()
 	record := &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 1}}
--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -1,12 +1,11 @@
-// Package statemachine is what the coordination packages share: an Outbox that collects the effects
-// of a pure state machine, the messages that it sends and the disk writes that it requests.
+// Package statemachine provides the Outbox that the coordination packages share. It collects the effects of a pure
+// state machine: the messages that it sends and the disk writes that it requests.
 //
-// A state machine starts no goroutine and reads no clock. A driver (a process, or the simulator)
-// calls it with the present time, received messages and completed writes; after each call it drains
-// the outbox, sends the messages and carries out the writes in their order, and reports each
-// completed write by Done. Messages may be lost, repeated and reordered. A write either completes
-// or, after a crash or a failed disk, never does; the driver reports no write as completed before
-// it is synced.
+// A state machine starts no goroutine and reads no clock. A driver (a process, or the simulator) calls it with the
+// current time, received messages and completed writes; after each call it drains the outbox, sends the messages,
+// executes the writes in order, and reports each completed write by Outbox.Done. Messages may be lost, repeated and
+// reordered. A write either completes or, after a crash or a failed disk, never does; the driver reports no write as
+// completed before it is synced.
 //
 // An Outbox is not safe for concurrent use.
 package statemachine
@@ -17,26 +16,26 @@
 	"wardtray/wire"
 )
 
-// Message is a message on its way to an address.
+// Message is an outgoing message and its destination address.
 type Message struct {
 	To       string
 	Envelope *wire.Envelope
 }
 
-// Write is one disk request. Requests are carried out in order; exactly one of Write.Record,
-// Write.Snapshot and Write.Scrub is set.
+// Write is one disk request. Requests are executed in order; exactly one of Write.Record, Write.Snapshot and
+// Write.Scrub is set.
 type Write struct {
 	// Sequence numbers the requests of one outbox, beginning at 1.
 	Sequence uint64
-	// Record is a record to be appended to the log.
+	// Record is appended to the log.
 	Record *wire.Record
-	// Snapshot is a snapshot of the whole state, which starts a new log.
+	// Snapshot is a snapshot of the complete state, which starts a new log.
 	Snapshot *wire.DurableState
-	// Scrub requests that everything stored be read back and compared with what must be there.
+	// Scrub requests that all stored data be read back and compared with the expected contents.
 	Scrub bool
 }
 
-// Outbox collects what one step of a state machine requests of its driver.
+// Outbox collects the messages and writes that a state machine requests from its driver, and tracks pending writes.
 type Outbox struct {
 	Messages []Message
 	Writes   []Write
@@ -45,7 +44,7 @@
 	pending      []pendingWrite
 }
 
-// pendingWrite is a write that was requested and has not completed yet.
+// pendingWrite is a requested write that has not completed yet.
 type pendingWrite struct {
 	sequence    uint64
 	requestedAt time.Time
@@ -60,19 +59,18 @@
 	outbox.Messages = append(outbox.Messages, Message{To: to, Envelope: envelope})
 }
 
-// Persist requests that a record be synced. onSynced is called once it is, and never if it is not.
+// Persist requests that a record be synced. onSynced is called once it is synced, and never otherwise.
 func (outbox *Outbox) Persist(now time.Time, record *wire.Record, onSynced func(now time.Time)) {
 	outbox.request(now, Write{Record: record}, onSynced)
 }
 
-// PersistSnapshot requests that a snapshot of the whole state be written to the other slot. The snapshot
-// must contain all that was requested before it, since its completion completes the earlier writes
-// too.
-func (outbox *Outbox) PersistSnapshot(now time.Time, memory *wire.DurableState, onSynced func(now time.Time)) {
-	outbox.request(now, Write{Snapshot: memory}, onSynced)
+// PersistSnapshot requests that a snapshot of the complete state be written to the other slot. The snapshot must
+// contain the effects of all writes requested before it, since its completion completes those writes too.
+func (outbox *Outbox) PersistSnapshot(now time.Time, state *wire.DurableState, onSynced func(now time.Time)) {
+	outbox.request(now, Write{Snapshot: state}, onSynced)
 }
 
-// Scrub requests that everything stored be read back and compared with what must be there.
+// Scrub requests that all stored data be read back and compared with the expected contents.
 func (outbox *Outbox) Scrub(now time.Time) {
 	outbox.request(now, Write{Scrub: true}, func(time.Time) {})
 }
@@ -84,8 +82,8 @@
 	outbox.Writes = append(outbox.Writes, write)
 }
 
-// Done reports that a write, and with it every earlier one, is synced. It calls their callbacks in
-// the order of the requests.
+// Done handles that a write, and with it every earlier one, is synced. It calls their callbacks in the order of the
+// requests.
 func (outbox *Outbox) Done(now time.Time, sequence uint64) {
 	for len(outbox.pending) > 0 && outbox.pending[0].sequence <= sequence {
 		completed := outbox.pending[0]
@@ -94,7 +92,7 @@
 	}
 }
 
-// OldestWait returns for how long the oldest pending write has waited, 0 where none is pending.
+// OldestWait returns the time since the oldest pending write was requested; 0 if none is pending.
 func (outbox *Outbox) OldestWait(now time.Time) time.Duration {
 	if len(outbox.pending) == 0 {
 		return 0
