--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -102,7 +102,7 @@
 	simulation.messages = append(simulation.messages, message{simulation.now.Add(from.delay + latency), handle})
 }
 
-// deliver handles every message that has arrived by now.
+// deliver handles every message whose arrival time has passed.
 func (simulation *simulation) deliver() {
 	due := simulation.messages
 	simulation.messages = nil
