--- a/coordination/reservation/coordinator.go
+++ b/coordination/reservation/coordinator.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// resendInterval is how often a replica that has not answered is asked again.
+	// resendInterval is the interval at which requests and releases are sent again to replicas that have not answered.
 	resendInterval = 50 * time.Millisecond
-	// zoneTimeout is for how long a request that is sent for the first time waits for the replicas of one zone before it
-	// turns to those of the next.
+	// zoneTimeout is how long a first attempt waits for the replicas of one zone before it asks those of the next.
 	zoneTimeout = 100 * time.Millisecond
-	// reserveTimeout is for how long replicas are waited for, and firstTimeout where the request is sent for the first
-	// time: a fleet whose daemons have all restarted agrees on new replicas within that.
+	// reserveTimeout is how long a retry waits for replicas, firstTimeout how long a first attempt does: a fleet whose
+	// daemons have all restarted agrees on new replicas within firstTimeout.
 	reserveTimeout = 500 * time.Millisecond
 	firstTimeout   = time.Second
-	// releaseTimeout is for how long a release is sent again until it is acknowledged.
+	// releaseTimeout is how long an unacknowledged release is sent again.
 	releaseTimeout = 2 * time.Second
 )
 
-// zoneState is from which epochs on a zone has its replicas and knows everything, and since when that is known.
+// zoneState is the state of a zone that decides which attempts its replicas can reserve.
 type zoneState struct {
-	since, begun uint64
-	observed     time.Time
+	// completeSince and firstEpoch are Zone.CompleteSince and Zone.FirstEpoch.
+	completeSince, firstEpoch uint64
+	// observedAt is when this state was first observed.
+	observedAt time.Time
 }
 
 func (state zoneState) equals(other zoneState) bool {
-	return state.since == other.since && state.begun == other.begun
+	return state.completeSince == other.completeSince && state.firstEpoch == other.firstEpoch
 }
 
-// Coordinator obtains reservations for the requests of one daemon, and renews them for as long as the requests go on.
+// Coordinator obtains reservations for the requests of one daemon, and renews them while the requests are in progress.
 type Coordinator struct {
 	self        Identity
 	zone        string
@@ -44,19 +45,19 @@
 	// local is the replica of this process.
 	local      *Replica
 	membership *Membership
-	// pending are the reservations that are not decided, by token; releases those that are given up.
+	// pending holds the undecided reservations, and releases the releases that are not acknowledged, both by token.
 	pending  map[uint64]*Reservation
 	releases map[uint64]*pendingRelease
-	// renewals are the granted ones in the order in which their renewal is due, with some that have ended; renewing counts
-	// those that have not.
+	// renewals holds granted reservations in the order in which their renewal is due; some may have ended. renewing is the
+	// number of those that have not.
 	renewals []*Reservation
 	renewing int
-	// zones tells since when each zone is as it is.
+	// zones holds the state of each zone by its name.
 	zones    map[string]zoneState
 	counters Counters
 }
 
-// NewCoordinator returns a coordinator that knows no membership; local is the replica of the same process.
+// NewCoordinator returns a coordinator without a membership; local is the replica of the same process.
 func NewCoordinator(self Identity, zone string, outbox *statemachine.Outbox, random *rand.Rand, local *Replica,
 	environment Environment) *Coordinator {
 	return &Coordinator{self: self, zone: zone, outbox: outbox, random: random, environment: environment, local: local,
@@ -67,7 +68,8 @@
 // Membership returns the present membership.
 func (coordinator *Coordinator) Membership() *Membership { return coordinator.membership }
 
-// Term returns what callers state of requests that they send for the first time from now on.
+// Term returns the term that clients state for requests that they send for the first time from now on; 0 while no
+// membership is in force.
 func (coordinator *Coordinator) Term() uint64 {
 	if !coordinator.membership.IsInForce() {
 		return 0
@@ -75,15 +77,15 @@
 	return coordinator.membership.Epoch()
 }
 
-// Adopt starts to act under a newer membership. What is not decided is asked of its replicas anew, and what is held is
-// renewed there.
+// Adopt starts to act under a newer membership. Undecided reservations are requested again from its replicas, and
+// granted ones are renewed there.
 func (coordinator *Coordinator) Adopt(now time.Time, membership *Membership) {
 	if membership.Epoch() <= coordinator.membership.Epoch() {
 		return
 	}
 	coordinator.membership = membership
 	for _, zone := range membership.Zones() {
-		state := zoneState{since: zone.CompleteSince, begun: zone.Begun, observed: now}
+		state := zoneState{completeSince: zone.CompleteSince, firstEpoch: zone.FirstEpoch, observedAt: now}
 		if known, found := coordinator.zones[zone.Name]; !found || !known.equals(state) {
 			coordinator.zones[zone.Name] = state
 		}
@@ -97,11 +99,11 @@
 	coordinator.renew(now)
 }
 
-// Reserve begins to reserve a request.
-func (coordinator *Coordinator) Reserve(now time.Time, key Key, sending Sending) *Reservation {
-	reservation := &Reservation{key: key, token: coordinator.newToken(), sending: sending,
+// Reserve starts to reserve a request.
+func (coordinator *Coordinator) Reserve(now time.Time, key Key, attempt Sending) *Reservation {
+	reservation := &Reservation{key: key, token: coordinator.newToken(), attempt: attempt,
 		done: make(chan struct{}), deadline: now.Add(reserveTimeout), contacted: map[string]bool{}}
-	if sending.IsFirst() {
+	if attempt.IsFirst() {
 		reservation.deadline = now.Add(firstTimeout)
 	}
 	if !coordinator.membership.IsInForce() {
@@ -121,15 +123,15 @@
 	}
 }
 
-// start asks the replicas of the present membership.
+// start requests a reservation from the replicas of the present membership.
 func (coordinator *Coordinator) start(now time.Time, reservation *Reservation) {
-	sending, zones := reservation.sending, coordinator.orderedZones()
-	if sending.IsFirst() {
-		zones = slices.DeleteFunc(zones, func(zone *Zone) bool { return !coordinator.isUsable(now, zone, sending) })
+	attempt, zones := reservation.attempt, coordinator.orderedZones()
+	if attempt.IsFirst() {
+		zones = slices.DeleteFunc(zones, func(zone *Zone) bool { return !coordinator.isUsable(now, zone, attempt) })
 	}
-	isComplete := func(zone *Zone) bool { return coordinator.isComplete(now, zone, sending.Term) }
-	if sending.IsFirst() && len(zones) == 0 ||
-		!sending.IsFirst() && slices.ContainsFunc(zones, func(zone *Zone) bool { return !isComplete(zone) }) {
+	isComplete := func(zone *Zone) bool { return coordinator.isComplete(now, zone, attempt.Term) }
+	if attempt.IsFirst() && len(zones) == 0 ||
+		!attempt.IsFirst() && slices.ContainsFunc(zones, func(zone *Zone) bool { return !isComplete(zone) }) {
 		coordinator.decide(now, reservation, InDoubt)
 		return
 	}
@@ -153,45 +155,45 @@
 	return zones
 }
 
-// isComplete reports whether the replicas of a zone know whatever was reserved there since a term. What was lost longer
-// ago than reservations are kept is no loss.
+// isComplete reports whether the replicas of a zone know every reservation made there since a term. Losses older than
+// the retention period of reservations do not matter.
 func (coordinator *Coordinator) isComplete(now time.Time, zone *Zone, term uint64) bool {
-	return zone.CompleteSince <= term || zone.CompleteSince != Never && coordinator.isOld(now, zone)
+	return zone.CompleteSince <= term || zone.CompleteSince != Never && coordinator.isStable(now, zone)
 }
 
-// isUsable reports whether the replicas of a zone know whether any later sending of a request that arrives as its
-// first was reserved before. Later ones are reserved in all zones that their daemons know of, by the same term: so the
-// zone must have begun by then, and must not have lost anything since. A request that comes to this process was not
-// sent before the process began, so that what was lost by then doesn't matter.
-func (coordinator *Coordinator) isUsable(now time.Time, zone *Zone, sending Sending) bool {
-	if len(zone.Replicas) == 0 || zone.Begun > sending.Term && !coordinator.isOld(now, zone) {
+// isUsable reports whether a zone may reserve a first attempt: whether its replicas will know the reservation of any
+// retry. Retries are reserved in all zones that their daemons know of, with the same term. So the zone must have had
+// replicas in the epoch of the term, and must have lost nothing since. A first attempt that reaches this process was
+// not sent before the process started, so that earlier losses don't matter.
+func (coordinator *Coordinator) isUsable(now time.Time, zone *Zone, attempt Sending) bool {
+	if len(zone.Replicas) == 0 || zone.FirstEpoch > attempt.Term && !coordinator.isStable(now, zone) {
 		return false
 	}
-	// As long as nothing is known of the time before, no later sending is granted anywhere.
-	return zone.CompleteSince == Never || coordinator.isComplete(now, zone, max(sending.Term, sending.NotBefore))
+	// Until the zone is complete, no retry is granted in any zone.
+	return zone.CompleteSince == Never || coordinator.isComplete(now, zone, max(attempt.Term, attempt.NotBefore))
 }
 
-// isOld reports whether a zone has been as it is for longer than reservations are kept.
-func (coordinator *Coordinator) isOld(now time.Time, zone *Zone) bool {
+// isStable reports whether a zone's state has been unchanged for the retention period of reservations.
+func (coordinator *Coordinator) isStable(now time.Time, zone *Zone) bool {
 	known := coordinator.zones[zone.Name]
-	return known.since == zone.CompleteSince && now.Sub(known.observed) >= heldFor
+	return known.completeSince == zone.CompleteSince && now.Sub(known.observedAt) >= replicaRetention
 }
 
-// asked returns the zones that are asked at present.
-func (coordinator *Coordinator) asked(reservation *Reservation) []*zoneVote {
-	if reservation.sending.IsFirst() {
+// activeVotes returns the votes of the zones whose replicas are currently asked.
+func (coordinator *Coordinator) activeVotes(reservation *Reservation) []*zoneVote {
+	if reservation.attempt.IsFirst() {
 		return reservation.zones[reservation.current : reservation.current+1]
 	}
 	return reservation.zones
 }
 
-// proceed asks the replicas whose answer is missing, and decides what can be decided. A daemon that lacks what the
-// caller had heard of may not know of all zones, and waits.
+// proceed sends the request to replicas whose answer is missing, and decides the reservation if the answers suffice. A
+// daemon whose membership is older than the attempt's term may not know of all zones, and waits for a newer one.
 func (coordinator *Coordinator) proceed(now time.Time, reservation *Reservation) {
-	if reservation.sending.Term > coordinator.membership.Epoch() {
+	if reservation.attempt.Term > coordinator.membership.Epoch() {
 		return
 	}
-	for _, vote := range coordinator.asked(reservation) {
+	for _, vote := range coordinator.activeVotes(reservation) {
 		if now.Sub(vote.lastAsked) >= resendInterval {
 			vote.lastAsked = now
 			coordinator.ask(now, reservation, vote)
@@ -200,7 +202,7 @@
 	coordinator.evaluate(now, reservation)
 }
 
-// Tick asks replicas again, ends what has waited for too long, and renews what goes on.
+// Tick sends requests again, ends reservations whose deadline has passed, and renews granted ones.
 func (coordinator *Coordinator) Tick(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(coordinator.pending)) {
 		reservation := coordinator.pending[token]
@@ -208,7 +210,7 @@
 			coordinator.decide(now, reservation, Unreachable)
 			continue
 		}
-		if reservation.sending.IsFirst() && !now.Before(reservation.zoneDeadline) {
+		if reservation.attempt.IsFirst() && !now.Before(reservation.zoneDeadline) {
 			reservation.current = (reservation.current + 1) % len(reservation.zones)
 			reservation.zoneDeadline = now.Add(zoneTimeout)
 		}
--- a/coordination/reservation/doc.go
+++ b/coordination/reservation/doc.go
@@ -1,85 +1,91 @@
-// Package reservation makes requests run at most once in a fleet of daemons, whoever they are sent to and however
-// often. A daemon reserves a request, by a hash of its identity, before it acts on it. The reservations are held by
-// replicas, which are daemons too, in their memory.
+// Package reservation makes requests run at most once in a fleet of daemons, whichever daemons they are sent to and
+// however often. A daemon reserves a request, by a hash of its identity, before it executes it. Replicas, which are
+// daemons too, hold the reservations in memory.
 //
 // # Contract
 //
-// The replicas are named by a Membership, which others agree on: its epoch rises with each change, and Plan derives the
-// next one from the present one. In each zone a key belongs to a shard, and a shard to a group of up to GroupSize
-// replicas. A group has reserved a key once a majority of it has granted that in one epoch.
+// A Membership names the replicas. The daemons receive it from the control machines, which agree on it; its epoch rises
+// with each change, and Plan derives the next membership from the present one. In each zone a key belongs to a shard,
+// and a shard to a group of up to GroupSize replicas. A group has reserved a key once a majority of the group has
+// granted the reservation in one epoch.
 //
-//   - A request that its caller has never sent before needs a group of any one zone, its own by preference: one round
-//     trip within the zone.
-//   - A request that may have been sent before needs the groups of all zones. They share a replica with whatever group
-//     any earlier sending had, which then says that the key is taken.
+//   - A first attempt, a request that its client has never sent before, needs the group of any one zone, preferably the
+//     daemon's own: one round trip within the zone.
+//   - A request that may have been sent before needs the groups of all zones. Their majorities share a replica with the
+//     majority that granted any earlier attempt, and that replica answers that the key is taken.
 //
-// A Coordinator obtains reservations for one daemon, a Replica holds them. Both are pure state machines: they are
-// handed the time, messages, and each new Membership, and their messages are in an outbox.
+// A Coordinator obtains reservations for one daemon, a Replica holds them. Both are pure state machines: their caller
+// passes them the time, received messages and each new Membership, and sends the messages in their outbox.
 //
-// Why the answer "not reserved" is a proof: replicas of another epoch refuse, a replica that is new in a group answers
-// only once it has what enough replicas of the epoch before held of the shard, and those answer it only after they
-// have left that epoch themselves. Plan removes a replica only when it certainly grants nothing any more. Where too
-// many of a group end at once, what they held is lost, and the zone's CompleteSince names the epoch from which on
-// everything is known. A caller states the epoch, as its term, that it had heard of before it first sent a request. If
-// that is older than CompleteSince, the request is in doubt (InDoubt), and whoever has it must not run it.
+// The answer "not reserved" is a proof for three reasons. Replicas that act in another epoch refuse. A replica that is
+// new in a group answers only once it has received the shard from enough replicas of the previous epoch, and those
+// answer it only after they have left that epoch themselves. Plan removes a replica only when it certainly grants
+// nothing any more. If too many replicas of a group end at once, the reservations they held are lost, and the zone's
+// CompleteSince becomes the epoch from which on the replicas know every reservation. A client states, as its term, the
+// epoch that it knew before it first sent the request. If the term is older than CompleteSince, the request is in doubt
+// (InDoubt), and a daemon must not execute it.
 //
-// A reservation that is given up leaves behind that no sending with its number or a smaller one is reserved any more,
-// so that its caller can be told that none of them runs.
+// When a reservation is released, the replicas reserve no later request for the key with the same or a smaller attempt
+// number, so that the client can be notified that none of these attempts is executed.
 //
-// No clocks are compared. Messages may be lost, repeated, delayed and reordered; processes may end, freeze and be cut
-// off at any moment. Reservations are held for the time Keep after they were made or last renewed.
+// Clocks of different processes are never compared. Messages may be lost, repeated, delayed and reordered; processes
+// may end, freeze and be cut off at any moment. Replicas keep a reservation for at least Keep after it was made or last
+// renewed.
 package reservation
 
 import "time"
 
 const (
-	// GroupSize is how many replicas of a zone hold a reservation, if the zone has that many. One of three may be lost
-	// without a trace.
+	// GroupSize is the number of replicas of a zone that hold a reservation, or all replicas of a smaller zone. One of
+	// three may be lost without losing a reservation.
 	GroupSize = 3
-	// ShardCount is into how many parts the keys are divided.
+	// ShardCount is the number of shards into which keys are divided.
 	ShardCount = 128
-	// Keep is for how long a reservation is known after its request has ended or was last renewed.
+	// Keep is the minimum retention period of a reservation after its request has ended or was last renewed.
 	Keep = 10 * time.Minute
-	// RenewInterval is how often the reservation of a request that goes on is renewed.
+	// RenewInterval is the interval between renewals of the reservation of a request in progress.
 	RenewInterval = Keep / 4
-	// heldFor is for how long a replica holds a reservation that isn't renewed: at least Keep after its request ended.
-	heldFor = Keep + RenewInterval
-	// MaximumReplicas bounds the replicas of a zone, so that the restart of any other daemon changes no membership.
+	// replicaRetention is the retention period of a reservation at a replica since it was granted or last renewed. It
+	// exceeds Keep by RenewInterval, since a request may end just before its next renewal.
+	replicaRetention = Keep + RenewInterval
+	// MaximumReplicas is the maximum number of replicas in a zone. The restart of a daemon that is not a replica changes
+	// no membership.
 	MaximumReplicas = 48
-	// Limit bounds the reservations that one replica holds, about 30 MB.
+	// Limit is the maximum number of reservations that one replica holds, about 30 MB.
 	Limit = 1 << 18
-	// Never as CompleteSince says that nothing can be told of any earlier sending yet.
+	// Never is the value of CompleteSince of a zone whose replicas may lack reservations of any earlier epoch.
 	Never = ^uint64(0)
 )
 
 // KeySize is the length of a key in bytes.
 const KeySize = 16
 
-// Key identifies a request: a truncated cryptographic hash of what names it, so that keys are spread evenly.
+// Key identifies a request: a truncated cryptographic hash of its identity, so that keys are evenly distributed over
+// the shards.
 type Key [KeySize]byte
 
 // shard returns the shard of a key.
 func (key Key) shard() uint32 { return uint32(key[0]) % ShardCount }
 
-// Sending is what a caller states of a sending of a request.
+// Sending describes one client attempt of a request: what the client states and when it can have sent it.
 type Sending struct {
-	// Number is 1 if the caller has never sent the request before; any other number, 0 too, says that it may have.
+	// Number is 1 for a first attempt, which the client has never sent before. With any other number, also 0, the request
+	// may have been sent before.
 	Number int
-	// Term is the newest epoch of a Membership that the caller had heard of before it sent the request for the first
-	// time; 0: none.
+	// Term is the epoch of the newest Membership that the client knew of before its first attempt; 0: none.
 	Term uint64
-	// NotBefore is the epoch of a Membership that the daemon knew before this sending can have been sent: before its
-	// process took any connection. 0: it knew none.
+	// NotBefore is the epoch of a Membership that the daemon had adopted before it accepted any connection, and thus
+	// before this attempt was sent to it. 0: none.
 	NotBefore uint64
 }
 
-// IsFirst reports whether the request was certainly not sent before.
-func (sending Sending) IsFirst() bool { return sending.Number == 1 }
+// IsFirst reports whether this is a first attempt.
+func (attempt Sending) IsFirst() bool { return attempt.Number == 1 }
 
-// number returns the number of the sending as it is sent, 0 for one that has none.
-func (sending Sending) number() uint32 { return uint32(max(sending.Number, 0)) }
+// number returns the number of the attempt on the wire, 0 if it has none.
+func (attempt Sending) number() uint32 { return uint32(max(attempt.Number, 0)) }
 
-// Majority returns how many replicas of a group of a size make up a majority.
+// Majority returns the size of a majority of a group of the given size.
 func Majority(size int) int {
 	if size == 0 {
 		return 0
@@ -87,7 +93,8 @@
 	return size/2 + 1
 }
 
-// ReadQuorum returns how many replicas of a group of a size hold, together, whatever a majority of it has granted.
+// ReadQuorum returns the number of replicas of a group of the given size that intersects every majority of it: together
+// they hold every reservation that the group has granted.
 func ReadQuorum(size int) int {
 	if size == 0 {
 		return 0
--- a/coordination/reservation/explore_test.go
+++ b/coordination/reservation/explore_test.go
@@ -9,61 +9,61 @@
 	"time"
 )
 
-// exploration plays callers that send requests, and send them again, at a fleet whose daemons are killed, frozen and
-// cut off while messages are lost, repeated and reordered. No request may run twice.
+// exploration simulates clients that send and retry requests, in a fleet whose daemons are killed, frozen and cut off
+// while messages are lost, repeated and reordered. No request may run twice.
 type exploration struct {
 	*testFleet
 	requests []*exploredRequest
-	// arriving are sendings that are on their way to a process, for any time.
-	arriving []*exploredSending
-	// running are granted reservations on which their daemons have not acted yet.
-	running []*exploredRun
-	// loss is the part of the messages that are lost.
+	// inTransit holds client attempts that are on their way to a process; the delay is unbounded.
+	inTransit []*attemptInTransit
+	// arrivals holds the reservations of attempts that have arrived, until their daemon has acted on the outcome.
+	arrivals []*arrivedAttempt
+	// loss is the fraction of messages that are lost.
 	loss float64
-	// outcomes counts how reservations ended.
+	// outcomes counts reservations by outcome.
 	outcomes map[Outcome]int
 	restarts int
 }
 
-// exploredRequest is a request and what its caller knows.
+// exploredRequest is a request with the state of its client.
 type exploredRequest struct {
 	key  Key
 	term uint64
-	// sent counts its sendings; refused is the greatest number of those of which its caller was told that neither they nor
-	// earlier ones run.
-	sent, refused int
-	runs          []string
-	// attempts are its sendings that have arrived, for the trace of a failure.
-	attempts []*exploredRun
+	// sent counts the attempts; refusedUpTo is the greatest number of an attempt that was refused, so that the client
+	// knows that neither it nor any earlier one runs.
+	sent, refusedUpTo int
+	runs              []string
+	// arrived holds its attempts that have reached a daemon, for the trace of a failure.
+	arrived []*arrivedAttempt
 }
 
-// exploredSending is a sending of a request to a daemon's process.
-type exploredSending struct {
+// attemptInTransit is a client attempt on its way to a daemon process.
+type attemptInTransit struct {
 	request *exploredRequest
 	daemon  *testDaemon
-	sending Sending
+	attempt Sending
 }
 
-// exploredRun is a sending at a daemon.
-type exploredRun struct {
+// arrivedAttempt is a client attempt that has reached a daemon.
+type arrivedAttempt struct {
 	request     *exploredRequest
 	daemon      *testDaemon
 	reservation *Reservation
 }
 
-// act takes one action at random.
-func (exploration *exploration) act() {
+// step takes one random action.
+func (exploration *exploration) step() {
 	random := exploration.random
 	exploration.now = exploration.now.Add(time.Duration(random.Intn(4)) * time.Millisecond)
 	switch choice := random.Intn(100); {
 	case choice < 55:
 		exploration.deliverAny()
 	case choice < 67:
-		exploration.tick(exploration.any())
+		exploration.tick(exploration.anyDaemon())
 	case choice < 75:
-		exploration.any().adopt()
+		exploration.anyDaemon().adopt()
 	case choice < 81:
-		exploration.any().report()
+		exploration.anyDaemon().report()
 	case choice < 84:
 		exploration.plan()
 	case choice < 88:
@@ -71,61 +71,61 @@
 	case choice < 92:
 		exploration.arrive()
 	case choice < 98:
-		exploration.actOnAGrant()
+		exploration.handleOutcome()
 	default:
-		exploration.disturb()
+		exploration.injectFault()
 	}
 }
 
-func (exploration *exploration) any() *testDaemon {
+func (exploration *exploration) anyDaemon() *testDaemon {
 	return exploration.daemons[exploration.random.Intn(len(exploration.daemons))]
 }
 
-// deliverAny has a message arrive, mostly one of the oldest; it may be lost, or come again later.
+// deliverAny delivers a message, usually one of the oldest; it may be lost, or duplicated and delivered again later.
 func (exploration *exploration) deliverAny() {
-	if len(exploration.mail) == 0 {
+	if len(exploration.messages) == 0 {
 		return
 	}
-	index := exploration.random.Intn(len(exploration.mail))
+	index := exploration.random.Intn(len(exploration.messages))
 	if exploration.random.Intn(4) > 0 {
-		index = exploration.random.Intn(min(4, len(exploration.mail)))
+		index = exploration.random.Intn(min(4, len(exploration.messages)))
 	}
-	switch mail := exploration.mail[index]; {
+	switch message := exploration.messages[index]; {
 	case exploration.random.Float64() < exploration.loss:
-		exploration.mail = slices.Delete(exploration.mail, index, index+1)
+		exploration.messages = slices.Delete(exploration.messages, index, index+1)
 	case exploration.random.Intn(50) == 0:
-		exploration.mail = append(exploration.mail, mail)
+		exploration.messages = append(exploration.messages, message)
 		exploration.deliver(index)
 	default:
 		exploration.deliver(index)
 	}
-	for len(exploration.mail) > 400 {
-		exploration.mail = exploration.mail[1:]
+	for len(exploration.messages) > 400 {
+		exploration.messages = exploration.messages[1:]
 	}
 }
 
-// send sends a new request, or one that was sent before, to any daemon.
+// send sends a new request, or retries an earlier one, to any daemon.
 func (exploration *exploration) send() {
-	daemon := exploration.any()
+	daemon := exploration.anyDaemon()
 	var request *exploredRequest
 	if len(exploration.requests) > 0 && exploration.random.Intn(2) == 0 {
 		newest := exploration.requests[max(0, len(exploration.requests)-12):]
 		request = newest[exploration.random.Intn(len(newest))]
 	} else {
-		// The caller has heard of some daemon's term, which may be a newer one than that of the daemon that gets it.
-		request = &exploredRequest{key: testKey(len(exploration.requests)), term: exploration.any().coordinator.Term()}
+		// The client knows some daemon's term, which may be newer than that of the daemon it sends to.
+		request = &exploredRequest{key: testKey(len(exploration.requests)), term: exploration.anyDaemon().coordinator.Term()}
 		exploration.requests = append(exploration.requests, request)
 	}
 	request.sent++
 	if daemon.isUp {
-		sending := Sending{Number: request.sent, Term: request.term, NotBefore: daemon.birth}
-		exploration.arriving = append(exploration.arriving, &exploredSending{request, daemon, sending})
+		attempt := Sending{Number: request.sent, Term: request.term, NotBefore: daemon.firstEpoch}
+		exploration.inTransit = append(exploration.inTransit, &attemptInTransit{request, daemon, attempt})
 	}
 }
 
-// arrive has a sending arrive, mostly one of the newest, unless its daemon's process has ended.
+// arrive delivers an attempt, usually one of the newest, unless its daemon's process has ended.
 func (exploration *exploration) arrive() {
-	count := len(exploration.arriving)
+	count := len(exploration.inTransit)
 	if count == 0 {
 		return
 	}
@@ -133,76 +133,79 @@
 	if exploration.random.Intn(8) > 0 {
 		index = count - 1 - exploration.random.Intn(min(3, count))
 	}
-	arrived := exploration.arriving[index]
-	exploration.arriving = slices.Delete(exploration.arriving, index, index+1)
+	arrived := exploration.inTransit[index]
+	exploration.inTransit = slices.Delete(exploration.inTransit, index, index+1)
 	daemon := arrived.daemon
 	if !daemon.isUp {
 		return
 	}
-	made := daemon.coordinator.Reserve(exploration.now, arrived.request.key, arrived.sending)
+	reservation := daemon.coordinator.Reserve(exploration.now, arrived.request.key, arrived.attempt)
 	exploration.collect(daemon)
-	run := &exploredRun{arrived.request, daemon, made}
-	exploration.running = append(exploration.running, run)
-	run.request.attempts = append(run.request.attempts, run)
+	arrival := &arrivedAttempt{arrived.request, daemon, reservation}
+	exploration.arrivals = append(exploration.arrivals, arrival)
+	arrival.request.arrived = append(arrival.request.arrived, arrival)
 }
 
-// actOnAGrant has a daemon act on a reservation, some time after it was granted: it runs the request, or gives it up.
-func (exploration *exploration) actOnAGrant() {
-	if len(exploration.running) == 0 {
+// handleOutcome lets a daemon act on a decided reservation, some time after the decision: if it is granted, the daemon
+// runs the request or releases the reservation.
+func (exploration *exploration) handleOutcome() {
+	if len(exploration.arrivals) == 0 {
 		return
 	}
-	index := exploration.random.Intn(len(exploration.running))
-	run := exploration.running[index]
-	outcome := run.reservation.Outcome()
-	if outcome == Pending && run.daemon.isUp {
+	index := exploration.random.Intn(len(exploration.arrivals))
+	arrival := exploration.arrivals[index]
+	outcome := arrival.reservation.Outcome()
+	if outcome == Pending && arrival.daemon.isUp {
 		return
 	}
-	exploration.running = slices.Delete(exploration.running, index, index+1)
+	exploration.arrivals = slices.Delete(exploration.arrivals, index, index+1)
 	exploration.outcomes[outcome]++
-	if !run.daemon.isUp || outcome != Granted {
+	if !arrival.daemon.isUp || outcome != Granted {
 		return
 	}
-	if exploration.random.Intn(5) == 0 || !run.daemon.mayServe(exploration.now) {
-		run.daemon.coordinator.Release(exploration.now, run.reservation)
-		exploration.collect(run.daemon)
-		run.request.refused = max(run.request.refused, run.reservation.sending.Number)
+	if exploration.random.Intn(5) == 0 || !arrival.daemon.mayServe(exploration.now) {
+		arrival.daemon.coordinator.Release(exploration.now, arrival.reservation)
+		exploration.collect(arrival.daemon)
+		arrival.request.refusedUpTo = max(arrival.request.refusedUpTo, arrival.reservation.attempt.Number)
 		return
 	}
-	if run.reservation.sending.Number <= run.request.refused {
-		exploration.describe(run.request)
-		exploration.t.Fatalf("sending %d ran after %d was refused", run.reservation.sending.Number, run.request.refused)
+	if arrival.reservation.attempt.Number <= arrival.request.refusedUpTo {
+		exploration.describe(arrival.request)
+		exploration.t.Fatalf("attempt %d ran after attempt %d was refused", arrival.reservation.attempt.Number,
+			arrival.request.refusedUpTo)
 	}
-	run.request.runs = append(run.request.runs,
-		fmt.Sprintf("%s under epoch %d", run.daemon.identity.Address, run.daemon.known.GetEpoch()))
-	run.daemon.coordinator.Finish(run.reservation)
-	if len(run.request.runs) > 1 {
-		exploration.describe(run.request)
-		exploration.t.Fatalf("a request of term %d ran twice: %v", run.request.term, run.request.runs)
+	arrival.request.runs = append(arrival.request.runs,
+		fmt.Sprintf("%s under epoch %d", arrival.daemon.identity.Address, arrival.daemon.adopted.GetEpoch()))
+	arrival.daemon.coordinator.Finish(arrival.reservation)
+	if len(arrival.request.runs) > 1 {
+		exploration.describe(arrival.request)
+		exploration.t.Fatalf("a request of term %d ran twice: %v", arrival.request.term, arrival.request.runs)
 	}
 }
 
-// describe writes what led to a failure.
+// describe logs the history of a request that failed the check.
 func (exploration *exploration) describe(request *exploredRequest) {
 	for _, membership := range exploration.memberships {
 		exploration.t.Log(membership)
 	}
-	for _, attempt := range request.attempts {
-		made := attempt.reservation
-		exploration.t.Logf("%s: sending %+v, token %x: %s", attempt.daemon.identity.Address, made.sending, made.token,
-			made.Outcome())
-		for _, vote := range made.zones {
+	for _, arrived := range request.arrived {
+		reservation := arrived.reservation
+		exploration.t.Logf("%s: attempt %+v, token %x: %s", arrived.daemon.identity.Address, reservation.attempt,
+			reservation.token, reservation.Outcome())
+		for _, vote := range reservation.zones {
 			exploration.t.Logf("  zone %s in epoch %d: %v of %v", vote.zone.Name, vote.zone.Epoch, vote.answers, vote.group)
 		}
 	}
 	for _, daemon := range exploration.daemons {
-		exploration.t.Logf("%v: up %v, synced %v, cut %v, acts in epoch %d", daemon.identity, daemon.isUp,
-			daemon.replica.IsSynced(), !daemon.cutAt.IsZero(), daemon.known.GetEpoch())
+		exploration.t.Logf("%v: up %v, synced %v, cut off %v, acts in epoch %d", daemon.identity, daemon.isUp,
+			daemon.replica.IsSynced(), !daemon.cutOffAt.IsZero(), daemon.adopted.GetEpoch())
 	}
 }
 
-// disturb kills, starts, cuts off or joins again.
-func (exploration *exploration) disturb() {
-	random, daemon := exploration.random, exploration.any()
+// injectFault kills, restarts, disconnects or reconnects a daemon or a zone, reports the end of a process, or advances
+// the time.
+func (exploration *exploration) injectFault() {
+	random, daemon := exploration.random, exploration.anyDaemon()
 	switch random.Intn(8) {
 	case 0, 1:
 		exploration.kill(daemon)
@@ -215,23 +218,25 @@
 	case 4:
 		daemon.ended = daemon.ended || !daemon.isUp
 	case 5:
-		if daemon.cutAt.IsZero() {
-			daemon.cutAt = exploration.now
+		if daemon.cutOffAt.IsZero() {
+			daemon.cutOffAt = exploration.now
 		} else {
-			daemon.cutAt = time.Time{}
+			daemon.cutOffAt = time.Time{}
 		}
 	case 6:
-		exploration.cut[daemon.zone] = !exploration.cut[daemon.zone]
+		exploration.isolatedZones[daemon.zone] = !exploration.isolatedZones[daemon.zone]
 	case 7:
 		exploration.now = exploration.now.Add(time.Duration(random.Intn(800)) * time.Millisecond)
 	}
 }
 
+// At-most-once execution must hold for every history of faults: a request that is sent several times runs at most once,
+// and no attempt runs after the client was notified that it and all earlier ones do not.
 func TestNothingRunsTwice(t *testing.T) {
 	t.Parallel()
 	from, seeds, actions := int64(1), int64(120), 6000
-	if asked, err := strconv.ParseInt(os.Getenv("WARDTRAY_SEEDS"), 10, 64); err == nil {
-		seeds = asked
+	if wanted, err := strconv.ParseInt(os.Getenv("WARDTRAY_SEEDS"), 10, 64); err == nil {
+		seeds = wanted
 	}
 	total, restarts, epochs := map[Outcome]int{}, 0, uint64(0)
 	for seed := from; seed < from+seeds; seed++ {
@@ -240,7 +245,7 @@
 		exploration.loss = float64(seed%4) * 0.05
 		t.Logf("seed %d", seed)
 		for range actions {
-			exploration.act()
+			exploration.step()
 		}
 		for outcome, count := range exploration.outcomes {
 			total[outcome] += count
@@ -251,7 +256,7 @@
 	t.Logf("outcomes %v, %d restarts, %d epochs", total, restarts, epochs)
 	for _, outcome := range []Outcome{Granted, Taken, InDoubt, Unreachable} {
 		if total[outcome] < 100 {
-			t.Errorf("only %d of %s", total[outcome], outcome)
+			t.Errorf("only %d reservations were %s, want at least 100", total[outcome], outcome)
 		}
 	}
 }
--- a/coordination/reservation/fleet_test.go
+++ b/coordination/reservation/fleet_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// testIsolation is for how long a daemon of a test that is cut off from the head serves on.
+	// testIsolation is how long a test daemon that is cut off from the head of the chain continues to serve.
 	testIsolation = 3 * time.Second
-	// testSyncWait is for how long the head of a test waits for replicas that are not synced.
+	// testSyncWait is how long the head of a test fleet waits for replicas that are not synced.
 	testSyncWait = 500 * time.Millisecond
 )
 
-// testDaemon is one daemon's process in a testFleet.
+// testDaemon is one daemon process in a testFleet.
 type testDaemon struct {
 	fleet       *testFleet
 	identity    Identity
@@ -29,35 +29,36 @@
 	replica     *Replica
 	coordinator *Coordinator
 	isUp        bool
-	// cutAt is when it was cut off from the head; zero: it is not.
-	cutAt time.Time
-	// fenced is set once it may not serve, until it has the newest membership.
+	// cutOffAt is when it was cut off from the head of the chain; zero: it is not.
+	cutOffAt time.Time
+	// fenced is set once the daemon may not serve, until it has the newest membership.
 	fenced bool
-	// known is the newest membership that it has adopted, birth the epoch of the first.
-	known *wire.ReservationMembership
-	birth uint64
-	// reported is the epoch in which the head heard that it is synced, ended whether the head knows that it has ended.
-	reported uint64
-	ended    bool
+	// adopted is the newest membership that it has adopted, firstEpoch the epoch of the first one.
+	adopted    *wire.ReservationMembership
+	firstEpoch uint64
+	// syncedEpoch is the newest epoch in which the daemon reported to the head that it is synced; ended is set once the
+	// head knows that the process has ended.
+	syncedEpoch uint64
+	ended       bool
 }
 
 func (daemon *testDaemon) mayServe(now time.Time) bool {
-	if !daemon.cutAt.IsZero() && now.Sub(daemon.cutAt) >= testIsolation {
+	if !daemon.cutOffAt.IsZero() && now.Sub(daemon.cutOffAt) >= testIsolation {
 		daemon.fenced = true
 	}
 	return !daemon.fenced
 }
 
-// adopt has the daemon learn the newest membership.
+// adopt lets the daemon adopt the newest membership.
 func (daemon *testDaemon) adopt() {
 	fleet := daemon.fleet
-	if fleet.membership == nil || !daemon.isUp || !daemon.cutAt.IsZero() {
+	if fleet.membership == nil || !daemon.isUp || !daemon.cutOffAt.IsZero() {
 		return
 	}
 	daemon.fenced = false
-	if daemon.known.GetEpoch() < fleet.membership.Epoch {
-		if daemon.known = fleet.membership; daemon.birth == 0 {
-			daemon.birth = daemon.known.Epoch
+	if daemon.adopted.GetEpoch() < fleet.membership.Epoch {
+		if daemon.adopted = fleet.membership; daemon.firstEpoch == 0 {
+			daemon.firstEpoch = daemon.adopted.Epoch
 		}
 		daemon.replica.Adopt(fleet.now, NewMembership(fleet.membership))
 		daemon.coordinator.Adopt(fleet.now, NewMembership(fleet.membership))
@@ -67,47 +68,48 @@
 
 // isReported reports whether the head knows that the daemon is synced in the present epoch.
 func (daemon *testDaemon) isReported() bool {
-	return daemon.fleet.membership != nil && daemon.reported == daemon.fleet.membership.Epoch
+	return daemon.fleet.membership != nil && daemon.syncedEpoch == daemon.fleet.membership.Epoch
 }
 
-// report tells the head whether the daemon is synced.
+// report reports to the head that the daemon is synced, if it is.
 func (daemon *testDaemon) report() {
-	if daemon.isUp && daemon.cutAt.IsZero() && daemon.known != nil && daemon.replica.IsSynced() {
-		daemon.reported = daemon.known.Epoch
+	if daemon.isUp && daemon.cutOffAt.IsZero() && daemon.adopted != nil && daemon.replica.IsSynced() {
+		daemon.syncedEpoch = daemon.adopted.Epoch
 	}
 }
 
-// testFleet steps the replicas and coordinators of some daemons, the messages between them, and a head that plans.
+// testFleet simulates the replicas and coordinators of some daemons, the messages between them, and a head of the chain
+// that plans memberships.
 type testFleet struct {
 	t       testing.TB
 	now     time.Time
 	random  *rand.Rand
 	daemons []*testDaemon
-	// all has every process that there ever was.
-	all  map[Identity]*testDaemon
-	mail []testMail
-	// cut zones reach nobody else, and are not reached.
-	cut map[string]bool
-	// membership is the agreed one, since planned.
+	// all holds every process that was ever started.
+	all      map[Identity]*testDaemon
+	messages []testMessage
+	// isolatedZones can neither send to other zones nor receive from them.
+	isolatedZones map[string]bool
+	// membership is the agreed one, plannedAt the time when it was planned.
 	membership *wire.ReservationMembership
-	planned    time.Time
+	plannedAt  time.Time
 	isFounded  bool
-	// memberships are all that there were, for the trace of a failure.
+	// memberships holds all agreed memberships, for the trace of a failure.
 	memberships []*wire.ReservationMembership
-	// asReceived has every message changed before it is handled; nil: none is.
-	asReceived func(envelope *wire.Envelope)
+	// onReceive is called with every message before it is handled; nil: nothing is called.
+	onReceive func(envelope *wire.Envelope)
 }
 
-type testMail struct {
+type testMessage struct {
 	from, to string
 	envelope *wire.Envelope
 }
 
-// newTestFleet starts so many daemons in each of some zones, and has them agree on their first membership.
+// newTestFleet starts the given number of daemons in each zone and lets them agree on their first membership.
 func newTestFleet(tb testing.TB, seed int64, zones ...int) *testFleet {
 	tb.Helper()
 	fleet := &testFleet{t: tb, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(seed)),
-		all: map[Identity]*testDaemon{}, cut: map[string]bool{}}
+		all: map[Identity]*testDaemon{}, isolatedZones: map[string]bool{}}
 	for number, count := range zones {
 		for place := range count {
 			fleet.start(fmt.Sprintf("%c%d:1", 'a'+number, place), string(rune('a'+number)))
@@ -118,7 +120,7 @@
 	return fleet
 }
 
-// start starts a process at an address, in place of the one that was there.
+// start starts a process at an address; it replaces the one that was there.
 func (fleet *testFleet) start(address, zone string) *testDaemon {
 	daemon := &testDaemon{fleet: fleet, identity: Identity{Address: address, Incarnation: fleet.random.Uint64()},
 		zone: zone, outbox: statemachine.NewOutbox(), isUp: true}
@@ -141,14 +143,14 @@
 	return daemon
 }
 
-// adoptLater has the newest membership come as a message.
+// adoptLater queues the newest membership as a message to the daemon.
 func (daemon *testDaemon) adoptLater() {
-	daemon.fleet.mail = append(daemon.fleet.mail, testMail{to: daemon.identity.Address})
+	daemon.fleet.messages = append(daemon.fleet.messages, testMessage{to: daemon.identity.Address})
 }
 
 func (fleet *testFleet) kill(daemon *testDaemon) { daemon.isUp = false }
 
-func (fleet *testFleet) at(address string) *testDaemon {
+func (fleet *testFleet) processAt(address string) *testDaemon {
 	for _, daemon := range fleet.daemons {
 		if daemon.identity.Address == address && daemon.isUp {
 			return daemon
@@ -157,40 +159,40 @@
 	return nil
 }
 
-// collect takes what a daemon sends.
+// collect queues the messages in a daemon's outbox.
 func (fleet *testFleet) collect(daemon *testDaemon) {
 	messages, _ := daemon.outbox.Drain()
 	for _, message := range messages {
-		fleet.mail = append(fleet.mail, testMail{from: daemon.identity.Address, to: message.To,
+		fleet.messages = append(fleet.messages, testMessage{from: daemon.identity.Address, to: message.To,
 			envelope: proto.CloneOf(message.Envelope)})
 	}
 }
 
-// passes reports whether a message can go from one address to another.
-func (fleet *testFleet) passes(from, to string) bool {
+// canReach reports whether messages pass from one address to another.
+func (fleet *testFleet) canReach(from, to string) bool {
 	left, right := from[:1], to[:1]
-	return left == right || !fleet.cut[left] && !fleet.cut[right]
+	return left == right || !fleet.isolatedZones[left] && !fleet.isolatedZones[right]
 }
 
-// deliver hands the message at an index to whom it is for.
+// deliver delivers the queued message at an index.
 func (fleet *testFleet) deliver(index int) {
-	mail := fleet.mail[index]
-	fleet.mail = slices.Delete(fleet.mail, index, index+1)
-	daemon := fleet.at(mail.to)
+	message := fleet.messages[index]
+	fleet.messages = slices.Delete(fleet.messages, index, index+1)
+	daemon := fleet.processAt(message.to)
 	if daemon == nil {
 		return
 	}
-	if mail.envelope == nil {
+	if message.envelope == nil {
 		daemon.adopt()
 		return
 	}
-	if !fleet.passes(mail.from, mail.to) {
+	if !fleet.canReach(message.from, message.to) {
 		return
 	}
-	if fleet.asReceived != nil {
-		fleet.asReceived(mail.envelope)
+	if fleet.onReceive != nil {
+		fleet.onReceive(message.envelope)
 	}
-	daemon.receive(mail.from, mail.envelope)
+	daemon.receive(message.from, message.envelope)
 	fleet.collect(daemon)
 }
 
@@ -220,28 +222,28 @@
 	}
 }
 
-// plan has the head change the membership, if it would.
+// plan lets the head of the chain plan the next membership.
 func (fleet *testFleet) plan() {
 	facts := Facts{InForce: true, IsFounding: !fleet.isFounded, IsFormed: true,
-		MayLose: fleet.now.Sub(fleet.planned) >= testSyncWait,
+		MayLose: fleet.now.Sub(fleet.plannedAt) >= testSyncWait,
 		HasEnded: func(replica *wire.ReservationReplica) bool {
 			process := fleet.all[identityOf(replica)]
-			return process.ended || !process.cutAt.IsZero() && !process.mayServe(fleet.now)
+			return process.ended || !process.cutOffAt.IsZero() && !process.mayServe(fleet.now)
 		},
 		IsSynced: func(replica Identity) bool { return fleet.all[replica].isReported() },
 	}
 	for _, daemon := range fleet.daemons {
-		if daemon.isUp && daemon.cutAt.IsZero() {
+		if daemon.isUp && daemon.cutOffAt.IsZero() {
 			facts.Candidates = append(facts.Candidates, Candidate{Identity: daemon.identity, Zone: daemon.zone})
 		}
 	}
 	if next := Plan(fleet.membership, facts); next != nil {
-		fleet.membership, fleet.planned, fleet.isFounded = next, fleet.now, true
+		fleet.membership, fleet.plannedAt, fleet.isFounded = next, fleet.now, true
 		fleet.memberships = append(fleet.memberships, next)
 	}
 }
 
-// settle lets everything that is on its way arrive, in order, until the membership stays and everybody is synced.
+// settle delivers all messages in order, for long enough that the membership becomes stable and every replica synced.
 func (fleet *testFleet) settle() {
 	for range 40 {
 		fleet.now = fleet.now.Add(100 * time.Millisecond)
@@ -252,7 +254,7 @@
 			daemon.adopt()
 			fleet.tick(daemon)
 		}
-		for len(fleet.mail) > 0 {
+		for len(fleet.messages) > 0 {
 			fleet.deliver(0)
 		}
 		for _, daemon := range fleet.daemons {
@@ -262,12 +264,12 @@
 	}
 }
 
-// reserve has a daemon reserve a key and waits for the outcome.
-func (fleet *testFleet) reserve(daemon *testDaemon, key Key, sending Sending) *Reservation {
-	made := daemon.coordinator.Reserve(fleet.now, key, sending)
+// reserve reserves a key at a daemon and waits for the outcome.
+func (fleet *testFleet) reserve(daemon *testDaemon, key Key, attempt Sending) *Reservation {
+	reservation := daemon.coordinator.Reserve(fleet.now, key, attempt)
 	fleet.collect(daemon)
-	for end := fleet.now.Add(reserveTimeout + time.Second); made.Outcome() == Pending && fleet.now.Before(end); {
-		for count := len(fleet.mail); count > 0; count-- {
+	for end := fleet.now.Add(reserveTimeout + time.Second); reservation.Outcome() == Pending && fleet.now.Before(end); {
+		for count := len(fleet.messages); count > 0; count-- {
 			fleet.deliver(0)
 		}
 		fleet.now = fleet.now.Add(10 * time.Millisecond)
@@ -275,19 +277,20 @@
 			fleet.tick(daemon)
 		}
 	}
-	return made
+	return reservation
 }
 
-// testKey returns the key of a number, of any shard.
+// testKey returns a distinct key for each number; consecutive numbers are in different shards.
 func testKey(number int) Key {
 	var key Key
 	copy(key[:], fmt.Appendf(nil, "%c-%08d", number%ShardCount, number))
 	return key
 }
 
-// first and again are sendings under a daemon's present term.
-func (daemon *testDaemon) first() Sending {
+// firstAttempt returns a first attempt with the daemon's present term.
+func (daemon *testDaemon) firstAttempt() Sending {
 	return Sending{Number: 1, Term: daemon.coordinator.Term()}
 }
 
-func again(sending Sending) Sending { return Sending{Number: sending.Number + 1, Term: sending.Term} }
+// retryOf returns the next attempt of the same request.
+func retryOf(attempt Sending) Sending { return Sending{Number: attempt.Number + 1, Term: attempt.Term} }
--- a/coordination/reservation/holding.go
+++ b/coordination/reservation/holding.go
@@ -8,17 +8,17 @@
 	"wardtray/wire"
 )
 
-// pendingRelease is a reservation that is given up, until the replicas have acknowledged that.
+// pendingRelease is the release of a reservation that not all replicas have acknowledged.
 type pendingRelease struct {
 	message *wire.ReservationRelease
-	// recipients are the addresses that have not acknowledged it.
+	// recipients are the addresses of the replicas that have not acknowledged it.
 	recipients map[string]bool
 	lastSent   time.Time
 	deadline   time.Time
 }
 
-// Finish ends the renewals of a granted reservation whose request has ended, whatever came of that. It is known for
-// Keep from now on.
+// Finish ends the renewals of a granted reservation whose request has ended, whatever its result. The replicas keep the
+// reservation for at least Keep from now on.
 func (coordinator *Coordinator) Finish(reservation *Reservation) {
 	if reservation.isRenewed {
 		reservation.isRenewed = false
@@ -26,7 +26,7 @@
 	}
 }
 
-// Release gives up a reservation, decided or not, of a request that certainly did not and will not run.
+// Release releases a reservation, decided or not, of a request that certainly did not and will not run.
 func (coordinator *Coordinator) Release(now time.Time, reservation *Reservation) {
 	if coordinator.pending[reservation.token] != nil {
 		coordinator.decide(now, reservation, Unreachable)
@@ -38,12 +38,12 @@
 	}
 }
 
-// release tells all replicas that were asked that a reservation is given up.
+// release sends the release of a reservation to all replicas that were asked for it.
 func (coordinator *Coordinator) release(now time.Time, reservation *Reservation) {
 	message := &wire.ReservationRelease{Key: reservation.key[:], Token: reservation.token,
-		Number: reservation.sending.number()}
+		Number: reservation.attempt.number()}
 	release := &pendingRelease{message: message, recipients: map[string]bool{}, deadline: now.Add(releaseTimeout)}
-	// Replicas that have joined a group since may have learned of it.
+	// Replicas that joined a group after the request may have received the reservation by synchronization.
 	for _, vote := range reservation.zones {
 		if zone := coordinator.membership.Zone(vote.zone.Name); zone != nil && len(reservation.contacted) > 0 {
 			for _, replica := range zone.Group(reservation.key.shard()) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// resendReleases sends again what was not acknowledged. A release that is never acknowledged leaves a reservation that
-// nobody uses, so that the request is refused as taken until that is forgotten.
+// resendReleases sends unacknowledged releases again. A release that is never acknowledged leaves an unused reservation
+// behind, and the request is refused as taken until that expires.
 func (coordinator *Coordinator) resendReleases(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(coordinator.releases)) {
 		release := coordinator.releases[token]
@@ -99,7 +99,8 @@
 	}
 }
 
-// renew renews the reservations of requests that go on, where that is due, at the replicas of the present membership.
+// renew renews, at the replicas of the present membership, the reservations of requests in progress whose renewal is
+// due.
 func (coordinator *Coordinator) renew(now time.Time) {
 	if !coordinator.membership.IsInForce() {
 		return
@@ -119,7 +120,7 @@
 	coordinator.compactRenewals()
 }
 
-// compactRenewals drops those that have ended, once they are most.
+// compactRenewals removes reservations that have ended from renewals, once they outnumber the others by compactAbove.
 func (coordinator *Coordinator) compactRenewals() {
 	if len(coordinator.renewals) <= 2*coordinator.renewing+compactAbove {
 		return
@@ -129,20 +130,20 @@
 	})
 }
 
-// compactAbove is how many renewals that have ended may stay.
+// compactAbove is the number of ended renewals that are tolerated.
 const compactAbove = 64
 
-// sendRenewal asks the replicas that hold a reservation, or follow those that did, to hold it for longer. What they
-// answer changes nothing: the request runs already.
+// sendRenewal requests the reservation again from the present replicas of each zone that was asked, which extends its
+// retention. Their answers change nothing: the request is already running.
 func (coordinator *Coordinator) sendRenewal(now time.Time, reservation *Reservation) {
-	for _, vote := range coordinator.asked(reservation) {
+	for _, vote := range coordinator.activeVotes(reservation) {
 		zone := coordinator.membership.Zone(vote.zone.Name)
 		if zone == nil {
 			continue
 		}
-		request := reservation.request(zone)
+		request := reservation.newRequest(zone)
 		for _, replica := range zone.Group(reservation.key.shard()) {
-			coordinator.request(now, reservation, replica, request)
+			coordinator.sendRequest(now, reservation, replica, request)
 		}
 	}
 }
--- a/coordination/reservation/membership.go
+++ b/coordination/reservation/membership.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-// Identity names one incarnation of a daemon's process.
+// Identity identifies one incarnation of a daemon process.
 type Identity struct {
 	Address     string
 	Incarnation uint64
@@ -19,33 +19,34 @@
 	return Identity{Address: replica.Address, Incarnation: replica.Incarnation}
 }
 
-// Zone is the replicas of one zone in one epoch.
+// Zone describes the replicas of one zone in one epoch.
 type Zone struct {
-	// Name is the zone's.
+	// Name is the name of the zone.
 	Name string
-	// Epoch is that of the membership in which these replicas began to act.
+	// Epoch is the epoch of the membership in which these replicas began to act.
 	Epoch uint64
-	// Begun is the epoch in which the zone got its first replicas. A daemon that acts in an earlier one does not ask them.
-	Begun uint64
-	// CompleteSince is the epoch from which on the replicas know every reservation of the zone.
+	// FirstEpoch is the epoch in which the zone got its first replicas. A daemon that acts in an earlier epoch does not
+	// ask them.
+	FirstEpoch uint64
+	// CompleteSince is the epoch from which on the replicas know every reservation made in the zone.
 	CompleteSince uint64
-	// Replicas are in the order of their addresses.
+	// Replicas are sorted by address.
 	Replicas []Identity
-	// previous is the zone before these replicas began; its own previous is nil.
+	// previous is the zone in the epoch before these replicas began to act; its own previous is nil.
 	previous *Zone
-	// groups holds the groups that were asked for.
+	// groups caches the groups by shard.
 	groups [ShardCount][]Identity
 }
 
-// newZone returns a zone as it is sent; nil stands for one without replicas.
+// newZone returns the zone that a message describes; nil stands for a zone without replicas.
 func newZone(message *wire.ReservationZone) *Zone {
-	return &Zone{Name: message.GetZone(), Epoch: message.GetEpoch(), Begun: message.GetBegun(),
+	return &Zone{Name: message.GetZone(), Epoch: message.GetEpoch(), FirstEpoch: message.GetBegun(),
 		CompleteSince: message.GetCompleteSince(), Replicas: identitiesOf(message.GetReplicas()),
 		previous: &Zone{Name: message.GetZone(), Epoch: message.GetPreviousEpoch(),
 			Replicas: identitiesOf(message.GetPreviousReplicas())}}
 }
 
-// identitiesOf returns the identities of replicas in the order of their addresses.
+// identitiesOf returns the identities of replicas, sorted by address.
 func identitiesOf(replicas []*wire.ReservationReplica) []Identity {
 	identities := make([]Identity, 0, len(replicas))
 	for _, replica := range replicas {
@@ -55,8 +56,9 @@
 	return identities
 }
 
-// Group returns the replicas of a shard: those with the highest random weight, which moves as few shards as possible
-// when replicas come and go. A process that follows another at its address has the shards of that one.
+// Group returns the replicas of a shard, chosen by rendezvous hashing: those with the highest weights, which moves as
+// few shards as possible when replicas join or leave. A process that replaces another at its address has the same
+// shards.
 func (zone *Zone) Group(shard uint32) []Identity {
 	if len(zone.Replicas) <= GroupSize {
 		return zone.Replicas
@@ -88,14 +90,14 @@
 	return hash.Sum64()
 }
 
-// Membership is the agreed replicas of all zones. It is not safe for concurrent use.
+// Membership holds the agreed replicas of all zones. It is not safe for concurrent use.
 type Membership struct {
 	epoch uint64
-	// zones are in the order of their names.
+	// zones are sorted by name.
 	zones []*Zone
 }
 
-// NewMembership returns a membership as it is sent; nil stands for one that names no replica.
+// NewMembership returns the membership that a message describes; nil stands for one without replicas.
 func NewMembership(message *wire.ReservationMembership) *Membership {
 	membership := &Membership{epoch: message.GetEpoch()}
 	for _, zone := range message.GetZones() {
@@ -107,16 +109,16 @@
 	return membership
 }
 
-// Epoch returns the number of the membership, 0 if there is none yet.
+// Epoch returns the epoch of the membership, 0 if there is none yet.
 func (membership *Membership) Epoch() uint64 { return membership.epoch }
 
-// IsInForce reports whether requests are reserved at all: it names zones.
+// IsInForce reports whether requests are reserved, which is so if the membership has zones.
 func (membership *Membership) IsInForce() bool { return len(membership.zones) > 0 }
 
-// Zones returns the zones in the order of their names; it must not be changed.
+// Zones returns the zones sorted by name; the caller must not modify the slice.
 func (membership *Membership) Zones() []*Zone { return membership.zones }
 
-// Zone returns the zone of a name; nil: there is none.
+// Zone returns the zone with a name, or nil.
 func (membership *Membership) Zone(name string) *Zone {
 	for _, zone := range membership.zones {
 		if zone.Name == name {
--- a/coordination/reservation/plan.go
+++ b/coordination/reservation/plan.go
@@ -13,35 +13,35 @@
 type Candidate struct {
 	Identity
 	Zone string
-	// IsolationMilliseconds is for how long it may go on serving while it reaches no control machine.
+	// IsolationMilliseconds is how long the daemon may continue to serve while it reaches no control machine.
 	IsolationMilliseconds uint32
 }
 
-// Facts are what the next membership is derived from.
+// Facts are the inputs, besides the present membership, from which Plan derives the next one.
 type Facts struct {
-	// InForce says that every daemon which may serve makes reservations; otherwise nothing is reserved.
+	// InForce is set if every daemon that may serve makes reservations; otherwise nothing is reserved.
 	InForce bool
-	// IsFounding says that no daemon has ever served, so that nothing can have run.
+	// IsFounding is set if no daemon has ever served, so that no request can have run.
 	IsFounding bool
-	// IsFormed says that no daemon can act any more under an epoch in which nothing was reserved. It is asked only
-	// while some zone is complete since Never.
+	// IsFormed is set if no daemon can act any more under an epoch in which nothing was reserved. It is read only while
+	// some zone's CompleteSince is Never.
 	IsFormed bool
-	// NewestEpoch is the newest epoch that any daemon is known to act under. The next one is above it, also where the
-	// present membership was lost.
+	// NewestEpoch is the newest epoch in which any daemon is known to act. The next epoch is greater, even if the present
+	// membership was lost.
 	NewestEpoch uint64
 	// Candidates are the daemons that may become replicas, in any order.
 	Candidates []Candidate
 	// HasEnded reports whether a replica certainly grants nothing any more.
 	HasEnded func(replica *wire.ReservationReplica) bool
-	// IsSynced reports whether a replica holds all that it must know in the present epoch.
+	// IsSynced reports whether a replica holds all reservations that it must know in the present epoch.
 	IsSynced func(replica Identity) bool
-	// MayLose says that replicas which are not synced were waited for long enough, so that a change may be made that
-	// loses what they alone could have learned.
+	// MayLose is set once the wait for replicas that are not synced has timed out. A change may then lose reservations
+	// that only those replicas could have learned.
 	MayLose bool
 }
 
-// Plan returns the membership that follows the present one; nil: the present one stays. It is a function of its
-// arguments. The present one may be nil.
+// Plan returns the membership that follows the present one, or nil if the present one stays. It depends on its
+// arguments only. present may be nil.
 func Plan(present *wire.ReservationMembership, facts Facts) *wire.ReservationMembership {
 	planner := planner{present: present, facts: facts}
 	if !facts.InForce {
@@ -55,11 +55,11 @@
 		return nil
 	}
 	for _, zone := range next.Zones {
-		if zone.Epoch != next.Epoch || !planner.loses(zone, facts.IsSynced) {
+		if zone.Epoch != next.Epoch || !planner.losesReservations(zone, facts.IsSynced) {
 			continue
 		}
-		// Where too few would be left even if all of them were synced there is nothing to wait for.
-		isUnavoidable := planner.loses(zone, func(Identity) bool { return true })
+		// If too few replicas remain even when all of them are synced, waiting is pointless.
+		isUnavoidable := planner.losesReservations(zone, func(Identity) bool { return true })
 		if !isUnavoidable && !facts.MayLose {
 			return nil
 		}
@@ -73,7 +73,8 @@
 	facts   Facts
 }
 
-// suspend returns a membership that names no replica, so that nothing is reserved; nil if that is so already.
+// suspend returns a membership that names no replica, so that nothing is reserved, or nil if the present one names
+// none.
 func (planner planner) suspend() *wire.ReservationMembership {
 	if len(planner.present.GetZones()) == 0 {
 		return nil
@@ -86,8 +87,8 @@
 	return max(planner.present.GetEpoch(), planner.facts.NewestEpoch) + 1
 }
 
-// zoneNames returns the zones of the next membership in their order. A zone stays for good, since its replicas may hold
-// what nobody else does.
+// zoneNames returns the sorted names of the zones of the next membership. A zone is never removed, since its replicas
+// may hold reservations that no other replica does.
 func (planner planner) zoneNames() []string {
 	names := make([]string, 0, len(planner.present.GetZones())+len(planner.facts.Candidates))
 	for _, zone := range planner.present.GetZones() {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// nextZone returns a zone with those of its replicas that have not ended, and candidates in the places that are left.
+// nextZone returns a zone with those of its replicas that have not ended, and with candidates in the free places.
 func (planner planner) nextZone(name string) *wire.ReservationZone {
 	present := planner.presentZone(name)
 	next := &wire.ReservationZone{Zone: name, CompleteSince: planner.completeSince(name), Begun: present.GetBegun(),
@@ -144,7 +145,8 @@
 	return next
 }
 
-// completeSince returns from which epoch on a zone knows everything, unless the change itself loses something.
+// completeSince returns the epoch from which on the replicas of a zone know every reservation, provided that the change
+// itself loses none.
 func (planner planner) completeSince(name string) uint64 {
 	present := planner.presentZone(name)
 	switch {
@@ -155,22 +157,22 @@
 	case planner.isFounding():
 		return 0
 	case len(planner.present.GetZones()) == 0:
-		// Daemons may still act under a membership in which nothing was reserved.
+		// Daemons may still act under a membership that reserved nothing.
 		return Never
 	default:
-		// Nothing was reserved in this zone yet.
+		// No request was reserved in this zone yet.
 		return 0
 	}
 }
 
-// isFounding reports whether the next membership is the first of a fleet in which nothing has run.
+// isFounding reports whether the next membership is the first one of a fleet in which no request has run.
 func (planner planner) isFounding() bool {
 	return planner.present.GetEpoch() == 0 && planner.facts.IsFounding
 }
 
-// loses reports whether some group of the present loses with a change what it alone may hold: too few of its replicas
-// remain that are synced.
-func (planner planner) loses(next *wire.ReservationZone, isSynced func(replica Identity) bool) bool {
+// losesReservations reports whether a change may lose reservations: some group of the present zone keeps fewer synced
+// replicas than a read quorum.
+func (planner planner) losesReservations(next *wire.ReservationZone, isSynced func(replica Identity) bool) bool {
 	present := planner.presentZone(next.Zone)
 	if present == nil || len(present.Replicas) == 0 {
 		return false
--- a/coordination/reservation/replica.go
+++ b/coordination/reservation/replica.go
@@ -8,54 +8,54 @@
 	"wardtray/wire"
 )
 
-// Environment is what reservations ask of the process around them.
+// Environment holds the callbacks to the surrounding process.
 type Environment struct {
-	// MayServe reports whether this process may act under its membership at a moment. A replica grants nothing without
-	// that, so that it is known when one that was cut off grants nothing any more.
+	// MayServe reports whether this process may act under its membership at a given time. A replica grants nothing while
+	// it may not, which bounds how long an isolated replica can still grant.
 	MayServe func(now time.Time) bool
-	// RequestMembership asks a process for a newer membership than this one's.
+	// RequestMembership requests a newer membership from the process at an address.
 	RequestMembership func(now time.Time, from string)
 }
 
-// Replica holds the reservations of this process' shards.
+// Replica holds the reservations of the shards of this process.
 type Replica struct {
 	self        Identity
 	outbox      *statemachine.Outbox
 	environment Environment
 	membership  *Membership
-	// zone is this process' own in the membership; it has no replicas where the membership has no such zone.
+	// zone is the zone of this process in the membership; it has no replicas if the membership has no such zone.
 	zone *Zone
-	// shards are by number; nil where this process has nothing to do with a shard.
+	// shards are indexed by number; nil: this process neither holds the shard nor passes it on.
 	shards [ShardCount]*shard
-	// released has the tokens of reservations that were given up of late, and until when they are remembered.
+	// released holds the tokens of recently released reservations, each with the time when its retention ends.
 	released map[uint64]time.Time
-	// lastExpiry is when reservations were last looked through for those that are held no longer.
+	// lastExpiry is the time of the latest scan for expired reservations.
 	lastExpiry time.Time
 }
 
-// shard is what a replica holds of one shard.
+// shard is the state of one shard at a replica.
 type shard struct {
 	*table
-	// isOwned is set if this process is in the shard's group, and isReady once it holds all that it must know.
+	// isOwned is set if this process is in the shard's group, isReady once it holds every reservation that it must know.
 	isOwned, isReady bool
-	// isSource is set if this process was ready for the shard in the zone's epoch before, so that others may learn from
-	// it.
+	// isSource is set if this process was ready for the shard in the zone's previous epoch, so that other replicas may
+	// learn from it.
 	isSource bool
-	// sync is how it gets what it must know; nil: it needs nothing more.
+	// sync is the synchronization in progress; nil: none.
 	sync *synchronization
 }
 
-// releasedFor is for how long the token of a reservation that was given up is remembered, so that a request for it that
-// was overtaken on its way does not bring it back.
-const releasedFor = 2 * firstTimeout
+// releasedTokenRetention is the retention period of the token of a released reservation. A delayed request that its
+// release has overtaken must not restore the reservation.
+const releasedTokenRetention = 2 * firstTimeout
 
-// NewReplica returns a replica that knows no membership; it answers nothing before Adopt.
+// NewReplica returns a replica without a membership; it grants nothing before Adopt.
 func NewReplica(self Identity, zone string, outbox *statemachine.Outbox, environment Environment) *Replica {
 	return &Replica{self: self, outbox: outbox, environment: environment, membership: NewMembership(nil),
 		zone: &Zone{Name: zone, previous: &Zone{}}, released: map[uint64]time.Time{}}
 }
 
-// Len returns the number of reservations that are held.
+// Len returns the number of reservations held.
 func (replica *Replica) Len() int {
 	count := 0
 	for _, shard := range replica.shards {
@@ -66,14 +66,14 @@
 	return count
 }
 
-// IsSynced reports whether this process holds all that it must know of its shards in the present epoch.
+// IsSynced reports whether this process holds every reservation of its shards that it must know in the present epoch.
 func (replica *Replica) IsSynced() bool {
 	return !slices.ContainsFunc(replica.shards[:], func(shard *shard) bool {
 		return shard != nil && shard.isOwned && !shard.isReady
 	})
 }
 
-// Adopt starts to act under a newer membership. From this moment on nothing is granted in an earlier epoch of the zone.
+// Adopt starts to act under a newer membership. From then on nothing is granted in an earlier epoch of the zone.
 func (replica *Replica) Adopt(now time.Time, membership *Membership) {
 	if membership.Epoch() <= replica.membership.Epoch() {
 		return
@@ -94,8 +94,8 @@
 	replica.sendSyncRequests(now)
 }
 
-// nextShard returns what this process holds of a shard in an epoch of the zone that begins now; isContinuing says
-// whether this process acted in the epoch directly before.
+// nextShard returns the state of a shard in an epoch of the zone that begins now; isContinuing is set if this process
+// acted in the epoch directly before.
 func (replica *Replica) nextShard(now time.Time, number uint32, isOwned, isContinuing bool) *shard {
 	former := replica.shards[number]
 	wasReady := isContinuing && former != nil && former.isOwned && former.isReady
@@ -115,7 +115,7 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick sends due synchronization requests and removes expired reservations and tokens.
 func (replica *Replica) Tick(now time.Time) {
 	replica.sendSyncRequests(now)
 	if now.Sub(replica.lastExpiry) < expiryInterval {
@@ -134,10 +134,10 @@
 	}
 }
 
-// expiryInterval is how often reservations are looked through for those that are held no longer.
+// expiryInterval is the interval between scans for expired reservations.
 const expiryInterval = time.Second
 
-// HandleRequest handles a daemon's request for a reservation.
+// HandleRequest answers a daemon's request for a reservation.
 func (replica *Replica) HandleRequest(now time.Time, from string, request *wire.ReservationRequest) {
 	response := replica.Reserve(now, request)
 	if request.Epoch > replica.zone.Epoch {
@@ -146,7 +146,7 @@
 	replica.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_ReservationResponse{ReservationResponse: response}})
 }
 
-// Reserve grants a request for a reservation, or says why not.
+// Reserve grants a request for a reservation, or returns the reason for the refusal.
 func (replica *Replica) Reserve(now time.Time, request *wire.ReservationRequest) *wire.ReservationResponse {
 	response := &wire.ReservationResponse{Epoch: replica.zone.Epoch, Token: request.Token}
 	if request.Epoch != replica.zone.Epoch || len(request.Key) != KeySize || !replica.environment.MayServe(now) {
@@ -166,17 +166,17 @@
 		response.Outcome = wire.ReservationOutcome_RESERVATION_TAKEN
 	case !isHeld && replica.Len() >= Limit:
 		response.Outcome = wire.ReservationOutcome_RESERVATION_FULL
-		response.RoomMilliseconds = uint32(replica.roomAfter(now).Milliseconds())
+		response.RoomMilliseconds = uint32(replica.untilNextExpiry(now).Milliseconds())
 	default:
-		shard.put(record{key: key, token: request.Token, until: now.Add(heldFor)})
+		shard.put(record{key: key, token: request.Token, until: now.Add(replicaRetention)})
 		response.Outcome = wire.ReservationOutcome_RESERVATION_GRANTED
 	}
 	return response
 }
 
-// roomAfter returns after what time the first reservation is forgotten.
-func (replica *Replica) roomAfter(now time.Time) time.Duration {
-	soonest := heldFor
+// untilNextExpiry returns the time until the first reservation expires.
+func (replica *Replica) untilNextExpiry(now time.Time) time.Duration {
+	soonest := replicaRetention
 	for _, shard := range replica.shards {
 		if shard == nil {
 			continue
@@ -188,26 +188,26 @@
 	return max(soonest, 0)
 }
 
-// HandleRelease gives up a reservation, and acknowledges that also where there is none.
+// HandleRelease releases a reservation. It acknowledges the release even if there is no such reservation.
 func (replica *Replica) HandleRelease(now time.Time, from string, release *wire.ReservationRelease) {
 	replica.Release(now, release)
 	released := &wire.ReservationReleased{Token: release.Token}
 	replica.outbox.Send(from, &wire.Envelope{Body: &wire.Envelope_ReservationReleased{ReservationReleased: released}})
 }
 
-// Release gives up a reservation if it has the release's token.
+// Release removes the reservation that has the token of the release, if there is one.
 func (replica *Replica) Release(now time.Time, release *wire.ReservationRelease) {
 	if len(release.Key) != KeySize {
 		return
 	}
-	replica.released[release.Token] = now.Add(releasedFor)
+	replica.released[release.Token] = now.Add(releasedTokenRetention)
 	key := Key(release.Key)
 	shard := replica.shards[key.shard()]
 	if shard == nil || release.Token == contested || !shard.remove(key, release.Token) {
 		return
 	}
-	// Of the first sending there is none before that could still come.
+	// No attempt precedes the first one, so that no smaller number has to be refused.
 	if release.Number > 1 {
-		shard.put(record{key: key, token: release.Token, refused: release.Number, until: now.Add(heldFor)})
+		shard.put(record{key: key, token: release.Token, refusedUpTo: release.Number, until: now.Add(replicaRetention)})
 	}
 }
--- a/coordination/reservation/synchronization.go
+++ b/coordination/reservation/synchronization.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// syncInterval is how often a replica asks again for what it lacks.
+	// syncInterval is the interval at which a replica repeats a synchronization request that was not answered.
 	syncInterval = 100 * time.Millisecond
-	// lossTimeout is for how long a replica of a group that lost what it held waits for what may be left of that.
+	// lossTimeout is how long a replica of a group that lost reservations waits for the remaining ones.
 	lossTimeout = 500 * time.Millisecond
-	// syncPage is how many reservations one message carries.
+	// syncPage is the maximum number of reservations in one message.
 	syncPage = 1024
 )
 
-// source is a replica of the zone's epoch before that held a shard and still is a replica.
+// source is a replica that held a shard in the zone's previous epoch and still is a replica of the zone.
 type source struct {
 	address string
-	// position is from where on it was asked last, and lastRequest when.
+	// position is the position from which the next page is requested, lastRequest the time of the latest request.
 	position    uint64
 	lastRequest time.Time
 	isDone      bool
 }
 
-// synchronization is how a replica that is new in a group gets what was granted before. Each source that answers has
-// left the zone's epoch before, so that nothing more is granted in it by a majority of that epoch's group.
+// synchronization tracks how a replica that is new in a group learns the reservations granted before. Each source that
+// answers has left the zone's previous epoch and grants nothing more in it; once enough sources have answered, no
+// majority of the previous group can grant anything more in that epoch.
 type synchronization struct {
 	sources []*source
-	// needed is how many sources together have all that was ever granted.
+	// needed is the number of sources that together hold every reservation ever granted.
 	needed int
-	// lossUntil is up to when the sources of a group that has lost reservations are waited for: too few are left to have
-	// everything, and what they have is still better than nothing. Zero: it has lost none.
-	lossUntil time.Time
+	// lossDeadline ends the wait for the sources of a group that has lost reservations: too few are left to hold every
+	// reservation, but what they hold still prevents repeated runs. Zero: the group has lost none.
+	lossDeadline time.Time
 }
 
-// newSynchronization returns what a replica of a zone must learn of a shard before it may answer.
+// newSynchronization returns the synchronization that a replica of a zone must complete before it answers for a shard.
 func newSynchronization(now time.Time, zone *Zone, shard uint32, self Identity) *synchronization {
 	former := zone.previous.Group(shard)
 	synchronization := &synchronization{needed: ReadQuorum(len(former))}
 	if zone.CompleteSince == zone.Epoch {
-		synchronization.lossUntil = now.Add(lossTimeout)
+		synchronization.lossDeadline = now.Add(lossTimeout)
 	}
 	for _, replica := range former {
 		if replica != self && slices.Contains(zone.Replicas, replica) {
@@ -51,7 +52,7 @@
 	return synchronization
 }
 
-// isComplete reports whether enough sources have answered.
+// isComplete reports whether enough sources have sent all that they hold.
 func (synchronization *synchronization) isComplete(now time.Time) bool {
 	done := 0
 	for _, source := range synchronization.sources {
@@ -59,13 +60,13 @@
 			done++
 		}
 	}
-	if synchronization.lossUntil.IsZero() {
+	if synchronization.lossDeadline.IsZero() {
 		return done >= synchronization.needed
 	}
-	return done == len(synchronization.sources) || !now.Before(synchronization.lossUntil)
+	return done == len(synchronization.sources) || !now.Before(synchronization.lossDeadline)
 }
 
-// sendSyncRequests asks for what this replica lacks, where that is due.
+// sendSyncRequests requests missing reservations from sources for which a request is due.
 func (replica *Replica) sendSyncRequests(now time.Time) {
 	isDue := func(source *source) bool { return now.Sub(source.lastRequest) >= syncInterval }
 	requests, order := map[string]*wire.ReservationSyncRequest{}, []string{}
@@ -97,7 +98,7 @@
 	}
 }
 
-// HandleSyncRequest answers a replica that lacks what this one holds, if both act in the same epoch of this zone.
+// HandleSyncRequest answers a replica that synchronizes, if both act in the same epoch of this zone.
 func (replica *Replica) HandleSyncRequest(now time.Time, from string, request *wire.ReservationSyncRequest) {
 	if request.Epoch > replica.zone.Epoch {
 		replica.environment.RequestMembership(now, from)
@@ -131,13 +132,13 @@
 	for _, held := range page {
 		if left := held.until.Sub(now); left > 0 {
 			records = append(records, &wire.ReservationRecord{Key: held.key[:], Token: held.token,
-				Milliseconds: uint32(left.Milliseconds()) + 1, Refused: held.refused})
+				Milliseconds: uint32(left.Milliseconds()) + 1, Refused: held.refusedUpTo})
 		}
 	}
 	return records
 }
 
-// HandleSyncResponse takes in what a replica of the epoch before held, and asks it at once for what is left.
+// HandleSyncResponse stores the reservations that a source held, and requests the next pages from it at once.
 func (replica *Replica) HandleSyncResponse(now time.Time, from string, response *wire.ReservationSyncResponse) {
 	if response.Epoch != replica.zone.Epoch {
 		return
@@ -173,22 +174,22 @@
 	}
 }
 
-// learn takes in reservations that another replica held. Of a key that two have reserved, each at some replicas, one
-// may have been granted by a majority and the other may be given up: it stays taken, and no release removes it.
+// learn merges reservations that another replica held. If two reservations of one key meet, each held by some replicas,
+// a majority may have granted one while the other is being released: the key stays taken, and no release removes it.
 func (shard *shard) learn(now time.Time, records []*wire.ReservationRecord) {
 	for _, message := range records {
 		if len(message.Key) != KeySize {
 			continue
 		}
-		learned := record{key: Key(message.Key), token: message.Token, refused: message.Refused,
-			until: now.Add(min(time.Duration(message.Milliseconds)*time.Millisecond, heldFor))}
+		learned := record{key: Key(message.Key), token: message.Token, refusedUpTo: message.Refused,
+			until: now.Add(min(time.Duration(message.Milliseconds)*time.Millisecond, replicaRetention))}
 		held, isHeld := shard.get(learned.key)
 		switch {
 		case isHeld && held.token != learned.token:
-			learned.token, learned.refused = contested, 0
+			learned.token, learned.refusedUpTo = contested, 0
 		case isHeld:
-			// One of the two has not heard yet that it was given up.
-			learned.refused = max(held.refused, learned.refused)
+			// One of the two replicas has not received the release yet.
+			learned.refusedUpTo = max(held.refusedUpTo, learned.refusedUpTo)
 		}
 		if isHeld && held.until.After(learned.until) {
 			learned.until = held.until
--- a/coordination/reservation/table.go
+++ b/coordination/reservation/table.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// contested is the token of a key that several have reserved. No reservation has it.
+// contested is the token of a key for which replicas held different reservations. No reservation has this token.
 const contested = 0
 
 // record is one reservation.
 type record struct {
 	key Key
-	// token is that of the reservation, or contested.
+	// token is the token of the reservation, or contested.
 	token uint64
-	// refused is set where the reservation was given up: no sending with this or a smaller number may be reserved.
-	refused uint32
-	// until is when it is forgotten.
+	// refusedUpTo is the attempt number of a released reservation: no attempt with this or a smaller number is reserved.
+	// 0: the reservation was not released.
+	refusedUpTo uint32
+	// until is when the record expires.
 	until time.Time
 }
 
-// admits reports whether a sending with a token and a number may be reserved although the record is there: it is the
-// one that the record is of, or one that its caller sent after it was told that those before don't run.
+// admits reports whether an attempt with a token and a number may be reserved despite this record: either the record is
+// its own, or the client sent it after it was notified that the attempts up to refusedUpTo don't run.
 func (held record) admits(token uint64, number uint32) bool {
-	if held.refused > 0 {
-		return number == 0 || number > held.refused
+	if held.refusedUpTo > 0 {
+		return number == 0 || number > held.refusedUpTo
 	}
 	return held.token == token
 }
 
-// table holds the reservations of one shard in the order in which they were made or renewed, which is that in which
-// they are forgotten. Positions count from 1 and never come again.
+// table holds the reservations of one shard in the order in which they were made or renewed, which is also the order in
+// which they expire. Positions count from 1 and are never reused.
 type table struct {
 	records []record
 	// first is the position of the first record.
 	first uint64
-	// positions has the position of each reservation that is held. A record whose key is not there under its position was
-	// renewed or released since.
+	// positions holds the position of each reservation by key. A record whose key is missing or has another position was
+	// released or renewed since.
 	positions map[Key]uint64
 }
 
 func newTable() *table { return &table{first: 1, positions: map[Key]uint64{}} }
 
-// len returns the number of reservations that are held.
+// len returns the number of reservations held.
 func (table *table) len() int { return len(table.positions) }
 
 // get returns the reservation of a key.
@@ -50,29 +51,29 @@
 	return table.records[position-table.first], true
 }
 
-// put makes or renews a reservation.
-func (table *table) put(made record) {
-	table.positions[made.key] = table.first + uint64(len(table.records))
-	table.records = append(table.records, made)
+// put adds or renews a reservation.
+func (table *table) put(added record) {
+	table.positions[added.key] = table.first + uint64(len(table.records))
+	table.records = append(table.records, added)
 }
 
-// remove forgets the reservation of a key if it has a token, and reports whether it had.
+// remove deletes the reservation of a key if it has the token and was not released; it reports whether it did.
 func (table *table) remove(key Key, token uint64) bool {
 	found, isHeld := table.get(key)
-	isMatch := isHeld && found.token == token && found.refused == 0
+	isMatch := isHeld && found.token == token && found.refusedUpTo == 0
 	if isMatch {
 		delete(table.positions, key)
 	}
 	return isMatch
 }
 
-// isCurrent reports whether the record at an index is still held as it is.
+// isCurrent reports whether the record at an index is the present one of its key.
 func (table *table) isCurrent(index int) bool {
 	position, isHeld := table.positions[table.records[index].key]
 	return isHeld && position == table.first+uint64(index)
 }
 
-// expire forgets what is held no longer at a moment.
+// expire removes the records that have expired.
 func (table *table) expire(now time.Time) {
 	count := 0
 	for count < len(table.records) {
@@ -86,13 +87,13 @@
 		count++
 	}
 	if count > 0 {
-		// The array behind the slice is left when the slice next outgrows it.
+		// The next growth of the slice frees the backing array.
 		table.records = table.records[count:]
 		table.first += uint64(count)
 	}
 }
 
-// oldest returns when the first reservation is forgotten; found is false if none is held.
+// oldest returns when the first reservation expires; found is false if the table holds none.
 func (table *table) oldest() (until time.Time, found bool) {
 	for index := range table.records {
 		if table.isCurrent(index) {
@@ -102,8 +103,7 @@
 	return time.Time{}, false
 }
 
-// page returns up to a number of the records that are held from a position on, and the position behind them; 0: there
-// are no more.
+// page returns up to limit current records from a position on, and the position of the next page; 0: there is none.
 func (table *table) page(position uint64, limit int) (page []record, next uint64) {
 	index := 0
 	if position > table.first {
--- a/coordination/reservation/vote.go
+++ b/coordination/reservation/vote.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// zoneVote is what the replicas of a zone's group have answered in the present epoch.
+// zoneVote collects the answers of a zone's group in the present epoch, by replica address.
 type zoneVote struct {
 	zone      *Zone
 	group     []Identity
@@ -15,27 +15,28 @@
 	lastAsked time.Time
 }
 
-// request returns what the replicas of a zone are asked.
-func (reservation *Reservation) request(zone *Zone) *wire.ReservationRequest {
+// newRequest returns the request for the replicas of a zone.
+func (reservation *Reservation) newRequest(zone *Zone) *wire.ReservationRequest {
 	return &wire.ReservationRequest{Epoch: zone.Epoch, Key: reservation.key[:], Token: reservation.token,
-		Number: reservation.sending.number()}
+		Number: reservation.attempt.number()}
 }
 
-// ask sends the request to the replicas of a group that have not granted it.
+// ask sends the request to the replicas of a group that have not granted the reservation.
 func (coordinator *Coordinator) ask(now time.Time, reservation *Reservation, vote *zoneVote) {
-	request := reservation.request(vote.zone)
+	request := reservation.newRequest(vote.zone)
 	for _, replica := range vote.group {
 		if vote.answers[replica.Address] == wire.ReservationOutcome_RESERVATION_GRANTED {
 			continue
 		}
-		if answer := coordinator.request(now, reservation, replica, request); answer != nil {
-			reservation.record(vote, replica.Address, answer)
+		if answer := coordinator.sendRequest(now, reservation, replica, request); answer != nil {
+			reservation.recordAnswer(vote, replica.Address, answer)
 		}
 	}
 }
 
-// request sends a request to a replica. It returns the answer where the replica is this process'; nil: it is to come.
-func (coordinator *Coordinator) request(now time.Time, reservation *Reservation, replica Identity,
+// sendRequest sends a request to a replica. It returns the answer of the replica of this process at once; nil: the
+// answer arrives as a message.
+func (coordinator *Coordinator) sendRequest(now time.Time, reservation *Reservation, replica Identity,
 	request *wire.ReservationRequest) *wire.ReservationResponse {
 	reservation.contacted[replica.Address] = true
 	if replica == coordinator.self {
@@ -52,7 +53,7 @@
 	if reservation == nil {
 		return
 	}
-	for _, vote := range coordinator.asked(reservation) {
+	for _, vote := range coordinator.activeVotes(reservation) {
 		isMember := slices.ContainsFunc(vote.group, func(replica Identity) bool { return replica.Address == from })
 		if !isMember {
 			continue
@@ -63,20 +64,20 @@
 		if response.Epoch != vote.zone.Epoch || vote.answers[from] == wire.ReservationOutcome_RESERVATION_GRANTED {
 			continue
 		}
-		reservation.record(vote, from, response)
+		reservation.recordAnswer(vote, from, response)
 	}
 	coordinator.evaluate(now, reservation)
 }
 
-// record notes a replica's answer.
-func (reservation *Reservation) record(vote *zoneVote, replica string, response *wire.ReservationResponse) {
+// recordAnswer stores a replica's answer.
+func (reservation *Reservation) recordAnswer(vote *zoneVote, replica string, response *wire.ReservationResponse) {
 	vote.answers[replica] = response.Outcome
 	if response.Outcome == wire.ReservationOutcome_RESERVATION_FULL {
-		reservation.roomAfter = time.Duration(response.RoomMilliseconds) * time.Millisecond
+		reservation.retryAfter = time.Duration(response.RoomMilliseconds) * time.Millisecond
 	}
 }
 
-// count returns how many replicas gave an answer.
+// count returns the number of replicas that gave an answer.
 func (vote *zoneVote) count(outcome wire.ReservationOutcome) int {
 	count := 0
 	for _, answer := range vote.answers {
@@ -92,16 +93,16 @@
 	return vote.count(wire.ReservationOutcome_RESERVATION_GRANTED) >= Majority(len(vote.group))
 }
 
-// canGrant reports whether a majority of the group has room.
+// canGrant reports whether a majority of the group may still have capacity.
 func (vote *zoneVote) canGrant() bool {
 	return len(vote.group)-vote.count(wire.ReservationOutcome_RESERVATION_FULL) >= Majority(len(vote.group))
 }
 
-// evaluate decides a reservation by the answers so far, if they say enough.
+// evaluate decides a reservation if the answers so far suffice.
 func (coordinator *Coordinator) evaluate(now time.Time, reservation *Reservation) {
 	granted := 0
-	asked := coordinator.asked(reservation)
-	for _, vote := range asked {
+	votes := coordinator.activeVotes(reservation)
+	for _, vote := range votes {
 		if vote.count(wire.ReservationOutcome_RESERVATION_TAKEN) > 0 {
 			coordinator.decide(now, reservation, Taken)
 			return
@@ -114,19 +115,20 @@
 			granted++
 		}
 	}
-	if granted == len(asked) {
-		if reservation.sending.IsFirst() && asked[0].zone.Name != coordinator.zone {
+	if granted == len(votes) {
+		if reservation.attempt.IsFirst() && votes[0].zone.Name != coordinator.zone {
 			coordinator.counters.OtherZone++
 		}
 		coordinator.decide(now, reservation, Granted)
 	}
 }
 
-// decide ends a reservation. One that is not granted is given up, so that it takes nobody's place.
+// decide sets the outcome of a reservation. One that is not granted is released, so that it does not block later
+// attempts.
 func (coordinator *Coordinator) decide(now time.Time, reservation *Reservation, outcome Outcome) {
 	delete(coordinator.pending, reservation.token)
 	reservation.outcome = outcome
-	coordinator.count(outcome)
+	coordinator.countOutcome(outcome)
 	if outcome == Granted {
 		reservation.isRenewed, reservation.renewedAt = true, now
 		coordinator.renewals = append(coordinator.renewals, reservation)
@@ -137,8 +139,8 @@
 	close(reservation.done)
 }
 
-// count counts a decision.
-func (coordinator *Coordinator) count(outcome Outcome) {
+// countOutcome counts a decided reservation.
+func (coordinator *Coordinator) countOutcome(outcome Outcome) {
 	counters := &coordinator.counters
 	switch outcome {
 	case Granted:
