--- a/coordination/registry/announcement.go
+++ b/coordination/registry/announcement.go
@@ -8,8 +8,8 @@
 	"wardtray/wire"
 )
 
-// others returns every other process.
-func (registrar *Registrar) others(now time.Time) []string {
+// otherProcesses returns the addresses of all other processes, sorted.
+func (registrar *Registrar) otherProcesses(now time.Time) []string {
 	others := map[string]bool{}
 	for _, address := range append(registrar.environment.Daemons(now), registrar.environment.Cores()...) {
 		others[address] = true
@@ -17,31 +17,32 @@
 	return slices.Sorted(maps.Keys(others))
 }
 
-// sendChanged sends every process what changed since the last tick, in one message each.
+// sendChanged sends the records that changed since the last tick to every other process, in one message each, and
+// accepts the calls that waited for this.
 func (registrar *Registrar) sendChanged(now time.Time) {
 	if len(registrar.changed) == 0 {
 		return
 	}
 	update := &wire.RunnerUpdate{Runners: registrar.changed}
 	registrar.changed = nil
-	for _, address := range registrar.others(now) {
+	for _, address := range registrar.otherProcesses(now) {
 		registrar.send(address, update)
 	}
-	waiting := registrar.waiting
-	registrar.waiting = nil
+	waiting := registrar.pendingResponses
+	registrar.pendingResponses = nil
 	for _, respond := range waiting {
 		respond(Accepted)
 	}
 }
 
-// announceCalls notifies the other cores which runners have called since this was last announced.
+// announceCalls sends the other control nodes the runners that have called since the last announcement.
 func (registrar *Registrar) announceCalls(now time.Time) {
-	calls := registrar.liveness.unannounced(now)
+	calls := registrar.liveness.takeUnannounced(now)
 	if len(calls) == 0 {
 		return
 	}
 	message := &wire.RunnerHeartbeats{Calls: calls}
-	for _, core := range registrar.environment.Cores() {
-		registrar.outbox.Send(core, &wire.Envelope{Body: &wire.Envelope_RunnerHeartbeats{RunnerHeartbeats: message}})
+	for _, node := range registrar.environment.Cores() {
+		registrar.outbox.Send(node, &wire.Envelope{Body: &wire.Envelope_RunnerHeartbeats{RunnerHeartbeats: message}})
 	}
 }
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// confirmTimeout is how long the response to a call waits for every daemon, and halfTimeout how long for half of
+	// confirmTimeout is how long the response to a call waits for every daemon, halfTimeout how long it waits for half of
 	// them.
 	confirmTimeout = 400 * time.Millisecond
 	halfTimeout    = 750 * time.Millisecond
-	// retryInterval is how often an update is sent again to those who have not acknowledged it, respondedRetryInterval
-	// how often once the call has its response, and retryTimeout for how long.
+	// retryInterval is the interval at which an update is sent again to daemons that have not acknowledged it,
+	// respondedRetryInterval the interval once the call has its response. No update is sent again after retryTimeout.
 	retryInterval          = 100 * time.Millisecond
 	respondedRetryInterval = 300 * time.Millisecond
 	retryTimeout           = 2 * time.Second
-	// maximumBroadcasts bounds the broadcasts of leaving runners in progress.
+	// maximumBroadcasts is the maximum number of broadcasts in progress.
 	maximumBroadcasts = 1024
 )
 
-// broadcast is the update of one leaving runner on its way to every daemon.
+// broadcast is the delivery of a leaving runner's record to every daemon.
 type broadcast struct {
 	runner    string
 	startedAt time.Time
 	sentAt    time.Time
-	// unconfirmed are the daemons that have not acknowledged it yet, of so many.
+	// unconfirmed are the daemons that have not acknowledged the update yet, confirmed is the number of those that have,
+	// and daemons the number of all of them.
 	unconfirmed map[string]bool
 	confirmed   int
 	daemons     int
-	// waiting are the responses to the calls that wait for it; nil once they were given.
-	waiting []func(outcome Outcome)
+	// pendingResponses respond to the calls that wait for the broadcast; nil once they have been called.
+	pendingResponses []func(outcome Outcome)
 }
 
-// broadcasts are those of one registrar.
+// broadcasts holds the broadcasts of one registrar.
 type broadcasts struct {
 	exchange    *Exchange
 	environment Environment
 	counters    *Counters
 	inProgress  map[uint64]*broadcast
-	// announced are the leaving runners of which this core itself has notified every daemon.
+	// announced holds the leaving runners of which this control node itself has notified the daemons.
 	announced map[string]bool
-	// lastNonce is the nonce of the latest broadcast; the first follows the number of the incarnation.
+	// lastNonce is the nonce of the latest broadcast. It starts at the incarnation number.
 	lastNonce uint64
 }
 
@@ -56,15 +57,15 @@
 
 func (broadcasts *broadcasts) full() bool { return len(broadcasts.inProgress) >= maximumBroadcasts }
 
-// start sends a leaving runner's record to every daemon and core; respond is called once the daemons have acknowledged
-// it, or can't be reached.
+// start sends a leaving runner's record to every daemon and control node. It calls respond once the daemons have
+// acknowledged the record or the wait for them has timed out.
 func (broadcasts *broadcasts) start(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	broadcasts.lastNonce++
 	nonce := broadcasts.lastNonce
 	broadcasts.announced[record.RunnerId] = true
 	broadcast := &broadcast{
 		runner: record.RunnerId, startedAt: now, sentAt: now, unconfirmed: map[string]bool{},
-		waiting: []func(outcome Outcome){respond},
+		pendingResponses: []func(outcome Outcome){respond},
 	}
 	broadcasts.inProgress[nonce] = broadcast
 	for _, daemon := range broadcasts.environment.Daemons(now) {
@@ -72,15 +73,15 @@
 	}
 	broadcast.daemons = len(broadcast.unconfirmed)
 	broadcasts.send(nonce, broadcast)
-	for _, core := range broadcasts.environment.Cores() {
-		if !broadcast.unconfirmed[core] {
-			broadcasts.exchange.send(core, &wire.RunnerUpdate{Runners: []*wire.Runner{record}})
+	for _, node := range broadcasts.environment.Cores() {
+		if !broadcast.unconfirmed[node] {
+			broadcasts.exchange.send(node, &wire.RunnerUpdate{Runners: []*wire.Runner{record}})
 		}
 	}
 	broadcasts.complete(now, nonce, broadcast)
 }
 
-// send sends a broadcast's update to those who have not acknowledged it.
+// send sends a broadcast's update to the daemons that have not acknowledged it.
 func (broadcasts *broadcasts) send(nonce uint64, broadcast *broadcast) {
 	record := broadcasts.exchange.Record(broadcast.runner)
 	if record == nil {
@@ -92,11 +93,11 @@
 	}
 }
 
-// attach lets a further call of a runner wait for its broadcast; it reports whether there is one to wait for.
+// attach lets a further call of a runner wait for the runner's broadcast; it reports whether there is one to wait for.
 func (broadcasts *broadcasts) attach(runner string, respond func(outcome Outcome)) bool {
 	for _, broadcast := range broadcasts.inProgress {
-		if broadcast.runner == runner && broadcast.waiting != nil {
-			broadcast.waiting = append(broadcast.waiting, respond)
+		if broadcast.runner == runner && broadcast.pendingResponses != nil {
+			broadcast.pendingResponses = append(broadcast.pendingResponses, respond)
 			return true
 		}
 	}
@@ -114,33 +115,33 @@
 	broadcasts.complete(now, nonce, broadcast)
 }
 
-// complete responds to the calls that wait for a broadcast that every daemon has acknowledged, or whose time is over,
-// and ends it when it has nothing left to do.
+// complete responds to the calls that wait for a broadcast once their outcome is decided, and removes the broadcast
+// once every daemon has acknowledged it or retryTimeout is over.
 func (broadcasts *broadcasts) complete(now time.Time, nonce uint64, broadcast *broadcast) {
 	elapsed, confirmed := now.Sub(broadcast.startedAt), len(broadcast.unconfirmed) == 0
 	if confirmed || elapsed >= retryTimeout {
 		delete(broadcasts.inProgress, nonce)
 	}
 	outcome, decided := broadcast.outcome(elapsed)
-	if broadcast.waiting == nil || !decided {
+	if broadcast.pendingResponses == nil || !decided {
 		return
 	}
 	if outcome == Unreachable {
-		// The response to the next call of this runner must not be as though the daemons had been notified.
+		// The daemons were not notified, so that the next call of this runner must start another broadcast.
 		delete(broadcasts.announced, broadcast.runner)
 		delete(broadcasts.inProgress, nonce)
 		broadcasts.counters.Refused++
 	} else if !confirmed {
 		broadcasts.counters.Unconfirmed++
 	}
-	waiting := broadcast.waiting
-	broadcast.waiting = nil
+	waiting := broadcast.pendingResponses
+	broadcast.pendingResponses = nil
 	for _, respond := range waiting {
 		respond(outcome)
 	}
 }
 
-// outcome returns the outcome of the calls that wait for a broadcast; decided is false where they have to wait on.
+// outcome returns the outcome of the calls that wait for a broadcast; decided is false while they have to wait.
 func (broadcast *broadcast) outcome(elapsed time.Duration) (outcome Outcome, decided bool) {
 	if len(broadcast.unconfirmed) == 0 {
 		return Accepted, true
@@ -148,21 +149,21 @@
 	if elapsed < confirmTimeout {
 		return "", false
 	}
-	// A daemon that so many others leave behind dispatches nothing for long, and learns of the runner before it does so
-	// again.
+	// A daemon that lacks an update which at least half of the daemons have is probably cut off: it soon stops
+	// dispatching, and learns of the leaving runner before it resumes.
 	if 2*broadcast.confirmed >= broadcast.daemons {
 		return Accepted, true
 	}
-	// This core would promise what it can't keep; the runner had better call another.
+	// This control node can't ensure that the daemons are notified; the runner should call another one.
 	return Unreachable, elapsed >= halfTimeout
 }
 
-// tick sends again what was not acknowledged, and responds to calls that have waited long enough.
+// tick sends unacknowledged updates again, and responds to calls whose wait is over.
 func (broadcasts *broadcasts) tick(now time.Time) {
 	for _, nonce := range slices.Sorted(maps.Keys(broadcasts.inProgress)) {
 		broadcast := broadcasts.inProgress[nonce]
 		interval := retryInterval
-		if broadcast.waiting == nil {
+		if broadcast.pendingResponses == nil {
 			interval = respondedRetryInterval
 		}
 		if now.Sub(broadcast.sentAt) >= interval {
@@ -174,7 +175,7 @@
 	}
 }
 
-// forget forgets the announcements of runners that are not in the table any more.
+// forget removes the announcements of runners that the table no longer holds.
 func (broadcasts *broadcasts) forget(isKnown func(id string) bool) {
 	maps.DeleteFunc(broadcasts.announced, func(id string, _ bool) bool { return !isKnown(id) })
 }
--- a/coordination/registry/broadcast_test.go
+++ b/coordination/registry/broadcast_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// A call must not be accepted before enough daemons have acknowledged the runner's departure, nor wait without bound.
 func TestOutcomeOfABroadcast(t *testing.T) {
 	for _, test := range []struct {
 		name               string
--- a/coordination/registry/call.go
+++ b/coordination/registry/call.go
@@ -19,39 +19,41 @@
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename call_easyjson.go call.go
 
 const (
-	// MaximumCallBytes bounds the body of a runner's call in bytes.
+	// MaximumCallBytes is the maximum size of the body of a runner's call in bytes.
 	MaximumCallBytes = 4 << 10
-	// maximumID and maximumName bound an id, and the names of a zone, a service and a revision, in bytes.
+	// maximumID is the maximum length of an id, maximumName that of the names of a zone, a service and a revision, in
+	// bytes.
 	maximumID    = 128
 	maximumName  = 128
 	maximumSlots = 65536
 	maximumCold  = 10 * time.Minute
 )
 
-// Call is what a runner reports of itself, the body of its HTTP calls.
+// Call is the body of a runner's HTTP call, in which it reports its properties and state.
 //
 //easyjson:json
 type Call struct {
-	// Address is where it accepts requests, as ip:port.
+	// Address is the address at which the runner accepts requests, as ip:port.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Service string `json:"service"`
-	// Revision is that of its software; it may be empty.
+	// Revision is the revision of its software; it may be empty.
 	Revision string `json:"revision,omitempty"`
-	// Slots is how many requests it processes at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots uint32 `json:"slots"`
-	// State is ready, or draining before a planned end.
+	// State is ready, or draining before a planned shutdown.
 	State string `json:"state"`
-	// Cold is for how much longer it is slow after its start (slow start); 0 where it is not.
+	// Cold is the remaining duration of its slow start; 0: none.
 	Cold config.Duration `json:"cold,omitempty"`
-	// Call increases with every call of one incarnation, so that a late one is recognized.
+	// Call is the number of the call. It increases with each call of one incarnation, so that delayed calls are
+	// recognized.
 	Call uint64 `json:"call"`
 }
 
-// callStates are the states that a runner reports of itself.
+// callStates are the states that a runner may report.
 var callStates = map[string]bool{Ready: true, Draining: true}
 
-// ParseCall parses the body of a call of the runner with an id, strictly, and validates it. The error is
+// ParseCall strictly parses and validates the body of a call of the runner with the given id. The error is
 // apierror.TooLarge or apierror.Malformed.
 func ParseCall(id string, content []byte) (*wire.Runner, error) {
 	if len(content) > MaximumCallBytes {
@@ -67,11 +69,11 @@
 	return call.Record(id)
 }
 
-// Record validates a call and returns the record that it asks for. The error, apierror.Malformed,
-// names the path of every fault.
+// Record validates a call and returns the corresponding record. The error, apierror.Malformed, names the path of every
+// invalid field.
 func (call Call) Record(id string) (*wire.Runner, error) {
-	if faults := call.faults(id); len(faults) > 0 {
-		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(faults, "; "))
+	if problems := call.validate(id); len(problems) > 0 {
+		return nil, apierror.New(apierror.Malformed, "%s", strings.Join(problems, "; "))
 	}
 	record := &wire.Runner{
 		RunnerId: id, Address: call.Address, Zone: call.Zone, Service: call.Service, Revision: call.Revision,
@@ -83,12 +85,12 @@
 	return record, nil
 }
 
-// faults returns what is wrong with a call of a runner with an id.
-func (call Call) faults(id string) []string {
-	var faults []string
+// validate returns a description of each invalid field of a call of the runner with an id.
+func (call Call) validate(id string) []string {
+	var problems []string
 	check := func(valid bool, format string, values ...any) {
 		if !valid {
-			faults = append(faults, fmt.Sprintf(format, values...))
+			problems = append(problems, fmt.Sprintf(format, values...))
 		}
 	}
 	validRevision := len(call.Revision) <= maximumName && utf8.ValidString(call.Revision)
@@ -101,22 +103,21 @@
 	check(call.Slots >= 1 && call.Slots <= maximumSlots, "slots: wants 1 to %d", maximumSlots)
 	check(callStates[call.State], "state: %q is neither ready nor draining", call.State)
 	check(validCold, "cold: wants 0s to %v", maximumCold)
-	return faults
+	return problems
 }
 
-// ValidID reports whether a text can be a runner's id.
+// ValidID reports whether a text is a valid runner id.
 func ValidID(id string) bool { return id != "" && len(id) <= maximumID && isPlain(id) }
 
 func isName(text string) bool { return text != "" && len(text) <= maximumName && isPlain(text) }
 
-// isPlain reports whether a text can be sent to every process: a message can hold no other bytes
-// than UTF-8, and one record with such bytes would keep everything from being sent that travels
-// with it.
+// isPlain reports whether a text can be sent to every process. Protobuf strings must be UTF-8: a single record with
+// other bytes would prevent the complete message that carries it from being sent.
 func isPlain(text string) bool {
 	return utf8.ValidString(text) && !strings.ContainsFunc(text, isForbidden)
 }
 
-// isForbidden reports whether a letter is a blank, a control character or a slash.
+// isForbidden reports whether a character is a blank, a control character or a slash.
 func isForbidden(letter rune) bool { return letter <= ' ' || letter == '/' || letter == '\x7f' }
 
 func isAddress(address string) bool {
--- a/coordination/registry/call_fuzz_test.go
+++ b/coordination/registry/call_fuzz_test.go
@@ -9,7 +9,8 @@
 	"wardtray/wire"
 )
 
-// A call that was accepted can be sent to every other process, whatever its id and its fields hold.
+// Every accepted call must be encodable for all other processes: one record that is not valid UTF-8 would prevent the
+// message that carries it from being sent.
 func FuzzRead(f *testing.F) {
 	f.Add("r1", []byte(`{"address":"10.0.0.1:80","zone":"a","service":"s",`+
 		`"revision":"v1","slots":4,"state":"ready","call":7,"cold":"5s"}`))
@@ -27,23 +28,23 @@
 	})
 }
 
-// checkRecord checks what every other process relies on of a record that was accepted.
+// checkRecord checks the properties of an accepted record on which other processes rely.
 func checkRecord(t *testing.T, record *wire.Runner) {
 	t.Helper()
 	for _, text := range []string{
 		record.RunnerId, record.Address, record.Zone, record.Service, record.Revision, record.State,
 	} {
 		if !utf8.ValidString(text) || len(text) > MaximumCallBytes {
-			t.Fatalf("%q was taken", text)
+			t.Fatalf("%q was accepted", text)
 		}
 	}
 	content, err := proto.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := &wire.Runner{}
-	err = proto.Unmarshal(content, again)
-	if err != nil || !proto.Equal(record, again) || Compare(record, again) != 0 {
-		t.Fatalf("%v is read back as %v: %v", record, again, err)
+	decoded := &wire.Runner{}
+	err = proto.Unmarshal(content, decoded)
+	if err != nil || !proto.Equal(record, decoded) || Compare(record, decoded) != 0 {
+		t.Fatalf("%v is decoded as %v: %v", record, decoded, err)
 	}
 }
--- a/coordination/registry/call_test.go
+++ b/coordination/registry/call_test.go
@@ -7,6 +7,8 @@
 	"wardtray/apierror"
 )
 
+// A malformed call must be rejected with an error that names every invalid field; a duplicate or unknown key must not
+// be ignored.
 func TestCallsAreParsedStrictly(t *testing.T) {
 	good := `{"address":"10.0.0.1:80","zone":"a","service":"s","slots":4,"state":"ready","cold":"1.5s","call":3}`
 	record, err := ParseCall("r", []byte(good))
@@ -30,11 +32,11 @@
 		}
 		for _, word := range strings.Fields(named) {
 			if !strings.Contains(err.Error(), word) {
-				t.Errorf("%s: %q is not named in %v", bad, word, err)
+				t.Errorf("%s: %q is missing in the error %v", bad, word, err)
 			}
 		}
 	}
 	if _, err := ParseCall("a b", []byte(good)); err == nil {
-		t.Error("an id with a blank")
+		t.Error("an id with a blank was accepted")
 	}
 }
--- a/coordination/registry/departure.go
+++ b/coordination/registry/departure.go
@@ -6,10 +6,11 @@
 	"wardtray/wire"
 )
 
-// Deregister handles that a runner has ended. respond is called once, when the daemons know.
+// Deregister handles the report that a runner has ended. It calls respond once, when the daemons have been notified or
+// the call is rejected.
 func (registrar *Registrar) Deregister(now time.Time, id string, respond func(outcome Outcome)) {
 	registrar.counters.Calls++
-	if registrar.rejects(now, respond) {
+	if registrar.rejectIfIsolated(now, respond) {
 		return
 	}
 	present := registrar.Record(id)
@@ -31,11 +32,12 @@
 	registrar.broadcast(now, record, respond)
 }
 
-// respondUnchanged responds to a call that changes nothing: at once, or with a broadcast of the leaving runner that is
-// in progress.
+// respondUnchanged responds to a call that changes nothing: at once, or when the broadcast of the leaving runner that
+// is in progress has its outcome.
 func (registrar *Registrar) respondUnchanged(now time.Time, present *wire.Runner, outcome Outcome,
 	respond func(outcome Outcome)) {
-	// A core that heard of it only from another can't know whether that one lived to notify the daemons.
+	// A control node that learned of it only from another one can't know whether that one has notified the daemons or has
+	// crashed before.
 	if stages[present.State] > 0 && !registrar.broadcasts.announced[present.RunnerId] {
 		registrar.broadcast(now, present, respond)
 		return
@@ -45,8 +47,9 @@
 	}
 }
 
-// broadcast notifies everybody of a leaving runner and responds once every daemon has acknowledged. Where too many
-// broadcasts are in progress, the record is sent with the next tick and not waited for.
+// broadcast sends the record of a leaving runner to every process and responds once the outcome of the broadcast is
+// decided. If too many broadcasts are in progress, the record is sent with the next tick and the call is accepted at
+// once.
 func (registrar *Registrar) broadcast(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	if registrar.broadcasts.full() {
 		registrar.changed = append(registrar.changed, record)
@@ -57,7 +60,7 @@
 	registrar.broadcasts.start(now, record, respond)
 }
 
-// HandleAck handles a process's acknowledgement that it knows of a leaving runner.
+// HandleAck handles a process's acknowledgement of the update of a leaving runner.
 func (registrar *Registrar) HandleAck(now time.Time, from string, message *wire.RunnerUpdateAck) {
 	registrar.broadcasts.acknowledge(now, from, message.Nonce)
 }
--- a/coordination/registry/departure_test.go
+++ b/coordination/registry/departure_test.go
@@ -8,116 +8,120 @@
 	"wardtray/wire"
 )
 
-// Without losses: the call is accepted at once when the last daemon acknowledges.
+// Without losses, the call of a draining runner is accepted as soon as the last daemon has acknowledged. Repeated
+// acknowledgements and those of other processes do not count.
 func TestDrainingIsAcceptedOnceAllAcknowledge(t *testing.T) {
-	core := newCore(t)
-	core.register(ready("r1", 1))
-	core.advance(50 * time.Millisecond)
-	core.updates()
-	got := core.register(draining(2))
-	updates := core.updates()
+	node := newTestNode(t)
+	node.register(ready("r1", 1))
+	node.advance(50 * time.Millisecond)
+	node.drainUpdates()
+	got := node.register(draining(2))
+	updates := node.drainUpdates()
 	if *got != "" || len(updates["d0"]) != 1 || len(updates["d1"]) != 1 || updates["c1"][0].Nonce != 0 {
 		t.Fatal(*got, updates)
 	}
 	nonce := updates["d0"][0].Nonce
-	core.acknowledge("d0", nonce)
-	core.acknowledge("d0", nonce)
-	core.acknowledge("stranger", nonce)
+	node.acknowledge("d0", nonce)
+	node.acknowledge("d0", nonce)
+	node.acknowledge("stranger", nonce)
 	if *got != "" {
-		t.Fatal("acknowledged before d1 knew")
+		t.Fatal("accepted before d1 acknowledged")
 	}
-	core.acknowledge("d1", nonce)
-	if *got != Accepted || core.registrar.Counters().Unconfirmed != 0 {
+	node.acknowledge("d1", nonce)
+	if *got != Accepted || node.registrar.Counters().Unconfirmed != 0 {
 		t.Fatal(*got)
 	}
-	// Its later calls are answered at once.
-	if again := core.register(draining(3)); *again != Accepted || len(core.updates()) != 0 {
+	// Later calls of the runner are accepted at once.
+	if again := node.register(draining(3)); *again != Accepted || len(node.drainUpdates()) != 0 {
 		t.Fatal(*again)
 	}
 }
 
-// No call of a leaving runner, whether it drains or is removed, is accepted while a daemon that might acknowledge has
-// not.
+// The call of a leaving runner, which drains or is deregistered, must not be accepted while a daemon has not
+// acknowledged and may still do so: the runner would stop while that daemon sends it requests.
 func TestLeavingIsNotAcceptedBeforeTheDaemonsKnow(t *testing.T) {
-	for name, leave := range map[string]func(core *core, answer func(outcome Outcome)){
-		"draining": func(core *core, answer func(outcome Outcome)) {
-			core.registrar.Register(core.now, draining(2), answer)
+	for name, leave := range map[string]func(node *testNode, answer func(outcome Outcome)){
+		"draining": func(node *testNode, answer func(outcome Outcome)) {
+			node.registrar.Register(node.now, draining(2), answer)
 		},
-		"removed": func(core *core, answer func(outcome Outcome)) {
-			core.registrar.Deregister(core.now, "r1", answer)
+		"removed": func(node *testNode, answer func(outcome Outcome)) {
+			node.registrar.Deregister(node.now, "r1", answer)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core := newCore(t)
-			core.daemons = []string{"d0", "d1", "d2"}
-			core.register(ready("r1", 1))
-			core.advance(50 * time.Millisecond)
-			core.updates()
+			node := newTestNode(t)
+			node.daemons = []string{"d0", "d1", "d2"}
+			node.register(ready("r1", 1))
+			node.advance(50 * time.Millisecond)
+			node.drainUpdates()
 			var outcomes []Outcome
-			leave(core, func(outcome Outcome) { outcomes = append(outcomes, outcome) })
-			nonce := core.updates()["d0"][0].Nonce
-			for _, daemon := range core.daemons {
-				if core.advance(50 * time.Millisecond); len(outcomes) != 0 {
-					t.Fatalf("%q before %s knew", outcomes, daemon)
+			leave(node, func(outcome Outcome) { outcomes = append(outcomes, outcome) })
+			nonce := node.drainUpdates()["d0"][0].Nonce
+			for _, daemon := range node.daemons {
+				if node.advance(50 * time.Millisecond); len(outcomes) != 0 {
+					t.Fatalf("%q before %s acknowledged", outcomes, daemon)
 				}
-				core.acknowledge(daemon, nonce)
+				node.acknowledge(daemon, nonce)
 			}
 			if !slices.Equal(outcomes, []Outcome{Accepted}) {
-				t.Errorf("%q once all knew", outcomes)
+				t.Errorf("%q after all daemons acknowledged", outcomes)
 			}
 		})
 	}
 }
 
-// A daemon that does not acknowledge is sent the update again and again; the runner does not wait for it.
+// The update is sent again to a daemon that does not acknowledge it, until retryTimeout; the response to the runner
+// waits only for confirmTimeout.
 func TestDrainingIsSentAgainUntilAcknowledged(t *testing.T) {
-	core := newCore(t)
-	got := core.register(draining(1))
-	again := core.register(draining(2))
-	nonce := core.updates()["d0"][0].Nonce
-	core.acknowledge("d0", nonce)
-	core.advance(confirmTimeout - 50*time.Millisecond)
-	if updates := core.updates(); *got != "" || len(updates["d0"]) != 0 || len(updates["d1"]) < 3 {
+	node := newTestNode(t)
+	got := node.register(draining(1))
+	again := node.register(draining(2))
+	nonce := node.drainUpdates()["d0"][0].Nonce
+	node.acknowledge("d0", nonce)
+	node.advance(confirmTimeout - 50*time.Millisecond)
+	if updates := node.drainUpdates(); *got != "" || len(updates["d0"]) != 0 || len(updates["d1"]) < 3 {
 		t.Fatal(*got, updates)
 	}
-	core.advance(100 * time.Millisecond)
-	if *got != Accepted || *again != Accepted || core.registrar.Counters().Unconfirmed != 1 {
+	node.advance(100 * time.Millisecond)
+	if *got != Accepted || *again != Accepted || node.registrar.Counters().Unconfirmed != 1 {
 		t.Fatal(*got, *again)
 	}
-	core.updates()
-	core.advance(retryTimeout)
-	if sent := len(core.updates()["d1"]); sent < 4 || len(core.registrar.broadcasts.inProgress) != 0 {
-		t.Fatal(sent, len(core.registrar.broadcasts.inProgress))
+	node.drainUpdates()
+	node.advance(retryTimeout)
+	if sent := len(node.drainUpdates()["d1"]); sent < 4 || len(node.registrar.broadcasts.inProgress) != 0 {
+		t.Fatal(sent, len(node.registrar.broadcasts.inProgress))
 	}
 }
 
-// Nothing is promised that this core can't keep: where no daemon acknowledges, or few do, whoever else is heard.
+// A call must not be accepted if fewer than half of the daemons acknowledge, whichever control nodes this one receives
+// messages from: the others would go on sending requests to the runner.
 func TestLeavingIsRejectedWithoutHalfOfTheDaemons(t *testing.T) {
 	for name, test := range map[string]struct {
-		joined  bool
-		acks    int
-		outcome Outcome
+		hearsMost bool
+		acks      int
+		outcome   Outcome
 	}{
 		"none":          {true, 0, Unreachable},
 		"few, cut off":  {false, 1, Unreachable},
 		"few":           {true, 1, Unreachable},
 		"most, cut off": {false, 2, Accepted},
 	} {
-		core := newCore(t)
-		core.daemons, core.joined = []string{"d0", "d1", "d2"}, test.joined
-		got := core.register(draining(1))
-		nonce := core.updates()["d0"][0].Nonce
-		for _, daemon := range core.daemons[:test.acks] {
-			core.acknowledge(daemon, nonce)
+		node := newTestNode(t)
+		node.daemons, node.hearsMost = []string{"d0", "d1", "d2"}, test.hearsMost
+		got := node.register(draining(1))
+		nonce := node.drainUpdates()["d0"][0].Nonce
+		for _, daemon := range node.daemons[:test.acks] {
+			node.acknowledge(daemon, nonce)
 		}
-		core.advance(900 * time.Millisecond)
+		node.advance(900 * time.Millisecond)
 		if *got != test.outcome {
 			t.Errorf("%s: %q", name, *got)
 		}
-		// Found by the simulator: the call after a refused one was acknowledged at once, without an update to any daemon.
+		// After a rejected call, the next one must start another broadcast. It was once accepted at once, without an update
+		// to any daemon.
 		if test.outcome == Unreachable {
-			again := core.register(draining(2))
-			core.advance(confirmTimeout)
+			again := node.register(draining(2))
+			node.advance(confirmTimeout)
 			if *again != "" {
 				t.Errorf("%s, again: %q", name, *again)
 			}
@@ -125,18 +129,18 @@
 	}
 }
 
-// A core that knows only by another's update that a runner drains broadcasts it itself before it accepts the call: the
-// other may have crashed in between.
+// A control node that learned only from another one that a runner drains must broadcast the record itself before it
+// accepts the call: the other one may have crashed before it notified the daemons.
 func TestDrainingLearnedFromAnotherCoreIsBroadcast(t *testing.T) {
-	core := newCore(t)
-	core.registrar.HandleUpdate(core.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{draining(3)}})
-	got := core.register(draining(4))
-	nonce := core.updates()["d0"][0].Nonce
+	node := newTestNode(t)
+	node.registrar.HandleUpdate(node.now, "c1", &wire.RunnerUpdate{Runners: []*wire.Runner{draining(3)}})
+	got := node.register(draining(4))
+	nonce := node.drainUpdates()["d0"][0].Nonce
 	if *got != "" {
-		t.Fatal("accepted on another's update")
+		t.Fatal("accepted on another control node's update")
 	}
-	core.acknowledge("d0", nonce)
-	core.acknowledge("d1", nonce)
+	node.acknowledge("d0", nonce)
+	node.acknowledge("d1", nonce)
 	if *got != Accepted {
 		t.Fatal(*got)
 	}
--- a/coordination/registry/digest.go
+++ b/coordination/registry/digest.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// digest returns which version of each live record is stored here.
+// digest returns the version of each live record in the table.
 func (table *Table) digest(responseWanted bool) *wire.RunnerDigest {
 	digest := &wire.RunnerDigest{ResponseWanted: responseWanted}
 	for _, id := range table.ids() {
@@ -19,14 +19,14 @@
 	return digest
 }
 
-// missingIn returns the records that the sender of a digest lacks.
+// missingIn returns the records that the sender of a digest lacks or has in an older version.
 func (table *Table) missingIn(now time.Time, digest *wire.RunnerDigest) []*wire.Runner {
 	theirs := map[string]*wire.RunnerVersion{}
 	for _, version := range digest.Versions {
 		theirs[version.RunnerId] = version
 	}
-	// Whoever never knew a runner that is gone need not learn of it, except for a process that has just started: it
-	// could be told of the runner as live by one that missed its end.
+	// A process that never knew a runner that is gone does not need its record, unless the process has just started:
+	// another process that missed the end of the runner could then send it as live.
 	isStarting := len(digest.Versions) == 0
 	var missing []*wire.Runner
 	for _, id := range table.ids() {
@@ -39,7 +39,7 @@
 	return missing
 }
 
-// lacksAny reports whether a digest names a newer version of any record than we have.
+// lacksAny reports whether a digest names a record that this table lacks or has in an older version.
 func (table *Table) lacksAny(digest *wire.RunnerDigest) bool {
 	return slices.ContainsFunc(digest.Versions, func(version *wire.RunnerVersion) bool {
 		entry := table.entries[version.RunnerId]
--- a/coordination/registry/digest_test.go
+++ b/coordination/registry/digest_test.go
@@ -7,8 +7,8 @@
 	"wardtray/wire"
 )
 
-// A process that starts is told of the runners that are gone as well. Found by the simulator: a daemon that knew
-// nothing of one was told of it as live by a core that had been frozen while it left.
+// A process that has just started must receive the records of runners that are gone, too. Otherwise a control node that
+// was frozen while a runner left could send it the runner as live.
 func TestStartingProcessLearnsWhoIsGone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	sender, starting := NewTable(), NewTable()
@@ -20,13 +20,13 @@
 	starting.Merge(now, []*wire.Runner{{RunnerId: "left", State: "ready", Call: 8, Address: "r1"}})
 	for _, runner := range starting.Runners(now) {
 		if runner.RunnerId == "left" {
-			t.Fatal("uses a runner that is gone, sent by one that missed its end")
+			t.Fatal("a runner that is gone is listed as live")
 		}
 	}
 	if starting.Checksum() != sender.Checksum() {
 		t.Fatal("the checksums of the live records differ")
 	}
-	// A process that knows some records has run before and is not sent the gone ones.
+	// A process that knows some records is not starting, and does not receive those of unknown runners that are gone.
 	if missing := sender.missingIn(now, starting.digest(true)); len(missing) != 0 {
 		t.Fatalf("sent again: %v", missing)
 	}
--- a/coordination/registry/exchange.go
+++ b/coordination/registry/exchange.go
@@ -7,17 +7,17 @@
 	"wardtray/wire"
 )
 
-// digestInterval is how often, at most, a process requests what it may have missed.
+// digestInterval is the minimum interval between requests for missing records.
 const digestInterval = 250 * time.Millisecond
 
-// Exchange keeps a table the same as those of other processes: updates are merged, and where
-// checksums differ digests are compared and what is missing is sent both ways.
+// Exchange keeps a table consistent with those of other processes: it merges updates, and when checksums differ the
+// processes compare digests and send each other the missing records.
 type Exchange struct {
 	*Table
 	outbox *statemachine.Outbox
-	// lastDigest is when a digest was last sent with a request for a response, to requested.
-	lastDigest time.Time
-	requested  string
+	// lastDigest is when a digest was last sent with a request for a response, requestedFrom its recipient.
+	lastDigest    time.Time
+	requestedFrom string
 }
 
 // NewExchange returns an exchange with an empty table.
@@ -29,8 +29,8 @@
 	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerUpdate{RunnerUpdate: update}})
 }
 
-// HandleUpdate merges what another process sent, acknowledges it where that is wanted, and corrects a
-// sender that is behind. It returns the records that changed our table.
+// HandleUpdate merges the records that another process sent, acknowledges them if the message has a nonce, and sends
+// newer records back. It returns the records that changed the table.
 func (exchange *Exchange) HandleUpdate(now time.Time, from string, message *wire.RunnerUpdate) []*wire.Runner {
 	merged, newer := exchange.Merge(now, message.Runners)
 	if message.Nonce != 0 {
@@ -43,11 +43,11 @@
 	return merged
 }
 
-// HandleDigest responds to a digest with what its sender lacks, and with our own digest where the sender
-// has something newer.
+// HandleDigest responds to a digest with the records that its sender lacks, and with this table's digest if the sender
+// has newer records.
 func (exchange *Exchange) HandleDigest(now time.Time, from string, message *wire.RunnerDigest) {
 	missing := exchange.missingIn(now, message)
-	// An empty response is one too; a process that has just started waits for it.
+	// An empty response is sent as well, since a process that has just started waits for it.
 	if len(missing) > 0 || message.ResponseWanted {
 		exchange.send(from, &wire.RunnerUpdate{Runners: missing, Response: message.ResponseWanted})
 	}
@@ -61,7 +61,8 @@
 	exchange.outbox.Send(to, &wire.Envelope{Body: &wire.Envelope_RunnerDigest{RunnerDigest: digest}})
 }
 
-// HandleChecksum handles the checksum of another process's table; where ours differs, digests are exchanged.
+// HandleChecksum handles the checksum of another process's table; if it differs from this one's, missing records are
+// requested.
 func (exchange *Exchange) HandleChecksum(now time.Time, from string, checksum uint64) {
 	if checksum == exchange.Checksum() || now.Sub(exchange.lastDigest) < digestInterval {
 		return
@@ -69,16 +70,16 @@
 	exchange.RequestMissing(now, from)
 }
 
-// RequestMissing requests of a process all that we lack.
+// RequestMissing requests all missing records from a process.
 func (exchange *Exchange) RequestMissing(now time.Time, to string) {
-	exchange.lastDigest, exchange.requested = now, to
+	exchange.lastDigest, exchange.requestedFrom = now, to
 	exchange.sendDigest(to, true)
 }
 
-// EnsureRequested requests of a process, for whose response something waits, all that we lack, unless it was
-// requested a moment ago.
+// EnsureRequested requests all missing records from a process whose response a caller waits for, unless they were
+// requested from it within digestInterval.
 func (exchange *Exchange) EnsureRequested(now time.Time, to string) {
-	if exchange.requested != to || now.Sub(exchange.lastDigest) >= digestInterval {
+	if exchange.requestedFrom != to || now.Sub(exchange.lastDigest) >= digestInterval {
 		exchange.RequestMissing(now, to)
 	}
 }
--- a/coordination/registry/exchange_test.go
+++ b/coordination/registry/exchange_test.go
@@ -12,7 +12,7 @@
 	"wardtray/coordination/statemachine"
 )
 
-// pair is two exchanges whose messages reach each other.
+// pair holds two exchanges that send their messages to each other.
 type pair struct {
 	outboxes  [2]*statemachine.Outbox
 	exchanges [2]*Exchange
@@ -27,7 +27,7 @@
 	return pair
 }
 
-// deliver delivers until neither sends any more; it returns how many messages there were.
+// deliver delivers messages until neither exchange sends any more; it returns the number of messages.
 func (pair *pair) deliver(now time.Time) int {
 	count := 0
 	for delivered := true; delivered; {
@@ -52,25 +52,25 @@
 	return count
 }
 
-// Whatever two processes missed, one comparison of their checksums makes their live runners the same, and then they
-// send nothing more.
+// Whichever updates two processes have missed, one comparison of their checksums makes their live runners equal, after
+// which they send nothing more.
 func TestDifferingChecksumsAreRepaired(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(2))
 	properties.Property("one round", prop.ForAll(func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		pair := newPair()
 		for _, exchange := range pair.exchanges {
-			exchange.Merge(started, anyRecords(random))
+			exchange.Merge(startTime, randomRecords(random))
 		}
 		left, right := pair.exchanges[0], pair.exchanges[1]
-		left.HandleChecksum(started, "other", right.Checksum())
-		if pair.deliver(started) > 6 {
+		left.HandleChecksum(startTime, "other", right.Checksum())
+		if pair.deliver(startTime) > 6 {
 			return false
 		}
-		right.HandleChecksum(started, "other", left.Checksum())
-		return pair.deliver(started) <= 6 && left.Checksum() == right.Checksum() && func() bool {
-			left.HandleChecksum(started.Add(time.Minute), "other", right.Checksum())
-			return pair.deliver(started) == 0
+		right.HandleChecksum(startTime, "other", left.Checksum())
+		return pair.deliver(startTime) <= 6 && left.Checksum() == right.Checksum() && func() bool {
+			left.HandleChecksum(startTime.Add(time.Minute), "other", right.Checksum())
+			return pair.deliver(startTime) == 0
 		}()
 	}, gen.Int64()))
 	properties.TestingRun(t)
--- a/coordination/registry/golden_test.go
+++ b/coordination/registry/golden_test.go
@@ -13,7 +13,7 @@
 
 func encodeCall(call *Call) ([]byte, error) { return easyjson.Marshal(call) }
 
-// What a runner tells of itself keeps its keys, and each is read into the field that wrote it.
+// The JSON keys of a runner's call must not change, and each must be decoded into the field that encoded it.
 func TestCallKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "call", encodeCall)
 	golden.CompareJSON(t, "counters", golden.Marshal[Counters])
--- a/coordination/registry/liveness.go
+++ b/coordination/registry/liveness.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// silentHeartbeats is how many heartbeats a runner may miss before it is called silent, and relayedHeartbeats how
-	// many more where it was last heard by another core.
+	// silentHeartbeats is the number of heartbeats after which a runner that has not called is marked silent,
+	// relayedHeartbeats the number added if another control node received its latest call.
 	silentHeartbeats  = 3.5
 	relayedHeartbeats = 1.0
-	// graceHeartbeats is for how many heartbeats a core that has just started calls nobody silent.
+	// graceHeartbeats is the number of heartbeats for which a control node that has just started marks no runner silent.
 	graceHeartbeats = 5
-	// announcementsPerHeartbeat is how often in a heartbeat the calls heard are announced to the other cores.
+	// announcementsPerHeartbeat is the number of times per heartbeat that received calls are announced to the other
+	// control nodes.
 	announcementsPerHeartbeat = 2
 )
 
-// lastCall is the latest call of a runner that any core is known to have heard.
+// lastCall is the latest known call of a runner to any control node.
 type lastCall struct {
 	call uint64
-	// heardAt is when we learned of it, and direct is whether the runner called this core.
+	// heardAt is when this control node learned of the call, direct whether it received the call itself.
 	heardAt time.Time
 	direct  bool
-	// announced is the latest call that was announced to the other cores.
+	// announced is the number of the latest call that was announced to the other control nodes.
 	announced uint64
 }
 
-// liveness is what a core knows of the runners' latest calls.
+// liveness tracks the latest calls of the runners at a control node.
 type liveness struct {
 	heartbeat    time.Duration
 	graceUntil   time.Time
@@ -44,7 +45,7 @@
 	}
 }
 
-// call returns the number of a runner's latest call, 0 where none is known.
+// call returns the number of a runner's latest call, or 0 if none is known.
 func (liveness *liveness) call(id string) uint64 {
 	if last := liveness.calls[id]; last != nil {
 		return last.call
@@ -52,8 +53,8 @@
 	return 0
 }
 
-// heard records the latest call of a runner; direct is whether it called this core.
-func (liveness *liveness) heard(now time.Time, id string, call uint64, direct bool) {
+// recordCall stores the latest call of a runner; direct is set if this control node received it.
+func (liveness *liveness) recordCall(now time.Time, id string, call uint64, direct bool) {
 	last := liveness.calls[id]
 	if last == nil {
 		last = &lastCall{}
@@ -64,24 +65,24 @@
 
 func (liveness *liveness) remove(id string) { delete(liveness.calls, id) }
 
-// resume counts every runner as heard now.
+// resume sets the time of every latest call to now.
 func (liveness *liveness) resume(now time.Time) {
 	for _, last := range liveness.calls {
 		last.heardAt = now
 	}
 }
 
-// lastHeard returns the latest call of the runner of a record. What another core has just told of counts as heard
-// now, for nobody can say when it was.
-func (liveness *liveness) lastHeard(now time.Time, record *wire.Runner) *lastCall {
+// ensureCall returns the latest call of the runner of a record. A call that is known only from the record counts as
+// received now, since the time at which another control node received it is unknown.
+func (liveness *liveness) ensureCall(now time.Time, record *wire.Runner) *lastCall {
 	last := liveness.calls[record.RunnerId]
 	if last == nil || last.call < record.Call {
-		liveness.heard(now, record.RunnerId, record.Call, false)
+		liveness.recordCall(now, record.RunnerId, record.Call, false)
 	}
 	return liveness.calls[record.RunnerId]
 }
 
-// silenceTimeout is for how long a runner may not be heard before it is called silent.
+// silenceTimeout returns the time after its latest call at which a runner is marked silent.
 func (liveness *liveness) silenceTimeout(last *lastCall) time.Duration {
 	heartbeats := silentHeartbeats
 	if !last.direct {
@@ -90,7 +91,7 @@
 	return time.Duration(heartbeats * float64(liveness.heartbeat))
 }
 
-// contradicts reports whether a runner that a record calls silent has called since, and not long ago.
+// contradicts reports whether a runner that a record marks as silent has made a later call within its silence timeout.
 func (liveness *liveness) contradicts(now time.Time, record *wire.Runner) bool {
 	last := liveness.calls[record.RunnerId]
 	if last == nil || last.call <= record.Call {
@@ -99,9 +100,9 @@
 	return now.Sub(last.heardAt) <= liveness.silenceTimeout(last)
 }
 
-// unannounced returns the calls that the other cores were not told of, when it is time to tell them, and counts them as
+// takeUnannounced returns the calls that are due for announcement to the other control nodes, and marks them as
 // announced.
-func (liveness *liveness) unannounced(now time.Time) []*wire.RunnerVersion {
+func (liveness *liveness) takeUnannounced(now time.Time) []*wire.RunnerVersion {
 	if now.Sub(liveness.lastAnnounce) < liveness.heartbeat/announcementsPerHeartbeat {
 		return nil
 	}
@@ -116,7 +117,7 @@
 	return calls
 }
 
-// forget forgets the calls of runners that are not in the table any more.
+// forget removes the calls of runners that the table no longer holds.
 func (liveness *liveness) forget(isKnown func(id string) bool) {
 	maps.DeleteFunc(liveness.calls, func(id string, _ *lastCall) bool { return !isKnown(id) })
 }
--- a/coordination/registry/liveness_test.go
+++ b/coordination/registry/liveness_test.go
@@ -7,9 +7,10 @@
 	"wardtray/wire"
 )
 
-// A runner that another core heard is given more time than one that calls this core.
+// A runner whose calls reach another control node gets a longer timeout than one that calls this one, since
+// announcements add a delay.
 func TestSilenceTimeout(t *testing.T) {
-	liveness := newLiveness(started, time.Second)
+	liveness := newLiveness(startTime, time.Second)
 	for _, test := range []struct {
 		direct bool
 		want   time.Duration
@@ -20,9 +21,10 @@
 	}
 }
 
+// A record that marks a runner silent must not prevail over a later call that this control node received recently.
 func TestLaterCallContradictsSilence(t *testing.T) {
-	liveness := newLiveness(started, time.Second)
-	liveness.heard(started, "r1", 5, true)
+	liveness := newLiveness(startTime, time.Second)
+	liveness.recordCall(startTime, "r1", 5, true)
 	for _, test := range []struct {
 		name  string
 		after time.Duration
@@ -31,36 +33,38 @@
 	}{
 		{"silent since an earlier call", time.Second, 4, true},
 		{"silent since the same call", time.Second, 5, false},
-		{"not heard for long", time.Minute, 4, false},
+		{"later call, but not a recent one", time.Minute, 4, false},
 	} {
 		record := &wire.Runner{RunnerId: "r1", State: Silent, Call: test.call}
-		if got := liveness.contradicts(started.Add(test.after), record); got != test.want {
+		if got := liveness.contradicts(startTime.Add(test.after), record); got != test.want {
 			t.Errorf("%s: %v", test.name, got)
 		}
 	}
-	if liveness.contradicts(started, &wire.Runner{RunnerId: "r2", State: Silent}) {
+	if liveness.contradicts(startTime, &wire.Runner{RunnerId: "r2", State: Silent}) {
 		t.Error("a runner that never called contradicts its silence")
 	}
 }
 
-// Each call is announced once, and not more often than twice in a heartbeat.
+// Each call is announced once, and announcements are sent at most twice per heartbeat.
 func TestCallsAreAnnouncedOnce(t *testing.T) {
-	liveness := newLiveness(started, time.Second)
-	liveness.heard(started, "r2", 1, true)
-	liveness.heard(started, "r1", 3, true)
-	now := started.Add(time.Second)
-	if calls := liveness.unannounced(now); len(calls) != 2 || calls[0].RunnerId != "r1" || calls[0].Call != 3 {
+	liveness := newLiveness(startTime, time.Second)
+	liveness.recordCall(startTime, "r2", 1, true)
+	liveness.recordCall(startTime, "r1", 3, true)
+	now := startTime.Add(time.Second)
+	if calls := liveness.takeUnannounced(now); len(calls) != 2 || calls[0].RunnerId != "r1" || calls[0].Call != 3 {
 		t.Fatal(calls)
 	}
-	liveness.heard(now, "r1", 4, true)
-	if calls := liveness.unannounced(now.Add(499 * time.Millisecond)); len(calls) != 0 {
+	liveness.recordCall(now, "r1", 4, true)
+	if calls := liveness.takeUnannounced(now.Add(499 * time.Millisecond)); len(calls) != 0 {
 		t.Fatal("announced again too soon", calls)
 	}
-	if calls := liveness.unannounced(now.Add(500 * time.Millisecond)); len(calls) != 1 || calls[0].Call != 4 {
+	if calls := liveness.takeUnannounced(now.Add(500 * time.Millisecond)); len(calls) != 1 || calls[0].Call != 4 {
 		t.Fatal(calls)
 	}
 }
 
+// If most runners seem silent at once, a network fault is more likely than their failure, and marking them silent would
+// stop all service.
 func TestMostRunnersAreGivenMoreTime(t *testing.T) {
 	few, most := []string{"a", "b", "c"}, []string{"a", "b", "c", "d"}
 	for _, test := range []struct {
--- a/coordination/registry/outcome.go
+++ b/coordination/registry/outcome.go
@@ -1,15 +1,15 @@
 package registry
 
-// Outcome is how a call ended.
+// Outcome is the outcome of a call.
 type Outcome string
 
 const (
-	// Accepted is a call that was accepted.
+	// Accepted means that the call was accepted.
 	Accepted Outcome = "taken"
-	// Outdated is a call that is older than what is known.
+	// Outdated means that a later call is already known.
 	Outdated Outcome = "late"
-	// TableFull is a call for which the table has no room.
+	// TableFull means that the table has reached MaximumRunners.
 	TableFull Outcome = "full"
-	// Unreachable is a call that was not accepted since this core can't notify the other processes.
+	// Unreachable means that this control node can't notify the other processes.
 	Unreachable Outcome = "unheard"
 )
--- a/coordination/registry/record.go
+++ b/coordination/registry/record.go
@@ -8,7 +8,8 @@
 	"wardtray/wire"
 )
 
-// The states of a record. A runner is Gone once it has said so, and Silent where no core hears it.
+// The states of a record. A runner is Gone once it was deregistered or its drain is over, and Silent while no control
+// node receives its calls.
 const (
 	Ready    = "ready"
 	Cold     = "cold"
@@ -17,24 +18,24 @@
 	Silent   = "silent"
 )
 
-// stages order the states that a runner never returns from.
+// stages orders the states; a runner never returns to a lower stage.
 var stages = map[string]int{Ready: 0, Cold: 0, Silent: 0, Draining: 1, Gone: 2}
 
-// live are the states of runners that are still there.
+// live holds the states of runners that are still running.
 var live = map[string]bool{Ready: true, Cold: true, Draining: true}
 
-// serving are the states of runners that accept new work.
+// serving holds the states of runners that accept new requests.
 var serving = map[string]bool{Ready: true, Cold: true}
 
-// version is what orders the records of one runner: a record itself, or what a digest says of it.
+// version is the part of a record that orders the records of one runner; a record has it, and its entry in a digest.
 type version interface {
 	GetState() string
 	GetCall() uint64
 }
 
-// compareVersions orders two versions of one runner's record. A runner that drains or is gone never comes back under
-// its id, so a stage counts more than any call; within a stage the later call does, and a runner is called silent
-// under the call after which it was not heard.
+// compareVersions orders two versions of one runner's record. A runner that drains or is gone never returns under its
+// id, so a higher stage wins over any call. Within a stage the later call wins; a silent record has the number of the
+// last call before the silence and wins over that call.
 func compareVersions(left, right version) int {
 	return cmp.Or(
 		cmp.Compare(stages[left.GetState()], stages[right.GetState()]),
@@ -50,8 +51,8 @@
 	return 0
 }
 
-// Compare orders two records of one runner; the greater one wins everywhere. For how much longer a runner is cold is
-// measured anew on each way and is no part of the order.
+// Compare orders two records of one runner; the greater one wins in every table. The remaining slow start is not
+// compared, since each sender recomputes it.
 func Compare(left, right *wire.Runner) int {
 	return cmp.Or(
 		compareVersions(left, right),
@@ -64,7 +65,7 @@
 	)
 }
 
-// checksum returns a live record's part of the sum by which two tables are compared; 0 for other records.
+// checksum returns the contribution of a record to a table's checksum; 0 if it is not live.
 func checksum(record *wire.Runner) uint64 {
 	if !live[record.State] {
 		return 0
@@ -78,15 +79,14 @@
 	return mix(hash.Sum64())
 }
 
-// mix spreads the bits of a hash, as the first half of the finalizer of MurmurHash3 does, since hashes are added up.
+// mix spreads the bits of a hash with the first half of the finalizer of MurmurHash3, since the hashes are added up.
 func mix(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
 	return hash ^ hash>>33
 }
 
-// withState returns a copy of a record with another state and call. Records themselves are never modified, since others
-// hold them.
+// withState returns a copy of a record with another state and call. Records are shared and never modified.
 func withState(record *wire.Runner, state string, call uint64) *wire.Runner {
 	return &wire.Runner{
 		RunnerId: record.RunnerId, Address: record.Address, Zone: record.Zone, Service: record.Service, State: state,
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -1,26 +1,26 @@
-// Package registry is the table of runners that register themselves, replicated to every core and every data
-// daemon. The records of a runner are merged by an order that all agree on, so that losses, repeats and the order
-// of arrival do not matter. See docs/registry.md.
+// Package registry holds the table of registered runners, replicated to every control node and every data daemon. All
+// processes merge the records of a runner by the same total order, so that losses, repetitions and the order of arrival
+// do not matter. See docs/registry.md.
 //
 // # Contract
 //
-// Every process has an Exchange: a Table with the messages that keep it the same as those of others. A core has a
-// Registrar besides, which accepts the runners' calls, notifies everybody of what changed, and reports runners silent
-// that no core hears. Both are pure state machines. Their caller hands them received messages:
+// Every process has an Exchange: a Table with the messages that keep it consistent with the others. A control node also
+// has a Registrar, which accepts the runners' calls, notifies every process of changes, and marks runners silent whose
+// calls no control node receives. Both are pure state machines. Their caller passes them received messages:
 //
 //   - updates to Registrar.HandleUpdate or Exchange.HandleUpdate, digests to Exchange.HandleDigest, checksums to
 //     Exchange.HandleChecksum;
-//   - at a core, acknowledgements to Registrar.HandleAck and the heartbeats of other cores to
+//   - at a control node, acknowledgements to Registrar.HandleAck and the heartbeats of other control nodes to
 //     Registrar.HandleHeartbeats.
 //
-// It calls Registrar.Tick often, and after each call drains the outbox (see package statemachine). They are not
-// safe for concurrent use; records are never modified.
+// It calls Registrar.Tick often, and drains the outbox after each call (see package statemachine). They are not safe
+// for concurrent use; records are never modified.
 //
-// A runner's id is used by one incarnation only, and its calls carry rising numbers. A runner that drains or is
-// gone never comes back under its id. Messages may be lost, repeated and reordered; processes may crash, freeze and
-// be cut off. The call of a leaving runner is accepted only once the data daemons know, or after a bounded wait at
-// least half of them, and is rejected where this core can't notify them; so a runner that was accepted as leaving may
-// stop.
+// Each incarnation of a runner has its own id, and its calls carry increasing numbers. A runner that drains or is gone
+// never returns under its id. Messages may be lost, repeated and reordered; processes may crash, freeze and be cut off.
+// The call of a leaving runner is accepted only once all data daemons have acknowledged its record, or after a bounded
+// wait at least half of them, and is rejected if this control node can't notify them. A runner whose call was accepted
+// may therefore stop.
 package registry
 
 import (
@@ -30,22 +30,22 @@
 	"wardtray/wire"
 )
 
-// DefaultHeartbeat is how often runners are expected to call where the settings say nothing.
+// DefaultHeartbeat is the interval between a runner's calls if the settings don't state one.
 const DefaultHeartbeat = time.Second
 
-// Environment is what a registrar needs to know of its core.
+// Environment holds the registrar's callbacks to its control node.
 type Environment struct {
-	// Daemons returns the data daemons that must know who leaves, Cores the other cores.
+	// Daemons returns the data daemons that must be notified of leaving runners, Cores the other control nodes.
 	Daemons func(now time.Time) []string
 	Cores   func() []string
-	// HearsMostCores reports whether this core hears most of the cores, Environment.HearsNobody that it hears
-	// nobody at all.
+	// HearsMostCores reports whether this control node receives messages from a majority of the control nodes, HearsNobody
+	// whether it receives messages from no other process.
 	HearsMostCores func(now time.Time) bool
 	HearsNobody    func(now time.Time) bool
 }
 
-// Counters are what a registrar counts. Unconfirmed are the calls that were accepted before every
-// daemon had acknowledged.
+// Counters count the calls that a registrar handled and the changes they caused. Unconfirmed counts the calls that were
+// accepted before every daemon had acknowledged.
 type Counters struct {
 	Calls       uint64 `json:"Calls"`
 	Registered  uint64 `json:"Registered"`
@@ -59,23 +59,23 @@
 	Retried     uint64 `json:"Repeated"`
 }
 
-// Registrar accepts the runners' calls at one core.
+// Registrar accepts the runners' calls at one control node.
 type Registrar struct {
 	*Exchange
 	environment Environment
 	liveness    liveness
 	broadcasts  broadcasts
-	// changed are the records that the next tick sends to everybody, and waiting the calls that
-	// wait for it.
-	changed  []*wire.Runner
-	waiting  []func(outcome Outcome)
-	counters Counters
+	// changed holds the records that the next tick sends to every process, pendingResponses the responses to the calls
+	// that wait for this.
+	changed          []*wire.Runner
+	pendingResponses []func(outcome Outcome)
+	counters         Counters
 }
 
-// NewRegistrar returns the registrar of a core that has just started. The nonces of its broadcasts begin above
-// incarnation, which has to be drawn at random by each start of the process: an acknowledgement of a broadcast of an
-// earlier incarnation, which a daemon that was paused may send late, then never counts for one of this incarnation.
-// Without a heartbeat DefaultHeartbeat holds.
+// NewRegistrar returns the registrar of a control node that has just started. The nonces of its broadcasts start above
+// incarnation, which must be drawn at random at each start of the process: otherwise a late acknowledgement by a daemon
+// that was paused could count for a broadcast of another incarnation. If heartbeat is not positive, DefaultHeartbeat
+// applies.
 func NewRegistrar(now time.Time, heartbeat time.Duration, incarnation uint64, outbox *statemachine.Outbox,
 	environment Environment) *Registrar {
 	if heartbeat <= 0 {
@@ -88,26 +88,26 @@
 	return registrar
 }
 
-// Counters returns what was counted.
+// Counters returns the counters.
 func (registrar *Registrar) Counters() Counters { return registrar.counters }
 
-// latestCall returns the greatest number of a call known of a runner.
+// latestCall returns the greatest known call number of a runner.
 func (registrar *Registrar) latestCall(id string) uint64 {
 	return max(registrar.Record(id).GetCall(), registrar.liveness.call(id))
 }
 
-// HandleHeartbeats handles which calls another core has heard of. A core forwards what it heard from others
-// too, so that two cores that are cut off from each other do not call each other's runners silent.
+// HandleHeartbeats handles the calls that another control node announces. A control node also relays calls that others
+// announced, so that two control nodes that are cut off from each other do not mark each other's runners silent.
 func (registrar *Registrar) HandleHeartbeats(now time.Time, message *wire.RunnerHeartbeats) {
 	for _, version := range message.Calls {
 		if registrar.Record(version.RunnerId) != nil && version.Call > registrar.latestCall(version.RunnerId) {
-			registrar.liveness.heard(now, version.RunnerId, version.Call, false)
+			registrar.liveness.recordCall(now, version.RunnerId, version.Call, false)
 		}
 	}
 }
 
-// HandleUpdate merges what another process sent. A runner that another core calls silent, but that has
-// called since, is announced as ready with the next tick.
+// HandleUpdate merges the records that another process sent. A runner that another control node marks silent, but that
+// has called since, is announced as ready with the next tick.
 func (registrar *Registrar) HandleUpdate(now time.Time, from string, message *wire.RunnerUpdate) {
 	for _, record := range registrar.Exchange.HandleUpdate(now, from, message) {
 		if record.State != Silent || !registrar.liveness.contradicts(now, record) {
@@ -120,10 +120,11 @@
 	}
 }
 
-// Resume handles that this core was frozen: what it did not hear meanwhile says nothing.
+// Resume handles that this control node was frozen: it received no calls meanwhile, so that missing ones say nothing
+// about the runners.
 func (registrar *Registrar) Resume(now time.Time) { registrar.liveness.resume(now) }
 
-// Tick does what is due.
+// Tick sends due messages, prunes the table and checks the liveness of runners.
 func (registrar *Registrar) Tick(now time.Time) {
 	registrar.Prune(now)
 	registrar.broadcasts.tick(now)
@@ -132,13 +133,13 @@
 	registrar.sendChanged(now)
 }
 
-// markSilent reports a runner silent.
+// markSilent sets the state of a runner to Silent.
 func (registrar *Registrar) markSilent(now time.Time, id string) {
 	registrar.counters.Silent++
 	registrar.setState(now, id, Silent)
 }
 
-// setState gives a runner a state as its latest version, to be sent to everybody.
+// setState sets the state of a runner as its latest version, which the next tick sends to every process.
 func (registrar *Registrar) setState(now time.Time, id, state string) {
 	record := withState(registrar.Record(id), state, registrar.latestCall(id))
 	registrar.Merge(now, []*wire.Runner{record})
--- a/coordination/registry/registrar_test.go
+++ b/coordination/registry/registrar_test.go
@@ -10,29 +10,29 @@
 
 const heartbeat = time.Second
 
-// core is a registrar with what it sends and what its environment says.
-type core struct {
+// testNode is a control node's registrar with its outbox and the state of its environment.
+type testNode struct {
 	t         *testing.T
 	outbox    *statemachine.Outbox
 	registrar *Registrar
 	daemons   []string
-	joined    bool
+	hearsMost bool
 	isolated  bool
 	now       time.Time
 }
 
-func newCore(t *testing.T) *core {
+func newTestNode(t *testing.T) *testNode {
 	t.Helper()
-	core := &core{
-		t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, joined: true, now: started,
+	node := &testNode{
+		t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, hearsMost: true, now: startTime,
 	}
-	core.registrar = NewRegistrar(started, heartbeat, 7, core.outbox, Environment{
-		Daemons:        func(time.Time) []string { return core.daemons },
+	node.registrar = NewRegistrar(startTime, heartbeat, 7, node.outbox, Environment{
+		Daemons:        func(time.Time) []string { return node.daemons },
 		Cores:          func() []string { return []string{"c1"} },
-		HearsMostCores: func(time.Time) bool { return core.joined },
-		HearsNobody:    func(time.Time) bool { return core.isolated },
+		HearsMostCores: func(time.Time) bool { return node.hearsMost },
+		HearsNobody:    func(time.Time) bool { return node.isolated },
 	})
-	return core
+	return node
 }
 
 func ready(id string, call uint64) *wire.Runner {
@@ -41,37 +41,37 @@
 	}
 }
 
-// draining is the record of the runner r1 that drains.
+// draining returns a record of the runner r1 in the state Draining.
 func draining(call uint64) *wire.Runner {
 	record := ready("r1", call)
 	record.State = Draining
 	return record
 }
 
-// register makes a call; what it returns is set to the outcome once there is one.
-func (core *core) register(record *wire.Runner) *Outcome {
+// register handles a call; the returned value is set once the call has its outcome.
+func (node *testNode) register(record *wire.Runner) *Outcome {
 	got := new(Outcome)
-	core.registrar.Register(core.now, record, func(outcome Outcome) {
+	node.registrar.Register(node.now, record, func(outcome Outcome) {
 		if *got != "" {
-			core.t.Error("answered twice")
+			node.t.Error("two responses to one call")
 		}
 		*got = outcome
 	})
 	return got
 }
 
-// advance lets time pass, with ticks; what is sent stays in the outbox.
-func (core *core) advance(duration time.Duration) {
-	for end := core.now.Add(duration); core.now.Before(end); {
-		core.now = core.now.Add(50 * time.Millisecond)
-		core.registrar.Tick(core.now)
+// advance advances the time with a tick every 50 ms; messages stay in the outbox.
+func (node *testNode) advance(duration time.Duration) {
+	for end := node.now.Add(duration); node.now.Before(end); {
+		node.now = node.now.Add(50 * time.Millisecond)
+		node.registrar.Tick(node.now)
 	}
 }
 
-// updates returns what was sent to each address since it was last called.
-func (core *core) updates() map[string][]*wire.RunnerUpdate {
+// drainUpdates returns the updates sent to each address since its last call.
+func (node *testNode) drainUpdates() map[string][]*wire.RunnerUpdate {
 	updates := map[string][]*wire.RunnerUpdate{}
-	messages, _ := core.outbox.Drain()
+	messages, _ := node.outbox.Drain()
 	for _, message := range messages {
 		if update := message.Envelope.GetRunnerUpdate(); update != nil {
 			updates[message.To] = append(updates[message.To], update)
@@ -80,8 +80,8 @@
 	return updates
 }
 
-func (core *core) acknowledge(from string, nonce uint64) {
-	core.registrar.HandleAck(core.now, from, &wire.RunnerUpdateAck{Nonce: nonce})
+func (node *testNode) acknowledge(from string, nonce uint64) {
+	node.registrar.HandleAck(node.now, from, &wire.RunnerUpdateAck{Nonce: nonce})
 }
 
-func (core *core) state(id string) string { return core.registrar.Record(id).GetState() }
+func (node *testNode) state(id string) string { return node.registrar.Record(id).GetState() }
--- a/coordination/registry/registration.go
+++ b/coordination/registry/registration.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// coldTolerance is by how much the reported remaining time of a cold runner may differ from the known one without
-	// counting as a change; minimumCold is the least that counts where one of them is zero.
+	// coldTolerance is the difference between the reported and the known remaining slow start up to which a call changes
+	// nothing; minimumCold is that difference if one of them is zero.
 	coldTolerance = time.Second
 	minimumCold   = 250 * time.Millisecond
 )
 
-// Register handles a runner's call. respond is called once: for a runner that drains when the daemons know.
+// Register handles a runner's call. It calls respond once: for a runner that starts to drain, when the daemons have
+// been notified.
 func (registrar *Registrar) Register(now time.Time, record *wire.Runner, respond func(outcome Outcome)) {
 	registrar.counters.Calls++
-	if registrar.rejects(now, respond) {
+	if registrar.rejectIfIsolated(now, respond) {
 		return
 	}
 	present := registrar.Record(record.RunnerId)
-	if registrar.isLate(present, record) {
+	if registrar.isOutdated(present, record) {
 		registrar.counters.Late++
 		registrar.respondUnchanged(now, present, Outdated, respond)
 		return
 	}
-	if present == nil && len(registrar.entries) >= MaximumRunners && !registrar.makeRoom() {
+	if present == nil && len(registrar.entries) >= MaximumRunners && !registrar.evictOldest() {
 		registrar.counters.Refused++
 		respond(TableFull)
 		return
 	}
 	call := max(record.Call, registrar.latestCall(record.RunnerId))
-	registrar.liveness.heard(now, record.RunnerId, call, true)
+	registrar.liveness.recordCall(now, record.RunnerId, call, true)
 	if present.GetState() == Draining {
 		registrar.respondUnchanged(now, present, Accepted, respond)
 		return
@@ -40,21 +41,23 @@
 		respond(Accepted)
 		return
 	}
-	registrar.enter(now, present, record)
+	registrar.storeCall(now, present, record)
 	if record.State == Draining {
 		registrar.counters.Drained++
 		registrar.broadcast(now, record, respond)
 		return
 	}
-	// A core that stops immediately after an acknowledgement must not be the only one that knows.
-	registrar.waiting = append(registrar.waiting, respond)
-	if len(registrar.others(now)) == 0 {
+	// The response waits until the record was sent: if this control node crashed after an earlier response, no other
+	// process would know the runner.
+	registrar.pendingResponses = append(registrar.pendingResponses, respond)
+	if len(registrar.otherProcesses(now)) == 0 {
 		registrar.sendChanged(now)
 	}
 }
 
-// isLate reports whether a call is older than what is known. A runner that starts to drain is never late.
-func (registrar *Registrar) isLate(present, record *wire.Runner) bool {
+// isOutdated reports whether a call is older than the known state of its runner. The call with which a runner starts to
+// drain never is.
+func (registrar *Registrar) isOutdated(present, record *wire.Runner) bool {
 	if present == nil {
 		return false
 	}
@@ -64,8 +67,9 @@
 	return record.Call <= registrar.latestCall(record.RunnerId) || present.State == Gone
 }
 
-// rejects rejects a call where no other process could learn of it, so that the runner calls another core.
-func (registrar *Registrar) rejects(now time.Time, respond func(outcome Outcome)) bool {
+// rejectIfIsolated rejects a call if no other process could learn of it, so that the runner calls another control node.
+// It reports whether it did.
+func (registrar *Registrar) rejectIfIsolated(now time.Time, respond func(outcome Outcome)) bool {
 	if !registrar.environment.HearsNobody(now) {
 		return false
 	}
@@ -74,8 +78,8 @@
 	return true
 }
 
-// enter merges the record of a runner's call, to be sent to everybody.
-func (registrar *Registrar) enter(now time.Time, present, record *wire.Runner) {
+// storeCall merges the record of a runner's call and queues it for every process.
+func (registrar *Registrar) storeCall(now time.Time, present, record *wire.Runner) {
 	if present == nil {
 		registrar.counters.Registered++
 	} else if present.State == Silent {
@@ -90,9 +94,9 @@
 	}
 }
 
-// displace calls those runners silent at whose address another has called. An address has one
-// runner at a time, and the last that called is the one; if that was an old call, the next one
-// corrects it.
+// displace marks other runners silent that have the address of a runner that called. Only one runner at a time can have
+// an address, and the one that called last counts; if that call was a delayed one, the next call of the actual runner
+// corrects this.
 func (registrar *Registrar) displace(now time.Time, record *wire.Runner) {
 	for _, id := range registrar.ids() {
 		other := registrar.Record(id)
@@ -102,12 +106,12 @@
 	}
 }
 
-// differs reports whether a call says something that is not known yet; most calls do not.
+// differs reports whether a call changes the known record; most calls do not.
 func (registrar *Registrar) differs(now time.Time, present, record *wire.Runner) bool {
 	if present == nil || !live[present.State] || !sameProperties(present, record) {
 		return true
 	}
-	known, reported := registrar.coldFor(now, record.RunnerId), time.Duration(0)
+	known, reported := registrar.remainingCold(now, record.RunnerId), time.Duration(0)
 	if record.State == Cold {
 		reported = time.Duration(record.SlowStartMilliseconds) * time.Millisecond
 	}
@@ -115,8 +119,8 @@
 	return difference > coldTolerance || (known == 0 || reported == 0) && difference > minimumCold
 }
 
-// sameProperties reports whether two records of a runner differ at most in their call and in how
-// cold the runner is.
+// sameProperties reports whether two records of a runner differ at most in their call, their slow start and a live
+// state other than Draining.
 func sameProperties(left, right *wire.Runner) bool {
 	return left.Address == right.Address && left.Zone == right.Zone && left.Service == right.Service &&
 		left.Slots == right.Slots && left.Revision == right.Revision &&
--- a/coordination/registry/registration_test.go
+++ b/coordination/registry/registration_test.go
@@ -5,90 +5,94 @@
 	"time"
 )
 
+// Heartbeats that change nothing must not be sent to every process; the first call and changes must be.
 func TestRetriedCallsSendNothing(t *testing.T) {
-	core := newCore(t)
-	got := core.register(ready("r1", 1))
+	node := newTestNode(t)
+	got := node.register(ready("r1", 1))
 	if *got != "" {
-		t.Fatal("acknowledged before any update was sent")
+		t.Fatal("accepted before any update was sent")
 	}
-	core.advance(50 * time.Millisecond)
-	updates := core.updates()
+	node.advance(50 * time.Millisecond)
+	updates := node.drainUpdates()
 	for _, address := range []string{"d0", "d1", "c1"} {
 		if *got != Accepted || len(updates[address]) != 1 {
 			t.Fatal(address, *got, updates)
 		}
 	}
 	for number := range 10 {
-		core.advance(heartbeat)
-		core.register(ready("r1", uint64(number+2)))
+		node.advance(heartbeat)
+		node.register(ready("r1", uint64(number+2)))
 	}
-	if updates := core.updates(); len(updates) != 0 {
+	if updates := node.drainUpdates(); len(updates) != 0 {
 		t.Fatal(updates)
 	}
 	moved := ready("r1", 20)
 	moved.Slots = 9
-	core.register(moved)
-	core.advance(50 * time.Millisecond)
-	if updates := core.updates(); len(updates["d0"]) != 1 || updates["d0"][0].Runners[0].Slots != 9 {
+	node.register(moved)
+	node.advance(50 * time.Millisecond)
+	if updates := node.drainUpdates(); len(updates["d0"]) != 1 || updates["d0"][0].Runners[0].Slots != 9 {
 		t.Fatal(updates)
 	}
 }
 
+// A delayed call must not overwrite a later one, nor bring back a runner that drains or is gone.
 func TestLateCallsChangeNothing(t *testing.T) {
-	core := newCore(t)
-	core.register(ready("r1", 5))
+	node := newTestNode(t)
+	node.register(ready("r1", 5))
 	late := ready("r1", 5)
 	late.Address = "10.0.0.9:9"
-	if got := core.register(late); *got != Outdated || core.registrar.Record("r1").Address == late.Address {
+	if got := node.register(late); *got != Outdated || node.registrar.Record("r1").Address == late.Address {
 		t.Fatal(*got)
 	}
-	core.daemons = nil
-	core.register(draining(6))
+	node.daemons = nil
+	node.register(draining(6))
 	for call := uint64(4); call < 9; call++ {
-		if got := core.register(ready("r1", call)); *got == "" || core.state("r1") != Draining {
-			t.Fatal(call, *got, core.state("r1"))
+		if got := node.register(ready("r1", call)); *got == "" || node.state("r1") != Draining {
+			t.Fatal(call, *got, node.state("r1"))
 		}
 	}
-	core.registrar.Deregister(core.now, "r1", func(Outcome) {})
-	if got := core.register(ready("r1", 100)); *got != Outdated || core.state("r1") != Gone {
-		t.Fatal(*got, core.state("r1"))
+	node.registrar.Deregister(node.now, "r1", func(Outcome) {})
+	if got := node.register(ready("r1", 100)); *got != Outdated || node.state("r1") != Gone {
+		t.Fatal(*got, node.state("r1"))
 	}
 }
 
+// A control node that reaches no other process must reject calls, so that the runner calls another one.
 func TestIsolatedCoreRejectsCalls(t *testing.T) {
-	core := newCore(t)
-	core.isolated = true
-	if got := core.register(ready("r1", 1)); *got != Unreachable || core.registrar.Record("r1") != nil {
+	node := newTestNode(t)
+	node.isolated = true
+	if got := node.register(ready("r1", 1)); *got != Unreachable || node.registrar.Record("r1") != nil {
 		t.Fatal(*got)
 	}
-	core.registrar.Deregister(core.now, "r1", func(outcome Outcome) {
+	node.registrar.Deregister(node.now, "r1", func(outcome Outcome) {
 		if outcome != Unreachable {
 			t.Error(outcome)
 		}
 	})
-	core.isolated = false
-	got := core.register(ready("r1", 1))
-	core.advance(50 * time.Millisecond)
+	node.isolated = false
+	got := node.register(ready("r1", 1))
+	node.advance(50 * time.Millisecond)
 	if *got != Accepted {
 		t.Fatal(*got)
 	}
 }
 
+// A runner that starts at the address of a former one must replace it, or requests for the former one would reach it.
 func TestAddressBelongsToTheLastCaller(t *testing.T) {
-	core := newCore(t)
-	core.register(ready("r1", 5))
+	node := newTestNode(t)
+	node.register(ready("r1", 5))
 	taker := ready("r2", 1)
 	taker.Address = ready("r1", 1).Address
-	core.register(taker)
-	if core.state("r1") != Silent || core.state("r2") != Ready {
-		t.Fatal(core.state("r1"), core.state("r2"))
+	node.register(taker)
+	if node.state("r1") != Silent || node.state("r2") != Ready {
+		t.Fatal(node.state("r1"), node.state("r2"))
 	}
-	// A call of the former one that was long on its way displaces the present one until that calls again.
-	core.register(ready("r1", 6))
+	// A delayed call of the former runner displaces the present one until that calls again.
+	node.register(ready("r1", 6))
 	again := ready("r2", 2)
 	again.Address = taker.Address
-	core.register(again)
-	if core.state("r1") != Silent || core.state("r2") != Ready {
-		t.Fatal(core.state("r1"), core.state("r2"))
+	node.register(again)
+	if node.state("r1") != Silent || node.state("r2") != Ready {
+		t.Fatal(node.state("r1"), node.state("r2"))
 	}
 }
--- a/coordination/registry/survey.go
+++ b/coordination/registry/survey.go
@@ -7,25 +7,28 @@
 )
 
 const (
-	// surveyInterval is how often the live runners are surveyed.
+	// surveyInterval is the interval between checks of all live runners.
 	surveyInterval = 250 * time.Millisecond
-	// drainingHeartbeats is after how many heartbeats a draining runner that is not heard counts as ended.
+	// drainingHeartbeats is the number of heartbeats without a call after which a draining runner is marked gone.
 	drainingHeartbeats = 20
-	// massFactor is how much longer the timeout is where most runners, and at least massMinimum, seem silent at once.
-	massFactor  = 3
-	massMinimum = 4
+	// massSilenceFactor multiplies the silence timeout if more than half of the runners, and at least massSilenceMinimum,
+	// seem silent at once.
+	massSilenceFactor  = 3
+	massSilenceMinimum = 4
 )
 
-// survey is what was found of all live runners.
+// survey is the result of a check of all live runners.
 type survey struct {
-	// serving is how many runners are live and don't drain; direct is how many of them this core hears itself.
+	// serving is the number of live runners that don't drain, direct the number of those whose calls this control node
+	// receives itself.
 	serving, direct int
-	// silent were not heard for their timeout, longSilent not for several times as long; ended have drained for long
-	// enough.
+	// silent holds runners that have not called within their silence timeout, longSilent those that have not called within
+	// a multiple of it, and ended those that have drained for long enough.
 	silent, longSilent, ended []string
 }
 
-// checkLiveness calls runners silent that no core has heard for long, and draining ones gone.
+// checkLiveness marks runners silent whose calls no control node has received within the timeout, and draining ones
+// gone.
 func (registrar *Registrar) checkLiveness(now time.Time) {
 	if now.Sub(registrar.liveness.lastCheck) < surveyInterval {
 		return
@@ -46,22 +49,22 @@
 	}
 }
 
-// isCutOff reports whether this core hears neither most cores nor most runners: then it is itself the one that is cut
-// off.
+// isCutOff reports whether this control node receives messages from neither a majority of the control nodes nor half of
+// the runners: then it is probably the one that is cut off.
 func (registrar *Registrar) isCutOff(now time.Time, survey survey) bool {
 	return !registrar.environment.HearsMostCores(now) && 2*survey.direct < survey.serving
 }
 
-// unresponsive returns the runners to be called silent. Most runners at once are more likely kept from calling by
-// something between them and us, and acting on it would stop all service; they are given more time.
+// unresponsive returns the runners to be marked silent. If most runners seem silent at once, a network fault on the way
+// to this control node is more likely than their failure, and marking them would stop all service. They get more time.
 func (survey *survey) unresponsive() []string {
-	if len(survey.silent) >= massMinimum && 2*len(survey.silent) > survey.serving {
+	if len(survey.silent) >= massSilenceMinimum && 2*len(survey.silent) > survey.serving {
 		return survey.longSilent
 	}
 	return survey.silent
 }
 
-// survey surveys every live runner.
+// survey checks every live runner.
 func (registrar *Registrar) survey(now time.Time) survey {
 	var survey survey
 	for _, id := range registrar.ids() {
@@ -75,9 +78,9 @@
 	return survey
 }
 
-// add adds one live runner.
+// add adds one live runner to the survey.
 func (survey *survey) add(now time.Time, record *wire.Runner, liveness *liveness) {
-	last := liveness.lastHeard(now, record)
+	last := liveness.ensureCall(now, record)
 	elapsed, timeout := now.Sub(last.heardAt), liveness.silenceTimeout(last)
 	if record.State == Draining {
 		if elapsed > drainingHeartbeats*liveness.heartbeat {
@@ -92,7 +95,7 @@
 	if elapsed > timeout {
 		survey.silent = append(survey.silent, record.RunnerId)
 	}
-	if elapsed > massFactor*timeout {
+	if elapsed > massSilenceFactor*timeout {
 		survey.longSilent = append(survey.longSilent, record.RunnerId)
 	}
 }
--- a/coordination/registry/table.go
+++ b/coordination/registry/table.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// MaximumRunners bounds the records that others can make a process remember.
+	// MaximumRunners is the maximum number of records in a table, which other processes fill.
 	MaximumRunners = 4096
-	// retention is for how long a record stays after its runner was gone or silent, so that an older record of it is
+	// retention is the retention period of the record of a runner that is gone or silent, so that an older record of it is
 	// recognized as old.
 	retention     = 5 * time.Minute
 	pruneInterval = time.Second
 )
 
-// entry is one runner's in a table.
+// entry is one runner's record in a table.
 type entry struct {
 	record *wire.Runner
-	// storedAt is when this record was stored, and coldUntil until when its runner is cold, where it is.
+	// storedAt is when this record was stored, coldUntil when the slow start of the runner ends.
 	storedAt, coldUntil time.Time
 }
 
-// Table is what one process knows of the registered runners.
+// Table holds the records of the registered runners known to one process.
 type Table struct {
 	entries map[string]*entry
-	// checksum is the sum over all live records.
+	// checksum is the sum of the checksums of all live records.
 	checksum  uint64
 	lastPrune time.Time
 	listing   listing
 }
 
-// listing is the list of live runners as last returned.
+// listing caches the list of live runners as last returned.
 type listing struct {
 	runners []*wire.Runner
 	valid   bool
-	// nextWarm is when the next of its runners is no longer cold; zero where none is cold.
-	nextWarm time.Time
+	// nextWarmAt is when the next slow start of a runner in the list ends; zero: no runner is cold.
+	nextWarmAt time.Time
 }
 
 // NewTable returns an empty table.
@@ -54,11 +54,11 @@
 	return nil
 }
 
-// Checksum returns the sum over all live records; two tables with one sum hold the same live runners.
+// Checksum returns the checksum of all live records; tables with equal checksums hold the same live runners.
 func (table *Table) Checksum() uint64 { return table.checksum }
 
-// Merge merges records into the table. It returns those that changed the table, and our own record of each runner of
-// which an older one was given.
+// Merge merges records into the table. It returns the records that changed the table, and for each record that is older
+// than the stored one, the stored one.
 func (table *Table) Merge(now time.Time, records []*wire.Runner) (merged, newer []*wire.Runner) {
 	for _, record := range records {
 		if _, known := stages[record.GetState()]; !known || record.RunnerId == "" {
@@ -73,7 +73,7 @@
 				continue
 			}
 		}
-		if present == nil && len(table.entries) >= MaximumRunners && !table.makeRoom() {
+		if present == nil && len(table.entries) >= MaximumRunners && !table.evictOldest() {
 			continue
 		}
 		table.store(now, record)
@@ -92,8 +92,8 @@
 	table.listing.valid = false
 }
 
-// makeRoom removes the runner that has been gone or silent for longest; it reports whether there was one.
-func (table *Table) makeRoom() bool {
+// evictOldest removes the runner that has been gone or silent for longest; it reports whether there was one.
+func (table *Table) evictOldest() bool {
 	oldest := ""
 	for id, entry := range table.entries {
 		if live[entry.record.State] {
@@ -107,13 +107,13 @@
 	return oldest != ""
 }
 
-// storedBefore reports whether a runner's record was stored before another's; ids decide where both were at once.
+// storedBefore reports whether a runner's record was stored before another's; ids break ties.
 func (table *Table) storedBefore(id, other string) bool {
 	order := table.entries[id].storedAt.Compare(table.entries[other].storedAt)
 	return order < 0 || order == 0 && id < other
 }
 
-// Prune removes runners that have been gone or silent for long.
+// Prune removes runners that have been gone or silent for longer than the retention period.
 func (table *Table) Prune(now time.Time) {
 	if now.Sub(table.lastPrune) < pruneInterval {
 		return
@@ -126,8 +126,8 @@
 	}
 }
 
-// outgoing returns a record as it is sent to others: with the time for which its runner is still cold. Clocks of two
-// processes are never compared, so the remaining time is sent as a duration.
+// outgoing returns the record to be sent to other processes, with the remaining slow start of the runner. It is sent as
+// a duration, since clocks of two processes are never compared.
 func (entry *entry) outgoing(now time.Time) *wire.Runner {
 	if entry.record.State != Cold {
 		return entry.record
@@ -137,8 +137,8 @@
 	return record
 }
 
-// coldFor returns for how long a runner is still cold by what is known.
-func (table *Table) coldFor(now time.Time, id string) time.Duration {
+// remainingCold returns the known remaining slow start of a runner.
+func (table *Table) remainingCold(now time.Time, id string) time.Duration {
 	entry := table.entries[id]
 	if entry == nil || entry.record.State != Cold {
 		return 0
@@ -146,8 +146,8 @@
 	return max(0, entry.coldUntil.Sub(now))
 }
 
-// Runners returns the live runners by id, each ready, cold or draining; the slice is another one only when something in
-// it changed. It must not be modified.
+// Runners returns the live runners sorted by id, each ready, cold or draining. The slice is replaced only when its
+// content changes; the caller must not modify it.
 func (table *Table) Runners(now time.Time) []*wire.Runner {
 	if !table.listing.current(now) {
 		table.listing = table.list(now)
@@ -156,7 +156,7 @@
 }
 
 func (listing *listing) current(now time.Time) bool {
-	return listing.valid && (listing.nextWarm.IsZero() || now.Before(listing.nextWarm))
+	return listing.valid && (listing.nextWarmAt.IsZero() || now.Before(listing.nextWarmAt))
 }
 
 func (table *Table) list(now time.Time) listing {
@@ -169,15 +169,15 @@
 		}
 		if record.State == Cold && !now.Before(entry.coldUntil) {
 			record = withState(record, Ready, record.Call)
-		} else if record.State == Cold && (listing.nextWarm.IsZero() || entry.coldUntil.Before(listing.nextWarm)) {
-			listing.nextWarm = entry.coldUntil
+		} else if record.State == Cold && (listing.nextWarmAt.IsZero() || entry.coldUntil.Before(listing.nextWarmAt)) {
+			listing.nextWarmAt = entry.coldUntil
 		}
 		listing.runners = append(listing.runners, record)
 	}
 	return listing
 }
 
-// All returns every record by id, also of runners that are gone or silent.
+// All returns every record sorted by id, including those of runners that are gone or silent.
 func (table *Table) All(now time.Time) []*wire.Runner {
 	records := make([]*wire.Runner, 0, len(table.entries))
 	for _, id := range table.ids() {
