--- a/coordination/registry/announcement.go
+++ b/coordination/registry/announcement.go
@@ -28,9 +28,9 @@
 	for _, address := range registrar.otherProcesses(now) {
 		registrar.send(address, update)
 	}
-	waiting := registrar.pendingResponses
+	responses := registrar.pendingResponses
 	registrar.pendingResponses = nil
-	for _, respond := range waiting {
+	for _, respond := range responses {
 		respond(Accepted)
 	}
 }
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -134,9 +134,9 @@
 	} else if !confirmed {
 		broadcasts.counters.Unconfirmed++
 	}
-	waiting := broadcast.pendingResponses
+	responses := broadcast.pendingResponses
 	broadcast.pendingResponses = nil
-	for _, respond := range waiting {
+	for _, respond := range responses {
 		respond(outcome)
 	}
 }
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -120,8 +120,7 @@
 	}
 }
 
-// Resume handles that this control node was frozen: it received no calls meanwhile, so that missing ones say nothing
-// about the runners.
+// Resume restarts all silence timeouts after this control node was frozen, since it received no calls meanwhile.
 func (registrar *Registrar) Resume(now time.Time) { registrar.liveness.resume(now) }
 
 // Tick sends due messages, prunes the table and checks the liveness of runners.
--- a/coordination/reservation/holding.go
+++ b/coordination/reservation/holding.go
@@ -130,7 +130,7 @@
 	})
 }
 
-// compactAbove is the number of ended renewals that are tolerated.
+// compactAbove is the number by which ended renewals may outnumber the others before they are removed.
 const compactAbove = 64
 
 // sendRenewal requests the reservation again from the present replicas of each zone that was asked, which extends its
--- a/coordination/reservation/plan.go
+++ b/coordination/reservation/plan.go
@@ -116,17 +116,17 @@
 	next := &wire.ReservationZone{Zone: name, CompleteSince: planner.completeSince(name), Begun: present.GetBegun(),
 		Epoch: present.GetEpoch(), PreviousEpoch: present.GetPreviousEpoch(),
 		PreviousReplicas: present.GetPreviousReplicas()}
-	held := map[string]bool{}
+	occupied := map[string]bool{}
 	for _, replica := range present.GetReplicas() {
 		if !planner.facts.HasEnded(replica) {
 			next.Replicas = append(next.Replicas, replica)
-			held[replica.Address] = true
+			occupied[replica.Address] = true
 		}
 	}
 	candidates := slices.Clone(planner.facts.Candidates)
 	sort.Slice(candidates, func(left, right int) bool { return candidates[left].Address < candidates[right].Address })
 	for _, candidate := range candidates {
-		if candidate.Zone != name || held[candidate.Address] || len(next.Replicas) >= MaximumReplicas {
+		if candidate.Zone != name || occupied[candidate.Address] || len(next.Replicas) >= MaximumReplicas {
 			continue
 		}
 		next.Replicas = append(next.Replicas, &wire.ReservationReplica{Address: candidate.Address,
--- a/coordination/reservation/synchronization.go
+++ b/coordination/reservation/synchronization.go
@@ -107,17 +107,17 @@
 	if request.Epoch != replica.zone.Epoch {
 		return
 	}
-	response, room := &wire.ReservationSyncResponse{Epoch: request.Epoch}, syncPage
+	response, remaining := &wire.ReservationSyncResponse{Epoch: request.Epoch}, syncPage
 	for _, wanted := range request.Shards {
-		if room == 0 || wanted.Shard >= ShardCount {
+		if remaining == 0 || wanted.Shard >= ShardCount {
 			break
 		}
 		shard := replica.shards[wanted.Shard]
 		if shard == nil || !shard.isSource && !shard.isReady {
 			continue
 		}
-		page, next := shard.page(wanted.Position, room)
-		room -= len(page)
+		page, next := shard.page(wanted.Position, remaining)
+		remaining -= len(page)
 		response.Pages = append(response.Pages, &wire.ReservationPage{Shard: wanted.Shard, Position: wanted.Position,
 			Records: encodeRecords(now, page), Next: next})
 	}
