--- a/balancer/load/ejection_test.go
+++ b/balancer/load/ejection_test.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// With the mechanisms switched off, failed runners and new ones are used as any other.
+// With ejection and slow start switched off, failed and new runners are used like any other.
 func TestEjectionAndSlowStartSwitchedOff(t *testing.T) {
 	switchedOff := features.Set{features.Ejection: true, features.WarmUp: true}
 	for name, without := range map[string]features.Set{"on": nil, "off": switchedOff} {
@@ -24,7 +24,7 @@
 	}
 }
 
-// An ejection doubles with each failure up to its bound, and a success makes the next one short again.
+// Each failure doubles the duration of the ejection up to its bound, and a success resets it.
 func TestEjectionDoublesUntilASuccess(t *testing.T) {
 	var ejection ejection
 	for _, want := range []time.Duration{1, 2, 4, 8, 16} {
--- a/balancer/load/estimate.go
+++ b/balancer/load/estimate.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// reportLifetime is how long a report says anything of a runner's load.
+	// reportLifetime is the age at which a load report is no longer used.
 	reportLifetime = 3 * time.Second
-	// reportSmoothing is how far one report moves the smoothed load of others.
+	// reportSmoothing is the weight of one report in the exponentially smoothed load from other daemons.
 	reportSmoothing = 0.05
-	// maxSlots bounds the slots that a report may claim.
+	// maxSlots is the largest number of slots accepted in a report.
 	maxSlots = 4096
 )
 
-// Report is what a runner last said of itself.
+// Report is a runner's report of its own load.
 type Report struct {
-	// Running and Waiting are the requests of all daemons that its engine processes and that wait for it.
+	// Running is the number of requests from all daemons that its engine processes, Waiting the number that wait for it.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Slots is how many requests its engine processes at once; 0: not told.
+	// Slots is the number of requests that its engine processes concurrently; 0 if not reported.
 	Slots int `json:"slots"`
-	// UsedTokens is how much of its memory is in use and can't be evicted, in tokens.
+	// UsedTokens is the size of the memory in use that can't be evicted, in tokens.
 	UsedTokens int `json:"tokens,omitempty"`
-	// MemoryTokens is the size of its memory in tokens; 0: not told.
+	// MemoryTokens is the size of its memory in tokens; 0 if not reported.
 	MemoryTokens int `json:"room,omitempty"`
 }
 
@@ -28,22 +28,22 @@
 	return report.Slots >= 1 && report.Slots <= maxSlots && report.Running >= 0 && report.Waiting >= 0
 }
 
-// loadEstimate is what a runner's reports say of its load.
+// loadEstimate estimates a runner's load from its reports.
 type loadEstimate struct {
-	// report is the newest report, which came at reported.
+	// report is the newest report, received at reported.
 	report   Report
 	reported time.Time
-	// others is how many requests of other daemons the runner has by the newest report, smoothedOthers the same
-	// smoothed over reports.
+	// others is the number of requests from other daemons on the runner according to the newest report, smoothedOthers
+	// the exponential moving average of it.
 	others, smoothedOthers float64
-	// othersWaiting is how many requests of other daemons wait by the newest report.
+	// othersWaiting is the number of waiting requests from other daemons according to the newest report.
 	othersWaiting int
 }
 
-// add takes in a report, while this daemon has so many requests on the runner.
+// add records a report; own counts the requests that this daemon has on the runner.
 func (estimate *loadEstimate) add(now time.Time, report Report, own inFlightRequests) {
-	// Every daemon reads the same old report. Whoever believed it fully would send, with all others, to wherever a runner
-	// was idle a moment ago; smoothed, it shows who is busy without attracting all of them.
+	// All daemons read the same outdated report. If each trusted it fully, all of them would send their requests to the
+	// same recently idle runner. The smoothed value shows which runners are busy without causing such a herd.
 	others := max(0, float64(report.Running+report.Waiting-own.total))
 	if now.Sub(estimate.reported) >= reportLifetime {
 		estimate.smoothedOthers = others
@@ -51,19 +51,20 @@
 	estimate.smoothedOthers += reportSmoothing * (others - estimate.smoothedOthers)
 	ownWaiting := own.unanswered
 	if report.MemoryTokens == 0 && ownWaiting > 0 {
-		// What a response's head reports no longer counts the request that is being answered.
+		// A report in the headers of a response no longer counts the request that is being answered.
 		ownWaiting--
 	}
 	estimate.othersWaiting = max(0, report.Waiting-ownWaiting)
-	// A response's head says nothing of memory; what an earlier report said of it stays.
+	// Response headers do not report memory, so the values of the previous report are kept.
 	if report.MemoryTokens == 0 {
 		report.UsedTokens, report.MemoryTokens = estimate.report.UsedTokens, estimate.report.MemoryTokens
 	}
 	estimate.report, estimate.reported, estimate.others = report, now, others
 }
 
-// load returns the requests on a runner that has so many of ours: by the smoothed reports, and by the latest alone
-// where that says that the runner is less than half full.
+// load returns two estimates of the number of requests on a runner on which inFlight requests of this daemon run:
+// smoothed uses the smoothed reports. latest is lower if the newest report alone shows fewer requests of other daemons,
+// and these are at most half of the slots.
 func (estimate *loadEstimate) load(now time.Time, inFlight, slots int) (smoothed, latest float64) {
 	smoothed = float64(inFlight)
 	if now.Sub(estimate.reported) >= reportLifetime {
@@ -71,8 +72,8 @@
 	}
 	smoothed += estimate.smoothedOthers
 	latest = smoothed
-	// Smoothed reports stay high for seconds after an overload has ended. A report of a runner that is nearly full is too
-	// old to be believed, or all daemons would send to it at once.
+	// The smoothed value stays high for seconds after an overload has ended, so a report of low load replaces it. A
+	// report of a nearly full runner is outdated on arrival: if it were trusted, all daemons would send to it at once.
 	if estimate.others <= float64(slots)/2 {
 		latest += min(0, estimate.others-estimate.smoothedOthers)
 	}
--- a/balancer/load/estimate_test.go
+++ b/balancer/load/estimate_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A report moves the smoothed load a little; the latest load follows it at once only where the runner is less than half
-// full. Old reports count for nothing.
+// A report moves the smoothed load by a small step; the latest load follows it at once only if the runner is at most
+// half full. Reports older than reportLifetime are ignored.
 func TestLoadEstimate(t *testing.T) {
 	const slots = 8
 	var estimate loadEstimate
@@ -14,7 +14,7 @@
 	check := func(name string, now time.Time, wantSmoothed, wantLatest float64) {
 		t.Helper()
 		if smoothed, latest := estimate.load(now, 2, slots); smoothed != wantSmoothed || latest != wantLatest {
-			t.Errorf("%s: %v smoothed, %v latest", name, smoothed, latest)
+			t.Errorf("%s: smoothed load %v, want %v; latest load %v, want %v", name, smoothed, wantSmoothed, latest, wantLatest)
 		}
 	}
 	check("the first report", started, 10, 10)
--- a/balancer/load/inflight.go
+++ b/balancer/load/inflight.go
@@ -1,12 +1,12 @@
 package load
 
-// inFlightRequests counts our own requests on a runner.
+// inFlightRequests counts the requests that this daemon has in flight on a runner.
 type inFlightRequests struct {
-	// total counts all, unanswered those that have no event yet.
+	// total counts all of them, unanswered those for which no response event has arrived.
 	total, unanswered int
 }
 
-// RequestStarted counts a request of ours that is dispatched to a runner.
+// RequestStarted counts a request that this daemon dispatches to a runner.
 func (table *Table) RequestStarted(runner string) {
 	service := ""
 	table.update(runner, func(entry *entry) {
@@ -17,12 +17,12 @@
 	table.services.markUsed(service)
 }
 
-// FirstEventReceived records that the first event of one of our requests has come.
+// FirstEventReceived records that the first response event of a counted request has arrived.
 func (table *Table) FirstEventReceived(runner string) {
 	table.update(runner, func(entry *entry) { entry.requests.unanswered-- })
 }
 
-// RequestEnded ends a request that was counted; answered says whether its first event was recorded.
+// RequestEnded removes a request that RequestStarted counted; answered says whether FirstEventReceived was called too.
 func (table *Table) RequestEnded(runner string, answered bool) {
 	table.update(runner, func(entry *entry) {
 		entry.requests.total--
--- a/balancer/load/listing.go
+++ b/balancer/load/listing.go
@@ -7,15 +7,15 @@
 	"wardtray/wire"
 )
 
-// States of a runner in the platform's list.
+// The states of a runner in the platform's runner list.
 const (
 	stateReady = "ready"
-	// stateCold is that of a runner that still loads its weights or caches.
+	// stateCold is the state of a runner that is still loading its weights or caches.
 	stateCold     = "cold"
 	stateDraining = "draining"
 )
 
-// drainedRetention is for how long a runner that drained is remembered after it was last listed so.
+// drainedRetention is the retention period of a draining runner's ID after the runner was last listed as draining.
 const drainedRetention = time.Hour
 
 // acceptsRequests reports whether a runner in this state may be sent requests.
@@ -23,8 +23,8 @@
 	return state == stateReady || state == stateCold
 }
 
-// UpdateListing takes over the platform's list. It returns the runners that it removed, ordered by ID: those
-// that are no longer listed and have no request of ours.
+// UpdateListing applies the platform's runner list. It removes the runners that are no longer listed and have no
+// requests of this daemon, and returns their IDs in order.
 func (table *Table) UpdateListing(now time.Time, runners []*wire.Runner) (removed []string) {
 	listed := map[string]bool{}
 	for _, listing := range runners {
@@ -38,14 +38,14 @@
 	return removed
 }
 
-// listRunner takes over one runner of the platform's list.
+// listRunner adds or updates one runner of the platform's list.
 func (table *Table) listRunner(now time.Time, listing *wire.Runner) {
 	shard := table.shard(listing.RunnerId)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	known := shard.entries[listing.RunnerId]
 	if known == nil {
-		// A daemon that has just started sees every runner for the first time, which does not make them cold.
+		// A daemon that has just started sees every runner for the first time; ready runners need no slow start then.
 		starting := now.Sub(table.started) < startupGrace
 		known = &entry{slowStart: slowStart{completed: starting && listing.State == stateReady}}
 		shard.entries[listing.RunnerId] = known
@@ -56,8 +56,8 @@
 	}
 }
 
-// withDraining returns the listing, with the state draining if the runner was ever listed as draining: such a runner
-// comes back under another ID only, and a list that says otherwise is an older one.
+// withDraining returns the listing, with the state draining if the runner was listed as draining within
+// drainedRetention. A drained runner returns only under another ID, so a list that shows it as ready is outdated.
 func (shard *shard) withDraining(now time.Time, listing *wire.Runner) *wire.Runner {
 	if listing.State == stateDraining {
 		shard.drained[listing.RunnerId] = now
@@ -75,8 +75,8 @@
 	}
 }
 
-// removeUnlisted removes the runners that are not listed and have no request of ours, and returns their IDs. It also
-// forgets which runners drained long ago.
+// removeUnlisted removes the runners that are not listed and have no requests of this daemon, and returns their IDs. It
+// also deletes the records of drained runners that are older than drainedRetention.
 func (shard *shard) removeUnlisted(now time.Time, listed map[string]bool) (removed []string) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
--- a/balancer/load/listing_test.go
+++ b/balancer/load/listing_test.go
@@ -7,7 +7,8 @@
 	"wardtray/wire"
 )
 
-// A runner that was listed as draining stays so, whatever an older list says, and is not usable.
+// A runner that was listed as draining stays draining and unusable when an older list, which arrives late, shows it as
+// ready, until drainedRetention has passed.
 func TestDrainingRunnerStaysDraining(t *testing.T) {
 	table := tableOf("r")
 	for _, state := range []string{stateDraining, stateReady} {
@@ -20,6 +21,6 @@
 	table.UpdateListing(started.Add(drainedRetention+time.Second), nil)
 	table.UpdateListing(started.Add(drainedRetention+time.Second), []*wire.Runner{{RunnerId: "r", State: stateReady}})
 	if found, _ := table.Lookup(started.Add(drainedRetention+time.Second), "r", nil); found.State != stateReady {
-		t.Errorf("long after it drained: %+v", found)
+		t.Errorf("after the retention period: %+v", found)
 	}
 }
--- a/balancer/load/report.go
+++ b/balancer/load/report.go
@@ -6,13 +6,13 @@
 	"wardtray/apierror"
 )
 
-// maxFailedReports is how many reports in a row may fail before a runner counts as failed.
+// maxFailedReports is the number of consecutive failed report requests after which a runner is treated as failed.
 const maxFailedReports = 3
 
-// RecordReport takes in a runner's report of its load.
+// RecordReport records a runner's report of its load. It ignores an invalid one.
 func (table *Table) RecordReport(now time.Time, runner string, report Report) {
 	table.update(runner, func(entry *entry) {
-		// A runner that registered told its slots then, and its reports need not repeat them.
+		// A runner that registered itself gave its slots then, and its reports need not repeat them.
 		if report.Slots == 0 {
 			report.Slots = max(entry.estimate.report.Slots, int(entry.listing.Slots))
 		}
@@ -24,23 +24,23 @@
 	})
 }
 
-// RecordPolledReport takes in a report that a runner gave because it was asked for one.
+// RecordPolledReport records a report that a runner sent in response to a report request.
 func (table *Table) RecordPolledReport(now time.Time, runner string, report Report) {
 	table.services.reportGiven(table.service(runner))
 	table.RecordReport(now, runner, report)
 }
 
-// RecordResponseReport takes in the load that a runner reported in the response to a request.
+// RecordResponseReport records the load that a runner reported in the response to a request.
 //
-// Its service is then no longer asked for reports: a report says little of a moment later, among many daemons less than
-// the responses do, and each report request costs something; docs/decisions.md has the measurements.
+// The runners of its service are no longer polled for reports after that: a polled report is outdated within moments,
+// with many daemons it says less than the responses do, and each report request has a cost. See docs/decisions.md.
 func (table *Table) RecordResponseReport(now time.Time, runner string, report Report) {
 	table.services.markReportsInResponses(table.service(runner))
 	table.RecordReport(now, runner, report)
 }
 
-// ReportRefused records that a runner refused to give a report. That is no sign of its being unhealthy: a service whose
-// runners give no reports is not asked again for a while.
+// ReportRefused records that a runner answered a report request but does not provide reports. It is not a sign of bad
+// health. After maxRefusals of them in a row the service is not polled again for refusedRetryInterval.
 func (table *Table) ReportRefused(now time.Time, runner string) {
 	service := ""
 	table.update(runner, func(entry *entry) {
@@ -50,9 +50,9 @@
 	table.services.reportRefused(now, service)
 }
 
-// ReportFailed records that a runner gave no report, and ejects it for a while. It reports whether the runner is to be
-// treated as failed: another one answers at its address, it is no longer listed either, or several reports in a row
-// have failed.
+// ReportFailed records that a report request failed, and ejects the runner. It reports whether the runner is to be
+// treated as failed: another runner answered at its address, it is no longer listed, or maxFailedReports consecutive
+// report requests have failed.
 func (table *Table) ReportFailed(now time.Time, runner string, why apierror.Code) (failed bool) {
 	table.update(runner, func(entry *entry) {
 		entry.failedReports++
@@ -62,10 +62,10 @@
 	return failed
 }
 
-// RunnersToPoll returns the runners to ask for a report, ordered by ID: those whose newest report is older than
-// maxAge, be it an answer to a report request or a response's head, as far as their service needs polling. They are the
-// listed ones, and those no longer listed that still have requests of ours, whose failure must be noticed as well.
-// reportsOnly says that nothing but a report tells a load.
+// RunnersToPoll returns the runners to poll for a report, ordered by ID: those whose service needs polling and whose
+// newest report, polled or from response headers, is at least maxAge old. Runners that are no longer listed but still
+// have requests of this daemon are included, so that their failure is detected too. reportsOnly says that polled
+// reports are the only source of load information.
 func (table *Table) RunnersToPoll(now time.Time, maxAge time.Duration, reportsOnly bool) []Runner {
 	return table.runners(now, nil, func(entry *entry) bool {
 		return (entry.listed || entry.requests.total > 0) &&
@@ -74,7 +74,7 @@
 	})
 }
 
-// service returns the service of a runner, or "" if the runner is not known.
+// service returns the name of a runner's service, or "" if the runner is not known.
 func (table *Table) service(runner string) (name string) {
 	table.update(runner, func(entry *entry) { name = entry.listing.Service })
 	return name
--- a/balancer/load/runner.go
+++ b/balancer/load/runner.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// ReasonDraining is the reason of a runner that is draining or no longer listed.
+// ReasonDraining is the Reason of a runner that is unusable because it is draining or no longer listed.
 const ReasonDraining = "leaving"
 
-// Runner is one runner as seen at a moment; it is a copy.
+// Runner is a snapshot of one runner; it is a copy.
 type Runner struct {
 	ID      string `json:"ID"`
 	Address string `json:"Address"`
 	Zone    string `json:"Zone"`
 	Service string `json:"Service"`
-	// State is the platform's word: "ready", "cold" or "draining".
+	// State is the state in the platform's runner list: "ready", "cold" or "draining".
 	State string `json:"State"`
-	// Slots is how many requests the runner's engine processes at once.
+	// Slots is the number of requests that the runner's engine processes concurrently.
 	Slots int `json:"Slots"`
-	// Load is how many requests the runner seems to have: ours, and those of other daemons by its smoothed reports.
+	// Load is the estimated number of requests on the runner: this daemon's, and those of other daemons by its smoothed
+	// reports.
 	Load float64 `json:"Load"`
-	// LatestLoad is the same by the last report alone, where that says that the runner is less than half full.
+	// LatestLoad is lower than Load if the newest report alone shows fewer requests of other daemons, and these are at
+	// most half of the slots; it equals Load otherwise.
 	LatestLoad float64 `json:"Sure"`
-	// InFlight is the number of our own requests on it.
+	// InFlight is the number of this daemon's requests on the runner.
 	InFlight int `json:"InFlight"`
-	// Reported is when its newest report came, zero if none did; OthersWaiting is how many requests of other daemons
-	// waited for their first event by that.
+	// Reported is the time of the newest report, zero if there is none; OthersWaiting is the number of requests of other
+	// daemons that waited for the engine at that time.
 	Reported      time.Time `json:"Told"`
 	OthersWaiting int       `json:"OthersWaiting"`
-	// UsedTokens and MemoryTokens are its memory as last reported; MemoryTokens 0: not reported.
+	// UsedTokens is the memory in use and MemoryTokens the memory size, both as last reported and in tokens; MemoryTokens
+	// is 0 if not reported.
 	UsedTokens   int `json:"Tokens"`
 	MemoryTokens int `json:"Room"`
-	// Limit is how many requests of ours it may have now; it is low during slow start.
+	// Limit is the number of requests that this daemon may have on the runner now; it is low during slow start.
 	Limit     int  `json:"Limit"`
 	SlowStart bool `json:"Warming"`
 	// Usable is false while the runner is draining, not listed or ejected; Reason says why.
 	Usable bool   `json:"Usable"`
 	Reason string `json:"Reason"`
-	// Until is the end of the ejection, zero if there is none.
+	// Until is the end of the ejection, zero if the runner is not ejected.
 	Until time.Time `json:"Until"`
 }
 
-// view returns the runner of an entry as it seems now. It ends a slow start whose time is over.
+// view returns a snapshot of an entry's runner. It also completes a slow start whose duration has passed.
 func (table *Table) view(now time.Time, entry *entry, daemons []string) Runner {
 	listing, estimate := entry.listing, &entry.estimate
 	runner := Runner{
@@ -67,7 +70,7 @@
 	return runner
 }
 
-// slots returns the runner's slots: as reported, else as listed, else initialSlots.
+// slots returns the number of slots from the newest report, else from the runner list, else initialSlots.
 func (entry *entry) slots() int {
 	switch {
 	case entry.estimate.report.Slots > 0:
--- a/balancer/load/service.go
+++ b/balancer/load/service.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// maxRefusals is how many refused report requests in a row show that a service's runners give no reports.
+	// maxRefusals is the number of consecutive refused report requests after which polling of a service pauses.
 	maxRefusals = 2
-	// refusedRetryInterval is after what time such a service is asked again all the same.
+	// refusedRetryInterval is the length of that pause.
 	refusedRetryInterval = time.Minute
 )
 
-// service is what is known of whether a service's runners need to be asked for their load, and answer that.
+// service records whether the runners of a service need to be polled for load reports, and whether they provide them.
 type service struct {
-	// used is whether this daemon has sent it a request.
+	// used reports whether this daemon has sent the service a request.
 	used bool
-	// reportsInResponses is whether its runners' responses to requests tell their load.
+	// reportsInResponses reports whether the runners' responses to requests contain their load.
 	reportsInResponses bool
-	// refusals is how many report requests were refused in a row, the last of them at refusedAt.
+	// refusals is the number of report requests refused in a row, the last of them at refusedAt.
 	refusals  int
 	refusedAt time.Time
 }
 
-// needsPolling reports whether runners of the service are to be asked for reports: they answer that, this daemon uses
-// them, and their responses to requests don't tell their load. reportsOnly says that nothing but a report ever tells
-// the load; then all that answer are asked.
+// needsPolling reports whether the runners of the service are to be polled for reports: they provide reports, this
+// daemon uses them, and their responses to requests don't contain their load. reportsOnly says that polled reports are
+// the only source of load information; then all services that provide reports are polled.
 func (service *service) needsPolling(now time.Time, reportsOnly bool) bool {
 	if service.refusals >= maxRefusals && now.Sub(service.refusedAt) < refusedRetryInterval {
 		return false
@@ -33,7 +33,7 @@
 	return reportsOnly || service.used && !service.reportsInResponses
 }
 
-// serviceTable is what is known of the services, by their names.
+// serviceTable holds the services by name. It is safe for concurrent use.
 type serviceTable struct {
 	mutex    sync.Mutex
 	services map[string]service
@@ -55,7 +55,7 @@
 	table.update(name, func(service *service) { service.reportsInResponses = true })
 }
 
-// reportGiven records that a report request was answered.
+// reportGiven records that a runner answered a report request with a report.
 func (table *serviceTable) reportGiven(name string) {
 	table.update(name, func(service *service) { service.refusals = 0 })
 }
@@ -67,7 +67,7 @@
 	})
 }
 
-// needsPolling reports whether runners of the service of this name are to be asked for reports.
+// needsPolling reports whether the runners of the service with this name are to be polled for reports.
 func (table *serviceTable) needsPolling(now time.Time, name string, reportsOnly bool) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/balancer/load/slowstart.go
+++ b/balancer/load/slowstart.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// SlowStartStep is the step of a slow start: after each step one more daemon may use the runner, and after
-	// stepsPerRequest of them each daemon may have one more request on it.
+	// SlowStartStep is the step length of a slow start: after each step one more daemon may use the runner, and after
+	// every stepsPerRequest steps each of these daemons may have one more request on it.
 	SlowStartStep   = 400 * time.Millisecond
 	stepsPerRequest = 4
-	// SlowStartDuration is how long after it became ready a new runner is in slow start.
+	// SlowStartDuration is the duration of a slow start, from when a new runner is first listed as ready.
 	SlowStartDuration = 6 * time.Second
-	// startupGrace is how long after its own start a daemon takes ready runners to be past their slow start.
+	// startupGrace is the time after a daemon's own start during which it treats newly listed ready runners as past their
+	// slow start.
 	startupGrace = 3 * time.Second
 )
 
-// slowStart is the state of a new runner's slow start.
+// slowStart is the slow start state of one runner.
 type slowStart struct {
-	// readySince is when the runner was first listed as ready; zero: not yet.
+	// readySince is the time when the runner was first listed as ready; zero before that.
 	readySince time.Time
 	completed  bool
 }
@@ -32,8 +33,9 @@
 	}
 }
 
-// slowStartLimit limits the requests on a new runner: one daemon with one request at first, then more of both. It
-// reports whether the runner is in slow start, and returns how many requests of ours it may have.
+// slowStartLimit limits the requests on a new runner: first one daemon may send one request, later more daemons may
+// send more. It reports whether the runner is in slow start, and returns the number of requests that this daemon may
+// have on it, at most limit.
 func (table *Table) slowStartLimit(
 	now time.Time, entry *entry, limit int, daemons []string,
 ) (active bool, limited int) {
@@ -50,15 +52,15 @@
 		}
 		steps = int(ready / SlowStartStep)
 	}
-	// All daemons compute the same few from the runner's ID, so that together they send no more than few can.
+	// All daemons derive the same order from the runner's ID, so that only the first steps+1 of them send requests.
 	if daemonRank(entry.listing.RunnerId, table.self, daemons) > steps {
 		return true, 0
 	}
 	return true, min(limit, 1+steps/stepsPerRequest)
 }
 
-// daemonRank returns a daemon's position, from 0, in the order in which daemons may use a runner. It is computed by
-// rendezvous hashing, so that all daemons agree without a message.
+// daemonRank returns the position, from 0, of the daemon self in the order in which daemons may use a runner. It uses
+// rendezvous hashing, so that all daemons agree on the order without exchanging messages.
 func daemonRank(runner, self string, daemons []string) int {
 	own, rank := rendezvousWeight(runner, self), 0
 	for _, daemon := range daemons {
@@ -70,8 +72,8 @@
 	return rank
 }
 
-// rendezvousWeight hashes a runner and a daemon. FNV alone leaves names that differ in the last letter near each other,
-// so its result is mixed as by the first half of MurmurHash3's 64-bit finalizer.
+// rendezvousWeight returns the rendezvous hash of a runner and a daemon. FNV-1a gives similar hashes to names that
+// differ only in the last letter, so the first half of MurmurHash3's 64-bit finalizer is applied to its result.
 func rendezvousWeight(runner, daemon string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(runner + "\x00" + daemon)) // Writing to a hash can't fail.
--- a/balancer/load/slowstart_test.go
+++ b/balancer/load/slowstart_test.go
@@ -7,8 +7,8 @@
 	"wardtray/wire"
 )
 
-// One daemon may send one request to a new runner at first; each step admits one more daemon, and all are admitted in
-// full once the slow start is over.
+// At first one daemon may send one request to a new runner. Each step admits one more daemon, and after the slow start
+// all daemons may use the runner without its limits.
 func TestSlowStartAdmitsDaemonsStepByStep(t *testing.T) {
 	daemons := []string{"d1", "d2", "d3"}
 	listedAt := started.Add(time.Hour)
@@ -37,7 +37,7 @@
 			}
 		}
 		if admitted != step.daemons {
-			t.Errorf("after %v: %d daemons", step.after, admitted)
+			t.Errorf("after %v: %d daemons are admitted, want %d", step.after, admitted, step.daemons)
 		}
 	}
 }
--- a/balancer/load/table.go
+++ b/balancer/load/table.go
@@ -1,7 +1,6 @@
-// Package load is what one daemon knows of the runners: which are listed, how loaded each seems, how far one in slow
-// start may be used, and which are ejected for now. It sends nothing and reads no clock; callers report what happened
-// and pass the time. State is divided by runner into shards, each under its own lock, and a Table is safe for
-// concurrent use.
+// Package load keeps one daemon's view of the runners: which are listed, the estimated load of each, the limits of
+// those in slow start, and which are ejected. It does no I/O and reads no clock; callers report events and pass the
+// time. The state is sharded by runner, each shard under its own lock, and a Table is safe for concurrent use.
 package load
 
 import (
@@ -15,13 +14,13 @@
 )
 
 const (
-	// shardCount is the number of locks that the runners are divided among.
+	// shardCount is the number of shards, each with its own lock, that the runners are divided among.
 	shardCount = 8
-	// initialSlots is the number of slots of a runner that has told none.
+	// initialSlots is the number of slots assumed for a runner that has reported none.
 	initialSlots = 4
 )
 
-// Table is what a daemon knows of all runners.
+// Table holds a daemon's view of all runners.
 type Table struct {
 	// self is the address of the daemon.
 	self    string
@@ -36,25 +35,25 @@
 type shard struct {
 	mutex   sync.Mutex
 	entries map[string]*entry
-	// drained is when runners were last listed as draining.
+	// drained maps the IDs of runners to the time when they were last listed as draining.
 	drained map[string]time.Time
 }
 
-// entry is what is known of one runner.
+// entry is the state of one runner.
 type entry struct {
-	// listing is what the platform's list last said of the runner.
+	// listing is the runner's newest entry in the platform's runner list.
 	listing *wire.Runner
-	// listed is false once the list no longer names it.
+	// listed reports whether the current list contains the runner.
 	listed    bool
 	requests  inFlightRequests
 	estimate  loadEstimate
 	ejection  ejection
 	slowStart slowStart
-	// failedReports counts the reports that failed since the last good one.
+	// failedReports counts the report requests that failed since the last successful one.
 	failedReports int
 }
 
-// NewTable returns an empty table for the daemon at an address, which started now.
+// NewTable returns an empty table for the daemon at the address self, which started now.
 func NewTable(now time.Time, self string) *Table {
 	table := &Table{self: self, started: now, services: serviceTable{services: map[string]service{}}}
 	for index := range table.shards {
@@ -69,7 +68,7 @@
 	return table.shards[hash.Sum32()%shardCount]
 }
 
-// update calls change with the entry of a runner, if there is one, under its shard's lock.
+// update calls change with the entry of a runner under its shard's lock. It does nothing if the runner is not known.
 func (table *Table) update(runner string, change func(entry *entry)) {
 	shard := table.shard(runner)
 	shard.mutex.Lock()
@@ -79,19 +78,19 @@
 	}
 }
 
-// Runners returns every known runner as it seems now, ordered by ID. The use of a runner in slow start is
-// divided among the daemons, which are given by their addresses.
+// Runners returns a snapshot of every known runner, ordered by ID. daemons are the addresses of the daemons that share
+// the runners in slow start.
 func (table *Table) Runners(now time.Time, daemons []string) []Runner {
 	return table.runners(now, daemons, func(*entry) bool { return true })
 }
 
-// Lookup returns one runner as it seems now, and whether it is known.
+// Lookup returns a snapshot of one runner, and whether the runner is known.
 func (table *Table) Lookup(now time.Time, runner string, daemons []string) (found Runner, known bool) {
 	table.update(runner, func(entry *entry) { found, known = table.view(now, entry, daemons), true })
 	return found, known
 }
 
-// runners returns the matching runners as they seem now, ordered by ID.
+// runners returns snapshots of the matching runners, ordered by ID.
 func (table *Table) runners(now time.Time, daemons []string, matches func(entry *entry) bool) []Runner {
 	var runners []Runner
 	for _, shard := range table.shards {
--- a/balancer/load/table_test.go
+++ b/balancer/load/table_test.go
@@ -8,7 +8,7 @@
 
 var started = time.Unix(1_700_000_000, 0)
 
-// tableOf returns a table that lists ready runners since its daemon's start.
+// tableOf returns the table of daemon d1, in which runners with these IDs are listed as ready since the daemon's start.
 func tableOf(runners ...string) *Table {
 	table := NewTable(started, "d1")
 	listed := make([]*wire.Runner, 0, len(runners))
