--- a/balancer/kvblock/cache_tracker.go
+++ b/balancer/kvblock/cache_tracker.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// IdleTTL is how long an unused block is taken to be cached.
+	// IdleTTL is the time since its last use after which a block is assumed to be evicted.
 	IdleTTL = 10 * time.Minute
 	// InitialCapacity is the first estimate of a runner's cache capacity, in tokens.
 	InitialCapacity = 400_000
 	// minCapacity and maxCapacity bound the estimate of a runner's cache capacity, in tokens.
 	minCapacity = 4_000
 	maxCapacity = 50_000_000
-	// capacityDecrease is the factor of the estimate after a first token that came as late as without the blocks.
+	// capacityDecrease multiplies the estimate after a cache miss: a first token that came as late as without the blocks.
 	capacityDecrease = 0.8
-	// capacityIncrease is the factor of the estimate after one that came early while the cache was nearly full.
+	// capacityIncrease multiplies the estimate after a cache hit while the cache was nearly full.
 	capacityIncrease = 1.02
-	// nearlyFull is the part of the estimated capacity from which on an early first token says that it is too small.
+	// nearlyFull is the fraction of the estimated capacity above which a cache hit shows that the estimate is too small.
 	nearlyFull = 0.9
 )
 
-// cacheTracker estimates what the runners of one worker have cached, and keeps the index in step with it.
+// cacheTracker estimates what the runners of one worker have cached, and updates the index accordingly.
 type cacheTracker struct {
 	index *Index
-	// inferredRemovals counts the blocks removed by an estimate.
+	// inferredRemovals counts the blocks removed because of their age or the estimated capacity.
 	inferredRemovals *atomic.Uint64
 	caches           map[string]*runnerCache
 }
@@ -34,14 +34,14 @@
 	return &cacheTracker{index: index, inferredRemovals: inferredRemovals, caches: map[string]*runnerCache{}}
 }
 
-// store adds the blocks of a prompt that a runner was sent.
+// store adds the blocks of a prompt that was sent to a runner.
 func (tracker *cacheTracker) store(event BlockStored) {
 	cache := tracker.caches[event.Runner]
 	if cache == nil {
 		cache = newRunnerCache()
 		tracker.caches[event.Runner] = cache
 	}
-	// The last block of a prompt is the first that an engine evicts, so the first block is touched last and outlives it.
+	// An engine evicts the last block of a prompt first, so the blocks are touched from the last to the first.
 	for index := len(event.Keys) - 1; index >= 0; index-- {
 		cache.touch(event.Keys[index], event.Tokens[index], event.Now)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// removeRunner removes all that is known of a runner.
+// removeRunner removes a runner and all its blocks.
 func (tracker *cacheTracker) removeRunner(runner string) {
 	cache := tracker.caches[runner]
 	if cache == nil {
@@ -72,7 +72,7 @@
 	delete(tracker.caches, runner)
 }
 
-// expire removes the blocks of a runner that were not used for IdleTTL.
+// expire removes the blocks of a runner that have not been used for more than IdleTTL.
 func (tracker *cacheTracker) expire(runner string, now time.Time) {
 	cache := tracker.caches[runner]
 	if cache == nil {
@@ -84,14 +84,14 @@
 	}
 }
 
-// adjustCapacity corrects the estimate of a runner's capacity by what a first token showed.
+// adjustCapacity corrects the estimate of a runner's capacity after a first token that indicates a cache hit or a miss.
 func (tracker *cacheTracker) adjustCapacity(runner string, hit bool) {
 	cache := tracker.caches[runner]
 	if cache == nil {
 		return
 	}
 	if hit {
-		// Only hits near the capacity say that the estimate is too small.
+		// Only a hit near the estimated capacity shows that the estimate is too small.
 		if float64(cache.tokens) > nearlyFull*cache.capacity {
 			cache.capacity = min(maxCapacity, cache.capacity*capacityIncrease)
 		}
@@ -118,17 +118,17 @@
 	tracker.index.Evict(key, runner)
 }
 
-// runnerCache is what one runner is estimated to have cached.
+// runnerCache is the estimated content of one runner's cache.
 type runnerCache struct {
-	// blocks are the cachedBlocks, the least recently used first.
+	// blocks holds the cachedBlocks, the least recently used first; elements holds its elements by key.
 	blocks   *list.List
 	elements map[BlockKey]*list.Element
-	// tokens is the size of all blocks, capacity the estimated bound of it.
+	// tokens is the total size of the blocks, capacity the estimated maximum of it, both in tokens.
 	tokens   int
 	capacity float64
 }
 
-// cachedBlock is a block that a runner probably holds.
+// cachedBlock is a block that a runner probably has cached.
 type cachedBlock struct {
 	key      BlockKey
 	tokens   int
@@ -139,7 +139,7 @@
 	return &runnerCache{blocks: list.New(), elements: map[BlockKey]*list.Element{}, capacity: InitialCapacity}
 }
 
-// touch makes a block the most recently used, and adds it if it is new.
+// touch makes a block the most recently used one, and adds it if it is new.
 func (cache *runnerCache) touch(key BlockKey, tokens int, now time.Time) {
 	if element := cache.elements[key]; element != nil {
 		blockOf(element).lastUsed = now
--- a/balancer/kvblock/cache_tracker_test.go
+++ b/balancer/kvblock/cache_tracker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each sign of an eviction removes its blocks: a full cache, a late first token, a rejected request, age, and the end
-// of the runner.
+// Every sign of an eviction removes the blocks from the index: a full cache, a late first token, a rejected request,
+// age, and the removal of the runner. Otherwise the scheduler would expect cached prefixes where there are none.
 func TestRemovalsAreInferred(t *testing.T) {
 	indexer := newIndexer(t, 100_000, 16)
 	runners := map[string]bool{"r": true, "s": true}
@@ -30,24 +30,24 @@
 	}
 	indexer.Pool.Add(BlockRemoved{Runner: "r", Keys: prompt(59)})
 	if score(59) != 0 {
-		t.Fatal("a request that was rejected still counts")
+		t.Fatal("the blocks of a rejected request are still in the index")
 	}
 	store(started.Add(IdleTTL), 70)
 	indexer.Pool.Add(IdleBlocksExpired{Runner: "r", Now: started.Add(IdleTTL + time.Minute)})
 	if score(58) != 1 || score(70) != 2 {
-		t.Fatalf("age: an old one scores %d, a recent one %d", score(58), score(70))
+		t.Fatalf("age: an old prompt scores %d, a recent one %d", score(58), score(70))
 	}
 	indexer.Pool.Add(AllBlocksCleared{Runner: "r"})
 	if score(70) != 2 {
-		t.Fatal("AllBlocksCleared must do nothing")
+		t.Fatal("AllBlocksCleared removed blocks")
 	}
 	indexer.Pool.Add(RunnerRemoved{Runner: "r"})
 	if score(70) != 0 || indexer.Index.Len() != 0 {
-		t.Fatalf("a runner that is removed leaves %d keys", indexer.Index.Len())
+		t.Fatalf("%d keys are left after the runner was removed", indexer.Index.Len())
 	}
 }
 
-// Blocks are ordered by use, and the size is that of the blocks that are left.
+// Blocks are ordered by their last use, and the token count follows additions and removals.
 func TestRunnerCacheOrdersBlocksByUse(t *testing.T) {
 	cache := newRunnerCache()
 	cache.touch(1, 100, started)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A late first token shrinks the estimate of the capacity; an early one grows it only when the cache is nearly full.
+// A late first token lowers the capacity estimate; an early one raises it only when the cache is nearly full.
 func TestCapacityFollowsFirstTokens(t *testing.T) {
 	for name, step := range map[string]struct {
 		tokens int
@@ -83,7 +83,7 @@
 		indexer.Pool.Add(BlockStored{Runner: "r", Now: started, Keys: []BlockKey{1}, Tokens: []int{step.tokens}})
 		indexer.Pool.Add(ReuseObserved{Runner: "r", Hit: step.hit})
 		if capacity := indexer.Pool.workers[0].tracker.caches["r"].capacity; capacity != step.want {
-			t.Errorf("%s: capacity %v, not %v", name, capacity, step.want)
+			t.Errorf("%s: capacity %v, want %v", name, capacity, step.want)
 		}
 	}
 }
--- a/balancer/kvblock/events.go
+++ b/balancer/kvblock/events.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Event is something that happened, or is inferred to have happened, to a runner's cache.
+// Event is an observed or inferred change of a runner's cache.
 type Event interface {
 	// runner returns the ID of the runner, by which events are sharded and ordered.
 	runner() string
-	// apply changes what is estimated of the runner's cache.
+	// apply updates the estimated content of the runner's cache.
 	apply(tracker *cacheTracker)
 }
 
-// BlockStored says that a runner was sent these blocks in this order.
+// BlockStored says that these blocks were sent to a runner in this order at the time Now.
 type BlockStored struct {
 	Runner string
 	Now    time.Time
@@ -19,26 +19,26 @@
 	Tokens []int
 }
 
-// BlockRemoved says that a runner does not hold these blocks, as when it rejected the request that had them.
+// BlockRemoved says that a runner does not hold these blocks, for example because it rejected the request with them.
 type BlockRemoved struct {
 	Runner string
 	Keys   []BlockKey
 }
 
-// AllBlocksCleared is kept from the source, where it does nothing; here nothing sends it.
+// AllBlocksCleared has no effect, as in llm-d-kv-cache. Nothing in this program sends it.
 type AllBlocksCleared struct{ Runner string }
 
-// ReuseObserved says how late a first token came: as for a prompt whose blocks were cached (Hit), or as without them.
+// ReuseObserved says whether the time to the first token indicates that the runner had the blocks cached (Hit) or not.
 type ReuseObserved struct {
 	Runner string
 	Keys   []BlockKey
 	Hit    bool
 }
 
-// RunnerRemoved says that a runner identity no longer exists.
+// RunnerRemoved says that the runner with this ID no longer exists.
 type RunnerRemoved struct{ Runner string }
 
-// IdleBlocksExpired asks for the removal of blocks that were not used for IdleTTL.
+// IdleBlocksExpired requests the removal of the blocks that have not been used for IdleTTL at the time Now.
 type IdleBlocksExpired struct {
 	Runner string
 	Now    time.Time
--- a/balancer/kvblock/index.go
+++ b/balancer/kvblock/index.go
@@ -9,20 +9,21 @@
 // indexShards is the number of LRU caches, each with a lock of its own, that the keys are divided among.
 const indexShards = 16
 
-// holders are the runners that probably hold one block, with the time when each was last sent it.
+// holders maps the runners that probably hold one block to the time when the block was last sent to each.
 type holders = lru.Cache[string, time.Time]
 
-// blockCache leads from the keys of a shard to the holders of their blocks.
+// blockCache maps the keys of one shard to the holders of their blocks.
 type blockCache = lru.Cache[BlockKey, *holders]
 
-// Index is the two-level LRU: a key leads to the runners that probably hold its block. It is safe for concurrent use.
+// Index is a two-level LRU that maps each key to the runners that probably hold its block. It is safe for concurrent
+// use.
 type Index struct {
 	shards [indexShards]*blockCache
-	// runners is the number of runners remembered for each key.
+	// runners is the maximum number of runners for each key.
 	runners int
 }
 
-// NewIndex returns an index of so many keys and runners a key.
+// NewIndex returns an index that holds about that many keys, and at most that many runners for each key.
 func NewIndex(keys, runners int) (*Index, error) {
 	index := &Index{runners: runners}
 	for number := range index.shards {
@@ -39,7 +40,7 @@
 	return index.shards[uint64(key)%indexShards]
 }
 
-// Add records that a runner stored blocks at a time.
+// Add records that a runner stored blocks at the time now.
 func (index *Index) Add(now time.Time, keys []BlockKey, runner string) {
 	for _, key := range keys {
 		shard := index.shard(key)
@@ -47,7 +48,7 @@
 		if !found {
 			created, err := lru.New[string, time.Time](index.runners)
 			if err != nil {
-				// Only a size below 1 is an error; such an index stays empty.
+				// The only error is a size below 1; such an index stays empty.
 				return
 			}
 			current = created
@@ -59,7 +60,7 @@
 	}
 }
 
-// Evict removes a runner from a key.
+// Evict removes a runner from the holders of a key.
 func (index *Index) Evict(key BlockKey, runner string) {
 	shard := index.shard(key)
 	current, found := shard.Peek(key)
@@ -72,8 +73,8 @@
 	}
 }
 
-// Lookup returns for each key, from the first until one that no runner of the set holds, the runners of the set that
-// hold it.
+// Lookup returns the holders among the given runners for each leading key. It stops before the first key that none of
+// them holds.
 func (index *Index) Lookup(keys []BlockKey, runners map[string]bool) [][]string {
 	var holdersByBlock [][]string
 	for _, key := range keys {
@@ -95,18 +96,18 @@
 	return holdersByBlock
 }
 
-// CachedPrefixes returns what each runner of a set probably holds of the prompt with these keys. Runners that hold
-// nothing of it are missing.
+// CachedPrefixes returns the leading part of the prompt with these keys that each of the given runners probably holds.
+// Runners that hold none of it are missing.
 func (index *Index) CachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
 	return index.cachedPrefixes(keys, runners, (*blockCache).Get)
 }
 
-// PeekCachedPrefixes is CachedPrefixes for a dry run: the blocks do not count as used.
+// PeekCachedPrefixes is like CachedPrefixes but does not count as a use of the blocks, for dry runs.
 func (index *Index) PeekCachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
 	return index.cachedPrefixes(keys, runners, (*blockCache).Peek)
 }
 
-// cachedPrefixes looks each block up by a method of its shard.
+// cachedPrefixes implements CachedPrefixes with the given lookup method of a shard.
 func (index *Index) cachedPrefixes(
 	keys []BlockKey, runners map[string]bool, lookup func(*blockCache, BlockKey) (*holders, bool),
 ) map[string]CachedPrefix {
--- a/balancer/kvblock/index_test.go
+++ b/balancer/kvblock/index_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Both levels are bounded: the number of keys and the number of runners a key.
+// The number of keys and the number of runners for each key are bounded.
 func TestIndexIsBoundedOnBothLevels(t *testing.T) {
 	indexer := newIndexer(t, 64, 2)
 	for number := range 1000 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// CachedPrefixes says how many leading blocks a runner holds, and when the last of these was sent.
+// CachedPrefixes returns how many leading blocks each runner holds, and when the last of them was sent.
 func TestCachedPrefixes(t *testing.T) {
 	index := newIndexer(t, 64, 4).Index
 	keys := []BlockKey{1, 2, 3}
@@ -47,9 +47,10 @@
 	}
 }
 
-// A lookup keeps a block in a full index; a peek, which returns the same, does not.
+// A lookup in a full index keeps the block from being evicted next; a peek returns the same and does not.
 func TestPeekDoesNotCountAsUse(t *testing.T) {
-	const first, second, third = BlockKey(1), BlockKey(1 + indexShards), BlockKey(1 + 2*indexShards) // Of one shard.
+	// All keys are in the same shard.
+	const first, second, third = BlockKey(1), BlockKey(1 + indexShards), BlockKey(1 + 2*indexShards)
 	runners := map[string]bool{"r": true}
 	for name, trial := range map[string]struct {
 		lookup func(index *Index) map[string]CachedPrefix
--- a/balancer/kvblock/kvblock.go
+++ b/balancer/kvblock/kvblock.go
@@ -1,36 +1,38 @@
-// Package kvblock is the KV-cache index of one daemon, after llm-d-kv-cache: which runner probably still holds which
-// blocks of a prompt. It is a hint for the scheduler: a wrong entry costs a prefill, never a request.
+// Package kvblock implements the KV-cache index of one daemon, modelled on llm-d-kv-cache: it estimates which runners
+// still hold which blocks of a prompt. The index is a hint for the scheduler: a wrong entry costs a prefill, but never
+// fails a request.
 //
-// Kept from the source: the module names, the chained FNV-64a keys over CBOR of [parent, part, extra], the two-level
-// LRU, the ordered worker queues sharded by FNV-1a of the runner, and the count of consecutive hits as score. Changed:
-// keys run over the prompt's declared prefix parts, stored blocks are inferred from the daemon's own sends, and
-// removals from age, from an estimate of each runner's cache capacity, from first tokens that came as late as on a
-// runner without the blocks, and from requests that runners rejected. See docs/indexer.md.
+// As in llm-d-kv-cache are the module names, the chained FNV-64a keys over CBOR of [parent, part, extra], the two-level
+// LRU, the ordered worker queues sharded by FNV-1a of the runner, and the count of consecutive hits as score.
+// Differences: keys are computed over the prompt's declared prefix parts, and stored and removed blocks are inferred.
+// A block is taken as stored when this daemon sends it, and as removed because of its age, the estimated cache capacity
+// of the runner, a first token that came as late as on a runner without the blocks, or a rejected request. See
+// docs/indexer.md.
 package kvblock
 
 import "time"
 
-// Defaults of the source's in-memory index; docs/indexer.md says what was taken over.
+// Defaults of the in-memory index of llm-d-kv-cache; docs/indexer.md lists those that apply here.
 const (
 	// DefaultKeys is the number of block keys that an index holds.
 	DefaultKeys = 1_000_000
-	// DefaultRunners is the number of runners that are remembered for each key.
+	// DefaultRunners is the number of runners that an index holds for each key.
 	DefaultRunners = 16
 	// DefaultWorkers is the number of workers that apply events.
 	DefaultWorkers = 4
-	// DefaultSeed is what chains of keys begin with; daemons with different seeds have different keys.
+	// DefaultSeed is the seed of the key chains; daemons with different seeds compute different keys.
 	DefaultSeed = "wardtray"
 )
 
-// CachedPrefix is what a runner probably holds of a prompt.
+// CachedPrefix is the leading part of a prompt that a runner probably has cached.
 type CachedPrefix struct {
 	// Blocks is the number of leading blocks without a gap.
 	Blocks int
-	// LastUsed is when the last of these blocks was last sent.
+	// LastUsed is the time when the last of these blocks was last sent to the runner.
 	LastUsed time.Time
 }
 
-// Indexer composes the package: it computes scores on the read path and applies events on the write path.
+// Indexer combines the parts of the package: it computes scores on the read path and applies events on the write path.
 type Indexer struct {
 	Processor *TokenProcessor
 	Index     *Index
@@ -38,8 +40,8 @@
 	scorer    Scorer
 }
 
-// NewIndexer returns an indexer of so many keys, runners a key and workers. With no workers events are applied at once,
-// in the caller's own goroutine. The error is that of an LRU of an impossible size.
+// NewIndexer returns an indexer with room for that many keys, runners for each key, and with that many workers. With no
+// workers, events are applied synchronously in the caller's goroutine. It returns an error if an LRU size is invalid.
 func NewIndexer(seed string, keys, runners, workers int) (*Indexer, error) {
 	index, err := NewIndex(keys, runners)
 	if err != nil {
@@ -48,17 +50,17 @@
 	return &Indexer{Processor: NewTokenProcessor(seed), Index: index, Pool: NewPool(index, workers)}, nil
 }
 
-// CachedPrefixes returns what each runner of a set probably holds of the prompt with these keys.
+// CachedPrefixes returns the leading part of the prompt with these keys that each of the given runners probably holds.
 func (indexer *Indexer) CachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
 	return indexer.Index.CachedPrefixes(keys, runners)
 }
 
-// Score returns the score of each runner of a set for the prompt with these keys.
+// Score returns the score of each of the given runners for the prompt with these keys.
 func (indexer *Indexer) Score(keys []BlockKey, runners map[string]bool) map[string]int {
 	return indexer.scorer.Score(indexer.Index.Lookup(keys, runners))
 }
 
-// PeekCachedPrefixes is CachedPrefixes for a dry run: the blocks do not count as used.
+// PeekCachedPrefixes is like CachedPrefixes but does not count as a use of the blocks, for dry runs.
 func (indexer *Indexer) PeekCachedPrefixes(keys []BlockKey, runners map[string]bool) map[string]CachedPrefix {
 	return indexer.Index.PeekCachedPrefixes(keys, runners)
 }
--- a/balancer/kvblock/kvblock_test.go
+++ b/balancer/kvblock/kvblock_test.go
@@ -8,7 +8,7 @@
 
 var started = time.Unix(1_700_000_000, 0)
 
-// newIndexer returns an indexer whose events apply at once.
+// newIndexer returns an indexer that applies events synchronously.
 func newIndexer(t *testing.T, keys, runners int) *Indexer {
 	t.Helper()
 	indexer, err := NewIndexer(DefaultSeed, keys, runners, 0)
@@ -18,11 +18,11 @@
 	return indexer
 }
 
-// benchmarkParts are the parts of the prompt that benchmarks look up.
+// benchmarkParts are the parts of the prompt that the benchmarks look up.
 var benchmarkParts = []string{"system", "b", "c", "d", "e", "f"}
 
-// benchmarkIndexer returns an indexer in which 18 runners hold one to six leading blocks of a prompt without a model,
-// and the set of these runners.
+// benchmarkIndexer returns an indexer in which 18 runners hold one to six leading blocks of benchmarkParts with an
+// empty Extra, and the set of these runners.
 func benchmarkIndexer(b *testing.B) (indexer *Indexer, runners map[string]bool) {
 	b.Helper()
 	indexer, err := NewIndexer(DefaultSeed, DefaultKeys, DefaultRunners, 0)
@@ -39,7 +39,7 @@
 	return indexer, runners
 }
 
-// BenchmarkScore includes the keys of a prompt that no runner holds.
+// BenchmarkScore computes the keys and the scores of a prompt that no runner holds.
 func BenchmarkScore(b *testing.B) {
 	indexer, runners := benchmarkIndexer(b)
 	b.ReportAllocs()
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkCachedPrefixes looks up a prompt that runners hold in part, as the scheduler does.
+// BenchmarkCachedPrefixes looks up a prompt that the runners hold partly, as the scheduler does.
 func BenchmarkCachedPrefixes(b *testing.B) {
 	indexer, runners := benchmarkIndexer(b)
 	keys := indexer.Processor.BlockKeys(benchmarkParts, Extra{})
--- a/balancer/kvblock/pool.go
+++ b/balancer/kvblock/pool.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// queueLength is the number of events that wait at one worker before further ones are dropped.
+// queueLength is the capacity of each worker's event queue; further events are dropped.
 const queueLength = 4096
 
 // Pool applies events to the index: those of one runner in the order in which they were added, those of different
@@ -14,20 +14,20 @@
 type Pool struct {
 	workers []*worker
 	running sync.WaitGroup
-	// Dropped counts the events that found their worker's queue full, Applied those that were applied, and Inferred the
-	// blocks that were removed by an estimate.
+	// Dropped counts the events dropped because their worker's queue was full, Applied the events that were applied, and
+	// Inferred the blocks removed because of their age or the estimated capacity.
 	Dropped, Applied, Inferred atomic.Uint64
 }
 
 // worker applies the events of its share of the runners.
 type worker struct {
-	// events is nil if events are applied in the caller's goroutine.
+	// events is the queue; nil if events are applied in the caller's goroutine.
 	events  chan Event
 	mutex   sync.Mutex
 	tracker *cacheTracker
 }
 
-// NewPool returns a pool; without workers Add applies an event at once.
+// NewPool returns a pool with that many workers. With 0 workers, Add applies events synchronously.
 func NewPool(index *Index, workers int) *Pool {
 	pool := &Pool{}
 	for range max(1, workers) {
@@ -47,7 +47,7 @@
 	return pool
 }
 
-// Close ends the workers once they have applied what was added. Add must not be called after it.
+// Close stops the workers after they have applied all queued events. Add must not be called after Close.
 func (pool *Pool) Close() {
 	for _, worker := range pool.workers {
 		if worker.events != nil {
@@ -57,7 +57,8 @@
 	pool.running.Wait()
 }
 
-// Add queues an event at its runner's worker. A full queue drops it, since the index is a hint.
+// Add queues an event for its runner's worker, or drops it if the queue is full: the index is only a hint, so callers
+// need not wait.
 func (pool *Pool) Add(event Event) {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(event.runner())) // Writing to a hash can't fail.
--- a/balancer/kvblock/pool_test.go
+++ b/balancer/kvblock/pool_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Each runner's events apply in the order they were added, with workers side by side.
+// The events of each runner are applied in the order in which they were added, although several workers run
+// concurrently.
 func TestEventsOfOneRunnerKeepTheirOrder(t *testing.T) {
 	indexer, err := NewIndexer(DefaultSeed, 10_000, 16, 4)
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 	for runner, score := range indexer.Score(keys, runners) {
 		if score != 2 {
-			t.Errorf("%s ends with %d", runner, score)
+			t.Errorf("%s ends with score %d, want 2", runner, score)
 		}
 	}
 	if len(indexer.Score(keys, runners)) != 12 {
--- a/balancer/kvblock/scorer.go
+++ b/balancer/kvblock/scorer.go
@@ -1,10 +1,10 @@
 package kvblock
 
-// Scorer counts consecutive hits from the first block.
+// Scorer scores a runner by its number of consecutive cached blocks from the first.
 type Scorer struct{}
 
-// Score returns for each runner the number of leading blocks that it holds without a gap, from the holders of each
-// block in order.
+// Score returns the number of leading blocks that each runner holds without a gap. holdersByBlock lists the holders of
+// each block in order.
 func (Scorer) Score(holdersByBlock [][]string) map[string]int {
 	scores := map[string]int{}
 	for index, holders := range holdersByBlock {
--- a/balancer/kvblock/scorer_test.go
+++ b/balancer/kvblock/scorer_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// The score is the number of leading blocks held without a gap, whatever was stored in whatever order.
+// The score is the number of leading blocks held without a gap, for any combination of stored blocks.
 func TestScoreCountsLeadingBlocks(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
 	properties.Property("score", prop.ForAll(func(seed int64) bool {
--- a/balancer/kvblock/token_processor.go
+++ b/balancer/kvblock/token_processor.go
@@ -9,37 +9,39 @@
 // BlockKey is the chained hash of a block and all blocks before it.
 type BlockKey uint64
 
-// Extra distinguishes equal parts that are not the same to an engine. It is part of every key.
+// Extra distinguishes prompt parts with the same text for which an engine computes different KV blocks. It is part of
+// every key.
 type Extra struct {
 	Model   string `cbor:"model"`
 	Weights string `cbor:"weights"`
 	Adapter string `cbor:"adapter"`
 }
 
-// TokenProcessor turns prompt parts into keys. The source's processor first turns text into tokens; a daemon sees no
-// tokens, so that the client's prompt parts take the place of the source's chunks.
+// TokenProcessor computes the keys of prompt parts. The processor of llm-d-kv-cache first tokenizes the text and splits
+// it into chunks; a daemon has no tokens, so the client's prompt parts take the place of the chunks.
 type TokenProcessor struct {
 	root uint64
 	mode cbor.EncMode
 }
 
-// NewTokenProcessor returns a processor whose chains of keys begin with a seed.
+// NewTokenProcessor returns a processor whose key chains start from the hash of a seed.
 func NewTokenProcessor(seed string) *TokenProcessor {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // The options are the library's own constants.
+		panic(err) // Can't happen: the options are the library's own constants.
 	}
 	return &TokenProcessor{root: fnv64a([]byte(seed)), mode: mode}
 }
 
-// BlockKeys returns the chained keys of a prompt's parts, in order.
+// BlockKeys returns the chained keys of a prompt's parts in order. If a part can't be encoded, it returns the keys of
+// the parts before it.
 func (processor *TokenProcessor) BlockKeys(parts []string, extra Extra) []BlockKey {
 	keys := make([]BlockKey, 0, len(parts))
 	parent := processor.root
 	for _, part := range parts {
 		content, err := processor.mode.Marshal([]any{parent, part, extra})
 		if err != nil {
-			// The index is a hint: the keys up to here are valid.
+			// The index is only a hint, and the keys up to here are valid.
 			return keys
 		}
 		parent = fnv64a(content)
--- a/balancer/kvblock/token_processor_test.go
+++ b/balancer/kvblock/token_processor_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The published test vectors of FNV-1a with 64 bits, which Go's fnv.New64a computes; the source calls it FNV-64a.
+// The hash matches the published test vectors of 64-bit FNV-1a, which llm-d-kv-cache calls FNV-64a.
 func TestPublishedVectorsOfTheHash(t *testing.T) {
 	for text, want := range map[string]uint64{
 		"":       0xcbf29ce484222325,
@@ -15,15 +15,15 @@
 		"foobar": 0x85944171f73967e8,
 	} {
 		if got := fnv64a([]byte(text)); got != want {
-			t.Errorf("%q: %x", text, got)
+			t.Errorf("%q: %x, want %x", text, got, want)
 		}
 	}
 }
 
 const fixedKeys = "3dbdfa2eef99b695 4878291ec4f94206"
 
-// Fixed vectors: these bytes are hashed, and these keys come out. They must never change by accident,
-// or daemons of two versions would not agree on what a key means.
+// The encoded bytes and the keys are fixed. If they changed, daemons of two versions would compute different keys for
+// the same prompt. Also, keys of prompts that differ in any input are different.
 func TestFixedKeys(t *testing.T) {
 	processor := NewTokenProcessor(DefaultSeed)
 	extra := Extra{Model: "m", Weights: "w", Adapter: "a"}
@@ -31,15 +31,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// An array of three: 5, "part", and a map whose names stand in bytewise order.
+	// The CBOR array [5, "part", extra], where extra is a map with its keys in bytewise order.
 	const want = "83056470617274a3656d6f64656c616d6761646170746572616167776569676874736177"
 	if got := hex.EncodeToString(content); got != want {
-		t.Fatalf("CBOR %s", got)
+		t.Fatalf("CBOR %s, want %s", got, want)
 	}
 	parts := []string{"system", "rheolau"}
 	keys := processor.BlockKeys(parts, extra)
 	if got := fmt.Sprintf("%x %x", uint64(keys[0]), uint64(keys[1])); got != fixedKeys {
-		t.Fatalf("keys %s", got)
+		t.Fatalf("keys %s, want %s", got, fixedKeys)
 	}
 	different := map[BlockKey]string{}
 	for name, other := range map[string][]BlockKey{
