--- a/balancer/retrybudget/retrybudget.go
+++ b/balancer/retrybudget/retrybudget.go
@@ -1,40 +1,40 @@
-// Package retrybudget bounds how many requests to a backend are retried, over all daemons together. Each daemon keeps
-// its own share of the bound, without messages, so that the sum over all daemons keeps the whole bound.
+// Package retrybudget limits the retries to a backend over all daemons together. Each daemon enforces its own share
+// without exchanging messages, and the shares add up to at most the limit.
 package retrybudget
 
 import "time"
 
-// Settings are the bound over all daemons: within any window, the retries are at most Ratio times the requests, plus
+// Settings define the limit over all daemons: within any window, the retries are at most Ratio times the requests, plus
 // Slack.
 type Settings struct {
 	// Window is the length of the sliding window.
 	Window time.Duration
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// Slack is the number of retries per window that all daemons together may send whatever the requests are.
+	// Slack is the number of retries per window that all daemons together may send regardless of the number of requests.
 	Slack float64
 }
 
-// DefaultSettings applies where nothing else is set.
+// DefaultSettings replaces the zero value of Settings.
 var DefaultSettings = Settings{Window: 10 * time.Second, Ratio: 0.15}
 
-// grantedSlackRatio is the part of the slack that is granted at all; the rest is a margin for daemons that count each
-// other differently.
+// grantedSlackRatio is the fraction of the slack that is granted; the rest is a margin for daemons that see different
+// numbers of daemons.
 const grantedSlackRatio = 0.8
 
 // Budget is one daemon's retry budget for one backend. It is not safe for concurrent use.
 type Budget struct {
 	settings Settings
-	// daemons returns how many daemons share the slack, as this one sees them now.
+	// daemons returns the number of daemons that share the slack, as this one sees them now.
 	daemons func() int
-	// firstUse is when the budget was first used; zero before that.
+	// firstUse is the time when the budget was first used; zero before that.
 	firstUse time.Time
 	counts   slidingWindow
 	peak     daemonPeak
 }
 
-// New returns a budget; the zero value of settings stands for Default. daemons returns how many daemons share the
-// slack; nil stands for one.
+// New returns a budget; the zero value of settings stands for DefaultSettings. daemons returns the number of daemons
+// that share the slack; nil stands for one.
 func New(settings Settings, daemons func() int) *Budget {
 	if settings == (Settings{}) {
 		settings = DefaultSettings
@@ -50,15 +50,15 @@
 	}
 }
 
-// RecordRequest counts a request that is sent for the first time.
+// RecordRequest counts the first attempt of a request.
 func (budget *Budget) RecordRequest(now time.Time) {
 	elapsed := budget.elapsed(now)
 	budget.counts.cell(elapsed).requests++
 	budget.peak.observe(elapsed, budget.daemons())
 }
 
-// AllowRetry takes one retry out of the budget and reports whether there was one. A retry that the runner rejects
-// was sent all the same and is not returned.
+// AllowRetry takes one retry out of the budget and reports whether one was available. A retry that the runner rejects
+// is not returned to the budget, since it was sent.
 func (budget *Budget) AllowRetry(now time.Time) bool {
 	elapsed := budget.elapsed(now)
 	current := budget.counts.cell(elapsed)
@@ -67,8 +67,8 @@
 	if float64(retries+1) > budget.settings.Ratio*float64(requests)+slack {
 		return false
 	}
-	// When requests cease, as when a whole backend rejects them, the credit of the previous window would be spent in a
-	// window that has hardly any requests. Most of the credit must be recent.
+	// When requests stop, for example because all runners of a backend reject them, the credit earned before would be
+	// spent in a window with hardly any requests. So the most recent cells must give enough credit on their own.
 	requests, retries = budget.counts.totals(elapsed, recentCells)
 	if float64(retries+1) > max(1, budget.settings.Ratio*float64(requests))+slack {
 		return false
@@ -77,8 +77,8 @@
 	return true
 }
 
-// elapsed returns the time since the first use of the budget. It is measured by the monotonic clock: the time of day
-// jumps by seconds, and a window would count twice or not at all.
+// elapsed returns the time since the first use of the budget. It uses the monotonic clock: the wall clock can jump by
+// seconds, and a window would then count twice or not at all.
 func (budget *Budget) elapsed(now time.Time) time.Duration {
 	if budget.firstUse.IsZero() {
 		budget.firstUse = now
@@ -92,10 +92,10 @@
 		return 0
 	}
 	elapsed := budget.elapsed(now)
-	sharers := budget.peak.observe(elapsed, budget.daemons())
+	daemons := budget.peak.observe(elapsed, budget.daemons())
 	// A previous incarnation of this process may have spent its share within the window.
 	if elapsed <= budget.settings.Window {
 		return 0
 	}
-	return grantedSlackRatio * budget.settings.Slack / float64(sharers)
+	return grantedSlackRatio * budget.settings.Slack / float64(daemons)
 }
--- a/balancer/retrybudget/retrybudget_test.go
+++ b/balancer/retrybudget/retrybudget_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// countInWindow counts the times that lie in the window which ends now.
+// countInWindow counts the times that lie in the window that ends at now.
 func countInWindow(now time.Time, times []time.Time) (count int) {
 	for _, at := range times {
 		if now.Sub(at) <= DefaultSettings.Window {
@@ -20,8 +20,8 @@
 	return count
 }
 
-// Whatever the order of requests and retries, at every retry the last ten seconds keep the bound, and a budget without
-// requests allows nothing.
+// In any random sequence of requests and retries, the window that ends at each allowed retry stays within the limit.
+// A budget without requests allows no retry.
 func TestEveryWindowKeepsTheBound(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	properties := gopter.NewProperties(parameters)
@@ -51,6 +51,6 @@
 	}, gen.Int64()))
 	properties.TestingRun(t)
 	if New(DefaultSettings, nil).AllowRetry(time.Unix(1_700_000_000, 0)) {
-		t.Fatal("credit at the start")
+		t.Fatal("a budget without requests allows a retry")
 	}
 }
--- a/balancer/retrybudget/window_test.go
+++ b/balancer/retrybudget/window_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The cell that is leaving the window still counts for retries, and no longer for requests.
+// The oldest cell, which overlaps the window only partly, still counts for retries and no longer for requests.
 func TestSlidingWindowTotals(t *testing.T) {
 	window := slidingWindow{cellLength: time.Second}
 	first := window.cell(0)
@@ -21,15 +21,16 @@
 	} {
 		requests, retries := window.totals(step.elapsed, windowCells)
 		if requests != step.requests || retries != step.retries {
-			t.Errorf("after %v: %d requests, %d retries", step.elapsed, requests, retries)
+			t.Errorf("after %v: %d requests, %d retries; want %d, %d",
+				step.elapsed, requests, retries, step.requests, step.retries)
 		}
 	}
 	if reused := window.cell((windowCells + 1) * time.Second); reused.requests != 0 || reused.retries != 0 {
-		t.Errorf("a cell is reused with %+v", reused)
+		t.Errorf("a reused cell still has counts: %+v", reused)
 	}
 }
 
-// The greatest number of daemons is remembered for rememberedWindows windows.
+// The maximum number of daemons is retained for retainedWindows windows.
 func TestDaemonPeakIsRemembered(t *testing.T) {
 	peak := daemonPeak{window: time.Second}
 	for _, step := range []struct {
@@ -39,11 +40,11 @@
 		{0, 0, 1},
 		{0, 9, 9},
 		{500 * time.Millisecond, 2, 9},
-		{rememberedWindows * time.Second, 1, 9},
-		{(rememberedWindows + 1) * time.Second, 1, 1},
+		{retainedWindows * time.Second, 1, 9},
+		{(retainedWindows + 1) * time.Second, 1, 1},
 	} {
-		if most := peak.observe(step.elapsed, step.daemons); most != step.want {
-			t.Errorf("%d daemons after %v: %d", step.daemons, step.elapsed, most)
+		if maximum := peak.observe(step.elapsed, step.daemons); maximum != step.want {
+			t.Errorf("%d daemons seen after %v: maximum %d, want %d", step.daemons, step.elapsed, maximum, step.want)
 		}
 	}
 }
