--- a/balancer/scheduler/backlog_test.go
+++ b/balancer/scheduler/backlog_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The prompts that we sent are read one after the other; a late first event delays those behind it, and one that ended
-// takes its reading time with it.
+// A runner prefills pending prompts one after the other. A late first event delays the prediction for the prompts
+// behind it, and a request that ends without one no longer counts.
 func TestBacklogPredictsWhenARunnerIsFree(t *testing.T) {
 	backlog := runnerBacklog{slowdown: 1}
 	first, second, third := &QueuedRequest{}, &QueuedRequest{}, &QueuedRequest{}
@@ -17,7 +17,7 @@
 	check := func(name string, now time.Time, want float64) {
 		t.Helper()
 		if wait := backlog.wait(now); math.Abs(wait-want) > 1e-6 {
-			t.Errorf("%s: %v s, not %v", name, wait, want)
+			t.Errorf("%s: predicted wait %v s, want %v s", name, wait, want)
 		}
 	}
 	check("three prompts", started, 7)
@@ -25,29 +25,29 @@
 	check("a first event one second late", started.Add(2*time.Second), 5+latenessCorrection)
 	backlog.remove(second)
 	backlog.remove(second)
-	check("a prompt that ended", started.Add(2*time.Second), 3+latenessCorrection)
+	check("after the second request ended", started.Add(2*time.Second), 3+latenessCorrection)
 	check("long overdue", started.Add(time.Minute), 2)
 	backlog.remove(third)
-	check("no prompt", started, 0)
+	check("no pending prompt", started, 0)
 }
 
-// Late first events raise a runner's slowdown within its bound, and it fades.
+// Late first events raise a runner's slowdown up to its bound, early ones lower it, and it decays over time.
 func TestBacklogSlowdownFades(t *testing.T) {
 	backlog := runnerBacklog{slowdown: 1}
 	for range 100 {
 		backlog.firstEvent(started, &QueuedRequest{}, 10, 1)
 	}
 	if slowdown := backlog.slowdownAt(started); slowdown != maxSlowdown {
-		t.Fatalf("slowdown %v", slowdown)
+		t.Fatalf("slowdown %v after late events, want %v", slowdown, maxSlowdown)
 	}
 	want := 1 + (maxSlowdown-1)/math.E
 	if slowdown := backlog.slowdownAt(started.Add(slowdownDecay)); math.Abs(slowdown-want) > 1e-9 {
-		t.Fatalf("slowdown %v after %v", slowdown, slowdownDecay)
+		t.Fatalf("slowdown %v after %v, want %v", slowdown, slowdownDecay, want)
 	}
 	for range 100 {
 		backlog.firstEvent(started, &QueuedRequest{}, 0, 1)
 	}
 	if slowdown := backlog.slowdownAt(started); slowdown != minSlowdown {
-		t.Fatalf("slowdown %v after early events", slowdown)
+		t.Fatalf("slowdown %v after early events, want %v", slowdown, minSlowdown)
 	}
 }
--- a/balancer/scheduler/context.go
+++ b/balancer/scheduler/context.go
@@ -8,52 +8,52 @@
 	"wardtray/features"
 )
 
-// Snapshot is what a scheduler decides about: the runners that the newest configuration allows the backend, how many
-// daemons share them, and what operators configured for the backend.
+// Snapshot is the input of a scheduling cycle from outside the scheduler: the runners that the newest configuration
+// assigns to the backend, the number of daemons that share them, and the backend's configuration.
 type Snapshot struct {
 	Runners []load.Runner
 	Daemons int
 	Backend config.Backend
 }
 
-// SnapshotFunc returns the snapshot of a moment.
+// SnapshotFunc returns the snapshot at the time now.
 type SnapshotFunc func(now time.Time) Snapshot
 
-// SchedulingContext is what decisions of one scheduling cycle are made from.
+// SchedulingContext is the state that the decisions of one scheduling cycle are based on.
 type SchedulingContext struct {
 	Now         time.Time
 	Candidates  []Candidate
 	CostWeights CostWeights
-	// Ahead is how many requests of higher priority are queued already.
+	// Ahead is the number of queued requests with a higher priority than the one being decided.
 	Ahead int
-	// Slots is this daemon's share of all slots, Capacity the same with the runners' short queues counted in.
+	// Slots is this daemon's share of all slots, Capacity its share of the slots and the runners' short queues.
 	Slots, Capacity float64
-	// HasCapacity says that some usable runner is not saturated, and that this daemon may have more requests in flight.
+	// HasCapacity reports whether some usable runner is not saturated and this daemon may have more requests in flight.
 	HasCapacity bool
-	// WaitCorrection multiplies the predicted wait of a new request, where waits of its route were in vain lately; 0
-	// stands for 1.
+	// WaitCorrection multiplies the predicted queueing time of a new request. It exceeds 1 after queued requests of the
+	// same route were rejected recently; 0 stands for 1.
 	WaitCorrection float64
-	// FreeRatio is the free part of all slots.
+	// FreeRatio is the fraction of all slots that is free.
 	FreeRatio float64
-	// Short and Long are forecasts for the runners where short prompts go first and where long ones do.
+	// Short and Long are the forecasts for the runners preferred for short prompts and for long prompts.
 	Short, Long PromptForecast
-	// LongRunners names the runners to which long prompts go first.
+	// LongRunners is the set of the IDs of the runners preferred for long prompts.
 	LongRunners map[string]bool
-	// ShortRate is how many short prompts a second are sent to each of the other runners.
+	// ShortRate is the rate, in prompts per second, at which short prompts are sent to each of the other runners.
 	ShortRate float64
-	// CacheLifetime is how long a runner keeps a part that nobody uses; 0: not known.
+	// CacheLifetime is the time for which a runner keeps an unused prompt part in its cache; 0 if unknown.
 	CacheLifetime time.Duration
-	// Daemons is how many share the runners, at least 1.
+	// Daemons is the number of daemons that share the runners, at least 1.
 	Daemons int
-	// IgnorePrediction keeps requests queued as long as they may wait, whatever is predicted.
+	// IgnorePrediction keeps requests queued for as long as they may wait, regardless of the predicted queueing time.
 	IgnorePrediction bool
 }
 
-// PromptForecast is a forecast for runners that prompts of one class are sent to.
+// PromptForecast is the forecast for a runner that receives prompts of one class.
 type PromptForecast struct {
-	// Wait is how long a runner usually reads other daemons' prompts first, in seconds.
+	// Wait is the average time, in seconds, for which other daemons' prompts delay a new one.
 	Wait float64
-	// Prefill is how long it reads one waiting prompt, in seconds.
+	// Prefill is the average prefill time of one such prompt, in seconds.
 	Prefill float64
 }
 
@@ -70,7 +70,7 @@
 	slots, used, capacity := 0.0, 0.0, 0.0
 	for _, runner := range readmitEjected(snapshot.Runners) {
 		if limit := snapshot.Backend.ConnectionLimit; limit > 0 {
-			// A runner resets connections beyond its limit, which all daemons share.
+			// A runner resets connections beyond its limit, and all daemons share that limit.
 			runner.Limit = min(runner.Limit, max(1, limit/daemons))
 		}
 		cycle.Candidates = append(cycle.Candidates, Candidate{Runner: runner})
@@ -90,10 +90,10 @@
 	return cycle
 }
 
-// addForecast adds what is forecast of the traffic.
+// addForecast adds the traffic forecast to the context.
 func (scheduler *Scheduler) addForecast(cycle *SchedulingContext, snapshot *Snapshot) {
-	// A runner that is only ejected for a while keeps its side. If another took its place, the prefixes at home there
-	// would move as well.
+	// An ejected runner stays reserved for the same class of prompts. If another one replaced it for that time, the
+	// prefixes cached there would move as well.
 	var remaining []load.Runner
 	for index := range cycle.Candidates {
 		if cycle.Candidates[index].Reason != load.ReasonDraining {
@@ -101,7 +101,7 @@
 		}
 	}
 	forecast := scheduler.forecast
-	forecast.forgetRemoved(snapshot.Runners)
+	forecast.pruneBacklogs(snapshot.Runners)
 	if !scheduler.Without[features.LongRunners] {
 		cycle.LongRunners = longRunners(remaining, scheduler.longPrompts.reserve(forecast.longRatio()))
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-// hasUnsaturatedRunner reports whether some usable runner may have another request.
+// hasUnsaturatedRunner reports whether some usable runner can take another request.
 func (cycle *SchedulingContext) hasUnsaturatedRunner() bool {
 	for index := range cycle.Candidates {
 		if runner := &cycle.Candidates[index].Runner; runner.Usable && !saturated(runner) {
@@ -130,7 +130,7 @@
 	return false
 }
 
-// countDispatched adds a request that was dispatched in this cycle to its runner.
+// countDispatched adds a request that was dispatched in this cycle to the load of its runner.
 func (cycle *SchedulingContext) countDispatched(runner string) {
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
@@ -143,8 +143,8 @@
 	cycle.HasCapacity = cycle.hasUnsaturatedRunner()
 }
 
-// seconds converts a number of seconds; more than an hour is cut off.
+// seconds converts a number of seconds to a duration of at most an hour.
 func seconds(value float64) time.Duration {
-	const most = 3600
-	return time.Duration(min(value, most) * float64(time.Second))
+	const maxSeconds = 3600
+	return time.Duration(min(value, maxSeconds) * float64(time.Second))
 }
--- a/balancer/scheduler/context_test.go
+++ b/balancer/scheduler/context_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The connections that a runner accepts are divided among the daemons.
+// The connection limit of a runner is divided among the daemons. Otherwise all daemons together would exceed it, and
+// the runner would reset connections.
 func TestConnectionLimitIsSharedByDaemons(t *testing.T) {
 	fixture := newFixture(t, 1)
 	snapshot := fixture.Scheduler.snapshot
@@ -17,7 +18,7 @@
 	for index := range 4 {
 		_, answered := fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
 		if answered != (index < 3) {
-			t.Fatalf("request %d: decided at once %v", index, answered)
+			t.Fatalf("request %d: decided at once: %v, want %v", index, answered, index < 3)
 		}
 	}
 }
--- a/balancer/scheduler/decide.go
+++ b/balancer/scheduler/decide.go
@@ -9,8 +9,9 @@
 	"wardtray/balancer/load"
 )
 
-// freeRatioForAll is the free part of a backend's slots from which on a route may exceed its concurrency limit.
-const freeRatioForAll = 0.25
+// overLimitFreeRatio is the fraction of a backend's slots that must be free for a route to exceed its concurrency
+// limit.
+const overLimitFreeRatio = 0.25
 
 // Decide returns the decision for a request whose candidates have been scored.
 func Decide(
@@ -19,8 +20,8 @@
 	if len(scored) == 0 {
 		return decideWithoutRunner(&requirements, &cycle)
 	}
-	// Beyond its concurrency limit a route takes only what nobody else would miss.
-	admitted := requirements.WithinLimit || cycle.FreeRatio >= freeRatioForAll
+	// Beyond its concurrency limit a route may use only slots that other routes do not need.
+	admitted := requirements.WithinLimit || cycle.FreeRatio >= overLimitFreeRatio
 	best := -1
 	if cycle.HasCapacity {
 		best = pick(requirements, scored, random)
@@ -39,9 +40,9 @@
 	return enqueueOrReject(&requirements, &cycle, scored, limited)
 }
 
-// decideWithoutRunner is the decision for a request that no runner is eligible for.
+// decideWithoutRunner returns the decision for a request for which no runner is eligible.
 func decideWithoutRunner(requirements *Requirements, cycle *SchedulingContext) Decision {
-	// A runner that is only ejected or in slow start may become usable in time; without any there is nothing to wait for.
+	// A runner that is ejected or in slow start may become usable in time. Without such a runner, queueing is pointless.
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
 		mayBecomeUsable := candidate.Reason != load.ReasonDraining && !requirements.ExcludedRunners[candidate.ID]
@@ -49,7 +50,8 @@
 			return Decision{Kind: Enqueue, Reason: "every fit runner is paused or warming"}
 		}
 	}
-	// The end of an ejection says when to retry; where no runner is ejected, only the queue's own pace is known.
+	// The client should retry when the first ejection ends; without ejections, the best estimate is the time for which a
+	// request occupies a slot.
 	retry := seconds(cycle.CostWeights.SlotSeconds)
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
@@ -65,8 +67,8 @@
 	}
 }
 
-// enqueueOrReject queues a request if its turn should come in time, and rejects it at once otherwise. limited says that
-// only the concurrency limit of its route keeps it waiting.
+// enqueueOrReject queues a request if it is predicted to be served in time, and rejects it at once otherwise. limited
+// says that only the concurrency limit of its route prevents a dispatch.
 func enqueueOrReject(
 	requirements *Requirements, cycle *SchedulingContext, scored []ScoredCandidate, limited bool,
 ) Decision {
@@ -74,8 +76,8 @@
 	for index := range scored {
 		shortestPrefill = min(shortestPrefill, scored[index].Candidate.Prefill)
 	}
-	turn := max(1, cycle.WaitCorrection) * float64(cycle.Ahead+1) * cycle.CostWeights.SlotSeconds / max(1, cycle.Slots)
-	predicted := seconds(turn + shortestPrefill)
+	wait := max(1, cycle.WaitCorrection) * float64(cycle.Ahead+1) * cycle.CostWeights.SlotSeconds / max(1, cycle.Slots)
+	predicted := seconds(wait + shortestPrefill)
 	maxWait := requirements.maxWait()
 	inTime := requirements.Waited+predicted <= maxWait
 	if inTime || cycle.IgnorePrediction && requirements.Waited < maxWait {
--- a/balancer/scheduler/decision.go
+++ b/balancer/scheduler/decision.go
@@ -7,61 +7,61 @@
 	"wardtray/balancer/load"
 )
 
-// DecisionKind is what is to be done with a request.
+// DecisionKind is the action to take for a request.
 type DecisionKind string
 
 // The kinds of decisions.
 const (
 	// Dispatch sends the request to a runner.
 	Dispatch DecisionKind = "pass"
-	// Enqueue keeps the request in the queue; its owner is not notified of it.
+	// Enqueue keeps the request in the queue; this decision is not sent to its owner.
 	Enqueue DecisionKind = "wait"
-	// Reject responds with an error.
+	// Reject responds to the client with an error.
 	Reject DecisionKind = "refuse"
 )
 
-// Decision is what to do next with a request.
+// Decision is the result of scheduling a request.
 type Decision struct {
 	Kind   DecisionKind `json:"Kind"`
 	Runner load.Runner  `json:"Runner"`
-	// CachedTokens are the tokens that the runner probably has cached.
+	// CachedTokens is the number of prompt tokens that the runner probably has cached.
 	CachedTokens int `json:"HeldTokens"`
-	// Predicted is the predicted time until the first event, or until a queued request's turn.
+	// Predicted is the predicted time until the first event, both for a dispatched and for a queued or rejected request.
 	Predicted time.Duration `json:"Predicted"`
-	// ErrorCode is the code of a rejection.
+	// ErrorCode is the error code of a rejection.
 	ErrorCode apierror.Code `json:"Fault"`
-	// RetryAfter is when another try may succeed after a rejection.
+	// RetryAfter is the time after which the client should retry a rejected request.
 	RetryAfter time.Duration `json:"RetryAfter"`
 	// Reason says why a request is queued or rejected.
 	Reason string `json:"Reason"`
-	// Urgency is sent to the runner, from 0, the most urgent, to 9; the default stands for sending none.
+	// Urgency is sent to the runner, from 0, the most urgent, to 9. DefaultUrgency is not sent.
 	Urgency int `json:"Urgency"`
 }
 
 // The urgencies sent to runners.
 const (
-	// AheadUrgency is that of a prompt that is read in a small part of its latency target.
-	AheadUrgency = 3
-	// DefaultUrgency is the urgency of a request whose runner is sent none.
+	// HighUrgency is for a prompt whose prefill takes a small part of its latency target.
+	HighUrgency = 3
+	// DefaultUrgency is the urgency that a runner assumes if none is sent.
 	DefaultUrgency = 5
-	// BehindUrgency is that of a prompt whose reading alone outlasts its latency target.
-	BehindUrgency = 8
+	// LowUrgency is for a prompt whose prefill alone exceeds its latency target.
+	LowUrgency = 8
 )
 
-// aheadRatio is the part of its latency target within which a prompt that goes ahead is read.
-const aheadRatio = 0.25
+// highUrgencyRatio is the fraction of its latency target below which a prompt's prefill time makes it highly urgent.
+const highUrgencyRatio = 0.25
 
-// urgency lets short prompts go ahead of long ones that wait at a runner, and all prompts that can be in time ahead of
-// those that can't.
+// urgency returns the urgency of a request on a candidate. A runner then processes short prompts before long ones, and
+// prompts that can meet their latency target before those that can't.
 func urgency(requirements *Requirements, candidate *Candidate) int {
 	target := requirements.LatencyTarget.Seconds()
 	switch {
 	case requirements.LatencyTarget <= 0:
 		return DefaultUrgency
 	case candidate.Prefill > target:
-		return BehindUrgency
-	case candidate.Prefill < aheadRatio*target:
-		return AheadUrgency
+		return LowUrgency
+	case candidate.Prefill < highUrgencyRatio*target:
+		return HighUrgency
 	default:
 		return DefaultUrgency
 	}
--- a/balancer/scheduler/decision_test.go
+++ b/balancer/scheduler/decision_test.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// The urgency lets others go ahead of a prompt that can't be in time, and one that is read quickly go ahead of others.
+// A prompt whose prefill alone exceeds its latency target gets a low urgency, and one with a short prefill a high one.
+// Without this, a late prompt would delay others at the runner that can still be in time.
 func TestShortPromptsGoAheadOfLongOnes(t *testing.T) {
 	fixture := newFixture(t, 3)
 	late := fixture.request("l", 1, 1, 100*time.Millisecond)
-	soon := fixture.request("l", 1, 1, 100*time.Millisecond)
-	late.Requirements.PromptTokens, soon.Requirements.PromptTokens = 100_000, 100
-	if decision, _ := fixture.schedule(late); decision.Urgency != BehindUrgency {
-		t.Fatalf("a late one: %+v", decision)
+	short := fixture.request("l", 1, 1, 100*time.Millisecond)
+	late.Requirements.PromptTokens, short.Requirements.PromptTokens = 100_000, 100
+	if decision, _ := fixture.schedule(late); decision.Urgency != LowUrgency {
+		t.Fatalf("a prompt that can't be in time: %+v", decision)
 	}
-	if decision, _ := fixture.schedule(soon); decision.Urgency != AheadUrgency {
-		t.Fatalf("one in time: %+v", decision)
+	if decision, _ := fixture.schedule(short); decision.Urgency != HighUrgency {
+		t.Fatalf("a short prompt: %+v", decision)
 	}
 }
--- a/balancer/scheduler/feedback.go
+++ b/balancer/scheduler/feedback.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// minReuseTokens is how many tokens must be taken to be cached for a first event to say anything of the cache.
+	// minReuseTokens is the number of tokens that must be assumed to be cached for the time to the first event to show
+	// whether they were.
 	minReuseTokens = 500
-	// slotTimeSmoothing is how far one request moves the learned time that a slot is occupied; minSlotTime and maxSlotTime
-	// bound what one may count, in seconds.
+	// slotTimeSmoothing is the weight of one request in the moving average of the time for which a slot is occupied;
+	// minSlotTime and maxSlotTime bound the time of one request, in seconds.
 	slotTimeSmoothing        = 0.05
 	minSlotTime, maxSlotTime = 0.01, 120.0
 )
 
-// RequestSent records that a request went out to its runner.
+// RequestSent records that a request was sent to its runner.
 func (scheduler *Scheduler) RequestSent(now time.Time, request *QueuedRequest, decision Decision) {
 	scheduler.indexer.Pool.Add(kvblock.BlockStored{
 		Runner: decision.Runner.ID,
@@ -26,8 +27,8 @@
 	})
 }
 
-// RequestRejected records that the runner rejected a request before it executed it. The runner has not cached
-// the prompt and is ejected for a moment, and this daemon's window becomes narrower.
+// RequestRejected records that the runner rejected a request before executing it. It removes the prompt's blocks from
+// the index, since the runner has not cached them, ejects the runner, and narrows this daemon's window.
 func (scheduler *Scheduler) RequestRejected(now time.Time, request *QueuedRequest, decision Decision) {
 	scheduler.indexer.Pool.Add(kvblock.BlockRemoved{Runner: decision.Runner.ID, Keys: request.Keys})
 	scheduler.table.Eject(now, decision.Runner.ID, "puts requests back")
@@ -38,14 +39,14 @@
 	}
 }
 
-// FirstEventReceived records how long the first event of a response took after the request was sent.
+// FirstEventReceived records that the first event of a response arrived, took after the request was sent.
 func (scheduler *Scheduler) FirstEventReceived(request *QueuedRequest, decision Decision, took time.Duration) {
 	scheduler.recordFirstEvent(request, decision, took)
-	// Only on a runner that was not busy does the time of the first event say anything of its cache.
+	// On a busy runner, the time to the first event does not show whether the prompt was cached.
 	if decision.CachedTokens < minReuseTokens || decision.Runner.Load >= float64(decision.Runner.Slots)/2 {
 		return
 	}
-	// Half way between the time with the tokens cached and without.
+	// A hit is a time below the midpoint between the predictions with and without the tokens cached.
 	halfCached := float64(request.Requirements.PromptTokens) - float64(decision.CachedTokens)/2
 	scheduler.indexer.Pool.Add(kvblock.ReuseObserved{
 		Runner: decision.Runner.ID,
@@ -54,6 +55,8 @@
 	})
 }
 
+// recordFirstEvent updates the load table, the forecast and the cost weights; it ignores all but the first call for an
+// attempt.
 func (scheduler *Scheduler) recordFirstEvent(request *QueuedRequest, decision Decision, took time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -66,8 +69,8 @@
 	scheduler.costWeights.TokenSeconds = scheduler.forecast.speeds.token
 }
 
-// RequestCompleted records how a request went: how long the first event took of so many tokens that were not
-// cached, and how long the slot was occupied. A duration of 0 is not known.
+// RequestCompleted records the durations of a completed request: the time to the first event, with that many uncached
+// prompt tokens, and the time for which the slot was occupied. A duration of 0 is unknown and ignored.
 func (scheduler *Scheduler) RequestCompleted(uncached int, first, occupied time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -81,15 +84,15 @@
 	}
 }
 
-// TokensReceived records how long so many tokens of a response took to come.
+// TokensReceived records the time in which that many tokens of a response arrived.
 func (scheduler *Scheduler) TokensReceived(tokens int, took time.Duration) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.generationPace.learn(tokens, took)
 }
 
-// MaxDuration is how long a request's response may take in all: its first event within its latency target, and as many
-// tokens as it may have; 0: the pace of responses is not known.
+// MaxDuration returns the maximum expected duration of a request's response: its latency target plus the time to
+// generate as many tokens as the response may have. It returns 0 while the generation speed is unknown.
 func (scheduler *Scheduler) MaxDuration(request *QueuedRequest) time.Duration {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
--- a/balancer/scheduler/filter.go
+++ b/balancer/scheduler/filter.go
@@ -6,17 +6,17 @@
 	"wardtray/balancer/load"
 )
 
-// minFleet is the least number of runners of a backend for which some are reserved for long prompts, and for which
-// ejected runners are used again.
+// minFleet is the number of runners that a backend needs for some of them to be reserved for long prompts, and for
+// ejected runners to be readmitted.
 const minFleet = 4
 
-// eligible reports whether a request may be sent to a candidate at all, be it saturated or not.
+// eligible reports whether a request may be sent to a candidate, regardless of whether the candidate is saturated.
 func eligible(requirements *Requirements, candidate *Candidate) bool {
 	return candidate.Usable && !requirements.ExcludedRunners[candidate.ID] && candidate.Limit != 0
 }
 
-// readmitEjected makes ejected runners usable again where they are more than a half, those whose ejection ends first:
-// it is then more likely that something else is wrong, and a backend must not be left without runners.
+// readmitEjected makes ejected runners usable again if more than half of the runners are ejected, those whose ejection
+// ends first. The cause is then probably not in the runners, and a backend must not be left without runners.
 func readmitEjected(runners []load.Runner) []load.Runner {
 	var ejected []int
 	remaining := 0
--- a/balancer/scheduler/filter_test.go
+++ b/balancer/scheduler/filter_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Where most runners are ejected, those whose ejection ends first are used all the same: a backend always has runners.
+// If most runners of a backend are ejected, some are readmitted. Otherwise a fault that affects all runners, such as an
+// overload, would leave the backend without any runner.
 func TestEjectedRunnersAreReadmittedWhereMostAreEjected(t *testing.T) {
 	fixture := newFixture(t, 8)
 	for number := range 8 {
@@ -14,6 +15,6 @@
 	}
 	decision, answered := fixture.schedule(fixture.request("l", 1, 1, time.Second, "x"))
 	if !answered || decision.Kind != Dispatch {
-		t.Fatalf("%+v", decision)
+		t.Fatalf("with all runners ejected: %+v", decision)
 	}
 }
--- a/balancer/scheduler/fixture_test.go
+++ b/balancer/scheduler/fixture_test.go
@@ -12,10 +12,10 @@
 
 var started = time.Unix(1_700_000_000, 0)
 
-// tokensPerPart is the size of each part of a test's prompt.
+// tokensPerPart is the number of tokens of each part of a test prompt.
 const tokensPerPart = 1000
 
-// fixture is a scheduler with a load table of its own; its snapshots have every runner of the table.
+// fixture is a scheduler with its own load table; its snapshots contain every runner of the table.
 type fixture struct {
 	*Scheduler
 	table   *load.Table
@@ -24,7 +24,8 @@
 	now     time.Time
 }
 
-// newFixture returns a scheduler of so many ready runners, r00 and on, with events of the index applied at once.
+// newFixture returns a scheduler with that many ready runners, r00, r01 and so on. Index events are applied
+// synchronously.
 func newFixture(t *testing.T, runners int) *fixture {
 	t.Helper()
 	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 100_000, 16, 0)
@@ -48,7 +49,7 @@
 	return created
 }
 
-// request returns a request whose prompt has these parts, of tokensPerPart each, and a short one of its own.
+// request returns a request whose prompt has these parts, of tokensPerPart tokens each, and 100 more tokens.
 func (fixture *fixture) request(
 	route string, value, concurrencyLimit float64, latencyTarget time.Duration, parts ...string,
 ) *QueuedRequest {
@@ -72,7 +73,8 @@
 	}
 }
 
-// schedule returns the decision if there is one at once, and sends a request that is dispatched.
+// schedule schedules a request, and records a dispatched one as sent. It returns the decision, and whether the
+// scheduler decided at once.
 func (fixture *fixture) schedule(request *QueuedRequest) (Decision, bool) {
 	fixture.Schedule(fixture.now, request)
 	select {
@@ -86,7 +88,7 @@
 	}
 }
 
-// fleetOf returns so many usable runners, r000 and on.
+// fleetOf returns that many usable runners, r000, r001 and so on.
 func fleetOf(count int) []load.Runner {
 	runners := make([]load.Runner, 0, count)
 	for number := range count {
--- a/balancer/scheduler/flowcontrol.go
+++ b/balancer/scheduler/flowcontrol.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// minWindow and maxWindow bound the window, in requests.
+	// minWindow and maxWindow bound the window size, in requests.
 	minWindow = 2
 	maxWindow = 4096
-	// windowDecrease is the factor by which a rejection by a runner narrows the window, at most once in
-	// windowDecreaseInterval.
+	// windowDecrease multiplies the window size after a rejection by a runner, at most once per windowDecreaseInterval.
 	windowDecrease         = 0.8
 	windowDecreaseInterval = 300 * time.Millisecond
 )
 
-// inFlightWindow bounds the requests that this daemon has in flight at the backend, as TCP's congestion window does:
-// additive increase with each request that ends, multiplicative decrease with rejections.
+// inFlightWindow limits the requests that this daemon has in flight at the backend, like TCP's congestion window: it
+// grows additively with each request that ends and shrinks multiplicatively with rejections.
 //
-// Reports are too old to keep many daemons from filling a runner at once. What runners reject is the one sign that is
-// recent.
+// Load reports are too old to keep many daemons from filling a runner at the same time. Rejections are the only recent
+// signal of an overload.
 type inFlightWindow struct {
+	// size is the maximum number of requests in flight.
 	size       float64
 	inFlight   int
 	narrowedAt time.Time
@@ -40,7 +40,7 @@
 	window.size = max(minWindow, min(window.size, float64(window.inFlight))*windowDecrease)
 }
 
-// routeConcurrency counts the requests in flight by route.
+// routeConcurrency counts the requests in flight of each route.
 type routeConcurrency map[string]int
 
 func (routes routeConcurrency) acquire(route string) { routes[route]++ }
@@ -52,27 +52,27 @@
 	}
 }
 
-// withinLimit reports whether the request's route may have one more request, of so much capacity; one is always
-// allowed.
+// withinLimit reports whether the request's route may have one more request in flight, where the backend has that much
+// capacity. One request in flight is always allowed.
 func (routes routeConcurrency) withinLimit(request *QueuedRequest, capacity float64) bool {
 	return float64(routes[request.Route]+1) <= max(1, request.ConcurrencyLimit*capacity)
 }
 
 const (
-	// waitCorrectionIncrease and waitCorrectionDecrease are the factors of a route's correction after a wait in vain and
-	// after one that ended in a dispatch.
+	// waitCorrectionIncrease multiplies a route's correction after a queued request was rejected,
+	// waitCorrectionDecrease after one was dispatched.
 	waitCorrectionIncrease = 1.15
 	waitCorrectionDecrease = 0.97
-	// maxWaitCorrection bounds a correction.
+	// maxWaitCorrection is the upper bound of a correction.
 	maxWaitCorrection = 32
 )
 
-// waitCorrections multiply the predicted waits of each route's new requests; a route without one has 1. They make
-// predictions more careful after each wait that was in vain, and bolder after each that was not, so that in overload
-// requests are rejected on arrival.
+// waitCorrections maps each route to the factor of the predicted queueing time of its new requests; a missing route has
+// 1. The factor grows when a queued request is rejected and shrinks when one is dispatched, so that in overload
+// requests are rejected on arrival rather than after they were queued.
 type waitCorrections map[string]float64
 
-// learn adjusts a route's correction by how a wait ended.
+// learn adjusts a route's correction after a queued request of it ended with a decision of the kind end.
 func (corrections waitCorrections) learn(route string, end DecisionKind) {
 	correction := max(1, corrections[route])
 	if end == Reject {
--- a/balancer/scheduler/forecast.go
+++ b/balancer/scheduler/forecast.go
@@ -7,15 +7,16 @@
 	"wardtray/balancer/load"
 )
 
-// reportDecay is within how many seconds a runner's report loses most of what it says of now.
+// reportDecay is the time constant, in seconds, with which the weight of a runner's report decays.
 const reportDecay = 0.5
 
-// forecast predicts when first events will come, from what was learned of engines, runners and traffic.
+// forecast predicts the times to first events from learned engine speeds, the runners' backlogs and traffic statistics.
 type forecast struct {
 	speeds engineSpeeds
-	// firstEvents is how many first events have come.
+	// firstEvents is the number of first events from which the speeds were learned.
 	firstEvents int
-	backlogs    map[string]*runnerBacklog
+	// backlogs holds the backlogs by runner ID.
+	backlogs map[string]*runnerBacklog
 	trafficStatistics
 }
 
@@ -27,7 +28,7 @@
 	}
 }
 
-// backlog returns the backlog of a runner, a new one if there is none.
+// backlog returns the backlog of a runner, and creates it if there is none.
 func (forecast *forecast) backlog(runner string) *runnerBacklog {
 	backlog := forecast.backlogs[runner]
 	if backlog == nil {
@@ -37,8 +38,8 @@
 	return backlog
 }
 
-// forgetRemoved drops what is known of runners that no longer exist, once there are many of them.
-func (forecast *forecast) forgetRemoved(runners []load.Runner) {
+// pruneBacklogs deletes the backlogs of runners that no longer exist, once there are many of them.
+func (forecast *forecast) pruneBacklogs(runners []load.Runner) {
 	const tolerated = 8
 	if len(forecast.backlogs) <= 2*len(runners)+tolerated {
 		return
@@ -54,7 +55,8 @@
 	}
 }
 
-// ownWait is how many seconds the prompts that we sent to a runner still keep it.
+// ownWait returns the predicted time, in seconds, until a runner has prefilled the prompts that this scheduler sent to
+// it.
 func (forecast *forecast) ownWait(now time.Time, runner string) float64 {
 	backlog := forecast.backlogs[runner]
 	if backlog == nil {
@@ -63,8 +65,8 @@
 	return backlog.wait(now)
 }
 
-// othersWait is how many seconds other daemons' prompts keep a runner: by its last report, which fades to what is
-// usual.
+// othersWait returns the predicted time, in seconds, until a runner has prefilled the prompts of other daemons. It
+// starts from the runner's newest report and decays towards the usual wait as the report ages.
 func (forecast *forecast) othersWait(now time.Time, runner *load.Runner, usual PromptForecast) float64 {
 	if runner.Reported.IsZero() {
 		return usual.Wait
@@ -74,28 +76,30 @@
 	return usual.Wait + (reported-usual.Wait)*math.Exp(-age/reportDecay)
 }
 
-// promptForecast forecasts how other daemons' prompts of a class keep each of some runners.
+// promptForecast returns the forecast for each of that many runners if all daemons send their prompts of a class to
+// them.
 func (forecast *forecast) promptForecast(now time.Time, class *promptClass, daemons, runners int) PromptForecast {
 	utilization := forecast.utilization(now, class, daemons, runners)
 	prefill := class.remainingPrefill()
-	// The mean wait of a single queue that serves one prompt after the other.
+	// The mean queueing time of a single-server queue with this utilization.
 	return PromptForecast{Wait: utilization / (1 - utilization) * prefill, Prefill: prefill}
 }
 
-// firstEvent records that the first event of a request came, so long after it was dispatched.
+// firstEvent records that the first event of a request arrived, took after its dispatch.
 func (forecast *forecast) firstEvent(request *QueuedRequest, decision Decision, took time.Duration) {
 	now := request.dispatched.Add(took)
 	forecast.backlog(decision.Runner.ID).firstEvent(now, request, took.Seconds(), decision.Predicted.Seconds())
 	forecast.learnSpeeds(request.Requirements.PromptTokens, decision.CachedTokens, took)
 }
 
-// learnSpeeds takes in how long the first event of a prompt took of which so many tokens were cached.
+// learnSpeeds updates the engine speeds with the time to the first event of a prompt of which that many tokens were
+// cached.
 func (forecast *forecast) learnSpeeds(prompt, cached int, took time.Duration) {
 	forecast.speeds.learn(prompt, cached, took.Seconds(), forecast.firstEvents)
 	forecast.firstEvents++
 }
 
-// requestEnded records that a request left a runner, whether it was answered or not.
+// requestEnded removes a request from a runner's backlog if its first event has not arrived.
 func (forecast *forecast) requestEnded(request *QueuedRequest, runner string) {
 	if backlog := forecast.backlogs[runner]; backlog != nil {
 		backlog.remove(request)
--- a/balancer/scheduler/homes.go
+++ b/balancer/scheduler/homes.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// homeSpread is how many times its proportional part of the runners a prefix has as homes.
+	// homeSpread is the ratio of a prefix's number of homes to its proportional share of the runners. The homes of a
+	// prefix are the runners to which all daemons prefer to send it.
 	homeSpread = 2.0
-	// homeProbability is how likely a home has its prefix cached, spillProbability the runner next to the homes.
+	// homeProbability is the probability that a home has its prefix cached, spillProbability that of the first runner
+	// after the homes in rendezvous order.
 	homeProbability, spillProbability = 0.85, 0.3
-	// warmedUpEvents is how many first events a daemon must have seen to know its traffic.
+	// warmedUpEvents is the number of first events after which a daemon's traffic statistics are used on their own.
 	warmedUpEvents = 2
 )
 
-// prefixKey is the key under which a prompt's shared parts are looked up; the last part is the request's own.
+// prefixKey returns the key of a prompt's shared prefix: all its parts but the last, which only this request has.
 func prefixKey(keys []kvblock.BlockKey) kvblock.BlockKey {
 	if len(keys) == 0 {
 		return 0
@@ -24,8 +26,8 @@
 	return keys[max(0, len(keys)-2)]
 }
 
-// homeProbabilities returns for some runners of a group how likely they have a prompt's shared prefix cached because
-// every daemon sends the prefix there. All daemons agree on the homes of a prefix without a message.
+// homeProbabilities returns the probabilities that runners of a group have a prompt's shared prefix cached because
+// every daemon sends the prefix to its homes. All daemons agree on the homes of a prefix without exchanging messages.
 func (scheduler *Scheduler) homeProbabilities(
 	request *QueuedRequest, cycle *SchedulingContext, group []load.Runner, shared int,
 ) map[string]float64 {
@@ -45,24 +47,25 @@
 	return probabilities
 }
 
-// homeCount is how many of the runners are homes of a prefix.
+// homeCount returns the number of runners in the group that are homes of a prefix.
 func (scheduler *Scheduler) homeCount(prefix kvblock.BlockKey, daemons int, group []load.Runner) int {
 	homes := 1 + int(homeSpread*scheduler.forecast.prefixRatio(prefix)*float64(len(group)))
 	if len(group) == 0 {
 		return homes
 	}
-	// A daemon can't see that others send the same prefix. Even if each sends one at once, the homes have room.
+	// A daemon does not see that others send the same prefix. The homes must have capacity for one request of every
+	// daemon at the same time.
 	capacity := runnerCapacity(&group[0])
 	needed := daemons / capacity
 	if scheduler.forecast.firstEvents < warmedUpEvents {
-		// Daemons that start together send the first requests of several prefixes at once.
+		// Daemons that start at the same time send the first requests of several prefixes at once.
 		needed = 2 * daemons / capacity
 	}
 	return max(homes, needed)
 }
 
-// rendezvousOrder orders runners by a hash of a key and their IDs, the same at every daemon (rendezvous hashing). A
-// runner that is added or removed changes the order of no others.
+// rendezvousOrder returns the runners' IDs in the order of rendezvous hashing for a key, which is the same at every
+// daemon. Adding or removing a runner does not change the order of the others.
 func rendezvousOrder(runners []load.Runner, key uint64) []string {
 	type weightedRunner struct {
 		id     string
@@ -82,14 +85,14 @@
 }
 
 const (
-	// fnvOffset and fnvPrime are those of FNV-1a with 64 bits.
+	// fnvOffset and fnvPrime are the constants of 64-bit FNV-1a.
 	fnvOffset, fnvPrime = 14695981039346656037, 1099511628211
-	// mixShift and the multipliers are those of MurmurHash3's 64-bit finalizer.
+	// mixShift, mixMultiplier and mixFinalizer are the constants of MurmurHash3's 64-bit finalizer.
 	mixShift                    = 33
 	mixMultiplier, mixFinalizer = 0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53
 )
 
-// rendezvousWeight is FNV-1a over an ID, mixed with a key. Every daemon must compute the same.
+// rendezvousWeight returns the FNV-1a hash of an ID mixed with a key. All daemons must compute the same value.
 func rendezvousWeight(id string, key uint64) uint64 {
 	hash := uint64(fnvOffset)
 	for index := range len(id) {
--- a/balancer/scheduler/homes_test.go
+++ b/balancer/scheduler/homes_test.go
@@ -7,8 +7,8 @@
 	"wardtray/balancer/load"
 )
 
-// Every daemon orders runners alike, each key has its own first runner, and a runner that is removed moves only the
-// keys whose first it was.
+// The keys are spread evenly over the runners by their first runner, and removing a runner moves only the keys whose
+// first runner it was. Otherwise a lost runner would invalidate the caches of the others.
 func TestHomesAreAgreedAndStable(t *testing.T) {
 	runners, firsts, moved := fleetOf(20), map[string]int{}, 0
 	without := append(append([]load.Runner{}, runners[:7]...), runners[8:]...)
@@ -24,15 +24,15 @@
 	}
 	for runner, count := range firsts {
 		if count < 60 || count > 145 {
-			t.Errorf("%s is the first of %d of 2000 keys", runner, count)
+			t.Errorf("%s is the first runner of %d of 2000 keys", runner, count)
 		}
 	}
 	if moved != firsts["r007"] {
-		t.Errorf("%d moved, %d were at home there", moved, firsts["r007"])
+		t.Errorf("%d keys moved, but r007 was the first runner of %d", moved, firsts["r007"])
 	}
 }
 
-// Daemons that have never heard of each other send a prefix to the same runner.
+// Daemons that have exchanged no messages send a prefix to the same runner.
 func TestDaemonsAgreeOnHomesWithoutAMessage(t *testing.T) {
 	chosen := map[string]int{}
 	for daemon := range 8 {
@@ -50,6 +50,6 @@
 		chosen[decision.Runner.ID]++
 	}
 	if len(chosen) != 1 {
-		t.Fatalf("daemons chose %v", chosen)
+		t.Fatalf("the daemons chose different runners: %v", chosen)
 	}
 }
--- a/balancer/scheduler/longprompts.go
+++ b/balancer/scheduler/longprompts.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// longPromptFactor is how many times the least latency target of a backend a prompt takes to read that counts as
-	// long. Half of it earned the same, twice of it less (docs/placement.md).
+	// longPromptFactor is the ratio of the prefill time of a prompt to the lowest latency target of its backend above
+	// which the prompt is long. A factor of 2 earns less value, 0.5 the same (docs/placement.md).
 	longPromptFactor = 1.0
-	// reserveFactor is how many times the runners that long prompts need are reserved for them.
+	// reserveFactor is the ratio of the runners reserved for long prompts to the runners that these need on average.
 	reserveFactor = 1.3
-	// quarterHysteresis is how far, in quarters, what is needed may differ from what is reserved.
+	// quarterHysteresis is the difference, in quarters of the runners, between the needed and the reserved runners above
+	// which the reservation changes.
 	quarterHysteresis = 0.65
-	// maxQuarters is how many quarters of the runners are reserved for long prompts at most.
+	// maxQuarters is the maximum reservation for long prompts, in quarters of the runners.
 	maxQuarters = 2.0
 )
 
-// longPromptPolicy decides which prompts are long, and how many runners are reserved for them. Long prompts go there
-// first and short ones last; it is a preference in the scores, not a wall.
+// longPromptPolicy decides which prompts are long, and how many runners are reserved for them. The reservation only
+// affects the scores: long prompts prefer the reserved runners and short prompts the others, but both may use all.
 type longPromptPolicy struct {
-	// reservedQuarters of the runners are reserved for long prompts.
+	// reservedQuarters is the number of quarters of the runners reserved for long prompts.
 	reservedQuarters int
-	// latencyTargets are those of the routes seen.
+	// latencyTargets holds the latency targets of the routes seen so far.
 	latencyTargets map[string]time.Duration
 }
 
@@ -32,32 +33,34 @@
 	return longPromptPolicy{reservedQuarters: 1, latencyTargets: map[string]time.Duration{}}
 }
 
-// recordTarget takes in the latency target of a route; 0 is none.
+// recordTarget records the latency target of a route; 0 means none.
 func (policy *longPromptPolicy) recordTarget(route string, target time.Duration) {
 	if target > 0 {
 		policy.latencyTargets[route] = target
 	}
 }
 
-// isLong reports whether a prompt takes so many seconds to read that short ones behind it would miss their latency
-// target. target is that of the prompt's own route, in place of the recorded one; 0 is none.
+// isLong reports whether a prompt's prefill time, in seconds, is so long that prompts queued behind it would miss the
+// lowest latency target. target replaces the recorded latency target of the prompt's own route; 0 means none.
 func (policy *longPromptPolicy) isLong(prefill float64, route string, target time.Duration) bool {
-	least := time.Duration(math.MaxInt64)
+	lowest := time.Duration(math.MaxInt64)
 	if target > 0 {
-		least = target
+		lowest = target
 	}
 	for recorded, recordedTarget := range policy.latencyTargets {
 		if recorded != route || target <= 0 {
-			least = min(least, recordedTarget)
+			lowest = min(lowest, recordedTarget)
 		}
 	}
-	return prefill > longPromptFactor*least.Seconds()
+	return prefill > longPromptFactor*lowest.Seconds()
 }
 
-// reserve returns how many quarters of the runners are reserved, where long prompts take this part of all reading time.
+// reserve returns the number of quarters of the runners to reserve if long prompts take the fraction longRatio of all
+// prefill time.
 //
-// It changes in quarters, and slowly, because prefixes move when runners change sides, and each daemon's picture of the
-// traffic is its own. So coarse a measure is the same at nearly all of them.
+// It changes in steps of a quarter and with hysteresis, because cached prefixes move whenever a runner changes between
+// the classes, and because each daemon estimates the traffic on its own: a coarse value is the same at nearly all of
+// them.
 func (policy *longPromptPolicy) reserve(longRatio float64) int {
 	needed := 4 * reserveFactor * longRatio
 	if math.Abs(needed-float64(policy.reservedQuarters)) > quarterHysteresis {
@@ -66,7 +69,8 @@
 	return policy.reservedQuarters
 }
 
-// longRunners returns the runners to which long prompts go first; all daemons agree on them by the runners' IDs.
+// longRunners returns the set of the runners reserved for long prompts. All daemons derive the same set from the
+// runners' IDs.
 func longRunners(runners []load.Runner, quarters int) map[string]bool {
 	long := map[string]bool{}
 	if len(runners) < minFleet {
--- a/balancer/scheduler/pace.go
+++ b/balancer/scheduler/pace.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// paceSmoothing is how far one stretch of a stream moves what is known of the pace of responses.
+// paceSmoothing is the weight of one sample in the moving average of the time per generated token.
 const paceSmoothing = 0.1
 
-// generationPace is what is learned of how fast engines generate tokens once a response has begun.
+// generationPace estimates the speed at which engines generate tokens after the first event of a response.
 type generationPace struct {
-	// tokenSeconds is how long one token takes, in seconds; 0: not known.
+	// tokenSeconds is the average time per token in seconds; 0 if unknown.
 	tokenSeconds float64
 }
 
-// learn takes in how long so many tokens of a response took.
+// learn updates the average with the time in which that many tokens of a response arrived.
 func (pace *generationPace) learn(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	seen := took.Seconds() / float64(tokens)
+	sample := took.Seconds() / float64(tokens)
 	if pace.tokenSeconds == 0 {
-		pace.tokenSeconds = seen
+		pace.tokenSeconds = sample
 		return
 	}
-	pace.tokenSeconds += paceSmoothing * (seen - pace.tokenSeconds)
+	pace.tokenSeconds += paceSmoothing * (sample - pace.tokenSeconds)
 }
 
-// duration returns how long so many tokens take, and whether that is known.
+// duration returns the time to generate that many tokens, and whether it is known.
 func (pace *generationPace) duration(tokens int) (duration time.Duration, known bool) {
 	return seconds(pace.tokenSeconds * float64(tokens)), pace.tokenSeconds != 0
 }
--- a/balancer/scheduler/pace_test.go
+++ b/balancer/scheduler/pace_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// How long a response may take follows the pace of responses, and is not known before one was seen.
+// The maximum duration of a response follows the measured generation pace, and is unknown before the first sample.
 func TestLongestFollowsTheGenerationPace(t *testing.T) {
-	const most, token = 1000, 10 * time.Millisecond
+	const maxTokens, token = 1000, 10 * time.Millisecond
 	fixture := newFixture(t, 1)
 	request := fixture.request("l", 1, 1, time.Second, "a")
-	request.Requirements.AnswerTokens = most
+	request.Requirements.AnswerTokens = maxTokens
 	fixture.TokensReceived(0, time.Second)
 	fixture.TokensReceived(5, 0)
-	if longest := fixture.MaxDuration(request); longest != 0 {
-		t.Errorf("%v before a response was seen", longest)
+	if duration := fixture.MaxDuration(request); duration != 0 {
+		t.Errorf("maximum duration %v before the first sample, want 0", duration)
 	}
-	near := func(what string, want time.Duration) {
+	checkNear := func(name string, want time.Duration) {
 		t.Helper()
-		if longest := fixture.MaxDuration(request); longest < want*9/10 || longest > want*11/10 {
-			t.Errorf("%s: %v instead of %v", what, longest, want)
+		if duration := fixture.MaxDuration(request); duration < want*9/10 || duration > want*11/10 {
+			t.Errorf("%s: maximum duration %v, want about %v", name, duration, want)
 		}
 	}
 	fixture.TokensReceived(64, 64*token)
-	near("after the first stretch", request.Requirements.LatencyTarget+most*token)
-	// One stretch changes little; engines that have become slower are noticed within a few.
+	checkNear("after the first sample", request.Requirements.LatencyTarget+maxTokens*token)
+	// One sample changes the average little; many samples of slower engines do.
 	fixture.TokensReceived(64, 2*64*token)
-	near("after an odd stretch", request.Requirements.LatencyTarget+most*token)
+	checkNear("after an outlier", request.Requirements.LatencyTarget+maxTokens*token)
 	for range 40 {
 		fixture.TokensReceived(64, 3*64*token)
 	}
-	near("on slow engines", request.Requirements.LatencyTarget+3*most*token)
+	checkNear("on slow engines", request.Requirements.LatencyTarget+3*maxTokens*token)
 }
--- a/balancer/scheduler/picker.go
+++ b/balancer/scheduler/picker.go
@@ -2,18 +2,18 @@
 
 import "math/rand"
 
-// Picker returns the index of the candidate to take, or -1 where every runner is saturated.
+// Picker returns the index of the candidate to dispatch to, or -1 if every candidate is saturated.
 type Picker func(requirements Requirements, scoredCandidates []ScoredCandidate, random *rand.Rand) int
 
-// cachedRatio is the part of the most that any runner is expected to have cached of the prompt, from which on a runner
-// counts as one that has it cached.
+// cachedRatio is the fraction of the maximum expected cached tokens over all candidates from which on a candidate
+// counts as having the prompt cached.
 const cachedRatio = 0.6
 
-// candidateGroup divides candidates by whether they probably have most of the prompt cached, and whether they are in
-// the request's zone.
+// candidateGroup groups candidates by whether they probably have most of the prompt cached, and whether they are in the
+// request's zone.
 type candidateGroup struct{ cached, sameZone bool }
 
-// sampleSizes are how many candidates of each group are compared.
+// sampleSizes is the number of candidates of each group that Sample compares.
 var sampleSizes = map[candidateGroup]int{
 	{cached: true, sameZone: true}:   3,
 	{cached: true, sameZone: false}:  3,
@@ -21,10 +21,10 @@
 	{cached: false, sameZone: false}: 3,
 }
 
-// Sample is the default Picker: the best of a few candidates drawn at random from each group.
+// Sample is the default Picker. It draws a few candidates at random from each group and returns the best of them.
 //
-// Many daemons know the same old reports. If each took the best of all, they would all take the same one; drawn at
-// random they spread, and the better of a few is nearly as good as the best.
+// Many daemons have the same outdated reports. If each took the best candidate, all would take the same one. Random
+// draws spread them, and the best of a few is nearly as good as the best of all.
 func Sample(requirements Requirements, scoredCandidates []ScoredCandidate, random *rand.Rand) int {
 	mostCached := 0.0
 	for index := range scoredCandidates {
--- a/balancer/scheduler/picker_test.go
+++ b/balancer/scheduler/picker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Equal candidates are picked at random, so that daemons spread.
+// Equal candidates are picked at random. Otherwise all daemons would send to the same runner.
 func TestSamplePicksAmongEqualsAtRandom(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range 200 {
@@ -17,10 +17,10 @@
 	}
 	for runner, count := range counts {
 		if count < 10 || count > 70 {
-			t.Errorf("%s was picked %d times of 200 among 6", runner, count)
+			t.Errorf("%s of 6 runners was picked %d times of 200", runner, count)
 		}
 	}
 	if len(counts) != 6 {
-		t.Fatalf("only %d of 6 were ever picked", len(counts))
+		t.Fatalf("only %d of 6 runners were picked", len(counts))
 	}
 }
--- a/balancer/scheduler/prediction.go
+++ b/balancer/scheduler/prediction.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// indexProbability is how likely a runner still has cached what it was sent a moment ago.
+	// indexProbability is the probability that a runner still has cached the prefix that was just sent to it.
 	indexProbability = 0.97
-	// cacheMemoryRatio is the part of a runner's memory that cached parts may take.
+	// cacheMemoryRatio is the fraction of a runner's memory available for cached prompt parts.
 	cacheMemoryRatio = 0.8
-	// evenRequests is how many requests, spread evenly, are supposed beside our own for each daemon.
-	evenRequests = 0.3
+	// priorRequestsPerDaemon is the number of evenly spread requests per daemon that are added to this daemon's own as a
+	// prior when the distribution of other daemons' requests is estimated.
+	priorRequestsPerDaemon = 0.3
 )
 
-// prefixLookup returns what each runner of a set probably has cached of the prompt with these keys.
+// prefixLookup returns the leading part of the prompt with these keys that each of the given runners probably has
+// cached.
 type prefixLookup func(keys []kvblock.BlockKey, runners map[string]bool) map[string]kvblock.CachedPrefix
 
-// predictCandidates returns the cycle's candidates with what each runner means for one request.
+// predictCandidates returns the cycle's candidates with the predictions for one request.
 func (scheduler *Scheduler) predictCandidates(
 	now time.Time, request *QueuedRequest, cycle *SchedulingContext, lookup prefixLookup,
 ) []Candidate {
@@ -50,7 +52,7 @@
 	return candidates
 }
 
-// cachedPrefixes returns what the index says that each candidate has cached of the prompt.
+// cachedPrefixes returns the leading part of the prompt that each candidate has cached according to the index.
 func (scheduler *Scheduler) cachedPrefixes(
 	request *QueuedRequest, candidates []Candidate, lookup prefixLookup,
 ) map[string]kvblock.CachedPrefix {
@@ -64,8 +66,8 @@
 	return lookup(request.Keys, ids)
 }
 
-// preferredRunners returns the usable runners where prompts of a class go first: the reserved ones for long prompts, if
-// there are any, and the others for short ones.
+// preferredRunners returns the usable runners preferred for a class of prompts: the reserved ones for long prompts, and
+// the others for short prompts. Without reserved runners, all are preferred for both.
 func (cycle *SchedulingContext) preferredRunners(long bool) []load.Runner {
 	var preferred []load.Runner
 	reserved := long && len(cycle.LongRunners) > 0
@@ -78,8 +80,8 @@
 	return preferred
 }
 
-// setCached sets what the index says that a runner has cached of a prompt. lifetime is how long runners keep a part; 0:
-// not known.
+// setCached sets the cached tokens and the cache probability from the prefix that the index returned. lifetime is the
+// time constant of the decay of that probability; 0 if unknown.
 func (candidate *Candidate) setCached(
 	now time.Time, prefix kvblock.CachedPrefix, partTokens []int, lifetime time.Duration,
 ) {
@@ -92,7 +94,8 @@
 	}
 }
 
-// predict sets how long a runner would read a prompt and let it wait, and what that does to others.
+// predict sets the predicted prefill time and wait of a prompt on a candidate, the unreported requests there and the
+// delay that the prompt causes to others.
 func (scheduler *Scheduler) predict(
 	now time.Time, candidate *Candidate, promptTokens int, cycle *SchedulingContext,
 ) {
@@ -117,21 +120,23 @@
 	candidate.OthersDelay = shortRate * candidate.Prefill * candidate.Prefill / 2
 }
 
-// unreportedRequests is how many requests of other daemons a runner probably has that its reports don't show yet, where
-// we have so many in flight at the backend.
+// unreportedRequests estimates the number of requests of other daemons on a runner that its reports don't show yet.
+// inFlight is the number of this daemon's requests in flight at the backend.
 //
-// It is estimated from our own: all daemons agree on the homes of prefixes, so that where ours are, theirs are too.
+// The estimate assumes that the requests of other daemons are distributed like this daemon's own, since all daemons
+// agree on the homes of prefixes.
 func (cycle *SchedulingContext) unreportedRequests(inFlight int, runner *load.Runner) float64 {
 	others := float64(inFlight * (cycle.Daemons - 1))
-	// The more daemons, the more one request of our own stands for, and the less it shows.
-	prior := evenRequests * float64(cycle.Daemons)
+	// With more daemons, each own request stands for more requests of others and is weaker evidence, so the prior grows.
+	prior := priorRequestsPerDaemon * float64(cycle.Daemons)
 	runners := float64(max(1, len(cycle.Candidates)))
 	ratio := (float64(runner.InFlight) + prior/runners) / (float64(inFlight) + prior)
 	reported := runner.Load - float64(runner.InFlight)
 	return max(0, others*ratio-reported)
 }
 
-// forecastDispatch adds a request that goes out to a runner to the forecast.
+// forecastDispatch adds a dispatched request to the forecast: to the traffic statistics at its first dispatch, and to
+// the backlog of its runner at every dispatch.
 func (scheduler *Scheduler) forecastDispatch(now time.Time, request *QueuedRequest, decision Decision) {
 	forecast, promptTokens := scheduler.forecast, request.Requirements.PromptTokens
 	if !request.counted {
--- a/balancer/scheduler/queue.go
+++ b/balancer/scheduler/queue.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// QueueLength bounds the requests that wait at one daemon for one backend.
+// QueueLength is the maximum number of requests queued at one daemon for one backend.
 const QueueLength = 512
 
-// requestQueue holds the requests that wait, the one of the highest priority first once it is sorted.
+// requestQueue holds the queued requests. After sort, the request of the highest priority is first.
 type requestQueue struct {
 	requests []*QueuedRequest
 }
@@ -38,7 +38,7 @@
 	return request
 }
 
-// sort brings the requests up to date and orders them by priority; equal ones stay in their order.
+// sort updates the requests' Waited and WithinLimit and orders the requests by priority; equal ones keep their order.
 func (queue *requestQueue) sort(now time.Time, withinLimit func(request *QueuedRequest) bool) {
 	for _, request := range queue.requests {
 		request.Requirements.Waited = now.Sub(request.enqueued)
@@ -49,7 +49,7 @@
 	})
 }
 
-// retain calls keep with each request in order, and removes those for which it returns false.
+// retain calls keep for each request in order, and removes those for which it returns false.
 func (queue *requestQueue) retain(keep func(request *QueuedRequest) bool) {
 	retained := queue.requests[:0]
 	for _, request := range queue.requests {
--- a/balancer/scheduler/queue_test.go
+++ b/balancer/scheduler/queue_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Tenants' ranks go first, then the concurrency limit, then value and urgency; equal requests stay in their order.
+// Requests are ordered by the tenant's rank, then by the route's concurrency limit, then by value and urgency. Equal
+// requests keep their order.
 func TestQueueIsSortedByPriority(t *testing.T) {
 	urgent := &QueuedRequest{enqueued: started.Add(-time.Minute), Requirements: Requirements{Value: 3}}
 	requests := map[string]*QueuedRequest{
@@ -32,14 +33,14 @@
 		"urgent", "valuable", "cheap", "cheap, later", "first tenant beyond limit", "second tenant",
 	} {
 		if queue.requests[index] != requests[name] {
-			t.Errorf("%s is not at %d", name, index)
+			t.Errorf("%q is not at position %d", name, index)
 		}
 	}
 	if queue.removeLast() != requests["second tenant"] || !queue.remove(urgent) || queue.remove(urgent) {
-		t.Error("requests are not removed once")
+		t.Error("a request was not removed exactly once")
 	}
 	queue.retain(func(request *QueuedRequest) bool { return request == requests["cheap"] })
 	if queue.length() != 1 || queue.requests[0] != requests["cheap"] {
-		t.Errorf("%d retained", queue.length())
+		t.Errorf("%d requests retained, want only \"cheap\"", queue.length())
 	}
 }
--- a/balancer/scheduler/retryafter.go
+++ b/balancer/scheduler/retryafter.go
@@ -6,14 +6,14 @@
 	"wardtray/balancer/load"
 )
 
-// minRetryAfter and maxRetryAfter bound when a client is asked to retry.
+// minRetryAfter and maxRetryAfter bound the time after which a client is asked to retry.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// RetryAfter predicts when another try may find a slot: when the first ejection of a runner ends, and the queue is
-// through by the learned time that a request occupies a slot.
+// RetryAfter predicts the time after which another attempt may find a slot: the time until the first ejection of a
+// runner ends, plus the time until the queued requests have got their slots.
 func (scheduler *Scheduler) RetryAfter(now time.Time, _ *QueuedRequest) time.Duration {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -25,11 +25,12 @@
 			soonest = min(soonest, candidate.Until.Sub(now))
 		}
 	}
-	turn := scheduler.queueTurn(scheduler.queue.length()+1, cycle.Slots)
-	return min(maxRetryAfter, max(minRetryAfter, soonest)+turn)
+	wait := scheduler.queueWait(scheduler.queue.length()+1, cycle.Slots)
+	return min(maxRetryAfter, max(minRetryAfter, soonest)+wait)
 }
 
-// queueTurn predicts how long so many queued requests take to get a slot of so many.
-func (scheduler *Scheduler) queueTurn(requests int, slots float64) time.Duration {
+// queueWait predicts the time until that many queued requests have got one of that many slots, from the learned time
+// for which a request occupies a slot.
+func (scheduler *Scheduler) queueWait(requests int, slots float64) time.Duration {
 	return seconds(float64(requests) * scheduler.costWeights.SlotSeconds / max(1, slots))
 }
--- a/balancer/scheduler/saturation.go
+++ b/balancer/scheduler/saturation.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// memoryLimit is the part of a runner's memory above which requests are likely to be rejected.
+	// memoryLimit is the fraction of a runner's memory above which it is likely to reject requests.
 	memoryLimit = 0.92
-	// memoryExcessCost is the cost in seconds of exceeding it by the whole memory.
+	// memoryExcessCost is the cost, in seconds, of exceeding memoryLimit by the size of the memory.
 	memoryExcessCost = 10
-	// occupancyWeight weighs the part of a runner's slots that is occupied against the time that a slot is occupied.
+	// occupancyWeight is the cost of a fully occupied runner, as a fraction of the time for which a slot is occupied.
 	occupancyWeight = 0.02
-	// nearlyFullCost, in seconds, is for the risk that a runner is full when the prompt gets there, from nearlyFullFrom
-	// of its slots on; a request that it rejects may find no second runner.
+	// nearlyFullCost, in seconds, weighs the risk that a runner is full when the prompt arrives: the runner then rejects
+	// the request, and there may be no second one. It applies above an occupancy of nearlyFullFrom.
 	nearlyFullCost, nearlyFullFrom = 4.0, 0.4
-	// maxOccupancy bounds how far a runner counts as occupied, as a part of its slots.
+	// maxOccupancy is the upper bound of a runner's occupancy, as a ratio of requests to slots.
 	maxOccupancy = 2
 )
 
-// runnerCapacity is how many requests a runner may have: its slots and a short queue.
+// runnerCapacity returns the number of requests that a runner may have: its slots and a short queue.
 func runnerCapacity(runner *load.Runner) int {
 	return runner.Slots + max(1, runner.Slots/2)
 }
 
-// saturated reports whether a runner may have no more requests of ours now.
+// saturated reports whether this daemon may not send a runner any more requests now.
 func saturated(runner *load.Runner) bool {
-	// Smoothed reports stay high for seconds after an overload has ended; no request is rejected for those.
+	// The smoothed load stays high for seconds after an overload has ended, so it must not cause rejections.
 	return runner.LatestLoad >= float64(runnerCapacity(runner)) || runner.InFlight >= runner.Limit
 }
 
@@ -35,7 +35,8 @@
 	return float64(max(1, candidate.Slots))
 }
 
-// memoryExcess is by how much the request would fill a runner's memory beyond memoryLimit, as a part of the memory.
+// memoryExcess returns how far the request would fill a runner's memory beyond memoryLimit, as a fraction of the
+// memory.
 func memoryExcess(requirements *Requirements, candidate *Candidate) float64 {
 	if candidate.MemoryTokens == 0 {
 		return 0
@@ -44,8 +45,9 @@
 	return max(0, used/float64(candidate.MemoryTokens)-memoryLimit)
 }
 
-// occupancyCost makes a nearly idle runner cheaper than a half full one by a little, growing steeply towards its last
-// slot, so that requests with a hot prefix spill over to other runners before they queue at one.
+// occupancyCost returns the cost, in seconds, of the occupancy of a runner. It is small between a nearly idle runner
+// and a half full one and grows steeply towards the last slot, so that requests with a hot prefix spill over to other
+// runners before they queue at one.
 func occupancyCost(candidate *Candidate, weights CostWeights) float64 {
 	occupied := math.Min(maxOccupancy, (candidate.Load+candidate.UnreportedRequests)/candidate.slots())
 	return weights.SlotSeconds*occupancyWeight*occupied*occupied +
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package scheduler decides which runner takes a request, and when, for one backend at one daemon. A scheduling cycle
-// goes through stages, each with a file of its own: the context is taken (context.go), candidates are predicted
-// (prediction.go), filtered (filter.go), scored (scorer.go) and picked (picker.go); a request that can't be dispatched
-// is queued (queue.go) or rejected (decide.go) under flow control (flowcontrol.go). What is learned from requests is in
-// forecast.go and the files of its parts. The package sends nothing and reads no clock: its owner carries decisions out
-// and reports what came of them. See docs/placement.md.
+// Package scheduler decides, for one backend at one daemon, to which runner a request is dispatched and when. A
+// scheduling cycle has stages, each in its own file: build the context (context.go), then predict the candidates
+// (prediction.go), filter (filter.go), score (scorer.go) and pick one (picker.go); a request that can't be dispatched
+// is queued (queue.go) or rejected (decide.go) under flow control (flowcontrol.go). The models learned from requests
+// are in forecast.go and the files of its parts. The package does no I/O and reads no clock: its owner carries out the
+// decisions and reports their results. See docs/placement.md.
 package scheduler
 
 import (
@@ -25,7 +25,7 @@
 	table    *load.Table
 	indexer  *kvblock.Indexer
 	random   *rand.Rand
-	// Picker takes one of the scored candidates; measurements replace Sample by others.
+	// Picker picks one of the scored candidates. NewScheduler sets it to Sample; benchmarks replace it.
 	Picker Picker
 	// Without names the mechanisms that are switched off.
 	Without  features.Set
@@ -34,29 +34,29 @@
 	queue  requestQueue
 	window inFlightWindow
 	routes routeConcurrency
-	// slots is this daemon's share of the backend's slots as last seen.
+	// slots is this daemon's share of the backend's slots in the last cycle.
 	slots           float64
 	waitCorrections waitCorrections
 	costWeights     CostWeights
-	// forecast is what is learned of the runners' speeds and of the traffic.
+	// forecast holds what has been learned about the runners' speeds and the traffic.
 	forecast       *forecast
 	longPrompts    longPromptPolicy
 	generationPace generationPace
 }
 
-// Counters are what a scheduler counts.
+// Counters counts the decisions of a scheduler since its start.
 type Counters struct {
 	Dispatched uint64 `json:"Passed"`
 	// Queued counts the requests that were not decided at once.
 	Queued   uint64 `json:"Waited"`
 	Rejected uint64 `json:"Refused"`
-	// CachedTokens counts the tokens of dispatched requests that their runners were taken to have cached.
+	// CachedTokens counts the prompt tokens of dispatched requests that their runners were assumed to have cached.
 	CachedTokens uint64 `json:"HeldTokens"`
-	// PromptTokens counts all tokens of their prompts.
+	// PromptTokens counts all prompt tokens of dispatched requests.
 	PromptTokens uint64 `json:"PromptTokens"`
 }
 
-// NewScheduler returns the scheduler of a backend.
+// NewScheduler returns a scheduler for one backend.
 func NewScheduler(
 	snapshot SnapshotFunc, table *load.Table, indexer *kvblock.Indexer, random *rand.Rand,
 ) *Scheduler {
@@ -75,7 +75,8 @@
 	}
 }
 
-// Schedule decides about a request, which is queued if that is the decision.
+// Schedule adds a request to the queue and runs a scheduling cycle. The request stays queued if it is neither
+// dispatched nor rejected.
 func (scheduler *Scheduler) Schedule(now time.Time, request *QueuedRequest) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -86,37 +87,37 @@
 	scheduler.queue.add(request)
 	scheduler.runCycle(now)
 	if scheduler.queue.length() > QueueLength {
-		// The request of the lowest priority leaves a full queue, whichever came last.
+		// A full queue rejects the request of the lowest priority, which need not be the newest.
 		lowest := scheduler.queue.removeLast()
-		scheduler.conclude(lowest, scheduler.queueFull())
+		scheduler.sendDecision(lowest, scheduler.queueFull())
 	}
 	if !request.decided {
 		scheduler.Counters.Queued++
 	}
 }
 
-// Rebalance decides anew about all queued requests; it is called when something changed and now and then.
+// Rebalance runs a scheduling cycle for the queued requests. Its owner calls it after changes and periodically.
 func (scheduler *Scheduler) Rebalance(now time.Time) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.runCycle(now)
 }
 
-// HasQueued reports whether requests are queued; only then does Rebalance do anything.
+// HasQueued reports whether requests are queued. Rebalance does nothing if there are none.
 func (scheduler *Scheduler) HasQueued() bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.queue.length() > 0
 }
 
-// Cancel removes a request from the queue; it reports whether the request was still there.
+// Cancel removes a request from the queue. It reports whether the request was still queued.
 func (scheduler *Scheduler) Cancel(request *QueuedRequest) bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.queue.remove(request)
 }
 
-// Release ends the request that was dispatched to a runner.
+// Release ends a request that was dispatched to a runner, and runs a scheduling cycle for the freed slot.
 func (scheduler *Scheduler) Release(now time.Time, request *QueuedRequest, runner string) {
 	scheduler.table.RequestEnded(runner, request.answered)
 	scheduler.mutex.Lock()
@@ -127,21 +128,21 @@
 	scheduler.runCycle(now)
 }
 
-// CostWeights returns the cost weights with what has been learned.
+// CostWeights returns the current cost weights, including the learned ones.
 func (scheduler *Scheduler) CostWeights() CostWeights {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.costWeights
 }
 
-// State returns the counters, the length of the queue and each route's requests in flight.
+// State returns the counters, the number of queued requests, and the number of requests in flight by route.
 func (scheduler *Scheduler) State() (counters Counters, queued int, inFlight map[string]int) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.Counters, scheduler.queue.length(), maps.Clone(scheduler.routes)
 }
 
-// Explain returns the scores that a request would have now, and the decision about it, without scheduling it.
+// Explain returns the scored candidates for a request and the decision that it would get now, without scheduling it.
 func (scheduler *Scheduler) Explain(now time.Time, request *QueuedRequest) ([]ScoredCandidate, Decision) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -152,7 +153,7 @@
 	return scored, Decide(request.Requirements, cycle, scored, scheduler.Picker, scheduler.random)
 }
 
-// runCycle decides about all queued requests, that of the highest priority first.
+// runCycle decides about all queued requests, in order of priority.
 func (scheduler *Scheduler) runCycle(now time.Time) {
 	if scheduler.queue.length() == 0 {
 		return
@@ -162,21 +163,21 @@
 		return scheduler.routes.withinLimit(request, cycle.Capacity)
 	})
 	scheduler.queue.retain(func(request *QueuedRequest) bool {
-		return scheduler.keepsWaiting(now, request, &cycle)
+		return scheduler.processQueued(now, request, &cycle)
 	})
 }
 
-// keepsWaiting decides about one queued request; it reports whether the request stays in the queue, and concludes it
-// otherwise.
-func (scheduler *Scheduler) keepsWaiting(now time.Time, request *QueuedRequest, cycle *SchedulingContext) bool {
+// processQueued decides about one queued request. It reports whether the request stays in the queue, and sends the
+// decision to its owner otherwise.
+func (scheduler *Scheduler) processQueued(now time.Time, request *QueuedRequest, cycle *SchedulingContext) bool {
 	if request.decided {
 		return false
 	}
 	requirements := &request.Requirements
 	// The concurrency limit may have been reached by a request of the same route in this cycle.
 	requirements.WithinLimit = scheduler.routes.withinLimit(request, cycle.Capacity)
-	// With every runner saturated nothing can change for a request that waits but its latency target, and scoring a long
-	// queue anew in each cycle would take a core.
+	// While every runner is saturated, the decision about a queued request changes only when it exceeds its maximum wait.
+	// Scoring a long queue again in each cycle would use up a CPU core.
 	cycle.HasCapacity = cycle.HasCapacity && scheduler.window.open()
 	if request.waited && !cycle.HasCapacity && requirements.Waited < requirements.maxWait() {
 		cycle.Ahead++
@@ -185,8 +186,8 @@
 	decision := scheduler.decide(now, request, cycle)
 	if decision.Kind == Enqueue {
 		request.waited = true
-		// A request that waits only for its route's concurrency limit, or for runners shut to it alone, holds up none
-		// behind it.
+		// A request that is queued only because of its route's concurrency limit or because of its own excluded runners
+		// does not delay the requests behind it.
 		if requirements.WithinLimit && len(requirements.ExcludedRunners) == 0 {
 			cycle.Ahead++
 		}
@@ -195,27 +196,27 @@
 	if decision.Kind == Dispatch {
 		scheduler.dispatch(now, request, decision, cycle)
 	}
-	scheduler.conclude(request, decision)
+	scheduler.sendDecision(request, decision)
 	return false
 }
 
 // decide scores the candidates for a request and returns the decision.
 func (scheduler *Scheduler) decide(now time.Time, request *QueuedRequest, cycle *SchedulingContext) Decision {
-	own := *cycle
+	requestCycle := *cycle
 	scheduler.longPrompts.recordTarget(request.Route, request.Requirements.LatencyTarget)
-	own.Candidates = scheduler.predictCandidates(now, request, cycle, scheduler.indexer.CachedPrefixes)
+	requestCycle.Candidates = scheduler.predictCandidates(now, request, cycle, scheduler.indexer.CachedPrefixes)
 	if !request.waited {
-		own.WaitCorrection = scheduler.waitCorrections[request.Route]
+		requestCycle.WaitCorrection = scheduler.waitCorrections[request.Route]
 	}
-	scored := Score(request.Requirements, own.Candidates, own.CostWeights)
-	decision := Decide(request.Requirements, own, scored, scheduler.Picker, scheduler.random)
+	scored := Score(request.Requirements, requestCycle.Candidates, requestCycle.CostWeights)
+	decision := Decide(request.Requirements, requestCycle, scored, scheduler.Picker, scheduler.random)
 	if scheduler.Without[features.Urgency] {
 		decision.Urgency = DefaultUrgency
 	}
 	return decision
 }
 
-// dispatch counts a request as sent to its runner.
+// dispatch counts a request as in flight on its runner.
 func (scheduler *Scheduler) dispatch(
 	now time.Time, request *QueuedRequest, decision Decision, cycle *SchedulingContext,
 ) {
@@ -230,8 +231,8 @@
 	cycle.countDispatched(decision.Runner.ID)
 }
 
-// conclude sends the decision to the request's owner.
-func (scheduler *Scheduler) conclude(request *QueuedRequest, decision Decision) {
+// sendDecision sends the decision to the request's owner, and learns from it if the request was queued.
+func (scheduler *Scheduler) sendDecision(request *QueuedRequest, decision Decision) {
 	request.decided = true
 	if request.waited {
 		scheduler.waitCorrections.learn(request.Route, decision.Kind)
@@ -243,12 +244,12 @@
 	request.Decisions <- decision
 }
 
-// queueFull is the decision for the request of the lowest priority in a full queue.
+// queueFull returns the decision for the request that a full queue rejects.
 func (scheduler *Scheduler) queueFull() Decision {
 	return Decision{
 		Kind:       Reject,
 		ErrorCode:  apierror.QueueFull,
-		RetryAfter: max(minRetryAfter, scheduler.queueTurn(scheduler.queue.length(), scheduler.slots)),
+		RetryAfter: max(minRetryAfter, scheduler.queueWait(scheduler.queue.length(), scheduler.slots)),
 		Reason:     "too many better bids wait",
 	}
 }
--- a/balancer/scheduler/scheduler_test.go
+++ b/balancer/scheduler/scheduler_test.go
@@ -11,7 +11,8 @@
 	"wardtray/wire"
 )
 
-// One prefix has all the traffic: it spills over many runners, and none gets more than its slots and a short queue.
+// If all requests have the same prefix, they spill over to many runners, and no runner gets more than its slots and a
+// short queue. Otherwise the runner that has the prefix cached would be overloaded while others are idle.
 func TestHotPrefixSpillsOver(t *testing.T) {
 	fixture := newFixture(t, 18)
 	counts := map[string]int{}
@@ -26,19 +27,20 @@
 	}
 	for runner, count := range counts {
 		if count > 6 {
-			t.Errorf("%s has %d at once", runner, count)
+			t.Errorf("%s has %d requests in flight", runner, count)
 		}
 	}
 }
 
-// At a saturated backend a request that can't be served within its latency target is rejected at once, with the time
-// after which to retry.
+// At a saturated backend, a request that can't be served within its latency target is rejected on arrival with a
+// Retry-After. One with a longer target is queued, dispatched when a slot becomes free, and rejected when its target
+// has passed.
 func TestRequestsThatWouldBeLateAreRejectedOnArrival(t *testing.T) {
 	fixture := newFixture(t, 2)
 	for range 12 {
 		decision, decided := fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
 		if !decided || decision.Kind != Dispatch {
-			t.Fatalf("the backend is saturated too soon: %v", decision)
+			t.Fatalf("the backend is saturated too early: %v", decision)
 		}
 	}
 	decision, answered := fixture.schedule(fixture.request("l", 1, 1, 100*time.Millisecond, "x"))
@@ -63,7 +65,7 @@
 	}
 }
 
-// The request of the greater value goes first, and a full queue rejects that of the lowest priority.
+// The request of the greatest value is dispatched first, and a full queue rejects the request of the lowest priority.
 func TestValueOrdersTheQueue(t *testing.T) {
 	fixture := newFixture(t, 1)
 	for range 6 {
@@ -76,36 +78,37 @@
 		fixture.Schedule(fixture.now, request)
 		cheap = append(cheap, request)
 	}
-	dear := fixture.request("dear", 50, 1, time.Hour, "x")
-	if decision, answered := fixture.schedule(dear); answered {
-		t.Fatalf("the dear one: %+v", decision)
+	valuable := fixture.request("valuable", 50, 1, time.Hour, "x")
+	if decision, answered := fixture.schedule(valuable); answered {
+		t.Fatalf("the valuable request was not queued: %+v", decision)
 	}
 	rejected := 0
 	for _, request := range cheap {
 		select {
 		case decision := <-request.Decisions:
 			if decision.ErrorCode != apierror.QueueFull {
-				t.Fatalf("a cheap one: %+v", decision)
+				t.Fatalf("a cheap request: %+v", decision)
 			}
 			rejected++
 		default:
 		}
 	}
 	if rejected != 1 {
-		t.Fatalf("%d cheap ones were rejected", rejected)
+		t.Fatalf("%d cheap requests were rejected, want 1", rejected)
 	}
 	fixture.Release(fixture.now, &QueuedRequest{Route: "l"}, "r00")
 	select {
-	case decision := <-dear.Decisions:
+	case decision := <-valuable.Decisions:
 		if decision.Kind != Dispatch {
-			t.Fatalf("the dear one: %+v", decision)
+			t.Fatalf("the valuable request: %+v", decision)
 		}
 	default:
-		t.Fatal("a cheap one went first")
+		t.Fatal("the valuable request was not dispatched first")
 	}
 }
 
-// A request that is cancelled leaves no trace, and those behind it move up.
+// A cancelled request is removed from the queue once, without a decision and without an effect on the requests in
+// flight and the wait corrections.
 func TestCancelRemovesAQueuedRequest(t *testing.T) {
 	fixture := newFixture(t, 1)
 	var waiting []*QueuedRequest
@@ -120,19 +123,20 @@
 	_, length, before := fixture.State()
 	corrections := len(fixture.waitCorrections)
 	if !fixture.Cancel(first) || fixture.Cancel(first) {
-		t.Fatal("it is queued once")
+		t.Fatal("the request was not cancelled exactly once")
 	}
 	_, left, after := fixture.State()
 	if left != length-1 || after["l"] != before["l"] {
-		t.Errorf("%d of %d are queued, %v in flight of %v", left, length, after, before)
+		t.Errorf("queued: %d before and %d after, in flight: %v before and %v after", length, left, before, after)
 	}
 	if len(fixture.waitCorrections) != corrections || len(first.Decisions) > 0 {
-		t.Errorf("%d wait corrections of %d, %d decisions", len(fixture.waitCorrections), corrections, len(first.Decisions))
+		t.Errorf("wait corrections: %d before and %d after; %d decisions",
+			corrections, len(fixture.waitCorrections), len(first.Decisions))
 	}
 }
 
-// A request with a deadline that finds every runner saturated waits past its latency target, up to its part of the
-// deadline.
+// If every runner is saturated, a request with a deadline is queued beyond its latency target, up to deadlineRatio of
+// its deadline.
 func TestRequestsWithADeadlineWaitForAPartOfIt(t *testing.T) {
 	fixture := newFixture(t, 1)
 	for range 6 {
@@ -141,7 +145,7 @@
 	request := fixture.request("l", 1, 1, 100*time.Millisecond, "x")
 	request.Requirements.Deadline = 20 * time.Second
 	if decision, answered := fixture.schedule(request); answered {
-		t.Fatalf("at once: %+v", decision)
+		t.Fatalf("the request was not queued: %+v", decision)
 	}
 	if !fixture.HasQueued() {
 		t.Fatal("the queue is empty")
@@ -150,13 +154,13 @@
 	fixture.Rebalance(fixture.now)
 	select {
 	case decision := <-request.Decisions:
-		t.Fatalf("past its latency target: %+v", decision)
+		t.Fatalf("after the latency target: %+v", decision)
 	default:
 	}
 	fixture.now = fixture.now.Add(10 * time.Second)
 	fixture.Rebalance(fixture.now)
 	if decision := <-request.Decisions; decision.Kind != Reject {
-		t.Fatalf("past its part of the deadline: %+v", decision)
+		t.Fatalf("after deadlineRatio of the deadline: %+v", decision)
 	}
 	if fixture.HasQueued() {
 		t.Fatal("the queue is not empty")
@@ -196,7 +200,8 @@
 	}
 }
 
-// An explanation is a dry run: neither the request nor its latency target is remembered.
+// Explain is a dry run: it changes no counters, records no latency target and queues nothing. Otherwise explanations
+// would influence the scheduling of real requests.
 func TestExplainRecordsNothing(t *testing.T) {
 	fixture := newFixture(t, 4)
 	fixture.schedule(fixture.request("l", 1, 1, 2*time.Second, "shared"))
@@ -213,14 +218,14 @@
 		fixture.Explain(fixture.now, fixture.request("other", 1, 1, time.Second, "other"))
 	}
 	if after := state(); after != before {
-		t.Errorf("%s became %s", before, after)
+		t.Errorf("the state was %s before and is %s after", before, after)
 	}
 }
 
-// An explanation does not keep a prompt's blocks in a full index.
+// Explain does not count as a use of a prompt's blocks, so it does not keep them in a full index.
 func TestExplainDoesNotCountAsUseOfBlocks(t *testing.T) {
 	fixture := newFixture(t, 4)
-	// Two blocks for each of the index's 16 shards.
+	// 32 keys are two blocks for each of the index's 16 shards.
 	indexer, err := kvblock.NewIndexer(kvblock.DefaultSeed, 32, 16, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -245,6 +250,6 @@
 	}
 	indexer.Index.Add(fixture.now, requests[2].Keys, "r00")
 	if kept := indexer.PeekCachedPrefixes(requests[0].Keys, map[string]bool{"r00": true}); len(kept) > 0 {
-		t.Errorf("the explained blocks were kept: %v", kept)
+		t.Errorf("the explained prompt's blocks were kept: %v", kept)
 	}
 }
--- a/balancer/scheduler/scorer.go
+++ b/balancer/scheduler/scorer.go
@@ -5,23 +5,24 @@
 	"wardtray/features"
 )
 
-// CostWeights weigh what a runner costs a request. All costs are in seconds, so that they add up.
+// CostWeights are the weights of the cost of dispatching a request to a runner. All costs are in seconds, so that they
+// can be added.
 type CostWeights struct {
-	// TokenSeconds is the learned prefill time of one token that is not cached.
+	// TokenSeconds is the learned prefill time of one uncached token.
 	TokenSeconds float64 `json:"TokenSeconds"`
-	// SlotSeconds is for how long a request occupies its slot on a runner; it is learned too.
+	// SlotSeconds is the learned time for which a request occupies its slot on a runner.
 	SlotSeconds float64 `json:"PlaceSeconds"`
-	// CrossZone is the cost of a runner in another zone, CrossZoneTokens that of each thousand prompt tokens beside.
+	// CrossZone is the cost of a runner in another zone, CrossZoneTokens the additional cost per 1000 prompt tokens.
 	CrossZone       float64 `json:"CrossZone"`
 	CrossZoneTokens float64 `json:"ThousandAcross"`
-	// Recompute is the cost of reading a thousand tokens of shared parts once more, beside the time it takes.
+	// Recompute is the cost of prefilling 1000 shared tokens again, in addition to the time that it takes.
 	Recompute float64 `json:"Reread"`
-	// OthersDelay is how many times a second of others' waiting counts against one of the request's own.
+	// OthersDelay is the cost of one second of delay to other requests.
 	OthersDelay float64 `json:"Harm"`
 }
 
-// DefaultCostWeights apply until measurements have come in. OthersDelay was measured best at 0.6 on three fleets
-// (docs/placement.md).
+// DefaultCostWeights applies until TokenSeconds and SlotSeconds have been learned. See docs/placement.md for
+// OthersDelay.
 var DefaultCostWeights = CostWeights{
 	TokenSeconds:    defaultSpeeds.token,
 	SlotSeconds:     2,
@@ -31,34 +32,35 @@
 	OthersDelay:     0.6,
 }
 
-// tokensPerCostUnit is the number of tokens that CrossZoneTokens and Recompute are the cost of.
+// tokensPerCostUnit is the number of tokens to which CrossZoneTokens and Recompute refer.
 const tokensPerCostUnit = 1000
 
-// Candidate is a runner that may take the request, with what is predicted for it.
+// Candidate is a runner to which the request may be dispatched, with the predictions for it.
 type Candidate struct {
 	load.Runner
-	// CachedTokens is how many leading tokens of the prompt the runner may have cached, by the index or as a home of the
-	// prefix.
+	// CachedTokens is the number of leading prompt tokens that the runner may have cached, according to the index or as
+	// a home of the prefix.
 	CachedTokens int `json:"HeldTokens"`
-	// CacheProbability is how likely it has them cached.
+	// CacheProbability is the probability that the runner has CachedTokens cached.
 	CacheProbability float64 `json:"Chance"`
-	// SharedTokens is how many tokens of the prompt others are likely to have sent as well.
+	// SharedTokens is the number of prompt tokens in parts that other requests are likely to share.
 	SharedTokens int `json:"SharedTokens"`
-	// Prefill is how long the runner reads the prompt, Wait how long it reads others first, and OthersDelay how long the
-	// reading keeps others waiting. All in seconds.
+	// Prefill is the prefill time of the prompt, Wait the time for which the runner prefills other prompts first, and
+	// OthersDelay the delay that the prompt causes to other requests. All are predictions in seconds.
 	Prefill     float64 `json:"Prefill"`
 	Wait        float64 `json:"Wait"`
 	OthersDelay float64 `json:"Harm"`
-	// UnreportedRequests is how many requests of other daemons the runner probably has that its reports don't show yet.
+	// UnreportedRequests is the estimated number of requests of other daemons that the runner's reports don't show yet.
 	UnreportedRequests float64 `json:"Coming"`
 }
 
-// expectedCachedTokens is how many tokens of the prompt the runner is expected to have cached.
+// expectedCachedTokens returns the expected number of prompt tokens that the runner has cached.
 func (candidate *Candidate) expectedCachedTokens() float64 {
 	return candidate.CacheProbability * float64(candidate.CachedTokens)
 }
 
-// recomputedTokens is how many tokens of the prompt's shared parts the runner is expected to read once more.
+// recomputedTokens returns the expected number of tokens in the prompt's shared parts that the runner must prefill
+// again.
 func (candidate *Candidate) recomputedTokens() float64 {
 	cached := candidate.CacheProbability * float64(min(candidate.CachedTokens, candidate.SharedTokens))
 	return float64(candidate.SharedTokens) - cached
@@ -69,9 +71,9 @@
 	Candidate Candidate `json:"Offer"`
 	// FirstEventSeconds is the predicted time to the first event, in seconds.
 	FirstEventSeconds float64 `json:"First"`
-	// Score is greater the less the candidate costs, in seconds.
+	// Score is the negative cost of the candidate, in seconds; the greatest is the best.
 	Score float64 `json:"Net"`
-	// Saturated says that the runner is saturated.
+	// Saturated says that this daemon may not send the runner any more requests now.
 	Saturated bool `json:"Full"`
 }
 
@@ -103,14 +105,14 @@
 	return scored
 }
 
-// queueingSeconds is how long the request waits for a slot: one beyond the slots waits for one of them to become free,
-// one within shares the engine with the others.
+// queueingSeconds returns the predicted time for which the request waits for a slot. It is 0 if a slot is free, since
+// the request then shares the engine with the others; otherwise the request waits for one of the slots.
 func queueingSeconds(candidate *Candidate, weights CostWeights) float64 {
 	slots := candidate.slots()
 	return max(0, candidate.Load+1-slots) / slots * weights.SlotSeconds
 }
 
-// enabledCostWeights returns the cost weights without those of mechanisms that are switched off.
+// enabledCostWeights returns the cost weights, with 0 for mechanisms that are switched off.
 func (scheduler *Scheduler) enabledCostWeights() CostWeights {
 	weights := scheduler.costWeights
 	if scheduler.Without[features.RecomputeCost] {
--- a/balancer/scheduler/scorer_test.go
+++ b/balancer/scheduler/scorer_test.go
@@ -7,7 +7,7 @@
 	"wardtray/balancer/load"
 )
 
-// A runner whose memory is full is avoided.
+// Prompts are not dispatched to a runner whose memory is full, which would probably reject them.
 func TestRunnersWithFullMemoryAreAvoided(t *testing.T) {
 	fixture := newFixture(t, 2)
 	fixture.table.RecordReport(fixture.now, "r00", load.Report{Slots: 64, UsedTokens: 990_000, MemoryTokens: 1_000_000})
@@ -16,12 +16,12 @@
 		request := fixture.request("l", 1, 1, time.Second)
 		request.Requirements.PromptTokens = 10_000
 		if decision, _ := fixture.schedule(request); decision.Runner.ID != "r01" {
-			t.Fatal("a prompt was dispatched where no memory is left")
+			t.Fatal("a prompt was dispatched to the runner without free memory")
 		}
 	}
 }
 
-// scoringCandidates returns 18 candidates of various loads, half of them in another zone.
+// scoringCandidates returns 18 candidates with different loads, half of them in zone b.
 func scoringCandidates() []Candidate {
 	candidates := make([]Candidate, 18)
 	for index := range candidates {
@@ -48,8 +48,7 @@
 	}
 }
 
-// Runners that a request must not be sent to are left out; the rest cost more the more loaded they are, and in another
-// zone.
+// Ineligible runners get no score. The others score lower the more loaded they are, and lower in another zone.
 func TestScoreOrdersCandidates(t *testing.T) {
 	candidates := scoringCandidates()[:6]
 	candidates[4].Usable = false
@@ -57,7 +56,7 @@
 	requirements := Requirements{LatencyTarget: time.Second, Zone: "a", ExcludedRunners: map[string]bool{"r03": true}}
 	scored := Score(requirements, candidates, DefaultCostWeights)
 	if len(scored) != 3 {
-		t.Fatalf("%d candidates", len(scored))
+		t.Fatalf("%d candidates were scored, want 3", len(scored))
 	}
 	idle, remote, loaded := scored[0], scored[1], scored[2]
 	if idle.Score <= loaded.Score || idle.Score-remote.Score < DefaultCostWeights.CrossZone {
--- a/balancer/scheduler/speeds_test.go
+++ b/balancer/scheduler/speeds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The speeds of engines of several kinds are learned within some hundred first events, though a third of them were
-// delayed by others and a tenth found the prefix evicted.
+// The speeds of different engines are learned within 600 first events, even if a third of them were delayed by other
+// requests and for a tenth the prefix was evicted.
 func TestSpeedsAreLearned(t *testing.T) {
 	for _, actual := range []engineSpeeds{{0.005, 0.000015, 6e-10}, {0.03, 0.0001, 3e-9}, {0.002, 0.000004, 1e-10}} {
 		random := rand.New(rand.NewSource(1))
@@ -25,10 +25,10 @@
 			speeds.learn(prompt, cached, took, seen)
 		}
 		for _, prompt := range []int{2000, 8000, 30000} {
-			found := speeds.overhead + speeds.prefill(prompt, 500)
-			wanted := actual.overhead + actual.prefill(prompt, 500)
-			if found < wanted/1.5 || found > wanted*1.5 {
-				t.Errorf("%+v: %d tokens take %.3f s, predicted %.3f", actual, prompt, wanted, found)
+			predicted := speeds.overhead + speeds.prefill(prompt, 500)
+			want := actual.overhead + actual.prefill(prompt, 500)
+			if predicted < want/1.5 || predicted > want*1.5 {
+				t.Errorf("%+v: %d tokens take %.3f s, predicted %.3f s", actual, prompt, want, predicted)
 			}
 		}
 	}
--- a/balancer/scheduler/traffic_test.go
+++ b/balancer/scheduler/traffic_test.go
@@ -8,11 +8,12 @@
 	"wardtray/balancer/kvblock"
 )
 
-// The ratios of long prompts and of a prefix follow the traffic, from their priors on, and old prefixes are forgotten.
+// The ratios of long prompts and of a prefix start at their priors and follow the traffic, and rare prefixes are
+// deleted.
 func TestTrafficStatisticsFollowTheTraffic(t *testing.T) {
 	traffic := newTrafficStatistics()
 	if ratio := traffic.longRatio(); ratio != longPriorRatio {
-		t.Fatalf("long ratio %v before any traffic", ratio)
+		t.Fatalf("ratio %v of long prompts before any traffic, want %v", ratio, longPriorRatio)
 	}
 	const requests = 4000
 	now := started
@@ -25,18 +26,18 @@
 		traffic.count(now, sample)
 	}
 	if ratio := traffic.longRatio(); ratio < 0.3 || ratio > 0.5 {
-		t.Errorf("long prompts take half of the time, ratio %v", ratio)
+		t.Errorf("ratio %v of long prompts, which take half of the prefill time", ratio)
 	}
 	if one, other := traffic.prefixRatio(1), traffic.prefixRatio(1000); one < 0.2 || one > 0.4 || other != 0 {
-		t.Errorf("ratio %v of a popular prefix, %v of an old one", one, other)
+		t.Errorf("ratio %v of a popular prefix, %v of a prefix seen once", one, other)
 	}
 	if rate := traffic.rateAt(now); math.Abs(rate-10) > 0.5 {
-		t.Errorf("%v requests a second instead of 10", rate)
+		t.Errorf("%v requests per second, want 10", rate)
 	}
 	if len(traffic.prefixes) > 200 {
-		t.Errorf("%d prefixes are remembered", len(traffic.prefixes))
+		t.Errorf("%d prefixes are retained", len(traffic.prefixes))
 	}
 	if utilization := traffic.utilization(now, &traffic.short, 1000, 1); utilization != maxUtilization {
-		t.Errorf("utilization %v of an overloaded runner", utilization)
+		t.Errorf("utilization %v of an overloaded runner, want %v", utilization, maxUtilization)
 	}
 }
