--- a/balancer/scheduler/context_test.go
+++ b/balancer/scheduler/context_test.go
@@ -16,9 +16,9 @@
 		return changed
 	}
 	for index := range 4 {
-		_, answered := fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
-		if answered != (index < 3) {
-			t.Fatalf("request %d: decided at once: %v, want %v", index, answered, index < 3)
+		_, decided := fixture.schedule(fixture.request("l", 1, 1, time.Minute, "x"))
+		if decided != (index < 3) {
+			t.Fatalf("request %d: decided at once: %v, want %v", index, decided, index < 3)
 		}
 	}
 }
--- a/balancer/scheduler/filter_test.go
+++ b/balancer/scheduler/filter_test.go
@@ -13,8 +13,8 @@
 	for number := range 8 {
 		fixture.table.Eject(fixture.now, fmt.Sprintf("r%02d", number), "gave no answer")
 	}
-	decision, answered := fixture.schedule(fixture.request("l", 1, 1, time.Second, "x"))
-	if !answered || decision.Kind != Dispatch {
+	decision, decided := fixture.schedule(fixture.request("l", 1, 1, time.Second, "x"))
+	if !decided || decision.Kind != Dispatch {
 		t.Fatalf("with all runners ejected: %+v", decision)
 	}
 }
--- a/balancer/scheduler/flowcontrol_test.go
+++ b/balancer/scheduler/flowcontrol_test.go
@@ -13,9 +13,9 @@
 		fixture.Schedule(fixture.now, fixture.request("valuable", 100, 0.3, time.Hour, "x"))
 	}
 	cheap := fixture.request("cheap", 1, 0.3, time.Hour, "y")
-	if decision, answered := fixture.schedule(cheap); !answered || decision.Kind != Dispatch {
+	if decision, decided := fixture.schedule(cheap); !decided || decision.Kind != Dispatch {
 		// Beyond its limit the valuable route may use only slots that others do not need, so there is capacity left.
-		t.Fatalf("the cheap route starves: %+v, decided at once: %v", decision, answered)
+		t.Fatalf("the cheap route starves: %+v, decided at once: %v", decision, decided)
 	}
 	_, queued, routes := fixture.State()
 	if routes["valuable"] == 0 || queued == 0 {
--- a/balancer/scheduler/request.go
+++ b/balancer/scheduler/request.go
@@ -45,9 +45,9 @@
 	PromptTokens int           `json:"PromptTokens"`
 	// AnswerTokens is the maximum number of tokens in the response; 0 if not given.
 	AnswerTokens int `json:"AnswerTokens"`
-	// Rank is the rank of the route under load; routes with rank 0 are served first.
+	// Rank is the rank of the route under load, 0 first. The priority does not depend on it, but on Value.
 	Rank int `json:"Rank"`
-	// TenantRank is the rank of the tenant under load, 0 first; it takes precedence over Rank.
+	// TenantRank is the rank of the tenant under load, 0 first; it takes precedence over WithinLimit and Value.
 	TenantRank int `json:"TenantRank"`
 	// Resumed says that part of the response was already relayed and the request asks for the rest.
 	Resumed bool   `json:"Resumed"`
--- a/balancer/scheduler/scheduler_test.go
+++ b/balancer/scheduler/scheduler_test.go
@@ -43,17 +43,17 @@
 			t.Fatalf("the backend is saturated too early: %v", decision)
 		}
 	}
-	decision, answered := fixture.schedule(fixture.request("l", 1, 1, 100*time.Millisecond, "x"))
-	if !answered || decision.Kind != Reject ||
+	decision, decided := fixture.schedule(fixture.request("l", 1, 1, 100*time.Millisecond, "x"))
+	if !decided || decision.Kind != Reject ||
 		decision.ErrorCode != apierror.LatencyTargetMissed || decision.RetryAfter < time.Second {
 		t.Fatalf("short latency target: %+v", decision)
 	}
-	patient := fixture.request("l", 1, 1, time.Minute, "x")
-	if decision, answered := fixture.schedule(patient); answered {
+	queued := fixture.request("l", 1, 1, time.Minute, "x")
+	if decision, decided := fixture.schedule(queued); decided {
 		t.Fatalf("long latency target: %+v", decision)
 	}
 	fixture.Release(fixture.now, &QueuedRequest{Route: "l"}, "r00")
-	if decision := <-patient.Decisions; decision.Kind != Dispatch || decision.Runner.ID != "r00" {
+	if decision := <-queued.Decisions; decision.Kind != Dispatch || decision.Runner.ID != "r00" {
 		t.Fatalf("a slot became free: %+v", decision)
 	}
 	fixture.now = fixture.now.Add(2 * time.Minute)
@@ -79,7 +79,7 @@
 		cheap = append(cheap, request)
 	}
 	valuable := fixture.request("valuable", 50, 1, time.Hour, "x")
-	if decision, answered := fixture.schedule(valuable); answered {
+	if decision, decided := fixture.schedule(valuable); decided {
 		t.Fatalf("the valuable request was not queued: %+v", decision)
 	}
 	rejected := 0
@@ -144,7 +144,7 @@
 	}
 	request := fixture.request("l", 1, 1, 100*time.Millisecond, "x")
 	request.Requirements.Deadline = 20 * time.Second
-	if decision, answered := fixture.schedule(request); answered {
+	if decision, decided := fixture.schedule(request); decided {
 		t.Fatalf("the request was not queued: %+v", decision)
 	}
 	if !fixture.HasQueued() {
--- a/balancer/scheduler/traffic.go
+++ b/balancer/scheduler/traffic.go
@@ -29,14 +29,16 @@
 
 // promptClass holds decaying sums over the prompts of a class: their number, their prefill times in seconds, and the
 // squares of these.
-type promptClass struct{ count, work, square float64 }
+type promptClass struct {
+	count, work, squares float64
+}
 
 func (class *promptClass) decay() {
-	class.count, class.work, class.square = class.count*decayFactor, class.work*decayFactor, class.square*decayFactor
+	class.count, class.work, class.squares = class.count*decayFactor, class.work*decayFactor, class.squares*decayFactor
 }
 
 func (class *promptClass) add(work float64) {
-	class.count, class.work, class.square = class.count+1, class.work+work, class.square+work*work
+	class.count, class.work, class.squares = class.count+1, class.work+work, class.squares+work*work
 }
 
 // remainingPrefill returns the mean remaining prefill time, in seconds, of the prompt that a new one finds in progress.
@@ -45,7 +47,7 @@
 	if class.work <= 0 {
 		return defaultPrefill
 	}
-	return class.square / class.work / 2
+	return class.squares / class.work / 2
 }
 
 // trafficStatistics are a daemon's statistics of the requests to its backend. All daemons have similar clients, so each
