--- a/balancer/scheduler/context.go
+++ b/balancer/scheduler/context.go
@@ -53,7 +53,7 @@
 type PromptForecast struct {
 	// Wait is the average time, in seconds, for which other daemons' prompts delay a new one.
 	Wait float64
-	// Prefill is the average prefill time of one such prompt, in seconds.
+	// Prefill is the prefill time, in seconds, assumed for each of these waiting prompts; see remainingPrefill.
 	Prefill float64
 }
 
