--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -9,45 +9,48 @@
 	"wardtray/proxy/dedup"
 )
 
-// reservationTimeout bounds how long a request waits for its reservation, which is decided before that.
+// reservationTimeout bounds how long a request waits for the outcome of its reservation. Package reservation decides
+// earlier than that.
 const reservationTimeout = 2 * time.Second
 
-// Reservations reserves requests that run at most once with the fleet's other daemons (package reservation).
+// Reservations reserves at-most-once requests with the other daemons of the fleet (see package reservation).
 type Reservations interface {
-	// Reserve begins to reserve a request, and does not wait for the outcome.
-	Reserve(key reservation.Key, sending reservation.Sending) *reservation.Reservation
-	// Release gives up the reservation, decided or not, of a request that certainly did not and will not run.
+	// Reserve starts the reservation of a request and returns without waiting for the outcome.
+	Reserve(key reservation.Key, clientAttempt reservation.Sending) *reservation.Reservation
+	// Release releases the reservation, decided or not, of a request that certainly did not run and will not run.
 	Release(held *reservation.Reservation)
-	// Finish ends the reservation of a request that has ended and may have run; it is remembered for a while.
+	// Finish ends the reservation of a request that has ended and may have run. The reservation is kept for a retention
+	// period.
 	Finish(held *reservation.Reservation)
 }
 
-// atMostOnce keeps a request of a route that runs at most once from running again when its client sends it again, to
-// this daemon or to any other. For any other request it does nothing.
+// atMostOnce prevents an at-most-once request from running again when its client retries it, at this daemon or at any
+// other. It does nothing for other requests.
 type atMostOnce struct {
 	table *dedup.Table
 	// reservations is nil where no request is reserved.
 	reservations Reservations
-	// announce tells the zone's other daemons that the request is sent to a runner, or, with dropped, that it certainly
-	// did not run. Daemons that make no reservations go by it.
+	// announce notifies the zone's other daemons that the request is being sent to a runner or, if dropped is set, that it
+	// certainly did not run. Daemons that make no reservations rely on it.
 	announce func(key dedup.Key, dropped bool)
-	// wait waits for a channel to be closed, for a time, or until a context ends.
+	// wait waits until a channel is closed, a duration has passed or a context ends, whichever comes first.
 	wait func(ctx context.Context, length time.Duration, woken <-chan struct{})
-	// key is that of the request once this daemon has accepted it as one that runs at most once, and sending what its
-	// client states of this sending.
-	key     *dedup.Key
-	sending reservation.Sending
-	// reserved is the reservation, from when it was begun.
+	// key identifies the request once this daemon has accepted it as an at-most-once request; nil otherwise. clientAttempt
+	// holds what the client states about this attempt.
+	key           *dedup.Key
+	clientAttempt reservation.Sending
+	// reserved is the reservation; nil until it is started.
 	reserved *reservation.Reservation
-	// isSent says that bytes of the request may have reached a runner, and announced that the other daemons were told.
+	// isSent reports whether bytes of the request may have reached a runner, announced whether the other daemons were
+	// notified of it.
 	isSent, announced bool
-	// readOnly has accept look a request up without recording it, for a dry run.
+	// readOnly makes accept look up a request without recording it; used for dry runs.
 	readOnly bool
 }
 
-// accept records a request, unless it was sent before: then it returns what is known of it. It is called before
-// anything else can be said of the request. applies reports whether the request's route runs at most once; it is not
-// called for a request that is known. It fails where no more requests can be remembered.
+// accept records a request, or returns its recorded state if it was sent before. It runs before any other check that
+// can refuse the request. applies reports whether the route is at-most-once; it is not called for a request that is
+// already recorded. accept fails if the table has no room for another request.
 func (guard *atMostOnce) accept(clock func() time.Time, key dedup.Key, applies func() bool) (dedup.State, error) {
 	if known := guard.table.Lookup(key); known != dedup.NotSeen {
 		return known, nil
@@ -65,25 +68,25 @@
 	return known, nil
 }
 
-// errTooManyRemembered is the error of a request for which there is no room, here or at the replicas.
+// errTooManyRemembered is the error of a request for which this daemon or the replicas have no room.
 var errTooManyRemembered = apierror.New(apierror.TooManyRemembered,
 	"as many requests that run at most once are remembered as can be")
 
-// mustProve reports whether it must be proven, before anything else is said of the request, that no earlier sending of
-// it can run: its client has not said that this is the first.
-func (guard *atMostOnce) mustProve() bool {
-	return guard.key != nil && guard.reservations != nil && !guard.sending.IsFirst()
+// mustRuleOutEarlier reports whether the request may only be processed further, or refused as not run, once no earlier
+// client attempt can run any more. That is so unless the client has declared this attempt to be the first.
+func (guard *atMostOnce) mustRuleOutEarlier() bool {
+	return guard.key != nil && guard.reservations != nil && !guard.clientAttempt.IsFirst()
 }
 
-// begin begins to reserve the request, once.
+// begin starts the reservation of the request if none was started before.
 func (guard *atMostOnce) begin() {
 	if guard.key != nil && guard.reservations != nil && guard.reserved == nil {
-		guard.reserved = guard.reservations.Reserve(*guard.key, guard.sending)
+		guard.reserved = guard.reservations.Reserve(*guard.key, guard.clientAttempt)
 	}
 }
 
-// await waits until the reservation that was begun is decided, and returns what became of it. Where nothing is reserved
-// it is granted. Pending says that the context has ended, or that it took too long.
+// await waits until the reservation is decided and returns its outcome. It returns Granted if the request is not
+// reserved, and Pending if the context has ended or the timeout has expired.
 func (guard *atMostOnce) await(ctx context.Context) reservation.Outcome {
 	if guard.reserved == nil {
 		return reservation.Granted
@@ -92,7 +95,7 @@
 	return guard.reserved.Outcome()
 }
 
-// reservationErrors are the errors of requests that did not get their reservation.
+// reservationErrors holds the errors of requests whose reservation was not granted.
 var reservationErrors = map[reservation.Outcome]error{
 	reservation.Taken: apierror.New(apierror.DuplicateRequest, "the request with this id %s", dedup.TakenElsewhere),
 	reservation.InDoubt: apierror.New(apierror.OutcomeUnknown,
@@ -102,24 +105,25 @@
 	reservation.Full: errTooManyRemembered,
 }
 
-// errorOf returns the error of a request by what became of its reservation; nil: it may be sent to a runner.
+// errorOf returns the error of a request by the outcome of its reservation; nil if the request may be sent to a runner.
 func (guard *atMostOnce) errorOf(outcome reservation.Outcome) error {
-	// One that is still pending is given up.
+	// A reservation that is still pending has timed out.
 	if outcome == reservation.Pending {
 		outcome = reservation.Unreachable
 	}
 	switch {
-	case outcome == reservation.Unreachable && guard.sending.IsFirst():
+	case outcome == reservation.Unreachable && guard.clientAttempt.IsFirst():
 		return apierror.New(apierror.NotServing, "too few daemons that remember requests answer")
-	case outcome == reservation.NotInForce && guard.sending.Number > 1:
-		// Not every daemon makes reservations yet, so that one that doesn't may have run it.
+	case outcome == reservation.NotInForce && guard.clientAttempt.Number > 1:
+		// Some daemons don't make reservations yet, and one of them may have run the request.
 		return reservationErrors[reservation.InDoubt]
 	default:
 		return reservationErrors[outcome]
 	}
 }
 
-// announceSend notes that the request is about to be sent, and tells the zone that once, where it is not reserved.
+// announceSend records that the request is about to be sent. It notifies the zone, once, if the request has no granted
+// reservation.
 func (guard *atMostOnce) announceSend() {
 	guard.isSent = true
 	if guard.key != nil && !guard.announced && !guard.isGranted() {
@@ -128,7 +132,7 @@
 	}
 }
 
-// finish records how a request ended that may have run.
+// finish records the end of a request that may have run.
 func (guard *atMostOnce) finish(now time.Time, state dedup.State) {
 	if guard.key == nil {
 		return
@@ -139,7 +143,7 @@
 	}
 }
 
-// forget lets a request that this daemon certainly did not run be sent again, here and to other daemons.
+// forget allows a request that this daemon certainly did not run to be sent again, to this daemon and to others.
 func (guard *atMostOnce) forget() {
 	if guard.key == nil {
 		return
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// writeTimeout is how long the operating system may take to accept the bytes of a request.
+	// writeTimeout bounds how long the operating system may take to accept the bytes of a request.
 	writeTimeout = 2 * time.Second
-	// recheckAfter is how old the last check of a decision may be when the bytes go out: after that the process was
-	// frozen, or waited, and everything is checked again.
+	// recheckAfter is the maximum age of the last check of a decision when the bytes go out. An older check means that the
+	// process was frozen or had to wait, so everything is checked again.
 	recheckAfter = 5 * time.Millisecond
-	// earlyResponseTimeout is how long a response is waited for that the runner gave before it had the whole request.
+	// earlyResponseTimeout bounds the wait for a response that the runner sent before it had received the complete
+	// request.
 	earlyResponseTimeout = 20 * time.Millisecond
-	// lastPartSize is how many bytes of a long request are held back for the last check; longRequest is from what
-	// length on that is done.
-	lastPartSize = 4 << 10
-	longRequest  = 4 * lastPartSize
+	// lastPartSize is the number of bytes of a long request that are held back until the last check. longRequestSize is
+	// the size in bytes above which a request counts as long.
+	lastPartSize    = 4 << 10
+	longRequestSize = 4 * lastPartSize
 )
 
-// Reasons for which a runner is not used for a while, as they are shown to operators.
+// Reasons for which a runner is ejected, as operators see them.
 const (
 	reasonServesOther     = "serves something else than listed"
 	reasonNoResponse      = "gave no answer"
@@ -45,43 +46,45 @@
 // responseReady is the outcome of an attempt whose response may be relayed.
 const responseReady scheduler.AttemptOutcome = ""
 
-// attempt is one request at one runner: the connection, what was sent over it and the response.
+// attempt is one attempt to run a request at one runner: the connection, the state of the write and the response.
 type attempt struct {
 	exchange *Exchange
-	// decision is the scheduler's, with the runner.
+	// decision is the decision of the scheduler, which names the runner.
 	decision scheduler.Decision
-	// epoch is that of the configuration by which the decision was last checked, at checkedAt.
+	// epoch is the epoch of the configuration that the decision was last checked against, at checkedAt.
 	epoch     uint64
 	checkedAt time.Time
-	// connection is the one to the runner, nil before it is made and after it was returned to the pool.
+	// connection is the connection to the runner; nil before it is made and after it was returned to the pool.
 	connection *connpool.Connection
-	// sentAt is when the request began to be written; partial says that the runner did not get all of it.
+	// sentAt is the time at which the write of the request began. partial reports whether the runner did not receive the
+	// complete request.
 	sentAt  time.Time
 	partial bool
-	// response is the runner's, and head what its head says.
+	// response is the runner's response, head its classified head.
 	response *fasthttp.Response
 	head     codec.ResponseHead
-	// reader reads the events of a stream, of which first came with the response; it is nil where body is the whole
-	// response.
-	reader *stream.Reader
-	first  stream.Event
-	body   []byte
-	// notReserved is why the request must not be sent to any runner; nil: it may be.
-	notReserved error
-	// listingIsStale says that another runner has the address of the one that is meant: the list of runners is behind.
+	// reader reads the events of a stream; it is nil if body is the complete response. firstEvent is the event that was
+	// read together with the head.
+	reader     *stream.Reader
+	firstEvent stream.Event
+	body       []byte
+	// reservationError is the reason why the request must not be sent to any runner; nil if it may be sent.
+	reservationError error
+	// listingIsStale reports whether another runner has the address of the chosen one, so that the list of runners is out
+	// of date.
 	listingIsStale bool
 }
 
-// Permits reports whether a configuration lets a backend use a runner.
+// Permits reports whether a configuration allows a backend to use a runner.
 func Permits(catalog *config.Catalog, backend *config.Backend, runner load.Runner) bool {
 	return backend.AllowsService(runner.Service) && catalog.IsOpen(runner.Zone)
 }
 
-// execute sends the request to the runner and reads up to the first event. It returns how the attempt ended, or
-// succeeded when the response may be relayed.
+// execute sends the request to the runner and reads the response up to the first event. It returns the outcome of the
+// attempt, responseReady if the response may be relayed.
 func (attempt *attempt) execute() scheduler.AttemptOutcome {
 	exchange, runner := attempt.exchange, attempt.decision.Runner
-	// The reservation is made while the connection is.
+	// The reservation is made while the connection is being set up.
 	exchange.atMostOnce.begin()
 	connection, err := exchange.handler.Connections.TakeWithin(exchange.client.ctx, runner.ID, runner.Address,
 		exchange.remaining())
@@ -94,21 +97,21 @@
 	}
 	attempt.connection = connection
 	if !attempt.isAllowed() {
-		if attempt.servesOther() {
+		if attempt.contradictsListing() {
 			exchange.handler.Loads.Eject(exchange.now(), runner.ID, reasonServesOther)
 		}
 		attempt.countNotSent()
 		return scheduler.NotSent
 	}
-	if !exchange.client.isPresent() {
+	if !exchange.client.checkConnected() {
 		attempt.returnUnused()
 		return scheduler.NotSent
 	}
-	if attempt.notReserved = exchange.awaitReservation(); attempt.notReserved != nil {
+	if attempt.reservationError = exchange.awaitReservation(); attempt.reservationError != nil {
 		attempt.returnUnused()
 		return scheduler.NotSent
 	}
-	if !exchange.spendTry() {
+	if !exchange.spendSend() {
 		return scheduler.NotSent
 	}
 	if outcome := attempt.send(); outcome != responseReady {
@@ -122,8 +125,8 @@
 	return responseReady
 }
 
-// isAllowed checks the decision against the newest configuration, the newest list of runners and the deadline, at the
-// moment before bytes go out.
+// isAllowed checks the decision against the newest configuration, the newest list of runners and the deadline, directly
+// before bytes go out.
 func (attempt *attempt) isAllowed() bool {
 	exchange := attempt.exchange
 	snapshot, now := exchange.handler.Snapshot(), exchange.now()
@@ -150,8 +153,8 @@
 	return attempt.isIdentified(runner, backend)
 }
 
-// isIdentified reports whether the runner at the other end of the connection is the one that is meant. Where runners
-// are not asked who they are, every request names the one that is meant, and another one rejects it.
+// isIdentified reports whether the runner at the other end of the connection is the chosen one. Where runners are not
+// asked for their identity, every request names the chosen runner, and any other one rejects it.
 func (attempt *attempt) isIdentified(runner load.Runner, backend *config.Backend) bool {
 	if attempt.exchange.handler.Codec.IdentityPath() == "" {
 		return true
@@ -161,15 +164,17 @@
 		identity.Model == backend.Model && identity.Weights == backend.Weights
 }
 
-// servesOther reports whether the runner itself says that it serves something else than it is listed with.
-func (attempt *attempt) servesOther() bool {
+// contradictsListing reports whether the runner's own identity differs from the service or the weights that it is
+// listed with.
+func (attempt *attempt) contradictsListing() bool {
 	identity, backend := attempt.connection.Identity, &attempt.exchange.backend
 	return attempt.exchange.handler.Codec.IdentityPath() != "" &&
 		(!backend.AllowsService(identity.Service) || identity.Weights != backend.Weights)
 }
 
-// send writes the request. A long one takes its time on the way, so that the decision is checked again before its last
-// part: without that the runner has no request. It returns responseReady when all went out or it responded early.
+// send writes the request. Writing a long request takes time, so the decision is checked again before the last part
+// goes out; without that part the runner has no complete request. It returns responseReady if the complete request went
+// out or the runner responded early.
 func (attempt *attempt) send() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.state.to(stateSent)
@@ -179,19 +184,19 @@
 	attempt.bindToClient()
 	written := attempt.write(content)
 	attempt.partial = written < len(content)
-	if attempt.partial && attempt.isCutOff(written) {
+	if attempt.partial && attempt.interruptedByClient(written) {
 		return scheduler.Ambiguous
 	}
 	if attempt.partial && !attempt.respondedEarly() {
 		return scheduler.NotSent
 	}
-	exchange.tries.sends++
-	attempt.connection.RequestSent(exchange.route.Idempotent && exchange.mayTry())
+	exchange.attemptCounter.sends++
+	attempt.connection.RequestSent(exchange.route.Idempotent && exchange.mayAttempt())
 	exchange.scheduler.RequestSent(attempt.sentAt, exchange.queuedRequest, attempt.decision)
 	return responseReady
 }
 
-// write passes the bytes of a request to the operating system and returns how many of them that accepted.
+// write passes the bytes of a request to the operating system and returns how many of them it accepted.
 func (attempt *attempt) write(content []byte) int {
 	exchange := attempt.exchange
 	if exchange.now().Sub(attempt.checkedAt) >= recheckAfter && !attempt.recheck() {
@@ -203,41 +208,41 @@
 	}
 	attempt.setTimeout(timeout)
 	before := 0
-	if len(content) > longRequest {
+	if len(content) > longRequestSize {
 		written, err := attempt.connection.Write(content[:len(content)-lastPartSize])
-		if err != nil || !attempt.isAllowed() || !exchange.client.isPresent() {
+		if err != nil || !attempt.isAllowed() || !exchange.client.checkConnected() {
 			return written
 		}
 		before = written
 	}
-	// What was not even accepted completely by our own system no runner can have read completely. After that an error
-	// of the write says nothing of what the runner got, and reading the response decides.
+	// If the local operating system has not accepted all bytes, no runner can have read the complete request. If it has, a
+	// write error does not show what the runner received, and the response decides.
 	written, _ := attempt.connection.Write(content[before:])
 	return before + written
 }
 
-// recheck reports whether the decision still holds after a pause between it and the write: the configuration, the
-// runner and the deadline are as they were, the client is still there, and the runner has neither closed the connection
-// nor sent anything over it.
+// recheck reports whether the decision still holds after a pause before the write: the configuration, the runner and
+// the deadline still allow it, the client is connected, and the runner has neither closed the connection nor sent
+// anything over it.
 func (attempt *attempt) recheck() bool {
-	return attempt.isAllowed() && attempt.connection.Idle() && attempt.exchange.client.isPresent()
+	return attempt.isAllowed() && attempt.connection.Idle() && attempt.exchange.client.checkConnected()
 }
 
-// respondedEarly reports whether the runner has responded to a request that it did not get completely. It may have run
-// what it got, so that its response decides, and not the error of the write.
+// respondedEarly reports whether the runner has responded to a request that it did not receive completely. It may have
+// run what it received, so its response decides, not the write error.
 func (attempt *attempt) respondedEarly() bool {
 	attempt.setTimeout(earlyResponseTimeout)
 	_, err := attempt.connection.Reader.Peek(1)
 	return err == nil
 }
 
-// setTimeout bounds all that is read and written on the connection from now on. A connection that is closed already
-// fails at the next read or write.
+// setTimeout bounds all further reads and writes on the connection. On a connection that is already closed it has no
+// effect: the next read or write fails.
 func (attempt *attempt) setTimeout(timeout time.Duration) {
 	_ = attempt.connection.SetDeadline(attempt.exchange.now().Add(timeout))
 }
 
-// describe is this attempt as codecs see it.
+// describe returns the attempt as codecs see it.
 func (attempt *attempt) describe() codec.Attempt {
 	exchange := attempt.exchange
 	return codec.Attempt{
@@ -253,42 +258,43 @@
 	}
 }
 
-// bindToClient has the run end with the client, unless it must run at most once and its outcome is worth knowing.
+// bindToClient cancels the run when the client disconnects, unless the request must run at most once: then its outcome
+// has to be known.
 func (attempt *attempt) bindToClient() {
 	if attempt.exchange.route.CancelsOnDisconnect() {
 		attempt.connection.Bind(attempt.exchange.client.ctx)
 	}
 }
 
-// isCutOff reports whether the client's departure ended a write in the middle. The runner may have begun on what it
-// got, and over a connection that is closed it can't say so.
-func (attempt *attempt) isCutOff(written int) bool {
-	return written > 0 && attempt.exchange.client.hasLeft() && attempt.exchange.route.CancelsOnDisconnect()
+// interruptedByClient reports whether the client's disconnect ended a write halfway. The runner may have begun to run
+// what it received, and can't say so over a closed connection.
+func (attempt *attempt) interruptedByClient(written int) bool {
+	return written > 0 && attempt.exchange.client.hasDisconnected() && attempt.exchange.route.CancelsOnDisconnect()
 }
 
-// reportFailure has the runner not used for a while, unless it was cut off because nobody waited for it any more.
+// reportFailure ejects the runner, unless the attempt was cancelled because the client disconnected.
 func (attempt *attempt) reportFailure(reason string) {
 	exchange := attempt.exchange
-	if !exchange.client.hasLeft() {
+	if !exchange.client.hasDisconnected() {
 		exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reason)
 	}
 }
 
-// countNotSent counts an attempt that cost its runner nothing.
+// countNotSent counts an attempt that put no load on its runner.
 func (attempt *attempt) countNotSent() {
 	attempt.exchange.count(func(route *metrics.RouteMetrics) { route.UnsentAttempts++ })
 }
 
-// returnUnused returns a connection over which nothing was sent to the pool.
+// returnUnused returns a connection to the pool over which nothing was sent.
 func (attempt *attempt) returnUnused() {
 	attempt.exchange.handler.Connections.Release(attempt.connection, 0)
 	attempt.connection = nil
 }
 
-// release closes the connection if it was not returned, and gives the scheduler the runner's slot back.
+// release closes the connection if it was not returned to the pool, and releases the runner's slot in the scheduler.
 func (attempt *attempt) release() {
 	if attempt.connection != nil {
-		// Whatever closing it fails with, it is not used again.
+		// An error does not matter, since the connection is not used again.
 		_ = attempt.connection.Close()
 		attempt.connection = nil
 	}
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -15,7 +15,7 @@
 // Each row is what a runner does with one request, and what that means for the attempt.
 func TestAttemptOutcomes(t *testing.T) {
 	const latencyTarget, grace = 2 * time.Second, firstEventGrace
-	stray, rejected := wholeResponse(codec.Stray), wholeResponse(codec.NotExecuted)
+	stray, rejected := completeResponse(codec.Stray), completeResponse(codec.NotExecuted)
 	for name, trial := range map[string]struct {
 		route    string
 		incoming []delivery
@@ -32,29 +32,29 @@
 			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
 		"a stream that begins with another event": {"once", []delivery{{0, streamed(tokenEvents("x", 2, 2))}}, false,
 			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
-		"a whole response": {"once", []delivery{{time.Second, wholeResponse(codec.Finished)}}, false,
+		"a whole response": {"once", []delivery{{time.Second, completeResponse(codec.Finished)}}, false,
 			responseReady, "", time.Second, false},
 		"a response cut short": {"once", []delivery{{0, head(codec.Finished, "Content-Length: 9\r\n") + "body"}}, true,
 			scheduler.Ambiguous, reasonBrokenResponse, 0, false},
 		"a response of unknown length": {"once",
 			[]delivery{{0, head(codec.Finished, "Connection: close\r\n") + "body"}}, true,
 			scheduler.Ambiguous, "", 0, false},
-		"its own error, once": {"once", []delivery{{0, wholeResponse(codec.Failed)}}, false,
+		"its own error, once": {"once", []delivery{{0, completeResponse(codec.Failed)}}, false,
 			responseReady, reasonFailedRun, 0, false},
-		"its own error, idempotent": {"free", []delivery{{0, wholeResponse(codec.Failed)}}, false,
+		"its own error, idempotent": {"free", []delivery{{0, completeResponse(codec.Failed)}}, false,
 			scheduler.Ambiguous, reasonFailedRun, 0, false},
 		"a rejection": {"once", []delivery{{0, rejected}}, false,
 			scheduler.NotExecuted, "puts requests back", 0, true},
 		"a rejection that closes": {"once",
 			[]delivery{{0, head(codec.NotExecuted, "Connection: close\r\nContent-Length: 4\r\n") + "body"}}, false,
 			scheduler.NotExecuted, "puts requests back", 0, false},
-		"another runner": {"once", []delivery{{0, wholeResponse(codec.Misdirected)}}, false,
+		"another runner": {"once", []delivery{{0, completeResponse(codec.Misdirected)}}, false,
 			scheduler.NotExecuted, reasonAddressReused, 0, false},
-		"nothing clear": {"once", []delivery{{0, wholeResponse(codec.Unclear)}}, false,
+		"nothing clear": {"once", []delivery{{0, completeResponse(codec.Unclear)}}, false,
 			scheduler.Ambiguous, reasonUnclearResponse, 0, false},
-		"a stray response before": {"once", []delivery{{0, stray}, {time.Second, wholeResponse(codec.Finished)}}, false,
+		"a stray response before": {"once", []delivery{{0, stray}, {time.Second, completeResponse(codec.Finished)}}, false,
 			responseReady, "", time.Second, false},
-		"stray responses only": {"once", []delivery{{0, strings.Repeat(stray, maximumStrays)}}, false,
+		"stray responses only": {"once", []delivery{{0, strings.Repeat(stray, maximumStrayResponses)}}, false,
 			scheduler.Ambiguous, reasonNoResponse, 0, false},
 		"no response": {"once", nil, true, scheduler.Ambiguous, reasonNoResponse, 0, false},
 		"no HTTP": {"once", []delivery{{0, "\x00\x01\r\n\r\n"}}, true,
@@ -62,11 +62,11 @@
 		"silence, once":       {"once", nil, false, scheduler.Ambiguous, reasonNoResponse, 2 * latencyTarget, false},
 		"silence, idempotent": {"free", nil, false, scheduler.Ambiguous, reasonNoResponse, latencyTarget + grace, false},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock, trial.incoming...)
 		connection.closes = trial.closes
-		daemon := newSteppedDaemon(t, clock, connection)
-		attempt := steppedAttempt(daemon, trial.route)
+		daemon := newFakeClockDaemon(t, clock, connection)
+		attempt := newFakeClockAttempt(daemon, trial.route)
 		outcome := attempt.execute()
 		if took := clock.now.Sub(attempt.sentAt); outcome != trial.outcome || took != trial.took {
 			t.Errorf("%s: %q after %v, not %q after %v", name, outcome, took, trial.outcome, trial.took)
@@ -78,7 +78,7 @@
 		if connection.closed == trial.kept || attempt.connection != nil {
 			t.Errorf("%s: closed %v", name, connection.closed)
 		}
-		if sends := attempt.exchange.tries.sends; sends != 1 {
+		if sends := attempt.exchange.attemptCounter.sends; sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
 		}
 	}
@@ -104,23 +104,23 @@
 			attempt.exchange.deadline = newDeadline(now.Add(-time.Second), time.Second)
 		}, "", false, 1},
 		"the client has left": {func(_ *testDaemon, attempt *attempt) {
-			attempt.exchange.client = watchClient(&departed{})
+			attempt.exchange.client = watchClient(&disconnectedClient{})
 		}, "", true, 0},
 		"the retry budget is used up": {func(daemon *testDaemon, attempt *attempt) {
 			daemon.budgets.Clear()
-			attempt.exchange.tries.sends = 1
+			attempt.exchange.attemptCounter.sends = 1
 		}, "", false, 0},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock)
-		daemon := newSteppedDaemon(t, clock, connection)
-		attempt := steppedAttempt(daemon, "once")
+		daemon := newFakeClockDaemon(t, clock, connection)
+		attempt := newFakeClockAttempt(daemon, "once")
 		trial.prepare(daemon, attempt)
-		before := attempt.exchange.tries.sends
+		before := attempt.exchange.attemptCounter.sends
 		outcome := attempt.execute()
 		attempt.release()
-		if outcome != scheduler.NotSent || connection.written.Len() != 0 || attempt.exchange.tries.sends != before {
-			t.Errorf("%s: %q, %d bytes, %d sends", name, outcome, connection.written.Len(), attempt.exchange.tries.sends)
+		if outcome != scheduler.NotSent || connection.written.Len() != 0 || attempt.exchange.attemptCounter.sends != before {
+			t.Errorf("%s: %q, %d bytes, %d sends", name, outcome, connection.written.Len(), attempt.exchange.attemptCounter.sends)
 		}
 		if reason := daemon.reason(clock); reason != trial.reason {
 			t.Errorf("%s: the runner is not used because %q, not %q", name, reason, trial.reason)
@@ -137,7 +137,7 @@
 // A write that ends in the middle: a response decides if the runner has given one, else the request did not go out,
 // unless its client's departure cut it off.
 func TestAttemptWrittenInPart(t *testing.T) {
-	rejected := []delivery{{0, wholeResponse(codec.NotExecuted)}}
+	rejected := []delivery{{0, completeResponse(codec.NotExecuted)}}
 	for name, trial := range map[string]struct {
 		route    string
 		capacity int
@@ -154,22 +154,22 @@
 		"nothing, the client left":             {"free", 0, nil, true, scheduler.NotSent, 0},
 		"a part, the client left a once route": {"once", 10, nil, true, scheduler.NotSent, 0},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock, trial.incoming...)
 		connection.capacity = trial.capacity
-		daemon := newSteppedDaemon(t, clock, connection)
-		attempt := steppedAttempt(daemon, trial.route)
+		daemon := newFakeClockDaemon(t, clock, connection)
+		attempt := newFakeClockAttempt(daemon, trial.route)
 		var err error
 		if attempt.connection, err = daemon.Connections.Take("r0", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		attempt.checkedAt = clock.now
 		if trial.leaves {
-			attempt.exchange.client.leave()
+			attempt.exchange.client.cancel()
 		}
 		outcome := attempt.send()
-		if outcome != trial.outcome || attempt.exchange.tries.sends != trial.sends || !attempt.partial {
-			t.Errorf("%s: %q, %d sends, partial %v", name, outcome, attempt.exchange.tries.sends, attempt.partial)
+		if outcome != trial.outcome || attempt.exchange.attemptCounter.sends != trial.sends || !attempt.partial {
+			t.Errorf("%s: %q, %d sends, partial %v", name, outcome, attempt.exchange.attemptCounter.sends, attempt.partial)
 		}
 		if took := clock.now.Sub(attempt.sentAt); took > earlyResponseTimeout {
 			t.Errorf("%s: an early response was waited for %v", name, took)
@@ -195,13 +195,13 @@
 	}{
 		"young":         {recheckAfter - 1, 100, 100},
 		"old":           {recheckAfter, 100, 0},
-		"young, longer": {0, longRequest + 1, longRequest + 1 - lastPartSize},
-		"young, long":   {0, longRequest, longRequest},
+		"young, longer": {0, longRequestSize + 1, longRequestSize + 1 - lastPartSize},
+		"young, long":   {0, longRequestSize, longRequestSize},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock)
-		daemon := newSteppedDaemon(t, clock, connection)
-		attempt := steppedAttempt(daemon, "once")
+		daemon := newFakeClockDaemon(t, clock, connection)
+		attempt := newFakeClockAttempt(daemon, "once")
 		var err error
 		if attempt.connection, err = daemon.Connections.Take("r0", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
@@ -218,9 +218,9 @@
 // A run is bound to its client, unless it must come to its end.
 func TestAttemptIsBoundToItsClient(t *testing.T) {
 	for route, bound := range map[string]bool{"free": true, "resumed": true, "once": false} {
-		clock := &steppedClock{}
-		connection := responding(clock, delivery{0, wholeResponse(codec.Finished)})
-		steppedAttempt(newSteppedDaemon(t, clock, connection), route).execute()
+		clock := &fakeClock{}
+		connection := responding(clock, delivery{0, completeResponse(codec.Finished)})
+		newFakeClockAttempt(newFakeClockDaemon(t, clock, connection), route).execute()
 		if connection.bound != bound {
 			t.Errorf("%s: bound %v", route, connection.bound)
 		}
@@ -230,11 +230,11 @@
 // A runner is not blamed for what was cut off because nobody waited for it any more.
 func TestAttemptBlamesNoRunnerForItsClient(t *testing.T) {
 	for leaves, want := range map[bool]string{true: "", false: reasonNoResponse} {
-		clock := &steppedClock{}
-		daemon := newSteppedDaemon(t, clock, responding(clock))
-		attempt := steppedAttempt(daemon, "free")
+		clock := &fakeClock{}
+		daemon := newFakeClockDaemon(t, clock, responding(clock))
+		attempt := newFakeClockAttempt(daemon, "free")
 		if leaves {
-			attempt.exchange.client.leave()
+			attempt.exchange.client.cancel()
 		}
 		attempt.reportFailure(reasonNoResponse)
 		if reason := daemon.reason(clock); reason != want {
@@ -245,8 +245,8 @@
 
 // A codec is told all that an attempt rests on.
 func TestAttemptDescribesItself(t *testing.T) {
-	clock := &steppedClock{}
-	attempt := steppedAttempt(newSteppedDaemon(t, clock, responding(clock)), "once")
+	clock := &fakeClock{}
+	attempt := newFakeClockAttempt(newFakeClockDaemon(t, clock, responding(clock)), "once")
 	exchange := attempt.exchange
 	attempt.epoch, attempt.decision.Urgency = 7, 3
 	exchange.lastEventID, exchange.tenant = 4, &config.Tenant{Name: "tenant"}
@@ -272,9 +272,9 @@
 		"not ended in time":  {whole + body, false},
 		"more after its end": {whole + body + chunk("more") + "0\r\n\r\n", false},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock, delivery{0, trial.text})
-		attempt := steppedAttempt(newSteppedDaemon(t, clock, connection), "once")
+		attempt := newFakeClockAttempt(newFakeClockDaemon(t, clock, connection), "once")
 		if outcome := attempt.execute(); outcome != responseReady {
 			t.Fatalf("%s: %q", name, outcome)
 		}
@@ -295,9 +295,9 @@
 
 // A body that is no stream can't follow events that the client already has.
 func TestAttemptGivesNoBodyAfterEvents(t *testing.T) {
-	clock := &steppedClock{}
-	daemon := newSteppedDaemon(t, clock, responding(clock, delivery{0, wholeResponse(codec.Finished)}))
-	attempt := steppedAttempt(daemon, "resumed")
+	clock := &fakeClock{}
+	daemon := newFakeClockDaemon(t, clock, responding(clock, delivery{0, completeResponse(codec.Finished)}))
+	attempt := newFakeClockAttempt(daemon, "resumed")
 	attempt.exchange.execution.relayed = true
 	if outcome := attempt.execute(); outcome != scheduler.Ambiguous || daemon.reason(clock) != reasonNoEvents {
 		t.Errorf("%q, the runner %q", outcome, daemon.reason(clock))
@@ -306,8 +306,8 @@
 
 // A release gives the scheduler the runner's slot back.
 func TestAttemptReleasesItsSlot(t *testing.T) {
-	clock := &steppedClock{}
-	daemon := newSteppedDaemon(t, clock, responding(clock))
+	clock := &fakeClock{}
+	daemon := newFakeClockDaemon(t, clock, responding(clock))
 	exchange := newExchange(daemon.Handler, watchClient(&recordingClient{}))
 	exchange.request = &admission.Request{Route: "once", Model: "m", ID: "q"}
 	if err := exchange.resolve(); err != nil {
--- a/proxy/tries_test.go
+++ b/proxy/attemptcounter_test.go
@@ -11,32 +11,32 @@
 	"wardtray/proxy/codec"
 )
 
-func TestTriesRemain(t *testing.T) {
+func TestAttemptCounterRemain(t *testing.T) {
 	for name, trial := range map[string]struct {
-		tries tries
-		bound int
-		want  bool
+		counter attemptCounter
+		bound   int
+		want    bool
 	}{
-		"none yet":                     {tries{}, 0, true},
-		"one before the last":          {tries{attempts: maximumAttempts - 1, sends: maximumAttempts - 1}, 0, true},
-		"all attempts":                 {tries{attempts: maximumAttempts}, 0, false},
-		"the route's bound of sends":   {tries{attempts: 2, sends: 2}, 2, false},
-		"attempts that were not sent":  {tries{attempts: 5, sends: 1}, 2, true},
-		"all attempts, a larger bound": {tries{attempts: maximumAttempts}, 2 * maximumAttempts, false},
+		"none yet":                     {attemptCounter{}, 0, true},
+		"one before the last":          {attemptCounter{attempts: maximumAttempts - 1, sends: maximumAttempts - 1}, 0, true},
+		"all attempts":                 {attemptCounter{attempts: maximumAttempts}, 0, false},
+		"the route's bound of sends":   {attemptCounter{attempts: 2, sends: 2}, 2, false},
+		"attempts that were not sent":  {attemptCounter{attempts: 5, sends: 1}, 2, true},
+		"all attempts, a larger bound": {attemptCounter{attempts: maximumAttempts}, 2 * maximumAttempts, false},
 	} {
-		if got := trial.tries.remain(&config.Route{Attempts: trial.bound}); got != trial.want {
+		if got := trial.counter.remain(&config.Route{Attempts: trial.bound}); got != trial.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 // The first send needs no budget and its request counts once; a retry without budget leaves no attempt.
-func TestTriesSpend(t *testing.T) {
+func TestAttemptCounterSpend(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := retrybudget.DefaultSettings
 	settings.Ratio, settings.Slack = 0.5, 0
 	locked := &lockedBudget{budget: retrybudget.New(settings, func() int { return 1 })}
-	one := &tries{}
+	one := &attemptCounter{}
 	for range 2 {
 		if got := one.spend(now, locked); got != sendFirst || !one.counted {
 			t.Fatalf("not sent yet: %v, counted %v", got, one.counted)
@@ -47,9 +47,9 @@
 		t.Errorf("one request allows no retry: %v, %+v", got, one)
 	}
 	for range 40 {
-		(&tries{}).spend(now, locked)
+		(&attemptCounter{}).spend(now, locked)
 	}
-	other := &tries{attempts: 1, sends: 1, counted: true}
+	other := &attemptCounter{attempts: 1, sends: 1, counted: true}
 	if got := other.spend(now, locked); got != sendRetry || !other.remain(&config.Route{}) {
 		t.Errorf("40 requests allow a retry: %v, %+v", got, other)
 	}
@@ -80,14 +80,14 @@
 func testRetry(t *testing.T, outcome scheduler.AttemptOutcome, route string, hasBudget bool) bool {
 	t.Helper()
 	responses := map[scheduler.AttemptOutcome][]delivery{
-		scheduler.NotExecuted: {{0, wholeResponse(codec.NotExecuted)}},
-		scheduler.Ambiguous:   {{0, wholeResponse(codec.Unclear)}},
+		scheduler.NotExecuted: {{0, completeResponse(codec.NotExecuted)}},
+		scheduler.Ambiguous:   {{0, completeResponse(codec.Unclear)}},
 		scheduler.Broken:      {{0, streamed(tokenEvents("x", 1, 1))}},
 	}
-	clock := &steppedClock{}
-	second := responding(clock, delivery{0, wholeResponse(codec.Finished)})
-	daemon := newSteppedDaemon(t, clock, responding(clock, responses[outcome]...), second)
-	first := steppedAttempt(daemon, route)
+	clock := &fakeClock{}
+	second := responding(clock, delivery{0, completeResponse(codec.Finished)})
+	daemon := newFakeClockDaemon(t, clock, responding(clock, responses[outcome]...), second)
+	first := newFakeClockAttempt(daemon, route)
 	if !first.exchange.decideRetry(outcome).Retry {
 		return false
 	}
--- a/proxy/client.go
+++ b/proxy/client.go
@@ -7,51 +7,52 @@
 	"wardtray/transport/netio"
 )
 
-// clientConnection follows the connection of a request's client for as long as the request lives.
+// clientConnection watches the connection of a request's client for the lifetime of the request.
 //
-// Why one context for all waits: whatever the request waits for, the departure of the client ends it at once.
+// All waits share one context, so that a disconnect of the client ends any of them at once.
 type clientConnection struct {
 	netio.Client
-	// ctx ends when the client has left, which leave brings about, or when the request is finished.
-	ctx   context.Context
-	leave context.CancelFunc
-	// stopWatch ends the watch of the connection.
+	// ctx ends when the client disconnects or the request is finished. cancel ends it.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// stopWatch stops watching the connection.
 	stopWatch func()
 }
 
-// watchClient watches a client's connection until close.
+// watchClient watches a client's connection until close is called.
 func watchClient(client netio.Client) *clientConnection {
-	ctx, leave := context.WithCancel(context.Background())
-	return &clientConnection{Client: client, ctx: ctx, leave: leave, stopWatch: client.OnDisconnect(leave)}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &clientConnection{Client: client, ctx: ctx, cancel: cancel, stopWatch: client.OnDisconnect(cancel)}
 }
 
-// unwatchedClient is the connection of a client that waits for a short computation only.
+// unwatchedClient returns the connection of a client that only waits for a short computation.
 func unwatchedClient(client netio.Client) *clientConnection {
 	nothing := func() {}
-	return &clientConnection{Client: client, ctx: context.Background(), leave: nothing, stopWatch: nothing}
+	return &clientConnection{Client: client, ctx: context.Background(), cancel: nothing, stopWatch: nothing}
 }
 
-// hasLeft reports whether the client is known to have left.
-func (connection *clientConnection) hasLeft() bool { return connection.ctx.Err() != nil }
+// hasDisconnected reports whether the client is known to have disconnected.
+func (connection *clientConnection) hasDisconnected() bool { return connection.ctx.Err() != nil }
 
-// isPresent looks at the connection itself, and is called directly before bytes go out to a runner.
+// checkConnected inspects the connection itself and reports whether the client is connected. It is called directly
+// before bytes go out to a runner.
 //
-// Why the watch alone does not do: after a freeze, or where a request was read after its client's close, the request
-// may get here before the watch has been notified.
-func (connection *clientConnection) isPresent() bool {
-	if !connection.hasLeft() && connection.Disconnected() {
-		connection.leave()
+// The watch alone is not enough: after a freeze, or if a request was read after its client had closed the connection,
+// the request may get here before the watch is notified.
+func (connection *clientConnection) checkConnected() bool {
+	if !connection.hasDisconnected() && connection.Disconnected() {
+		connection.cancel()
 	}
-	return !connection.hasLeft()
+	return !connection.hasDisconnected()
 }
 
-// close ends the watch; the next request may come on the connection now.
+// close stops watching the connection; the next request may arrive on it from now on.
 func (connection *clientConnection) close() {
 	connection.stopWatch()
-	connection.leave()
+	connection.cancel()
 }
 
-// errClientLeft is the error of a request that nobody waits for.
-func errClientLeft() error {
+// errClientDisconnected returns the error of a request whose client has disconnected.
+func errClientDisconnected() error {
 	return apierror.New(apierror.ClientDisconnected, "the requester has closed its connection")
 }
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -8,7 +8,7 @@
 
 // watchedClient is a client whose departure a test brings about.
 type watchedClient struct {
-	departed
+	disconnectedClient
 	left    bool
 	notify  func()
 	stopped int
@@ -24,35 +24,35 @@
 func TestClientConnection(t *testing.T) {
 	stays := &watchedClient{}
 	connection := watchClient(stays)
-	if connection.hasLeft() || !connection.isPresent() {
+	if connection.hasDisconnected() || !connection.checkConnected() {
 		t.Error("a client that stays has left")
 	}
 	stays.notify()
-	if !connection.hasLeft() || connection.isPresent() {
+	if !connection.hasDisconnected() || connection.checkConnected() {
 		t.Error("the watch says that the client left, and it is present")
 	}
 
 	quick := &watchedClient{left: true}
 	connection = watchClient(quick)
-	if connection.hasLeft() {
+	if connection.hasDisconnected() {
 		t.Error("left before anybody looked")
 	}
-	if connection.isPresent() || !connection.hasLeft() {
+	if connection.checkConnected() || !connection.hasDisconnected() {
 		t.Error("a client is present whose connection is closed")
 	}
 	connection.close()
 	if quick.stopped != 1 {
 		t.Errorf("the watch was stopped %d times", quick.stopped)
 	}
-	if !apierror.Is(errClientLeft(), apierror.ClientDisconnected) {
-		t.Error(errClientLeft())
+	if !apierror.Is(errClientDisconnected(), apierror.ClientDisconnected) {
+		t.Error(errClientDisconnected())
 	}
 }
 
 func TestUnwatchedClientStays(t *testing.T) {
 	connection := unwatchedClient(&watchedClient{})
-	connection.leave()
-	if connection.hasLeft() {
+	connection.cancel()
+	if connection.hasDisconnected() {
 		t.Error("left")
 	}
 	connection.close()
--- a/proxy/completion.go
+++ b/proxy/completion.go
@@ -7,13 +7,13 @@
 	"wardtray/proxy/dedup"
 )
 
-// How a request ended that was relayed, as it is counted.
+// Outcomes under which relayed requests are counted.
 const (
-	endDone       = "done"
-	endClientGone = string(apierror.ClientDisconnected)
+	endDone               = "done"
+	endClientDisconnected = string(apierror.ClientDisconnected)
 )
 
-// relay forwards the response, beginning with the event that showed that the request runs.
+// relay forwards the response, beginning with the first event.
 func (exchange *Exchange) relay() {
 	exchange.recordFirstEvent()
 	client, attempt := exchange.client, exchange.attempt
@@ -30,14 +30,15 @@
 	client.Stream(status, headers, &relay{exchange: exchange})
 }
 
-// recordFirstEvent notes that the runner has responded, and how long that took.
+// recordFirstEvent records that the runner has responded, and the time that it took.
 func (exchange *Exchange) recordFirstEvent() {
 	attempt := exchange.attempt
 	if attempt.connection != nil {
 		attempt.connection.ResponseStarted()
 	}
 	took, runner := exchange.now().Sub(attempt.sentAt), attempt.decision.Runner
-	// An error of the runner's own is forwarded, and is no reason to send it more at once.
+	// A runner that answers with an error of its own is not credited with a success, which would send it more requests at
+	// once.
 	if attempt.head.Disposition != codec.Failed {
 		exchange.handler.Loads.RequestSucceeded(runner.ID)
 	}
@@ -53,10 +54,10 @@
 	})
 }
 
-// outcomes are what is remembered of a request that was relayed, by whether its run came to its end.
-var outcomes = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
+// recordedStates maps whether the run of a relayed request completed to the state that is recorded of the request.
+var recordedStates = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
 
-// finish finishes a request that was relayed; end is counted, ran says whether the run came to its own end.
+// finish finishes a request that was relayed. It counts the request under end; ran reports whether the run completed.
 func (exchange *Exchange) finish(end string, ran bool) {
 	exchange.state.to(stateFinished)
 	attempt := exchange.attempt
@@ -64,7 +65,7 @@
 		attempt.keepAfterRun()
 		exchange.scheduler.RequestCompleted(0, 0, exchange.now().Sub(attempt.sentAt))
 	}
-	exchange.atMostOnce.finish(exchange.now(), outcomes[ran])
+	exchange.atMostOnce.finish(exchange.now(), recordedStates[ran])
 	attempt.release()
 	exchange.count(func(route *metrics.RouteMetrics) {
 		route.Outcomes[end]++
@@ -78,7 +79,7 @@
 	exchange.close()
 }
 
-// finishWithoutRunner finishes a request that was relayed in part and has no runner any more.
+// finishWithoutRunner finishes a request that was relayed in part and is left without a runner.
 func (exchange *Exchange) finishWithoutRunner(code apierror.Code) {
 	exchange.state.to(stateFinished)
 	exchange.atMostOnce.finish(exchange.now(), dedup.Unknown)
--- a/proxy/deadline.go
+++ b/proxy/deadline.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// idleTimeout is how long the next event is waited for where no deadline is known.
+	// idleTimeout bounds the wait for the next event if no deadline is known.
 	idleTimeout = 15 * time.Second
-	// firstEventGrace is what a first event is given beyond its latency target where no deadline is known.
+	// firstEventGrace is the time that a first event may take beyond its latency target if no deadline is known.
 	firstEventGrace = time.Second
-	// pauseFactor is for how many times the usual pause of its route a resumable stream may stand still before it is
-	// resumed at another runner.
+	// pauseFactor is the multiple of the usual pause of its route after which a stalled resumable stream is resumed at
+	// another runner.
 	pauseFactor = 2
-	// minimumRemaining is what remains of a deadline that has passed, since 0 stands for no deadline.
+	// minimumRemaining is the remaining time reported after a deadline has passed, since 0 stands for no deadline.
 	minimumRemaining = time.Millisecond
 )
 
-// deadline is the moment at which nobody waits for the complete response any more. It is a value: every method is a
-// function of the times it is given.
+// deadline is the time after which the client no longer waits for the complete response. It is a value type; its
+// methods only depend on the times that they are given.
 type deadline struct {
-	// started is when the request arrived.
+	// started is the arrival time of the request.
 	started time.Time
-	// until is the deadline; zero: there is none.
+	// until is the deadline; zero if there is none.
 	until time.Time
 }
 
-// newDeadline returns the earliest of the deadlines which so many timeouts set, counted from started; 0 sets none.
+// newDeadline returns the earliest of the deadlines set by the timeouts, counted from started. A timeout of 0 sets
+// none.
 func newDeadline(started time.Time, timeouts ...time.Duration) deadline {
 	least := time.Duration(0)
 	for _, timeout := range timeouts {
@@ -41,7 +42,7 @@
 	return deadline{started: started, until: started.Add(least)}
 }
 
-// timeout is how long the client waits in all; 0: not known.
+// timeout returns how long the client waits in total; 0 if that is not known.
 func (deadline deadline) timeout() time.Duration {
 	if deadline.until.IsZero() {
 		return 0
@@ -49,7 +50,7 @@
 	return deadline.until.Sub(deadline.started)
 }
 
-// remaining is how long the client still waits, at least minimumRemaining; 0: not known.
+// remaining returns how long the client still waits, at least minimumRemaining; 0 if that is not known.
 func (deadline deadline) remaining(now time.Time) time.Duration {
 	if deadline.until.IsZero() {
 		return 0
@@ -57,56 +58,57 @@
 	return max(minimumRemaining, deadline.until.Sub(now))
 }
 
-// passed reports whether nobody waits any more.
+// passed reports whether the client no longer waits.
 func (deadline deadline) passed(now time.Time) bool {
 	return !deadline.until.IsZero() && !now.Before(deadline.until)
 }
 
-// waits bounds how long one request waits for its runner.
-type waits struct {
+// waitLimits bounds how long one request waits for its runner.
+type waitLimits struct {
 	route *config.Route
-	// remaining is how long the client still waits; 0: not known.
+	// remaining is how long the client still waits; 0 if that is not known.
 	remaining time.Duration
-	// mayRetry says that the request may be sent to one more runner.
+	// mayRetry reports whether the request may be sent to one more runner.
 	mayRetry bool
 }
 
-// latencyTarget is the time in which the first event should come: that of the route, or what is left if that is less.
-func (waits waits) latencyTarget() time.Duration {
-	target := time.Duration(waits.route.LatencyTarget)
-	if waits.remaining > 0 && waits.remaining < target {
-		return waits.remaining
+// latencyTarget returns the time within which the first event should arrive: the latency target of the route, or the
+// remaining time if that is less.
+func (limits waitLimits) latencyTarget() time.Duration {
+	target := time.Duration(limits.route.LatencyTarget)
+	if limits.remaining > 0 && limits.remaining < target {
+		return limits.remaining
 	}
 	return target
 }
 
-// firstEvent is how long the first event is waited for. earlyRetry says that a runner which does not respond may be
-// given up for another one before the deadline.
-func (waits waits) firstEvent(earlyRetry bool) time.Duration {
-	target := time.Duration(waits.route.LatencyTarget)
-	if waits.remaining > 0 {
-		// A run that can't be repeated is of use up to the client's own deadline, and a runner that does not respond
-		// may still do so. One that can be is better started again at another runner while there is time.
-		if !waits.route.Idempotent || !waits.mayRetry || !earlyRetry {
-			return waits.remaining
+// firstEvent returns how long to wait for the first event. earlyRetry allows a runner that does not respond to be
+// abandoned for another one before the deadline.
+func (limits waitLimits) firstEvent(earlyRetry bool) time.Duration {
+	target := time.Duration(limits.route.LatencyTarget)
+	if limits.remaining > 0 {
+		// A run that can't be repeated is useful until the client's deadline, and a runner that is silent may still respond.
+		// A run that can be repeated is better started again at another runner while there is time.
+		if !limits.route.Idempotent || !limits.mayRetry || !earlyRetry {
+			return limits.remaining
 		}
-		return min(waits.remaining, max(target, waits.remaining/2))
+		return min(limits.remaining, max(target, limits.remaining/2))
 	}
-	// A run that can't be repeated is given its latency target once more before its outcome is called unknown; one that
-	// can be is better started again. Nobody waits longer than that for a runner that seems healthy.
-	if !waits.route.Idempotent {
+	// A run that can't be repeated gets twice its latency target before its outcome is reported as unknown; a run that can
+	// be repeated is better started again. No request waits longer than that for a runner that seems healthy.
+	if !limits.route.Idempotent {
 		return max(target+firstEventGrace, 2*target)
 	}
 	return target + firstEventGrace
 }
 
-// nextEvent is how long an event after the first is waited for.
-func (waits waits) nextEvent() time.Duration {
-	if waits.remaining == 0 {
+// nextEvent returns how long to wait for an event after the first.
+func (limits waitLimits) nextEvent() time.Duration {
+	if limits.remaining == 0 {
 		return idleTimeout
 	}
-	if waits.route.Resumable && waits.route.Pause > 0 && waits.mayRetry {
-		return min(waits.remaining, pauseFactor*time.Duration(waits.route.Pause))
+	if limits.route.Resumable && limits.route.Pause > 0 && limits.mayRetry {
+		return min(limits.remaining, pauseFactor*time.Duration(limits.route.Pause))
 	}
-	return waits.remaining
+	return limits.remaining
 }
--- a/proxy/deadline_test.go
+++ b/proxy/deadline_test.go
@@ -52,21 +52,21 @@
 	const target = 2 * time.Second
 	for name, trial := range map[string]struct {
 		idempotent bool
-		waits      waits
+		limits     waitLimits
 		earlyRetry bool
 		want       time.Duration
 	}{
-		"once, no deadline":         {false, waits{mayRetry: true}, true, 2 * target},
-		"idempotent, no deadline":   {true, waits{mayRetry: true}, true, target + firstEventGrace},
-		"once":                      {false, waits{remaining: time.Minute, mayRetry: true}, true, time.Minute},
-		"idempotent, time for two":  {true, waits{remaining: time.Minute, mayRetry: true}, true, time.Minute / 2},
-		"idempotent, little time":   {true, waits{remaining: 3 * time.Second, mayRetry: true}, true, target},
-		"idempotent, next to none":  {true, waits{remaining: time.Second, mayRetry: true}, true, time.Second},
-		"idempotent, the last time": {true, waits{remaining: time.Minute}, true, time.Minute},
-		"early retries are off":     {true, waits{remaining: time.Minute, mayRetry: true}, false, time.Minute},
+		"once, no deadline":         {false, waitLimits{mayRetry: true}, true, 2 * target},
+		"idempotent, no deadline":   {true, waitLimits{mayRetry: true}, true, target + firstEventGrace},
+		"once":                      {false, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute},
+		"idempotent, time for two":  {true, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute / 2},
+		"idempotent, little time":   {true, waitLimits{remaining: 3 * time.Second, mayRetry: true}, true, target},
+		"idempotent, next to none":  {true, waitLimits{remaining: time.Second, mayRetry: true}, true, time.Second},
+		"idempotent, the last time": {true, waitLimits{remaining: time.Minute}, true, time.Minute},
+		"early retries are off":     {true, waitLimits{remaining: time.Minute, mayRetry: true}, false, time.Minute},
 	} {
-		trial.waits.route = &config.Route{Idempotent: trial.idempotent, LatencyTarget: config.Duration(target)}
-		if got := trial.waits.firstEvent(trial.earlyRetry); got != trial.want {
+		trial.limits.route = &config.Route{Idempotent: trial.idempotent, LatencyTarget: config.Duration(target)}
+		if got := trial.limits.firstEvent(trial.earlyRetry); got != trial.want {
 			t.Errorf("%s: %v instead of %v", name, got, trial.want)
 		}
 	}
@@ -75,17 +75,17 @@
 func TestWaitsForNextEvent(t *testing.T) {
 	resumable := &config.Route{Resumable: true, Pause: config.Duration(time.Second)}
 	for name, trial := range map[string]struct {
-		waits waits
-		want  time.Duration
+		limits waitLimits
+		want   time.Duration
 	}{
-		"no deadline":               {waits{route: resumable, mayRetry: true}, idleTimeout},
-		"resumable":                 {waits{resumable, time.Minute, true}, 2 * time.Second},
-		"resumable, little time":    {waits{resumable, time.Second, true}, time.Second},
-		"resumable, the last time":  {waits{resumable, time.Minute, false}, time.Minute},
-		"not resumable":             {waits{&config.Route{Pause: resumable.Pause}, time.Minute, true}, time.Minute},
-		"of a pause that is no one": {waits{&config.Route{Resumable: true}, time.Minute, true}, time.Minute},
+		"no deadline":               {waitLimits{route: resumable, mayRetry: true}, idleTimeout},
+		"resumable":                 {waitLimits{resumable, time.Minute, true}, 2 * time.Second},
+		"resumable, little time":    {waitLimits{resumable, time.Second, true}, time.Second},
+		"resumable, the last time":  {waitLimits{resumable, time.Minute, false}, time.Minute},
+		"not resumable":             {waitLimits{&config.Route{Pause: resumable.Pause}, time.Minute, true}, time.Minute},
+		"of a pause that is no one": {waitLimits{&config.Route{Resumable: true}, time.Minute, true}, time.Minute},
 	} {
-		if got := trial.waits.nextEvent(); got != trial.want {
+		if got := trial.limits.nextEvent(); got != trial.want {
 			t.Errorf("%s: %v instead of %v", name, got, trial.want)
 		}
 	}
@@ -96,7 +96,7 @@
 	for remaining, want := range map[time.Duration]time.Duration{
 		0: time.Second, time.Minute: time.Second, time.Millisecond: time.Millisecond,
 	} {
-		if got := (waits{route: route, remaining: remaining}).latencyTarget(); got != want {
+		if got := (waitLimits{route: route, remaining: remaining}).latencyTarget(); got != want {
 			t.Errorf("%v remain: %v instead of %v", remaining, got, want)
 		}
 	}
@@ -116,17 +116,17 @@
 		"once": {504, 1, 700 * time.Millisecond},
 		"free": {200, 2, time.Second},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connections := []*fakeConnection{
 			responding(clock),
-			responding(clock, delivery{0, wholeResponse(codec.Finished)}),
+			responding(clock, delivery{0, completeResponse(codec.Finished)}),
 		}
-		daemon := newSteppedDaemon(t, clock, connections...)
+		daemon := newFakeClockDaemon(t, clock, connections...)
 		daemon.snapshot = newSnapshot(t, 1, text)
 		// The other runner is usable again by the time that the silent one is given up.
 		daemon.Loads.Eject(clock.now, "r1", "another's turn")
 		started := clock.now
-		client := &recordingClient{departed: departed{route: route, body: []byte(`{"prompt":"x"}`)}}
+		client := &recordingClient{disconnectedClient: disconnectedClient{route: route, body: []byte(`{"prompt":"x"}`)}}
 		daemon.Serve(client)
 		sends := 0
 		for _, connection := range connections {
--- a/proxy/departure_test.go
+++ b/proxy/disconnect_test.go
@@ -49,28 +49,28 @@
 	}
 }
 
-// heldWork is runners' work that goes on until it is released; each run is signalled in started, and in cut where its
+// blockedRuns is runners' work that goes on until it is released; each run is signalled in started, and in cut where its
 // connection ends before that.
-type heldWork struct{ started, cut, release chan struct{} }
+type blockedRuns struct{ started, cancelled, release chan struct{} }
 
-func newHeldWork() *heldWork {
-	return &heldWork{started: make(chan struct{}, 16), cut: make(chan struct{}, 16), release: make(chan struct{})}
+func newBlockedRuns() *blockedRuns {
+	return &blockedRuns{started: make(chan struct{}, 16), cancelled: make(chan struct{}, 16), release: make(chan struct{})}
 }
 
 // answer begins to work, gives a text first where there is one, and goes on with a script once it is released.
-func (held *heldWork) answer(first string, then func(net.Conn, *http.Request)) func(net.Conn, *http.Request) {
+func (runs *blockedRuns) answer(first string, then func(net.Conn, *http.Request)) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
 		_, _ = io.WriteString(connection, first)
-		held.started <- struct{}{}
+		runs.started <- struct{}{}
 		finished := make(chan struct{})
 		go func() {
 			defer close(finished)
 			_, _ = connection.Read(make([]byte, 1))
 		}()
 		select {
-		case <-held.release:
+		case <-runs.release:
 		case <-finished:
-			held.cut <- struct{}{}
+			runs.cancelled <- struct{}{}
 			return
 		}
 		_ = connection.SetReadDeadline(time.Now())
@@ -118,8 +118,8 @@
 	_ = connection.Close()
 }
 
-// wantNothingInFlight wants that no request is under way and every slot was released.
-func (daemon *testDaemon) wantNothingInFlight(t *testing.T) {
+// wantNoneInFlight wants that no request is under way and every slot was released.
+func (daemon *testDaemon) wantNoneInFlight(t *testing.T) {
 	t.Helper()
 	eventually(t, "nothing is in flight", func() bool { return daemon.InFlight.Load() == 0 })
 	if _, waiting, routes := daemon.Scheduler("p").State(); waiting != 0 || len(routes) != 0 {
@@ -144,12 +144,12 @@
 		"closes": func(client *net.TCPConn) { closeQuietly(client) },
 		"resets": abort,
 	} {
-		work := newHeldWork()
-		runner := startRunner(t, "r1", work.answer("", events(1, done(1), true)), events(1, done(1), true))
+		runs := newBlockedRuns()
+		runner := startRunner(t, "r1", runs.answer("", events(1, done(1), true)), events(1, done(1), true))
 		daemon := newDaemon(t, runner)
 		daemon.allow(t, `{"name":"patient","pool":"p","worth":1,"patience":"60s","repeatable":true}`)
 		working := daemon.dial(t, "patient", "working")
-		wantSoon(t, name+": the first request is worked on", work.started)
+		wantSoon(t, name+": the first request is worked on", runs.started)
 		daemon.Loads.RecordReport(time.Now(), "r1", load.Report{Running: 1, Waiting: 1, Slots: 1})
 		waiting := make([]*net.TCPConn, 0, 3)
 		for number := range 3 {
@@ -162,12 +162,12 @@
 		}
 		eventually(t, "the queue is empty", func() bool { return queue() == 0 })
 		eventually(t, "only the first is in flight", func() bool { return daemon.InFlight.Load() == 1 })
-		close(work.release)
+		close(runs.release)
 		if content, err := io.ReadAll(io.LimitReader(working, 10)); err != nil ||
 			!strings.HasPrefix(string(content), "HTTP/1.1 2") {
 			t.Errorf("%s: the first got %q, %v", name, content, err)
 		}
-		daemon.wantNothingInFlight(t)
+		daemon.wantNoneInFlight(t)
 		if reached := runner.reached.Load(); reached != 1 {
 			t.Errorf("%s: %d requests reached the runner", name, reached)
 		}
@@ -199,15 +199,15 @@
 		"of a lane that is to cancel":    {"", ran, "cancelled", cancelled},
 		"of such a lane, behind a event": {oneEvent(), restOf, "cancelled", cancelled},
 	} {
-		work := newHeldWork()
-		first := startRunner(t, "r1", work.answer(trial.first, trial.then))
-		second := startRunner(t, "r2", work.answer(trial.first, trial.then))
+		runs := newBlockedRuns()
+		first := startRunner(t, "r1", runs.answer(trial.first, trial.then))
+		second := startRunner(t, "r2", runs.answer(trial.first, trial.then))
 		daemon := newDaemon(t, first, second)
 		if trial.extra != "" {
 			daemon.allow(t, trial.extra)
 		}
 		client := daemon.dial(t, trial.route, "q")
-		wantSoon(t, name+": the runner works", work.started)
+		wantSoon(t, name+": the runner works", runs.started)
 		if trial.first != "" {
 			// The client has seen the event before it leaves.
 			if _, err := io.ReadAtLeast(client, make([]byte, 4096), len("HTTP/1.1 200")); err != nil {
@@ -215,8 +215,8 @@
 			}
 		}
 		_ = client.Close()
-		wantSoon(t, name+": the runner is released", work.cut)
-		daemon.wantNothingInFlight(t)
+		wantSoon(t, name+": the runner is released", runs.cancelled)
+		daemon.wantNoneInFlight(t)
 		if sends := first.reached.Load() + second.reached.Load(); sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
 		}
@@ -238,15 +238,15 @@
 		"that breaks off":           {oneEvent(), hangsUp, dedup.Unknown},
 		"that fails":                {"", fails, dedup.Unknown},
 	} {
-		work := newHeldWork()
-		runner := startRunner(t, "r1", work.answer(trial.first, trial.then))
+		runs := newBlockedRuns()
+		runner := startRunner(t, "r1", runs.answer(trial.first, trial.then))
 		daemon := newDaemon(t, runner)
 		client := daemon.dial(t, "once", "booking")
-		wantSoon(t, name+": the runner works", work.started)
+		wantSoon(t, name+": the runner works", runs.started)
 		_ = client.Close()
-		<-daemon.departures
-		close(work.release)
-		daemon.wantNothingInFlight(t)
+		<-daemon.disconnects
+		close(runs.release)
+		daemon.wantNoneInFlight(t)
 		if state := daemon.Dedup.Lookup(dedup.KeyOf("once", "booking")); state != trial.state {
 			t.Errorf("%s: what is remembered is %q", name, state)
 		}
@@ -257,15 +257,15 @@
 }
 
 // noticing tells when its daemon has learned that the client has left.
-type noticing struct {
+type notifyingClient struct {
 	netio.Client
-	departures chan<- struct{}
+	disconnects chan<- struct{}
 }
 
-func (noticing noticing) OnDisconnect(left func()) (stop func()) {
-	return noticing.Client.OnDisconnect(func() {
+func (client notifyingClient) OnDisconnect(left func()) (stop func()) {
+	return client.Client.OnDisconnect(func() {
 		left()
-		noticing.departures <- struct{}{}
+		client.disconnects <- struct{}{}
 	})
 }
 
@@ -283,7 +283,7 @@
 	<-waits
 	started := time.Now()
 	_ = client.Close()
-	daemon.wantNothingInFlight(t)
+	daemon.wantNoneInFlight(t)
 	if took := time.Since(started); took > soon {
 		t.Errorf("it waited %v more", took)
 	}
@@ -309,7 +309,7 @@
 	wantSoon(t, "a connection is being made", dials)
 	_ = client.Close()
 	wantSoon(t, "the dial ends", finished)
-	daemon.wantNothingInFlight(t)
+	daemon.wantNoneInFlight(t)
 	if daemon.isAvoided("r1") {
 		t.Error("the runner is avoided")
 	}
@@ -325,17 +325,17 @@
 		"in doubt": {"free", "", hangsUp},
 		"broken":   {"resumed", oneEvent(), hangsUp},
 	} {
-		work := newHeldWork()
-		script := work.answer(trial.first, trial.then)
+		runs := newBlockedRuns()
+		script := runs.answer(trial.first, trial.then)
 		first := startRunner(t, "r1", script, events(1, done(1), true))
 		second := startRunner(t, "r2", script, events(1, done(1), true))
 		daemon := newDaemon(t, first, second)
 		client := daemon.dial(t, trial.route, "q")
-		wantSoon(t, name+": the runner works", work.started)
+		wantSoon(t, name+": the runner works", runs.started)
 		_ = client.Close()
-		<-daemon.departures
-		close(work.release)
-		daemon.wantNothingInFlight(t)
+		<-daemon.disconnects
+		close(runs.release)
+		daemon.wantNoneInFlight(t)
 		if sends := first.reached.Load() + second.reached.Load(); sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
 		}
@@ -348,8 +348,8 @@
 	daemon := newDaemon(t, runner)
 	// Why no watch: the process has just woken from a freeze and its poller has not seen the close yet.
 	for _, route := range []string{"once", "free"} {
-		daemon.Serve(&departed{route: route, body: []byte(`{"prompt":"x"}`)})
-		daemon.wantNothingInFlight(t)
+		daemon.Serve(&disconnectedClient{route: route, body: []byte(`{"prompt":"x"}`)})
+		daemon.wantNoneInFlight(t)
 		if runner.reached.Load() != 0 {
 			t.Errorf("%s: the runner was reached", route)
 		}
@@ -365,53 +365,55 @@
 }
 
 // departed is a client that has left before its request was read.
-type departed struct {
+type disconnectedClient struct {
 	route  string
 	body   []byte
 	status int
 }
 
-func (departed *departed) Method() string { return "POST" }
+func (client *disconnectedClient) Method() string { return "POST" }
 
-func (departed *departed) Authority() string { return "x" }
+func (client *disconnectedClient) Authority() string { return "x" }
 
-func (departed *departed) Target() string { return "/v1/stream" }
+func (client *disconnectedClient) Target() string { return "/v1/stream" }
 
-func (departed *departed) Header(name string) []string {
-	value := requestHeaders(departed.route, "q")[name]
+func (client *disconnectedClient) Header(name string) []string {
+	value := requestHeaders(client.route, "q")[name]
 	if value == "" {
 		return nil
 	}
 	return []string{value}
 }
 
-func (departed *departed) Headers(func(name, value string)) {}
+func (client *disconnectedClient) Headers(func(name, value string)) {}
 
-func (departed *departed) Body() []byte { return departed.body }
+func (client *disconnectedClient) Body() []byte { return client.body }
 
-func (departed *departed) Disconnected() bool { return true }
+func (client *disconnectedClient) Disconnected() bool { return true }
 
-func (departed *departed) OnDisconnect(func()) (stop func()) { return func() {} }
+func (client *disconnectedClient) OnDisconnect(func()) (stop func()) { return func() {} }
 
-func (departed *departed) Respond(status int, _ []netio.Header, _ []byte) { departed.status = status }
+func (client *disconnectedClient) Respond(status int, _ []netio.Header, _ []byte) {
+	client.status = status
+}
 
-func (departed *departed) Stream(status int, _ []netio.Header, source io.ReadCloser) {
-	departed.status = status
+func (client *disconnectedClient) Stream(status int, _ []netio.Header, source io.ReadCloser) {
+	client.status = status
 	_, _ = io.Copy(io.Discard, source)
 	_ = source.Close()
 }
 
-func (departed *departed) ConnectedAt() time.Time { return time.Time{} }
-func (departed *departed) CloseAfterResponse()    {}
+func (client *disconnectedClient) ConnectedAt() time.Time { return time.Time{} }
+func (client *disconnectedClient) CloseAfterResponse()    {}
 
 // A client that only ends its sending side looks like one that has left, and is told so at once.
 func TestHalfClosedConnectionIsAnswered(t *testing.T) {
-	work := newHeldWork()
-	daemon := newDaemon(t, startRunner(t, "r1", work.answer("", events(1, done(1), true))))
+	runs := newBlockedRuns()
+	daemon := newDaemon(t, startRunner(t, "r1", runs.answer("", events(1, done(1), true))))
 	client := daemon.dial(t, "free", "q")
-	wantSoon(t, "the runner works", work.started)
+	wantSoon(t, "the runner works", runs.started)
 	_ = client.CloseWrite()
-	wantSoon(t, "the runner is released", work.cut)
+	wantSoon(t, "the runner is released", runs.cancelled)
 	response, err := io.ReadAll(client)
 	if err != nil {
 		t.Fatal(err)
@@ -439,27 +441,27 @@
 			_ = client.Close()
 		}
 	}
-	daemon.wantNothingInFlight(t)
+	daemon.wantNoneInFlight(t)
 }
 
 // A client that closes or resets while it waits for a complete response is noticed at once, whatever of the response
 // has come from the runner by then; nothing is written to it that could show that it has left.
 func TestClientLeavesWhileItWaitsForACompleteResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 4\r\n\r\n"
-	departures := map[string]func(*net.TCPConn){
+	disconnects := map[string]func(*net.TCPConn){
 		"closes": func(client *net.TCPConn) { closeQuietly(client) },
 		"resets": abort,
 	}
 	for sent, first := range map[string]string{"nothing": "", "the head": head, "part of the body": head + "{}"} {
-		for name, leave := range departures {
-			held := newHeldWork()
-			daemon := newDaemon(t, startRunner(t, "r1", held.answer(first, hangsUp)))
-			daemon.Codec = plainCodec{daemon.Codec}
+		for name, leave := range disconnects {
+			runs := newBlockedRuns()
+			daemon := newDaemon(t, startRunner(t, "r1", runs.answer(first, hangsUp)))
+			daemon.Codec = completeResponseCodec{daemon.Codec}
 			client := daemon.dial(t, "free", daemon.nextID())
-			wantSoon(t, "the run", held.started)
+			wantSoon(t, "the run", runs.started)
 			leave(client)
-			wantSoon(t, fmt.Sprintf("the end of a run whose client %s, with %s sent", name, sent), held.cut)
-			daemon.wantNothingInFlight(t)
+			wantSoon(t, fmt.Sprintf("the end of a run whose client %s, with %s sent", name, sent), runs.cancelled)
+			daemon.wantNoneInFlight(t)
 		}
 	}
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -12,16 +12,16 @@
 	"wardtray/proxy/codec"
 )
 
-// Exchange is one request on its way from its client to a runner and back. It orders the steps; what each of them
-// rests on is kept by the type of that step. One goroutine has it at any time.
+// Exchange carries one request from its client to a runner and its response back. It orders the steps; the state of
+// each step is kept by a type of its own. Only one goroutine uses it at any time.
 type Exchange struct {
 	handler  *Handler
 	client   *clientConnection
 	state    stateMachine
 	deadline deadline
 
-	// request is nil until it was read; route, backend, tenant and scheduler are those of the configuration as last
-	// looked up. tenant is nil where the route needs no key, scheduler before the first look.
+	// request is nil until it was read. route, backend, tenant and scheduler come from the configuration of the last
+	// lookup. tenant is nil if the route needs no key, scheduler before the first lookup.
 	request       *admission.Request
 	route         config.Route
 	backend       config.Backend
@@ -29,21 +29,22 @@
 	scheduler     *scheduler.Scheduler
 	queuedRequest *scheduler.QueuedRequest
 
-	charge     quotaCharge
-	atMostOnce atMostOnce
-	execution  execution
-	tries      tries
+	charge         quotaCharge
+	atMostOnce     atMostOnce
+	execution      execution
+	attemptCounter attemptCounter
 
-	// decision is the scheduler's last one, and attempt what was made of the last that named a runner.
+	// decision is the scheduler's last decision, and attempt the last attempt, made from the last decision that named a
+	// runner.
 	decision scheduler.Decision
 	attempt  *attempt
-	// lastEventID is the id of the last event that the client has.
+	// lastEventID is the id of the last event that the client has received.
 	lastEventID int
 	// relayedBytes counts the bytes of the events that were relayed.
 	relayedBytes int
 }
 
-// newExchange returns the exchange of a request that has been received completely.
+// newExchange returns the exchange of a request that was received completely.
 func newExchange(handler *Handler, client *clientConnection) *Exchange {
 	return &Exchange{
 		handler:  handler,
@@ -56,7 +57,7 @@
 	}
 }
 
-// close ends the watch of the client's connection; the request is no longer in flight.
+// close stops watching the client's connection and removes the request from those in flight.
 func (exchange *Exchange) close() {
 	exchange.client.close()
 	exchange.handler.InFlight.Add(-1)
@@ -64,26 +65,26 @@
 
 func (exchange *Exchange) now() time.Time { return exchange.handler.Environment.Now() }
 
-// count changes the metrics of the request's route.
+// count updates the metrics of the request's route.
 func (exchange *Exchange) count(change func(route *metrics.RouteMetrics)) {
 	exchange.handler.Metrics.Update(exchange.route.Name, change)
 }
 
-// remaining is how long the client still waits; 0: not known.
+// remaining returns how long the client still waits; 0 if that is not known.
 func (exchange *Exchange) remaining() time.Duration {
 	return exchange.deadline.remaining(exchange.now())
 }
 
-// isPastDeadline reports whether nobody waits any more.
+// isPastDeadline reports whether the client no longer waits.
 func (exchange *Exchange) isPastDeadline() bool { return exchange.deadline.passed(exchange.now()) }
 
-// waits are the bounds on what is waited for from now on.
-func (exchange *Exchange) waits() waits {
-	return waits{route: &exchange.route, remaining: exchange.remaining(), mayRetry: exchange.mayTry()}
+// waitLimits returns the bounds on all further waits.
+func (exchange *Exchange) waitLimits() waitLimits {
+	return waitLimits{route: &exchange.route, remaining: exchange.remaining(), mayRetry: exchange.mayAttempt()}
 }
 
-// mayTry reports whether the request may be sent to one more runner.
-func (exchange *Exchange) mayTry() bool { return exchange.tries.remain(&exchange.route) }
+// mayAttempt reports whether the request may be sent to one more runner.
+func (exchange *Exchange) mayAttempt() bool { return exchange.attemptCounter.remain(&exchange.route) }
 
 // read reads the request and checks it against the newest configuration.
 func (exchange *Exchange) read() error {
@@ -92,11 +93,11 @@
 		return err
 	}
 	exchange.request, exchange.lastEventID = request, request.LastEventID
-	exchange.noteSending()
+	exchange.recordClientAttempt()
 	if exchange.handler.Stopping.Load() {
 		return apierror.New(apierror.NotServing, "this daemon is about to stop")
 	}
-	if err := exchange.acceptOnce(); err != nil {
+	if err := exchange.acceptAtMostOnce(); err != nil {
 		return err
 	}
 	if err := exchange.resolve(); err != nil {
@@ -109,14 +110,14 @@
 	return nil
 }
 
-// mayOutlastStop reports whether the response might well take longer than this process lives. Cut in its middle it
-// would be lost, and another daemon can take the request now.
+// mayOutlastStop reports whether the response may take longer than this process has until it stops. Cut off halfway,
+// the response would be lost, while another daemon can take the request now.
 func (exchange *Exchange) mayOutlastStop() bool {
 	by := exchange.handler.StopBy.Load()
 	return by != nil && exchange.now().Add(exchange.scheduler.MaxDuration(exchange.queuedRequest)).After(*by)
 }
 
-// enterScheduler makes the queue entry for the scheduler of the request's backend.
+// enterScheduler selects the scheduler of the backend and creates the queue entry of the request.
 func (exchange *Exchange) enterScheduler() {
 	route, backend, request := &exchange.route, &exchange.backend, exchange.request
 	extra := kvblock.Extra{Model: request.Model, Weights: backend.Weights, Adapter: request.Adapter}
@@ -129,7 +130,7 @@
 		Keys:             exchange.handler.Indexer.Processor.BlockKeys(request.Parts, extra),
 		Requirements: scheduler.Requirements{
 			Value:           route.Value,
-			LatencyTarget:   exchange.waits().latencyTarget(),
+			LatencyTarget:   exchange.waitLimits().latencyTarget(),
 			Deadline:        exchange.deadline.timeout(),
 			PromptTokens:    request.PromptTokens,
 			AnswerTokens:    request.AnswerTokens,
@@ -142,19 +143,19 @@
 	}
 }
 
-// chargeQuota takes the request's cost out of this daemon's share of its tenant's quota. It returns the refusal if that
-// can't be done, which promises that nothing ran.
+// chargeQuota takes the cost of the request out of this daemon's share of the tenant's quota. If that is not possible
+// it returns the refusal, which states that the request did not run.
 func (exchange *Exchange) chargeQuota() *codec.Refusal {
 	tenant, request := exchange.tenant, exchange.request
 	if tenant == nil || !tenant.Quota.Limited() {
 		return nil
 	}
 	cost := tenant.Quota.Cost(request.PromptTokens+request.AnswerTokens, request.TokensGiven)
-	if cost == 0 || exchange.charge.take(tenant.Name, cost, exchange.waits().latencyTarget()) {
+	if cost == 0 || exchange.charge.take(tenant.Name, cost, exchange.waitLimits().latencyTarget()) {
 		return nil
 	}
-	if exchange.client.hasLeft() {
-		return exchange.refusalOf(errClientLeft())
+	if exchange.client.hasDisconnected() {
+		return exchange.refusalOf(errClientDisconnected())
 	}
 	exchange.count(func(route *metrics.RouteMetrics) { route.RejectedByQuota++ })
 	return exchange.refusal(apierror.QuotaExceeded, "tenant "+tenant.Name+" has used up its quota for now",
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -17,11 +17,11 @@
 	"wardtray/wire"
 )
 
-// plainCodec takes a success that names no events for a complete response, as platforms do whose responses are not all
+// completeResponseCodec takes a success that names no events for a complete response, as platforms do whose responses are not all
 // streams.
-type plainCodec struct{ codec.Codec }
+type completeResponseCodec struct{ codec.Codec }
 
-func (plain plainCodec) Classify(
+func (plain completeResponseCodec) Classify(
 	response *fasthttp.Response, request *admission.Request, run codec.Attempt,
 ) codec.ResponseHead {
 	if response.StatusCode() == 500 {
@@ -247,7 +247,7 @@
 func TestOwnErrorCountsAsRun(t *testing.T) {
 	runner := startRunner(t, "r1", fails, events(1, done(1), true))
 	daemon := newDaemon(t, runner)
-	daemon.Codec = plainCodec{daemon.Codec}
+	daemon.Codec = completeResponseCodec{daemon.Codec}
 	if _, body := daemon.send(t, "once", "same"); !strings.Contains(body, `"oh"`) {
 		t.Errorf("the runner's error is not forwarded: %s", body)
 	}
--- a/proxy/execution.go
+++ b/proxy/execution.go
@@ -9,10 +9,12 @@
 	"wardtray/proxy/dedup"
 )
 
-// ranCompletely is what a refusal says of a request that ran to completion when it was sent before.
+// ranCompletely is the execution state that a refusal reports for a request whose earlier client attempt ran to
+// completion.
 const ranCompletely = "ran"
 
-// earlierRuns are what a refusal says of a request that was sent before, by what is remembered of it.
+// earlierRuns maps the recorded state of a request that was sent before to the execution state that its refusal
+// reports.
 var earlierRuns = map[dedup.State]string{
 	dedup.Ran:            ranCompletely,
 	dedup.Running:        scheduler.Unknown,
@@ -20,36 +22,36 @@
 	dedup.TakenElsewhere: scheduler.Unknown,
 }
 
-// execution is what is known of whether a request has run. It only ever becomes more certain that it may have: once an
-// attempt is ambiguous, nothing that follows may say that the request did not run.
+// execution tracks whether a request may have run. It only ever moves towards "may have run": once an attempt is
+// ambiguous, no later step may report that the request did not run.
 type execution struct {
-	// earlier is what was remembered of the request when it arrived.
+	// earlier is the recorded state of the request on arrival.
 	earlier dedup.State
-	// unproven says that an earlier sending of the request may have run, or may yet.
-	unproven bool
-	// ambiguous says that some attempt may have run.
+	// earlierInDoubt reports whether an earlier client attempt may have run or may still run.
+	earlierInDoubt bool
+	// ambiguous reports whether an attempt at a runner may have run.
 	ambiguous bool
-	// relayed says that a part of the response was forwarded to the client.
+	// relayed reports whether part of the response was forwarded to the client.
 	relayed bool
 }
 
-// ran is what a refusal says of the work, given what the last attempt alone would have it say.
+// ran returns the execution state for a refusal, given the state that the last attempt alone would report.
 func (execution *execution) ran(ofAttempt string) string {
 	if earlier := earlierRuns[execution.earlier]; earlier != "" {
 		return earlier
 	}
-	// What was relayed did run.
-	if execution.unproven || execution.ambiguous || execution.relayed {
+	// A relayed response proves that the request ran.
+	if execution.earlierInDoubt || execution.ambiguous || execution.relayed {
 		return scheduler.Unknown
 	}
 	return ofAttempt
 }
 
-// refusal returns what a client is told whose request gets no stream, or no more of one. The code, the detail, what the
-// last attempt says of the work and the time after which another try may succeed are those of the last attempt.
+// refusal returns the refusal of a request that gets no stream, or no more of one. The code, the detail, the execution
+// state and the retry time passed in are those of the last attempt.
 func (execution *execution) refusal(code apierror.Code, detail, ofAttempt string, retry time.Duration) *codec.Refusal {
 	ran := execution.ran(ofAttempt)
-	// Whatever ended this attempt, an earlier one may have run, and that is what the client must know.
+	// An earlier attempt may have run, whatever ended this one, and the client must be informed of that.
 	if execution.ambiguous && code != apierror.ClientDisconnected {
 		code = apierror.OutcomeUnknown
 	}
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -13,7 +13,7 @@
 
 // recordingClient is a client that stays, and keeps the response that it was given.
 type recordingClient struct {
-	departed
+	disconnectedClient
 	content []byte
 }
 
@@ -21,7 +21,7 @@
 	if name == admission.HeaderPrefix {
 		return []string{"system=40"}
 	}
-	return client.departed.Header(name)
+	return client.disconnectedClient.Header(name)
 }
 
 func (client *recordingClient) Disconnected() bool { return false }
@@ -63,7 +63,7 @@
 // The explanation of a request keeps its keys, their order and the kinds of their values.
 func TestExplainKeepsItsKeys(t *testing.T) {
 	daemon := newDaemon(t, &scriptedRunner{id: "r1", address: "127.0.0.1:1"})
-	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 200 {
 		t.Fatalf("%d %s", client.status, client.content)
@@ -74,7 +74,7 @@
 // A request that would be rejected is explained by its rejection.
 func TestExplainRejects(t *testing.T) {
 	daemon := newDaemon(t)
-	client := &recordingClient{departed: departed{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 404 || !strings.Contains(string(client.content), "unknown_lane") {
 		t.Errorf("%d %s", client.status, client.content)
@@ -87,7 +87,7 @@
 	runner := startRunner(t, "r1", events(2, done(2), true))
 	daemon := newDaemon(t, runner)
 	for range 3 {
-		client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+		client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 		daemon.Explain(client)
 		if client.status != 200 {
 			t.Fatalf("%d %s", client.status, client.content)
@@ -100,7 +100,7 @@
 	if status, body := daemon.send(t, "once", "q"); status != 200 {
 		t.Errorf("sent after its explanation: %d %s", status, body)
 	}
-	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 409 {
 		t.Errorf("explained after it ran: %d %s", client.status, client.content)
--- a/proxy/steppedtime_test.go
+++ b/proxy/fakeclock_test.go
@@ -21,11 +21,11 @@
 	"wardtray/transport/netio"
 )
 
-// steppedClock is a clock that stands still but where somebody waits for a fakeConnection: then it moves at once to the
+// fakeClock is a clock that stands still but where somebody waits for a fakeConnection: then it moves at once to the
 // moment that was waited for. What a test measures by it does not depend on the machine's speed.
-type steppedClock struct{ now time.Time }
+type fakeClock struct{ now time.Time }
 
-func (clock *steppedClock) advance(length time.Duration) { clock.now = clock.now.Add(length) }
+func (clock *fakeClock) advance(length time.Duration) { clock.now = clock.now.Add(length) }
 
 // delivery is what a runner sends, so long after the bytes before it.
 type delivery struct {
@@ -36,7 +36,7 @@
 // fakeConnection is a connection to a runner in stepped time. All of it is used by one goroutine.
 type fakeConnection struct {
 	net.Conn // Nil: other methods are not called.
-	clock    *steppedClock
+	clock    *fakeClock
 	// incoming is what is still to come; then the runner is silent, or closes the connection if closes is set.
 	incoming []delivery
 	closes   bool
@@ -49,7 +49,7 @@
 }
 
 // responding returns a connection over which a runner sends so much and is silent after that.
-func responding(clock *steppedClock, incoming ...delivery) *fakeConnection {
+func responding(clock *fakeClock, incoming ...delivery) *fakeConnection {
 	return &fakeConnection{clock: clock, incoming: slices.Clone(incoming), capacity: -1}
 }
 
@@ -116,21 +116,21 @@
 // headerDisposition is the header by which the runners of these tests say what their response is.
 const headerDisposition = "Disposition"
 
-// statedCodec believes what a response says of itself, and that every request reaches the runner that it names.
-type statedCodec struct{ codec.Codec }
+// dispositionHeaderCodec believes what a response says of itself, and that every request reaches the runner that it names.
+type dispositionHeaderCodec struct{ codec.Codec }
 
-func (statedCodec) IdentityPath() string { return "" }
+func (dispositionHeaderCodec) IdentityPath() string { return "" }
 
-func (statedCodec) Classify(response *fasthttp.Response, _ *admission.Request, _ codec.Attempt) codec.ResponseHead {
+func (dispositionHeaderCodec) Classify(response *fasthttp.Response, _ *admission.Request, _ codec.Attempt) codec.ResponseHead {
 	return codec.ResponseHead{
 		Disposition: codec.Disposition(response.Header.Peek(headerDisposition)),
 		Closes:      response.Header.ConnectionClose(),
 	}
 }
 
-// newSteppedDaemon returns a daemon in stepped time with a runner behind each connection, r0 and on in this order. A
+// newFakeClockDaemon returns a daemon in stepped time with a runner behind each connection, r0 and on in this order. A
 // runner without a connection can't be dialed.
-func newSteppedDaemon(t *testing.T, clock *steppedClock, connections ...*fakeConnection) *testDaemon {
+func newFakeClockDaemon(t *testing.T, clock *fakeClock, connections ...*fakeConnection) *testDaemon {
 	t.Helper()
 	runners := make([]*scriptedRunner, len(connections))
 	byAddress := map[string]*fakeConnection{}
@@ -152,14 +152,14 @@
 			return nil, apierror.New(apierror.Unreachable, "nobody listens at %s", address)
 		},
 	}
-	daemon.Codec = statedCodec{daemon.Codec}
+	daemon.Codec = dispositionHeaderCodec{daemon.Codec}
 	daemon.Connections = connpool.New(daemon.Environment, daemon.Codec.IdentityPath())
 	daemon.Announce = func(dedup.Key, bool) {}
 	return daemon
 }
 
-// steppedAttempt returns an attempt of a request of a route at the runner r0, whose client stays.
-func steppedAttempt(daemon *testDaemon, route string) *attempt {
+// newFakeClockAttempt returns an attempt of a request of a route at the runner r0, whose client stays.
+func newFakeClockAttempt(daemon *testDaemon, route string) *attempt {
 	made := daemon.attempt(route, &scriptedRunner{id: "r0", address: "127.0.0.1:0"},
 		&admission.Request{Route: route, Model: "m", ID: "q", Body: []byte(`{"prompt":"x"}`)})
 	made.exchange.client = watchClient(&recordingClient{})
@@ -167,7 +167,7 @@
 }
 
 // reason is why the runner r0 is not used for now.
-func (daemon *testDaemon) reason(clock *steppedClock) string {
+func (daemon *testDaemon) reason(clock *fakeClock) string {
 	found, _ := daemon.Loads.Lookup(clock.now, "r0", daemon.Daemons())
 	return found.Reason
 }
@@ -177,8 +177,8 @@
 	return "HTTP/1.1 200 OK\r\n" + headerDisposition + ": " + string(disposition) + "\r\n" + headers + "\r\n"
 }
 
-// wholeResponse is a complete response with a body of a known length.
-func wholeResponse(disposition codec.Disposition) string {
+// completeResponse is a complete response with a body of a known length.
+func completeResponse(disposition codec.Disposition) string {
 	return head(disposition, "Content-Length: 4\r\n") + "body"
 }
 
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -1,11 +1,11 @@
-// Package proxy takes a request from its client to a runner and forwards the response. A Handler serves the requests of
-// one daemon; an Exchange is one of them, and goes through the states of a stateMachine: it is read, scheduled, sent to
-// the runner that the scheduler chose, and relayed, and is scheduled again where an attempt failed and another may
-// follow.
+// Package proxy carries a request from its client to a runner and forwards the response. A Handler serves the requests
+// of one daemon. An Exchange handles one request and follows a stateMachine: the request is read, scheduled, sent to
+// the runner that the scheduler chose, and its response is relayed. After a failed attempt it is scheduled again if
+// another attempt is allowed.
 //
-// The contract with the client: a request of a route that runs at most once is sent to another runner, or refused with
-// the promise that it did not run, only if that is certain. Directly before bytes go out the decision is checked once
-// more against the newest configuration.
+// The contract with the client: an at-most-once request is sent to another runner, or refused with the statement that
+// it did not run, only if it certainly did not run. Directly before bytes go out the decision is checked again against
+// the newest configuration.
 package proxy
 
 import (
@@ -32,72 +32,74 @@
 	"wardtray/transport/netio"
 )
 
-// Handler serves the requests of one daemon and lives as long as its process. Whoever makes it sets the exported fields
-// before the first request and does not change them after that, except for those of the process's end. Fields without
-// a default are required.
+// Handler serves the requests of one daemon for the lifetime of its process. Its creator sets the exported fields
+// before the first request and does not change them afterwards, except for those that control the shutdown. Fields
+// without a stated default are required.
 type Handler struct {
-	// Name is the daemon's, as it is known to the control plane and named to runners; Zone is the daemon's zone.
+	// Name is the name of the daemon, as the control plane and runners know it; Zone is the zone of the daemon.
 	Name string
 	Zone string
 	// Started is when the process began.
 	Started time.Time
 
-	// Environment has the clock, the dialer and the waits.
+	// Environment provides the clock, the dialer and the waits.
 	Environment netio.Environment
 	// Codec translates between the wire formats of clients and runners and this package.
 	Codec codec.Codec
-	// Connections are those to runners.
+	// Connections holds the connections to runners.
 	Connections *connpool.Pool
 	// Metrics counts requests by route.
 	Metrics *metrics.Registry
 
-	// Snapshot returns the newest configuration, and until when it is known to be current; its Catalog is nil before
-	// the first one came. It is called several times for each request.
+	// Snapshot returns the newest configuration and the time until which it is known to be current. Its Catalog is nil
+	// until the first configuration has arrived. It is called several times for each request.
 	Snapshot func() *config.Snapshot
 	// Renewed returns a channel that is closed when a later snapshot is known to be current for longer.
 	Renewed func() <-chan struct{}
-	// Daemons returns the addresses in the directory, where a lost daemon stays for a minute; the retry budget uses it.
+	// Daemons returns the addresses of the daemons in the directory, where a lost daemon stays for a minute. The retry
+	// budget uses it.
 	Daemons func() []string
 
-	// Scheduler returns the scheduler of a backend, the same one at each call.
+	// Scheduler returns the scheduler of a backend, the same one on each call.
 	Scheduler func(backend string) *scheduler.Scheduler
-	// Await waits for the next decision of a queued request; decided is false where the context ended before it came.
+	// Await waits for the next decision on a queued request. decided is false if the context ended first.
 	Await func(ctx context.Context, decisions <-chan scheduler.Decision) (decision scheduler.Decision, decided bool)
-	// Loads has the runners with their load and their failures.
+	// Loads holds the runners with their load and their failures.
 	Loads *load.Table
-	// Indexer names the blocks of prompts that runners may have in their caches.
+	// Indexer computes the keys of the prompt blocks that runners may have in their caches.
 	Indexer *kvblock.Indexer
-	// Retries bounds what is sent again, over all daemons; the zero value stands for retrybudget.DefaultSettings.
+	// Retries limits retries across all daemons; the zero value selects retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
 
-	// Dedup remembers the requests that run at most once, and Reservations reserves them with the other daemons; nil: no
-	// request comes again under its id. Announce notifies the zone's other daemons of one that is not reserved: that it is
-	// being sent to a runner or, with dropped, that it certainly did not run.
+	// Dedup records at-most-once requests, and Reservations reserves them with the other daemons; without Reservations
+	// (nil) no request is reserved. Announce notifies the zone's other daemons of a request that is not reserved: that it
+	// is being sent to a runner or, if dropped is set, that it certainly did not run.
 	Dedup        *dedup.Table
 	Reservations Reservations
 	Announce     func(key dedup.Key, dropped bool)
 
-	// Quota holds this daemon's shares of the tenants' quotas; RequestQuota requests more of what they lack at once.
-	// Neither is used where no tenant has a quota.
+	// Quota holds this daemon's shares of the tenants' quotas. RequestQuota immediately requests more for the tenants
+	// whose share is too small. Neither is used if no tenant has a quota.
 	Quota        *quota.Limiter
 	RequestQuota func()
 
-	// Disabled has the mechanisms that are switched off for measurements; none by default.
+	// Disabled is the set of mechanisms that are switched off for measurements; empty by default.
 	Disabled features.Set
 
 	// InFlight is the number of requests that are being served.
 	InFlight atomic.Int64
-	// Draining says that a planned stop has begun: responses ask clients to come back over another connection.
-	// Stopping says that no more requests are accepted. The daemon sets both.
+	// Draining reports whether a planned stop has begun: responses then ask clients to reconnect. Stopping reports whether
+	// new requests are refused. The daemon sets both.
 	Draining, Stopping atomic.Bool
-	// StopBy is when the process will end; nil: that is not known. The daemon sets it when a planned stop begins.
+	// StopBy is the time at which the process will end; nil if that is not known. The daemon sets it when a planned stop
+	// begins.
 	StopBy atomic.Pointer[time.Time]
 
-	// budgets has the retry budget of each backend, a *lockedBudget by the backend's name.
+	// budgets maps the name of each backend to its retry budget, a *lockedBudget.
 	budgets sync.Map
 }
 
-// Serve handles a request that was received completely. A stream outlives the call: its relay finishes the exchange.
+// Serve handles a request that was received completely. A stream outlives the call; its relay finishes the exchange.
 func (handler *Handler) Serve(client netio.Client) {
 	handler.InFlight.Add(1)
 	exchange := newExchange(handler, watchClient(client))
@@ -129,25 +131,26 @@
 	}
 	locked, isBudget := found.(*lockedBudget)
 	if !isBudget {
-		panic("proxy: the budgets have something else than budgets")
+		panic("proxy: budgets holds a value that is not a *lockedBudget")
 	}
 	return locked
 }
 
-// explanation is what would be decided of a request, and why. The fields stand in the order of their keys.
+// explanation describes the decision that would be made on a request, and its reasons. The order of the fields is the
+// order of the keys in the JSON output.
 type explanation struct {
-	// Requirements are what the request asks of a runner.
+	// Requirements are the requirements of the request.
 	Requirements scheduler.Requirements `json:"bid"`
-	// CostWeights are those by which runners were compared.
+	// CostWeights are the weights by which runners were compared.
 	CostWeights scheduler.CostWeights `json:"prices"`
 	// Candidates are the runners with their scores.
 	Candidates []scheduler.ScoredCandidate `json:"quotes"`
-	// Decision is what would be done.
+	// Decision is the decision that would be made.
 	Decision scheduler.Decision `json:"step"`
 }
 
-// Explain responds with what would happen to a request, without sending it to a runner. It is a dry run: nothing of the
-// request is remembered, so that the same id can be explained again, or sent.
+// Explain responds with the decision that would be made on a request, without sending it to a runner. It is a dry run
+// that records nothing, so the same request id can be explained again or sent afterwards.
 func (handler *Handler) Explain(client netio.Client) {
 	exchange := newExchange(handler, unwatchedClient(client))
 	exchange.atMostOnce.readOnly = true
@@ -170,7 +173,7 @@
 	client.Respond(fasthttp.StatusOK, []netio.Header{{Name: "Content-Type", Value: "application/json"}}, content)
 }
 
-// refuseExplanation responds to a request that can't be explained, of which certainly nothing ran.
+// refuseExplanation responds to a request that can't be explained. Nothing of it ran.
 func (exchange *Exchange) refuseExplanation(code apierror.Code, detail string) {
 	refusal := codec.Refusal{Code: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
 	exchange.handler.Codec.Refuse(exchange.client.Client, exchange.request, refusal)
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -151,8 +151,8 @@
 	snapshot  *config.Snapshot
 	announced []bool
 	// departures has an entry for each client of which the daemon has been notified that it left.
-	departures chan struct{}
-	number     int
+	disconnects chan struct{}
+	number      int
 }
 
 // testConfiguration has a route of each kind over one backend.
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	daemon := &testDaemon{departures: make(chan struct{}, 1024), snapshot: newSnapshot(t, 1, testConfiguration)}
+	daemon := &testDaemon{disconnects: make(chan struct{}, 1024), snapshot: newSnapshot(t, 1, testConfiguration)}
 	table := load.NewTable(now, "d")
 	table.UpdateListing(now, listed(runners))
 	daemons := func() []string { return []string{"d"} }
@@ -216,7 +216,7 @@
 	}
 	listener := listen(t)
 	server := &fasthttp.Server{Handler: func(context *fasthttp.RequestCtx) {
-		daemon.Serve(noticing{netio.FromHTTP(context), daemon.departures})
+		daemon.Serve(notifyingClient{netio.FromHTTP(context), daemon.disconnects})
 	}}
 	go func() { _ = server.Serve(listener) }()
 	daemon.address = listener.Addr().String()
@@ -323,7 +323,7 @@
 
 // attempt returns an attempt of a request of a route at a runner, which was just decided on.
 func (daemon *testDaemon) attempt(route string, runner *scriptedRunner, request *admission.Request) *attempt {
-	exchange := newExchange(daemon.Handler, unwatchedClient(&departed{}))
+	exchange := newExchange(daemon.Handler, unwatchedClient(&disconnectedClient{}))
 	exchange.state.current = stateConnecting
 	exchange.request = request
 	exchange.route = *daemon.snapshot.Catalog.Routes[route]
--- a/proxy/pace.go
+++ b/proxy/pace.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// pacedEvents is after how many events the pace of a response is measured.
+// pacedEvents is the number of events between two measurements of the event rate.
 const pacedEvents = 4
 
-// paceMeter measures how fast the events of one response come.
+// paceMeter measures the event rate of one response.
 type paceMeter struct {
-	// events counts those that were relayed, of which measured went into earlier measurements, the last at measuredAt.
+	// events counts the relayed events. measured is the value of events at the last measurement, which was made at
+	// measuredAt.
 	events, measured int
 	measuredAt       time.Time
 }
 
-// event counts an event that is relayed now. After every pacedEvents it returns how many were added since the last
-// measurement and how long they took; 0 otherwise.
+// event counts an event that is being relayed. After every pacedEvents events it returns the number of events since the
+// last measurement and the time that they took; otherwise it returns 0.
 func (meter *paceMeter) event(now time.Time) (added int, took time.Duration) {
 	meter.events++
 	if meter.measuredAt.IsZero() {
--- a/proxy/quotacharge.go
+++ b/proxy/quotacharge.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// quotaTimeout and quotaShare bound how long a request waits for tokens of its tenant's quota: a time, and a part
-	// of its latency target, so that a refusal leaves its client the time to come again.
-	quotaTimeout = 150 * time.Millisecond
-	quotaShare   = 0.2
-	// startupTime is for how long after its start a daemon assumes that it lacks tokens only because it has just
-	// started, so that its requests wait longer, for the part startupQuotaShare of their latency target.
-	startupTime       = 3 * time.Second
-	startupQuotaShare = 0.8
+	// quotaTimeout bounds how long a request waits for tokens of its tenant's quota, and quotaTimeoutFraction does so as a
+	// fraction of its latency target, so that after a refusal the client still has time to retry.
+	quotaTimeout         = 150 * time.Millisecond
+	quotaTimeoutFraction = 0.2
+	// startupPeriod is the time after its start during which a daemon attributes a lack of tokens to the start itself.
+	// Requests then wait longer, for the fraction startupTimeoutFraction of their latency target.
+	startupPeriod          = 3 * time.Second
+	startupTimeoutFraction = 0.8
 )
 
-// tenantName returns the name of a tenant, empty for none.
+// tenantName returns the name of a tenant; empty if the tenant is nil.
 func tenantName(tenant *config.Tenant) string {
 	if tenant == nil {
 		return ""
@@ -26,7 +26,7 @@
 	return tenant.Name
 }
 
-// tenantRank returns the rank of a tenant, 0 for none.
+// tenantRank returns the rank of a tenant; 0 if the tenant is nil.
 func tenantRank(tenant *config.Tenant) int {
 	if tenant == nil {
 		return 0
@@ -34,17 +34,17 @@
 	return tenant.Rank
 }
 
-// quotaCharge is what one request took of its tenant's quota: once for all its attempts.
+// quotaCharge charges one request to its tenant's quota, once for all its attempts.
 type quotaCharge struct {
 	handler *Handler
 	client  *clientConnection
-	// tenant and tokens say whose quota was charged, and how much; 0: nothing was.
+	// tenant is the tenant that was charged, and tokens the amount; 0 if nothing was charged.
 	tenant string
 	tokens float64
 }
 
-// take charges a tenant, and reports whether that could be done. Where this daemon's share is used up, more is
-// requested at once and waited for, for a part of the request's latency target.
+// take charges a tenant and reports whether it succeeded. If this daemon's share is used up, it requests more at once
+// and waits for a fraction of the request's latency target.
 func (charge *quotaCharge) take(tenant string, tokens float64, latencyTarget time.Duration) bool {
 	limiter := charge.handler.Quota
 	limiter.RecordDemand(charge.now(), tenant, tokens)
@@ -55,18 +55,18 @@
 	return true
 }
 
-// await requests more of a quota and waits for it; it reports whether the tokens could be taken.
+// await requests more of a quota and waits for it. It reports whether the tokens could be taken.
 func (charge *quotaCharge) await(tenant string, tokens float64, latencyTarget time.Duration) bool {
 	limiter := charge.handler.Quota
 	done := limiter.AddWaiting(charge.now(), tenant, tokens)
 	defer done()
-	startingUp := charge.now().Sub(charge.handler.Started) < startupTime
-	timeout := min(quotaTimeout, time.Duration(quotaShare*float64(latencyTarget)))
+	startingUp := charge.now().Sub(charge.handler.Started) < startupPeriod
+	timeout := min(quotaTimeout, time.Duration(quotaTimeoutFraction*float64(latencyTarget)))
 	if startingUp {
-		timeout = time.Duration(startupQuotaShare * float64(latencyTarget))
+		timeout = time.Duration(startupTimeoutFraction * float64(latencyTarget))
 	}
 	until := charge.now().Add(timeout)
-	for (startingUp || !limiter.InShortage(charge.now(), tenant)) && !charge.client.hasLeft() {
+	for (startingUp || !limiter.InShortage(charge.now(), tenant)) && !charge.client.hasDisconnected() {
 		changed := limiter.Changed()
 		if limiter.Take(charge.now(), tenant, tokens) {
 			return true
@@ -76,13 +76,14 @@
 		if remaining <= 0 {
 			return false
 		}
-		// A response may be lost, or have been under way already when the need arose.
+		// Waits at most GrantTimeout before it requests again: a response may be lost, or have been sent before this request
+		// needed the tokens.
 		charge.handler.Environment.Wait(charge.client.ctx, min(remaining, quota.GrantTimeout), changed)
 	}
-	return !charge.client.hasLeft() && limiter.Take(charge.now(), tenant, tokens)
+	return !charge.client.hasDisconnected() && limiter.Take(charge.now(), tenant, tokens)
 }
 
-// refund returns what a request took that certainly has not run.
+// refund returns the tokens of a request that certainly did not run.
 func (charge *quotaCharge) refund() {
 	if charge.tokens > 0 {
 		charge.handler.Quota.Refund(charge.now(), charge.tenant, charge.tokens)
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -42,16 +42,16 @@
 }
 
 // headers keeps what a runner was sent beside its answer.
-type headers struct{ seen []http.Header }
+type headerRecorder struct{ seen []http.Header }
 
-func (headers *headers) answer(connection net.Conn, request *http.Request) {
-	headers.seen = append(headers.seen, request.Header.Clone())
+func (recorder *headerRecorder) answer(connection net.Conn, request *http.Request) {
+	recorder.seen = append(recorder.seen, request.Header.Clone())
 	events(1, done(1), true)(connection, request)
 }
 
 func TestOnlyKnownKeysOpenARoute(t *testing.T) {
-	kept := &headers{}
-	runner := startRunner(t, "r1", kept.answer)
+	recorder := &headerRecorder{}
+	runner := startRunner(t, "r1", recorder.answer)
 	daemon := newDaemon(t, runner)
 	daemon.tenants(t, nil)
 	for name, more := range map[string]map[string]string{
@@ -70,7 +70,7 @@
 	if status, body := daemon.sendWith(t, "free", "known", withKey("free-key")); status != 200 {
 		t.Fatalf("a known key: %d %s", status, body)
 	}
-	if sent := kept.seen[0]; sent.Get("Wardtray-Tenant") != "free" || sent.Get("Authorization") != "" {
+	if sent := recorder.seen[0]; sent.Get("Wardtray-Tenant") != "free" || sent.Get("Authorization") != "" {
 		t.Errorf("the runner was sent %v", sent)
 	}
 }
@@ -84,11 +84,11 @@
 	previous := daemon.Environment.Now
 	revoked := *daemon.snapshot.Catalog.Spec
 	revoked.Tenants = revoked.Tenants[:1]
-	var looks atomic.Int64
+	var reads atomic.Int64
 	snapshot := daemon.Snapshot
 	daemon.Snapshot = func() *config.Snapshot {
 		// The first looks find the key, those directly before the write the newer spec.
-		if looks.Add(1) > 5 {
+		if reads.Add(1) > 5 {
 			return &config.Snapshot{
 				SpecEpoch: 3,
 				Catalog:   config.NewCatalog(&revoked),
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// elsewhereAfter is when a request that a stopping daemon does not take may come to another.
-	elsewhereAfter = 20 * time.Millisecond
-	// usualStartup is within what time of its start a daemon's configuration is known to be current.
-	usualStartup = 800 * time.Millisecond
-	// longestRetryAfter bounds when a client is asked to come back to a daemon that is cut off.
-	longestRetryAfter = 10 * time.Second
-	// earlyRejection is within what time of its arrival a request is rejected that is counted as rejected early.
-	earlyRejection = 50 * time.Millisecond
+	// otherDaemonRetryAfter is the time after which a client should retry, at another daemon, a request that a stopping
+	// daemon refuses.
+	otherDaemonRetryAfter = 20 * time.Millisecond
+	// typicalStartupTime is the time after its start by which a daemon usually knows its configuration to be current.
+	typicalStartupTime = 800 * time.Millisecond
+	// maximumRetryAfter bounds the retry time that a daemon that is cut off reports to clients.
+	maximumRetryAfter = 10 * time.Second
+	// earlyRejectionLimit is the time after arrival up to which a rejected request is counted as rejected early.
+	earlyRejectionLimit = 50 * time.Millisecond
 )
 
-// retryAfter estimates when another attempt of the client may succeed; 0: that is not known.
+// retryAfter estimates the time after which a client retry may succeed; 0 if that is not known.
 func (exchange *Exchange) retryAfter(code apierror.Code) time.Duration {
 	switch {
 	case code == apierror.NotServing:
 		return exchange.handler.serviceExpectedIn(exchange.now())
 	case code == apierror.TooManyRemembered:
-		return exchange.roomAfter()
+		return exchange.capacityExpectedIn()
 	case code == apierror.NoRunner, code == apierror.OutcomeUnknown && exchange.route.Idempotent:
 		return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest)
 	default:
@@ -36,8 +37,8 @@
 	}
 }
 
-// roomAfter returns after what time one more request that runs at most once can be remembered.
-func (exchange *Exchange) roomAfter() time.Duration {
+// capacityExpectedIn returns the time after which there is room to record one more at-most-once request.
+func (exchange *Exchange) capacityExpectedIn() time.Duration {
 	if reserved := exchange.atMostOnce.reserved; reserved != nil {
 		return reserved.RoomAfter()
 	}
@@ -45,24 +46,25 @@
 	return exchange.handler.Dedup.RoomAfter(exchange.now(), key)
 }
 
-// serviceExpectedIn estimates when this daemon, or another one in its place, will serve again.
+// serviceExpectedIn estimates the time until this daemon, or another one in its place, serves again.
 func (handler *Handler) serviceExpectedIn(now time.Time) time.Duration {
-	// Another daemon is there at once for what comes to one that stops.
+	// Other daemons can take the requests of a stopping daemon at once.
 	if handler.Draining.Load() {
-		return elsewhereAfter
+		return otherDaemonRetryAfter
 	}
 	until := handler.Snapshot().Until
-	// One that has just started knows its configuration to be current within a moment; there is no outage to go by yet.
+	// A daemon that has just started soon knows its configuration to be current, and there is no outage whose duration
+	// could be used for an estimate.
 	if until.Before(handler.Started) {
-		return max(lease.DaemonRenewInterval, usualStartup-now.Sub(handler.Started))
+		return max(lease.DaemonRenewInterval, typicalStartupTime-now.Sub(handler.Started))
 	}
-	// An outage lasts, as far as can be known, about as long again as it has lasted.
-	return min(longestRetryAfter, max(lease.DaemonRenewInterval, now.Sub(until)))
+	// The best estimate of the remaining duration of an outage is the time that it has already lasted.
+	return min(maximumRetryAfter, max(lease.DaemonRenewInterval, now.Sub(until)))
 }
 
-// rejectedByScheduler counts and returns the rejection that the scheduler decided on.
+// rejectedByScheduler counts a rejection by the scheduler and returns it as a refusal.
 func (exchange *Exchange) rejectedByScheduler() *codec.Refusal {
-	late := exchange.now().Sub(exchange.deadline.started) > earlyRejection
+	late := exchange.now().Sub(exchange.deadline.started) > earlyRejectionLimit
 	exchange.count(func(route *metrics.RouteMetrics) {
 		if late {
 			route.RejectedLate++
@@ -74,18 +76,18 @@
 	return exchange.refusal(decision.ErrorCode, decision.Reason, scheduler.DidNotRun, decision.RetryAfter)
 }
 
-// refusalOf returns what an error means for the client of a request that this attempt did not send.
+// refusalOf returns the refusal for an error that occurred before this attempt was sent.
 func (exchange *Exchange) refusalOf(err error) *codec.Refusal {
 	found := apierror.Of(err)
 	return exchange.refusal(found.Code, found.Detail, scheduler.DidNotRun, exchange.retryAfter(found.Code))
 }
 
-// refusalAfter returns what the client is told when nothing follows an attempt.
+// refusalAfter returns the refusal of a request that gets no further attempt.
 func (exchange *Exchange) refusalAfter(next scheduler.RetryDecision, detail string) *codec.Refusal {
 	return exchange.refusal(next.ErrorCode, detail, next.Execution, exchange.retryAfter(next.ErrorCode))
 }
 
-// refusal returns what the client is told of a request that gets no stream, or no more of one.
+// refusal returns the refusal of a request that gets no stream, or no more of one.
 func (exchange *Exchange) refusal(code apierror.Code, detail, ran string, retry time.Duration) *codec.Refusal {
 	refusal := exchange.execution.refusal(code, detail, ran, retry)
 	refusal.DeadlinePassed = exchange.isPastDeadline()
@@ -93,13 +95,13 @@
 	return refusal
 }
 
-// refuse finishes a request without a stream.
+// refuse finishes a request with a refusal instead of a stream.
 func (exchange *Exchange) refuse(refusal codec.Refusal) {
 	exchange.state.to(stateFinished)
 	if refusal.DidNotRun {
 		exchange.charge.refund()
 	}
-	// Of what this daemon has sent to no runner it has nothing to remember, whatever another one may have done.
+	// A request that this daemon has sent to no runner needs no record here, whatever another daemon has done with it.
 	if refusal.DidNotRun || !exchange.atMostOnce.isSent {
 		exchange.atMostOnce.forget()
 	} else {
@@ -108,7 +110,7 @@
 	if exchange.scheduler != nil {
 		exchange.count(func(route *metrics.RouteMetrics) { route.Outcomes[string(refusal.Code)]++ })
 	}
-	if exchange.client.hasLeft() {
+	if exchange.client.hasDisconnected() {
 		exchange.client.CloseAfterResponse()
 	}
 	exchange.handler.Codec.Refuse(exchange.client.Client, exchange.request, refusal)
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -11,76 +11,78 @@
 	"wardtray/proxy/stream"
 )
 
-// chunkSize is how many bytes of what was received already are forwarded together.
+// chunkSize is the size in bytes from which on a chunk takes no more of the events that were already received.
 const chunkSize = 16 << 10
 
-// errCutOff ends a response that is not complete.
-var errCutOff = errors.New("the run broke off")
+// errCutOff ends the body of an incomplete response.
+var errCutOff = errors.New("the response is incomplete")
 
-// relay is the body of a response: complete events, each forwarded as it comes, of one run or, where the route may be
-// resumed, out of several that follow one another. It implements io.ReadCloser for the client's connection.
+// relay is the body of a streamed response: complete events, each forwarded as it arrives, from one run or, on a
+// resumable route, from several runs in sequence. It implements io.ReadCloser for the client's connection.
 type relay struct {
 	exchange *Exchange
 	pace     paceMeter
 	pending  []byte
-	// ending is what follows when pending is read: nil while the run goes on; conclude then finishes the request, once.
-	ending    error
-	conclude  func()
-	concluded bool
+	// endError is returned once pending is read: nil while the run goes on. finishRequest then finishes the request, once;
+	// finished reports whether it was called.
+	endError      error
+	finishRequest func()
+	finished      bool
 }
 
-// Read returns at least one whole event, and whatever else was received already.
+// Read returns at least one complete event, together with further events that were already received.
 func (relay *relay) Read(into []byte) (int, error) {
-	// A run that is resumed elsewhere has given nothing yet.
-	for len(relay.pending) == 0 && relay.ending == nil {
+	// A run that was just resumed elsewhere has not delivered an event yet.
+	for len(relay.pending) == 0 && relay.endError == nil {
 		relay.fetch()
 	}
 	if len(relay.pending) == 0 {
 		relay.finish()
-		return 0, relay.ending
+		return 0, relay.endError
 	}
 	count := copy(into, relay.pending)
 	relay.pending = relay.pending[count:]
 	return count, nil
 }
 
-// Close is called when the response was read to its end, or its client has left.
+// Close is called when the response was read to its end or the client has disconnected.
 func (relay *relay) Close() error {
-	if relay.ending == nil {
+	if relay.endError == nil {
 		relay.continueWithoutClient()
 	}
 	relay.finish()
 	return nil
 }
 
-// continueWithoutClient ends a run whose client has left, or lets it go on to its end where that is worth knowing.
+// continueWithoutClient handles a client that has disconnected: it ends the run, or reads it to its end if the outcome
+// has to be known.
 func (relay *relay) continueWithoutClient() {
 	exchange := relay.exchange
-	exchange.client.leave()
+	exchange.client.cancel()
 	if exchange.route.CancelsOnDisconnect() {
-		relay.conclude = func() { exchange.finish(endClientGone, false) }
+		relay.finishRequest = func() { exchange.finish(endClientDisconnected, false) }
 		return
 	}
-	for relay.ending == nil {
+	for relay.endError == nil {
 		relay.fetch()
 	}
 }
 
 func (relay *relay) finish() {
-	if !relay.concluded {
-		relay.concluded = true
-		relay.conclude()
+	if !relay.finished {
+		relay.finished = true
+		relay.finishRequest()
 	}
 }
 
-// fetch takes the next event, and those that were received with it.
+// fetch reads the next event and further events that were already received.
 func (relay *relay) fetch() {
 	exchange := relay.exchange
 	relay.pending = relay.pending[:0]
 	for {
 		event, err := relay.next()
 		if err != nil {
-			relay.handleStop(err)
+			relay.handleStreamEnd(err)
 			return
 		}
 		relay.forward(event)
@@ -94,18 +96,18 @@
 	}
 }
 
-// next returns the next event of the run, beginning with the one that came with the response.
+// next returns the next event of the run, beginning with the one that was read together with the head of the response.
 func (relay *relay) next() (stream.Event, error) {
 	attempt := relay.exchange.attempt
-	if first := attempt.first; first.Raw != nil {
-		attempt.first.Raw = nil
+	if first := attempt.firstEvent; first.Raw != nil {
+		attempt.firstEvent.Raw = nil
 		return first, nil
 	}
-	attempt.setTimeout(relay.exchange.waits().nextEvent())
+	attempt.setTimeout(relay.exchange.waitLimits().nextEvent())
 	return attempt.reader.Next()
 }
 
-// forward appends an event to what the client is to get.
+// forward appends an event to the bytes that are pending for the client.
 func (relay *relay) forward(event stream.Event) {
 	exchange := relay.exchange
 	relay.pending = append(relay.pending, event.Raw...)
@@ -116,45 +118,48 @@
 	exchange.relayedBytes += len(event.Raw)
 }
 
-// complete ends a run that came to its own end.
+// complete ends a run that completed.
 func (relay *relay) complete() {
-	relay.ending, relay.conclude = io.EOF, func() { relay.exchange.finish(endDone, true) }
+	relay.endError, relay.finishRequest = io.EOF, func() { relay.exchange.finish(endDone, true) }
 }
 
-// handleStop decides what follows a run that gives no more events: its regular end, another run or an error.
-func (relay *relay) handleStop(err error) {
+// handleStreamEnd decides how to proceed when a run delivers no more events: it ends regularly, is resumed at another
+// runner, or ends with an error.
+func (relay *relay) handleStreamEnd(err error) {
 	exchange := relay.exchange
 	if stream.EndsRun(err) {
 		relay.complete()
 		return
 	}
-	if exchange.client.hasLeft() {
-		relay.conclude, relay.ending = func() { exchange.finish(endClientGone, false) }, errCutOff
+	if exchange.client.hasDisconnected() {
+		relay.finishRequest, relay.endError = func() { exchange.finish(endClientDisconnected, false) }, errCutOff
 		return
 	}
 	exchange.attempt.reportFailure(reasonBrokenStream)
 	next := exchange.decideRetry(scheduler.Broken)
 	refusal := &codec.Refusal{Code: next.ErrorCode, Detail: apierror.Of(err).Detail, Ran: next.Execution}
-	relay.conclude = func() { exchange.finish(string(apierror.RunFailed), false) }
-	if next.Retry && exchange.mayTry() && !exchange.isPastDeadline() {
+	relay.finishRequest = func() { exchange.finish(string(apierror.RunFailed), false) }
+	if next.Retry && exchange.mayAttempt() && !exchange.isPastDeadline() {
 		refusal = relay.resume()
 		if refusal == nil {
 			return
 		}
-		relay.conclude = func() { exchange.finishWithoutRunner(refusal.Code) }
+		relay.finishRequest = func() { exchange.finishWithoutRunner(refusal.Code) }
 	}
-	relay.ending = errCutOff
-	// A codec that can say that the stream is not complete ends it in order.
+	relay.endError = errCutOff
+	// A codec that has an error event ends an incomplete stream with one, in order.
 	if message := exchange.handler.Codec.ErrorEvent(exchange.lastEventID, *refusal); len(message) > 0 {
-		relay.pending, relay.ending = append(relay.pending, message...), io.EOF
+		relay.pending, relay.endError = append(relay.pending, message...), io.EOF
 	}
 }
 
-// resume continues the run at another runner after the last whole event that was relayed; otherwise it returns why not.
+// resume continues the run at another runner after the last complete event that was relayed. If that is not possible it
+// returns the refusal.
 func (relay *relay) resume() *codec.Refusal {
 	exchange := relay.exchange
 	exchange.attempt.release()
-	// The first event came long ago; the rest is scheduled anew, with the latency target and the time that are left.
+	// The first event was received long ago; the rest is scheduled anew, with the latency target that fits into the
+	// remaining time, and that time as its deadline.
 	excluded := exchange.queuedRequest.Requirements.ExcludedRunners
 	exchange.enterScheduler()
 	excluded[exchange.attempt.decision.Runner.ID] = true
--- a/proxy/relay_test.go
+++ b/proxy/relay_test.go
@@ -16,10 +16,10 @@
 // was recorded if it runs at most once.
 func newRelay(t *testing.T, daemon *testDaemon, route string) *relay {
 	t.Helper()
-	attempt := steppedAttempt(daemon, route)
+	attempt := newFakeClockAttempt(daemon, route)
 	exchange := attempt.exchange
 	exchange.attempt, exchange.scheduler = attempt, nil
-	if err := exchange.acceptOnce(); err != nil {
+	if err := exchange.acceptAtMostOnce(); err != nil {
 		t.Fatal(err)
 	}
 	exchange.request.Timeout = time.Minute
@@ -52,10 +52,10 @@
 	}
 }
 
-// silentCodec can't say that a stream is not complete.
-type silentCodec struct{ codec.Codec }
+// noErrorEventCodec can't say that a stream is not complete.
+type noErrorEventCodec struct{ codec.Codec }
 
-func (silentCodec) ErrorEvent(int, codec.Refusal) []byte { return nil }
+func (noErrorEventCodec) ErrorEvent(int, codec.Refusal) []byte { return nil }
 
 // Each row is a stream after its head, and how its request is finished.
 func TestRelayEndings(t *testing.T) {
@@ -78,10 +78,10 @@
 		"falls silent":            {"once", two, false, failed, dedup.Unknown},
 		"breaks off, idempotent":  {"free", two, true, failed, dedup.NotSeen},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock, delivery{0, streamed(trial.text)})
 		connection.closes = trial.closes
-		daemon := newSteppedDaemon(t, clock, connection)
+		daemon := newFakeClockDaemon(t, clock, connection)
 		relay := newRelay(t, daemon, trial.route)
 		received, err := io.ReadAll(relay)
 		if err != nil {
@@ -108,10 +108,10 @@
 
 // A codec that can't say that a stream is not complete has it cut off.
 func TestRelayIsCutOffWithoutAnErrorEvent(t *testing.T) {
-	clock := &steppedClock{}
+	clock := &fakeClock{}
 	two := tokenEvents("x", 1, 2)
-	daemon := newSteppedDaemon(t, clock, responding(clock, delivery{0, streamed(two)}))
-	daemon.Codec = silentCodec{daemon.Codec}
+	daemon := newFakeClockDaemon(t, clock, responding(clock, delivery{0, streamed(two)}))
+	daemon.Codec = noErrorEventCodec{daemon.Codec}
 	relay := newRelay(t, daemon, "once")
 	received, err := io.ReadAll(relay)
 	if string(received) != two || !errors.Is(err, errCutOff) {
@@ -123,9 +123,9 @@
 
 // What was received is relayed at once, by complete events: a part of one waits for the rest.
 func TestRelayForwardsCompleteEventsAsTheyCome(t *testing.T) {
-	clock := &steppedClock{}
+	clock := &fakeClock{}
 	three := tokenEvents("x", 3, 3)
-	daemon := newSteppedDaemon(t, clock, responding(clock,
+	daemon := newFakeClockDaemon(t, clock, responding(clock,
 		delivery{0, streamed(tokenEvents("x", 1, 1))},
 		delivery{time.Second, tokenEvents("x", 2, 2) + three[:5]},
 		delivery{time.Second, three[5:] + done(3)},
@@ -150,9 +150,9 @@
 
 // A reader with little room gets the same bytes.
 func TestRelayFillsSmallBuffers(t *testing.T) {
-	clock := &steppedClock{}
+	clock := &fakeClock{}
 	text := tokenEvents("x", 1, 5) + done(5)
-	relay := newRelay(t, newSteppedDaemon(t, clock, responding(clock, delivery{0, streamed(text)})), "once")
+	relay := newRelay(t, newFakeClockDaemon(t, clock, responding(clock, delivery{0, streamed(text)})), "once")
 	var received strings.Builder
 	buffer := make([]byte, 7)
 	for {
@@ -170,10 +170,10 @@
 // What was received together is relayed together, up to the size of a chunk.
 func TestRelayBoundsItsChunks(t *testing.T) {
 	for length, together := range map[int]bool{chunkSize / 2: true, chunkSize: false} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		long := "id: 1\nevent: token\ndata: " + strings.Repeat("x", length) + "\n\n"
 		rest := tokenEvents("x", 2, 2) + done(2)
-		daemon := newSteppedDaemon(t, clock, responding(clock, delivery{0, streamed(long + rest)}))
+		daemon := newFakeClockDaemon(t, clock, responding(clock, delivery{0, streamed(long + rest)}))
 		relay := newRelay(t, daemon, "once")
 		relay.fetch()
 		if chunk := string(relay.pending); chunk != long+rest && together || chunk != long && !together {
@@ -191,14 +191,14 @@
 		state dedup.State
 		took  time.Duration
 	}{
-		"idempotent": {"free", []delivery{{time.Second, done(1)}}, endClientGone, dedup.NotSeen, 0},
+		"idempotent": {"free", []delivery{{time.Second, done(1)}}, endClientDisconnected, dedup.NotSeen, 0},
 		"once":       {"once", []delivery{{time.Second, done(1)}}, endDone, dedup.Ran, time.Second},
-		"once, then breaks off": {"once", []delivery{{time.Second, tokenEvents("x", 7, 7)}}, endClientGone, dedup.Unknown,
+		"once, then breaks off": {"once", []delivery{{time.Second, tokenEvents("x", 7, 7)}}, endClientDisconnected, dedup.Unknown,
 			time.Second},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connection := responding(clock, append([]delivery{{0, streamed(tokenEvents("x", 1, 1))}}, trial.rest...)...)
-		daemon := newSteppedDaemon(t, clock, connection)
+		daemon := newFakeClockDaemon(t, clock, connection)
 		relay := newRelay(t, daemon, trial.route)
 		if _, err := relay.Read(make([]byte, 4096)); err != nil {
 			t.Fatal(err)
@@ -212,8 +212,8 @@
 			// Whether the response ends with its last event is waited for as well.
 			took -= tailTimeout
 		}
-		if took != trial.took || !relay.exchange.client.hasLeft() {
-			t.Errorf("%s: %v, the client left %v", name, took, relay.exchange.client.hasLeft())
+		if took != trial.took || !relay.exchange.client.hasDisconnected() {
+			t.Errorf("%s: %v, the client left %v", name, took, relay.exchange.client.hasDisconnected())
 		}
 		relay.wantFinished(t, name, trial.end, trial.state)
 		if reason := daemon.reason(clock); reason != "" || !connection.closed {
@@ -236,16 +236,16 @@
 	}{
 		"at another runner":               {responding(nil, delivery{0, goesOn}), 1, endDone},
 		"where the other one starts anew": {responding(nil, delivery{0, anew}), 0, failed},
-		"where the other one rejects it":  {responding(nil, delivery{0, wholeResponse(codec.NotExecuted)}), 0, failed},
+		"where the other one rejects it":  {responding(nil, delivery{0, completeResponse(codec.NotExecuted)}), 0, failed},
 		"where there is no other one":     {nil, 0, failed},
 	} {
-		clock := &steppedClock{}
+		clock := &fakeClock{}
 		connections := []*fakeConnection{responding(clock, delivery{0, streamed(first)})}
 		if trial.second != nil {
 			trial.second.clock = clock
 			connections = append(connections, trial.second)
 		}
-		daemon := newSteppedDaemon(t, clock, connections...)
+		daemon := newFakeClockDaemon(t, clock, connections...)
 		relay := newRelay(t, daemon, "resumed")
 		started := clock.now
 		received, err := io.ReadAll(relay)
--- a/proxy/reservation_test.go
+++ b/proxy/reservation_test.go
@@ -17,17 +17,17 @@
 type scriptedReservations struct {
 	outcome reservation.Outcome
 
-	mutex    sync.Mutex
-	sendings []reservation.Sending
+	mutex          sync.Mutex
+	clientAttempts []reservation.Sending
 	// released and finished count the reservations that were given up and that ended otherwise.
 	released, finished int
 }
 
 func (scripted *scriptedReservations) Reserve(_ reservation.Key,
-	sending reservation.Sending) *reservation.Reservation {
+	clientAttempt reservation.Sending) *reservation.Reservation {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
-	scripted.sendings = append(scripted.sendings, sending)
+	scripted.clientAttempts = append(scripted.clientAttempts, clientAttempt)
 	return reservation.Decided(scripted.outcome, 7*time.Second)
 }
 
@@ -47,13 +47,13 @@
 func (scripted *scriptedReservations) counts() string {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
-	return fmt.Sprintf("%d %d %d", len(scripted.sendings), scripted.released, scripted.finished)
+	return fmt.Sprintf("%d %d %d", len(scripted.clientAttempts), scripted.released, scripted.finished)
 }
 
-// firstSending and secondSending are the headers of the first sending of a request and of another.
+// firstClientAttempt and clientRetry are the headers of the first sending of a request and of another.
 var (
-	firstSending  = map[string]string{admission.HeaderAttempt: "1", admission.HeaderTerm: "5"}
-	secondSending = map[string]string{admission.HeaderAttempt: "2", admission.HeaderTerm: "5"}
+	firstClientAttempt = map[string]string{admission.HeaderAttempt: "1", admission.HeaderTerm: "5"}
+	clientRetry        = map[string]string{admission.HeaderAttempt: "2", admission.HeaderTerm: "5"}
 )
 
 // What becomes of a request follows from what becomes of its reservation, and what its client is told of earlier
@@ -74,21 +74,21 @@
 		runs    int64
 		counts  string
 	}{
-		"first, granted":       {reservation.Granted, firstSending, ran, 200, "event: done", 1, "1 0 1"},
-		"first, put back":      {reservation.Granted, firstSending, rejects, 503, didNotRun, 1, "1 1 0"},
-		"first, in doubt":      {reservation.Granted, firstSending, hangsUp, 504, unknown, 1, "1 0 1"},
-		"first, taken":         {reservation.Taken, firstSending, ran, 409, unknown, 0, "1 1 0"},
-		"first, late":          {reservation.InDoubt, firstSending, ran, 504, unknown, 0, "1 1 0"},
-		"first, unreachable":   {reservation.Unreachable, firstSending, ran, 503, didNotRun, 0, "1 1 0"},
-		"first, full":          {reservation.Full, firstSending, ran, 503, didNotRun, 0, "1 1 0"},
-		"first, none made":     {reservation.NotInForce, firstSending, ran, 200, "event: done", 1, "1 0 0"},
-		"again, granted":       {reservation.Granted, secondSending, ran, 200, "event: done", 1, "1 0 1"},
-		"again, put back":      {reservation.Granted, secondSending, rejects, 503, didNotRun, 1, "1 1 0"},
-		"again, taken":         {reservation.Taken, secondSending, ran, 409, unknown, 0, "1 1 0"},
-		"again, in doubt":      {reservation.InDoubt, secondSending, ran, 504, unknown, 0, "1 1 0"},
-		"again, unreachable":   {reservation.Unreachable, secondSending, ran, 504, unknown, 0, "1 1 0"},
-		"again, full":          {reservation.Full, secondSending, ran, 503, unknown, 0, "1 1 0"},
-		"again, none made":     {reservation.NotInForce, secondSending, ran, 504, unknown, 0, "1 1 0"},
+		"first, granted":       {reservation.Granted, firstClientAttempt, ran, 200, "event: done", 1, "1 0 1"},
+		"first, put back":      {reservation.Granted, firstClientAttempt, rejects, 503, didNotRun, 1, "1 1 0"},
+		"first, in doubt":      {reservation.Granted, firstClientAttempt, hangsUp, 504, unknown, 1, "1 0 1"},
+		"first, taken":         {reservation.Taken, firstClientAttempt, ran, 409, unknown, 0, "1 1 0"},
+		"first, late":          {reservation.InDoubt, firstClientAttempt, ran, 504, unknown, 0, "1 1 0"},
+		"first, unreachable":   {reservation.Unreachable, firstClientAttempt, ran, 503, didNotRun, 0, "1 1 0"},
+		"first, full":          {reservation.Full, firstClientAttempt, ran, 503, didNotRun, 0, "1 1 0"},
+		"first, none made":     {reservation.NotInForce, firstClientAttempt, ran, 200, "event: done", 1, "1 0 0"},
+		"again, granted":       {reservation.Granted, clientRetry, ran, 200, "event: done", 1, "1 0 1"},
+		"again, put back":      {reservation.Granted, clientRetry, rejects, 503, didNotRun, 1, "1 1 0"},
+		"again, taken":         {reservation.Taken, clientRetry, ran, 409, unknown, 0, "1 1 0"},
+		"again, in doubt":      {reservation.InDoubt, clientRetry, ran, 504, unknown, 0, "1 1 0"},
+		"again, unreachable":   {reservation.Unreachable, clientRetry, ran, 504, unknown, 0, "1 1 0"},
+		"again, full":          {reservation.Full, clientRetry, ran, 503, unknown, 0, "1 1 0"},
+		"again, none made":     {reservation.NotInForce, clientRetry, ran, 504, unknown, 0, "1 1 0"},
 		"undeclared, granted":  {reservation.Granted, nil, ran, 200, "event: done", 1, "1 0 1"},
 		"undeclared, in doubt": {reservation.InDoubt, nil, ran, 504, unknown, 0, "1 1 0"},
 		"undeclared, none yet": {reservation.NotInForce, nil, ran, 200, "event: done", 1, "1 0 0"},
@@ -114,17 +114,17 @@
 	reservations := &scriptedReservations{outcome: reservation.Granted}
 	daemon.Reservations = reservations
 	daemon.snapshot.Terms = []config.KnownTerm{{Term: 3}, {Term: 8, Since: time.Now().Add(time.Hour)}}
-	for number, headers := range []map[string]string{firstSending, secondSending, nil} {
+	for number, headers := range []map[string]string{firstClientAttempt, clientRetry, nil} {
 		daemon.sendWith(t, "once", fmt.Sprint("r", number), headers)
 	}
 	want := []reservation.Sending{{Number: 1, Term: 5, NotBefore: 3}, {Number: 2, Term: 5}, {}}
-	for index, got := range reservations.sendings {
+	for index, got := range reservations.clientAttempts {
 		if got != want[index] {
 			t.Errorf("sending %d: %+v", index, got)
 		}
 	}
-	if len(reservations.sendings) != len(want) {
-		t.Errorf("%d reservations", len(reservations.sendings))
+	if len(reservations.clientAttempts) != len(want) {
+		t.Errorf("%d reservations", len(reservations.clientAttempts))
 	}
 }
 
@@ -150,10 +150,10 @@
 		headers map[string]string
 		ran     string
 	}{
-		"first, unknown lane":  {"nowhere", firstSending, "did not run"},
-		"again, unknown lane":  {"nowhere", secondSending, "unknown"},
-		"first, about to stop": {"once", firstSending, "did not run"},
-		"again, about to stop": {"once", secondSending, "unknown"},
+		"first, unknown lane":  {"nowhere", firstClientAttempt, "did not run"},
+		"again, unknown lane":  {"nowhere", clientRetry, "unknown"},
+		"first, about to stop": {"once", firstClientAttempt, "did not run"},
+		"again, about to stop": {"once", clientRetry, "unknown"},
 		"undeclared, stopping": {"once", nil, "unknown"},
 		"repeatable, stopping": {"free", nil, "did not run"},
 	} {
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -7,26 +7,26 @@
 	"wardtray/proxy/dedup"
 )
 
-// noteSending notes what the client states of this sending. Unless that is the first, an earlier one may have run until
-// the contrary is known; it doesn't matter on a route that may run more than once.
-func (exchange *Exchange) noteSending() {
+// recordClientAttempt records what the client states about this attempt. Unless it is the first, an earlier client
+// attempt may have run until the contrary is known; on a route that may run more than once that does not matter.
+func (exchange *Exchange) recordClientAttempt() {
 	request, snapshot := exchange.request, exchange.handler.Snapshot()
 	if request.SingleUse || exchange.atMostOnce.reservations == nil {
 		return
 	}
-	sending := reservation.Sending{Number: request.Attempt, Term: request.Term}
-	if sending.IsFirst() {
-		sending.NotBefore = snapshot.TermBefore(exchange.client.ConnectedAt())
+	clientAttempt := reservation.Sending{Number: request.Attempt, Term: request.Term}
+	if clientAttempt.IsFirst() {
+		clientAttempt.NotBefore = snapshot.TermBefore(exchange.client.ConnectedAt())
 	} else {
 		route := exchange.routeIn(snapshot.Catalog)
-		exchange.execution.unproven = route == nil || !route.Idempotent
+		exchange.execution.earlierInDoubt = route == nil || !route.Idempotent
 	}
-	exchange.atMostOnce.sending = sending
+	exchange.atMostOnce.clientAttempt = clientAttempt
 }
 
-// acceptOnce records a request that must run at most once. It fails if the request was sent before or may have been, so
-// that it can't be run.
-func (exchange *Exchange) acceptOnce() error {
+// acceptAtMostOnce records an at-most-once request. It fails if the request was sent before, or may have been, so that
+// it must not run.
+func (exchange *Exchange) acceptAtMostOnce() error {
 	if exchange.request.SingleUse {
 		return nil
 	}
@@ -39,38 +39,39 @@
 		exchange.execution.earlier = known
 		return apierror.New(apierror.DuplicateRequest, "the request with this id %s", known)
 	}
-	if exchange.atMostOnce.mustProve() {
+	if exchange.atMostOnce.mustRuleOutEarlier() {
 		exchange.atMostOnce.begin()
 		return exchange.awaitReservation()
 	}
 	return nil
 }
 
-// awaitReservation waits for the reservation that was begun, if one was; it returns why the request must not be sent.
+// awaitReservation waits for the reservation, if one was started. It returns the reason why the request must not be
+// sent; nil if it may be.
 func (exchange *Exchange) awaitReservation() error {
 	outcome := exchange.atMostOnce.await(exchange.client.ctx)
 	err := exchange.atMostOnce.errorOf(outcome)
 	if err == nil {
-		exchange.execution.unproven = false
+		exchange.execution.earlierInDoubt = false
 		return nil
 	}
-	if exchange.client.hasLeft() {
-		return errClientLeft()
+	if exchange.client.hasDisconnected() {
+		return errClientDisconnected()
 	}
-	// Only of a first sending for which there was no room, or nobody answered, is it known that no other runs.
+	// Only a first client attempt that found no room, or no daemon that answered, is known to be the only one.
 	if outcome == reservation.Taken || outcome == reservation.InDoubt {
-		exchange.execution.unproven = true
+		exchange.execution.earlierInDoubt = true
 	}
 	return err
 }
 
-// runsAtMostOnce reports whether the request belongs to a route that says so.
+// runsAtMostOnce reports whether the request's route is at-most-once.
 func (exchange *Exchange) runsAtMostOnce() bool {
 	route := exchange.routeIn(exchange.handler.Snapshot().Catalog)
 	return route != nil && !route.Idempotent
 }
 
-// routeIn returns the request's route in a configuration; nil: it has none there, or there is no configuration.
+// routeIn returns the request's route in a configuration; nil if the configuration is nil or has no such route.
 func (exchange *Exchange) routeIn(catalog *config.Catalog) *config.Route {
 	if catalog == nil {
 		return nil
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	// maximumStrays is how many responses to other requests may come before the one that is due.
-	maximumStrays = 4
-	// maximumResponse bounds a response that is no stream, in bytes.
+	// maximumStrayResponses bounds the number of responses to other requests that are skipped before the expected one.
+	maximumStrayResponses = 4
+	// maximumResponse bounds the size in bytes of a response that is not a stream.
 	maximumResponse = 8 << 20
-	// tailTimeout is how long the rest of a response is waited for, after what the client gets; tailSize bounds it.
+	// tailTimeout bounds the wait for the rest of a response behind the part that the client receives, and tailSize its
+	// size in bytes.
 	tailTimeout = 500 * time.Millisecond
 	tailSize    = lastPartSize
 )
 
-// readResponse reads up to the first event and returns succeeded when there is one.
+// readResponse reads the response up to the first event. It returns responseReady if there is one.
 func (attempt *attempt) readResponse() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
-	attempt.setTimeout(exchange.waits().firstEvent(!exchange.handler.Disabled[features.EarlyRetry]))
+	attempt.setTimeout(exchange.waitLimits().firstEvent(!exchange.handler.Disabled[features.EarlyRetry]))
 	if err := attempt.readHead(); err != nil {
 		attempt.reportFailure(reasonNoResponse)
 		return scheduler.Ambiguous
@@ -42,7 +43,7 @@
 	return scheduler.Ambiguous
 }
 
-// responseHandlers read on after a head, by what that says.
+// responseHandlers continue reading a response according to the disposition in its head.
 var responseHandlers = map[codec.Disposition]func(attempt *attempt) scheduler.AttemptOutcome{
 	codec.Streams:     (*attempt).readFirstEvent,
 	codec.Finished:    (*attempt).readBody,
@@ -51,13 +52,13 @@
 	codec.Misdirected: (*attempt).handleReusedAddress,
 }
 
-// readHead reads the head of the response that belongs to this request; those that are late for another are skipped.
+// readHead reads the head of the response to this request. It skips late responses to other requests.
 func (attempt *attempt) readHead() error {
 	exchange := attempt.exchange
-	for range maximumStrays {
+	for range maximumStrayResponses {
 		attempt.response = &fasthttp.Response{StreamBody: true, SkipBody: attempt.isHeadRequest()}
 		if err := attempt.response.ReadLimitBody(attempt.connection.Reader, -1); err != nil {
-			return apierror.Wrap(err, apierror.RunFailed, "reading the head of an answer")
+			return apierror.Wrap(err, apierror.RunFailed, "reading a response head")
 		}
 		attempt.head = exchange.handler.Codec.Classify(attempt.response, exchange.request, attempt.describe())
 		attempt.head.Closes = attempt.head.Closes || attempt.mustNotReuse()
@@ -68,31 +69,32 @@
 			return err
 		}
 	}
-	return apierror.New(apierror.RunFailed, "only answers to other requests came")
+	return apierror.New(apierror.RunFailed, "received only responses to other requests")
 }
 
 func (attempt *attempt) isHeadRequest() bool {
 	return attempt.exchange.request.Method == fasthttp.MethodHead
 }
 
-// mustNotReuse reports whether no other request may follow on this connection: the runner may still read this one, or a
-// late second response to it has a length and no body, which nobody could tell from one with a body.
+// mustNotReuse reports whether no other request may follow on this connection. The runner may still read this request;
+// or, after a HEAD request, a late second response would have a length and no body, which can't be distinguished from
+// one with a body.
 func (attempt *attempt) mustNotReuse() bool { return attempt.partial || attempt.isHeadRequest() }
 
-// skipStray reads a response to another request to its end, after which the one that is due begins.
+// skipStray reads a response to another request to its end, where the expected response begins.
 func (attempt *attempt) skipStray() error {
 	if attempt.isHeadRequest() {
-		return apierror.New(apierror.RunFailed, "where the body of an answer to another request ends can't be told")
+		return apierror.New(apierror.RunFailed, "can't determine where the body of a response to another request ends")
 	}
 	read, err := io.Copy(io.Discard, io.LimitReader(attempt.remainingBody(), maximumResponse))
 	if err == nil && read == maximumResponse {
-		err = apierror.New(apierror.RunFailed, "it has more than %d bytes", maximumResponse)
+		err = apierror.New(apierror.RunFailed, "the body has more than %d bytes", maximumResponse)
 	}
-	return apierror.Wrap(err, apierror.RunFailed, "reading an answer to another request")
+	return apierror.Wrap(err, apierror.RunFailed, "reading a response to another request")
 }
 
-// remainingBody is what is still to be read of a response's body: nothing where it has none, or where the codec has
-// read it with the head.
+// remainingBody returns the unread rest of the response's body. It is empty if the response has no body or the codec
+// has read the body with the head.
 func (attempt *attempt) remainingBody() io.Reader {
 	if body := attempt.response.BodyStream(); body != nil {
 		return body
@@ -109,19 +111,19 @@
 		attempt.reportFailure(reasonNoFirstEvent)
 		return scheduler.Ambiguous
 	}
-	attempt.first = first
+	attempt.firstEvent = first
 	return responseReady
 }
 
-// readBody reads a response that is no stream.
+// readBody reads a response that is not a stream.
 func (attempt *attempt) readBody() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
-	// The client has a head and some events already, and only events can follow them.
+	// The client has already received a head and some events; only events can follow them.
 	if exchange.execution.relayed {
 		exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonNoEvents)
 		return scheduler.Ambiguous
 	}
-	// A body of unknown length that ends with its connection can't be told from one that was cut off.
+	// A body of unknown length that ends with its connection can't be distinguished from one that was cut off.
 	if attempt.response.BodyStream() != nil && attempt.response.Header.ContentLength() < -1 {
 		return scheduler.Ambiguous
 	}
@@ -135,20 +137,20 @@
 	return responseReady
 }
 
-// handleFailedRun handles an error of the runner's own: the run has ended and may be started again only where that does
-// no harm. Such an error counts as run: where a request runs at most once it is remembered as dedup.Ran, and sent again
-// under its id it is refused without the promise that it did not run.
+// handleFailedRun handles an error of the runner's own. The run has ended and may be started again only if that does no
+// harm. Such an error counts as a run: an at-most-once request is recorded as dedup.Ran, and a client retry under its
+// id is refused without the statement that it did not run.
 func (attempt *attempt) handleFailedRun() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonFailedRun)
-	// An idempotent run is retried; else readBody forwards the error, unless part of a stream was relayed already.
-	if exchange.route.Idempotent && exchange.mayTry() {
+	// An idempotent run is retried. Otherwise readBody forwards the error, unless part of a stream was already relayed.
+	if exchange.route.Idempotent && exchange.mayAttempt() {
 		return scheduler.Ambiguous
 	}
 	return attempt.readBody()
 }
 
-// handleRejection handles the runner's statement that it did not and will not run the request.
+// handleRejection handles the runner's statement that it did not run the request and will not run it.
 func (attempt *attempt) handleRejection() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	attempt.keepConnection()
@@ -156,28 +158,29 @@
 	return scheduler.NotExecuted
 }
 
-// handleReusedAddress handles an address that now belongs to another runner; waiting for the former one is in vain.
+// handleReusedAddress handles an address that now belongs to another runner. The chosen runner will not come back
+// there, so the listed one is ejected.
 func (attempt *attempt) handleReusedAddress() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonAddressReused)
 	return scheduler.NotExecuted
 }
 
-// keepConnection returns the connection to the pool after a response that was read completely.
+// keepConnection returns the connection to the pool after reading the rest of the response.
 func (attempt *attempt) keepConnection() {
 	if attempt.head.Closes {
 		return
 	}
 	attempt.setTimeout(tailTimeout)
-	// What is left of a longer body would be taken for the head of the next response.
+	// The rest of a longer body would be read as the head of the next response.
 	read, err := io.Copy(io.Discard, io.LimitReader(attempt.remainingBody(), tailSize))
 	if err != nil || read == tailSize {
 		return
 	}
-	attempt.returnKept()
+	attempt.returnToPool()
 }
 
-// keepAfterRun returns the connection to the pool after a complete run, if the response ends there as well.
+// keepAfterRun returns the connection to the pool after a complete run if the response ends there too.
 func (attempt *attempt) keepAfterRun() {
 	complete := true
 	if attempt.reader != nil && attempt.exchange.handler.Codec.Rules().Sequential {
@@ -185,12 +188,12 @@
 		complete = attempt.reader.ExpectEOF()
 	}
 	if complete && !attempt.head.Closes {
-		attempt.returnKept()
+		attempt.returnToPool()
 	}
 }
 
-// returnKept returns the connection for as long as the runner keeps it open.
-func (attempt *attempt) returnKept() {
+// returnToPool returns the connection to the pool for as long as the runner keeps it open.
+func (attempt *attempt) returnToPool() {
 	attempt.exchange.handler.Connections.Release(attempt.connection, attempt.head.IdleTimeout)
 	attempt.connection = nil
 }
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -20,13 +20,13 @@
 
 // frozen has the daemon of a daemon freeze between its decision and the write, at the moment when it tells the
 // zone of a request that must run at most once.
-func frozen(daemon *testDaemon, length time.Duration, meanwhile func()) {
-	var slept atomic.Int64
+func freezeAtSend(daemon *testDaemon, length time.Duration, meanwhile func()) {
+	var frozenFor atomic.Int64
 	clock := daemon.Environment.Now
-	daemon.Environment.Now = func() time.Time { return clock().Add(time.Duration(slept.Load())) }
+	daemon.Environment.Now = func() time.Time { return clock().Add(time.Duration(frozenFor.Load())) }
 	daemon.Announce = func(_ dedup.Key, dropped bool) {
-		if !dropped && slept.Load() == 0 {
-			slept.Store(int64(length))
+		if !dropped && frozenFor.Load() == 0 {
+			frozenFor.Store(int64(length))
 			meanwhile()
 		}
 	}
@@ -55,7 +55,7 @@
 	} {
 		runner := startRunner(t, "r1", events(1, done(1), true))
 		daemon := newDaemon(t, runner)
-		frozen(daemon, 400*time.Millisecond, func() { trial.change(daemon) })
+		freezeAtSend(daemon, 400*time.Millisecond, func() { trial.change(daemon) })
 		status, body := daemon.post(t, trial.route)
 		if status == 200 || runner.reached.Load() != 0 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
@@ -87,7 +87,7 @@
 		if status, body := daemon.post(t, "once"); status != 200 {
 			t.Fatalf("%s: %d %s", name, status, body)
 		}
-		frozen(daemon, time.Second/2, func() {
+		freezeAtSend(daemon, time.Second/2, func() {
 			ends(<-kept)
 			time.Sleep(30 * time.Millisecond)
 		})
@@ -99,16 +99,16 @@
 	}
 }
 
-// startHasty starts a runner that answers each run as soon as it has its head, and ends the connection.
-func startHasty(t *testing.T, id string, answer func(connection net.Conn)) *scriptedRunner {
+// startEarlyResponder starts a runner that answers each run as soon as it has its head, and ends the connection.
+func startEarlyResponder(t *testing.T, id string, answer func(connection net.Conn)) *scriptedRunner {
 	t.Helper()
 	listener := listen(t)
 	runner := &scriptedRunner{id: id, address: listener.Addr().String()}
-	go acceptAll(listener, func(connection net.Conn) { runner.answerHeads(t, connection, answer) })
+	go acceptAll(listener, func(connection net.Conn) { runner.serveEarly(t, connection, answer) })
 	return runner
 }
 
-func (runner *scriptedRunner) answerHeads(t *testing.T, connection net.Conn, answer func(connection net.Conn)) {
+func (runner *scriptedRunner) serveEarly(t *testing.T, connection net.Conn, answer func(connection net.Conn)) {
 	t.Helper()
 	defer closeQuietly(connection)
 	// With small buffers on both sides a long body stays with its sender.
@@ -168,7 +168,7 @@
 		"it put back":     {func(connection net.Conn) { respond(connection, 503, `{"started":false}`) }, 503, 2},
 		"it said nothing": {func(net.Conn) {}, 503, 2},
 	} {
-		first, second := startHasty(t, "r1", trial.answer), startHasty(t, "r2", trial.answer)
+		first, second := startEarlyResponder(t, "r1", trial.answer), startEarlyResponder(t, "r2", trial.answer)
 		daemon := newDaemon(t, first, second)
 		smallBuffers(daemon)
 		status, body := daemon.sendBody(t, "once", strings.Repeat("x", 1<<20))
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// respondsWhole answers with a success that is no stream.
-func respondsWhole(connection net.Conn, _ *http.Request) { respond(connection, 200, "all of it") }
+// respondsComplete answers with a success that is no stream.
+func respondsComplete(connection net.Conn, _ *http.Request) { respond(connection, 200, "all of it") }
 
 // repeated gives several runners the same script.
 func repeated(count int, lines ...script) [][]script { return slices.Repeat([][]script{lines}, count) }
@@ -96,7 +96,7 @@
 			"", false, 0,
 		},
 		"tells no events any more": {
-			"resumed", repeated(3, resumes("a", 2, 5), respondsWhole),
+			"resumed", repeated(3, resumes("a", 2, 5), respondsComplete),
 			"", true, 0,
 		},
 		"fails then": {
@@ -149,15 +149,15 @@
 		t,
 		"r1",
 		resumes("a", 2, 5),
-		respondsWhole,
+		respondsComplete,
 	), startRunner(
 		t,
 		"r2",
 		resumes("a", 2, 5),
-		respondsWhole,
+		respondsComplete,
 	)
 	daemon := newDaemon(t, first, second)
-	daemon.Codec = plainCodec{daemon.Codec}
+	daemon.Codec = completeResponseCodec{daemon.Codec}
 	if status, body := daemon.post(t, "resumed"); status != 200 || strings.Contains(body, "all of it") ||
 		!strings.Contains(body, "event: error") {
 		t.Errorf("%d %s", status, body)
@@ -169,7 +169,7 @@
 func TestFailingRunnerIsAvoided(t *testing.T) {
 	failing := startRunner(t, "r1", fails)
 	daemon := newDaemon(t, failing)
-	daemon.Codec = plainCodec{daemon.Codec}
+	daemon.Codec = completeResponseCodec{daemon.Codec}
 	started := time.Now()
 	if status, body := daemon.post(t, "once"); status != 200 || !strings.Contains(body, "oh") {
 		t.Errorf("%d %s", status, body)
--- a/proxy/routing.go
+++ b/proxy/routing.go
@@ -11,10 +11,10 @@
 	"wardtray/proxy/admission"
 )
 
-// configurationTimeout is how long a request waits for its daemon's configuration to be known to be current again.
+// configurationTimeout bounds how long a request waits until its daemon's configuration is known to be current again.
 const configurationTimeout = time.Second
 
-// routeOf returns the route that a request names, or the one that its host and path choose; nil: there is none.
+// routeOf returns the route that a request names, or the one that matches its host and path; nil if there is none.
 func routeOf(catalog *config.Catalog, request *admission.Request) *config.Route {
 	if request.Route != "" || request.Target == "" {
 		return catalog.Routes[request.Route]
@@ -23,30 +23,31 @@
 	return catalog.Match(request.Authority, path)
 }
 
-// backendOf returns the route's backend, or the one of its split that falls to this request; nil: it has none.
+// backendOf returns the route's backend or, if the route is split, the backend that the request id selects; nil if
+// there is none.
 //
-// Why by its id: the choice is then the same at every look and needs no memory.
+// The request id determines the selection, so each lookup selects the same backend without stored state.
 func backendOf(catalog *config.Catalog, route *config.Route, request *admission.Request) *config.Backend {
 	return catalog.BackendAt(route, fraction(request.ID))
 }
 
-// fraction maps a text to a number from 0 to below 1, evenly over many texts.
+// fraction maps a text to a number in [0, 1), with a uniform distribution over many texts.
 func fraction(text string) float64 {
 	const mantissaBits = 53
 	return float64(xxhash.Sum64String(text)>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// serves reports whether a backend has the model and the adapter that a request wants.
+// serves reports whether a backend has the model and the adapter that a request needs.
 func serves(backend *config.Backend, request *admission.Request) bool {
 	return (backend.Model == "" || backend.Model == request.Model) && backend.ServesAdapter(request.Adapter)
 }
 
-// resolve looks up the request's route and backend in the newest configuration, once that is known to be current, and
-// enters the request with the scheduler of its backend.
+// resolve waits until the newest configuration is known to be current, looks up the route and the backend of the
+// request in it, and creates the queue entry for the scheduler of the backend.
 func (exchange *Exchange) resolve() error {
 	if !exchange.awaitConfiguration() {
-		if exchange.client.hasLeft() {
-			return errClientLeft()
+		if exchange.client.hasDisconnected() {
+			return errClientDisconnected()
 		}
 		return apierror.New(apierror.NotServing,
 			"this daemon does not know for sure that its spec is the present one")
@@ -56,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	// A request that was relayed in part belongs to the backend that began it.
+	// A request that was relayed in part stays with the backend that started it.
 	if exchange.execution.relayed && backend.Name != exchange.backend.Name {
 		return apierror.New(apierror.UnknownRoute, "lane %q now belongs to pool %q", route.Name, backend.Name)
 	}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// lookUp returns a request's route and backend, or which of them the configuration lacks.
+// lookUp returns a request's route and backend, or an error that names what the configuration lacks.
 func lookUp(catalog *config.Catalog, request *admission.Request) (*config.Route, *config.Backend, error) {
 	route := routeOf(catalog, request)
 	if route == nil {
@@ -94,7 +95,7 @@
 	return route, backend, nil
 }
 
-// identifyTenant finds the tenant whose key the request carries. A stream that was relayed in part stays its tenant's.
+// identifyTenant finds the tenant whose key the request carries. A stream that was relayed in part keeps its tenant.
 func (exchange *Exchange) identifyTenant(catalog *config.Catalog, route *config.Route) error {
 	if exchange.execution.relayed {
 		return nil
@@ -107,16 +108,16 @@
 	return nil
 }
 
-// awaitConfiguration reports whether the daemon's configuration is known to be current. Where it is not it waits a
-// moment, since the daemon may be about to learn a newer one.
+// awaitConfiguration reports whether the daemon's configuration is known to be current. If it is not, it waits for at
+// most configurationTimeout, since a renewal may be about to arrive.
 func (exchange *Exchange) awaitConfiguration() bool {
 	until := exchange.now().Add(configurationTimeout)
-	// Nobody waits past the client's own deadline, whatever route the request has.
+	// No request waits past the client's own deadline, whatever its route.
 	if own := newDeadline(exchange.deadline.started, exchange.request.Timeout).until; !own.IsZero() && own.Before(until) {
 		until = own
 	}
 	for {
-		// Asked for before the snapshot is read, so that no renewal falls between the two.
+		// Requested before the snapshot is read, so that a renewal between the two is not missed.
 		renewed := exchange.handler.Renewed()
 		snapshot, now := exchange.handler.Snapshot(), exchange.now()
 		if snapshot.Catalog == nil {
@@ -125,7 +126,7 @@
 		if now.Before(snapshot.Until) {
 			return true
 		}
-		if exchange.client.hasLeft() || !now.Before(until) {
+		if exchange.client.hasDisconnected() || !now.Before(until) {
 			return false
 		}
 		exchange.handler.Environment.Wait(exchange.client.ctx, until.Sub(now), renewed)
--- a/proxy/search.go
+++ b/proxy/search.go
@@ -9,8 +9,8 @@
 	"wardtray/proxy/codec"
 )
 
-// findRunner schedules the request and sends it to the chosen runner, until a runner's response may be relayed;
-// otherwise it returns the refusal. last is how the attempt before ended.
+// findRunner schedules the request and sends it to the chosen runner, repeatedly, until a response may be relayed.
+// Otherwise it returns the refusal. last is the outcome of the previous attempt.
 func (exchange *Exchange) findRunner(last scheduler.AttemptOutcome) *codec.Refusal {
 	for {
 		exchange.state.to(stateScheduling)
@@ -18,14 +18,14 @@
 			return refusal
 		}
 		exchange.state.to(stateConnecting)
-		exchange.tries.attempts++
+		exchange.attemptCounter.attempts++
 		exchange.attempt = &attempt{exchange: exchange, decision: exchange.decision}
 		outcome := exchange.attempt.execute()
 		if outcome == responseReady {
 			return nil
 		}
 		exchange.attempt.release()
-		if err := exchange.attempt.notReserved; err != nil {
+		if err := exchange.attempt.reservationError; err != nil {
 			return exchange.refusalOf(err)
 		}
 		if outcome == scheduler.Ambiguous {
@@ -38,21 +38,21 @@
 	}
 }
 
-// schedule has a runner chosen, after an attempt that ended like last; it returns what to tell the client where there
-// is none.
+// schedule waits until the scheduler has chosen a runner, after an attempt with the outcome last. It returns the
+// refusal if there is no runner.
 func (exchange *Exchange) schedule(last scheduler.AttemptOutcome) *codec.Refusal {
-	if exchange.client.hasLeft() {
-		return exchange.refusalOf(errClientLeft())
+	if exchange.client.hasDisconnected() {
+		return exchange.refusalOf(errClientDisconnected())
 	}
-	if !exchange.mayTry() || exchange.isPastDeadline() {
+	if !exchange.mayAttempt() || exchange.isPastDeadline() {
 		return exchange.refusalAfter(exchange.decideRetry(last), "every attempt failed")
 	}
-	// The configuration may have taken the route or its backend away since the last attempt.
+	// Since the last attempt the configuration may have changed and lack the route or its backend.
 	if err := exchange.resolve(); err != nil {
 		return exchange.refusalOf(err)
 	}
 	if !exchange.awaitDecision() {
-		return exchange.refusalOf(errClientLeft())
+		return exchange.refusalOf(errClientDisconnected())
 	}
 	if exchange.decision.Kind == scheduler.Reject {
 		return exchange.rejectedByScheduler()
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// awaitDecision puts the request into its scheduler's queue and waits for the decision; it reports whether there is
-// one. A request whose client leaves is removed from the queue.
+// awaitDecision adds the request to its scheduler's queue and waits for the decision. It reports whether there is one.
+// If the client disconnects, the request is removed from the queue.
 func (exchange *Exchange) awaitDecision() bool {
 	exchange.scheduler.Schedule(exchange.now(), exchange.queuedRequest)
 	decision, decided := exchange.handler.Await(exchange.client.ctx, exchange.queuedRequest.Decisions)
@@ -69,44 +69,45 @@
 		if exchange.scheduler.Cancel(exchange.queuedRequest) {
 			return false
 		}
-		// The scheduler was quicker, and the slots that it reserved have to be released.
+		// The scheduler has decided already, and the slots that it reserved have to be released.
 		decision = <-exchange.queuedRequest.Decisions
 	}
 	exchange.decision = decision
 	return true
 }
 
-// handleFailedAttempt returns what to tell the client after a failed attempt, or nil where another may follow.
+// handleFailedAttempt returns the refusal after a failed attempt, or nil if another attempt may follow.
 func (exchange *Exchange) handleFailedAttempt(outcome scheduler.AttemptOutcome) *codec.Refusal {
-	if exchange.client.hasLeft() {
-		return exchange.refusalOf(errClientLeft())
+	if exchange.client.hasDisconnected() {
+		return exchange.refusalOf(errClientDisconnected())
 	}
 	next, runner := exchange.decideRetry(outcome), exchange.decision.Runner.ID
 	if !next.Retry {
 		return exchange.refusalAfter(next, fmt.Sprintf("runner %s gave no answer", runner))
 	}
 	if exchange.waitsForListing() {
-		exchange.tries.attempts--
+		exchange.attemptCounter.attempts--
 		return nil
 	}
-	// A runner is not at fault where this daemon's configuration was not known to be current.
+	// The runner is not at fault if the attempt was not sent because this daemon's configuration was not known to be
+	// current.
 	if outcome != scheduler.NotSent || exchange.handler.Snapshot().Until.After(exchange.now()) {
 		exchange.queuedRequest.Requirements.ExcludedRunners[runner] = true
 	}
 	return nil
 }
 
-// waitsForListing reports whether the attempt found that the list of runners is behind. It costs the request no
-// attempt then: the runner is ejected, and where all are, the request waits for a newer list. Where nothing ejects
-// runners, every attempt counts, so that their number stays bounded.
+// waitsForListing reports whether the attempt found the list of runners to be out of date. Such an attempt does not
+// count against the request: the runner is ejected, and once all are, the request waits for a newer list. If ejection
+// is disabled every attempt counts, so that their number stays bounded.
 func (exchange *Exchange) waitsForListing() bool {
 	return exchange.attempt.listingIsStale && !exchange.handler.Disabled[features.Ejection]
 }
 
-// decideRetry returns what may follow an attempt.
+// decideRetry returns whether another attempt may follow, and the refusal to report otherwise.
 func (exchange *Exchange) decideRetry(outcome scheduler.AttemptOutcome) scheduler.RetryDecision {
 	next := scheduler.DecideRetry(outcome, exchange.route.Idempotent)
-	// What was relayed stands; a stream that may be resumed goes on after it at another runner.
+	// The client keeps what was relayed; a resumable stream continues after it at another runner.
 	resumes := exchange.route.Resumable && !exchange.handler.Disabled[features.Resumption]
 	if outcome == scheduler.Broken && resumes {
 		next.Retry = true
@@ -114,9 +115,9 @@
 	return next
 }
 
-// spendTry reports whether the retry budget allows a send now, and takes it out of that.
-func (exchange *Exchange) spendTry() bool {
-	permission := exchange.tries.spend(exchange.now(), exchange.handler.budget(exchange.backend.Name))
+// spendSend reports whether the retry budget allows a send now, and takes a retry out of the budget.
+func (exchange *Exchange) spendSend() bool {
+	permission := exchange.attemptCounter.spend(exchange.now(), exchange.handler.budget(exchange.backend.Name))
 	if permission == sendRetry {
 		exchange.count(func(route *metrics.RouteMetrics) { route.Retries++ })
 	}
