--- a/proxy/atmostonce_test.go
+++ b/proxy/atmostonce_test.go
@@ -8,7 +8,8 @@
 	"wardtray/proxy/dedup"
 )
 
-// newGuard returns a guard over a table, and what it announces: whether a request was dropped.
+// newGuard returns an atMostOnce over a table and the notifications that it sends: for each, whether the request was
+// dropped.
 func newGuard(table *dedup.Table) (guard *atMostOnce, announced *[]bool) {
 	announced = &[]bool{}
 	announce := func(_ dedup.Key, dropped bool) { *announced = append(*announced, dropped) }
@@ -34,12 +35,12 @@
 		table := dedup.New()
 		guard, announced := newGuard(table)
 		if known, err := guard.accept(clock, key, always); known != dedup.NotSeen || err != nil {
-			t.Fatalf("%s: known as %q, %v", name, known, err)
+			t.Fatalf("%s: recorded as %q, %v", name, known, err)
 		}
 		trial.end(guard)
 		again, _ := newGuard(table)
 		if known, _ := again.accept(clock, key, always); known != trial.known {
-			t.Errorf("%s: known as %q instead of %q", name, known, trial.known)
+			t.Errorf("%s: recorded as %q, want %q", name, known, trial.known)
 		}
 		if fmt.Sprint(*announced) != fmt.Sprint(trial.announced) {
 			t.Errorf("%s: announced %v", name, *announced)
@@ -47,7 +48,7 @@
 	}
 }
 
-// sent has a guard announce a request, twice as two attempts do, before it ends.
+// sent announces a request twice, as two attempts do, before it ends.
 func sent(end func(guard *atMostOnce)) func(guard *atMostOnce) {
 	return func(guard *atMostOnce) {
 		guard.announceSend()
@@ -56,7 +57,7 @@
 	}
 }
 
-// A request of a route that may run more often is not remembered, and what it ends like changes nothing.
+// A request of a route that may run more than once is not recorded, however it ends.
 func TestAtMostOnceDoesNotApply(t *testing.T) {
 	table := dedup.New()
 	guard, announced := newGuard(table)
@@ -67,20 +68,20 @@
 	guard.finish(time.Now(), dedup.Unknown)
 	guard.forget()
 	if table.Len() != 0 || len(*announced) != 0 {
-		t.Errorf("%d remembered, announced %v", table.Len(), *announced)
+		t.Errorf("%d recorded, announced %v", table.Len(), *announced)
 	}
 }
 
-// A request that another daemon sent is known, whatever this daemon's configuration says of its route.
+// A request that another daemon announced is found, whatever the route in this daemon's configuration allows.
 func TestAtMostOnceIsKnownFromElsewhere(t *testing.T) {
 	table, key := dedup.New(), dedup.KeyOf("route", "id")
 	table.RecordAnnounced(time.Now(), key, false)
 	guard, _ := newGuard(table)
 	if known, err := guard.accept(time.Now, key, func() bool { return false }); known != dedup.TakenElsewhere {
-		t.Errorf("known as %q, %v", known, err)
+		t.Errorf("recorded as %q, %v", known, err)
 	}
 	guard.forget()
 	if table.Lookup(key) != dedup.TakenElsewhere {
-		t.Error("forgot what another daemon sent")
+		t.Error("the record of a request that another daemon announced is gone")
 	}
 }
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -236,8 +236,8 @@
 	return err == nil
 }
 
-// setTimeout bounds all further reads and writes on the connection. On a connection that is already closed it has no
-// effect: the next read or write fails.
+// setTimeout bounds all further reads and writes on the connection. It ignores errors: on a connection that is already
+// closed the next read or write fails.
 func (attempt *attempt) setTimeout(timeout time.Duration) {
 	_ = attempt.connection.SetDeadline(attempt.exchange.now().Add(timeout))
 }
@@ -258,7 +258,7 @@
 	}
 }
 
-// bindToClient cancels the run when the client disconnects, unless the request must run at most once: then its outcome
+// bindToClient cancels the run when the client disconnects, unless the request must run at most once and its outcome
 // has to be known.
 func (attempt *attempt) bindToClient() {
 	if attempt.exchange.route.CancelsOnDisconnect() {
@@ -285,7 +285,7 @@
 	attempt.exchange.count(func(route *metrics.RouteMetrics) { route.UnsentAttempts++ })
 }
 
-// returnUnused returns a connection to the pool over which nothing was sent.
+// returnUnused returns an unused connection to the pool.
 func (attempt *attempt) returnUnused() {
 	attempt.exchange.handler.Connections.Release(attempt.connection, 0)
 	attempt.connection = nil
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -12,7 +12,7 @@
 	"wardtray/proxy/codec"
 )
 
-// Each row is what a runner does with one request, and what that means for the attempt.
+// Each case is the behaviour of a runner on one request and the expected outcome of the attempt.
 func TestAttemptOutcomes(t *testing.T) {
 	const latencyTarget, grace = 2 * time.Second, firstEventGrace
 	stray, rejected := completeResponse(codec.Stray), completeResponse(codec.NotExecuted)
@@ -23,7 +23,7 @@
 		outcome  scheduler.AttemptOutcome
 		reason   string
 		took     time.Duration
-		// kept says that the connection goes back to the pool.
+		// kept reports whether the connection is returned to the pool.
 		kept bool
 	}{
 		"a stream": {"once", []delivery{{time.Second, streamed(tokenEvents("x", 1, 1))}}, false,
@@ -32,7 +32,7 @@
 			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
 		"a stream that begins with another event": {"once", []delivery{{0, streamed(tokenEvents("x", 2, 2))}}, false,
 			scheduler.Ambiguous, reasonNoFirstEvent, 0, false},
-		"a whole response": {"once", []delivery{{time.Second, completeResponse(codec.Finished)}}, false,
+		"a complete response": {"once", []delivery{{time.Second, completeResponse(codec.Finished)}}, false,
 			responseReady, "", time.Second, false},
 		"a response cut short": {"once", []delivery{{0, head(codec.Finished, "Content-Length: 9\r\n") + "body"}}, true,
 			scheduler.Ambiguous, reasonBrokenResponse, 0, false},
@@ -69,14 +69,14 @@
 		attempt := newFakeClockAttempt(daemon, trial.route)
 		outcome := attempt.execute()
 		if took := clock.now.Sub(attempt.sentAt); outcome != trial.outcome || took != trial.took {
-			t.Errorf("%s: %q after %v, not %q after %v", name, outcome, took, trial.outcome, trial.took)
+			t.Errorf("%s: outcome %q after %v, want %q after %v", name, outcome, took, trial.outcome, trial.took)
 		}
 		if reason := daemon.reason(clock); reason != trial.reason {
-			t.Errorf("%s: the runner is not used because it %q, not %q", name, reason, trial.reason)
+			t.Errorf("%s: the runner is ejected for %q, want %q", name, reason, trial.reason)
 		}
 		attempt.release()
 		if connection.closed == trial.kept || attempt.connection != nil {
-			t.Errorf("%s: closed %v", name, connection.closed)
+			t.Errorf("%s: connection closed %v", name, connection.closed)
 		}
 		if sends := attempt.exchange.attemptCounter.sends; sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
@@ -84,12 +84,12 @@
 	}
 }
 
-// What keeps an attempt from going out leaves no bytes at the runner and costs no send.
+// An attempt that is stopped before its write sends no bytes to the runner and does not count as a send.
 func TestAttemptIsNotSent(t *testing.T) {
 	for name, trial := range map[string]struct {
 		prepare func(daemon *testDaemon, attempt *attempt)
 		reason  string
-		// kept says that the connection goes back to the pool, unsent that the attempt is counted as one not sent.
+		// kept reports whether the connection is returned to the pool; unsent is the number of attempts counted as not sent.
 		kept   bool
 		unsent uint64
 	}{
@@ -103,7 +103,7 @@
 			now := attempt.exchange.now()
 			attempt.exchange.deadline = newDeadline(now.Add(-time.Second), time.Second)
 		}, "", false, 1},
-		"the client has left": {func(_ *testDaemon, attempt *attempt) {
+		"the client has disconnected": {func(_ *testDaemon, attempt *attempt) {
 			attempt.exchange.client = watchClient(&disconnectedClient{})
 		}, "", true, 0},
 		"the retry budget is used up": {func(daemon *testDaemon, attempt *attempt) {
@@ -120,39 +120,40 @@
 		outcome := attempt.execute()
 		attempt.release()
 		if outcome != scheduler.NotSent || connection.written.Len() != 0 || attempt.exchange.attemptCounter.sends != before {
-			t.Errorf("%s: %q, %d bytes, %d sends", name, outcome, connection.written.Len(), attempt.exchange.attemptCounter.sends)
+			t.Errorf("%s: outcome %q, %d bytes, %d sends", name, outcome, connection.written.Len(),
+				attempt.exchange.attemptCounter.sends)
 		}
 		if reason := daemon.reason(clock); reason != trial.reason {
-			t.Errorf("%s: the runner is not used because %q, not %q", name, reason, trial.reason)
+			t.Errorf("%s: the runner is ejected for %q, want %q", name, reason, trial.reason)
 		}
 		if unsent := daemon.Metrics.Routes()["once"].UnsentAttempts; unsent != trial.unsent {
-			t.Errorf("%s: %d counted as not sent", name, unsent)
+			t.Errorf("%s: %d attempts counted as not sent", name, unsent)
 		}
 		if dialed := name != "the runner can't be dialed"; dialed && connection.closed == trial.kept {
-			t.Errorf("%s: closed %v", name, connection.closed)
+			t.Errorf("%s: connection closed %v", name, connection.closed)
 		}
 	}
 }
 
-// A write that ends in the middle: a response decides if the runner has given one, else the request did not go out,
-// unless its client's departure cut it off.
+// A write that ends halfway: if the runner has responded, the response decides; otherwise the request was not sent,
+// unless a disconnect of the client interrupted the write.
 func TestAttemptWrittenInPart(t *testing.T) {
 	rejected := []delivery{{0, completeResponse(codec.NotExecuted)}}
 	for name, trial := range map[string]struct {
-		route    string
-		capacity int
-		incoming []delivery
-		leaves   bool
-		outcome  scheduler.AttemptOutcome
-		sends    int
+		route       string
+		capacity    int
+		incoming    []delivery
+		disconnects bool
+		outcome     scheduler.AttemptOutcome
+		sends       int
 	}{
-		"nothing":                              {"once", 0, nil, false, scheduler.NotSent, 0},
-		"a part":                               {"once", 10, nil, false, scheduler.NotSent, 0},
-		"a part, with a response":              {"once", 10, rejected, false, responseReady, 1},
-		"a part, with a late response":         {"once", 10, []delivery{{time.Second, "HTTP"}}, false, scheduler.NotSent, 0},
-		"a part, the client left":              {"free", 10, nil, true, scheduler.Ambiguous, 0},
-		"nothing, the client left":             {"free", 0, nil, true, scheduler.NotSent, 0},
-		"a part, the client left a once route": {"once", 10, nil, true, scheduler.NotSent, 0},
+		"nothing":                               {"once", 0, nil, false, scheduler.NotSent, 0},
+		"a part":                                {"once", 10, nil, false, scheduler.NotSent, 0},
+		"a part, with a response":               {"once", 10, rejected, false, responseReady, 1},
+		"a part, with a late response":          {"once", 10, []delivery{{time.Second, "HTTP"}}, false, scheduler.NotSent, 0},
+		"a part, the client disconnected":       {"free", 10, nil, true, scheduler.Ambiguous, 0},
+		"nothing, the client disconnected":      {"free", 0, nil, true, scheduler.NotSent, 0},
+		"a part, once, the client disconnected": {"once", 10, nil, true, scheduler.NotSent, 0},
 	} {
 		clock := &fakeClock{}
 		connection := responding(clock, trial.incoming...)
@@ -164,29 +165,30 @@
 			t.Fatal(err)
 		}
 		attempt.checkedAt = clock.now
-		if trial.leaves {
+		if trial.disconnects {
 			attempt.exchange.client.cancel()
 		}
 		outcome := attempt.send()
 		if outcome != trial.outcome || attempt.exchange.attemptCounter.sends != trial.sends || !attempt.partial {
-			t.Errorf("%s: %q, %d sends, partial %v", name, outcome, attempt.exchange.attemptCounter.sends, attempt.partial)
+			t.Errorf("%s: outcome %q, %d sends, partial %v", name, outcome, attempt.exchange.attemptCounter.sends,
+				attempt.partial)
 		}
 		if took := clock.now.Sub(attempt.sentAt); took > earlyResponseTimeout {
-			t.Errorf("%s: an early response was waited for %v", name, took)
+			t.Errorf("%s: waited %v for an early response", name, took)
 		}
-		// The runner may still read the rest, so that no other request follows.
+		// The runner may still read the rest, so no other request may follow on the connection.
 		if outcome == responseReady && attempt.readResponse() != scheduler.NotExecuted {
 			t.Errorf("%s: the response is not read", name)
 		}
 		attempt.release()
 		if !connection.closed {
-			t.Errorf("%s: the connection is kept", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 	}
 }
 
-// A decision that is too old when the bytes are to go out is checked again, and the last part of a long request is held
-// back for a check of its own.
+// A decision that is too old when the bytes are to go out is checked again. The last part of a long request is held
+// back until a separate check.
 func TestAttemptIsCheckedBeforeItsBytes(t *testing.T) {
 	for name, trial := range map[string]struct {
 		age     time.Duration
@@ -210,40 +212,40 @@
 		daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
 		if written := attempt.write(make([]byte, trial.size)); written != trial.written ||
 			connection.written.Len() != written {
-			t.Errorf("%s: %d bytes, not %d", name, written, trial.written)
+			t.Errorf("%s: %d bytes written, want %d", name, written, trial.written)
 		}
 	}
 }
 
-// A run is bound to its client, unless it must come to its end.
+// A run is cancelled with its client, unless it must run to its end.
 func TestAttemptIsBoundToItsClient(t *testing.T) {
 	for route, bound := range map[string]bool{"free": true, "resumed": true, "once": false} {
 		clock := &fakeClock{}
 		connection := responding(clock, delivery{0, completeResponse(codec.Finished)})
 		newFakeClockAttempt(newFakeClockDaemon(t, clock, connection), route).execute()
 		if connection.bound != bound {
-			t.Errorf("%s: bound %v", route, connection.bound)
+			t.Errorf("%s: bound to its client %v", route, connection.bound)
 		}
 	}
 }
 
-// A runner is not blamed for what was cut off because nobody waited for it any more.
+// A runner is not ejected for a run that was cancelled because its client disconnected.
 func TestAttemptBlamesNoRunnerForItsClient(t *testing.T) {
-	for leaves, want := range map[bool]string{true: "", false: reasonNoResponse} {
+	for disconnects, want := range map[bool]string{true: "", false: reasonNoResponse} {
 		clock := &fakeClock{}
 		daemon := newFakeClockDaemon(t, clock, responding(clock))
 		attempt := newFakeClockAttempt(daemon, "free")
-		if leaves {
+		if disconnects {
 			attempt.exchange.client.cancel()
 		}
 		attempt.reportFailure(reasonNoResponse)
 		if reason := daemon.reason(clock); reason != want {
-			t.Errorf("client left %v: %q", leaves, reason)
+			t.Errorf("client disconnected %v: ejected for %q", disconnects, reason)
 		}
 	}
 }
 
-// A codec is told all that an attempt rests on.
+// A codec is given everything that an attempt depends on.
 func TestAttemptDescribesItself(t *testing.T) {
 	clock := &fakeClock{}
 	attempt := newFakeClockAttempt(newFakeClockDaemon(t, clock, responding(clock)), "once")
@@ -255,22 +257,22 @@
 	want := codec.Attempt{Runner: attempt.decision.Runner, Daemon: "d", Epoch: 7, Remaining: 59 * time.Second,
 		LastEventID: 4, Urgency: 3, Weights: "w", Tenant: "tenant"}
 	if got := attempt.describe(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v instead of %+v", got, want)
+		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
-// After a complete run the connection goes back to the pool only where the response ends with it.
+// After a complete run the connection is returned to the pool only if the response ends with the run.
 func TestAttemptKeepsItsConnection(t *testing.T) {
-	whole := "HTTP/1.1 200 OK\r\nDisposition: runs\r\nTransfer-Encoding: chunked\r\n"
+	streamStart := "HTTP/1.1 200 OK\r\nDisposition: runs\r\nTransfer-Encoding: chunked\r\n"
 	body := "\r\n" + chunk(tokenEvents("x", 1, 1)+done(1))
 	for name, trial := range map[string]struct {
 		text string
 		kept bool
 	}{
-		"ended":              {whole + body + "0\r\n\r\n", true},
-		"ended, and closes":  {whole + "Connection: close\r\n" + body + "0\r\n\r\n", false},
-		"not ended in time":  {whole + body, false},
-		"more after its end": {whole + body + chunk("more") + "0\r\n\r\n", false},
+		"ended":              {streamStart + body + "0\r\n\r\n", true},
+		"ended, and closes":  {streamStart + "Connection: close\r\n" + body + "0\r\n\r\n", false},
+		"not ended in time":  {streamStart + body, false},
+		"more after its end": {streamStart + body + chunk("more") + "0\r\n\r\n", false},
 	} {
 		clock := &fakeClock{}
 		connection := responding(clock, delivery{0, trial.text})
@@ -284,27 +286,27 @@
 		started := clock.now
 		attempt.keepAfterRun()
 		if took := clock.now.Sub(started); took > tailTimeout {
-			t.Errorf("%s: the end was waited for %v", name, took)
+			t.Errorf("%s: waited %v for the end", name, took)
 		}
 		attempt.release()
 		if connection.closed == trial.kept {
-			t.Errorf("%s: closed %v", name, connection.closed)
+			t.Errorf("%s: connection closed %v", name, connection.closed)
 		}
 	}
 }
 
-// A body that is no stream can't follow events that the client already has.
+// A response body that is not a stream can't follow events that the client already has.
 func TestAttemptGivesNoBodyAfterEvents(t *testing.T) {
 	clock := &fakeClock{}
 	daemon := newFakeClockDaemon(t, clock, responding(clock, delivery{0, completeResponse(codec.Finished)}))
 	attempt := newFakeClockAttempt(daemon, "resumed")
 	attempt.exchange.execution.relayed = true
 	if outcome := attempt.execute(); outcome != scheduler.Ambiguous || daemon.reason(clock) != reasonNoEvents {
-		t.Errorf("%q, the runner %q", outcome, daemon.reason(clock))
+		t.Errorf("outcome %q, the runner is ejected for %q", outcome, daemon.reason(clock))
 	}
 }
 
-// A release gives the scheduler the runner's slot back.
+// release releases the runner's slot in the scheduler.
 func TestAttemptReleasesItsSlot(t *testing.T) {
 	clock := &fakeClock{}
 	daemon := newFakeClockDaemon(t, clock, responding(clock))
@@ -324,11 +326,11 @@
 	before := inFlight()
 	attempt.release()
 	if before != 1 || inFlight() != 0 {
-		t.Errorf("%d and then %d in flight", before, inFlight())
+		t.Errorf("%d in flight before the release, %d after it", before, inFlight())
 	}
 }
 
-// chunk is one chunk of a body.
+// chunk returns one chunk of a chunked body.
 func chunk(text string) string {
 	var written strings.Builder
 	sendChunk(&written, text)
--- a/proxy/attemptcounter_test.go
+++ b/proxy/attemptcounter_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// The first send needs no budget and its request counts once; a retry without budget leaves no attempt.
+// The first send needs no budget, and its request counts once. A retry without budget leaves no further attempt.
 func TestAttemptCounterSpend(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := retrybudget.DefaultSettings
@@ -39,7 +39,7 @@
 	one := &attemptCounter{}
 	for range 2 {
 		if got := one.spend(now, locked); got != sendFirst || !one.counted {
-			t.Fatalf("not sent yet: %v, counted %v", got, one.counted)
+			t.Fatalf("before the first send: %v, counted %v", got, one.counted)
 		}
 	}
 	one.sends++
@@ -55,8 +55,8 @@
 	}
 }
 
-// Whatever may have reached a runner is sent again only out of the retry budget: for each outcome of an attempt that
-// allows a retry, on each kind of route, the next send is counted as a retry, and does not go out without budget.
+// A request that may have reached a runner is only retried out of the retry budget: for each outcome of an attempt that
+// allows a retry, on each kind of route, the next send is counted as a retry and is not made without budget.
 func TestRetriesSpendTheBudget(t *testing.T) {
 	retried := 0
 	for _, outcome := range []scheduler.AttemptOutcome{
@@ -70,13 +70,14 @@
 			}
 		}
 	}
-	// Not sent and rejected on three routes, ambiguous on the two idempotent ones, broken on the resumable one.
+	// NotSent and NotExecuted on three routes, Ambiguous on the two idempotent ones, Broken on the resumable one.
 	if want := 2 * (3 + 3 + 2 + 1); retried != want {
-		t.Errorf("%d retries were allowed, not %d", retried, want)
+		t.Errorf("%d retries were allowed, want %d", retried, want)
 	}
 }
 
-// testRetry tests one further attempt after one that ended so, and reports whether that is allowed.
+// testRetry tests one further attempt after an attempt with the given outcome and reports whether that attempt is
+// allowed.
 func testRetry(t *testing.T, outcome scheduler.AttemptOutcome, route string, hasBudget bool) bool {
 	t.Helper()
 	responses := map[scheduler.AttemptOutcome][]delivery{
@@ -108,8 +109,8 @@
 	return true
 }
 
-// wantOutcome executes an attempt that is to end so, up to where the next one is connected. An attempt that is not sent
-// finds that its runner can't be dialed; one that breaks does so after its first event.
+// wantOutcome executes an attempt that must have the given outcome, and prepares its exchange for the next attempt. For
+// NotSent the runner can't be dialed; for Broken the stream breaks after its first event.
 func wantOutcome(t *testing.T, first *attempt, want scheduler.AttemptOutcome) {
 	t.Helper()
 	if want == scheduler.NotSent {
@@ -120,7 +121,7 @@
 		got = want
 	}
 	if got != want {
-		t.Fatalf("%q instead of %q", got, want)
+		t.Fatalf("outcome %q, want %q", got, want)
 	}
 	first.release()
 	first.exchange.state.to(stateScheduling)
--- a/proxy/client_test.go
+++ b/proxy/client_test.go
@@ -6,43 +6,43 @@
 	"wardtray/apierror"
 )
 
-// watchedClient is a client whose departure a test brings about.
+// watchedClient is a client whose disconnect the test triggers.
 type watchedClient struct {
 	disconnectedClient
-	left    bool
-	notify  func()
-	stopped int
+	disconnected bool
+	notify       func()
+	stopped      int
 }
 
-func (client *watchedClient) Disconnected() bool { return client.left }
+func (client *watchedClient) Disconnected() bool { return client.disconnected }
 
-func (client *watchedClient) OnDisconnect(left func()) (stop func()) {
-	client.notify = left
+func (client *watchedClient) OnDisconnect(disconnected func()) (stop func()) {
+	client.notify = disconnected
 	return func() { client.stopped++ }
 }
 
 func TestClientConnection(t *testing.T) {
-	stays := &watchedClient{}
-	connection := watchClient(stays)
+	connected := &watchedClient{}
+	connection := watchClient(connected)
 	if connection.hasDisconnected() || !connection.checkConnected() {
-		t.Error("a client that stays has left")
+		t.Error("a connected client is reported as disconnected")
 	}
-	stays.notify()
+	connected.notify()
 	if !connection.hasDisconnected() || connection.checkConnected() {
-		t.Error("the watch says that the client left, and it is present")
+		t.Error("the client is reported as connected after the watch was notified of its disconnect")
 	}
 
-	quick := &watchedClient{left: true}
-	connection = watchClient(quick)
+	early := &watchedClient{disconnected: true}
+	connection = watchClient(early)
 	if connection.hasDisconnected() {
-		t.Error("left before anybody looked")
+		t.Error("a disconnect is reported before the watch was notified or the connection inspected")
 	}
 	if connection.checkConnected() || !connection.hasDisconnected() {
-		t.Error("a client is present whose connection is closed")
+		t.Error("a client with a closed connection is reported as connected")
 	}
 	connection.close()
-	if quick.stopped != 1 {
-		t.Errorf("the watch was stopped %d times", quick.stopped)
+	if early.stopped != 1 {
+		t.Errorf("the watch was stopped %d times", early.stopped)
 	}
 	if !apierror.Is(errClientDisconnected(), apierror.ClientDisconnected) {
 		t.Error(errClientDisconnected())
@@ -53,7 +53,7 @@
 	connection := unwatchedClient(&watchedClient{})
 	connection.cancel()
 	if connection.hasDisconnected() {
-		t.Error("left")
+		t.Error("an unwatched client is reported as disconnected")
 	}
 	connection.close()
 }
--- a/proxy/deadline_test.go
+++ b/proxy/deadline_test.go
@@ -22,7 +22,7 @@
 		"the route first":  {[]time.Duration{time.Minute, time.Second}, time.Second},
 	} {
 		if got := newDeadline(arrival, trial.timeouts...).timeout(); got != trial.want {
-			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+			t.Errorf("%s: %v, want %v", name, got, trial.want)
 		}
 	}
 }
@@ -40,10 +40,10 @@
 	} {
 		now := arrival.Add(after)
 		if got := set.remaining(now); got != want || set.passed(now) != (after >= time.Second) {
-			t.Errorf("after %v: %v remain instead of %v, passed %v", after, got, want, set.passed(now))
+			t.Errorf("after %v: %v remaining, want %v; passed %v", after, got, want, set.passed(now))
 		}
 		if none.remaining(now) != 0 || none.passed(now) {
-			t.Errorf("after %v of no deadline: %v remain", after, none.remaining(now))
+			t.Errorf("after %v without a deadline: %v remaining", after, none.remaining(now))
 		}
 	}
 }
@@ -56,18 +56,18 @@
 		earlyRetry bool
 		want       time.Duration
 	}{
-		"once, no deadline":         {false, waitLimits{mayRetry: true}, true, 2 * target},
-		"idempotent, no deadline":   {true, waitLimits{mayRetry: true}, true, target + firstEventGrace},
-		"once":                      {false, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute},
-		"idempotent, time for two":  {true, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute / 2},
-		"idempotent, little time":   {true, waitLimits{remaining: 3 * time.Second, mayRetry: true}, true, target},
-		"idempotent, next to none":  {true, waitLimits{remaining: time.Second, mayRetry: true}, true, time.Second},
-		"idempotent, the last time": {true, waitLimits{remaining: time.Minute}, true, time.Minute},
-		"early retries are off":     {true, waitLimits{remaining: time.Minute, mayRetry: true}, false, time.Minute},
+		"once, no deadline":           {false, waitLimits{mayRetry: true}, true, 2 * target},
+		"idempotent, no deadline":     {true, waitLimits{mayRetry: true}, true, target + firstEventGrace},
+		"once":                        {false, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute},
+		"idempotent, time for two":    {true, waitLimits{remaining: time.Minute, mayRetry: true}, true, time.Minute / 2},
+		"idempotent, little time":     {true, waitLimits{remaining: 3 * time.Second, mayRetry: true}, true, target},
+		"idempotent, hardly any time": {true, waitLimits{remaining: time.Second, mayRetry: true}, true, time.Second},
+		"idempotent, last attempt":    {true, waitLimits{remaining: time.Minute}, true, time.Minute},
+		"early retries are off":       {true, waitLimits{remaining: time.Minute, mayRetry: true}, false, time.Minute},
 	} {
 		trial.limits.route = &config.Route{Idempotent: trial.idempotent, LatencyTarget: config.Duration(target)}
 		if got := trial.limits.firstEvent(trial.earlyRetry); got != trial.want {
-			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+			t.Errorf("%s: %v, want %v", name, got, trial.want)
 		}
 	}
 }
@@ -78,15 +78,15 @@
 		limits waitLimits
 		want   time.Duration
 	}{
-		"no deadline":               {waitLimits{route: resumable, mayRetry: true}, idleTimeout},
-		"resumable":                 {waitLimits{resumable, time.Minute, true}, 2 * time.Second},
-		"resumable, little time":    {waitLimits{resumable, time.Second, true}, time.Second},
-		"resumable, the last time":  {waitLimits{resumable, time.Minute, false}, time.Minute},
-		"not resumable":             {waitLimits{&config.Route{Pause: resumable.Pause}, time.Minute, true}, time.Minute},
-		"of a pause that is no one": {waitLimits{&config.Route{Resumable: true}, time.Minute, true}, time.Minute},
+		"no deadline":             {waitLimits{route: resumable, mayRetry: true}, idleTimeout},
+		"resumable":               {waitLimits{resumable, time.Minute, true}, 2 * time.Second},
+		"resumable, little time":  {waitLimits{resumable, time.Second, true}, time.Second},
+		"resumable, last attempt": {waitLimits{resumable, time.Minute, false}, time.Minute},
+		"not resumable":           {waitLimits{&config.Route{Pause: resumable.Pause}, time.Minute, true}, time.Minute},
+		"without a pause":         {waitLimits{&config.Route{Resumable: true}, time.Minute, true}, time.Minute},
 	} {
 		if got := trial.limits.nextEvent(); got != trial.want {
-			t.Errorf("%s: %v instead of %v", name, got, trial.want)
+			t.Errorf("%s: %v, want %v", name, got, trial.want)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 		0: time.Second, time.Minute: time.Second, time.Millisecond: time.Millisecond,
 	} {
 		if got := (waitLimits{route: route, remaining: remaining}).latencyTarget(); got != want {
-			t.Errorf("%v remain: %v instead of %v", remaining, got, want)
+			t.Errorf("%v remaining: %v, want %v", remaining, got, want)
 		}
 	}
 }
 
-// A runner that says nothing is waited for until the deadline where its request runs at most once, and refused then at
-// once; otherwise for half of the time, so that another runner has its turn.
+// A silent runner is waited for until the deadline if its request must run at most once, and the request is refused
+// then. Otherwise the wait takes half of the time, so that another runner can be tried.
 func TestSilentRunner(t *testing.T) {
 	const text = `{"zones":[{"name":"a","closed":false}],
 "pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
@@ -123,8 +123,8 @@
 		}
 		daemon := newFakeClockDaemon(t, clock, connections...)
 		daemon.snapshot = newSnapshot(t, 1, text)
-		// The other runner is usable again by the time that the silent one is given up.
-		daemon.Loads.Eject(clock.now, "r1", "another's turn")
+		// The other runner becomes usable again before the silent one is abandoned.
+		daemon.Loads.Eject(clock.now, "r1", "used later in the test")
 		started := clock.now
 		client := &recordingClient{disconnectedClient: disconnectedClient{route: route, body: []byte(`{"prompt":"x"}`)}}
 		daemon.Serve(client)
--- a/proxy/disconnect_test.go
+++ b/proxy/disconnect_test.go
@@ -19,13 +19,13 @@
 	"wardtray/transport/netio"
 )
 
-// testTimeout is how long a test waits for what must come about at once; soon is within what time it has to.
+// testTimeout bounds the wait for an event that should happen at once; soon is the time within which it must happen.
 const (
 	testTimeout = 10 * time.Second
 	soon        = 400 * time.Millisecond
 )
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
@@ -35,7 +35,7 @@
 	}
 }
 
-// wantSoon waits for a signal, which has to come soon.
+// wantSoon waits for a signal and fails the test if it does not arrive soon.
 func wantSoon(t *testing.T, what string, signal <-chan struct{}) {
 	t.Helper()
 	started := time.Now()
@@ -49,15 +49,16 @@
 	}
 }
 
-// blockedRuns is runners' work that goes on until it is released; each run is signalled in started, and in cut where its
-// connection ends before that.
+// blockedRuns holds the runs of scripted runners until release is closed. Each run sends a signal to started, and to
+// cancelled if its connection ends before the release.
 type blockedRuns struct{ started, cancelled, release chan struct{} }
 
 func newBlockedRuns() *blockedRuns {
 	return &blockedRuns{started: make(chan struct{}, 16), cancelled: make(chan struct{}, 16), release: make(chan struct{})}
 }
 
-// answer begins to work, gives a text first where there is one, and goes on with a script once it is released.
+// answer returns a script that first sends a text, which may be empty, and blocks until the release; then it continues
+// with another script.
 func (runs *blockedRuns) answer(first string, then func(net.Conn, *http.Request)) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
 		_, _ = io.WriteString(connection, first)
@@ -80,7 +81,7 @@
 	}
 }
 
-// oneEvent is the head of a stream and its first event.
+// oneEvent returns the head of a stream and its first event.
 func oneEvent() string {
 	event := tokenEvents("x", 1, 1)
 	return fmt.Sprintf("%s%x\r\n%s\r\n", streamHead, len(event), event)
@@ -92,7 +93,7 @@
 	endBody(connection)
 }
 
-// dial sends a request over a connection of its own, on which nothing is read yet.
+// dial sends a request over a new connection and reads nothing from it yet.
 func (daemon *testDaemon) dial(t *testing.T, route, id string) *net.TCPConn {
 	t.Helper()
 	made, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", daemon.address)
@@ -112,35 +113,36 @@
 	return connection
 }
 
-// abort closes a connection by a reset.
+// abort closes a connection with a reset.
 func abort(connection *net.TCPConn) {
 	_ = connection.SetLinger(0)
 	_ = connection.Close()
 }
 
-// wantNoneInFlight wants that no request is under way and every slot was released.
+// wantNoneInFlight checks that no request is in flight and every slot was released.
 func (daemon *testDaemon) wantNoneInFlight(t *testing.T) {
 	t.Helper()
 	eventually(t, "nothing is in flight", func() bool { return daemon.InFlight.Load() == 0 })
 	if _, waiting, routes := daemon.Scheduler("p").State(); waiting != 0 || len(routes) != 0 {
-		t.Errorf("%d wait, slots held by %v", waiting, routes)
+		t.Errorf("%d queued, slots held by %v", waiting, routes)
 	}
 	for _, runner := range daemon.Loads.Runners(time.Now(), []string{"d"}) {
 		if runner.InFlight != 0 {
-			t.Errorf("%s has %d of ours in flight", runner.ID, runner.InFlight)
+			t.Errorf("%s has %d requests of this daemon in flight", runner.ID, runner.InFlight)
 		}
 	}
 }
 
-// isAvoided reports whether a runner is not used at present.
+// isAvoided reports whether a runner is ejected at present.
 func (daemon *testDaemon) isAvoided(runner string) bool {
 	found, _ := daemon.Loads.Lookup(time.Now(), runner, []string{"d"})
 	return !found.Usable
 }
 
-// A request is removed from the queue when its client leaves, and reaches nobody when a runner has room again.
+// A queued request is removed from the queue when its client disconnects. It must not reach a runner that has free
+// capacity later.
 func TestQueuedRequestEndsWithItsClient(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closes": func(client *net.TCPConn) { closeQuietly(client) },
 		"resets": abort,
 	} {
@@ -149,7 +151,7 @@
 		daemon := newDaemon(t, runner)
 		daemon.allow(t, `{"name":"patient","pool":"p","worth":1,"patience":"60s","repeatable":true}`)
 		working := daemon.dial(t, "patient", "working")
-		wantSoon(t, name+": the first request is worked on", runs.started)
+		wantSoon(t, name+": the first request runs", runs.started)
 		daemon.Loads.RecordReport(time.Now(), "r1", load.Report{Running: 1, Waiting: 1, Slots: 1})
 		waiting := make([]*net.TCPConn, 0, 3)
 		for number := range 3 {
@@ -158,7 +160,7 @@
 		queue := func() int { _, waiting, _ := daemon.Scheduler("p").State(); return waiting }
 		eventually(t, "the others wait", func() bool { return queue() == 3 })
 		for _, client := range waiting {
-			leave(client)
+			disconnect(client)
 		}
 		eventually(t, "the queue is empty", func() bool { return queue() == 0 })
 		eventually(t, "only the first is in flight", func() bool { return daemon.InFlight.Load() == 1 })
@@ -174,15 +176,15 @@
 	}
 }
 
-// allow adds a route to the daemon's spec.
+// allow replaces the routes of the daemon's configuration by one route.
 func (daemon *testDaemon) allow(t *testing.T, route string) {
 	t.Helper()
 	daemon.snapshot = newSnapshot(t, 1, `{"zones":[{"name":"a","closed":false}],
 "pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[`+route+`]}`)
 }
 
-// A running runner is released when the client leaves, before its first event as well as behind it, and is not avoided
-// afterwards.
+// A disconnect of the client cancels the run, both before and after its first event, and the runner is not ejected for
+// it.
 func TestRunIsCutWithItsClient(t *testing.T) {
 	const cancelled = `{"name":"cancelled","pool":"p","worth":1,"patience":"2s","repeatable":false,
 "cancel_on_disconnect":true}`
@@ -197,7 +199,7 @@
 		"in the middle of a stream":      {oneEvent(), restOf, "free", ""},
 		"of a lane that may be resumed":  {oneEvent(), restOf, "resumed", ""},
 		"of a lane that is to cancel":    {"", ran, "cancelled", cancelled},
-		"of such a lane, behind a event": {oneEvent(), restOf, "cancelled", cancelled},
+		"of such a lane, after an event": {oneEvent(), restOf, "cancelled", cancelled},
 	} {
 		runs := newBlockedRuns()
 		first := startRunner(t, "r1", runs.answer(trial.first, trial.then))
@@ -207,15 +209,15 @@
 			daemon.allow(t, trial.extra)
 		}
 		client := daemon.dial(t, trial.route, "q")
-		wantSoon(t, name+": the runner works", runs.started)
+		wantSoon(t, name+": the run starts", runs.started)
 		if trial.first != "" {
-			// The client has seen the event before it leaves.
+			// The client has received the event before it disconnects.
 			if _, err := io.ReadAtLeast(client, make([]byte, 4096), len("HTTP/1.1 200")); err != nil {
 				t.Fatal(err)
 			}
 		}
 		_ = client.Close()
-		wantSoon(t, name+": the runner is released", runs.cancelled)
+		wantSoon(t, name+": the run is cancelled", runs.cancelled)
 		daemon.wantNoneInFlight(t)
 		if sends := first.reached.Load() + second.reached.Load(); sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
@@ -226,7 +228,8 @@
 	}
 }
 
-// What runs at most once and has been sent goes on to its end, which is remembered for the client's repeat.
+// An at-most-once request that was sent runs to its end after its client has disconnected. Its outcome is recorded for
+// a client retry.
 func TestOnceRunOutlivesItsClient(t *testing.T) {
 	for name, trial := range map[string]struct {
 		first string
@@ -242,34 +245,34 @@
 		runner := startRunner(t, "r1", runs.answer(trial.first, trial.then))
 		daemon := newDaemon(t, runner)
 		client := daemon.dial(t, "once", "booking")
-		wantSoon(t, name+": the runner works", runs.started)
+		wantSoon(t, name+": the run starts", runs.started)
 		_ = client.Close()
 		<-daemon.disconnects
 		close(runs.release)
 		daemon.wantNoneInFlight(t)
 		if state := daemon.Dedup.Lookup(dedup.KeyOf("once", "booking")); state != trial.state {
-			t.Errorf("%s: what is remembered is %q", name, state)
+			t.Errorf("%s: the recorded state is %q", name, state)
 		}
 		if status, body := daemon.send(t, "once", "booking"); status != 409 || runner.reached.Load() != 1 {
-			t.Errorf("%s: sent again: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
+			t.Errorf("%s: retried: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
 	}
 }
 
-// noticing tells when its daemon has learned that the client has left.
+// notifyingClient signals when its daemon has been notified that the client has disconnected.
 type notifyingClient struct {
 	netio.Client
 	disconnects chan<- struct{}
 }
 
-func (client notifyingClient) OnDisconnect(left func()) (stop func()) {
+func (client notifyingClient) OnDisconnect(disconnected func()) (stop func()) {
 	return client.Client.OnDisconnect(func() {
-		left()
+		disconnected()
 		client.disconnects <- struct{}{}
 	})
 }
 
-// A request that waits for its daemon to know its configuration to be current ends with its client as well.
+// A request that waits until the configuration is known to be current ends when its client disconnects.
 func TestWaitForTheConfigurationEndsWithTheClient(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -285,15 +288,15 @@
 	_ = client.Close()
 	daemon.wantNoneInFlight(t)
 	if took := time.Since(started); took > soon {
-		t.Errorf("it waited %v more", took)
+		t.Errorf("it waited %v longer", took)
 	}
-	// What was not sent may be sent again.
+	// A request that was not sent may be sent again.
 	if state := daemon.Dedup.Lookup(dedup.KeyOf("once", "q")); state != "" || runner.reached.Load() != 0 {
-		t.Errorf("remembered as %q, the runner saw %d", state, runner.reached.Load())
+		t.Errorf("recorded as %q, the runner saw %d", state, runner.reached.Load())
 	}
 }
 
-// A connection that is being made is given up with the client.
+// A connection attempt to a runner ends when the client disconnects.
 func TestDialEndsWithTheClient(t *testing.T) {
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
 	environment := netio.Real(nil)
@@ -315,15 +318,15 @@
 	}
 }
 
-// No other runner is looked for for a client that has left.
+// No further runner is tried once the client has disconnected.
 func TestNoFurtherAttemptForAClientThatLeft(t *testing.T) {
 	for name, trial := range map[string]struct {
 		route, first string
 		then         func(net.Conn, *http.Request)
 	}{
-		"put back": {"once", "", rejects},
-		"in doubt": {"free", "", hangsUp},
-		"broken":   {"resumed", oneEvent(), hangsUp},
+		"rejected":  {"once", "", rejects},
+		"ambiguous": {"free", "", hangsUp},
+		"broken":    {"resumed", oneEvent(), hangsUp},
 	} {
 		runs := newBlockedRuns()
 		script := runs.answer(trial.first, trial.then)
@@ -331,7 +334,7 @@
 		second := startRunner(t, "r2", script, events(1, done(1), true))
 		daemon := newDaemon(t, first, second)
 		client := daemon.dial(t, trial.route, "q")
-		wantSoon(t, name+": the runner works", runs.started)
+		wantSoon(t, name+": the run starts", runs.started)
 		_ = client.Close()
 		<-daemon.disconnects
 		close(runs.release)
@@ -342,11 +345,12 @@
 	}
 }
 
-// A request that was read behind its client's close goes nowhere, even where the request is quicker than the watch.
+// A request that is read after its client has closed the connection is dropped, even if the watch has not been notified
+// yet.
 func TestRequestReadBehindItsCloseIsDropped(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
-	// Why no watch: the process has just woken from a freeze and its poller has not seen the close yet.
+	// The client has no watch, as after a freeze: the poller has not seen the close yet.
 	for _, route := range []string{"once", "free"} {
 		daemon.Serve(&disconnectedClient{route: route, body: []byte(`{"prompt":"x"}`)})
 		daemon.wantNoneInFlight(t)
@@ -354,17 +358,17 @@
 			t.Errorf("%s: the runner was reached", route)
 		}
 		if state := daemon.Dedup.Lookup(dedup.KeyOf(route, "q")); state != "" {
-			t.Errorf("%s: remembered as %q", route, state)
+			t.Errorf("%s: recorded as %q", route, state)
 		}
 	}
-	// The connection that was made for it serves the next.
+	// The connection that was made for the dropped request is used for the next one.
 	dials := daemon.Connections.Counters.Dials.Load()
 	if status, body := daemon.send(t, "once", "q"); status != 200 || daemon.Connections.Counters.Dials.Load() != dials {
-		t.Errorf("sent again: %d %s, %d new connections", status, body, daemon.Connections.Counters.Dials.Load()-dials)
+		t.Errorf("retried: %d %s, %d new connections", status, body, daemon.Connections.Counters.Dials.Load()-dials)
 	}
 }
 
-// departed is a client that has left before its request was read.
+// disconnectedClient is a client that has disconnected before its request is read.
 type disconnectedClient struct {
 	route  string
 	body   []byte
@@ -406,14 +410,14 @@
 func (client *disconnectedClient) ConnectedAt() time.Time { return time.Time{} }
 func (client *disconnectedClient) CloseAfterResponse()    {}
 
-// A client that only ends its sending side looks like one that has left, and is told so at once.
+// A client that shuts down only its sending side counts as disconnected and is answered so at once.
 func TestHalfClosedConnectionIsAnswered(t *testing.T) {
 	runs := newBlockedRuns()
 	daemon := newDaemon(t, startRunner(t, "r1", runs.answer("", events(1, done(1), true))))
 	client := daemon.dial(t, "free", "q")
-	wantSoon(t, "the runner works", runs.started)
+	wantSoon(t, "the run starts", runs.started)
 	_ = client.CloseWrite()
-	wantSoon(t, "the runner is released", runs.cancelled)
+	wantSoon(t, "the run is cancelled", runs.cancelled)
 	response, err := io.ReadAll(client)
 	if err != nil {
 		t.Fatal(err)
@@ -425,7 +429,7 @@
 	}
 }
 
-// Many clients that leave at every moment of their requests' lives give every slot back, and the runner works on none.
+// Clients that disconnect at any point of their requests leave no slot taken and no run behind.
 func TestClientsLeaveAtAnyMoment(t *testing.T) {
 	runner := startRunner(t, "r1", events(3, done(3), true))
 	daemon := newDaemon(t, runner)
@@ -444,8 +448,8 @@
 	daemon.wantNoneInFlight(t)
 }
 
-// A client that closes or resets while it waits for a complete response is noticed at once, whatever of the response
-// has come from the runner by then; nothing is written to it that could show that it has left.
+// A client that closes or resets while it waits for a complete response is noticed at once, whatever part of the
+// response has arrived from the runner. Nothing is written to the client, so no write error can reveal the disconnect.
 func TestClientLeavesWhileItWaitsForACompleteResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 4\r\n\r\n"
 	disconnects := map[string]func(*net.TCPConn){
@@ -453,13 +457,13 @@
 		"resets": abort,
 	}
 	for sent, first := range map[string]string{"nothing": "", "the head": head, "part of the body": head + "{}"} {
-		for name, leave := range disconnects {
+		for name, disconnect := range disconnects {
 			runs := newBlockedRuns()
 			daemon := newDaemon(t, startRunner(t, "r1", runs.answer(first, hangsUp)))
 			daemon.Codec = completeResponseCodec{daemon.Codec}
 			client := daemon.dial(t, "free", daemon.nextID())
-			wantSoon(t, "the run", runs.started)
-			leave(client)
+			wantSoon(t, "the start of the run", runs.started)
+			disconnect(client)
 			wantSoon(t, fmt.Sprintf("the end of a run whose client %s, with %s sent", name, sent), runs.cancelled)
 			daemon.wantNoneInFlight(t)
 		}
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -17,8 +17,8 @@
 	"wardtray/wire"
 )
 
-// completeResponseCodec takes a success that names no events for a complete response, as platforms do whose responses are not all
-// streams.
+// completeResponseCodec classifies a success that is not an event stream as a complete response, as the codecs of
+// platforms with other responses do.
 type completeResponseCodec struct{ codec.Codec }
 
 func (plain completeResponseCodec) Classify(
@@ -42,7 +42,7 @@
 	}
 }
 
-// What a runner puts back goes to another, also on a route that runs at most once: it certainly did not start.
+// A request that a runner rejects goes to another one, also if it must run at most once: it certainly did not start.
 func TestRejectionGoesElsewhere(t *testing.T) {
 	first, second := startRunner(
 		t,
@@ -56,7 +56,8 @@
 		events(1, done(1), true),
 	)
 	daemon := newDaemon(t, first, second)
-	// Both reject the first request; the third attempt finds no runner left and says that nothing ran.
+	// Both reject the first request. The third attempt finds no runner left, and the refusal says that the request did not
+	// run.
 	status, body := daemon.post(t, "once")
 	if status != 503 || !strings.Contains(body, scheduler.DidNotRun) ||
 		first.reached.Load()+second.reached.Load() != 2 {
@@ -72,7 +73,7 @@
 	}
 }
 
-// A late response to another request is passed over where it says so, and the one that is due is taken.
+// A late response to another request is skipped if it names that request, and the expected response is used.
 func TestLateResponseToAnotherRequestIsPassedOver(t *testing.T) {
 	const late = `{"started":false}`
 	runner := startRunner(t, "r1", func(connection net.Conn, _ *http.Request) {
@@ -86,7 +87,8 @@
 	}
 }
 
-// After all runners were replaced, more wrong ones answer than a request has attempts: it waits for the new list.
+// After all runners were replaced, more wrong runners answer than a request has attempts. The request waits for the new
+// list.
 func TestStaleListingCostsNoAttempt(t *testing.T) {
 	runners := make([]*scriptedRunner, 0, maximumAttempts+2)
 	for number := range maximumAttempts + 2 {
@@ -106,7 +108,7 @@
 	}
 }
 
-// A list that stays behind is waited for no longer than the route's patience.
+// The wait for a new list of runners ends with the patience of the route.
 func TestStaleListingIsNotWaitedForTooLong(t *testing.T) {
 	runner := startRunner(t, "former", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -122,8 +124,7 @@
 	}
 }
 
-// An ambiguous attempt of a route that runs at most once is reported as unknown, and no other runner ever sees the
-// request.
+// An ambiguous attempt of an at-most-once request is reported as unknown, and no other runner receives the request.
 func TestAmbiguousAttemptIsNeverRetriedOnOnceRoutes(t *testing.T) {
 	for name, step := range map[string]script{
 		"hangs up":     hangsUp,
@@ -140,7 +141,7 @@
 	}
 }
 
-// An ambiguous attempt of an idempotent route is retried within the budget, and a response in doubt stays ambiguous.
+// An ambiguous attempt of an idempotent route is retried within the retry budget; the final outcome stays unknown.
 func TestAmbiguousAttemptIsRetriedWithinTheBudget(t *testing.T) {
 	first, second := startRunner(t, "r1", hangsUp), startRunner(t, "r2", hangsUp)
 	daemon := newDaemon(t, first, second)
@@ -157,8 +158,8 @@
 	}
 }
 
-// Once an event was relayed only the same run may go on: a break, a skip, a repeat or a false end is
-// reported as an error, and never as a success.
+// Once an event was relayed, only the same run may continue. A break, a skipped or repeated event or a false end is
+// reported as an error, never as a success.
 func TestBrokenStreamsEndWithAnError(t *testing.T) {
 	for name, last := range map[string]string{
 		"break":       "",
@@ -181,7 +182,8 @@
 	}
 }
 
-// Nothing may go out under a spec that is not known to be current, to a closed zone or a service no longer allowed.
+// Nothing is sent under a configuration that is not known to be current, to a closed zone or to a service that is no
+// longer allowed.
 func TestLastCheckBeforeBytesGoOut(t *testing.T) {
 	change := func(text string) func(daemon *testDaemon) {
 		return func(daemon *testDaemon) { daemon.snapshot = newSnapshot(t, 2, text) }
@@ -201,16 +203,16 @@
 	} {
 		runner := startRunner(t, "r1", events(1, done(1), true))
 		daemon := newDaemon(t, runner)
-		// The change comes between the decision and the send: the connection is being made meanwhile.
+		// The change happens between the decision and the write, while the connection is being made.
 		attempt := daemon.attempt("once", runner, &admission.Request{Route: "once", Model: "m"})
 		disturb(daemon)
-		if end := attempt.execute(); end != scheduler.NotSent || runner.reached.Load() != 0 {
-			t.Errorf("%s: %q, the runner saw %d", name, end, runner.reached.Load())
+		if outcome := attempt.execute(); outcome != scheduler.NotSent || runner.reached.Load() != 0 {
+			t.Errorf("%s: outcome %q, the runner saw %d", name, outcome, runner.reached.Load())
 		}
 	}
 }
 
-// The same request sent again on a route that runs at most once: it is taken again only if it certainly did not run.
+// A client retry of an at-most-once request is accepted only if the request certainly did not run.
 func TestSameRequestAgain(t *testing.T) {
 	ran := events(1, done(1), true)
 	for name, trial := range map[string]struct {
@@ -219,15 +221,17 @@
 		second int
 		body   string
 		runs   int64
-		// announced is what the zone was told, where that is compared: whether a request was dropped.
+		// announced holds the notifications to the zone, compared if compareAnnounced is set: for each, whether the request
+		// was dropped.
 		compareAnnounced bool
 		announced        []bool
 	}{
-		"after success":     {[]script{ran}, "once", 409, `"ran":"ran"`, 1, false, nil},
-		"after a doubt":     {[]script{hangsUp, ran}, "once", 409, `"ran":"unknown"`, 1, false, nil},
-		"after a break":     {[]script{events(2, "", false), ran}, "once", 409, `"ran":"unknown"`, 1, false, nil},
-		"after put back":    {[]script{rejects, ran}, "once", 200, "event: done", 2, true, []bool{false, true, false}},
-		"on the other kind": {[]script{ran}, "free", 200, "event: done", 2, true, nil},
+		"after success":              {[]script{ran}, "once", 409, `"ran":"ran"`, 1, false, nil},
+		"after an ambiguous attempt": {[]script{hangsUp, ran}, "once", 409, `"ran":"unknown"`, 1, false, nil},
+		"after a break":              {[]script{events(2, "", false), ran}, "once", 409, `"ran":"unknown"`, 1, false, nil},
+		"after a rejection": {[]script{rejects, ran}, "once", 200, "event: done", 2, true,
+			[]bool{false, true, false}},
+		"on an idempotent route": {[]script{ran}, "free", 200, "event: done", 2, true, nil},
 	} {
 		runner := startRunner(t, "r1", trial.script...)
 		daemon := newDaemon(t, runner)
@@ -238,12 +242,12 @@
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
 		}
 		if trial.compareAnnounced && fmt.Sprint(daemon.announced) != fmt.Sprint(trial.announced) {
-			t.Errorf("%s: the zone was told %v", name, daemon.announced)
+			t.Errorf("%s: the zone was notified %v", name, daemon.announced)
 		}
 	}
 }
 
-// An error of the runner's own counts as run: the same request sent again is not run again, and its refusal says so.
+// An error of the runner's own counts as a run: a client retry does not run, and its refusal says that the request ran.
 func TestOwnErrorCountsAsRun(t *testing.T) {
 	runner := startRunner(t, "r1", fails, events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -257,8 +261,8 @@
 	}
 }
 
-// A long request's last part goes out only after another check: a change that comes while its bytes are on
-// their way keeps it from being whole, and so from running.
+// The last part of a long request goes out only after another check: a change during the write keeps the request
+// incomplete, so that it can't run.
 func TestLongRequestsAreCheckedAgain(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -273,8 +277,8 @@
 	)
 	attempt.connection = connection
 	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
-	if end := attempt.send(); end != scheduler.NotSent || runner.reached.Load() != 0 {
-		t.Fatalf("a long request went out whole under a spec that is not known to be current; the runner saw %d",
+	if outcome := attempt.send(); outcome != scheduler.NotSent || runner.reached.Load() != 0 {
+		t.Fatalf("a complete long request was sent under a spec that is not known to be current; the runner saw %d",
 			runner.reached.Load())
 	}
 }
--- a/proxy/execution_test.go
+++ b/proxy/execution_test.go
@@ -9,7 +9,8 @@
 	"wardtray/proxy/dedup"
 )
 
-// A refusal says that a request did not run only where nothing speaks against that, and never "come back" in doubt.
+// A refusal says that a request did not run only if no attempt may have run it, and names no retry time after a run
+// that failed.
 func TestRefusalOfExecution(t *testing.T) {
 	for name, trial := range map[string]struct {
 		execution execution
@@ -27,10 +28,10 @@
 		"an earlier attempt is ambiguous": {
 			execution{ambiguous: true}, apierror.NoRunner, scheduler.DidNotRun, apierror.OutcomeUnknown, scheduler.Unknown,
 		},
-		"the daemon stops serving in doubt": {
+		"the daemon stops serving after an ambiguous attempt": {
 			execution{ambiguous: true}, apierror.NotServing, scheduler.DidNotRun, apierror.OutcomeUnknown, scheduler.Unknown,
 		},
-		"the client leaves in doubt": {
+		"the client disconnects after an ambiguous attempt": {
 			execution{ambiguous: true}, apierror.ClientDisconnected, scheduler.DidNotRun,
 			apierror.ClientDisconnected, scheduler.Unknown,
 		},
@@ -63,10 +64,10 @@
 			t.Errorf("%s: %+v", name, refusal)
 		}
 		if refusal.DidNotRun != (trial.wantRan == scheduler.DidNotRun) {
-			t.Errorf("%s: promises %v", name, refusal.DidNotRun)
+			t.Errorf("%s: says that it did not run: %v", name, refusal.DidNotRun)
 		}
 		if (refusal.RetryAfter == 0) != (refusal.Code == apierror.RunFailed) {
-			t.Errorf("%s: come back after %v", name, refusal.RetryAfter)
+			t.Errorf("%s: retry after %v", name, refusal.RetryAfter)
 		}
 	}
 }
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -11,7 +11,7 @@
 	"wardtray/verify/golden"
 )
 
-// recordingClient is a client that stays, and keeps the response that it was given.
+// recordingClient is a client that stays connected and records the response.
 type recordingClient struct {
 	disconnectedClient
 	content []byte
@@ -30,7 +30,8 @@
 	client.status, client.content = status, body
 }
 
-// outline lists the keys of a JSON text in their order with the kinds of their values; lists by their first element.
+// outline lists the tokens of a JSON text in order, one a line and indented by depth: keys and strings as they are,
+// other values by their type.
 func outline(t *testing.T, content []byte) string {
 	t.Helper()
 	var text strings.Builder
@@ -49,7 +50,7 @@
 		case json.Delim:
 			line = value.String()
 		case string:
-			// The keys are the strings that matter; values of this test are known texts too.
+			// Keys are strings; string values are included too, since they are fixed in this test.
 			line = value
 		}
 		fmt.Fprintf(&text, "%s%s\n", strings.Repeat("  ", depth), line)
@@ -60,7 +61,7 @@
 	return text.String()
 }
 
-// The explanation of a request keeps its keys, their order and the kinds of their values.
+// The explanation of a request keeps its keys, their order and the types of their values.
 func TestExplainKeepsItsKeys(t *testing.T) {
 	daemon := newDaemon(t, &scriptedRunner{id: "r1", address: "127.0.0.1:1"})
 	client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
@@ -71,7 +72,7 @@
 	golden.Compare(t, "explanation.txt", outline(t, client.content))
 }
 
-// A request that would be rejected is explained by its rejection.
+// A request that would be refused is explained by its refusal.
 func TestExplainRejects(t *testing.T) {
 	daemon := newDaemon(t)
 	client := &recordingClient{disconnectedClient: disconnectedClient{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
@@ -81,8 +82,8 @@
 	}
 }
 
-// An explanation is a dry run: the same id can be explained again and then sent, on a route that runs at most once too,
-// and nothing is counted, announced or remembered.
+// An explanation is a dry run: the same request id can be explained again and then sent, also on an at-most-once route,
+// and nothing is counted, announced or recorded.
 func TestExplainLeavesNoTrace(t *testing.T) {
 	runner := startRunner(t, "r1", events(2, done(2), true))
 	daemon := newDaemon(t, runner)
@@ -94,7 +95,7 @@
 		}
 	}
 	if daemon.Dedup.Len() != 0 || daemon.InFlight.Load() != 0 || len(daemon.announced) != 0 || runner.reached.Load() != 0 {
-		t.Errorf("%d remembered, %d in flight, announced %v, %d sent", daemon.Dedup.Len(), daemon.InFlight.Load(),
+		t.Errorf("%d recorded, %d in flight, announced %v, %d sent", daemon.Dedup.Len(), daemon.InFlight.Load(),
 			daemon.announced, runner.reached.Load())
 	}
 	if status, body := daemon.send(t, "once", "q"); status != 200 {
--- a/proxy/fakeclock_test.go
+++ b/proxy/fakeclock_test.go
@@ -21,26 +21,27 @@
 	"wardtray/transport/netio"
 )
 
-// fakeClock is a clock that stands still but where somebody waits for a fakeConnection: then it moves at once to the
-// moment that was waited for. What a test measures by it does not depend on the machine's speed.
+// fakeClock is a clock that only advances when somebody waits for a fakeConnection: then it jumps to the end of the
+// wait. Durations that a test measures with it do not depend on the speed of the machine.
 type fakeClock struct{ now time.Time }
 
 func (clock *fakeClock) advance(length time.Duration) { clock.now = clock.now.Add(length) }
 
-// delivery is what a runner sends, so long after the bytes before it.
+// delivery is a text that a runner sends, at the given time after the previous one.
 type delivery struct {
 	after time.Duration
 	text  string
 }
 
-// fakeConnection is a connection to a runner in stepped time. All of it is used by one goroutine.
+// fakeConnection is a connection to a runner under a fakeClock. Only one goroutine uses it.
 type fakeConnection struct {
 	net.Conn // Nil: other methods are not called.
 	clock    *fakeClock
-	// incoming is what is still to come; then the runner is silent, or closes the connection if closes is set.
+	// incoming holds the remaining deliveries. After the last one the runner is silent, or closes the connection if closes
+	// is set.
 	incoming []delivery
 	closes   bool
-	// capacity is how many bytes can be written before writes fail; negative: any number.
+	// capacity is the number of bytes that can be written before writes fail; negative: unlimited.
 	capacity int
 	written  bytes.Buffer
 	deadline time.Time
@@ -48,12 +49,12 @@
 	bound    bool
 }
 
-// responding returns a connection over which a runner sends so much and is silent after that.
+// responding returns a connection over which a runner makes the given deliveries and is silent afterwards.
 func responding(clock *fakeClock, incoming ...delivery) *fakeConnection {
 	return &fakeConnection{clock: clock, incoming: slices.Clone(incoming), capacity: -1}
 }
 
-// Read returns what came first, and waits for it until the deadline.
+// Read returns the next delivery; it waits for it until the deadline.
 func (connection *fakeConnection) Read(into []byte) (int, error) {
 	if len(connection.incoming) == 0 {
 		if connection.closes {
@@ -86,7 +87,7 @@
 	return os.ErrDeadlineExceeded
 }
 
-// Write accepts as much as there is room for.
+// Write accepts as many bytes as the remaining capacity allows.
 func (connection *fakeConnection) Write(content []byte) (int, error) {
 	room := connection.capacity - connection.written.Len()
 	if connection.capacity < 0 || len(content) <= room {
@@ -113,23 +114,25 @@
 	return func() bool { return true }
 }
 
-// headerDisposition is the header by which the runners of these tests say what their response is.
+// headerDisposition is the header in which the runners of these tests state the disposition of their response.
 const headerDisposition = "Disposition"
 
-// dispositionHeaderCodec believes what a response says of itself, and that every request reaches the runner that it names.
+// dispositionHeaderCodec takes the disposition from the header of the response. It asks runners for no identity.
 type dispositionHeaderCodec struct{ codec.Codec }
 
 func (dispositionHeaderCodec) IdentityPath() string { return "" }
 
-func (dispositionHeaderCodec) Classify(response *fasthttp.Response, _ *admission.Request, _ codec.Attempt) codec.ResponseHead {
+func (dispositionHeaderCodec) Classify(
+	response *fasthttp.Response, _ *admission.Request, _ codec.Attempt,
+) codec.ResponseHead {
 	return codec.ResponseHead{
 		Disposition: codec.Disposition(response.Header.Peek(headerDisposition)),
 		Closes:      response.Header.ConnectionClose(),
 	}
 }
 
-// newFakeClockDaemon returns a daemon in stepped time with a runner behind each connection, r0 and on in this order. A
-// runner without a connection can't be dialed.
+// newFakeClockDaemon returns a daemon under a fakeClock, with one runner behind each connection, named r0, r1 and so
+// on. A runner without a connection can't be dialed.
 func newFakeClockDaemon(t *testing.T, clock *fakeClock, connections ...*fakeConnection) *testDaemon {
 	t.Helper()
 	runners := make([]*scriptedRunner, len(connections))
@@ -158,7 +161,7 @@
 	return daemon
 }
 
-// newFakeClockAttempt returns an attempt of a request of a route at the runner r0, whose client stays.
+// newFakeClockAttempt returns an attempt of a request at the runner r0. The client stays connected.
 func newFakeClockAttempt(daemon *testDaemon, route string) *attempt {
 	made := daemon.attempt(route, &scriptedRunner{id: "r0", address: "127.0.0.1:0"},
 		&admission.Request{Route: route, Model: "m", ID: "q", Body: []byte(`{"prompt":"x"}`)})
@@ -166,23 +169,23 @@
 	return made
 }
 
-// reason is why the runner r0 is not used for now.
+// reason returns the reason why the runner r0 is ejected; empty if it is not.
 func (daemon *testDaemon) reason(clock *fakeClock) string {
 	found, _ := daemon.Loads.Lookup(clock.now, "r0", daemon.Daemons())
 	return found.Reason
 }
 
-// head is the head of a response that states its disposition, with further header lines.
+// head returns the head of a response that states its disposition, with further header lines.
 func head(disposition codec.Disposition, headers string) string {
 	return "HTTP/1.1 200 OK\r\n" + headerDisposition + ": " + string(disposition) + "\r\n" + headers + "\r\n"
 }
 
-// completeResponse is a complete response with a body of a known length.
+// completeResponse returns a complete response with a body of a known length.
 func completeResponse(disposition codec.Disposition) string {
 	return head(disposition, "Content-Length: 4\r\n") + "body"
 }
 
-// streamed is a stream whose body has no end of its own.
+// streamed returns a stream whose body has no end of its own.
 func streamed(text string) string {
 	return head(codec.Streams, "Content-Type: text/event-stream\r\nContent-Length: 1000000\r\n") + text
 }
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -27,10 +27,10 @@
 	"wardtray/wire"
 )
 
-// script is what a runner does with one request.
+// script is the behaviour of a runner on one request.
 type script = func(connection net.Conn, request *http.Request)
 
-// scriptedRunner is a runner that answers each run by the next line of its script, and the last line for ever.
+// scriptedRunner is a runner that answers each request with the next script, and all further ones with the last.
 type scriptedRunner struct {
 	id      string
 	address string
@@ -38,12 +38,12 @@
 	script  []script
 }
 
-// send writes to a connection, which the other side may have closed by then: some tests want that.
+// send writes to a connection. It ignores errors: in some tests the other side has closed the connection.
 func send(connection io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(connection, format, values...)
 }
 
-// closeQuietly closes what may be closed already.
+// closeQuietly closes something that may be closed already.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
 func respond(connection net.Conn, status int, body string) {
@@ -52,12 +52,12 @@
 
 const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// sendChunk writes one chunk of a body, and endBody what ends it.
+// sendChunk writes one chunk of a chunked body, and endBody its end.
 func sendChunk(connection io.Writer, text string) { send(connection, "%x\r\n%s\r\n", len(text), text) }
 
 func endBody(connection net.Conn) { send(connection, "0\r\n\r\n") }
 
-// tokenEvents are the events of a run from one number to another.
+// tokenEvents returns the token events of a run with the ids from, ..., to.
 func tokenEvents(run string, from, to int) string {
 	var text strings.Builder
 	for number := from; number <= to; number++ {
@@ -66,12 +66,13 @@
 	return text.String()
 }
 
-// events begins a stream and sends so many events; last is written as it is.
-func events(count int, last string, whole bool) script {
+// events returns a script that starts a stream and sends count token events followed by last. If complete is not set it
+// closes the connection before the end of the body.
+func events(count int, last string, complete bool) script {
 	return func(connection net.Conn, _ *http.Request) {
 		send(connection, "%s", streamHead)
 		sendChunk(connection, tokenEvents("x", 1, count)+last)
-		if whole {
+		if complete {
 			endBody(connection)
 			return
 		}
@@ -87,7 +88,7 @@
 func fails(connection net.Conn, _ *http.Request)   { respond(connection, 500, `{"oh":"no"}`) }
 func hangsUp(connection net.Conn, _ *http.Request) { closeQuietly(connection) }
 
-// listen opens a port for as long as the test runs.
+// listen opens a port for the duration of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -98,7 +99,7 @@
 	return listener
 }
 
-// acceptAll serves each connection to a listener until that is closed.
+// acceptAll serves each connection to a listener until the listener is closed.
 func acceptAll(listener net.Listener, serve func(connection net.Conn)) {
 	for {
 		connection, err := listener.Accept()
@@ -117,7 +118,7 @@
 	return runner
 }
 
-// serve answers what comes over one connection: the identity as it is, all else by the script.
+// serve answers the requests of one connection: requests for the identity directly, all others by script.
 func (runner *scriptedRunner) serve(connection net.Conn) {
 	defer closeQuietly(connection)
 	reader := bufio.NewReader(connection)
@@ -135,7 +136,7 @@
 	}
 }
 
-// answeredIdentity answers who the runner is, where a request asks that.
+// answeredIdentity answers a request for the identity of the runner and reports whether it was one.
 func (runner *scriptedRunner) answeredIdentity(connection net.Conn, request *http.Request) bool {
 	if request.URL.Path != "/identity" {
 		return false
@@ -144,18 +145,18 @@
 	return true
 }
 
-// testDaemon is a daemon's request side over scripted runners.
+// testDaemon is the request path of a daemon over scripted runners.
 type testDaemon struct {
 	*Handler
 	address   string
 	snapshot  *config.Snapshot
 	announced []bool
-	// departures has an entry for each client of which the daemon has been notified that it left.
+	// disconnects receives an entry for each client whose disconnect the daemon was notified of.
 	disconnects chan struct{}
 	number      int
 }
 
-// testConfiguration has a route of each kind over one backend.
+// testConfiguration has one route of each kind over one backend.
 const testConfiguration = `{"zones":[{"name":"a","closed":false}],
 "pools":[{"name":"p","model":"m","weights":"w","adapters":["cy"],"services":["s"]}],
 "lanes":[{"name":"once","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false},
@@ -163,7 +164,7 @@
 {"name":"resumed","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":true,"resumable":true,"pause":"1s"},
 {"name":"short","pool":"p","worth":1,"patience":"2s","purse":1,"repeatable":false,"deadline":"150ms"}]}`
 
-// newSnapshot is a configuration that is known to be current for an hour.
+// newSnapshot returns a configuration that is known to be current for an hour.
 func newSnapshot(t *testing.T, epoch uint64, text string) *config.Snapshot {
 	t.Helper()
 	parsed, err := config.Parse([]byte(text))
@@ -173,7 +174,7 @@
 	return &config.Snapshot{SpecEpoch: epoch, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
 }
 
-// listed is the list of runners as the platform has it.
+// listed returns the list of runners as the platform reports it.
 func listed(runners []*scriptedRunner) []*wire.Runner {
 	list := make([]*wire.Runner, 0, len(runners))
 	for _, runner := range runners {
@@ -224,7 +225,7 @@
 	return daemon
 }
 
-// rebalance has the scheduler look at its queue from time to time, as a daemon does, for as long as the test runs.
+// rebalance rebalances the scheduler's queue periodically, as a daemon does, for the duration of the test.
 func (daemon *testDaemon) rebalance(t *testing.T) {
 	t.Helper()
 	ticker := time.NewTicker(20 * time.Millisecond)
@@ -242,7 +243,7 @@
 	}()
 }
 
-// fillBudget gives the retry budget some requests, of which it has none at the start.
+// fillBudget records requests in the retry budget, which starts with none.
 func (daemon *testDaemon) fillBudget(now time.Time) {
 	budget := daemon.budget("p")
 	budget.mutex.Lock()
@@ -252,7 +253,7 @@
 	}
 }
 
-// post sends a request with an id of its own.
+// post sends a request with a new id.
 func (daemon *testDaemon) post(t *testing.T, route string) (status int, body string) {
 	t.Helper()
 	return daemon.send(t, route, daemon.nextID())
@@ -268,13 +269,13 @@
 	return daemon.sendWith(t, route, id, nil)
 }
 
-// sendBody sends a prompt.
+// sendBody sends a request with a prompt.
 func (daemon *testDaemon) sendBody(t *testing.T, route, prompt string) (status int, body string) {
 	t.Helper()
 	return daemon.sendAll(t, route, daemon.nextID(), prompt, nil)
 }
 
-// sendWith sends further headers, where they are not empty.
+// sendWith sends a request with additional headers; those with an empty value are skipped.
 func (daemon *testDaemon) sendWith(t *testing.T, route, id string, more map[string]string) (status int, body string) {
 	t.Helper()
 	return daemon.sendAll(t, route, id, "x", more)
@@ -310,7 +311,8 @@
 	return response.StatusCode, string(received)
 }
 
-// requestHeaders are those of every request of these tests: 100 tokens, and an answer of at most 10.
+// requestHeaders returns the headers of all requests of these tests: a prompt of 100 tokens and an answer of at most
+// 10.
 func requestHeaders(route, id string) map[string]string {
 	return map[string]string{
 		admission.HeaderRoute:   route,
@@ -321,7 +323,7 @@
 	}
 }
 
-// attempt returns an attempt of a request of a route at a runner, which was just decided on.
+// attempt returns an attempt at a runner that was just chosen for a request.
 func (daemon *testDaemon) attempt(route string, runner *scriptedRunner, request *admission.Request) *attempt {
 	exchange := newExchange(daemon.Handler, unwatchedClient(&disconnectedClient{}))
 	exchange.state.current = stateConnecting
--- a/proxy/pace_test.go
+++ b/proxy/pace_test.go
@@ -18,7 +18,7 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	// The first event starts the clock, and the last one waits for the next measurement.
+	// The first event starts the clock, and the last one is left for the next measurement.
 	if events != count-2 || total != time.Duration(events)*10*time.Millisecond {
 		t.Errorf("%d events in %v", events, total)
 	}
--- a/proxy/quotacharge.go
+++ b/proxy/quotacharge.go
@@ -76,8 +76,8 @@
 		if remaining <= 0 {
 			return false
 		}
-		// Waits at most GrantTimeout before it requests again: a response may be lost, or have been sent before this request
-		// needed the tokens.
+		// Each wait is bounded, after which the tokens are requested again: a response may be lost, or have been sent before
+		// this request needed the tokens.
 		charge.handler.Environment.Wait(charge.client.ctx, min(remaining, quota.GrantTimeout), changed)
 	}
 	return !charge.client.hasDisconnected() && limiter.Take(charge.now(), tenant, tokens)
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -13,7 +13,8 @@
 	"wardtray/coordination/quota"
 )
 
-// tenants gives a daemon two tenants, of which one has a quota; it answers each question for tokens by a function.
+// tenants adds two tenants to the daemon's configuration, one of them with a quota. issue answers each request for
+// tokens; nil leaves it unanswered.
 func (daemon *testDaemon) tenants(t *testing.T, issue func(claims []quota.TenantReport) []quota.Share) {
 	t.Helper()
 	spec := *daemon.snapshot.Catalog.Spec
@@ -29,10 +30,10 @@
 	var number atomic.Uint64
 	daemon.Quota = quota.NewLimiter()
 	daemon.RequestQuota = func() {
-		now, asked := time.Now(), number.Add(1)
-		claims := daemon.Quota.Report(now, asked)
+		now, sequence := time.Now(), number.Add(1)
+		claims := daemon.Quota.Report(now, sequence)
 		if issue != nil {
-			daemon.Quota.ApplyGrant(now, asked, time.Minute, issue(claims))
+			daemon.Quota.ApplyGrant(now, sequence, time.Minute, issue(claims))
 		}
 	}
 }
@@ -41,7 +42,7 @@
 	return map[string]string{"Authorization": "Bearer " + key, "Wardtray-Tenant": "somebody else"}
 }
 
-// headers keeps what a runner was sent beside its answer.
+// headerRecorder records the headers that a runner receives.
 type headerRecorder struct{ seen []http.Header }
 
 func (recorder *headerRecorder) answer(connection net.Conn, request *http.Request) {
@@ -75,8 +76,7 @@
 	}
 }
 
-// A key that was taken away between the decision and the write opens nothing any more, and neither does one whose
-// daemon is not certain of its configuration.
+// A key that is revoked between the decision and the write does not let the request out.
 func TestRevokedKeyStopsTheLastCheck(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -87,7 +87,7 @@
 	var reads atomic.Int64
 	snapshot := daemon.Snapshot
 	daemon.Snapshot = func() *config.Snapshot {
-		// The first looks find the key, those directly before the write the newer spec.
+		// The first reads return a configuration with the key, those directly before the write one without it.
 		if reads.Add(1) > 5 {
 			return &config.Snapshot{
 				SpecEpoch: 3,
@@ -106,8 +106,8 @@
 	}
 }
 
-// What the share does not hold is asked for at once, and each request is charged once, whatever becomes of its
-// attempts.
+// Tokens that the daemon's share lacks are requested at once, and each request is charged once, whatever the outcome of
+// its attempts.
 func TestRequestsAreChargedOnce(t *testing.T) {
 	runner := startRunner(t, "r1", rejects, events(1, done(1), true))
 	second := startRunner(t, "r2", events(1, done(1), true))
@@ -120,7 +120,7 @@
 	if status, body := daemon.sendWith(t, "free", "charged", withKey("limited-key")); status != 200 {
 		t.Fatalf("%d %s", status, body)
 	}
-	// A request of these tests has 100 tokens and an answer of at most 10.
+	// Requests of these tests have a prompt of 100 tokens and an answer of at most 10.
 	if used := daemon.Quota.Usage(time.Now())["limited"].Used; used != 110 || given != 110 {
 		t.Errorf("%v used, %v given", used, given)
 	}
@@ -129,7 +129,7 @@
 	}
 }
 
-// A spent quota is reported at once, with a promise that nothing ran and a time to come back.
+// A request beyond its quota is refused at once, with the statement that it did not run and a retry time.
 func TestSpentQuotaIsRefused(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	for name, issue := range map[string]func([]quota.TenantReport) []quota.Share{
@@ -161,7 +161,7 @@
 	}
 }
 
-// A request that certainly did not run gives back what it was charged.
+// A request that certainly did not run is refunded its charge.
 func TestChargeOfWhatDidNotRunIsRefunded(t *testing.T) {
 	runner := startRunner(t, "r1", rejects)
 	daemon := newDaemon(t, runner)
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -14,8 +14,8 @@
 // chunkSize is the size in bytes from which on a chunk takes no more of the events that were already received.
 const chunkSize = 16 << 10
 
-// errCutOff ends the body of an incomplete response.
-var errCutOff = errors.New("the response is incomplete")
+// errIncompleteResponse ends the body of an incomplete response.
+var errIncompleteResponse = errors.New("the response is incomplete")
 
 // relay is the body of a streamed response: complete events, each forwarded as it arrives, from one run or, on a
 // resumable route, from several runs in sequence. It implements io.ReadCloser for the client's connection.
@@ -132,7 +132,7 @@
 		return
 	}
 	if exchange.client.hasDisconnected() {
-		relay.finishRequest, relay.endError = func() { exchange.finish(endClientDisconnected, false) }, errCutOff
+		relay.finishRequest, relay.endError = func() { exchange.finish(endClientDisconnected, false) }, errIncompleteResponse
 		return
 	}
 	exchange.attempt.reportFailure(reasonBrokenStream)
@@ -146,7 +146,7 @@
 		}
 		relay.finishRequest = func() { exchange.finishWithoutRunner(refusal.Code) }
 	}
-	relay.endError = errCutOff
+	relay.endError = errIncompleteResponse
 	// A codec that has an error event ends an incomplete stream with one, in order.
 	if message := exchange.handler.Codec.ErrorEvent(exchange.lastEventID, *refusal); len(message) > 0 {
 		relay.pending, relay.endError = append(relay.pending, message...), io.EOF
--- a/proxy/relay_test.go
+++ b/proxy/relay_test.go
@@ -12,8 +12,8 @@
 	"wardtray/proxy/dedup"
 )
 
-// newRelay returns the relay of a stream of a route whose first event has come from the runner r0, and whose request
-// was recorded if it runs at most once.
+// newRelay returns the relay of a stream from the runner r0 whose first event has arrived. The request is recorded if
+// its route is at-most-once.
 func newRelay(t *testing.T, daemon *testDaemon, route string) *relay {
 	t.Helper()
 	attempt := newFakeClockAttempt(daemon, route)
@@ -34,30 +34,30 @@
 	return &relay{exchange: exchange}
 }
 
-// wantFinished wants the request of a relay to be finished: counted once by its end, remembered as state, and in flight
-// no more.
+// wantFinished checks that the request of a relay is finished: counted once under end, recorded with state, and no
+// longer in flight.
 func (relay *relay) wantFinished(t *testing.T, name, end string, state dedup.State) {
 	t.Helper()
 	exchange := relay.exchange
-	remembered := exchange.handler.Dedup.Lookup(dedup.KeyOf(exchange.request.Route, exchange.request.ID))
-	if remembered != state {
-		t.Errorf("%s: remembered as %q, not %q", name, remembered, state)
+	recorded := exchange.handler.Dedup.Lookup(dedup.KeyOf(exchange.request.Route, exchange.request.ID))
+	if recorded != state {
+		t.Errorf("%s: recorded as %q, want %q", name, recorded, state)
 	}
 	outcomes := exchange.handler.Metrics.Routes()[exchange.route.Name].Outcomes
 	if len(outcomes) != 1 || outcomes[end] != 1 {
-		t.Errorf("%s: counted %v, not %q", name, outcomes, end)
+		t.Errorf("%s: counted %v, want %q", name, outcomes, end)
 	}
 	if in := exchange.handler.InFlight.Load(); in != 0 {
 		t.Errorf("%s: %d in flight", name, in)
 	}
 }
 
-// noErrorEventCodec can't say that a stream is not complete.
+// noErrorEventCodec has no error event, so it can't mark a stream as incomplete.
 type noErrorEventCodec struct{ codec.Codec }
 
 func (noErrorEventCodec) ErrorEvent(int, codec.Refusal) []byte { return nil }
 
-// Each row is a stream after its head, and how its request is finished.
+// Each case is a stream after its head and the expected end of its request.
 func TestRelayEndings(t *testing.T) {
 	const failed = string(apierror.RunFailed)
 	two := tokenEvents("x", 1, 2)
@@ -65,7 +65,7 @@
 		route  string
 		text   string
 		closes bool
-		// end is counted, and state is what is remembered of the request if its route runs at most once.
+		// end is the outcome under which the request is counted, and state its recorded state if the route is at-most-once.
 		end   string
 		state dedup.State
 	}{
@@ -85,11 +85,11 @@
 		relay := newRelay(t, daemon, trial.route)
 		received, err := io.ReadAll(relay)
 		if err != nil {
-			t.Errorf("%s: ended by %v", name, err)
+			t.Errorf("%s: ended with %v", name, err)
 		}
 		reason := map[bool]string{true: "", false: reasonBrokenStream}[trial.end == endDone]
 		if got := daemon.reason(clock); got != reason {
-			t.Errorf("%s: the runner is not used because it %q", name, got)
+			t.Errorf("%s: the runner is ejected for %q", name, got)
 		}
 		rest, isPrefix := strings.CutPrefix(string(received), two)
 		if trial.end == endDone && rest != done(2) || trial.end != endDone && !strings.Contains(rest, "event: error") ||
@@ -101,12 +101,12 @@
 		}
 		relay.wantFinished(t, name, trial.end, trial.state)
 		if !connection.closed {
-			t.Errorf("%s: the connection is open", name)
+			t.Errorf("%s: the connection is still open", name)
 		}
 	}
 }
 
-// A codec that can't say that a stream is not complete has it cut off.
+// If the codec has no error event, an incomplete stream is cut off.
 func TestRelayIsCutOffWithoutAnErrorEvent(t *testing.T) {
 	clock := &fakeClock{}
 	two := tokenEvents("x", 1, 2)
@@ -114,14 +114,14 @@
 	daemon.Codec = noErrorEventCodec{daemon.Codec}
 	relay := newRelay(t, daemon, "once")
 	received, err := io.ReadAll(relay)
-	if string(received) != two || !errors.Is(err, errCutOff) {
-		t.Errorf("relayed %q, ended by %v", received, err)
+	if string(received) != two || !errors.Is(err, errIncompleteResponse) {
+		t.Errorf("relayed %q, ended with %v", received, err)
 	}
 	_ = relay.Close()
 	relay.wantFinished(t, "cut off", string(apierror.RunFailed), dedup.Unknown)
 }
 
-// What was received is relayed at once, by complete events: a part of one waits for the rest.
+// Received bytes are relayed at once, in complete events; a partial event waits for its rest.
 func TestRelayForwardsCompleteEventsAsTheyCome(t *testing.T) {
 	clock := &fakeClock{}
 	three := tokenEvents("x", 3, 3)
@@ -148,7 +148,7 @@
 	}
 }
 
-// A reader with little room gets the same bytes.
+// A reader with a small buffer receives the same bytes.
 func TestRelayFillsSmallBuffers(t *testing.T) {
 	clock := &fakeClock{}
 	text := tokenEvents("x", 1, 5) + done(5)
@@ -167,7 +167,7 @@
 	}
 }
 
-// What was received together is relayed together, up to the size of a chunk.
+// Events that were received together are relayed together, up to the size of a chunk.
 func TestRelayBoundsItsChunks(t *testing.T) {
 	for length, together := range map[int]bool{chunkSize / 2: true, chunkSize: false} {
 		clock := &fakeClock{}
@@ -182,7 +182,7 @@
 	}
 }
 
-// A stream whose client leaves is cut, unless it runs at most once: that one is read to its end.
+// A stream whose client disconnects is cancelled, unless its request must run at most once: then it is read to its end.
 func TestRelayWhoseClientLeaves(t *testing.T) {
 	for name, trial := range map[string]struct {
 		route string
@@ -193,8 +193,8 @@
 	}{
 		"idempotent": {"free", []delivery{{time.Second, done(1)}}, endClientDisconnected, dedup.NotSeen, 0},
 		"once":       {"once", []delivery{{time.Second, done(1)}}, endDone, dedup.Ran, time.Second},
-		"once, then breaks off": {"once", []delivery{{time.Second, tokenEvents("x", 7, 7)}}, endClientDisconnected, dedup.Unknown,
-			time.Second},
+		"once, then breaks off": {"once", []delivery{{time.Second, tokenEvents("x", 7, 7)}}, endClientDisconnected,
+			dedup.Unknown, time.Second},
 	} {
 		clock := &fakeClock{}
 		connection := responding(clock, append([]delivery{{0, streamed(tokenEvents("x", 1, 1))}}, trial.rest...)...)
@@ -209,35 +209,35 @@
 		}
 		took := clock.now.Sub(started)
 		if trial.end == endDone {
-			// Whether the response ends with its last event is waited for as well.
+			// The relay also waits to see whether the response ends with its last event.
 			took -= tailTimeout
 		}
 		if took != trial.took || !relay.exchange.client.hasDisconnected() {
-			t.Errorf("%s: %v, the client left %v", name, took, relay.exchange.client.hasDisconnected())
+			t.Errorf("%s: took %v, the client disconnected %v", name, took, relay.exchange.client.hasDisconnected())
 		}
 		relay.wantFinished(t, name, trial.end, trial.state)
 		if reason := daemon.reason(clock); reason != "" || !connection.closed {
-			t.Errorf("%s: the runner %q, closed %v", name, reason, connection.closed)
+			t.Errorf("%s: the runner is ejected for %q, connection closed %v", name, reason, connection.closed)
 		}
 	}
 }
 
-// A stream that may be resumed goes on at another runner after the last event that was relayed, as soon as it has stood
-// still for twice its usual pause; where no runner is left it ends as incomplete, and only once.
+// A resumable stream continues at another runner after the last event that was relayed, once it has stalled for twice
+// its usual pause. If no runner is left it ends as incomplete, once.
 func TestRelayResumes(t *testing.T) {
 	const pause = time.Second // That of the route "resumed".
 	first := tokenEvents("x", 1, 2)
 	const failed = string(apierror.RunFailed)
-	goesOn, anew := streamed(tokenEvents("x", 3, 4)+done(4)), streamed(first+done(2))
+	continued, restarted := streamed(tokenEvents("x", 3, 4)+done(4)), streamed(first+done(2))
 	for name, trial := range map[string]struct {
 		second  *fakeConnection
 		resumed uint64
 		end     string
 	}{
-		"at another runner":               {responding(nil, delivery{0, goesOn}), 1, endDone},
-		"where the other one starts anew": {responding(nil, delivery{0, anew}), 0, failed},
-		"where the other one rejects it":  {responding(nil, delivery{0, completeResponse(codec.NotExecuted)}), 0, failed},
-		"where there is no other one":     {nil, 0, failed},
+		"at another runner":              {responding(nil, delivery{0, continued}), 1, endDone},
+		"where the other one restarts":   {responding(nil, delivery{0, restarted}), 0, failed},
+		"where the other one rejects it": {responding(nil, delivery{0, completeResponse(codec.NotExecuted)}), 0, failed},
+		"where there is no other one":    {nil, 0, failed},
 	} {
 		clock := &fakeClock{}
 		connections := []*fakeConnection{responding(clock, delivery{0, streamed(first)})}
@@ -253,10 +253,10 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		_ = relay.Close()
-		wantsWhole := trial.end == endDone
-		whole := string(received) == tokenEvents("x", 1, 4)+done(4)
+		wantsComplete := trial.end == endDone
+		complete := string(received) == tokenEvents("x", 1, 4)+done(4)
 		broken := strings.HasPrefix(string(received), first) && strings.Count(string(received), "event: error") == 1
-		if whole != wantsWhole || broken == wantsWhole {
+		if complete != wantsComplete || broken == wantsComplete {
 			t.Errorf("%s: relayed %q", name, received)
 		}
 		if trial.second != nil && !strings.Contains(trial.second.written.String(), "Wardtray-After: 2\r\n") {
@@ -264,8 +264,8 @@
 		}
 		relay.wantFinished(t, name, trial.end, dedup.NotSeen)
 		took := clock.now.Sub(started)
-		if wantsWhole {
-			// Whether the response ends with its last event is waited for as well.
+		if wantsComplete {
+			// The relay also waits to see whether the response ends with its last event.
 			took -= tailTimeout
 		}
 		if resumed := daemon.Metrics.Routes()["resumed"].Resumed; resumed != trial.resumed || took != pauseFactor*pause {
--- a/proxy/reservation_test.go
+++ b/proxy/reservation_test.go
@@ -13,13 +13,13 @@
 	"wardtray/proxy/admission"
 )
 
-// scriptedReservations decides every reservation alike, and notes what it was asked.
+// scriptedReservations decides every reservation with the same outcome and records the requests for reservations.
 type scriptedReservations struct {
 	outcome reservation.Outcome
 
 	mutex          sync.Mutex
 	clientAttempts []reservation.Sending
-	// released and finished count the reservations that were given up and that ended otherwise.
+	// released and finished count the calls of Release and Finish.
 	released, finished int
 }
 
@@ -43,21 +43,21 @@
 	scripted.finished++
 }
 
-// counts returns how many reservations were made, given up and finished.
+// counts returns the numbers of reservations that were requested, released and finished.
 func (scripted *scriptedReservations) counts() string {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
 	return fmt.Sprintf("%d %d %d", len(scripted.clientAttempts), scripted.released, scripted.finished)
 }
 
-// firstClientAttempt and clientRetry are the headers of the first sending of a request and of another.
+// firstClientAttempt and clientRetry are the headers of the first attempt of a client and of a retry.
 var (
 	firstClientAttempt = map[string]string{admission.HeaderAttempt: "1", admission.HeaderTerm: "5"}
 	clientRetry        = map[string]string{admission.HeaderAttempt: "2", admission.HeaderTerm: "5"}
 )
 
-// What becomes of a request follows from what becomes of its reservation, and what its client is told of earlier
-// sendings follows from what this one states.
+// The fate of a request follows from the outcome of its reservation, and what its refusal says about earlier client
+// attempts from what the client states about this one.
 func TestReservedRequests(t *testing.T) {
 	t.Parallel()
 	ran := events(1, done(1), true)
@@ -75,15 +75,15 @@
 		counts  string
 	}{
 		"first, granted":       {reservation.Granted, firstClientAttempt, ran, 200, "event: done", 1, "1 0 1"},
-		"first, put back":      {reservation.Granted, firstClientAttempt, rejects, 503, didNotRun, 1, "1 1 0"},
-		"first, in doubt":      {reservation.Granted, firstClientAttempt, hangsUp, 504, unknown, 1, "1 0 1"},
+		"first, rejected":      {reservation.Granted, firstClientAttempt, rejects, 503, didNotRun, 1, "1 1 0"},
+		"first, ambiguous":     {reservation.Granted, firstClientAttempt, hangsUp, 504, unknown, 1, "1 0 1"},
 		"first, taken":         {reservation.Taken, firstClientAttempt, ran, 409, unknown, 0, "1 1 0"},
 		"first, late":          {reservation.InDoubt, firstClientAttempt, ran, 504, unknown, 0, "1 1 0"},
 		"first, unreachable":   {reservation.Unreachable, firstClientAttempt, ran, 503, didNotRun, 0, "1 1 0"},
 		"first, full":          {reservation.Full, firstClientAttempt, ran, 503, didNotRun, 0, "1 1 0"},
 		"first, none made":     {reservation.NotInForce, firstClientAttempt, ran, 200, "event: done", 1, "1 0 0"},
 		"again, granted":       {reservation.Granted, clientRetry, ran, 200, "event: done", 1, "1 0 1"},
-		"again, put back":      {reservation.Granted, clientRetry, rejects, 503, didNotRun, 1, "1 1 0"},
+		"again, rejected":      {reservation.Granted, clientRetry, rejects, 503, didNotRun, 1, "1 1 0"},
 		"again, taken":         {reservation.Taken, clientRetry, ran, 409, unknown, 0, "1 1 0"},
 		"again, in doubt":      {reservation.InDoubt, clientRetry, ran, 504, unknown, 0, "1 1 0"},
 		"again, unreachable":   {reservation.Unreachable, clientRetry, ran, 504, unknown, 0, "1 1 0"},
@@ -107,7 +107,7 @@
 	}
 }
 
-// What a client states of its sendings reaches the reservation, beside what is known of its connection.
+// What a client states about its attempts is passed to the reservation, together with what is known of its connection.
 func TestReservationsLearnWhatTheClientStates(t *testing.T) {
 	t.Parallel()
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
@@ -120,7 +120,7 @@
 	want := []reservation.Sending{{Number: 1, Term: 5, NotBefore: 3}, {Number: 2, Term: 5}, {}}
 	for index, got := range reservations.clientAttempts {
 		if got != want[index] {
-			t.Errorf("sending %d: %+v", index, got)
+			t.Errorf("client attempt %d: %+v", index, got)
 		}
 	}
 	if len(reservations.clientAttempts) != len(want) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Requests that may run more than once are not reserved, and say nothing of earlier sendings.
+// Requests that may run more than once are not reserved, and their refusals say nothing of earlier client attempts.
 func TestRepeatableRequestsAreNotReserved(t *testing.T) {
 	t.Parallel()
 	daemon := newDaemon(t, startRunner(t, "r1", rejects))
@@ -142,7 +142,8 @@
 	}
 }
 
-// Whatever a daemon refuses before it knows of earlier sendings is refused as unknown, and a first sending as not run.
+// A refusal before the state of earlier client attempts is known reports the execution as unknown; for a first client
+// attempt it reports that the request did not run.
 func TestRefusalsBeforeTheReservation(t *testing.T) {
 	t.Parallel()
 	for name, trial := range map[string]struct {
@@ -166,7 +167,7 @@
 	}
 }
 
-// A refusal for want of room says when there is some, and responses name the term.
+// A refusal for lack of room names the time after which there is room, and responses name the term.
 func TestFullReservationsNameTheTime(t *testing.T) {
 	t.Parallel()
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -18,8 +18,8 @@
 	"wardtray/transport/netio"
 )
 
-// frozen has the daemon of a daemon freeze between its decision and the write, at the moment when it tells the
-// zone of a request that must run at most once.
+// freezeAtSend freezes the daemon for a duration between its decision and the write, at the moment when it announces an
+// at-most-once request to the zone. meanwhile runs during the freeze.
 func freezeAtSend(daemon *testDaemon, length time.Duration, meanwhile func()) {
 	var frozenFor atomic.Int64
 	clock := daemon.Environment.Now
@@ -32,8 +32,8 @@
 	}
 }
 
-// After a freeze between decision and write everything that the decision rests on is checked again: nothing goes out
-// under a lease that has run out, a spec that has changed, or to a client that waits no more.
+// After a freeze between the decision and the write, everything that the decision depends on is checked again: nothing
+// is sent under an expired lease or a changed configuration, or after the deadline.
 func TestFreezeBetweenDecisionAndWrite(t *testing.T) {
 	const closed = `{"zones":[{"name":"a","closed":true}],
 "pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
@@ -63,8 +63,8 @@
 	}
 }
 
-// A connection of the backend that its runner closes, or over which it sends something, while the daemon is frozen
-// between taking it and writing is not written to.
+// A pooled connection that its runner closes, or over which it sends something, while the daemon is frozen between
+// taking the connection and writing, is not written to.
 func TestConnectionEndsDuringAFreeze(t *testing.T) {
 	for name, ends := range map[string]func(connection net.Conn){
 		"closed": func(connection net.Conn) { _ = connection.Close() },
@@ -91,7 +91,7 @@
 			ends(<-kept)
 			time.Sleep(30 * time.Millisecond)
 		})
-		// There is no other runner, and nothing went out to this one.
+		// There is no other runner, and nothing was sent to this one.
 		if status, body := daemon.post(t, "once"); status != 503 || !strings.Contains(body, scheduler.DidNotRun) ||
 			runner.reached.Load() != 1 {
 			t.Errorf("%s: %d %s, the runner saw %d", name, status, body, runner.reached.Load())
@@ -99,7 +99,8 @@
 	}
 }
 
-// startEarlyResponder starts a runner that answers each run as soon as it has its head, and ends the connection.
+// startEarlyResponder starts a runner that answers each request as soon as it has read the head, and closes the
+// connection.
 func startEarlyResponder(t *testing.T, id string, answer func(connection net.Conn)) *scriptedRunner {
 	t.Helper()
 	listener := listen(t)
@@ -111,7 +112,7 @@
 func (runner *scriptedRunner) serveEarly(t *testing.T, connection net.Conn, answer func(connection net.Conn)) {
 	t.Helper()
 	defer closeQuietly(connection)
-	// With small buffers on both sides a long body stays with its sender.
+	// Small buffers on both sides keep most of a long body at its sender.
 	tcp, isTCP := connection.(*net.TCPConn)
 	if !isTCP || tcp.SetReadBuffer(smallBuffer) != nil {
 		t.Errorf("no small buffer for a %T", connection)
@@ -133,12 +134,12 @@
 
 const smallBuffer = 4 << 10
 
-// smallBuffers has a daemon send with small buffers.
+// smallBuffers makes the daemon send with small buffers.
 func smallBuffers(daemon *testDaemon) {
 	environment := netio.Real(nil)
 	dial := environment.Dial
-	environment.Dial = func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
-		made, err := dial(ctx, address, terms)
+	environment.Dial = func(ctx context.Context, address string, timeouts netio.Timeouts) (netio.Conn, error) {
+		made, err := dial(ctx, address, timeouts)
 		if err != nil {
 			return nil, err
 		}
@@ -151,8 +152,8 @@
 	daemon.Connections = connpool.New(environment, codec.Native{}.IdentityPath())
 }
 
-// A runner that answers before it has the whole request, and ends the connection, has decided: a request that must run
-// at most once goes nowhere else, although its last bytes could not be written.
+// A runner that answers before it has the complete request and closes the connection has decided its outcome: an
+// at-most-once request goes to no other runner, although its last bytes could not be written.
 func TestAnswerBeforeTheWholeRequest(t *testing.T) {
 	ran := "id: 1\nevent: token\ndata: {}\n\n" + done(1)
 	for name, trial := range map[string]struct {
@@ -165,7 +166,7 @@
 				len(ran), ran)
 		}, 200, 1},
 		"it failed":       {func(connection net.Conn) { respond(connection, 500, `{"oh":"no"}`) }, 504, 1},
-		"it put back":     {func(connection net.Conn) { respond(connection, 503, `{"started":false}`) }, 503, 2},
+		"it rejected it":  {func(connection net.Conn) { respond(connection, 503, `{"started":false}`) }, 503, 2},
 		"it said nothing": {func(net.Conn) {}, 503, 2},
 	} {
 		first, second := startEarlyResponder(t, "r1", trial.answer), startEarlyResponder(t, "r2", trial.answer)
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -21,8 +21,8 @@
 	"wardtray/wire"
 )
 
-// resumes answers like a runner that can begin behind an event: it gives so many events up to a whole of total, and
-// the end if it got that far.
+// resumes returns the script of a runner that can start after a given event: it sends up to count events of a run of
+// total events, and the end of the run once it has got that far.
 func resumes(name string, count, total int) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
 		after, _ := strconv.Atoi(request.Header.Get(admission.HeaderAfter))
@@ -40,13 +40,13 @@
 	}
 }
 
-// respondsComplete answers with a success that is no stream.
+// respondsComplete answers with a success that is not a stream.
 func respondsComplete(connection net.Conn, _ *http.Request) { respond(connection, 200, "all of it") }
 
-// repeated gives several runners the same script.
+// repeated returns the same scripts for several runners.
 func repeated(count int, lines ...script) [][]script { return slices.Repeat([][]script{lines}, count) }
 
-// ids gives the ids of a stream's events in order.
+// ids returns the ids of the events of a stream, in order.
 func ids(body string) string {
 	var found []string
 	for _, line := range strings.Split(body, "\n") {
@@ -57,15 +57,15 @@
 	return strings.Join(found, " ")
 }
 
-// A stream of a route that may be resumed goes on behind its last whole event, at runners that have not had it yet.
+// A stream of a resumable route continues after its last complete event, at runners that have not run it yet.
 func TestBrokenStreamGoesOnAtAnotherRunner(t *testing.T) {
 	full := events(5, done(5), true)
 	for name, trial := range map[string]struct {
-		route   string
-		scripts [][]script
-		ids     string
-		whole   bool
-		sends   int64
+		route    string
+		scripts  [][]script
+		ids      string
+		complete bool
+		sends    int64
 	}{
 		"once": {
 			"resumed", [][]script{{resumes("a", 2, 5)}, {resumes("b", 9, 5)}, {resumes("b", 9, 5)}},
@@ -75,7 +75,7 @@
 			"resumed", [][]script{{resumes("a", 2, 5)}, {resumes("b", 2, 5)}, {resumes("c", 2, 5)}},
 			"1 2 3 4 5 6", true, 3,
 		},
-		"nobody is left": {
+		"no runner is left": {
 			"resumed", [][]script{{resumes("a", 1, 9)}, {resumes("b", 1, 9)}, {resumes("c", 1, 9)}},
 			"1 2 3 4", false, 3,
 		},
@@ -91,11 +91,11 @@
 			"once", [][]script{{resumes("a", 2, 5)}, {resumes("a", 2, 5)}, {resumes("a", 2, 5)}},
 			"1 2 3", false, 1,
 		},
-		"starts anew instead": {
+		"restarts instead": {
 			"resumed", [][]script{{resumes("a", 2, 5)}, {full}, {full}},
 			"", false, 0,
 		},
-		"tells no events any more": {
+		"is not a stream any more": {
 			"resumed", repeated(3, resumes("a", 2, 5), respondsComplete),
 			"", true, 0,
 		},
@@ -103,7 +103,7 @@
 			"resumed", [][]script{{resumes("a", 2, 5), fails}, {resumes("b", 2, 5), fails}, {resumes("c", 2, 5), fails}},
 			"1 2 3 4 5 6", true, 3,
 		},
-		"is put back in the middle": {
+		"is rejected in the middle": {
 			"resumed",
 			[][]script{{resumes("a", 2, 5), rejects}, {resumes("b", 2, 5), rejects}, {resumes("c", 2, 5), rejects}},
 			"1 2 3 4 5 6", true, 3,
@@ -120,10 +120,10 @@
 			sends += runner.reached.Load()
 		}
 		seen := ids(body)
-		// Whatever came of it, ids count on and what is not whole does not look whole.
+		// In every case the ids are consecutive, and an incomplete stream must not look complete.
 		for index, id := range strings.Fields(seen) {
 			if id != strconv.Itoa(index+1) {
-				t.Errorf("%s: ids %s", name, seen)
+				t.Errorf("%s: the ids are not consecutive: %s", name, seen)
 			}
 		}
 		if status != 200 || trial.ids != "" && seen != trial.ids || trial.sends > 0 && sends != trial.sends ||
@@ -131,19 +131,19 @@
 				strings.Contains(
 					body,
 					"event: done",
-				) != trial.whole || strings.Contains(body, "event: done") == strings.Contains(body, "event: error") {
+				) != trial.complete || strings.Contains(body, "event: done") == strings.Contains(body, "event: error") {
 			t.Errorf("%s: %d, ids %s, %d sends, %s", name, status, seen, sends, body)
 		}
 		if strings.Contains(body, "did not run") {
-			t.Errorf("%s: what was relayed is said not to have run: %s", name, body)
+			t.Errorf("%s: a relayed request is reported as not run: %s", name, body)
 		}
 		if in := daemon.InFlight.Load(); in != 0 {
-			t.Errorf("%s: %d are in flight", name, in)
+			t.Errorf("%s: %d in flight", name, in)
 		}
 	}
 }
 
-// What is no stream can't go on where a stream broke off.
+// A response that is not a stream can't continue a broken stream.
 func TestNothingButEventsFollowsEvents(t *testing.T) {
 	first, second := startRunner(
 		t,
@@ -164,8 +164,7 @@
 	}
 }
 
-// A failure of the runner's own is passed on where the request can't be repeated, and the runner is avoided for a
-// while.
+// A failure of the runner's own is forwarded if the request can't be repeated, and the runner is ejected.
 func TestFailingRunnerIsAvoided(t *testing.T) {
 	failing := startRunner(t, "r1", fails)
 	daemon := newDaemon(t, failing)
@@ -179,7 +178,7 @@
 	}
 }
 
-// The route's deadline and the client's, the sooner of the two, end whatever is waited for.
+// The earlier of the route's and the client's deadline ends every wait.
 func TestDeadlineEndsEveryWait(t *testing.T) {
 	silent := func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) }
 	stalls := func(connection net.Conn, _ *http.Request) {
@@ -211,8 +210,7 @@
 	}
 }
 
-// A stream that breaks long after its latency target is still gone on with, also where a moment has to be waited for
-// its next runner.
+// A stream that breaks long after its latency target is still resumed, even if it has to wait for its next runner.
 func TestLongStreamGoesOnAfterAWait(t *testing.T) {
 	second := startRunner(t, "r2", resumes("b", 9, 5))
 	var passed atomic.Int64
@@ -252,8 +250,7 @@
 	}
 }
 
-// What is done before a request goes out keeps to its deadline as well: the wait for the configuration, and the way to
-// a runner.
+// The steps before the write respect the deadline as well: the wait for the configuration and the dial.
 func TestDeadlineBoundsTheWayToARunner(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -265,44 +262,44 @@
 		t.Errorf("without a current configuration: %d %s after %v", status, body, time.Since(started))
 	}
 	daemon.snapshot = current
-	var terms []netio.Timeouts
+	var timeouts []netio.Timeouts
 	environment := netio.Real(nil)
 	environment.Dial = func(_ context.Context, _ string, given netio.Timeouts) (netio.Conn, error) {
-		terms = append(terms, given)
+		timeouts = append(timeouts, given)
 		return nil, io.ErrClosedPipe
 	}
 	daemon.Connections = connpool.New(environment, codec.Native{}.IdentityPath())
 	daemon.sendWith(t, "once", "dials", map[string]string{admission.HeaderWait: "100"})
 	daemon.Loads.RequestSucceeded("r1")
-	daemon.send(t, "once", "dials in peace")
-	if len(terms) != 2 || terms[0].Dial > 100*time.Millisecond || terms[0].Dial <= 0 ||
-		terms[1].Dial <= 100*time.Millisecond {
-		t.Errorf("terms of dialing: %+v", terms)
+	daemon.send(t, "once", "dials without a deadline")
+	if len(timeouts) != 2 || timeouts[0].Dial > 100*time.Millisecond || timeouts[0].Dial <= 0 ||
+		timeouts[1].Dial <= 100*time.Millisecond {
+		t.Errorf("timeouts of the dials: %+v", timeouts)
 	}
 }
 
-// A request that waits for the configuration goes on at the renewal, not at a poll some time after it.
+// A request that waits for the configuration continues when the renewal arrives, not at a later poll.
 func TestRenewalEndsTheWaitForTheConfiguration(t *testing.T) {
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
 	outdated := &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
 	current := daemon.snapshot
-	var present atomic.Pointer[config.Snapshot]
-	present.Store(outdated)
+	var latest atomic.Pointer[config.Snapshot]
+	latest.Store(outdated)
 	renewed := make(chan struct{})
-	var woken time.Duration
-	daemon.Snapshot = present.Load
+	var waited time.Duration
+	daemon.Snapshot = latest.Load
 	daemon.Renewed = func() <-chan struct{} { return renewed }
 	daemon.Environment.Wait = func(_ context.Context, length time.Duration, channel <-chan struct{}) {
 		if channel != (<-chan struct{})(renewed) {
 			t.Error("the wait does not end with the renewal")
 		}
-		woken = length
-		present.Store(current)
+		waited = length
+		latest.Store(current)
 	}
 	if status, body := daemon.send(t, "once", "renewed"); status != 200 {
 		t.Errorf("current again: %d %s", status, body)
 	}
-	if woken <= 0 || woken > configurationTimeout {
-		t.Errorf("the wait was bounded by %v", woken)
+	if waited <= 0 || waited > configurationTimeout {
+		t.Errorf("the wait was bounded by %v", waited)
 	}
 }
--- a/proxy/state_test.go
+++ b/proxy/state_test.go
@@ -6,7 +6,7 @@
 	stateReading, stateScheduling, stateConnecting, stateSent, stateRelaying, stateFinished,
 }
 
-// A request only takes the transitions that are listed, never leaves its final state and never goes back to reading.
+// A request only makes valid transitions, never leaves its final state and never returns to reading.
 func TestStateMachine(t *testing.T) {
 	for _, from := range allStates {
 		for _, to := range allStates {
@@ -16,7 +16,7 @@
 				t.Errorf("from %s to %s: panics %v", from, to, panicked)
 			}
 			if allowed && (machine.current != to || from == stateFinished || to == stateReading) {
-				t.Errorf("from %s to %s: in %s", from, to, machine.current)
+				t.Errorf("from %s to %s: the state is %s", from, to, machine.current)
 			}
 		}
 	}
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A daemon that stops takes what is surely over by then, and refuses as not run what might not be.
+// A stopping daemon accepts requests that will certainly end before it stops. It refuses, as not run, those that may
+// not.
 func TestStoppingDaemonRefusesWhatMightOutlastIt(t *testing.T) {
 	const answer = 10 // tokens, of every request of these tests
 	for name, trial := range map[string]struct {
 		draining bool
-		// token is the pace of answers, 0 where nothing is known of it; left is how long the daemon still has.
+		// token is the time per token of answers, 0 if it is not known; left is the time until the daemon stops.
 		token, left time.Duration
 		status      int
 	}{
@@ -37,7 +38,7 @@
 	}
 }
 
-// The pace is learned from the events of answers on their way.
+// The event rate is learned from the events of responses that are being relayed.
 func TestPaceIsLearnedFromEvents(t *testing.T) {
 	daemon := newDaemon(t, startRunner(t, "r1", events(3*pacedEvents, done(3*pacedEvents), true)))
 	daemon.post(t, "once")
