--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -72,8 +72,8 @@
 var errTooManyRemembered = apierror.New(apierror.TooManyRemembered,
 	"as many requests that run at most once are remembered as can be")
 
-// mustRuleOutEarlier reports whether the request may only be processed further, or refused as not run, once no earlier
-// client attempt can run any more. That is so unless the client has declared this attempt to be the first.
+// mustRuleOutEarlier reports whether earlier client attempts must be ruled out before the request is processed further
+// or refused as not run, since its client has not declared this attempt to be the first.
 func (guard *atMostOnce) mustRuleOutEarlier() bool {
 	return guard.key != nil && guard.reservations != nil && !guard.clientAttempt.IsFirst()
 }
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -71,9 +71,9 @@
 	// Retries limits retries across all daemons; the zero value selects retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
 
-	// Dedup records at-most-once requests, and Reservations reserves them with the other daemons; without Reservations
-	// (nil) no request is reserved. Announce notifies the zone's other daemons of a request that is not reserved: that it
-	// is being sent to a runner or, if dropped is set, that it certainly did not run.
+	// Dedup records at-most-once requests, and Reservations reserves them with the other daemons; Reservations may be nil
+	// if no client sends a request again under the same id. Announce notifies the zone's other daemons of a request that
+	// is not reserved: that it is being sent to a runner or, if dropped is set, that it certainly did not run.
 	Dedup        *dedup.Table
 	Reservations Reservations
 	Announce     func(key dedup.Key, dropped bool)
