--- a/proxy/tries_test.go
+++ b/proxy/attemptcounter_test.go
@@ -11,35 +11,35 @@
 	"wardtray/proxy/codec"
 )
 
-func TestTriesRemain(t *testing.T) {
+func TestAttemptCounterRemain(t *testing.T) {
 	for name, trial := range map[string]struct {
-		tries tries
-		bound int
-		want  bool
+		counter attemptCounter
+		bound   int
+		want    bool
 	}{
-		"none yet":                     {tries{}, 0, true},
-		"one before the last":          {tries{attempts: maximumAttempts - 1, sends: maximumAttempts - 1}, 0, true},
-		"all attempts":                 {tries{attempts: maximumAttempts}, 0, false},
-		"the route's bound of sends":   {tries{attempts: 2, sends: 2}, 2, false},
-		"attempts that were not sent":  {tries{attempts: 5, sends: 1}, 2, true},
-		"all attempts, a larger bound": {tries{attempts: maximumAttempts}, 2 * maximumAttempts, false},
+		"none yet":                     {attemptCounter{}, 0, true},
+		"one before the last":          {attemptCounter{attempts: maximumAttempts - 1, sends: maximumAttempts - 1}, 0, true},
+		"all attempts":                 {attemptCounter{attempts: maximumAttempts}, 0, false},
+		"the route's bound of sends":   {attemptCounter{attempts: 2, sends: 2}, 2, false},
+		"attempts that were not sent":  {attemptCounter{attempts: 5, sends: 1}, 2, true},
+		"all attempts, a larger bound": {attemptCounter{attempts: maximumAttempts}, 2 * maximumAttempts, false},
 	} {
-		if got := trial.tries.remain(&config.Route{Attempts: trial.bound}); got != trial.want {
+		if got := trial.counter.remain(&config.Route{Attempts: trial.bound}); got != trial.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-// The first send needs no budget and its request counts once; a retry without budget leaves no attempt.
-func TestTriesSpend(t *testing.T) {
+// The first send needs no budget, and its request counts once. A retry without budget leaves no further attempt.
+func TestAttemptCounterSpend(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := retrybudget.DefaultSettings
 	settings.Ratio, settings.Slack = 0.5, 0
 	locked := &lockedBudget{budget: retrybudget.New(settings, func() int { return 1 })}
-	one := &tries{}
+	one := &attemptCounter{}
 	for range 2 {
 		if got := one.spend(now, locked); got != sendFirst || !one.counted {
-			t.Fatalf("not sent yet: %v, counted %v", got, one.counted)
+			t.Fatalf("before the first send: %v, counted %v", got, one.counted)
 		}
 	}
 	one.sends++
@@ -47,16 +47,16 @@
 		t.Errorf("one request allows no retry: %v, %+v", got, one)
 	}
 	for range 40 {
-		(&tries{}).spend(now, locked)
+		(&attemptCounter{}).spend(now, locked)
 	}
-	other := &tries{attempts: 1, sends: 1, counted: true}
+	other := &attemptCounter{attempts: 1, sends: 1, counted: true}
 	if got := other.spend(now, locked); got != sendRetry || !other.remain(&config.Route{}) {
 		t.Errorf("40 requests allow a retry: %v, %+v", got, other)
 	}
 }
 
-// Whatever may have reached a runner is sent again only out of the retry budget: for each outcome of an attempt that
-// allows a retry, on each kind of route, the next send is counted as a retry, and does not go out without budget.
+// A request that may have reached a runner is only retried out of the retry budget: for each outcome of an attempt that
+// allows a retry, on each kind of route, the next send is counted as a retry and is not made without budget.
 func TestRetriesSpendTheBudget(t *testing.T) {
 	retried := 0
 	for _, outcome := range []scheduler.AttemptOutcome{
@@ -70,24 +70,25 @@
 			}
 		}
 	}
-	// Not sent and rejected on three routes, ambiguous on the two idempotent ones, broken on the resumable one.
+	// NotSent and NotExecuted on three routes, Ambiguous on the two idempotent ones, Broken on the resumable one.
 	if want := 2 * (3 + 3 + 2 + 1); retried != want {
-		t.Errorf("%d retries were allowed, not %d", retried, want)
+		t.Errorf("%d retries were allowed, want %d", retried, want)
 	}
 }
 
-// testRetry tests one further attempt after one that ended so, and reports whether that is allowed.
+// testRetry tests one further attempt after an attempt with the given outcome and reports whether that attempt is
+// allowed.
 func testRetry(t *testing.T, outcome scheduler.AttemptOutcome, route string, hasBudget bool) bool {
 	t.Helper()
 	responses := map[scheduler.AttemptOutcome][]delivery{
-		scheduler.NotExecuted: {{0, wholeResponse(codec.NotExecuted)}},
-		scheduler.Ambiguous:   {{0, wholeResponse(codec.Unclear)}},
+		scheduler.NotExecuted: {{0, completeResponse(codec.NotExecuted)}},
+		scheduler.Ambiguous:   {{0, completeResponse(codec.Unclear)}},
 		scheduler.Broken:      {{0, streamed(tokenEvents("x", 1, 1))}},
 	}
-	clock := &steppedClock{}
-	second := responding(clock, delivery{0, wholeResponse(codec.Finished)})
-	daemon := newSteppedDaemon(t, clock, responding(clock, responses[outcome]...), second)
-	first := steppedAttempt(daemon, route)
+	clock := &fakeClock{}
+	second := responding(clock, delivery{0, completeResponse(codec.Finished)})
+	daemon := newFakeClockDaemon(t, clock, responding(clock, responses[outcome]...), second)
+	first := newFakeClockAttempt(daemon, route)
 	if !first.exchange.decideRetry(outcome).Retry {
 		return false
 	}
@@ -108,8 +109,8 @@
 	return true
 }
 
-// wantOutcome executes an attempt that is to end so, up to where the next one is connected. An attempt that is not sent
-// finds that its runner can't be dialed; one that breaks does so after its first event.
+// wantOutcome executes an attempt that must have the given outcome, and prepares its exchange for the next attempt. For
+// NotSent the runner can't be dialed; for Broken the stream breaks after its first event.
 func wantOutcome(t *testing.T, first *attempt, want scheduler.AttemptOutcome) {
 	t.Helper()
 	if want == scheduler.NotSent {
@@ -120,7 +121,7 @@
 		got = want
 	}
 	if got != want {
-		t.Fatalf("%q instead of %q", got, want)
+		t.Fatalf("outcome %q, want %q", got, want)
 	}
 	first.release()
 	first.exchange.state.to(stateScheduling)
--- a/proxy/explain_test.go
+++ b/proxy/explain_test.go
@@ -11,9 +11,9 @@
 	"wardtray/verify/golden"
 )
 
-// recordingClient is a client that stays, and keeps the response that it was given.
+// recordingClient is a client that stays connected and records the response.
 type recordingClient struct {
-	departed
+	disconnectedClient
 	content []byte
 }
 
@@ -21,7 +21,7 @@
 	if name == admission.HeaderPrefix {
 		return []string{"system=40"}
 	}
-	return client.departed.Header(name)
+	return client.disconnectedClient.Header(name)
 }
 
 func (client *recordingClient) Disconnected() bool { return false }
@@ -30,7 +30,8 @@
 	client.status, client.content = status, body
 }
 
-// outline lists the keys of a JSON text in their order with the kinds of their values; lists by their first element.
+// outline lists the tokens of a JSON text in order, one a line and indented by depth: keys and strings as they are,
+// other values by their type.
 func outline(t *testing.T, content []byte) string {
 	t.Helper()
 	var text strings.Builder
@@ -49,7 +50,7 @@
 		case json.Delim:
 			line = value.String()
 		case string:
-			// The keys are the strings that matter; values of this test are known texts too.
+			// Keys are strings; string values are included too, since they are fixed in this test.
 			line = value
 		}
 		fmt.Fprintf(&text, "%s%s\n", strings.Repeat("  ", depth), line)
@@ -60,10 +61,10 @@
 	return text.String()
 }
 
-// The explanation of a request keeps its keys, their order and the kinds of their values.
+// The explanation of a request keeps its keys, their order and the types of their values.
 func TestExplainKeepsItsKeys(t *testing.T) {
 	daemon := newDaemon(t, &scriptedRunner{id: "r1", address: "127.0.0.1:1"})
-	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 200 {
 		t.Fatalf("%d %s", client.status, client.content)
@@ -71,36 +72,36 @@
 	golden.Compare(t, "explanation.txt", outline(t, client.content))
 }
 
-// A request that would be rejected is explained by its rejection.
+// A request that would be refused is explained by its refusal.
 func TestExplainRejects(t *testing.T) {
 	daemon := newDaemon(t)
-	client := &recordingClient{departed: departed{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "nowhere", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 404 || !strings.Contains(string(client.content), "unknown_lane") {
 		t.Errorf("%d %s", client.status, client.content)
 	}
 }
 
-// An explanation is a dry run: the same id can be explained again and then sent, on a route that runs at most once too,
-// and nothing is counted, announced or remembered.
+// An explanation is a dry run: the same request id can be explained again and then sent, also on an at-most-once route,
+// and nothing is counted, announced or recorded.
 func TestExplainLeavesNoTrace(t *testing.T) {
 	runner := startRunner(t, "r1", events(2, done(2), true))
 	daemon := newDaemon(t, runner)
 	for range 3 {
-		client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+		client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 		daemon.Explain(client)
 		if client.status != 200 {
 			t.Fatalf("%d %s", client.status, client.content)
 		}
 	}
 	if daemon.Dedup.Len() != 0 || daemon.InFlight.Load() != 0 || len(daemon.announced) != 0 || runner.reached.Load() != 0 {
-		t.Errorf("%d remembered, %d in flight, announced %v, %d sent", daemon.Dedup.Len(), daemon.InFlight.Load(),
+		t.Errorf("%d recorded, %d in flight, announced %v, %d sent", daemon.Dedup.Len(), daemon.InFlight.Load(),
 			daemon.announced, runner.reached.Load())
 	}
 	if status, body := daemon.send(t, "once", "q"); status != 200 {
 		t.Errorf("sent after its explanation: %d %s", status, body)
 	}
-	client := &recordingClient{departed: departed{route: "once", body: []byte(`{"prompt":"x"}`)}}
+	client := &recordingClient{disconnectedClient: disconnectedClient{route: "once", body: []byte(`{"prompt":"x"}`)}}
 	daemon.Explain(client)
 	if client.status != 409 {
 		t.Errorf("explained after it ran: %d %s", client.status, client.content)
