--- a/control/timing/bounds.go
+++ b/control/timing/bounds.go
@@ -1,5 +1,5 @@
-// Package timing derives the times that the control plane keeps (Bounds) from those that the platform grants (Limits),
-// and checks that what has to happen within a limit fits into it.
+// Package timing derives the control plane's timeouts and intervals (Bounds) from the time limits that the platform
+// sets (Limits), and checks that every procedure that has to finish within a limit fits into it.
 package timing
 
 import (
@@ -11,35 +11,36 @@
 	"wardtray/coordination/lease"
 )
 
-// Bounds are the times that the control plane derives from the limits; each field names its value under the default
-// limits. The leader's lease is none of them: its holder and the acceptors must count alike, also while their settings
-// differ for a while, so it is a constant (lease.LessorTTL).
+// Bounds holds the timeouts that the control plane derives from the limits; each field's comment gives its value under
+// the default limits. The duration of the leader's lease is not among them: the holder and the acceptors must agree on
+// it even while their settings differ, for example during a rolling change, so it is a constant (lease.LessorTTL).
 type Bounds struct {
-	// Suspicion is after what silence a machine counts as failed; 700 ms.
+	// Suspicion is the time without a heartbeat after which a machine counts as failed; 700 ms.
 	Suspicion time.Duration
-	// WriteTimeout is for how long a write may wait before a machine reports that its disk fails; 700 ms.
+	// WriteTimeout is the time that a write may take before the machine reports its disk as unhealthy; 700 ms.
 	WriteTimeout time.Duration
-	// LinkTimeout is for how long one side of a link of the chain must not hear the other before one of them is
-	// excluded; 700 ms.
+	// LinkTimeout is the time for which one of two neighbours in the chain must not have heard the other before the
+	// later one is excluded; 700 ms.
 	LinkTimeout time.Duration
-	// Pause is after what pause a process assumes that it stood still itself, rather than that all others fell silent;
-	// 500 ms.
+	// Pause is the time between two ticks beyond which a process assumes that it was paused itself, rather than that
+	// all others fell silent; 500 ms.
 	Pause time.Duration
-	// Stagger is how long each acceptor lets those before it propose a view first; 400 ms.
+	// Stagger is the delay between the proposals of two acceptors: each waits this long for every live acceptor before
+	// it; 400 ms.
 	Stagger time.Duration
-	// DaemonLease is for how long a daemon may rely on a lease, counted from its request; 1 s.
+	// DaemonLease is the duration of a data daemon's lease, counted from when it sent the request; 1 s.
 	DaemonLease time.Duration
-	// QuotaTerm is for how long a daemon's share of a quota counts, from its request: longer than a takeover, so that
-	// daemons go on with their shares while another head takes over; 4 s.
+	// QuotaTerm is the validity of a data daemon's share of a quota, counted from its request. It is longer than a
+	// takeover, so that daemons can use their shares until another head has taken over; 4 s.
 	QuotaTerm time.Duration
-	// Starting is for how long after its start a machine can't say yet whether there is a head; 1.5 s.
+	// Starting is the time after its start within which a machine cannot tell yet whether there is a head; 1.5 s.
 	Starting time.Duration
-	// DecommissionTimeout is how long a machine that is ordered to stop waits for others to take over its positions;
-	// 7.2 s.
+	// DecommissionTimeout is the longest time that a machine that was ordered to stop waits for others to take over its
+	// positions; 7.2 s.
 	DecommissionTimeout time.Duration
 }
 
-// Where the limits would give a shorter or longer bound, these count.
+// Smallest and largest values of the derived bounds, whatever the limits.
 const (
 	minimumSuspicion = 2*failuredetector.HeartbeatInterval + 100*time.Millisecond
 	maximumSuspicion = 700 * time.Millisecond
@@ -62,32 +63,34 @@
 		DaemonLease:  lease.DaemonTTLFor(limits.Apply),
 		QuotaTerm:    limits.Acknowledge,
 		Starting:     min(maximumStarting, limits.Contact/2),
-		// The rest of the grace is for closing what is open.
+		// The rest of the grace period is for closing open connections and files.
 		DecommissionTimeout: limits.Grace * 9 / 10,
 	}
 }
 
-// Detection returns after what time at most the failure of a machine is known.
+// Detection returns the longest time until the failure of a machine is known.
 func (bounds Bounds) Detection() time.Duration {
 	return bounds.Suspicion + failuredetector.HeartbeatInterval
 }
 
-// ViewChange returns how long the agreement on a view takes at most where one proposer fails, disks and links being
-// well.
+// ViewChange returns the longest time that agreement on a view takes when one proposer fails and all disks and links
+// work.
 func (bounds Bounds) ViewChange() time.Duration { return 2 * bounds.Stagger }
 
-// Takeover returns after what time at most another head may act once a head has failed.
+// Takeover returns the longest time from the failure of a head until another head may act.
 func (bounds Bounds) Takeover() time.Duration {
 	return bounds.Detection() + bounds.Stagger + lease.LessorTTL + leadership.RetryInterval
 }
 
-// AcceptorRepair returns after what time at most a machine that has just started has the slot of an acceptor that
-// failed no later: it is heard and learns the view, reports so, and a view is agreed on.
+// AcceptorRepair returns the longest time until a machine that has just started replaces an acceptor that failed at the
+// same time or earlier: the others receive its heartbeat, it learns the view and reports it, and a new view is agreed
+// on.
 func (bounds Bounds) AcceptorRepair() time.Duration {
 	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
 
-// ReplicaRepair returns after what time at most it is in the chain too: it learns the document and a view is agreed on.
+// ReplicaRepair returns the longest time until that machine is also in the chain: after AcceptorRepair it learns the
+// document, and another view is agreed on.
 func (bounds Bounds) ReplicaRepair() time.Duration {
 	return bounds.AcceptorRepair() + directory.LearnInterval + bounds.ViewChange()
 }
--- a/control/timing/bounds_test.go
+++ b/control/timing/bounds_test.go
@@ -11,22 +11,22 @@
 	"wardtray/coordination/lease"
 )
 
-// drawnLimits gives settings of many kinds in every combination.
-func drawnLimits() iter.Seq[Limits] {
-	chosen := [][]float64{{1, 2, 3, 10}, {1, 2, 3, 4, 5, 30}, {0.5, 1, 2, 10}, {1, 2.5, 3, 4, 10}, {1, 5, 8, 60}}
+// limitCombinations yields every combination of several values for each limit.
+func limitCombinations() iter.Seq[Limits] {
+	seconds := [][]float64{{1, 2, 3, 10}, {1, 2, 3, 4, 5, 30}, {0.5, 1, 2, 10}, {1, 2.5, 3, 4, 10}, {1, 5, 8, 60}}
 	count := 1
-	for _, values := range chosen {
+	for _, values := range seconds {
 		count *= len(values)
 	}
 	return func(yield func(Limits) bool) {
 		for number := range count {
-			var lengths [5]time.Duration
-			for place, values := range chosen {
-				lengths[place] = time.Duration(values[number%len(values)] * float64(time.Second))
+			var limits [5]time.Duration
+			for index, values := range seconds {
+				limits[index] = time.Duration(values[number%len(values)] * float64(time.Second))
 				number /= len(values)
 			}
 			if !yield(
-				Limits{Contact: lengths[0], Acknowledge: lengths[1], Apply: lengths[2], CatchUp: lengths[3], Grace: lengths[4]}) {
+				Limits{Contact: limits[0], Acknowledge: limits[1], Apply: limits[2], CatchUp: limits[3], Grace: limits[4]}) {
 				return
 			}
 		}
@@ -56,64 +56,64 @@
 			Starting: 2 * time.Second, DecommissionTimeout: 54 * time.Second}},
 	} {
 		if got := BoundsFor(test.limits); got != test.want {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: got %+v", name, got)
 		}
 	}
 }
 
-// The bounds that are derived from the settings must fit into these, whatever these are as long as they pass the check.
+// Guards against limits that pass the check although a procedure with the derived bounds does not finish within them.
 func TestDerivedBoundsFitTheSettings(t *testing.T) {
 	t.Parallel()
-	fitting := 0
-	for limits := range drawnLimits() {
+	valid := 0
+	for limits := range limitCombinations() {
 		bounds := BoundsFor(limits)
 		requireOrder(t, limits, bounds)
 		if limits.Check() == nil {
-			fitting++
+			valid++
 			requireFit(t, limits, bounds)
 		}
 	}
-	if fitting < 100 {
-		t.Fatalf("only %d of the settings pass the check", fitting)
+	if valid < 100 {
+		t.Fatalf("only %d combinations of limits pass the check", valid)
 	}
 	if err := (Limits{}).Check(); err != nil {
-		t.Fatalf("the usual settings: %v", err)
+		t.Fatalf("the default limits: %v", err)
 	}
 	if err := (Limits{CatchUp: time.Second}).Check(); err == nil {
-		t.Fatal("a second to catch up in passes")
+		t.Fatal("a catch-up limit of 1 s passes the check")
 	}
 }
 
-// requireOrder wants what must hold between bounds under any settings.
+// requireOrder checks the relations between bounds that must hold for any limits.
 func requireOrder(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
-	for what, holds := range map[string]bool{
-		"two heartbeats within a suspicion":              2*failuredetector.HeartbeatInterval < bounds.Suspicion,
-		"a frozen process knows before it suspects":      bounds.Pause+failuredetector.HeartbeatInterval <= bounds.Suspicion,
-		"a daemon's lease is at most half of apply":      2*bounds.DaemonLease <= limits.Apply,
-		"a lessee's lease ends before a lessor's":        lease.LesseeTTL < lease.LessorTTL,
-		"a lease is requested again before it ends":      2*leadership.RenewInterval < lease.LesseeTTL,
-		"an attempt at a view outlasts a round of votes": bounds.Stagger >= 100*time.Millisecond,
-		"a decommission ends before the grace":           bounds.DecommissionTimeout < limits.Grace,
+	for relation, holds := range map[string]bool{
+		"two heartbeats within the suspicion time":    2*failuredetector.HeartbeatInterval < bounds.Suspicion,
+		"a paused process notices before it suspects": bounds.Pause+failuredetector.HeartbeatInterval <= bounds.Suspicion,
+		"a daemon's lease is at most half of apply":   2*bounds.DaemonLease <= limits.Apply,
+		"a lessee's lease ends before a lessor's":     lease.LesseeTTL < lease.LessorTTL,
+		"a lease is requested again before it ends":   2*leadership.RenewInterval < lease.LesseeTTL,
+		"a proposal has time for a round of votes":    bounds.Stagger >= 100*time.Millisecond,
+		"a decommission ends within the grace period": bounds.DecommissionTimeout < limits.Grace,
 	} {
 		if !holds {
-			t.Fatalf("%s: not for %+v, which give %+v", what, limits, bounds)
+			t.Fatalf("violated: %s; limits %+v, bounds %+v", relation, limits, bounds)
 		}
 	}
 }
 
-// requireFit wants what must hold where the settings pass the check.
+// requireFit checks the relations between bounds and limits that must hold if the limits pass the check.
 func requireFit(t *testing.T, limits Limits, bounds Bounds) {
 	t.Helper()
 	acknowledgement := bounds.Detection() + bounds.Stagger + lease.LessorTTL + bounds.DaemonLease + daemonlease.ClockMargin
-	for what, holds := range map[string]bool{
-		"a lease, a detection and a view change below acknowledge": acknowledgement < limits.Acknowledge,
-		"a repaired acceptor below catch_up":                       bounds.AcceptorRepair() < limits.CatchUp,
-		"a repaired replica within catch_up":                       bounds.ReplicaRepair() <= limits.CatchUp,
-		"a detection below contact":                                bounds.Detection() <= limits.Contact,
+	for relation, holds := range map[string]bool{
+		"detection, stagger and both leases below acknowledge": acknowledgement < limits.Acknowledge,
+		"a repaired acceptor below catch_up":                   bounds.AcceptorRepair() < limits.CatchUp,
+		"a repaired replica within catch_up":                   bounds.ReplicaRepair() <= limits.CatchUp,
+		"a detection below contact":                            bounds.Detection() <= limits.Contact,
 	} {
 		if !holds {
-			t.Fatalf("%s: not for %+v, which give %+v", what, limits, bounds)
+			t.Fatalf("violated: %s; limits %+v, bounds %+v", relation, limits, bounds)
 		}
 	}
 }
--- a/control/timing/limits.go
+++ b/control/timing/limits.go
@@ -7,22 +7,22 @@
 	"wardtray/control/daemonlease"
 )
 
-// Limits are the times that the platform grants, by the names of the product's settings; zero stands for the default.
+// Limits holds the time limits that the platform sets, named after the settings they come from; zero means the default.
 type Limits struct {
-	// Contact is for how long machines must be cut off before they count as disconnected; 3 s by default.
+	// Contact is the time for which machines must be cut off before they count as disconnected; 3 s by default.
 	Contact time.Duration
-	// Acknowledge is within what time a valid change must be acknowledged where the control plane is complete; 4 s by
-	// default.
+	// Acknowledge is the time within which a valid change must be acknowledged while all machines of the control plane
+	// are up; 4 s by default.
 	Acknowledge time.Duration
-	// Apply is within what time after its acknowledgement a change must be in force; 2 s by default.
+	// Apply is the time after its acknowledgement within which a change must be in effect; 2 s by default.
 	Apply time.Duration
-	// CatchUp is after what time a machine that is back, or new, no longer counts as failed; 4 s by default.
+	// CatchUp is the time after which a machine that has returned, or is new, no longer counts as failed; 4 s by default.
 	CatchUp time.Duration
-	// Grace is how long a machine that is ordered to stop may take; 8 s by default.
+	// Grace is the time that a machine may take to stop once it was ordered to; 8 s by default.
 	Grace time.Duration
 }
 
-// The default limits.
+// Limits that apply where a setting is absent.
 const (
 	defaultContact     = 3 * time.Second
 	defaultAcknowledge = 4 * time.Second
@@ -31,7 +31,7 @@
 	defaultGrace       = 8 * time.Second
 )
 
-// withDefaults returns the limits with the default ones in the place of those that are zero.
+// withDefaults returns the limits with the default in the place of each that is not positive.
 func (limits Limits) withDefaults() Limits {
 	for _, pair := range []struct {
 		limit    *time.Duration
@@ -47,24 +47,25 @@
 	return limits
 }
 
-// Check returns an error of code apierror.InvalidSettings for limits that are too short for what has to happen
-// within them.
+// Check returns an error with code apierror.InvalidSettings if a limit is shorter than the longest duration of the
+// procedure that has to finish within it.
 func (limits Limits) Check() error {
 	limits = limits.withDefaults()
 	bounds := BoundsFor(limits)
 	acknowledgement := bounds.Takeover() + bounds.DaemonLease + daemonlease.ClockMargin
-	for _, need := range []struct {
-		what          string
-		needed, limit time.Duration
+	for _, requirement := range []struct {
+		procedure       string
+		duration, limit time.Duration
 	}{
-		{"acknowledge: a takeover and a daemon's lease", acknowledgement, limits.Acknowledge},
-		{"catch_up: the repair of a seat and of a copy", bounds.ReplicaRepair(), limits.CatchUp},
-		{"contact: the detection of a loss", bounds.Detection(), limits.Contact},
-		{"apply: twice a daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
-		{"grace: the handing over of all that a machine holds", bounds.ReplicaRepair(), bounds.DecommissionTimeout},
+		{"acknowledge: a takeover and a data daemon's lease", acknowledgement, limits.Acknowledge},
+		{"catch_up: the replacement of an acceptor and of a chain replica", bounds.ReplicaRepair(), limits.CatchUp},
+		{"contact: the detection of a failed machine", bounds.Detection(), limits.Contact},
+		{"apply: twice the duration of a data daemon's lease", 2 * bounds.DaemonLease, limits.Apply},
+		{"grace: the handover of the positions of a machine that stops", bounds.ReplicaRepair(), bounds.DecommissionTimeout},
 	} {
-		if need.needed > need.limit {
-			return apierror.New(apierror.InvalidSettings, "%s may take %v, more than %v", need.what, need.needed, need.limit)
+		if requirement.duration > requirement.limit {
+			return apierror.New(apierror.InvalidSettings, "%s may take %v, which exceeds the limit of %v",
+				requirement.procedure, requirement.duration, requirement.limit)
 		}
 	}
 	return nil
--- a/control/viewchange/proposer.go
+++ b/control/viewchange/proposer.go
@@ -1,5 +1,6 @@
-// Package viewchange decides when a process proposes a view: the first one, one whose vote was left open, or the one
-// that reconfiguration derives. What is proposed and agreed on is the work of reconfiguration and of the view agent.
+// Package viewchange decides when a process proposes a view: the first one, one that this process voted for without
+// learning the outcome, or the one that reconfiguration derives. Package reconfiguration decides what the next view
+// contains, and the view agent (package view) runs the agreement.
 package viewchange
 
 import (
@@ -16,21 +17,22 @@
 )
 
 const (
-	// foundingDelay is for how long the founders other than the first leave the proposal to that one.
+	// foundingDelay is the time after their start for which the founders other than the first leave the proposal of the
+	// first view to that one.
 	foundingDelay = 5 * time.Second
-	// fleetBytes is the length of a fleet's random name.
-	fleetBytes = 8
+	// fleetNameBytes is the length in bytes of a fleet's random name, before hex encoding.
+	fleetNameBytes = 8
 )
 
-// Settings are what a proposer goes by.
+// Settings configures a proposer.
 type Settings struct {
-	// Founders are the addresses of the processes that must all be there, and blank, for the first view.
+	// Founders holds the addresses of the processes that must all be up and blank for the first view.
 	Founders []string
 	// Founding permits this process to take part in the first view.
 	Founding bool
-	// Suspicion is how long after its start a process has heard from nobody without that saying anything.
+	// Suspicion is the time after the process's start during which a missing heartbeat is no evidence of a failure.
 	Suspicion time.Duration
-	// Stagger is how long each acceptor lets those before it propose first.
+	// Stagger is the time that an acceptor waits for each live acceptor before it in the view's order.
 	Stagger time.Duration
 }
 
@@ -68,13 +70,13 @@
 	return slices.Contains(proposer.settings.Founders, address)
 }
 
-// Reset starts over in a new view.
+// Reset discards the state of the previous view.
 func (proposer *Proposer) Reset() {
 	proposer.wantedSince, proposer.votedSince = time.Time{}, time.Time{}
 	proposer.planner.Reset()
 }
 
-// Tick proposes a view where that is due.
+// Tick proposes a view if one is due.
 func (proposer *Proposer) Tick(facts *reconfiguration.Facts) {
 	if proposer.agent.Busy(facts.Now) {
 		return
@@ -92,15 +94,15 @@
 		return
 	}
 	proposer.votedSince = time.Time{}
-	// Whoever has just started has heard nobody yet, which says nothing about them.
+	// A process that has just started has not received heartbeats yet, so missing ones are no evidence of a failure.
 	if facts.Now.Sub(proposer.started) < proposer.settings.Suspicion {
 		return
 	}
 	proposer.proposeNext(facts)
 }
 
-// finishVote proposes again what this acceptor voted for: it grants no leases meanwhile, so a vote left open must be
-// brought to its end by somebody.
+// finishVote proposes again the view that this acceptor voted for. It grants no leases while the outcome of its vote is
+// unknown, so some acceptor must complete the agreement.
 func (proposer *Proposer) finishVote(facts *reconfiguration.Facts) {
 	now := facts.Now
 	if proposer.votedSince.IsZero() {
@@ -112,7 +114,7 @@
 	}
 }
 
-// proposeNext proposes the view that should follow, if the present one is not right.
+// proposeNext proposes the planner's next view, if the current one needs a change.
 func (proposer *Proposer) proposeNext(facts *reconfiguration.Facts) {
 	now := facts.Now
 	wanted := proposer.planner.Plan(facts)
@@ -130,7 +132,7 @@
 	}
 }
 
-// delay returns how long this acceptor lets others go first: not at all for the first live one in order.
+// delay returns how long this acceptor waits for the live acceptors before it; zero for the first live one.
 func (proposer *Proposer) delay(facts *reconfiguration.Facts) time.Duration {
 	rank := time.Duration(0)
 	for _, acceptor := range facts.View.Acceptors {
@@ -144,7 +146,7 @@
 	return rank * proposer.settings.Stagger
 }
 
-// bootstrap proposes the first view once every founder is there and blank.
+// bootstrap proposes the first view once every founder is up and blank.
 func (proposer *Proposer) bootstrap(facts *reconfiguration.Facts) {
 	now := facts.Now
 	if !proposer.MayVote() || now.Sub(proposer.lastProposal) < proposer.settings.Stagger {
@@ -154,7 +156,7 @@
 	if len(founders) != len(proposer.settings.Founders) {
 		return
 	}
-	// One proposer is enough; the others follow only if its attempts fail for long.
+	// One proposer is enough; the others propose only if its proposals have not succeeded within foundingDelay.
 	if founders[0].Id != proposer.self.Id && now.Sub(proposer.started) < foundingDelay {
 		return
 	}
@@ -164,8 +166,8 @@
 		MinReplicas: facts.MinReplicas(0, len(founders)), HeadTerm: 1}, founders)
 }
 
-// presentFounders returns the founders in the order of their addresses; none if one that is known is not blank or has
-// fallen silent.
+// presentFounders returns the known founders, sorted by address. It returns nil if one of them is not blank or was not
+// heard within the suspicion time.
 func (proposer *Proposer) presentFounders(facts *reconfiguration.Facts) []*wire.Member {
 	founders := []*wire.Member{proposer.self}
 	for _, peer := range facts.Detector.Peers() {
@@ -181,9 +183,9 @@
 	return founders
 }
 
-// fleetName draws a name for a new fleet.
+// fleetName returns a random name for a new fleet.
 func (proposer *Proposer) fleetName() string {
-	name := make([]byte, fleetBytes)
+	name := make([]byte, fleetNameBytes)
 	for index := range name {
 		name[index] = byte(proposer.random.Intn(256))
 	}
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -20,8 +20,8 @@
 	stagger   = 400 * time.Millisecond
 )
 
-// bench is a proposer with what it reads; everything that it sends stays in the outbox.
-type bench struct {
+// fixture is a proposer with its dependencies; everything that it sends stays in the outbox.
+type fixture struct {
 	proposer *Proposer
 	detector *failuredetector.Detector
 	agent    *view.Agent
@@ -29,30 +29,30 @@
 	self     *wire.Member
 }
 
-func newBench(self string, current *wire.View, vote *wire.AcceptorState, founders ...string) *bench {
-	bench := &bench{self: membertest.Member(self), outbox: statemachine.NewOutbox()}
-	bench.detector = failuredetector.New(start, bench.self, suspicion, time.Hour)
-	bench.agent = view.NewAgent(start, self, current, vote, bench.outbox, bench.detector.Resolve,
+func newFixture(self string, current *wire.View, vote *wire.AcceptorState, founders ...string) *fixture {
+	fixture := &fixture{self: membertest.Member(self), outbox: statemachine.NewOutbox()}
+	fixture.detector = failuredetector.New(start, fixture.self, suspicion, time.Hour)
+	fixture.agent = view.NewAgent(start, self, current, vote, fixture.outbox, fixture.detector.Resolve,
 		func(time.Time, *wire.View) {})
 	settings := Settings{Founders: founders, Founding: len(founders) > 0, Suspicion: suspicion, Stagger: stagger}
-	bench.proposer = New(start, settings, bench.self, bench.agent, reconfiguration.NewPlanner(suspicion),
+	fixture.proposer = New(start, settings, fixture.self, fixture.agent, reconfiguration.NewPlanner(suspicion),
 		rand.New(rand.NewSource(1)))
-	return bench
+	return fixture
 }
 
-// hear lets the bench's process hear from peers that hear only those in reachable.
-func (bench *bench) hear(now time.Time, ids string, heartbeat *wire.Heartbeat) {
+// hear delivers the heartbeat to the proposer's process once from each peer in ids, which holds one letter per peer.
+func (fixture *fixture) hear(now time.Time, ids string, heartbeat *wire.Heartbeat) {
 	for _, id := range ids {
-		bench.detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: membertest.Member(string(id)), View: heartbeat.View,
+		fixture.detector.HandleHeartbeat(now, "", &wire.Heartbeat{Member: membertest.Member(string(id)), View: heartbeat.View,
 			Blank: heartbeat.Blank, Reachable: heartbeat.Reachable})
 	}
 }
 
-// proposes ticks the proposer, and reports whether it began to propose.
-func (bench *bench) proposes(now time.Time) bool {
-	bench.proposer.Tick(&reconfiguration.Facts{Now: now, View: bench.agent.Current(), Detector: bench.detector,
-		Local: reconfiguration.Local{Member: bench.self}, Faults: 1})
-	messages, writes := bench.outbox.Drain()
+// proposes ticks the proposer and reports whether it started a proposal.
+func (fixture *fixture) proposes(now time.Time) bool {
+	fixture.proposer.Tick(&reconfiguration.Facts{Now: now, View: fixture.agent.Current(), Detector: fixture.detector,
+		Local: reconfiguration.Local{Member: fixture.self}, Faults: 1})
+	messages, writes := fixture.outbox.Drain()
 	return len(messages)+len(writes) > 0
 }
 
@@ -71,24 +71,24 @@
 		after       time.Duration
 		want        bool
 	}{
-		"the view is right":                {"a", "bc", complete, time.Minute, false},
+		"no change is needed":              {"a", "bc", complete, time.Minute, false},
 		"the first acceptor, just started": {"a", "b", failed, suspicion - 1, false},
 		"the first acceptor":               {"a", "b", failed, suspicion, true},
 		"the second acceptor":              {"b", "a", failed, suspicion, false},
 		"no acceptor":                      {"d", "ab", failed, suspicion, false},
 	} {
-		bench := newBench(test.self, threeMembers(), nil)
-		bench.hear(start.Add(test.after), test.peers, test.heartbeat)
-		if got := bench.proposes(start.Add(test.after)); got != test.want {
-			t.Errorf("%s: %v", name, got)
+		fixture := newFixture(test.self, threeMembers(), nil)
+		fixture.hear(start.Add(test.after), test.peers, test.heartbeat)
+		if got := fixture.proposes(start.Add(test.after)); got != test.want {
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
-	second := newBench("b", threeMembers(), nil)
+	second := newFixture("b", threeMembers(), nil)
 	second.hear(start.Add(suspicion), "a", failed)
 	second.proposes(start.Add(suspicion))
 	second.hear(start.Add(suspicion+stagger), "a", failed)
 	if !second.proposes(start.Add(suspicion + stagger)) {
-		t.Error("the second acceptor proposes nothing after its delay")
+		t.Error("the second acceptor does not propose after its delay")
 	}
 }
 
@@ -97,17 +97,17 @@
 	voted := &wire.View{Epoch: 4, Chain: membertest.Members("ab"), Acceptors: membertest.Members("abc")}
 	vote := &wire.AcceptorState{Instance: 4, Value: voted}
 	for self, delay := range map[string]time.Duration{"a": stagger, "b": 2 * stagger, "c": 3 * stagger} {
-		bench := newBench(self, threeMembers(), vote)
-		if !bench.agent.Voted() {
-			t.Fatal("no open vote, so that nothing is tested")
+		fixture := newFixture(self, threeMembers(), vote)
+		if !fixture.agent.Voted() {
+			t.Fatal("the agent has no open vote, so the test checks nothing")
 		}
 		for _, test := range []struct {
 			after time.Duration
 			want  bool
 		}{{0, false}, {delay - 1, false}, {delay, true}} {
-			bench.hear(start.Add(test.after), "abc", &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}})
-			if got := bench.proposes(start.Add(test.after)); got != test.want {
-				t.Errorf("%s after %v: %v", self, test.after, got)
+			fixture.hear(start.Add(test.after), "abc", &wire.Heartbeat{View: 3, Reachable: []string{"a", "b", "c"}})
+			if got := fixture.proposes(start.Add(test.after)); got != test.want {
+				t.Errorf("%s after %v: proposes %v", self, test.after, got)
 			}
 		}
 	}
@@ -122,17 +122,17 @@
 		now         time.Time
 		want        bool
 	}{
-		"one is missing":           {"a", "b", true, now, false},
-		"one is not blank":         {"a", "bc", false, now, false},
-		"all are there":            {"a", "bc", true, now, true},
-		"the first one goes first": {"b", "ac", true, now, false},
-		"another after its delay":  {"b", "ac", true, start.Add(foundingDelay), true},
-		"no founder":               {"d", "abc", true, now, false},
+		"one founder is missing":   {"a", "b", true, now, false},
+		"one founder is not blank": {"a", "bc", false, now, false},
+		"all founders are up":      {"a", "bc", true, now, true},
+		"not the first founder":    {"b", "ac", true, now, false},
+		"another, after the delay": {"b", "ac", true, start.Add(foundingDelay), true},
+		"not a founder":            {"d", "abc", true, now, false},
 	} {
-		bench := newBench(test.self, nil, nil, "a:1", "b:1", "c:1")
-		bench.hear(test.now, test.peers, &wire.Heartbeat{Blank: test.blank})
-		if got := bench.proposes(test.now); got != test.want {
-			t.Errorf("%s: %v", name, got)
+		fixture := newFixture(test.self, nil, nil, "a:1", "b:1", "c:1")
+		fixture.hear(test.now, test.peers, &wire.Heartbeat{Blank: test.blank})
+		if got := fixture.proposes(test.now); got != test.want {
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
 }
@@ -140,17 +140,17 @@
 func TestMayVote(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		bench *bench
-		want  bool
+		fixture *fixture
+		want    bool
 	}{
-		"an acceptor":            {newBench("a", threeMembers(), nil), true},
-		"no acceptor":            {newBench("d", threeMembers(), nil), false},
-		"a founder":              {newBench("a", nil, nil, "a:1"), true},
-		"not permitted to found": {newBench("a", nil, nil), false},
-		"founded by others":      {newBench("a", nil, nil, "b:1"), false},
+		"an acceptor":            {newFixture("a", threeMembers(), nil), true},
+		"no acceptor":            {newFixture("d", threeMembers(), nil), false},
+		"a founder":              {newFixture("a", nil, nil, "a:1"), true},
+		"not permitted to found": {newFixture("a", nil, nil), false},
+		"founded by others":      {newFixture("a", nil, nil, "b:1"), false},
 	} {
-		if got := test.bench.proposer.MayVote(); got != test.want {
-			t.Errorf("%s: %v", name, got)
+		if got := test.fixture.proposer.MayVote(); got != test.want {
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
 }
