--- a/control/durability/durability.go
+++ b/control/durability/durability.go
@@ -1,5 +1,6 @@
-// Package durability is what one control process knows of its disk: whether writes succeed in time, how long the log
-// is, and when the state must be written anew or read back. It carries out no I/O: it puts requests into the outbox.
+// Package durability tracks the disk of one control process: whether writes succeed in time, how long the log is, and
+// when a snapshot of the state must be written or the disk must be scrubbed. It does no I/O itself: it puts requests
+// into the outbox.
 package durability
 
 import (
@@ -12,39 +13,39 @@
 )
 
 const (
-	// logLimit is the size in bytes at which a log is replaced by a snapshot of the whole state.
+	// logLimit is the size in bytes at which the log is replaced by a snapshot of the complete state.
 	logLimit = 4 << 20
-	// scrubInterval is how often everything on the disk is read back.
+	// scrubInterval is the time between two scrubs, each of which reads back everything on the disk.
 	scrubInterval = 5 * time.Second
-	// retryDelay is how long after a failed write the whole state is written anew.
+	// retryDelay is the time between a failed write and the snapshot that recovers from it.
 	retryDelay = time.Second
 )
 
-// Counters are what a disk counts.
+// Counters holds the counters of a disk.
 type Counters struct {
-	// Failures counts writes that could not be carried out.
+	// Failures counts failed writes.
 	Failures uint64
 }
 
-// Disk is the state of one process' disk. Snapshot requests are its way to recover from a failed write: until one
+// Disk tracks the state of one process' disk. It recovers from a failed write by requesting a snapshot; until one
 // completes, the disk is unhealthy.
 type Disk struct {
 	outbox *statemachine.Outbox
-	// snapshot returns everything that must survive a restart.
+	// snapshot returns the complete state that must survive a restart.
 	snapshot func() *wire.DurableState
-	// writeTimeout is for how long a write may wait before the disk counts as unhealthy.
+	// writeTimeout is the time that a write may take before the disk counts as unhealthy.
 	writeTimeout time.Duration
 
-	failed     bool
-	replacing  bool
-	retryAt    time.Time
-	logBytes   int64
-	lastScrub  time.Time
-	diskCounts Counters
+	failed    bool
+	replacing bool
+	retryAt   time.Time
+	logBytes  int64
+	lastScrub time.Time
+	counters  Counters
 }
 
-// New returns the state of a disk whose log holds some records already. A log that is kept over a restart counts in
-// full: otherwise one that is restarted often would grow without a bound.
+// New returns a Disk whose log already holds the given records. They count towards the log's size: otherwise the log
+// of a process that restarts often would grow without a bound.
 func New(outbox *statemachine.Outbox, records []*wire.Record, writeTimeout time.Duration,
 	snapshot func() *wire.DurableState) *Disk {
 	disk := &Disk{outbox: outbox, snapshot: snapshot, writeTimeout: writeTimeout}
@@ -54,15 +55,16 @@
 	return disk
 }
 
-// Counters returns what was counted.
-func (disk *Disk) Counters() Counters { return disk.diskCounts }
+// Counters returns the present counters.
+func (disk *Disk) Counters() Counters { return disk.counters }
 
-// IsUnhealthy reports whether a write failed or has waited for too long.
+// IsUnhealthy reports whether a write failed and no snapshot has completed since, or a write has exceeded the write
+// timeout.
 func (disk *Disk) IsUnhealthy(now time.Time) bool {
 	return disk.failed || disk.outbox.OldestWait(now) > disk.writeTimeout
 }
 
-// Appended accounts for writes that the driver is about to carry out.
+// Appended adds the sizes of records that the driver is about to write to the size of the log.
 func (disk *Disk) Appended(writes []statemachine.Write) {
 	for _, write := range writes {
 		if write.Record != nil {
@@ -71,28 +73,29 @@
 	}
 }
 
-// Failed handles a write that could not be carried out. The disk is unhealthy until a snapshot has been written.
+// Failed handles a failed write. The disk is unhealthy until a snapshot has been written.
 func (disk *Disk) Failed(now time.Time) {
-	disk.diskCounts.Failures++
-	// Every record that is pending meanwhile fails too; if each postponed the next attempt, there would never be one.
+	disk.counters.Failures++
+	// All records that are pending meanwhile fail too. If each of them postponed the snapshot, it would never be due.
 	if !disk.failed || disk.replacing {
 		disk.retryAt = now.Add(retryDelay)
 	}
 	disk.failed, disk.replacing = true, false
 }
 
-// Replace requests a snapshot at once.
+// Replace requests a snapshot, which replaces the log, at once.
 func (disk *Disk) Replace(now time.Time) {
 	disk.replacing = true
 	disk.outbox.PersistSnapshot(now, disk.snapshot(), func(time.Time) { disk.replacing, disk.failed = false, false })
 }
 
-// Tick requests a scrub when one is due, and a snapshot when the log is long or a failed disk must be tried again.
+// Tick requests a scrub if one is due, and a snapshot if the log has reached its limit or the retry after a failed
+// write is due.
 func (disk *Disk) Tick(now time.Time) {
 	if disk.lastScrub.IsZero() {
 		disk.lastScrub = now
 	}
-	// Damage is found while this process still knows what must be there, and not only when it starts.
+	// A scrub finds damage while this process still holds the state in memory, and not only at its next start.
 	if now.Sub(disk.lastScrub) >= scrubInterval && !disk.failed && !disk.replacing {
 		disk.lastScrub = now
 		disk.outbox.Scrub(now)
--- a/control/durability/durability_test.go
+++ b/control/durability/durability_test.go
@@ -17,7 +17,7 @@
 	return New(outbox, records, writeTimeout, func() *wire.DurableState { return &wire.DurableState{Id: "a"} }), outbox
 }
 
-// requests returns how many snapshots and scrubs the outbox holds, and the number of the last request.
+// requests drains the outbox, and returns the numbers of snapshots and scrubs and the sequence of the last write.
 func requests(outbox *statemachine.Outbox) (snapshots, scrubs int, last uint64) {
 	_, writes := outbox.Drain()
 	for _, write := range writes {
@@ -41,21 +41,21 @@
 	disk, outbox := newDisk()
 	disk.Tick(start)
 	disk.Failed(start)
-	// A second failure does not postpone the attempt.
+	// A second failure does not postpone the snapshot.
 	disk.Failed(start.Add(retryDelay / 2))
 	disk.Tick(start.Add(retryDelay - 1))
 	if snapshots, _, _ := requests(outbox); snapshots != 0 || !disk.IsUnhealthy(start) {
-		t.Fatalf("%d snapshots before the delay is over, unhealthy %v", snapshots, disk.IsUnhealthy(start))
+		t.Fatalf("%d snapshots before the retry delay is over, unhealthy %v", snapshots, disk.IsUnhealthy(start))
 	}
 	disk.Tick(start.Add(retryDelay))
 	disk.Tick(start.Add(retryDelay))
 	snapshots, _, last := requests(outbox)
 	if snapshots != 1 || !disk.IsUnhealthy(start.Add(retryDelay)) {
-		t.Fatalf("%d snapshots after the delay", snapshots)
+		t.Fatalf("%d snapshots after the retry delay", snapshots)
 	}
 	outbox.Done(start.Add(retryDelay), last)
 	if disk.IsUnhealthy(start.Add(retryDelay)) || disk.Counters().Failures != 2 {
-		t.Fatalf("unhealthy after a snapshot; %d failures", disk.Counters().Failures)
+		t.Fatalf("unhealthy after a completed snapshot, or a wrong count of failures: %d", disk.Counters().Failures)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	disk.Tick(start.Add(2 * retryDelay))
 	if snapshots, _, _ := requests(outbox); snapshots != 1 {
-		t.Fatalf("%d snapshots at the second attempt", snapshots)
+		t.Fatalf("%d snapshots when the second attempt is due", snapshots)
 	}
 }
 
@@ -80,7 +80,7 @@
 	disk, outbox := newDisk(entryRecord(logLimit / 2))
 	disk.Tick(start)
 	if snapshots, _, _ := requests(outbox); snapshots != 0 {
-		t.Fatal("a log of half the limit was replaced")
+		t.Fatal("a log of half the limit was replaced by a snapshot")
 	}
 	disk.Appended([]statemachine.Write{{Record: entryRecord(logLimit / 2)}})
 	disk.Tick(start)
@@ -88,7 +88,7 @@
 	outbox.Done(start, last)
 	disk.Tick(start)
 	if again, _, _ := requests(outbox); snapshots != 1 || again != 0 {
-		t.Fatalf("%d snapshots of a long log, then %d", snapshots, again)
+		t.Fatalf("%d snapshots for a log over the limit, then %d more", snapshots, again)
 	}
 }
 
@@ -111,6 +111,6 @@
 	disk, outbox := newDisk()
 	outbox.Persist(start, entryRecord(1), func(time.Time) {})
 	if disk.IsUnhealthy(start.Add(writeTimeout)) || !disk.IsUnhealthy(start.Add(writeTimeout+1)) {
-		t.Error("a write that waits")
+		t.Error("a pending write is not reported as unhealthy exactly from the write timeout on")
 	}
 }
--- a/control/durability/replay.go
+++ b/control/durability/replay.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// Replay folds one record of the log into a state.
+// Replay applies one record of the log to the state.
 func Replay(state *wire.DurableState, record *wire.Record) {
 	replays := map[reflect.Type]func(){
 		reflect.TypeFor[*wire.Record_Entry](): func() { state.Pending = append(state.Pending, record.GetEntry()) },
--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -1,6 +1,7 @@
-// Package failuredetector knows which peers of a control process are alive, from the heartbeats that they send: whom
-// this process hears, who hears whom, and whose process is known to have ended. It suspects by silence, so its answers
-// may be wrong for a slow peer; who acts on them must ask several processes (IsUnreachable).
+// Package failuredetector tracks which peers of a control process are alive: which heartbeats arrive at this process,
+// which peers report that they hear each other, and which processes are known to have ended. A peer is suspected when
+// its heartbeats are missing, so a slow peer may be suspected wrongly; a caller that acts on a suspicion must require
+// that a majority of acceptors shares it (IsUnreachable).
 package failuredetector
 
 import (
@@ -12,51 +13,51 @@
 )
 
 const (
-	// HeartbeatInterval is how often a process sends its heartbeat.
+	// HeartbeatInterval is the time between two heartbeats of a process.
 	HeartbeatInterval = 200 * time.Millisecond
-	// MaximumPeers bounds the peers that are tracked; heartbeats of further ones are dropped.
+	// MaximumPeers is the largest number of tracked peers; heartbeats of further ones are dropped.
 	MaximumPeers = 64
-	// forgetAfter is after what silence a peer is forgotten altogether.
+	// forgetAfter is the time without a heartbeat after which a peer is no longer tracked.
 	forgetAfter = 5 * time.Minute
-	// isolatedAfter is after how long without any message a process takes itself to be cut off.
+	// isolatedAfter is the time without any message after which a process assumes that it is cut off.
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// Peer is what is known of another control process.
+// Peer holds the last reported state of another control process.
 type Peer struct {
 	Member *wire.Member
-	// Heartbeat is its last one.
+	// Heartbeat is the last one received.
 	Heartbeat *wire.Heartbeat
-	// LastSeen is when that arrived.
+	// LastSeen is the time at which it arrived.
 	LastSeen time.Time
-	// InitialSynced is how far its disk held the history when it first reported the view of its last heartbeat.
+	// InitialSynced is the sequence that its disk had synced when it first reported the view of its last heartbeat.
 	InitialSynced uint64
-	// Terminated is set when its process is known to have ended.
+	// Terminated reports whether its process is known to have ended.
 	Terminated bool
 }
 
 // Detector tracks the peers of one process. It is a pure state machine: it sends nothing and reads no clock.
 type Detector struct {
 	self *wire.Member
-	// suspicion is after what silence a peer counts as failed.
+	// suspicion is the time without a heartbeat after which a peer counts as failed.
 	suspicion time.Duration
-	// pause is after what pause between two ticks this process takes it that it stood still itself.
+	// pause is the time between two ticks beyond which this process assumes that it was paused.
 	pause time.Duration
 
 	peers         map[string]*Peer
 	lastTick      time.Time
 	lastHeartbeat time.Time
-	// lastReceived is when the last message of another process arrived.
+	// lastReceived is the time at which the last message of another process arrived.
 	lastReceived time.Time
 }
 
-// New returns a detector for a process that starts now and knows no peer.
+// New returns a detector without peers for a process that starts now.
 func New(now time.Time, self *wire.Member, suspicion, pause time.Duration) *Detector {
 	return &Detector{self: self, suspicion: suspicion, pause: pause, peers: map[string]*Peer{}, lastTick: now}
 }
 
-// Tick reports whether this process stood still since the last tick. It then has heard nobody, which says nothing
-// about its peers, so each of them counts as heard just now.
+// Tick reports whether this process was paused since the last tick. If so, it could not receive heartbeats, which is no
+// evidence against its peers, so each of them counts as heard now.
 func (detector *Detector) Tick(now time.Time) (paused bool) {
 	paused = now.Sub(detector.lastTick) > detector.pause
 	if paused {
@@ -70,7 +71,7 @@
 	return paused
 }
 
-// TakeHeartbeat reports whether this process' own heartbeat is due, and if so notes it as sent.
+// TakeHeartbeat reports whether this process' own heartbeat is due, and if so records it as sent.
 func (detector *Detector) TakeHeartbeat(now time.Time) bool {
 	if now.Sub(detector.lastHeartbeat) < HeartbeatInterval {
 		return false
@@ -82,7 +83,7 @@
 // ExpediteHeartbeat makes the next heartbeat due at once.
 func (detector *Detector) ExpediteHeartbeat() { detector.lastHeartbeat = time.Time{} }
 
-// Forget drops the peers that have been silent for very long.
+// Forget removes the peers without a heartbeat for longer than forgetAfter.
 func (detector *Detector) Forget(now time.Time) {
 	for id, peer := range detector.peers {
 		if now.Sub(peer.LastSeen) > forgetAfter {
@@ -91,16 +92,16 @@
 	}
 }
 
-// HandleHeartbeat handles a peer's heartbeat. It reports whether the heartbeat was accepted, and whether what it says
-// of the peer's surroundings or health differs from the one before, so that a member may have to be replaced at once.
-// The fleet is the one of this process, empty if it has none yet.
+// HandleHeartbeat handles a peer's heartbeat. It reports whether the heartbeat was accepted, and whether the peer's
+// health, decommissioning or number of reachable processes differs from its previous heartbeat, so that a member may
+// have to be replaced at once. The fleet is that of this process, empty if it has none yet.
 func (detector *Detector) HandleHeartbeat(now time.Time, fleet string,
 	heartbeat *wire.Heartbeat) (accepted, changed bool) {
 	if !detector.accepts(fleet, heartbeat) {
 		return false, false
 	}
 	id := heartbeat.Member.Id
-	// An address has one process; a new identity there means that the old one will never return.
+	// Only one process uses an address. A new identity there means that the old one will never return.
 	for other, peer := range detector.peers {
 		if peer.Member.Address == heartbeat.Member.Address && other != id {
 			delete(detector.peers, other)
@@ -123,7 +124,7 @@
 	if len(detector.peers) >= MaximumPeers && detector.peers[member.Id] == nil {
 		return false
 	}
-	// A process of another fleet, say one that was founded apart in a test, is no peer.
+	// A process of another fleet, for example one that a test founded separately, is not a peer.
 	return heartbeat.Fleet == "" || fleet == "" || heartbeat.Fleet == fleet
 }
 
@@ -132,8 +133,8 @@
 		previous.Decommissioning != heartbeat.Decommissioning || previous.Unhealthy != heartbeat.Unhealthy
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried: a process listens for as long as it
-// lives, so the one that was last heard there before has ended.
+// ConnectionRefused handles a connection attempt, made at the time tried, that was refused at an address. A process
+// listens until it ends, so a peer at this address that was last heard before the attempt has ended.
 func (detector *Detector) ConnectionRefused(address string, tried time.Time) {
 	for _, peer := range detector.peers {
 		if peer.Member.Address == address && !peer.Terminated && peer.LastSeen.Before(tried) {
@@ -143,19 +144,19 @@
 	}
 }
 
-// Received notes that a message of another process arrived.
+// Received records the arrival of a message of another process.
 func (detector *Detector) Received(now time.Time) { detector.lastReceived = now }
 
-// IsSilent reports whether no message of any process has arrived for so long that this one may be cut off.
+// IsSilent reports whether no message has arrived for longer than isolatedAfter, so that this process may be cut off.
 func (detector *Detector) IsSilent(now time.Time) bool {
 	return now.Sub(detector.lastReceived) > isolatedAfter
 }
 
-// Peer returns what is known of a peer; nil if nothing is.
+// Peer returns the peer with an id; nil if it is unknown.
 func (detector *Detector) Peer(id string) *Peer { return detector.peers[id] }
 
-// Incarnation returns the incarnation that a peer stated last, 0 where it states none; heard is false for an unknown
-// peer.
+// Incarnation returns the incarnation in a peer's last heartbeat, 0 if that contains none; heard is false for an
+// unknown peer.
 func (detector *Detector) Incarnation(id string) (incarnation uint64, heard bool) {
 	peer := detector.peers[id]
 	if peer == nil {
@@ -164,7 +165,7 @@
 	return peer.Heartbeat.Incarnation, true
 }
 
-// Peers returns every known peer in the order of their ids, whether alive or not.
+// Peers returns all known peers, alive or not, sorted by id.
 func (detector *Detector) Peers() []*Peer {
 	peers := make([]*Peer, 0, len(detector.peers))
 	for _, peer := range detector.peers {
@@ -174,7 +175,8 @@
 	return peers
 }
 
-// IsAlive reports whether a process was heard within the suspicion time; this one always hears itself.
+// IsAlive reports whether a process was heard within the suspicion time and is not known to have ended. This process is
+// always alive.
 func (detector *Detector) IsAlive(now time.Time, id string) bool {
 	peer := detector.peers[id]
 	return id == detector.self.Id || peer != nil && detector.isRecent(now, peer)
@@ -184,12 +186,12 @@
 	return !peer.Terminated && now.Sub(peer.LastSeen) < detector.suspicion
 }
 
-// WasSeenRecently reports whether a peer was heard within the suspicion time, also if its process ended since.
+// WasSeenRecently reports whether a peer was heard within the suspicion time, even if its process has ended since.
 func (detector *Detector) WasSeenRecently(now time.Time, peer *Peer) bool {
 	return now.Sub(peer.LastSeen) < detector.suspicion
 }
 
-// Reachable returns the ids of this process and of those that it hears, sorted.
+// Reachable returns the sorted ids of this process and of the peers that are alive.
 func (detector *Detector) Reachable(now time.Time) []string {
 	reachable := []string{detector.self.Id}
 	for id, peer := range detector.peers {
@@ -201,7 +203,7 @@
 	return reachable
 }
 
-// Hears reports whether one process is known to hear another, by its own heartbeat.
+// Hears reports whether a listener hears a speaker, according to the listener's last heartbeat.
 func (detector *Detector) Hears(now time.Time, listener, speaker string) bool {
 	if listener == speaker {
 		return true
@@ -221,8 +223,8 @@
 	return false
 }
 
-// IsUnreachable reports whether a majority of acceptors is heard to say that it does not hear a process, and none that
-// it does. A process that was cut off itself hears no such majority when it returns, and so suspects nobody.
+// IsUnreachable reports whether a majority of the acceptors, each alive, does not hear a process and no other live
+// acceptor hears it. A process that was cut off itself finds no such majority when it returns, and so suspects nobody.
 func (detector *Detector) IsUnreachable(now time.Time, id string, acceptors []*wire.Member) bool {
 	unreachable := 0
 	for _, acceptor := range acceptors {
@@ -237,7 +239,7 @@
 	return unreachable >= view.Majority(len(acceptors))
 }
 
-// IsReplaced reports whether another identity sends heartbeats from a member's address.
+// IsReplaced reports whether a process with another identity sends heartbeats from a member's address.
 func (detector *Detector) IsReplaced(member *wire.Member) bool {
 	for id, peer := range detector.peers {
 		if id != member.Id && peer.Member.Address == member.Address {
@@ -247,7 +249,7 @@
 	return false
 }
 
-// Resolve returns the address that a process was last heard from; empty if it is unknown.
+// Resolve returns the address in the last heartbeat of a process; empty if it is unknown.
 func (detector *Detector) Resolve(id string) string {
 	if id == detector.self.Id {
 		return detector.self.Address
@@ -258,7 +260,7 @@
 	return ""
 }
 
-// AddressOf returns the address that a member was last heard from, or else the one in its own record.
+// AddressOf returns the address in the last heartbeat of a member, or the one in its record if there is no heartbeat.
 func (detector *Detector) AddressOf(member *wire.Member) string {
 	if address := detector.Resolve(member.Id); address != "" {
 		return address
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -19,7 +19,7 @@
 
 func newDetector() *Detector { return New(start, membertest.Member("a"), suspicion, pause) }
 
-// hear lets a detector handle a heartbeat of a peer that says whom it hears.
+// hear delivers a heartbeat of a peer that lists the processes that it hears.
 func hear(t *testing.T, detector *Detector, now time.Time, id string, reachable ...string) {
 	t.Helper()
 	heartbeat := &wire.Heartbeat{Member: membertest.Member(id), Reachable: reachable}
@@ -53,7 +53,7 @@
 	hear(t, detector, start, "c")
 	detector.ConnectionRefused("c:1", start.Add(1))
 	if detector.Tick(start.Add(pause)) {
-		t.Error("a pause of just the bound")
+		t.Error("reports a pause although the time between ticks only equals the bound")
 	}
 	later := start.Add(time.Minute)
 	if !detector.Tick(later) || !detector.IsAlive(later, "b") || detector.IsAlive(later, "c") {
@@ -70,10 +70,10 @@
 		heard                       time.Time
 		wantAlive, wantHeartbeatDue bool
 	}{
-		"heard at the moment of the attempt": {"b:1", start, time.Time{}, true, false},
-		"refused after it was heard":         {"b:1", start.Add(1), time.Time{}, false, true},
-		"heard again":                        {"b:1", start.Add(1), start.Add(2), true, true},
-		"another address":                    {"c:1", start.Add(1), time.Time{}, true, false},
+		"heard at the time of the attempt": {"b:1", start, time.Time{}, true, false},
+		"refused after it was heard":       {"b:1", start.Add(1), time.Time{}, false, true},
+		"heard again":                      {"b:1", start.Add(1), start.Add(2), true, true},
+		"another address":                  {"c:1", start.Add(1), time.Time{}, true, false},
 	} {
 		detector := newDetector()
 		hear(t, detector, start, "b")
@@ -89,7 +89,7 @@
 		if !detector.WasSeenRecently(now, detector.Peer("b")) {
 			t.Errorf("%s: not seen recently", name)
 		}
-		// The others must be notified at once.
+		// The other processes must be notified at once.
 		if got := detector.TakeHeartbeat(now); got != test.wantHeartbeatDue {
 			t.Errorf("%s: heartbeat due %v", name, got)
 		}
@@ -111,12 +111,12 @@
 		hear(t, detector, start, fmt.Sprint("peer", number))
 	}
 	if accepted, _ := detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: membertest.Member("more")}); accepted {
-		t.Error("more peers than the bound")
+		t.Error("accepted a peer beyond MaximumPeers")
 	}
 	hear(t, detector, start, "peer0")
 	detector.Forget(start.Add(forgetAfter + 1))
 	if len(detector.Peers()) != 0 {
-		t.Error("peers that are silent for very long are kept")
+		t.Error("peers without a heartbeat for longer than forgetAfter are kept")
 	}
 }
 
@@ -126,10 +126,10 @@
 		next *wire.Heartbeat
 		want bool
 	}{
-		"same":            {&wire.Heartbeat{Reachable: []string{"a"}, Synced: 5}, false},
-		"hears more":      {&wire.Heartbeat{Reachable: []string{"a", "b"}}, true},
-		"unhealthy":       {&wire.Heartbeat{Reachable: []string{"a"}, Unhealthy: true}, true},
-		"decommissioning": {&wire.Heartbeat{Reachable: []string{"a"}, Decommissioning: true}, true},
+		"same":             {&wire.Heartbeat{Reachable: []string{"a"}, Synced: 5}, false},
+		"hears more peers": {&wire.Heartbeat{Reachable: []string{"a", "b"}}, true},
+		"unhealthy":        {&wire.Heartbeat{Reachable: []string{"a"}, Unhealthy: true}, true},
+		"decommissioning":  {&wire.Heartbeat{Reachable: []string{"a"}, Decommissioning: true}, true},
 	} {
 		detector := newDetector()
 		hear(t, detector, start, "b", "a")
@@ -181,10 +181,10 @@
 		heard map[string][]string
 		want  bool
 	}{
-		"two of three don't hear it":       {map[string][]string{"b": {"a", "b"}}, true},
-		"one hears it":                     {map[string][]string{"b": {"a", "b", "c"}}, false},
-		"this one alone does not":          {nil, false},
-		"this one hears it, the other not": {map[string][]string{"b": {"a", "b"}, "c": {"a", "c"}}, false},
+		"two of three don't hear it":     {map[string][]string{"b": {"a", "b"}}, true},
+		"one hears it":                   {map[string][]string{"b": {"a", "b", "c"}}, false},
+		"only this one does not hear it": {nil, false},
+		"only this one hears it":         {map[string][]string{"b": {"a", "b"}, "c": {"a", "c"}}, false},
 	} {
 		detector := newDetector()
 		for id, reachable := range test.heard {
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -10,44 +10,44 @@
 	"wardtray/wire"
 )
 
-// Grantor is the acceptors' side: it grants the head of the present term its lease once no earlier head acts.
+// Grantor is an acceptor's side: it grants the lease to the head of the current term once no earlier head can act.
 type Grantor struct {
 	self    string
 	agent   *view.Agent
 	outbox  *statemachine.Outbox
 	witness *lease.Witness
 	lessor  *lease.Lessor
-	// clearedTerm is the last term of which the disk says that the heads before it act no more.
+	// clearedTerm is the last term for which the disk records that no earlier head can act any more.
 	clearedTerm uint64
 }
 
-// NewGrantor returns the acceptor's side of a process that starts now with a view; clearedTerm is what its disk says.
+// NewGrantor returns the acceptor's side of a process that starts now. The clearedTerm is the one recorded on its disk.
 func NewGrantor(now time.Time, self string, agent *view.Agent, outbox *statemachine.Outbox, witness *lease.Witness,
 	clearedTerm uint64) *Grantor {
 	return &Grantor{self: self, agent: agent, outbox: outbox, witness: witness, clearedTerm: clearedTerm,
 		lessor: lease.NewLessor(now, agent.Current(), clearedTerm)}
 }
 
-// ClearedTerm returns the last term before which no head acts, as far as this process has noted it on its disk.
+// ClearedTerm returns the last term for which this process has recorded that no earlier head can act any more.
 func (grantor *Grantor) ClearedTerm() uint64 { return grantor.clearedTerm }
 
-// Adopt handles that another view is agreed on.
+// Adopt handles a newly agreed view.
 func (grantor *Grantor) Adopt(now time.Time, current *wire.View) {
 	grantor.lessor.AdoptView(now, current)
 }
 
-// Heard handles that a process acts under a view by now.
+// Heard handles a message that shows that a process acts under the view with an epoch.
 func (grantor *Grantor) Heard(now time.Time, id string, epoch uint64) {
 	grantor.lessor.ObserveEpoch(now, id, epoch)
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried.
+// ConnectionRefused handles a connection attempt, made at the time tried, that was refused at an address.
 func (grantor *Grantor) ConnectionRefused(now time.Time, address string, tried time.Time) {
 	grantor.lessor.ObserveRefusal(now, address, tried)
 }
 
-// Tick seeks proof that the heads before this term act no more, and notes on the disk that none does, so that an
-// acceptor that restarts may grant at once.
+// Tick sends the current view to earlier heads that may still act, so that their next messages prove that they adopted
+// it. Once none can act any more, it records that on the disk, so that the acceptor may grant right after a restart.
 func (grantor *Grantor) Tick(now time.Time) {
 	if !membership.IsAcceptor(grantor.agent.Current(), grantor.self) {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// HandleRequest handles a head's request for the lease: a grant is sent where one may be given, and the present view to
-// a head of an older one.
+// HandleRequest handles a head's request for the lease: it sends a grant if it may, and the current view if the request
+// is from an older one.
 func (grantor *Grantor) HandleRequest(now time.Time, envelope *wire.Envelope, request *wire.LeaderLeaseRequest) {
 	current := grantor.agent.Current()
 	if request.View < current.Epoch {
@@ -87,6 +87,6 @@
 }
 
 // ceilMilliseconds returns a duration in milliseconds, rounded up.
-func ceilMilliseconds(length time.Duration) uint32 {
-	return uint32((length + time.Millisecond - 1) / time.Millisecond)
+func ceilMilliseconds(duration time.Duration) uint32 {
+	return uint32((duration + time.Millisecond - 1) / time.Millisecond)
 }
--- a/control/leadership/leadership_test.go
+++ b/control/leadership/leadership_test.go
@@ -14,36 +14,36 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// bench is a process with its leadership, of a chain of three in view 3 and term 2.
-type bench struct {
+// fixture is a process of a chain of three in view 3 and term 2, with its leadership.
+type fixture struct {
 	leadership *Leadership
 	agent      *view.Agent
 	chain      *chain.Chain
 	outbox     *statemachine.Outbox
-	// starts counts how often a term started.
+	// starts counts the calls of onStart.
 	starts int
 }
 
-func newBench(self string, pending ...*wire.Entry) *bench {
-	bench := &bench{outbox: statemachine.NewOutbox()}
+func newFixture(self string, pending ...*wire.Entry) *fixture {
+	fixture := &fixture{outbox: statemachine.NewOutbox()}
 	members := membertest.Members("abc")
 	current := &wire.View{Epoch: 3, HeadTerm: 2, Chain: members, Acceptors: members, MinReplicas: 2}
 	addressOf := func(member *wire.Member) string { return member.Address }
-	bench.chain = chain.New(self, &wire.Document{Sequence: 4, SpecEpoch: 4}, pending, bench.outbox, addressOf,
+	fixture.chain = chain.New(self, &wire.Document{Sequence: 4, SpecEpoch: 4}, pending, fixture.outbox, addressOf,
 		func(time.Time, uint64) {})
-	bench.agent = view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
+	fixture.agent = view.NewAgent(start, self, current, nil, fixture.outbox, func(string) string { return "" },
 		func(time.Time, *wire.View) {})
-	bench.leadership = New(1, bench.agent, bench.chain, bench.outbox, addressOf, func() { bench.starts++ })
-	bench.leadership.Adopt(current)
-	bench.chain.Adopt(start, current)
-	bench.outbox.Drain()
-	return bench
+	fixture.leadership = New(1, fixture.agent, fixture.chain, fixture.outbox, addressOf, func() { fixture.starts++ })
+	fixture.leadership.Adopt(current)
+	fixture.chain.Adopt(start, current)
+	fixture.outbox.Drain()
+	return fixture
 }
 
 // requests ticks the leadership, and returns the requests that it sent.
-func (bench *bench) requests(now time.Time) []*wire.LeaderLeaseRequest {
-	bench.leadership.Tick(now)
-	messages, _ := bench.outbox.Drain()
+func (fixture *fixture) requests(now time.Time) []*wire.LeaderLeaseRequest {
+	fixture.leadership.Tick(now)
+	messages, _ := fixture.outbox.Drain()
 	var requests []*wire.LeaderLeaseRequest
 	for _, message := range messages {
 		if request := message.Envelope.GetLeaderLeaseRequest(); request != nil {
@@ -53,22 +53,22 @@
 	return requests
 }
 
-// lead lets a majority grant the lease.
-func (bench *bench) lead(t *testing.T, now time.Time) {
+// lead delivers the grants of a majority.
+func (fixture *fixture) lead(t *testing.T, now time.Time) {
 	t.Helper()
-	requests := bench.requests(now)
+	requests := fixture.requests(now)
 	if len(requests) == 0 {
-		t.Fatal("no request")
+		t.Fatal("no lease request was sent")
 	}
 	for _, acceptor := range []string{"a", "b"} {
-		bench.leadership.HandleGrant(now, acceptor, &wire.LeaderLeaseGrant{View: 3, Nonce: requests[0].Nonce})
+		fixture.leadership.HandleGrant(now, acceptor, &wire.LeaderLeaseGrant{View: 3, Nonce: requests[0].Nonce})
 	}
 }
 
 func TestLeadershipTickRequestsAsHead(t *testing.T) {
 	t.Parallel()
 	for self, want := range map[string]int{"a": 3, "b": 0, "d": 0} {
-		if got := len(newBench(self).requests(start)); got != want {
+		if got := len(newFixture(self).requests(start)); got != want {
 			t.Errorf("%s sends %d requests", self, got)
 		}
 	}
@@ -76,18 +76,18 @@
 
 func TestLeadershipTickIntervals(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a")
-	bench.requests(start)
-	if len(bench.requests(start.Add(RetryInterval-1))) != 0 {
-		t.Error("requests again too soon")
+	fixture := newFixture("a")
+	fixture.requests(start)
+	if len(fixture.requests(start.Add(RetryInterval-1))) != 0 {
+		t.Error("requests again before the retry interval is over")
 	}
-	bench.lead(t, start.Add(RetryInterval))
+	fixture.lead(t, start.Add(RetryInterval))
 	held := start.Add(RetryInterval)
-	if len(bench.requests(held.Add(RenewInterval-1))) != 0 || len(bench.requests(held.Add(RenewInterval))) != 3 {
-		t.Error("renews at another moment than the interval says")
+	if len(fixture.requests(held.Add(RenewInterval-1))) != 0 || len(fixture.requests(held.Add(RenewInterval))) != 3 {
+		t.Error("does not renew exactly at the renew interval")
 	}
-	bench.leadership.ExpediteRequest()
-	if len(bench.requests(held.Add(RenewInterval))) != 3 {
+	fixture.leadership.ExpediteRequest()
+	if len(fixture.requests(held.Add(RenewInterval))) != 3 {
 		t.Error("an expedited request is not sent")
 	}
 }
@@ -108,12 +108,12 @@
 		"for another view":          {[]string{"a", "c"}, 2, 0, false},
 		"for another request":       {[]string{"a", "c"}, 3, 1, false},
 	} {
-		bench := newBench("a")
-		nonce := bench.requests(start)[0].Nonce + test.nonceAfter
+		fixture := newFixture("a")
+		nonce := fixture.requests(start)[0].Nonce + test.nonceAfter
 		for _, sender := range test.senders {
 			grant := &wire.LeaderLeaseGrant{View: test.view, Nonce: nonce}
 			isAcceptor := sender != "stranger"
-			if got := bench.leadership.HandleGrant(start, sender, grant); got != isAcceptor {
+			if got := fixture.leadership.HandleGrant(start, sender, grant); got != isAcceptor {
 				t.Errorf("%s: %s is an acceptor: %v", name, sender, got)
 			}
 		}
@@ -121,82 +121,83 @@
 		if test.leads {
 			starts, started = 1, start
 		}
-		got := bench.leadership.IsLeading(start)
-		if got != test.leads || bench.starts != starts || !bench.leadership.Started().Equal(started) {
-			t.Errorf("%s: leads %v, %d starts, started %v", name, got, bench.starts, bench.leadership.Started())
+		got := fixture.leadership.IsLeading(start)
+		if got != test.leads || fixture.starts != starts || !fixture.leadership.Started().Equal(started) {
+			t.Errorf("%s: leads %v, %d starts, started %v", name, got, fixture.starts, fixture.leadership.Started())
 		}
-		if bench.leadership.IsLeading(start.Add(lease.LesseeTTL)) {
+		if fixture.leadership.IsLeading(start.Add(lease.LesseeTTL)) {
 			t.Errorf("%s: leads after the lease has expired", name)
 		}
 	}
 }
 
-// A term starts with the grant that completes a majority, and not when somebody asks who leads.
+// Guards against a query that changes the state: a term starts with the grant that completes a majority, not when
+// IsLeading is called.
 func TestLeadershipIsLeadingOnlyReads(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a")
-	bench.lead(t, start)
+	fixture := newFixture("a")
+	fixture.lead(t, start)
 	later := start.Add(time.Millisecond)
-	if bench.starts != 1 || !bench.leadership.Started().Equal(start) {
-		t.Fatalf("by the grants: started %v, %d starts", bench.leadership.Started(), bench.starts)
+	if fixture.starts != 1 || !fixture.leadership.Started().Equal(start) {
+		t.Fatalf("after the grants: started %v, %d starts", fixture.leadership.Started(), fixture.starts)
 	}
-	if !bench.leadership.IsLeading(later) || bench.starts != 1 || !bench.leadership.Started().Equal(start) {
-		t.Errorf("by a look: started %v, %d starts", bench.leadership.Started(), bench.starts)
+	if !fixture.leadership.IsLeading(later) || fixture.starts != 1 || !fixture.leadership.Started().Equal(start) {
+		t.Errorf("after a query: started %v, %d starts", fixture.leadership.Started(), fixture.starts)
 	}
 }
 
 func TestLeadershipAdopt(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a")
-	bench.lead(t, start)
+	fixture := newFixture("a")
+	fixture.lead(t, start)
 	later := start.Add(time.Minute)
-	bench.lead(t, later)
-	if !bench.leadership.IsLeading(later) || bench.starts != 1 || !bench.leadership.Started().Equal(start) {
-		t.Error("a lease that expired for a while starts another term")
+	fixture.lead(t, later)
+	if !fixture.leadership.IsLeading(later) || fixture.starts != 1 || !fixture.leadership.Started().Equal(start) {
+		t.Error("renewing an expired lease started another term")
 	}
-	bench.leadership.Adopt(&wire.View{Epoch: 4, HeadTerm: 2})
-	if bench.leadership.Started().IsZero() {
-		t.Error("another view of the same term")
+	fixture.leadership.Adopt(&wire.View{Epoch: 4, HeadTerm: 2})
+	if fixture.leadership.Started().IsZero() {
+		t.Error("another view of the same term reset the start of the term")
 	}
-	bench.leadership.Adopt(&wire.View{Epoch: 5, HeadTerm: 5})
-	if !bench.leadership.Started().IsZero() {
-		t.Error("another term goes on as the one before")
+	fixture.leadership.Adopt(&wire.View{Epoch: 5, HeadTerm: 5})
+	if !fixture.leadership.Started().IsZero() {
+		t.Error("another term kept the start of the previous one")
 	}
 }
 
 func TestLeadershipIsLeadingWaitsForItsHistory(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", &wire.Entry{Sequence: 5, ChangesSpec: true, SpecEpoch: 5})
-	bench.lead(t, start)
-	if bench.leadership.IsLeading(start) || !bench.leadership.HoldsLease(start) {
+	fixture := newFixture("a", &wire.Entry{Sequence: 5, ChangesSpec: true, SpecEpoch: 5})
+	fixture.lead(t, start)
+	if fixture.leadership.IsLeading(start) || !fixture.leadership.HoldsLease(start) {
 		t.Error("leads before its history is committed")
 	}
-	if request := bench.requests(start.Add(RenewInterval))[0]; request.Committed != 0 {
-		t.Errorf("says that %d is committed", request.Committed)
+	if request := fixture.requests(start.Add(RenewInterval))[0]; request.Committed != 0 {
+		t.Errorf("the request reports %d as committed, want 0", request.Committed)
 	}
-	bench.chain.HandleAck(start, "b", &wire.ChainAck{View: 3, Synced: 5, Committed: 5})
-	if bench.chain.Committed().Sequence != 5 || !bench.leadership.IsLeading(start) {
+	fixture.chain.HandleAck(start, "b", &wire.ChainAck{View: 3, Synced: 5, Committed: 5})
+	if fixture.chain.Committed().Sequence != 5 || !fixture.leadership.IsLeading(start) {
 		t.Error("does not lead once its history is committed")
 	}
 }
 
-// What a chain that became too short for changes still holds pending was acknowledged by nobody, and waits until the
-// chain is long enough again; its head leads meanwhile.
+// Guards against a head that never leads because its chain has become shorter than its minimum: entries that are then
+// pending were not acknowledged, and stay pending until the chain is long enough again.
 func TestLeadershipIsLeadingWithAShortChain(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a")
-	if err := bench.chain.Submit(start, &wire.Entry{ChangesSpec: true, SpecEpoch: 5}); err != nil {
+	fixture := newFixture("a")
+	if err := fixture.chain.Submit(start, &wire.Entry{ChangesSpec: true, SpecEpoch: 5}); err != nil {
 		t.Fatal(err)
 	}
-	bench.lead(t, start)
-	if bench.leadership.IsLeading(start) {
+	fixture.lead(t, start)
+	if fixture.leadership.IsLeading(start) {
 		t.Error("leads before its history is committed")
 	}
-	bench.chain.Adopt(start, &wire.View{Epoch: 4, HeadTerm: 2, Chain: membertest.Members("a"), MinReplicas: 2})
-	if pending := len(bench.chain.Pending()); pending != 1 {
+	fixture.chain.Adopt(start, &wire.View{Epoch: 4, HeadTerm: 2, Chain: membertest.Members("a"), MinReplicas: 2})
+	if pending := len(fixture.chain.Pending()); pending != 1 {
 		t.Fatalf("%d changes are pending, want 1", pending)
 	}
-	if !bench.leadership.IsLeading(start) {
-		t.Error("does not lead although nothing that may have been acknowledged is pending")
+	if !fixture.leadership.IsLeading(start) {
+		t.Error("does not lead although no pending entry can have been acknowledged")
 	}
 }
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -1,10 +1,10 @@
-// Package membership has functions over the lists of members that views and directories consist of. None of them
-// changes the list that it is passed.
+// Package membership provides functions over the lists of members in views and directories. None of them modifies its
+// arguments.
 package membership
 
 import "wardtray/wire"
 
-// Contains reports whether a member with an id is in a list.
+// Contains reports whether the members include one with the id.
 func Contains(members []*wire.Member, id string) bool {
 	for _, member := range members {
 		if member.Id == id {
@@ -14,10 +14,10 @@
 	return false
 }
 
-// IsAcceptor reports whether a member votes on the successor of a view.
+// IsAcceptor reports whether the member with the id votes on the successor of the view.
 func IsAcceptor(view *wire.View, id string) bool { return Contains(view.Acceptors, id) }
 
-// Without returns the members but for the one with an id.
+// Without returns the members except the one with the id.
 func Without(members []*wire.Member, id string) []*wire.Member {
 	var remaining []*wire.Member
 	for _, member := range members {
@@ -28,14 +28,14 @@
 	return remaining
 }
 
-// WithoutIndex returns a copy of the members but for the one at an index.
+// WithoutIndex returns a copy of the members except the one at the index.
 func WithoutIndex(members []*wire.Member, index int) []*wire.Member {
 	remaining := make([]*wire.Member, 0, len(members))
 	remaining = append(remaining, members[:index]...)
 	return append(remaining, members[index+1:]...)
 }
 
-// Join returns the members of several lists, in order, in a list of its own.
+// Join returns a new list that holds the members of the lists, in order.
 func Join(lists ...[]*wire.Member) []*wire.Member {
 	var joined []*wire.Member
 	for _, members := range lists {
@@ -44,7 +44,7 @@
 	return joined
 }
 
-// SameSet reports whether two lists have the same members in any order.
+// SameSet reports whether two lists hold the same members, in any order.
 func SameSet(left, right []*wire.Member) bool {
 	if len(left) != len(right) {
 		return false
@@ -57,7 +57,7 @@
 	return true
 }
 
-// ZoneCounts counts the members in each zone.
+// ZoneCounts returns the number of members in each zone.
 func ZoneCounts(members []*wire.Member) map[string]int {
 	counts := map[string]int{}
 	for _, member := range members {
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -8,7 +8,6 @@
 	"wardtray/wire"
 )
 
-// members makes a list whose members have one-letter ids; a member's zone is its id in upper case.
 func TestWithout(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ list, id, want string }{
@@ -29,7 +28,7 @@
 		}
 	}
 	if membertest.IDs(list) != "abc" {
-		t.Errorf("the list itself became %s", membertest.IDs(list))
+		t.Errorf("the argument was changed to %s", membertest.IDs(list))
 	}
 }
 
--- a/control/membership/membertest/membertest.go
+++ b/control/membership/membertest/membertest.go
@@ -1,4 +1,4 @@
-// Package membertest makes members for the tests of the packages that work on them.
+// Package membertest creates members for tests.
 package membertest
 
 import (
@@ -7,10 +7,10 @@
 	"wardtray/wire"
 )
 
-// Member returns a member with an id, in a zone of the same name and at an address made of it.
+// Member returns a member with the id, whose zone is the id and whose address is the id with port 1.
 func Member(id string) *wire.Member { return &wire.Member{Id: id, Address: id + ":1", Zone: id} }
 
-// Daemons returns data daemons, whose ids are their addresses; each is a single letter.
+// Daemons returns one data daemon for each letter of addresses; the letter is its id and its address.
 func Daemons(addresses string) []*wire.Member {
 	daemons := make([]*wire.Member, 0, len(addresses))
 	for _, address := range addresses {
@@ -19,7 +19,7 @@
 	return daemons
 }
 
-// Members returns members whose ids are single letters, in their order.
+// Members returns one member for each letter of ids, in order.
 func Members(ids string) []*wire.Member {
 	members := make([]*wire.Member, 0, len(ids))
 	for _, id := range ids {
@@ -28,7 +28,7 @@
 	return members
 }
 
-// IDs returns the ids of members, joined in their order.
+// IDs returns the concatenated ids of the members, in order.
 func IDs(members []*wire.Member) string {
 	var joined strings.Builder
 	for _, member := range members {
