--- a/control/reconfiguration/acceptors.go
+++ b/control/reconfiguration/acceptors.go
@@ -6,8 +6,9 @@
 	"wardtray/wire"
 )
 
-// nextAcceptors puts live processes into the slots of acceptors that are gone, adds some where there are too few, and
-// moves one slot where most are in one zone without need.
+// nextAcceptors returns the acceptors of the next view, and reports whether they change. It replaces acceptors that
+// lose their slots, removes one that stops and has no successor if that keeps a majority smaller, and adds acceptors if
+// there are too few. If none of this applies and one zone has a majority, it exchanges one acceptor to change that.
 func (facts *Facts) nextAcceptors(chain []*wire.Member) (next []*wire.Member, changed bool) {
 	candidates := facts.acceptorCandidates(chain)
 	next, changed = facts.replaceAcceptors(&candidates)
@@ -30,7 +31,7 @@
 	return next, false
 }
 
-// replaceAcceptors puts candidates into the slots of acceptors that should lose theirs.
+// replaceAcceptors replaces each acceptor that should lose its slot with a candidate, if there is one.
 func (facts *Facts) replaceAcceptors(candidates *[]*wire.Member) (next []*wire.Member, changed bool) {
 	next = membership.Join(facts.View.Acceptors)
 	for index, acceptor := range facts.View.Acceptors {
@@ -44,26 +45,26 @@
 	return next, changed
 }
 
-// spreadAcceptors returns the acceptors with one of them exchanged for a candidate, the last where that is enough, so
-// that no zone has a majority; nil if no exchange achieves that.
+// spreadAcceptors returns the acceptors with one of them exchanged for a candidate, preferably the last, so that no
+// zone has a majority. It returns nil if no single exchange achieves that.
 func spreadAcceptors(acceptors, candidates []*wire.Member) []*wire.Member {
 	for index := len(acceptors) - 1; index >= 0; index-- {
-		moved := membership.WithoutIndex(acceptors, index)
-		left := membership.Join(candidates)
-		candidate := takeCandidate(&left, moved)
+		remaining := membership.WithoutIndex(acceptors, index)
+		available := membership.Join(candidates)
+		candidate := takeCandidate(&available, remaining)
 		if candidate == nil {
 			continue
 		}
-		if moved = append(moved, candidate); isSpread(moved) {
-			return moved
+		if remaining = append(remaining, candidate); isSpread(remaining) {
+			return remaining
 		}
 	}
 	return nil
 }
 
-// vacantSlot returns an acceptor that was ordered to stop with nobody to take its slot, where the others could agree
-// with one vote less without it: an even number of acceptors. In an odd number the slot does no harm, and is there for
-// it to come back to. It returns nil if there is none.
+// vacantSlot returns an acceptor that was ordered to stop and has no successor, if the number of acceptors is even: the
+// majority needs one vote less without it. If the number is odd, removing it would not lower the majority, so it keeps
+// the slot and can return to it. It returns nil if there is none.
 func (facts *Facts) vacantSlot(acceptors []*wire.Member) *wire.Member {
 	if len(acceptors)%2 != 0 {
 		return nil
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// losesSlot reports whether there is evidence that an acceptor's slot should go to another process: its address has a
-// new identity, it was ordered to stop, its disk fails, or most acceptors do not hear it. An acceptor that was silent
-// only for a moment loses its slot to a live process, which is as good an acceptor; without one it keeps the slot.
+// losesSlot reports whether another process should take an acceptor's slot: its address has a new identity, it was
+// ordered to stop, its disk is unhealthy, or a majority of the acceptors does not hear it. Even an acceptor that was
+// silent only briefly loses its slot to a live process, which serves equally well; it keeps the slot if there is none.
 func (facts *Facts) losesSlot(acceptor *wire.Member) bool {
 	return facts.isIneligible(acceptor.Id) || !facts.isSelf(acceptor.Id) && facts.Detector.IsReplaced(acceptor)
 }
 
-// acceptorCandidates lists the processes that could be acceptors and are none: those of the chain first.
+// acceptorCandidates returns the processes that could become acceptors, members of the chain first.
 func (facts *Facts) acceptorCandidates(chain []*wire.Member) []*wire.Member {
 	considered := membership.Join(chain)
 	for _, peer := range facts.Detector.Peers() {
@@ -100,8 +101,8 @@
 	return candidates
 }
 
-// isAcceptorCandidate reports whether a process is no acceptor yet, has learned the present view, is to stay, and is
-// heard by most acceptors, with which it will have to vote.
+// isAcceptorCandidate reports whether a process is not an acceptor yet, is alive and eligible, has learned the current
+// view, and is heard by a majority of the acceptors, with which it will have to vote.
 func (facts *Facts) isAcceptorCandidate(id string) bool {
 	current := facts.View
 	if membership.IsAcceptor(current, id) || !facts.isAlive(id) || facts.isIneligible(id) {
@@ -119,14 +120,14 @@
 	return hearing >= view.Majority(len(current.Acceptors))
 }
 
-// IsGrowing reports whether there are processes that could be acceptors and are not yet. Meanwhile the loss of Faults
-// disks could still take a majority of the acceptors, so nothing is acknowledged.
+// IsGrowing reports whether there are too few acceptors and a candidate that will be added. Until then the loss of
+// Faults disks could take a majority of the acceptors, so no change is acknowledged.
 func (facts *Facts) IsGrowing() bool {
 	return len(facts.View.Acceptors) < facts.AcceptorCount() && len(facts.acceptorCandidates(facts.View.Chain)) > 0
 }
 
-// takeCandidate removes from the candidates the first one from a zone with the fewest acceptors, and returns it; nil
-// if there is no candidate.
+// takeCandidate removes and returns the first candidate from the zone with the fewest acceptors; nil if there is no
+// candidate.
 func takeCandidate(candidates *[]*wire.Member, acceptors []*wire.Member) *wire.Member {
 	counts, best := membership.ZoneCounts(acceptors), -1
 	for index, candidate := range *candidates {
--- a/control/reconfiguration/chain.go
+++ b/control/reconfiguration/chain.go
@@ -16,26 +16,27 @@
 	return remaining
 }
 
-// excludeDecommissioning excludes members that were ordered to stop, one by one, as long as enough of the others hold
-// all that each holds: the minimum where a process outside could still join, at least one where none could.
+// excludeDecommissioning excludes members that were ordered to stop, one by one, as long as enough other members hold
+// everything that the excluded one holds: MinReplicas members if a process outside the chain could still join, one
+// otherwise.
 func (facts *Facts) excludeDecommissioning(members []*wire.Member) []*wire.Member {
-	least := 1
+	minCopies := 1
 	if facts.successorCount(facts.View.Chain) > 0 {
-		least = max(least, int(facts.View.MinReplicas))
+		minCopies = max(minCopies, int(facts.View.MinReplicas))
 	}
-	for _, leaver := range members {
-		if !facts.isDecommissioning(leaver.Id) {
+	for _, candidate := range members {
+		if !facts.isDecommissioning(candidate.Id) {
 			continue
 		}
-		if facts.copyCount(members, leaver) >= least {
-			members = membership.Without(members, leaver.Id)
+		if facts.copyCount(members, candidate) >= minCopies {
+			members = membership.Without(members, candidate.Id)
 		}
 	}
 	return members
 }
 
-// remainingCount counts the members that were not ordered to stop; copies that are about to go must not raise the
-// minimum.
+// remainingCount returns the number of members that were not ordered to stop. Members that are about to stop must not
+// raise MinReplicas.
 func (facts *Facts) remainingCount(members []*wire.Member) int {
 	count := 0
 	for _, member := range members {
@@ -46,27 +47,28 @@
 	return count
 }
 
-// copyCount counts the other members of a chain that hold everything which a member of it holds. Those before it do.
-// Of those behind it a change committed in this view needs every one, so they do once they have synced what it had when
-// the view began.
-func (facts *Facts) copyCount(members []*wire.Member, leaver *wire.Member) int {
+// copyCount returns the number of other members of the chain that hold everything that a given member holds. All
+// members before it do. A member behind it does once it has synced what the given member had when the view began, since
+// a change is committed in this view only when every member has it.
+func (facts *Facts) copyCount(members []*wire.Member, holder *wire.Member) int {
 	copies, behind := 0, false
 	for _, member := range members {
-		if member.Id == leaver.Id {
+		if member.Id == holder.Id {
 			behind = true
 			continue
 		}
-		if !behind || facts.hasCaughtUp(member.Id, leaver.Id) {
+		if !behind || facts.hasCaughtUp(member.Id, holder.Id) {
 			copies++
 		}
 	}
 	return copies
 }
 
-// holdAll reports whether the remaining members have all that was committed. A member that joined a moment ago may
-// lack what was committed since it learned the document. So it is not left alone while one who has all may come back,
-// as after a power failure from which the machines return one by one.
-func (facts *Facts) holdAll(present, remaining []*wire.Member) bool {
+// holdAllCommitted reports whether the remaining members may form the chain without the others. A member that has just
+// joined may lack changes committed since it learned the document, so incomplete members must not remain alone while an
+// excluded member with the complete history may return, for example after a power failure from which the machines
+// return one by one.
+func (facts *Facts) holdAllCommitted(present, remaining []*wire.Member) bool {
 	noneReturns := true
 	for _, member := range present {
 		if membership.Contains(remaining, member.Id) {
@@ -80,10 +82,11 @@
 	return noneReturns
 }
 
-// survivors returns the processes that may go on where every member of a chain that was too short to take changes has
-// lost its disk: those of the last chain that took some. What was acknowledged was so in that chain or before it, and
-// each of its members held it; they keep their order, since each history begins with its successor's. A member that is
-// only silent may come back with its disk, so nobody goes on without it.
+// survivors returns the members of the next chain for the case that every member of a chain too short to accept changes
+// has lost its disk: the live members of the last chain that accepted changes. Every acknowledged change was
+// acknowledged in that chain or before, and each of its members held it. They keep their order, since each member's
+// history begins with its successor's. A member that is only silent may return with its disk, so survivors returns nil
+// if there is one.
 func (facts *Facts) survivors() []*wire.Member {
 	current := facts.View
 	for _, member := range current.Chain {
@@ -100,8 +103,9 @@
 	return survivors
 }
 
-// joiner returns a process outside the chain that has learned everything and is connected to the tail, preferably
-// from a zone with few members: copies in many zones outlive the loss of one. It returns nil if there is none.
+// joiner returns a process outside the chain that has learned the document and is connected to the tail, preferably
+// from a zone with few members, so that copies in other zones survive the loss of one zone. It returns nil if there is
+// none.
 func (facts *Facts) joiner(members []*wire.Member) *wire.Member {
 	if len(members) == 0 || len(members) >= ChainLimit(facts.Faults) {
 		return nil
@@ -124,8 +128,8 @@
 	return chosen
 }
 
-// mayJoin reports whether a process is eligible, learned the document in the present view, and is connected to the
-// tail.
+// mayJoin reports whether a process outside the chain is eligible, learned the document in the current view, and is
+// connected to the tail in both directions.
 func (facts *Facts) mayJoin(id string, learnedView uint64, tail string) bool {
 	if membership.Contains(facts.View.Chain, id) || facts.isIneligible(id) || !facts.isAlive(id) {
 		return false
--- a/control/reconfiguration/decommission.go
+++ b/control/reconfiguration/decommission.go
@@ -9,17 +9,17 @@
 	"wardtray/wire"
 )
 
-// decommissionDelay is how long at least a process that was ordered to stop waits for views that others proposed before
-// they were notified.
+// decommissionDelay is the shortest time for which a process that was ordered to stop waits for views that others
+// proposed before they were notified.
 const decommissionDelay = 2 * failuredetector.HeartbeatInterval
 
-// Decommission is the planned end of this process: the others take over its positions before it stops.
+// Decommission tracks the planned stop of this process: others take over its positions before it stops.
 type Decommission struct {
-	// since is when the order came; zero if there is none.
+	// since is the time at which this process was ordered to stop; zero if it was not.
 	since time.Time
 }
 
-// Start notes the order to stop, and reports whether it is the first one.
+// Start records the order to stop, and reports whether it is the first one.
 func (decommission *Decommission) Start(now time.Time) bool {
 	if decommission.IsStarted() {
 		return false
@@ -31,9 +31,9 @@
 // IsStarted reports whether this process was ordered to stop.
 func (decommission *Decommission) IsStarted() bool { return !decommission.since.IsZero() }
 
-// IsComplete reports whether this process may stop: an agreed view has it neither in the chain nor among the acceptors,
-// those who remain know that view and hold everything that is committed; or nobody is there to take over. Committed
-// is the newest committed sequence that this process knows.
+// IsComplete reports whether this process may stop: an agreed view contains it neither in the chain nor among the
+// acceptors, and the remaining members know that view and hold everything that is committed; or no process can take
+// over. Committed is the newest committed sequence that this process knows.
 func (decommission *Decommission) IsComplete(facts *Facts, committed uint64) bool {
 	current, self := facts.View, facts.Local.Member.Id
 	if current.Epoch == 0 {
@@ -52,8 +52,8 @@
 	return facts.isHandedOver(committed)
 }
 
-// isDispensable reports whether the other acceptors can agree on views without this one, or nobody is left who would
-// need any.
+// isDispensable reports whether the other acceptors can agree on views without this one, or no process is left that
+// would need a view.
 func (facts *Facts) isDispensable() bool {
 	remaining := 0
 	for _, peer := range facts.Detector.Peers() {
@@ -65,8 +65,8 @@
 	return remaining == 0 || facts.upToDateCount(acceptors, 0) >= view.Majority(len(acceptors))
 }
 
-// isHandedOver reports whether the members of the present view, in which this process has no position, act under it and
-// hold what is committed. Those that are not heard can't be waited for.
+// isHandedOver reports whether the members of the current view, in which this process has no position, act under it and
+// hold everything that is committed. It does not wait for members that are not alive.
 func (facts *Facts) isHandedOver(committed uint64) bool {
 	current := facts.View
 	for _, member := range membership.Join(current.Chain, current.Acceptors) {
@@ -79,8 +79,8 @@
 		copies >= min(int(current.MinReplicas), len(current.Chain))
 }
 
-// upToDateCount counts the members that are heard to act under the present view, to remain, and to have synced a
-// sequence.
+// upToDateCount returns the number of live members that act under the current view, were not ordered to stop, and have
+// synced the sequence.
 func (facts *Facts) upToDateCount(members []*wire.Member, sequence uint64) int {
 	count := 0
 	for _, member := range members {
--- a/control/reconfiguration/facts.go
+++ b/control/reconfiguration/facts.go
@@ -1,6 +1,6 @@
-// Package reconfiguration derives the view that should follow the present one: which members of the chain and which
-// acceptors have failed, leave or are cut off, and who takes their positions. Every answer is a function of the Facts
-// of one moment, except that a broken link must have lasted for a while (Planner).
+// Package reconfiguration derives the view that should follow the current one: which members of the chain and which
+// acceptors have failed, are being decommissioned or are cut off, and which processes take their positions. All results
+// are functions of the Facts of one moment, except that a link must have been broken for a timeout (Planner).
 package reconfiguration
 
 import (
@@ -13,40 +13,41 @@
 	"wardtray/wire"
 )
 
-// Local is the state of this process itself, which its peers learn from its heartbeats.
+// Local is the state of this process, which its peers learn from its heartbeats.
 type Local struct {
 	Member *wire.Member
-	// Unhealthy is set while its disk fails.
+	// Unhealthy reports whether its disk is unhealthy.
 	Unhealthy bool
-	// Decommissioning is set once it was ordered to stop.
+	// Decommissioning reports whether it was ordered to stop.
 	Decommissioning bool
-	// Incomplete is set while its history may lack committed changes.
+	// Incomplete reports whether its history may lack committed changes.
 	Incomplete bool
-	// Synced is up to where its disk holds the history, and InitialSynced up to where it did when the present view
-	// began here.
+	// Synced is the sequence up to which its disk holds the history, and InitialSynced the value of Synced when this
+	// process adopted the current view.
 	Synced, InitialSynced uint64
-	// LearnedView is the view in which it, outside the chain, learned the whole document.
+	// LearnedView is the epoch of the view in which it learned the complete document while outside the chain.
 	LearnedView uint64
 }
 
-// Facts are what a process knows at one moment of the members and of the other control processes.
+// Facts holds what a process knows at one moment about the members and the other control processes.
 type Facts struct {
 	Now      time.Time
 	View     *wire.View
 	Detector *failuredetector.Detector
 	Local    Local
-	// Faults is how many processes may lose their disks at the same time.
+	// Faults is the number of processes that may lose their disks at the same time.
 	Faults int
 }
 
-// AcceptorCount returns how many acceptors there should be: a majority remains when Faults disks are lost.
+// AcceptorCount returns the desired number of acceptors: a majority remains when Faults disks are lost.
 func (facts *Facts) AcceptorCount() int { return 2*facts.Faults + 1 }
 
-// ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
+// ChainLimit returns the largest length of the chain. It is bounded so that not every disk of a large fleet has to sync
+// each change.
 func ChainLimit(faults int) int { return max(minimumChainLimit, 2*faults+1) }
 
-// MinReplicas returns the fewest replicas that a change needs: one more than may be lost, but not more than there ever
-// were. It never falls below the present number.
+// MinReplicas returns the number of replicas that a change needs at least: one more than may be lost, but not more than
+// the chain ever had members. It never falls below the present value.
 func (facts *Facts) MinReplicas(present uint32, members int) uint32 {
 	return max(present, uint32(min(facts.Faults+1, members)))
 }
@@ -59,7 +60,7 @@
 	return facts.Detector.Hears(facts.Now, listener, speaker)
 }
 
-// isFailed reports whether a member is no longer there, or of no use: nobody hears it, or its disk fails.
+// isFailed reports whether a member is unreachable for a majority of the acceptors, or alive with an unhealthy disk.
 func (facts *Facts) isFailed(id string) bool {
 	if facts.isSelf(id) {
 		return facts.Local.Unhealthy
@@ -69,7 +70,7 @@
 		peer != nil && facts.isAlive(id) && peer.Heartbeat.Unhealthy
 }
 
-// isDecommissioning reports whether a member that is heard was ordered to stop.
+// isDecommissioning reports whether a live member was ordered to stop.
 func (facts *Facts) isDecommissioning(id string) bool {
 	if facts.isSelf(id) {
 		return facts.Local.Decommissioning
@@ -78,12 +79,12 @@
 	return peer != nil && facts.isAlive(id) && peer.Heartbeat.Decommissioning
 }
 
-// isIneligible reports whether a process should get no position.
+// isIneligible reports whether a process must not get a position.
 func (facts *Facts) isIneligible(id string) bool {
 	return facts.isFailed(id) || facts.isDecommissioning(id)
 }
 
-// isComplete reports whether a member of the chain is known to hold all that was committed.
+// isComplete reports whether a member of the chain is known to hold everything that was committed.
 func (facts *Facts) isComplete(id string) bool {
 	if facts.isSelf(id) {
 		return !facts.Local.Incomplete
@@ -92,7 +93,8 @@
 	return peer != nil && !peer.Heartbeat.Incomplete
 }
 
-// progress returns how far a member has synced, and how far it had when the present view began, if it has reported.
+// progress returns the sequence that a member has synced, and the one it had synced when it adopted the current view.
+// Reported is false if the member has not reported them in this view.
 func (facts *Facts) progress(id string) (synced, initial uint64, reported bool) {
 	if facts.isSelf(id) {
 		return facts.Local.Synced, facts.Local.InitialSynced, true
@@ -104,15 +106,16 @@
 	return peer.Heartbeat.Synced, peer.InitialSynced, true
 }
 
-// hasCaughtUp reports whether a member said in the present view that it has synced what another had at its beginning.
+// hasCaughtUp reports whether a member has reported in the current view that it synced what another had when it adopted
+// the view.
 func (facts *Facts) hasCaughtUp(id, other string) bool {
 	synced, _, reported := facts.progress(id)
 	_, initial, otherReported := facts.progress(other)
 	return reported && otherReported && synced >= initial
 }
 
-// successorCount counts the live processes that are not among some members and could become one, also those that have
-// not learned anything yet.
+// successorCount returns the number of live, eligible processes that are not among the members, including those that
+// have not learned the document yet.
 func (facts *Facts) successorCount(members []*wire.Member) int {
 	count := 0
 	for _, peer := range facts.Detector.Peers() {
@@ -127,7 +130,7 @@
 	return count
 }
 
-// liveCount counts the members that are alive.
+// liveCount returns the number of members that are alive.
 func (facts *Facts) liveCount(members []*wire.Member) int {
 	count := 0
 	for _, member := range members {
@@ -138,7 +141,8 @@
 	return count
 }
 
-// HearsMajority reports whether this process hears most members of the chain and acceptors, itself among them.
+// HearsMajority reports whether a majority of the chain members and acceptors is alive to this process, itself
+// included.
 func (facts *Facts) HearsMajority() bool {
 	members := map[string]bool{}
 	for _, member := range membership.Join(facts.View.Chain, facts.View.Acceptors) {
@@ -153,7 +157,7 @@
 	return 2*alive > len(members)
 }
 
-// Warnings names which losses the fleet could no longer bear.
+// Warnings returns texts for operators on the failures that the fleet could no longer tolerate.
 func (facts *Facts) Warnings() []string {
 	current := facts.View
 	if current.Epoch == 0 {
--- a/control/reconfiguration/planner.go
+++ b/control/reconfiguration/planner.go
@@ -7,29 +7,28 @@
 	"wardtray/wire"
 )
 
-// minimumChainLimit is how long a chain may always grow.
+// minimumChainLimit is the number of members to which a chain may grow whatever the value of Faults.
 const minimumChainLimit = 5
 
 // link is a pair of neighbours in the chain.
 type link struct{ left, right string }
 
-// Planner derives the next view. Its only state is since when links of the chain are broken in the present view.
+// Planner derives the next view. Its only state is the time since when each broken link of the current chain is broken.
 type Planner struct {
-	// linkTimeout is for how long one side of a link must not hear the other before one of them is excluded.
+	// linkTimeout is the time for which one side of a link must not have heard the other before the later is excluded.
 	linkTimeout time.Duration
 	brokenSince map[link]time.Time
 }
 
-// NewPlanner returns a planner that knows of no broken link.
+// NewPlanner returns a planner without broken links.
 func NewPlanner(linkTimeout time.Duration) *Planner {
 	return &Planner{linkTimeout: linkTimeout, brokenSince: map[link]time.Time{}}
 }
 
-// Reset forgets the broken links of the view before.
+// Reset discards the broken links of the previous view.
 func (planner *Planner) Reset() { planner.brokenSince = map[link]time.Time{} }
 
-// Plan notes which links of the chain are broken, and returns the view that should follow, or nil if the present one is
-// right.
+// Plan updates the broken links, and returns the view that should follow, or nil if the current one needs no change.
 func (planner *Planner) Plan(facts *Facts) *wire.View {
 	current := facts.View
 	next := &wire.View{Epoch: current.Epoch + 1, Fleet: current.Fleet}
@@ -58,9 +57,9 @@
 		changed = true
 	}
 	next.MinReplicas = facts.MinReplicas(current.MinReplicas, facts.remainingCount(next.Chain))
-	// Whoever is left holds all that was acknowledged. A chain below its minimum takes no changes, but
-	// it teaches those who come back; waiting for a failed member instead would stop it for good.
-	if len(next.Chain) == 0 || !facts.holdAll(current.Chain, next.Chain) {
+	// The remaining members hold everything that was acknowledged. A chain below its minimum accepts no changes, but
+	// processes that return learn the document from it. Waiting for a failed member instead could stop it forever.
+	if len(next.Chain) == 0 || !facts.holdAllCommitted(current.Chain, next.Chain) {
 		next.Chain, changed = current.Chain, false
 		if survivors := facts.survivors(); len(survivors) > 0 {
 			next.Chain, changed = survivors, true
@@ -69,7 +68,7 @@
 	return changed
 }
 
-// excludeBroken excludes the later end of a link over which one side has not heard the other for the timeout.
+// excludeBroken excludes the later member of the first link that has been broken for the timeout.
 func (planner *Planner) excludeBroken(facts *Facts, members []*wire.Member) []*wire.Member {
 	for index := 0; index+1 < len(members); index++ {
 		pair := link{left: members[index].Id, right: members[index+1].Id}
@@ -87,14 +86,14 @@
 	return members
 }
 
-// isBroken reports whether both ends of a link are alive and one does not hear the other.
+// isBroken reports whether both ends of a link are alive and at least one does not hear the other.
 func (facts *Facts) isBroken(pair link) bool {
 	return facts.isAlive(pair.left) && facts.isAlive(pair.right) &&
 		!(facts.hears(pair.left, pair.right) && facts.hears(pair.right, pair.left))
 }
 
-// lastWritableChain returns the members of the last chain that took changes, for as long as the chain is shorter than
-// its minimum.
+// lastWritableChain returns the members of the last chain that accepted changes, or nil if the next chain itself is not
+// shorter than its minimum.
 func lastWritableChain(current, next *wire.View) []*wire.Member {
 	if len(next.Chain) >= int(next.MinReplicas) {
 		return nil
