--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -12,14 +12,14 @@
 	"wardtray/wire"
 )
 
-// daemons is what a machine does for data daemons: as head it grants them leases, as acceptor it confirms what they
-// have, and as anyone it spreads the document. It composes the leases and the directory.
+// daemons composes the leases and the directory, which serve the data daemons: the head grants leases, an acceptor
+// confirms that a daemon's document is current, and every machine distributes the document.
 type daemons struct {
 	members *members
 
 	leadership *leadership.Leadership
 	grantor    *leadership.Grantor
-	// witness is what this machine, as an acceptor, has confirmed to daemons.
+	// witness tracks what this machine, as an acceptor, has confirmed to daemons.
 	witness   *lease.Witness
 	confirmer *daemonlease.Confirmer
 	leases    *daemonlease.Leases
@@ -30,8 +30,8 @@
 	learner   *directory.Learner
 }
 
-// newDaemons returns the daemons' part of a machine that has just started. Nonce numbers its first request for the
-// leader's lease; clearedTerm is what its disk says.
+// newDaemons returns the daemons' part of a machine that has just started. The nonce identifies its first request for
+// the leader's lease; clearedTerm is the one recorded on its disk.
 func newDaemons(now time.Time, members *members, nonce, clearedTerm uint64, random *rand.Rand) *daemons {
 	agent, history, outbox, addressOf := members.agent, members.chain, members.outbox, members.detector.AddressOf
 	settings, self := members.settings, members.self
@@ -51,8 +51,8 @@
 	return daemons
 }
 
-// leader returns what the delivery of a change depends on beside the daemons' leases.
-func (daemons *daemons) leader(now time.Time) daemonlease.DeliveryContext {
+// deliveryContext returns the state other than the daemons' leases that decides whether a change is delivered.
+func (daemons *daemons) deliveryContext(now time.Time) daemonlease.DeliveryContext {
 	return daemonlease.DeliveryContext{
 		Now:       now,
 		Since:     daemons.leadership.Started(),
@@ -63,21 +63,21 @@
 
 // isDelivered reports whether the change with a sequence may be acknowledged.
 func (daemons *daemons) isDelivered(now time.Time, sequence uint64) bool {
-	return daemons.leases.IsDelivered(daemons.leader(now), sequence)
+	return daemons.leases.IsDelivered(daemons.deliveryContext(now), sequence)
 }
 
-// tick changes the directory and prompts daemons, as head.
+// tick updates the directory and prompts daemons to request leases, if this machine leads.
 func (daemons *daemons) tick(now time.Time) {
 	if daemons.leadership.IsLeading(now) && !daemons.members.disk.IsUnhealthy(now) {
-		daemons.updater.Tick(daemons.leader(now))
+		daemons.updater.Tick(daemons.deliveryContext(now))
 	}
 	if daemons.leases.IsPromptDue(now) && daemons.leadership.IsLeading(now) {
-		daemons.leases.Prompt(daemons.leader(now))
+		daemons.leases.Prompt(daemons.deliveryContext(now))
 	}
 }
 
-// connectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon is known
-// to have ended by it.
+// connectionRefused handles a connection attempt, made at the time tried, that was refused at an address. It reports
+// whether this shows that a daemon has ended.
 func (daemons *daemons) connectionRefused(now time.Time, address string, tried time.Time) bool {
 	if !daemons.leadership.IsLeading(now) || !daemons.leases.ConnectionRefused(address, tried) {
 		return false
@@ -86,7 +86,8 @@
 	return true
 }
 
-// fillGrant fills in a grant for a data daemon: the head grants a lease, an acceptor confirms what the daemon has.
+// fillGrant fills in the answer to a data daemon's request: the head grants a lease, another acceptor confirms that the
+// daemon's document is current.
 func (daemons *daemons) fillGrant(now time.Time, address string, request *wire.DaemonLeaseRequest,
 	grant *wire.DaemonLeaseGrant) {
 	if newest := daemons.members.agent.Newest(); request.View < newest.Epoch {
@@ -111,7 +112,7 @@
 	}
 }
 
-// unleased lists the daemons of the directory that hold no lease of this machine's, if it leads.
+// unleased returns the daemons of the directory that hold no lease granted by this machine; nil if it does not lead.
 func (daemons *daemons) unleased(now time.Time) []string {
 	if !daemons.leadership.IsLeading(now) {
 		return nil
@@ -119,8 +120,8 @@
 	return daemons.leases.Unleased(now, daemons.leadership.Started())
 }
 
-// unleasedByHead lists the daemons of the directory that hold no lease by what the present head reports, if that is
-// known.
+// unleasedByHead returns the daemons of the directory that hold no lease according to the current head; nil if its
+// report is not known.
 func (daemons *daemons) unleasedByHead(now time.Time) []string {
 	current, detector := daemons.members.agent.Current(), daemons.members.detector
 	if len(current.Chain) == 0 {
@@ -137,12 +138,13 @@
 	return nil
 }
 
-// addresses lists, sorted, the daemons that may serve requests.
+// addresses returns the sorted addresses of the daemons that may serve requests.
 func (daemons *daemons) addresses(now time.Time) []string {
 	return daemons.directory.ServingDaemons(daemons.leases.Active(now), daemons.unleasedByHead(now))
 }
 
-// isIsolated reports whether this machine has heard nobody for a while, though there are others.
+// isIsolated reports whether no message has arrived for the detector's isolation time although there are other
+// processes.
 func (daemons *daemons) isIsolated(now time.Time) bool {
 	return daemons.members.detector.IsSilent(now) &&
 		(len(daemons.members.addresses()) > 0 || len(daemons.directory.NewestDocument().Directory) > 0)
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -7,10 +7,10 @@
 	"wardtray/wire"
 )
 
-// handlers maps the type of a message's body to what handles the message.
+// handlers maps the type of a message's body to the function that handles the message.
 type handlers map[reflect.Type]func(now time.Time, envelope *wire.Envelope)
 
-// newHandlers returns a handler for every message that a node takes; it drops the others.
+// newHandlers returns the handlers of all messages that a node accepts. It ignores other messages.
 func newHandlers(node *Node) handlers {
 	table := handlers{}
 	addChainHandlers(table, node)
@@ -21,114 +21,114 @@
 	return table
 }
 
-// addChainHandlers adds what members of the chain say to each other.
+// addChainHandlers adds the handlers of messages between members of the chain.
 func addChainHandlers(table handlers, node *Node) {
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainForward) {
 		node.members.chain.HandleForward(now, envelope.Sender, body.ChainForward)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainAck) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ChainAck) {
 		node.members.chain.HandleAck(now, envelope.Sender, body.ChainAck)
 		node.members.chain.HandleAlignment(now, envelope.Sender, body.ChainAck)
 	})
-	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
-		// What a tail has, every member before it has, so in its own view all of it is committed; and what
-		// was learned in a view counts only until the next.
+	addHandler(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
+		// Every member before the tail has what the tail has, so in the tail's view all of it is committed. What a
+		// process learned in a view is valid only in that view.
 		node.members.chain.HandleLearnRequest(envelope.From, body.LearnRequest)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
 		node.members.chain.HandleLearnResponse(now, body.LearnResponse)
 	})
 }
 
-// addViewHandlers adds what proposers and acceptors of views say to each other.
+// addViewHandlers adds the handlers of messages between proposers, acceptors and learners of views.
 func addViewHandlers(table handlers, node *Node) {
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPrepare) {
 		if node.members.proposer.MayVote() {
 			node.members.agent.HandlePrepare(now, envelope.From, body.ViewPrepare)
 		}
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPromise) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewPromise) {
 		node.members.agent.HandlePromise(now, envelope.Sender, body.ViewPromise)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccept) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccept) {
 		if node.members.proposer.MayVote() {
 			node.members.agent.HandleAccept(now, envelope.From, body.ViewAccept)
 		}
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccepted) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_ViewAccepted) {
 		node.members.agent.HandleAccepted(now, envelope.Sender, body.ViewAccepted)
 	})
-	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
+	addHandler(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_ViewRejected) {
 		node.members.agent.HandleRejected(body.ViewRejected)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_ViewUpdate) {
 		node.members.agent.Learn(now, body.ViewUpdate.View)
 	})
-	on(table, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewRequest) {
+	addHandler(table, func(_ time.Time, envelope *wire.Envelope, _ *wire.Envelope_ViewRequest) {
 		node.members.agent.SendView(envelope.From)
 	})
 }
 
-// addLeaseAndRequestHandlers adds what concerns leases, heartbeats and operators' requests.
+// addLeaseAndRequestHandlers adds the handlers of leases, heartbeats and operators' requests.
 func addLeaseAndRequestHandlers(table handlers, node *Node) {
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseRequest) {
 		node.daemons.grantor.HandleRequest(now, envelope, body.LeaderLeaseRequest)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_LeaderLeaseGrant) {
 		node.handleLeaderLeaseGrant(now, envelope.Sender, body.LeaderLeaseGrant)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_Heartbeat) {
 		node.members.handleHeartbeat(now, body.Heartbeat)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorRequest) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorRequest) {
 		node.proposals.HandleRequest(now, body.OperatorRequest)
 	})
-	on(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorResponse) {
+	addHandler(table, func(_ time.Time, _ *wire.Envelope, body *wire.Envelope_OperatorResponse) {
 		node.requests.HandleResponse(body.OperatorResponse)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_DaemonLeaseRequest) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_DaemonLeaseRequest) {
 		node.handleDaemonLeaseRequest(now, envelope.From, body.DaemonLeaseRequest)
 	})
 }
 
-// addDocumentHandlers adds what spreads the document and the peers.
+// addDocumentHandlers adds the handlers of the distribution of the document and of peer sampling.
 func addDocumentHandlers(table handlers, node *Node) {
-	on(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
+	addHandler(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_DocumentRequest) {
 		node.daemons.directory.HandleRequest(envelope.From, body.DocumentRequest)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_GossipMessage) {
 		node.daemons.directory.Gossip().HandleMessage(now, body.GossipMessage)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Digest) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Digest) {
 		node.daemons.directory.Gossip().HandleDigest(now, envelope.From, envelope.Zone, body.Digest)
-		// A daemon that reads a platform's list keeps no table and sends 0.
+		// A daemon that reads the list of runners from the platform keeps no table of them and sends 0.
 		if body.Digest.RunnersChecksum != 0 {
 			node.registrar.HandleChecksum(now, envelope.From, body.Digest.RunnersChecksum)
 		}
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_Shuffle) {
 		node.members.partialView.HandleShuffle(now, envelope.From, body.Shuffle)
 	})
 }
 
-// addRunnerHandlers adds what control processes and daemons say of runners.
+// addRunnerHandlers adds the handlers of control processes' and daemons' messages about runners.
 func addRunnerHandlers(table handlers, node *Node) {
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdate) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdate) {
 		node.registrar.HandleUpdate(now, envelope.From, body.RunnerUpdate)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdateAck) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerUpdateAck) {
 		node.registrar.HandleAck(now, envelope.From, body.RunnerUpdateAck)
 	})
-	on(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerDigest) {
+	addHandler(table, func(now time.Time, envelope *wire.Envelope, body *wire.Envelope_RunnerDigest) {
 		node.registrar.HandleDigest(now, envelope.From, body.RunnerDigest)
 	})
-	on(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_RunnerHeartbeats) {
+	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_RunnerHeartbeats) {
 		node.registrar.HandleHeartbeats(now, body.RunnerHeartbeats)
 	})
 }
 
-// on adds a handler to the table under the type of the body that it takes.
-func on[Body any](table handlers, handle func(now time.Time, envelope *wire.Envelope, body Body)) {
+// addHandler adds a handler to the table under the type of the message body that it accepts.
+func addHandler[Body any](table handlers, handle func(now time.Time, envelope *wire.Envelope, body Body)) {
 	table[reflect.TypeFor[Body]()] = func(now time.Time, envelope *wire.Envelope) {
 		if body, matches := envelope.Body.(Body); matches {
 			handle(now, envelope, body)
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// onView handles that another view is agreed on.
+// onView handles a newly agreed view.
 func (node *Node) onView(now time.Time, current *wire.View) {
 	node.counters.Views++
 	members, daemons := node.members, node.daemons
@@ -16,7 +16,7 @@
 	members.adopt(now, current)
 	daemons.leadership.Adopt(current)
 	node.proposals.Adopt()
-	// Neither the new head nor whoever could join should wait for the next interval.
+	// Neither the new head nor a process that could join should wait for the next interval.
 	daemons.leadership.ExpediteRequest()
 	members.detector.ExpediteHeartbeat()
 	daemons.learner.Expedite()
@@ -26,19 +26,20 @@
 	daemons.learner.Tick(now, members.decommission.IsStarted())
 }
 
-// onCommit handles that a sequence is committed as far as this machine knows.
+// onCommit handles that this machine learned that a sequence is committed.
 func (node *Node) onCommit(now time.Time, sequence uint64) {
 	node.counters.Commits++
 	daemons := node.daemons
 	daemons.leases.Committed(now, sequence)
 	daemons.witness.ObserveCommit(sequence)
 	daemons.directory.Publish(now)
-	// The acceptors must know before the change may be acknowledged; they should not wait for the next request.
+	// The acceptors must learn of the commit before the change may be acknowledged, so they are notified at once and not
+	// with the next periodic request.
 	daemons.leadership.ExpediteRequest()
 	daemons.leadership.Tick(now)
 }
 
-// handleLeaderLeaseGrant handles an acceptor's grant, and what it reports to know to be committed.
+// handleLeaderLeaseGrant handles an acceptor's grant, and its report of the newest committed sequence that it knows.
 func (node *Node) handleLeaderLeaseGrant(now time.Time, sender string, grant *wire.LeaderLeaseGrant) {
 	if !node.daemons.leadership.HandleGrant(now, sender, grant) {
 		return
@@ -48,7 +49,7 @@
 	node.proposals.Acknowledge(now)
 }
 
-// handleDaemonLeaseRequest answers a data daemon, also with a newer view than its own.
+// handleDaemonLeaseRequest answers a data daemon. The answer includes the newest view if the daemon has an older one.
 func (node *Node) handleDaemonLeaseRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) {
 	grant := &wire.DaemonLeaseGrant{Nonce: request.Nonce, ViewEpoch: node.members.agent.Newest().Epoch,
 		RunnersChecksum: node.registrar.Checksum(), Starting: now.Sub(node.started) < node.bounds.Starting}
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -19,12 +19,12 @@
 	"wardtray/wire"
 )
 
-// members is what a machine knows of the disk machines: those of the view, and others that could become members. It
-// composes what agrees on views and holds the history.
+// members composes the mechanisms that concern the control machines: agreement on views, the chain that holds the
+// history, and the state of the view's members and of other machines that could become members.
 type members struct {
 	settings Settings
 	self     *wire.Member
-	// incarnation is drawn anew by each process of this machine.
+	// incarnation is a random number that differs between the processes of this machine over time.
 	incarnation uint64
 	outbox      *statemachine.Outbox
 
@@ -35,31 +35,31 @@
 	proposer     *viewchange.Proposer
 	partialView  *peersampling.PartialView
 	decommission reconfiguration.Decommission
-	// initialSynced is how far this machine had synced when the present view began here.
+	// initialSynced is the sequence that this machine had synced when it adopted the current view.
 	initialSynced uint64
 }
 
-// observers are what the members call back.
-type observers struct {
-	// onView runs when another view is agreed on, and onCommit when a sequence is seen committed.
+// callbacks are the functions that the members call.
+type callbacks struct {
+	// onView runs when a new view is agreed on, and onCommit when this machine learns that a sequence is committed.
 	onView   func(now time.Time, current *wire.View)
 	onCommit func(now time.Time, sequence uint64)
-	// snapshot returns all that the disk must hold, of the members and of others.
+	// snapshot returns the complete state that the disk must hold, beyond that of the members.
 	snapshot func() *wire.DurableState
 }
 
-// newMembers restores the members from what the disk held.
+// newMembers restores the members from the state and the records on the disk.
 func newMembers(now time.Time, settings Settings, incarnation uint64, state *wire.DurableState, records []*wire.Record,
-	random *rand.Rand, observers observers) *members {
+	random *rand.Rand, callbacks callbacks) *members {
 	bounds, outbox := timing.BoundsFor(settings.Limits), statemachine.NewOutbox()
 	self := &wire.Member{Id: state.Id, Address: settings.Address, Zone: settings.Zone, Http: settings.HTTP}
 	detector := failuredetector.New(now, self, bounds.Suspicion, bounds.Pause)
 	members := &members{settings: settings, self: self, incarnation: incarnation, outbox: outbox, detector: detector}
-	members.disk = durability.New(outbox, records, bounds.WriteTimeout, observers.snapshot)
-	members.chain = chain.New(self.Id, state.Document, state.Pending, outbox, detector.AddressOf, observers.onCommit)
+	members.disk = durability.New(outbox, records, bounds.WriteTimeout, callbacks.snapshot)
+	members.chain = chain.New(self.Id, state.Document, state.Pending, outbox, detector.AddressOf, callbacks.onCommit)
 	members.chain.RestoreIncomplete(state.Incomplete)
 	members.agent = view.NewAgent(now, self.Id, state.View, state.AcceptorState, outbox, detector.Resolve,
-		observers.onView)
+		callbacks.onView)
 	planner := reconfiguration.NewPlanner(bounds.LinkTimeout)
 	members.proposer = viewchange.New(now, viewchange.Settings{Founders: settings.Founders, Founding: state.Founding,
 		Suspicion: bounds.Suspicion, Stagger: bounds.Stagger}, self, members.agent, planner, random)
@@ -68,13 +68,13 @@
 	return members
 }
 
-// adopt handles that another view is agreed on, or that the disk held one at the start.
+// adopt handles a view that was newly agreed on or restored from the disk.
 func (members *members) adopt(now time.Time, current *wire.View) {
 	members.chain.Adopt(now, current)
 	members.initialSynced = members.chain.Synced()
 }
 
-// facts returns what this machine knows at this moment of the members and of the other machines.
+// facts returns what this machine knows at this moment about the members and the other control machines.
 func (members *members) facts(now time.Time) *reconfiguration.Facts {
 	return &reconfiguration.Facts{Now: now, View: members.agent.Current(), Detector: members.detector,
 		Faults: members.settings.Faults,
@@ -84,7 +84,7 @@
 			LearnedView: members.chain.LearnedView()}}
 }
 
-// propose proposes a view where that is due.
+// propose proposes a view if one is due.
 func (members *members) propose(now time.Time) { members.proposer.Tick(members.facts(now)) }
 
 // handleHeartbeat handles another machine's heartbeat.
@@ -97,14 +97,14 @@
 	if heartbeat.View < current.Epoch {
 		members.agent.SendView(heartbeat.Member.Address)
 	}
-	// Whoever hears less or is about to stop may have to be replaced at once.
+	// A machine whose reachable processes or health changed, or that is about to stop, may have to be replaced at once.
 	if changed {
 		members.propose(now)
 	}
 }
 
-// sendHeartbeats sends a heartbeat to every address where another disk machine may be, if one is due. Unleased lists
-// the daemons that hold no lease of this machine's as head.
+// sendHeartbeats sends a heartbeat, if one is due, to every address at which another control machine may be. Unleased
+// returns the daemons that hold no lease granted by this machine as head.
 func (members *members) sendHeartbeats(now time.Time, unleased func(now time.Time) []string) {
 	if !members.detector.TakeHeartbeat(now) {
 		return
@@ -121,7 +121,8 @@
 	members.detector.Forget(now)
 }
 
-// hearsMajority reports whether this machine hears most of the chain and the acceptors, itself among them.
+// hearsMajority reports whether a majority of the chain members and acceptors is alive to this machine, itself
+// included. Before the first view it reports whether it hears another machine or is the only founder.
 func (members *members) hearsMajority(now time.Time) bool {
 	if members.agent.Current().Epoch == 0 {
 		return len(members.settings.Founders) <= 1 || len(members.detector.Peers()) > 0
@@ -129,8 +130,8 @@
 	return members.facts(now).HearsMajority()
 }
 
-// allStateIncarnations reports whether every member of the view is heard and states its incarnation. Versions that
-// don't know of reservations state none.
+// allStateIncarnations reports whether the heartbeats of all members of the view state an incarnation. Program versions
+// without reservations state none.
 func (members *members) allStateIncarnations() bool {
 	current := members.agent.Current()
 	for _, member := range membership.Join(current.Chain, current.Acceptors) {
@@ -142,7 +143,7 @@
 	return true
 }
 
-// addresses lists, sorted, every address where another disk machine may be.
+// addresses returns the sorted addresses at which other control machines may be.
 func (members *members) addresses() []string {
 	found := map[string]bool{}
 	for _, addresses := range [][]string{members.settings.Seeds, members.settings.Founders} {
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -1,10 +1,10 @@
-// Package node is the control plane of one disk machine as a pure state machine. It only composes: the mechanisms are
-// packages beside it, each with its own state (failuredetector, reconfiguration, viewchange, leadership, daemonlease,
-// proposal, directory, durability), over chain, view, lease and gossip of coordination. The node dispatches each
-// message to the one that it is for, ticks them in a stated order, and passes facts between them.
+// Package node implements one control machine as a pure state machine. It only composes: the mechanisms are separate
+// packages, each with its own state (failuredetector, reconfiguration, viewchange, leadership, daemonlease, proposal,
+// directory, durability), on top of the packages chain, view, lease and gossip of coordination. The node dispatches
+// each message to the mechanism that handles it, ticks the mechanisms in a fixed order, and passes facts between them.
 //
-// A driver hands it the time, messages, ticks and completed writes, and carries out what Ready returns. It starts no
-// goroutine, reads no clock and does no I/O.
+// A driver passes the time, messages, ticks and completed writes to the node, and sends the messages and carries out
+// the writes that Ready returns. The node starts no goroutine, reads no clock and does no I/O.
 package node
 
 import (
@@ -24,21 +24,21 @@
 	"wardtray/wire"
 )
 
-// Counters are what a machine counts of its own work.
+// Counters holds the counters of one control machine since its start.
 type Counters struct {
-	// Views counts the views that it learned of, and Commits the changes that it saw committed.
+	// Views counts the views that it adopted, and Commits the commits that it learned of.
 	Views   uint64 `json:"Views"`
 	Commits uint64 `json:"Commits"`
-	// Accepted and Refused count changes that it decided on as head.
+	// Accepted and Refused count the changes that it accepted or refused as head.
 	Accepted uint64 `json:"Accepted"`
 	Refused  uint64 `json:"Refused"`
-	// Unknown counts changes whose operator was told that the outcome is unknown.
+	// Unknown counts the changes whose operator received the answer that the outcome is unknown.
 	Unknown uint64 `json:"Unknown"`
-	// DiskFailures counts writes that could not be carried out.
+	// DiskFailures counts failed writes.
 	DiskFailures uint64 `json:"DiskFailures"`
 }
 
-// Node is one disk machine.
+// Node is one control machine.
 type Node struct {
 	settings Settings
 	bounds   timing.Bounds
@@ -55,21 +55,21 @@
 	registrar *registry.Registrar
 }
 
-// New restores a machine from what its disk held, a state and the records that were written after it; state.Id must be
-// set.
+// New restores a machine from its disk: the last snapshot of the state, and the records that were written after it.
+// The state's Id must be set.
 func New(now time.Time, settings Settings, state *wire.DurableState, records []*wire.Record, random *rand.Rand) *Node {
 	state = proto.CloneOf(state)
 	for _, record := range records {
 		durability.Replay(state, record)
 	}
 	settings = settings.withDefaults()
-	// The draws keep their order, by which a simulation with the same seed repeats.
+	// The order of the random draws must stay the same, so that a simulation with the same seed repeats.
 	incarnation, leaseNonce := random.Uint64(), random.Uint64()
 	isFoundingNow := settings.Founding && !state.Founding && state.View.GetEpoch() == 0
 	state.Founding = state.Founding || isFoundingNow
 	node := &Node{settings: settings, bounds: timing.BoundsFor(settings.Limits), started: now}
 	node.members = newMembers(now, settings, incarnation, state, records, random,
-		observers{onView: node.onView, onCommit: node.onCommit, snapshot: node.DurableState})
+		callbacks{onView: node.onView, onCommit: node.onCommit, snapshot: node.DurableState})
 	node.self, node.outbox = node.members.self, node.members.outbox
 	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
 	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
@@ -81,7 +81,8 @@
 	return node
 }
 
-// newProposals returns what takes operators' requests.
+// newProposals returns the two sides of operators' requests: the ones submitted here, and the head's decisions on
+// changes.
 func newProposals(incarnation uint64, members *members, daemons *daemons) (*proposal.Requests, *proposal.Proposals) {
 	var proposals *proposal.Proposals
 	serve := func(now time.Time, message *wire.OperatorRequest) { proposals.Serve(now, message) }
@@ -93,13 +94,14 @@
 	return requests, proposals
 }
 
-// resume goes on from what the disk held.
+// resume publishes the restored document and adopts the restored view, if there are any. For a new founder it requests
+// a snapshot.
 func (node *Node) resume(now time.Time, state *wire.DurableState, isFoundingNow bool) {
 	if state.Document.GetSequence() > 0 {
 		node.daemons.directory.Publish(now)
 	}
 	if isFoundingNow {
-		// A founder that is killed before there is a view must still be one when it starts again.
+		// A founder that is killed before there is a view must still be a founder after its restart.
 		node.members.disk.Replace(now)
 	}
 	if current := node.members.agent.Current(); current.Epoch > 0 {
@@ -109,19 +111,19 @@
 	}
 }
 
-// Outbox returns what the driver has to carry out.
+// Outbox returns the messages and writes that the driver has to carry out.
 func (node *Node) Outbox() *statemachine.Outbox { return node.outbox }
 
-// Chain returns the machine's part of the chain, for drivers, checkers and status pages.
+// Chain returns the machine's replica of the chain, for drivers, checkers and status pages.
 func (node *Node) Chain() *chain.Chain { return node.members.chain }
 
-// View returns the present view.
+// View returns the current view.
 func (node *Node) View() *wire.View { return node.members.agent.Current() }
 
-// Self returns this machine as the views have it.
+// Self returns the member record of this machine.
 func (node *Node) Self() *wire.Member { return node.self }
 
-// Counters returns what was counted.
+// Counters returns the present counters.
 func (node *Node) Counters() Counters {
 	counters, requests, proposals := node.counters, node.requests.Counters(), node.proposals.Counters()
 	counters.Accepted = proposals.Accepted
@@ -131,15 +133,15 @@
 	return counters
 }
 
-// Ready returns messages, stamped with who sends them, and writes.
+// Ready returns the messages to send, with this machine as sender, and the writes to carry out.
 func (node *Node) Ready() ([]statemachine.Message, []statemachine.Write) {
 	messages, writes := node.outbox.Drain()
 	for _, message := range messages {
 		envelope := message.Envelope
 		envelope.From, envelope.Sender, envelope.Zone = node.self.Address, node.self.Id, node.self.Zone
-		// Whoever has heard of a view acts in none before it, even while its disk is still busy with that.
+		// A machine that has learned of a view no longer acts in an earlier one, even before the view is on its disk.
 		envelope.Epoch = node.members.agent.Newest().Epoch
-		// Digests of gossip go to everybody in turn, so that the runners' checksum needs no messages of its own.
+		// Gossip digests reach every process in turn, so the checksum of the runners needs no messages of its own.
 		if digest := envelope.GetDigest(); digest != nil {
 			digest.RunnersChecksum = node.registrar.Checksum()
 		}
@@ -160,8 +162,8 @@
 	node.proposals.RetryDeferred(now)
 }
 
-// Tick does what is due. The order matters: the disk and the detector first, since the others go by what they say, and
-// operators last, so that they learn the outcome of this very tick.
+// Tick does the work that is due. The order matters: the detector and the disk are first, since the other mechanisms
+// depend on their state, and operators' requests are last, so that operators learn the outcome of this tick.
 func (node *Node) Tick(now time.Time) {
 	if node.members.detector.Tick(now) {
 		node.registrar.Resume(now)
@@ -182,15 +184,15 @@
 	node.requests.Tick(now)
 }
 
-// Synced handles that a write, and with it every earlier one, is on the disk.
+// Synced handles the completion of a write, and with it of every earlier one.
 func (node *Node) Synced(now time.Time, sequence uint64) {
 	node.outbox.Done(now, sequence)
 	node.proposals.RetryDeferred(now)
 	node.proposals.Acknowledge(now)
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried: the process that was there has
-// ended, since it listens for as long as it lives, and with it all that it was granted.
+// ConnectionRefused handles a connection attempt, made at the time tried, that was refused at an address. A process
+// listens until it ends, so the process at that address has ended, and its leases with it.
 func (node *Node) ConnectionRefused(now time.Time, address string, tried time.Time) {
 	node.daemons.grantor.ConnectionRefused(now, address, tried)
 	if node.daemons.connectionRefused(now, address, tried) {
@@ -201,21 +203,22 @@
 	node.members.propose(now)
 }
 
-// Submit takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
-// once.
+// Submit handles an operator's request; respond is called once, unless the request is abandoned. It returns the token
+// for Abandon, empty if the request was answered at once.
 func (node *Node) Submit(now time.Time, message *wire.OperatorRequest,
 	respond func(status int, body []byte)) (token string) {
 	return node.requests.Submit(now, message, respond)
 }
 
-// Abandon forgets a request whose operator waits no more, without a response, so that it takes no slot from others'. A
-// change goes on: its operator sends it again, here or elsewhere, and learns whatever has come of it meanwhile.
+// Abandon removes a request whose operator no longer waits, without a response, so that it does not occupy a slot. A
+// change that it contains is still processed: if the operator sends it again, here or to another machine, the response
+// states the outcome.
 func (node *Node) Abandon(token string) { node.requests.Abandon(token) }
 
-// IsLeading reports whether this machine acts as head at this moment.
+// IsLeading reports whether this machine may act as head at this moment.
 func (node *Node) IsLeading(now time.Time) bool { return node.daemons.leadership.IsLeading(now) }
 
-// Decommission orders this machine to stop, so that the others first take over what it holds.
+// Decommission orders this machine to stop once others have taken over its positions.
 func (node *Node) Decommission(now time.Time) {
 	if !node.members.decommission.Start(now) {
 		return
@@ -225,13 +228,14 @@
 	node.members.propose(now)
 }
 
-// IsDecommissioned reports whether this machine may stop: others have taken over what it holds, or nobody is there
-// to do so.
+// IsDecommissioned reports whether this machine may stop: others have taken over its positions, or there is no process
+// that could.
 func (node *Node) IsDecommissioned(now time.Time) bool {
 	return node.members.decommission.IsComplete(node.members.facts(now), node.members.chain.Committed().Sequence)
 }
 
-// ChainLimit bounds the chain, so that no change has to be synced by every disk of a large fleet.
+// ChainLimit returns the largest length of the chain. It is bounded so that not every disk of a large fleet has to sync
+// each change.
 func (node *Node) ChainLimit() int { return reconfiguration.ChainLimit(node.settings.Faults) }
 
 // Register handles a runner's call; respond is called once, within a second.
@@ -239,18 +243,18 @@
 	node.registrar.Register(now, runner, respond)
 }
 
-// Deregister handles that a runner has ended; respond is called once, within a second.
+// Deregister handles the end of a runner; respond is called once, within a second.
 func (node *Node) Deregister(now time.Time, id string, respond func(outcome registry.Outcome)) {
 	node.registrar.Deregister(now, id, respond)
 }
 
-// Runners lists every registered runner, also those that have ended or fallen silent.
+// Runners returns all registered runners, including those that have ended or fallen silent.
 func (node *Node) Runners(now time.Time) []*wire.Runner { return node.registrar.All(now) }
 
-// Registry returns what was counted of the runners' calls.
+// Registry returns the counters of the runner registry.
 func (node *Node) Registry() registry.Counters { return node.registrar.Counters() }
 
-// DurableState returns all that this machine must not forget.
+// DurableState returns the complete state that must survive a restart.
 func (node *Node) DurableState() *wire.DurableState {
 	agent := node.members.agent
 	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.AcceptorState(),
@@ -259,6 +263,6 @@
 	return state
 }
 
-// DiskFailed handles a write that could not be carried out. The machine reports itself unhealthy until a whole state
-// has been written anew.
+// DiskFailed handles a failed write. The machine reports itself as unhealthy until a snapshot of the complete state has
+// been written.
 func (node *Node) DiskFailed(now time.Time) { node.members.disk.Failed(now) }
--- a/control/node/settings.go
+++ b/control/node/settings.go
@@ -7,33 +7,33 @@
 	"wardtray/coordination/quota"
 )
 
-// Settings are what a machine goes by from its start to its end.
+// Settings configures a control machine; they do not change while it runs.
 type Settings struct {
-	// Address is where other processes reach it, and HTTP where operators and runners do.
+	// Address is the address for other processes of the fleet, and HTTP the one for operators and runners.
 	Address string
 	HTTP    string
-	// Zone is where it stands; members are spread over zones.
+	// Zone is the zone of the machine; members are spread over zones.
 	Zone string
-	// Seeds are addresses of other processes that it tries first.
+	// Seeds holds addresses of other control machines to contact at the start.
 	Seeds []string
-	// Founders are the addresses of the first disk machines; all must be there for the first view.
+	// Founders holds the addresses of the first control machines; all must be up for the first view.
 	Founders []string
-	// RunnerHeartbeat is how often runners call; 0 stands for the registry's own.
+	// RunnerHeartbeat is the interval of the runners' heartbeats; 0 means the registry's default.
 	RunnerHeartbeat time.Duration
-	// Founding is set at the very first start of the whole fleet. A machine whose disk was lost later
-	// starts without it and never founds anything.
+	// Founding permits the machine to take part in the first view. It is set only at the first start of the fleet: a
+	// machine whose disk was lost later starts without it, so that it never founds a second fleet.
 	Founding bool
-	// Faults is how many machines may lose their disks at the same time; at least 1.
+	// Faults is the number of machines that may lose their disks at the same time; at least 1.
 	Faults int
-	// Quotas is by how much the daemons together may exceed tenants' quotas.
+	// Quotas is the tolerance by which the daemons together may exceed a tenant's quota.
 	Quotas quota.Tolerance
-	// DaemonLease is for how long a data daemon may rely on a lease; 0 stands for what the limits allow.
+	// DaemonLease is the duration of a data daemon's lease; 0 means the value derived from the limits.
 	DaemonLease time.Duration
-	// Limits are the times that the platform grants; zero ones stand for their defaults.
+	// Limits holds the time limits that the platform sets; zero values mean the defaults.
 	Limits timing.Limits
 }
 
-// withDefaults returns the settings with what stands for zero values.
+// withDefaults returns the settings with the defaults in the place of zero values.
 func (settings Settings) withDefaults() Settings {
 	settings.Faults = max(1, settings.Faults)
 	if settings.DaemonLease == 0 {
--- a/control/node/status.go
+++ b/control/node/status.go
@@ -8,10 +8,10 @@
 	"wardtray/wire"
 )
 
-// Status is what a disk machine reports of itself.
+// Status is the state of a control machine as operators see it.
 type Status struct {
 	ID string `json:"id"`
-	// View is the epoch of the present view, and Fleet the name of its fleet; 0 and empty before the first view.
+	// View is the epoch of the current view, and Fleet the name of its fleet; 0 and empty before the first view.
 	View  uint64 `json:"view"`
 	Fleet string `json:"fleet"`
 	// Position is the machine's position in the chain: head, middle, tail, head and tail, or outside.
@@ -19,39 +19,41 @@
 	Chain     []MemberStatus `json:"chain"`
 	Acceptors []MemberStatus `json:"keepers"`
 	Daemons   []MemberStatus `json:"daemons"`
-	// Synced is up to which sequence its disk holds the history, and Committed up to where that is committed.
+	// Synced is the sequence up to which its disk holds the history, and Committed the sequence up to which the history
+	// is committed.
 	Synced    uint64 `json:"synced"`
 	Committed uint64 `json:"committed"`
-	// Epoch is that of the committed spec.
+	// Epoch is the version of the committed configuration.
 	Epoch uint64 `json:"epoch"`
-	// Pending counts the entries that are not committed yet.
+	// Pending is the number of entries that are not committed yet.
 	Pending int `json:"pending"`
-	// Requests is how many requests of operators wait for a response here.
+	// Requests is the number of operators' requests that wait for a response here.
 	Requests int `json:"asks"`
-	// HoldsLease is set while it holds the leader's lease, and Leading while it acts as head.
+	// HoldsLease reports whether it holds the leader's lease, and IsLeading whether it acts as head.
 	HoldsLease bool `json:"claim"`
 	IsLeading  bool `json:"leading"`
 	Unhealthy  bool `json:"sick"`
-	// Runners counts the runners' calls.
+	// Runners holds the counters of the runner registry.
 	Runners registry.Counters `json:"runners"`
-	// Warnings name what the fleet can no longer bear to lose.
+	// Warnings describes the failures that the fleet could no longer tolerate.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// MemberStatus is what a disk machine reports of another process.
+// MemberStatus is the state of a member or data daemon as a control machine knows it.
 type MemberStatus struct {
 	ID      string `json:"id,omitempty"`
 	Address string `json:"address"`
 	HTTP    string `json:"http,omitempty"`
 	Zone    string `json:"zone"`
-	// IsAlive is set if it was heard of late.
+	// IsAlive reports whether a control machine was heard within the suspicion time, or a data daemon requested a lease
+	// within the duration of one.
 	IsAlive bool `json:"heard"`
-	// Sequence is the newest one that it reported to have.
+	// Sequence is the newest sequence that it reported to have.
 	Sequence  uint64 `json:"sequence,omitempty"`
 	Unhealthy bool   `json:"sick,omitempty"`
 }
 
-// Status returns the present state for operators.
+// Status returns the current state for operators.
 func (node *Node) Status(now time.Time) Status {
 	members, daemons := node.members, node.daemons
 	current, document := members.agent.Current(), members.chain.Committed()
@@ -75,13 +77,13 @@
 	return status
 }
 
-// memberStatus returns the status of a disk machine but for what it reported.
+// memberStatus returns the status of a control machine without the state that it reports.
 func (members *members) memberStatus(now time.Time, member *wire.Member) MemberStatus {
 	return MemberStatus{ID: member.Id, Address: members.detector.AddressOf(member), HTTP: member.Http,
 		Zone: member.Zone, IsAlive: members.detector.IsAlive(now, member.Id)}
 }
 
-// chainMemberStatus returns the status of a member of the chain, with its progress.
+// chainMemberStatus returns the status of a member of the chain, with its sequence and health.
 func (members *members) chainMemberStatus(now time.Time, member *wire.Member) MemberStatus {
 	status := members.memberStatus(now, member)
 	if peer := members.detector.Peer(member.Id); peer != nil {
@@ -92,7 +94,7 @@
 	return status
 }
 
-// positionName returns how operators call a machine's position in the chain.
+// positionName returns the name of a machine's position in the chain, as Status reports it.
 func positionName(chain *chain.Chain) string {
 	switch {
 	case !chain.IsMember():
