--- a/control/node/catchup_test.go
+++ b/control/node/catchup_test.go
@@ -14,8 +14,9 @@
 	"wardtray/wire"
 )
 
-// Changes go on, one each 100 ms, while members are away for hundreds of them, restart, and have disks that are
-// full or stalled. Every leader has all that was acknowledged, no order is refused, and in the end all hold the same.
+// Guards against members that lose changes or never catch up. Changes continue, one each 100 ms, while members are down
+// for hundreds of them, restart, and have full or stalled disks. Every leader must have all acknowledged changes, no
+// request may be refused, and in the end all members must hold the same document.
 func TestMembersCatchUpWhileChangesGoOn(t *testing.T) {
 	t.Parallel()
 	changes := uint64(500)
@@ -25,35 +26,35 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		fleet := newTestFleet(t, seed)
 		operator := &testOperator{fleet: fleet, name: "o", routes: 10}
-		trial := &catchUpTrial{fleet: fleet, operator: operator, every: changes / 5, moved: fleet.now}
+		scenario := &catchUpScenario{fleet: fleet, operator: operator, span: changes / 5, lastChangeAt: fleet.now}
 		for operator.number < changes {
-			trial.step()
-			if fleet.now.Sub(trial.moved) > 30*time.Second {
+			scenario.step()
+			if fleet.now.Sub(scenario.lastChangeAt) > 30*time.Second {
 				fleet.describe()
-				t.Fatalf("seed %d: %d of %d changes, and no more", seed, operator.number, changes)
+				t.Fatalf("seed %d: no further change after %d of %d", seed, operator.number, changes)
 			}
 		}
 		fleet.run(3 * time.Second)
-		fleet.wantAlike(operator.number)
+		fleet.wantSameDocument(operator.number)
 	}
 }
 
-// catchUpTrial injects a fault into one machine after the other while changes go on. Each fault lasts for most of a
-// span of changes; before the next, all come back.
-type catchUpTrial struct {
+// catchUpScenario injects a fault into one machine after the other while changes continue. Each fault lasts for most of
+// a span of changes and ends before the next one begins.
+type catchUpScenario struct {
 	fleet    *testFleet
 	operator *testOperator
-	// every is how many changes a span has.
-	every uint64
-	// seen is the number of the change that was looked at last, which came at moved; turns is how many faults there
-	// were.
-	seen   uint64
-	moved  time.Time
-	turns  int
-	faulty *testMember
+	// span is the number of changes from the beginning of a fault to that of the next.
+	span uint64
+	// lastChange is the number of the last acknowledged change, lastChangeAt the time of its acknowledgement, and
+	// injected the number of faults so far.
+	lastChange   uint64
+	lastChangeAt time.Time
+	injected     int
+	faulty       *testMember
 }
 
-// faults are what may happen to a machine, in turn.
+// faults holds the faults of machines in the order of their injection.
 var faults = []func(fleet *testFleet, member *testMember){
 	func(fleet *testFleet, member *testMember) { fleet.kill(member) },
 	func(_ *testFleet, member *testMember) { member.disk.full = true },
@@ -61,45 +62,45 @@
 	func(fleet *testFleet, member *testMember) { fleet.kill(member); fleet.start(member) },
 }
 
-// step sends the next change when it is due, and begins or ends a fault when its change has come.
-func (trial *catchUpTrial) step() {
-	trial.operator.tick()
-	trial.fleet.step()
-	if trial.operator.number == trial.seen {
+// step sends the next change if it is due, and begins or ends a fault at the changes that are fixed for that.
+func (scenario *catchUpScenario) step() {
+	scenario.operator.tick()
+	scenario.fleet.step()
+	if scenario.operator.number == scenario.lastChange {
 		return
 	}
-	trial.seen, trial.moved = trial.operator.number, trial.fleet.now
-	if trial.seen%trial.every == 1 {
-		trial.injectFault()
-	} else if trial.faulty != nil && trial.seen%trial.every == trial.every-30 {
-		trial.repair()
+	scenario.lastChange, scenario.lastChangeAt = scenario.operator.number, scenario.fleet.now
+	if scenario.lastChange%scenario.span == 1 {
+		scenario.injectFault()
+	} else if scenario.faulty != nil && scenario.lastChange%scenario.span == scenario.span-30 {
+		scenario.repair()
 	}
 }
 
-// injectFault lets the next fault happen to a machine that is drawn.
-func (trial *catchUpTrial) injectFault() {
-	trial.faulty = trial.fleet.members[trial.fleet.random.Intn(len(trial.fleet.members))]
-	faults[trial.turns%len(faults)](trial.fleet, trial.faulty)
-	trial.turns++
+// injectFault injects the next fault into a random machine.
+func (scenario *catchUpScenario) injectFault() {
+	scenario.faulty = scenario.fleet.members[scenario.fleet.random.Intn(len(scenario.fleet.members))]
+	faults[scenario.injected%len(faults)](scenario.fleet, scenario.faulty)
+	scenario.injected++
 }
 
-// repair ends the fault of the machine and waits until it is in the chain.
-func (trial *catchUpTrial) repair() {
-	fleet := trial.fleet
-	trial.faulty.disk.full, trial.faulty.disk.stalled = false, false
-	if !trial.faulty.up() {
-		fleet.start(trial.faulty)
+// repair ends the fault and waits until the machine is in the chain.
+func (scenario *catchUpScenario) repair() {
+	fleet := scenario.fleet
+	scenario.faulty.disk.full, scenario.faulty.disk.stalled = false, false
+	if !scenario.faulty.up() {
+		fleet.start(scenario.faulty)
 	}
-	trial.faulty = nil
-	fleet.until("the member that was away to be in the chain", 10*time.Second, func() bool {
-		trial.operator.tick()
+	scenario.faulty = nil
+	fleet.until("all members in the chain after a repair", 10*time.Second, func() bool {
+		scenario.operator.tick()
 		leader := fleet.leader()
 		return leader != nil && len(leader.node.View().Chain) == len(fleet.members)
 	})
 }
 
-// wantAlike wants all members to hold the same document of an epoch, byte for byte.
-func (fleet *testFleet) wantAlike(epoch uint64) {
+// wantSameDocument checks that all running members hold the same document of an epoch, byte for byte.
+func (fleet *testFleet) wantSameDocument(epoch uint64) {
 	fleet.t.Helper()
 	first := ""
 	for _, member := range fleet.members {
@@ -121,37 +122,38 @@
 	}
 }
 
-// A disk that takes longer than the time between two questions for the document, while changes go on: each answer
-// brings a newer document, and the member still has to come in.
+// Guards against a member that never joins the chain because its disk is slow: while changes continue, each answer
+// holds a newer document, and syncing one takes longer than the interval between two requests for it.
 func TestSlowDiskLearnsWhileChangesGoOn(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 4)
 	operator := &testOperator{fleet: fleet, name: "o"}
-	away := fleet.members[2]
-	fleet.kill(away)
-	fleet.until("changes without it", 30*time.Second, func() bool { operator.tick(); return operator.number >= 20 })
-	away.disk = newTestDisk()
-	away.identity, away.founding = "id99", false
-	fleet.start(away)
-	away.disk.stalled = true
-	// The disk takes what waits and has it synced a while later; what comes meanwhile waits for the next turn.
+	joining := fleet.members[2]
+	fleet.kill(joining)
+	fleet.until("20 changes without the member", 30*time.Second,
+		func() bool { operator.tick(); return operator.number >= 20 })
+	joining.disk = newTestDisk()
+	joining.identity, joining.founding = "id99", false
+	fleet.start(joining)
+	joining.disk.stalled = true
+	// The disk takes all pending writes at once and has synced them after the delay. Later writes wait until then.
 	const delay = 340 * time.Millisecond
 	var taken []statemachine.Write
 	due := fleet.now
-	fleet.until("the member with the slow disk to be in the chain", 15*time.Second, func() bool {
+	fleet.until("the join of the member with the slow disk", 15*time.Second, func() bool {
 		operator.tick()
 		if !fleet.now.Before(due) {
-			storage.WriteBatch(away.store, taken, func(sequence uint64) { away.node.Synced(fleet.now, sequence) },
+			storage.WriteBatch(joining.store, taken, func(sequence uint64) { joining.node.Synced(fleet.now, sequence) },
 				func(err error) { t.Fatal(err) })
-			taken, away.writes = away.writes, nil
+			taken, joining.writes = joining.writes, nil
 			due = fleet.now.Add(delay)
 		}
-		return away.node.Chain().IsMember()
+		return joining.node.Chain().IsMember()
 	})
 }
 
-// A machine that restarts again and again still begins a new slot before its log is long, with any size of
-// configuration, and what its disk holds stays bounded.
+// Guards against a log that grows without a bound on a machine that restarts often: the machine must write a snapshot
+// to a new slot before its log is long, with any size of configuration.
 func TestLogStaysBoundedOverRestarts(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 5)
@@ -161,67 +163,68 @@
 		fleet.until("changes", 30*time.Second, func() bool { operator.tick(); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
-		fleet.until("its return", 10*time.Second,
+		fleet.until("the return of the restarted machine", 10*time.Second,
 			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().IsMember() })
 	}
 	for _, member := range fleet.members {
-		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.greatest)
-		if member.disk.greatest > 6<<20 {
-			t.Errorf("%s held %d bytes", member.address, member.disk.greatest)
+		t.Logf("%s wrote %d bytes and held %d at most", member.address, member.disk.written, member.disk.peak)
+		if member.disk.peak > 6<<20 {
+			t.Errorf("%s held %d bytes", member.address, member.disk.peak)
 		}
 	}
 }
 
-// A large configuration is held five times at most: in the slot in use and in the one that is being written, each time
-// with the change that is pending, and in the log.
+// Guards against disk usage of more than five times a large configuration: the slot in use and the slot that is being
+// written hold it with one pending change each, and the log holds it once.
 func TestDiskHoldsFiveLargeConfigurationsAtMost(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 5)
 	operator := &testOperator{fleet: fleet, name: "o", routes: 20000}
 	restarted := fleet.members[1]
-	var rounds uint64 = max(1, 2/slowness)
+	var rounds uint64 = max(1, 2/intervalFactor)
 	for incarnation := range rounds {
 		fleet.until("changes", time.Minute, func() bool { operator.tick(); return operator.number >= 4*(incarnation+1) })
 		fleet.kill(restarted)
 		fleet.start(restarted)
-		fleet.until("its return", 20*time.Second,
+		fleet.until("the return of the restarted machine", 20*time.Second,
 			func() bool { return len(restarted.node.Chain().Pending()) == 0 && restarted.node.Chain().IsMember() })
 	}
 	size := int64(len(fleet.members[0].node.Chain().Committed().Spec))
 	for _, member := range fleet.members {
-		t.Logf("%s held %d bytes at most, %.2f times the configuration", member.address, member.disk.greatest,
-			float64(member.disk.greatest)/float64(size))
-		if int64(member.disk.greatest) > 5*size+size/100 {
-			t.Errorf("%s held %d bytes, of a configuration of %d", member.address, member.disk.greatest, size)
+		t.Logf("%s held %d bytes at most, %.2f times the configuration", member.address, member.disk.peak,
+			float64(member.disk.peak)/float64(size))
+		if int64(member.disk.peak) > 5*size+size/100 {
+			t.Errorf("%s held %d bytes, of a configuration of %d", member.address, member.disk.peak, size)
 		}
 	}
 }
 
-// All lose their power just after a member has joined the chain, before it was sent what was committed since it
-// learned the document; it comes back first, with an acceptor outside the chain. It must not lead with its old state.
+// Guards against the loss of acknowledged changes when a member that has just joined leads alone: all machines lose
+// power after it joined the chain and before it received the changes committed since it learned the document, and it
+// returns first, together with an acceptor outside the chain.
 func TestJoinerDoesNotLeadAlone(t *testing.T) {
 	t.Parallel()
 	for _, wiped := range []bool{false, true} {
 		fleet := &testFleet{t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(9))}
-		lines := make([]*wire.Member, 0, 3)
-		for number, name := range []string{"head", "joiner", "keeper"} {
+		members := make([]*wire.Member, 0, 3)
+		for number, name := range []string{"head", "joiner", "voter"} {
 			address := fmt.Sprintf("127.0.0.%d:1", number+1)
 			fleet.seeds = append(fleet.seeds, address)
-			lines = append(lines, &wire.Member{Id: name, Address: address, Zone: address})
+			members = append(members, &wire.Member{Id: name, Address: address, Zone: address})
 		}
-		view := &wire.View{Epoch: 5, Fleet: "f", MinReplicas: 1, HeadTerm: 1, Chain: lines[:2], Acceptors: lines}
+		view := &wire.View{Epoch: 5, Fleet: "f", MinReplicas: 1, HeadTerm: 1, Chain: members[:2], Acceptors: members}
 		document := func(epoch uint64) *wire.Document {
-			return &wire.Document{Sequence: epoch, SpecEpoch: epoch, Spec: whole("a")}
+			return &wire.Document{Sequence: epoch, SpecEpoch: epoch, Spec: configuration("a")}
 		}
-		for _, memory := range []*wire.DurableState{
+		for _, state := range []*wire.DurableState{
 			{Document: document(10)},
 			{Document: document(4), Incomplete: true},
 			{Document: document(3)},
 		} {
-			line := lines[len(fleet.members)]
-			memory.Id, memory.View = line.Id, view
-			member := &testMember{address: line.Address, identity: line.Id, disk: newTestDisk()}
-			content, err := proto.Marshal(memory)
+			record := members[len(fleet.members)]
+			state.Id, state.View = record.Id, view
+			member := &testMember{address: record.Address, identity: record.Id, disk: newTestDisk()}
+			content, err := proto.Marshal(state)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -236,16 +239,16 @@
 		fleet.start(fleet.members[2])
 		fleet.run(5 * time.Second)
 		if fleet.leader() != nil {
-			t.Fatal("somebody leads without the head")
+			t.Fatal("a machine leads without the former head")
 		}
 		if wiped {
-			// Nothing brings back what only a lost disk held; the fleet goes on with what there is.
+			// Changes that only the lost disk held cannot be recovered; the fleet continues with the remaining history.
 			fleet.acknowledged = 4
 			fleet.members[0].disk, fleet.members[0].identity = newTestDisk(), "another"
 		}
 		fleet.start(fleet.members[0])
 		fleet.until("a leader", 10*time.Second, func() bool { return fleet.leader() != nil })
 		fleet.run(5 * time.Second)
-		fleet.wantAlike(fleet.acknowledged)
+		fleet.wantSameDocument(fleet.acknowledged)
 	}
 }
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -16,106 +16,109 @@
 )
 
 const (
-	clusterStep  = 5 * time.Millisecond
-	fleetTick    = 50 * time.Millisecond
-	fleetGrace   = 8 * time.Second
-	fleetCatchUp = 4 * time.Second
-	changeEvery  = 200 * time.Millisecond
+	clusterStep    = 5 * time.Millisecond
+	fleetTick      = 50 * time.Millisecond
+	fleetGrace     = 8 * time.Second
+	fleetCatchUp   = 4 * time.Second
+	changeInterval = 200 * time.Millisecond
 )
 
-// momentStep is how far apart the moments are at which a second loss is tried. Under the race detector, which finds
-// nothing in a single goroutine, they are few.
-var momentStep = 50 * time.Millisecond * slowness
+// momentStep is the interval between the times at which tests inject a second fault. It is longer under the race
+// detector, which cannot find anything in a single goroutine.
+var momentStep = 50 * time.Millisecond * intervalFactor
 
-// fleet steps several cores together under one clock. Messages and writes take one step each, so a run depends on
-// nothing but what the test does.
+// fleet simulates several control machines under one clock. Messages and writes take one step each, so a run is
+// deterministic.
 type fleet struct {
 	t        *testing.T
 	now      time.Time
 	steps    int
 	faults   int
 	seeds    []string
-	machines []*coreMachine
+	machines []*controlMachine
 	messages []*wire.Envelope
 	targets  []string
-	// changing says that an operator sends a change now and then, each through the next machine.
-	changing bool
-	every    time.Duration
-	changes  int
-	acked    map[string]uint64
-	lastAck  time.Time
-	// gap is the longest time without a leader since the last call of watch.
-	gap, sinceLeader time.Duration
+	// changing enables an operator that sends a change in each changeInterval, each through the next machine.
+	changing       bool
+	changeInterval time.Duration
+	changes        int
+	acked          map[string]uint64
+	lastAck        time.Time
+	// longestGap is the longest time without a leader since a test reset it, and gap the current one.
+	longestGap, gap time.Duration
 }
 
-// coreMachine is one machine of a fleet: a process, where one runs, and its disk.
-type coreMachine struct {
+// controlMachine is one machine of a fleet: its disk, and its process if one runs.
+type controlMachine struct {
 	address, zone string
 	incarnation   int
 	node          *Node
 	writes        []write
-	// diskTime is how long a write takes beyond a step.
+	// diskTime is the additional time that a write takes beyond one step.
 	diskTime time.Duration
-	memory   *wire.DurableState
+	state    *wire.DurableState
 	records  []*wire.Record
-	// unreachable says that the machine is gone, so that nothing refuses a connection to it.
+	// unreachable is set while the machine is down or cut off, so that nothing refuses connections to it.
 	unreachable bool
 	finishedAt  time.Time
-	leaveBy     time.Time
+	// stopDeadline is the time at which a decommissioning process ends in any case; zero if it was not ordered to stop.
+	stopDeadline time.Time
 }
 
-// write is one that the disk has under way.
+// write is a write that the disk has not completed yet.
 type write struct {
 	sequence uint64
 	done     time.Time
 }
 
-// newFleet founds a fleet, the first three machines as founders, and runs it until it leads with all acceptors.
+// newFleet starts a fleet with at most three founders, and runs it until there are a leader, all acceptors and an
+// acknowledged change.
 func newFleet(t *testing.T, faults, count int) *fleet {
 	t.Helper()
-	fleet := &fleet{t: t, now: time.Unix(1_700_000_000, 0), faults: faults, every: changeEvery, acked: map[string]uint64{}}
-	for place := range min(3, count) {
-		fleet.seeds = append(fleet.seeds, addressAt(place))
+	fleet := &fleet{t: t, now: time.Unix(1_700_000_000, 0), faults: faults, changeInterval: changeInterval,
+		acked: map[string]uint64{}}
+	for index := range min(3, count) {
+		fleet.seeds = append(fleet.seeds, addressAt(index))
 	}
 	for range count {
 		fleet.add(true)
 	}
-	fleet.runUntil(10*time.Second, "a whole fleet", fleet.whole)
+	fleet.runUntil(10*time.Second, "complete fleet", fleet.complete)
 	fleet.changing = true
-	fleet.run(2 * changeEvery)
+	fleet.run(2 * changeInterval)
 	if len(fleet.acked) == 0 {
-		t.Fatal("nothing was acknowledged in a calm fleet")
+		t.Fatal("no change was acknowledged without a fault")
 	}
 	return fleet
 }
 
-func addressAt(place int) string { return fmt.Sprintf("10.0.%d.1:7000", place) }
+func addressAt(index int) string { return fmt.Sprintf("10.0.%d.1:7000", index) }
 
-// add puts a machine with an empty disk at a new address.
-func (fleet *fleet) add(founding bool) *coreMachine {
-	place := len(fleet.machines)
-	machine := &coreMachine{address: addressAt(place), zone: string(rune('a' + place%3))}
+// add starts a machine with an empty disk at a new address.
+func (fleet *fleet) add(founding bool) *controlMachine {
+	index := len(fleet.machines)
+	machine := &controlMachine{address: addressAt(index), zone: string(rune('a' + index%3))}
 	fleet.machines = append(fleet.machines, machine)
 	fleet.start(machine, founding)
 	return machine
 }
 
-// start starts the process of a machine on what its disk holds.
-func (fleet *fleet) start(machine *coreMachine, founding bool) {
+// start starts the process of a machine with the state on its disk.
+func (fleet *fleet) start(machine *controlMachine, founding bool) {
 	machine.incarnation++
-	if machine.memory == nil {
-		machine.memory = &wire.DurableState{Id: fmt.Sprintf("%s#%d", machine.address, machine.incarnation)}
+	if machine.state == nil {
+		machine.state = &wire.DurableState{Id: fmt.Sprintf("%s#%d", machine.address, machine.incarnation)}
 	}
 	seed := int64(len(machine.address)) + int64(slices.Index(fleet.machines, machine))*100 + int64(machine.incarnation)
 	settings := Settings{Address: machine.address, Zone: machine.zone, Seeds: fleet.running(), Faults: fleet.faults}
 	if founding {
 		settings.Founding, settings.Seeds, settings.Founders = true, fleet.seeds, fleet.seeds
 	}
-	machine.node = New(fleet.now, settings, machine.memory, machine.records, rand.New(rand.NewSource(seed)))
+	machine.node = New(fleet.now, settings, machine.state, machine.records, rand.New(rand.NewSource(seed)))
 	machine.writes = nil
 }
 
-// running gives the addresses of the first three machines that run, as the operator's list would.
+// running returns the addresses of the first three running machines, as an operator would list them as seeds.
 func (fleet *fleet) running() []string {
 	var running []string
 	for _, machine := range fleet.machines {
@@ -126,34 +129,34 @@
 	return running
 }
 
-// end ends the process of a machine at once.
-func (fleet *fleet) end(machine *coreMachine) {
-	machine.node, machine.writes, machine.finishedAt, machine.leaveBy = nil, nil, fleet.now, time.Time{}
+// end ends the process of a machine immediately.
+func (fleet *fleet) end(machine *controlMachine) {
+	machine.node, machine.writes, machine.finishedAt, machine.stopDeadline = nil, nil, fleet.now, time.Time{}
 }
 
-// remove takes a machine away for good, as a loss of power does.
-func (fleet *fleet) remove(machine *coreMachine) {
+// remove ends a process and makes its machine unreachable, as a power failure does.
+func (fleet *fleet) remove(machine *controlMachine) {
 	fleet.end(machine)
 	machine.unreachable = true
 }
 
-// wipe ends a process whose disk is lost, and starts the machine again with an empty one after a time.
-func (fleet *fleet) wipe(machine *coreMachine, down time.Duration) {
+// wipe ends a process, erases its disk, and restarts it with an empty one after a time.
+func (fleet *fleet) wipe(machine *controlMachine, down time.Duration) {
 	fleet.end(machine)
-	machine.unreachable, machine.memory, machine.records = true, nil, nil
+	machine.unreachable, machine.state, machine.records = true, nil, nil
 	fleet.run(down)
 	machine.unreachable = false
 	fleet.start(machine, false)
 }
 
-// stop asks a machine to leave, as SIGTERM does. It ends when it may, or once its grace is over.
-func (fleet *fleet) stop(machine *coreMachine) {
+// stop orders a machine to stop, as SIGTERM does. It ends once it may, or when the grace period is over.
+func (fleet *fleet) stop(machine *controlMachine) {
 	machine.node.Decommission(fleet.now)
-	machine.leaveBy = fleet.now.Add(fleetGrace)
+	machine.stopDeadline = fleet.now.Add(fleetGrace)
 }
 
-// machine gives the machine whose process has an identity, or nil.
-func (fleet *fleet) machine(id string) *coreMachine {
+// machine returns the machine whose process has the id, or nil.
+func (fleet *fleet) machine(id string) *controlMachine {
 	for _, machine := range fleet.machines {
 		if machine.node != nil && machine.node.Self().Id == id {
 			return machine
@@ -162,7 +165,7 @@
 	return nil
 }
 
-func (fleet *fleet) at(address string) *coreMachine {
+func (fleet *fleet) at(address string) *controlMachine {
 	for _, machine := range fleet.machines {
 		if machine.address == address {
 			return machine
@@ -171,9 +174,9 @@
 	return nil
 }
 
-// leader gives the machine that leads, or nil; two at once are a fault.
-func (fleet *fleet) leader() *coreMachine {
-	var leader *coreMachine
+// leader returns the machine that leads, or nil. It fails the test if two lead at the same time.
+func (fleet *fleet) leader() *controlMachine {
+	var leader *controlMachine
 	for _, machine := range fleet.machines {
 		if machine.node == nil || !machine.node.IsLeading(fleet.now) {
 			continue
@@ -186,8 +189,9 @@
 	return leader
 }
 
-// whole tells whether somebody leads under a view of live members with all copies and all acceptors.
-func (fleet *fleet) whole() bool {
+// complete reports whether there is a leader whose view has enough replicas and all acceptors, each of them running
+// under this view.
+func (fleet *fleet) complete() bool {
 	leader := fleet.leader()
 	if leader == nil {
 		return false
@@ -208,20 +212,20 @@
 	}
 }
 
-// runUntil runs until a condition holds, and tells how long that took; too long is a fault.
-func (fleet *fleet) runUntil(most time.Duration, what string, holds func() bool) time.Duration {
+// runUntil runs until a condition holds, and returns how long that took. It fails the test after the timeout.
+func (fleet *fleet) runUntil(timeout time.Duration, event string, holds func() bool) time.Duration {
 	fleet.t.Helper()
 	started := fleet.now
 	for !holds() {
-		if fleet.now.Sub(started) >= most {
-			fleet.t.Fatalf("no %s after %v: %s", what, most, fleet.state())
+		if fleet.now.Sub(started) >= timeout {
+			fleet.t.Fatalf("no %s after %v: %s", event, timeout, fleet.state())
 		}
 		fleet.step()
 	}
 	return fleet.now.Sub(started)
 }
 
-// state describes every machine, for a failure.
+// state describes every machine, for failure messages.
 func (fleet *fleet) state() string {
 	var text strings.Builder
 	for _, machine := range fleet.machines {
@@ -230,8 +234,8 @@
 			continue
 		}
 		current := machine.node.View()
-		fmt.Fprintf(&text, "\n  %s leads %v leaving %v view %d chain %v acceptors %v", machine.address,
-			machine.node.IsLeading(fleet.now), !machine.leaveBy.IsZero(), current.Epoch, ids(current.Chain),
+		fmt.Fprintf(&text, "\n  %s leads %v decommissioning %v view %d chain %v acceptors %v", machine.address,
+			machine.node.IsLeading(fleet.now), !machine.stopDeadline.IsZero(), current.Epoch, ids(current.Chain),
 			ids(current.Acceptors))
 	}
 	return text.String()
@@ -245,16 +249,17 @@
 	return ids
 }
 
-// step lets a step of time pass: what was sent arrives, what was written is synced, what is due is done.
+// step advances the time by one step: messages of the last step arrive, completed writes are reported, and machines
+// whose tick is due are ticked.
 func (fleet *fleet) step() {
 	fleet.now = fleet.now.Add(clusterStep)
 	fleet.steps++
 	messages, targets := fleet.messages, fleet.targets
 	fleet.messages, fleet.targets = nil, nil
-	for place, envelope := range messages {
-		fleet.deliver(targets[place], envelope)
+	for index, envelope := range messages {
+		fleet.deliver(targets[index], envelope)
 	}
-	for place, machine := range fleet.machines {
+	for index, machine := range fleet.machines {
 		if machine.node == nil {
 			continue
 		}
@@ -263,12 +268,12 @@
 			machine.writes = machine.writes[1:]
 			machine.node.Synced(fleet.now, done.sequence)
 		}
-		if (fleet.steps+place)%int(fleetTick/clusterStep) == 0 {
+		if (fleet.steps+index)%int(fleetTick/clusterStep) == 0 {
 			machine.node.Tick(fleet.now)
-			fleet.endIfLeft(machine)
+			fleet.endIfDecommissioned(machine)
 		}
 	}
-	if fleet.changing && fleet.steps%int(fleet.every/clusterStep) == 0 {
+	if fleet.changing && fleet.steps%int(fleet.changeInterval/clusterStep) == 0 {
 		fleet.change()
 	}
 	for _, machine := range fleet.machines {
@@ -291,14 +296,15 @@
 	}
 }
 
-func (fleet *fleet) endIfLeft(machine *coreMachine) {
-	if !machine.leaveBy.IsZero() && (machine.node.IsDecommissioned(fleet.now) || fleet.now.After(machine.leaveBy)) {
+func (fleet *fleet) endIfDecommissioned(machine *controlMachine) {
+	if !machine.stopDeadline.IsZero() &&
+		(machine.node.IsDecommissioned(fleet.now) || fleet.now.After(machine.stopDeadline)) {
 		fleet.end(machine)
 	}
 }
 
-// drain takes out what a machine sends and writes.
-func (fleet *fleet) drain(machine *coreMachine) {
+// drain collects the messages of a machine, and applies its writes to its disk.
+func (fleet *fleet) drain(machine *controlMachine) {
 	if machine.node == nil {
 		return
 	}
@@ -312,23 +318,23 @@
 	}
 	for _, write := range writes {
 		if write.Snapshot != nil {
-			machine.memory, machine.records = proto.CloneOf(write.Snapshot), nil
+			machine.state, machine.records = proto.CloneOf(write.Snapshot), nil
 		}
 		if write.Record != nil {
 			machine.records = append(machine.records, proto.CloneOf(write.Record))
 		}
-		machine.writes = append(machine.writes, fleet.begin(machine, write.Sequence))
+		machine.writes = append(machine.writes, fleet.beginWrite(machine, write.Sequence))
 	}
 }
 
-func (fleet *fleet) begin(machine *coreMachine, sequence uint64) write {
+func (fleet *fleet) beginWrite(machine *controlMachine, sequence uint64) write {
 	return write{sequence: sequence, done: fleet.now.Add(clusterStep + machine.diskTime)}
 }
 
-// change sends a change through the next machine that runs.
+// change sends a change through the next running machine.
 func (fleet *fleet) change() {
 	fleet.changes++
-	var running []*coreMachine
+	var running []*controlMachine
 	for _, machine := range fleet.machines {
 		if machine.node != nil {
 			running = append(running, machine)
@@ -338,8 +344,8 @@
 		return
 	}
 	operation := fmt.Sprintf("change-%d", fleet.changes)
-	ask := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: whole("l")}
-	running[fleet.changes%len(running)].node.Submit(fleet.now, ask, func(status int, body []byte) {
+	request := &wire.OperatorRequest{Verb: "apply", Operation: operation, Spec: configuration("l")}
+	running[fleet.changes%len(running)].node.Submit(fleet.now, request, func(status int, body []byte) {
 		reply := proposal.Reply{}
 		if err := json.Unmarshal(body, &reply); err != nil {
 			fleet.t.Fatalf("answer %q: %v", body, err)
@@ -352,15 +358,15 @@
 
 func (fleet *fleet) watchLeader() {
 	if fleet.leader() != nil {
-		fleet.sinceLeader = 0
+		fleet.gap = 0
 		return
 	}
-	fleet.sinceLeader += clusterStep
-	fleet.gap = max(fleet.gap, fleet.sinceLeader)
+	fleet.gap += clusterStep
+	fleet.longestGap = max(fleet.longestGap, fleet.gap)
 }
 
-// requireKept wants every acknowledged change in a document.
-func (fleet *fleet) requireKept(machine *coreMachine) {
+// requireKept checks that the outcome of every acknowledged change is in a machine's document.
+func (fleet *fleet) requireKept(machine *controlMachine) {
 	fleet.t.Helper()
 	for operation, epoch := range fleet.acked {
 		if outcome := machine.node.Chain().Outcome(operation); outcome == nil || outcome.SpecEpoch != epoch {
@@ -370,11 +376,12 @@
 	}
 }
 
-// requireServing wants a leader with all that was acknowledged, and a new acknowledgement, within a time.
-func (fleet *fleet) requireServing(most time.Duration) {
+// requireServing checks that within the timeout there is a leader with all acknowledged changes, and that within
+// another one a change is acknowledged.
+func (fleet *fleet) requireServing(timeout time.Duration) {
 	fleet.t.Helper()
-	fleet.runUntil(most, "leader", func() bool { return fleet.leader() != nil })
+	fleet.runUntil(timeout, "leader", func() bool { return fleet.leader() != nil })
 	since := fleet.now
-	fleet.runUntil(most, "acknowledgement", func() bool { return fleet.lastAck.After(since) })
+	fleet.runUntil(timeout, "acknowledgement", func() bool { return fleet.lastAck.After(since) })
 	fleet.requireKept(fleet.leader())
 }
--- a/control/node/confirmation_test.go
+++ b/control/node/confirmation_test.go
@@ -10,8 +10,8 @@
 	"wardtray/wire"
 )
 
-// grantOf has an acceptor answer a head's question for its lease, and gives the answer.
-func grantOf(t *testing.T, node *Node, now time.Time, head *wire.Member) *wire.LeaderLeaseGrant {
+// requestLeaderLease delivers a head's request for the leader's lease to an acceptor, and returns the grant.
+func requestLeaderLease(t *testing.T, node *Node, now time.Time, head *wire.Member) *wire.LeaderLeaseGrant {
 	t.Helper()
 	node.Receive(
 		now,
@@ -29,11 +29,11 @@
 			return grant
 		}
 	}
-	t.Fatal("no grant")
+	t.Fatal("the acceptor sent no grant")
 	return nil
 }
 
-// threeMembers are the members of the chains that these tests begin with: the head first.
+// threeMembers returns the members of the initial chain of these tests, the head first.
 func threeMembers() []*wire.Member {
 	return []*wire.Member{
 		{Id: "a", Address: "127.0.0.1:1", Zone: "a"},
@@ -42,7 +42,7 @@
 	}
 }
 
-// restartedAcceptor starts the second of three members with a document of a directory on its disk, and returns it and
+// restartedAcceptor starts the second of three members with a document with a directory on its disk, and returns it and
 // the head.
 func restartedAcceptor(now time.Time, directory []*wire.Member) (*Node, *wire.Member) {
 	members := threeMembers()
@@ -56,9 +56,9 @@
 	return New(now, settings, state, nil, rand.New(rand.NewSource(1))), members[0]
 }
 
-// An acceptor that restarts has forgotten which daemons go by its word. Found by verify/modelcheck: it told the head
-// that none did, and the head acknowledged a change while a daemon went by less. It names a whole lease, counted from
-// its start.
+// Guards against a change that is acknowledged while a daemon still serves with an older document. A restarted acceptor
+// has lost its record of the daemons that rely on its confirmations; verify/modelcheck found that it reported none to
+// the head. It must report the full duration of a lease, counted from its start.
 func TestARestartedAcceptorCountsItsForgottenWords(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	node, head := restartedAcceptor(now, nil)
@@ -66,7 +66,7 @@
 	for _, test := range []struct{ since, want time.Duration }{
 		{0, length}, {lease.DaemonTTL / 2, length - lease.DaemonTTL/2}, {length, 0},
 	} {
-		grant := grantOf(t, node, now.Add(test.since), head)
+		grant := requestLeaderLease(t, node, now.Add(test.since), head)
 		if got := time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond; grant.KnownSequence != 4 ||
 			got != test.want {
 			t.Fatalf("%v after the start: known %d, relied on for %v, want %v", test.since, grant.KnownSequence, got, test.want)
@@ -74,7 +74,8 @@
 	}
 }
 
-// An acceptor confirms the daemons of its directory alone, and once it has told the head what it knows, nothing older.
+// Guards against confirmations that the head does not account for: an acceptor must confirm only daemons of its
+// directory, and no document older than the sequence that it has reported to the head.
 func TestAnAcceptorConfirmsItsDirectoryAlone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	node, head := restartedAcceptor(now, []*wire.Member{{Id: "d", Address: "d", Zone: "a"}})
@@ -91,16 +92,16 @@
 		return false
 	}
 	if confirmed("d", 4) {
-		t.Fatal("confirms before a head has told it anything")
+		t.Fatal("confirms before it has received a head's request")
 	}
-	grantOf(t, node, now, head)
+	requestLeaderLease(t, node, now, head)
 	for _, test := range []struct {
 		daemon   string
 		sequence uint64
 		want     bool
 	}{{"d", 4, true}, {"d", 3, false}, {"stranger", 4, false}} {
 		if got := confirmed(test.daemon, test.sequence); got != test.want {
-			t.Fatalf("%s with %d: %v", test.daemon, test.sequence, got)
+			t.Fatalf("daemon %s with sequence %d: confirmed %v", test.daemon, test.sequence, got)
 		}
 	}
 }
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -20,18 +20,18 @@
 
 const (
 	fleetStep = 10 * time.Millisecond
-	// orderPatience is how long the test's operator waits before it sends the same order through another member.
-	orderPatience = 900 * time.Millisecond
+	// operatorRetryDelay is the time after which a test's operator retries an unanswered request through another member.
+	operatorRetryDelay = 900 * time.Millisecond
 )
 
 var errDiskFull = errors.New("no space left")
 
-// testDisk is a data folder in memory that can be full or stalled.
+// testDisk is an in-memory data directory that can be full or stalled.
 type testDisk struct {
 	files         map[string][]byte
 	full, stalled bool
-	// written counts the bytes that were written, greatest the most that the files held together.
-	written, greatest int
+	// written is the number of bytes written, and peak the largest total size of the files, in bytes.
+	written, peak int
 }
 
 func newTestDisk() *testDisk { return &testDisk{files: map[string][]byte{}} }
@@ -50,7 +50,7 @@
 	for _, content := range disk.files {
 		held += len(content)
 	}
-	disk.greatest = max(disk.greatest, held)
+	disk.peak = max(disk.peak, held)
 	return nil
 }
 
@@ -96,21 +96,23 @@
 
 func (member *testMember) up() bool { return member.node != nil }
 
-// testFleet steps the whole control plane of several machines together, with their disks and the messages between.
+// testFleet simulates several control machines with their disks and the messages between them. Unlike fleet it stores
+// snapshots and logs as package storage does, and can lose messages.
 type testFleet struct {
 	t       *testing.T
 	now     time.Time
 	random  *rand.Rand
 	members []*testMember
 	seeds   []string
-	mail    []statemachine.Message
-	// lost decides which messages don't arrive.
-	lost func(message statemachine.Message) bool
-	// acknowledged is the greatest epoch that an operator was told of; every leader must have it.
+	// inFlight holds the messages that arrive in the next step.
+	inFlight []statemachine.Message
+	// isLost reports whether a message does not arrive; nil if all arrive.
+	isLost func(message statemachine.Message) bool
+	// acknowledged is the newest epoch that was acknowledged to an operator; every leader must have it.
 	acknowledged uint64
 }
 
-// testFleetSize is how many machines a test fleet starts with.
+// testFleetSize is the number of machines with which a test fleet starts.
 const testFleetSize = 3
 
 func newTestFleet(t *testing.T, seed int64) *testFleet {
@@ -143,7 +145,7 @@
 func (fleet *testFleet) start(member *testMember) {
 	restored, err := storage.Recover(member.disk, func() string { return member.identity }, "test")
 	if err != nil {
-		fleet.t.Fatalf("%s does not start: %v", member.address, err)
+		fleet.t.Fatalf("%s cannot recover its disk: %v", member.address, err)
 	}
 	fleet.wantContiguous(member, restored)
 	member.incarnations++
@@ -163,21 +165,21 @@
 	)
 }
 
-// wantContiguous wants what a disk gives back to be one history without a gap.
+// wantContiguous checks that the history that was recovered from a disk has no gap.
 func (fleet *testFleet) wantContiguous(member *testMember, restored storage.Recovery) {
-	memory := proto.CloneOf(restored.State)
+	state := proto.CloneOf(restored.State)
 	for _, record := range restored.Records {
-		durability.Replay(memory, record)
+		durability.Replay(state, record)
 	}
-	last := memory.Document.GetSequence()
-	for _, entry := range memory.Pending {
+	last := state.Document.GetSequence()
+	for _, entry := range state.Pending {
 		if last++; entry.Sequence != last {
-			fleet.t.Fatalf("%s holds entry %d in place of %d", member.address, entry.Sequence, last)
+			fleet.t.Fatalf("%s recovered entry %d in place of %d", member.address, entry.Sequence, last)
 		}
 	}
 }
 
-// kill ends a process; what it had not written is gone.
+// kill ends a process; its pending writes are lost.
 func (fleet *testFleet) kill(member *testMember) { member.node, member.writes = nil, nil }
 
 func (fleet *testFleet) at(address string) *testMember {
@@ -198,30 +200,30 @@
 	return nil
 }
 
-// run steps everything for a time.
+// run advances the fleet by a time.
 func (fleet *testFleet) run(length time.Duration) {
 	for end := fleet.now.Add(length); fleet.now.Before(end); {
 		fleet.step()
 	}
 }
 
-// until steps everything until something holds.
-func (fleet *testFleet) until(what string, bound time.Duration, holds func() bool) {
+// until advances the fleet until a condition holds. It fails the test after the timeout.
+func (fleet *testFleet) until(event string, timeout time.Duration, holds func() bool) {
 	fleet.t.Helper()
-	for end := fleet.now.Add(bound); !holds(); fleet.step() {
+	for end := fleet.now.Add(timeout); !holds(); fleet.step() {
 		if fleet.now.After(end) {
 			fleet.describe()
-			fleet.t.Fatalf("%s did not come within %v", what, bound)
+			fleet.t.Fatalf("%s: not reached within %v", event, timeout)
 		}
 	}
 }
 
 func (fleet *testFleet) step() {
 	fleet.now = fleet.now.Add(fleetStep)
-	mail := fleet.mail
-	fleet.mail = nil
-	for _, message := range mail {
-		if member := fleet.at(message.To); member != nil && (fleet.lost == nil || !fleet.lost(message)) {
+	arriving := fleet.inFlight
+	fleet.inFlight = nil
+	for _, message := range arriving {
+		if member := fleet.at(message.To); member != nil && (fleet.isLost == nil || !fleet.isLost(message)) {
 			member.node.Receive(fleet.now, message.Envelope)
 		}
 	}
@@ -233,23 +235,23 @@
 			member.node.Tick(fleet.now)
 		}
 		fleet.drain(member)
-		fleet.carry(member)
+		fleet.completeWrites(member)
 		fleet.drain(member)
 	}
-	fleet.check()
+	fleet.checkLeaders()
 }
 
-// drain takes what a machine sends and wants written.
+// drain collects the messages and writes of a machine.
 func (fleet *testFleet) drain(member *testMember) {
 	messages, writes := member.node.Ready()
 	for _, message := range messages {
 		message.Envelope = proto.CloneOf(message.Envelope)
-		fleet.mail = append(fleet.mail, message)
+		fleet.inFlight = append(fleet.inFlight, message)
 	}
 	member.writes = append(member.writes, writes...)
 }
 
-func (fleet *testFleet) carry(member *testMember) {
+func (fleet *testFleet) completeWrites(member *testMember) {
 	if member.disk.stalled || len(member.writes) == 0 {
 		return
 	}
@@ -259,8 +261,8 @@
 		func(error) { member.node.DiskFailed(fleet.now) })
 }
 
-// check wants every leader to have all that was acknowledged.
-func (fleet *testFleet) check() {
+// checkLeaders checks that every leader has the newest acknowledged epoch.
+func (fleet *testFleet) checkLeaders() {
 	for _, member := range fleet.members {
 		if member.up() && member.node.IsLeading(fleet.now) && member.node.Chain().Committed().SpecEpoch < fleet.acknowledged {
 			fleet.describe()
@@ -275,7 +277,7 @@
 		if member.up() {
 			chain, view := member.node.Chain(), member.node.View()
 			names := " " + strings.Join(ids(view.Chain), " ")
-			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, sick %v",
+			fleet.t.Logf("%s %s: view %d of%s, committed %d, pending %d, synced %d, learned %d, leads %v, unhealthy %v",
 				member.address, member.identity, view.Epoch, names, chain.Committed().SpecEpoch, len(chain.Pending()),
 				chain.Synced(), chain.LearnedView(), member.node.IsLeading(fleet.now),
 				member.node.members.disk.IsUnhealthy(fleet.now))
@@ -283,47 +285,49 @@
 	}
 }
 
-// send has a machine take an order; the answer is filled in once there is one.
-func (fleet *testFleet) send(member *testMember, order *wire.OperatorRequest) *given {
-	given := &given{}
+// send submits a request to a machine. The response is filled in when it arrives; its status is 0 until then.
+func (fleet *testFleet) send(member *testMember, request *wire.OperatorRequest) *response {
+	response := &response{}
 	if member == nil || !member.up() {
-		return given
+		return response
 	}
-	member.node.Submit(fleet.now, proto.CloneOf(order), func(status int, body []byte) {
-		given.status = status
-		if err := json.Unmarshal(body, &given.reply); err != nil {
+	member.node.Submit(fleet.now, proto.CloneOf(request), func(status int, body []byte) {
+		response.status = status
+		if err := json.Unmarshal(body, &response.reply); err != nil {
 			panic(err)
 		}
 	})
-	return given
+	return response
 }
 
-// testOperator sends one order after the other, each through a machine after the other until it is acknowledged.
+// testOperator sends one change after the other. It retries each through the next machine until it is acknowledged.
 type testOperator struct {
 	fleet *testFleet
 	name  string
-	// routes is how many routes each configuration has.
+	// routes is the number of routes in each configuration.
 	routes int
+	// number is the number of acknowledged changes.
 	number uint64
-	turn   int
-	order  *wire.OperatorRequest
-	copies []*given
-	sent   time.Time
-	next   time.Time
+	// target is the index of the next machine to use, modulo the number of machines.
+	target  int
+	request *wire.OperatorRequest
+	copies  []*response
+	sent    time.Time
+	next    time.Time
 }
 
-// operatorInterval is how often a test's operator starts a change.
+// operatorInterval is the shortest interval between two changes of a test's operator.
 const operatorInterval = 100 * time.Millisecond
 
-// tick sends what is due; every copy of an order must be acknowledged or left without a clear answer.
+// tick sends the next change or retry if it is due. It fails the test if a copy of a request is refused.
 func (operator *testOperator) tick() {
 	fleet := operator.fleet
-	if operator.order == nil {
+	if operator.request == nil {
 		if fleet.now.Before(operator.next) {
 			return
 		}
 		operator.next = fleet.now.Add(operatorInterval)
-		operator.order = apply(
+		operator.request = apply(
 			fmt.Sprintf("%s%d", operator.name, operator.number+1),
 			operator.number,
 			operator.number+1,
@@ -333,29 +337,29 @@
 	for _, copy := range operator.copies {
 		if copy.status >= 400 && copy.status < 500 {
 			fleet.describe()
-			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.order.Operation, len(operator.copies),
+			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.request.Operation, len(operator.copies),
 				copy.status, copy.reply)
 		}
 		if copy.status == 200 {
 			operator.number++
 			fleet.acknowledged = operator.number
-			operator.order = nil
+			operator.request = nil
 			return
 		}
 	}
-	if fleet.now.Sub(operator.sent) >= orderPatience {
+	if fleet.now.Sub(operator.sent) >= operatorRetryDelay {
 		operator.sent = fleet.now
 		for range fleet.members {
-			operator.turn++
-			if member := fleet.members[operator.turn%len(fleet.members)]; member.up() {
-				operator.copies = append(operator.copies, fleet.send(member, operator.order))
+			operator.target++
+			if member := fleet.members[operator.target%len(fleet.members)]; member.up() {
+				operator.copies = append(operator.copies, fleet.send(member, operator.request))
 				return
 			}
 		}
 	}
 }
 
-// routes gives names of routes; each takes a quarter of a kilobyte in a configuration.
+// routes returns names of routes. With its name each takes a quarter of a kilobyte in a configuration.
 func routes(count int) []string {
 	names := make([]string, 0, count+1)
 	names = append(names, "lane")
--- a/control/node/golden_test.go
+++ b/control/node/golden_test.go
@@ -6,8 +6,8 @@
 	"wardtray/verify/golden"
 )
 
-// What operators read of a machine's state keeps its keys.
-func TestOperatorsAnswersKeepTheirKeys(t *testing.T) {
+// Guards against changed JSON keys in the status and the counters, which operators' tools read.
+func TestOperatorResponsesKeepTheirKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
 	golden.CompareJSON(t, "counters", golden.Marshal[Counters])
 }
--- a/control/node/reserve_test.go
+++ b/control/node/lastwritable_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A chain that shrank below its floor takes no changes, but it is the chain: where the one machine left in it loses
-// its disk, those of the last chain that took changes hold all that was acknowledged and go on. Found by
-// verify/modelcheck (restart-loss): the fleet stood still for good though a machine with everything was back.
+// Guards against a fleet that never serves again although a machine with every acknowledged change has returned, which
+// verify/modelcheck (restart-loss) found. A chain shorter than its minimum accepts no changes; if its last member loses
+// its disk, the members of the last chain that accepted changes hold everything acknowledged and must take over.
 func TestTheLastChainThatTookChangesGoesOn(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(t, 1, 3)
@@ -15,22 +15,22 @@
 	fleet.remove(third)
 	fleet.runUntil(5*time.Second, "chain of two",
 		func() bool { return len(first.node.View().Chain) == 2 && fleet.leader() == first })
-	fleet.run(2 * changeEvery)
+	fleet.run(2 * changeInterval)
 	fleet.changing = false
 	fleet.run(time.Second)
 	fleet.remove(second)
 	third.unreachable = false
 	fleet.start(third, false)
 	fleet.runUntil(10*time.Second, "chain of the first alone", func() bool { return len(first.node.View().Chain) == 1 })
-	for _, machine := range []*coreMachine{first, third} {
+	for _, machine := range []*controlMachine{first, third} {
 		fleet.remove(machine)
 	}
-	first.memory, first.records = nil, nil
+	first.state, first.records = nil, nil
 	for _, machine := range fleet.machines {
 		machine.unreachable = false
 		fleet.start(machine, false)
 	}
 	fleet.runUntil(10*time.Second, "leader after the loss", func() bool { return fleet.leader() != nil })
 	fleet.requireKept(fleet.leader())
-	fleet.runUntil(10*time.Second, "whole fleet", fleet.whole)
+	fleet.runUntil(10*time.Second, "complete fleet", fleet.complete)
 }
--- a/control/node/membership_test.go
+++ b/control/node/membership_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// wipedFor is how long a machine whose disk was lost is down.
-	wipedFor = 500 * time.Millisecond
-	// servingBound is within what time a fleet must serve again after a loss that it must bear.
+	// wipeDowntime is the time for which a machine is down when its disk is wiped.
+	wipeDowntime = 500 * time.Millisecond
+	// servingBound is the time within which a fleet must serve again after a loss that it must tolerate.
 	servingBound = 4 * time.Second
 )
 
-// newest gives the newest view under which a running machine acts.
-func (fleet *fleet) newest() *wire.View {
+// newestView returns the newest view under which a running machine acts.
+func (fleet *fleet) newestView() *wire.View {
 	newest := &wire.View{}
 	for _, machine := range fleet.machines {
 		if machine.node != nil && machine.node.View().Epoch > newest.Epoch {
@@ -29,26 +29,26 @@
 	return newest
 }
 
-// pick gives a running machine by its role in the newest view, the head of the chain or another acceptor, but none of
-// some.
-func (fleet *fleet) pick(role string, besides ...*coreMachine) *coreMachine {
-	newest := fleet.newest()
+// pick returns a running machine by its role in the newest view: the first of the chain, or an acceptor other than the
+// head. It skips the excluded machines.
+func (fleet *fleet) pick(role string, excluded ...*controlMachine) *controlMachine {
+	newest := fleet.newestView()
 	members := newest.Chain
 	if role == "other" {
 		members = membership.Without(newest.Acceptors, newest.Chain[0].Id)
 	}
 	for _, member := range members {
-		if machine := fleet.machine(member.Id); machine != nil && !slices.Contains(besides, machine) {
+		if machine := fleet.machine(member.Id); machine != nil && !slices.Contains(excluded, machine) {
 			return machine
 		}
 	}
-	fleet.t.Fatalf("no %s to pick: %s", role, fleet.state())
+	fleet.t.Fatalf("no running machine with role %s: %s", role, fleet.state())
 	return nil
 }
 
-func (fleet *fleet) otherAcceptor() *coreMachine { return fleet.pick("other") }
+func (fleet *fleet) otherAcceptor() *controlMachine { return fleet.pick("other") }
 
-// acceptorsWithout counts the acceptors that know a view without a machine.
+// acceptorsWithout returns the number of acceptors whose view does not contain a machine.
 func (fleet *fleet) acceptorsWithout(id string) (count int) {
 	for _, machine := range fleet.machines {
 		if machine.node == nil {
@@ -63,7 +63,7 @@
 	return count
 }
 
-// An acceptor that leaves ends only once a view without it is known to those who stay.
+// Guards against an acceptor that is decommissioned and ends before the remaining acceptors know a view without it.
 func TestALeavingAcceptorPassesItsSeatOnBeforeItEnds(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"head", "other"} {
@@ -74,52 +74,53 @@
 				leaver = fleet.otherAcceptor()
 			}
 			id := leaver.node.Self().Id
-			// One that stays knows the new view only when its slow disk does.
+			// A remaining acceptor with a slow disk adopts the new view late.
 			slow := fleet.pick("other", leaver)
 			if role == "other" {
 				slow.diskTime = 600 * time.Millisecond
 			}
-			fleet.gap = 0
+			fleet.longestGap = 0
 			fleet.stop(leaver)
-			took := fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
+			took := fleet.runUntil(fleetGrace, "end of the decommissioned machine", func() bool { return leaver.node == nil })
 			if took >= fleetGrace-time.Second {
 				t.Fatalf("it ended only after %v", took)
 			}
-			knowing := fleet.acceptorsWithout(id)
-			if knowing < 2*fleet.faults+1 {
-				t.Fatalf("%d acceptors know a view without it: %s", knowing, fleet.state())
+			updated := fleet.acceptorsWithout(id)
+			if updated < 2*fleet.faults+1 {
+				t.Fatalf("%d acceptors know a view without it: %s", updated, fleet.state())
 			}
 			slow.diskTime = 0
 			fleet.requireServing(servingBound)
-			if fleet.gap > leadershipGap {
-				t.Fatalf("nobody led for %v", fleet.gap)
+			if fleet.longestGap > maximumLeadershipGap {
+				t.Fatalf("nobody led for %v", fleet.longestGap)
 			}
 		})
 	}
 }
 
-// leadershipGap bounds the time without a leader where one leaves in order.
-const leadershipGap = 150 * time.Millisecond
+// maximumLeadershipGap is the longest time without a leader while the leader is decommissioned.
+const maximumLeadershipGap = 150 * time.Millisecond
 
-// With three cores and one lost, the third seat is empty until a successor comes. From then on it takes seatBound
-// until a second loss is borne; before that nothing acknowledged may be lost either.
+// Guards against the loss of service or of acknowledged changes when a second machine loses its disk. With three
+// machines and one lost, an acceptor slot is vacant until a successor starts; Bounds.AcceptorRepair later the fleet
+// must tolerate a second loss. Before that it need not serve, but must keep every acknowledged change.
 func TestASecondWipeAfterAnUnplannedRemoval(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []struct{ cores, first int }{{3, 0}, {3, 1}, {5, 0}, {5, 1}} {
-		t.Run(fmt.Sprintf("%d cores, loss of %d", shape.cores, shape.first), func(t *testing.T) {
-			for moment := time.Duration(0); moment <= fleetCatchUp; moment += momentStep {
+	for _, test := range []struct{ machines, first int }{{3, 0}, {3, 1}, {5, 0}, {5, 1}} {
+		t.Run(fmt.Sprintf("%d cores, loss of %d", test.machines, test.first), func(t *testing.T) {
+			for delay := time.Duration(0); delay <= fleetCatchUp; delay += momentStep {
 				for _, second := range []string{"head", "other"} {
-					testSecondWipe(t, shape.cores, shape.first, moment, second)
+					testSecondWipe(t, test.machines, test.first, delay, second)
 				}
 			}
 		})
 	}
 }
 
-// testSecondWipe wipes a second machine some time after the successor of the first has started.
-func testSecondWipe(t *testing.T, cores, first int, moment time.Duration, second string) {
+// testSecondWipe wipes a second machine after a delay from the start of the successor of the first.
+func testSecondWipe(t *testing.T, machines, first int, delay time.Duration, second string) {
 	t.Helper()
-	fleet := newFleet(t, 1, cores)
+	fleet := newFleet(t, 1, machines)
 	lost := fleet.leader()
 	if first > 0 {
 		lost = fleet.otherAcceptor()
@@ -127,14 +128,14 @@
 	fleet.remove(lost)
 	fleet.run(time.Second)
 	fleet.add(false)
-	fleet.run(moment)
-	// What a fleet of three bears only once the successor has the seat, one of five bears once
-	// the loss is known and a view agreed.
+	fleet.run(delay)
+	// A fleet of three tolerates a second loss only once the successor has the acceptor slot. One of five does once
+	// the first loss is detected and a new view agreed on.
 	bounds := timing.BoundsFor(timing.Limits{})
-	bears := time.Second+moment >= bounds.AcceptorRepair() ||
-		cores > 3 && time.Second+moment >= bounds.Detection()+bounds.ViewChange()
-	fleet.wipe(fleet.pick(second), wipedFor)
-	if bears {
+	toleratesLoss := time.Second+delay >= bounds.AcceptorRepair() ||
+		machines > 3 && time.Second+delay >= bounds.Detection()+bounds.ViewChange()
+	fleet.wipe(fleet.pick(second), wipeDowntime)
+	if toleratesLoss {
 		fleet.requireServing(servingBound)
 		return
 	}
@@ -146,27 +147,27 @@
 	}
 }
 
-// A successor that started well before its predecessor is told to stop must make up for it at every moment; here it
-// has half of the time that it would be given.
+// Guards against a planned replacement that leaves the fleet unable to tolerate the loss of a disk at some point in
+// time. The successor starts before its predecessor is ordered to stop, here only by half of the catch-up limit.
 func TestASecondWipeDuringAPlannedReplacement(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []struct {
-		cores int
-		role  string
+	for _, test := range []struct {
+		machines int
+		role     string
 	}{{3, "head"}, {3, "other"}, {5, "head"}, {5, "other"}} {
-		t.Run(fmt.Sprintf("%d cores, %s leaves", shape.cores, shape.role), func(t *testing.T) {
-			for moment := time.Duration(0); moment <= 1500*time.Millisecond; moment += momentStep {
+		t.Run(fmt.Sprintf("%d cores, %s leaves", test.machines, test.role), func(t *testing.T) {
+			for delay := time.Duration(0); delay <= 1500*time.Millisecond; delay += momentStep {
 				for _, second := range []string{"head", "other"} {
-					fleet := newFleet(t, 1, shape.cores)
+					fleet := newFleet(t, 1, test.machines)
 					fleet.add(false)
 					fleet.run(fleetCatchUp / 2)
 					leaver := fleet.leader()
-					if shape.role == "other" {
+					if test.role == "other" {
 						leaver = fleet.otherAcceptor()
 					}
 					fleet.stop(leaver)
-					fleet.run(moment)
-					fleet.wipe(fleet.pick(second, leaver), wipedFor)
+					fleet.run(delay)
+					fleet.wipe(fleet.pick(second, leaver), wipeDowntime)
 					fleet.requireServing(servingBound)
 				}
 			}
@@ -174,31 +175,32 @@
 	}
 }
 
-// The only holder of a copy stays until a successor has everything, however it is called to leave.
+// Guards against the loss of acknowledged changes when the only replica is decommissioned: it must not end until a
+// successor with a slow disk holds everything, whenever the order to stop comes.
 func TestTheOnlyHolderStaysUntilASuccessorHasItsCopy(t *testing.T) {
 	t.Parallel()
-	for moment := time.Duration(0); moment <= time.Second; moment += momentStep {
+	for delay := time.Duration(0); delay <= time.Second; delay += momentStep {
 		fleet := newFleet(t, 0, 1)
 		leaver := fleet.leader()
-		// Changes that are acknowledged while the successor's disk lags behind are the ones that could be lost.
-		fleet.every = 4 * fleetStep
+		// The changes at risk are those that are acknowledged while the successor's disk lags behind.
+		fleet.changeInterval = 4 * fleetStep
 		successor := fleet.add(false)
-		fleet.run(moment)
+		fleet.run(delay)
 		fleet.stop(leaver)
 		fleet.runUntil(servingBound, "successor in the chain",
-			func() bool { return membership.Contains(fleet.newest().Chain, successor.node.Self().Id) })
+			func() bool { return membership.Contains(fleet.newestView().Chain, successor.node.Self().Id) })
 		successor.diskTime = 550 * time.Millisecond
-		fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
+		fleet.runUntil(fleetGrace, "end of the decommissioned machine", func() bool { return leaver.node == nil })
 		fleet.runUntil(servingBound, "leader", func() bool { return fleet.leader() != nil })
 		fleet.requireKept(fleet.leader())
-		// Where two machines were in the chain before, a change wants two copies again.
-		successor.diskTime, fleet.every = 0, changeEvery
+		// If the chain has had two members, a change needs two replicas again.
+		successor.diskTime, fleet.changeInterval = 0, changeInterval
 		fleet.add(false)
 		fleet.requireServing(servingBound)
 	}
 }
 
-// A machine that leaves as the only holder, and is followed only after that, waits for its successor.
+// Guards against the loss of the only replica when the successor starts after the order to stop: the machine must wait.
 func TestTheOnlyHolderWaitsForASuccessor(t *testing.T) {
 	t.Parallel()
 	fleet := newFleet(t, 0, 1)
@@ -206,46 +208,48 @@
 	fleet.stop(leaver)
 	fleet.run(2 * time.Second)
 	fleet.add(false)
-	fleet.runUntil(fleetGrace, "end of the leaving machine", func() bool { return leaver.node == nil })
+	fleet.runUntil(fleetGrace, "end of the decommissioned machine", func() bool { return leaver.node == nil })
 	fleet.requireServing(servingBound)
 }
 
-// An acceptor that only falls silent for a moment may lose its seat to another machine; nobody stops for that.
+// Guards against losing service, or excluding other members, when an acceptor is silent for a short time. It may lose
+// its slot to another machine, but the fleet must keep serving.
 func TestAnAcceptorThatIsSilentForAMomentDoesNoHarm(t *testing.T) {
 	t.Parallel()
 	for silence := 300 * time.Millisecond; silence <= 1500*time.Millisecond; silence += momentStep {
 		fleet := newFleet(t, 1, 5)
-		fleet.gap = 0
+		fleet.longestGap = 0
 		for range 5 {
 			machine := fleet.otherAcceptor()
 			machine.unreachable = true
 			fleet.run(silence)
 			machine.unreachable = false
-			back := fleet.now
-			fleet.runUntil(servingBound, "return of the one that was silent", func() bool {
-				if newest := fleet.newest(); len(newest.Chain) < len(fleet.machines)-1 {
-					t.Fatalf("one was silent for %v and more were taken out: %s", silence, fleet.state())
+			returned := fleet.now
+			fleet.runUntil(servingBound, "return of the silent machine", func() bool {
+				if newest := fleet.newestView(); len(newest.Chain) < len(fleet.machines)-1 {
+					t.Fatalf("after a silence of %v of one machine others were excluded too: %s", silence, fleet.state())
 				}
-				return fleet.now.Sub(back) >= 300*time.Millisecond && fleet.whole() &&
-					len(fleet.newest().Chain) == len(fleet.machines)
+				return fleet.now.Sub(returned) >= 300*time.Millisecond && fleet.complete() &&
+					len(fleet.newestView().Chain) == len(fleet.machines)
 			})
 			fleet.run(300 * time.Millisecond)
 		}
-		if fleet.gap > leadershipGap {
-			t.Fatalf("silences of %v: nobody led for %v", silence, fleet.gap)
+		if fleet.longestGap > maximumLeadershipGap {
+			t.Fatalf("silences of %v: nobody led for %v", silence, fleet.longestGap)
 		}
 		fleet.requireServing(servingBound)
-		fleet.runUntil(servingBound, "whole fleet", fleet.whole)
+		fleet.runUntil(servingBound, "complete fleet", fleet.complete)
 	}
 }
 
-// Two losses at once out of eight, and two more once successors have had their time.
+// Guards against a fleet with Faults = 2 that does not tolerate two simultaneous losses out of eight machines, and two
+// more at any time after the successors have started.
 func TestTwoFaultsAmongEightCores(t *testing.T) {
 	t.Parallel()
-	for moment := time.Duration(0); moment <= fleetCatchUp; moment += 4 * momentStep {
+	for delay := time.Duration(0); delay <= fleetCatchUp; delay += 4 * momentStep {
 		fleet := newFleet(t, 2, 8)
 		if acceptors := len(fleet.leader().node.View().Acceptors); acceptors != 5 {
-			t.Fatalf("%d keepers", acceptors)
+			t.Fatalf("%d acceptors, want 5", acceptors)
 		}
 		first, second := fleet.leader(), fleet.otherAcceptor()
 		fleet.remove(first)
@@ -253,10 +257,10 @@
 		fleet.run(time.Second)
 		fleet.add(false)
 		fleet.add(false)
-		fleet.run(moment)
+		fleet.run(delay)
 		head := fleet.pick("head")
 		fleet.remove(fleet.pick("other", head))
-		fleet.wipe(head, wipedFor)
+		fleet.wipe(head, wipeDowntime)
 		fleet.requireServing(servingBound)
 	}
 }
--- a/control/node/node_test.go
+++ b/control/node/node_test.go
@@ -8,9 +8,10 @@
 	"wardtray/wire"
 )
 
-// Found by the simulator: a machine that restarted numbered its questions from 1 again, and the head's
-// answer to a question of its earlier life was given to another operator's change.
-func TestQuestionsOfTwoIncarnationsDiffer(t *testing.T) {
+// Guards against an operator that receives the answer to another operator's request. The simulator found that a
+// restarted machine numbered its requests from 1 again, so it matched the head's answer to a request of its earlier
+// incarnation with a new one.
+func TestRequestTokensOfTwoIncarnationsDiffer(t *testing.T) {
 	t.Parallel()
 	tokens := map[string]bool{}
 	for incarnation := range 2 {
@@ -19,13 +20,13 @@
 		answers := 0
 		token := node.Submit(time.Unix(0, 0), &wire.OperatorRequest{Verb: "get"}, func(int, []byte) { answers++ })
 		if tokens[token] {
-			t.Fatalf("token %s again", token)
+			t.Fatalf("token %s was used by two incarnations", token)
 		}
 		tokens[token] = true
 		// A response to a request that nobody made in this incarnation changes nothing.
 		node.requests.HandleResponse(&wire.OperatorResponse{Token: "same/1", Status: 200, Body: []byte("{}")})
 		if answers != 0 || node.requests.Count() != 1 {
-			t.Fatal("a stranger's answer was given")
+			t.Fatal("the answer to a request of another incarnation was accepted")
 		}
 	}
 	if len(tokens) != 2 {
@@ -33,22 +34,22 @@
 	}
 }
 
-// pair is a node under test beside another acceptor that only says what a test wants.
+// pair is a node under test and another member, which sends only the messages that a test specifies.
 type pair struct {
 	node        *Node
 	self, other *wire.Member
 	now         time.Time
-	// grants counts the leases that daemons got.
+	// grants is the number of leases granted to daemons.
 	grants int
 }
 
-// run lets time pass; otherAnswers tells whether the other member says that it has the whole history.
+// run advances the time. If otherAnswers is set, the other member acknowledges the complete history.
 func (pair *pair) run(length time.Duration, otherAnswers bool) {
 	for until := pair.now.Add(length); pair.now.Before(until); {
 		pair.now = pair.now.Add(50 * time.Millisecond)
 		pair.node.Tick(pair.now)
-		// The other lives, or a view without it would end the matter.
-		pair.hear(
+		// The other member sends heartbeats; without them a view without it would be agreed on.
+		pair.receive(
 			&wire.Envelope{
 				Body: &wire.Envelope_Heartbeat{
 					Heartbeat: &wire.Heartbeat{Member: pair.other, View: 3, Fleet: "f", Reachable: []string{"a", "b"}},
@@ -63,7 +64,8 @@
 			},
 		)
 		if otherAnswers {
-			pair.hear(&wire.Envelope{Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{View: 3, Synced: 5, Committed: 5}}})
+			pair.receive(&wire.Envelope{
+				Body: &wire.Envelope_ChainAck{ChainAck: &wire.ChainAck{View: 3, Synced: 5, Committed: 5}}})
 		}
 		for range 3 {
 			pair.drain()
@@ -71,13 +73,14 @@
 	}
 }
 
-// hear lets the node receive a message from the other.
-func (pair *pair) hear(envelope *wire.Envelope) {
+// receive delivers a message from the other member to the node.
+func (pair *pair) receive(envelope *wire.Envelope) {
 	envelope.From, envelope.Sender = pair.other.Address, pair.other.Id
 	pair.node.Receive(pair.now, envelope)
 }
 
-// drain carries out the node's writes; the other grants every claim, and what goes to the node itself comes to it.
+// drain completes the node's writes, lets the other member grant every request for the leader's lease, and delivers the
+// node's messages to itself.
 func (pair *pair) drain() {
 	messages, writes := pair.node.Ready()
 	for _, write := range writes {
@@ -87,11 +90,11 @@
 		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && grant.Granted {
 			pair.grants++
 		}
-		if asked := message.Envelope.GetLeaderLeaseRequest(); asked != nil && message.To == pair.other.Address {
-			pair.hear(
+		if request := message.Envelope.GetLeaderLeaseRequest(); request != nil && message.To == pair.other.Address {
+			pair.receive(
 				&wire.Envelope{
 					Body: &wire.Envelope_LeaderLeaseGrant{
-						LeaderLeaseGrant: &wire.LeaderLeaseGrant{View: asked.View, Nonce: asked.Nonce},
+						LeaderLeaseGrant: &wire.LeaderLeaseGrant{View: request.View, Nonce: request.Nonce},
 					},
 				},
 			)
@@ -102,14 +105,14 @@
 	}
 }
 
-// A head that found changes in its history which it does not know to be committed promises nothing:
-// they may have been acknowledged by the head before it.
+// Guards against a head that grants leases before the pending changes in its history are committed: an earlier head may
+// have acknowledged them, so daemons without them must not get leases.
 func TestHeadPromisesNothingBeforeItsHistoryIsCommitted(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
 	members := threeMembers()
 	self, other := members[0], members[1]
-	memory := &wire.DurableState{
+	state := &wire.DurableState{
 		Id: "a",
 		View: &wire.View{
 			Epoch:       3,
@@ -125,17 +128,17 @@
 		},
 		Pending: []*wire.Entry{{Sequence: 5, ChangesSpec: true, SpecEpoch: 5, Operation: "o"}},
 	}
-	node := New(now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
+	node := New(now, Settings{Address: self.Address, Zone: "a"}, state, nil, rand.New(rand.NewSource(1)))
 	pair := &pair{node: node, self: self, other: other, now: now}
 	pair.run(4*time.Second, false)
 	if !node.daemons.leadership.HoldsLease(pair.now) {
-		t.Fatal("no claim, so that nothing was put to the test")
+		t.Fatal("the node does not hold the lease, so the test checks nothing")
 	}
 	if node.IsLeading(pair.now) || pair.grants > 0 {
-		t.Fatalf("leads %v, granted %d ticks", node.IsLeading(pair.now), pair.grants)
+		t.Fatalf("before its history is committed: leads %v, granted %d leases", node.IsLeading(pair.now), pair.grants)
 	}
 	pair.run(time.Second, true)
 	if !node.IsLeading(pair.now) || pair.grants == 0 {
-		t.Fatalf("leads %v, granted %d ticks, once its history is committed", node.IsLeading(pair.now), pair.grants)
+		t.Fatalf("once its history is committed: leads %v, granted %d leases", node.IsLeading(pair.now), pair.grants)
 	}
 }
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -15,22 +15,23 @@
 	"wardtray/wire"
 )
 
-// lone is a chain of one machine whose disk answers when it is let.
+// lone is a chain of one machine, whose disk can be stalled.
 type lone struct {
-	node    *Node
-	now     time.Time
-	held    []uint64
+	node *Node
+	now  time.Time
+	// writes holds the sequences of the writes that the disk has not completed.
+	writes  []uint64
 	stalled bool
 }
 
 func newLone() *lone {
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
-	memory := &wire.DurableState{
+	state := &wire.DurableState{
 		Id:   "a",
 		View: &wire.View{Epoch: 1, Fleet: "f", MinReplicas: 1, Chain: []*wire.Member{self}, Acceptors: []*wire.Member{self}},
 	}
 	lone := &lone{now: time.Unix(1_700_000_000, 0)}
-	lone.node = New(lone.now, Settings{Address: self.Address, Zone: "a"}, memory, nil, rand.New(rand.NewSource(1)))
+	lone.node = New(lone.now, Settings{Address: self.Address, Zone: "a"}, state, nil, rand.New(rand.NewSource(1)))
 	lone.run(4 * time.Second)
 	return lone
 }
@@ -47,13 +48,13 @@
 	for range 4 {
 		messages, writes := lone.node.Ready()
 		for _, write := range writes {
-			lone.held = append(lone.held, write.Sequence)
+			lone.writes = append(lone.writes, write.Sequence)
 		}
 		if !lone.stalled {
-			for _, sequence := range lone.held {
+			for _, sequence := range lone.writes {
 				lone.node.Synced(lone.now, sequence)
 			}
-			lone.held = nil
+			lone.writes = nil
 		}
 		for _, message := range messages {
 			if message.To == lone.node.Self().Address {
@@ -63,25 +64,27 @@
 	}
 }
 
-// send gives the answer once there is one; its status is 0 before.
-func (lone *lone) send(ask *wire.OperatorRequest) *given {
-	given := &given{}
-	lone.node.Submit(lone.now, ask, func(status int, body []byte) {
-		given.status = status
-		if err := json.Unmarshal(body, &given.reply); err != nil {
+// send submits a request. The response is filled in when it arrives; its status is 0 until then.
+func (lone *lone) send(request *wire.OperatorRequest) *response {
+	response := &response{}
+	lone.node.Submit(lone.now, request, func(status int, body []byte) {
+		response.status = status
+		if err := json.Unmarshal(body, &response.reply); err != nil {
 			panic(err)
 		}
 	})
 	lone.settle()
-	return given
+	return response
 }
 
-type given struct {
+// response is the response to an operator's request; its status is 0 until it arrives.
+type response struct {
 	status int
 	reply  proposal.Reply
 }
 
-func whole(routes ...string) []byte {
+// configuration returns a complete configuration with the routes.
+func configuration(routes ...string) []byte {
 	list := make([]string, 0, len(routes))
 	for _, route := range routes {
 		list = append(list, fmt.Sprintf(`{"name":%q,"pool":"p","patience":"1s","repeatable":false}`, route))
@@ -97,7 +100,7 @@
 		HasBase:   true,
 		Epoch:     epoch,
 		HasEpoch:  epoch > 0,
-		Spec:      whole(routes...),
+		Spec:      configuration(routes...),
 	}
 }
 
@@ -115,27 +118,27 @@
 
 func (lone *lone) routes(t *testing.T) string {
 	t.Helper()
-	held, err := config.Decode(lone.node.Chain().Committed().Spec)
+	decoded, err := config.Decode(lone.node.Chain().Committed().Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names strings.Builder
-	for _, route := range held.Routes {
+	for _, route := range decoded.Routes {
 		names.WriteString(route.Name)
 	}
 	return names.String()
 }
 
-func TestEpochsMayClimbUnevenly(t *testing.T) {
+func TestEpochsMayIncreaseByMoreThanOne(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	epochZero := &wire.OperatorRequest{Verb: "apply", Operation: "none", Base: 7, HasBase: true, HasEpoch: true,
-		Spec: whole("b")}
+		Spec: configuration("b")}
 	for _, step := range []struct {
-		ask    *wire.OperatorRequest
-		status int
-		epoch  uint64
-		path   string
+		request *wire.OperatorRequest
+		status  int
+		epoch   uint64
+		path    string
 	}{
 		{apply("first", 0, 7, "a"), 200, 7, ""},
 		{apply("first", 0, 7, "a"), 200, 7, ""},
@@ -150,18 +153,18 @@
 		{change("stale", 8, 901, `{}`), 409, 900, ""},
 		{change("low", 900, 900, `{}`), 422, 900, "epoch"},
 	} {
-		got := lone.send(step.ask)
+		got := lone.send(step.request)
 		if got.status != step.status || got.reply.Epoch != step.epoch ||
 			step.path != "" && (len(got.reply.Problems) != 1 || got.reply.Problems[0].Path != step.path) {
-			t.Errorf("%s: %d %+v", step.ask.Operation, got.status, got.reply)
+			t.Errorf("%s: %d %+v", step.request.Operation, got.status, got.reply)
 		}
 	}
 	if got := lone.routes(t); got != "c" || lone.node.Chain().Committed().SpecEpoch != 900 {
-		t.Errorf("the lanes are %s", got)
+		t.Errorf("routes are %q, or the epoch is wrong", got)
 	}
 }
 
-func TestChangesLandWholeOrNotAtAll(t *testing.T) {
+func TestChangesAreAtomic(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 0, "a", "b", "c"))
@@ -184,62 +187,63 @@
 		}
 	}
 	if got := lone.routes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
-		t.Fatalf("the lanes are %s after refusals", got)
+		t.Fatalf("after refusals the routes are %q, or the epoch is wrong", got)
 	}
 	got := lone.send(
 		change("fine", 1, 0,
 			`{"upsert":{"pools":[{"name":"q","services":["t"]}],"lanes":[{"name":"d","pool":"q","patience":"1s"},{"name":"b","pool":"q","patience":"3s"}]},"remove":{"lanes":["a","never"]},"limits":{"body_bytes":5}}`),
 	)
-	held, err := config.Decode(lone.node.Chain().Committed().Spec)
-	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || held.Routes[0].Backend != "q" ||
-		held.Limits.BodyBytes != 5 ||
-		held.Routes[0].Value != 1 {
-		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, held)
+	decoded, err := config.Decode(lone.node.Chain().Committed().Spec)
+	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || decoded.Routes[0].Backend != "q" ||
+		decoded.Limits.BodyBytes != 5 ||
+		decoded.Routes[0].Value != 1 {
+		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, decoded)
 	}
 }
 
-// What is refused because of a spec that is not committed yet waits until it is: with this head that spec
-// may be lost, and a copy of the change that came in elsewhere be accepted.
+// Guards against a change that is refused and later accepted. A refusal that rests on an uncommitted configuration must
+// wait until that is committed: if this head loses it, another head may accept a copy of the refused change.
 func TestRefusalsWaitForWhatTheyRestOn(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 0, "a"))
 	lone.stalled = true
-	under := lone.send(apply("under way", 1, 5, "b"))
+	pending := lone.send(apply("under way", 1, 5, "b"))
 	stale := lone.send(apply("stale", 1, 0, "c"))
 	invalid := lone.send(change("invalid", 5, 0, `{"remove":{"pools":["p"]}}`))
 	read := lone.send(&wire.OperatorRequest{Verb: "get"})
 	lone.run(600 * time.Millisecond)
-	if under.status != 0 || stale.status != 0 || invalid.status != 0 {
-		t.Fatalf("answered before anything is on the disk: %d %d %d", under.status, stale.status, invalid.status)
+	if pending.status != 0 || stale.status != 0 || invalid.status != 0 {
+		t.Fatalf("answered before anything is on the disk: %d %d %d", pending.status, stale.status, invalid.status)
 	}
 	if read.status != 200 || read.reply.Epoch != 1 {
-		t.Fatalf("a read gives what is committed: %d %+v", read.status, read.reply)
+		t.Fatalf("a read does not return the committed configuration: %d %+v", read.status, read.reply)
 	}
 	lone.stalled = false
 	lone.settle()
-	if under.status != 200 || under.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 ||
+	if pending.status != 200 || pending.reply.Epoch != 5 || stale.status != 409 || stale.reply.Epoch != 5 ||
 		invalid.status != 422 {
-		t.Fatalf("answered once it is: %d %d %d", under.status, stale.status, invalid.status)
+		t.Fatalf("wrong answers once everything is on the disk: %d %d %d", pending.status, stale.status, invalid.status)
 	}
 }
 
-// A head or tail that may not answer yet answers as soon as it may, without being asked again.
-func TestQuestionsWaitForTheClaim(t *testing.T) {
+// Guards against requests that fail or stay unanswered because the head's lease has expired when they arrive: they must
+// be answered once it holds the lease again, without a retry.
+func TestRequestsWaitForTheLease(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 0, "a"))
 	lone.now = lone.now.Add(3 * time.Second)
 	read, changed := lone.send(&wire.OperatorRequest{Verb: "get"}), lone.send(apply("second", 1, 0, "b"))
 	if read.status != 0 || changed.status != 0 {
-		t.Fatalf("answered without a claim: %d %d", read.status, changed.status)
+		t.Fatalf("answered without a lease: %d %d", read.status, changed.status)
 	}
 	lone.run(50 * time.Millisecond)
 	if read.status != 200 || lone.routes(t) != "b" {
-		t.Fatalf("a claim did not suffice: %d, lanes %s", read.status, lone.routes(t))
+		t.Fatalf("with the lease: the read has status %d, the routes are %q", read.status, lone.routes(t))
 	}
 	lone.run(lease.DaemonTTL + daemonlease.ClockMargin)
 	if changed.status != 200 {
-		t.Fatalf("the change: %d %+v", changed.status, changed.reply)
+		t.Fatalf("the change was not acknowledged: %d %+v", changed.status, changed.reply)
 	}
 }
--- a/control/node/quotas_test.go
+++ b/control/node/quotas_test.go
@@ -7,65 +7,65 @@
 	"wardtray/wire"
 )
 
-const specOfTenants = `{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":1}],
+const configurationWithQuota = `{"zones":[],"pools":[{"name":"p","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":1}],
 "tenants":[{"name":"t","keys":["k"],"quota":{"rate":1000,"burst":500}}]}`
 
-// reporter is a data daemon that asks for a lease and for shares of a quota.
-type reporter struct {
+// quotaDaemon is a data daemon that requests a lease and shares of a quota.
+type quotaDaemon struct {
 	address     string
 	nonce       uint64
 	incarnation uint64
-	claim       *wire.QuotaTenantReport
+	report      *wire.QuotaTenantReport
 }
 
-// ask sends a question to the head and gives the answer, which is handled in the same step.
-func (fleet *testFleet) ask(reporter *reporter) *wire.DaemonLeaseGrant {
+// requestLease delivers a daemon's lease request to the head, and returns the answer; nil if there is no head.
+func (fleet *testFleet) requestLease(daemon *quotaDaemon) *wire.DaemonLeaseGrant {
 	head := fleet.leader()
 	if head == nil {
 		return nil
 	}
-	reporter.nonce++
-	question := &wire.DaemonLeaseRequest{
-		Nonce:       reporter.nonce,
+	daemon.nonce++
+	request := &wire.DaemonLeaseRequest{
+		Nonce:       daemon.nonce,
 		Sequence:    head.node.Chain().Committed().Sequence,
 		Zone:        "z",
-		Incarnation: reporter.incarnation,
+		Incarnation: daemon.incarnation,
 		View:        head.node.View().Epoch,
 		Quota:       &wire.QuotaReport{},
 	}
-	if reporter.claim != nil {
-		question.Quota.Tenants = []*wire.QuotaTenantReport{reporter.claim}
+	if daemon.report != nil {
+		request.Quota.Tenants = []*wire.QuotaTenantReport{daemon.report}
 	}
 	fleet.drain(head)
 	head.node.Receive(
 		fleet.now,
 		&wire.Envelope{
-			From:   reporter.address,
-			Sender: reporter.address,
-			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: question},
+			From:   daemon.address,
+			Sender: daemon.address,
+			Body:   &wire.Envelope_DaemonLeaseRequest{DaemonLeaseRequest: request},
 		},
 	)
 	messages, writes := head.node.Ready()
 	head.writes = append(head.writes, writes...)
 	var answer *wire.DaemonLeaseGrant
 	for _, message := range messages {
-		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == reporter.address {
+		if grant := message.Envelope.GetDaemonLeaseGrant(); grant != nil && message.To == daemon.address {
 			answer = grant
 			continue
 		}
-		fleet.mail = append(fleet.mail, message)
+		fleet.inFlight = append(fleet.inFlight, message)
 	}
 	return answer
 }
 
-// leased asks until the daemon stands in the directory, and all that was committed is delivered to it.
-func (fleet *testFleet) leased(reporters ...*reporter) {
+// waitForLeases runs until every daemon has obtained a lease in the same step.
+func (fleet *testFleet) waitForLeases(daemons ...*quotaDaemon) {
 	fleet.t.Helper()
 	fleet.until("leases for all daemons", 20*time.Second, func() bool {
 		all := fleet.now.UnixMilli()%100 == 0
-		for _, one := range reporters {
+		for _, daemon := range daemons {
 			if fleet.now.UnixMilli()%100 == 0 {
-				grant := fleet.ask(one)
+				grant := fleet.requestLease(daemon)
 				all = all && grant != nil && grant.Granted
 			}
 		}
@@ -73,64 +73,65 @@
 	})
 }
 
-// tokens reports a need and gives what the daemon is given.
-func (fleet *testFleet) tokens(reporter *reporter, need float64) float64 {
-	reporter.claim = &wire.QuotaTenantReport{Tenant: "t", Demand: 100, Need: need}
-	defer func() { reporter.claim = nil }()
-	grant := fleet.ask(reporter)
+// requestTokens reports a daemon's need, and returns the tokens granted to it.
+func (fleet *testFleet) requestTokens(daemon *quotaDaemon, need float64) float64 {
+	daemon.report = &wire.QuotaTenantReport{Tenant: "t", Demand: 100, Need: need}
+	defer func() { daemon.report = nil }()
+	grant := fleet.requestLease(daemon)
 	if grant == nil || grant.Quota == nil || len(grant.Quota.Shares) != 1 {
 		return 0
 	}
 	return grant.Quota.Shares[0].Tokens
 }
 
-// The head gives daemons tokens of a tenant's quota, and another head none of them a second time.
+// Guards against a quota that is exceeded after a takeover: the head grants daemons tokens of a tenant's quota, and a
+// new head must not grant the same tokens again.
 func TestTheHeadIssuesQuotas(t *testing.T) {
 	fleet := newTestFleet(t, 3)
-	first, second := &reporter{address: "d1", incarnation: 1}, &reporter{address: "d2", incarnation: 2}
+	first, second := &quotaDaemon{address: "d1", incarnation: 1}, &quotaDaemon{address: "d2", incarnation: 2}
 	operator := fleet.send(fleet.members[0],
-		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(specOfTenants)})
-	fleet.leased(first, second)
-	fleet.until("the spec is acknowledged", 10*time.Second, func() bool {
+		&wire.OperatorRequest{Verb: "apply", Operation: "o", Spec: []byte(configurationWithQuota)})
+	fleet.waitForLeases(first, second)
+	fleet.until("the acknowledgement of the configuration", 10*time.Second, func() bool {
 		if fleet.now.UnixMilli()%100 == 0 {
-			fleet.ask(first)
-			fleet.ask(second)
+			fleet.requestLease(first)
+			fleet.requestLease(second)
 		}
 		return operator.status == 200
 	})
-	// A new head's backend fills from nothing, at the rate, up to the burst and the tolerance.
+	// A new head's token bucket fills from zero at the rate, up to the burst and the tolerance.
 	for range 60 {
 		fleet.run(100 * time.Millisecond)
-		fleet.ask(first)
-		fleet.ask(second)
+		fleet.requestLease(first)
+		fleet.requestLease(second)
 	}
-	if given := fleet.tokens(first, 400); given < 400 {
-		t.Fatalf("%v of 400 given", given)
+	if granted := fleet.requestTokens(first, 400); granted < 400 {
+		t.Fatalf("%v of 400 tokens granted", granted)
 	}
-	if given := fleet.tokens(second, 5000); given >= 5000 || given < 100 {
-		t.Fatalf("%v given of more than there is", given)
+	if granted := fleet.requestTokens(second, 5000); granted >= 5000 || granted < 100 {
+		t.Fatalf("%v tokens granted, which is not between 100 and the available ones", granted)
 	}
 	head := fleet.leader()
 	fleet.kill(head)
 	fleet.until("another head", 20*time.Second, func() bool { return fleet.leader() != nil && fleet.leader() != head })
-	// The first daemon does not report; what it may hold of the rate and of the burst is given to nobody until its term
-	// is over.
-	if given := fleet.tokens(second, 5000); given > 0 {
-		t.Errorf("a new head gives %v before it knows what is held", given)
+	// The first daemon does not report. Until its term is over, the tokens of the rate and of the burst that it may hold
+	// are granted to no other daemon.
+	if granted := fleet.requestTokens(second, 5000); granted > 0 {
+		t.Errorf("a new head grants %v tokens before it knows what is held", granted)
 	}
-	fleet.leased(first, second)
+	fleet.waitForLeases(first, second)
 	fleet.run(time.Second)
-	if given := fleet.tokens(second, 300); given < 300 {
-		t.Errorf("once all have reported, %v of 300 given", given)
+	if granted := fleet.requestTokens(second, 300); granted < 300 {
+		t.Errorf("after all daemons have reported, %v of 300 tokens granted", granted)
 	}
 }
 
-// A daemon without a lease gets no share, and one that holds nothing is not waited for.
+// Guards against quota shares for a daemon without a lease.
 func TestOnlyLeasedDaemonsGetShares(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	fleet.until("a head", 20*time.Second, func() bool { return fleet.leader() != nil })
-	stranger := &reporter{address: "d9", incarnation: 9, claim: &wire.QuotaTenantReport{Tenant: "t", Need: 10}}
-	if grant := fleet.ask(stranger); grant == nil || grant.Granted || grant.Quota != nil {
-		t.Errorf("%v", grant)
+	stranger := &quotaDaemon{address: "d9", incarnation: 9, report: &wire.QuotaTenantReport{Tenant: "t", Need: 10}}
+	if grant := fleet.requestLease(stranger); grant == nil || grant.Granted || grant.Quota != nil {
+		t.Errorf("a daemon without a lease got %v", grant)
 	}
 }
--- a/control/node/race_test.go
+++ b/control/node/race_test.go
@@ -2,5 +2,5 @@
 
 package node
 
-// slowness is how much further apart the moments of a test are that tries very many.
-const slowness = 12
+// intervalFactor multiplies the interval between the injection times that a test tries.
+const intervalFactor = 12
--- a/control/node/receive_fuzz_test.go
+++ b/control/node/receive_fuzz_test.go
@@ -12,8 +12,8 @@
 	"wardtray/wire/wiretest"
 )
 
-// situations are the states in which a core is given messages: alone at its very start, and as the head of a chain.
-func situations(now time.Time) []*Node {
+// fuzzedNodes returns the nodes that receive messages: one at its first start without peers, and the head of a chain.
+func fuzzedNodes(now time.Time) []*Node {
 	self := &wire.Member{Id: "a", Address: "127.0.0.1:1", Zone: "a"}
 	other := &wire.Member{Id: "b", Address: "127.0.0.2:1", Zone: "b"}
 	third := &wire.Member{Id: "c", Address: "127.0.0.3:1", Zone: "c"}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Whatever another process sends, a core goes on: it does not panic, and its own messages and records can be written.
+// Guards against messages of other processes that make a node panic or send messages that cannot be encoded.
 func FuzzReceive(fuzz *testing.F) {
 	for _, sample := range wiretest.Envelopes() {
 		content, err := frame.Encode(sample.Envelope)
@@ -45,13 +45,13 @@
 		fuzz.Add(append(content, content...))
 	}
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
-		for _, node := range situations(time.Unix(1_700_000_000, 0)) {
+		for _, node := range fuzzedNodes(time.Unix(1_700_000_000, 0)) {
 			deliver(t, node, content)
 		}
 	})
 }
 
-// deliver gives a core every message of a stream, with time passing between them.
+// deliver delivers every message of a stream to a node, with ticks between them.
 func deliver(t *testing.T, node *Node, content []byte) {
 	t.Helper()
 	now := time.Unix(1_700_000_000, 0)
--- a/control/node/calls_test.go
+++ b/control/node/retry_test.go
@@ -13,95 +13,96 @@
 	"wardtray/wire"
 )
 
-// A caller that hears nothing sends the same order through another machine, while others change what it was built
-// on, heads die, and messages are lost. Of all copies of an order either none is refused, or the order is never in
-// effect; and of orders built on one epoch one at most is confirmed.
+// Guards against a change request that is both refused and in effect, and against two confirmed changes of the same
+// base epoch. Operators retry requests through other machines while concurrent writers change the base, heads are
+// killed and messages are lost.
 func TestOneNumberOneChange(t *testing.T) {
 	t.Parallel()
 	seeds := int64(40)
 	if testing.Short() {
 		seeds = 8
 	}
-	confirmed, refused, retried := 0, 0, 0
+	confirmed, refused, reconfirmed := 0, 0, 0
 	for seed := int64(1); seed <= seeds; seed++ {
 		fleet := newTestFleet(t, seed)
 		loss := fleet.random.Float64() * 0.2
-		fleet.lost = func(statemachine.Message) bool { return fleet.random.Float64() < loss }
-		trial := &callTrial{testFleet: fleet}
+		fleet.isLost = func(statemachine.Message) bool { return fleet.random.Float64() < loss }
+		scenario := &retryScenario{testFleet: fleet}
 		for round := range 12 {
-			trial.round(round)
+			scenario.round(round)
 		}
-		for _, call := range trial.calls {
-			accepted, turnedAway := call.answers()
+		for _, retried := range scenario.requests {
+			accepted, rejected := retried.answers()
 			confirmed += min(1, accepted)
-			refused += min(1, turnedAway)
-			retried += accepted - min(1, accepted)
+			refused += min(1, rejected)
+			reconfirmed += accepted - min(1, accepted)
 		}
 	}
-	t.Logf("%d orders confirmed, %d refused, %d confirmed again", confirmed, refused, retried)
-	if confirmed < 20 || refused < 20 || retried < 20 {
-		t.Error("too little was put to the test")
+	t.Logf("%d requests confirmed, %d refused, %d confirmed again", confirmed, refused, reconfirmed)
+	if confirmed < 20 || refused < 20 || reconfirmed < 20 {
+		t.Error("too few requests were confirmed, refused or confirmed again for the test to be significant")
 	}
 }
 
-// callTrial plays callers that send their orders again while heads die.
-type callTrial struct {
+// retryScenario runs operators that retry their requests while heads are killed.
+type retryScenario struct {
 	*testFleet
-	calls []*retriedCall
-	// epoch is the one that orders are built on, dead the machine that is down.
+	requests []*retriedRequest
+	// epoch is the base of the requests of the current round, and down the machine that is down; nil if none is.
 	epoch uint64
-	dead  *testMember
+	down  *testMember
 }
 
-// round sends two to four orders that are built on the same epoch and name the same next one.
-func (trial *callTrial) round(round int) {
-	for number := range 2 + trial.random.Intn(3) {
+// round sends two to four requests that have the same base epoch and name the same next one.
+func (scenario *retryScenario) round(round int) {
+	for number := range 2 + scenario.random.Intn(3) {
 		name := fmt.Sprintf("o%d.%d", round, number)
-		trial.calls = append(trial.calls, &retriedCall{order: apply(name, trial.epoch, trial.epoch+1, "lane"+name)})
+		scenario.requests = append(scenario.requests,
+			&retriedRequest{request: apply(name, scenario.epoch, scenario.epoch+1, "lane"+name)})
 	}
 	for range 400 {
-		trial.injectFaults()
-		// Orders of earlier rounds come again too, though their callers have their answers.
-		if trial.random.Intn(8) == 0 {
-			call := trial.calls[max(0, len(trial.calls)-1-trial.random.Intn(8))]
-			call.copies = append(call.copies, trial.send(trial.members[trial.random.Intn(3)], call.order))
+		scenario.injectFaults()
+		// Requests of earlier rounds are retried too, although their operators have received the answers.
+		if scenario.random.Intn(8) == 0 {
+			retried := scenario.requests[max(0, len(scenario.requests)-1-scenario.random.Intn(8))]
+			retried.copies = append(retried.copies, scenario.send(scenario.members[scenario.random.Intn(3)], retried.request))
 		}
-		trial.step()
-		trial.wantOneOutcome(trial.calls)
+		scenario.step()
+		scenario.wantOneOutcome(scenario.requests)
 	}
-	trial.restart()
-	trial.until("a leader", 20*time.Second, func() bool { return trial.leader() != nil })
-	trial.epoch = trial.leader().node.Chain().Committed().SpecEpoch
+	scenario.restart()
+	scenario.until("a leader", 20*time.Second, func() bool { return scenario.leader() != nil })
+	scenario.epoch = scenario.leader().node.Chain().Committed().SpecEpoch
 }
 
-// injectFaults kills the leader now and then, and starts it again later.
-func (trial *callTrial) injectFaults() {
-	if trial.random.Intn(150) == 0 && trial.dead == nil {
-		if trial.dead = trial.leader(); trial.dead != nil {
-			trial.kill(trial.dead)
+// injectFaults kills the leader at random times, and restarts it later.
+func (scenario *retryScenario) injectFaults() {
+	if scenario.random.Intn(150) == 0 && scenario.down == nil {
+		if scenario.down = scenario.leader(); scenario.down != nil {
+			scenario.kill(scenario.down)
 		}
 	}
-	if trial.dead != nil && trial.random.Intn(100) == 0 {
-		trial.restart()
+	if scenario.down != nil && scenario.random.Intn(100) == 0 {
+		scenario.restart()
 	}
 }
 
-// restart starts the machine that is down, if one is.
-func (trial *callTrial) restart() {
-	if trial.dead != nil {
-		trial.start(trial.dead)
-		trial.dead = nil
+// restart starts the machine that is down, if there is one.
+func (scenario *retryScenario) restart() {
+	if scenario.down != nil {
+		scenario.start(scenario.down)
+		scenario.down = nil
 	}
 }
 
-// retriedCall is an order with the answers to its copies.
-type retriedCall struct {
-	order  *wire.OperatorRequest
-	copies []*given
+// retriedRequest is a change request with the answers to its copies.
+type retriedRequest struct {
+	request *wire.OperatorRequest
+	copies  []*response
 }
 
-func (call *retriedCall) answers() (accepted, refused int) {
-	for _, answer := range call.copies {
+func (retried *retriedRequest) answers() (accepted, refused int) {
+	for _, answer := range retried.copies {
 		switch {
 		case answer.status == 200:
 			accepted++
@@ -112,35 +113,36 @@
 	return accepted, refused
 }
 
-// wantOneOutcome wants no order both confirmed or in effect and refused, and none confirmed beside another on its base.
-func (fleet *testFleet) wantOneOutcome(calls []*retriedCall) {
+// wantOneOutcome checks that no refused request is confirmed or in effect, and that at most one request is confirmed
+// for each base epoch.
+func (fleet *testFleet) wantOneOutcome(requests []*retriedRequest) {
 	byBase := map[uint64]string{}
-	for _, call := range calls {
-		accepted, refused := call.answers()
+	for _, retried := range requests {
+		accepted, refused := retried.answers()
 		inEffect := false
 		for _, member := range fleet.members {
 			if member.up() {
-				outcome := member.node.Chain().Outcome(call.order.Operation)
+				outcome := member.node.Chain().Outcome(retried.request.Operation)
 				inEffect = inEffect || outcome != nil && outcome.Sequence <= member.node.Chain().Committed().Sequence
 			}
 		}
 		if refused > 0 && (accepted > 0 || inEffect) {
 			fleet.describe()
-			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", call.order.Operation,
-				len(call.copies), accepted, refused, inEffect)
+			fleet.t.Fatalf("%s: of %d copies %d were confirmed and %d refused, in effect %v", retried.request.Operation,
+				len(retried.copies), accepted, refused, inEffect)
 		}
 		if accepted == 0 {
 			continue
 		}
-		if other := byBase[call.order.Base]; other != "" {
-			fleet.t.Fatalf("%s and %s were both confirmed on epoch %d", other, call.order.Operation, call.order.Base)
+		if other := byBase[retried.request.Base]; other != "" {
+			fleet.t.Fatalf("%s and %s were both confirmed on epoch %d", other, retried.request.Operation, retried.request.Base)
 		}
-		byBase[call.order.Base] = call.order.Operation
+		byBase[retried.request.Base] = retried.request.Operation
 	}
 }
 
-// An order that was acknowledged is acknowledged again after every machine of the core was replaced by another, with
-// an empty disk at another address, and after other changes.
+// Guards against outcomes that are lost when every control machine is replaced, one by one, by a machine with an empty
+// disk at another address: a retry of an acknowledged change must be acknowledged again, also after other changes.
 func TestOutcomesOutliveTheWholeCore(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 7)
@@ -174,24 +176,24 @@
 	}
 }
 
-// wantAccepted sends an order until it is acknowledged; no copy may be refused.
-func (fleet *testFleet) wantAccepted(member *testMember, order *wire.OperatorRequest, epoch uint64) {
+// wantAccepted sends a request until it is acknowledged; no copy may be refused.
+func (fleet *testFleet) wantAccepted(member *testMember, request *wire.OperatorRequest, epoch uint64) {
 	fleet.t.Helper()
-	answer := fleet.send(member, order)
+	answer := fleet.send(member, request)
 	fleet.until("an acknowledgement", 20*time.Second, func() bool {
 		if answer.status >= 500 {
-			answer = fleet.send(member, order)
+			answer = fleet.send(member, request)
 		}
 		return answer.status != 0 && answer.status < 500
 	})
 	if answer.status != 200 || answer.reply.Epoch != epoch {
-		fleet.t.Fatalf("%s: %d %+v", order.Operation, answer.status, answer.reply)
+		fleet.t.Fatalf("%s: %d %+v", request.Operation, answer.status, answer.reply)
 	}
 }
 
-// A copy that comes in elsewhere while the first is on its way is acknowledged with the first one's outcome, also
-// where only a later head commits it.
-func TestCopyMeetsTheFirstOnItsWay(t *testing.T) {
+// Guards against two outcomes of one request: a copy that another machine receives while the first is pending must be
+// acknowledged with the first one's outcome, also if only a later head commits it.
+func TestCopyOfAPendingRequest(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 8)
 	head := fleet.leader()
@@ -201,37 +203,38 @@
 			others = append(others, member)
 		}
 	}
-	// The last of the chain is silent to those before it, so that nothing is committed.
+	// The tail's acknowledgements are lost, so that nothing is committed.
 	tail := fleet.at(head.node.View().Chain[2].Address)
-	fleet.lost = func(message statemachine.Message) bool {
+	fleet.isLost = func(message statemachine.Message) bool {
 		return message.Envelope.GetChainAck() != nil && message.Envelope.From == tail.address
 	}
-	order := apply("first", 0, 5, "a")
-	first := fleet.send(others[0], order)
+	request := apply("first", 0, 5, "a")
+	first := fleet.send(others[0], request)
 	fleet.run(300 * time.Millisecond)
-	second := fleet.send(others[1], order)
+	second := fleet.send(others[1], request)
 	fleet.run(300 * time.Millisecond)
 	if head.node.Chain().Committed().SpecEpoch != 0 || len(head.node.Chain().Pending()) != 1 || first.status != 0 ||
 		second.status != 0 {
-		t.Fatalf("committed %d, pending %d, told %d and %d", head.node.Chain().Committed().SpecEpoch,
+		t.Fatalf("committed %d, pending %d, answered with status %d and %d", head.node.Chain().Committed().SpecEpoch,
 			len(head.node.Chain().Pending()), first.status, second.status)
 	}
 	fleet.kill(head)
-	fleet.lost = nil
-	third := fleet.send(others[0], order)
+	fleet.isLost = nil
+	third := fleet.send(others[0], request)
 	fleet.until("the acknowledgement by a later head", 10*time.Second, func() bool { return third.status == 200 })
-	fleet.wantAccepted(others[1], order, 5)
+	fleet.wantAccepted(others[1], request, 5)
 	fleet.wantAccepted(others[0], apply("on top", 5, 6, "b"), 6)
-	fleet.wantAccepted(others[1], order, 5)
-	for name, copy := range map[string]*given{"first": first, "second": second} {
+	fleet.wantAccepted(others[1], request, 5)
+	for name, copy := range map[string]*response{"first": first, "second": second} {
 		if copy.status != 0 && copy.status != 200 && copy.status < 500 {
 			t.Errorf("the %s copy: %d %+v", name, copy.status, copy.reply)
 		}
 	}
 }
 
-// What is forgotten is refused, and never taken a second time: its base is gone for good.
-func TestForgottenIsNotTakenTwice(t *testing.T) {
+// Guards against a change that is accepted twice: after its outcome was discarded, a copy must be refused, since its
+// base epoch is older than the current one.
+func TestChangeWithDiscardedOutcomeIsNotAcceptedAgain(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	first := apply("first", 0, 1, "a")
@@ -242,25 +245,25 @@
 		if got := lone.send(apply(fmt.Sprint("o", number), number+1, number+2, "b")); got.status != 200 {
 			t.Fatalf("%d: %d %+v", number, got.status, got.reply)
 		}
-		// The claim has to be renewed now and then.
+		// The lease has to be renewed from time to time.
 		if number%4 == 0 {
 			lone.run(50 * time.Millisecond)
 		}
 	}
 	document := lone.node.Chain().Committed()
 	if len(document.Outcomes) != chain.MaximumOutcomes || lone.node.Chain().Outcome("first") != nil {
-		t.Fatalf("%d outcomes are remembered", len(document.Outcomes))
+		t.Fatalf("%d outcomes are retained, or the first one still is", len(document.Outcomes))
 	}
 	if got := lone.send(apply("o3", 4, 5, "b")); got.status != 200 || got.reply.Epoch != 5 {
-		t.Errorf("one that is remembered: %d %+v", got.status, got.reply)
+		t.Errorf("a copy of a request with a retained outcome: %d %+v", got.status, got.reply)
 	}
 	if got := lone.send(first); got.status != 409 || lone.node.Chain().Latest() != document {
-		t.Errorf("the forgotten one: %d %+v", got.status, got.reply)
+		t.Errorf("a copy of a request with a discarded outcome: %d %+v", got.status, got.reply)
 	}
 }
 
-// A late copy of an order that was refused is never taken, however many were refused meanwhile, also where what made
-// it wrong is mended by then. The order names no base, so that nothing else holds it back.
+// Guards against a late copy of a refused request that is accepted, also after many other refusals and once the reason
+// of the refusal no longer exists. The request names no base epoch, so that no other check refuses it.
 func TestLateCopyOfARefusedOrder(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
@@ -299,18 +302,18 @@
 		lone.node.proposals.Serve(lone.now, late)
 		lone.settle()
 		if lone.node.Chain().Outcome("refused") != nil {
-			t.Fatalf("taken late, after %d other refusals", number)
+			t.Fatalf("the late copy was accepted, after %d other refusals", number)
 		}
 	}
-	// The same order as a question of its own is another matter.
+	// The same change under another operation id is a new request.
 	again := &wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}
 	if got := lone.send(again); got.status != 200 {
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 }
 
-// A head that has restarted has forgotten what it refused. A copy that was sent to its earlier incarnation is not
-// accepted by the present one.
+// Guards against a late copy of a refused request that a restarted head accepts: the head has lost its record of
+// refusals, so it must ignore copies that were sent to its earlier incarnation.
 func TestLateCopyAfterTheHeadHasRestarted(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 1)
@@ -319,7 +322,7 @@
 	if origin == head {
 		origin = fleet.members[1]
 	}
-	answered := func(answer *given) func() bool { return func() bool { return answer.status != 0 } }
+	answered := func(answer *response) func() bool { return func() bool { return answer.status != 0 } }
 	first := fleet.send(origin, apply("first", 0, 1, "a"))
 	fleet.until("an answer", 5*time.Second, answered(first))
 	refused := &wire.OperatorRequest{
@@ -328,7 +331,7 @@
 		Spec:      []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`),
 	}
 	var late *wire.Envelope
-	fleet.lost = func(message statemachine.Message) bool {
+	fleet.isLost = func(message statemachine.Message) bool {
 		if request := message.Envelope.GetOperatorRequest(); request != nil && request.Operation == "refused" {
 			late = proto.CloneOf(message.Envelope)
 		}
@@ -341,7 +344,7 @@
 	}
 	fleet.kill(head)
 	fleet.start(head)
-	fleet.until("the head again", 10*time.Second, func() bool { return fleet.leader() == head })
+	fleet.until("the same head", 10*time.Second, func() bool { return fleet.leader() == head })
 	mended := fleet.send(origin, change("mended", 1, 2, `{"upsert":{"pools":[{"name":"q","services":["t"]}]}}`))
 	fleet.until("an answer", 5*time.Second, answered(mended))
 	if mended.status != 200 {
@@ -354,8 +357,8 @@
 	}
 }
 
-// A refusal whose answer was lost is told again.
-func TestRefusalIsToldAgain(t *testing.T) {
+// Guards against a refused request that stays without an answer because the first answer was lost.
+func TestRefusalIsRepeated(t *testing.T) {
 	t.Parallel()
 	lone := newLone()
 	lone.send(apply("first", 0, 1, "a"))
@@ -364,7 +367,7 @@
 		t.Fatalf("%d %+v", got.status, got.reply)
 	}
 	lone.node.Ready()
-	// The copy comes from another machine, so that the reply goes through the outbox.
+	// The copy has another origin, so that the response is sent through the outbox.
 	stale.Origin = "elsewhere"
 	lone.node.proposals.Serve(lone.now, stale)
 	again := uint32(0)
@@ -376,6 +379,6 @@
 		}
 	}
 	if again != 409 || lone.node.Counters().Refused != 1 {
-		t.Fatalf("told %d, counted %d", again, lone.node.Counters().Refused)
+		t.Fatalf("the copy was answered with status %d, refusals counted %d", again, lone.node.Counters().Refused)
 	}
 }
--- a/control/node/runners_test.go
+++ b/control/node/runners_test.go
@@ -9,11 +9,12 @@
 	"wardtray/wire"
 )
 
-// drainRunner lets a runner start to drain at a node that has heard of the daemon "d". It returns the nonce of the
-// update that the daemon gets, and where the outcome of the call will be.
+// drainRunner registers a draining runner at a node that has received a message from the daemon "d". It returns the
+// nonce of the update that the daemon gets, and a pointer to the outcome of the call, which is empty until the call
+// returns.
 func drainRunner(t *testing.T, node *Node, now time.Time, id string) (nonce uint64, outcome *registry.Outcome) {
 	t.Helper()
-	// A node that has heard nobody takes no calls.
+	// A node that has received no message accepts no calls.
 	node.Receive(now, &wire.Envelope{From: "d", Sender: "d", Body: &wire.Envelope_DaemonLeaseRequest{
 		DaemonLeaseRequest: &wire.DaemonLeaseRequest{Nonce: 1}}})
 	outcome = new(registry.Outcome)
@@ -29,10 +30,10 @@
 	return 0, nil
 }
 
-// A daemon that was paused acknowledges an update of the control process that has ended meanwhile. The process that
-// took over its address must not take this for an acknowledgement of its own update, which the daemon may never have
-// got: the runner would be told that it may stop while the daemon still sends it requests.
-func TestAcknowledgementForAnEarlierIncarnationCountsForNone(t *testing.T) {
+// Guards against a runner that stops while a daemon still sends it requests. A paused daemon acknowledges an update of
+// a control process that has ended meanwhile. The process that took over the address must not count this as an
+// acknowledgement of its own update, which the daemon may never have received.
+func TestAcknowledgementForAnEarlierIncarnationIsIgnored(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
 	start := func(seed int64) *Node {
