--- a/control/durability/durability.go
+++ b/control/durability/durability.go
@@ -36,12 +36,12 @@
 	// writeTimeout is the time that a write may take before the disk counts as unhealthy.
 	writeTimeout time.Duration
 
-	failed    bool
-	replacing bool
-	retryAt   time.Time
-	logBytes  int64
-	lastScrub time.Time
-	counters  Counters
+	failed          bool
+	snapshotPending bool
+	retryAt         time.Time
+	logBytes        int64
+	lastScrub       time.Time
+	counters        Counters
 }
 
 // New returns a Disk whose log already holds the given records. They count towards the log's size: otherwise the log
@@ -77,16 +77,16 @@
 func (disk *Disk) Failed(now time.Time) {
 	disk.counters.Failures++
 	// All records that are pending meanwhile fail too. If each of them postponed the snapshot, it would never be due.
-	if !disk.failed || disk.replacing {
+	if !disk.failed || disk.snapshotPending {
 		disk.retryAt = now.Add(retryDelay)
 	}
-	disk.failed, disk.replacing = true, false
+	disk.failed, disk.snapshotPending = true, false
 }
 
-// Replace requests a snapshot, which replaces the log, at once.
-func (disk *Disk) Replace(now time.Time) {
-	disk.replacing = true
-	disk.outbox.PersistSnapshot(now, disk.snapshot(), func(time.Time) { disk.replacing, disk.failed = false, false })
+// RequestSnapshot requests a snapshot, which replaces the log, at once.
+func (disk *Disk) RequestSnapshot(now time.Time) {
+	disk.snapshotPending = true
+	disk.outbox.PersistSnapshot(now, disk.snapshot(), func(time.Time) { disk.snapshotPending, disk.failed = false, false })
 }
 
 // Tick requests a scrub if one is due, and a snapshot if the log has reached its limit or the retry after a failed
@@ -96,13 +96,13 @@
 		disk.lastScrub = now
 	}
 	// A scrub finds damage while this process still holds the state in memory, and not only at its next start.
-	if now.Sub(disk.lastScrub) >= scrubInterval && !disk.failed && !disk.replacing {
+	if now.Sub(disk.lastScrub) >= scrubInterval && !disk.failed && !disk.snapshotPending {
 		disk.lastScrub = now
 		disk.outbox.Scrub(now)
 	}
-	if disk.replacing || disk.failed && now.Before(disk.retryAt) || !disk.failed && disk.logBytes < logLimit {
+	if disk.snapshotPending || disk.failed && now.Before(disk.retryAt) || !disk.failed && disk.logBytes < logLimit {
 		return
 	}
 	disk.logBytes, disk.lastScrub = 0, now
-	disk.Replace(now)
+	disk.RequestSnapshot(now)
 }
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -36,8 +36,8 @@
 	grantor.lessor.AdoptView(now, current)
 }
 
-// Heard handles a message that shows that a process acts under the view with an epoch.
-func (grantor *Grantor) Heard(now time.Time, id string, epoch uint64) {
+// ObserveEpoch handles a message that shows that a process acts under the view with an epoch.
+func (grantor *Grantor) ObserveEpoch(now time.Time, id string, epoch uint64) {
 	grantor.lessor.ObserveEpoch(now, id, epoch)
 }
 
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -102,7 +102,7 @@
 	}
 	if isFoundingNow {
 		// A founder that is killed before there is a view must still be a founder after its restart.
-		node.members.disk.Replace(now)
+		node.members.disk.RequestSnapshot(now)
 	}
 	if current := node.members.agent.Current(); current.Epoch > 0 {
 		node.daemons.witness.AssumeForgottenConfirmations(now)
@@ -155,7 +155,7 @@
 	if envelope.From != node.self.Address {
 		node.members.detector.Received(now)
 	}
-	node.daemons.grantor.Heard(now, envelope.Sender, envelope.Epoch)
+	node.daemons.grantor.ObserveEpoch(now, envelope.Sender, envelope.Epoch)
 	if handle := node.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
 		handle(now, envelope)
 	}
