--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -4,57 +4,59 @@
 
 const (
 	// allocatedRate and allocatedCapacity are the fractions of a limit that daemons may hold ahead of their demand. The
-	// rest is for requests larger than what a daemon holds and for daemons whose demand has just begun.
+	// rest is for requests larger than a daemon's balance and for daemons whose demand has just begun.
 	allocatedRate     = 0.95
 	allocatedCapacity = 0.6
 	// reservedCapacity is the fraction of the capacity that the bucket keeps for waiting requests.
 	reservedCapacity = 0.1
-	// oversizeThreshold is the fraction of the capacity at which the bucket serves a need larger than it can ever hold.
+	// oversizeThreshold is the fraction of the capacity at which the bucket serves a need larger than the capacity.
 	oversizeThreshold = 0.25
 )
 
-// allocation is what one daemon may hold of a tenant, at most.
+// allocation is an upper bound of one daemon's share of a tenant's limit.
 type allocation struct {
-	// rate and exposure bound the rate and the balance; exposure includes what its capacity lets it fill up to.
+	// rate bounds the daemon's refill rate. exposure bounds its balance, including the refill up to its capacity.
 	rate, exposure, demand float64
-	// expiresAt is from when on all that it holds is void.
+	// expiresAt is when the daemon's share ends.
 	expiresAt time.Time
-	// charged is what the bucket was charged for what the daemon may have filled by itself, up to the moment chargedTo.
+	// charged is the amount charged to the bucket for what the daemon may have refilled by itself until chargedTo.
 	charged   float64
 	chargedTo time.Time
 }
 
-// account is one tenant's, at the allocator: its bucket and the allocations of the daemons.
+// account is the allocator's state for one tenant: the bucket and the daemons' allocations.
 type account struct {
 	limit Limit
-	// balance is the bucket's, as of filledAt, which filled at a rate of at most the limit's.
+	// balance is the number of tokens in the bucket at filledAt, refilled until then at no more than the limit's rate.
+	// It is negative while the bucket is in debt.
 	balance     float64
 	filledAt    time.Time
 	allocations map[string]*allocation
 	// rate, exposure and demand are the sums over all allocations.
 	rate, exposure, demand float64
-	lastExpire             time.Time
+	lastExpiry             time.Time
 }
 
 func newAccount(now time.Time) *account {
 	return &account{allocations: map[string]*allocation{}, filledAt: now}
 }
 
-// share returns what a daemon is granted. Where not all shares are known, nothing is added to what it holds but
-// tokens of the bucket. What it gives up is free for others once it reports without it.
-func (account *account) share(report TenantReport, knowsAll bool) Share {
+// share returns the grant for a daemon's report. While not all outstanding shares are known, the daemon gets tokens
+// from the bucket, but no more rate or capacity than it reported. Rate and capacity that the grant takes away from the
+// daemon become free for others once it reports without them.
+func (account *account) share(report TenantReport, allSharesKnown bool) Share {
 	share := Share{Tenant: report.Tenant}
 	if account.limit.Rate <= 0 {
 		return share
 	}
-	part := 0.0
+	demandFraction := 0.0
 	if account.demand > 0 {
-		part = report.Demand / account.demand
+		demandFraction = report.Demand / account.demand
 	}
-	share.Rate = part * allocatedRate * account.limit.Rate
-	share.Capacity = part * allocatedCapacity * account.limit.Capacity
+	share.Rate = demandFraction * allocatedRate * account.limit.Rate
+	share.Capacity = demandFraction * allocatedCapacity * account.limit.Capacity
 	spareRate, spareCapacity := 0.0, 0.0
-	if knowsAll {
+	if allSharesKnown {
 		spareRate = max(0, allocatedRate*account.limit.Rate-account.rate)
 		spareCapacity = max(0, allocatedCapacity*account.limit.Capacity-account.exposure)
 	}
@@ -69,16 +71,17 @@
 	return share
 }
 
-// draw returns as much of a need as the bucket has.
+// draw returns the part of a need that the bucket can cover.
 func (account *account) draw(need float64) float64 {
-	// One request larger than the whole capacity could never be served; it waits for a full bucket and leaves a debt.
+	// A request larger than the capacity would never find enough tokens. It is served once the bucket has reached
+	// oversizeThreshold, and leaves a debt.
 	if need > account.limit.Capacity && account.balance >= oversizeThreshold*account.limit.Capacity {
 		return need
 	}
 	return max(0, min(need, account.balance))
 }
 
-// reconcile corrects what the bucket was charged for a daemon's own filling by what the daemon has in fact filled.
+// reconcile replaces the bucket's charge for a daemon's own refill by the amount that the daemon actually refilled.
 func (account *account) reconcile(now time.Time, daemon string, report TenantReport) {
 	allocation := account.allocations[daemon]
 	if allocation == nil {
@@ -88,7 +91,7 @@
 	account.balance += allocation.charged - report.Filled
 }
 
-// charge charges the bucket for what a silent daemon may have filled by now.
+// charge charges the bucket for the tokens that a silent daemon may have refilled by now.
 func (account *account) charge(now time.Time, allocation *allocation) {
 	if allocation.expiresAt.Before(now) {
 		now = allocation.expiresAt
@@ -101,7 +104,7 @@
 	}
 }
 
-// clamp keeps the bucket and all allocations together within the capacity.
+// clamp limits the bucket so that it and all allocations together stay within the capacity.
 func (account *account) clamp() {
 	account.balance = min(account.balance, max(0, account.limit.Capacity-account.exposure))
 }
@@ -125,7 +128,7 @@
 	account.exposure -= allocation.exposure
 	account.demand -= allocation.demand
 	if len(account.allocations) == 0 {
-		// Sums of many fractions end near zero, not at it.
+		// Rounding errors of the sums would otherwise remain.
 		account.rate, account.exposure, account.demand = 0, 0, 0
 	}
 }
--- a/coordination/quota/account_test.go
+++ b/coordination/quota/account_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The bucket is charged for what a silent daemon may have filled, and gets back what it has not filled.
+// The bucket must be charged for what a silent daemon may have refilled, and credited with what it did not refill.
 func TestChargesAreReconciled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	account := newAccount(now)
@@ -31,14 +31,14 @@
 	account.replace("a", &allocation{rate: 10, exposure: 100, chargedTo: now, expiresAt: now.Add(3 * time.Second)})
 	account.charge(now.Add(2*time.Second), account.allocations["a"])
 	if account.balance != 480 {
-		t.Fatalf("balance %v after two seconds of silence", account.balance)
+		t.Fatalf("balance %v after two seconds of silence, want 480", account.balance)
 	}
 	account.reconcile(now.Add(9*time.Second), "a", TenantReport{Filled: 25})
 	if account.balance != 475 {
-		t.Errorf("balance %v after a report of 25 filled", account.balance)
+		t.Errorf("balance %v after a report of 25 refilled tokens, want 475", account.balance)
 	}
 	account.remove("a")
 	if account.rate != 0 || account.exposure != 0 {
-		t.Errorf("rate %v and exposure %v without any allocation", account.rate, account.exposure)
+		t.Errorf("rate %v and exposure %v without any allocation, want 0", account.rate, account.exposure)
 	}
 }
--- a/coordination/quota/allocator.go
+++ b/coordination/quota/allocator.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// expiryMargin is what is waited beyond the end of a share, for clocks that drift.
+	// expiryMargin is added to the end of a share before it is reclaimed, because clocks drift.
 	expiryMargin = 100 * time.Millisecond
-	// expireInterval is how often the allocations of a tenant are searched for daemons that are silent.
-	expireInterval = 250 * time.Millisecond
-	// maximumDaemons bounds the holders of one tenant's shares.
+	// expiryInterval is the interval between scans of a tenant's allocations for silent daemons.
+	expiryInterval = 250 * time.Millisecond
+	// maximumDaemons bounds the number of daemons that hold a share of one tenant's limit.
 	maximumDaemons = 8192
 )
 
-// Allocator divides the limits of tenants among daemons for as long as its process is the head.
+// Allocator divides the limits of tenants among daemons while its process is the head of the chain.
 type Allocator struct {
 	term      time.Duration
 	startedAt time.Time
-	// reported are the daemons that have reported to this allocator; once all that are expected have, none can hold
-	// anything that it does not know of, and complete is set.
-	reported map[string]bool
-	expected map[string]bool
-	complete bool
-	accounts map[string]*account
-	// tenants are those that each daemon named in its last report.
+	// reported are the daemons that have reported to this allocator. Once all expected daemons have, none can hold a
+	// share that this allocator doesn't know of, and allSharesKnown is set.
+	reported       map[string]bool
+	expected       map[string]bool
+	allSharesKnown bool
+	accounts       map[string]*account
+	// tenants are the tenants in each daemon's last report.
 	tenants map[string][]string
 }
 
-// NewAllocator returns the allocator of a process that has just become head, whose predecessor grants nothing any more.
-// Shares count for a term from the report that they answer. expected are the daemons that may hold shares of the
-// predecessor's.
+// NewAllocator returns the allocator of a process that has just become the head of the chain; the previous head must
+// have stopped granting shares. A share is valid for a term from the report that it answers. expected are the daemons
+// that may hold shares from the predecessor.
 func NewAllocator(now time.Time, term time.Duration, expected []string) *Allocator {
 	allocator := &Allocator{
 		term: term, startedAt: now, reported: map[string]bool{}, expected: map[string]bool{},
@@ -39,18 +39,18 @@
 	return allocator
 }
 
-// Term returns for how long a share counts, from the report that it answers.
+// Term returns how long a share is valid, counted from the report that it answers.
 func (allocator *Allocator) Term() time.Duration { return allocator.term }
 
-// SetLimits sets the limits of all tenants; one that is not named has none, and needs no shares.
+// SetLimits sets the limits of all tenants. A tenant that is not named has no limit and needs no shares.
 func (allocator *Allocator) SetLimits(now time.Time, limits map[string]Limit) {
-	allocator.updateComplete(now)
+	allocator.updateAllSharesKnown(now)
 	for tenant, limit := range limits {
 		account := allocator.accounts[tenant]
 		if account == nil {
 			account = newAccount(now)
-			// A tenant that is new while this allocator knows of all shares has used nothing yet.
-			if allocator.complete {
+			// A tenant that is added while all outstanding shares are known has used nothing yet.
+			if allocator.allSharesKnown {
 				account.balance = limit.Capacity
 			}
 			allocator.accounts[tenant] = account
@@ -67,17 +67,18 @@
 	}
 }
 
-// updateComplete notes when no daemon can hold a share any more that this allocator does not know of: each has
-// reported, or whatever was granted before this allocator started has expired. From then on tenants have their bursts.
-func (allocator *Allocator) updateComplete(now time.Time) {
-	if allocator.complete {
+// updateAllSharesKnown sets allSharesKnown once no daemon can hold a share that this allocator doesn't know of: every
+// expected daemon has reported, or all shares granted before this allocator started have expired. From then on buckets
+// refill at the full rate, and each gets the start amount of its limit.
+func (allocator *Allocator) updateAllSharesKnown(now time.Time) {
+	if allocator.allSharesKnown {
 		return
 	}
 	expired := now.Sub(allocator.startedAt) >= allocator.term+expiryMargin
 	if !expired && !allocator.allReported() {
 		return
 	}
-	allocator.complete = true
+	allocator.allSharesKnown = true
 	for _, account := range allocator.accounts {
 		account.balance += account.limit.Start
 		account.clamp()
@@ -93,15 +94,15 @@
 	return true
 }
 
-// Release handles that a daemon's process has ended, and with it all that it held.
+// Release reclaims all shares of a daemon whose process has ended.
 func (allocator *Allocator) Release(now time.Time, daemon string) {
 	allocator.reported[daemon] = true
-	allocator.updateComplete(now)
+	allocator.updateAllSharesKnown(now)
 	allocator.reclaim(now, daemon, map[string]bool{})
 	delete(allocator.tenants, daemon)
 }
 
-// reclaim ends a daemon's allocations of the tenants that it no longer names.
+// reclaim removes a daemon's allocations for tenants that are not in named.
 func (allocator *Allocator) reclaim(now time.Time, daemon string, named map[string]bool) {
 	for _, tenant := range allocator.tenants[daemon] {
 		if account := allocator.accounts[tenant]; account != nil && !named[tenant] {
@@ -111,10 +112,10 @@
 	}
 }
 
-// Report handles what a daemon holds, whose reports cover all its tenants, and returns the shares that it is granted.
+// Report handles a daemon's reports, which cover all its tenants, and returns the shares granted to it.
 func (allocator *Allocator) Report(now time.Time, daemon string, reports []TenantReport) []Share {
 	allocator.reported[daemon] = true
-	allocator.updateComplete(now)
+	allocator.updateAllSharesKnown(now)
 	named := make(map[string]bool, len(reports))
 	for _, report := range reports {
 		named[report.Tenant] = true
@@ -132,7 +133,7 @@
 	return shares
 }
 
-// grant handles one report and returns the share that is granted in response.
+// grant handles one report and returns the share granted in response.
 func (allocator *Allocator) grant(now time.Time, account *account, daemon string, report TenantReport) Share {
 	allocator.expire(now, account)
 	allocator.refill(now, account)
@@ -145,26 +146,26 @@
 	})
 	account.balance += report.Returned
 	account.clamp()
-	share := account.share(report, allocator.complete)
+	share := account.share(report, allocator.allSharesKnown)
 	account.balance -= share.Tokens
-	// Until it reports again, a daemon may hold what it reported or what it is granted.
+	// The grant may be lost: until the daemon reports again, it may hold what it reported or what it was granted.
 	account.replace(daemon, &allocation{
 		rate:      max(report.Rate, share.Rate),
 		exposure:  max(report.Capacity, share.Capacity, report.Balance+share.Tokens),
 		demand:    report.Demand,
 		expiresAt: now.Add(allocator.term + expiryMargin),
-		chargedTo: now.Add(silence),
+		chargedTo: now.Add(silenceTimeout),
 	})
 	account.clamp()
 	return share
 }
 
-// expire looks for silent daemons: the bucket is charged for what they may fill, and expired allocations are removed.
+// expire charges the bucket for what silent daemons may have refilled, and removes expired allocations.
 func (allocator *Allocator) expire(now time.Time, account *account) {
-	if now.Sub(account.lastExpire) < expireInterval {
+	if now.Sub(account.lastExpiry) < expiryInterval {
 		return
 	}
-	account.lastExpire = now
+	account.lastExpiry = now
 	allocator.refill(now, account)
 	for daemon, allocation := range account.allocations {
 		account.charge(now, allocation)
@@ -174,7 +175,7 @@
 	}
 }
 
-// refill fills the bucket up to a moment.
+// refill adds the tokens that the rate yielded since filledAt to the bucket.
 func (allocator *Allocator) refill(now time.Time, account *account) {
 	elapsed := now.Sub(account.filledAt).Seconds()
 	if elapsed <= 0 {
@@ -182,8 +183,8 @@
 	}
 	account.filledAt = now
 	rate := account.limit.Rate
-	if !allocator.complete {
-		// The others still fill by their parts of the rate.
+	if !allocator.allSharesKnown {
+		// Daemons that have not reported yet may still refill at their parts of the rate.
 		rate = min(rate, account.rate)
 	}
 	account.balance += rate * elapsed
--- a/coordination/quota/average.go
+++ b/coordination/quota/average.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// average is a rate, in units a second, that decays exponentially over a span.
+// average is an exponentially decaying rate per second; span is its time constant.
 type average struct {
 	value     float64
 	updatedAt time.Time
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// The fleet of these tests: daemons with requests of a tenant, an allocator that is replaced, and a network that
-// delays, loses and cuts. Time goes in steps.
+// These tests simulate daemons with requests of one tenant, an allocator that is replaced, and a network that delays
+// and loses messages and cuts off daemons. Simulated time advances in steps of timeStep.
 const (
-	step       = 5 * time.Millisecond
-	reportStep = 300 * time.Millisecond
-	testTerm   = 5 * time.Second
-	waitBound  = 150 * time.Millisecond
-	tenantName = "tenant"
+	timeStep       = 5 * time.Millisecond
+	reportInterval = 300 * time.Millisecond
+	testTerm       = 5 * time.Second
+	maximumWait    = 150 * time.Millisecond
+	tenantName     = "tenant"
 )
 
 var testTolerance = Tolerance{Window: 8 * time.Second, Excess: 0.1, Slack: 140_000}
@@ -30,8 +30,8 @@
 	isGrant     bool
 }
 
-// waiting is a request that waits for tokens.
-type waiting struct {
+// waitingRequest is a request that waits for tokens.
+type waitingRequest struct {
 	cost  float64
 	since time.Time
 	done  func()
@@ -43,33 +43,35 @@
 	incarnation int
 	number      uint64
 	reported    time.Time
-	waiting     []*waiting
-	// rate is how many requests come a second; down, cut and frozen last until these moments.
-	rate                float64
-	down, cut, frozen   time.Time
-	cutIn, cutOut       bool
-	served, refused     float64
-	servedOf, refusedOf int
+	waiting     []*waitingRequest
+	// rate is the number of requests per second.
+	rate float64
+	// The process is down, cut off or frozen until these times. While it is cut off, it loses incoming or outgoing
+	// messages or both.
+	downUntil, cutOffUntil, frozenUntil time.Time
+	losesIncoming, losesOutgoing        bool
+	served, refused                     float64
+	servedRequests, refusedRequests     int
 }
 
-// use is what a request has used.
+// use is the cost of a served request.
 type use struct {
 	at   time.Time
 	cost float64
 }
 
-// testFleet is all daemons, the allocator and the network between them.
+// testFleet simulates the daemons, the allocator and the network between them.
 type testFleet struct {
-	random        *rand.Rand
-	now           time.Time
-	allocator     *Allocator
-	headlessUntil time.Time
-	daemons       []*testDaemon
-	messages      []message
-	uses          []use
-	rate          float64
-	burst         float64
-	meanCost      float64
+	random           *rand.Rand
+	now              time.Time
+	allocator        *Allocator
+	noAllocatorUntil time.Time
+	daemons          []*testDaemon
+	messages         []message
+	uses             []use
+	rate             float64
+	burst            float64
+	meanCost         float64
 }
 
 // newFleet returns daemons with an uneven demand, and an allocator.
@@ -80,33 +82,33 @@
 	for range daemons {
 		fleet.daemons = append(fleet.daemons, &testDaemon{limiter: NewLimiter()})
 	}
-	// Clients are few and each stays with one daemon, so that shares of the demand are uneven.
+	// There are few clients and each uses one daemon, so that the demand differs between daemons.
 	clients := max(4, daemons/2)
 	for range clients {
 		fleet.daemons[fleet.random.Intn(daemons)].rate += demand / meanCost / float64(clients)
 	}
-	fleet.lead()
+	fleet.startAllocator()
 	return fleet
 }
 
-// lead makes a new allocator, whose predecessor grants nothing any more.
-func (fleet *testFleet) lead() {
+// startAllocator replaces the allocator by a new one.
+func (fleet *testFleet) startAllocator() {
 	expected := make([]string, len(fleet.daemons))
 	for number := range fleet.daemons {
 		expected[number] = strconv.Itoa(number)
 	}
 	fleet.allocator = NewAllocator(fleet.now, testTerm, expected)
-	fleet.limit()
+	fleet.setLimit()
 }
 
-// limit sets the tenant's limit at the allocator.
-func (fleet *testFleet) limit() {
+// setLimit sets the tenant's limit at the allocator.
+func (fleet *testFleet) setLimit() {
 	if fleet.allocator != nil {
 		fleet.allocator.SetLimits(fleet.now, map[string]Limit{tenantName: testTolerance.Limit(fleet.rate, fleet.burst)})
 	}
 }
 
-// cost draws the cost of a request.
+// cost returns a random cost of a request.
 func (fleet *testFleet) cost() float64 {
 	// Most requests are small, and a few are many times as large.
 	cost := fleet.meanCost * (0.2 + 0.5*fleet.random.ExpFloat64())
@@ -116,7 +118,7 @@
 	return float64(int(cost) + 1)
 }
 
-// send puts a message into the network, which delays some for long.
+// send sends a message over the network, which delays a few of them by up to 400 ms more.
 func (fleet *testFleet) send(sent message) {
 	delay := time.Duration(1+fleet.random.Intn(8)) * time.Millisecond
 	if fleet.random.Float64() < 0.002 {
@@ -126,7 +128,7 @@
 	fleet.messages = append(fleet.messages, sent)
 }
 
-// report sends a daemon's report, unless it still awaits a grant.
+// report sends a daemon's report, unless the daemon still awaits a grant.
 func (fleet *testFleet) report(number int) {
 	daemon := fleet.daemons[number]
 	if daemon.limiter.AwaitsGrant(fleet.now) {
@@ -135,17 +137,17 @@
 	daemon.number++
 	daemon.reported = fleet.now
 	reports := daemon.limiter.Report(fleet.now, daemon.number)
-	if fleet.now.Before(daemon.cut) && daemon.cutOut {
+	if fleet.now.Before(daemon.cutOffUntil) && daemon.losesOutgoing {
 		return
 	}
 	fleet.send(message{daemon: number, incarnation: daemon.incarnation, number: daemon.number, reports: reports})
 }
 
-// deliver hands a message to the allocator or to its daemon, unless that is down or cut off.
+// deliver delivers a message to the allocator or to its daemon, unless the receiver is down or cut off.
 func (fleet *testFleet) deliver(delivered message) {
 	daemon := fleet.daemons[delivered.daemon]
 	if !delivered.isGrant {
-		if fleet.allocator == nil || fleet.now.Before(fleet.headlessUntil) {
+		if fleet.allocator == nil || fleet.now.Before(fleet.noAllocatorUntil) {
 			return
 		}
 		shares := fleet.allocator.Report(fleet.now, strconv.Itoa(delivered.daemon), delivered.reports)
@@ -155,38 +157,39 @@
 		})
 		return
 	}
-	if daemon.incarnation != delivered.incarnation || fleet.now.Before(daemon.down) {
+	if daemon.incarnation != delivered.incarnation || fleet.now.Before(daemon.downUntil) {
 		return
 	}
-	if fleet.now.Before(daemon.cut) && daemon.cutIn {
+	if fleet.now.Before(daemon.cutOffUntil) && daemon.losesIncoming {
 		return
 	}
 	daemon.limiter.ApplyGrant(fleet.now, delivered.number, testTerm, delivered.shares)
 }
 
-// take charges a request to a daemon's tokens and reports whether there were enough.
+// take takes the tokens for a request from a daemon's balance and reports whether there were enough.
 func (fleet *testFleet) take(daemon *testDaemon, cost float64) bool {
 	if !daemon.limiter.Take(fleet.now, tenantName, cost) {
 		return false
 	}
 	fleet.uses = append(fleet.uses, use{fleet.now, cost})
 	daemon.served += cost
-	daemon.servedOf++
+	daemon.servedRequests++
 	return true
 }
 
-// serve lets a daemon get requests, serve those that find tokens, and refuse those that have waited too long.
+// serve runs one step of a daemon: it may receive a request, serves the requests that find tokens, and refuses those
+// that have waited too long.
 func (fleet *testFleet) serve(number int) {
 	daemon := fleet.daemons[number]
-	if fleet.now.Before(daemon.down) || fleet.now.Before(daemon.frozen) {
+	if fleet.now.Before(daemon.downUntil) || fleet.now.Before(daemon.frozenUntil) {
 		return
 	}
-	if fleet.random.Float64() < daemon.rate*step.Seconds() {
+	if fleet.random.Float64() < daemon.rate*timeStep.Seconds() {
 		cost := fleet.cost()
 		daemon.limiter.RecordDemand(fleet.now, tenantName, cost)
 		if !fleet.take(daemon, cost) {
 			done := daemon.limiter.AddWaiting(fleet.now, tenantName, cost)
-			daemon.waiting = append(daemon.waiting, &waiting{cost: cost, since: fleet.now, done: done})
+			daemon.waiting = append(daemon.waiting, &waitingRequest{cost: cost, since: fleet.now, done: done})
 		}
 	}
 	remaining := daemon.waiting[:0]
@@ -194,29 +197,29 @@
 		switch {
 		case fleet.take(daemon, request.cost):
 			request.done()
-		case daemon.limiter.InShortage(fleet.now, tenantName) || fleet.now.Sub(request.since) > waitBound:
+		case daemon.limiter.InShortage(fleet.now, tenantName) || fleet.now.Sub(request.since) > maximumWait:
 			request.done()
 			daemon.refused += request.cost
-			daemon.refusedOf++
+			daemon.refusedRequests++
 		default:
 			remaining = append(remaining, request)
 		}
 	}
 	daemon.waiting = remaining
-	if len(daemon.waiting) > 0 || fleet.now.Sub(daemon.reported) >= reportStep {
+	if len(daemon.waiting) > 0 || fleet.now.Sub(daemon.reported) >= reportInterval {
 		fleet.report(number)
 	}
 }
 
-// run lets time pass; each, if not nil, is called after each step.
-func (fleet *testFleet) run(length time.Duration, each func()) {
-	for end := fleet.now.Add(length); fleet.now.Before(end); {
-		fleet.now = fleet.now.Add(step)
+// run advances the simulated time by a duration; afterStep, if not nil, is called after each step.
+func (fleet *testFleet) run(duration time.Duration, afterStep func()) {
+	for end := fleet.now.Add(duration); fleet.now.Before(end); {
+		fleet.now = fleet.now.Add(timeStep)
 		pending := fleet.messages
 		fleet.messages = nil
 		slices.SortStableFunc(pending, func(left, right message) int { return left.arrivesAt.Compare(right.arrivesAt) })
 		for _, sent := range pending {
-			frozen := sent.isGrant && fleet.now.Before(fleet.daemons[sent.daemon].frozen)
+			frozen := sent.isGrant && fleet.now.Before(fleet.daemons[sent.daemon].frozenUntil)
 			if sent.arrivesAt.After(fleet.now) || frozen {
 				fleet.messages = append(fleet.messages, sent)
 				continue
@@ -226,14 +229,14 @@
 		for number := range fleet.daemons {
 			fleet.serve(number)
 		}
-		if each != nil {
-			each()
+		if afterStep != nil {
+			afterStep()
 		}
 	}
 }
 
-// worst returns the greatest use in any window, and what fraction of the bound of a limit it is.
-func (fleet *testFleet) worst(rate, burst float64) (most, part float64) {
+// maxWindowUse returns the greatest use in any window, and its fraction of the bound for a limit.
+func (fleet *testFleet) maxWindowUse(rate, burst float64) (maximum, fraction float64) {
 	bound := (rate*testTolerance.Window.Seconds()+burst)*(1+testTolerance.Excess) + testTolerance.Slack
 	first, inWindow := 0, 0.0
 	for _, used := range fleet.uses {
@@ -242,12 +245,12 @@
 			inWindow -= fleet.uses[first].cost
 			first++
 		}
-		most = max(most, inWindow)
+		maximum = max(maximum, inWindow)
 	}
-	return most, most / bound
+	return maximum, maximum / bound
 }
 
-// totals returns what was served and refused at all daemons since forget.
+// totals returns the cost served and refused at all daemons since the last resetUsage.
 func (fleet *testFleet) totals() (served, refused float64) {
 	for _, daemon := range fleet.daemons {
 		served += daemon.served
@@ -256,35 +259,35 @@
 	return served, refused
 }
 
-// forget begins the counts anew.
-func (fleet *testFleet) forget() {
+// resetUsage clears the recorded use and the counts of served and refused cost.
+func (fleet *testFleet) resetUsage() {
 	fleet.uses = nil
 	for _, daemon := range fleet.daemons {
 		daemon.served, daemon.refused = 0, 0
 	}
 }
 
-// faults injects kills, cuts of either direction or both, freezes and takeovers.
-func (fleet *testFleet) faults() {
+// injectFaults kills, cuts off (in either direction or both) or freezes random daemons, and replaces the allocator.
+func (fleet *testFleet) injectFaults() {
 	if fleet.random.Float64() < 0.01 {
 		daemon := fleet.daemons[fleet.random.Intn(len(fleet.daemons))]
 		until := fleet.now.Add(time.Duration(fleet.random.Intn(7000)) * time.Millisecond)
 		switch fleet.random.Intn(3) {
 		case 0:
-			daemon.limiter, daemon.waiting, daemon.down = NewLimiter(), nil, until
+			daemon.limiter, daemon.waiting, daemon.downUntil = NewLimiter(), nil, until
 			daemon.incarnation++
 		case 1:
-			daemon.cut = until
-			daemon.cutIn, daemon.cutOut = fleet.random.Intn(3) > 0, fleet.random.Intn(3) > 0
+			daemon.cutOffUntil = until
+			daemon.losesIncoming, daemon.losesOutgoing = fleet.random.Intn(3) > 0, fleet.random.Intn(3) > 0
 		default:
-			daemon.frozen = until
+			daemon.frozenUntil = until
 		}
 	}
 	if fleet.random.Float64() < 0.001 {
-		fleet.headlessUntil = fleet.now.Add(time.Duration(fleet.random.Intn(6000)) * time.Millisecond)
+		fleet.noAllocatorUntil = fleet.now.Add(time.Duration(fleet.random.Intn(6000)) * time.Millisecond)
 		fleet.allocator = nil
 	}
-	if fleet.allocator == nil && fleet.now.After(fleet.headlessUntil) {
-		fleet.lead()
+	if fleet.allocator == nil && fleet.now.After(fleet.noAllocatorUntil) {
+		fleet.startAllocator()
 	}
 }
--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// GrantTimeout is for how long the grant for a report is awaited before another report is sent in its place.
+// GrantTimeout is how long a limiter waits for the grant for a report before it sends another report instead.
 const GrantTimeout = 100 * time.Millisecond
 
-// Usage is what a daemon counts of one tenant, in the unit of the quota; Demand is a second.
+// Usage holds a daemon's counts for one tenant, in the unit of the quota; Demand is per second.
 type Usage struct {
 	Used    float64 `json:"used"`
 	Refused float64 `json:"refused"`
@@ -17,25 +17,25 @@
 	Demand  float64 `json:"demand"`
 }
 
-// Limiter is a daemon's part: its shares of the tenants' quotas. It is safe for concurrent use.
+// Limiter holds one daemon's shares of the tenants' quotas. It is safe for concurrent use.
 type Limiter struct {
 	mutex  sync.Mutex
 	shares map[string]*tenantShare
-	// pending is the newest report, whose grant alone counts.
+	// pending is the newest report; only its grant is valid.
 	pending pendingReport
 	// changed is closed when the next grant arrives.
 	changed chan struct{}
-	// OnDemand holds nothing ahead of the demand: each request waits for its tokens. It is set
-	// before the limiter is used.
+	// OnDemand makes the limiter hold no tokens ahead of the demand, so that each request waits for its tokens. It is
+	// set before the limiter is used; the default is false.
 	OnDemand bool
 }
 
-// pendingReport is a report that was sent.
+// pendingReport is a report that was sent, and whether it was answered.
 type pendingReport struct {
 	number  uint64
 	sentAt  time.Time
 	reports map[string]TenantReport
-	// answered is whether the grant has arrived, or none is to be expected.
+	// answered is set once the grant has arrived, and from the start where the allocator doesn't answer.
 	answered bool
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// share returns a tenant's share, up to date. The mutex is held.
+// share returns a tenant's share, advanced to now. The caller holds the mutex.
 func (limiter *Limiter) share(now time.Time, tenant string) *tenantShare {
 	share := limiter.shares[tenant]
 	if share == nil {
@@ -57,35 +57,35 @@
 	return share
 }
 
-// RecordDemand counts that a request asks for a cost, whether it is served or not.
+// RecordDemand adds the cost of a request to the tenant's demand, whether the request is served or not.
 func (limiter *Limiter) RecordDemand(now time.Time, tenant string, cost float64) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.share(now, tenant).recordDemand(now, cost)
 }
 
-// Take takes a cost from a tenant's share and reports whether there was as much.
+// Take deducts a cost from a tenant's balance if the balance covers it, and reports whether it did.
 func (limiter *Limiter) Take(now time.Time, tenant string, cost float64) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return limiter.share(now, tenant).take(cost)
 }
 
-// Refund refunds what was taken for a request that has certainly not run.
+// Refund returns the cost of a request that has certainly not run to the tenant's balance.
 func (limiter *Limiter) Refund(now time.Time, tenant string, cost float64) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	limiter.share(now, tenant).refund(cost)
 }
 
-// Reject counts a rejected request, and returns when a retry may succeed.
+// Reject counts a refused request and returns the delay after which a retry may succeed.
 func (limiter *Limiter) Reject(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return limiter.share(now, tenant).reject(cost)
 }
 
-// AddWaiting counts a request that waits for a cost, until done is called.
+// AddWaiting adds the cost of a waiting request to the tenant's need until done is called.
 func (limiter *Limiter) AddWaiting(now time.Time, tenant string, cost float64) (done func()) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -97,23 +97,22 @@
 	}
 }
 
-// InShortage reports whether the allocator had less for this tenant a moment ago than was needed, so
-// that waiting is of no use.
+// InShortage reports whether the allocator granted this tenant less than it needed within the last shortageDuration, so
+// that waiting for tokens is useless.
 func (limiter *Limiter) InShortage(now time.Time, tenant string) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return now.Before(limiter.share(now, tenant).shortUntil)
 }
 
-// AwaitsGrant reports whether the grant for a report is still to be expected, so that another report
-// would only make it void.
+// AwaitsGrant reports whether a grant may still arrive, which another report would invalidate.
 func (limiter *Limiter) AwaitsGrant(now time.Time) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return !limiter.pending.answered && now.Sub(limiter.pending.sentAt) < GrantTimeout
 }
 
-// IsUnused reports whether the limiter has never had anything to do with any tenant.
+// IsUnused reports whether the limiter has never been used for any tenant.
 func (limiter *Limiter) IsUnused() bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -127,8 +126,8 @@
 	return limiter.changed
 }
 
-// Report returns the report that is sent under a number, greater than all before it, ordered
-// by tenant. Grants for earlier ones are void from then on. An empty report is not answered.
+// Report returns the report to send under a number, ordered by tenant. The number is greater than those of all earlier
+// reports, whose grants are invalid from then on. The allocator doesn't answer an empty report.
 func (limiter *Limiter) Report(now time.Time, number uint64) []TenantReport {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -148,8 +147,8 @@
 	return reports
 }
 
-// ApplyGrant handles the grant for the report with a number, which counts for a term from when that
-// was sent; it reports whether it was the newest report's.
+// ApplyGrant applies the grant for the report with this number. The shares are valid for a term from when that report
+// was sent. It reports whether the grant was applied, which it is only once and only for the newest report.
 func (limiter *Limiter) ApplyGrant(now time.Time, number uint64, term time.Duration, shares []Share) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -167,7 +166,7 @@
 	return true
 }
 
-// Usage returns what was counted of each tenant.
+// Usage returns the usage of each tenant.
 func (limiter *Limiter) Usage(now time.Time) map[string]Usage {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
--- a/coordination/quota/share.go
+++ b/coordination/quota/share.go
@@ -3,42 +3,43 @@
 import "time"
 
 const (
-	// demandSpan is over how long demand is averaged, and steadySpan the demand by which parts of the rate are
-	// allocated.
-	demandSpan = 1500 * time.Millisecond
-	steadySpan = 5 * time.Second
-	// horizon is for how long ahead of its demand a daemon would like to hold tokens, and requestsAhead how many usual
-	// requests besides.
+	// demandSpan is the time constant of the demand from which the wanted balance is computed, and steadyDemandSpan of
+	// the demand by which the rate is divided among daemons.
+	demandSpan       = 1500 * time.Millisecond
+	steadyDemandSpan = 5 * time.Second
+	// A daemon would like to hold the tokens for the demand of the next horizon, and for requestsAhead average requests
+	// more.
 	horizon       = 800 * time.Millisecond
 	requestsAhead = 1.5
-	// rareSpan is the time between two requests beyond which nothing is held for the next one.
-	rareSpan = 2 * time.Second
-	// surplus is how many times as much as it would like a daemon keeps before it returns the rest.
-	surplus = 2.5
-	// requestCostWeight is the weight of one request in the average cost of a usual one.
+	// rareRequestInterval is the average interval between requests above which no tokens are held for the next one.
+	rareRequestInterval = 2 * time.Second
+	// surplusFactor is the multiple of the wanted balance above which a daemon returns tokens.
+	surplusFactor = 2.5
+	// requestCostWeight is the weight of the newest request in the moving average of the cost.
 	requestCostWeight = 0.2
-	// idleDemand is the fraction of one usual request a second below which a tenant counts as idle.
+	// idleDemand is the demand, in average requests per second, below which a tenant counts as idle.
 	idleDemand = 0.02
-	// shortageDuration is for how long a tenant's requests do not wait for tokens, once the allocator had too few.
+	// shortageDuration is how long a tenant's requests don't wait for tokens after the allocator had too few.
 	shortageDuration = 200 * time.Millisecond
-	// defaultRetryAfter is when a rejected request may be retried where the daemon was allocated nothing;
-	// minimumRetryAfter and maximumRetryAfter bound when it may be retried.
+	// defaultRetryAfter is the retry delay of a refused request where the daemon has no part of the rate;
+	// minimumRetryAfter and maximumRetryAfter bound the computed delay.
 	defaultRetryAfter = 300 * time.Millisecond
 	minimumRetryAfter = 50 * time.Millisecond
 	maximumRetryAfter = 2 * time.Second
 )
 
-// tenantShare is one tenant's share at a daemon.
+// tenantShare is a daemon's share of one tenant's quota.
 type tenantShare struct {
 	balance, capacity, rate float64
-	// fillsAt is from when on the balance fills by itself, and expiresAt from when on all is void. filled is what it
-	// has filled so since the last grant, up to the moment filledTo.
+	// From fillsAt on the balance refills at rate; at expiresAt the share ends. filled is the number of tokens refilled
+	// until filledTo and not yet reconciled by a grant.
 	fillsAt, expiresAt, filledTo time.Time
 	filled                       float64
 	demand, steadyDemand         average
-	// requestCost is what a usual request costs.
+	// requestCost is the moving average of the cost of a request.
 	requestCost float64
-	// waiting is what the waiting requests take, and shortUntil when the allocator may have enough again.
+	// waiting is the total cost of the waiting requests. Before shortUntil no request waits, since the allocator
+	// recently had too few tokens.
 	waiting    float64
 	shortUntil time.Time
 	usage      Usage
@@ -47,11 +48,11 @@
 func newTenantShare(now time.Time) *tenantShare {
 	return &tenantShare{
 		demand:       average{updatedAt: now, span: demandSpan},
-		steadyDemand: average{updatedAt: now, span: steadySpan},
+		steadyDemand: average{updatedAt: now, span: steadyDemandSpan},
 	}
 }
 
-// advance brings a share up to a moment: it fills while the allocator is silent, and becomes void when it expires.
+// advance updates a share to now: it refills while the allocator is silent, and is cleared when it expires.
 func (share *tenantShare) advance(now time.Time) {
 	share.demand.decay(now)
 	share.steadyDemand.decay(now)
@@ -71,7 +72,7 @@
 	}
 }
 
-// recordDemand counts the cost of a request, whether it is served or not.
+// recordDemand adds the cost of a request to the demand, whether the request is served or not.
 func (share *tenantShare) recordDemand(now time.Time, cost float64) {
 	share.demand.add(now, cost)
 	share.steadyDemand.add(now, cost)
@@ -81,7 +82,7 @@
 	share.requestCost += requestCostWeight * (cost - share.requestCost)
 }
 
-// take takes the cost of a request from the balance and reports whether there was as much.
+// take deducts the cost of a request from the balance if the balance covers it, and reports whether it did.
 func (share *tenantShare) take(cost float64) bool {
 	if share.balance < cost {
 		return false
@@ -91,14 +92,14 @@
 	return true
 }
 
-// refund returns what was taken for a request. What the share has no room for any more is lost, rather than counted
-// twice.
+// refund returns the cost of a request to the balance. The part that exceeds the capacity is lost: the allocator
+// assumes that the daemon holds no more, so it may have allocated that part to others.
 func (share *tenantShare) refund(cost float64) {
 	share.usage.Used -= cost
 	share.balance = max(share.balance, min(share.capacity, share.balance+cost))
 }
 
-// reject counts a rejected request and returns when a retry may succeed.
+// reject counts a refused request and returns the delay after which a retry may succeed.
 func (share *tenantShare) reject(cost float64) (retryAfter time.Duration) {
 	share.usage.Refused += cost
 	retryAfter = defaultRetryAfter
@@ -108,32 +109,32 @@
 	return max(minimumRetryAfter, min(maximumRetryAfter, retryAfter))
 }
 
-// want returns how much the share would like to hold: nothing where requests are so rare that what is held for them
-// would be unused, while others may need it.
+// want returns the balance that the share would like to hold. It is 0 where requests are so rare that tokens held for
+// them would lie unused while other daemons may need them.
 func (share *tenantShare) want() float64 {
-	if share.steadyDemand.value*rareSpan.Seconds() < share.requestCost {
+	if share.steadyDemand.value*rareRequestInterval.Seconds() < share.requestCost {
 		return 0
 	}
 	return share.demand.value*horizon.Seconds() + requestsAhead*share.requestCost
 }
 
-// idle reports whether nothing is asked of this tenant any more.
+// idle reports whether the tenant has no waiting requests and negligible demand.
 func (share *tenantShare) idle() bool {
 	return share.waiting == 0 && share.steadyDemand.value < idleDemand*share.requestCost
 }
 
-// empty reports whether the share holds nothing that a report would have to name.
+// empty reports whether the share has neither balance, rate nor capacity, and so need not be reported.
 func (share *tenantShare) empty() bool {
 	return share.balance == 0 && share.rate == 0 && share.capacity == 0
 }
 
-// report reports the share, and gives up what it has no use for.
+// report returns the share's report and takes the tokens that it returns to the bucket off the balance.
 func (share *tenantShare) report(tenant string, onDemand bool) TenantReport {
 	want := share.want()
 	if onDemand {
 		want = 0
 	}
-	retained := surplus * want
+	retained := surplusFactor * want
 	if share.idle() {
 		retained, share.capacity, share.rate = 0, 0, 0
 	}
@@ -146,14 +147,14 @@
 	}
 }
 
-// apply adds what was granted in response to a report.
+// apply applies the grant for a report.
 func (share *tenantShare) apply(now time.Time, granted Share, report TenantReport, expiresAt time.Time) {
-	// What has filled or was refunded since the report counts up to the new capacity only: the allocator assumes no
-	// more.
+	// Tokens refilled or refunded since the report count only up to the new capacity, because the allocator assumes
+	// that the daemon holds no more.
 	share.balance = min(share.balance, max(report.Balance, granted.Capacity)) + granted.Tokens
 	share.capacity, share.rate = granted.Capacity, granted.Rate
-	share.fillsAt, share.expiresAt, share.filledTo = now.Add(silence), expiresAt, now
-	// What has filled since the report goes into the next one.
+	share.fillsAt, share.expiresAt, share.filledTo = now.Add(silenceTimeout), expiresAt, now
+	// Tokens refilled since the report are part of the next report.
 	share.filled -= report.Filled
 	share.shortUntil = time.Time{}
 	if granted.Tokens < report.Need {
--- a/coordination/quota/share_test.go
+++ b/coordination/quota/share_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A share fills by its own part of the rate only while the allocator is silent, up to its capacity, until it expires.
+// A share must refill at its own rate only while the allocator is silent, only up to its capacity, and only until it
+// expires.
 func TestShareFillsWhileTheAllocatorIsSilent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
@@ -13,9 +14,9 @@
 		after time.Duration
 		want  float64
 	}{
-		{"before the allocator counts as silent", silence, 10},
-		{"a second of silence", silence + time.Second, 30},
-		{"until it is full", silence + 4*time.Second, 50},
+		{"before the allocator counts as silent", silenceTimeout, 10},
+		{"a second of silence", silenceTimeout + time.Second, 30},
+		{"until it is full", silenceTimeout + 4*time.Second, 50},
 		{"after it has expired", testTerm + time.Millisecond, 0},
 	} {
 		share := newTenantShare(now)
@@ -42,19 +43,19 @@
 		share := newTenantShare(time.Unix(1000, 0))
 		share.rate = test.rate
 		if got := share.reject(test.cost); got != test.want || share.usage.Refused != test.cost {
-			t.Errorf("%s: retry after %v, want %v; %v refused", test.name, got, test.want, share.usage.Refused)
+			t.Errorf("%s: retry after %v, want %v; refused cost %v", test.name, got, test.want, share.usage.Refused)
 		}
 	}
 }
 
-// A refund never lifts a share above its capacity, and never lowers one that is above.
+// A refund must not raise a balance above the capacity, and must not lower a balance that is above it already.
 func TestRefundStaysWithinTheCapacity(t *testing.T) {
 	for _, test := range []struct{ balance, capacity, refund, want float64 }{
 		{10, 50, 20, 30}, {40, 50, 20, 50}, {60, 50, 20, 60},
 	} {
 		share := &tenantShare{balance: test.balance, capacity: test.capacity}
 		if share.refund(test.refund); share.balance != test.want {
-			t.Errorf("%+v: balance %v", test, share.balance)
+			t.Errorf("%+v: balance %v after the refund", test, share.balance)
 		}
 	}
 }
@@ -64,10 +65,10 @@
 	average := average{updatedAt: now, span: 2 * time.Second}
 	average.add(now, 10)
 	if average.value != 5 {
-		t.Fatalf("10 over 2 s is %v a second", average.value)
+		t.Fatalf("10 over 2 s is %v per second, want 5", average.value)
 	}
 	average.decay(now.Add(2 * time.Second))
 	if average.value < 1.8 || average.value > 1.9 {
-		t.Errorf("after its span %v is left of 5, not 1/e of it", average.value)
+		t.Errorf("after its span %v of 5 is left, want 1/e of it", average.value)
 	}
 }
