--- a/coordination/gossip/antientropy.go
+++ b/coordination/gossip/antientropy.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// digestInterval is how often a digest is sent to a peer.
+	// digestInterval is the interval between the digests that a store sends, each to one peer.
 	digestInterval = 500 * time.Millisecond
-	// repairHops is how many times what a digest found is forwarded: whoever missed a message is
-	// likely not alone.
+	// repairHops is the number of times that an entry found missing by a digest is forwarded: other peers have probably
+	// missed it too.
 	repairHops = 2
-	// farDigestOneIn is how many digests there are for one to a peer beyond our own zone: bytes
-	// within the zone are cheap, and only its peers have the entries that never leave it.
+	// One in farDigestOneIn digests, on average, goes to a peer outside our own zone. Traffic within the zone is cheap,
+	// and only peers in the zone have the entries that never leave it.
 	farDigestOneIn = 4
 )
 
-// compareDigests sends a digest to one peer where the interval has passed.
+// compareDigests sends a digest to one peer if digestInterval has passed since the last one.
 func (store *Store) compareDigests(now time.Time) {
 	if now.Sub(store.lastDigest) < digestInterval {
 		return
@@ -49,8 +49,8 @@
 	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_Digest{Digest: digest}})
 }
 
-// HandleDigest handles the digest of a peer in a zone: it sends what the peer lacks and, if a response is
-// wanted, our own digest where the peer has something newer.
+// HandleDigest handles the digest of a peer in a zone. It sends the entries that the peer lacks. If a response is
+// wanted and the peer has newer entries, it also sends our own digest.
 func (store *Store) HandleDigest(_ time.Time, from, zone string, message *wire.Digest) {
 	if missing := store.missingIn(message, zone); len(missing) > 0 {
 		store.sendEntries(from, missing, repairHops)
@@ -60,7 +60,7 @@
 	}
 }
 
-// missingIn returns the entries that the sender of a digest, in a zone, lacks or has in an older version.
+// missingIn returns the entries that the sender of a digest, in a zone, lacks or has only in an older version.
 func (store *Store) missingIn(digest *wire.Digest, zone string) []*wire.GossipEntry {
 	theirs := map[string]*wire.DigestEntry{}
 	for _, summary := range digest.Entries {
@@ -78,7 +78,7 @@
 	return missing
 }
 
-// lacksAny reports whether a digest names a newer version of any entry of our zone than we have.
+// lacksAny reports whether a digest names an entry that may enter our zone in a newer version than ours.
 func (store *Store) lacksAny(digest *wire.Digest) bool {
 	return slices.ContainsFunc(digest.Entries, func(summary *wire.DigestEntry) bool {
 		return mayEnter(store.zone, summary.Key) && newer(summary, store.entries[summary.Key])
--- a/coordination/gossip/spread.go
+++ b/coordination/gossip/spread.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// Fanout is how many peers something new is sent to at once.
+	// Fanout is the number of peers that a new entry is sent to at once.
 	Fanout = 3
-	// Hops is how many times something new is forwarded.
+	// Hops is the number of times that a new entry is forwarded.
 	Hops = 4
 )
 
-// HandleMessage handles entries that a peer forwards.
+// HandleMessage stores the entries that a peer has sent and forwards the new ones.
 func (store *Store) HandleMessage(now time.Time, message *wire.GossipMessage) {
 	for _, entry := range message.Entries {
 		if mayEnter(store.zone, entry.Key) {
@@ -25,8 +25,8 @@
 	store.spread()
 }
 
-// spread sends what is new to a few peers: to each one message for each number of remaining hops, in a fixed order, so
-// that a seeded run repeats.
+// spread sends new entries to a few peers: each peer gets one message for each number of remaining hops. The order is
+// fixed so that a seeded run is reproducible.
 func (store *Store) spread() {
 	if len(store.remainingHops) == 0 {
 		return
@@ -54,8 +54,8 @@
 	store.outbox.Send(address, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: message}})
 }
 
-// choosePeers chooses peers at random: of our own zone first, and one beyond it, so that few bytes cross zones but no
-// zone depends on another's goodwill alone.
+// choosePeers chooses peers at random: first from our own zone, and at least one outside it, so that little traffic
+// crosses zones but no zone depends on one other zone alone.
 func (store *Store) choosePeers(peers []Peer) []Peer {
 	near, far := store.partition(peers)
 	shuffle := func(list []Peer) {
@@ -67,7 +67,7 @@
 	return append(append([]Peer{}, chosen...), far[:min(len(far), Fanout-len(chosen))]...)
 }
 
-// partition returns the peers of our own zone, and the others.
+// partition returns the peers in our own zone, and the others.
 func (store *Store) partition(peers []Peer) (near, far []Peer) {
 	for _, peer := range peers {
 		if peer.Zone == store.zone {
--- a/coordination/gossip/store.go
+++ b/coordination/gossip/store.go
@@ -1,21 +1,21 @@
-// Package gossip spreads small named entries among processes: what is new is sent at once to a few
-// peers, which forward it a few times (rumor mongering); what was missed is found by comparing
-// digests (anti-entropy). The entry with the greatest (epoch, count, writer) under a key wins
-// everywhere, so the order of arrival, repeats and losses do not matter.
+// Package gossip spreads small named entries among processes. New entries are sent at once to a few
+// peers, which forward them a few times (rumor mongering); entries that were missed are found by
+// comparing digests (anti-entropy). The entry with the greatest (epoch, count, writer) under a key
+// wins everywhere, so reordered, repeated and lost messages do not matter.
 //
 // An entry whose key begins with "z/<zone>/" stays within its zone.
 //
 // # Contract
 //
-// A Store is one process's part, a pure state machine. Its caller hands it received messages
-// (Store.HandleMessage, Store.HandleDigest), writes by Store.Put, and calls Store.Tick often; after each call it
-// drains the outbox (see package statemachine). Each writer gives its own entry a greater (epoch,
-// count) at each write. Then every store ends up with the greatest version of each entry of its
-// zone that any connected store has, as long as each process reaches some others over the partners
-// that it is given. Messages may be lost, repeated and reordered. Entries are never removed, and
-// there are at most MaximumEntries; values are not authenticated: every process is trusted. A Store
-// is not safe for concurrent use, and an entry is not modified once it was handed to a Store or
-// returned by it.
+// A Store is one process's instance, a pure state machine. Its caller passes it received messages
+// (Store.HandleMessage, Store.HandleDigest), writes by Store.Put, and calls Store.Tick often; after
+// each call it drains the outbox (see package statemachine). Each writer gives its own entry a
+// greater (epoch, count) at each write. Then every store ends up with the greatest version of each
+// entry that may enter its zone and that any connected store has, as long as each process can reach
+// some others through its partners. Messages may be lost, repeated and reordered. Entries are never
+// removed, and there are at most MaximumEntries. Values are not authenticated: every process is
+// trusted. A Store is not safe for concurrent use, and an entry must not be modified after it was
+// passed to a Store or returned by it.
 package gossip
 
 import (
@@ -32,7 +32,7 @@
 // DocumentKey is the key of the entry that carries the committed document.
 const DocumentKey = "document"
 
-// MaximumEntries bounds the entries that others can make a process remember.
+// MaximumEntries bounds the entries of a store, and so the memory that other processes can make it use.
 const MaximumEntries = 4096
 
 // zonePrefix begins the keys of entries that stay within a zone.
@@ -44,7 +44,7 @@
 	Zone    string
 }
 
-// SortedPeers returns the peers of a table from addresses to zones, in the order of their addresses.
+// SortedPeers returns the peers of a map from addresses to zones, ordered by address.
 func SortedPeers(zones map[string]string) []Peer {
 	peers := make([]Peer, 0, len(zones))
 	for _, address := range slices.Sorted(maps.Keys(zones)) {
@@ -61,13 +61,13 @@
 	partners func() []Peer
 	changed  func(now time.Time, entry *wire.GossipEntry)
 	entries  map[string]*wire.GossipEntry
-	// remainingHops are those of the entries that are yet to be sent, by key.
+	// remainingHops holds, by key, the remaining hops of each entry that is yet to be forwarded.
 	remainingHops map[string]uint32
 	lastDigest    time.Time
 }
 
-// New returns an empty store of a process in a zone. partners returns the peers that are known at
-// present, and changed is called for each entry that became newer.
+// New returns an empty store of a process in a zone. partners returns the currently known peers, and
+// changed is called for each entry that is added or replaced by a newer version.
 func New(zone string, outbox *statemachine.Outbox, random *rand.Rand, partners func() []Peer,
 	changed func(now time.Time, entry *wire.GossipEntry)) *Store {
 	return &Store{
@@ -76,10 +76,11 @@
 	}
 }
 
-// Get returns the entry of a key, or nil.
+// Get returns the entry of a key, or nil if there is none.
 func (store *Store) Get(key string) *wire.GossipEntry { return store.entries[key] }
 
-// Put stores an entry if it is newer, to be forwarded up to a number of hops, and reports whether it did.
+// Put stores an entry if it is newer than the present one and the store is not full, and reports whether it did. The
+// entry is forwarded up to this number of hops.
 func (store *Store) Put(now time.Time, entry *wire.GossipEntry, hops uint32) bool {
 	present := store.entries[entry.Key]
 	if !newer(entry, present) {
@@ -96,13 +97,13 @@
 	return true
 }
 
-// Tick forwards what is new and, now and then, starts a comparison of digests with one peer.
+// Tick forwards new entries and, every digestInterval, sends a digest to one peer.
 func (store *Store) Tick(now time.Time) {
 	store.spread()
 	store.compareDigests(now)
 }
 
-// version is what orders the versions of an entry: an entry itself, or its digest entry.
+// version is implemented by an entry and by its digest entry, and orders the versions of an entry.
 type version interface {
 	GetEpoch() uint64
 	GetCount() uint64
--- a/coordination/gossip/store_test.go
+++ b/coordination/gossip/store_test.go
@@ -11,14 +11,14 @@
 	"wardtray/wire"
 )
 
-// process is one store with what it sends.
+// process is a process with its store and outbox.
 type process struct {
 	name, zone string
 	store      *gossip.Store
 	outbox     *statemachine.Outbox
 }
 
-// network is thirty stores in three zones, of which each knows some of the others.
+// network is a network of storeCount stores in zoneCount zones, of which each knows some of the others.
 type network struct {
 	random    *rand.Rand
 	now       time.Time
@@ -56,11 +56,11 @@
 	added.store = gossip.New(added.zone, added.outbox, random, func() []gossip.Peer { return partners },
 		func(_ time.Time, entry *wire.GossipEntry) {
 			if entry.Epoch < greatest[entry.Key] {
-				fail("%s went back on %s", added.name, entry.Key)
+				fail("%s returned to an older version of %s", added.name, entry.Key)
 			}
 			greatest[entry.Key] = entry.Epoch
 			if entry.Key == "z/z0/list" && added.zone != "z0" {
-				fail("an entry of z0 reached %s", added.zone)
+				fail("an entry of zone z0 reached zone %s", added.zone)
 			}
 		})
 	network.processes[added.name] = added
@@ -69,7 +69,7 @@
 
 func zoneOf(number int) string { return fmt.Sprint("z", number%zoneCount) }
 
-// deliver delivers what a store has sent; half of the messages are lost.
+// deliver delivers the messages that a store has sent, and loses half of them.
 func (network *network) deliver(name string) {
 	sent, _ := network.processes[name].outbox.Drain()
 	for _, outgoing := range sent {
@@ -86,7 +86,8 @@
 	}
 }
 
-// run writes two entries for a while and lets the stores exchange messages for longer.
+// run lets the stores exchange messages for 600 steps of 50 ms. During the first 200 steps it repeatedly writes two
+// entries.
 func (network *network) run() {
 	for step := range 600 {
 		network.now = network.now.Add(50 * time.Millisecond)
@@ -106,8 +107,8 @@
 	}
 }
 
-// Thirty stores in three zones, half of the messages lost, half of the partners unknown to each: all end with the
-// newest version of every entry, entries of a zone never leave it, and no store returns to an older version.
+// With half of the messages lost and half of the partners unknown to each store, every store must end with the newest
+// version of every entry, entries of a zone must not leave it, and no store may return to an older version.
 func TestDigestsRepairWhatGossipMisses(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		network := newNetwork(t, seed)
@@ -115,10 +116,10 @@
 		for _, name := range network.names {
 			process := network.processes[name]
 			if entry := process.store.Get("document"); entry == nil || entry.Epoch != 191 {
-				t.Fatalf("seed %d: %s ends with %v", seed, name, entry)
+				t.Fatalf("seed %d: %s ends with document %v, want epoch 191", seed, name, entry)
 			}
 			if entry := process.store.Get("z/z0/list"); process.zone == "z0" && (entry == nil || entry.Epoch != 191) {
-				t.Fatalf("seed %d: %s ends with list %v", seed, name, entry)
+				t.Fatalf("seed %d: %s ends with list %v, want epoch 191", seed, name, entry)
 			}
 		}
 	}
--- a/coordination/gossip/version_test.go
+++ b/coordination/gossip/version_test.go
@@ -21,7 +21,7 @@
 	for left := 1; left < len(ascending); left++ {
 		for right := range ascending {
 			if got := newer(ascending[left], ascending[right]); got != (left > right) {
-				t.Errorf("%v newer than %v: %v", ascending[left], ascending[right], got)
+				t.Errorf("newer(%v, %v) = %v", ascending[left], ascending[right], got)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 		{"ab", "z/a/list", false},
 	} {
 		if got := mayEnter(test.zone, test.key); got != test.want {
-			t.Errorf("%s may enter zone %s: %v", test.key, test.zone, got)
+			t.Errorf("mayEnter(%s, %s) = %v", test.zone, test.key, got)
 		}
 	}
 }
--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -1,13 +1,15 @@
 // Package peersampling maintains a process's partial view of the others: a bounded set of descriptors (address, zone,
-// age) of which some are exchanged with the oldest neighbour now and then (a shuffle, as in Cyclon). The descriptor
-// of a process that is gone is never renewed: it grows the oldest, is contacted without a response, and is dropped.
+// age), some of which are periodically exchanged with the oldest neighbour (a shuffle, as in Cyclon). The descriptor of
+// a process that has stopped is never renewed: it becomes the oldest, its process doesn't respond to a shuffle, and it
+// is dropped.
 //
 // # Contract
 //
-// A PartialView is one process's part, a pure state machine. Its caller calls Tick often, hands it received shuffles
-// by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost, repeated
-// and reordered. As long as every process reaches a seed or some neighbour, the views connect all live processes and
-// forget those that are gone within some rounds; a view has at most Size descriptors, none of itself and none twice.
+// A PartialView is one process's instance, a pure state machine. Its caller calls Tick often, passes it received
+// shuffles by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost,
+// repeated and reordered. As long as every process reaches a seed or some neighbour, the views connect all live
+// processes and drop stopped ones within some rounds. A view has at most Size descriptors, none of its own process and
+// none twice.
 // A PartialView is not safe for concurrent use.
 package peersampling
 
@@ -23,19 +25,19 @@
 const (
 	// Size bounds the partial view.
 	Size = 12
-	// Exchange is how many descriptors one shuffle carries, the sender's own included.
+	// Exchange is the number of descriptors in one shuffle, including the sender's own.
 	Exchange = 5
-	// shuffleInterval is how often a view is shuffled, and filledShuffleInterval how often one that is at least half
-	// full.
+	// shuffleInterval is the interval between shuffles of a view that is less than half full, and
+	// filledShuffleInterval of one that is at least half full.
 	shuffleInterval       = time.Second
 	filledShuffleInterval = 3 * time.Second
-	// smallSize is below how many descriptors a view keeps contacting the seeds: they are the only way back for a
-	// process whose neighbours are all gone.
+	// A view with fewer than smallSize descriptors contacts the seeds in every round: they are the only way to rejoin
+	// for a process whose neighbours have all stopped.
 	smallSize = 3
-	// seedsOneIn is in how many rounds a view that is not small contacts the seeds once, on average.
-	seedsOneIn = 8
-	// maximumResponders bounds the processes whose last message is remembered.
-	maximumResponders = 4 * Size
+	// A larger view contacts the seeds in one of seedContactOneIn rounds, on average.
+	seedContactOneIn = 8
+	// maximumSenders bounds the processes in lastSeen.
+	maximumSenders = 4 * Size
 )
 
 // PartialView is the partial view of one process.
@@ -46,10 +48,10 @@
 	random      *rand.Rand
 	descriptors map[string]*wire.PeerDescriptor
 	lastShuffle time.Time
-	// contacted is the neighbour that was contacted in the last round, at contactedAt; "" where none was.
+	// contacted is the address of the neighbour that was contacted in the last round, at contactedAt; "" if none was.
 	contacted   string
 	contactedAt time.Time
-	// lastSeen is when each process last sent a shuffle.
+	// lastSeen holds, by address, the time of each process's last shuffle.
 	lastSeen map[string]time.Time
 }
 
@@ -61,7 +63,7 @@
 	}
 }
 
-// Peers returns the present partial view, ordered by address.
+// Peers returns the descriptors of the current partial view, ordered by address.
 func (view *PartialView) Peers() []*wire.PeerDescriptor {
 	peers := make([]*wire.PeerDescriptor, 0, len(view.descriptors))
 	for _, descriptor := range view.descriptors {
@@ -71,7 +73,7 @@
 	return peers
 }
 
-// Tick ages the view and starts a shuffle when it is time.
+// Tick ages the view and starts a shuffle if the interval has passed since the last one.
 func (view *PartialView) Tick(now time.Time) {
 	if !view.shuffleDue(now) {
 		return
@@ -82,7 +84,7 @@
 		view.contacted, view.contactedAt = oldest, now
 		view.send(oldest, false)
 	}
-	if len(view.descriptors) < smallSize || view.random.Intn(seedsOneIn) == 0 {
+	if len(view.descriptors) < smallSize || view.random.Intn(seedContactOneIn) == 0 {
 		view.contactSeeds()
 	}
 }
@@ -95,7 +97,7 @@
 	return now.Sub(view.lastShuffle) >= interval
 }
 
-// dropUnresponsive drops the neighbour that let the whole round pass without a response.
+// dropUnresponsive drops the neighbour that was contacted in the last round if it has sent no shuffle since.
 func (view *PartialView) dropUnresponsive() {
 	if view.contacted != "" && view.lastSeen[view.contacted].Before(view.contactedAt) {
 		delete(view.descriptors, view.contacted)
@@ -103,7 +105,7 @@
 	view.contacted = ""
 }
 
-// age makes every descriptor one round older and returns the address of the oldest, "" where there is none.
+// age makes every descriptor one round older and returns the address of the oldest, or "" if the view is empty.
 func (view *PartialView) age() (oldest string) {
 	for _, peer := range view.Peers() {
 		peer.Age++
@@ -122,7 +124,7 @@
 	}
 }
 
-// send sends our own descriptor and some others, chosen at random.
+// send sends our own descriptor and others chosen at random, up to Exchange in all.
 func (view *PartialView) send(address string, response bool) {
 	peers := view.Peers()
 	view.random.Shuffle(len(peers), func(left, right int) { peers[left], peers[right] = peers[right], peers[left] })
@@ -140,7 +142,8 @@
 	return &wire.PeerDescriptor{Address: peer.Address, Zone: peer.Zone, Core: peer.Core, Age: age}
 }
 
-// HandleShuffle handles a neighbour's descriptors and, where it is a request, responds with some of ours.
+// HandleShuffle adds the descriptors of a shuffle to the view and, if the shuffle is a request, responds with some of
+// ours.
 func (view *PartialView) HandleShuffle(now time.Time, from string, message *wire.Shuffle) {
 	view.lastSeen[from] = now
 	if !message.Response {
@@ -152,12 +155,12 @@
 	for len(view.descriptors) > Size {
 		view.evict()
 	}
-	if len(view.lastSeen) > maximumResponders {
+	if len(view.lastSeen) > maximumSenders {
 		view.lastSeen = map[string]time.Time{from: now}
 	}
 }
 
-// add adds a descriptor, unless it is our own or no younger than the one that is there.
+// add adds a descriptor, unless it is our own or the view has one of that process that is no older.
 func (view *PartialView) add(received *wire.PeerDescriptor) {
 	if received.Address == view.self.Address || received.Address == "" {
 		return
@@ -167,7 +170,8 @@
 	}
 }
 
-// evict drops the oldest descriptor, but of a zone that has more than one.
+// evict drops the oldest descriptor of those whose zone has more than one. If each zone has only one, it drops the
+// first by address.
 func (view *PartialView) evict() {
 	peersOfZone := map[string]int{}
 	for _, descriptor := range view.descriptors {
--- a/coordination/peersampling/partialview_test.go
+++ b/coordination/peersampling/partialview_test.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-// network is two hundred processes that know one seed.
+// network is a network of 200 processes in four zones that know only one seed, p000.
 type network struct {
 	random   *rand.Rand
 	now      time.Time
@@ -55,7 +55,7 @@
 	}
 }
 
-// deliver delivers what a process has sent; a tenth is lost.
+// deliver delivers the messages that a process has sent, and loses a tenth of them.
 func (network *network) deliver(name string) {
 	messages, _ := network.outboxes[name].Drain()
 	for _, message := range messages {
@@ -65,41 +65,41 @@
 	}
 }
 
-// reached counts the processes to which a path over views leads from the first.
+// reached returns the number of processes that can be reached from p000 by following the views.
 func (network *network) reached() int {
-	seen, open := map[string]bool{"p000": true}, []string{"p000"}
-	for len(open) > 0 {
-		next := open[0]
-		open = open[1:]
+	seen, queue := map[string]bool{"p000": true}, []string{"p000"}
+	for len(queue) > 0 {
+		next := queue[0]
+		queue = queue[1:]
 		for _, peer := range network.views[next].Peers() {
 			if !seen[peer.Address] && !network.stopped[peer.Address] {
 				seen[peer.Address] = true
-				open = append(open, peer.Address)
+				queue = append(queue, peer.Address)
 			}
 		}
 	}
 	return len(seen)
 }
 
-// After a while the views connect all processes, stay within their bound, have no process twice, and forget those that
-// were stopped.
+// The views must connect all live processes although a tenth of the messages is lost, stay within their size, and drop
+// the descriptors of stopped processes. This fails if stopped processes are passed on for ever or if the views split.
 func TestViewsConnectAndForget(t *testing.T) {
 	network := newNetwork()
 	network.run(60)
 	if count := network.reached(); count != 200 {
-		t.Fatalf("%d of 200 are connected", count)
+		t.Fatalf("%d of 200 processes are connected", count)
 	}
 	for number := 100; number < 200; number++ {
 		network.stopped[network.names[number]] = true
 	}
 	network.run(120)
 	if count := network.reached(); count != 100 {
-		t.Fatalf("%d of 100 are connected after the others were stopped", count)
+		t.Fatalf("%d of 100 processes are connected after the others were stopped", count)
 	}
 	stale := 0
 	for _, name := range network.names[:100] {
 		if peers := network.views[name].Peers(); len(peers) > peersampling.Size {
-			t.Fatalf("%s knows %d", name, len(peers))
+			t.Fatalf("the view of %s has %d descriptors", name, len(peers))
 		}
 		for _, peer := range network.views[name].Peers() {
 			if network.stopped[peer.Address] {
