--- a/coordination/snapshot/powersystem_test.go
+++ b/coordination/snapshot/crashfilesystem_test.go
@@ -11,48 +11,51 @@
 	"sort"
 )
 
-// powerSystem is a file system of one folder that keeps, over a loss of power, of each file what was synced with it
-// and of each name what the last sync of the folder covered. Everything later is kept or lost by itself.
-type powerSystem struct {
-	names map[string]*powerFile
-	// durable are the names as the last sync of the folder left them; changes are those since.
-	durable map[string]*powerFile
+// crashFileSystem is a file system of one folder that simulates kills and power losses. A power loss keeps what was
+// synced of each file and the names as of the last sync of the folder. Each later write and name change is kept or lost
+// independently.
+type crashFileSystem struct {
+	names map[string]*simulatedFile
+	// durable holds the names as of the last sync of the folder, and changes the name changes since.
+	durable map[string]*simulatedFile
 	changes []nameChange
-	// stepsLeft counts the steps until the process is killed; the step in which it is killed is done in part or not
-	// at all.
+	// stepsLeft is the number of steps until the process is killed. The step in which it is killed is done in part or
+	// not at all.
 	stepsLeft int
 	random    *rand.Rand
-	// lostBoth means that a loss of power has left neither name of a rename.
-	lostBoth bool
+	// lostBothNames is set if a power loss has left neither name of a rename.
+	lostBothNames bool
 }
 
-// powerFile is a file apart from its names.
-type powerFile struct {
+// simulatedFile is the content of a file (an inode), which names refer to.
+type simulatedFile struct {
 	content, synced []byte
 }
 
-// nameChange is a name that was made, renamed or removed.
+// nameChange is the creation (from is ""), rename or removal (to is "") of a name.
 type nameChange struct {
 	from, to string
-	file     *powerFile
+	file     *simulatedFile
 }
 
 var errKilled = errors.New("the process was killed")
 
-const manySteps = 1 << 30
+// unlimitedSteps is a number of steps that no test reaches.
+const unlimitedSteps = 1 << 30
 
-func newPowerSystem(random *rand.Rand) *powerSystem {
-	return &powerSystem{
-		names: map[string]*powerFile{}, durable: map[string]*powerFile{}, stepsLeft: manySteps, random: random,
+func newCrashFileSystem(random *rand.Rand) *crashFileSystem {
+	return &crashFileSystem{
+		names: map[string]*simulatedFile{}, durable: map[string]*simulatedFile{}, stepsLeft: unlimitedSteps, random: random,
 	}
 }
 
-func (system *powerSystem) isKilled() bool {
+// isKilled counts a step and reports whether the process is killed in it.
+func (system *crashFileSystem) isKilled() bool {
 	system.stepsLeft--
 	return system.stepsLeft < 0
 }
 
-func (system *powerSystem) ReadFile(path string) ([]byte, error) {
+func (system *crashFileSystem) ReadFile(path string) ([]byte, error) {
 	file := system.names[filepath.Base(path)]
 	if file == nil {
 		return nil, fs.ErrNotExist
@@ -60,7 +63,7 @@
 	return append([]byte{}, file.content...), nil
 }
 
-func (system *powerSystem) OpenFile(path string, flag int, _ os.FileMode) (file, error) {
+func (system *crashFileSystem) OpenFile(path string, flag int, _ os.FileMode) (file, error) {
 	if system.isKilled() {
 		return nil, errKilled
 	}
@@ -70,7 +73,7 @@
 		if flag&os.O_CREATE == 0 {
 			return nil, fs.ErrNotExist
 		}
-		found = &powerFile{}
+		found = &simulatedFile{}
 		system.names[name] = found
 		system.changes = append(system.changes, nameChange{to: name, file: found})
 	}
@@ -80,7 +83,7 @@
 	return &openFile{system, found}, nil
 }
 
-func (system *powerSystem) Rename(from, to string) error {
+func (system *crashFileSystem) Rename(from, to string) error {
 	if system.isKilled() {
 		return errKilled
 	}
@@ -95,7 +98,7 @@
 	return nil
 }
 
-func (system *powerSystem) Remove(path string) error {
+func (system *crashFileSystem) Remove(path string) error {
 	if system.isKilled() {
 		return errKilled
 	}
@@ -108,7 +111,7 @@
 	return nil
 }
 
-func (system *powerSystem) Names(string) ([]string, error) {
+func (system *crashFileSystem) Names(string) ([]string, error) {
 	names := make([]string, 0, len(system.names))
 	for name := range system.names {
 		names = append(names, name)
@@ -117,7 +120,7 @@
 	return names, nil
 }
 
-func (system *powerSystem) SyncFolder(string) error {
+func (system *crashFileSystem) SyncFolder(string) error {
 	if system.isKilled() {
 		return errKilled
 	}
@@ -125,10 +128,10 @@
 	return nil
 }
 
-// openFile is an open file of a powerSystem.
+// openFile is an open file of a crashFileSystem.
 type openFile struct {
-	system *powerSystem
-	file   *powerFile
+	system *crashFileSystem
+	file   *simulatedFile
 }
 
 func (opened *openFile) Write(content []byte) (int, error) {
@@ -161,21 +164,21 @@
 
 func (opened *openFile) Close() error { return nil }
 
-// outcomes is the number of outcomes of a name change over a loss of power: lost, kept, and for a rename both names at
-// once, or neither. Neither is what a file system without a journal may leave.
+// outcomes is the number of outcomes of a name change in a power loss: lost, kept, and for a rename both names or
+// neither. A file system without a journal may leave neither name.
 const outcomes = 4
 
-// The outcomes in which a change is lost, in which it is kept, and in which a rename leaves neither name.
+// These are the outcomes in which a change is lost, in which it is kept, and in which a rename leaves neither name.
 const (
 	changeLost  = 0
 	changeKept  = 1
 	neitherName = 3
 )
 
-// afterPowerLoss returns the file system as a loss of power leaves it. chosen holds one outcome for each change, as
-// digits.
-func (system *powerSystem) afterPowerLoss(chosen int) *powerSystem {
-	names, lostBoth := maps.Clone(system.durable), false
+// afterPowerLoss returns the file system as a power loss leaves it. The digits of chosen, in base outcomes, select the
+// outcome of each name change.
+func (system *crashFileSystem) afterPowerLoss(chosen int) *crashFileSystem {
+	names, lostBothNames := maps.Clone(system.durable), false
 	for _, change := range system.changes {
 		outcome := chosen % outcomes
 		chosen /= outcomes
@@ -186,7 +189,7 @@
 		if outcome == neitherName {
 			delete(names, change.from)
 			delete(names, change.to)
-			lostBoth = true
+			lostBothNames = true
 			continue
 		}
 		if change.from != "" && outcome == changeKept {
@@ -196,14 +199,14 @@
 			names[change.to] = change.file
 		}
 	}
-	after, copies := newPowerSystem(system.random), map[*powerFile]*powerFile{}
-	after.lostBoth = system.lostBoth || lostBoth
-	// In a fixed order, so that a seeded run repeats.
+	after, copies := newCrashFileSystem(system.random), map[*simulatedFile]*simulatedFile{}
+	after.lostBothNames = system.lostBothNames || lostBothNames
+	// The order is fixed so that a seeded run is reproducible.
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		file := names[name]
 		if copies[file] == nil {
-			content := system.remains(file)
-			copies[file] = &powerFile{content: content, synced: append([]byte{}, content...)}
+			content := system.contentAfterPowerLoss(file)
+			copies[file] = &simulatedFile{content: content, synced: append([]byte{}, content...)}
 		}
 		after.names[name] = copies[file]
 	}
@@ -211,8 +214,9 @@
 	return after
 }
 
-// remains returns what is left of a file: what was synced, and of what was written since nothing, all or a part.
-func (system *powerSystem) remains(file *powerFile) []byte {
+// contentAfterPowerLoss returns the content of a file after a power loss: what was synced, and nothing, all or a part
+// of what was written since.
+func (system *crashFileSystem) contentAfterPowerLoss(file *simulatedFile) []byte {
 	switch system.random.Intn(3) {
 	case 0:
 		return append([]byte{}, file.synced...)
@@ -227,25 +231,25 @@
 	return append([]byte{}, file.content[:length]...)
 }
 
-// ways is the number of outcomes of all name changes over a loss of power.
-func (system *powerSystem) ways() int {
-	ways := 1
+// outcomeCount returns the number of combined outcomes of all name changes in a power loss.
+func (system *crashFileSystem) outcomeCount() int {
+	count := 1
 	for range system.changes {
-		ways *= outcomes
+		count *= outcomes
 	}
-	return ways
+	return count
 }
 
-// clone returns a copy on which another incarnation may go on.
-func (system *powerSystem) clone() *powerSystem {
-	clone, copies := newPowerSystem(system.random), map[*powerFile]*powerFile{}
-	clone.lostBoth = system.lostBoth
-	copied := func(file *powerFile) *powerFile {
+// clone returns a copy on which another incarnation can run.
+func (system *crashFileSystem) clone() *crashFileSystem {
+	clone, copies := newCrashFileSystem(system.random), map[*simulatedFile]*simulatedFile{}
+	clone.lostBothNames = system.lostBothNames
+	copied := func(file *simulatedFile) *simulatedFile {
 		if file == nil {
 			return nil
 		}
 		if copies[file] == nil {
-			copies[file] = &powerFile{append([]byte{}, file.content...), append([]byte{}, file.synced...)}
+			copies[file] = &simulatedFile{append([]byte{}, file.content...), append([]byte{}, file.synced...)}
 		}
 		return copies[file]
 	}
--- a/coordination/snapshot/directory.go
+++ b/coordination/snapshot/directory.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// Directory is a Folder of the machine's own disk, by its path.
+// Directory is the path of a directory on the local disk; it implements Folder.
 type Directory string
 
 func (directory Directory) files() files { return files{string(directory), operatingSystem{}} }
 
-// Read returns the content of a file; found is false where there is none.
+// Read returns the content of a file; found is false if it does not exist.
 func (directory Directory) Read(name string) (content []byte, found bool, err error) {
 	return directory.files().Read(name)
 }
 
-// Put replaces a file and syncs it and its name.
+// Put creates or replaces a file and syncs it and its name.
 func (directory Directory) Put(name string, content []byte) error {
 	return directory.files().Put(name, content)
 }
@@ -28,22 +28,22 @@
 	return directory.files().Append(name, content)
 }
 
-// Rename puts a file in another's place and syncs the folder.
+// Rename renames a file, replacing any file of the new name, and syncs the folder.
 func (directory Directory) Rename(from, to string) error { return directory.files().Rename(from, to) }
 
-// Truncate cuts a file and syncs it and its name.
+// Truncate truncates a file to a length and syncs it and its name.
 func (directory Directory) Truncate(name string, length int64) error {
 	return directory.files().Truncate(name, length)
 }
 
-// SetAside renames the files of a state that can't be trusted, keeping them for whoever wants to look; mark becomes
-// part of their names. Only the last state that was set aside is kept.
+// SetAside renames the files of a state that can't be trusted, so that they are kept for inspection; mark becomes part
+// of their names. Only the last state that was set aside is kept.
 func (directory Directory) SetAside(mark string) error { return directory.files().SetAside(mark) }
 
-// asideMark is part of the name of each file that was set aside.
-const asideMark = ".lost-"
+// setAsideInfix is part of the name of each file that was set aside, between its original name and the mark.
+const setAsideInfix = ".lost-"
 
-// files implements Folder, and SetAside, in one folder of a file system.
+// files implements Folder and SetAside in one folder of a file system.
 type files struct {
 	folder string
 	system fileSystem
@@ -59,8 +59,8 @@
 	return content, err == nil, err
 }
 
-// Put creates a new file rather than writing into the old one: after a loss of power during a rename the old name may
-// still be there, as a second one of the file that took its place.
+// Put creates a new file rather than overwriting the old one: after a power loss during a rename the old name may still
+// exist, as a second name of the renamed file.
 func (files files) Put(name string, content []byte) error {
 	if err := files.removeIfExists(name); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return err
 }
 
-// Append creates no file: one without a header would be taken for a damaged log.
+// Append doesn't create a missing file: a file without a header would be read as a damaged log.
 func (files files) Append(name string, content []byte) error {
 	return files.change(name, os.O_APPEND, func(file file) error {
 		_, err := file.Write(content)
@@ -98,7 +98,7 @@
 	return files.system.SyncFolder(files.folder)
 }
 
-// change opens a file, changes it, syncs it and closes it.
+// change opens a file, applies a change to it, syncs it and closes it.
 func (files files) change(name string, flag int, change func(file file) error) error {
 	opened, err := files.system.OpenFile(files.path(name), os.O_WRONLY|flag, 0o640)
 	if err != nil {
@@ -120,14 +120,15 @@
 	return files.system.SyncFolder(files.folder)
 }
 
-// SetAside keeps only the last state: a disk that fails again and again must not fill up with them. The log goes first,
-// since nothing counts without it, whichever of the names a loss of power brings back.
+// SetAside keeps only the last state, so that a disk that fails repeatedly doesn't fill up with discarded states. The
+// log is renamed first: without it the other files can't be recovered as a valid state, whichever names a power loss
+// restores.
 func (files files) SetAside(mark string) error {
 	if err := files.removeSetAside(); err != nil {
 		return err
 	}
 	for _, name := range append([]string{logName, newLogName}, slotNames[:]...) {
-		err := files.system.Rename(files.path(name), files.path(name+asideMark+mark))
+		err := files.system.Rename(files.path(name), files.path(name+setAsideInfix+mark))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -135,14 +136,14 @@
 	return files.system.SyncFolder(files.folder)
 }
 
-// removeSetAside removes the files of a state that was set aside earlier.
+// removeSetAside removes the files of states that were set aside earlier.
 func (files files) removeSetAside() error {
 	names, err := files.system.Names(files.folder)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if !strings.Contains(name, asideMark) {
+		if !strings.Contains(name, setAsideInfix) {
 			continue
 		}
 		if err := files.removeIfExists(name); err != nil {
--- a/coordination/snapshot/example_test.go
+++ b/coordination/snapshot/example_test.go
@@ -18,7 +18,7 @@
 		panic(err)
 	}
 	fmt.Println("blank:", recovered.Blank)
-	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one"), []byte("two"))} {
+	for _, err := range []error{store.SaveSnapshot([]byte("state")), store.Append([]byte("one"), []byte("two"))} {
 		if err != nil {
 			panic(err)
 		}
@@ -30,5 +30,5 @@
 	fmt.Printf("%s and %s\n", recovered.Snapshot, recovered.Records)
 	// Output:
 	// blank: true
-	// memory and [one two]
+	// state and [one two]
 }
--- a/coordination/snapshot/filesystem.go
+++ b/coordination/snapshot/filesystem.go
@@ -7,8 +7,9 @@
 	"path/filepath"
 )
 
-// fileSystem is what a Directory needs of the operating system. After a loss of power a file holds what its last Sync
-// covered, and each name that was created, renamed or removed since the last SyncFolder may be kept or lost by itself.
+// fileSystem holds the operations of the operating system that a Directory needs. After a power loss a file holds what
+// its last Sync covered, while later writes may be kept, lost or torn. Each name change (creation, rename, removal)
+// since the last SyncFolder may be kept or lost independently of the others.
 type fileSystem interface {
 	ReadFile(path string) ([]byte, error)
 	OpenFile(path string, flag int, mode os.FileMode) (file, error)
@@ -26,7 +27,7 @@
 	Close() error
 }
 
-// operatingSystem is the machine's own file system.
+// operatingSystem implements fileSystem with package os.
 type operatingSystem struct{}
 
 func (operatingSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
@@ -60,7 +61,8 @@
 	return err
 }
 
-// MakeDirectory creates a folder with all its parents, and syncs the name of each that it created.
+// MakeDirectory creates a directory with all its parents and syncs the name of each, so that the path survives a power
+// loss. It succeeds if the directory exists.
 func MakeDirectory(path string, mode os.FileMode) error {
 	path = filepath.Clean(path)
 	parent := filepath.Dir(path)
@@ -74,8 +76,8 @@
 		}
 	}
 	if errors.Is(err, fs.ErrExist) {
-		// An earlier incarnation may have been killed before the sync. Where the parent is not ours to open, whoever
-		// created this folder has to have synced it.
+		// An earlier incarnation may have been killed before the sync. The error is ignored: if this process may not
+		// open the parent, it didn't create this directory, and the creator must have synced it.
 		_ = operatingSystem{}.SyncFolder(parent)
 		return nil
 	}
--- a/coordination/snapshot/format_fuzz_test.go
+++ b/coordination/snapshot/format_fuzz_test.go
@@ -11,7 +11,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		slot, valid := decodeSlot(content)
 		if valid && !bytes.Equal(EncodeSlot(slot.generation, slot.snapshot), content) {
-			t.Fatal("a slot that is encoded differently")
+			t.Fatal("encoding the decoded slot gives other bytes")
 		}
 	})
 }
@@ -29,7 +29,7 @@
 			encoded = append(encoded, EncodeRecord(record)...)
 		}
 		if !bytes.Equal(encoded, content[:log.length]) {
-			t.Fatal("a log that is encoded differently")
+			t.Fatal("encoding the decoded log gives other bytes")
 		}
 	})
 }
--- a/coordination/snapshot/logformat.go
+++ b/coordination/snapshot/logformat.go
@@ -7,8 +7,9 @@
 	"wardtray/apierror"
 )
 
-// A log is its magic (4 bytes), generation (8) and checksum of both (4), and then its records, each with its length
-// (4), the checksum of length and record (4) and the record. Numbers are big-endian; checksums are CRC-32C.
+// A log consists of a header and records. The header is the magic (4 bytes), the generation (8) and the checksum of
+// both (4). A record is its length (4), the checksum of length and content (4) and its content. Numbers are big-endian;
+// checksums are CRC-32C.
 const (
 	logMagic             = "WTL1"
 	logGenerationOffset  = 4
@@ -22,11 +23,11 @@
 type log struct {
 	generation uint64
 	records    [][]byte
-	// length is up to where the log is valid. What follows was never synced.
+	// length is the length of the valid part in bytes. What follows is a torn write that was never synced.
 	length int
 }
 
-// EncodeLogHeader returns the first bytes of a log.
+// EncodeLogHeader returns the header of a log.
 func EncodeLogHeader(generation uint64) []byte {
 	header := append([]byte(logMagic), make([]byte, logHeaderLength-len(logMagic))...)
 	binary.BigEndian.PutUint64(header[logGenerationOffset:], generation)
@@ -34,7 +35,7 @@
 	return header
 }
 
-// EncodeRecord returns the bytes of one record of a log.
+// EncodeRecord returns the encoding of one record of a log.
 func EncodeRecord(record []byte) []byte {
 	return appendRecord(make([]byte, 0, recordHeaderLength+len(record)), record)
 }
@@ -50,7 +51,8 @@
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, record)
 }
 
-// decodeLog decodes a log up to its torn end. Damage before the end is apierror.DataLost.
+// decodeLog decodes a log up to its torn end, if it has one. If the header or a record that isn't the last is damaged,
+// the error is apierror.DataLost.
 func decodeLog(content []byte) (log, error) {
 	if !validLogHeader(content) {
 		return log{}, apierror.New(apierror.DataLost, "the log's header is damaged")
@@ -62,7 +64,7 @@
 	for decoded.length < len(content) {
 		record, size := decodeRecord(content[decoded.length:])
 		if size == 0 {
-			// A torn write leaves no valid record behind it; one after an invalid record means that synced bytes were
+			// No valid record can follow a torn write. A valid record after an invalid one means that synced bytes were
 			// damaged.
 			if containsRecord(content[decoded.length+1:]) {
 				return log{}, apierror.New(apierror.DataLost, "the log is damaged at byte %d", decoded.length)
@@ -83,14 +85,14 @@
 	return checksum == binary.BigEndian.Uint32(content[logChecksumOffset:])
 }
 
-// decodeRecord decodes the record at the start of content; size is what it takes with its header, 0 where there is no
-// valid record.
+// decodeRecord decodes the record at the start of content; size is its length in bytes including the header, or 0 if
+// there is no valid record.
 func decodeRecord(content []byte) (record []byte, size int) {
 	if len(content) < recordHeaderLength {
 		return nil, 0
 	}
 	length := int(binary.BigEndian.Uint32(content))
-	// Nothing writes an empty record, while a run of zeros left by a torn write would read as many.
+	// No caller writes an empty record, and a run of zeros left by a torn write must not be decoded as empty records.
 	if length == 0 || length > MaximumRecord || len(content) < recordHeaderLength+length {
 		return nil, 0
 	}
--- a/coordination/snapshot/open.go
+++ b/coordination/snapshot/open.go
@@ -2,28 +2,28 @@
 
 import "wardtray/apierror"
 
-// Recovered is what a folder held.
+// Recovered is the state that Open read from a folder.
 type Recovered struct {
-	// Blank is whether the folder holds nothing at all.
+	// Blank is set if the folder holds neither a log nor a valid slot.
 	Blank bool
-	// Snapshot is the newest snapshot, and Records are those that were appended since.
+	// Snapshot is the newest snapshot, and Records are the records appended after it.
 	Snapshot []byte
 	Records  [][]byte
-	// TornBytes is the number of bytes that were cut off the end of the log.
+	// TornBytes is the length in bytes of the torn write that was removed from the end of the log.
 	TornBytes int
 }
 
-// slotFile is what one of the two slot files held.
+// slotFile is one of the two slot files, as it was read.
 type slotFile struct {
 	name   string
 	length int64
 	slot   slot
-	// valid is whether the file holds a complete slot.
+	// valid is set if the file holds a complete slot.
 	valid bool
 }
 
-// Open reads a folder back. apierror.DataLost means that there are files which can't be trusted. apierror.DiskFailed
-// means that the disk can't be made to keep what was read; it may do so later.
+// Open recovers the state from a folder. The error apierror.DataLost means that the folder holds files that can't be
+// trusted. apierror.DiskFailed means that reading a file, or syncing what was read, failed; a later call may succeed.
 func Open(folder Folder) (*Store, Recovered, error) {
 	content, found, err := folder.Read(logName)
 	if err != nil {
@@ -35,9 +35,10 @@
 	}
 	store := &Store{folder: folder}
 	if !found {
-		// A slot alone may be a first start cut short or a lost log; both are answered by a new identity.
+		// A slot without a log is left by an interrupted first start or by a lost log. The caller handles both by
+		// starting with a new identity.
 		if slots[0].valid || slots[1].valid {
-			return nil, Recovered{}, apierror.New(apierror.DataLost, "a slot without its log")
+			return nil, Recovered{}, apierror.New(apierror.DataLost, "found a slot without a log")
 		}
 		return store, Recovered{Blank: true}, nil
 	}
@@ -56,7 +57,8 @@
 	return store.recoverSlotAndLog(newest, log, len(content))
 }
 
-// recoverSlot recovers a slot whose own log was not started, so that nobody knows whether the slot was synced.
+// recoverSlot recovers a slot whose log was not started. It syncs the slot first, since it is unknown whether that was
+// done, and then starts the log.
 func (store *Store) recoverSlot(newest *slotFile) (*Store, Recovered, error) {
 	if err := store.folder.Truncate(newest.name, newest.length); err != nil {
 		return nil, Recovered{}, apierror.Wrap(err, apierror.DiskFailed, "syncing %s", newest.name)
@@ -64,7 +66,8 @@
 	return store, Recovered{Snapshot: newest.slot.snapshot}, store.startLog()
 }
 
-// recoverSlotAndLog recovers a slot and the log that continues it, which it syncs without its torn end.
+// recoverSlotAndLog recovers a slot and the log that continues it. It truncates the torn end of the log and syncs the
+// log.
 func (store *Store) recoverSlotAndLog(newest *slotFile, log log, fileLength int) (*Store, Recovered, error) {
 	store.logLength = int64(log.length)
 	if err := store.folder.Truncate(logName, store.logLength); err != nil {
@@ -87,8 +90,8 @@
 	return slots, nil
 }
 
-// newestSlot returns the valid slot that counts beside a log of a generation, nil where there is none. A slot newer
-// than the log contains all that the log does.
+// newestSlot returns the newest valid slot that is not older than a log's generation, or nil if there is none. A slot
+// newer than the log contains all records of the log.
 func newestSlot(slots [2]slotFile, generation uint64) (newest *slotFile) {
 	for index := range slots {
 		file := &slots[index]
--- a/coordination/snapshot/powerloss_test.go
+++ b/coordination/snapshot/powerloss_test.go
@@ -13,10 +13,11 @@
 	"wardtray/apierror"
 )
 
-// progress is what a store was requested to write and what it has reported as synced, as one text.
+// progress holds the text that a store was requested to write and the text that it reported as synced. A snapshot
+// contains the complete text so far, and each record adds one letter.
 type progress struct{ synced, requested string }
 
-// run lets a store write until the process is killed: r is a snapshot, any other letter a record.
+// run makes a store write until the process is killed: the step r writes a snapshot, any other letter a record.
 func (progress *progress) run(store *Store, steps string) {
 	for _, step := range steps {
 		if step == 'r' {
@@ -33,9 +34,9 @@
 	}
 }
 
-// reopen reads a folder back and checks that it holds all that was reported as synced, and nothing that was not
-// requested.
-func reopen(t *testing.T, system *powerSystem, progress *progress, started bool, where ...any) *Store {
+// reopen recovers a folder and checks that the result contains everything reported as synced, and nothing that was not
+// requested. It returns nil if the process was killed, or if the state may be lost.
+func reopen(t *testing.T, system *crashFileSystem, progress *progress, started bool, where ...any) *Store {
 	t.Helper()
 	store, recovered, err := Open(files{"folder", system})
 	if errors.Is(err, errKilled) {
@@ -44,32 +45,32 @@
 	if !started && (apierror.Is(err, apierror.DataLost) || recovered.Blank) {
 		return nil
 	}
-	// What a rename lost under both names is known to be lost: the machine is a new one then.
-	if system.lostBoth && apierror.Is(err, apierror.DataLost) {
+	// A rename that lost both names is detected as data loss, and the machine starts with a new identity.
+	if system.lostBothNames && apierror.Is(err, apierror.DataLost) {
 		return nil
 	}
 	if err != nil || recovered.Blank || !strings.HasPrefix(string(recovered.Snapshot), "m") {
-		t.Fatalf("%v: blank %v, %v; synced %q", where, recovered.Blank, err, progress.synced)
+		t.Fatalf("%v: blank %v, error %v; synced %q", where, recovered.Blank, err, progress.synced)
 	}
 	text := string(recovered.Snapshot[1:]) + string(bytes.Join(recovered.Records, nil))
 	if !strings.HasPrefix(text, progress.synced) || !strings.HasPrefix(progress.requested, text) {
-		t.Fatalf("%v: synced %q, asked %q, got back %q", where, progress.synced, progress.requested, text)
+		t.Fatalf("%v: synced %q, requested %q, recovered %q", where, progress.synced, progress.requested, text)
 	}
-	system.lostBoth = false
-	// What was read back is relied on, so from now on it must stay.
+	system.lostBothNames = false
+	// The caller relies on the recovered state, so it must survive from now on.
 	progress.synced, progress.requested = text, text
 	return store
 }
 
-// A process is killed at any step of any operation, with or without a loss of power, is started again, goes on, and
-// the power is lost at any step of that. Whatever subset of the names that were not synced is lost, the last synced
-// state or a later one is read back.
+// A process is killed at any step of any operation, with or without a power loss; it is restarted and goes on, and the
+// power fails at any step of that. Whichever subset of the unsynced name changes is lost, the last synced state or a
+// later one must be recovered. This fails if a file, its name or a recovered state is not synced before it is used.
 func TestAnySubsetOfNamesMayBeLost(t *testing.T) {
 	const first = "rabrcrdre"
 	random := rand.New(rand.NewSource(1))
 	tried := 0
 	for killedAt := 0; ; killedAt++ {
-		system := newPowerSystem(random)
+		system := newCrashFileSystem(random)
 		system.stepsLeft = killedAt
 		before := progress{}
 		store, _, err := Open(files{"folder", system})
@@ -82,39 +83,39 @@
 			before.run(store, first)
 		}
 		finished := system.stepsLeft >= 0
-		system.stepsLeft = manySteps
-		// Without a loss of power, the machine's memory keeps all that was written.
-		starts := append(make([]*powerSystem, 0, 1+system.ways()), system)
-		for chosen := range system.ways() {
+		system.stepsLeft = unlimitedSteps
+		// Without a power loss, the page cache keeps everything that was written.
+		starts := append(make([]*crashFileSystem, 0, 1+system.outcomeCount()), system)
+		for chosen := range system.outcomeCount() {
 			starts = append(starts, system.afterPowerLoss(chosen))
 		}
 		for start, system := range starts {
-			tried += killAgain(t, system, before, started, "killed at step", killedAt, "start", start)
+			tried += restartAndCutPower(t, system, before, started, "killed at step", killedAt, "start", start)
 		}
 		if finished {
 			break
 		}
 	}
-	t.Logf("%d outcomes", tried)
+	t.Logf("checked %d outcomes", tried)
 }
 
-// killAgain starts a store on what a killed process left behind and cuts the power at each step of it; it returns the
-// number of outcomes that were tried.
-func killAgain(t *testing.T, start *powerSystem, before progress, started bool, where ...any) (tried int) {
+// restartAndCutPower restarts a store on the files of a killed process and cuts the power at each of its steps. It
+// returns the number of outcomes that were checked.
+func restartAndCutPower(t *testing.T, start *crashFileSystem, before progress, started bool, where ...any) (tried int) {
 	t.Helper()
-	for again := 0; again < 40; again++ {
+	for cutAt := 0; cutAt < 40; cutAt++ {
 		next := start.clone()
-		next.stepsLeft = again
+		next.stepsLeft = cutAt
 		after := before
-		store := reopen(t, next, &after, started, append(where, "again at", again)...)
+		store := reopen(t, next, &after, started, append(where, "restart killed at", cutAt)...)
 		if store != nil {
 			after.run(store, "xryrz")
 		}
 		finished := next.stepsLeft >= 0
-		next.stepsLeft = manySteps
-		for chosen := range next.ways() {
+		next.stepsLeft = unlimitedSteps
+		for chosen := range next.outcomeCount() {
 			last := after
-			reopen(t, next.afterPowerLoss(chosen), &last, started, append(where, "power gone at", again, "names", chosen)...)
+			reopen(t, next.afterPowerLoss(chosen), &last, started, append(where, "power lost at", cutAt, "names", chosen)...)
 			tried++
 		}
 		if finished {
@@ -124,11 +125,12 @@
 	return tried
 }
 
-// setAsideFlaw returns what is wrong with a folder whose state was being set aside; done is whether that had ended.
-func setAsideFlaw(after *powerSystem, done bool) string {
+// checkSetAside describes the fault of a folder whose state was being set aside, or returns "" if it has none; done
+// reports whether SetAside had returned without an error.
+func checkSetAside(after *crashFileSystem, done bool) string {
 	_, recovered, err := Open(files{"folder", after})
 	if !apierror.Is(err, apierror.DataLost) && (err != nil || !recovered.Blank) {
-		return fmt.Sprintf("memory %q, %v", recovered.Snapshot, err)
+		return fmt.Sprintf("recovered snapshot %q, error %v", recovered.Snapshot, err)
 	}
 	if done && (!recovered.Blank || after.names["log.lost-earlier"] != nil || after.names["log.lost-mark"] == nil) {
 		return fmt.Sprintf("blank %v, names %v", recovered.Blank, after.names)
@@ -136,12 +138,12 @@
 	return ""
 }
 
-// A state that can't be trusted is set aside. Whichever of the names is lost on the way, it is never read back as one
-// that can be trusted, and only the last is retained.
+// A state that can't be trusted is set aside, and the power fails at any step of that. Whichever name changes are lost,
+// the state must never be recovered as a valid one, and only the state that was set aside last must be kept.
 func TestSetAsideLosesAnyNames(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	for killedAt := 0; ; killedAt++ {
-		system := newPowerSystem(random)
+		system := newCrashFileSystem(random)
 		folder := files{"folder", system}
 		store, _, err := Open(folder)
 		if err != nil {
@@ -161,10 +163,10 @@
 		log.synced = append([]byte{}, log.content...)
 		system.stepsLeft = killedAt
 		done := folder.SetAside("mark") == nil
-		system.stepsLeft = manySteps
-		for chosen := range system.ways() {
-			if flaw := setAsideFlaw(system.afterPowerLoss(chosen), done); flaw != "" {
-				t.Fatalf("killed at step %d, names %d: %s", killedAt, chosen, flaw)
+		system.stepsLeft = unlimitedSteps
+		for chosen := range system.outcomeCount() {
+			if fault := checkSetAside(system.afterPowerLoss(chosen), done); fault != "" {
+				t.Fatalf("killed at step %d, names %d: %s", killedAt, chosen, fault)
 			}
 		}
 		if done {
@@ -173,7 +175,7 @@
 	}
 }
 
-// A folder is created with all its parents.
+// MakeDirectory must create a directory with all its parents, and succeed if it exists.
 func TestMakeDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a", "b", "c")
 	for range 2 {
@@ -182,6 +184,6 @@
 		}
 	}
 	if found, err := os.Stat(path); err != nil || !found.IsDir() {
-		t.Fatalf("%v %v", found, err)
+		t.Fatalf("found %v, error %v", found, err)
 	}
 }
--- a/coordination/snapshot/slotformat.go
+++ b/coordination/snapshot/slotformat.go
@@ -5,8 +5,8 @@
 	"hash/crc32"
 )
 
-// A slot is its magic (4 bytes), generation (8), length of the snapshot (4), checksum (4) and the snapshot. Numbers are
-// big-endian; the checksum is CRC-32C over all but itself.
+// A slot consists of the magic (4 bytes), the generation (8), the length of the snapshot (4), the checksum (4) and the
+// snapshot. Numbers are big-endian; the checksum is the CRC-32C of everything but itself.
 const (
 	slotMagic            = "WTS1"
 	slotGenerationOffset = 4
@@ -15,7 +15,8 @@
 	slotHeaderLength     = 20
 )
 
-// MaximumRecord bounds a snapshot and a record in bytes, so that a torn length is never believed.
+// MaximumRecord is the maximum length of a snapshot or a record in bytes, so that the length in a torn header is not
+// trusted.
 const MaximumRecord = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -26,7 +27,7 @@
 	snapshot   []byte
 }
 
-// EncodeSlot returns the bytes of a slot.
+// EncodeSlot returns the encoding of a slot.
 func EncodeSlot(generation uint64, snapshot []byte) []byte {
 	content := append(make([]byte, 0, slotHeaderLength+len(snapshot)), slotMagic...)
 	content = content[:slotHeaderLength]
@@ -37,7 +38,7 @@
 	return content
 }
 
-// decodeSlot decodes a slot; valid is false for anything torn, damaged or foreign.
+// decodeSlot decodes a slot; valid is false if the content is torn, damaged or not a slot.
 func decodeSlot(content []byte) (decoded slot, valid bool) {
 	if len(content) < slotHeaderLength || string(content[:len(slotMagic)]) != slotMagic {
 		return slot{}, false
--- a/coordination/snapshot/store.go
+++ b/coordination/snapshot/store.go
@@ -1,58 +1,58 @@
 // Package snapshot stores the state of a process on disk: a snapshot in one of two slots that are
-// written in turn, and a write-ahead log of the records since. Every part carries a checksum.
-// Reading back returns exactly what was synced, or reports that nothing can be trusted; it never
-// guesses.
+// written in turn, and a write-ahead log of the records since. Slots, log headers and records carry
+// checksums. Recovery returns exactly what was synced or reports that the state can't be trusted;
+// it never returns a partial state.
 //
 // # Layout
 //
-// A folder holds slot.0 and slot.1, of which the even generations use the first, and log, which
-// names the generation that it continues. A new slot is synced before the log that continues it
-// replaces the old log, so that one of the two pairs of slot and log is complete at every moment.
-// Snapshots and records are opaque bytes.
+// A folder holds slot.0 for even generations, slot.1 for odd ones, and log, whose header holds the
+// generation of the snapshot that it continues. A new slot is synced before the log that continues
+// it replaces the old log, so that one of the two pairs of slot and log is complete at every
+// moment. Snapshots and records are opaque bytes.
 //
 // # Contract
 //
-// One Store at a time has a folder open. Its caller calls Open once, then Store.Append for records
-// and Store.SaveSnapshot for a snapshot that contains all records before it; whatever returned without
-// an error is there after any later crash. After an error only Store.SaveSnapshot may succeed.
-// Store.Scrub notices when the disk no longer holds what was synced.
+// At most one Store at a time has a folder open. Its caller calls Open once, then Store.Append for
+// records and Store.SaveSnapshot for a snapshot that contains all records before it. Whatever
+// returned without an error is recovered after any later crash. After an error only
+// Store.SaveSnapshot may succeed. Store.Scrub detects when the disk no longer holds what was synced.
 //
 // A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep
-// each name that was created, renamed or removed since the folder was last synced. What is read
-// back after a start may itself never have been synced: a process that was killed between a write
-// and its sync leaves it in the machine's memory only, and the next loss of power loses it. So Open
-// syncs whatever it relies on before it returns it, names included. Synced bytes may be damaged;
-// their checksums show it, except that damage to the last record of a log can't be told from a torn
-// write.
+// each name change (creation, rename, removal) since the folder was last synced. What is read after
+// a start may never have been synced: if a process is killed between a write and its sync, the data
+// is only in the page cache, and the next power loss loses it. So Open syncs everything that it
+// returns, including file names. Synced bytes may be damaged. Checksums detect that, except that
+// damage to the last record of a log can't be distinguished from a torn write.
 package snapshot
 
 import "wardtray/apierror"
 
-// Folder is the little of a file system that a Store needs; the simulator brings its own. Each call
-// syncs all that it changed before it returns without an error, the folder with its names included.
+// Folder holds the file operations that a Store needs; the simulator has its own implementation. A
+// call that returns without an error has synced everything that it changed, including the names in
+// the folder.
 type Folder interface {
-	// Read returns the content of a file; found is false where there is none.
+	// Read returns the content of a file; found is false if it does not exist.
 	Read(name string) (content []byte, found bool, err error)
-	// Put replaces a file whole; a crash may leave it torn.
+	// Put creates a file or replaces its complete content; a crash may leave the file torn.
 	Put(name string, content []byte) error
 	// Append appends to an existing file; a crash may leave a torn end.
 	Append(name string, content []byte) error
-	// Rename puts a file in another's place.
+	// Rename renames a file, replacing any file of the new name.
 	Rename(from, to string) error
-	// Truncate cuts a file to a length. Where it has that length already, it is only synced, and so
-	// is the folder.
+	// Truncate truncates a file to a length. If it has that length already, the file and the folder
+	// are still synced.
 	Truncate(name string, length int64) error
 }
 
 const (
 	logName = "log"
-	// newLogName is a log that is written before it replaces the present one.
+	// newLogName is the name of a new log until it replaces the current one.
 	newLogName = "log.new"
 )
 
 var slotNames = [2]string{"slot.0", "slot.1"}
 
-// slotName returns the slot that a generation uses.
+// slotName returns the file name of the slot that a generation uses.
 func slotName(generation uint64) string { return slotNames[generation%uint64(len(slotNames))] }
 
 // Store is an open folder. It is not safe for concurrent use.
@@ -60,14 +60,15 @@
 	folder     Folder
 	generation uint64
 	logLength  int64
-	// failed is set from a failed write on: nobody knows what the disk holds, until a new slot and
-	// log are synced.
+	// failed is set after a failed write, since the content of the disk is unknown then, until a new
+	// slot and log are synced.
 	failed bool
 }
 
 // SaveSnapshot writes a snapshot to the other slot and starts a new log. The error is apierror.DiskFailed.
 func (store *Store) SaveSnapshot(snapshot []byte) error {
-	// Until the new log is in place the old one does not hold everything; nothing may be appended to it.
+	// From here until the new log is in place, no record may be appended to the old log: once the new slot is written,
+	// recovery ignores the old log.
 	store.failed = true
 	generation := store.generation + 1
 	if err := store.folder.Put(slotName(generation), EncodeSlot(generation, snapshot)); err != nil {
@@ -84,16 +85,16 @@
 func (store *Store) startLog() error {
 	header := EncodeLogHeader(store.generation)
 	if err := store.folder.Put(newLogName, header); err != nil {
-		return apierror.Wrap(err, apierror.DiskFailed, "beginning a log")
+		return apierror.Wrap(err, apierror.DiskFailed, "creating a new log")
 	}
 	if err := store.folder.Rename(newLogName, logName); err != nil {
-		return apierror.Wrap(err, apierror.DiskFailed, "putting a new log in place")
+		return apierror.Wrap(err, apierror.DiskFailed, "replacing the log")
 	}
 	store.logLength = int64(len(header))
 	return nil
 }
 
-// Append appends records to the log in one sync. After a failure nobody knows what the disk holds,
+// Append appends records to the log with one sync. After a failure the content of the disk is unknown,
 // so every later Append fails too until a Store.SaveSnapshot has started a new log. The error is
 // apierror.DiskFailed.
 func (store *Store) Append(records ...[]byte) error {
@@ -110,7 +111,7 @@
 	}
 	if err := store.folder.Append(logName, content); err != nil {
 		store.failed = true
-		return apierror.Wrap(err, apierror.DiskFailed, "adding to the log")
+		return apierror.Wrap(err, apierror.DiskFailed, "appending to the log")
 	}
 	store.logLength += int64(len(content))
 	return nil
@@ -120,8 +121,8 @@
 	return apierror.New(apierror.DiskFailed, "an earlier write failed")
 }
 
-// Scrub reads everything back and compares it with what must be there. A failure,
-// apierror.DiskFailed, means that the disk no longer holds what was synced; as after a failed
+// Scrub reads the log and the current slot and checks their checksums, generation and length. The
+// error, apierror.DiskFailed, means that the disk no longer holds what was synced; as after a failed
 // write, only a Store.SaveSnapshot may succeed then.
 func (store *Store) Scrub() error {
 	if store.failed {
@@ -133,7 +134,7 @@
 	}
 	if err != nil {
 		store.failed = true
-		return apierror.Wrap(err, apierror.DiskFailed, "reading back what was synced")
+		return apierror.Wrap(err, apierror.DiskFailed, "verifying the synced state")
 	}
 	return nil
 }
@@ -148,7 +149,7 @@
 		return err
 	}
 	if log.generation != store.generation || int64(log.length) != store.logLength {
-		return apierror.New(apierror.DataLost, "the log is another or shorter than was written")
+		return apierror.New(apierror.DataLost, "the log's generation or length differs from what was written")
 	}
 	return nil
 }
--- a/coordination/snapshot/store_test.go
+++ b/coordination/snapshot/store_test.go
@@ -10,23 +10,23 @@
 	"wardtray/apierror"
 )
 
-// memoryFolder is a folder of which a crash keeps only what was synced, and perhaps a torn part of
-// the write under way.
+// memoryFolder is a Folder in memory. A crash keeps what was synced, and possibly a torn part of the write in progress.
 type memoryFolder struct {
 	files map[string][]byte
-	// crash counts down writes; at zero the write is torn and everything after it fails.
-	crash  int
-	random *rand.Rand
+	// writesUntilCrash is the number of writes that succeed. The next one is torn, and every later one fails.
+	writesUntilCrash int
+	random           *rand.Rand
 }
 
-// never is a number of writes that no test reaches.
-const never = 1 << 30
+// noCrash is a number of writes that no test reaches.
+const noCrash = 1 << 30
 
 var errCrashed = errors.New("crashed")
 
+// crashes counts a write and reports whether it fails.
 func (folder *memoryFolder) crashes() bool {
-	folder.crash--
-	return folder.crash < 0
+	folder.writesUntilCrash--
+	return folder.writesUntilCrash < 0
 }
 
 func (folder *memoryFolder) Read(name string) ([]byte, bool, error) {
@@ -36,7 +36,7 @@
 
 func (folder *memoryFolder) Put(name string, content []byte) error {
 	if folder.crashes() {
-		if folder.crash == -1 {
+		if folder.writesUntilCrash == -1 {
 			folder.files[name] = append([]byte{}, content[:folder.random.Intn(len(content)+1)]...)
 		}
 		return errCrashed
@@ -47,7 +47,7 @@
 
 func (folder *memoryFolder) Append(name string, content []byte) error {
 	if folder.crashes() {
-		if folder.crash == -1 {
+		if folder.writesUntilCrash == -1 {
 			folder.files[name] = append(folder.files[name], content[:folder.random.Intn(len(content)+1)]...)
 		}
 		return errCrashed
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// writeUntilCrash lets a store write until it fails; synced is the text that was reported as synced, requested the text
-// that it was requested to keep.
+// writeUntilCrash makes a store write until it fails. It returns the text that the store reported as synced and the
+// text that it was requested to write.
 func writeUntilCrash(random *rand.Rand, store *Store, synced, requested string) (string, string) {
 	for {
 		if random.Intn(5) == 0 {
@@ -90,24 +90,25 @@
 	}
 }
 
-// After a crash at any write, torn at any byte, all that was synced is read back, and at most the write under way.
+// After a crash at any write, torn at any byte, everything that was synced must be recovered, and at most the write in
+// progress besides.
 func TestCrashAnywhereKeepsWhatWasSynced(t *testing.T) {
 	for seed := int64(0); seed < 400; seed++ {
 		random := rand.New(rand.NewSource(seed))
-		folder := &memoryFolder{files: map[string][]byte{}, crash: never, random: random}
+		folder := &memoryFolder{files: map[string][]byte{}, writesUntilCrash: noCrash, random: random}
 		store, _, err := Open(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The whole history as one text: a snapshot is the text so far.
+		// The texts are the complete history: a snapshot contains the text so far.
 		synced, requested := "", ""
 		if err := store.SaveSnapshot([]byte("m")); err != nil {
 			t.Fatal(err)
 		}
 		for incarnation := 0; incarnation < 4; incarnation++ {
-			folder.crash = random.Intn(30)
+			folder.writesUntilCrash = random.Intn(30)
 			synced, requested = writeUntilCrash(random, store, synced, requested)
-			folder.crash = never
+			folder.writesUntilCrash = noCrash
 			var recovered Recovered
 			store, recovered, err = Open(folder)
 			if err != nil {
@@ -115,16 +116,16 @@
 			}
 			text := string(recovered.Snapshot[1:]) + string(bytes.Join(recovered.Records, nil))
 			if text != synced && text != requested {
-				t.Fatalf("seed %d: synced %q, requested %q, got back %q", seed, synced, requested, text)
+				t.Fatalf("seed %d: synced %q, requested %q, recovered %q", seed, synced, requested, text)
 			}
 			synced, requested = text, text
 		}
 	}
 }
 
-// Damage to synced bytes is reported as apierror.DataLost; never is less read back.
+// Damage to synced bytes must be reported as apierror.DataLost. A partial state must never be recovered.
 func TestDamageIsNeverGuessedAround(t *testing.T) {
-	folder := &memoryFolder{files: map[string][]byte{}, crash: never}
+	folder := &memoryFolder{files: map[string][]byte{}, writesUntilCrash: noCrash}
 	store, _, _ := Open(folder)
 	for _, err := range []error{
 		store.SaveSnapshot([]byte("first")), store.Append([]byte("one")),
@@ -139,7 +140,7 @@
 		intact := folder.files[name]
 		last := len(intact)
 		if name == "log" {
-			// The last record can't be told from a torn write and may be cut.
+			// Damage to the last record can't be distinguished from a torn write, so that record may be dropped.
 			last -= len(EncodeRecord([]byte("three")))
 		}
 		for index := 0; index < last; index++ {
@@ -159,9 +160,10 @@
 	}
 }
 
-// Reading back notices damage to any byte while the process still knows what must be there.
+// Scrub must detect damage to any byte of the log and the current slot, the last record included, since the process
+// knows the length of the log. After damage only SaveSnapshot may succeed.
 func TestVerifyNoticesDamage(t *testing.T) {
-	folder := &memoryFolder{files: map[string][]byte{}, crash: never}
+	folder := &memoryFolder{files: map[string][]byte{}, writesUntilCrash: noCrash}
 	store, _, _ := Open(folder)
 	for _, err := range []error{store.SaveSnapshot([]byte("memory")), store.Append([]byte("one")), store.Scrub()} {
 		if err != nil {
@@ -174,7 +176,7 @@
 			folder.files[name] = append([]byte{}, intact...)
 			folder.files[name][index] ^= 0x10
 			if store.Scrub() == nil {
-				t.Fatalf("%s byte %d", name, index)
+				t.Fatalf("Scrub did not detect damage to %s byte %d", name, index)
 			}
 			store.failed = false
 		}
@@ -182,15 +184,15 @@
 	}
 	folder.files["log"][20] ^= 1
 	if store.Scrub() == nil || store.Append([]byte("two")) == nil {
-		t.Fatal("a damaged log was appended to")
+		t.Fatal("damage to the log was not detected, or the damaged log was appended to")
 	}
 	if err := store.SaveSnapshot([]byte("memory and one")); err != nil || store.Scrub() != nil {
-		t.Fatal("not repaired by a new snapshot")
+		t.Fatal("a new snapshot did not repair the damage")
 	}
 }
 
-// Whatever the files hold, a folder opens or reports apierror.DataLost; what was read back once is read back again, and
-// more can be appended.
+// Whatever the files hold, Open must succeed or return apierror.DataLost. A recovered state must accept further records
+// and be recovered again together with them.
 func FuzzOpen(f *testing.F) {
 	log := append(EncodeLogHeader(3), EncodeRecord([]byte("record"))...)
 	f.Add(EncodeSlot(2, []byte("memory")), EncodeSlot(3, []byte("newer")), log)
@@ -199,7 +201,7 @@
 	f.Add([]byte{}, []byte{}, []byte{})
 	f.Fuzz(func(t *testing.T, first, second, log []byte) {
 		files := map[string][]byte{"slot.0": first, "slot.1": second, "log": log}
-		folder := &memoryFolder{files: files, crash: never}
+		folder := &memoryFolder{files: files, writesUntilCrash: noCrash}
 		store, recovered, err := Open(folder)
 		if err != nil {
 			if !apierror.Is(err, apierror.DataLost) {
@@ -212,11 +214,11 @@
 		}
 		_, again, err := Open(folder)
 		if err != nil || !bytes.Equal(again.Snapshot, recovered.Snapshot) {
-			t.Fatalf("%v: %v then %v", err, recovered, again)
+			t.Fatalf("error %v: recovered %v, then %v", err, recovered, again)
 		}
 		want := append(slices.Clone(recovered.Records), []byte("more"))
 		if !slices.EqualFunc(again.Records, want, bytes.Equal) {
-			t.Fatalf("records %q, then %q", recovered.Records, again.Records)
+			t.Fatalf("recovered records %q, then after one more %q", recovered.Records, again.Records)
 		}
 	})
 }
