--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -82,7 +82,7 @@
 func (limiter *Limiter) Reject(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
-	return limiter.share(now, tenant).reject(cost)
+	return limiter.share(now, tenant).refuse(cost)
 }
 
 // AddWaiting adds the cost of a waiting request to the tenant's need until done is called.
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -18,7 +18,7 @@
 // clock and with a margin, is the share allocated to others. Clocks need not agree, but must run at about the same
 // rate. A new allocator doesn't know what its predecessor allocated: until every expected daemon has reported, or a
 // term has passed, its bucket refills only at the sum of the rates of the daemons that have reported. The caller
-// guarantees that there is at most one allocator at a time, so it must hold the lease of the head of the chain.
+// guarantees that there is at most one allocator at a time: the allocator's process must hold the lease of the head.
 //
 // An Allocator is a pure state machine and not safe for concurrent use. A Limiter reads no clock and does no I/O, and
 // is safe for concurrent use. docs/quotas.md compares this design with alternatives.
--- a/coordination/quota/share.go
+++ b/coordination/quota/share.go
@@ -99,8 +99,8 @@
 	share.balance = max(share.balance, min(share.capacity, share.balance+cost))
 }
 
-// reject counts a refused request and returns the delay after which a retry may succeed.
-func (share *tenantShare) reject(cost float64) (retryAfter time.Duration) {
+// refuse counts a refused request and returns the delay after which a retry may succeed.
+func (share *tenantShare) refuse(cost float64) (retryAfter time.Duration) {
 	share.usage.Refused += cost
 	retryAfter = defaultRetryAfter
 	if share.rate > 0 {
--- a/coordination/quota/share_test.go
+++ b/coordination/quota/share_test.go
@@ -42,7 +42,7 @@
 	} {
 		share := newTenantShare(time.Unix(1000, 0))
 		share.rate = test.rate
-		if got := share.reject(test.cost); got != test.want || share.usage.Refused != test.cost {
+		if got := share.refuse(test.cost); got != test.want || share.usage.Refused != test.cost {
 			t.Errorf("%s: retry after %v, want %v; refused cost %v", test.name, got, test.want, share.usage.Refused)
 		}
 	}
