--- a/control/daemonlease/confirmer_test.go
+++ b/control/daemonlease/confirmer_test.go
@@ -13,8 +13,9 @@
 	t.Parallel()
 	voted := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4}}
 	for name, test := range map[string]struct {
-		self     string
-		told     bool
+		self string
+		// hasHeard states that the head has reported its committed sequence.
+		hasHeard bool
 		isMember bool
 		view     uint64
 		sequence uint64
@@ -32,14 +33,14 @@
 		leases, outbox := newLeases("e")
 		agent := view.NewAgent(start, test.self, threeMembers(), test.vote, outbox, func(string) string { return "" },
 			func(time.Time, *wire.View) {})
-		witness := lease.NewWitness(length)
-		if test.told {
+		witness := lease.NewWitness(leaseLength)
+		if test.hasHeard {
 			witness.ObserveHead(5)
 		}
 		confirmer := NewConfirmer(test.self, agent, leases.chain, witness)
 		request := &wire.DaemonLeaseRequest{View: test.view, Sequence: test.sequence}
 		if got := confirmer.Confirm(start, "e", request, test.isMember); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v, want %v", name, got, test.want)
 		}
 	}
 }
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -8,32 +8,32 @@
 	"wardtray/wire"
 )
 
-// DeliveryContext is what delivery depends on beside the leases: since when this process leads, and how redundant
-// the chain and its acceptors are.
+// DeliveryContext holds the conditions of delivery other than the leases: the time since which this process has led,
+// and the redundancy of the chain and of its acceptors.
 type DeliveryContext struct {
 	Now time.Time
-	// Since is when this process first led in the present term; zero if it has not.
+	// Since is the time at which this process first led in the current term; zero if it has not.
 	Since time.Time
 	View  *wire.View
 	// IsGrowing reports whether there are too few acceptors although more could be added.
 	IsGrowing func() bool
 }
 
-// previousAcceptors are the acceptors of a view before the present one, whose confirmations to daemons may be relied on
-// for a while. Empty members mean unknown acceptors, whose confirmations can only expire.
+// previousAcceptors are the acceptors of an earlier view; daemons may rely on their confirmations for a limited time.
+// If members is empty, the acceptors are unknown and their confirmations can only expire.
 type previousAcceptors struct {
 	members []*wire.Member
 	until   time.Time
 }
 
-// Restarted handles that the process began with a view that its disk held: which views ended a moment before it began
-// is not known.
+// Restarted handles that the process started with a view read from its disk. Views that ended shortly before the start
+// are unknown, so the confirmations of unknown acceptors may still be relied on.
 func (leases *Leases) Restarted(now time.Time) {
 	leases.previous = []previousAcceptors{{until: now.Add(leases.Length())}}
 }
 
-// Adopt handles that another view is agreed on. The acceptors of the one before count for as long as a daemon may rely
-// on what they confirmed.
+// Adopt handles that another view is agreed on. The acceptors of the previous view still count for as long as a daemon
+// may rely on their confirmations.
 func (leases *Leases) Adopt(now time.Time, current *wire.View) {
 	ended := leases.view
 	leases.view = current
@@ -55,22 +55,22 @@
 	leases.previous = append(leases.previous, group)
 }
 
-// AcceptorReported notes which sequence an acceptor knows to be committed, and when its confirmations of older ones
-// end.
+// AcceptorReported records the sequence that an acceptor knows to be committed, and the time at which its confirmations
+// of older ones expire.
 func (leases *Leases) AcceptorReported(acceptor string, sequence uint64, until time.Time) {
 	leases.acceptorProgress.Report(acceptor, sequence, until)
 }
 
 // IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no
-// lease from before can still run at a daemon that does not, whether this head granted it, the head before it, or a
-// majority of acceptors. Only daemons of the directory get leases, so where all of them are known to have the change
-// none can.
+// daemon without it can still hold a lease, whether granted by this head, by the previous head, or by the confirmations
+// of a majority of acceptors. Only daemons of the directory get leases, so it suffices that all of them are known to
+// have the change.
 func (leases *Leases) IsDelivered(leader DeliveryContext, sequence uint64) bool {
 	document := leases.chain.Committed()
 	if document.Sequence < sequence || leader.Since.IsZero() {
 		return false
 	}
-	// A chain that shrank since the change was requested has fewer replicas than a change needs.
+	// A chain that has shrunk since the change was requested may have too few replicas to acknowledge it.
 	if len(leader.View.Chain) < int(leader.View.MinReplicas) || leader.IsGrowing() {
 		return false
 	}
@@ -82,35 +82,35 @@
 			leases.leasesExpired(leader.Now, sequence)
 }
 
-// majorityKnows reports whether a majority of the acceptors knows a sequence, so that no majority confirms less from
-// now on.
+// majorityKnows reports whether a majority of the acceptors knows a sequence, so that from now on no majority confirms
+// an older one.
 func (leases *Leases) majorityKnows(acceptors []*wire.Member, sequence uint64) bool {
-	knowing := 0
+	count := 0
 	for _, acceptor := range acceptors {
 		if leases.acceptorProgress.HasCommitted(acceptor.Id, sequence) {
-			knowing++
+			count++
 		}
 	}
-	return knowing >= view.Majority(len(acceptors))
+	return count >= view.Majority(len(acceptors))
 }
 
-// confirmationsExpired reports whether no majority of acceptors, of this view or of one that ended a moment ago, can
-// have a daemon rely on less than a sequence.
+// confirmationsExpired reports whether no daemon can still rely on a majority of acceptors, of this view or of one that
+// ended within the last lease length, that confirmed a document older than a sequence.
 func (leases *Leases) confirmationsExpired(leader DeliveryContext, sequence uint64) bool {
-	if !leases.majorityClear(leader.Now, leader.View.Acceptors, sequence) {
+	if !leases.majorityFenced(leader.Now, leader.View.Acceptors, sequence) {
 		return false
 	}
 	for _, group := range leases.previous {
-		if leader.Now.Before(group.until) && !leases.majorityClear(leader.Now, group.members, sequence) {
+		if leader.Now.Before(group.until) && !leases.majorityFenced(leader.Now, group.members, sequence) {
 			return false
 		}
 	}
 	return true
 }
 
-// majorityClear reports whether a majority of some acceptors knows a sequence, and all their older confirmations
-// expired.
-func (leases *Leases) majorityClear(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
+// majorityFenced reports whether a majority of some acceptors knows a sequence, and all confirmations of older ones by
+// this majority have expired.
+func (leases *Leases) majorityFenced(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
 		if leases.acceptorProgress.Fenced(now, acceptor.Id, sequence) {
@@ -126,14 +126,15 @@
 	return found && leases.allUpToDate(document, sequence, committed)
 }
 
-// previousLeasesExpired reports whether no lease of the head before this one can run at a daemon that does not know a
-// sequence. It may have granted one to anybody in the directory, or in the one before, until this term began.
+// previousLeasesExpired reports whether no daemon that does not know a sequence can still hold a lease of the previous
+// head. That head may have granted leases to every daemon of the directory, or of the previous one, until this term
+// began.
 func (leases *Leases) previousLeasesExpired(leader DeliveryContext, document *wire.Document, sequence uint64) bool {
 	return leader.Now.Sub(leader.Since) >= leases.Length() || leases.allUpToDate(document, sequence, leader.Since)
 }
 
-// leasesExpired reports whether no lease of this head's can run at a daemon that does not know a sequence. Every lease
-// granted since the commit obliges its daemon to know the change, so only older ones count.
+// leasesExpired reports whether no daemon that does not know a sequence can still hold a lease of this head. A lease
+// granted after the commit requires its daemon to have the change, so only older leases count.
 func (leases *Leases) leasesExpired(now time.Time, sequence uint64) bool {
 	if committed, found := leases.commits[sequence]; found && now.Sub(committed) >= leases.Length() {
 		return true
@@ -146,7 +147,8 @@
 	return true
 }
 
-// allUpToDate reports whether every daemon of a document's directory, and of the one before, is up to date.
+// allUpToDate reports whether every daemon of a document's directory, and of the previous one, is up to date (see
+// isUpToDate).
 func (leases *Leases) allUpToDate(document *wire.Document, sequence uint64, since time.Time) bool {
 	for _, member := range membership.Join(document.Directory, document.PreviousDirectory) {
 		if !leases.isUpToDate(member.Address, sequence, since) {
@@ -156,8 +158,8 @@
 	return true
 }
 
-// isUpToDate reports whether a daemon knows a sequence, or whether its process ended after a moment: the next one there
-// knows nothing and serves nobody before it has learned all that is newer.
+// isUpToDate reports whether a daemon knows a sequence, or whether its process ended after a point in time: the next
+// process at its address serves no request before it has learned everything newer.
 func (leases *Leases) isUpToDate(address string, sequence uint64, since time.Time) bool {
 	known := leases.daemons[address]
 	return known != nil && (known.requests > 0 && known.sequence >= sequence || known.terminated.After(since))
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-// leaderAt is a leader for so long that no lease of the head before it can run.
+// leaderAt returns the context of a process that has led for so long that every lease of the previous head has expired.
 func leaderAt(now time.Time) DeliveryContext {
 	return DeliveryContext{
 		Now:       now,
@@ -18,7 +18,7 @@
 	}
 }
 
-// acceptorsKnow lets acceptors report that they know sequence 5, with nothing older confirmed.
+// acceptorsKnow has acceptors report that they know sequence 5 and that no older confirmation is outstanding.
 func acceptorsKnow(leases *Leases, ids ...string) {
 	for _, id := range ids {
 		leases.AcceptorReported(id, 5, start)
@@ -59,11 +59,11 @@
 		}, true},
 		"the lease with less has expired": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
-			grant(leases, start.Add(-length), 4)
+			grant(leases, start.Add(-leaseLength), 4)
 		}, true},
 		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
-			leases.Committed(start.Add(-length), 5)
+			leases.Committed(start.Add(-leaseLength), 5)
 			grant(leases, start, 4)
 		}, true},
 		"every daemon knows": {"d", func(leases *Leases, leader *DeliveryContext) {
@@ -97,10 +97,10 @@
 		leader := leaderAt(start)
 		test.prepare(leases, &leader)
 		if got := leases.IsDelivered(leader, 5); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: IsDelivered(5) = %v, want %v", name, got, test.want)
 		}
 		if leases.IsDelivered(leader, 6) {
-			t.Errorf("%s: a sequence that is not committed", name)
+			t.Errorf("%s: sequence 6 counts as delivered but is not committed", name)
 		}
 	}
 }
@@ -112,16 +112,17 @@
 	same.Epoch = 4
 	leases.Adopt(start, same)
 	if len(leases.previous) != 0 {
-		t.Error("the same acceptors count twice")
+		t.Error("unchanged acceptors were added to the previous ones")
 	}
 	skipped := threeMembers()
 	skipped.Epoch = 6
 	leases.Adopt(start, skipped)
 	if len(leases.previous) != 1 || leases.previous[0].members != nil {
-		t.Error("acceptors of a view that this process never heard of")
+		t.Error("the acceptors of a skipped view must be recorded once, as unknown")
 	}
 	acceptorsKnow(leases, "a", "b", "c")
-	if leases.IsDelivered(leaderAt(start.Add(length-1)), 5) || !leases.IsDelivered(leaderAt(start.Add(length)), 5) {
-		t.Error("for another time than a lease")
+	if leases.IsDelivered(leaderAt(start.Add(leaseLength-1)), 5) ||
+		!leases.IsDelivered(leaderAt(start.Add(leaseLength)), 5) {
+		t.Error("confirmations of unknown acceptors must expire after exactly the length of a lease")
 	}
 }
--- a/control/daemonlease/holders.go
+++ b/control/daemonlease/holders.go
@@ -7,23 +7,23 @@
 	"wardtray/wire"
 )
 
-// clockTolerance is by what part of itself a time that a daemon reckons may be longer on the head's clock.
+// clockTolerance is the fraction by which a time span that a daemon measures may be longer on the head's clock.
 const clockTolerance = 0.05
 
-// Holders is what the leases say of the daemons that hold reservations.
+// Holders derives the state of the daemons that hold reservations from their lease requests.
 type Holders struct {
 	leases *Leases
-	// leader has the moment, and since when this process leads.
+	// leader provides the current time, and the time since which this process has led.
 	leader DeliveryContext
 }
 
-// Holders returns what is known of holders of reservations at a moment.
+// Holders returns the state of the holders of reservations as of leader.Now.
 func (leases *Leases) Holders(leader DeliveryContext) Holders {
 	return Holders{leases: leases, leader: leader}
 }
 
-// Candidates returns the daemons that could hold reservations: those that are alive, make reservations themselves and
-// aren't about to stop, in no order.
+// Candidates returns, in no order, the daemons that could hold reservations: those that are alive, make reservations
+// themselves and are not draining.
 func (holders Holders) Candidates() []reservation.Candidate {
 	var candidates []reservation.Candidate
 	for address, known := range holders.leases.daemons {
@@ -40,8 +40,8 @@
 	return candidates
 }
 
-// HasEnded reports whether a replica certainly grants nothing any more: its address refused a connection, another
-// process is alive there, or it has been silent for longer than any process may serve that reaches no control machine.
+// HasEnded reports whether a replica certainly grants no more reservations: its address refused a connection, another
+// process is alive there, or it has been silent for longer than a process that reaches no control machine may serve.
 func (holders Holders) HasEnded(replica *wire.ReservationReplica) bool {
 	known, lastSeen := holders.leases.daemons[replica.Address], holders.leader.Since
 	if known != nil {
@@ -60,14 +60,14 @@
 	return holders.leader.Now.Sub(lastSeen) > longest
 }
 
-// IsSynced reports whether a replica says that it holds all that it must know in an epoch.
+// IsSynced reports whether a replica has reported that it holds everything that it must know in an epoch.
 func (holders Holders) IsSynced(replica reservation.Identity, epoch uint64) bool {
 	known := holders.leases.daemons[replica.Address]
 	return known != nil && known.liveness.incarnation == replica.Incarnation && known.reservations.GetSynced() &&
 		known.reservations.GetEpoch() == epoch
 }
 
-// NewestEpoch returns the newest epoch of a membership that any daemon says it acts under.
+// NewestEpoch returns the newest membership epoch under which any daemon reports to act.
 func (holders Holders) NewestEpoch() uint64 {
 	newest := uint64(0)
 	for _, known := range holders.leases.daemons {
@@ -76,22 +76,22 @@
 	return newest
 }
 
-// AllReserve reports whether every daemon of a directory, and every other one that asks for leases, makes reservations,
-// and all of them have been heard; noneDoesNot whether no daemon is heard that makes none.
-func (holders Holders) AllReserve(directory []*wire.Member) (all, noneDoesNot bool) {
-	all, noneDoesNot = true, true
+// AllReserve returns two conditions. all: every daemon of a directory has been heard, and every daemon that requests
+// leases makes reservations. noException: no daemon has been heard that makes none.
+func (holders Holders) AllReserve(directory []*wire.Member) (all, noException bool) {
+	all, noException = true, true
 	for _, member := range directory {
 		all = all && holders.leases.daemons[member.Address] != nil
 	}
 	for _, known := range holders.leases.daemons {
 		if known.requests > 0 && known.reservations == nil {
-			all, noneDoesNot = false, false
+			all, noException = false, false
 		}
 	}
-	return all, noneDoesNot
+	return all, noException
 }
 
-// AllActUnder reports whether every daemon of a directory says that it acts under an epoch or a later one.
+// AllActUnder reports whether every daemon of a directory has reported that it acts under an epoch or a later one.
 func (holders Holders) AllActUnder(directory []*wire.Member, epoch uint64) bool {
 	for _, member := range directory {
 		known := holders.leases.daemons[member.Address]
@@ -102,7 +102,7 @@
 	return true
 }
 
-// AnyReserves reports whether any daemon that asks for leases makes reservations.
+// AnyReserves reports whether any daemon that requests leases makes reservations.
 func (leases *Leases) AnyReserves() bool {
 	for _, known := range leases.daemons {
 		if known.reservations != nil {
--- a/control/daemonlease/holders_test.go
+++ b/control/daemonlease/holders_test.go
@@ -7,14 +7,14 @@
 	"wardtray/wire"
 )
 
-// reservationTerm is for how long the daemons of these tests may serve without a control machine.
-const reservationTerm = 10 * time.Second
+// isolationTime is the time for which the daemons of these tests may serve without reaching a control machine.
+const isolationTime = 10 * time.Second
 
 // holderRequest is a lease request of a daemon that makes reservations.
 func holderRequest(incarnation, challenge uint64) *wire.DaemonLeaseRequest {
 	return &wire.DaemonLeaseRequest{Sequence: 5, Zone: "z", Incarnation: incarnation, Challenge: challenge,
 		Reservations: &wire.ReservationReport{Epoch: 3, Synced: true,
-			IsolationMilliseconds: uint32(reservationTerm.Milliseconds())}}
+			IsolationMilliseconds: uint32(isolationTime.Milliseconds())}}
 }
 
 // prove has an incarnation of daemon d return its challenge.
@@ -37,19 +37,19 @@
 		"not proven":       {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 0)) }, 0},
 		"a wrong proof":    {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 99)) }, 0},
 		"makes none":       {func(leases *Leases) { grant(leases, start, 5) }, 0},
-		"silent for long":  {func(leases *Leases) { prove(leases, start.Add(-term), 7) }, 0},
+		"silent for long":  {func(leases *Leases) { prove(leases, start.Add(-leaseDuration), 7) }, 0},
 		"nobody listens":   {refused(start.Add(1)), 0},
 		"is about to stop": {func(leases *Leases) { prove(leases, start, 7); drain(leases) }, 0},
 	} {
 		leases, _ := newLeases("d")
 		test.do(leases)
 		if got := holdersAt(leases, start.Add(2)).Candidates(); len(got) != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got candidates %v, want %d", name, got, test.want)
 		}
 	}
 }
 
-// drain has daemon d say that it is about to stop.
+// drain has daemon d report that it is draining.
 func drain(leases *Leases) {
 	request := holderRequest(7, leases.Challenge("d", 7))
 	request.Draining = true
@@ -58,7 +58,7 @@
 
 func TestHoldersHasEnded(t *testing.T) {
 	t.Parallel()
-	longest := term + ClockMargin + reservationTerm + time.Duration(float64(reservationTerm)*clockTolerance)
+	longest := leaseDuration + ClockMargin + isolationTime + time.Duration(float64(isolationTime)*clockTolerance)
 	for name, test := range map[string]struct {
 		do    func(leases *Leases)
 		after time.Duration
@@ -69,19 +69,19 @@
 		"silent for longer":                  {func(leases *Leases) { prove(leases, start, 7) }, longest + 1, true},
 		"never heard in this term":           {func(*Leases) {}, longest, false},
 		"never heard, for longer":            {func(*Leases) {}, longest + 1, true},
-		"another process says so":            {func(leases *Leases) { prove(leases, start, 8) }, 0, true},
-		"another one says so without proof":  {unprovenSuccessor, 0, false},
-		"a late request of the one before":   {lateRequest, 0, false},
+		"another process is alive":           {func(leases *Leases) { prove(leases, start, 8) }, 0, true},
+		"another process without a proof":    {unprovenSuccessor, 0, false},
+		"a late request of the previous one": {lateRequest, 0, false},
 		"nobody listens":                     {refused(start.Add(2)), 0, true},
-		"nobody listened before it came":     {refusedBefore, 0, false},
+		"nobody listened before it started":  {refusedBefore, 0, false},
 		"nobody listened before this leader": {func(leases *Leases) { leases.ConnectionRefused("d", start) }, 0, false},
 	} {
 		leases, _ := newLeases("d")
 		test.do(leases)
 		replica := &wire.ReservationReplica{Address: "d", Incarnation: 7,
-			IsolationMilliseconds: uint32(reservationTerm.Milliseconds())}
+			IsolationMilliseconds: uint32(isolationTime.Milliseconds())}
 		if got := holdersAt(leases, start.Add(test.after)).HasEnded(replica); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: HasEnded = %v, want %v", name, got, test.want)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	leases.HandleRequest(start, "d", holderRequest(8, 0))
 }
 
-// lateRequest has a request of an incarnation before arrive, with the challenge that it was sent, after 7 is alive.
+// lateRequest has a request of the earlier incarnation 6 arrive, with its challenge, after 7 has proven to be alive.
 func lateRequest(leases *Leases) {
 	leases.HandleRequest(start, "d", holderRequest(6, 0))
 	challenge := leases.Challenge("d", 6)
@@ -118,21 +118,21 @@
 	holders := holdersAt(leases, start)
 	identity := holders.Candidates()[0].Identity
 	if !holders.IsSynced(identity, 3) || holders.IsSynced(identity, 4) || holders.NewestEpoch() != 3 {
-		t.Error("not what it says")
+		t.Error("IsSynced or NewestEpoch differs from the report of epoch 3")
 	}
 	identity.Incarnation++
 	if holders.IsSynced(identity, 3) {
-		t.Error("another process is synced")
+		t.Error("another incarnation counts as synced")
 	}
 }
 
 func TestHoldersAllReserve(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
-		directory           string
-		requests            func(leases *Leases)
-		all, noneDoesNot    bool
-		allActUnder, reserv bool
+		directory                string
+		requests                 func(leases *Leases)
+		all, noException         bool
+		allActUnder, anyReserves bool
 	}{
 		"all":         {"d", func(leases *Leases) { prove(leases, start, 7) }, true, true, true, true},
 		"one missing": {"de", func(leases *Leases) { prove(leases, start, 7) }, false, true, false, true},
@@ -145,10 +145,10 @@
 		leases, _ := newLeases(test.directory)
 		test.requests(leases)
 		holders, directory := holdersAt(leases, start), leases.chain.Committed().Directory
-		all, noneDoesNot := holders.AllReserve(directory)
-		if all != test.all || noneDoesNot != test.noneDoesNot || leases.AnyReserves() != test.reserv ||
+		all, noException := holders.AllReserve(directory)
+		if all != test.all || noException != test.noException || leases.AnyReserves() != test.anyReserves ||
 			holders.AllActUnder(directory, 3) != test.allActUnder || holders.AllActUnder(directory, 4) && test.directory != "" {
-			t.Errorf("%s: all %v, none does not %v", name, all, noneDoesNot)
+			t.Errorf("%s: all %v, no exception %v, or AnyReserves or AllActUnder is wrong", name, all, noException)
 		}
 	}
 }
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -1,6 +1,7 @@
-// Package daemonlease is the control plane's side of the leases under which data daemons serve a configuration. The
-// head grants them (Leases), and where daemons don't reach the head a majority of acceptors confirms what they have
-// (Confirmer). A change counts as delivered once no daemon can still serve an older one under a lease.
+// Package daemonlease implements the control plane's side of the leases under which data daemons serve a configuration.
+// The head grants them (Leases). Daemons that cannot reach the head instead have a majority of the acceptors confirm
+// that their document is the newest (Confirmer). A change counts as delivered once no daemon can still serve an older
+// one under a lease.
 package daemonlease
 
 import (
@@ -14,38 +15,40 @@
 )
 
 const (
-	// ClockMargin is what is added to a lease's length for clocks that drift.
+	// ClockMargin is added to the length of a lease to allow for clock drift.
 	ClockMargin = 100 * time.Millisecond
-	// MaximumDaemons bounds the daemons that one head grants leases to.
+	// MaximumDaemons bounds the daemons to which one head grants leases.
 	MaximumDaemons = 4096
-	// promptDelay is how long gossip has to bring a change to every daemon before the head prompts those who lack it.
+	// promptDelay is the time that gossip gets to bring a change to every daemon before the head prompts those that
+	// lack it.
 	promptDelay = 40 * time.Millisecond
-	// promptInterval is how often it prompts them.
+	// promptInterval is the time between two rounds of prompts.
 	promptInterval = 100 * time.Millisecond
-	// missingAfter is after what silence a daemon leaves the directory.
+	// missingAfter is the time without a request after which a daemon is removed from the directory.
 	missingAfter = 60 * time.Second
-	// joinRequests is how many requests a daemon must have made before it enters the directory.
+	// joinRequests is the number of requests that a daemon must have made before it is added to the directory.
 	joinRequests = 2
-	// maximumCommits bounds the sequences whose time of commit is remembered.
+	// maximumCommits bounds the sequences whose commit times are kept.
 	maximumCommits = 1024
 )
 
-// daemon is what the head knows of a data daemon.
+// daemon is the state of one data daemon, as the head knows it.
 type daemon struct {
 	zone string
 	http string
-	// sequence is the newest document that it says it has.
+	// sequence is that of the newest document that the daemon reports.
 	sequence uint64
-	// lastGrant is when it was last granted a lease, and lastRequest when it last requested one.
+	// lastGrant and lastRequest are the times at which it was last granted and last requested a lease.
 	lastGrant   time.Time
 	lastRequest time.Time
-	// requests counts those of its present incarnation.
+	// requests counts the lease requests of its current incarnation.
 	requests    int
 	incarnation uint64
 	draining    bool
-	// terminated is when nobody listened at its address any more; its process, and its leases, ended before.
+	// terminated is the time of the last connection attempt that its address refused: its process and its leases had
+	// ended before.
 	terminated time.Time
-	// reservations is what it says as a holder of reservations; nil: it makes none.
+	// reservations is its report as a holder of reservations; nil if it makes none.
 	reservations *wire.ReservationReport
 	liveness     liveness
 }
@@ -53,31 +56,31 @@
 // isTerminated reports whether the process that was last granted a lease has ended.
 func (daemon *daemon) isTerminated() bool { return daemon.terminated.After(daemon.lastGrant) }
 
-// Leases is the table of the leases that this process grants as head. It starts anew in each term (Reset), but for what
-// it knows of the acceptors.
+// Leases is the table of the leases that this process grants as head. Each new term clears it (Reset), except for the
+// acceptors' progress and the acceptors of previous views.
 type Leases struct {
 	chain  *chain.Chain
 	outbox *statemachine.Outbox
-	// duration is for how long a daemon may rely on a lease, counted from its request.
+	// duration is the time for which a daemon may rely on a lease, counted from its request.
 	duration time.Duration
 
 	daemons map[string]*daemon
-	// lastChallenge is the newest that was drawn.
+	// lastChallenge is the challenge that was issued last.
 	lastChallenge uint64
-	// firstRequest is when the first daemon requested a lease in this term.
+	// firstRequest is the time at which the first daemon requested a lease in this term.
 	firstRequest time.Time
-	// acceptorProgress is what the acceptors reported of the sequences that they know.
+	// acceptorProgress tracks the sequences that the acceptors report as committed.
 	acceptorProgress *lease.ProgressTracker
-	// commits is when recent sequences were first seen committed here.
+	// commits maps recent sequences to the times at which this process first saw them committed.
 	commits    map[uint64]time.Time
 	lastPrompt time.Time
-	// view is the present one, and previous the acceptors of those that ended within the last lease.
+	// view is the current view. previous holds the acceptors of views that ended within the last lease length.
 	view     *wire.View
 	previous []previousAcceptors
 }
 
-// NewLeases returns an empty table; duration is for how long a daemon may rely on a lease, view the present one. The
-// challenges that are sent to daemons follow one that is drawn at random.
+// NewLeases returns an empty table. duration is the time for which a daemon may rely on a lease, view is the current
+// view. Challenges are numbered upwards from challenge, which the caller draws at random.
 func NewLeases(history *chain.Chain, outbox *statemachine.Outbox, duration time.Duration, view *wire.View,
 	challenge uint64) *Leases {
 	leases := &Leases{
@@ -92,17 +95,16 @@
 	return leases
 }
 
-// Reset forgets the daemons and commits of the term before.
+// Reset clears the daemons and the commit times of the previous term.
 func (leases *Leases) Reset() {
 	leases.daemons, leases.commits = map[string]*daemon{}, map[uint64]time.Time{}
 	leases.firstRequest = time.Time{}
 }
 
-// Length returns for how long a lease may run, counted from whenever it was granted, with a margin for clocks that
-// drift.
+// Length returns the time within which a lease has certainly expired, counted from its grant, including ClockMargin.
 func (leases *Leases) Length() time.Duration { return leases.duration + ClockMargin }
 
-// Committed notes when a sequence was first seen committed here.
+// Committed records the time at which this process first saw a sequence committed.
 func (leases *Leases) Committed(now time.Time, sequence uint64) {
 	if len(leases.commits) >= maximumCommits {
 		leases.commits = map[uint64]time.Time{}
@@ -110,7 +112,7 @@
 	leases.commits[sequence] = now
 }
 
-// HandleRequest notes what a daemon says in its request for a lease. It reports false if there are too many daemons.
+// HandleRequest records a daemon's request for a lease. It returns false if the daemon is new and the table is full.
 func (leases *Leases) HandleRequest(now time.Time, address string, request *wire.DaemonLeaseRequest) bool {
 	known := leases.daemons[address]
 	if known == nil {
@@ -123,11 +125,11 @@
 	if leases.firstRequest.IsZero() {
 		leases.firstRequest = now
 	}
-	// A new incarnation shows that the process before it, with its lease, has ended.
+	// A new incarnation shows that the previous process has ended, and its lease with it.
 	if known.incarnation != request.Incarnation {
 		known.incarnation, known.lastGrant, known.requests = request.Incarnation, time.Time{}, 0
 	}
-	// A daemon that restarted knows less than it once confirmed, so its last report counts, not the greatest.
+	// A restarted daemon may have less than it reported before: its last report counts, not the greatest.
 	known.zone, known.http, known.sequence = request.Zone, request.Http, request.Sequence
 	known.reservations = request.Reservations
 	known.liveness.observe(now, request.Incarnation, request.Challenge)
@@ -136,16 +138,16 @@
 	return true
 }
 
-// Grant grants a lease to a daemon that requested one; the daemon must be in the directory. The next head waits for all
-// of the directory, and so for whoever may hold a lease of this one's.
+// Grant grants a lease to a daemon that requested one. The daemon must be in the directory: the next head waits for
+// every daemon of the directory, and so for all that may hold a lease of this head.
 func (leases *Leases) Grant(now time.Time, address string, grant *wire.DaemonLeaseGrant) {
 	leases.daemons[address].lastGrant = now
 	grant.Granted, grant.Sequence = true, leases.chain.Committed().Sequence
 	grant.Milliseconds = uint32(leases.duration.Milliseconds())
 }
 
-// ConnectionRefused handles that nobody listened at an address when it was tried, and reports whether a daemon's
-// process is known to have ended by it.
+// ConnectionRefused handles that an address refused a connection attempted at a given time. It reports whether this
+// shows that a daemon's process has ended.
 func (leases *Leases) ConnectionRefused(address string, tried time.Time) bool {
 	known, document := leases.daemons[address], leases.chain.Committed()
 	isMember := membership.Contains(document.Directory, address) ||
@@ -154,7 +156,7 @@
 		known = &daemon{}
 		leases.daemons[address] = known
 	}
-	// What it was granted or reported since it was tried may be of a new process at its address.
+	// A grant or a request after the attempt may belong to a new process at the same address.
 	if known == nil || !known.lastGrant.Before(tried) || !known.lastRequest.Before(tried) {
 		return false
 	}
@@ -167,8 +169,9 @@
 	return now.Sub(leases.lastPrompt) >= promptInterval
 }
 
-// Prompt asks the daemons that are not known to have the last change to request a lease, unless gossip still has time
-// to bring it or the change is delivered. If an address refuses the connection, ConnectionRefused is called.
+// Prompt asks the daemons that are not known to have the last change to request a lease. It does nothing before
+// promptDelay has passed since the commit, or if the change is delivered. If an address refuses the connection,
+// ConnectionRefused is called.
 func (leases *Leases) Prompt(leader DeliveryContext) {
 	document := leases.chain.Committed()
 	committed, found := leases.commits[document.Sequence]
@@ -185,8 +188,8 @@
 	}
 }
 
-// Unleased lists the daemons of the directory that hold no lease; only a head that has led since before any lease could
-// have been granted by another can tell.
+// Unleased lists the addresses of the directory's daemons that hold no lease. It returns nil until this head has led
+// for the length of a lease: before that, leases of the previous head may still run.
 func (leases *Leases) Unleased(now, leaderSince time.Time) []string {
 	if now.Sub(leaderSince) < leases.Length() {
 		return nil
@@ -201,10 +204,10 @@
 	return unleased
 }
 
-// FirstRequest returns when the first daemon requested a lease in this term.
+// FirstRequest returns the time at which the first daemon requested a lease in this term, zero if none has.
 func (leases *Leases) FirstRequest() time.Time { return leases.firstRequest }
 
-// Active lists the addresses of the daemons that requested a lease of late, in no order.
+// Active lists, in no order, the addresses of the daemons that requested a lease within its duration.
 func (leases *Leases) Active(now time.Time) []string {
 	active := make([]string, 0, len(leases.daemons))
 	for address, known := range leases.daemons {
@@ -215,7 +218,8 @@
 	return active
 }
 
-// Progress returns which document a daemon says that it has, and whether it requested a lease of late.
+// Progress returns the sequence of the document that a daemon reports, and whether the daemon requested a lease within
+// its duration.
 func (leases *Leases) Progress(now time.Time, address string) (sequence uint64, active bool) {
 	known := leases.daemons[address]
 	if known == nil {
@@ -224,27 +228,27 @@
 	return known.sequence, now.Sub(known.lastRequest) < leases.duration
 }
 
-// Arrivals lists the daemons that request leases and are not in a directory yet, in no order.
+// Arrivals lists, in no order, the daemons that request leases and are to be added to a directory.
 func (leases *Leases) Arrivals(now time.Time, directory []*wire.Member) []*wire.Member {
-	inside := map[string]bool{}
+	isListed := map[string]bool{}
 	for _, member := range directory {
-		inside[member.Address] = true
+		isListed[member.Address] = true
 	}
 	var arrivals []*wire.Member
 	for address, known := range leases.daemons {
 		isActive := known.requests >= joinRequests && !known.draining && now.Sub(known.lastRequest) < leases.duration
-		// One that makes reservations comes in as one that may hold them, which takes a proof that it is alive.
+		// A daemon that makes reservations may come to hold them too, so it must first prove that it is alive.
 		isProven := known.reservations == nil || known.liveness.incarnation == known.incarnation
-		if !inside[address] && isActive && isProven {
+		if !isListed[address] && isActive && isProven {
 			arrivals = append(arrivals, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
 		}
 	}
 	return arrivals
 }
 
-// ExcludeMissing returns the members of a directory but for the daemons that have been silent for long; a head hears
-// daemons only since it leads. All of them stay where none would: an empty directory lets anybody in unasked, so the
-// last known daemons stay until another comes.
+// ExcludeMissing returns the members of a directory without the daemons that have made no request for missingAfter,
+// counted at the earliest from leaderSince: only since then do daemons send this head requests. It returns all members
+// if none would remain, since an empty directory admits any daemon; the last known daemons stay until another joins.
 func (leases *Leases) ExcludeMissing(now, leaderSince time.Time, directory []*wire.Member) []*wire.Member {
 	var remaining []*wire.Member
 	for _, member := range directory {
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -14,8 +14,8 @@
 var start = time.Unix(1_700_000_000, 0)
 
 const (
-	term   = time.Second
-	length = term + ClockMargin
+	leaseDuration = time.Second
+	leaseLength   = leaseDuration + ClockMargin
 )
 
 func threeMembers() *wire.View {
@@ -23,16 +23,16 @@
 	return &wire.View{Epoch: 3, HeadTerm: 3, Chain: members, Acceptors: members, MinReplicas: 2}
 }
 
-// newLeases returns the leases of a head whose committed document, of sequence 5, has a directory.
+// newLeases returns the leases of a head that has committed sequence 5; each letter of directory is a daemon's address.
 func newLeases(directory string) (*Leases, *statemachine.Outbox) {
 	outbox := statemachine.NewOutbox()
 	document := &wire.Document{Sequence: 5, SpecEpoch: 5, Directory: membertest.Daemons(directory)}
 	history := chain.New("a", document, nil, outbox, func(member *wire.Member) string { return member.Address },
 		func(time.Time, uint64) {})
-	return NewLeases(history, outbox, term, threeMembers(), 0), outbox
+	return NewLeases(history, outbox, leaseDuration, threeMembers(), 0), outbox
 }
 
-// grant lets daemon d, which has a sequence, request a lease and get it.
+// grant has daemon d request a lease as one that has a sequence, and grants it.
 func grant(leases *Leases, now time.Time, sequence uint64) {
 	leases.HandleRequest(now, "d", &wire.DaemonLeaseRequest{Sequence: sequence})
 	leases.Grant(now, "d", &wire.DaemonLeaseGrant{})
@@ -50,8 +50,8 @@
 		"before any lease": {func(*Leases) {}, longAgo, start, []string{"d"}},
 		"with a lease":     {func(leases *Leases) { grant(leases, start, 5) }, longAgo, start, nil},
 		"with a lease that is about to expire": {func(leases *Leases) { grant(leases, start, 5) }, longAgo,
-			start.Add(length - 1), nil},
-		"with an expired lease": {func(leases *Leases) { grant(leases, start, 5) }, longAgo, start.Add(length),
+			start.Add(leaseLength - 1), nil},
+		"with an expired lease": {func(leases *Leases) { grant(leases, start, 5) }, longAgo, start.Add(leaseLength),
 			[]string{"d"}},
 		"a new incarnation": {func(leases *Leases) {
 			grant(leases, start, 5)
@@ -61,12 +61,12 @@
 			grant(leases, start, 5)
 			leases.ConnectionRefused("d", start.Add(1))
 		}, longAgo, start.Add(1), []string{"d"}},
-		"a head that is younger than a lease": {func(*Leases) {}, start.Add(-length + 1), start, nil},
+		"a head that is younger than a lease": {func(*Leases) {}, start.Add(-leaseLength + 1), start, nil},
 	} {
 		leases, _ := newLeases("d")
 		test.prepare(leases)
 		if got := leases.Unleased(test.now, test.leaderSince); !slices.Equal(got, test.want) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: unleased %v, want %v", name, got, test.want)
 		}
 	}
 }
@@ -78,14 +78,14 @@
 		leases.HandleRequest(start, string(rune(number+1000)), &wire.DaemonLeaseRequest{})
 	}
 	if leases.HandleRequest(start, "more", &wire.DaemonLeaseRequest{}) {
-		t.Error("more daemons than the bound")
+		t.Error("a daemon beyond MaximumDaemons was accepted")
 	}
 	if !leases.HandleRequest(start, string(rune(1000)), &wire.DaemonLeaseRequest{}) {
-		t.Error("a known daemon is turned down")
+		t.Error("a request of a known daemon was rejected while the table is full")
 	}
 	leases.Reset()
 	if len(leases.Active(start)) != 0 || !leases.FirstRequest().IsZero() {
-		t.Error("a new term knows the daemons of the one before")
+		t.Error("daemons of the previous term remain after Reset")
 	}
 }
 
@@ -104,7 +104,7 @@
 		leases, _ := newLeases("de")
 		grant(leases, start, 5)
 		if got := leases.ConnectionRefused(test.address, test.tried); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: ConnectionRefused = %v, want %v", name, got, test.want)
 		}
 	}
 }
@@ -121,11 +121,11 @@
 		leases.Prompt(leaderAt(start.Add(test.after)))
 		messages, _ := outbox.Drain()
 		if len(messages) != test.want || test.want == 1 && messages[0].To != "e" {
-			t.Errorf("after %v: %v", test.after, messages)
+			t.Errorf("after %v: sent %v, want %d prompts, to e alone", test.after, messages, test.want)
 		}
 	}
 	if leases.IsPromptDue(start.Add(promptDelay + promptInterval - 1)) {
-		t.Error("prompts again at once")
+		t.Error("the next prompts are due before promptInterval has passed")
 	}
 }
 
@@ -141,10 +141,10 @@
 	leases.HandleRequest(start, "once", request)
 	arrivals := leases.Arrivals(start, membertest.Daemons("d"))
 	if len(arrivals) != 1 || arrivals[0].Address != "new" || arrivals[0].Zone != "z" {
-		t.Errorf("%v", arrivals)
+		t.Errorf("arrivals %v, want only \"new\" in zone z", arrivals)
 	}
-	if got := leases.Arrivals(start.Add(term), nil); len(got) != 0 {
-		t.Errorf("daemons that fell silent: %v", got)
+	if got := leases.Arrivals(start.Add(leaseDuration), nil); len(got) != 0 {
+		t.Errorf("daemons that stopped making requests are listed: %v", got)
 	}
 }
 
@@ -157,7 +157,7 @@
 		want  int
 	}{{missingAfter, 2}, {missingAfter + 1, 1}, {missingAfter + time.Minute, 2}} {
 		if got := leases.ExcludeMissing(start.Add(test.after), start, membertest.Daemons("de")); len(got) != test.want {
-			t.Errorf("after %v: %v", test.after, got)
+			t.Errorf("after %v: %v remain, want %d", test.after, got, test.want)
 		}
 	}
 }
--- a/control/daemonlease/liveness.go
+++ b/control/daemonlease/liveness.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// maximumChallenges bounds the incarnations of one daemon that have a challenge at a time.
+// maximumChallenges bounds the incarnations of one daemon that have a challenge at the same time.
 const maximumChallenges = 4
 
-// liveness tells which of the processes that had an address after one another is alive. Requests of a process that has
-// ended may still arrive, so each incarnation is sent a challenge: only a process that is alive can return one that was
-// drawn after all others at its address were forgotten.
+// liveness identifies which of the successive processes at one address is alive. Requests of an ended process may still
+// arrive, so each incarnation is sent a challenge. When an incarnation is the first or another one to return its
+// challenge, the challenges of all others are discarded: only a live process can return one that was issued later.
 type liveness struct {
-	// challenges are by incarnation.
+	// challenges maps incarnations to their challenges.
 	challenges map[uint64]uint64
-	// incarnation is the one that has returned its challenge last, and lastSeen when; zero: none has.
+	// incarnation is the one that last returned its challenge, at lastSeen; 0 if none has.
 	incarnation uint64
 	lastSeen    time.Time
 }
 
-// observe notes a request of an incarnation that returns a challenge, 0 for none.
+// observe handles a request of an incarnation that returns a challenge; 0 means that it returns none.
 func (liveness *liveness) observe(now time.Time, incarnation, challenge uint64) {
 	if challenge == 0 || liveness.challenges[incarnation] != challenge {
 		return
 	}
 	if incarnation != liveness.incarnation {
-		// What any other one was sent is worth nothing from now on.
+		// The challenges of all other incarnations are void from now on.
 		liveness.challenges = map[uint64]uint64{incarnation: challenge}
 	}
 	liveness.incarnation, liveness.lastSeen = incarnation, now
 }
 
-// challengeFor returns the challenge of an incarnation, and draws one where it has none.
-func (liveness *liveness) challengeFor(incarnation uint64, draw func() uint64) uint64 {
+// challengeFor returns the challenge of an incarnation, and issues one if it has none.
+func (liveness *liveness) challengeFor(incarnation uint64, issue func() uint64) uint64 {
 	if challenge, found := liveness.challenges[incarnation]; found {
 		return challenge
 	}
@@ -40,11 +40,12 @@
 			liveness.challenges[liveness.incarnation] = kept
 		}
 	}
-	liveness.challenges[incarnation] = draw()
+	liveness.challenges[incarnation] = issue()
 	return liveness.challenges[incarnation]
 }
 
-// Challenge returns what a daemon's incarnation is to return with its next request, so that it is known to be alive.
+// Challenge returns the challenge that a daemon's incarnation must return with its next request to prove that it is
+// alive; 0 for an unknown daemon.
 func (leases *Leases) Challenge(address string, incarnation uint64) uint64 {
 	known := leases.daemons[address]
 	if known == nil {
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -9,25 +9,25 @@
 	"wardtray/wire"
 )
 
-// Quotas divides the tenants' quotas among the daemons that hold a lease, by the limits of the committed spec. It
-// starts anew in each term.
+// Quotas divides the tenants' quotas among the daemons that hold a lease, by the limits of the committed configuration.
+// Each new term clears it (Reset).
 type Quotas struct {
 	tolerance quota.Tolerance
-	// term is for how long a daemon's share counts, counted from its request.
-	term time.Duration
+	// shareDuration is the time for which a daemon's share is valid, counted from its request.
+	shareDuration time.Duration
 	// allocator is nil until a daemon first reports in this term.
 	allocator *quota.Allocator
-	// limitsEpoch is the epoch of the spec whose limits the allocator has.
+	// limitsEpoch is the epoch of the configuration whose limits the allocator has.
 	limitsEpoch uint64
 }
 
-// NewQuotas returns quotas of which no share is given; tolerance is by how much the daemons together may exceed a
-// quota.
-func NewQuotas(tolerance quota.Tolerance, term time.Duration) *Quotas {
-	return &Quotas{tolerance: tolerance, term: term}
+// NewQuotas returns quotas without any granted share. tolerance is the amount by which the daemons together may exceed
+// a quota, shareDuration the time for which a share is valid.
+func NewQuotas(tolerance quota.Tolerance, shareDuration time.Duration) *Quotas {
+	return &Quotas{tolerance: tolerance, shareDuration: shareDuration}
 }
 
-// Reset forgets every share, as a new head does; daemons report what they hold.
+// Reset forgets every share at the start of a term; the daemons report the shares that they hold.
 func (quotas *Quotas) Reset() { quotas.allocator = nil }
 
 // Release takes back the shares of a daemon whose process has ended.
@@ -37,8 +37,8 @@
 	}
 }
 
-// HandleReport answers a daemon's report of the shares that it holds; nil where there is nothing to answer. One that
-// was granted no lease gets no share.
+// HandleReport returns the reply to a daemon's report of the shares that it holds; nil if there is none to send. A
+// daemon that was granted no lease (isLeased) gets no share.
 func (quotas *Quotas) HandleReport(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
@@ -67,14 +67,14 @@
 	return reports
 }
 
-// refresh makes the allocator of this term where there is none yet, and sets the limits of the committed spec.
+// refresh creates the allocator of this term if there is none yet, and sets the limits of the committed configuration.
 func (quotas *Quotas) refresh(now time.Time, document *wire.Document) {
 	if quotas.allocator == nil {
 		expected := make([]string, 0, len(document.Directory)+len(document.PreviousDirectory))
 		for _, member := range membership.Join(document.Directory, document.PreviousDirectory) {
 			expected = append(expected, member.Address)
 		}
-		quotas.allocator = quota.NewAllocator(now, quotas.term, expected)
+		quotas.allocator = quota.NewAllocator(now, quotas.shareDuration, expected)
 		quotas.limitsEpoch = 0
 	}
 	if quotas.limitsEpoch == document.SpecEpoch || len(document.Spec) == 0 {
@@ -83,7 +83,7 @@
 	quotas.limitsEpoch = document.SpecEpoch
 	spec, err := config.Decode(document.Spec)
 	if err != nil {
-		return // What is committed was checked; without limits no share is given.
+		return // A committed configuration has been validated; without limits no share is granted.
 	}
 	limits := map[string]quota.Limit{}
 	for index := range spec.Tenants {
--- a/control/daemonlease/quotas_test.go
+++ b/control/daemonlease/quotas_test.go
@@ -10,7 +10,7 @@
 func TestQuotasHandleReport(t *testing.T) {
 	t.Parallel()
 	report := &wire.QuotaReport{Tenants: []*wire.QuotaTenantReport{{Tenant: "t"}}}
-	granted := &wire.QuotaGrant{Milliseconds: uint32(term.Milliseconds())}
+	granted := &wire.QuotaGrant{Milliseconds: uint32(leaseDuration.Milliseconds())}
 	for name, test := range map[string]struct {
 		report   *wire.QuotaReport
 		isLeased bool
@@ -21,10 +21,10 @@
 		"an empty report":        {&wire.QuotaReport{}, true, nil},
 		"an empty one, no lease": {&wire.QuotaReport{}, false, nil},
 	} {
-		quotas := NewQuotas(quota.Tolerance{}, term)
+		quotas := NewQuotas(quota.Tolerance{}, leaseDuration)
 		got := quotas.HandleReport(start, &wire.Document{}, "d", test.report, test.isLeased)
 		if (got == nil) != (test.want == nil) || got.GetMilliseconds() != test.want.GetMilliseconds() {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got grant %v, want %v", name, got, test.want)
 		}
 		quotas.Reset()
 		quotas.Release(start, "d")
