--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -1,5 +1,6 @@
-// Package directory knows the data daemons of the fleet: the list that is committed with the document (Directory), its
-// changes (Updater), how it reaches daemons by gossip, and how a process outside the chain learns it (Learner).
+// Package directory maintains the list of the fleet's data daemons, which is committed as part of the document.
+// Directory holds the newest list and spreads it by gossip, Updater changes it at the head, and Learner fetches it for
+// processes outside the chain.
 package directory
 
 import (
@@ -19,14 +20,14 @@
 	"wardtray/wire"
 )
 
-// addressSet is the addresses of one document's directory.
+// addressSet is the set of addresses in the directory of the document with a sequence.
 type addressSet struct {
 	sequence  uint64
 	addresses map[string]bool
 }
 
-// Directory is the newest directory that a process knows of, from its own history or from gossip, and the gossip that
-// spreads the document.
+// Directory provides the newest directory that a process knows, from its own history or from gossip, and spreads the
+// committed document by gossip.
 type Directory struct {
 	self        *wire.Member
 	agent       *view.Agent
@@ -36,16 +37,16 @@
 	addressOf   func(member *wire.Member) string
 	gossip      *gossip.Store
 
-	// addresses are those of the document that was last asked about.
+	// addresses caches the set for the document of the last call of Contains.
 	addresses addressSet
-	// received is the newest document that gossip brought: its sequence and directory alone.
+	// received is the newest document received by gossip; only its sequence and directory are set.
 	received *wire.Document
-	// packedSpec is the committed spec as it is sent, and packedEpoch the epoch it is of.
+	// packedSpec is the committed configuration in compressed form, packedEpoch the epoch that it belongs to.
 	packedSpec  []byte
 	packedEpoch uint64
 }
 
-// New returns the directory of a process, with a gossip store of its own.
+// New returns the directory of a process, with its own gossip store.
 func New(self *wire.Member, agent *view.Agent, history *chain.Chain, outbox *statemachine.Outbox, random *rand.Rand,
 	partialView *peersampling.PartialView, addressOf func(member *wire.Member) string) *Directory {
 	directory := &Directory{self: self, agent: agent, chain: history, outbox: outbox, partialView: partialView,
@@ -54,11 +55,11 @@
 	return directory
 }
 
-// Gossip returns the store that spreads the document, for what else is gossiped.
+// Gossip returns the store that spreads the document, for use by other gossiped data as well.
 func (directory *Directory) Gossip() *gossip.Store { return directory.gossip }
 
-// NewestDocument returns the newest document that this process knows of. Of one that gossip brought only the
-// sequence and the directory are set.
+// NewestDocument returns the newest document that this process knows. If that was received by gossip, only its sequence
+// and its directory are set.
 func (directory *Directory) NewestDocument() *wire.Document {
 	document := directory.chain.Committed()
 	entry := directory.gossip.Get(gossip.DocumentKey)
@@ -66,17 +67,17 @@
 		return document
 	}
 	if directory.received.Sequence != entry.Epoch {
-		carried := &wire.Document{}
-		if proto.Unmarshal(entry.Value, carried) != nil {
-			return document // What can't be read is no newer document; the next one replaces it.
+		decoded := &wire.Document{}
+		if proto.Unmarshal(entry.Value, decoded) != nil {
+			return document // An entry that cannot be decoded is ignored; the next document replaces it.
 		}
-		directory.received = &wire.Document{Sequence: entry.Epoch, Directory: carried.Directory}
+		directory.received = &wire.Document{Sequence: entry.Epoch, Directory: decoded.Directory}
 	}
 	return directory.received
 }
 
-// Contains reports whether a daemon is in a document's directory. The set is made once for each document, since every
-// request for a lease looks into it.
+// Contains reports whether a daemon is in a document's directory. The set of addresses is built once for each document,
+// since every lease request needs a lookup.
 func (directory *Directory) Contains(document *wire.Document, address string) bool {
 	if directory.addresses.addresses == nil || directory.addresses.sequence != document.Sequence {
 		addresses := make(map[string]bool, len(document.Directory))
@@ -89,8 +90,8 @@
 }
 
 // ServingDaemons lists, sorted, the addresses of the daemons that may serve requests: those of the newest directory and
-// those that requested a lease here of late (active), but for those that are known to hold no lease (unleased). Such a
-// daemon serves nobody, and learns of the runners before it gets one again.
+// those that recently requested a lease from this process (active), without those known to hold no lease (unleased). A
+// daemon without a lease serves no requests, and learns of the runners before it gets a lease again.
 func (directory *Directory) ServingDaemons(active, unleased []string) []string {
 	found := map[string]bool{}
 	for _, member := range directory.NewestDocument().Directory {
@@ -105,20 +106,21 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// Publish gossips the committed document, without what only the chain needs.
+// Publish gossips the committed document, without the fields that only the chain needs.
 func (directory *Directory) Publish(now time.Time) {
 	document := directory.chain.Committed()
-	carried := &wire.Document{Sequence: document.Sequence, SpecEpoch: document.SpecEpoch,
+	published := &wire.Document{Sequence: document.Sequence, SpecEpoch: document.SpecEpoch,
 		PackedSpec: directory.pack(document), Directory: document.Directory, Reservations: document.Reservations}
-	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(carried)
+	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(published)
 	if err != nil {
-		return // No document that is committed fails to encode; daemons would still learn the next one.
+		return // A committed document always encodes; otherwise daemons would still learn the next one.
 	}
 	entry := &wire.GossipEntry{Key: gossip.DocumentKey, Epoch: document.Sequence, Value: value}
 	directory.gossip.Put(now, entry, gossip.Hops)
 }
 
-// pack returns the document's spec compressed; a change of the directory alone does not compress it anew.
+// pack returns the document's configuration in compressed form. It is cached, so that a change of the directory alone
+// does not compress it again.
 func (directory *Directory) pack(document *wire.Document) []byte {
 	if directory.packedSpec == nil || directory.packedEpoch != document.SpecEpoch {
 		directory.packedEpoch = document.SpecEpoch
@@ -127,7 +129,7 @@
 	return directory.packedSpec
 }
 
-// HandleRequest handles a request for a document newer than the sender's.
+// HandleRequest handles a request for a newer document than the sender's, and sends one if there is one.
 func (directory *Directory) HandleRequest(sender string, request *wire.DocumentRequest) {
 	entry := directory.gossip.Get(gossip.DocumentKey)
 	if entry == nil || entry.Epoch <= request.Sequence {
@@ -137,7 +139,7 @@
 	directory.outbox.Send(sender, &wire.Envelope{Body: &wire.Envelope_GossipMessage{GossipMessage: message}})
 }
 
-// partners returns, sorted, whom gossip goes to: the directory's daemons, the partial view and the chain's members.
+// partners returns, sorted, the gossip partners: the directory's daemons, the partial view and the chain's members.
 func (directory *Directory) partners() []gossip.Peer {
 	zones := map[string]string{}
 	for _, descriptor := range directory.partialView.Peers() {
--- a/control/directory/learner.go
+++ b/control/directory/learner.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// LearnInterval is how often a process outside the chain asks for the document until it has it in the present view.
+	// LearnInterval is the time between two requests for the document by a process outside the chain, until it has
+	// received the document in the current view.
 	LearnInterval = 300 * time.Millisecond
-	// refreshInterval is how often it asks again once it has.
+	// refreshInterval is the time between two requests after that.
 	refreshInterval = time.Second
 )
 
-// Learner keeps a process outside the chain up to date, so that it may join the chain at once.
+// Learner keeps a process outside the chain up to date, so that it can join the chain without delay.
 type Learner struct {
 	agent       *view.Agent
 	chain       *chain.Chain
@@ -23,7 +24,7 @@
 	lastRequest time.Time
 }
 
-// NewLearner returns a learner that has requested nothing.
+// NewLearner returns a learner whose first request is due at once. addressOf returns the address of a member.
 func NewLearner(agent *view.Agent, history *chain.Chain, addressOf func(member *wire.Member) string) *Learner {
 	return &Learner{agent: agent, chain: history, addressOf: addressOf}
 }
@@ -31,7 +32,8 @@
 // Expedite makes the next request due at once.
 func (learner *Learner) Expedite() { learner.lastRequest = time.Time{} }
 
-// Tick asks the tail for the whole document if that is due. A process that is decommissioned learns nothing any more.
+// Tick requests the complete document from the tail if that is due. A process that is being decommissioned requests
+// nothing more.
 func (learner *Learner) Tick(now time.Time, isDecommissioning bool) {
 	current := learner.agent.Current()
 	if current.Epoch == 0 || len(current.Chain) == 0 || learner.chain.IsMember() || isDecommissioning {
--- a/control/directory/learner_test.go
+++ b/control/directory/learner_test.go
@@ -9,17 +9,17 @@
 		decommissioning bool
 		want            int
 	}{"outside": {"c", false, 1}, "inside": {"b", false, 0}, "decommissioned": {"c", true, 0}} {
-		bench := newBench(test.self, "")
-		bench.learner.Tick(start, test.decommissioning)
-		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
-		messages, _ := bench.outbox.Drain()
+		fixture := newFixture(test.self, "")
+		fixture.learner.Tick(start, test.decommissioning)
+		fixture.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		messages, _ := fixture.outbox.Drain()
 		if len(messages) != test.want || test.want == 1 && messages[0].To != "b:1" {
-			t.Errorf("%s: %v", name, messages)
+			t.Errorf("%s: sent %v, want %d messages, to b:1", name, messages, test.want)
 		}
-		bench.learner.Expedite()
-		bench.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
-		if messages, _ := bench.outbox.Drain(); len(messages) != test.want {
-			t.Errorf("%s, expedited: %v", name, messages)
+		fixture.learner.Expedite()
+		fixture.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
+		if messages, _ := fixture.outbox.Drain(); len(messages) != test.want {
+			t.Errorf("%s, expedited: sent %v, want %d messages", name, messages, test.want)
 		}
 	}
 }
--- a/control/directory/replicas.go
+++ b/control/directory/replicas.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// syncTimeout is for how long replicas of reservations that are not synced are waited for before a change is made
-	// that loses what they alone could have learned.
+	// syncTimeout is the time to wait for reservation replicas that are not synced. After it, a change is made even if it
+	// loses reservations that only they could have learned.
 	syncTimeout = 2 * time.Second
-	// formingTime is for how long at least nothing is said of the time before reservations were made: a daemon that
-	// reaches no control machine may go on without making any (config/process, without_core).
+	// formingTime is the minimum age of a membership at which no daemon can still act under an earlier one without
+	// reservations: a daemon that reaches no control machine may go on for that long without making any (config/process,
+	// without_core).
 	formingTime = 6 * time.Minute
 )
 
 // replicaPlanner derives the next membership of the daemons that hold reservations.
 type replicaPlanner struct {
 	leases *daemonlease.Leases
-	// mayStart reports whether reservations may be brought into force: every control machine knows of them.
+	// mayStart reports whether reservations may be brought into force: every control machine supports them.
 	mayStart func() bool
-	// epoch is that of the present membership, and observed when it was first seen in the present term.
+	// epoch is that of the current membership, observed the time at which it was first seen in the current term.
 	epoch    uint64
 	observed time.Time
 }
 
-// next returns the membership that is to follow the document's; nil: that one stays.
+// next returns the membership that replaces the document's; nil if that one stays.
 func (planner *replicaPlanner) next(leader daemonlease.DeliveryContext,
 	document *wire.Document) *wire.ReservationMembership {
-	present, holders := document.Reservations, planner.leases.Holders(leader)
-	if planner.epoch != present.GetEpoch() || planner.observed.Before(leader.Since) {
-		planner.epoch, planner.observed = present.GetEpoch(), leader.Now
+	current, holders := document.Reservations, planner.leases.Holders(leader)
+	if planner.epoch != current.GetEpoch() || planner.observed.Before(leader.Since) {
+		planner.epoch, planner.observed = current.GetEpoch(), leader.Now
 	}
-	all, noneDoesNot := holders.AllReserve(document.Directory)
-	inForce := noneDoesNot
-	if len(present.GetZones()) == 0 {
+	all, noException := holders.AllReserve(document.Directory)
+	inForce := noException
+	if len(current.GetZones()) == 0 {
 		inForce = all && planner.mayStart()
 	}
 	age := leader.Now.Sub(planner.observed)
-	return reservation.Plan(present, reservation.Facts{
+	return reservation.Plan(current, reservation.Facts{
 		InForce:     inForce,
 		IsFounding:  len(document.Directory) == 0,
-		IsFormed:    age >= formingTime && holders.AllActUnder(document.Directory, present.GetEpoch()),
+		IsFormed:    age >= formingTime && holders.AllActUnder(document.Directory, current.GetEpoch()),
 		NewestEpoch: holders.NewestEpoch(),
 		Candidates:  holders.Candidates(),
 		HasEnded:    holders.HasEnded,
 		IsSynced: func(replica reservation.Identity) bool {
-			return holders.IsSynced(replica, present.GetEpoch())
+			return holders.IsSynced(replica, current.GetEpoch())
 		},
 		MayLose: age >= syncTimeout,
 	})
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// firstDirectoryDelay is for how long a head gathers daemons for a fleet's first directory.
+	// firstDirectoryDelay is the time for which a head collects daemons for a fleet's first directory.
 	firstDirectoryDelay = 300 * time.Millisecond
-	// firstReservationsDelay is for how long it waits until these daemons can hold reservations from the beginning.
+	// firstReservationsDelay is the time for which a head waits for daemons that make reservations, so that the first
+	// directory can come with a reservation membership.
 	firstReservationsDelay = 2 * time.Second
 )
 
-// Counters are what an updater counts.
+// Counters are the counters of an updater.
 type Counters struct {
-	// Refused counts changes that the chain did not take.
+	// Refused counts changes that the chain refused.
 	Refused uint64
 }
 
-// Updater changes the directory as head: it lets daemons in, and those long missing out. It also changes who of them
-// holds reservations.
+// Updater changes the directory at the head: it adds new daemons and removes those that have been silent for long. It
+// also changes which daemons hold reservations.
 type Updater struct {
 	chain    *chain.Chain
 	leases   *daemonlease.Leases
@@ -31,17 +32,17 @@
 	counters Counters
 }
 
-// NewUpdater returns an updater that goes by the leases of this process. mayReserve reports whether every control
-// machine knows of reservations.
+// NewUpdater returns an updater that uses the leases of this process. mayReserve reports whether every control machine
+// supports reservations.
 func NewUpdater(history *chain.Chain, leases *daemonlease.Leases, mayReserve func() bool) *Updater {
 	return &Updater{chain: history, leases: leases, replicas: &replicaPlanner{leases: leases, mayStart: mayReserve}}
 }
 
-// Counters returns what was counted.
+// Counters returns the current counters.
 func (updater *Updater) Counters() Counters { return updater.counters }
 
-// Tick enters a change of the directory where one is due; this process must be leading. The next change enters only
-// when the last is delivered: no daemon of the old or the new directory can hold a lease on an older document.
+// Tick submits a change of the directory if one is due; this process must be leading. A change is submitted only when
+// the last one is delivered, so that no daemon of the old or the new directory can hold a lease on an older document.
 func (updater *Updater) Tick(leader daemonlease.DeliveryContext) {
 	if len(updater.chain.Pending()) > 0 {
 		return
@@ -54,7 +55,7 @@
 	if isUnchanged || !updater.leases.IsDelivered(leader, document.Sequence) {
 		return
 	}
-	if len(document.Directory) == 0 && !updater.mayFound(leader.Now, reservations != nil) {
+	if len(document.Directory) == 0 && !updater.isFirstDirectoryDue(leader.Now, reservations != nil) {
 		return
 	}
 	next := append(remaining, arrivals...)
@@ -65,9 +66,10 @@
 	}
 }
 
-// mayFound reports whether a fleet's first directory may be entered. Where daemons make reservations it should say who
-// holds them, since before it nothing can have run.
-func (updater *Updater) mayFound(now time.Time, hasReservations bool) bool {
+// isFirstDirectoryDue reports whether a fleet's first directory may be submitted. If daemons make reservations, it
+// should come with a reservation membership: before the first directory nothing can have run, so that membership is
+// complete from the beginning.
+func (updater *Updater) isFirstDirectoryDue(now time.Time, hasReservations bool) bool {
 	age := now.Sub(updater.leases.FirstRequest())
 	if updater.leases.AnyReserves() && !hasReservations {
 		return age >= firstReservationsDelay
--- a/control/directory/updater_test.go
+++ b/control/directory/updater_test.go
@@ -21,11 +21,11 @@
 		"the last change is not delivered": {"d", "de", false, 0, ""},
 		"nothing to change":                {"d", "d", true, 0, ""},
 		"a missing daemon":                 {"df", "d", true, 2 * time.Minute, "d"},
-		"the first, gathering":             {"", "d", true, firstDirectoryDelay - 1, ""},
+		"the first, while collecting":      {"", "d", true, firstDirectoryDelay - 1, ""},
 		"the first":                        {"", "d", true, firstDirectoryDelay, "d"},
 	} {
-		bench := newBench("a", test.directory)
-		leases := daemonlease.NewLeases(bench.chain, bench.outbox, time.Second, bench.agent.Current(), 0)
+		fixture := newFixture("a", test.directory)
+		leases := daemonlease.NewLeases(fixture.chain, fixture.outbox, time.Second, fixture.agent.Current(), 0)
 		now := start.Add(test.after)
 		request := func(at time.Time) {
 			for _, address := range test.requesting {
@@ -38,17 +38,17 @@
 			leases.AcceptorReported("a", 5, start)
 			leases.AcceptorReported("b", 5, start)
 		}
-		updater := NewUpdater(bench.chain, leases, func() bool { return true })
-		updater.Tick(daemonlease.DeliveryContext{Now: now, Since: start, View: bench.agent.Current(),
+		updater := NewUpdater(fixture.chain, leases, func() bool { return true })
+		updater.Tick(daemonlease.DeliveryContext{Now: now, Since: start, View: fixture.agent.Current(),
 			IsGrowing: func() bool { return false }})
 		var addresses []string
-		if pending := bench.chain.Pending(); len(pending) > 0 {
+		if pending := fixture.chain.Pending(); len(pending) > 0 {
 			for _, member := range pending[0].Directory {
 				addresses = append(addresses, member.Address)
 			}
 		}
 		if got := strings.Join(addresses, ""); got != test.want {
-			t.Errorf("%s: %q, want %q", name, got, test.want)
+			t.Errorf("%s: submitted directory %q, want %q", name, got, test.want)
 		}
 	}
 }
