--- a/control/daemonlease/confirmer_test.go
+++ b/control/daemonlease/confirmer_test.go
@@ -40,7 +40,7 @@
 		confirmer := NewConfirmer(test.self, agent, leases.chain, witness)
 		request := &wire.DaemonLeaseRequest{View: test.view, Sequence: test.sequence}
 		if got := confirmer.Confirm(start, "e", request, test.isMember); got != test.want {
-			t.Errorf("%s: got %v, want %v", name, got, test.want)
+			t.Errorf("%s: Confirm returned %v", name, got)
 		}
 	}
 }
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -97,7 +97,7 @@
 		leader := leaderAt(start)
 		test.prepare(leases, &leader)
 		if got := leases.IsDelivered(leader, 5); got != test.want {
-			t.Errorf("%s: IsDelivered(5) = %v, want %v", name, got, test.want)
+			t.Errorf("%s: IsDelivered(5) returned %v", name, got)
 		}
 		if leases.IsDelivered(leader, 6) {
 			t.Errorf("%s: sequence 6 counts as delivered but is not committed", name)
--- a/control/daemonlease/holders_test.go
+++ b/control/daemonlease/holders_test.go
@@ -44,7 +44,7 @@
 		leases, _ := newLeases("d")
 		test.do(leases)
 		if got := holdersAt(leases, start.Add(2)).Candidates(); len(got) != test.want {
-			t.Errorf("%s: got candidates %v, want %d", name, got, test.want)
+			t.Errorf("%s: got candidates %v", name, got)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		replica := &wire.ReservationReplica{Address: "d", Incarnation: 7,
 			IsolationMilliseconds: uint32(isolationTime.Milliseconds())}
 		if got := holdersAt(leases, start.Add(test.after)).HasEnded(replica); got != test.want {
-			t.Errorf("%s: HasEnded = %v, want %v", name, got, test.want)
+			t.Errorf("%s: HasEnded returned %v", name, got)
 		}
 	}
 }
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -66,7 +66,7 @@
 		leases, _ := newLeases("d")
 		test.prepare(leases)
 		if got := leases.Unleased(test.now, test.leaderSince); !slices.Equal(got, test.want) {
-			t.Errorf("%s: unleased %v, want %v", name, got, test.want)
+			t.Errorf("%s: unleased daemons %v", name, got)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		leases, _ := newLeases("de")
 		grant(leases, start, 5)
 		if got := leases.ConnectionRefused(test.address, test.tried); got != test.want {
-			t.Errorf("%s: ConnectionRefused = %v, want %v", name, got, test.want)
+			t.Errorf("%s: ConnectionRefused returned %v", name, got)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		leases.Prompt(leaderAt(start.Add(test.after)))
 		messages, _ := outbox.Drain()
 		if len(messages) != test.want || test.want == 1 && messages[0].To != "e" {
-			t.Errorf("after %v: sent %v, want %d prompts, to e alone", test.after, messages, test.want)
+			t.Errorf("after %v: sent prompts %v", test.after, messages)
 		}
 	}
 	if leases.IsPromptDue(start.Add(promptDelay + promptInterval - 1)) {
@@ -157,7 +157,7 @@
 		want  int
 	}{{missingAfter, 2}, {missingAfter + 1, 1}, {missingAfter + time.Minute, 2}} {
 		if got := leases.ExcludeMissing(start.Add(test.after), start, membertest.Daemons("de")); len(got) != test.want {
-			t.Errorf("after %v: %v remain, want %d", test.after, got, test.want)
+			t.Errorf("after %v: remaining daemons %v", test.after, got)
 		}
 	}
 }
--- a/control/daemonlease/quotas_test.go
+++ b/control/daemonlease/quotas_test.go
@@ -24,7 +24,7 @@
 		quotas := NewQuotas(quota.Tolerance{}, leaseDuration)
 		got := quotas.HandleReport(start, &wire.Document{}, "d", test.report, test.isLeased)
 		if (got == nil) != (test.want == nil) || got.GetMilliseconds() != test.want.GetMilliseconds() {
-			t.Errorf("%s: got grant %v, want %v", name, got, test.want)
+			t.Errorf("%s: got grant %v", name, got)
 		}
 		quotas.Reset()
 		quotas.Release(start, "d")
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -66,7 +66,7 @@
 		fixture.receiveGossip(t, &wire.Document{Sequence: sequence, Directory: membertest.Daemons("de")})
 		got := fixture.directory.NewestDocument()
 		if got.Sequence != want || len(got.Directory) != int(want)-4 {
-			t.Errorf("gossip of sequence %d: the newest document is %v, want sequence %d", sequence, got, want)
+			t.Errorf("gossip of sequence %d: the newest document is %v", sequence, got)
 		}
 		if !fixture.directory.Contains(got, "d") || fixture.directory.Contains(got, "e") != (want == 6) {
 			t.Errorf("gossip of sequence %d: Contains is wrong for d or e", sequence)
@@ -92,7 +92,7 @@
 		fixture.directory.HandleRequest("d", &wire.DocumentRequest{Sequence: sequence})
 		messages, _ := fixture.outbox.Drain()
 		if len(messages) != want {
-			t.Errorf("a request of a daemon with sequence %d: sent %v, want %d messages", sequence, messages, want)
+			t.Errorf("a request of a daemon with sequence %d: sent %v", sequence, messages)
 		}
 	}
 }
--- a/control/directory/learner_test.go
+++ b/control/directory/learner_test.go
@@ -14,12 +14,12 @@
 		fixture.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
 		messages, _ := fixture.outbox.Drain()
 		if len(messages) != test.want || test.want == 1 && messages[0].To != "b:1" {
-			t.Errorf("%s: sent %v, want %d messages, to b:1", name, messages, test.want)
+			t.Errorf("%s: sent %v", name, messages)
 		}
 		fixture.learner.Expedite()
 		fixture.learner.Tick(start.Add(LearnInterval-1), test.decommissioning)
 		if messages, _ := fixture.outbox.Drain(); len(messages) != test.want {
-			t.Errorf("%s, expedited: sent %v, want %d messages", name, messages, test.want)
+			t.Errorf("%s, expedited: sent %v", name, messages)
 		}
 	}
 }
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -1,6 +1,6 @@
-// Package operator is a client of the operators' HTTP API. It asks the control nodes it was given in turn until one
-// responds, so that a single unreachable node does not matter; a request that may have reached a node is safe to repeat
-// at another, since an operation id has one outcome.
+// Package operator implements a client of the operators' HTTP API. It tries its control nodes in order until one
+// responds, so that it tolerates unreachable nodes. A request that may have reached one node can safely be repeated at
+// another, since an operation id has one outcome.
 package operator
 
 import (
@@ -18,9 +18,9 @@
 )
 
 const (
-	// requestTimeout bounds a call that the chain responds to.
+	// requestTimeout bounds a call to which the head of the chain responds.
 	requestTimeout = proposal.ClientTimeout
-	// statusTimeout bounds a call that a process responds to by itself.
+	// statusTimeout bounds a call to which the called process responds by itself.
 	statusTimeout = 2 * time.Second
 	// maximumResponse bounds the body of a response, in bytes.
 	maximumResponse = 64 << 20
@@ -28,12 +28,12 @@
 
 // Client is a client of one fleet.
 type Client struct {
-	// Cores are the HTTP addresses (host:port) of control nodes, in the order in which they are asked.
+	// Cores are the HTTP addresses (host:port) of control nodes, in the order in which they are tried.
 	Cores []string
 	http  *fasthttp.Client
 }
 
-// New returns a client that asks the control nodes at these HTTP addresses.
+// New returns a client of the control nodes at these HTTP addresses (host:port).
 func New(cores []string) *Client {
 	return &Client{Cores: cores, http: &fasthttp.Client{
 		ReadTimeout:               requestTimeout,
@@ -41,7 +41,7 @@
 		MaxResponseBodySize:       maximumResponse,
 		NoDefaultUserAgentHeader:  true,
 		MaxIdemponentCallAttempts: 1,
-		// An id in a path is sent as it was escaped; normalizing would decode its slashes.
+		// Normalizing a path would decode the escaped slashes of an id.
 		DisablePathNormalizing: true,
 	}}
 }
@@ -54,7 +54,7 @@
 	timeout               time.Duration
 }
 
-// send sends a request and returns the response's status and body. An error has the code Unreachable.
+// send sends a request and returns the status and the body of the response. Errors have the code Unreachable.
 func (client *Client) send(call httpRequest) (status int, content []byte, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -71,7 +71,7 @@
 	return response.StatusCode(), append([]byte{}, response.Body()...), nil
 }
 
-// request asks the control nodes in turn, and returns the first reply, or the last error.
+// request tries the control nodes in order and returns the first reply, or the last error.
 func (client *Client) request(method, path string, body []byte) (proposal.Reply, error) {
 	if len(client.Cores) == 0 {
 		return proposal.Reply{}, apierror.New(apierror.InvalidSettings, "no core is named; give --core")
@@ -87,7 +87,7 @@
 	return proposal.Reply{}, last
 }
 
-// requestFrom asks one control node. The reply says what became of the request, whatever its HTTP status is.
+// requestFrom sends a request to one control node. The reply states the outcome, whatever the HTTP status is.
 func (client *Client) requestFrom(address, method, path string, body []byte) (proposal.Reply, error) {
 	call := httpRequest{method: method, address: address, path: path, body: body, timeout: requestTimeout}
 	_, content, err := client.send(call)
@@ -101,18 +101,18 @@
 	return reply, nil
 }
 
-// Get reads the newest committed configuration. The head of the chain answers, under its lease.
+// Get reads the newest committed configuration. The head of the chain serves the read under its lease.
 func (client *Client) Get() (proposal.Reply, error) {
 	return client.request(http.MethodGet, "/v1/spec", nil)
 }
 
-// Change says how a change of the configuration is to be applied.
+// Change holds the parameters of a change of the configuration.
 type Change struct {
-	// Base is the epoch of the configuration on which the change is built; 0 for the first.
+	// Base is the epoch of the configuration on which the change is based; 0 for the first.
 	Base uint64
-	// Epoch is the epoch that the new configuration gets; 0 for the next one.
+	// Epoch is the epoch of the new configuration; 0 stands for the next one.
 	Epoch uint64
-	// Operation is the id of the change. A change submitted again under the same id is applied once.
+	// Operation is the id of the change. A change that is submitted more than once under the same id is applied once.
 	Operation string
 }
 
@@ -134,7 +134,8 @@
 	return client.request(http.MethodPatch, change.path(), content)
 }
 
-// Zone closes or opens a zone; verb is "close" or "open".
+// Zone closes or opens a zone; verb is "close" or "open". since is the epoch at which the operation was first sent; nil
+// if it is not stated.
 func (client *Client) Zone(verb, zone, operation string, since *uint64) (proposal.Reply, error) {
 	path := "/v1/zones/" + url.PathEscape(zone) + "/" + verb + "?operation=" + url.QueryEscape(operation)
 	if since != nil {
@@ -143,13 +144,13 @@
 	return client.request(http.MethodPost, path, nil)
 }
 
-// Operation returns what became of a change.
+// Operation returns the outcome of a change.
 func (client *Client) Operation(operation string) (proposal.Reply, error) {
 	return client.request(http.MethodGet, "/v1/operations/"+url.PathEscape(operation), nil)
 }
 
-// Explain asks the data daemon at an HTTP address where it would send a request. The headers are those of the request.
-// An error has the code of the daemon's refusal, or Unreachable.
+// Explain asks the data daemon at an HTTP address where it would route a request with these headers and this body. An
+// error has the code of the daemon's refusal, or Unreachable.
 func (client *Client) Explain(daemon string, headers map[string]string, body []byte) (json.RawMessage, error) {
 	call := httpRequest{
 		method:  http.MethodPost,
--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -18,7 +18,7 @@
 // unreachable is an address at which nothing listens.
 const unreachable = "127.0.0.1:1"
 
-// serve starts a process that responds by a handler, and returns its address.
+// serve starts an HTTP server with a handler and returns its address.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	process := httptest.NewServer(handler)
@@ -26,15 +26,15 @@
 	return strings.TrimPrefix(process.URL, "http://")
 }
 
-// respond returns a handler that always responds alike.
+// respond returns a handler that gives every request the same response.
 func respond(status int, body string) http.HandlerFunc {
 	return func(response http.ResponseWriter, _ *http.Request) {
 		response.WriteHeader(status)
-		_, _ = io.WriteString(response, body) // A caller that has left needs no response.
+		_, _ = io.WriteString(response, body) // A disconnected caller needs no response.
 	}
 }
 
-// respondJSON returns a handler that always responds with a value.
+// respondJSON returns a handler that responds to every request with a value as JSON.
 func respondJSON(t *testing.T, value any) http.HandlerFunc {
 	t.Helper()
 	content, err := json.Marshal(value)
@@ -44,7 +44,7 @@
 	return respond(http.StatusOK, string(content))
 }
 
-// Each call keeps its method, path, query and body.
+// Each call of the client sends its documented method, path, query and body.
 func TestRequestLines(t *testing.T) {
 	var got string
 	address := serve(t, func(response http.ResponseWriter, request *http.Request) {
@@ -76,18 +76,18 @@
 	} {
 		reply, err := call()
 		if err != nil || reply.Epoch != 5 || got != want {
-			t.Errorf("%q, want %q: %+v, %v", got, want, reply, err)
+			t.Errorf("sent %q, want %q; reply %+v, error %v", got, want, reply, err)
 		}
 	}
 }
 
-// Nodes are asked in turn until one responds with a reply.
+// The client tries its nodes in order until one responds with a well-formed reply, also with a refusal.
 func TestRequestsTryTheNextNode(t *testing.T) {
 	malformed := serve(t, respond(http.StatusOK, "no JSON"))
 	refusing := serve(t, respond(http.StatusConflict, `{"outcome":"refused","kind":"stale_base"}`))
 	reply, err := New([]string{unreachable, malformed, refusing}).Get()
 	if err != nil || reply.Outcome != proposal.OutcomeRefused {
-		t.Errorf("%+v, %v", reply, err)
+		t.Errorf("reply %+v, error %v, want the refusal of the third node", reply, err)
 	}
 	for code, cores := range map[apierror.Code][]string{
 		apierror.Unreachable:     {malformed, unreachable},
@@ -95,12 +95,12 @@
 		apierror.InvalidSettings: nil,
 	} {
 		if _, err := New(cores).Get(); !apierror.Is(err, code) {
-			t.Errorf("%s: %v", code, err)
+			t.Errorf("want an error with the code %s, got %v", code, err)
 		}
 	}
 }
 
-// The status of a fleet has every process that the control nodes know, each once.
+// The fleet's status lists every process that the control nodes know exactly once, also if several nodes name it.
 func TestStatusFollowsViews(t *testing.T) {
 	data := serve(t, respondJSON(t, daemon.Status{Address: "data"}))
 	second := serve(t, respondJSON(t, server.Status{Address: "b"}))
@@ -114,20 +114,20 @@
 		t.Fatal(err)
 	}
 	if len(fleet.Cores) != 2 || fleet.Cores[0].Address != "a" || fleet.Cores[1].Address != "b" {
-		t.Errorf("control nodes: %+v", fleet.Cores)
+		t.Errorf("control nodes %+v, want a and b", fleet.Cores)
 	}
 	if len(fleet.Daemons) != 1 || fleet.Daemons[0].Address != "data" {
-		t.Errorf("daemons: %+v", fleet.Daemons)
+		t.Errorf("daemons %+v, want one", fleet.Daemons)
 	}
 	if len(fleet.Unreachable) != 1 || fleet.Unreachable[0] != unreachable {
-		t.Errorf("unresponsive: %v", fleet.Unreachable)
+		t.Errorf("unreachable processes %v, want one", fleet.Unreachable)
 	}
 	if _, err := New([]string{unreachable}).Status(); !apierror.Is(err, apierror.Unreachable) {
-		t.Errorf("no node responds: %v", err)
+		t.Errorf("no node responds: error %v, want the code Unreachable", err)
 	}
 }
 
-// Explain passes the headers on, and returns what the daemon responds or the code of its refusal.
+// Explain forwards the headers and returns the daemon's response, or an error with the code of its refusal.
 func TestExplain(t *testing.T) {
 	address := serve(t, func(response http.ResponseWriter, request *http.Request) {
 		switch request.Header.Get("Case") {
@@ -142,12 +142,12 @@
 	client := New(nil)
 	content, err := client.Explain(address, map[string]string{"Case": "fine"}, nil)
 	if err != nil || string(content) != `{"backend":"b"}` {
-		t.Errorf("%s, %v", content, err)
+		t.Errorf("content %s, error %v", content, err)
 	}
 	if _, err = client.Explain(address, map[string]string{"Case": "refused"}, nil); !apierror.Is(err, "unknown_route") {
-		t.Errorf("a refusal: %v", err)
+		t.Errorf("a refusal: error %v, want the code unknown_route", err)
 	}
 	if _, err = client.Explain(address, nil, nil); !apierror.Is(err, apierror.Unreachable) {
-		t.Errorf("no refusal: %v", err)
+		t.Errorf("an unreadable response: error %v, want the code Unreachable", err)
 	}
 }
--- a/control/operator/status.go
+++ b/control/operator/status.go
@@ -12,7 +12,7 @@
 	"wardtray/dataplane/daemon"
 )
 
-// FleetStatus is the status of every process that responded, each list ordered by address.
+// FleetStatus holds the status of every process that responded, with each list ordered by address.
 type FleetStatus struct {
 	Cores   []server.Status `json:"cores"`
 	Daemons []daemon.Status `json:"datas"`
@@ -20,11 +20,11 @@
 	Unreachable []string `json:"silent,omitempty"`
 }
 
-// Status asks the whole fleet: the control nodes named, those of their views, and the data daemons they know. An error
-// has the code Unreachable: no control node responded.
+// Status collects the status of the complete fleet: of the configured control nodes, those of their views, and the data
+// daemons that these know. It fails with the code Unreachable if no control node responds.
 func (client *Client) Status() (FleetStatus, error) {
 	fleet := FleetStatus{}
-	daemons := client.collectCores(&fleet)
+	daemons := client.collectControlNodes(&fleet)
 	if len(fleet.Cores) == 0 {
 		cores := strings.Join(client.Cores, ", ")
 		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", cores)
@@ -36,9 +36,9 @@
 	return fleet, nil
 }
 
-// collectCores asks the control nodes one after another, each once, and follows their views. It returns the HTTP
-// addresses of the data daemons that they know.
-func (client *Client) collectCores(fleet *FleetStatus) map[string]bool {
+// collectControlNodes asks the configured control nodes and those of their views, one after another and each once. It
+// returns the HTTP addresses of the data daemons that they know.
+func (client *Client) collectControlNodes(fleet *FleetStatus) map[string]bool {
 	asked, daemons := map[string]bool{}, map[string]bool{}
 	pending := append([]string{}, client.Cores...)
 	for len(pending) > 0 {
@@ -67,7 +67,7 @@
 	return daemons
 }
 
-// collectDaemons asks data daemons at the same time.
+// collectDaemons asks the data daemons at these HTTP addresses concurrently.
 func (client *Client) collectDaemons(fleet *FleetStatus, addresses map[string]bool) {
 	var mutex sync.Mutex
 	var pending sync.WaitGroup
--- a/control/proposal/golden_test.go
+++ b/control/proposal/golden_test.go
@@ -12,10 +12,10 @@
 
 func encodeReply(reply *Reply) ([]byte, error) { return reply.Encode(), nil }
 
-// What operators read of an answer keeps its keys.
+// The JSON keys of a reply are stable, since operators' tools read them.
 func TestReplyKeepsItsKeys(t *testing.T) { golden.CompareJSON(t, "reply", encodeReply) }
 
-// An answer is read back whole, as wtctl reads it.
+// A reply decodes to the value that was encoded, as wtctl decodes it.
 func TestReplyIsReadBack(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("testdata", "reply.json"))
 	if err != nil {
@@ -24,6 +24,6 @@
 	read, wanted := Reply{}, Reply{}
 	golden.Fill(&wanted)
 	if err := json.Unmarshal(content, &read); err != nil || !reflect.DeepEqual(read, wanted) {
-		t.Errorf("%v, %+v", err, read)
+		t.Errorf("error %v, decoded %+v", err, read)
 	}
 }
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -10,17 +10,17 @@
 	"wardtray/wire"
 )
 
-// Environment is what proposals ask of the process around them.
+// Environment provides the state of the process on which decisions about proposals depend.
 type Environment struct {
 	// IsLeading reports whether this process may act as head.
 	IsLeading func(now time.Time) bool
 	// IsDelivered reports whether the change with a sequence may be acknowledged.
 	IsDelivered func(now time.Time, sequence uint64) bool
-	// IsUnhealthy reports whether this process' disk fails.
+	// IsUnhealthy reports whether the disk of this process has failed or cannot keep up.
 	IsUnhealthy func(now time.Time) bool
 }
 
-// waiter is a change that is entered, whose operator waits for the acknowledgement.
+// waiter is an operator's request that waits for the delivery of its change.
 type waiter struct {
 	message  *wire.OperatorRequest
 	sequence uint64
@@ -28,16 +28,16 @@
 	deadline time.Time
 }
 
-// deferred is a request that this process must answer but can't yet.
+// deferred is a request that this process must answer as head, but cannot answer yet.
 type deferred struct {
 	message  *wire.OperatorRequest
 	deadline time.Time
 }
 
-// Proposals are the operators' requests at the head.
+// Proposals handles operators' requests at the head.
 type Proposals struct {
 	self string
-	// incarnation is that of this process, which remembers what it refused (refusals) for as long as it lives.
+	// incarnation is that of this process. refusals is lost when the process ends.
 	incarnation uint64
 	chain       *chain.Chain
 	outbox      *statemachine.Outbox
@@ -50,46 +50,48 @@
 	counters Counters
 }
 
-// NewProposals returns the head's part of a process at an address, which goes by the same incarnation as its requests,
-// those that came in at this process.
+// NewProposals returns the proposals of the process at an address. requests are those that this process receives from
+// operators; they also provide the incarnation of the process.
 func NewProposals(self string, history *chain.Chain, outbox *statemachine.Outbox, requests *Requests,
 	environment Environment) *Proposals {
 	return &Proposals{self: self, incarnation: requests.incarnation, chain: history, outbox: outbox, requests: requests,
 		environment: environment}
 }
 
-// Counters returns what was counted here.
+// Counters returns the counters of this process as head.
 func (proposals *Proposals) Counters() Counters { return proposals.counters }
 
-// HandleRequest handles a request that another process passed on. One that was sent to an earlier incarnation of this
-// process is dropped: that one may have refused it, and its origin sends it again.
+// HandleRequest handles a request that another process forwarded. A request that was sent to an earlier incarnation of
+// this process is dropped: that incarnation may have refused it, and the origin resends it.
 func (proposals *Proposals) HandleRequest(now time.Time, message *wire.OperatorRequest) {
-	isLate := message.HeadIncarnation != 0 && message.HeadIncarnation != proposals.incarnation
-	if message.Origin != proposals.self && !isLate {
+	isForEarlierIncarnation := message.HeadIncarnation != 0 && message.HeadIncarnation != proposals.incarnation
+	if message.Origin != proposals.self && !isForEarlierIncarnation {
 		proposals.Serve(now, message)
 	}
 }
 
-// Serve answers a request as head; a head without a lease defers it, any other process drops it: its origin retries.
+// Serve answers a request as head. A head without a lease defers the request; any other process drops it, and the
+// origin resends it.
 func (proposals *Proposals) Serve(now time.Time, message *wire.OperatorRequest) {
-	verbs := map[string]func(now time.Time, message *wire.OperatorRequest){
+	handlers := map[string]func(now time.Time, message *wire.OperatorRequest){
 		VerbGet: proposals.serveGet, VerbOperation: proposals.serveOperation, VerbApply: proposals.serveChange,
 		VerbChange: proposals.serveChange, VerbClose: proposals.serveChange, VerbOpen: proposals.serveChange,
 	}
-	if verb := verbs[message.Verb]; verb != nil {
-		verb(now, message)
+	if handler := handlers[message.Verb]; handler != nil {
+		handler(now, message)
 	}
 }
 
-// Adopt handles that another view is agreed on. A process that is not head in it drops those who wait here: where the
-// request came in it is still open and goes to the new head, which finds the change in its history or takes it anew.
+// Adopt handles that another view is agreed on. A process that is not its head drops the waiting requests. Each is
+// still open at its origin, which sends it to the new head; that head finds the change in its history or decides on it
+// again.
 func (proposals *Proposals) Adopt() {
 	if !proposals.chain.IsHead() {
 		proposals.waiters = nil
 	}
 }
 
-// Acknowledge answers every waiting operator whose change is delivered (Environment.IsDelivered) or whose time is over.
+// Acknowledge replies to every waiting operator whose change is delivered (Environment.IsDelivered) or has timed out.
 func (proposals *Proposals) Acknowledge(now time.Time) {
 	if len(proposals.waiters) == 0 {
 		return
@@ -122,7 +124,7 @@
 	proposals.reply(waiter.message, http.StatusGatewayTimeout, reply)
 }
 
-// await keeps a request until the change that it asked for is delivered.
+// await keeps a request until its change is delivered or acknowledgeTimeout is over.
 func (proposals *Proposals) await(now time.Time, message *wire.OperatorRequest, sequence, epoch uint64) {
 	for _, waiter := range proposals.waiters {
 		if waiter.message.Token == message.Token {
@@ -134,7 +136,7 @@
 	proposals.Acknowledge(now)
 }
 
-// reply sends a reply to where the request came in.
+// reply sends a reply to the origin of a request.
 func (proposals *Proposals) reply(message *wire.OperatorRequest, status int, reply Reply) {
 	if message.Origin == proposals.self {
 		proposals.requests.finish(message.Token, status, reply)
@@ -145,9 +147,8 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorResponse{OperatorResponse: response}})
 }
 
-// postpone keeps a request until this process can answer it. Without that it would wait until its origin sends it
-// again.
-func (proposals *Proposals) postpone(now time.Time, message *wire.OperatorRequest) {
+// deferRequest keeps a request until this process can answer it, so that it need not wait until its origin resends it.
+func (proposals *Proposals) deferRequest(now time.Time, message *wire.OperatorRequest) {
 	for _, deferred := range proposals.deferred {
 		if deferred.message.Token == message.Token {
 			return
@@ -158,15 +159,15 @@
 	}
 }
 
-// RetryDeferred tries the deferred requests once more, if this process leads; what still can't be answered is deferred
-// again, until its first deadline.
+// RetryDeferred serves the deferred requests again if this process leads. A request that still cannot be answered is
+// deferred again, with its first deadline.
 func (proposals *Proposals) RetryDeferred(now time.Time) {
 	if len(proposals.deferred) == 0 || !proposals.environment.IsLeading(now) {
 		return
 	}
-	waiting := proposals.deferred
+	retried := proposals.deferred
 	proposals.deferred = nil
-	for _, deferred := range waiting {
+	for _, deferred := range retried {
 		if now.After(deferred.deadline) {
 			continue
 		}
@@ -178,11 +179,11 @@
 	}
 }
 
-// admit reports whether this process may answer a request as head; a head that may not yet defers it.
+// admit reports whether this process may answer a request as head. A head that may not do so yet defers the request.
 func (proposals *Proposals) admit(now time.Time, message *wire.OperatorRequest) bool {
 	isLeading := proposals.environment.IsLeading(now)
 	if !isLeading && proposals.chain.IsHead() {
-		proposals.postpone(now, message)
+		proposals.deferRequest(now, message)
 	}
 	return isLeading
 }
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -17,73 +17,73 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// bench is a process with its requests and proposals, of a chain in view 3; what they ask of the process around them is
-// set by the test.
-type bench struct {
+// fixture is the requests and proposals of one process, with their dependencies, in view 3. The test sets the state of
+// the process on which they depend.
+type fixture struct {
 	requests  *Requests
 	proposals *Proposals
 	chain     *chain.Chain
 	outbox    *statemachine.Outbox
 
 	leading, delivered, unhealthy bool
-	// headIncarnation is the one that the head states.
+	// headIncarnation is the incarnation that the head states.
 	headIncarnation uint64
-	// status and reply are what the last request that came in at this process got; replies counts them.
+	// status and reply are the last response to a request that was submitted here; replies counts the responses.
 	status  int
 	reply   Reply
 	replies int
 }
 
-func newBench(self, chainIDs string) *bench {
-	bench := &bench{outbox: statemachine.NewOutbox(), leading: true, delivered: true}
+func newFixture(self, chainIDs string) *fixture {
+	fixture := &fixture{outbox: statemachine.NewOutbox(), leading: true, delivered: true}
 	current := &wire.View{Epoch: 3, MinReplicas: 1,
 		Chain: membertest.Members(chainIDs), Acceptors: membertest.Members("abc")}
 	addressOf := func(member *wire.Member) string { return member.Address }
 	member := membertest.Members(self)[0]
-	bench.chain = chain.New(self, &wire.Document{}, nil, bench.outbox, addressOf, func(time.Time, uint64) {})
-	agent := view.NewAgent(start, self, current, nil, bench.outbox, func(string) string { return "" },
+	fixture.chain = chain.New(self, &wire.Document{}, nil, fixture.outbox, addressOf, func(time.Time, uint64) {})
+	agent := view.NewAgent(start, self, current, nil, fixture.outbox, func(string) string { return "" },
 		func(time.Time, *wire.View) {})
 	peers := Peers{AddressOf: addressOf,
-		Incarnation: func(id string) (uint64, bool) { return bench.headIncarnation, id != "" }}
-	bench.requests = NewRequests(7, member, agent, bench.chain, bench.outbox, peers,
-		func(now time.Time, message *wire.OperatorRequest) { bench.proposals.Serve(now, message) })
-	bench.proposals = NewProposals(member.Address, bench.chain, bench.outbox, bench.requests, Environment{
-		IsLeading: func(time.Time) bool { return bench.leading && bench.chain.IsHead() },
+		Incarnation: func(id string) (uint64, bool) { return fixture.headIncarnation, id != "" }}
+	fixture.requests = NewRequests(7, member, agent, fixture.chain, fixture.outbox, peers,
+		func(now time.Time, message *wire.OperatorRequest) { fixture.proposals.Serve(now, message) })
+	fixture.proposals = NewProposals(member.Address, fixture.chain, fixture.outbox, fixture.requests, Environment{
+		IsLeading: func(time.Time) bool { return fixture.leading && fixture.chain.IsHead() },
 		IsDelivered: func(_ time.Time, sequence uint64) bool {
-			return bench.delivered && bench.chain.Committed().Sequence >= sequence
+			return fixture.delivered && fixture.chain.Committed().Sequence >= sequence
 		},
-		IsUnhealthy: func(time.Time) bool { return bench.unhealthy },
+		IsUnhealthy: func(time.Time) bool { return fixture.unhealthy },
 	})
-	bench.chain.Adopt(start, current)
-	bench.outbox.Drain()
-	return bench
+	fixture.chain.Adopt(start, current)
+	fixture.outbox.Drain()
+	return fixture
 }
 
-// submit makes a request at this process, and returns its token.
-func (bench *bench) submit(now time.Time, message *wire.OperatorRequest) string {
-	return bench.requests.Submit(now, message, func(status int, body []byte) {
-		bench.replies++
-		bench.status, bench.reply = status, Reply{}
-		if err := json.Unmarshal(body, &bench.reply); err != nil {
+// submit submits a request to this process and returns its token.
+func (fixture *fixture) submit(now time.Time, message *wire.OperatorRequest) string {
+	return fixture.requests.Submit(now, message, func(status int, body []byte) {
+		fixture.replies++
+		fixture.status, fixture.reply = status, Reply{}
+		if err := json.Unmarshal(body, &fixture.reply); err != nil {
 			panic(err)
 		}
 	})
 }
 
-// sync completes every write.
-func (bench *bench) sync(now time.Time) {
+// sync reports every write as synced, until there are none left.
+func (fixture *fixture) sync(now time.Time) {
 	for {
-		_, writes := bench.outbox.Drain()
+		_, writes := fixture.outbox.Drain()
 		if len(writes) == 0 {
 			return
 		}
-		bench.outbox.Done(now, writes[len(writes)-1].Sequence)
+		fixture.outbox.Done(now, writes[len(writes)-1].Sequence)
 	}
 }
 
-// responses returns what was sent to other processes whose requests came here.
-func (bench *bench) responses() []*wire.OperatorResponse {
-	messages, _ := bench.outbox.Drain()
+// responses returns the responses that were sent to other processes.
+func (fixture *fixture) responses() []*wire.OperatorResponse {
+	messages, _ := fixture.outbox.Drain()
 	var responses []*wire.OperatorResponse
 	for _, message := range messages {
 		if response := message.Envelope.GetOperatorResponse(); response != nil {
@@ -93,7 +93,7 @@
 	return responses
 }
 
-// spec is a spec that passes its checks; two of different names differ.
+// spec returns a valid configuration with one pool of a name.
 func spec(name string) []byte {
 	return fmt.Appendf(nil, `{"zones":[],"pools":[{"name":%q,"services":["s"]}],"lanes":[]}`, name)
 }
@@ -104,53 +104,53 @@
 
 func TestProposalsAcknowledge(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
-	bench.delivered = false
-	bench.submit(start, apply("o"))
-	bench.sync(start)
-	bench.proposals.Acknowledge(start)
-	if bench.replies != 0 || bench.chain.Committed().SpecEpoch != 1 {
-		t.Fatalf("before the delivery: %d replies, epoch %d", bench.replies, bench.chain.Committed().SpecEpoch)
+	fixture := newFixture("a", "a")
+	fixture.delivered = false
+	fixture.submit(start, apply("o"))
+	fixture.sync(start)
+	fixture.proposals.Acknowledge(start)
+	if fixture.replies != 0 || fixture.chain.Committed().SpecEpoch != 1 {
+		t.Fatalf("before delivery: %d replies, committed epoch %d", fixture.replies, fixture.chain.Committed().SpecEpoch)
 	}
-	bench.delivered = true
-	bench.proposals.Acknowledge(start)
-	bench.proposals.Acknowledge(start)
-	if bench.replies != 1 || bench.status != http.StatusOK || bench.reply.Outcome != OutcomeAccepted {
-		t.Fatalf("%d replies, %d %+v", bench.replies, bench.status, bench.reply)
+	fixture.delivered = true
+	fixture.proposals.Acknowledge(start)
+	fixture.proposals.Acknowledge(start)
+	if fixture.replies != 1 || fixture.status != http.StatusOK || fixture.reply.Outcome != OutcomeAccepted {
+		t.Fatalf("after delivery: %d replies, status %d, %+v", fixture.replies, fixture.status, fixture.reply)
 	}
-	if got := bench.proposals.Counters(); got.Accepted != 1 || bench.requests.Count() != 0 {
-		t.Errorf("%+v", got)
+	if got := fixture.proposals.Counters(); got.Accepted != 1 || fixture.requests.Count() != 0 {
+		t.Errorf("a request is open, or the counters are wrong: %+v", got)
 	}
 }
 
 func TestProposalsServeOneOperationOnce(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
+	fixture := newFixture("a", "a")
 	for range 2 {
-		bench.submit(start, apply("o"))
-		bench.sync(start)
-		bench.proposals.Acknowledge(start)
+		fixture.submit(start, apply("o"))
+		fixture.sync(start)
+		fixture.proposals.Acknowledge(start)
 	}
-	if bench.replies != 2 || bench.reply.Epoch != 1 || bench.chain.Committed().SpecEpoch != 1 {
-		t.Fatalf("%d replies, the last %+v", bench.replies, bench.reply)
+	if fixture.replies != 2 || fixture.reply.Epoch != 1 || fixture.chain.Committed().SpecEpoch != 1 {
+		t.Fatalf("one operation submitted twice: %d replies, the last %+v", fixture.replies, fixture.reply)
 	}
 }
 
 func TestProposalsAcknowledgeTimesOut(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
-	bench.delivered = false
-	bench.submit(start, apply("o"))
-	bench.proposals.Acknowledge(start.Add(acknowledgeTimeout))
-	if bench.replies != 0 {
-		t.Fatal("answered before the timeout")
+	fixture := newFixture("a", "a")
+	fixture.delivered = false
+	fixture.submit(start, apply("o"))
+	fixture.proposals.Acknowledge(start.Add(acknowledgeTimeout))
+	if fixture.replies != 0 {
+		t.Fatal("replied before the timeout")
 	}
-	bench.proposals.Acknowledge(start.Add(acknowledgeTimeout + 1))
-	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown {
-		t.Fatalf("%d %+v", bench.status, bench.reply)
+	fixture.proposals.Acknowledge(start.Add(acknowledgeTimeout + 1))
+	if fixture.status != http.StatusGatewayTimeout || fixture.reply.Outcome != OutcomeUnknown {
+		t.Fatalf("after the timeout: status %d, reply %+v", fixture.status, fixture.reply)
 	}
-	if bench.proposals.Counters().Unknown != 1 {
-		t.Error("not counted")
+	if fixture.proposals.Counters().Unknown != 1 {
+		t.Error("the unknown outcome is not counted")
 	}
 }
 
@@ -169,31 +169,31 @@
 		"failing disk": {apply("o"), true, 503},
 		"no such id":   {&wire.OperatorRequest{Verb: VerbOperation, Operation: "o"}, false, 404},
 	} {
-		bench := newBench("a", "a")
-		bench.unhealthy = test.unhealthy
-		bench.submit(start, test.message)
-		if bench.status != test.want || bench.reply.Outcome != OutcomeRefused {
-			t.Errorf("%s: %d %+v", name, bench.status, bench.reply)
+		fixture := newFixture("a", "a")
+		fixture.unhealthy = test.unhealthy
+		fixture.submit(start, test.message)
+		if fixture.status != test.want || fixture.reply.Outcome != OutcomeRefused {
+			t.Errorf("%s: status %d, reply %+v", name, fixture.status, fixture.reply)
 		}
-		if len(bench.chain.Pending()) != 0 {
-			t.Errorf("%s: entered", name)
+		if len(fixture.chain.Pending()) != 0 {
+			t.Errorf("%s: the refused change was submitted to the chain", name)
 		}
 	}
 }
 
 func TestProposalsServePostponesARefusal(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
-	bench.submit(start, apply("first"))
+	fixture := newFixture("a", "a")
+	fixture.submit(start, apply("first"))
 	stale := &wire.OperatorRequest{Verb: VerbApply, Operation: "second", Spec: spec("q"), HasBase: true}
-	bench.submit(start, stale)
-	if bench.replies != 0 {
-		t.Fatal("refused before the change that it rests on is committed")
+	fixture.submit(start, stale)
+	if fixture.replies != 0 {
+		t.Fatal("refused because of a change that is not committed yet")
 	}
-	bench.sync(start)
-	bench.proposals.RetryDeferred(start)
-	if bench.status != http.StatusConflict {
-		t.Fatalf("%d %+v", bench.status, bench.reply)
+	fixture.sync(start)
+	fixture.proposals.RetryDeferred(start)
+	if fixture.status != http.StatusConflict {
+		t.Fatalf("after the commit: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
 
@@ -203,17 +203,17 @@
 		after time.Duration
 		want  int
 	}{"in time": {deferTimeout, 1}, "too late": {deferTimeout + 1, 0}} {
-		bench := newBench("a", "a")
-		bench.leading = false
+		fixture := newFixture("a", "a")
+		fixture.leading = false
 		get := &wire.OperatorRequest{Verb: VerbGet, Token: "b/1/1", Origin: "b:1"}
-		bench.proposals.HandleRequest(start, get)
-		bench.proposals.HandleRequest(start, get)
-		if len(bench.responses()) != 0 {
-			t.Fatalf("%s: answered without leading", name)
+		fixture.proposals.HandleRequest(start, get)
+		fixture.proposals.HandleRequest(start, get)
+		if len(fixture.responses()) != 0 {
+			t.Fatalf("%s: replied without leading", name)
 		}
-		bench.leading = true
-		bench.proposals.RetryDeferred(start.Add(test.after))
-		if got := len(bench.responses()); got != test.want {
+		fixture.leading = true
+		fixture.proposals.RetryDeferred(start.Add(test.after))
+		if got := len(fixture.responses()); got != test.want {
 			t.Errorf("%s: %d responses", name, got)
 		}
 	}
@@ -221,70 +221,72 @@
 
 func TestProposalsAdopt(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "ab")
-	bench.proposals.HandleRequest(
+	fixture := newFixture("a", "ab")
+	fixture.proposals.HandleRequest(
 		start,
 		&wire.OperatorRequest{Verb: VerbApply, Operation: "o", Spec: spec("p"), Token: "b/1/1", Origin: "b:1"},
 	)
-	if len(bench.proposals.waiters) != 1 {
-		t.Fatal("nobody waits, so that nothing is tested")
+	if len(fixture.proposals.waiters) != 1 {
+		t.Fatal("no request waits, so the test checks nothing")
 	}
-	bench.chain.Adopt(start, &wire.View{Epoch: 4, Chain: membertest.Members("ba")})
-	bench.proposals.Adopt()
-	bench.proposals.Acknowledge(start.Add(time.Hour))
-	if got := bench.responses(); len(got) != 0 {
-		t.Errorf("%v", got)
+	fixture.chain.Adopt(start, &wire.View{Epoch: 4, Chain: membertest.Members("ba")})
+	fixture.proposals.Adopt()
+	fixture.proposals.Acknowledge(start.Add(time.Hour))
+	if got := fixture.responses(); len(got) != 0 {
+		t.Errorf("a former head sent %v", got)
 	}
 }
 
-// An operation id that was used for one change is refused for another, and known for the same one however it is sent.
+// An operation id that was accepted for one change is refused for another. A repetition of the same change is
+// recognized even if it states another epoch at which it was first sent.
 func TestProposalsServeTellsChangesOfOneOperationApart(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
-	bench.submit(start, apply("o"))
-	bench.sync(start)
-	bench.proposals.Acknowledge(start)
+	fixture := newFixture("a", "a")
+	fixture.submit(start, apply("o"))
+	fixture.sync(start)
+	fixture.proposals.Acknowledge(start)
 	other := apply("o")
 	other.Spec = spec("q")
-	bench.submit(start, other)
-	if bench.status != http.StatusConflict || bench.reply.Code != string(apierror.DuplicateRequest) {
-		t.Errorf("another change: %d %+v", bench.status, bench.reply)
+	fixture.submit(start, other)
+	if fixture.status != http.StatusConflict || fixture.reply.Code != string(apierror.DuplicateRequest) {
+		t.Errorf("another change: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 	same := apply("o")
 	same.Since, same.HasSince = 7, true
-	bench.submit(start, same)
-	bench.proposals.Acknowledge(start)
-	if bench.status != http.StatusOK || bench.reply.Epoch != 1 {
-		t.Errorf("the same change: %d %+v", bench.status, bench.reply)
+	fixture.submit(start, same)
+	fixture.proposals.Acknowledge(start)
+	if fixture.status != http.StatusOK || fixture.reply.Epoch != 1 {
+		t.Errorf("the same change: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
 
-// What an earlier version accepted has no digest, and counts as the same change.
+// Outcomes stored by earlier versions have no digest; a request with such an operation id counts as the same change.
 func TestProposalsServeKnowsOutcomesWithoutADigest(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
+	fixture := newFixture("a", "a")
 	entry := &wire.Entry{Operation: "o", ChangesSpec: true, SpecEpoch: 1, Spec: spec("p")}
-	if err := bench.chain.Submit(start, entry); err != nil {
+	if err := fixture.chain.Submit(start, entry); err != nil {
 		t.Fatal(err)
 	}
-	bench.sync(start)
-	bench.submit(start, apply("o"))
-	bench.proposals.Acknowledge(start)
-	if bench.status != http.StatusOK {
-		t.Errorf("%d %+v", bench.status, bench.reply)
+	fixture.sync(start)
+	fixture.submit(start, apply("o"))
+	fixture.proposals.Acknowledge(start)
+	if fixture.status != http.StatusOK {
+		t.Errorf("status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
 
-// A call without a base that says since when it is sent is refused where its outcome may have been forgotten.
+// A request without a base may be a repetition of a change whose outcome is no longer kept. If it states the epoch at
+// which it was first sent, and outcomes since then were dropped, it is refused rather than applied again.
 func TestProposalsServeRefusesWhatMayBeForgotten(t *testing.T) {
 	t.Parallel()
-	bench := newBench("a", "a")
+	fixture := newFixture("a", "a")
 	for epoch := range uint64(chain.MaximumOutcomes + 1) {
 		entry := &wire.Entry{Operation: fmt.Sprint("o", epoch), ChangesSpec: true, SpecEpoch: epoch + 1, Spec: spec("p")}
-		if err := bench.chain.Submit(start, entry); err != nil {
+		if err := fixture.chain.Submit(start, entry); err != nil {
 			t.Fatal(err)
 		}
-		bench.sync(start)
+		fixture.sync(start)
 	}
 	for name, test := range map[string]struct {
 		since uint64
@@ -295,13 +297,13 @@
 		"since a known outcome":     {chain.MaximumOutcomes, true, http.StatusOK},
 		"not stated":                {0, false, http.StatusOK},
 	} {
-		call := apply(name)
-		call.Since, call.HasSince = test.since, test.has
-		bench.submit(start, call)
-		bench.sync(start)
-		bench.proposals.Acknowledge(start)
-		if bench.status != test.want {
-			t.Errorf("%s: %d %+v", name, bench.status, bench.reply)
+		request := apply(name)
+		request.Since, request.HasSince = test.since, test.has
+		fixture.submit(start, request)
+		fixture.sync(start)
+		fixture.proposals.Acknowledge(start)
+		if fixture.status != test.want {
+			t.Errorf("%s: status %d, reply %+v", name, fixture.status, fixture.reply)
 		}
 	}
 }
--- a/control/proposal/refusals.go
+++ b/control/proposal/refusals.go
@@ -8,31 +8,34 @@
 )
 
 const (
-	// RefusalWindow is how many requests of one incarnation of a process are tracked; a copy of an older one is late.
+	// RefusalWindow is the number of requests, up to the newest, that are tracked for each incarnation of a process; a
+	// copy of an older request counts as late.
 	RefusalWindow = 4 * maximumRequests
-	// maximumOrigins bounds the incarnations of processes whose requests are told apart.
+	// maximumOrigins bounds the incarnations of processes whose requests are tracked.
 	maximumOrigins = 4 * failuredetector.MaximumPeers
 )
 
-// refusals remembers which requests were refused, so that a late copy of one is never accepted after the refusal was
-// sent. A process numbers its requests; of each incarnation those of a window up to the newest are told apart, and what
-// is older than the window counts as late: its origin has long answered it or let it time out.
+// refusals records which requests were refused, so that a late copy of one is never accepted after the refusal was
+// sent. Each process numbers its requests. For each incarnation, the requests of a window up to the newest are tracked;
+// older ones count as late, since their origin has replied to them or timed them out long before.
 type refusals struct {
 	origins map[string]*originRefusals
-	// clock counts the observations.
+	// clock is a logical clock that counts the observations.
 	clock uint64
 }
 
-// originRefusals are those of one incarnation of a process.
+// originRefusals are the refusals of one incarnation of a process.
 type originRefusals struct {
+	// newest is the greatest number of a request from this origin.
 	newest uint64
 	// refused are the numbers of the refused requests.
 	refused map[uint64]bool
-	// lastSeen is the clock of refusals when a request of this origin was last observed.
+	// lastSeen is the value of refusals.clock when a request from this origin was last observed.
 	lastSeen uint64
 }
 
-// splitToken returns the incarnation that a request came from, and the number of the request.
+// splitToken splits a request's token into the incarnation that it came from and its number. A token of another form is
+// returned as the origin, with the number 0.
 func splitToken(token string) (origin string, number uint64) {
 	index := strings.LastIndexByte(token, '/')
 	number, err := strconv.ParseUint(token[index+1:], 10, 64)
@@ -42,7 +45,7 @@
 	return token[:index+1], number
 }
 
-// observe notes a copy of a request; it reports whether the copy is late, and whether the request was refused before.
+// observe records a copy of a request. It reports whether the copy is late, and whether the request was refused before.
 func (refusals *refusals) observe(token string) (late, refused bool) {
 	origin, number := splitToken(token)
 	known := refusals.touch(origin)
@@ -60,13 +63,13 @@
 // isLate reports whether a number is older than the window.
 func (known *originRefusals) isLate(number uint64) bool { return number+RefusalWindow <= known.newest }
 
-// add notes a refusal that is about to be sent.
+// add records a refusal that is about to be sent.
 func (refusals *refusals) add(token string) {
 	origin, number := splitToken(token)
 	refusals.touch(origin).refused[number] = true
 }
 
-// touch notes that an incarnation was observed, and returns what is known of it.
+// touch records that an incarnation was observed, and returns its refusals.
 func (refusals *refusals) touch(origin string) *originRefusals {
 	if refusals.origins == nil {
 		refusals.origins = map[string]*originRefusals{}
@@ -74,7 +77,7 @@
 	known := refusals.origins[origin]
 	if known == nil {
 		if len(refusals.origins) >= maximumOrigins {
-			refusals.forgetOldest()
+			refusals.evictOldest()
 		}
 		known = &originRefusals{refused: map[uint64]bool{}}
 		refusals.origins[origin] = known
@@ -84,8 +87,8 @@
 	return known
 }
 
-// forgetOldest forgets the incarnation that was observed least recently.
-func (refusals *refusals) forgetOldest() {
+// evictOldest removes the incarnation that was observed least recently.
+func (refusals *refusals) evictOldest() {
 	oldest := ""
 	for origin, known := range refusals.origins {
 		if oldest == "" || known.lastSeen < refusals.origins[oldest].lastSeen {
--- a/control/proposal/refusals_test.go
+++ b/control/proposal/refusals_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The window of each incarnation of a machine is its own, and what is remembered stays bounded.
+// Each incarnation of a process has its own window, and the tracked refusals and incarnations stay bounded.
 func TestRefusalWindows(t *testing.T) {
 	t.Parallel()
 	refusals := &refusals{}
@@ -17,10 +17,10 @@
 		}
 		refusals.add(token)
 		if _, refused := refusals.observe(token); !refused || len(refusals.origins["a/1/"].refused) > RefusalWindow {
-			t.Fatalf("%s: refused %v of %d", token, refused, len(refusals.origins["a/1/"].refused))
+			t.Fatalf("%s: refused %v, with %d refusals tracked", token, refused, len(refusals.origins["a/1/"].refused))
 		}
 	}
-	for _, wants := range []struct {
+	for _, test := range []struct {
 		number        int
 		late, refused bool
 	}{
@@ -30,21 +30,21 @@
 		{3*RefusalWindow + 1, false, false},
 		{2*RefusalWindow + 1, true, false},
 	} {
-		late, refused := refusals.observe(fmt.Sprintf("a/1/%d", wants.number))
-		if late != wants.late || refused != wants.refused {
-			t.Errorf("%d: late %v, refused %v", wants.number, late, refused)
+		late, refused := refusals.observe(fmt.Sprintf("a/1/%d", test.number))
+		if late != test.late || refused != test.refused {
+			t.Errorf("request %d: late %v, refused %v", test.number, late, refused)
 		}
 	}
 	if late, refused := refusals.observe("a/2/1"); late || refused {
-		t.Error("another incarnation goes by the window of the one before")
+		t.Error("a new incarnation is judged by the window of the previous one")
 	}
 	for incarnation := range 2 * maximumOrigins {
 		refusals.observe(fmt.Sprintf("b/%d/1", incarnation))
 	}
 	if len(refusals.origins) > maximumOrigins {
-		t.Errorf("%d incarnations are remembered", len(refusals.origins))
+		t.Errorf("%d incarnations are tracked", len(refusals.origins))
 	}
 	if origin, number := splitToken(strings.Repeat("x", 3)); origin != "xxx" || number != 0 {
-		t.Error("a token of another shape")
+		t.Error("a token without a number is not taken as the origin")
 	}
 }
--- a/control/proposal/reply.go
+++ b/control/proposal/reply.go
@@ -1,6 +1,6 @@
-// Package proposal is the life of an operator's request: from the process where it came in (Requests) to the head,
-// which decides on it, enters the change into the chain and acknowledges it once it is delivered (Proposals), and
-// back.
+// Package proposal handles operators' requests. The process that receives one forwards it to the head and returns the
+// reply (Requests). The head decides on it, submits an accepted change to the chain, and acknowledges the change once
+// it is delivered (Proposals).
 package proposal
 
 import (
@@ -11,24 +11,24 @@
 	"wardtray/wire"
 )
 
-// The outcomes that a reply names.
+// The outcomes of a request.
 const (
-	// OutcomeAccepted is a change that is committed, and that no serving data daemon can lack any more.
+	// OutcomeAccepted: the change is committed, and every serving data daemon has it.
 	OutcomeAccepted = "accepted"
-	// OutcomeRefused is a change that is not, and never will be, in effect by the request that is answered. With a status
-	// of 503 another request for the same operation may bring it into effect; with any other none can.
+	// OutcomeRefused: this request has not brought the change into effect and never will. After a status of 503 another
+	// request for the same operation may do so; after any other status none can.
 	OutcomeRefused = "refused"
-	// OutcomeUnknown is a change that may be in effect or not.
+	// OutcomeUnknown: the change may or may not be in effect.
 	OutcomeUnknown = "unknown"
-	// OutcomePending is a change that is entered and not delivered yet.
+	// OutcomePending: the change is submitted to the chain, but not delivered yet.
 	OutcomePending = "pending"
-	// OutcomeFound and OutcomeEmpty answer a read: with a spec, and where there is none yet.
+	// OutcomeFound and OutcomeEmpty are the outcomes of a read: there is a configuration, or there is none yet.
 	OutcomeFound = "found"
 	OutcomeEmpty = "empty"
 )
 
-// The verbs of operators' requests, as wire.OperatorRequest names them: a read, the outcome of an operation, and
-// changes that replace the whole configuration, edit named entries of it, close a zone and open it.
+// The verbs of operators' requests (wire.OperatorRequest): read the configuration, look up the outcome of an operation,
+// replace the complete configuration, edit named entries of it, close a zone, and open a zone.
 const (
 	VerbGet       = "get"
 	VerbOperation = "operation"
@@ -43,29 +43,29 @@
 	return message.Verb != VerbGet && message.Verb != VerbOperation
 }
 
-// Reply is the form of every reply to an operator.
+// Reply is the JSON body of every reply to an operator.
 type Reply struct {
 	// Operation is the id that the operator gave the change.
 	Operation string `json:"operation,omitempty"`
-	// Outcome is one of the outcomes above.
+	// Outcome is one of the Outcome constants.
 	Outcome string `json:"outcome"`
-	// Epoch is that of the spec that the reply is about.
+	// Epoch is the epoch of the configuration to which the reply refers.
 	Epoch uint64 `json:"epoch"`
-	// Code, Detail and Remedy say why a request was refused, as in apierror.Error.
+	// Code, Detail and Remedy give the reason for a refusal or an unknown outcome, as in apierror.Error.
 	Code   string `json:"kind,omitempty"`
 	Detail string `json:"detail,omitempty"`
 	Remedy string `json:"remedy,omitempty"`
-	// Problems are the faults of a spec.
+	// Problems lists the faults of an invalid configuration.
 	Problems []config.Problem `json:"flaws,omitempty"`
-	// Spec is what a read found.
+	// Spec is the configuration that a read returns.
 	Spec json.RawMessage `json:"spec,omitempty"`
 }
 
-// Encode returns a reply as it is written.
+// Encode returns the reply as JSON.
 func (reply Reply) Encode() []byte {
 	content, err := json.Marshal(reply)
 	if err != nil {
-		panic(err) // Only a spec that is no JSON could fail here, and none is ever stored.
+		panic(err) // Only a configuration that is not JSON could fail to encode, and none is ever stored.
 	}
 	return content
 }
@@ -76,7 +76,7 @@
 		Remedy: (&apierror.Error{Code: code}).Remedy()}
 }
 
-// unknownOutcome returns the reply to a request of which nobody can tell what comes of it.
+// unknownOutcome returns the reply to a request whose outcome cannot be determined.
 func unknownOutcome(operation, detail string) Reply {
 	reply := refusal(apierror.OutcomeUnknown, 0, operation, detail)
 	reply.Outcome = OutcomeUnknown
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	// resendInterval is how often an open request is sent to the head again.
+	// resendInterval is the time after which an open request is sent to the head again.
 	resendInterval = 300 * time.Millisecond
-	// maximumRequests bounds the open requests of one process, and those that a head defers.
+	// maximumRequests bounds the open requests of one process, and the requests that a head defers.
 	maximumRequests = 256
 )
 
-// request is an operator's request that came in at this process and is not answered.
+// request is an open request: this process received it from an operator and has not replied yet.
 type request struct {
 	message  *wire.OperatorRequest
 	respond  func(status int, body []byte)
 	deadline time.Time
-	// lastSent is when it was last sent, and view the one under which it was.
+	// lastSent is the time at which it was last sent, view the epoch of the view under which it was.
 	lastSent time.Time
 	view     uint64
-	// recipients are the ids of the processes that may have decided on it.
+	// recipients are the ids of the heads that may have decided on it.
 	recipients map[string]bool
 }
 
-// Requests are the operators' requests that came in at this process. Each is sent to the head of the newest view, again
-// where that may have failed, and answered once.
+// Requests handles the requests that this process receives from operators. Each is sent to the head of the newest view,
+// resent until there is a response or it times out, and replied to once.
 type Requests struct {
 	self   *wire.Member
 	agent  *view.Agent
 	chain  *chain.Chain
 	outbox *statemachine.Outbox
 	peers  Peers
-	// serve decides on a request where this process is the head itself.
+	// serve handles a request if this process is the head itself.
 	serve func(now time.Time, message *wire.OperatorRequest)
 
 	open map[string]*request
-	// incarnation is drawn anew by each process, and nonce numbers its requests.
+	// incarnation differs for each start of the process, nonce numbers the requests of one incarnation.
 	incarnation, nonce uint64
 	counters           Counters
 }
 
-// Peers is what requests ask of the other control processes.
+// Peers provides information about the other control nodes.
 type Peers struct {
-	// AddressOf returns where a member is reached.
+	// AddressOf returns the address at which a member is reached.
 	AddressOf func(member *wire.Member) string
-	// Incarnation returns that of a process, 0 where it states none, and whether the process has been heard at all.
+	// Incarnation returns the incarnation of a process, 0 if it states none, and whether the process has been heard.
 	Incarnation func(id string) (incarnation uint64, heard bool)
 }
 
-// Counters are what is counted of operators' requests.
+// Counters are the counters of operators' requests.
 type Counters struct {
 	// Accepted and Refused count changes at the head.
 	Accepted, Refused uint64
-	// Unknown counts changes whose operator was told that the outcome is unknown.
+	// Unknown counts changes that were replied to with an unknown outcome.
 	Unknown uint64
 }
 
-// NewRequests returns the requests of a process that starts now; none is open. Incarnation must differ between the
-// incarnations of a process, so that a late response to a request of an earlier one is recognized.
+// NewRequests returns the requests of a process that is starting, without any open request. incarnation must differ
+// between the incarnations of a process, so that a late response to a request of an earlier one is recognized.
 func NewRequests(incarnation uint64, self *wire.Member, agent *view.Agent, history *chain.Chain,
 	outbox *statemachine.Outbox, peers Peers,
 	serve func(now time.Time, message *wire.OperatorRequest)) *Requests {
@@ -77,14 +77,14 @@
 		open: map[string]*request{}, incarnation: incarnation}
 }
 
-// Counters returns what was counted here.
+// Counters returns the counters of the requests that this process received.
 func (requests *Requests) Counters() Counters { return requests.counters }
 
-// Count returns how many requests are open.
+// Count returns the number of open requests.
 func (requests *Requests) Count() int { return len(requests.open) }
 
-// Submit takes an operator's request; respond is called once. The token is that of Abandon; empty: it was answered at
-// once.
+// Submit accepts an operator's request. respond is called once, unless the request is abandoned. The returned token
+// identifies the request to Abandon; it is empty if the request was refused at once.
 func (requests *Requests) Submit(now time.Time, message *wire.OperatorRequest,
 	respond func(status int, body []byte)) (token string) {
 	if len(requests.open) >= maximumRequests {
@@ -101,15 +101,15 @@
 	return message.Token
 }
 
-// Abandon forgets a request whose operator waits no more, without a response, so that it takes no slot from others'. A
-// change goes on: its operator sends it again, here or elsewhere, and learns whatever has come of it meanwhile.
+// Abandon removes a read whose operator no longer waits, without a response, so that it no longer counts towards
+// maximumRequests. A change proceeds: its operator may submit it again, to any process, and learns its outcome.
 func (requests *Requests) Abandon(token string) {
 	if open := requests.open[token]; open != nil && !isWrite(open.message) {
 		delete(requests.open, token)
 	}
 }
 
-// Tick sends each open request to the head where that is due, and answers those whose time is over.
+// Tick sends each open request to the head if that is due, and replies to those that have timed out.
 func (requests *Requests) Tick(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(requests.open)) {
 		open := requests.open[token]
@@ -124,11 +124,11 @@
 	}
 }
 
-// send sends a request to the head if it was not sent there of late.
+// send sends a request to the head, unless it was sent under the same view within resendInterval.
 func (requests *Requests) send(now time.Time, open *request) {
-	// A process whose disk hangs still knows whom to ask, though it can't act under that view itself.
+	// The newest view names the head even if this process cannot act under that view because its disk hangs.
 	newest := requests.agent.Newest()
-	// Another view may have another head, to which the request goes at once.
+	// A newer view may have another head, to which the request is sent at once.
 	if newest.Epoch == 0 || open.view == newest.Epoch && now.Sub(open.lastSent) < resendInterval {
 		return
 	}
@@ -141,7 +141,8 @@
 		requests.serve(now, open.message)
 		return
 	}
-	// A copy may be on its way for long. Only the incarnation that it is meant for knows whether it was refused before.
+	// A copy may be delayed for long. Only the incarnation to which it is sent knows whether it refused the request
+	// before.
 	incarnation, heard := requests.peers.Incarnation(head.Id)
 	if !heard {
 		return
@@ -154,7 +155,7 @@
 		&wire.Envelope{Body: &wire.Envelope_OperatorRequest{OperatorRequest: copied}})
 }
 
-// finishUnresolved answers for a chain that gave no answer, or none that is final (see HandleResponse).
+// finishUnresolved replies to a request to which the chain gave no response, or no conclusive one (see HandleResponse).
 func (requests *Requests) finishUnresolved(open *request) {
 	operation := open.message.Operation
 	if isWrite(open.message) && len(open.recipients) > 0 {
@@ -184,7 +185,7 @@
 	if open == nil {
 		return
 	}
-	// A refusal by one head says nothing of another head that was asked too and may yet accept.
+	// A refusal by one head is not conclusive if the request was sent to another head as well, which may still accept it.
 	if isWrite(open.message) && response.Status != http.StatusOK && len(open.recipients) > 1 {
 		requests.finishUnresolved(open)
 		return
--- a/control/proposal/requests_test.go
+++ b/control/proposal/requests_test.go
@@ -10,32 +10,32 @@
 
 func TestRequestsTick(t *testing.T) {
 	t.Parallel()
-	bench := newBench("c", "ab")
-	bench.submit(start, &wire.OperatorRequest{Verb: VerbGet})
+	fixture := newFixture("c", "ab")
+	fixture.submit(start, &wire.OperatorRequest{Verb: VerbGet})
 	for _, test := range []struct {
 		after time.Duration
 		want  int
 	}{{0, 1}, {resendInterval - 1, 0}, {resendInterval, 1}} {
-		bench.requests.Tick(start.Add(test.after))
-		messages, _ := bench.outbox.Drain()
+		fixture.requests.Tick(start.Add(test.after))
+		messages, _ := fixture.outbox.Drain()
 		if len(messages) != test.want || test.want == 1 && messages[0].To != "a:1" {
-			t.Errorf("after %v: %v", test.after, messages)
+			t.Errorf("after %v: sent %v", test.after, messages)
 		}
 	}
-	bench.requests.Tick(start.Add(RequestTimeout + 1))
-	if bench.status != http.StatusServiceUnavailable || bench.reply.Outcome != OutcomeRefused {
-		t.Errorf("%d %+v", bench.status, bench.reply)
+	fixture.requests.Tick(start.Add(RequestTimeout + 1))
+	if fixture.status != http.StatusServiceUnavailable || fixture.reply.Outcome != OutcomeRefused {
+		t.Errorf("a read that timed out: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
 
 func TestRequestsTickTimesOutAChange(t *testing.T) {
 	t.Parallel()
-	bench := newBench("c", "ab")
-	bench.submit(start, apply("o"))
-	bench.requests.Tick(start.Add(RequestTimeout + 1))
-	if bench.status != http.StatusGatewayTimeout || bench.reply.Outcome != OutcomeUnknown ||
-		bench.requests.Counters().Unknown != 1 {
-		t.Errorf("%d %+v", bench.status, bench.reply)
+	fixture := newFixture("c", "ab")
+	fixture.submit(start, apply("o"))
+	fixture.requests.Tick(start.Add(RequestTimeout + 1))
+	if fixture.status != http.StatusGatewayTimeout || fixture.reply.Outcome != OutcomeUnknown ||
+		fixture.requests.Counters().Unknown != 1 {
+		t.Errorf("a change that timed out: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
 
@@ -50,41 +50,42 @@
 		"a refusal by one of two":    {[]string{"a", "b"}, 409, http.StatusGatewayTimeout},
 		"an acknowledgement by one":  {[]string{"a", "b"}, 200, 200},
 	} {
-		bench := newBench("c", "ab")
-		token := bench.submit(start, apply("o"))
+		fixture := newFixture("c", "ab")
+		token := fixture.submit(start, apply("o"))
 		for _, head := range test.heads {
-			bench.requests.open[token].recipients[head] = true
+			fixture.requests.open[token].recipients[head] = true
 		}
-		bench.requests.HandleResponse(&wire.OperatorResponse{Token: "c/7/99", Status: 200, Body: []byte("{}")})
-		if bench.replies != 0 {
-			t.Errorf("%s: a response to another request", name)
+		fixture.requests.HandleResponse(&wire.OperatorResponse{Token: "c/7/99", Status: 200, Body: []byte("{}")})
+		if fixture.replies != 0 {
+			t.Errorf("%s: a response with an unknown token was passed on", name)
 		}
 		response := &wire.OperatorResponse{Token: token, Status: test.status, Body: []byte("{}")}
-		bench.requests.HandleResponse(response)
-		bench.requests.HandleResponse(response)
-		if bench.status != test.want || bench.replies != 1 {
-			t.Errorf("%s: %d, %d replies", name, bench.status, bench.replies)
+		fixture.requests.HandleResponse(response)
+		fixture.requests.HandleResponse(response)
+		if fixture.status != test.want || fixture.replies != 1 {
+			t.Errorf("%s: status %d, %d replies", name, fixture.status, fixture.replies)
 		}
 	}
 }
 
 func TestRequestsAbandon(t *testing.T) {
 	t.Parallel()
-	bench := newBench("c", "ab")
-	bench.requests.Abandon(bench.submit(start, &wire.OperatorRequest{Verb: VerbGet}))
-	bench.requests.Abandon(bench.submit(start, apply("o")))
-	if bench.requests.Count() != 1 {
-		t.Errorf("%d are open", bench.requests.Count())
+	fixture := newFixture("c", "ab")
+	fixture.requests.Abandon(fixture.submit(start, &wire.OperatorRequest{Verb: VerbGet}))
+	fixture.requests.Abandon(fixture.submit(start, apply("o")))
+	if fixture.requests.Count() != 1 {
+		t.Errorf("%d requests are open, want the change alone", fixture.requests.Count())
 	}
 }
 
 func TestRequestsSubmitIsBounded(t *testing.T) {
 	t.Parallel()
-	bench := newBench("c", "ab")
+	fixture := newFixture("c", "ab")
 	for range maximumRequests {
-		bench.submit(start, &wire.OperatorRequest{Verb: VerbGet})
+		fixture.submit(start, &wire.OperatorRequest{Verb: VerbGet})
 	}
-	if bench.submit(start, &wire.OperatorRequest{Verb: VerbGet}) != "" || bench.status != http.StatusServiceUnavailable {
-		t.Errorf("%d %+v", bench.status, bench.reply)
+	if fixture.submit(start, &wire.OperatorRequest{Verb: VerbGet}) != "" ||
+		fixture.status != http.StatusServiceUnavailable {
+		t.Errorf("a request beyond the bound: status %d, reply %+v", fixture.status, fixture.reply)
 	}
 }
--- a/control/proposal/timeouts.go
+++ b/control/proposal/timeouts.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// A request of an operator passes through several waits, one inside the other. Each must outlast the one inside it:
-// otherwise its owner would give up on an answer that is about to come, and report an outcome as unknown that is known.
+// The timeouts of an operator's request are nested, and each must exceed the one inside it. Otherwise the outer one
+// would expire while a reply is on its way, and a known outcome would be reported as unknown.
 const (
-	// acknowledgeTimeout is for how long the head waits until an entered change is delivered; then it answers that the
-	// outcome is unknown.
+	// acknowledgeTimeout is the time for which the head waits for the delivery of a submitted change before it replies
+	// that the outcome is unknown.
 	acknowledgeTimeout = 5 * time.Second
-	// RequestTimeout is for how long the process where a request came in waits for the head's answer; then it answers
-	// itself.
+	// RequestTimeout is the time for which the process that received a request waits for the head's response before it
+	// replies by itself.
 	RequestTimeout = acknowledgeTimeout + forwardMargin
-	// ClientTimeout is for how long a client of the operators' API waits for the response of one process.
+	// ClientTimeout is the time for which a client of the operators' API waits for the response of one process.
 	ClientTimeout = RequestTimeout + clientMargin
 	// ConnectionTimeout bounds reading a request from an operator's connection, and writing its response.
 	ConnectionTimeout = ClientTimeout + connectionMargin
-	// deferTimeout is for how long a request waits at the head for the moment at which it can be answered; its origin
-	// sends it again meanwhile.
+	// deferTimeout is the time for which a request stays deferred at the head; its origin resends it meanwhile.
 	deferTimeout = 2 * time.Second
 
-	// forwardMargin is for the way to the head and back.
+	// forwardMargin allows for the round trip to the head.
 	forwardMargin = time.Second
-	// clientMargin is for the client's connection, and for its request and the response on the way.
+	// clientMargin allows for the client's connection setup, and the transmission of its request and of the response.
 	clientMargin = 3 * time.Second
-	// connectionMargin lets the client be the one that gives up.
+	// connectionMargin makes the client time out before the server closes the connection.
 	connectionMargin = time.Second
 )
--- a/control/proposal/timeouts_test.go
+++ b/control/proposal/timeouts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each wait outlasts the one inside it.
+// Each timeout exceeds the one nested inside it. Otherwise a known outcome could be reported as unknown.
 func TestTimeoutsOutlastOneAnother(t *testing.T) {
 	t.Parallel()
 	waits := []struct {
@@ -27,10 +27,10 @@
 			continue
 		}
 		if inner := waits[index-1]; outer.wait <= inner.wait {
-			t.Errorf("%s waits %v, %s %v", outer.name, outer.wait, inner.name, inner.wait)
+			t.Errorf("%s waits %v, which does not exceed %s with %v", outer.name, outer.wait, inner.name, inner.wait)
 		}
 	}
 	if resendInterval >= deferTimeout {
-		t.Errorf("a deferred request is dropped before its origin sends it again, after %v", resendInterval)
+		t.Errorf("a deferred request expires before its origin resends it, after %v", resendInterval)
 	}
 }
