--- a/control/server/abandoned_test.go
+++ b/control/server/abandoned_test.go
@@ -20,20 +20,20 @@
 	return callOf("PUT", "/v1/runners/"+id, body)
 }
 
-// Calls that were read behind their callers' close are rejected, but for those that say that a runner is draining:
-// these are true whenever they are read.
+// Calls that are read after their callers have closed the connection are refused: an outdated heartbeat would make a
+// runner appear alive. A heartbeat of a draining runner is accepted, since it stays true.
 func TestAbandonedCallsAreRejected(t *testing.T) {
 	node := newSingleNode(t)
-	node.sendAndLeave(t, heartbeat("ready", "ready"))
-	node.sendAndLeave(t, callOf("PUT", "/v1/spec?base=0", "{}"))
-	node.sendAndLeave(t, callOf("GET", "/v1/spec", ""))
-	node.sendAndLeave(t, heartbeat("draining", "draining"))
+	node.sendAndDisconnect(t, heartbeat("ready", "ready"))
+	node.sendAndDisconnect(t, callOf("PUT", "/v1/spec?base=0", "{}"))
+	node.sendAndDisconnect(t, callOf("GET", "/v1/spec", ""))
+	node.sendAndDisconnect(t, heartbeat("draining", "draining"))
 	close(node.release)
 	if _, err := io.WriteString(node.dial(t), heartbeat("later", "ready")); err != nil {
 		t.Fatal(err)
 	}
 	known := map[string]bool{}
-	eventually(t, "what may be accepted is accepted", func() bool {
+	eventually(t, "the later and the draining heartbeats are accepted", func() bool {
 		for _, runner := range node.Runners() {
 			known[runner.RunnerId] = true
 		}
@@ -44,7 +44,8 @@
 	}
 }
 
-// A read whose operator has left takes no slot from others; a change proceeds.
+// A read whose operator has disconnected is removed, so that it does not count towards the bound of pending requests. A
+// change proceeds, and a caller that has closed only its sending side gets the response that its outcome is unknown.
 func TestRequestsOfOperatorsThatLeave(t *testing.T) {
 	node := newSingleNode(t)
 	reader := node.dial(t)
@@ -65,22 +66,22 @@
 	response := string(content)
 	isUnknown := strings.HasPrefix(response, "HTTP/1.1 504") && strings.Contains(response, `"outcome":"unknown"`)
 	if err != nil || !isUnknown || !strings.Contains(response, "mine") {
-		t.Errorf("%q, %v", response, err)
+		t.Errorf("response %q, error %v", response, err)
 	}
 	if node.pendingRequests() != 1 {
-		t.Error("the change is forgotten")
+		t.Error("the pending change was removed")
 	}
 }
 
-// A read that timed out is removed as well.
+// A read that has timed out is removed; a change stays pending.
 func TestTimedOutReadsAreRemoved(t *testing.T) {
 	node := newSingleNode(t)
 	status, _ := node.Execute(&wire.OperatorRequest{Verb: proposal.VerbGet}, time.Millisecond)
 	if status != 504 || node.pendingRequests() != 0 {
-		t.Errorf("%d, %d pending", status, node.pendingRequests())
+		t.Errorf("a read: status %d, %d requests pending", status, node.pendingRequests())
 	}
 	status, _ = node.Execute(&wire.OperatorRequest{Verb: proposal.VerbApply, HasBase: true}, time.Millisecond)
 	if status != 504 || node.pendingRequests() != 1 {
-		t.Errorf("%d, %d pending", status, node.pendingRequests())
+		t.Errorf("a change: status %d, %d requests pending", status, node.pendingRequests())
 	}
 }
--- a/control/server/eventloop.go
+++ b/control/server/eventloop.go
@@ -13,11 +13,11 @@
 // tickInterval is the time between two ticks of the node.
 const tickInterval = 50 * time.Millisecond
 
-// Run serves until the context ends. Then the node leaves: Run returns once others have taken over its duties, nobody
-// is there to do so, or its grace is nearly over.
+// Run serves until the context ends. Then it decommissions the node, and returns once other nodes have taken over its
+// duties, no other node can do so, or the grace period is nearly over.
 func (server *Server) Run(ctx context.Context) error {
 	if server.settings.Diskless {
-		server.log.Warn("no disk on this machine: standing by")
+		server.log.Warn("this machine has no disk; the process runs no node and waits until it is stopped")
 		<-ctx.Done()
 		return nil
 	}
@@ -41,33 +41,33 @@
 		case <-ctx.Done():
 		}
 	}
-	server.leave(ticker)
-	return apierror.Wrap(httpServer.Shutdown(), apierror.Internal, "closing the HTTP side")
+	server.decommission(ticker)
+	return apierror.Wrap(httpServer.Shutdown(), apierror.Internal, "closing the HTTP server")
 }
 
-// leave hands the node's duties over to others, and returns when that is done or its time is over.
-func (server *Server) leave(ticker *time.Ticker) {
-	leaveBy := time.Now().Add(timing.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
-	server.log.Info("leaving")
+// decommission hands the node's duties over to other nodes. It returns when that is done or its timeout is over.
+func (server *Server) decommission(ticker *time.Ticker) {
+	deadline := time.Now().Add(timing.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
+	server.log.Info("stopping: the node hands its duties over to other nodes")
 	server.step(func(now time.Time) { server.node.Decommission(now) })
 	for {
 		<-ticker.C
 		server.tick()
-		if time.Now().After(leaveBy) || server.hasLeft() {
-			server.log.Info("stopped", "left", server.hasLeft())
+		if time.Now().After(deadline) || server.isDecommissioned() {
+			server.log.Info("stopped", "left", server.isDecommissioned())
 			return
 		}
 	}
 }
 
-// hasLeft reports whether nothing depends on the node any more.
-func (server *Server) hasLeft() bool {
+// isDecommissioned reports whether nothing depends on the node any more.
+func (server *Server) isDecommissioned() bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.node.IsDecommissioned(time.Now())
 }
 
-// tick lets the node act on the time that has passed.
+// tick has the node handle timeouts and periodic work that are due.
 func (server *Server) tick() {
 	server.step(func(now time.Time) { server.node.Tick(now) })
 }
@@ -79,11 +79,11 @@
 
 // diskFailed notifies the node that its disk failed.
 func (server *Server) diskFailed(err error) {
-	server.log.Error("disk failed", "cause", err.Error())
+	server.log.Error("the disk failed; the node writes its complete state again", "cause", err.Error())
 	server.step(func(now time.Time) { server.node.DiskFailed(now) })
 }
 
-// step runs one step of the node under its lock, and hands on the messages and the writes that it leaves.
+// step runs one step of the node under its lock, and hands over the resulting messages and writes.
 func (server *Server) step(do func(now time.Time)) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -92,14 +92,14 @@
 	server.transport.Send(messages)
 	for _, write := range writes {
 		if !server.writes.Offer(write) {
-			// A disk this far behind is as good as failed, and waiting here would stop the whole node.
+			// A disk with a full queue counts as failed: waiting for it here would block the complete node.
 			server.node.DiskFailed(time.Now())
 		}
 	}
 	server.logView(server.node.View())
 }
 
-// logView logs a view that differs from the last one.
+// logView logs a view if it is not the last logged one.
 func (server *Server) logView(view *wire.View) {
 	if view.Epoch == server.lastView {
 		return
--- a/control/server/eventloop_test.go
+++ b/control/server/eventloop_test.go
@@ -24,7 +24,7 @@
 	return listener.Addr().String()
 }
 
-// Run serves, syncs the node's writes, and returns without an error when its context ends.
+// Run serves, syncs the node's writes, and returns no error when its context ends.
 func TestRunServesUntilItsContextEnds(t *testing.T) {
 	address, httpAddress := freeAddress(t), freeAddress(t)
 	server, err := New(&process.Settings{
@@ -53,11 +53,11 @@
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the server does not stop")
+		t.Error("Run does not return after its context has ended")
 	}
 }
 
-// A server without a disk stands by until its context ends.
+// Run of a server without a disk waits until its context ends.
 func TestIdleServerStandsBy(t *testing.T) {
 	server, err := New(&process.Settings{Diskless: true}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/control/server/golden_test.go
+++ b/control/server/golden_test.go
@@ -15,19 +15,19 @@
 	"wardtray/verify/golden"
 )
 
-// What operators read of a node and of its runners keeps its keys.
+// The JSON keys in the status of a node and of its runners are stable, since operators' tools read them.
 func TestStatusKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
 	golden.CompareJSON(t, "runner-line", golden.Marshal[RunnerStatus])
 }
 
-// The counters of a transport keep their names.
+// The names of a transport's counters are stable, since the status contains them.
 func TestWireCountersKeepTheirNames(t *testing.T) {
 	names := slices.Sorted(maps.Keys(transport.CounterValues(&transport.Transport{})))
 	golden.Compare(t, "wire-counters.txt", strings.Join(names, "\n")+"\n")
 }
 
-// Each outcome of a runner's call keeps its HTTP status and its refusal.
+// The HTTP status and the refusal of each outcome of a runner's call are stable.
 func TestRegistrationStatusesStay(t *testing.T) {
 	var text strings.Builder
 	outcomes := []registry.Outcome{
@@ -40,7 +40,7 @@
 	golden.Compare(t, "registration-statuses.txt", text.String())
 }
 
-// Each error of reading a call keeps its HTTP status and its text.
+// The HTTP status and the body of each error of parsing a call are stable.
 func TestParseErrorStatusesStay(t *testing.T) {
 	var text strings.Builder
 	for _, kind := range []apierror.Code{apierror.Malformed, apierror.TooLarge} {
--- a/control/server/helpers_test.go
+++ b/control/server/helpers_test.go
@@ -15,7 +15,7 @@
 	"wardtray/transport/netio"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is the time for which a test waits for a condition that must come to hold.
 const testTimeout = 10 * time.Second
 
 // eventually waits until a condition holds.
@@ -23,12 +23,12 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// newNode returns the server of a node without a chain, on a blank folder. Nothing ticks it.
+// newNode returns the server of a node without a chain, on a blank data folder. The node gets no ticks.
 func newNode(t *testing.T) *Server {
 	t.Helper()
 	settings := &process.Settings{Folder: t.TempDir(), Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a"}
@@ -39,8 +39,8 @@
 	return server
 }
 
-// singleNode is a node without a chain behind an HTTP server. Its route /hold delays what follows on the same
-// connection: a call of it ends when release is closed.
+// singleNode is a node without a chain behind an HTTP server. A call of its route /hold blocks until release is closed,
+// and so delays the calls that follow on the same connection.
 type singleNode struct {
 	*Server
 	address       string
@@ -65,7 +65,7 @@
 	return node
 }
 
-// hold returns when its caller has left and the calls are released.
+// hold returns when its caller has disconnected and release is closed.
 func (node *singleNode) hold(request *fasthttp.RequestCtx) {
 	node.held <- struct{}{}
 	for !netio.Disconnected(request.Conn()) {
@@ -84,20 +84,20 @@
 	t.Cleanup(func() { _ = connection.Close() })
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("the connection is a %T", connection)
+		t.Fatalf("the connection is a %T, not a TCP connection", connection)
 	}
 	return tcp
 }
 
-// pendingRequests returns how many operators' requests wait for a response.
+// pendingRequests returns the number of operators' requests that wait for a response.
 func (node *singleNode) pendingRequests() int {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return node.node.Status(time.Now()).Requests
 }
 
-// sendAndLeave sends a call that is read only after its connection was closed.
-func (node *singleNode) sendAndLeave(t *testing.T, call string) {
+// sendAndDisconnect sends a call that the server reads only after the connection was closed.
+func (node *singleNode) sendAndDisconnect(t *testing.T, call string) {
 	t.Helper()
 	caller := node.dial(t)
 	if _, err := io.WriteString(caller, callOf("GET", "/hold", "")+call); err != nil {
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// programName is what the process calls itself in its status and its Server header.
+	// programName is the name of the program in its status and in its Server header.
 	programName = "wtcore"
 
 	// requestTimeout bounds reading a request, and writing its response.
 	requestTimeout = proposal.ConnectionTimeout
-	// idleTimeout is how long a connection stays open between two requests.
+	// idleTimeout is the time for which a connection stays open between two requests.
 	idleTimeout = time.Minute
-	// envelopeBytes is how much longer than a configuration document a request body may be.
-	envelopeBytes = 1024
-	// headBytes bounds the head of a request.
-	headBytes = 16 << 10
-	// maximumConnections bounds the connections that are served at the same time.
+	// bodyMargin is the number of bytes by which a request body may exceed the maximum size of a configuration.
+	bodyMargin = 1024
+	// maximumHeadBytes bounds the request line and the header fields of a request.
+	maximumHeadBytes = 16 << 10
+	// maximumConnections bounds the connections that are served concurrently.
 	maximumConnections = 1024
 
 	contentTypeJSON = "application/json"
-	// retryAfter is how many seconds a caller is asked to wait where nothing was decided.
+	// retryAfter is the Retry-After header, in seconds, of responses with status 503.
 	retryAfter = "1"
 )
 
-// listenHTTP opens the HTTP side and serves it in the background.
+// listenHTTP starts the HTTP server and serves it in the background.
 func (server *Server) listenHTTP(ctx context.Context) (*fasthttp.Server, error) {
 	httpServer := &fasthttp.Server{
 		Handler:            server.routes().Handler,
@@ -43,13 +43,13 @@
 		ReadTimeout:        requestTimeout,
 		WriteTimeout:       requestTimeout,
 		IdleTimeout:        idleTimeout,
-		MaxRequestBodySize: config.MaximumBytes + envelopeBytes,
-		ReadBufferSize:     headBytes,
+		MaxRequestBodySize: config.MaximumBytes + bodyMargin,
+		ReadBufferSize:     maximumHeadBytes,
 		Concurrency:        maximumConnections,
 		CloseOnShutdown:    true,
 		NoDefaultDate:      true,
 	}
-	// A process that is asked to stop while it starts still opens its side, so that it can leave in order.
+	// A process that is stopped during its start still listens, so that it can be decommissioned in an orderly way.
 	listening := net.ListenConfig{}
 	listener, err := listening.Listen(context.WithoutCancel(ctx), "tcp", server.settings.HTTP)
 	if err != nil {
@@ -57,13 +57,14 @@
 	}
 	go func() {
 		if err := httpServer.Serve(listener); err != nil {
-			server.log.Error("the HTTP side ended", "cause", err.Error())
+			server.log.Error("the HTTP server failed; it serves no operators or runners until a restart, the node runs on",
+				"cause", err.Error())
 		}
 	}()
 	return httpServer, nil
 }
 
-// routes returns all routes of the HTTP side.
+// routes returns all routes of the HTTP server.
 func (server *Server) routes() *router.Router {
 	routes := router.New()
 	server.mountOperator(routes)
@@ -79,12 +80,12 @@
 	return routes
 }
 
-// refusal returns the reply to a call that took no effect.
+// refusal returns the reply to a refused request.
 func refusal(code apierror.Code, detail string) proposal.Reply {
 	return proposal.Reply{Outcome: proposal.OutcomeRefused, Code: string(code), Detail: detail}
 }
 
-// WriteReply responds with a reply, and adds the remedy for its error code where it has none.
+// WriteReply responds with a reply. If the reply has an error code but no remedy, it adds the remedy for the code.
 func WriteReply(request *fasthttp.RequestCtx, status int, reply proposal.Reply) {
 	if reply.Code != "" && reply.Remedy == "" {
 		reply.Remedy = (&apierror.Error{Code: apierror.Code(reply.Code)}).Remedy()
@@ -106,15 +107,16 @@
 	writeBody(request, fasthttp.StatusOK, content)
 }
 
-// writeBody responds with a body of JSON.
+// writeBody responds with a status and a JSON body.
 func writeBody(request *fasthttp.RequestCtx, status int, content []byte) {
 	request.SetContentType(contentTypeJSON)
 	request.SetStatusCode(status)
 	request.SetBody(content)
 }
 
-// RejectAbandoned rejects a call whose caller has closed its connection, and reports whether it did. Such a call was
-// read behind the close, as after a freeze of this machine; a caller that still wants something has called again.
+// RejectAbandoned refuses a call whose caller has closed its connection, and reports whether it did. The process may
+// read such a call long after the close, for example after a freeze of this machine; a caller that still needs a
+// response has called again.
 func RejectAbandoned(request *fasthttp.RequestCtx) bool {
 	if !netio.Disconnected(request.Conn()) {
 		return false
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// maximumOperation bounds the id of an operator's change, and a zone's name, in bytes.
+	// maximumOperation bounds the id of an operator's change, and the name of a zone, in bytes.
 	maximumOperation = 128
-	// pathOperation is the route that looks an operation up; its id is escaped as one segment of the path.
+	// pathOperation is the route for looking up an operation, whose id is escaped as one segment of the path.
 	pathOperation = "/v1/operations/{operation}"
 )
 
@@ -59,10 +59,10 @@
 	body   []byte
 }
 
-// submit submits a request to the chain. Its response arrives on the channel within the time limit of the control
-// plane, unless the request is abandoned by its token first.
+// submit submits a request to the chain. The response arrives on the channel within proposal.RequestTimeout, unless the
+// request is abandoned by its token first.
 func (server *Server) submit(message *wire.OperatorRequest) (token string, _ <-chan operatorResponse) {
-	// Without an id of its own an operation could neither be looked up nor told from a retry.
+	// Without an id, an operation could be neither looked up nor distinguished from a retry.
 	if message.Operation == "" && message.Verb != proposal.VerbGet {
 		message.Operation = newID()
 	}
@@ -75,14 +75,14 @@
 	return token, responses
 }
 
-// abandon notifies the node that nobody waits for a response any more.
+// abandon notifies the node that no caller waits for a response any more.
 func (server *Server) abandon(token string) {
 	server.step(func(time.Time) { server.node.Abandon(token) })
 }
 
-// Execute submits an operator's request to the chain, whichever node must answer it, and waits for at most timeout. A
-// change proceeds beyond that: its outcome is unknown then, and the same operation id submitted again, here or at
-// another node, finds it.
+// Execute submits an operator's request to the chain and waits for the response for at most timeout. After that the
+// outcome of a change is unknown and the change proceeds; submitting it again with the same operation id, to any node,
+// returns its outcome.
 func (server *Server) Execute(message *wire.OperatorRequest, timeout time.Duration) (int, proposal.Reply) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -101,19 +101,19 @@
 }
 
 // executeWhileConnected submits a request and waits for its response for as long as its caller stays connected. A
-// caller that has only closed its sending side looks like one that left; its response says that the outcome is
+// caller that has closed only its sending side counts as disconnected, and gets the response that the outcome is
 // unknown.
 func (server *Server) executeWhileConnected(
 	request *fasthttp.RequestCtx, message *wire.OperatorRequest,
 ) operatorResponse {
-	left := make(chan struct{})
-	stop := netio.FromHTTP(request).OnDisconnect(func() { close(left) })
+	disconnected := make(chan struct{})
+	stop := netio.FromHTTP(request).OnDisconnect(func() { close(disconnected) })
 	defer stop()
 	token, responses := server.submit(message)
 	select {
 	case response := <-responses:
 		return response
-	case <-left:
+	case <-disconnected:
 		server.abandon(token)
 		request.SetConnectionClose()
 		reply := unknownOutcome(message, apierror.OutcomeUnknown, "the caller has closed its connection")
@@ -131,7 +131,7 @@
 	}
 }
 
-// parseOperatorRequest reads an operator's HTTP request. An error has the code Malformed.
+// parseOperatorRequest parses an operator's HTTP request. Errors have the code Malformed.
 func parseOperatorRequest(verb string, request *fasthttp.RequestCtx) (*wire.OperatorRequest, error) {
 	message := &wire.OperatorRequest{Verb: verb, Operation: string(request.QueryArgs().Peek("operation"))}
 	if err := readSegment(request, "operation", &message.Operation); err != nil {
@@ -140,8 +140,7 @@
 	if err := readSegment(request, "zone", &message.Zone); err != nil {
 		return nil, err
 	}
-	// A message, and a record on a disk, can't hold other bytes than UTF-8: one such change could be neither sent nor
-	// synced.
+	// Messages and stored records hold only UTF-8 strings: a change with other bytes could be neither sent nor synced.
 	isUTF8 := utf8.ValidString(message.Operation) && utf8.ValidString(message.Zone)
 	if len(message.Operation) > maximumOperation || !isUTF8 {
 		return nil, apierror.New(apierror.Malformed, "operation, zone: at most %d bytes of UTF-8", maximumOperation)
@@ -167,8 +166,8 @@
 	return message, nil
 }
 
-// readSegment reads the segment of the path that the route names into value, unescaped; a route without it changes
-// nothing.
+// readSegment sets value to the unescaped path segment that the route has under a name. If the route has no such
+// segment, value stays unchanged.
 func readSegment(request *fasthttp.RequestCtx, name string, value *string) error {
 	escaped, found := request.UserValue(name).(string)
 	if !found {
@@ -182,7 +181,7 @@
 	return nil
 }
 
-// queryNumber reads a whole number of the query; found is false where there is none.
+// queryNumber parses an unsigned integer of the query; found is false if the query has none under this name.
 func queryNumber(request *fasthttp.RequestCtx, name string) (value uint64, found bool, err error) {
 	text := request.QueryArgs().Peek(name)
 	if len(text) == 0 {
--- a/control/server/operator_test.go
+++ b/control/server/operator_test.go
@@ -21,7 +21,7 @@
 		request.Request.SetBodyString("{}")
 		return parseOperatorRequest(verb, request)
 	}
-	// Each malformed query, with the field that the error must name.
+	// Maps each malformed query to the field that the error must name.
 	malformed := map[string]string{
 		"":               "base",
 		"base=":          "base",
@@ -34,36 +34,37 @@
 	for _, verb := range []string{proposal.VerbApply, proposal.VerbChange} {
 		got, err := read(verb, "base=5&epoch=9&operation=x")
 		if err != nil || !got.HasBase || got.Base != 5 || !got.HasEpoch || got.Epoch != 9 {
-			t.Errorf("%s: %v %v", verb, got, err)
+			t.Errorf("%s with base and epoch: parsed %v, error %v", verb, got, err)
 		}
 		if got.GetOperation() != "x" || string(got.GetSpec()) != "{}" {
-			t.Errorf("%s: %v", verb, got)
+			t.Errorf("%s: operation or body is wrong: %v", verb, got)
 		}
 		if got, err := read(verb, "base=0"); err != nil || got.HasEpoch || !got.HasBase {
-			t.Errorf("%s: %v %v", verb, got, err)
+			t.Errorf("%s with base 0: parsed %v, error %v", verb, got, err)
 		}
 		for query, field := range malformed {
 			if _, err := read(verb, query); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s?%s: %v", verb, query, err)
+				t.Errorf("%s?%s: error %v does not name the malformed field", verb, query, err)
 			}
 		}
 	}
 	if got, err := read("close", "base=3"); err != nil || got.Base != 3 || got.Spec != nil {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("close: parsed %v, error %v", got, err)
 	}
 }
 
 func TestExecuteTimesOut(t *testing.T) {
-	// There is no chain and nothing ticks, so that no response can come.
+	// The node has no chain and gets no ticks, so there is never a response.
 	server := newNode(t)
 	request := &wire.OperatorRequest{Verb: proposal.VerbApply, HasBase: true}
 	status, reply := server.Execute(request, time.Millisecond)
 	if status != 504 || reply.Outcome != proposal.OutcomeUnknown || reply.Operation == "" {
-		t.Errorf("%d %+v", status, reply)
+		t.Errorf("status %d, reply %+v", status, reply)
 	}
 }
 
-// An operation is looked up by the id that its change was submitted under, escaped as one segment of the path.
+// An operation is looked up by the id of its change, escaped as one segment of the path: every id must survive the
+// escaping, also with slashes and dots.
 func TestParseOperationPath(t *testing.T) {
 	var got *wire.OperatorRequest
 	var err error
@@ -78,12 +79,12 @@
 		request.Request.SetRequestURI("/v1/operations/" + url.PathEscape(id))
 		routes.Handler(request)
 		if err != nil || got.GetOperation() != id {
-			t.Errorf("%q: found %q, %v", id, got.GetOperation(), err)
+			t.Errorf("id %q: parsed %q, error %v", id, got.GetOperation(), err)
 		}
 	}
 	request := &fasthttp.RequestCtx{}
 	request.Request.SetRequestURI("/v1/operations/a%zz")
 	if routes.Handler(request); !apierror.Is(err, apierror.Malformed) {
-		t.Errorf("a malformed escape: %v", err)
+		t.Errorf("a malformed escape: error %v, want the code Malformed", err)
 	}
 }
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -12,13 +12,13 @@
 	"wardtray/wire"
 )
 
-// parseErrorStatuses are the HTTP statuses of requests that can't be read.
+// parseErrorStatuses maps the error codes of malformed requests to HTTP statuses.
 var parseErrorStatuses = map[apierror.Code]int{
 	apierror.Malformed: fasthttp.StatusBadRequest,
 	apierror.TooLarge:  fasthttp.StatusRequestEntityTooLarge,
 }
 
-// registrationRefusals are the replies to the outcomes that acknowledge nothing.
+// registrationRefusals maps the outcomes that acknowledge nothing to their replies.
 var registrationRefusals = map[registry.Outcome]proposal.Reply{
 	registry.TableFull:   refusal(apierror.Busy, "more runners are registered than this core remembers"),
 	registry.Unreachable: refusal(apierror.Partitioned, "no daemon has confirmed it"),
@@ -62,29 +62,29 @@
 	writeRegistration(request, server.Deregister(id))
 }
 
-// RunnerID returns the id that the path of a runner's call names, unescaped; empty where its route has none. The error
-// is apierror.Malformed.
+// RunnerID returns the unescaped runner id in the path of a runner's call; empty if its route has none. Errors have the
+// code Malformed.
 func RunnerID(request *fasthttp.RequestCtx) (string, error) {
 	var id string
 	err := readSegment(request, "id", &id)
 	return id, err
 }
 
-// Register handles a runner's heartbeat and waits, well under a second, until it may be acknowledged.
+// Register handles a runner's heartbeat and waits, for well under a second, for its outcome.
 func (server *Server) Register(runner *wire.Runner) registry.Outcome {
 	return server.awaitOutcome(func(now time.Time, done func(outcome registry.Outcome)) {
 		server.node.Register(now, runner, done)
 	})
 }
 
-// Deregister removes a runner from the registry and waits likewise.
+// Deregister removes a runner from the registry and waits for the outcome, as Register does.
 func (server *Server) Deregister(id string) registry.Outcome {
 	return server.awaitOutcome(func(now time.Time, done func(outcome registry.Outcome)) {
 		server.node.Deregister(now, id, done)
 	})
 }
 
-// awaitOutcome runs a step that calls done once, then or later, and returns the outcome.
+// awaitOutcome runs a step that calls done once, during the step or later, and returns the outcome passed to done.
 func (server *Server) awaitOutcome(do func(now time.Time, done func(outcome registry.Outcome))) registry.Outcome {
 	outcomes := make(chan registry.Outcome, 1)
 	server.step(func(now time.Time) {
@@ -93,7 +93,7 @@
 	return <-outcomes
 }
 
-// RegistrationStatus returns the HTTP status of an outcome, and the reply where it acknowledges nothing.
+// RegistrationStatus returns the HTTP status of an outcome, and the reply if the outcome acknowledges nothing.
 func RegistrationStatus(outcome registry.Outcome) (status int, refusal proposal.Reply) {
 	if refusal, refused := registrationRefusals[outcome]; refused {
 		return fasthttp.StatusServiceUnavailable, refusal
@@ -101,31 +101,31 @@
 	return fasthttp.StatusOK, proposal.Reply{}
 }
 
-// RejectAbandonedHeartbeat rejects a runner's call whose caller has left, as RejectAbandoned does, unless it says that
-// the runner is draining.
+// RejectAbandonedHeartbeat refuses a runner's heartbeat whose caller has disconnected, as RejectAbandoned does, unless
+// the heartbeat states that the runner is draining.
 //
-// Why: a runner that got no response has called elsewhere, or crashed, and its old call would make it seem last seen
-// now. That it drains is true whenever it is read.
+// A runner that got no response has called another process, or crashed, and handling its old heartbeat would count as a
+// sign of life. That a runner is draining stays true, however late the heartbeat is read.
 func RejectAbandonedHeartbeat(request *fasthttp.RequestCtx, runner *wire.Runner) bool {
 	return runner.State != registry.Draining && RejectAbandoned(request)
 }
 
-// WriteParseError rejects a request that can't be read. An error of another code than Malformed and TooLarge is this
-// process's own and answered as such.
+// WriteParseError responds to a request that cannot be parsed. An error with a code other than Malformed or TooLarge is
+// an internal error and gets the status 500.
 func WriteParseError(request *fasthttp.RequestCtx, err error) {
 	found := apierror.Of(err)
 	detail := found.Detail
 	if cause := found.Unwrap(); cause != nil {
 		detail += ": " + cause.Error()
 	}
-	status, isCallers := parseErrorStatuses[found.Code]
-	if !isCallers {
+	status, isClientError := parseErrorStatuses[found.Code]
+	if !isClientError {
 		status = fasthttp.StatusInternalServerError
 	}
 	WriteReply(request, status, refusal(found.Code, detail))
 }
 
-// WriteRegistrationRefusal rejects a runner's call whose outcome acknowledges nothing, and reports whether it did.
+// WriteRegistrationRefusal refuses a runner's call whose outcome acknowledges nothing, and reports whether it did.
 func WriteRegistrationRefusal(request *fasthttp.RequestCtx, outcome registry.Outcome) bool {
 	status, refusal := RegistrationStatus(outcome)
 	if status == fasthttp.StatusOK {
@@ -150,21 +150,21 @@
 	Zone     string `json:"zone"`
 	Service  string `json:"service"`
 	Revision string `json:"revision,omitempty"`
-	// Slots is how many requests the runner works on at the same time.
+	// Slots is the number of requests that the runner processes concurrently.
 	Slots uint32 `json:"slots"`
 	State string `json:"state"`
-	// SlowStart is how much longer the runner is warming up, as time.Duration writes it; empty where it is not.
+	// SlowStart is the remaining time of the runner's slow start, as time.Duration writes it; empty if there is none.
 	SlowStart string `json:"cold,omitempty"`
-	// Call is the number of the runner's last call; a later one is greater.
+	// Call is the number of the runner's last call; numbers increase with each call.
 	Call uint64 `json:"call"`
 }
 
-// runnerList is what GET /v1/runners returns.
+// runnerList is the response to GET /v1/runners.
 type runnerList struct {
 	Runners []RunnerStatus `json:"runners"`
 }
 
-// Runners returns every registered runner, also those that are gone or unresponsive.
+// Runners returns every registered runner, including those that are gone or unresponsive.
 func (server *Server) Runners() []*wire.Runner {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -180,7 +180,7 @@
 	writeJSON(request, list)
 }
 
-// runnerStatus returns what is listed of a runner.
+// runnerStatus returns the entry of a runner in the list.
 func runnerStatus(runner *wire.Runner) RunnerStatus {
 	status := RunnerStatus{
 		Runner:   runner.RunnerId,
--- a/control/server/runners_test.go
+++ b/control/server/runners_test.go
@@ -19,7 +19,7 @@
 	request := &fasthttp.RequestCtx{}
 	server.handleListRunners(request)
 	if body := string(request.Response.Body()); body != `{"runners":[]}` {
-		t.Errorf("no runner: %s", body)
+		t.Errorf("the list without a runner is %s", body)
 	}
 }
 
@@ -27,7 +27,7 @@
 	runner := &wire.Runner{RunnerId: "r", Slots: 4, State: registry.Draining, Call: 7, SlowStartMilliseconds: 1500}
 	want := RunnerStatus{Runner: "r", Slots: 4, State: registry.Draining, Call: 7, SlowStart: "1.5s"}
 	if got := runnerStatus(runner); got != want {
-		t.Errorf("%+v", got)
+		t.Errorf("warming up: %+v", got)
 	}
 	runner.SlowStartMilliseconds, want.SlowStart = 0, ""
 	if got := runnerStatus(runner); got != want {
@@ -60,7 +60,7 @@
 		request.Request.SetRequestURI(path)
 		routes.Handler(request)
 		if id != want.id || want.ok != (err == nil) || err != nil && !apierror.Is(err, apierror.Malformed) {
-			t.Errorf("%s: %q, %v", path, id, err)
+			t.Errorf("%s: parsed id %q, error %v", path, id, err)
 		}
 	}
 }
@@ -71,16 +71,16 @@
 		status int
 		code   apierror.Code
 	}{
-		"malformed":                   {apierror.New(apierror.Malformed, "d"), 400, apierror.Malformed},
-		"too large":                   {apierror.New(apierror.TooLarge, "d"), 413, apierror.TooLarge},
-		"a code that parsing has not": {apierror.New(apierror.DiskFailed, "d"), 500, apierror.DiskFailed},
-		"an error without a code":     {errors.New("d"), 500, apierror.Internal},
+		"malformed":                         {apierror.New(apierror.Malformed, "d"), 400, apierror.Malformed},
+		"too large":                         {apierror.New(apierror.TooLarge, "d"), 413, apierror.TooLarge},
+		"a code that parsing never returns": {apierror.New(apierror.DiskFailed, "d"), 500, apierror.DiskFailed},
+		"an error without a code":           {errors.New("d"), 500, apierror.Internal},
 	} {
 		request := &fasthttp.RequestCtx{}
 		WriteParseError(request, test.err)
 		reply := proposal.Reply{}
 		if err := json.Unmarshal(request.Response.Body(), &reply); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: the response is no reply: %v", name, err)
 		}
 		if status := request.Response.StatusCode(); status != test.status || reply.Code != string(test.code) {
 			t.Errorf("%s: status %d, code %q", name, status, reply.Code)
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -1,9 +1,9 @@
-// Package server runs one control node as a process: the lock under which its state machine steps, its ticks, its disk,
-// its connections to other nodes, and its HTTP side for operators and runners.
+// Package server runs one control node as a process: the lock that serializes the steps of its state machine, its
+// ticks, its disk, its connections to other nodes, and its HTTP server for operators and runners.
 //
-// Every step of the node happens under one lock and ends by handing its messages to the transport and its writes to
-// the disk's queue; nothing waits for the network or the disk while the lock is held. HTTP handlers put a request to
-// the node in a step and wait for its response outside of it.
+// Every step of the node runs under one lock and ends by handing its messages to the transport and its writes to the
+// write queue; nothing waits for the network or the disk while the lock is held. An HTTP handler submits a request to
+// the node in a step, releases the lock, and then waits for the response.
 package server
 
 import (
@@ -29,21 +29,21 @@
 )
 
 const (
-	// writeQueueLength is how many writes may wait for the disk before it counts as failed.
+	// writeQueueLength is the number of writes that may wait for the disk before it counts as failed.
 	writeQueueLength = 4096
-	// recoveryTimeout is how long a start waits for a disk that fails to keep what was read back from it.
+	// recoveryTimeout is the time for which a start retries recovery while the disk fails.
 	recoveryTimeout = 5 * time.Second
-	// folderMode is the mode of a data folder that the process creates.
+	// folderMode is the file mode of a data folder that the process creates.
 	folderMode = 0o750
-	// setAsideFormat is the layout of the time under which untrusted content of the data folder is set aside.
+	// setAsideFormat is the time layout in the name under which untrusted content of the data folder is set aside.
 	setAsideFormat = "20060102T150405"
-	// idBytes is how many random bytes an id has.
+	// idBytes is the number of random bytes in an id.
 	idBytes = 12
 )
 
-// Server is the process around a control node.
+// Server runs a control node as a process.
 type Server struct {
-	// Mount, where it is set, adds further routes beside the product's own. It is called once, before the HTTP side opens.
+	// Mount, if set, adds routes to the server's own. It is called once, before the HTTP server starts.
 	Mount func(routes *router.Router, server *Server)
 
 	settings  *process.Settings
@@ -59,10 +59,11 @@
 	lastView uint64
 }
 
-// New opens the data folder and recovers the node from it. Nothing is sent or served before Run. Where the settings say
-// Diskless, for a machine without a disk, the server only stands by.
+// New opens the data folder and recovers the node from it. Nothing is sent or served before Run. If the settings are
+// Diskless, for a machine without a disk, the server does nothing but wait until it is stopped.
 func New(settings *process.Settings, log *slog.Logger) (*Server, error) {
-	// A node that can't remember must neither vote nor count as a replica, and to exit again and again helps nobody.
+	// A node without durable state must neither vote nor count as a replica. It stays up, since the process would be
+	// restarted again and again if it exited.
 	if settings.Diskless {
 		return &Server{settings: settings, log: log}, nil
 	}
@@ -79,7 +80,7 @@
 	}
 	configuration := nodeSettings(settings)
 	if err := configuration.Limits.Check(); err != nil {
-		log.Warn("the time limits are too short to be kept after every loss", "cause", err.Error())
+		log.Warn("the time limits are too short to be met after every failure; running with them", "cause", err.Error())
 	}
 	random := rand.New(rand.NewSource(randomseed.New()))
 	server.node = node.New(time.Now(), configuration, recovery.State, recovery.Records, random)
@@ -87,10 +88,10 @@
 	return server, nil
 }
 
-// recoverState recovers the node's state from its data folder, which is created if need be.
+// recoverState recovers the node's state from its data folder, which it creates if there is none.
 func recoverState(settings *process.Settings, log *slog.Logger) (storage.Recovery, error) {
 	if err := snapshot.MakeDirectory(settings.Folder, folderMode); err != nil {
-		return storage.Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "making the data folder")
+		return storage.Recovery{}, apierror.Wrap(err, apierror.DiskFailed, "creating the data folder")
 	}
 	recovery, err := storage.RecoverWithin(recoveryTimeout, func() (storage.Recovery, error) {
 		mark := time.Now().UTC().Format(setAsideFormat)
@@ -100,15 +101,16 @@
 		return storage.Recovery{}, err
 	}
 	if recovery.DiscardCause != nil {
-		log.Error("memory can't be trusted; this machine joins as a new one", "cause", recovery.DiscardCause.Error())
+		log.Error("the stored state can't be trusted and is set aside; this machine joins as a new one",
+			"cause", recovery.DiscardCause.Error())
 	}
 	if recovery.Fresh {
-		log.Info("blank folder; new identity", "id", recovery.State.Id)
+		log.Info("the data folder is blank; this machine starts with a new identity", "id", recovery.State.Id)
 	}
 	return recovery, nil
 }
 
-// nodeSettings returns the node's part of a process's settings.
+// nodeSettings returns the settings of the node in a process's settings.
 func nodeSettings(settings *process.Settings) node.Settings {
 	return node.Settings{
 		Limits:          nodeLimits(settings),
@@ -143,17 +145,17 @@
 func newID() string {
 	var content [idBytes]byte
 	if _, err := crypto.Read(content[:]); err != nil {
-		panic(err) // An id that might repeat is worse than no start.
+		panic(err) // Without randomness ids might repeat, which is worse than a crash.
 	}
 	return hex.EncodeToString(content[:])
 }
 
-// receive handles a message of another node or of a data daemon.
+// receive handles a message from another node or from a data daemon.
 func (server *Server) receive(envelope *wire.Envelope) {
 	server.step(func(now time.Time) { server.node.Receive(now, envelope) })
 }
 
-// connectionRefused handles that an address refused a connection that was tried at a time.
+// connectionRefused handles that an address refused a connection attempted at a given time.
 func (server *Server) connectionRefused(address string, tried time.Time) {
 	server.step(func(now time.Time) { server.node.ConnectionRefused(now, address, tried) })
 }
--- a/control/server/status.go
+++ b/control/server/status.go
@@ -9,18 +9,18 @@
 	"wardtray/transport"
 )
 
-// Status is what GET /v1/status returns.
+// Status is the response to GET /v1/status.
 type Status struct {
 	// Program is always "wtcore".
 	Program string `json:"program"`
-	// Address is where other processes of the fleet reach this node.
+	// Address is the address (host:port) at which other processes of the fleet reach this node.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// Uptime is the time since the start, rounded to milliseconds, as time.Duration writes it.
 	Uptime   string        `json:"uptime"`
 	Core     node.Status   `json:"core"`
 	Counters node.Counters `json:"counters"`
-	// Wire holds the counters of the transport by name.
+	// Wire maps the names of the transport's counters to their values.
 	Wire map[string]any `json:"wire"`
 }
 
@@ -28,7 +28,7 @@
 	writeJSON(request, server.status())
 }
 
-// status returns the node's status of now.
+// status returns the node's current status.
 func (server *Server) status() Status {
 	server.mutex.Lock()
 	now := time.Now()
--- a/control/storage/folder_test.go
+++ b/control/storage/folder_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// memoryFolder is a data folder in memory; when full, it fails every write.
+// memoryFolder is a data folder in memory. While it is full, every write fails with errFull.
 type memoryFolder struct {
 	files map[string][]byte
 	full  bool
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -16,18 +16,18 @@
 	"wardtray/wire"
 )
 
-// storedFolders has data folders as earlier versions wrote them, by version; each stays as it is for good. Where what
-// is stored gains fields, add a folder: raise presentFolder and run the tests with -update, which writes a folder only
-// where there is none.
+// storedFolders contains one data folder for each version of the stored format. A folder is never changed. When the
+// stored format gains fields, raise currentVersion and run the tests with -update, which writes the folder of the
+// current version if there is none.
 const (
-	storedFolders = "testdata/stored"
-	presentFolder = "v2"
+	storedFolders  = "testdata/stored"
+	currentVersion = "v2"
 )
 
-// dataFiles are all files of a data folder that was replaced twice.
+// dataFiles are all files of a data folder whose complete state was written twice.
 var dataFiles = []string{"log", "slot.0", "slot.1"}
 
-// goldenState returns a state with every field set, and a record of each kind.
+// goldenState returns a state and one record of each kind, with every field set.
 func goldenState(t *testing.T) (*wire.DurableState, []*wire.Record) {
 	t.Helper()
 	return filled[*wire.DurableState](t)[0], filled[*wire.Record](t)
@@ -49,7 +49,7 @@
 	return messages
 }
 
-// writeData has the present code write a first state, then another, then records.
+// writeData has the current code write an initial state, a second state, and then the records.
 func writeData(t *testing.T, folder Folder, state *wire.DurableState, records []*wire.Record) {
 	t.Helper()
 	recovery, err := Recover(folder, identity, "mark")
@@ -68,10 +68,10 @@
 	}
 }
 
-// writePresentFolder writes the folder of this version where there is none yet; one that is there is never replaced.
-func writePresentFolder(t *testing.T) {
+// writeCurrentFolder writes the folder of the current version if there is none and the tests run with -update.
+func writeCurrentFolder(t *testing.T) {
 	t.Helper()
-	path := filepath.Join(storedFolders, presentFolder)
+	path := filepath.Join(storedFolders, currentVersion)
 	if _, err := os.Stat(path); !golden.Updating() || err == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 	writeData(t, snapshot.Directory(path), state, records)
 }
 
-// loaded returns a stored folder as a folder in memory, since recovering from one changes it.
+// loaded returns a copy of a stored folder in memory, since recovery changes the folder.
 func loaded(t *testing.T, version string) *memoryFolder {
 	t.Helper()
 	folder := &memoryFolder{files: map[string][]byte{}}
@@ -96,13 +96,13 @@
 	return folder
 }
 
-// encoded returns the state and the records as the golden file of a folder has them: their bytes, deterministically.
+// encoded returns the text of a golden file: the deterministic encodings of the state and of the records.
 func encoded(t *testing.T, state *wire.DurableState, records []*wire.Record) string {
 	t.Helper()
 	var text strings.Builder
 	add := func(name string, message proto.Message) {
 		if golden.Unknown(message.ProtoReflect()) {
-			t.Errorf("%s: holds fields that are unknown", name)
+			t.Errorf("%s has unknown fields", name)
 		}
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 		if err != nil {
@@ -117,9 +117,9 @@
 	return text.String()
 }
 
-// What any version has stored is recovered: the same state and records, nothing unknown, nothing set aside.
+// The folder of every version is recovered completely: the same state and records, no unknown field, nothing set aside.
 func TestStoredFoldersStayReadable(t *testing.T) {
-	writePresentFolder(t)
+	writeCurrentFolder(t)
 	versions, err := os.ReadDir(storedFolders)
 	if err != nil || len(versions) == 0 {
 		t.Fatalf("no stored folders: %v", err)
@@ -129,46 +129,47 @@
 			folder := loaded(t, version.Name())
 			recovery, err := Recover(folder, identity, "mark")
 			if err != nil || recovery.Fresh || recovery.DiscardCause != nil {
-				t.Fatalf("fresh %v, lost %v, %v", recovery.Fresh, recovery.DiscardCause, err)
+				t.Fatalf("fresh %v, discard cause %v, error %v", recovery.Fresh, recovery.DiscardCause, err)
 			}
 			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.State, recovery.Records))
 		})
 	}
 }
 
-// The present code writes the folder of the present version byte for byte, so that a build of before can still read it.
+// The current code writes exactly the bytes of the stored folder of its version, so that an older build of that version
+// can read its data.
 func TestPresentFolderKeepsItsBytes(t *testing.T) {
-	writePresentFolder(t)
-	wanted := loaded(t, presentFolder)
+	writeCurrentFolder(t)
+	wanted := loaded(t, currentVersion)
 	written := &memoryFolder{files: map[string][]byte{}}
 	state, records := goldenState(t)
 	writeData(t, written, state, records)
 	for _, name := range dataFiles {
 		if !slices.Equal(written.files[name], wanted.files[name]) {
-			t.Errorf("%s: the present code writes other bytes", name)
+			t.Errorf("%s: the current code writes other bytes than the stored folder has", name)
 		}
 	}
 	if len(written.files) != len(dataFiles) {
-		t.Errorf("the present code writes %d files", len(written.files))
+		t.Errorf("the current code writes %d files", len(written.files))
 	}
 }
 
-// The folder of the present version has every field of states and records; a field that it lacks requires a new folder.
+// The folder of the current version has every field of states and records. A new field requires a new version.
 func TestPresentFolderHoldsEveryField(t *testing.T) {
-	recovery, err := Recover(loaded(t, presentFolder), identity, "mark")
+	recovery, err := Recover(loaded(t, currentVersion), identity, "mark")
 	if err != nil {
 		t.Fatal(err)
 	}
 	state, records := goldenState(t)
 	if !proto.Equal(recovery.State, state) {
-		t.Errorf("the state is %v", recovery.State)
+		t.Errorf("the recovered state is %v", recovery.State)
 	}
 	if len(recovery.Records) != len(records) {
-		t.Fatalf("%d records of %d kinds", len(recovery.Records), len(records))
+		t.Fatalf("recovered %d records, want one of each of %d kinds", len(recovery.Records), len(records))
 	}
 	for index, record := range records {
 		if !proto.Equal(recovery.Records[index], record) {
-			t.Errorf("record %d is %v", index, recovery.Records[index])
+			t.Errorf("the recovered record %d is %v", index, recovery.Records[index])
 		}
 	}
 }
--- a/control/storage/recovery_test.go
+++ b/control/storage/recovery_test.go
@@ -15,31 +15,33 @@
 
 func identity() string { return "fresh" }
 
-// Recovery waits for a full disk, up to a bound, and returns nothing that the disk would not keep.
+// RecoverWithin retries while the disk is full and fails once its timeout is over. A state that the disk cannot store
+// is never returned: the node would vote under an identity that it could lose.
 func TestRestoreWithinWaitsForTheDisk(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
 	if _, err := Recover(folder, identity, "m"); err != nil {
 		t.Fatal(err)
 	}
 	folder.full = true
-	tries := 0
+	attempts := 0
 	recovery, err := RecoverWithin(time.Minute, func() (Recovery, error) {
-		if tries++; tries == 3 {
+		if attempts++; attempts == 3 {
 			folder.full = false
 		}
 		return Recover(folder, func() string { return "another" }, "m")
 	})
-	if err != nil || tries != 3 || recovery.State.Id != "fresh" || recovery.Fresh {
-		t.Fatalf("%v after %d tries: %+v", err, tries, recovery)
+	if err != nil || attempts != 3 || recovery.State.Id != "fresh" || recovery.Fresh {
+		t.Fatalf("error %v after %d attempts: %+v", err, attempts, recovery)
 	}
 	folder.full = true
 	_, err = RecoverWithin(0, func() (Recovery, error) { return Recover(folder, identity, "m") })
 	if !apierror.Is(err, apierror.DiskFailed) {
-		t.Fatalf("a full disk: %v", err)
+		t.Fatalf("a full disk: error %v, want the code DiskFailed", err)
 	}
 }
 
-// Whatever state and records a disk holds under valid checksums, the node recovers them and runs, or joins anew.
+// For any state and records with valid checksums on the disk, recovery succeeds and the node runs: with them, or with a
+// new identity.
 func FuzzRestore(fuzz *testing.F) {
 	encode := func(message proto.Message) []byte {
 		content, err := proto.Marshal(message)
@@ -70,20 +72,20 @@
 		encode(&wire.Record{Body: &wire.Record_AcceptorState{AcceptorState: acceptor}}),
 	)
 	fuzz.Add([]byte{}, []byte{1}, []byte{2})
-	fuzz.Fuzz(func(t *testing.T, memory, first, second []byte) {
+	fuzz.Fuzz(func(t *testing.T, state, first, second []byte) {
 		log := snapshot.EncodeLogHeader(1)
 		for _, content := range [][]byte{first, second} {
 			if len(content) > 0 {
 				log = append(log, snapshot.EncodeRecord(content)...)
 			}
 		}
-		folder := &memoryFolder{files: map[string][]byte{"slot.1": snapshot.EncodeSlot(1, memory), "log": log}}
+		folder := &memoryFolder{files: map[string][]byte{"slot.1": snapshot.EncodeSlot(1, state), "log": log}}
 		recovery, err := Recover(folder, identity, "m")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if recovery.Fresh != (recovery.DiscardCause != nil) {
-			t.Fatalf("fresh %v, lost %v", recovery.Fresh, recovery.DiscardCause)
+			t.Fatalf("fresh %v, discard cause %v", recovery.Fresh, recovery.DiscardCause)
 		}
 		now := time.Unix(1_700_000_000, 0)
 		settings := node.Settings{Address: "127.0.0.1:1", Zone: "a"}
--- a/control/storage/writequeue.go
+++ b/control/storage/writequeue.go
@@ -5,18 +5,18 @@
 	"wardtray/coordination/statemachine"
 )
 
-// maximumBatch bounds how many queued writes one batch takes, and so how long a completion waits for its sync.
+// maximumBatch bounds the writes of one batch, and so the time for which a completion waits for its sync.
 const maximumBatch = 256
 
-// WriteQueue holds the writes that the disk has not started. It is bounded, and no write passes one that was dropped:
-// after an overflow it rejects everything until a complete state comes, which contains what was dropped. Offer is for
-// one goroutine at a time; one other calls Run.
+// WriteQueue holds the writes that have not been started. It is bounded, and no write is executed after one that was
+// dropped: after an overflow it rejects every write until a complete state is offered, which contains what was dropped.
+// Offer must not be called concurrently; one other goroutine calls Run.
 type WriteQueue struct {
 	writes     chan statemachine.Write
 	overflowed bool
 }
 
-// NewWriteQueue returns an empty queue for at most length writes.
+// NewWriteQueue returns an empty queue that holds at most length writes.
 func NewWriteQueue(length int) *WriteQueue {
 	return &WriteQueue{writes: make(chan statemachine.Write, length)}
 }
@@ -36,8 +36,8 @@
 	}
 }
 
-// Run carries out queued writes on a store, in batches, for as long as the process runs. synced and failed are called
-// from this goroutine: synced with the sequence of the last write that is synced, failed with the cause of a failure.
+// Run executes queued writes on a store, in batches, for as long as the process runs. It calls synced with the sequence
+// of the last write that is synced, and failed with the cause of a failure, both from the calling goroutine.
 func (queue *WriteQueue) Run(store *snapshot.Store, synced func(sequence uint64), failed func(err error)) {
 	for first := range queue.writes {
 		WriteBatch(store, queue.batch(first), synced, failed)
--- a/control/storage/writequeue_test.go
+++ b/control/storage/writequeue_test.go
@@ -13,24 +13,25 @@
 	return statemachine.Write{Sequence: sequence, Record: &wire.Record{Body: &wire.Record_View{View: view}}}
 }
 
-// A write dropped by a full queue must not be followed by a later one: a completion stands for all before it.
+// After a full queue has dropped a write it must not accept a later one: the completion of a write covers all writes
+// before it, and so would cover the dropped one.
 func TestWriteQueueRejectsWritesBehindADroppedOne(t *testing.T) {
 	queue := NewWriteQueue(2)
 	if !queue.Offer(record(1)) || !queue.Offer(record(2)) || queue.Offer(record(3)) {
-		t.Fatal("the bound")
+		t.Fatal("the queue does not accept exactly as many writes as its length")
 	}
 	if batch := queue.batch(<-queue.writes); len(batch) != 2 || batch[0].Sequence != 1 || batch[1].Sequence != 2 {
-		t.Fatalf("the batch is %v", batch)
+		t.Fatalf("the batch is %v, want the writes 1 and 2", batch)
 	}
 	if queue.Offer(record(4)) {
-		t.Fatal("a write passed a dropped one")
+		t.Fatal("a write was accepted after a dropped one")
 	}
 	if !queue.Offer(statemachine.Write{Sequence: 5, Snapshot: &wire.DurableState{}}) || !queue.Offer(record(6)) {
-		t.Fatal("a complete state did not repair it")
+		t.Fatal("a complete state, or a write after it, was rejected")
 	}
 }
 
-// A batch has a bound, so that a completion does not wait for an endless backlog.
+// A batch is bounded, so that a completion does not wait until a long backlog is written.
 func TestWriteQueueBatchIsBounded(t *testing.T) {
 	queue := NewWriteQueue(2 * maximumBatch)
 	for sequence := range uint64(2 * maximumBatch) {
@@ -39,11 +40,11 @@
 		}
 	}
 	if batch := queue.batch(<-queue.writes); len(batch) != maximumBatch {
-		t.Errorf("%d writes in a batch", len(batch))
+		t.Errorf("a batch has %d writes", len(batch))
 	}
 }
 
-// Run carries out what is queued and reports its last sequence, and a failure where the disk is full.
+// Run executes the queued writes and reports the last synced sequence; on a full disk it reports the failure instead.
 func TestWriteQueueRun(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
 	recovery, err := Recover(folder, identity, "mark")
@@ -58,16 +59,16 @@
 	}()
 	queue.Offer(record(1))
 	if sequence := <-synced; sequence != 1 {
-		t.Errorf("write %d is synced", sequence)
+		t.Errorf("write %d is reported as synced, want write 1", sequence)
 	}
 	folder.full = true
 	queue.Offer(record(2))
 	if err := <-failed; !errors.Is(err, errFull) {
-		t.Errorf("the failure is %v", err)
+		t.Errorf("the failure is %v, want that of the full disk", err)
 	}
 	close(queue.writes)
 	<-finished
 	if len(synced) != 0 {
-		t.Errorf("write %d is synced on a full disk", <-synced)
+		t.Errorf("write %d is reported as synced on a full disk", <-synced)
 	}
 }
--- a/control/storage/writer.go
+++ b/control/storage/writer.go
@@ -8,10 +8,9 @@
 	"wardtray/coordination/statemachine"
 )
 
-// WriteBatch carries out one batch of writes on a store, in order. It calls synced with the sequence of the last
-// write that is synced, and failed with the cause of each failure, from the calling goroutine. Records that follow
-// one another are synced together. After a failure nothing more is written until the batch contains a complete
-// state.
+// WriteBatch executes one batch of writes on a store, in order. It calls synced with the sequence of the last write
+// that is synced, and failed with the cause of each failure, from the calling goroutine. Consecutive records are synced
+// together. After a failure nothing more is written until a complete state follows in the batch.
 func WriteBatch(
 	store *snapshot.Store, writes []statemachine.Write, synced func(sequence uint64), failed func(err error),
 ) {
@@ -29,15 +28,15 @@
 	writer.flush()
 }
 
-// batchWriter carries out one batch of writes.
+// batchWriter executes one batch of writes.
 type batchWriter struct {
 	store  *snapshot.Store
 	synced func(sequence uint64)
 	failed func(err error)
-	// pending are the encoded records to be synced together; lastSequence is that of the last of them.
+	// pending are the encoded records to be synced together, lastSequence is the sequence of the last one.
 	pending      [][]byte
 	lastSequence uint64
-	// broken is set by a failure: nothing more is written until a complete state is.
+	// broken is set by a failure: nothing more is written until a complete state is written.
 	broken bool
 }
 
@@ -60,7 +59,7 @@
 	writer.synced(writer.lastSequence)
 }
 
-// scrub reads back everything on disk and compares it with what must be there.
+// scrub reads back everything on disk and compares it with the expected content.
 func (writer *batchWriter) scrub(write statemachine.Write) {
 	writer.flush()
 	if err := writer.store.Scrub(); err != nil {
@@ -81,7 +80,7 @@
 		writer.fail(err)
 		return
 	}
-	// Records that could not be appended are part of the state.
+	// The state contains the records that could not be appended.
 	writer.pending, writer.broken = nil, false
 	writer.synced(write.Sequence)
 }
--- a/control/storage/writer_test.go
+++ b/control/storage/writer_test.go
@@ -7,7 +7,8 @@
 	"wardtray/wire"
 )
 
-// What was synced is recovered, whatever kinds of writes it came with; a failed write is followed by none.
+// Every write that was reported as synced is recovered, for each kind of write. After a failed write no later one is
+// reported as synced.
 func TestSyncedWritesAreRecovered(t *testing.T) {
 	folder := &memoryFolder{files: map[string][]byte{}}
 	recovery, err := Recover(folder, identity, "m")
@@ -25,20 +26,20 @@
 		statemachine.Write{Sequence: 3, Snapshot: &wire.DurableState{Id: "fresh", View: view}},
 		statemachine.Write{Sequence: 4, Record: &wire.Record{Body: &wire.Record_ClearedTerm{ClearedTerm: 7}}})
 	if len(synced) != 4 || synced[3] != 4 {
-		t.Fatalf("synced %v", synced)
+		t.Fatalf("the synced writes are %v, want the last to be 4", synced)
 	}
 	recovered, err := Recover(folder, identity, "m")
 	if err != nil || recovered.Fresh || recovered.State.View.Epoch != 2 {
-		t.Fatalf("%v: %+v", err, recovered)
+		t.Fatalf("error %v, recovered %+v", err, recovered)
 	}
 	if len(recovered.Records) != 1 || recovered.Records[0].GetClearedTerm() != 7 {
-		t.Fatalf("the records are %v", recovered.Records)
+		t.Fatalf("the recovered records are %v", recovered.Records)
 	}
 	folder.full = true
 	write(record(5), record(6))
 	folder.full = false
 	write(record(7))
 	if len(synced) != 4 {
-		t.Fatalf("synced %v after a failed write", synced)
+		t.Fatalf("the synced writes after a failed one are %v", synced)
 	}
 }
