--- a/control/daemonlease/confirmer_test.go
+++ b/control/daemonlease/confirmer_test.go
@@ -9,6 +9,9 @@
 	"wardtray/wire"
 )
 
+// An acceptor confirms only in the current view, only to members of the directory that have everything it knows, and
+// not once it has voted for the next view. Otherwise a daemon could serve an old document after a newer one is
+// acknowledged.
 func TestConfirmerConfirm(t *testing.T) {
 	t.Parallel()
 	voted := &wire.AcceptorState{Instance: 4, Value: &wire.View{Epoch: 4}}
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -25,6 +25,8 @@
 	}
 }
 
+// A change must not be acknowledged while any daemon may still serve an older document: under a lease of this head, a
+// lease of the previous head, or the confirmations of acceptors of this view or an earlier one.
 func TestLeasesIsDelivered(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -105,6 +107,8 @@
 	}
 }
 
+// The acceptors of an earlier view count for the length of a lease. If a view was skipped, its acceptors are unknown
+// and their confirmations can only expire.
 func TestLeasesAdopt(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
--- a/control/daemonlease/holders_test.go
+++ b/control/daemonlease/holders_test.go
@@ -38,7 +38,7 @@
 		"a wrong proof":    {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 99)) }, 0},
 		"makes none":       {func(leases *Leases) { grant(leases, start, 5) }, 0},
 		"silent for long":  {func(leases *Leases) { prove(leases, start.Add(-leaseDuration), 7) }, 0},
-		"nobody listens":   {refused(start.Add(1)), 0},
+		"has ended":        {refused(start.Add(1)), 0},
 		"is about to stop": {func(leases *Leases) { prove(leases, start, 7); drain(leases) }, 0},
 	} {
 		leases, _ := newLeases("d")
@@ -56,6 +56,8 @@
 	leases.HandleRequest(start, "d", request)
 }
 
+// A replica of reservations must not count as ended while its process may still grant reservations; otherwise it would
+// be replaced while it is alive, and a request could run twice.
 func TestHoldersHasEnded(t *testing.T) {
 	t.Parallel()
 	longest := leaseDuration + ClockMargin + isolationTime + time.Duration(float64(isolationTime)*clockTolerance)
@@ -72,9 +74,9 @@
 		"another process is alive":           {func(leases *Leases) { prove(leases, start, 8) }, 0, true},
 		"another process without a proof":    {unprovenSuccessor, 0, false},
 		"a late request of the previous one": {lateRequest, 0, false},
-		"nobody listens":                     {refused(start.Add(2)), 0, true},
-		"nobody listened before it started":  {refusedBefore, 0, false},
-		"nobody listened before this leader": {func(leases *Leases) { leases.ConnectionRefused("d", start) }, 0, false},
+		"connection refused":                 {refused(start.Add(2)), 0, true},
+		"refused before it started":          {refusedBefore, 0, false},
+		"refused before this leader led":     {func(leases *Leases) { leases.ConnectionRefused("d", start) }, 0, false},
 	} {
 		leases, _ := newLeases("d")
 		test.do(leases)
@@ -140,7 +142,7 @@
 			prove(leases, start, 7)
 			leases.HandleRequest(start, "e", &wire.DaemonLeaseRequest{})
 		}, false, false, true, true},
-		"nobody": {"", func(*Leases) {}, true, true, true, false},
+		"no daemon": {"", func(*Leases) {}, true, true, true, false},
 	} {
 		leases, _ := newLeases(test.directory)
 		test.requests(leases)
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -38,6 +38,8 @@
 	leases.Grant(now, "d", &wire.DaemonLeaseGrant{})
 }
 
+// A daemon counts as unleased only if no lease of this head or of the previous one can run; otherwise runners would not
+// be announced to a daemon that still serves requests.
 func TestLeasesUnleased(t *testing.T) {
 	t.Parallel()
 	longAgo := start.Add(-time.Hour)
@@ -89,6 +91,8 @@
 	}
 }
 
+// A refused connection shows that a process has ended only if nothing was granted to it or heard from it since the
+// attempt; later messages may come from a new process at the same address.
 func TestLeasesConnectionRefused(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -148,6 +152,7 @@
 	}
 }
 
+// Silent daemons are removed from the directory, but never all of them: an empty directory would admit any daemon.
 func TestLeasesExcludeMissing(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("")
--- a/control/proposal/proposals_test.go
+++ b/control/proposal/proposals_test.go
@@ -102,6 +102,7 @@
 	return &wire.OperatorRequest{Verb: VerbApply, Operation: operation, Spec: spec("p")}
 }
 
+// A change is acknowledged once, and only after it is delivered.
 func TestProposalsAcknowledge(t *testing.T) {
 	t.Parallel()
 	fixture := newFixture("a", "a")
@@ -123,6 +124,7 @@
 	}
 }
 
+// A change that is submitted twice under one operation id is applied once, and both requests get its outcome.
 func TestProposalsServeOneOperationOnce(t *testing.T) {
 	t.Parallel()
 	fixture := newFixture("a", "a")
@@ -181,6 +183,8 @@
 	}
 }
 
+// A refusal because of an uncommitted change is deferred until that change is committed. The change may be lost with
+// this head, and the next head might then accept a copy of the refused request.
 func TestProposalsServePostponesARefusal(t *testing.T) {
 	t.Parallel()
 	fixture := newFixture("a", "a")
@@ -219,6 +223,7 @@
 	}
 }
 
+// A process that is no longer head does not reply to waiting requests, since the new head decides on them.
 func TestProposalsAdopt(t *testing.T) {
 	t.Parallel()
 	fixture := newFixture("a", "ab")
--- a/control/proposal/requests_test.go
+++ b/control/proposal/requests_test.go
@@ -39,6 +39,8 @@
 	}
 }
 
+// If a change was sent to two heads, a refusal by one is not conclusive, since the other may still accept the change:
+// the operator gets an unknown outcome.
 func TestRequestsHandleResponse(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -68,6 +70,7 @@
 	}
 }
 
+// An abandoned read is removed; an abandoned change proceeds.
 func TestRequestsAbandon(t *testing.T) {
 	t.Parallel()
 	fixture := newFixture("c", "ab")
--- a/control/server/eventloop.go
+++ b/control/server/eventloop.go
@@ -14,7 +14,7 @@
 const tickInterval = 50 * time.Millisecond
 
 // Run serves until the context ends. Then it decommissions the node, and returns once other nodes have taken over its
-// duties, no other node can do so, or the grace period is nearly over.
+// roles, no other node can do so, or the grace period is nearly over.
 func (server *Server) Run(ctx context.Context) error {
 	if server.settings.Diskless {
 		server.log.Warn("this machine has no disk; the process runs no node and waits until it is stopped")
@@ -45,10 +45,10 @@
 	return apierror.Wrap(httpServer.Shutdown(), apierror.Internal, "closing the HTTP server")
 }
 
-// decommission hands the node's duties over to other nodes. It returns when that is done or its timeout is over.
+// decommission hands the node's roles over to other nodes. It returns when that is done or its timeout is over.
 func (server *Server) decommission(ticker *time.Ticker) {
 	deadline := time.Now().Add(timing.BoundsFor(nodeLimits(server.settings)).DecommissionTimeout)
-	server.log.Info("stopping: the node hands its duties over to other nodes")
+	server.log.Info("stopping: the node hands its roles over to other nodes")
 	server.step(func(now time.Time) { server.node.Decommission(now) })
 	for {
 		<-ticker.C
