--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -1,8 +1,8 @@
-// Package dataplane wires the data plane of one daemon, without its listeners: the controller under its lock, the
-// schedulers, the load table, the index of cached blocks, the connections to runners and the proxy's handler.
+// Package dataplane wires the data plane of one daemon, without its listeners: the controller and its lock, the
+// schedulers, the load table, the prefix cache index, the connections to runners and the proxy's handler.
 //
-// Its owner, a process or the simulator, feeds the controller through Step and calls the periodic methods at the
-// intervals named here.
+// The owner of a Plane, a process or the simulator, passes events to the controller through Step and calls the periodic
+// methods at the intervals defined here.
 package dataplane
 
 import (
@@ -32,7 +32,7 @@
 	"wardtray/wire"
 )
 
-// The intervals at which the owner calls the controller's Tick and the plane's periodic methods.
+// Intervals at which the owner calls the controller's Tick and the plane's periodic methods.
 const (
 	TickInterval              = 50 * time.Millisecond
 	RebalanceInterval         = 20 * time.Millisecond
@@ -41,25 +41,24 @@
 	UnresponsiveProbeInterval = 100 * time.Millisecond
 )
 
-// Settings are the settings of a plane. Those of the controller are embedded, of which New sets the quota limiter and
-// the function for dispatched requests.
+// Settings configures a plane. The controller's settings are embedded; New sets their Quota, Reserves and OnDispatched.
 type Settings struct {
 	controller.Settings
-	// Workers is how many workers apply events to the index; 0 means that events are applied at once.
+	// Workers is the number of goroutines that apply events to the index; 0 applies each event synchronously.
 	Workers int
-	// Retries limits retries, over all daemons; the zero value means retrybudget.DefaultSettings.
+	// Retries limits retries across all daemons; the zero value means retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
-	// Without names the mechanisms that are switched off.
+	// Without holds the disabled features.
 	Without features.Set
-	// Codec is the protocol of clients and runners; nil means the product's own.
+	// Codec is the protocol of clients and runners; nil means codec.Native.
 	Codec codec.Codec
 	// Random seeds the controller and the schedulers.
 	Random *rand.Rand
-	// Await waits for the next decision on a queued request; decided is false if the context ended first.
+	// Await waits for the next decision on a queued request; decided is false if the context was done first.
 	Await func(ctx context.Context, decisions <-chan scheduler.Decision) (decision scheduler.Decision, decided bool)
 	// Send sends messages to other processes, without blocking.
 	Send func(messages []statemachine.Message)
-	// Poll starts to read the platform's list of runners, without blocking; the plane is given the result.
+	// Poll starts reading the platform's list of runners, without blocking. The owner passes the result to OnPolled.
 	Poll func()
 	Log  *slog.Logger
 }
@@ -76,30 +75,31 @@
 	started     time.Time
 	schedulers  *schedulerSet
 	prober      *prober
-	// drainStarted is when a planned stop started.
+	// drainStarted is the time of the call of Drain.
 	drainStarted time.Time
 	// snapshot is the controller's state after its last step.
 	snapshot atomic.Pointer[config.Snapshot]
-	// renewed is closed, and replaced, when the snapshot may be relied on for longer than before.
+	// renewed is closed and replaced when a new snapshot is valid for longer than the previous one.
 	renewed atomic.Pointer[chan struct{}]
-	// daemons are the addresses of the daemons that share the work, this one included.
+	// daemons holds the addresses of all daemons in the directory, including this one.
 	daemons atomic.Pointer[[]string]
 
-	// mutex protects the controller and what follows.
+	// mutex protects the fields below.
 	mutex      sync.Mutex
 	controller *controller.Controller
-	runners    []*wire.Runner
-	epoch      uint64
-	serving    bool
+	// runners, specEpoch and serving are those of the snapshot that was applied last.
+	runners   []*wire.Runner
+	specEpoch uint64
+	serving   bool
 }
 
-// New returns a plane that knows nothing yet. It fails only if the index can't be created.
+// New returns a plane without a configuration and without runners. It fails only if the index can't be created.
 func New(environment netio.Environment, settings Settings) (*Plane, error) {
 	now := environment.Now()
 	indexer, err := kvblock.NewIndexer(
 		kvblock.DefaultSeed, kvblock.DefaultKeys, kvblock.DefaultRunners, settings.Workers)
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Internal, "making the index")
+		return nil, apierror.Wrap(err, apierror.Internal, "creating the prefix cache index")
 	}
 	if settings.Codec == nil {
 		settings.Codec = codec.Native{}
@@ -121,11 +121,12 @@
 			dispatched.RecordAnnounced(now, dedup.Key(key), dropped)
 		}
 	}
-	// The controller's source is drawn first, the schedulers' ones as they are created.
+	// The order of draws is part of a simulation's seed: the controller's source is seeded first, then that of each
+	// scheduler when it is created.
 	controllerRandom := rand.New(rand.NewSource(settings.Random.Int63()))
 	plane.controller = controller.New(now, settings.Settings, controllerRandom)
 	plane.snapshot.Store(&config.Snapshot{})
-	plane.renew()
+	plane.replaceRenewed()
 	plane.daemons.Store(&[]string{settings.Address})
 	plane.Handler = plane.newHandler(settings, indexer, dispatched)
 	plane.schedulers = newSchedulerSet(settings.Random, func(backend string, random *rand.Rand) *scheduler.Scheduler {
@@ -144,7 +145,7 @@
 	return plane, nil
 }
 
-// newHandler returns the handler of clients' requests.
+// newHandler returns the handler of client requests.
 func (plane *Plane) newHandler(settings Settings, indexer *kvblock.Indexer, dispatched *dedup.Table) *proxy.Handler {
 	loads := load.NewTable(plane.started, settings.Address)
 	loads.Without = settings.Without
@@ -179,10 +180,10 @@
 	}
 }
 
-// Started returns when this plane was created.
+// Started returns the time at which the plane was created.
 func (plane *Plane) Started() time.Time { return plane.started }
 
-// AgeIndex removes index entries that have not been used for long.
+// AgeIndex removes index entries that have been idle for too long.
 func (plane *Plane) AgeIndex() {
 	now := plane.environment.Now()
 	for _, runner := range plane.Handler.Loads.Runners(now, nil) {
@@ -193,6 +194,6 @@
 // ProbeStale requests a load report from every runner whose latest one is outdated.
 func (plane *Plane) ProbeStale() { plane.prober.probeStale() }
 
-// ProbeUnresponsive checks the runners on which requests wait without any activity, and lets those requests be retried
-// elsewhere if a runner does not respond.
+// ProbeUnresponsive probes the runners whose connections are inactive while a request waits. If a runner does not
+// respond, the requests that wait for it may be retried at another one.
 func (plane *Plane) ProbeUnresponsive() { plane.prober.probeUnresponsive() }
--- a/dataplane/dataplane_test.go
+++ b/dataplane/dataplane_test.go
@@ -15,7 +15,7 @@
 	"wardtray/wire"
 )
 
-// newTestPlane returns a plane that talks to nobody; the function that it returns lets time pass.
+// newTestPlane returns a plane that discards its messages, and a function that advances its clock.
 func newTestPlane(t *testing.T) (plane *Plane, advance func(duration time.Duration)) {
 	t.Helper()
 	now := started
@@ -32,7 +32,8 @@
 	return plane, func(duration time.Duration) { now = now.Add(duration) }
 }
 
-// A daemon that stops as planned awaits both the time in which others notice it, and every request in flight.
+// A draining daemon must not stop before the drain time has passed, in which the platform and its clients notice, nor
+// while any request is in flight.
 func TestDrainedAwaitsTimeAndRequests(t *testing.T) {
 	const length = 2 * time.Second
 	for _, test := range []struct {
@@ -58,7 +59,7 @@
 	}
 }
 
-// A backend's candidates are the runners of an allowed service in an open zone.
+// A runner is a candidate of a backend only if its service is allowed for the backend and its zone is open.
 func TestCandidatesArePermittedByTheConfiguration(t *testing.T) {
 	plane, _ := newTestPlane(t)
 	plane.Handler.Loads.UpdateListing(started, []*wire.Runner{
--- a/dataplane/golden_test.go
+++ b/dataplane/golden_test.go
@@ -6,7 +6,7 @@
 	"wardtray/verify/golden"
 )
 
-// The platform's list of runners keeps its keys.
+// The JSON keys of the platform's list of runners must not change.
 func TestListKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "list-line", golden.Marshal[ListedRunner])
 }
--- a/dataplane/list.go
+++ b/dataplane/list.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-// ListedRunner is one runner in the platform's list.
+// ListedRunner is an entry of the platform's list of runners.
 type ListedRunner struct {
 	RunnerID string `json:"runner_id"`
 	Address  string `json:"address"`
@@ -17,14 +17,14 @@
 	State    string `json:"state"`
 }
 
-// errEmptyList is returned for a list without any entry. That is more likely a platform in trouble than a fleet without
-// runners, and acting on it would stop all service.
+// errEmptyList is returned for a list without entries. A fault of the platform is a more likely cause than a fleet
+// without runners, and adopting the list would stop all service.
 var errEmptyList = errors.New("the platform's list of runners is empty")
 
-// parseList decodes the platform's list. Entries without an identity or an address are skipped.
+// parseList decodes the platform's list of runners. Entries without an id or an address are skipped.
 func parseList(content []byte) ([]*wire.Runner, error) {
 	var entries []ListedRunner
-	// Bytes behind the list are ignored, so this is no json.Unmarshal.
+	// Unlike json.Unmarshal, a Decoder accepts bytes after the list; they are ignored.
 	if err := json.NewDecoder(bytes.NewReader(content)).Decode(&entries); err != nil {
 		return nil, err
 	}
--- a/dataplane/list_test.go
+++ b/dataplane/list_test.go
@@ -15,15 +15,15 @@
 	} {
 		runners, err := parseList([]byte(content))
 		if err != nil || len(runners) != want {
-			t.Errorf("%s: %v, %v", content, runners, err)
+			t.Errorf("%s: parsed as %v, error %v", content, runners, err)
 		}
 	}
 	for _, content := range []string{"", "[", "{}", "[1]"} {
 		if runners, err := parseList([]byte(content)); err == nil {
-			t.Errorf("%q: %v", content, runners)
+			t.Errorf("%q: parsed as %v without an error", content, runners)
 		}
 	}
 	if _, err := parseList([]byte("[]")); !errors.Is(err, errEmptyList) {
-		t.Errorf("an empty list: %v", err)
+		t.Errorf("empty list: error %v", err)
 	}
 }
--- a/dataplane/prober.go
+++ b/dataplane/prober.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// reportTimeout is how long a runner has to return its load report.
+	// reportTimeout is the timeout of a request for a load report.
 	reportTimeout = 800 * time.Millisecond
-	// inactivityThreshold is after what inactivity a runner that a request waits for is checked, and checkTimeout how
-	// long it has to respond to that.
+	// inactivityThreshold is the time without any bytes after which a runner that a request waits for is probed.
 	inactivityThreshold = 200 * time.Millisecond
-	checkTimeout        = 250 * time.Millisecond
-	// smallFleet is up to how many daemons each requests reports as if it were alone.
+	// livenessTimeout is the timeout of such a probe.
+	livenessTimeout = 250 * time.Millisecond
+	// smallFleet is the number of daemons up to which the freshness of reports is the codec's ReportTTL.
 	smallFleet = 12
 )
 
-// prober requests load reports from runners, by which it also finds out whether they are reachable.
+// prober requests load reports from runners. The responses also show whether the runners are reachable.
 type prober struct {
 	environment netio.Environment
 	loads       *load.Table
@@ -31,20 +31,21 @@
 	codec       codec.Codec
 	without     features.Set
 	daemons     func() []string
-	// probing holds the runners with a request under way, by their identities.
+	// probing is the set of ids of the runners with a probe in progress.
 	probing sync.Map
 }
 
-// freshness returns for how long a report is recent enough not to request another.
+// freshness returns the age up to which a report is recent enough that no other is requested.
 //
-// Why longer with many daemons: all of them together ask the runners, and a report that did not come with a response is
-// too old for a decision a moment later anyway. Unresponsive runners are found by the requests that wait for them.
+// It grows with the number of daemons, because all of them poll the same runners. Little is lost: a polled report is
+// too old for a scheduling decision after a short time anyway, and unresponsive runners are detected through the
+// requests that wait for them.
 func (prober *prober) freshness() time.Duration {
 	daemons := time.Duration(max(smallFleet, len(prober.daemons())))
 	return prober.codec.ReportTTL() * daemons / smallFleet
 }
 
-// probeStale requests a report from every runner whose latest one is outdated, unless a request is under way.
+// probeStale requests a report from every runner whose latest one is outdated, unless a probe is in progress.
 func (prober *prober) probeStale() {
 	if prober.without[features.LoadReports] {
 		return
@@ -55,32 +56,32 @@
 	}
 }
 
-// probeUnresponsive checks runners on which requests wait without any activity. The retryable requests of one that does
-// not respond are aborted.
+// probeUnresponsive probes the runners whose connections are inactive while a request waits. The retryable requests at
+// a runner that does not respond are aborted.
 //
-// Why the check: a runner that processes a long prompt is as inactive as an unreachable one, but it responds to this at
-// once.
+// Inactivity alone does not show a failure: a runner that processes a long prompt is as inactive as an unreachable one,
+// but it responds to the probe at once.
 func (prober *prober) probeUnresponsive() {
 	if prober.without[features.SilenceProbes] {
 		return
 	}
 	for _, id := range prober.connections.Unresponsive(inactivityThreshold) {
 		if runner, found := prober.loads.Lookup(prober.environment.Now(), id, nil); found {
-			prober.start(runner, checkTimeout, func() { prober.connections.AbortRetryable(id, inactivityThreshold) })
+			prober.start(runner, livenessTimeout, func() { prober.connections.AbortRetryable(id, inactivityThreshold) })
 		}
 	}
 }
 
-// start requests a report concurrently with the caller, unless a request to the runner is under way. failed is called
-// if the runner does not respond.
-func (prober *prober) start(runner load.Runner, timeout time.Duration, failed func()) {
-	if _, underWay := prober.probing.LoadOrStore(runner.ID, true); underWay {
+// start probes a runner in another goroutine, unless a probe of the runner is in progress. It calls onFailure if the
+// runner does not respond.
+func (prober *prober) start(runner load.Runner, timeout time.Duration, onFailure func()) {
+	if _, inProgress := prober.probing.LoadOrStore(runner.ID, true); inProgress {
 		return
 	}
 	prober.environment.Go(func() {
 		defer prober.probing.Delete(runner.ID)
 		if !prober.probe(runner, timeout) {
-			failed()
+			onFailure()
 		}
 	})
 }
@@ -89,19 +90,19 @@
 func (prober *prober) probe(runner load.Runner, timeout time.Duration) bool {
 	connection, err := prober.connections.Take(runner.ID, runner.Address)
 	if err != nil {
-		prober.onMissed(runner.ID, apierror.Of(err))
+		prober.onProbeFailed(runner.ID, apierror.Of(err))
 		return false
 	}
 	report, err := prober.request(connection, timeout)
 	if apierror.Is(err, apierror.NotAnswered) {
-		// A runner that rejects the request is reachable, and the connection can be reused.
+		// A runner that rejects the request is reachable, and the connection is reusable.
 		prober.connections.Release(connection, 0)
 		prober.loads.ReportRefused(prober.environment.Now(), runner.ID)
 		return true
 	}
 	if err != nil {
 		_ = connection.Close() // The error that matters is that of the request.
-		prober.onMissed(runner.ID, apierror.Of(err))
+		prober.onProbeFailed(runner.ID, apierror.Of(err))
 		return false
 	}
 	prober.connections.Release(connection, 0)
@@ -109,7 +110,7 @@
 	return true
 }
 
-// request requests a report over a connection.
+// request requests and parses a load report over a connection.
 func (prober *prober) request(connection *connpool.Connection, timeout time.Duration) (load.Report, error) {
 	content, err := connection.Get(prober.codec.LoadPath(), timeout)
 	if err != nil {
@@ -118,9 +119,10 @@
 	return prober.codec.ParseReport(content)
 }
 
-// onMissed records that a runner returned no report. The connections of one that has failed for certain are aborted at
-// once, so that requests waiting on them learn of it now and not at the end of their latency targets.
-func (prober *prober) onMissed(runner string, err *apierror.Error) {
+// onProbeFailed records that a runner returned no report. If that shows for certain that the runner has failed, its
+// inactive connections are aborted at once, so that the requests waiting on them fail now and not at the end of their
+// latency targets.
+func (prober *prober) onProbeFailed(runner string, err *apierror.Error) {
 	if prober.loads.ReportFailed(prober.environment.Now(), runner, err.Code) {
 		prober.connections.AbortInactive(runner)
 	}
--- a/dataplane/prober_test.go
+++ b/dataplane/prober_test.go
@@ -16,8 +16,8 @@
 
 var started = time.Unix(1_700_000_000, 0)
 
-// newTestProber returns a prober of one listed runner at which nobody listens, how often it was dialed, and the work
-// that it has started.
+// newTestProber returns a prober with one listed runner that refuses connections, the number of dials, and the
+// functions that the prober has started as goroutines. These do not run by themselves.
 func newTestProber(daemons int) (tested *prober, dials *int, work *[]func()) {
 	dials, work = new(int), new([]func())
 	environment := netio.Environment{
@@ -40,48 +40,48 @@
 	}, dials, work
 }
 
-// One request to a runner is under way at a time, and failures are reported to the caller.
+// At most one probe of a runner is in progress at a time, and a failed probe calls the function given for that.
 func TestProbesDoNotOverlap(t *testing.T) {
 	tested, dials, work := newTestProber(1)
 	failures := 0
 	runner, found := tested.loads.Lookup(started, "r", nil)
 	if !found {
-		t.Fatal("the runner is not listed")
+		t.Fatal("runner r is not in the load table")
 	}
 	for range 2 {
 		tested.start(runner, reportTimeout, func() { failures++ })
 	}
 	if len(*work) != 1 {
-		t.Fatalf("%d requests are under way", len(*work))
+		t.Fatalf("%d probes are in progress, want 1", len(*work))
 	}
 	(*work)[0]()
 	if *dials != 1 || failures != 1 {
-		t.Errorf("%d dials, %d failures", *dials, failures)
+		t.Errorf("%d dials and %d calls on failure, want 1 of each", *dials, failures)
 	}
 	tested.start(runner, reportTimeout, func() {})
 	if len(*work) != 2 {
-		t.Error("no request after the first one has ended")
+		t.Error("no probe was started after the first one had ended")
 	}
 }
 
-// Runners with an outdated report are asked, unless reports are switched off.
+// Runners with an outdated report are probed, unless the feature LoadReports is disabled.
 func TestProbeStale(t *testing.T) {
-	for _, off := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		tested, _, work := newTestProber(1)
-		tested.without[features.LoadReports] = off
+		tested.without[features.LoadReports] = disabled
 		tested.probeStale()
-		if asked := len(*work) > 0; asked == off {
-			t.Errorf("switched off %v: asked %v", off, asked)
+		if probed := len(*work) > 0; probed == disabled {
+			t.Errorf("LoadReports disabled %v: probed %v", disabled, probed)
 		}
 	}
 }
 
-// freshCodec keeps reports fresh for one second.
+// freshCodec is a codec whose reports are fresh for one second.
 type freshCodec struct{ codec.Native }
 
 func (freshCodec) ReportTTL() time.Duration { return time.Second }
 
-// Reports stay fresh for longer in large fleets.
+// Beyond smallFleet daemons the freshness of reports grows in proportion to the number of daemons.
 func TestFreshnessGrowsWithTheFleet(t *testing.T) {
 	for daemons, want := range map[int]time.Duration{1: 1, smallFleet: 1, 3 * smallFleet: 3} {
 		tested, _, _ := newTestProber(daemons)
--- a/dataplane/reservations.go
+++ b/dataplane/reservations.go
@@ -8,40 +8,41 @@
 	"wardtray/proxy"
 )
 
-// planeReservations makes the reservations of the proxy's requests through the controller.
+// planeReservations implements proxy.Reservations on the plane's controller.
 type planeReservations struct{ plane *Plane }
 
-// reservations returns what makes the proxy's reservations; nil where none are made.
-func (plane *Plane) reservations(areMade bool) proxy.Reservations {
-	if !areMade {
+// reservations returns the proxy's interface to reservations, or nil if they are disabled.
+func (plane *Plane) reservations(enabled bool) proxy.Reservations {
+	if !enabled {
 		return nil
 	}
 	return planeReservations{plane: plane}
 }
 
-// Reserve begins to reserve a request.
+// Reserve starts the reservation of a client attempt of an at-most-once request.
 func (reservations planeReservations) Reserve(key reservation.Key,
-	sending reservation.Sending) (made *reservation.Reservation) {
-	reservations.plane.act(func(now time.Time, machine *controller.Controller) {
-		made = machine.Reserve(now, key, sending)
+	clientAttempt reservation.Sending) (started *reservation.Reservation) {
+	reservations.plane.stepInternal(func(now time.Time, machine *controller.Controller) {
+		started = machine.Reserve(now, key, clientAttempt)
 	})
-	return made
+	return started
 }
 
-// Release gives up a reservation.
+// Release releases a reservation whose request did not and will not run.
 func (reservations planeReservations) Release(held *reservation.Reservation) {
-	reservations.plane.act(func(now time.Time, machine *controller.Controller) {
+	reservations.plane.stepInternal(func(now time.Time, machine *controller.Controller) {
 		machine.ReleaseReservation(now, held)
 	})
 }
 
-// Finish ends the renewals of a reservation.
+// Finish stops the renewals of a reservation.
 func (reservations planeReservations) Finish(held *reservation.Reservation) {
-	reservations.plane.act(func(_ time.Time, machine *controller.Controller) { machine.FinishReservation(held) })
+	reservations.plane.stepInternal(func(_ time.Time, machine *controller.Controller) { machine.FinishReservation(held) })
 }
 
-// act runs one step of the controller that changes nothing of what the request path reads, and sends its messages.
-func (plane *Plane) act(do func(now time.Time, machine *controller.Controller)) {
+// stepInternal runs one step of the controller that does not change the snapshot, and sends the messages that result
+// from it.
+func (plane *Plane) stepInternal(do func(now time.Time, machine *controller.Controller)) {
 	plane.mutex.Lock()
 	defer plane.mutex.Unlock()
 	do(plane.environment.Now(), plane.controller)
--- a/dataplane/schedulers.go
+++ b/dataplane/schedulers.go
@@ -21,7 +21,7 @@
 	byBackend map[string]*scheduler.Scheduler
 }
 
-// newSchedulerSet returns an empty set. create makes a scheduler with a random source of its own, which is seeded from
+// newSchedulerSet returns an empty set. create returns a new scheduler; the random source passed to it is seeded from
 // random.
 func newSchedulerSet(
 	random *rand.Rand, create func(backend string, random *rand.Rand) *scheduler.Scheduler,
@@ -29,7 +29,7 @@
 	return &schedulerSet{create: create, random: random, byBackend: map[string]*scheduler.Scheduler{}}
 }
 
-// get returns the scheduler of a backend.
+// get returns the scheduler of a backend and creates it if there is none.
 func (set *schedulerSet) get(backend string) *scheduler.Scheduler {
 	set.mutex.RLock()
 	found := set.byBackend[backend]
@@ -55,7 +55,7 @@
 	}
 }
 
-// candidates returns a function that returns the runners that the schedulers of a backend choose from at a moment.
+// candidates returns a function that returns the runners from which the scheduler of a backend may choose at a time.
 func (plane *Plane) candidates(backend string) func(now time.Time) scheduler.Snapshot {
 	return func(now time.Time) scheduler.Snapshot {
 		snapshot, daemons := plane.Snapshot(), plane.Daemons()
@@ -78,7 +78,7 @@
 	plane.schedulers.each(do)
 }
 
-// Rebalance lets the schedulers decide on waiting requests.
+// Rebalance runs every scheduler that has queued requests.
 func (plane *Plane) Rebalance() {
 	plane.Schedulers(func(_ string, scheduler *scheduler.Scheduler) {
 		if scheduler.HasQueued() {
