--- a/dataplane/controller/configuration.go
+++ b/dataplane/controller/configuration.go
@@ -10,24 +10,25 @@
 	"wardtray/wire"
 )
 
-// configuration is the newest configuration document that the daemon has adopted. Its zero value is that of a daemon
-// that knows none.
+// configuration is the newest configuration document that the daemon has adopted. The zero value means that it has
+// adopted none.
 type configuration struct {
-	// sequence is the document's number; specEpoch that of the spec in it, which stays while only the directory changes.
-	sequence  uint64
+	// sequence is the number of the document.
+	sequence uint64
+	// specEpoch is the number of the spec in the document. It stays the same while only the directory changes.
 	specEpoch uint64
 	catalog   *config.Catalog
 	directory []*wire.Member
-	// reservations names the daemons that hold reservations; nil: none does.
+	// reservations lists the daemons that hold reservations; nil if none does.
 	reservations *wire.ReservationMembership
 }
 
-// adopt replaces the configuration by the document of a gossip entry. It fails, and changes nothing, if the document
-// can't be read or is not newer.
+// adopt replaces the configuration by the document of a gossip entry. It returns an error and changes nothing if the
+// document can't be decoded or is not newer.
 func (configuration *configuration) adopt(entry *wire.GossipEntry) error {
 	document := &wire.Document{}
 	if err := proto.Unmarshal(entry.Value, document); err != nil {
-		return fmt.Errorf("decoding the document: %w", err)
+		return fmt.Errorf("decoding the configuration document: %w", err)
 	}
 	if document.Sequence <= configuration.sequence {
 		return errOutdatedDocument
@@ -45,7 +46,7 @@
 }
 
 // errOutdatedDocument is returned for a document that is not newer than the adopted one.
-var errOutdatedDocument = errors.New("the document is not newer than the adopted one")
+var errOutdatedDocument = errors.New("the configuration document is not newer than the adopted one")
 
 // unpackCatalog returns the catalog of a document's packed spec.
 func unpackCatalog(packed []byte) (*config.Catalog, error) {
@@ -60,7 +61,7 @@
 	return config.NewCatalog(spec), nil
 }
 
-// addressesOf returns the addresses of a zone's daemons, in the directory's order; nil if there are none.
+// addressesOf returns the addresses of a zone's daemons in the order of the directory, or nil if there are none.
 func (configuration *configuration) addressesOf(zone string) []string {
 	var addresses []string
 	for _, member := range configuration.directory {
@@ -71,7 +72,7 @@
 	return addresses
 }
 
-// hasQuotas reports whether any tenant of the present spec has a quota.
+// hasQuotas reports whether any tenant of the current spec has a quota.
 func (configuration *configuration) hasQuotas() bool {
 	if configuration.catalog == nil {
 		return false
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -1,15 +1,16 @@
-// Package controller is the control side of a data daemon as a pure state machine, without I/O and without a clock.
+// Package controller implements the part of a data daemon that talks to the control plane, as a pure state machine
+// without I/O and without a clock.
 //
-// It knows its peers, learns the configuration document and the runners by gossip, requests leases from the head of the
-// control plane, and knows at every moment until when new requests may be dispatched. Its owner feeds it messages and
-// the time, and sends what Drain returns.
+// A Controller samples peers, receives the configuration document and the runners by gossip, requests leases from the
+// head of the chain, and computes until when new requests may be dispatched. Its owner passes it messages and the time,
+// and sends the messages that Ready returns.
 //
-// Requests may be dispatched while one of three things holds:
+// Requests may be dispatched while one of three conditions holds:
 //   - The head granted a lease in response to a request that was sent less than Settings.LeaseDuration ago. The head
-//     acknowledges no change before the holders of such leases know it.
-//   - A majority of the acceptors confirmed, in response to such requests, that they know of nothing newer. No change
-//     is acknowledged before a majority of them knows it and their earlier confirmations have expired.
-//   - No core machine at all responds, for as long as Settings.WithoutCore allows.
+//     acknowledges no change before the holders of such leases have it.
+//   - A majority of the acceptors confirmed, in response to such requests, that they have nothing newer. No change is
+//     acknowledged before a majority of them has it and their earlier confirmations have expired.
+//   - No control machine responds at all, and less than Settings.WithoutCore has passed since the last lease.
 //
 // See docs/control.md.
 package controller
@@ -31,36 +32,36 @@
 	"wardtray/wire"
 )
 
-// Settings are the settings of a controller.
+// Settings configures a controller.
 type Settings struct {
-	// Address is where the daemon receives messages, HTTP where it serves clients.
+	// Address is the address at which the daemon receives messages from other processes.
 	Address string
-	HTTP    string
-	Zone    string
-	// Seeds are the addresses of core machines that are known from the start.
+	// HTTP is the address at which the daemon serves clients.
+	HTTP string
+	Zone string
+	// Seeds are the addresses of control machines that are known from the start.
 	Seeds []string
 	// Registered is set if runners register themselves; otherwise the platform's list of runners is read.
 	Registered bool
-	// LeaseDuration is for how long a lease or a confirmation is relied on, counted from its request; 0 means
-	// lease.DaemonTTL.
+	// LeaseDuration is the duration of a lease or a confirmation, counted from its request; 0 means lease.DaemonTTL.
 	LeaseDuration time.Duration
-	// WithoutCore is for how long after its last lease a daemon that reaches no core machine at all continues to serve
-	// with the configuration that it has; 0 means not at all.
+	// WithoutCore is the time after its last lease for which a daemon that reaches no control machine at all continues
+	// to serve with its current configuration; 0 disables that.
 	WithoutCore time.Duration
-	// Quota holds the daemon's shares of the tenants' quotas, which the controller requests from the head; nil if there
-	// are none.
+	// Quota holds the daemon's shares of the tenants' quotas, which the controller requests from the head; nil if the
+	// daemon has none.
 	Quota *quota.Limiter
-	// Reserves is set if requests that run at most once are reserved with other daemons, and this one holds reservations
-	// of others. It is not where no request ever comes again under its id.
-	Reserves bool
-	// OnDispatched is called with what other daemons of the zone report of requests that run at most once: the
-	// request's key, and whether it was dropped without having been executed. It may be nil.
+	// ReservationsEnabled is set if at-most-once requests are reserved with other daemons, and this daemon holds
+	// reservations for others. It is not set where clients never send a request again under the same id.
+	ReservationsEnabled bool
+	// OnDispatched is called when another daemon of the zone reports an at-most-once request: with the request's key
+	// and whether the request was dropped without having been executed. It may be nil.
 	OnDispatched func(now time.Time, key []byte, dropped bool)
 }
 
-// Counters count what a controller has done since it was created.
+// Counters counts the events in a controller since it was created.
 type Counters struct {
-	// Documents counts adopted documents, InvalidDocuments those that were outdated or could not be read.
+	// Documents counts adopted configuration documents, InvalidDocuments those that were outdated or undecodable.
 	Documents        uint64 `json:"Documents"`
 	LeaseGrants      uint64 `json:"Ticks"`
 	LeaseRequests    uint64 `json:"TickAsks"`
@@ -70,7 +71,7 @@
 	InvalidDocuments uint64 `json:"OddDocuments"`
 }
 
-// Controller is the state machine. It is not safe for concurrent use.
+// Controller is the state machine of a daemon. It is not safe for concurrent use.
 type Controller struct {
 	settings      Settings
 	outbox        *statemachine.Outbox
@@ -86,13 +87,13 @@
 	runnerList    *runnerList
 	quota         *quotaReporter
 	reservations  *reservations
-	// incarnation identifies this process among those that had its address before.
+	// incarnation distinguishes this process from earlier ones at the same address.
 	incarnation uint64
 	draining    bool
 	counters    Counters
 }
 
-// New returns a controller that knows nothing yet and may not dispatch.
+// New returns a controller that has no configuration and may not dispatch yet.
 func New(now time.Time, settings Settings, random *rand.Rand) *Controller {
 	if settings.LeaseDuration == 0 {
 		settings.LeaseDuration = lease.DaemonTTL
@@ -119,7 +120,7 @@
 	controller.runnerList = newRunnerList(
 		settings.Zone, settings.Address, election.New(now, settings.Address), controller.gossip)
 	controller.quota = newQuotaReporter(settings.Quota, controller.configuration, controller.leases)
-	// A source of its own keeps the draws of all others as they are without it.
+	// With a separate source, reservations do not change the draws of the other parts.
 	reservationRandom := rand.New(rand.NewSource(int64(incarnation)))
 	controller.reservations = newReservations(now, settings, incarnation, controller.configuration, outbox,
 		reservationRandom, controller.reservationEnvironment())
@@ -127,7 +128,7 @@
 	return controller
 }
 
-// reservationEnvironment is what reservations ask of the controller.
+// reservationEnvironment returns the functions of the controller that reservations call.
 func (controller *Controller) reservationEnvironment() reservation.Environment {
 	return reservation.Environment{
 		MayServe: func(now time.Time) bool { return now.Before(controller.Until(now)) },
@@ -139,7 +140,7 @@
 	}
 }
 
-// Ready empties the outbox and returns its messages, with this daemon as sender. A planned stop is StartDraining.
+// Ready empties the outbox and returns its messages, with this daemon as their sender.
 func (controller *Controller) Ready() []statemachine.Message {
 	messages, _ := controller.outbox.Drain() // A data daemon writes nothing to disk.
 	for _, message := range messages {
@@ -147,7 +148,7 @@
 		envelope.From, envelope.Sender = controller.settings.Address, controller.settings.Address
 		envelope.Zone = controller.settings.Zone
 		envelope.Epoch = controller.configuration.sequence
-		// Gossip digests reach everybody in turn, so that the checksum of the runners needs no rounds of its own.
+		// Gossip digests reach every process in turn, so the checksum of the runners is sent with them.
 		if digest := envelope.GetDigest(); digest != nil {
 			digest.RunnersChecksum = controller.runnerSync.checksum()
 		}
@@ -155,26 +156,26 @@
 	return messages
 }
 
-// Counters returns what was counted.
+// Counters returns a copy of the counters.
 func (controller *Controller) Counters() Counters { return controller.counters }
 
-// PartialView returns the peers that this daemon knows.
+// PartialView returns the peers in this daemon's partial view.
 func (controller *Controller) PartialView() []*wire.PeerDescriptor {
 	return controller.partialView.Peers()
 }
 
-// Directory returns the daemons that the configuration document names.
+// Directory returns the daemons in the configuration document.
 func (controller *Controller) Directory() []*wire.Member { return controller.configuration.directory }
 
-// View returns the newest view that this daemon knows.
+// View returns the newest view that this daemon has received.
 func (controller *Controller) View() *wire.View { return controller.leases.view }
 
-// Until returns until when this daemon may dispatch requests; a moment in the past means that it may not.
+// Until returns the time until which this daemon may dispatch requests; a time in the past means that it may not.
 func (controller *Controller) Until(now time.Time) time.Time { return controller.permission.until(now) }
 
-// NotifyDispatched notifies the other daemons of the zone of a request that must run at most once, and whether
-// it was dropped without having been executed. Other zones are not notified: clients are sent to daemons of their own
-// zone, and traffic between zones is expensive.
+// NotifyDispatched notifies the other daemons of the zone that an at-most-once request was dispatched, or dropped
+// without having been executed. Other zones are not notified: clients are sent to daemons of their own zone, and
+// traffic between zones is expensive.
 func (controller *Controller) NotifyDispatched(key []byte, dropped bool) {
 	for _, member := range controller.configuration.directory {
 		if member.Zone != controller.settings.Zone || member.Address == controller.settings.Address {
@@ -186,7 +187,7 @@
 	}
 }
 
-// StartDraining records that this daemon is about to stop, which its lease requests announce from now on.
+// StartDraining records that this daemon drains, which its lease requests announce from now on.
 func (controller *Controller) StartDraining() { controller.draining = true }
 
 // Snapshot returns the state that the request path needs.
@@ -208,7 +209,7 @@
 	}
 }
 
-// Tick does what is due at this moment.
+// Tick performs the periodic work that is due.
 func (controller *Controller) Tick(now time.Time) {
 	controller.permission.tick(now)
 	controller.partialView.Tick(now)
@@ -222,10 +223,12 @@
 	controller.gossip.Tick(now)
 }
 
-// TakePollRequest reports, once for each time, that the owner should read the platform's list of runners and return it.
+// TakePollRequest reports whether the owner should read the platform's list of runners and pass it to OnPolled. It
+// reports each request once.
 func (controller *Controller) TakePollRequest() bool { return controller.runnerList.takePollRequest() }
 
-// OnPolled handles the platform's list of runners; failed means that it could not be read, which changes nothing.
+// OnPolled handles the platform's list of runners. If failed is set, the list could not be read, and the previous one
+// stays in use.
 func (controller *Controller) OnPolled(now time.Time, runners []*wire.Runner, failed bool) {
 	controller.counters.Polls++
 	controller.runnerList.polled(now, runners, failed)
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -19,7 +19,7 @@
 // specText is a spec of one zone, one backend and one route.
 const specText = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
-// document returns a gossip message with the document of a sequence, whose directory holds five daemons.
+// document returns a gossip message with a configuration document whose directory holds five daemons.
 func document(tb testing.TB, sequence uint64) *wire.Envelope {
 	tb.Helper()
 	return &wire.Envelope{From: "x", Body: &wire.Envelope_GossipMessage{GossipMessage: &wire.GossipMessage{
@@ -27,7 +27,7 @@
 	}}}
 }
 
-// documentEntry returns the gossip entry of a sequence's document.
+// documentEntry returns the gossip entry of the configuration document with a sequence.
 func documentEntry(tb testing.TB, sequence uint64) *wire.GossipEntry {
 	tb.Helper()
 	content := &wire.Document{Sequence: sequence, SpecEpoch: sequence, PackedSpec: config.Pack([]byte(specText))}
@@ -50,14 +50,14 @@
 	return &wire.View{Epoch: epoch, Chain: acceptors, Acceptors: acceptors}
 }
 
-// viewUpdate returns the message by which the first acceptor spreads a view.
+// viewUpdate returns the message with which the first acceptor distributes a view.
 func viewUpdate(view *wire.View) *wire.Envelope {
 	body := &wire.Envelope_ViewUpdate{ViewUpdate: &wire.ViewUpdate{View: view}}
 	return &wire.Envelope{From: "c0", Sender: "k0", Body: body}
 }
 
-// request lets the controller tick and returns the nonces of its lease requests, by address.
-func request(controller *Controller, now time.Time) map[string]uint64 {
+// tickAndCollect lets the controller tick and returns the nonces of its lease requests, by address.
+func tickAndCollect(controller *Controller, now time.Time) map[string]uint64 {
 	controller.Tick(now)
 	nonces := map[string]uint64{}
 	for _, message := range controller.Ready() {
@@ -68,7 +68,7 @@
 	return nonces
 }
 
-// respond has an acceptor respond to the request that was sent to it.
+// respond passes an acceptor's response to the request that was sent to it to the controller.
 func respond(
 	controller *Controller, now time.Time, nonces map[string]uint64, acceptor int, response *wire.DaemonLeaseGrant,
 ) {
@@ -80,13 +80,13 @@
 	})
 }
 
-// confirms returns an acceptor's confirmation.
-func confirms(sequence, epoch uint64) *wire.DaemonLeaseGrant {
+// confirmingResponse returns an acceptor's response that confirms a sequence.
+func confirmingResponse(sequence, epoch uint64) *wire.DaemonLeaseGrant {
 	return &wire.DaemonLeaseGrant{ViewEpoch: epoch, Sequence: sequence, Confirmed: true}
 }
 
-// withDocument returns a controller that has a document and knows a view, but holds no lease.
-func withDocument(t *testing.T, settings Settings) *Controller {
+// newTestController returns a controller that has document 7 and view 3, but holds no lease.
+func newTestController(t *testing.T, settings Settings) *Controller {
 	t.Helper()
 	settings.Address, settings.Zone = "d0", "a"
 	controller := New(started, settings, rand.New(rand.NewSource(1)))
@@ -96,65 +96,67 @@
 	return controller
 }
 
-// A daemon that starts without a head has lost what it knew. A majority of the acceptors lets it serve; one acceptor
-// does not, nor do those that know more, that follow another view, that confirm nothing, or that confirm twice.
+// A daemon that starts while there is no head serves by the confirmations of a majority of the acceptors. It must not
+// serve by fewer: a second confirmation of the same acceptor does not count, nor does the response of an acceptor that
+// has a newer document, has an older view, or confirms nothing.
 func TestServesByAMajorityOfTheAcceptors(t *testing.T) {
-	controller := withDocument(t, Settings{})
+	controller := newTestController(t, Settings{})
 	now := started.Add(2 * time.Second)
-	nonces := request(controller, now)
+	nonces := tickAndCollect(controller, now)
 	if len(nonces) != len(acceptors) {
-		t.Fatalf("asked %v", nonces)
+		t.Fatalf("leases were requested from %v, want one request to each acceptor", nonces)
 	}
 	serves := func() bool { return now.Before(controller.Until(now)) }
-	respond(controller, now, nonces, 0, confirms(7, 3))
-	respond(controller, now, nonces, 0, confirms(7, 3))
+	respond(controller, now, nonces, 0, confirmingResponse(7, 3))
+	respond(controller, now, nonces, 0, confirmingResponse(7, 3))
 	if serves() {
 		t.Fatal("serves by one of three acceptors")
 	}
-	respond(controller, now, nonces, 1, confirms(8, 3))
+	respond(controller, now, nonces, 1, confirmingResponse(8, 3))
 	respond(controller, now, nonces, 2, &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7})
 	if serves() {
-		t.Fatal("serves by an acceptor that knows more and one that confirms nothing")
+		t.Fatal("serves by an acceptor that has a newer document and one that confirms nothing")
 	}
 	controller.Receive(now, document(t, 8))
 	controller.Ready()
 	now = now.Add(time.Second)
-	nonces = request(controller, now)
-	respond(controller, now, nonces, 1, confirms(8, 2))
-	respond(controller, now, nonces, 0, confirms(8, 3))
+	nonces = tickAndCollect(controller, now)
+	respond(controller, now, nonces, 1, confirmingResponse(8, 2))
+	respond(controller, now, nonces, 0, confirmingResponse(8, 3))
 	if serves() {
 		t.Fatal("serves by an acceptor of an older view")
 	}
-	respond(controller, now, nonces, 2, confirms(8, 3))
+	respond(controller, now, nonces, 2, confirmingResponse(8, 3))
 	if !serves() {
-		t.Fatal("does not serve with a majority of the acceptors behind it")
+		t.Fatal("does not serve although a majority of the acceptors has confirmed")
 	}
 	if now = now.Add(lease.DaemonTTL); serves() {
-		t.Fatal("serves beyond what was asked for")
+		t.Fatal("serves beyond the end of the confirmed lease")
 	}
 }
 
-// The acceptors of one view are no majority of the next one's.
+// Confirmations of acceptors of two views must not be added up to a majority.
 func TestANewViewEndsConfirmations(t *testing.T) {
-	controller := withDocument(t, Settings{})
+	controller := newTestController(t, Settings{})
 	now := started.Add(2 * time.Second)
-	nonces := request(controller, now)
-	respond(controller, now, nonces, 0, confirms(7, 3))
+	nonces := tickAndCollect(controller, now)
+	respond(controller, now, nonces, 0, confirmingResponse(7, 3))
 	controller.Receive(now, viewUpdate(viewOf(4)))
-	respond(controller, now, nonces, 1, confirms(7, 4))
+	respond(controller, now, nonces, 1, confirmingResponse(7, 4))
 	if now.Before(controller.Until(now)) {
 		t.Fatal("serves by one acceptor of each of two views")
 	}
 }
 
-// grantLease grants the controller a lease of the head's, requested at a moment.
+// grantLease lets the controller request a lease now and the head grant it at once.
 func grantLease(controller *Controller, now time.Time) {
-	nonces := request(controller, now)
+	nonces := tickAndCollect(controller, now)
 	respond(controller, now, nonces, 0, &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7, Granted: true})
 }
 
-// A daemon that reaches no core machine continues to serve for as long as its setting allows, and not a moment longer;
-// one that reaches a machine that neither grants nor confirms, or learns of something newer, stops with its lease.
+// A daemon that reaches no control machine continues to serve for exactly the time that its settings allow. A daemon
+// that receives a response without a grant and without a confirmation, or that learns of a newer document, stops at the
+// end of its lease.
 func TestServesWithoutAnyCore(t *testing.T) {
 	const without = 10 * time.Second
 	cases := map[string]struct {
@@ -182,11 +184,11 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			controller := withDocument(t, Settings{WithoutCore: test.without})
+			controller := newTestController(t, Settings{WithoutCore: test.without})
 			start := started.Add(time.Second)
 			grantLease(controller, start)
 			for now := start; now.Before(start.Add(2*lease.DaemonTTL + without)); now = now.Add(50 * time.Millisecond) {
-				nonces := request(controller, now)
+				nonces := tickAndCollect(controller, now)
 				if _, requested := nonces["c1"]; requested && test.response != nil {
 					respond(controller, now, nonces, 1, proto.CloneOf(test.response))
 				}
@@ -199,55 +201,58 @@
 	}
 }
 
-// A daemon that was suspended has sent no requests meanwhile, so that missing responses mean nothing.
+// A daemon that was suspended has sent no requests meanwhile, so that missing responses do not show that it is
+// isolated.
 func TestASuspendedDaemonIsNotIsolated(t *testing.T) {
-	controller := withDocument(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{WithoutCore: time.Minute})
 	grantLease(controller, started.Add(time.Second))
 	now := started.Add(8 * time.Second)
 	if now.Before(controller.Until(now)) {
 		t.Fatal("serves when it resumes")
 	}
-	request(controller, now)
+	tickAndCollect(controller, now)
 	if now.Before(controller.Until(now)) {
 		t.Fatal("serves after one request")
 	}
 }
 
-// Found by verify/simulation: a daemon that was isolated was suspended, and counted as isolated when it resumed.
+// A daemon that was suspended while it was isolated must not count as isolated when it resumes, as it has sent no
+// requests while it was suspended. Found by verify/simulation.
 func TestADaemonSuspendedWhileIsolatedIsNotIsolated(t *testing.T) {
-	controller := withDocument(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{WithoutCore: time.Minute})
 	start := started.Add(time.Second)
 	grantLease(controller, start)
 	now := start
 	for now.Before(start.Add(2 * lease.DaemonTTL)) {
 		now = now.Add(50 * time.Millisecond)
-		request(controller, now)
+		tickAndCollect(controller, now)
 	}
 	if !now.Before(controller.Until(now)) {
-		t.Fatal("is not isolated, so that nothing is tested")
+		t.Fatal("the daemon is not isolated, so this test tests nothing")
 	}
 	now = now.Add(5 * time.Second)
 	if now.Before(controller.Until(now)) {
 		t.Fatal("serves when it resumes")
 	}
-	request(controller, now)
+	tickAndCollect(controller, now)
 	if now.Before(controller.Until(now)) {
 		t.Fatal("serves after one request")
 	}
 }
 
-// A restarted daemon has held no lease in its lifetime that it could continue from.
+// A restarted daemon has held no lease in its lifetime, so it must not serve in isolation.
 func TestARestartedDaemonIsNotIsolated(t *testing.T) {
-	controller := withDocument(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{WithoutCore: time.Minute})
 	for now := started; now.Before(started.Add(5 * time.Second)); now = now.Add(50 * time.Millisecond) {
-		request(controller, now)
+		tickAndCollect(controller, now)
 		if now.Before(controller.Until(now)) {
 			t.Fatal("serves without ever having held a lease")
 		}
 	}
 }
 
-// A lease counts from its request, only with the document that it names, and not from an older view.
+// A lease starts at its request and not at its response. It does not count if the head has a newer document or is of an
+// older view, and a duplicate response does not extend it.
 func TestLeasesCountFromTheirRequest(t *testing.T) {
 	settings := Settings{Address: "d0", Zone: "a", Seeds: []string{"c0"}}
 	controller := New(started, settings, rand.New(rand.NewSource(1)))
@@ -271,7 +276,7 @@
 	first := requestFirst(started)
 	grant(started.Add(time.Second), first, 8, 3)
 	if now := started.Add(time.Second); now.Before(controller.Until(now)) {
-		t.Fatal("serves without the document that the head has")
+		t.Fatal("serves although the head has a newer document")
 	}
 	second := requestFirst(started.Add(time.Second))
 	late := started.Add(2 * time.Second)
@@ -287,6 +292,6 @@
 	}
 	grant(late.Add(time.Second), third, 7, 3)
 	if until := controller.Until(late); !until.Equal(started.Add(2*time.Second + lease.DaemonTTL)) {
-		t.Fatal("a response counted twice")
+		t.Fatal("a duplicate response extended the lease")
 	}
 }
--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// requestDueLeases requests leases if that is due.
+// requestDueLeases sends lease requests if they are due.
 func (controller *Controller) requestDueLeases(now time.Time) {
 	controller.leases.recordEnd()
 	addresses, due := controller.schedule.takeAddresses(now)
@@ -17,7 +17,7 @@
 	controller.requestLeases(now, addresses)
 }
 
-// requestLeases sends a lease request to each address but this daemon's own.
+// requestLeases sends a lease request to each address except this daemon's own.
 func (controller *Controller) requestLeases(now time.Time, addresses []string) {
 	for _, address := range addresses {
 		if address == controller.settings.Address {
@@ -42,35 +42,36 @@
 	}
 }
 
-// requestDocument asks a process for a document newer than this daemon's.
+// requestDocument requests from a process a configuration document newer than this daemon's.
 func (controller *Controller) requestDocument(from string) {
 	request := &wire.DocumentRequest{Sequence: controller.configuration.sequence}
 	body := &wire.Envelope_DocumentRequest{DocumentRequest: request}
 	controller.outbox.Send(from, &wire.Envelope{Body: body})
 }
 
-// RequestQuota requests quota shares from the head now, unless the response to an earlier report is still expected.
+// RequestQuota requests quota shares from the head now, unless the response to an earlier report is pending.
 func (controller *Controller) RequestQuota(now time.Time) {
 	if head := controller.leases.head(); head != nil && controller.quota.canReport(now) {
 		controller.requestLeases(now, []string{head.Address})
 	}
 }
 
-// OnRefused handles a refused connection to an address that was tried at a moment.
+// OnRefused handles a refused connection to an address.
 func (controller *Controller) OnRefused(now time.Time, address string, _ time.Time) {
 	if controller.schedule.onRefused(address) {
 		controller.requestDueLeases(now)
 	}
 }
 
-// adoptView follows a newer view.
+// adoptView adopts a view if it is newer.
 func (controller *Controller) adoptView(newer *wire.View) {
 	if controller.leases.adoptView(newer) {
 		controller.schedule.onNewView()
 	}
 }
 
-// handleLeasePrompt responds to a head that waits to learn which document this daemon has.
+// handleLeasePrompt responds to a head that waits until this daemon reports a document: with a lease request, which
+// carries the document's sequence, or by requesting the document if this daemon has an older one.
 func (controller *Controller) handleLeasePrompt(now time.Time, envelope *wire.Envelope) {
 	if envelope.GetDaemonLeasePrompt().Sequence > controller.configuration.sequence {
 		controller.requestDocument(envelope.From)
@@ -79,8 +80,8 @@
 	controller.requestLeases(now, []string{envelope.From})
 }
 
-// handleLeaseGrant handles a core machine's response to a lease request: the head's lease, an acceptor's confirmation,
-// or neither.
+// handleLeaseGrant handles a control machine's response to a lease request: the head's lease, an acceptor's
+// confirmation, or neither.
 func (controller *Controller) handleLeaseGrant(now time.Time, envelope *wire.Envelope) {
 	response := envelope.GetDaemonLeaseGrant()
 	controller.adoptView(response.View)
@@ -94,7 +95,8 @@
 	if response.Granted || !response.Starting {
 		controller.permission.unansweredRounds = 0
 	}
-	// A head of an older view may have missed changes, and acceptors of an older view are no majority of this one's.
+	// A head of an older view may have missed changes, and a majority of an older view's acceptors need not be a majority
+	// of this view's.
 	if max(response.ViewEpoch, response.View.GetEpoch()) < controller.leases.view.Epoch {
 		return
 	}
@@ -114,7 +116,7 @@
 	}
 }
 
-// onGranted handles a lease of the head's, which counts from its request.
+// onGranted handles a lease granted by the head. The lease starts at the time of its request.
 func (controller *Controller) onGranted(
 	now time.Time, from string, requested time.Time, response *wire.DaemonLeaseGrant,
 ) {
@@ -130,7 +132,7 @@
 	controller.leases.grant(requested, term)
 }
 
-// onConfirmed handles an acceptor's response that it knows of nothing newer.
+// onConfirmed handles an acceptor's confirmation that it has nothing newer.
 func (controller *Controller) onConfirmed(now time.Time, envelope *wire.Envelope, requested time.Time) {
 	response := envelope.GetDaemonLeaseGrant()
 	if response.ViewEpoch != controller.leases.view.Epoch || !controller.leases.isAcceptor(envelope.Sender) {
--- a/dataplane/controller/leases.go
+++ b/dataplane/controller/leases.go
@@ -8,30 +8,30 @@
 	"wardtray/wire"
 )
 
-// leases are what the head of the present view has granted and its acceptors have confirmed.
+// leases holds the lease granted by the head of the current view and the confirmations of the view's acceptors.
 type leases struct {
-	// term is for how long a grant or a confirmation counts, from its request.
+	// term is the duration of a grant or a confirmation, from its request.
 	term          time.Duration
 	configuration *configuration
-	// view is the newest view that this daemon knows; empty at first.
+	// view is the newest view that this daemon has received; empty at first.
 	view *wire.View
 	// ready is set once the head granted a lease, or a majority confirmed the configuration, in this process's lifetime.
 	ready bool
-	// grantedUntil is when the lease that the head granted ends.
+	// grantedUntil is the end of the lease that the head granted.
 	grantedUntil time.Time
-	// confirmations are the latest ones of the present view's acceptors, by their ids.
+	// confirmations holds the latest confirmation of each acceptor of the current view, by the acceptor's id.
 	confirmations map[string]confirmation
-	// lastEnd is when the last lease ends or ended, whoever stood for it.
+	// lastEnd is the end of the latest lease, granted or confirmed.
 	lastEnd time.Time
 }
 
-// confirmation is an acceptor's response that it knows of nothing newer than a sequence, and when it was requested.
+// confirmation is an acceptor's response that it has no document newer than sequence, and the time of the request.
 type confirmation struct {
 	requested time.Time
 	sequence  uint64
 }
 
-// newLeases returns the state of a daemon that holds no lease and knows no view.
+// newLeases returns the state of a daemon that has neither a lease nor a view.
 func newLeases(term time.Duration, configuration *configuration) *leases {
 	return &leases{
 		term:          term,
@@ -41,19 +41,19 @@
 	}
 }
 
-// adoptView follows a newer view and reports whether it is one.
+// adoptView adopts a view if it is newer, and reports whether it is.
 func (leases *leases) adoptView(newer *wire.View) bool {
 	if newer.GetEpoch() <= leases.view.Epoch {
 		return false
 	}
-	// The previous view's acceptors are no majority of this one's. What they have confirmed so far counts to its end,
-	// which the head of the next view waits for.
+	// A majority of the previous view's acceptors need not be a majority of this view's. Their earlier confirmations stay
+	// valid to their end, for which the head of the next view waits.
 	leases.grantedUntil = leases.until()
 	leases.view, leases.confirmations = newer, map[string]confirmation{}
 	return true
 }
 
-// head returns the head of the present view; nil if the view is empty.
+// head returns the head of the current view's chain, or nil if the view is empty.
 func (leases *leases) head() *wire.Member {
 	if len(leases.view.Chain) == 0 {
 		return nil
@@ -61,13 +61,13 @@
 	return leases.view.Chain[0]
 }
 
-// isHead reports whether an address is that of the head of the present view.
+// isHead reports whether an address is that of the head of the current view.
 func (leases *leases) isHead(address string) bool {
 	head := leases.head()
 	return head != nil && head.Address == address
 }
 
-// isAcceptor reports whether an id is that of an acceptor of the present view.
+// isAcceptor reports whether an id is that of an acceptor of the current view.
 func (leases *leases) isAcceptor(id string) bool {
 	for _, member := range leases.view.Acceptors {
 		if member.Id == id {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// grant extends the head's lease by one of a term that was requested at a moment.
+// grant records a lease of the head with a term and the time of its request. It never shortens the current lease.
 func (leases *leases) grant(requested time.Time, term time.Duration) {
 	leases.grantedUntil = later(leases.grantedUntil, requested.Add(term))
 }
@@ -93,10 +93,11 @@
 	}
 }
 
-// until returns until when this daemon holds a lease, granted by the head or confirmed by the acceptors.
+// until returns the end of this daemon's lease, granted by the head or confirmed by the acceptors.
 func (leases *leases) until() time.Time { return later(leases.grantedUntil, leases.confirmedUntil()) }
 
-// confirmedUntil returns until when a majority of the acceptors stands for the configuration that this daemon has.
+// confirmedUntil returns the time until which a majority of the acceptors has confirmed this daemon's configuration, or
+// the zero time if no majority has.
 func (leases *leases) confirmedUntil() time.Time {
 	requested := make([]time.Time, 0, len(leases.confirmations))
 	for _, confirmation := range leases.confirmations {
@@ -112,10 +113,10 @@
 	return requested[needed-1].Add(leases.term)
 }
 
-// recordEnd keeps the end of the present lease for the time after it.
+// recordEnd records the end of the current lease in lastEnd.
 func (leases *leases) recordEnd() { leases.lastEnd = later(leases.lastEnd, leases.until()) }
 
-// later returns the later of two moments.
+// later returns the later of two times.
 func later(left, right time.Time) time.Time {
 	if left.After(right) {
 		return left
@@ -123,7 +124,7 @@
 	return right
 }
 
-// earlier returns the earlier of two moments.
+// earlier returns the earlier of two times.
 func earlier(left, right time.Time) time.Time {
 	if left.Before(right) {
 		return left
--- a/dataplane/controller/leases_test.go
+++ b/dataplane/controller/leases_test.go
@@ -7,14 +7,14 @@
 	"wardtray/coordination/lease"
 )
 
-// newTestLeases returns the leases of a daemon that has document 7 and knows view 3.
+// newTestLeases returns the leases of a daemon that has document 7 and view 3.
 func newTestLeases() *leases {
 	created := newLeases(lease.DaemonTTL, &configuration{sequence: 7})
 	created.adoptView(viewOf(3))
 	return created
 }
 
-// The acceptors' confirmations count up to that of the slowest of the fastest majority.
+// With a majority of n acceptors, the confirmed lease starts at the n-th latest of the requests that they confirmed.
 func TestConfirmedUntilCountsFromTheMajority(t *testing.T) {
 	current := newTestLeases()
 	for index, acceptor := range acceptors {
@@ -24,7 +24,8 @@
 	if until := current.confirmedUntil(); !until.Equal(started.Add(time.Second + lease.DaemonTTL)) {
 		t.Errorf("confirmed until %v", until.Sub(started))
 	}
-	// An acceptor that knows something newer no longer stands for what this daemon has, and an older one changes nothing.
+	// The confirmation of an acceptor that has a newer document does not count for this daemon's document, and a
+	// confirmation of an earlier request changes nothing.
 	latest := started.Add(3 * time.Second)
 	current.confirm(latest, acceptors[2].Id, confirmation{requested: latest, sequence: 8})
 	current.confirm(latest, acceptors[1].Id, confirmation{requested: started, sequence: 7})
@@ -33,7 +34,7 @@
 	}
 }
 
-// A majority makes a daemon ready only if it has a configuration that they confirm.
+// A majority of confirmations makes a daemon ready only if it has a configuration.
 func TestConfirmMakesReady(t *testing.T) {
 	for sequence, ready := range map[uint64]bool{0: false, 7: true} {
 		current := newTestLeases()
@@ -47,7 +48,8 @@
 	}
 }
 
-// Confirmations of an older view's acceptors count to their end as a lease, and no longer as confirmations.
+// After a change of the view, the confirmations of the previous view's acceptors stay valid as a lease to their end,
+// but do not count towards a majority of the new view's acceptors.
 func TestAdoptViewKeepsTheLease(t *testing.T) {
 	current := newTestLeases()
 	for _, acceptor := range acceptors {
@@ -57,14 +59,14 @@
 		t.Error("a view that is not newer was adopted")
 	}
 	if !current.adoptView(viewOf(4)) || !current.confirmedUntil().IsZero() {
-		t.Error("the newer view was not adopted, or confirmations outlived it")
+		t.Error("the newer view was not adopted, or confirmations of the previous view were kept")
 	}
 	if until := current.until(); !until.Equal(started.Add(lease.DaemonTTL)) {
 		t.Errorf("lease until %v", until.Sub(started))
 	}
 }
 
-// A shorter lease of the head's does not end an earlier one.
+// A shorter lease granted by the head does not shorten an earlier one.
 func TestGrantNeverShortens(t *testing.T) {
 	current := newTestLeases()
 	current.grant(started, lease.DaemonTTL)
@@ -73,6 +75,6 @@
 		t.Errorf("lease until %v", until.Sub(started))
 	}
 	if !current.isHead("c0") || current.isHead("c1") || !current.isAcceptor("k1") || current.isAcceptor("c1") {
-		t.Error("head and acceptors are mistaken")
+		t.Error("isHead or isAcceptor is wrong for one of the members c0, c1 and k1")
 	}
 }
--- a/dataplane/controller/permission_test.go
+++ b/dataplane/controller/permission_test.go
@@ -7,11 +7,12 @@
 	"wardtray/coordination/lease"
 )
 
-// Without a lease only a daemon that is isolated from every core machine may dispatch.
+// Without a lease, only a daemon that is isolated from every control machine may dispatch, for a limited time.
+// Otherwise it could serve with an outdated configuration while the control plane has acknowledged a newer one.
 func TestPermissionWithoutLease(t *testing.T) {
-	const withoutCore = 10 * time.Second
+	const isolationLimit = 10 * time.Second
 	now := started.Add(lease.DaemonTTL + time.Second)
-	isolatedUntil := now.Add(isolationStep)
+	isolatedUntil := now.Add(isolationRecheckInterval)
 	for name, test := range map[string]struct {
 		change func(permission *permission)
 		want   time.Time
@@ -31,19 +32,19 @@
 			started.Add(lease.DaemonTTL),
 		},
 		"not allowed": {
-			func(permission *permission) { permission.withoutCore = 0 },
+			func(permission *permission) { permission.isolationLimit = 0 },
 			started.Add(lease.DaemonTTL),
 		},
 		"at the end": {
-			func(permission *permission) { permission.withoutCore = time.Second + isolationStep/2 },
-			now.Add(isolationStep / 2),
+			func(permission *permission) { permission.isolationLimit = time.Second + isolationRecheckInterval/2 },
+			now.Add(isolationRecheckInterval / 2),
 		},
 	} {
 		current := newTestLeases()
 		current.grant(started, lease.DaemonTTL)
 		current.ready = true
 		current.recordEnd()
-		tested := newPermission(withoutCore, current.configuration, current)
+		tested := newPermission(isolationLimit, current.configuration, current)
 		tested.tick(now)
 		tested.unansweredRounds = isolationRounds
 		test.change(tested)
@@ -53,7 +54,8 @@
 	}
 }
 
-// A tick after a pause starts to count rounds anew.
+// A tick after a pause of at least suspensionThreshold resets the count of unanswered rounds: a suspended process sends
+// no requests, so that missing responses do not show that it is isolated.
 func TestTickAfterSuspension(t *testing.T) {
 	current := newTestLeases()
 	tested := newPermission(0, current.configuration, current)
@@ -61,10 +63,10 @@
 	tested.unansweredRounds = isolationRounds
 	tested.tick(started.Add(suspensionThreshold - 1))
 	if tested.unansweredRounds != isolationRounds {
-		t.Error("a pause below the threshold counts")
+		t.Error("a pause below the threshold reset the rounds")
 	}
 	tested.tick(started.Add(2 * suspensionThreshold))
 	if tested.unansweredRounds != 0 {
-		t.Error("a suspension does not count")
+		t.Error("a suspension did not reset the rounds")
 	}
 }
--- a/dataplane/controller/quota.go
+++ b/dataplane/controller/quota.go
@@ -7,33 +7,34 @@
 	"wardtray/wire"
 )
 
-// quotaReporter reports to the head what this daemon holds of the tenants' quotas, and receives its shares of them.
+// quotaReporter reports the daemon's shares of the tenants' quotas to the head, and applies the shares that the head
+// grants.
 type quotaReporter struct {
-	// limiter holds the shares; nil if the daemon has none.
+	// limiter holds the shares; nil if quotas are not used.
 	limiter       *quota.Limiter
 	configuration *configuration
 	leases        *leases
 }
 
-// newQuotaReporter returns a reporter of the limiter's shares.
+// newQuotaReporter returns a reporter of the shares in a limiter.
 func newQuotaReporter(limiter *quota.Limiter, configuration *configuration, leases *leases) *quotaReporter {
 	return &quotaReporter{limiter: limiter, configuration: configuration, leases: leases}
 }
 
-// canReport reports whether there are shares to report on and no response is expected. A report invalidates the
-// responses to all earlier ones, so none is sent while one is expected.
+// canReport reports whether there is a limiter and no response is pending. A report invalidates the responses to all
+// earlier ones, so none is sent while a response is pending.
 func (reporter *quotaReporter) canReport(now time.Time) bool {
 	return reporter.limiter != nil && !reporter.limiter.AwaitsGrant(now)
 }
 
-// report returns the report to be sent to an address with a nonce; nil if the address is not the head's or if no report
-// can be sent now.
+// report returns the report for a lease request with a nonce to an address; nil if the address is not the head's or if
+// no report can be sent now.
 func (reporter *quotaReporter) report(now time.Time, address string, nonce uint64) *wire.QuotaReport {
 	if !reporter.leases.isHead(address) || !reporter.canReport(now) {
 		return nil
 	}
 	report := &wire.QuotaReport{}
-	// That this daemon holds nothing is worth reporting too: a new head waits to know what all daemons hold.
+	// A daemon that holds nothing sends an empty report: a new head waits for the reports of all daemons.
 	if reporter.limiter.IsUnused() && !reporter.configuration.hasQuotas() {
 		return report
 	}
@@ -43,8 +44,8 @@
 	return report
 }
 
-// handleGrant handles the shares in a lease response. Those of a previous head count as well: they are valid from their
-// request on, and the new head waits for their end or for this daemon's report, which invalidates them.
+// handleGrant applies the shares in a lease response. Shares granted by a previous head are valid too: they count from
+// their request, and the new head waits for their end or for this daemon's report, which invalidates them.
 func (reporter *quotaReporter) handleGrant(now time.Time, response *wire.DaemonLeaseGrant) {
 	if reporter.limiter == nil || response.Quota == nil {
 		return
@@ -62,7 +63,7 @@
 	reporter.limiter.ApplyGrant(now, response.Nonce, term, shares)
 }
 
-// tenantMessage returns the wire form of what is reported of one tenant.
+// tenantMessage returns the wire form of a tenant's report.
 func tenantMessage(report quota.TenantReport) *wire.QuotaTenantReport {
 	return &wire.QuotaTenantReport{
 		Tenant:   report.Tenant,
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -10,17 +10,17 @@
 	"wardtray/wire"
 )
 
-// Receive handles one message. Messages of kinds that concern no data daemon are ignored.
+// Receive handles one message. Messages of types that are not meant for data daemons are ignored.
 func (controller *Controller) Receive(now time.Time, envelope *wire.Envelope) {
 	if handle := controller.handlers[reflect.TypeOf(envelope.Body)]; handle != nil {
 		handle(now, envelope)
 	}
-	if head := controller.leases.head(); head != nil && controller.reservations.takeReport() {
+	if head := controller.leases.head(); head != nil && controller.reservations.takeReportDue() {
 		controller.requestLeases(now, []string{head.Address})
 	}
 }
 
-// registerHandlers fills the table of what handles each kind of message.
+// registerHandlers fills the table of handlers by message type.
 func (controller *Controller) registerHandlers() {
 	controller.handlers = map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
 		reflect.TypeFor[*wire.Envelope_Shuffle](): func(now time.Time, envelope *wire.Envelope) {
@@ -45,18 +45,19 @@
 	maps.Copy(controller.handlers, controller.reservations.handlers())
 }
 
-// handleDigest compares gossip entries, and the runners if the sender keeps a registry.
+// handleDigest compares gossip entries, and the runners if the sender has a registry.
 func (controller *Controller) handleDigest(now time.Time, envelope *wire.Envelope) {
 	digest := envelope.GetDigest()
 	controller.gossip.HandleDigest(now, envelope.From, envelope.Zone, digest)
-	// A checksum of 0 is that of an empty registry and of a process that keeps none; the former asks on its own.
+	// A checksum of 0 means an empty registry or no registry; a process with an empty registry requests the runners
+	// itself.
 	if digest.RunnersChecksum != 0 {
 		controller.runnerSync.handleChecksum(now, envelope.From, digest.RunnersChecksum)
 	}
 }
 
-// handleRunnerUpdate adopts runners of a peer, and requests a lease anew once what kept the last one from counting is
-// learned.
+// handleRunnerUpdate adopts the runners of a peer. If the update holds all runners of the head and this daemon may not
+// dispatch, it requests a lease again: the last one may have been rejected because the runners differed.
 func (controller *Controller) handleRunnerUpdate(now time.Time, envelope *wire.Envelope) {
 	complete := controller.runnerSync.handleUpdate(now, envelope.From, envelope.GetRunnerUpdate())
 	if complete && !now.Before(controller.Until(now)) && controller.leases.isHead(envelope.From) {
@@ -75,7 +76,8 @@
 	controller.outbox.Send(envelope.From, &wire.Envelope{Body: body})
 }
 
-// handleRequestDispatched passes on what a daemon of the zone reports of a request that runs at most once.
+// handleRequestDispatched passes the report of an at-most-once request by a daemon of the zone to the settings'
+// function.
 func (controller *Controller) handleRequestDispatched(now time.Time, envelope *wire.Envelope) {
 	if controller.settings.OnDispatched != nil && envelope.Zone == controller.settings.Zone {
 		dispatched := envelope.GetRequestDispatched()
@@ -83,7 +85,7 @@
 	}
 }
 
-// onGossipEntry handles a gossip entry that became newer.
+// onGossipEntry handles a gossip entry that is newer than the stored one.
 func (controller *Controller) onGossipEntry(now time.Time, entry *wire.GossipEntry) {
 	if entry.Key == gossip.DocumentKey {
 		controller.onDocument(now, entry)
@@ -103,14 +105,14 @@
 	controller.counters.Documents++
 	controller.reservations.adopt(now, controller.configuration.reservations)
 	controller.runnerList.setOrder(controller.configuration.addressesOf(controller.settings.Zone))
-	// The head waits for this request before it acknowledges the change; it should not wait for the next round.
+	// The head waits for this request before it acknowledges the change, so the request does not wait for the next round.
 	if head := controller.leases.head(); head != nil {
 		controller.requestLeases(now, []string{head.Address})
 	}
 }
 
-// gossipPeers returns, in the order of their addresses, the peers that gossip goes to: the partial view, and the whole
-// directory if that is small.
+// gossipPeers returns the peers to which gossip is sent, in the order of their addresses: the partial view, and the
+// complete directory if that is small.
 func (controller *Controller) gossipPeers() []gossip.Peer {
 	zones := map[string]string{}
 	for _, peer := range controller.partialView.Peers() {
--- a/dataplane/controller/receive_fuzz_test.go
+++ b/dataplane/controller/receive_fuzz_test.go
@@ -11,7 +11,7 @@
 	"wardtray/wire/wiretest"
 )
 
-// Whatever another process sends, a daemon does not panic, and its own messages can be encoded.
+// Whatever bytes another process sends, a daemon must not panic, and its own messages must be encodable.
 func FuzzReceive(fuzz *testing.F) {
 	for _, sample := range wiretest.Envelopes() {
 		content, err := frame.Encode(sample.Envelope)
@@ -36,7 +36,7 @@
 	})
 }
 
-// receiveAll passes all frames of a stream to a daemon, with a tick after each and at the end.
+// receiveAll passes the valid frames at the start of a stream to a daemon, with a tick after each and at the end.
 func receiveAll(t *testing.T, controller *Controller, content []byte) {
 	t.Helper()
 	now, reader := started, bufio.NewReader(bytes.NewReader(content))
--- a/dataplane/controller/reservations.go
+++ b/dataplane/controller/reservations.go
@@ -13,62 +13,66 @@
 )
 
 const (
-	// startupPause is after what pause between ticks a process that is starting counts as suspended.
-	startupPause = 200 * time.Millisecond
-	// acceptDelay is for how long a connection may wait to be taken by a process that runs, also right after a pause.
+	// startupSuspensionThreshold is the pause between ticks above which a process without a membership counts as
+	// suspended.
+	startupSuspensionThreshold = 200 * time.Millisecond
+	// acceptDelay is the longest time for which an established connection waits to be accepted by a running process, also
+	// right after a pause.
 	acceptDelay = 300 * time.Millisecond
-	// maximumTerms bounds the terms that are remembered.
+	// maximumTerms is the number of the newest terms that are kept.
 	maximumTerms = 8
-	// membershipRequestInterval is how often a newer membership is asked for at most.
+	// membershipRequestInterval is the minimum interval between requests for a newer membership.
 	membershipRequestInterval = 20 * time.Millisecond
 )
 
-// reservations makes and holds the reservations of requests that run at most once. Where the daemon makes none it does
-// nothing.
+// reservations coordinates and replicates the reservations of at-most-once requests. It does nothing unless it is
+// enabled.
 type reservations struct {
-	isEnabled     bool
+	enabled       bool
 	isolation     time.Duration
 	configuration *configuration
 	replica       *reservation.Replica
 	coordinator   *reservation.Coordinator
-	// challenge is that of the newest grant.
+	// challenge is the challenge in the newest grant.
 	challenge uint64
-	// reportDue is set if the head should hear at once what has changed.
+	// reportDue is set if a lease request should return a new challenge to the head at once.
 	reportDue bool
 	wasSynced bool
-	// terms are the newest that this process has known. The slice is replaced, never changed.
-	terms         []config.KnownTerm
-	wasSuspended  bool
-	lastTick      time.Time
-	lastRequested time.Time
+	// terms holds the newest terms that this process has adopted. Snapshots share the slice, so it is replaced and never
+	// modified.
+	terms                 []config.KnownTerm
+	wasSuspended          bool
+	lastTick              time.Time
+	lastMembershipRequest time.Time
 }
 
-// newReservations returns the reservations of a process that starts now.
+// newReservations returns the reservations of a process that has just started.
 func newReservations(now time.Time, settings Settings, incarnation uint64, configuration *configuration,
 	outbox *statemachine.Outbox, random *rand.Rand, environment reservation.Environment) *reservations {
 	self := reservation.Identity{Address: settings.Address, Incarnation: incarnation}
-	made := &reservations{isEnabled: settings.Reserves, isolation: settings.WithoutCore, configuration: configuration,
-		lastTick: now}
-	made.replica = reservation.NewReplica(self, settings.Zone, outbox, environment)
-	made.coordinator = reservation.NewCoordinator(self, settings.Zone, outbox, random, made.replica, environment)
-	return made
+	created := &reservations{enabled: settings.ReservationsEnabled, isolation: settings.WithoutCore,
+		configuration: configuration, lastTick: now}
+	created.replica = reservation.NewReplica(self, settings.Zone, outbox, environment)
+	created.coordinator = reservation.NewCoordinator(self, settings.Zone, outbox, random, created.replica, environment)
+	return created
 }
 
-// adopt follows the membership of a document that was just adopted.
+// adopt adopts the membership in a document that was just adopted, if the membership is newer.
 func (reservations *reservations) adopt(now time.Time, message *wire.ReservationMembership) {
-	if !reservations.isEnabled || message.GetEpoch() <= reservations.coordinator.Membership().Epoch() {
+	if !reservations.enabled || message.GetEpoch() <= reservations.coordinator.Membership().Epoch() {
 		return
 	}
-	reservations.noteTerm(now, message.Epoch)
+	reservations.recordTerm(now, message.Epoch)
 	membership := reservation.NewMembership(message)
 	reservations.replica.Adopt(now, membership)
 	reservations.coordinator.Adopt(now, membership)
 }
 
-// noteTerm notes a term that this process knows from now on. A connection that the process takes from now on was made
-// before only if it has waited to be taken, which lasts for acceptDelay at most where the process runs. Nothing was
-// made before the process began, unless it was suspended meanwhile.
-func (reservations *reservations) noteTerm(now time.Time, term uint64) {
+// recordTerm records a term that this process adopts now, and the time from which on accepted connections were
+// established after that. A connection that is accepted later than acceptDelay from now was established after now, as
+// long as the process runs. For the first term there is no delay, as no connection was established before the process
+// started, unless it was suspended meanwhile.
+func (reservations *reservations) recordTerm(now time.Time, term uint64) {
 	known := config.KnownTerm{Term: term, Since: now.Add(acceptDelay)}
 	if len(reservations.terms) == 0 && !reservations.wasSuspended {
 		known.Since = time.Time{}
@@ -77,12 +81,12 @@
 	reservations.terms = append(slices.Clone(kept), known)
 }
 
-// tick does what is due.
+// tick performs the periodic work that is due, and detects a suspension before the first membership.
 func (reservations *reservations) tick(now time.Time) {
-	if !reservations.isEnabled {
+	if !reservations.enabled {
 		return
 	}
-	if now.Sub(reservations.lastTick) > startupPause && reservations.coordinator.Membership().Epoch() == 0 {
+	if now.Sub(reservations.lastTick) > startupSuspensionThreshold && reservations.coordinator.Membership().Epoch() == 0 {
 		reservations.wasSuspended = true
 	}
 	reservations.lastTick = now
@@ -90,9 +94,9 @@
 	reservations.coordinator.Tick(now)
 }
 
-// report returns what a lease request tells the head; nil: this daemon makes no reservations.
+// report returns the part of a lease request on reservations, or nil if they are disabled.
 func (reservations *reservations) report() *wire.ReservationReport {
-	if !reservations.isEnabled {
+	if !reservations.enabled {
 		return nil
 	}
 	return &wire.ReservationReport{
@@ -102,7 +106,7 @@
 	}
 }
 
-// handlers returns what handles the messages between daemons that make reservations.
+// handlers returns the handlers of the messages on reservations, by message type.
 func (reservations *reservations) handlers() map[reflect.Type]func(now time.Time, envelope *wire.Envelope) {
 	return map[reflect.Type]func(now time.Time, envelope *wire.Envelope){
 		reflect.TypeFor[*wire.Envelope_ReservationRequest](): func(now time.Time, envelope *wire.Envelope) {
@@ -126,70 +130,74 @@
 	}
 }
 
-// onChallenge handles the challenge of a grant. The head takes this process for alive once it is returned.
+// onChallenge handles the challenge in a grant. The head considers this process alive once the challenge is returned.
 func (reservations *reservations) onChallenge(challenge uint64) {
 	if challenge != 0 && challenge != reservations.challenge {
 		reservations.challenge, reservations.reportDue = challenge, true
 	}
 }
 
-// takeReport reports, once for each time, that the head should hear at once what has changed.
-func (reservations *reservations) takeReport() bool {
-	isSynced := reservations.isEnabled && reservations.replica.IsSynced()
+// takeReportDue reports whether a lease request should be sent to the head at once, because there is a new challenge or
+// the replica has become synced. It reports each change once.
+func (reservations *reservations) takeReportDue() bool {
+	isSynced := reservations.enabled && reservations.replica.IsSynced()
 	isDue := reservations.reportDue || isSynced && !reservations.wasSynced
 	reservations.reportDue, reservations.wasSynced = false, isSynced
 	return isDue
 }
 
-// mayRequestMembership reports whether a newer membership may be asked for now, and notes that it is.
+// mayRequestMembership reports whether a newer membership may be requested now, and if so records the request.
 func (reservations *reservations) mayRequestMembership(now time.Time) bool {
-	if now.Sub(reservations.lastRequested) < membershipRequestInterval {
+	if now.Sub(reservations.lastMembershipRequest) < membershipRequestInterval {
 		return false
 	}
-	reservations.lastRequested = now
+	reservations.lastMembershipRequest = now
 	return true
 }
 
-// Reserve begins to reserve a request that must run at most once, for a daemon whose Settings.Reserves is set.
+// Reserve starts the reservation of a client attempt of an at-most-once request. Settings.ReservationsEnabled must be
+// set.
 func (controller *Controller) Reserve(now time.Time, key reservation.Key,
-	sending reservation.Sending) *reservation.Reservation {
-	return controller.reservations.coordinator.Reserve(now, key, sending)
+	clientAttempt reservation.Sending) *reservation.Reservation {
+	return controller.reservations.coordinator.Reserve(now, key, clientAttempt)
 }
 
-// ReleaseReservation gives up the reservation, decided or not, of a request that certainly did not and will not run.
+// ReleaseReservation releases the reservation, decided or not, of a request that certainly did not and will not run.
 func (controller *Controller) ReleaseReservation(now time.Time, held *reservation.Reservation) {
 	controller.reservations.coordinator.Release(now, held)
 }
 
-// FinishReservation ends the renewals of the reservation of a request that has ended and may have run.
+// FinishReservation stops the renewals of the reservation of a request that has ended and may have run.
 func (controller *Controller) FinishReservation(held *reservation.Reservation) {
 	controller.reservations.coordinator.Finish(held)
 }
 
-// ReservationStatus is what a daemon knows of reservations.
+// ReservationStatus is the part of a daemon's status on reservations.
 type ReservationStatus struct {
-	// Epoch is that of the membership that it acts under, Synced whether it holds all that it must hold in that.
-	Epoch  uint64 `json:"epoch"`
-	Synced bool   `json:"synced"`
-	// Held is how many reservations it holds for others and itself.
+	// Epoch is the epoch of the daemon's membership.
+	Epoch uint64 `json:"epoch"`
+	// Synced reports whether the daemon's replica holds all reservations that it must hold in that membership.
+	Synced bool `json:"synced"`
+	// Held is the number of reservations in the daemon's replica, including the daemon's own.
 	Held int `json:"held"`
-	// Zones has for each zone how many replicas it has, and from which epoch on these know everything.
+	// Zones holds the state of each zone's replicas, by the zone's name.
 	Zones map[string]ReservationZoneStatus `json:"zones"`
 	reservation.Counters
 }
 
-// ReservationZoneStatus is what is known of a zone's replicas.
+// ReservationZoneStatus is the state of a zone's replicas.
 type ReservationZoneStatus struct {
 	Replicas int `json:"replicas"`
-	// CompleteSince is the epoch from which on they know every reservation; Forming that there is none yet.
+	// CompleteSince is the epoch from which on the replicas hold every reservation; 0 while Forming is set.
 	CompleteSince uint64 `json:"complete_since"`
-	Forming       bool   `json:"forming,omitempty"`
+	// Forming is set while there is no such epoch yet.
+	Forming bool `json:"forming,omitempty"`
 }
 
-// ReservationStatus returns what this daemon knows of reservations; nil: it makes none.
+// ReservationStatus returns the status of this daemon's reservations, or nil if they are disabled.
 func (controller *Controller) ReservationStatus() *ReservationStatus {
 	reservations := controller.reservations
-	if !reservations.isEnabled {
+	if !reservations.enabled {
 		return nil
 	}
 	membership := reservations.coordinator.Membership()
--- a/dataplane/controller/runnerlist.go
+++ b/dataplane/controller/runnerlist.go
@@ -13,17 +13,17 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatHops is how many times a heartbeat is passed on.
+	// heartbeatHops is the number of times that a heartbeat is forwarded.
 	heartbeatHops = 2
-	// candidateCount is how many of the first live daemons of a zone send heartbeats.
+	// candidateCount is the number of live daemons at the start of a zone's order that send heartbeats.
 	candidateCount = 3
 	pollInterval   = 400 * time.Millisecond
-	// listTimeout is for how long a daemon waits for the zone's list before it polls the platform for itself.
+	// listTimeout is the time without a new list of the zone after which a daemon polls the platform for itself.
 	listTimeout = 1600 * time.Millisecond
 )
 
-// runnerList is the platform's list of runners: one elected daemon of each zone polls it and passes it on by gossip. It
-// is unused if runners register themselves.
+// runnerList is the platform's list of runners. One elected daemon of each zone polls the list and distributes it by
+// gossip. The type is unused if runners register themselves.
 type runnerList struct {
 	zone     string
 	address  string
@@ -33,12 +33,14 @@
 	runners       []*wire.Runner
 	lastList      time.Time
 	lastHeartbeat time.Time
-	// heartbeats counts this daemon's heartbeats; heartbeatEpoch puts them above those of its previous incarnations.
-	heartbeats     uint64
+	// heartbeats counts this daemon's heartbeats.
+	heartbeats uint64
+	// heartbeatEpoch orders this daemon's heartbeats after those of its previous incarnations.
 	heartbeatEpoch uint64
 	lastPoll       time.Time
-	// polling is set from a poll request to its result; pollRequested until the owner has noticed the request.
-	polling       bool
+	// polling is set from a poll request until its result arrives.
+	polling bool
+	// pollRequested is set from a poll request until the owner has taken it.
 	pollRequested bool
 }
 
@@ -50,14 +52,14 @@
 // listKey returns the key of the gossip entry that carries the list.
 func (list *runnerList) listKey() string { return "z/" + list.zone + "/runners" }
 
-// heartbeatPrefix returns the beginning of the keys of heartbeats, which a daemon's address follows.
+// heartbeatPrefix returns the prefix of the keys of heartbeats; the rest of a key is the daemon's address.
 func (list *runnerList) heartbeatPrefix() string { return "z/" + list.zone + "/beat/" }
 
-// setOrder sets the order in which the zone's daemons are elected.
+// setOrder sets the order of precedence of the zone's daemons in the election.
 func (list *runnerList) setOrder(addresses []string) { list.election.SetOrder(addresses) }
 
-// onGossipEntry handles a list or a heartbeat, and ignores other entries. It reports whether the entry is a list of a
-// daemon that was elected earlier.
+// onGossipEntry handles a list or a heartbeat, and ignores other entries. It reports whether the entry is an outdated
+// list, written by a previously elected daemon.
 func (list *runnerList) onGossipEntry(now time.Time, entry *wire.GossipEntry) (outdated bool) {
 	if entry.Key == list.listKey() {
 		return list.onList(now, entry)
@@ -68,7 +70,7 @@
 	return false
 }
 
-// onList adopts a list and reports whether it is outdated. One that can't be read is ignored.
+// onList adopts a list unless it is outdated, and reports whether it is. An undecodable list is ignored.
 func (list *runnerList) onList(now time.Time, entry *wire.GossipEntry) (outdated bool) {
 	content := &wire.RunnerList{}
 	if proto.Unmarshal(entry.Value, content) != nil {
@@ -81,8 +83,8 @@
 	return false
 }
 
-// tick sends a heartbeat if this daemon may be elected next, and requests a poll if it is elected or if nobody else
-// seems to poll.
+// tick sends a heartbeat if this daemon is a candidate, and requests a poll if it is elected or if no list has arrived
+// for listTimeout.
 func (list *runnerList) tick(now time.Time) {
 	if now.Sub(list.lastHeartbeat) >= heartbeatInterval && list.election.IsCandidate(now, candidateCount) {
 		list.sendHeartbeat(now)
@@ -96,36 +98,36 @@
 	}
 }
 
-// sendHeartbeat spreads a heartbeat among the zone's daemons.
+// sendHeartbeat distributes a heartbeat to the zone's daemons by gossip.
 func (list *runnerList) sendHeartbeat(now time.Time) {
 	list.lastHeartbeat = now
 	list.heartbeats++
 	key := list.heartbeatPrefix() + list.address
-	// Others remember the heartbeats of an earlier incarnation of this daemon, which this one must exceed. How far those
-	// got is only known from gossip.
-	if known := list.gossip.Get(key); known != nil && list.precedes(known) {
+	// Other daemons store the last heartbeat of an earlier incarnation of this daemon, and ignore those that do not follow
+	// it. Its epoch and count are only known from gossip.
+	if known := list.gossip.Get(key); known != nil && list.supersededBy(known) {
 		list.heartbeatEpoch = known.Epoch + 1
 	}
 	heartbeat := &wire.GossipEntry{Key: key, Epoch: list.heartbeatEpoch, Count: list.heartbeats, Writer: list.address}
 	list.gossip.Put(now, heartbeat, heartbeatHops)
 }
 
-// precedes reports whether a known heartbeat would make others ignore the next one.
-func (list *runnerList) precedes(known *wire.GossipEntry) bool {
+// supersededBy reports whether other daemons that store a known heartbeat would ignore the next one.
+func (list *runnerList) supersededBy(known *wire.GossipEntry) bool {
 	if known.Epoch != list.heartbeatEpoch {
 		return known.Epoch > list.heartbeatEpoch
 	}
 	return known.Count >= list.heartbeats
 }
 
-// takePollRequest reports whether a poll was requested since the last call.
+// takePollRequest reports whether a poll has been requested since the last call.
 func (list *runnerList) takePollRequest() bool {
 	requested := list.pollRequested
 	list.pollRequested = false
 	return requested
 }
 
-// polled handles the result of a poll; failed means that the list could not be read, which changes nothing.
+// polled handles the result of a poll. If failed is set, the list could not be read, and the previous one stays in use.
 func (list *runnerList) polled(now time.Time, runners []*wire.Runner, failed bool) {
 	list.polling = false
 	if failed {
@@ -133,13 +135,14 @@
 	}
 	epoch, elected := list.election.Campaign(now)
 	if !elected {
-		// This daemon polled for itself because no list arrived; others must not take it for that of the elected one.
+		// This daemon polled for itself because no list arrived. It does not distribute the list, as only the elected daemon
+		// writes the entry.
 		list.runners = runners
 		return
 	}
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&wire.RunnerList{Runners: runners})
 	if err != nil {
-		return // A list that can't be encoded counts as one that could not be read.
+		return // A list that can't be encoded is handled like a list that could not be read.
 	}
 	known := list.gossip.Get(list.listKey())
 	entry := &wire.GossipEntry{
--- a/dataplane/controller/runnerlist_test.go
+++ b/dataplane/controller/runnerlist_test.go
@@ -13,7 +13,7 @@
 	"wardtray/wire"
 )
 
-// newTestList returns the list of the first of two daemons of a zone.
+// newTestList returns the runner list of a daemon in a zone of two, d0 and d1, of which d0 comes first in the election.
 func newTestList(address string) *runnerList {
 	noPeers := func() []gossip.Peer { return nil }
 	ignore := func(_ time.Time, _ *wire.GossipEntry) {}
@@ -23,7 +23,7 @@
 	return list
 }
 
-// listEntry returns a list of one runner, written under an epoch.
+// listEntry returns the gossip entry of a list of one runner, written by d0 with an epoch.
 func listEntry(t *testing.T, epoch uint64) *wire.GossipEntry {
 	t.Helper()
 	value, err := proto.Marshal(&wire.RunnerList{Runners: []*wire.Runner{{RunnerId: "r"}}})
@@ -33,42 +33,42 @@
 	return &wire.GossipEntry{Key: "z/a/runners", Epoch: epoch, Writer: "d0", Value: value}
 }
 
-// The elected daemon polls and spreads the list; a poll is requested once until its result arrives.
+// The elected daemon polls and distributes the list. No second poll is requested before the result of the first.
 func TestElectedDaemonPolls(t *testing.T) {
 	list := newTestList("d0")
 	list.tick(started)
 	if !list.takePollRequest() || list.takePollRequest() {
-		t.Fatal("not requested exactly once")
+		t.Fatal("the poll was not requested exactly once")
 	}
 	list.tick(started.Add(pollInterval))
 	if list.takePollRequest() {
-		t.Error("requested beside a poll under way")
+		t.Error("a poll was requested while another was in progress")
 	}
 	list.polled(started, []*wire.Runner{{RunnerId: "r"}}, false)
 	if entry := list.gossip.Get(list.listKey()); entry.GetWriter() != "d0" || entry.GetCount() != 1 {
-		t.Errorf("%v is spread", entry)
+		t.Errorf("distributed entry: %v, want the first one of d0", entry)
 	}
 	list.tick(started.Add(pollInterval))
 	if !list.takePollRequest() {
-		t.Error("not requested again")
+		t.Error("no poll was requested after the result of the first")
 	}
 }
 
-// Another daemon polls only for itself, and only if no list arrives.
+// A daemon that is not elected polls only if no list arrives, and does not distribute the result.
 func TestOtherDaemonsPollForThemselves(t *testing.T) {
 	list := newTestList("d1")
 	if outdated := list.onGossipEntry(started, listEntry(t, 2)); outdated || len(list.runners) != 1 {
-		t.Fatalf("%v, outdated is %v", list.runners, outdated)
+		t.Fatalf("runners %v, outdated is %v", list.runners, outdated)
 	}
 	list.onGossipEntry(started.Add(listTimeout-time.Millisecond), &wire.GossipEntry{Key: "z/a/beat/d0"})
 	list.tick(started.Add(listTimeout))
 	if list.takePollRequest() {
-		t.Error("polls beside the elected daemon")
+		t.Error("polls although the elected daemon does")
 	}
 	now := started.Add(listTimeout + 1)
 	list.tick(now)
 	if !list.takePollRequest() {
-		t.Error("does not poll without a list")
+		t.Error("does not poll although no list has arrived for longer than listTimeout")
 	}
 	list.polled(now, nil, true)
 	if len(list.runners) != 1 {
@@ -76,31 +76,33 @@
 	}
 	list.polled(now, []*wire.Runner{{RunnerId: "r"}, {RunnerId: "s"}}, false)
 	if len(list.runners) != 2 || list.gossip.Get(list.listKey()) != nil {
-		t.Errorf("%v; spread: %v", list.runners, list.gossip.Get(list.listKey()))
+		t.Errorf("runners %v; distributed entry: %v, want none", list.runners, list.gossip.Get(list.listKey()))
 	}
 }
 
-// A list of a previous holder of the duty is outdated and changes nothing.
+// A delayed list of a previously elected daemon is outdated and must not replace a newer one. An undecodable list
+// changes nothing either.
 func TestOutdatedListsAreIgnored(t *testing.T) {
 	list := newTestList("d1")
 	list.onGossipEntry(started, listEntry(t, 2))
 	adopted := list.runners
 	if outdated := list.onGossipEntry(started, listEntry(t, 1)); !outdated || &list.runners[0] != &adopted[0] {
-		t.Errorf("outdated is %v", outdated)
+		t.Errorf("an older list: outdated is %v, or the list was adopted", outdated)
 	}
 	unreadable := &wire.GossipEntry{Key: "z/a/runners", Epoch: 3, Writer: "d0", Value: []byte{0xff}}
 	if outdated := list.onGossipEntry(started, unreadable); outdated || &list.runners[0] != &adopted[0] {
-		t.Error("an unreadable list was adopted, or counts as outdated")
+		t.Error("an undecodable list was adopted, or counts as outdated")
 	}
 }
 
-// The heartbeats of a restarted daemon exceed those of its previous incarnation.
+// The heartbeats of a restarted daemon follow those of its previous incarnation. Otherwise other daemons would ignore
+// them and consider the daemon dead.
 func TestHeartbeatsExceedThePreviousIncarnation(t *testing.T) {
 	list := newTestList("d0")
 	previous := &wire.GossipEntry{Key: "z/a/beat/d0", Epoch: 4, Count: 99, Writer: "d0"}
 	list.gossip.Put(started, previous, 1)
 	list.tick(started.Add(heartbeatInterval))
 	if entry := list.gossip.Get("z/a/beat/d0"); entry.Epoch != 5 || entry.Count != 1 {
-		t.Errorf("%v", entry)
+		t.Errorf("heartbeat %v, want epoch 5 and count 1", entry)
 	}
 }
--- a/dataplane/controller/runnersync.go
+++ b/dataplane/controller/runnersync.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// learnInterval is how often a daemon that has just started asks for the registered runners.
-	learnInterval = 300 * time.Millisecond
-	// disagreementTimeout is after how long a lease counts although this daemon knows other runners.
+	// initialSyncInterval is the interval at which a daemon that has just started requests the registered runners.
+	initialSyncInterval = 300 * time.Millisecond
+	// disagreementTimeout is the duration of a disagreement after which leases count although the runners differ.
 	disagreementTimeout = 2 * time.Second
-	// disagreementGap is after what pause a disagreement counts as a new one.
+	// disagreementGap is the longest pause between leases of the same disagreement.
 	disagreementGap = time.Second
-	// syncWindow is for how long a daemon counts as knowing all runners of a peer that has sent them.
+	// syncWindow is the time for which a daemon counts as having all runners of a peer after the peer has sent them.
 	syncWindow = 500 * time.Millisecond
 )
 
-// disagreement is since when leases do not count because their senders know other runners, and when the last such lease
-// arrived.
+// disagreement is a period in which leases arrive that do not count, because their senders have other runners than this
+// daemon: the times of the first and the last such lease.
 type disagreement struct {
 	since, last time.Time
 }
 
-// observe records one more such lease and reports whether they have arrived for so long that it counts after all.
+// observe records such a lease, and reports whether they have arrived for disagreementTimeout, so that it counts.
 func (disagreement *disagreement) observe(now time.Time) bool {
-	// After a pause this is a new disagreement: in between there was nobody to learn from.
+	// After a pause this is a new disagreement, because this daemon could not receive the other's runners in the pause.
 	if now.Sub(disagreement.last) > disagreementGap {
 		disagreement.since = now
 	}
@@ -35,43 +35,45 @@
 	return now.Sub(disagreement.since) >= disagreementTimeout
 }
 
-// runnerSync keeps the registered runners the same as those of the core machines, and knows whether they are. It does
-// nothing unless runners register themselves.
+// runnerSync synchronizes the registered runners with those of the control machines, and decides whether leases count
+// while they differ. It does nothing unless runners register themselves.
 type runnerSync struct {
 	registered bool
 	seeds      []string
 	exchange   *registry.Exchange
 	leases     *leases
 	random     *rand.Rand
-	// learned is set once any process has sent all the runners that it knows.
-	learned     bool
+	// synced is set once any process has sent all of its runners.
+	synced      bool
 	lastRequest time.Time
-	// lastSource is who last sent all the runners that it knows, lastSync when.
+	// lastSource is the address of the process that last sent all of its runners.
 	lastSource string
-	lastSync   time.Time
-	// The disagreements with the head and with acceptors while this daemon holds no lease.
+	// lastSync is the time at which it sent them.
+	lastSync time.Time
+	// withHead and withAcceptors are the disagreements with the head and with acceptors while this daemon has no lease.
 	withHead, withAcceptors disagreement
 }
 
-// newRunnerSync returns the state of a daemon that knows no runners.
+// newRunnerSync returns the state of a daemon that has no runners.
 func newRunnerSync(
 	registered bool, seeds []string, exchange *registry.Exchange, leases *leases, random *rand.Rand,
 ) *runnerSync {
 	return &runnerSync{registered: registered, seeds: seeds, exchange: exchange, leases: leases, random: random}
 }
 
-// checksum returns the checksum of the runners that this daemon knows.
+// checksum returns the checksum of this daemon's registered runners.
 func (runnerSync *runnerSync) checksum() uint64 { return runnerSync.exchange.Checksum() }
 
-// runners returns the runners that are known at this moment.
+// runners returns this daemon's registered runners.
 func (runnerSync *runnerSync) runners(now time.Time) []*wire.Runner {
 	return runnerSync.exchange.Runners(now)
 }
 
-// tick forgets runners that were removed long ago and, until any process has responded, asks a seed for the runners.
+// tick deletes the records of runners that were removed long ago and, until any process has responded, requests the
+// runners from a random seed.
 func (runnerSync *runnerSync) tick(now time.Time) {
 	runnerSync.exchange.Prune(now)
-	if runnerSync.learned || now.Sub(runnerSync.lastRequest) < learnInterval {
+	if runnerSync.synced || now.Sub(runnerSync.lastRequest) < initialSyncInterval {
 		return
 	}
 	runnerSync.lastRequest = now
@@ -80,46 +82,45 @@
 	}
 }
 
-// handleChecksum handles the checksum of the runners that another process knows, and asks for what is missing.
+// handleChecksum compares the checksum of another process's runners with this daemon's and requests missing runners.
 func (runnerSync *runnerSync) handleChecksum(now time.Time, from string, checksum uint64) {
 	if runnerSync.registered {
 		runnerSync.exchange.HandleChecksum(now, from, checksum)
 	}
 }
 
-// handleUpdate adopts runners of another process and reports whether these were all that it knows.
+// handleUpdate adopts runners of another process, and reports whether the update held all runners of that process.
 func (runnerSync *runnerSync) handleUpdate(now time.Time, from string, update *wire.RunnerUpdate) bool {
 	runnerSync.exchange.HandleUpdate(now, from, update)
 	if !update.Response {
 		return false
 	}
-	runnerSync.learned, runnerSync.lastSource, runnerSync.lastSync = true, from, now
+	runnerSync.synced, runnerSync.lastSource, runnerSync.lastSync = true, from, now
 	return true
 }
 
-// compareWithHead compares the runners with the checksum of those that the head knows, and reports whether a lease of
-// the head's counts.
+// compareWithHead reports whether a lease granted by the head counts, given the checksum of the head's runners.
 func (runnerSync *runnerSync) compareWithHead(now time.Time, from string, checksum uint64) bool {
 	return runnerSync.compareChecksum(now, from, checksum, &runnerSync.withHead)
 }
 
-// compareWithAcceptor compares the runners with the checksum of an acceptor's, and reports whether its confirmation
-// counts.
+// compareWithAcceptor reports whether an acceptor's confirmation counts, given the checksum of the acceptor's runners.
 func (runnerSync *runnerSync) compareWithAcceptor(now time.Time, from string, checksum uint64) bool {
 	return runnerSync.compareChecksum(now, from, checksum, &runnerSync.withAcceptors)
 }
 
-// compareChecksum requests the runners of a process that knows others than this one, and reports whether the lease of
-// that process counts. A daemon that has just started, or was partitioned, knows neither which runners came nor which
-// left meanwhile, and must learn that before it dispatches again; one that dispatches already learns it meanwhile.
+// compareChecksum reports whether a lease of a process counts, given the checksum of that process's runners. If its
+// runners differ from this daemon's and this daemon has no lease, it requests them. A daemon that has just started, or
+// was partitioned, has missed runners that were added or removed, and must receive them before it dispatches again. A
+// daemon that has a lease continues to dispatch while it synchronizes.
 func (runnerSync *runnerSync) compareChecksum(
 	now time.Time, from string, checksum uint64, disagreement *disagreement,
 ) bool {
 	if !runnerSync.registered || checksum == runnerSync.checksum() || now.Before(runnerSync.leases.until()) {
 		return true
 	}
-	// While many runners register at once two checksums are seldom equal; having learned all of the other's runners a
-	// moment ago is as good.
+	// While many runners register at once, two checksums are seldom equal. It is sufficient to have received all of the
+	// other's runners within syncWindow.
 	if runnerSync.lastSource == from && now.Sub(runnerSync.lastSync) < syncWindow {
 		return true
 	}
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -13,7 +13,8 @@
 
 const head = "head"
 
-// grantAt lets the head grant the last lease that was requested of it, with the checksum of its runners.
+// grantAt lets the controller tick and the head grant the lease that was requested last, with a checksum of its
+// runners.
 func grantAt(controller *Controller, now time.Time, checksum uint64) {
 	controller.Tick(now)
 	var nonce uint64
@@ -33,11 +34,11 @@
 	controller.Receive(now, &wire.Envelope{From: head, Body: body})
 }
 
-// serves reports whether a daemon may dispatch at a moment.
+// serves reports whether a daemon may dispatch at a time.
 func serves(controller *Controller, now time.Time) bool { return now.Before(controller.Until(now)) }
 
-// startRegistered returns a daemon that has a document and knows the head, which has just granted it a lease with a
-// checksum of other runners.
+// startRegistered returns a daemon with registered runners that has a document and a view, and the current time. The
+// head has just granted it a lease with a checksum of other runners, which does not count.
 func startRegistered(t *testing.T) (*Controller, time.Time) {
 	t.Helper()
 	settings := Settings{Address: "d0", Zone: "a", Seeds: []string{"seed"}, Registered: true}
@@ -47,13 +48,13 @@
 	now := started.Add(time.Second)
 	grantAt(controller, now, 99)
 	if serves(controller, now) {
-		t.Fatal("serves without the runners that the head knows")
+		t.Fatal("serves without the runners of the head")
 	}
 	return controller, now
 }
 
-// A daemon that has just started, or was partitioned, relies on no lease of a head that knows other runners before it
-// has learned them; one that serves continues to and learns them meanwhile.
+// A daemon that has just started, or was partitioned, must not rely on a lease of a head that has other runners before
+// it has received them, or it would dispatch by an outdated list. A daemon that serves continues to serve meanwhile.
 func TestLeasesCountOnceTheRunnersAreLearned(t *testing.T) {
 	controller, now := startRegistered(t)
 	requested := false
@@ -61,7 +62,7 @@
 		requested = requested || message.To == head && message.Envelope.GetRunnerDigest().GetResponseWanted()
 	}
 	if !requested {
-		t.Fatal("the head was not asked for its runners")
+		t.Fatal("the runners were not requested from the head")
 	}
 	runner := &wire.Runner{RunnerId: "r", State: "ready", Call: 1, Address: "x"}
 	update := &wire.RunnerUpdate{Runners: []*wire.Runner{runner}, Response: true}
@@ -72,60 +73,61 @@
 		again = again || message.To == head && message.Envelope.GetDaemonLeaseRequest() != nil
 	}
 	if !again {
-		t.Fatal("no lease was requested once the runners were learned")
+		t.Fatal("no lease was requested once the runners had arrived")
 	}
 	now = now.Add(400 * time.Millisecond)
 	grantAt(controller, now, 99)
 	if !serves(controller, now) || len(controller.Snapshot(now).Runners) != 1 {
-		t.Fatal("does not serve with what it has learned")
+		t.Fatal("does not serve with the runners of the head")
 	}
 	now = now.Add(lease.DaemonTTL / 2)
 	grantAt(controller, now, 123)
 	if until := controller.Until(now); until.Sub(now) < lease.DaemonTTL {
-		t.Fatal("a daemon that serves was stopped by a runner that came")
+		t.Fatal("a new runner ended the lease of a daemon that serves")
 	}
-	// An old list is better than none if nobody has a newer one.
+	// If no process sends a newer list, the daemon serves with the old one after disagreementTimeout.
 	controller, now = startRegistered(t)
 	for range 7 {
 		now = now.Add(310 * time.Millisecond)
 		grantAt(controller, now, 99)
 	}
 	if !serves(controller, now) {
-		t.Fatal("never serves")
+		t.Fatal("does not serve after disagreementTimeout")
 	}
-	// After a partition it has to learn anew.
+	// After a partition it has to synchronize again.
 	now = now.Add(10 * time.Second)
 	grantAt(controller, now, 99)
 	if serves(controller, now) {
-		t.Fatal("serves by an old list after a partition")
+		t.Fatal("serves with an old list after a partition")
 	}
 }
 
-// A disagreement counts from its first lease, and anew after a pause.
+// A disagreement times out disagreementTimeout after its first lease; after a pause a new one begins.
 func TestDisagreementObserve(t *testing.T) {
 	tested := &disagreement{}
 	now := started
 	for now.Before(started.Add(disagreementTimeout)) {
 		if tested.observe(now) {
-			t.Fatalf("expired after %v", now.Sub(started))
+			t.Fatalf("timed out after %v, before disagreementTimeout", now.Sub(started))
 		}
 		now = now.Add(disagreementGap)
 	}
 	if !tested.observe(now) {
-		t.Error("never expires")
+		t.Error("does not time out")
 	}
 	if tested.observe(now.Add(disagreementGap + 1)) {
-		t.Error("a new disagreement is expired")
+		t.Error("a disagreement that began after a pause has timed out at once")
 	}
 }
 
-// Leases of a process with other runners count only if all of its runners were just learned, or if a lease is held.
+// A lease of a process with other runners counts only if that process has just sent all of its runners, or if this
+// daemon already has a lease.
 func TestCompareWithHead(t *testing.T) {
-	const others = 99
+	const otherChecksum = 99
 	for name, test := range map[string]struct {
 		registered bool
 		change     func(runnerSync *runnerSync)
-		agrees     bool
+		accepted   bool
 	}{
 		"other runners":        {true, func(_ *runnerSync) {}, false},
 		"no registry":          {false, func(_ *runnerSync) {}, true},
@@ -138,13 +140,13 @@
 		random := rand.New(rand.NewSource(1))
 		sync := newRunnerSync(test.registered, nil, exchange, newTestLeases(), random)
 		test.change(sync)
-		if agrees := sync.compareWithHead(started, head, others); agrees != test.agrees {
-			t.Errorf("%s: %v", name, agrees)
+		if accepted := sync.compareWithHead(started, head, otherChecksum); accepted != test.accepted {
+			t.Errorf("%s: the lease counts: %v", name, accepted)
 		}
 	}
 }
 
-// learnAll lets a process send all runners that it knows, which are none.
+// learnAll passes an update of a process that has no runners.
 func learnAll(sync *runnerSync, now time.Time, from string) {
 	sync.handleUpdate(now, from, &wire.RunnerUpdate{Response: true})
 }
--- a/dataplane/controller/schedule.go
+++ b/dataplane/controller/schedule.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// renewInterval is how often a daemon that may dispatch requests a lease.
+	// renewInterval is the interval of the lease requests of a daemon that may dispatch.
 	renewInterval = lease.DaemonRenewInterval
-	// retryInterval is how often one that may not yet does.
+	// retryInterval is the interval of the lease requests of a daemon that may not dispatch.
 	retryInterval = 100 * time.Millisecond
-	// headTimeout is for how long the head may grant nothing before every core machine is asked, and broadcastInterval
-	// how often they are.
-	headTimeout       = 400 * time.Millisecond
+	// headTimeout is the time without a grant of the head after which leases are requested from every control machine.
+	headTimeout = 400 * time.Millisecond
+	// broadcastInterval is the interval of the requests to every control machine.
 	broadcastInterval = 200 * time.Millisecond
 )
 
@@ -27,30 +27,31 @@
 	partialView *peersampling.PartialView
 	leases      *leases
 	permission  *permission
-	// headUnreachable is set while nobody listens at the head's address.
+	// headUnreachable is set while the head's address refuses connections.
 	headUnreachable bool
-	// lastGrant is when the head last granted a lease.
+	// lastGrant is the time of the head's last grant.
 	lastGrant     time.Time
 	lastRequest   time.Time
 	lastBroadcast time.Time
 }
 
-// newRequestSchedule returns a schedule by which a request is due at once.
+// newRequestSchedule returns a schedule whose first request is due at once.
 func newRequestSchedule(
 	seeds []string, partialView *peersampling.PartialView, leases *leases, permission *permission,
 ) *requestSchedule {
 	return &requestSchedule{seeds: seeds, partialView: partialView, leases: leases, permission: permission}
 }
 
-// onNewView makes requests to the head and the acceptors of a new view due at once: its head may not lead for a while
-// yet.
+// onNewView makes requests to the head and the acceptors of a new view due at once. The acceptors are included because
+// the new head may not lead for some time yet.
 func (schedule *requestSchedule) onNewView() {
 	schedule.headUnreachable = false
 	schedule.lastRequest, schedule.lastBroadcast, schedule.lastGrant = time.Time{}, time.Time{}, time.Time{}
 }
 
-// onRefused handles a refused connection and reports whether it was the first one to the present head; then requests
-// to everybody are due at once. The next head is among them, and may lead before the last lease has expired.
+// onRefused handles a refused connection and reports whether it was the first one to the current head. If so, requests
+// to every control machine are due at once: the next head is among them, and may lead before the last lease has
+// expired.
 func (schedule *requestSchedule) onRefused(address string) bool {
 	if !schedule.leases.isHead(address) || schedule.headUnreachable {
 		return false
@@ -64,8 +65,9 @@
 	schedule.lastGrant, schedule.headUnreachable = now, false
 }
 
-// takeAddresses notes a request as sent if one is due, and returns, in order, whom to send it to: the head and, if it
-// does not respond, the acceptors and everybody who may know the present head. due is false if no request is due.
+// takeAddresses reports whether a lease request is due. If so it records the request as sent, and returns the addresses
+// to send it to, in order: the head and, if the head does not respond, the acceptors and the control machines that may
+// have a newer view.
 func (schedule *requestSchedule) takeAddresses(now time.Time) (addresses []string, due bool) {
 	if now.Sub(schedule.lastRequest) < schedule.interval(now) {
 		return nil, false
@@ -79,12 +81,12 @@
 	if headFailed && now.Sub(schedule.lastBroadcast) >= schedule.broadcastInterval(now) {
 		schedule.lastBroadcast = now
 		schedule.permission.unansweredRounds++
-		schedule.addCoreMachines(targets)
+		schedule.addControlMachines(targets)
 	}
 	return slices.Sorted(maps.Keys(targets)), true
 }
 
-// interval returns how often the head, or everybody who may know it, is asked.
+// interval returns the current interval between lease requests.
 func (schedule *requestSchedule) interval(now time.Time) time.Duration {
 	if schedule.headUnreachable || !now.Before(schedule.permission.until(now)) {
 		return retryInterval
@@ -95,8 +97,8 @@
 	return renewInterval
 }
 
-// broadcastInterval returns how often every core machine is asked: less often while the acceptors' confirmations stand
-// in for the head's lease.
+// broadcastInterval returns the interval of requests to every control machine. It is longer while the acceptors'
+// confirmations substitute for the head's lease.
 func (schedule *requestSchedule) broadcastInterval(now time.Time) time.Duration {
 	if now.Add(headTimeout).Before(schedule.leases.confirmedUntil()) {
 		return renewInterval
@@ -104,8 +106,9 @@
 	return broadcastInterval
 }
 
-// addCoreMachines adds the core machines that this daemon knows: only the chain and the acceptors while these respond.
-func (schedule *requestSchedule) addCoreMachines(targets map[string]bool) {
+// addControlMachines adds the known control machines: only the chain and the acceptors while a majority of the
+// acceptors confirms, seeds and peers as well otherwise.
+func (schedule *requestSchedule) addControlMachines(targets map[string]bool) {
 	for _, members := range [][]*wire.Member{schedule.leases.view.Chain, schedule.leases.view.Acceptors} {
 		for _, member := range members {
 			targets[member.Address] = true
@@ -125,8 +128,8 @@
 	}
 }
 
-// pendingRequests are the lease requests that have got no response yet. Each response counts once, from the moment of
-// its request.
+// pendingRequests holds the times of the lease requests that have no response yet, by their nonces. Each response
+// counts once, from the time of its request.
 type pendingRequests struct {
 	nonce     uint64
 	requested map[uint64]time.Time
@@ -144,14 +147,14 @@
 	return pending.nonce
 }
 
-// take removes the request with a nonce and returns its moment; found is false if there is none.
+// take removes the request with a nonce and returns its time; found is false if there is none.
 func (pending *pendingRequests) take(nonce uint64) (requested time.Time, found bool) {
 	requested, found = pending.requested[nonce]
 	delete(pending.requested, nonce)
 	return requested, found
 }
 
-// expire removes the requests whose responses would count no more.
+// expire removes the requests whose responses would no longer count.
 func (pending *pendingRequests) expire(now time.Time, term time.Duration) {
 	for nonce, requested := range pending.requested {
 		if now.Sub(requested) > term {
--- a/dataplane/controller/schedule_test.go
+++ b/dataplane/controller/schedule_test.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-// newTestSchedule returns the schedule of a daemon that knows view 3 and one seed.
+// newTestSchedule returns the schedule of a daemon that has view 3 and one seed.
 func newTestSchedule() *requestSchedule {
 	current := newTestLeases()
 	random := rand.New(rand.NewSource(1))
@@ -22,38 +22,38 @@
 	return newRequestSchedule(seeds, partialView, current, newPermission(0, current.configuration, current))
 }
 
-// The head alone is asked while it grants leases, and everybody once it does not.
+// Leases are requested only from the head while it grants them, and from every control machine once it does not.
 func TestTakeAddressesOnceTheHeadFails(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.leases.ready = true
 	schedule.leases.grant(started, lease.DaemonTTL)
 	schedule.onGrant(started)
 	if addresses, due := schedule.takeAddresses(started); !due || !slices.Equal(addresses, []string{"c0"}) {
-		t.Errorf("%v, due is %v", addresses, due)
+		t.Errorf("addresses %v, due is %v; want only the head", addresses, due)
 	}
 	if _, due := schedule.takeAddresses(started.Add(renewInterval - 1)); due {
 		t.Error("a request is due before the interval has passed")
 	}
 	now := started.Add(renewInterval + headTimeout)
-	everybody := []string{"c0", "c1", "c2", "seed"}
-	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, everybody) {
-		t.Errorf("%v, due is %v", addresses, due)
+	everyMachine := []string{"c0", "c1", "c2", "seed"}
+	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, everyMachine) {
+		t.Errorf("addresses %v, due is %v; want every control machine", addresses, due)
 	}
 	if rounds := schedule.permission.unansweredRounds; rounds != 1 {
-		t.Errorf("%d rounds are counted", rounds)
+		t.Errorf("%d unanswered rounds, want 1", rounds)
 	}
 }
 
-// The first refused connection to the head makes requests to everybody due at once.
+// The first refused connection to the head makes requests to every control machine due at once.
 func TestOnRefused(t *testing.T) {
 	schedule := newTestSchedule()
 	schedule.onGrant(started)
 	schedule.takeAddresses(started)
 	if schedule.onRefused("c1") || !schedule.onRefused("c0") || schedule.onRefused("c0") {
-		t.Error("not the first refused connection to the head")
+		t.Error("onRefused is not true exactly for the first refused connection to the head")
 	}
 	if addresses, due := schedule.takeAddresses(started); !due || len(addresses) != 4 {
-		t.Errorf("%v, due is %v", addresses, due)
+		t.Errorf("addresses %v, due is %v; want every control machine", addresses, due)
 	}
 	schedule.onNewView()
 	if schedule.headUnreachable {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Seeds are spared while the acceptors stand in for the head.
+// While a majority of the acceptors confirms, no requests are sent to seeds, and requests are less frequent.
 func TestTakeAddressesWhileAcceptorsConfirm(t *testing.T) {
 	schedule := newTestSchedule()
 	for _, acceptor := range acceptors {
@@ -69,26 +69,26 @@
 	}
 	now := started.Add(time.Millisecond)
 	if addresses, due := schedule.takeAddresses(now); !due || !slices.Equal(addresses, []string{"c0", "c1", "c2"}) {
-		t.Errorf("%v, due is %v", addresses, due)
+		t.Errorf("addresses %v, due is %v; want only the acceptors", addresses, due)
 	}
 	if interval := schedule.broadcastInterval(now); interval != renewInterval {
-		t.Errorf("everybody is asked every %v", interval)
+		t.Errorf("broadcast interval %v, want renewInterval", interval)
 	}
 }
 
-// Each response counts once, and none after its request has expired.
+// A request can be taken once, and not after it has expired, so that a duplicate or late response does not count.
 func TestPendingRequestsCountOnce(t *testing.T) {
 	pending := newPendingRequests(40)
 	first, second := pending.add(started), pending.add(started.Add(time.Second))
 	if first != 41 || second != 42 {
-		t.Errorf("nonces %d and %d", first, second)
+		t.Errorf("nonces %d and %d, want 41 and 42", first, second)
 	}
 	pending.expire(started.Add(lease.DaemonTTL+1), lease.DaemonTTL)
 	if _, found := pending.take(first); found {
 		t.Error("an expired request was found")
 	}
 	if requested, found := pending.take(second); !found || !requested.Equal(started.Add(time.Second)) {
-		t.Errorf("%v, found is %v", requested, found)
+		t.Errorf("second request: time %v, found is %v", requested, found)
 	}
 	if _, found := pending.take(second); found {
 		t.Error("a request was found twice")
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -41,7 +41,8 @@
 	UnresponsiveProbeInterval = 100 * time.Millisecond
 )
 
-// Settings configures a plane. The controller's settings are embedded; New sets their Quota, Reserves and OnDispatched.
+// Settings configures a plane. The controller's settings are embedded; New sets their Quota,
+// ReservationsEnabled and OnDispatched.
 type Settings struct {
 	controller.Settings
 	// Workers is the number of goroutines that apply events to the index; 0 applies each event synchronously.
@@ -115,7 +116,7 @@
 	dispatched := dedup.New()
 	settings.Quota = quota.NewLimiter()
 	settings.Quota.OnDemand = settings.Without[features.QuotaPrefetch]
-	settings.Reserves = !settings.Codec.SingleUse()
+	settings.ReservationsEnabled = !settings.Codec.SingleUse()
 	settings.OnDispatched = func(now time.Time, key []byte, dropped bool) {
 		if len(key) == len(dedup.Key{}) {
 			dispatched.RecordAnnounced(now, dedup.Key(key), dropped)
@@ -169,7 +170,7 @@
 		Metrics:      metrics.New(),
 		Scheduler:    func(backend string) *scheduler.Scheduler { return plane.schedulers.get(backend) },
 		Dedup:        dispatched,
-		Reservations: plane.reservations(settings.Reserves),
+		Reservations: plane.reservations(settings.ReservationsEnabled),
 		Announce: func(key dedup.Key, dropped bool) {
 			plane.Step(func(_ time.Time, machine *controller.Controller) { machine.NotifyDispatched(key[:], dropped) })
 		},
