--- a/dataplane/daemon/daemon.go
+++ b/dataplane/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon runs a data plane as a process: the periodic work, the messages of other processes, the HTTP endpoints
-// for clients and operators, and the planned stop.
+// for clients and operators, and draining.
 package daemon
 
 import (
@@ -27,10 +27,11 @@
 )
 
 const (
-	// pollTimeout is how long the platform has to return its list of runners.
+	// pollTimeout is the timeout of a poll of the platform's list of runners.
 	pollTimeout = time.Second
-	// maximumListSize is the largest list of runners, in bytes, and maximumPollConnections how many connections read it.
-	maximumListSize        = 4 << 20
+	// maximumListSize is the maximum size of the list of runners, in bytes.
+	maximumListSize = 4 << 20
+	// maximumPollConnections is the maximum number of connections to the platform.
 	maximumPollConnections = 4
 )
 
@@ -38,35 +39,36 @@
 type Adapter struct {
 	// Codec is the protocol of clients and runners.
 	Codec codec.Codec
-	// Readiness is the path of the readiness endpoint, at the address that the settings name for it.
+	// Readiness is the path of the readiness endpoint at the address in the setting Readiness.
 	Readiness string
 }
 
-// Daemon is the process.
+// Daemon is the process of a data daemon.
 type Daemon struct {
 	*dataplane.Plane
 	settings *process.Settings
-	// adapter is nil if the protocols are the product's own.
-	adapter   *Adapter
-	log       *slog.Logger
-	transport *transport.Transport
-	platform  *fasthttp.Client
-	// front is the listener for clients; a planned stop closes it.
-	front net.Listener
+	// adapter is nil if the native protocols are used.
+	adapter        *Adapter
+	log            *slog.Logger
+	transport      *transport.Transport
+	platformClient *fasthttp.Client
+	// clientListener is the listener for clients; draining closes it.
+	clientListener net.Listener
 }
 
-// New returns a process with the product's own protocols. Nothing listens yet.
+// New returns a daemon with the native protocols. It does not listen yet.
 func New(settings *process.Settings, log *slog.Logger) (*Daemon, error) {
 	return NewAdapted(settings, nil, log)
 }
 
-// NewAdapted returns a process that is adapted to a platform; with a nil adapter the protocols are the product's own.
+// NewAdapted returns a daemon that is adapted to a platform; a nil adapter means the native protocols. It does not
+// listen yet.
 func NewAdapted(settings *process.Settings, adapter *Adapter, log *slog.Logger) (*Daemon, error) {
 	daemon := &Daemon{
 		settings: settings,
 		adapter:  adapter,
 		log:      log,
-		platform: &fasthttp.Client{
+		platformClient: &fasthttp.Client{
 			ReadTimeout:         pollTimeout,
 			WriteTimeout:        pollTimeout,
 			MaxResponseBodySize: maximumListSize,
@@ -78,11 +80,11 @@
 		return nil, err
 	}
 	daemon.Plane = plane
-	daemon.transport = transport.New(settings.Address, settings.Zone, daemon.receive, daemon.refused)
+	daemon.transport = transport.New(settings.Address, settings.Zone, daemon.receive, daemon.onConnectionRefused)
 	return daemon, nil
 }
 
-// localAddress returns the address that connections to runners are bound to; nil if the process has none.
+// localAddress returns the local address to which connections to runners are bound, or nil if the setting holds none.
 func localAddress(address string) net.Addr {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -94,9 +96,9 @@
 // planeSettings returns the settings of the data plane.
 func (daemon *Daemon) planeSettings() dataplane.Settings {
 	settings := daemon.settings
-	var adapted codec.Codec
+	var adaptedCodec codec.Codec
 	if daemon.adapter != nil {
-		adapted = daemon.adapter.Codec
+		adaptedCodec = daemon.adapter.Codec
 	}
 	return dataplane.Settings{
 		Settings: controller.Settings{
@@ -108,7 +110,7 @@
 			WithoutCore:   settings.WithoutCoreTime(),
 			Registered:    settings.Registered,
 		},
-		Codec:   adapted,
+		Codec:   adaptedCodec,
 		Retries: retrySettings(settings),
 		Without: settings.DisabledFeatures(),
 		Workers: kvblock.DefaultWorkers,
@@ -120,7 +122,7 @@
 	}
 }
 
-// retrySettings returns the limits of retries that the settings name; the zero value if they name none.
+// retrySettings returns the limits of retries in the settings, or the zero value if the settings have none.
 func retrySettings(settings *process.Settings) retrybudget.Settings {
 	if settings.Retries.Share == 0 && settings.Retries.Slack == 0 {
 		return retrybudget.Settings{}
@@ -137,24 +139,24 @@
 	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.Receive(now, envelope) })
 }
 
-// refused notifies the controller of a refused connection to another process.
-func (daemon *Daemon) refused(address string, tried time.Time) {
+// onConnectionRefused notifies the controller of a refused connection to another process.
+func (daemon *Daemon) onConnectionRefused(address string, tried time.Time) {
 	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, address, tried) })
 }
 
-// tick lets the controller do what is due.
+// tick lets the controller perform the periodic work that is due.
 func (daemon *Daemon) tick() {
 	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.Tick(now) })
 }
 
-// poll reads the platform's list of runners.
+// poll reads the platform's list of runners and passes the result to the plane.
 func (daemon *Daemon) poll() {
-	status, content, err := daemon.platform.GetTimeout(nil, daemon.settings.Platform, pollTimeout)
+	status, content, err := daemon.platformClient.GetTimeout(nil, daemon.settings.Platform, pollTimeout)
 	daemon.OnPolled(content, err == nil && status == fasthttp.StatusOK)
 }
 
-// Run serves until the context ends, then stops as planned: it returns once the requests in flight are finished or the
-// time for that is over.
+// Run serves until the context is done, then drains: it returns once the requests in flight are finished or the time
+// for that is over.
 func (daemon *Daemon) Run(ctx context.Context) error {
 	if err := daemon.transport.Listen(); err != nil {
 		return err
@@ -165,21 +167,21 @@
 		return err
 	}
 	daemon.log.Info("started")
-	// The periodic work continues during the planned stop.
-	working, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The periodic work continues while the daemon drains.
+	periodic, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	daemon.tick()
-	go every(working, dataplane.TickInterval, daemon.tick)
-	go every(working, dataplane.RebalanceInterval, daemon.Rebalance)
-	go every(working, dataplane.ProbeInterval, daemon.ProbeStale)
-	go every(working, dataplane.IndexAgingInterval, daemon.AgeIndex)
-	go every(working, dataplane.UnresponsiveProbeInterval, daemon.ProbeUnresponsive)
+	go runPeriodically(periodic, dataplane.TickInterval, daemon.tick)
+	go runPeriodically(periodic, dataplane.RebalanceInterval, daemon.Rebalance)
+	go runPeriodically(periodic, dataplane.ProbeInterval, daemon.ProbeStale)
+	go runPeriodically(periodic, dataplane.IndexAgingInterval, daemon.AgeIndex)
+	go runPeriodically(periodic, dataplane.UnresponsiveProbeInterval, daemon.ProbeUnresponsive)
 	<-ctx.Done()
 	return daemon.drain(context.WithoutCancel(ctx), server)
 }
 
-// every calls a function at an interval until the context ends.
-func every(ctx context.Context, interval time.Duration, do func()) {
+// runPeriodically calls a function at an interval until the context is done.
+func runPeriodically(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/dataplane/daemon/drain.go
+++ b/dataplane/daemon/drain.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// defaultFinishTime is how long requests in flight may take to finish unless the settings say otherwise.
+	// defaultFinishTime is the time for requests in flight to finish after the drain time, unless the setting Finish holds
+	// another one.
 	defaultFinishTime = 2 * time.Minute
-	// minimumShutdownTime is how long the server has to shut down even if the time to finish is over.
+	// minimumShutdownTime is the minimum timeout of the server's shutdown, which applies if the time to finish is over.
 	minimumShutdownTime = 200 * time.Millisecond
 )
 
-// drain stops the daemon as planned. It fails readiness probes first, accepts requests until the platform has had time
-// to notice that, finishes the requests in flight, and only then closes the server. The context must not be done.
+// drain stops the daemon gracefully. It fails readiness probes first, accepts requests for the drain time, in which the
+// platform notices that, finishes the requests in flight, and only then closes the server. The context must not be
+// done.
 func (daemon *Daemon) drain(ctx context.Context, server *fasthttp.Server) error {
 	drainTime := daemon.settings.DrainTime()
 	daemon.log.Info("draining", slog.String("for", drainTime.String()))
@@ -33,9 +35,9 @@
 	defer ticker.Stop()
 	for !daemon.Drained(drainTime) && time.Since(started) < total {
 		<-ticker.C
-		// Requests that arrive later might have to be aborted, and another daemon can still serve them.
+		// Requests that arrive later might have to be aborted at the deadline, and another daemon can still serve them.
 		if time.Since(started) >= drainTime {
-			daemon.closeFront()
+			daemon.closeClientListener()
 		}
 	}
 	remaining := max(minimumShutdownTime, total-time.Since(started))
@@ -43,23 +45,24 @@
 	defer cancel()
 	err := server.ShutdownWithContext(shutdown)
 	daemon.log.Info("stopped", slog.Int64("left_unfinished", daemon.Handler.InFlight.Load()))
-	// Requests left at the deadline were logged above; they end by the order to stop, which is no failure.
+	// The number of requests that are unfinished at the deadline was logged above; aborting them is no failure.
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
-	return apierror.Wrap(err, apierror.Internal, "closing the HTTP side")
+	return apierror.Wrap(err, apierror.Internal, "shutting down the HTTP server")
 }
 
-// closeFront stops accepting requests for good, once the platform has had its time to send clients elsewhere.
+// closeClientListener stops accepting requests for good, after the drain time, in which the platform sends clients to
+// other daemons.
 //
-// Why: if most daemons of a zone stop at once the platform sends clients to all of them again, and requests accepted so
-// late could be unfinished at the deadline. New connections are refused, which clients may retry, and requests on open
-// ones are rejected as not executed.
-func (daemon *Daemon) closeFront() {
+// If most daemons of a zone stop at once, the platform sends clients to all of them again, and requests accepted so
+// late could be unfinished at the deadline. Once the listener is closed, new connections are refused, which clients may
+// retry, and requests on open connections are refused as not executed.
+func (daemon *Daemon) closeClientListener() {
 	if daemon.Handler.Stopping.Swap(true) {
 		return
 	}
-	if err := daemon.front.Close(); err != nil {
-		daemon.log.Error("closing the clients' side", slog.String("cause", err.Error()))
+	if err := daemon.clientListener.Close(); err != nil {
+		daemon.log.Error("closing the client listener failed; draining continues", slog.String("cause", err.Error()))
 	}
 }
--- a/dataplane/daemon/framing.go
+++ b/dataplane/daemon/framing.go
@@ -5,20 +5,20 @@
 	"errors"
 )
 
-// errAmbiguous is the error of a request whose end depends on who reads it.
-var errAmbiguous = errors.New("its header lines leave it open where the request ends")
+// errAmbiguousFraming is returned for a request whose end different HTTP parsers may find at different positions.
+var errAmbiguousFraming = errors.New("its header lines leave it open where the request ends")
 
 var (
 	lengthName   = []byte("content-length")
 	encodingName = []byte("transfer-encoding")
 )
 
-// ambiguous reports whether a request's header lines leave open where the request ends, so that two readers could take
-// the same bytes for different requests.
+// hasAmbiguousFraming reports whether a request's header lines leave open where the request ends, so that two parsers
+// could read the same bytes as different requests (request smuggling).
 //
-// Why this is not left to the server: it decides as the standard allows, but the sender may have meant the other
-// interpretation, and a runner would execute a request that nobody sent.
-func ambiguous(lines []byte) bool {
+// The server alone does not prevent that: it chooses an interpretation that the standard allows, but the sender may
+// have meant another one, and a runner would execute a request that no client sent.
+func hasAmbiguousFraming(lines []byte) bool {
 	hasLength, hasEncoding := false, false
 	for len(lines) > 0 {
 		line, rest, found := bytes.Cut(lines, []byte("\n"))
--- a/dataplane/daemon/framing_test.go
+++ b/dataplane/daemon/framing_test.go
@@ -15,8 +15,8 @@
 		"Transfer-Encoding:\r\n chunked\r\n\r\n":                             true,
 		"X: y\r\n\tz\r\n\r\n":                                                true,
 	} {
-		if got := ambiguous([]byte(lines)); got != want {
-			t.Errorf("%q: %v", lines, got)
+		if got := hasAmbiguousFraming([]byte(lines)); got != want {
+			t.Errorf("%q: ambiguous is %v", lines, got)
 		}
 	}
 }
--- a/dataplane/daemon/golden_test.go
+++ b/dataplane/daemon/golden_test.go
@@ -16,12 +16,12 @@
 	"wardtray/verify/golden"
 )
 
-// What operators read of a data daemon keeps its keys.
+// The JSON keys of a data daemon's status, which operators' tools read, must not change.
 func TestStatusKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "status", golden.Marshal[Status])
 }
 
-// The counters that a status holds by name keep their names.
+// The names of the counters in the maps of a status must not change.
 func TestCountersKeepTheirNames(t *testing.T) {
 	settings := &process.Settings{Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Readiness: "127.0.0.1:3", Zone: "zone",
 		Registered: true, Seeds: []string{"127.0.0.1:1"}}
--- a/dataplane/daemon/http.go
+++ b/dataplane/daemon/http.go
@@ -20,28 +20,29 @@
 
 const (
 	serverName = "wtdata"
-	// The paths of the product's own endpoints.
+	// Paths of the native endpoints.
 	streamPath    = "/v1/stream"
 	explainPath   = "/v1/explain"
 	statusPath    = "/v1/status"
 	readinessPath = "/fitness"
 
-	// readTimeout is how long a client has to send its request, and connectionIdleTimeout how long it may wait with the
-	// next one.
-	readTimeout           = 10 * time.Second
+	// readTimeout is the timeout of reading a request.
+	readTimeout = 10 * time.Second
+	// connectionIdleTimeout is the time after which a connection without a request is closed.
 	connectionIdleTimeout = time.Minute
-	// streamTimeout ends streams whose client has stopped reading.
+	// streamTimeout is the timeout of writing a response. It ends streams whose client has stopped reading.
 	streamTimeout = 10 * time.Minute
-	// maximumConnections is how many clients are served at once.
+	// maximumConnections is the maximum number of clients that are served at once.
 	maximumConnections = 16384
-	// maximumHeaderSize is the largest head of a request, in bytes.
+	// maximumHeaderSize is the maximum size of a request's header, in bytes.
 	maximumHeaderSize = 128 << 10
-	// The limits of what a client may send on a platform, where the spec has limits of its own.
+	// maximumAdaptedHeaderSize and maximumAdaptedBodySize are the maximum sizes of a request's header and body on a
+	// platform, in bytes. The limits in the spec apply as well.
 	maximumAdaptedHeaderSize = 32 << 10
 	maximumAdaptedBodySize   = 16 << 20
 )
 
-// handler returns the handler of clients' requests: the product's own endpoints, or on a platform one for every path.
+// handler returns the handler of client requests: the native endpoints or, on a platform, the proxy for every path.
 func (daemon *Daemon) handler() fasthttp.RequestHandler {
 	if daemon.adapter != nil {
 		return daemon.stream
@@ -57,24 +58,24 @@
 	return routes.Handler
 }
 
-// stream proxies a request.
+// stream proxies a request, unless its framing is ambiguous.
 func (daemon *Daemon) stream(request *fasthttp.RequestCtx) {
-	if ambiguous(request.Request.Header.RawHeaders()) {
-		daemon.onMalformed(request, errAmbiguous)
+	if hasAmbiguousFraming(request.Request.Header.RawHeaders()) {
+		daemon.onMalformed(request, errAmbiguousFraming)
 		return
 	}
 	daemon.Handler.Serve(netio.FromHTTP(request))
 }
 
-// serve listens for clients and, if the settings name an address of its own for that, for readiness probes. It returns
-// the clients' server.
+// serve listens for clients and, if the settings hold a separate address for them, for readiness probes. It returns the
+// server for clients.
 func (daemon *Daemon) serve(ctx context.Context) (*fasthttp.Server, error) {
 	server := daemon.newServer()
-	front, err := daemon.listen(ctx, server, daemon.settings.HTTP)
+	listener, err := daemon.listen(ctx, server, daemon.settings.HTTP)
 	if err != nil {
 		return nil, err
 	}
-	daemon.front = front
+	daemon.clientListener = listener
 	if daemon.settings.Readiness == "" {
 		return server, nil
 	}
@@ -97,8 +98,8 @@
 		CloseOnShutdown:    true,
 	}
 	if daemon.adapter != nil {
-		// Name and date are the runner's to send, and a buffer for the longest head of each connection would take too
-		// much memory.
+		// The headers Server and Date come from the runner. Each connection has a read buffer, so that the larger
+		// maximumHeaderSize would take too much memory.
 		server.Name = ""
 		server.NoDefaultServerHeader, server.NoDefaultDate, server.NoDefaultContentType = true, true, true
 		server.ReadBufferSize, server.MaxRequestBodySize = maximumAdaptedHeaderSize, maximumAdaptedBodySize
@@ -125,7 +126,7 @@
 	}
 }
 
-// listen serves an address and returns its listener.
+// listen starts a server at an address and returns its listener.
 func (daemon *Daemon) listen(
 	ctx context.Context, server *fasthttp.Server, address string,
 ) (net.Listener, error) {
@@ -133,22 +134,23 @@
 	if err != nil {
 		return nil, err
 	}
-	closable := &closedOnce{Listener: listener}
+	closable := &onceListener{Listener: listener}
 	go func() {
 		if err := server.Serve(closable); err != nil && !errors.Is(err, net.ErrClosed) {
-			daemon.log.Error("the HTTP side ended", slog.String("address", address), slog.String("cause", err.Error()))
+			daemon.log.Error("HTTP server failed; requests at its address are no longer served",
+				slog.String("address", address), slog.String("cause", err.Error()))
 		}
 	}()
 	return closable, nil
 }
 
-// reject responds with an error to what never became a request of the proxy.
+// reject responds with an error to a request that was not passed to the proxy.
 func (daemon *Daemon) reject(request *fasthttp.RequestCtx, code apierror.Code, detail string) {
 	refusal := codec.Refusal{Code: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
 	daemon.Handler.Codec.Refuse(netio.FromHTTP(request), nil, refusal)
 }
 
-// onMalformed responds to what could not be read as a request, and closes the connection.
+// onMalformed responds with an error to a request that could not be parsed, and closes the connection.
 func (daemon *Daemon) onMalformed(request *fasthttp.RequestCtx, err error) {
 	code := apierror.Malformed
 	var headTooLarge *fasthttp.ErrSmallBuffer
@@ -159,7 +161,7 @@
 	request.SetConnectionClose()
 }
 
-// readiness responds to the platform's question whether to send clients to this daemon.
+// readiness responds to a readiness probe, by which the platform decides whether to send clients to this daemon.
 func (daemon *Daemon) readiness(request *fasthttp.RequestCtx) {
 	if daemon.Handler.Draining.Load() {
 		request.Error("draining\n", fasthttp.StatusServiceUnavailable)
--- a/dataplane/daemon/status.go
+++ b/dataplane/daemon/status.go
@@ -30,7 +30,7 @@
 	PartialView []string                        `json:"cohort"`
 	Runners     []load.Runner                   `json:"runners"`
 	Routes      map[string]metrics.RouteMetrics `json:"lanes"`
-	// Tenants is what was used of the quotas at this daemon, by the tenants' names.
+	// Tenants holds the usage of the quotas at this daemon, by the tenants' names.
 	Tenants    map[string]quota.Usage `json:"tenants,omitempty"`
 	Schedulers map[string]any         `json:"desks"`
 	Index      map[string]uint64      `json:"index"`
@@ -38,7 +38,7 @@
 	Controller controller.Counters    `json:"director"`
 	Wire       map[string]any         `json:"wire"`
 	Directory  int                    `json:"directory"`
-	// Reservations is what this daemon knows of requests that run at most once; nil where it makes no reservations.
+	// Reservations is the state of the reservations of at-most-once requests; nil if they are disabled.
 	Reservations *controller.ReservationStatus `json:"reservations,omitempty"`
 }
 
@@ -85,7 +85,7 @@
 	return status
 }
 
-// schedulerStatus returns the state of each scheduler, by its backend.
+// schedulerStatus returns the state of each scheduler, by the backend's name.
 func (daemon *Daemon) schedulerStatus() map[string]any {
 	states := map[string]any{}
 	daemon.Schedulers(func(backend string, scheduler *scheduler.Scheduler) {
@@ -100,7 +100,7 @@
 	return states
 }
 
-// indexStatus returns the size and the counters of the index of cached blocks.
+// indexStatus returns the size and the counters of the prefix cache index.
 func (daemon *Daemon) indexStatus() map[string]uint64 {
 	indexer := daemon.Handler.Indexer
 	return map[string]uint64{
--- a/dataplane/daemon/stop_test.go
+++ b/dataplane/daemon/stop_test.go
@@ -14,10 +14,10 @@
 	"wardtray/config/process"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is the time after which a test fails if an expected event has not occurred.
 const testTimeout = 10 * time.Second
 
-// freeAddress returns an address at which nobody listens.
+// freeAddress returns an address without a listener.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -30,7 +30,8 @@
 	return listener.Addr().String()
 }
 
-// connect tries until somebody listens at an address, or until nobody does any more.
+// connect dials an address until a connection is accepted, which it returns, or, if listens is false, until one is
+// refused.
 func connect(t *testing.T, address string, listens bool) net.Conn {
 	t.Helper()
 	dialer := &net.Dialer{Timeout: time.Second}
@@ -43,15 +44,14 @@
 			_ = connection.Close() // It has carried nothing.
 		}
 	}
-	t.Fatalf("%s: listening is not %v within %v", address, listens, testTimeout)
+	t.Fatalf("%s: whether a listener accepts connections is not %v within %v", address, listens, testTimeout)
 	return nil
 }
 
-// A stopping daemon accepts no connection once the platform has had its time to send clients elsewhere, and rejects
-// requests on an open one as not executed, while it still finishes those in flight. Found in a load test: when most
-// daemons of a zone stopped at once, clients were sent to them again, and requests accepted six seconds after the order
-// to stop were aborted.
-func TestStoppingDaemonClosesItsFront(t *testing.T) {
+// After the drain time, a draining daemon accepts no connections and refuses requests on open connections as not
+// executed, while it still finishes the requests in flight. Found in a load test: when most daemons of a zone stopped
+// at once, clients were sent to them again, and requests accepted six seconds after the stop signal were aborted.
+func TestDrainingDaemonClosesItsClientListener(t *testing.T) {
 	settings := &process.Settings{
 		Address:    freeAddress(t),
 		HTTP:       freeAddress(t),
@@ -77,7 +77,7 @@
 	requireRejected(t, open)
 	select {
 	case err := <-finished:
-		t.Fatalf("stopped beside a request in flight: %v", err)
+		t.Fatalf("the daemon stopped while a request was in flight: %v", err)
 	default:
 	}
 	daemon.Handler.InFlight.Add(-1)
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("does not stop once all requests are finished")
+		t.Fatal("the daemon does not stop once all requests are finished")
 	}
 }
 
@@ -97,8 +97,8 @@
 	"Wardtray-Prompt-Tokens: 4\r\nWardtray-Answer-Tokens: 4\r\nPrompt-Prefix: a=4\r\n" +
 	"Content-Length: 14\r\n\r\n{\"prompt\":\"x\"}"
 
-// requireRejected sends a request over a connection and requires that it is rejected for the moment and that the
-// connection is closed.
+// requireRejected sends a request over a connection and requires that it is rejected as temporarily unavailable, with a
+// Retry-After header, and that the connection is closed.
 func requireRejected(t *testing.T, connection net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(connection, streamRequest); err != nil {
@@ -114,6 +114,7 @@
 	}
 	retryAfter := response.Header.Get("Retry-After")
 	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || retryAfter == "" {
-		t.Fatalf("%d %v %s", response.StatusCode, response.Header, body)
+		t.Fatalf("response is not a retryable rejection: status %d, header %v, body %s",
+			response.StatusCode, response.Header, body)
 	}
 }
