--- a/features/features.go
+++ b/features/features.go
@@ -1,5 +1,5 @@
-// Package features lists the features by which a daemon decides that can be switched off one at a time, to measure what
-// each is worth; docs/decisions.md holds the measurements. None of them changes what the daemons guarantee.
+// Package features lists the scheduling and proxying features of a daemon that can be disabled one at a time, to
+// measure their effect; docs/decisions.md holds the measurements. None of them changes the guarantees of the daemons.
 package features
 
 import (
@@ -9,20 +9,20 @@
 	"wardtray/apierror"
 )
 
-// Feature is the name of a feature, as the setting without has it.
+// Feature is the name of a feature in the setting without.
 type Feature string
 
 // The features.
 const (
-	// LoadReports polls the load of runners at regular times.
+	// LoadReports polls the load of runners periodically.
 	LoadReports Feature = "reports"
-	// SilenceProbes probes runners from which a response has been outstanding for long without any bytes.
+	// SilenceProbes probes runners that have sent no bytes for some time while a response is outstanding.
 	SilenceProbes Feature = "watch"
 	// LoadHeader uses the load that runners report in the headers of their responses.
 	LoadHeader Feature = "load-header"
-	// PrefixIndex remembers which runner was sent which prefix.
+	// PrefixIndex records which prefixes were sent to which runner.
 	PrefixIndex Feature = "prefix-index"
-	// Homes assigns to each prefix the runners that all daemons prefer for it, by a hash.
+	// Homes assigns to each prefix, by a hash, the runners that all daemons prefer for it.
 	Homes Feature = "homes"
 	// OthersEstimate estimates what other daemons have sent to a runner since its last report.
 	OthersEstimate Feature = "others-estimate"
@@ -32,29 +32,29 @@
 	Interference Feature = "harm"
 	// RecomputeCost adds to a candidate's cost the prefill of shared prefix blocks that it does not have cached.
 	RecomputeCost Feature = "reread-price"
-	// Slowness tracks how much slower than the others a runner responds.
+	// Slowness tracks how much slower a runner responds than the others.
 	Slowness Feature = "slowness"
-	// ZonePreference adds to a candidate's cost that it is in another zone.
+	// ZonePreference adds a cost to candidates in another zone.
 	ZonePreference Feature = "zone-preference"
 	// Urgency sends runners the order in which to process requests.
 	Urgency Feature = "urgency"
-	// ConcurrencyWindow bounds a daemon's requests in flight, and narrows when runners reject some.
+	// ConcurrencyWindow limits a daemon's requests in flight; the limit decreases when runners reject requests.
 	ConcurrencyWindow Feature = "window"
-	// EarlyRejection rejects requests that would be dispatched too late, rather than queueing them.
+	// EarlyRejection refuses requests that would be dispatched too late, instead of queueing them.
 	EarlyRejection Feature = "early-refusal"
-	// Ejection keeps requests from a runner for a time after a failure.
+	// Ejection sends no requests to a runner for some time after a failure.
 	Ejection Feature = "ejection"
-	// WarmUp sends new runners few requests at first (slow start).
+	// WarmUp sends few requests to a new runner at first (slow start).
 	WarmUp Feature = "warm-up"
 	// EarlyRetry retries an idempotent request at another runner while its latency target can still be met.
 	EarlyRetry Feature = "early-retry"
 	// Resumption continues a broken stream at another runner.
 	Resumption Feature = "resumption"
-	// QuotaPrefetch reserves units of quotas before they are needed.
+	// QuotaPrefetch requests quota shares from the head before they are needed.
 	QuotaPrefetch Feature = "tokens-ahead"
 )
 
-// All lists the features, in the order of docs/decisions.md.
+// All lists all features, in the order of docs/decisions.md.
 var All = []Feature{
 	LoadReports,
 	SilenceProbes,
@@ -77,10 +77,11 @@
 	QuotaPrefetch,
 }
 
-// Set holds the features that are switched off; the nil set holds none.
+// Set is the set of disabled features; the nil set is empty.
 type Set map[Feature]bool
 
-// Parse returns the set of names that are separated by commas. An unknown name is an InvalidSettings error listing all.
+// Parse parses the names of the disabled features, separated by commas. An unknown name is an InvalidSettings error
+// whose text lists all names.
 func Parse(text string) (Set, error) {
 	set := Set{}
 	for _, name := range strings.Split(text, ",") {
--- a/features/golden_test.go
+++ b/features/golden_test.go
@@ -7,7 +7,7 @@
 	"wardtray/verify/golden"
 )
 
-// The features keep the names by which the settings switch them off.
+// The names of features in the setting without must not change.
 func TestFeaturesKeepTheirNames(t *testing.T) {
 	var lines strings.Builder
 	for _, name := range All {
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -33,12 +33,12 @@
 		route := RouteMetrics{FirstEvents: map[string]uint64{}}
 		route.ObserveFirstEvent(elapsed)
 		if len(route.FirstEvents) != 1 || route.FirstEvents[bucket] != 1 {
-			t.Errorf("%v is counted as %v", elapsed, route.FirstEvents)
+			t.Errorf("%v is counted in the buckets %v", elapsed, route.FirstEvents)
 		}
 	}
 	route := RouteMetrics{FirstEvents: map[string]uint64{}}
 	if route.ObserveFirstEvent(time.Hour + 1); len(route.FirstEvents) != 0 {
-		t.Errorf("more than the last bound is counted as %v", route.FirstEvents)
+		t.Errorf("a time beyond the last bound is counted in the buckets %v", route.FirstEvents)
 	}
 }
 
@@ -47,6 +47,6 @@
 	registry.Update("a", func(route *RouteMetrics) { route.Outcomes["done"]++ })
 	registry.Routes()["a"].Outcomes["done"]++
 	if ends := registry.Routes()["a"].Outcomes["done"]; ends != 1 {
-		t.Errorf("the copy changes the registry: %d", ends)
+		t.Errorf("a change of the copy changed the registry: %d outcomes", ends)
 	}
 }
--- a/randomseed/randomseed.go
+++ b/randomseed/randomseed.go
@@ -1,4 +1,4 @@
-// Package randomseed draws seeds for the pseudo-random sources of processes.
+// Package randomseed creates seeds for the pseudo-random sources of processes.
 package randomseed
 
 import (
--- a/service/exit.go
+++ b/service/exit.go
@@ -8,10 +8,10 @@
 	"wardtray/config/process"
 )
 
-// exitFailure is the exit code for every error without a code of its own.
+// exitFailure is the exit code for errors without a specific exit code.
 const exitFailure = 1
 
-// exitCode returns the exit code of a process that an error ends.
+// exitCode returns the exit code for an error that ends the process.
 func exitCode(err error) int {
 	if apierror.Is(err, apierror.InvalidSettings) {
 		return process.ExitBadSettings
--- a/service/reload.go
+++ b/service/reload.go
@@ -10,10 +10,10 @@
 	"wardtray/config/process"
 )
 
-// settingsReader reads and checks the settings.
+// settingsReader reads and validates the settings.
 type settingsReader func() (*process.Settings, error)
 
-// reloadOnHangup reloads the settings at each SIGHUP, until the context ends.
+// reloadOnHangup reloads the settings on each SIGHUP, until the context is done.
 func reloadOnHangup(running context.Context, host Host, log *slog.Logger, read settingsReader) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -27,11 +27,12 @@
 	}
 }
 
-// reload reads the settings and hands them to the host. Invalid ones are logged, and the host keeps those that it has.
+// reload reads the settings and passes them to the host, if it is a Reloader. If they are invalid, the error is logged
+// and the host keeps the previous ones.
 func reload(host Host, log *slog.Logger, read settingsReader) {
 	settings, err := read()
 	if err != nil {
-		log.Error("settings not reloaded, the previous ones stay in force", "cause", err.Error())
+		log.Error("reloading settings failed; the previous settings stay in use", "cause", err.Error())
 		return
 	}
 	if reloader, reloads := host.(Reloader); reloads {
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,6 @@
-// Package service is the common main function of the daemons: it reads the settings, makes the log and the daemon, runs
-// it until a signal stops it, reloads the settings on SIGHUP, and ends the process with an exit code.
+// Package service provides the main function that all daemons share: it reads the settings, creates the logger and the
+// daemon, runs the daemon until a signal stops it, reloads the settings on SIGHUP, and ends the process with an exit
+// code.
 package service
 
 import (
@@ -17,25 +18,26 @@
 
 // Host is the process of a daemon.
 type Host interface {
-	// Run serves until the context ends, then stops in order: it drains what it has accepted before it returns.
+	// Run serves until the context is done, then shuts down gracefully: it finishes the requests that it has accepted
+	// before it returns.
 	Run(running context.Context) error
 }
 
-// Reloader is a Host that accepts changed settings while it runs.
+// Reloader is implemented by a Host that accepts changed settings while it runs.
 type Reloader interface {
-	// Reload replaces the settings by others that passed their check.
+	// Reload replaces the settings. The new ones have been validated.
 	Reload(settings *process.Settings)
 }
 
-// memoryLimitShare is the part of the memory of a process that the runtime's limit covers; the rest is for stacks,
-// sockets and what has arrived but is not read yet.
+// memoryLimitShare is the runtime's memory limit as a share of the setting memory_megabytes. The rest is left for
+// stacks, sockets and received data that has not been read yet.
 const memoryLimitShare = 0.7
 
-// bytesPerMegabyte is the unit of the setting memory_megabytes.
+// bytesPerMegabyte is the unit of the setting memory_megabytes in bytes.
 const bytesPerMegabyte = 1 << 20
 
-// Main is the main function of a daemon. SIGTERM and SIGINT stop it, SIGHUP reloads its settings. Invalid settings end
-// the process with process.ExitBadSettings, any other error with exitFailure.
+// Main is the main function of a daemon. SIGTERM and SIGINT stop the daemon, SIGHUP reloads its settings. Invalid
+// settings end the process with the exit code process.ExitBadSettings, any other error with exitFailure.
 func Main[Daemon Host](
 	name, help string,
 	needs process.Requirements,
@@ -67,7 +69,7 @@
 	}
 }
 
-// limitMemory sets the runtime's memory limit, if the settings bound the memory of the process.
+// limitMemory sets the runtime's memory limit, if the settings limit the memory of the process.
 func limitMemory(settings *process.Settings) {
 	if settings.MemoryMegabytes > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMegabytes*bytesPerMegabyte)))
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -11,12 +11,12 @@
 	"wardtray/config/process"
 )
 
-// plainHost is a host that can't reload its settings.
+// plainHost is a Host that is no Reloader.
 type plainHost struct{}
 
 func (plainHost) Run(context.Context) error { return nil }
 
-// reloadingHost remembers the settings that it was given last.
+// reloadingHost is a Reloader that keeps the last settings passed to Reload.
 type reloadingHost struct {
 	plainHost
 	settings *process.Settings
@@ -32,14 +32,14 @@
 	log := slog.New(slog.NewTextHandler(&lines, nil))
 	host := &reloadingHost{}
 	if reload(host, log, fail); host.settings != nil || !strings.Contains(lines.String(), "cause=unreadable") {
-		t.Errorf("settings %v after a failure; log %s", host.settings, lines.String())
+		t.Errorf("after a failed read: settings %v, want none; log %s", host.settings, lines.String())
 	}
 	if reload(host, log, read); host.settings != changed {
-		t.Errorf("settings %v", host.settings)
+		t.Errorf("after a successful read: settings %v", host.settings)
 	}
 	lines.Reset()
 	if reload(plainHost{}, log, read); !strings.Contains(lines.String(), "level=INFO") {
-		t.Errorf("log of a host without Reload: %s", lines.String())
+		t.Errorf("host without Reload: no line at level INFO in the log: %s", lines.String())
 	}
 }
 
@@ -50,7 +50,7 @@
 		errors.New("without a code"):                   exitFailure,
 	} {
 		if got := exitCode(err); got != want {
-			t.Errorf("%v: %d instead of %d", err, got, want)
+			t.Errorf("%v: exit code %d, want %d", err, got, want)
 		}
 	}
 }
