--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -57,7 +57,7 @@
 }
 
 // handleRunnerUpdate adopts the runners of a peer. If the update holds all runners of the head and this daemon may not
-// dispatch, it requests a lease again: the last one may have been rejected because the runners differed.
+// dispatch, it requests a lease again: the last one may not have counted because the runners differed.
 func (controller *Controller) handleRunnerUpdate(now time.Time, envelope *wire.Envelope) {
 	complete := controller.runnerSync.handleUpdate(now, envelope.From, envelope.GetRunnerUpdate())
 	if complete && !now.Before(controller.Until(now)) && controller.leases.isHead(envelope.From) {
--- a/dataplane/daemon/http.go
+++ b/dataplane/daemon/http.go
@@ -53,7 +53,7 @@
 	routes.GET(readinessPath, daemon.readiness)
 	routes.GET(statusPath, daemon.status)
 	routes.NotFound = func(request *fasthttp.RequestCtx) {
-		daemon.reject(request, apierror.NotFound, string(request.Path()))
+		daemon.refuse(request, apierror.NotFound, string(request.Path()))
 	}
 	return routes.Handler
 }
@@ -144,8 +144,8 @@
 	return closable, nil
 }
 
-// reject responds with an error to a request that was not passed to the proxy.
-func (daemon *Daemon) reject(request *fasthttp.RequestCtx, code apierror.Code, detail string) {
+// refuse responds with an error to a request that was not passed to the proxy.
+func (daemon *Daemon) refuse(request *fasthttp.RequestCtx, code apierror.Code, detail string) {
 	refusal := codec.Refusal{Code: code, Detail: detail, Ran: scheduler.DidNotRun, DidNotRun: true}
 	daemon.Handler.Codec.Refuse(netio.FromHTTP(request), nil, refusal)
 }
@@ -157,7 +157,7 @@
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) || errors.As(err, &headTooLarge) {
 		code = apierror.TooLarge
 	}
-	daemon.reject(request, code, err.Error())
+	daemon.refuse(request, code, err.Error())
 	request.SetConnectionClose()
 }
 
--- a/dataplane/daemon/status.go
+++ b/dataplane/daemon/status.go
@@ -46,7 +46,7 @@
 func (daemon *Daemon) status(request *fasthttp.RequestCtx) {
 	content, err := json.Marshal(daemon.currentStatus(time.Now()))
 	if err != nil {
-		daemon.reject(request, apierror.Internal, err.Error())
+		daemon.refuse(request, apierror.Internal, err.Error())
 		return
 	}
 	request.SetContentType("application/json")
--- a/dataplane/daemon/stop_test.go
+++ b/dataplane/daemon/stop_test.go
@@ -44,7 +44,7 @@
 			_ = connection.Close() // It has carried nothing.
 		}
 	}
-	t.Fatalf("%s: whether a listener accepts connections is not %v within %v", address, listens, testTimeout)
+	t.Fatalf("%s: listening did not become %v within %v", address, listens, testTimeout)
 	return nil
 }
 
@@ -74,7 +74,7 @@
 	daemon.Handler.InFlight.Add(1)
 	stop()
 	connect(t, settings.HTTP, false)
-	requireRejected(t, open)
+	requireRefused(t, open)
 	select {
 	case err := <-finished:
 		t.Fatalf("the daemon stopped while a request was in flight: %v", err)
@@ -97,9 +97,9 @@
 	"Wardtray-Prompt-Tokens: 4\r\nWardtray-Answer-Tokens: 4\r\nPrompt-Prefix: a=4\r\n" +
 	"Content-Length: 14\r\n\r\n{\"prompt\":\"x\"}"
 
-// requireRejected sends a request over a connection and requires that it is rejected as temporarily unavailable, with a
+// requireRefused sends a request over a connection and requires that it is refused as temporarily unavailable, with a
 // Retry-After header, and that the connection is closed.
-func requireRejected(t *testing.T, connection net.Conn) {
+func requireRefused(t *testing.T, connection net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(connection, streamRequest); err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 	}
 	retryAfter := response.Header.Get("Retry-After")
 	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || retryAfter == "" {
-		t.Fatalf("response is not a retryable rejection: status %d, header %v, body %s",
+		t.Fatalf("response is not a retryable refusal: status %d, header %v, body %s",
 			response.StatusCode, response.Header, body)
 	}
 }
