--- a/proxy/admission/body.go
+++ b/proxy/admission/body.go
@@ -9,15 +9,15 @@
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename body_easyjson.go body.go
 
-// Body is the JSON body of a request.
+// Body is the JSON body of a request. Unknown fields are rejected.
 //
 //easyjson:json
 type Body struct {
-	// Prompt is the text that the model answers; it must not be empty.
+	// Prompt is the input text of the model; it must not be empty.
 	Prompt string `json:"prompt"`
 }
 
-// checkBody checks the size and the JSON of a request's body, which is forwarded unchanged.
+// checkBody validates the size and the JSON of a request body. The body itself is forwarded unchanged.
 func checkBody(content []byte) error {
 	if len(content) > MaximumBody {
 		return apierror.New(apierror.TooLarge, "a body of %d bytes; at most %d", len(content), MaximumBody)
--- a/proxy/admission/golden_test.go
+++ b/proxy/admission/golden_test.go
@@ -8,7 +8,8 @@
 	"wardtray/verify/golden"
 )
 
-// The headers of a request keep their names, which stand here as clients send them, and their meaning.
+// Clients depend on the names of the request headers and on the field that each one sets. The names are spelled out
+// here as clients send them, so that a changed constant fails the test.
 func TestHeadersKeepTheirMeaning(t *testing.T) {
 	headers := map[string][]string{
 		"Wardtray-Lane":          {"lane"},
@@ -23,22 +24,22 @@
 		"Authorization":          {"Bearer key"},
 	}
 	body := []byte(`{"prompt":"text"}`)
-	read, err := Parse(func(name string) []string { return headers[name] }, body)
-	wanted := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
+	got, err := Parse(func(name string) []string { return headers[name] }, body)
+	want := &Request{Route: "lane", Model: "model", Adapter: "adapter", ID: "request", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: body,
 		Timeout: 1500 * time.Millisecond, LastEventID: 7, Secret: "key", TokensGiven: true}
-	if err != nil || !reflect.DeepEqual(read, wanted) {
-		t.Errorf("%v, %+v", err, read)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("Parse returned error %v and request %+v", err, got)
 	}
 	for constant, name := range map[string]string{HeaderRunner: "Wardtray-Runner", HeaderEpoch: "Wardtray-Epoch",
 		HeaderDaemon: "Wardtray-Daemon", HeaderTenant: "Wardtray-Tenant"} {
 		if constant != name {
-			t.Errorf("%s instead of %s", constant, name)
+			t.Errorf("header name %q, want %q", constant, name)
 		}
 	}
 }
 
-// The body keeps its keys.
+// Clients depend on the JSON keys of the request body.
 func TestBodyKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "body", golden.Marshal[Body])
 }
--- a/proxy/admission/headers.go
+++ b/proxy/admission/headers.go
@@ -7,7 +7,7 @@
 	"wardtray/apierror"
 )
 
-// Headers of a request from a client, and of the one that is sent to a runner.
+// Headers of requests from clients and to runners.
 const (
 	HeaderRoute   = "Wardtray-Lane"
 	HeaderModel   = "Wardtray-Model"
@@ -22,8 +22,8 @@
 	HeaderWait    = "Wardtray-Wait"
 	HeaderAfter   = "Wardtray-After"
 	HeaderTenant  = "Wardtray-Tenant"
-	// HeaderAttempt has the number of the sending, 1 for the first, and HeaderTerm the newest term that the client knew
-	// when it sent the request for the first time, as responses state it.
+	// HeaderAttempt is the number of the client attempt, 1 for the first. HeaderTerm is the newest term that the client
+	// knew from responses when it made the first attempt.
 	HeaderAttempt = "Wardtray-Attempt"
 	HeaderTerm    = "Wardtray-Term"
 	// HeaderAuthorization carries a tenant's key, as in "Bearer KEY".
@@ -34,25 +34,25 @@
 const schemeBearer = "Bearer"
 
 const (
-	// firstPrintable is the first character of ASCII that is no control character, and deleteCharacter the last that
-	// is one.
+	// firstPrintable is the first ASCII character that is not a control character; deleteCharacter is the only control
+	// character above it.
 	firstPrintable  = ' '
 	deleteCharacter = 0x7f
 )
 
-// Credential returns the secret of an Authorization header; found is false where its scheme is another or it has no
-// secret.
+// Credential returns the secret of an Authorization header value. found is false if the scheme differs or the secret is
+// empty.
 func Credential(value, scheme string) (secret string, found bool) {
 	actualScheme, secret, found := strings.Cut(value, " ")
 	secret = strings.TrimSpace(secret)
 	return secret, found && strings.EqualFold(actualScheme, scheme) && secret != ""
 }
 
-// Header returns the values of one header, one for each time that it was sent.
+// Header returns the values of the header with the given name, one for each header line.
 type Header func(name string) []string
 
-// single returns the value of a header that may be sent once, and an apierror.Malformed where it was sent more often,
-// is missing though required, or is not a valid name.
+// single returns the value of a header that may occur once. It returns an apierror.Malformed if the header occurs more
+// often, is required and missing, or has an invalid value.
 func (header Header) single(name string, required bool) (string, error) {
 	values := header(name)
 	if len(values) > 1 {
@@ -71,6 +71,7 @@
 	return values[0], nil
 }
 
+// isValidName reports whether a value is UTF-8 without control characters and not longer than MaximumName.
 func isValidName(value string) bool {
 	return len(value) <= MaximumName && utf8.ValidString(value) && !strings.ContainsFunc(value, isControl)
 }
--- a/proxy/admission/headers_test.go
+++ b/proxy/admission/headers_test.go
@@ -14,7 +14,7 @@
 	} {
 		secret, found := Credential(value, schemeBearer)
 		if found != (want != "") || found && secret != want {
-			t.Errorf("%q: %q, %v instead of %q", value, secret, found, want)
+			t.Errorf("%q: secret %q, found %v, want %q", value, secret, found, want)
 		}
 	}
 }
--- a/proxy/admission/parse.go
+++ b/proxy/admission/parse.go
@@ -1,6 +1,6 @@
-// Package admission reads a request of the product's own interface and checks it completely, before anything else
-// happens to it. Every error it returns is an apierror of kind Malformed or TooLarge and names the header or the part
-// of the body that is wrong; the first one found is returned.
+// Package admission parses and validates requests of wardtray's native interface before any other processing. Its
+// errors are apierrors with the code Malformed or TooLarge and name the invalid header or part of the body; only the
+// first error found is returned.
 package admission
 
 import (
@@ -13,14 +13,14 @@
 	"wardtray/apierror"
 )
 
-// nameHeader is a header whose value is a text that goes into a request.
+// nameHeader describes a header whose value is copied to target.
 type nameHeader struct {
 	name     string
 	target   *string
 	required bool
 }
 
-// countHeader is a header whose value is a number from 1 to maximum.
+// countHeader describes a header whose value is a number from 1 to maximum; it is stored in target.
 type countHeader struct {
 	name     string
 	target   *int
@@ -28,7 +28,7 @@
 	required bool
 }
 
-// Parse checks the headers and the body of a request and returns it, or the first error found.
+// Parse validates the headers and the body of a request. It returns the request, or the first error found.
 func Parse(header Header, body []byte) (*Request, error) {
 	request := &Request{TokensGiven: true}
 	if err := request.parseNames(header); err != nil {
@@ -54,27 +54,27 @@
 	return request, nil
 }
 
-// parseNames reads the headers that name something.
+// parseNames parses the headers that identify the route, the model, the adapter and the request.
 func (request *Request) parseNames(header Header) error {
-	for _, wanted := range []nameHeader{
+	for _, named := range []nameHeader{
 		{HeaderRoute, &request.Route, true},
 		{HeaderModel, &request.Model, true},
 		{HeaderAdapter, &request.Adapter, false},
 		{HeaderRequest, &request.ID, true},
 	} {
-		value, err := header.single(wanted.name, wanted.required)
+		value, err := header.single(named.name, named.required)
 		if err != nil {
 			return err
 		}
-		*wanted.target = value
+		*named.target = value
 	}
 	return nil
 }
 
-// parseCounts reads the headers that hold a number.
+// parseCounts parses the headers whose values are numbers.
 func (request *Request) parseCounts(header Header) error {
 	waitMilliseconds, term := 0, 0
-	for _, wanted := range []countHeader{
+	for _, counted := range []countHeader{
 		{HeaderPrompt, &request.PromptTokens, MaximumTokens, true},
 		{HeaderAnswer, &request.AnswerTokens, MaximumTokens, true},
 		{HeaderWait, &waitMilliseconds, MaximumTimeoutMilliseconds, false},
@@ -82,7 +82,7 @@
 		{HeaderAttempt, &request.Attempt, MaximumAttempt, false},
 		{HeaderTerm, &term, MaximumTerm, false},
 	} {
-		if err := wanted.parse(header); err != nil {
+		if err := counted.parse(header); err != nil {
 			return err
 		}
 	}
@@ -91,22 +91,23 @@
 	return nil
 }
 
-// parse stores the number, and leaves the target as it is where an optional header is missing.
-func (wanted countHeader) parse(header Header) error {
-	value, err := header.single(wanted.name, wanted.required)
+// parse stores the number in the target. If an optional header is missing, the target keeps its value.
+func (counted countHeader) parse(header Header) error {
+	value, err := header.single(counted.name, counted.required)
 	if err != nil || value == "" {
 		return err
 	}
 	number, err := strconv.Atoi(value)
-	if err != nil || number < 1 || number > wanted.maximum {
-		return apierror.New(apierror.Malformed, "%s: %q is no count from 1 to %d", wanted.name, clip(value), wanted.maximum)
+	if err != nil || number < 1 || number > counted.maximum {
+		return apierror.New(apierror.Malformed, "%s: %q is no count from 1 to %d",
+			counted.name, clip(value), counted.maximum)
 	}
-	*wanted.target = number
+	*counted.target = number
 	return nil
 }
 
-// parsePrefix reads the parts of the prompt's prefix: "name=tokens" pairs separated by commas, in order, over one
-// header or several. Together they can't be longer than the prompt.
+// parsePrefix parses the parts of the prompt's prefix: comma-separated "name=tokens" pairs, in order, in one or several
+// header lines. Together they can't have more tokens than the prompt.
 func (request *Request) parsePrefix(values []string) error {
 	total := 0
 	for _, value := range values {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// parsePart reads one "name=tokens" pair.
+// parsePart parses one "name=tokens" pair.
 func parsePart(pair string) (name string, tokens int, err error) {
 	name, count, found := strings.Cut(pair, "=")
 	tokens, err = strconv.Atoi(count)
@@ -141,10 +142,10 @@
 	return name, tokens, nil
 }
 
-// clippedLength bounds what an error repeats of an invalid value, in characters.
+// clippedLength is the maximum length of an invalid value quoted in an error, in characters.
 const clippedLength = 64
 
-// clip shortens a value for an error and replaces bytes that are not UTF-8.
+// clip shortens a value for an error message and replaces invalid UTF-8 with question marks.
 func clip(text string) string {
 	if len(text) > clippedLength {
 		return fmt.Sprintf("%.*s...", clippedLength, strings.ToValidUTF8(text, "?"))
--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -8,7 +8,7 @@
 	"wardtray/apierror"
 )
 
-// validHeaders returns the headers of a valid request.
+// validHeaders returns a new copy of the headers of a valid request.
 func validHeaders() map[string][]string {
 	return map[string][]string{
 		HeaderRoute:   {"l"},
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if strings.Join(request.Parts, " ") != "system rheolau more" || request.PartTokens[1] != 20 {
-		t.Fatalf("parts %v %v", request.Parts, request.PartTokens)
+		t.Fatalf("parsed parts %v with token counts %v", request.Parts, request.PartTokens)
 	}
 }
 
@@ -103,7 +103,7 @@
 		err,
 		apierror.TooLarge,
 	) {
-		t.Errorf("a large body: %v", err)
+		t.Errorf("body larger than the limit: %v", err)
 	}
 }
 
@@ -124,7 +124,7 @@
 			total += tokens
 		}
 		if total > request.PromptTokens || len(request.Parts) != len(request.PartTokens) {
-			t.Fatal("a prefix that is longer than its prompt")
+			t.Fatal("the prefix has more tokens than the prompt, or parts without a token count")
 		}
 	})
 }
