--- a/proxy/codec/attribution.go
+++ b/proxy/codec/attribution.go
@@ -1,21 +1,21 @@
 package codec
 
-// Attribution is whose response it is by the ids that it carries back.
+// Attribution classifies a response by the request ids that it echoes.
 type Attribution int
 
 // The attributions of a response.
 const (
-	// Unnamed: it carries no id.
+	// Unnamed: the response carries no id.
 	Unnamed Attribution = iota
-	// Own: it carries the id of the request, once or more, and no other.
+	// Own: the response carries the id of the request, once or more, and no other.
 	Own
-	// Foreign: it carries ids of other requests alone.
+	// Foreign: the response carries only ids of other requests.
 	Foreign
-	// Mixed: it carries the id of the request and others.
+	// Mixed: the response carries the id of the request and others.
 	Mixed
 )
 
-// Attribute compares the ids that a response carries back with that of the request.
+// Attribute compares the ids that a response echoes with the id of the request.
 func Attribute(ids [][]byte, id string) Attribution {
 	own := 0
 	for _, found := range ids {
--- a/proxy/codec/attribution_test.go
+++ b/proxy/codec/attribution_test.go
@@ -26,13 +26,13 @@
 			ids = append(ids, []byte(id))
 		}
 		if got := Attribute(ids, "a"); got != test.want {
-			t.Errorf("%s: %d instead of %d", name, got, test.want)
+			t.Errorf("%s: attribution %d, want %d", name, got, test.want)
 		}
 	}
 }
 
-// A runner may carry the id of the request back. What then names another one is not taken for the answer, whatever it
-// says; runners that carry none are believed by their order, as before.
+// A runner may echo the id of the request. A response with the id of another request is a late one and must not be
+// relayed to this client, whatever its status. Runners that echo no id are matched by the order of their responses.
 func TestNativeResponsesNameTheirRequest(t *testing.T) {
 	request := &admission.Request{ID: "a"}
 	for name, test := range map[string]struct {
@@ -55,10 +55,10 @@
 			response.Header.Add(admission.HeaderRequest, id)
 		}
 		if got := (Native{}).Classify(response, request, Attempt{}).Disposition; got != test.want {
-			t.Errorf("%s: %s instead of %s", name, got, test.want)
+			t.Errorf("%s: disposition %q, want %q", name, got, test.want)
 		}
 		if answers := (Native{}).AnswersRequest(response); answers != (len(test.ids) > 0) {
-			t.Errorf("%s: answers a request: %t", name, answers)
+			t.Errorf("%s: AnswersRequest returned %t", name, answers)
 		}
 	}
 }
--- a/proxy/codec/golden_test.go
+++ b/proxy/codec/golden_test.go
@@ -14,20 +14,20 @@
 	"wardtray/verify/golden"
 )
 
-// goldenRun is one attempt with every field set that is sent.
-func goldenRun() (*admission.Request, Attempt) {
+// goldenAttempt returns a request and an attempt with every field set that is sent to a runner.
+func goldenAttempt() (*admission.Request, Attempt) {
 	request := &admission.Request{ID: "request", Route: "lane", Model: "model", Adapter: "adapter", PromptTokens: 100,
 		AnswerTokens: 10, Parts: []string{"system", "more"}, PartTokens: []int{40, 20}, Body: []byte(`{"prompt":"text"}`)}
 	return request, Attempt{Runner: load.Runner{ID: "runner", Address: "127.0.0.1:8001"}, Daemon: "daemon", Epoch: 7,
 		Remaining: 1500 * time.Millisecond, LastEventID: 3, Tenant: "tenant"}
 }
 
-// What goes out to a runner, and the head of an answer, keep their headers.
+// Runners depend on the bytes of an outgoing request, and clients on the head of a response.
 func TestHeadersKeepTheirNames(t *testing.T) {
-	request, run := goldenRun()
-	outgoing := strings.ReplaceAll(string(Native{}.EncodeRequest(request, run)), "\r\n", "\n")
+	request, attempt := goldenAttempt()
+	outgoing := strings.ReplaceAll(string(Native{}.EncodeRequest(request, attempt)), "\r\n", "\n")
 	golden.Compare(t, "outgoing.txt", outgoing+"\n")
-	status, headers := Native{}.ResponseHeaders(nil, request, run)
+	status, headers := Native{}.ResponseHeaders(nil, request, attempt)
 	var lines strings.Builder
 	fmt.Fprintln(&lines, status)
 	for _, header := range headers {
@@ -36,29 +36,29 @@
 	golden.Compare(t, "head.txt", lines.String())
 }
 
-// Each kind of refusal keeps its HTTP status.
+// Clients depend on the HTTP status of each error code.
 func TestRefusalsKeepTheirStatuses(t *testing.T) {
 	var lines strings.Builder
-	for _, kind := range slices.Sorted(maps.Keys(statuses)) {
-		fmt.Fprintf(&lines, "%s %d\n", kind, statuses[kind])
+	for _, code := range slices.Sorted(maps.Keys(statuses)) {
+		fmt.Fprintf(&lines, "%s %d\n", code, statuses[code])
 	}
 	golden.Compare(t, "statuses.txt", lines.String())
 }
 
-// A refusal keeps its keys, and the event that ends a broken stream its form.
+// Clients depend on the JSON keys of a refusal and on the format of the event that ends an incomplete stream.
 func TestRefusalKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "refusal", golden.Marshal[Refusal])
-	broken := Native{}.ErrorEvent(
+	errorEvent := Native{}.ErrorEvent(
 		4,
 		Refusal{Code: apierror.RunFailed, Detail: "detail", Ran: "yes", RetryAfter: time.Second},
 	)
-	golden.Compare(t, "broken.txt", string(broken))
+	golden.Compare(t, "broken.txt", string(errorEvent))
 }
 
-// A load report keeps its keys, and the paths of a runner stay.
+// Runners depend on the JSON keys of a load report and on the paths of their endpoints.
 func TestReportKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "report", golden.Marshal[load.Report])
 	if (Native{}).IdentityPath() != "/identity" || (Native{}).LoadPath() != "/pressure" {
-		t.Errorf("asked at %s and %s", Native{}.IdentityPath(), Native{}.LoadPath())
+		t.Errorf("identity path %s, load path %s", Native{}.IdentityPath(), Native{}.LoadPath())
 	}
 }
--- a/proxy/codec/native.go
+++ b/proxy/codec/native.go
@@ -16,7 +16,7 @@
 	"wardtray/transport/netio"
 )
 
-// Paths of a runner.
+// Paths of a runner's endpoints.
 const (
 	pathRun      = "/run"
 	pathIdentity = "/identity"
@@ -29,12 +29,12 @@
 	typeJSON          = "application/json"
 )
 
-// Native is the codec of wardtray's own interface, docs/interface.md.
+// Native is the codec of wardtray's own interface, which docs/interface.md specifies.
 type Native struct{}
 
 var _ Codec = Native{}
 
-// statuses are the HTTP statuses of refusals.
+// statuses maps the error code of a refusal to its HTTP status.
 var statuses = map[apierror.Code]int{
 	apierror.Malformed:               fasthttp.StatusBadRequest,
 	apierror.TooLarge:                fasthttp.StatusRequestEntityTooLarge,
@@ -57,15 +57,15 @@
 	apierror.Internal:                fasthttp.StatusInternalServerError,
 }
 
-// statusClientClosedRequest is nginx's status for a client that closed its connection; HTTP has none.
+// statusClientClosedRequest is nginx's status for a client that closed its connection; HTTP defines none.
 const statusClientClosedRequest = 499
 
-// Read parses the headers and the body of a request.
+// Read parses the headers and the body of a client's request.
 func (Native) Read(client netio.Client) (*admission.Request, error) {
 	return admission.Parse(client.Header, client.Body())
 }
 
-// Refuse writes the JSON of a refusal under the status of its code, with a Retry-After header in whole seconds.
+// Refuse writes a refusal as JSON with the status of its code. The Retry-After header is rounded up to whole seconds.
 func (Native) Refuse(client netio.Client, _ *admission.Request, refusal Refusal) {
 	headers := []netio.Header{{Name: headerContentType, Value: typeJSON}}
 	if refusal.RetryAfter > 0 {
@@ -76,7 +76,7 @@
 	client.Respond(statuses[refusal.Code], headers, refusal.encode())
 }
 
-// appendTerm appends the term to the headers of a response, if there is one.
+// appendTerm appends the term header to the headers of a response, unless the term is 0.
 func appendTerm(headers []netio.Header, term uint64) []netio.Header {
 	if term == 0 {
 		return headers
@@ -84,30 +84,30 @@
 	return append(headers, netio.Header{Name: admission.HeaderTerm, Value: strconv.FormatUint(term, 10)})
 }
 
-// ResponseHeaders names the runner, the epoch and the term.
-func (Native) ResponseHeaders(_ *fasthttp.Response, _ *admission.Request, run Attempt) (int, []netio.Header) {
+// ResponseHeaders returns the headers of an event stream, with the runner, the epoch and the term.
+func (Native) ResponseHeaders(_ *fasthttp.Response, _ *admission.Request, attempt Attempt) (int, []netio.Header) {
 	return fasthttp.StatusOK, appendTerm([]netio.Header{
 		{Name: headerContentType, Value: "text/event-stream"},
 		{Name: "Cache-Control", Value: "no-store"},
-		{Name: admission.HeaderRunner, Value: run.Runner.ID},
-		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)},
-	}, run.Term)
+		{Name: admission.HeaderRunner, Value: attempt.Runner.ID},
+		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(attempt.Epoch, 10)},
+	}, attempt.Term)
 }
 
-// ErrorEvent returns an error event.
+// ErrorEvent returns an event with the name "error" and the JSON of the refusal.
 func (Native) ErrorEvent(last int, refusal Refusal) []byte {
 	return stream.Event{ID: last + 1, Name: "error", Data: refusal.encode()}.Bytes()
 }
 
-// EncodeRequest returns the request to a runner as docs/interface.md specifies it.
-func (Native) EncodeRequest(request *admission.Request, run Attempt) []byte {
+// EncodeRequest returns the request to a runner as specified in docs/interface.md.
+func (Native) EncodeRequest(request *admission.Request, attempt Attempt) []byte {
 	outgoing := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(outgoing)
 	outgoing.Header.SetMethod(fasthttp.MethodPost)
 	outgoing.SetRequestURI(pathRun)
-	outgoing.Header.SetHost(run.Runner.Address)
+	outgoing.Header.SetHost(attempt.Runner.Address)
 	outgoing.Header.SetContentType(typeJSON)
-	setRunnerHeaders(&outgoing.Header, request, run)
+	setRunnerHeaders(&outgoing.Header, request, attempt)
 	for index, part := range request.Parts {
 		outgoing.Header.Add(admission.HeaderPrefix, part+"="+strconv.Itoa(request.PartTokens[index]))
 	}
@@ -118,21 +118,21 @@
 	return content.Bytes()
 }
 
-// setRunnerHeaders sets the headers of a request to a runner in their order; one without a value is left out.
-func setRunnerHeaders(outgoing *fasthttp.RequestHeader, request *admission.Request, run Attempt) {
+// setRunnerHeaders sets the headers of a request to a runner in a fixed order. Headers with an empty value are omitted.
+func setRunnerHeaders(outgoing *fasthttp.RequestHeader, request *admission.Request, attempt Attempt) {
 	for _, header := range []netio.Header{
 		{Name: admission.HeaderRoute, Value: request.Route},
 		{Name: admission.HeaderModel, Value: request.Model},
 		{Name: admission.HeaderAdapter, Value: request.Adapter},
 		{Name: admission.HeaderRequest, Value: request.ID},
-		{Name: admission.HeaderRunner, Value: run.Runner.ID},
-		{Name: admission.HeaderDaemon, Value: run.Daemon},
-		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(run.Epoch, 10)},
+		{Name: admission.HeaderRunner, Value: attempt.Runner.ID},
+		{Name: admission.HeaderDaemon, Value: attempt.Daemon},
+		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(attempt.Epoch, 10)},
 		{Name: admission.HeaderPrompt, Value: strconv.Itoa(request.PromptTokens)},
 		{Name: admission.HeaderAnswer, Value: strconv.Itoa(request.AnswerTokens)},
-		{Name: admission.HeaderTenant, Value: run.Tenant},
-		{Name: admission.HeaderWait, Value: optionalCount(int(run.Remaining.Milliseconds()))},
-		{Name: admission.HeaderAfter, Value: optionalCount(run.LastEventID)},
+		{Name: admission.HeaderTenant, Value: attempt.Tenant},
+		{Name: admission.HeaderWait, Value: optionalCount(int(attempt.Remaining.Milliseconds()))},
+		{Name: admission.HeaderAfter, Value: optionalCount(attempt.LastEventID)},
 	} {
 		if header.Value != "" {
 			outgoing.Set(header.Name, header.Value)
@@ -140,7 +140,7 @@
 	}
 }
 
-// optionalCount formats a number, and returns nothing for one that is not set.
+// optionalCount formats a positive number and returns an empty string for any other.
 func optionalCount(number int) string {
 	if number <= 0 {
 		return ""
@@ -150,12 +150,12 @@
 
 // rejection is the body with which a runner rejects a request.
 type rejection struct {
-	// Started says whether the runner began the run; nil where it does not say.
+	// Started reports whether the runner started the run; nil if it does not state that.
 	Started *bool `json:"started"`
 }
 
-// Classify takes only a runner's own statement that it did not start the run as a rejection. A response that carries
-// the id of another request back is that one's, come late; one that carries none is taken by its order.
+// Classify returns NotExecuted only if the runner itself states that it did not start the run. A response with the id
+// of another request is that request's late response; a response without an id is matched by its order.
 func (Native) Classify(response *fasthttp.Response, request *admission.Request, _ Attempt) ResponseHead {
 	switch Attribute(response.Header.PeekAll(admission.HeaderRequest), request.ID) {
 	case Foreign:
@@ -167,26 +167,26 @@
 	if response.StatusCode() == fasthttp.StatusOK {
 		return ResponseHead{Disposition: Streams}
 	}
-	stated := rejection{}
-	if err := json.Unmarshal(response.Body(), &stated); err == nil && stated.Started != nil && !*stated.Started {
+	rejected := rejection{}
+	if err := json.Unmarshal(response.Body(), &rejected); err == nil && rejected.Started != nil && !*rejected.Started {
 		return ResponseHead{Disposition: NotExecuted}
 	}
 	return ResponseHead{Disposition: Unclear}
 }
 
-// Rules are those of sequential ids.
+// Rules returns the rules for sequential event ids.
 func (Native) Rules() stream.Rules { return stream.Rules{Sequential: true} }
 
-// SingleUse is false: a client that does not know what became of a request sends it again under its id.
+// SingleUse returns false: a client that does not know the outcome of a request retries it with the same id.
 func (Native) SingleUse() bool { return false }
 
-// IdentityPath is requested on each connection.
+// IdentityPath returns the path that is requested on each new connection.
 func (Native) IdentityPath() string { return pathIdentity }
 
-// LoadPath is where a runner reports its load.
+// LoadPath returns the path of a runner's load report.
 func (Native) LoadPath() string { return pathLoad }
 
-// ReportTTL is 0: only probes report the load of a runner.
+// ReportTTL returns 0: only responses to probes carry load reports.
 func (Native) ReportTTL() time.Duration { return 0 }
 
 // ParseReport parses the JSON of a load report.
@@ -195,7 +195,7 @@
 	return report, apierror.Wrap(json.Unmarshal(content, &report), apierror.Unreachable, "its pressure is no JSON")
 }
 
-// AnswersRequest reports whether a response to a probe names a request, which the answer to a probe does not.
+// AnswersRequest reports whether a response names a request; the response to a probe does not.
 func (Native) AnswersRequest(response *fasthttp.Response) bool {
 	return len(response.Header.Peek(admission.HeaderRequest)) > 0
 }
--- a/proxy/codec/native_bench_test.go
+++ b/proxy/codec/native_bench_test.go
@@ -12,10 +12,10 @@
 	"wardtray/transport/netio"
 )
 
-// promptLength is that of the benchmarked prompt, in bytes.
+// promptLength is the length of the benchmarked prompt, in bytes.
 const promptLength = 4000
 
-// benchmarkedRequest is a client's request.
+// benchmarkedRequest returns a client's request with a prompt of promptLength bytes.
 func benchmarkedRequest() *fasthttp.RequestCtx {
 	request := &fasthttp.RequestCtx{}
 	for name, value := range map[string]string{
--- a/proxy/codec/native_test.go
+++ b/proxy/codec/native_test.go
@@ -16,18 +16,18 @@
 	"wardtray/transport/netio"
 )
 
-// parseResponse reads a response from its bytes.
+// parseResponse parses a raw HTTP response.
 func parseResponse(t *testing.T, raw string) *fasthttp.Response {
 	t.Helper()
-	read := &fasthttp.Response{StreamBody: true}
-	if err := read.ReadLimitBody(bufio.NewReader(strings.NewReader(raw)), -1); err != nil {
+	response := &fasthttp.Response{StreamBody: true}
+	if err := response.ReadLimitBody(bufio.NewReader(strings.NewReader(raw)), -1); err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return response
 }
 
-// Only the runner's own statement says that a request did not start.
-func TestNativeJudge(t *testing.T) {
+// A request counts as not executed only if the runner states so: a retry after any other response may run it twice.
+func TestNativeClassify(t *testing.T) {
 	for raw, want := range map[string]Disposition{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n":                                      Streams,
 		"HTTP/1.1 503 x\r\nContent-Length: 17\r\n\r\n{\"started\":false}":                            NotExecuted,
@@ -42,19 +42,20 @@
 	} {
 		head := Native{}.Classify(parseResponse(t, raw), &admission.Request{}, Attempt{})
 		if head.Disposition != want {
-			t.Errorf("%q: %q instead of %q", raw, head.Disposition, want)
+			t.Errorf("%q: disposition %q, want %q", raw, head.Disposition, want)
 		}
 	}
 }
 
-// What is sent is parsed as the request that was received, with what concerns this attempt.
-func TestNativeOutgoing(t *testing.T) {
+// A request to a runner must hold everything that the client's request held, and the parameters of the attempt. The
+// test parses the encoded request again.
+func TestNativeEncodeRequest(t *testing.T) {
 	request := &admission.Request{ID: "r", Route: "l", Model: "m", Adapter: "cy", PromptTokens: 100, AnswerTokens: 10,
 		Parts: []string{"a", "b"}, PartTokens: []int{30, 20}, Body: []byte(`{"prompt":"x"}`)}
 	runner := load.Runner{ID: "r1", Address: "10.0.0.1:80"}
-	for name, trial := range map[string]struct {
-		run    Attempt
-		wanted map[string]string
+	for name, test := range map[string]struct {
+		attempt Attempt
+		want    map[string]string
 	}{
 		"plain": {Attempt{Runner: runner, Daemon: "d", Epoch: 7}, map[string]string{
 			admission.HeaderRunner:  "r1",
@@ -72,47 +73,47 @@
 			admission.HeaderAfter: "3",
 		}},
 	} {
-		reader := bufio.NewReader(strings.NewReader(string(Native{}.EncodeRequest(request, trial.run))))
-		read, err := http.ReadRequest(reader)
+		reader := bufio.NewReader(strings.NewReader(string(Native{}.EncodeRequest(request, test.attempt))))
+		sent, err := http.ReadRequest(reader)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for header, value := range trial.wanted {
-			if got := read.Header.Get(header); got != value {
-				t.Errorf("%s: %s is %q instead of %q", name, header, got, value)
+		for header, value := range test.want {
+			if got := sent.Header.Get(header); got != value {
+				t.Errorf("%s: header %s is %q, want %q", name, header, got, value)
 			}
 		}
-		if read.Method != http.MethodPost || read.URL.Path != "/run" {
-			t.Errorf("%s: %s %s", name, read.Method, read.URL.Path)
+		if sent.Method != http.MethodPost || sent.URL.Path != "/run" {
+			t.Errorf("%s: sent as %s %s", name, sent.Method, sent.URL.Path)
 		}
-		again, err := admission.Parse(read.Header.Values, request.Body)
+		parsed, err := admission.Parse(sent.Header.Values, request.Body)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if again.ID != "r" || again.Route != "l" || strings.Join(again.Parts, " ") != "a b" ||
-			again.LastEventID != trial.run.LastEventID || again.Timeout != trial.run.Remaining {
-			t.Errorf("%s: %+v", name, again)
+		if parsed.ID != "r" || parsed.Route != "l" || strings.Join(parsed.Parts, " ") != "a b" ||
+			parsed.LastEventID != test.attempt.LastEventID || parsed.Timeout != test.attempt.Remaining {
+			t.Errorf("%s: parsed back as %+v", name, parsed)
 		}
 	}
 }
 
 func TestNativeRefuse(t *testing.T) {
-	for kind, status := range statuses {
+	for code, status := range statuses {
 		context := &fasthttp.RequestCtx{}
-		refusal := Refusal{Code: kind, Detail: "why", Ran: "unknown", RetryAfter: 1200 * time.Millisecond}
+		refusal := Refusal{Code: code, Detail: "why", Ran: "unknown", RetryAfter: 1200 * time.Millisecond}
 		Native{}.Refuse(netio.FromHTTP(context), nil, refusal)
 		written := Refusal{}
 		if err := json.Unmarshal(context.Response.Body(), &written); err != nil {
-			t.Fatalf("%s: %v", kind, err)
+			t.Fatalf("%s: %v", code, err)
 		}
-		if written.Code != kind || written.Detail != "why" || written.Remedy == "" || written.RetryMS != 1200 ||
+		if written.Code != code || written.Detail != "why" || written.Remedy == "" || written.RetryMS != 1200 ||
 			context.Response.StatusCode() != status || string(context.Response.Header.Peek("Retry-After")) != "2" {
-			t.Errorf("%s: %s", kind, context.Response.String())
+			t.Errorf("%s: wrong refusal: %s", code, context.Response.String())
 		}
 	}
 }
 
-func TestNativeBroken(t *testing.T) {
+func TestNativeErrorEvent(t *testing.T) {
 	event := string(Native{}.ErrorEvent(4, Refusal{Code: apierror.RunFailed}))
 	if !strings.HasPrefix(event, "id: 5\nevent: error\ndata: {") || !strings.HasSuffix(event, "}\n\n") {
 		t.Error(event)
@@ -125,6 +126,6 @@
 		t.Errorf("%+v, %v", report, err)
 	}
 	if _, err := (Native{}).ParseReport([]byte(`{`)); !apierror.Is(err, apierror.Unreachable) {
-		t.Errorf("malformed: %v", err)
+		t.Errorf("malformed report: %v", err)
 	}
 }
--- a/proxy/codec/refusal.go
+++ b/proxy/codec/refusal.go
@@ -7,27 +7,27 @@
 	"wardtray/apierror"
 )
 
-// Refusal is every response that is not a stream of the runner's: why the request has none, or no more of one.
+// Refusal is an error response to a client: the reason why the request gets no stream, or why its stream ends early.
 type Refusal struct {
-	// Code is the error code, Detail says what happened and Remedy what the client can do; Remedy is set on encoding.
+	// Code is the error code, Detail describes what happened and Remedy what the client can do; encode sets Remedy.
 	Code   apierror.Code `json:"kind"`
 	Detail string        `json:"detail"`
 	Remedy string        `json:"remedy"`
-	// Ran says whether the request ran: one of "did not run", "unknown" and "ran".
+	// Ran states whether the request ran: "did not run", "unknown" or "ran".
 	Ran string `json:"ran"`
-	// RetryMS is Retry in milliseconds; it is set on encoding.
+	// RetryMS is RetryAfter in milliseconds; encode sets it.
 	RetryMS int64 `json:"retry_after_ms,omitempty"`
-	// RetryAfter is after what time another attempt of the client may succeed; 0: not known.
+	// RetryAfter is the time after which a retry may succeed; 0: not known.
 	RetryAfter time.Duration `json:"-"`
-	// DidNotRun is the promise that nothing ran and nothing will.
+	// DidNotRun guarantees that the request did not run and will not.
 	DidNotRun bool `json:"-"`
-	// DeadlinePassed says that the deadline of the request has passed.
+	// DeadlinePassed reports whether the deadline of the request has passed.
 	DeadlinePassed bool `json:"-"`
-	// Term is what the client is to state of the requests that it sends for the first time from now on; 0: nothing.
+	// Term is the term that the client is to send with the requests that it makes from now on; 0: none.
 	Term uint64 `json:"-"`
 }
 
-// encodingFailed is sent where a refusal can't be encoded.
+// encodingFailed is sent if a refusal can't be encoded.
 const encodingFailed = `{"kind":"internal"}`
 
 // encode returns the JSON of a refusal with its remedy.
