--- a/proxy/dedup/table.go
+++ b/proxy/dedup/table.go
@@ -1,7 +1,8 @@
-// Package dedup remembers which requests of routes that run at most once this daemon has accepted, and how they ended,
-// so that the same request sent again is not run again, and its client learns what became of it. It is the part of one
-// daemon; package reservation has what all of them know together. A Table is safe for concurrent use: its entries are
-// divided into shards, each under a lock of its own.
+// Package dedup deduplicates at-most-once requests within one data daemon. A Table records which requests the daemon
+// has accepted and how they ended, so that a retry is not executed again and its client receives the known outcome.
+// Package reservation deduplicates across daemons.
+//
+// A Table is safe for concurrent use: its entries are divided into shards, each with its own lock.
 package dedup
 
 import (
@@ -13,44 +14,46 @@
 	"wardtray/coordination/reservation"
 )
 
-// State is what is known of a request. Its text completes the sentence "the request with this id ..." of a rejection.
+// State is the known state of a request. Its text completes the sentence "the request with this id ..." in the refusal
+// of a retry.
 type State string
 
-// The states of a request. One that certainly did not run is forgotten, so that it may be sent again.
+// The states of a request. A request that certainly did not run has no entry, so that it may be retried.
 const (
-	// NotSeen: nothing is known of the request.
+	// NotSeen: the table has no entry for the request.
 	NotSeen State = ""
-	// Running: this daemon accepted it and does not know its end yet.
+	// Running: this daemon accepted the request and its outcome is not known yet.
 	Running State = "is under way"
-	// Ran: it ran to completion.
+	// Ran: the request ran to completion.
 	Ran State = "ran to its end"
-	// Unknown: it failed and may have run.
+	// Unknown: the request failed and may have run.
 	Unknown State = "ended in doubt: it may have run"
-	// TakenElsewhere: another daemon of the zone sent it to a runner.
+	// TakenElsewhere: another daemon of the zone sent the request to a runner.
 	TakenElsewhere State = "was taken by another daemon"
 )
 
 const (
-	// Keep is how long a request is remembered after its end.
-	Keep = reservation.Keep
-	// Limit bounds the entries of one shard. What is more is refused; nothing is forgotten for it.
-	Limit      = 16384
-	shardCount = 8
-	// Capacity is how many entries a table has room for, where they are spread evenly.
-	Capacity = Limit * shardCount
+	// retentionPeriod is how long the entry of a request is kept after the request has ended.
+	retentionPeriod = reservation.Keep
+	// shardCapacity is the maximum number of entries of one shard. A full shard refuses new requests and never evicts an
+	// entry before its retention period is over.
+	shardCapacity = 16384
+	shardCount    = 8
+	// Capacity is the maximum number of entries of a table, if they are spread evenly over its shards.
+	Capacity = shardCapacity * shardCount
 )
 
-// Key identifies a request: a truncated SHA-256 hash of its route and id.
+// Key identifies a request by a truncated SHA-256 hash of its route and id.
 type Key = reservation.Key
 
-// KeyOf returns the key of a request of a route.
-func KeyOf(route, request string) (key Key) {
-	hash := sha256.Sum256([]byte(route + "\x00" + request))
+// KeyOf returns the key of the request with this id on a route.
+func KeyOf(route, id string) (key Key) {
+	hash := sha256.Sum256([]byte(route + "\x00" + id))
 	copy(key[:], hash[:])
 	return key
 }
 
-// Table remembers requests for the time Keep. Make one with New.
+// Table records the states of requests. New creates one.
 type Table struct{ shards [shardCount]*shard }
 
 // New returns an empty table.
@@ -62,15 +65,15 @@
 	return table
 }
 
-// lock returns the shard of a key, locked.
+// lock locks the shard of a key and returns it. The caller unlocks it.
 func (table *Table) lock(key Key) *shard {
 	shard := table.shards[int(key[0])%shardCount]
 	shard.mutex.Lock()
 	return shard
 }
 
-// Begin records a request as running, unless it is known already: then it returns what is known and isNew is false.
-// Where there is no room for it, nothing is recorded, known is NotSeen and isNew is false (RoomAfter).
+// Begin records a new request as Running and reports isNew. If the table already has an entry for it, Begin returns its
+// state. If the shard is full, Begin records nothing and returns NotSeen and false; RoomAfter returns when to retry.
 func (table *Table) Begin(now time.Time, key Key) (known State, isNew bool) {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
@@ -81,18 +84,19 @@
 	return NotSeen, shard.put(now, key, Running)
 }
 
-// RoomAfter returns after what time there is room for a request that Begin had none for.
+// RoomAfter returns how long it takes until the shard of a key has room for a request that Begin refused; 0: it has
+// room now.
 func (table *Table) RoomAfter(now time.Time, key Key) time.Duration {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
 	front := shard.order.Front()
-	if front == nil || len(shard.entries) < Limit {
+	if front == nil || len(shard.entries) < shardCapacity {
 		return 0
 	}
-	return max(0, Keep-now.Sub(entryOf(front).changedAt))
+	return max(0, retentionPeriod-now.Sub(entryOf(front).changedAt))
 }
 
-// Lookup returns what is known of a request.
+// Lookup returns the state of a request.
 func (table *Table) Lookup(key Key) State {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
@@ -103,19 +107,19 @@
 func (table *Table) Finish(now time.Time, key Key, state State) {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
-	// What was begun has its place.
+	// The request has had an entry since Begin, so it needs no room.
 	_ = shard.put(now, key, state)
 }
 
-// Forget removes a request that certainly did not run.
+// Forget removes the entry of a request that certainly did not run.
 func (table *Table) Forget(key Key) {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
 	shard.remove(key)
 }
 
-// RecordAnnounced records what another daemon announced of a request: that it sent it to a runner, or, with
-// dropped, that it certainly did not run. What this daemon knows of its own requests takes precedence.
+// RecordAnnounced records what another daemon announced of a request: that the daemon sent it to a runner, or, if
+// dropped is set, that the request certainly did not run. The states of this daemon's own requests take precedence.
 func (table *Table) RecordAnnounced(now time.Time, key Key, dropped bool) {
 	shard := table.lock(key)
 	defer shard.mutex.Unlock()
@@ -126,11 +130,11 @@
 		shard.remove(key)
 		return
 	}
-	// Where there is no room, the announcement is lost; only daemons that make no reservations go by it.
+	// A full shard drops the announcement. Only daemons that make no reservations rely on it.
 	_ = shard.put(now, key, TakenElsewhere)
 }
 
-// Len returns the number of requests that are remembered.
+// Len returns the number of entries.
 func (table *Table) Len() int {
 	count := 0
 	for _, shard := range table.shards {
@@ -141,34 +145,34 @@
 	return count
 }
 
-// entry is what a shard remembers of one request.
+// entry is the recorded state of one request.
 type entry struct {
 	key   Key
 	state State
-	// changedAt is when the state was last set.
+	// changedAt is the time at which the state was last set.
 	changedAt time.Time
 }
 
-// shard holds the entries of a part of all keys. Its methods want the mutex held.
+// shard holds the entries of a part of the key space. The caller of a method holds the mutex.
 type shard struct {
 	mutex   sync.Mutex
 	entries map[Key]*list.Element
-	// order has the entries, those that changed longest ago first; every element's value is an *entry.
+	// order lists the entries by changedAt, oldest first. The value of every element is an *entry.
 	order *list.List
 }
 
 func newShard() *shard { return &shard{entries: map[Key]*list.Element{}, order: list.New()} }
 
-// entryOf returns the entry of an element of the order.
+// entryOf returns the entry in an element of a shard's order.
 func entryOf(element *list.Element) *entry {
 	known, isEntry := element.Value.(*entry)
 	if !isEntry {
-		panic("dedup: a shard's list has something else than entries")
+		panic("dedup: a list element does not hold an *entry")
 	}
 	return known
 }
 
-// state returns what is known of a request.
+// state returns the state of a request.
 func (shard *shard) state(key Key) State {
 	if element := shard.entries[key]; element != nil {
 		return entryOf(element).state
@@ -176,7 +180,7 @@
 	return NotSeen
 }
 
-// put sets the state of a request; it reports false, and changes nothing, where there is no room for another one.
+// put sets the state of a request. It returns false and changes nothing if a new entry is needed and the shard is full.
 func (shard *shard) put(now time.Time, key Key, state State) bool {
 	if element := shard.entries[key]; element != nil {
 		known := entryOf(element)
@@ -184,14 +188,14 @@
 		shard.order.MoveToBack(element)
 		return true
 	}
-	if len(shard.entries) >= Limit {
+	if len(shard.entries) >= shardCapacity {
 		return false
 	}
 	shard.entries[key] = shard.order.PushBack(&entry{key: key, state: state, changedAt: now})
 	return true
 }
 
-// remove forgets a request, if it is known.
+// remove deletes the entry of a request, if there is one.
 func (shard *shard) remove(key Key) {
 	if element := shard.entries[key]; element != nil {
 		delete(shard.entries, key)
@@ -199,11 +203,11 @@
 	}
 }
 
-// removeExpired forgets the requests that ended longer than Keep ago. What is still running is kept.
+// removeExpired deletes the entries of requests that ended more than retentionPeriod ago. Running requests are kept.
 func (shard *shard) removeExpired(now time.Time) {
 	for {
 		front := shard.order.Front()
-		if front == nil || now.Sub(entryOf(front).changedAt) <= Keep {
+		if front == nil || now.Sub(entryOf(front).changedAt) <= retentionPeriod {
 			return
 		}
 		if known := entryOf(front); known.state == Running {
--- a/proxy/dedup/table_test.go
+++ b/proxy/dedup/table_test.go
@@ -12,7 +12,8 @@
 
 var started = time.Unix(1_700_000_000, 0)
 
-// Whatever is done in whatever order, a key is new at most once between two times that it is forgotten.
+// Begin must report a key as new at most once until Forget removes it, in any sequence of operations: otherwise a
+// request runs twice.
 func TestKeyIsNewOnceUntilForgotten(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 300
@@ -50,29 +51,30 @@
 	properties.TestingRun(t)
 }
 
-func TestHeardIsOverruledByOwnRequests(t *testing.T) {
+// An announcement of another daemon must not overwrite the state of a request that this daemon has accepted.
+func TestOwnStateTakesPrecedenceOverAnnouncements(t *testing.T) {
 	table, key := New(), KeyOf("ruling", "r1")
 	table.RecordAnnounced(started, key, false)
 	if known, isNew := table.Begin(started, key); isNew || known != TakenElsewhere {
-		t.Fatalf("taken by another: %q, %v", known, isNew)
+		t.Fatalf("after another daemon announced the request: state %q, new %v", known, isNew)
 	}
 	table.RecordAnnounced(started, key, true)
 	if _, isNew := table.Begin(started, key); !isNew {
-		t.Fatal("dropped by the other and still taken")
+		t.Fatal("the other daemon announced that the request did not run, but it is still refused")
 	}
 	table.RecordAnnounced(started, key, true)
 	if known, isNew := table.Begin(started, key); isNew || known != Running {
-		t.Fatalf("another's announcement removed our own request: %q, %v", known, isNew)
+		t.Fatalf("an announcement removed the entry of an own request: state %q, new %v", known, isNew)
 	}
 	table.RecordAnnounced(started, key, false)
 	if known := table.Lookup(key); known != Running {
-		t.Fatalf("another's announcement replaced our own state by %q", known)
+		t.Fatalf("an announcement changed the state of an own request to %q", known)
 	}
 }
 
 func TestKeySeparatesRouteFromID(t *testing.T) {
 	if KeyOf("ruling", "r1") == KeyOf("rulin", "gr1") {
-		t.Fatal("two requests share a key")
+		t.Fatal("two different requests have the same key")
 	}
 }
 
@@ -80,19 +82,19 @@
 	table, key := New(), KeyOf("ruling", "r1")
 	table.Begin(started, key)
 	table.Finish(started, key, Unknown)
-	if known, isNew := table.Begin(started.Add(Keep), key); isNew || known != Unknown {
-		t.Fatalf("forgotten too soon: %q, %v", known, isNew)
+	if known, isNew := table.Begin(started.Add(retentionPeriod), key); isNew || known != Unknown {
+		t.Fatalf("at the end of the retention period: state %q, new %v", known, isNew)
 	}
-	if _, isNew := table.Begin(started.Add(Keep+time.Second), key); !isNew {
-		t.Fatal("remembered for longer than said")
+	if _, isNew := table.Begin(started.Add(retentionPeriod+time.Second), key); !isNew {
+		t.Fatal("the entry is kept longer than the retention period")
 	}
 }
 
-// A full table takes no more requests, and forgets none of those that it has.
+// A full table must refuse new requests and never evict an entry to make room: the evicted request could run twice.
 func TestTableIsBounded(t *testing.T) {
 	table, accepted := New(), []Key{}
 	var refused Key
-	for number := range 2 * Limit * shardCount {
+	for number := range 2 * shardCapacity * shardCount {
 		key := KeyOf("lane", strconv.Itoa(number))
 		if _, isNew := table.Begin(started, key); isNew {
 			accepted = append(accepted, key)
@@ -100,35 +102,35 @@
 		}
 		refused = key
 	}
-	if len(accepted) != Limit*shardCount || table.Len() != len(accepted) {
-		t.Fatalf("%d accepted, %d remembered", len(accepted), table.Len())
+	if len(accepted) != shardCapacity*shardCount || table.Len() != len(accepted) {
+		t.Fatalf("%d requests accepted, %d entries", len(accepted), table.Len())
 	}
 	for _, key := range accepted {
 		if table.Lookup(key) != Running {
-			t.Fatal("forgotten to make room")
+			t.Fatal("the entry of an accepted request was evicted")
 		}
 		table.Finish(started, key, Ran)
 	}
-	if after := table.RoomAfter(started.Add(time.Minute), refused); after != Keep-time.Minute {
-		t.Errorf("room after %v", after)
+	if after := table.RoomAfter(started.Add(time.Minute), refused); after != retentionPeriod-time.Minute {
+		t.Errorf("RoomAfter returned %v", after)
 	}
-	if _, isNew := table.Begin(started.Add(Keep+1), refused); !isNew {
-		t.Error("no room when the others were forgotten")
+	if _, isNew := table.Begin(started.Add(retentionPeriod+1), refused); !isNew {
+		t.Error("a request is refused although the other entries have expired")
 	}
 }
 
-// A request that runs for longer than ended ones are kept is known for as long as it runs.
+// The entry of a request that runs longer than the retention period must not expire while the request runs.
 func TestRunningRequestsDoNotExpire(t *testing.T) {
 	table, key := New(), KeyOf("ruling", "r1")
 	table.Begin(started, key)
 	for hour := range 3 {
 		now := started.Add(time.Duration(hour) * time.Hour)
 		if known, _ := table.Begin(now, key); known != Running {
-			t.Fatalf("after %d hours: %q", hour, known)
+			t.Fatalf("after %d hours: state %q", hour, known)
 		}
 	}
 	table.Finish(started.Add(3*time.Hour), key, Ran)
 	if known := table.Lookup(key); known != Ran {
-		t.Fatalf("at its end: %q", known)
+		t.Fatalf("after Finish: state %q", known)
 	}
 }
