--- a/proxy/stream/event_test.go
+++ b/proxy/stream/event_test.go
@@ -9,11 +9,11 @@
 		parsed.parseLine([]byte(line))
 	}
 	if string(sent.Bytes()) != "id: 5\nevent: error\ndata: {\"kind\":\"run_failed\"}\n\n" {
-		t.Errorf("encoded as %q", sent.Bytes())
+		t.Errorf("the event is encoded as %q", sent.Bytes())
 	}
 	if string(parsed.id) != "5" || parsed.Name != sent.Name || string(parsed.Data) != string(sent.Data) ||
 		parsed.Done() {
-		t.Errorf("parsed as %+v", parsed)
+		t.Errorf("the encoded event is parsed as %+v", parsed)
 	}
 }
 
@@ -31,7 +31,7 @@
 		event.parseLine([]byte(line))
 		if !sameEvents([]Event{event}, []Event{want}) || string(event.id) != string(want.id) ||
 			(event.id == nil) != (want.id == nil) || event.Done() != (line == "event:done") {
-			t.Errorf("%q: %+v instead of %+v", line, event, want)
+			t.Errorf("%q: parsed as %+v, want %+v", line, event, want)
 		}
 	}
 }
--- a/proxy/stream/reader.go
+++ b/proxy/stream/reader.go
@@ -1,5 +1,5 @@
 // Package stream reads the server-sent events of one run from the body of a runner's response and enforces the order of
-// their ids. The bytes of each event are kept unchanged, so that a whole event can be forwarded as it was received.
+// their ids. It keeps the bytes of each event unchanged, so that complete events can be forwarded as received.
 package stream
 
 import (
@@ -14,17 +14,17 @@
 )
 
 const (
-	// MaximumEvent bounds the bytes of one event, and of one line.
+	// MaximumEvent is the maximum size of one event and of one line, in bytes.
 	MaximumEvent = 1 << 20
-	// readerSize is the size in bytes of the buffer between the connection and the events.
+	// readerSize is the size of the read buffer, in bytes.
 	readerSize = 8 << 10
 )
 
-// Rules are the rules that the events of a kind of runner obey.
+// Rules are the protocol rules for the events of a run, which depend on the kind of runner.
 type Rules struct {
-	// Sequential says that ids count up one by one, that every event is named "token" or "done", and that only a "done"
-	// event with the right number of events ends a run. Otherwise ids only have to rise, events without an id are
-	// forwarded, and the end of the body ends the run.
+	// Sequential requires that ids increase by one, that every event is named "token" or "done", and that a run ends with
+	// a "done" event that states the correct number of events. Otherwise ids only have to increase, events without an id
+	// are forwarded, and the end of the body ends the run.
 	Sequential bool
 }
 
@@ -32,31 +32,31 @@
 type Reader struct {
 	source *bufio.Reader
 	rules  Rules
-	// lastID is the id of the last event that was read.
+	// lastID is the id of the last event read; before the first event, the id that NewReader was given.
 	lastID int
-	// finished is set by the event that ends the run, or by the end of a body that may end it.
+	// finished is set once the run has ended: by a "done" event, or by the end of the body if ids are not sequential.
 	finished bool
 }
 
-// NewReader returns a reader of the body of a runner's response; the first event must have an id above last.
+// NewReader returns a reader of the body of a runner's response. The id of the first event must be greater than last.
 func NewReader(source io.Reader, rules Rules, last int) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readerSize), rules: rules, lastID: last}
 }
 
 var blankLine = []byte("\n\n")
 
-// Ready reports whether a whole event is in the buffer, so that Next will not block.
+// Ready reports whether a complete event is buffered, so that Next does not block.
 func (reader *Reader) Ready() bool {
 	if reader.finished || reader.source.Buffered() == 0 {
 		return false
 	}
-	// Peeking at what is buffered can't fail.
+	// Peeking at buffered bytes can't fail.
 	buffered, _ := reader.source.Peek(reader.source.Buffered())
 	return bytes.Contains(buffered, blankLine)
 }
 
-// Next returns the next event, or io.EOF after a complete run. An event that is out of order, too long or cut short is
-// an apierror.RunFailed.
+// Next returns the next event, or io.EOF after a complete run. If an event is out of order, too long or truncated, it
+// returns an apierror.RunFailed.
 func (reader *Reader) Next() (Event, error) {
 	if reader.finished {
 		if reader.rules.Sequential {
@@ -75,19 +75,19 @@
 	return reader.checkID(event)
 }
 
-// EndsRun reports whether an error returned by Next is the end of a complete run. A run that broke off is not one,
-// although its error may wrap io.EOF.
+// EndsRun reports whether an error returned by Next marks the end of a complete run. The error of a truncated run may
+// wrap io.EOF as well, but does not count.
 func EndsRun(err error) bool {
 	return errors.Is(err, io.EOF) && !apierror.Is(err, apierror.RunFailed)
 }
 
-// isUnnumbered reports whether an event is forwarded without an id of its own: a comment or a field that only the
-// runner knows. What follows the last blank line belongs to the body and is forwarded in its order too.
+// isUnnumbered reports whether an event is forwarded without an id of its own: it holds only comments or fields that
+// this package does not interpret. Bytes after the last blank line are part of the body and are forwarded too.
 func (reader *Reader) isUnnumbered(event Event) bool {
 	return !reader.rules.Sequential && (event.id == nil || !reader.finished && event.empty())
 }
 
-// readEvent reads lines up to the blank one that ends an event, or to the end of a body that may end there.
+// readEvent reads lines up to the blank line that ends an event, or to the end of a body that ends the run.
 func (reader *Reader) readEvent() (Event, error) {
 	event := Event{}
 	for {
@@ -106,8 +106,8 @@
 	}
 }
 
-// readLine appends the next line to an event's raw bytes and returns it without its line ending. Where the end of the
-// body is the end of the run, it marks the reader as finished, and returns io.EOF if the event has no bytes.
+// readLine appends the next line to an event's raw bytes and returns it without its line ending. At the end of a body
+// that ends the run, it sets finished, and returns io.EOF if the event has no bytes.
 func (reader *Reader) readLine(event *Event) ([]byte, error) {
 	start := len(event.Raw)
 	raw, atEOF, err := reader.appendLine(event.Raw)
@@ -128,8 +128,8 @@
 	return bytes.TrimRight(raw[start:], "\r\n"), nil
 }
 
-// appendLine appends the next line with its line ending to raw. At the end of the body it returns io.EOF as the error,
-// and reports atEOF; a connection that broke off never counts as the end, whatever its error wraps.
+// appendLine appends the next line, including its line ending, to raw. At the end of the body it returns io.EOF and
+// sets atEOF. An aborted connection never counts as the end of the body, even if its error wraps io.EOF.
 func (reader *Reader) appendLine(raw []byte) (line []byte, atEOF bool, err error) {
 	for start := len(raw); ; {
 		part, err := reader.source.ReadSlice('\n')
@@ -143,7 +143,7 @@
 	}
 }
 
-// checkID parses the id of an event and enforces the order of ids.
+// checkID parses the id of an event and checks it against the previous id.
 func (reader *Reader) checkID(event Event) (Event, error) {
 	id, err := strconv.Atoi(string(event.id))
 	if err != nil || id <= reader.lastID || reader.rules.Sequential && id != reader.lastID+1 {
@@ -151,7 +151,7 @@
 	}
 	event.ID = id
 	if reader.rules.Sequential {
-		return reader.checkCounted(event)
+		return reader.checkSequential(event)
 	}
 	reader.lastID = id
 	return event, nil
@@ -159,12 +159,12 @@
 
 // doneData is the data of the event that ends a run with sequential ids.
 type doneData struct {
-	// Events is the number of the run's events before this one.
+	// Events is the number of events of the run before this one.
 	Events int `json:"events"`
 }
 
-// checkCounted enforces the names of events with sequential ids, and the count in the last one.
-func (reader *Reader) checkCounted(event Event) (Event, error) {
+// checkSequential checks the name of an event with sequential ids, and the number of events that the last one states.
+func (reader *Reader) checkSequential(event Event) (Event, error) {
 	if event.Name != nameToken && event.Name != nameDone {
 		return Event{}, apierror.New(apierror.RunFailed, "event %d is a %q", event.ID, event.Name)
 	}
@@ -181,8 +181,8 @@
 	return event, nil
 }
 
-// ExpectEOF reads on behind the last event and reports whether the body ends there, so that its connection can be
-// reused. It blocks until the runner ends the body.
+// ExpectEOF reports whether the body ends after the last event, so that its connection can be reused. It blocks until
+// the runner ends the body or sends another byte.
 func (reader *Reader) ExpectEOF() bool {
 	_, err := reader.source.ReadByte()
 	return err == io.EOF
--- a/proxy/stream/reader_test.go
+++ b/proxy/stream/reader_test.go
@@ -17,37 +17,37 @@
 	"wardtray/apierror"
 )
 
-// chunkReader returns a text in chunks of seeded lengths, now and then an empty one.
+// chunkReader returns its content in chunks of random lengths of at most maximum bytes, some of them empty.
 type chunkReader struct {
-	rest   []byte
-	random *rand.Rand
-	most   int
+	rest    []byte
+	random  *rand.Rand
+	maximum int
 }
 
 func (chunks *chunkReader) Read(into []byte) (int, error) {
 	if len(chunks.rest) == 0 {
 		return 0, io.EOF
 	}
-	length := min(chunks.random.Intn(chunks.most+1), len(chunks.rest), len(into))
+	length := min(chunks.random.Intn(chunks.maximum+1), len(chunks.rest), len(into))
 	copy(into, chunks.rest[:length])
 	chunks.rest = chunks.rest[length:]
-	// A source may report its end together with its last bytes.
+	// A source may return io.EOF together with its last bytes.
 	if len(chunks.rest) == 0 && chunks.random.Intn(2) == 0 {
 		return length, io.EOF
 	}
 	return length, nil
 }
 
-// readRun reads a run to its end and returns its events and how it ended.
+// readRun reads a run to its end and returns its events and its final error, nil after a "done" event.
 func readRun(source io.Reader, rules Rules, last int) ([]Event, error) {
 	reader := NewReader(source, rules, last)
 	var events []Event
 	for {
-		// What Ready reports must not change what follows.
+		// Calling Ready must not change what Next returns.
 		ready := reader.Ready()
 		event, err := reader.Next()
 		if ready && err != nil && apierror.Of(err).Code != apierror.RunFailed {
-			return events, fmt.Errorf("an event was ready, and then: %w", err)
+			return events, fmt.Errorf("Ready reported an event, but Next returned: %w", err)
 		}
 		if err != nil {
 			return events, err
@@ -59,7 +59,7 @@
 	}
 }
 
-// sameEvents reports whether two runs have the same events.
+// sameEvents reports whether two runs have equal events; it ignores the unparsed id fields.
 func sameEvents(left, right []Event) bool {
 	return slices.EqualFunc(left, right, func(one, other Event) bool {
 		return one.ID == other.ID && one.Name == other.Name &&
@@ -67,22 +67,22 @@
 	})
 }
 
-// validLines draws the lines of a valid event.
-func validLines(random *rand.Rand, counted bool, id int) []string {
+// validLines returns the random lines of a valid event.
+func validLines(random *rand.Rand, sequential bool, id int) []string {
 	lines := []string{fmt.Sprint("id: ", id), "data: " + strings.Repeat("x", random.Intn(40))}
-	if counted || random.Intn(2) == 0 {
+	if sequential || random.Intn(2) == 0 {
 		lines = append(lines, "event: token")
 	}
 	if random.Intn(20) == 0 {
 		lines = append(lines, "data: "+strings.Repeat("long ", 4000))
 	}
-	if !counted && random.Intn(5) == 0 {
+	if !sequential && random.Intn(5) == 0 {
 		lines = append(lines, ": a comment", "weight-versions: 3")
 	}
 	return lines
 }
 
-// corruptLines draws what may be wrong with an event's lines.
+// corruptLines applies a random corruption to the lines of an event.
 func corruptLines(random *rand.Rand, id int, lines []string) []string {
 	corruptions := []func() []string{
 		func() []string { return nil },
@@ -99,24 +99,25 @@
 	return corruptions[random.Intn(len(corruptions))]()
 }
 
-// drawRun draws the text of a run: mostly valid events with rising ids, and now and then whatever else may come.
-func drawRun(random *rand.Rand, counted, valid bool) string {
+// drawRun returns the text of a random run with increasing ids. Unless valid, some events are corrupt and the text may
+// be truncated.
+func drawRun(random *rand.Rand, sequential, valid bool) string {
 	text, id := &strings.Builder{}, 0
 	ending := []string{"\n", "\r\n"}[random.Intn(2)]
 	count := random.Intn(12)
 	for range count {
 		id++
-		if !counted {
+		if !sequential {
 			id += random.Intn(3)
 		}
-		lines := validLines(random, counted, id)
+		lines := validLines(random, sequential, id)
 		if !valid && random.Intn(4) == 0 {
 			lines = corruptLines(random, id, lines)
 		}
 		text.WriteString(strings.Join(lines, ending))
 		text.WriteString(ending + ending)
 	}
-	if counted {
+	if sequential {
 		fmt.Fprintf(text, "id: %d%sevent: done%sdata: {\"events\":%d}%s%s", id+1, ending, ending, id, ending, ending)
 	}
 	content := text.String()
@@ -132,81 +133,82 @@
 	return gopter.NewProperties(parameters)
 }
 
-// However a run is cut into pieces on its way, its events are the same, and no byte of it is lost.
+// The network may split a run into chunks at any byte. The events must not depend on the chunks, and no byte may be
+// lost.
 func TestNextDoesNotDependOnChunks(t *testing.T) {
 	properties := properties()
-	for _, counted := range []bool{false, true} {
-		rules := Rules{Sequential: counted}
+	for _, sequential := range []bool{false, true} {
+		rules := Rules{Sequential: sequential}
 		properties.Property(
-			fmt.Sprint("the same events, counted ", counted),
-			prop.ForAll(func(seed int64, most int) bool {
+			fmt.Sprint("the same events, sequential ", sequential),
+			prop.ForAll(func(seed int64, maximum int) bool {
 				random := rand.New(rand.NewSource(seed))
-				text := drawRun(random, counted, random.Intn(2) == 0)
-				whole, wholeEnd := readRun(strings.NewReader(text), rules, 0)
-				chunked, chunkedEnd := readRun(&chunkReader{rest: []byte(text), random: random, most: most}, rules, 0)
-				return sameEvents(whole, chunked) && fmt.Sprint(wholeEnd) == fmt.Sprint(chunkedEnd)
+				text := drawRun(random, sequential, random.Intn(2) == 0)
+				unchunked, unchunkedErr := readRun(strings.NewReader(text), rules, 0)
+				chunked, chunkedErr := readRun(&chunkReader{rest: []byte(text), random: random, maximum: maximum}, rules, 0)
+				return sameEvents(unchunked, chunked) && fmt.Sprint(unchunkedErr) == fmt.Sprint(chunkedErr)
 			}, gen.Int64(), gen.IntRange(1, 3000)),
 		)
 		properties.Property(
-			fmt.Sprint("no byte lost or made up, counted ", counted),
-			prop.ForAll(func(seed int64, most int) bool {
+			fmt.Sprint("no byte lost or added, sequential ", sequential),
+			prop.ForAll(func(seed int64, maximum int) bool {
 				random := rand.New(rand.NewSource(seed))
-				text := drawRun(random, counted, random.Intn(2) == 0)
-				events, end := readRun(&chunkReader{rest: []byte(text), random: random, most: most}, rules, 0)
+				text := drawRun(random, sequential, random.Intn(2) == 0)
+				events, err := readRun(&chunkReader{rest: []byte(text), random: random, maximum: maximum}, rules, 0)
 				var forwarded strings.Builder
 				rest := text
 				for _, event := range events {
 					forwarded.Write(event.Raw)
-					// Between counted events blank lines and comments are left out, but nothing of an event itself.
-					_, behind, found := strings.Cut(rest, string(event.Raw))
+					// Between sequential events blank lines and comments are omitted, but no byte of an event itself.
+					_, after, found := strings.Cut(rest, string(event.Raw))
 					if !found {
 						return false
 					}
-					rest = behind
+					rest = after
 				}
-				if counted {
+				if sequential {
 					return true
 				}
 				return strings.HasPrefix(text, forwarded.String()) &&
-					(!EndsRun(end) || forwarded.String() == text)
+					(!EndsRun(err) || forwarded.String() == text)
 			}, gen.Int64(), gen.IntRange(1, 3000)),
 		)
 		properties.Property(
-			fmt.Sprint("proper runs are whole, counted ", counted),
-			prop.ForAll(func(seed int64, most int) bool {
+			fmt.Sprint("valid runs are complete, sequential ", sequential),
+			prop.ForAll(func(seed int64, maximum int) bool {
 				random := rand.New(rand.NewSource(seed))
-				text := drawRun(random, counted, true)
-				_, end := readRun(&chunkReader{rest: []byte(text), random: random, most: most}, rules, 0)
-				return errors.Is(end, map[bool]error{true: nil, false: io.EOF}[counted])
+				text := drawRun(random, sequential, true)
+				_, err := readRun(&chunkReader{rest: []byte(text), random: random, maximum: maximum}, rules, 0)
+				return errors.Is(err, map[bool]error{true: nil, false: io.EOF}[sequential])
 			}, gen.Int64(), gen.IntRange(1, 3000)),
 		)
 	}
 	properties.TestingRun(t)
 }
 
-// Whatever is received, ids only rise after the one where the run begins, and counted ones skip none and end with the
-// right count.
+// A runner may send events in any order. The reader must return only increasing ids above the one where the run begins,
+// and with sequential ids no gaps and a correct final count: otherwise a client gets events twice or misses some.
 func TestNextEnforcesOrder(t *testing.T) {
 	properties := properties()
-	for _, counted := range []bool{false, true} {
-		properties.Property(fmt.Sprint("ids rise, counted ", counted), prop.ForAll(func(seed int64, begins int) bool {
+	for _, sequential := range []bool{false, true} {
+		properties.Property(fmt.Sprint("ids rise, sequential ", sequential), prop.ForAll(func(seed int64, after int) bool {
 			random := rand.New(rand.NewSource(seed))
-			text := drawRun(random, counted, false)
-			source := &chunkReader{rest: []byte(text), random: random, most: 64}
-			events, end := readRun(source, Rules{Sequential: counted}, begins)
-			last := begins
+			text := drawRun(random, sequential, false)
+			source := &chunkReader{rest: []byte(text), random: random, maximum: 64}
+			events, err := readRun(source, Rules{Sequential: sequential}, after)
+			last := after
 			for _, event := range events {
-				if event.ID < last || counted && event.ID != last+1 {
+				if event.ID < last || sequential && event.ID != last+1 {
 					return false
 				}
-				// An event that names no id has that of the event before it.
+				// An event without an id has the id of the event before it.
 				raw := strings.ReplaceAll(string(event.Raw), "\r", "")
 				if event.ID == last && strings.Contains("\n"+raw, "\nid:") && strings.HasSuffix(raw, "\n\n") {
 					return false
 				}
 				last = event.ID
 			}
-			return !counted || end != nil || len(events) > 0 && events[len(events)-1].Done()
+			return !sequential || err != nil || len(events) > 0 && events[len(events)-1].Done()
 		}, gen.Int64(), gen.IntRange(0, 5)))
 	}
 	properties.TestingRun(t)
@@ -217,38 +219,38 @@
 		"one line":   "data: " + strings.Repeat("x", MaximumEvent),
 		"many lines": strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", MaximumEvent/1000),
 	} {
-		for _, counted := range []bool{false, true} {
-			events, err := readRun(strings.NewReader(text+"\n\n"), Rules{Sequential: counted}, 0)
+		for _, sequential := range []bool{false, true} {
+			events, err := readRun(strings.NewReader(text+"\n\n"), Rules{Sequential: sequential}, 0)
 			if len(events) > 0 || !apierror.Is(err, apierror.RunFailed) {
-				t.Errorf("%s, counted %v: %d events, %v", name, counted, len(events), err)
+				t.Errorf("%s, sequential %v: %d events, %v", name, sequential, len(events), err)
 			}
 		}
 	}
 }
 
-// A source that breaks off is not one that ends.
+// An aborted connection must not be taken for the end of a complete run.
 func TestNextDistinguishesBreakFromEnd(t *testing.T) {
 	for _, text := range []string{"", "id: 1\n", "id: 1\ndata: x\n\n", "id: 1\ndata: x\n\nid: 2\nda"} {
-		for _, counted := range []bool{false, true} {
+		for _, sequential := range []bool{false, true} {
 			source := io.MultiReader(strings.NewReader(text), brokenReader{})
-			_, err := readRun(source, Rules{Sequential: counted}, 0)
+			_, err := readRun(source, Rules{Sequential: sequential}, 0)
 			if !apierror.Is(err, apierror.RunFailed) || EndsRun(err) {
-				t.Errorf("%q, counted %v: %v", text, counted, err)
+				t.Errorf("%q, sequential %v: %v", text, sequential, err)
 			}
 		}
 	}
 }
 
-// brokenReader fails at once.
+// brokenReader fails on every read.
 type brokenReader struct{}
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// A run that breaks off at the end of its connection wraps io.EOF, and is still not complete.
+// The error of a run that is truncated by the end of its connection wraps io.EOF and must not mark the run as complete.
 func TestEndsRun(t *testing.T) {
-	_, brokenOff := readRun(strings.NewReader("id: 1\nevent: token\n"), Rules{Sequential: true}, 0)
-	if !errors.Is(brokenOff, io.EOF) || EndsRun(brokenOff) || EndsRun(nil) || !EndsRun(io.EOF) {
-		t.Errorf("broken off: %v, %v", brokenOff, EndsRun(brokenOff))
+	_, truncated := readRun(strings.NewReader("id: 1\nevent: token\n"), Rules{Sequential: true}, 0)
+	if !errors.Is(truncated, io.EOF) || EndsRun(truncated) || EndsRun(nil) || !EndsRun(io.EOF) {
+		t.Errorf("truncated run: %v, EndsRun %v", truncated, EndsRun(truncated))
 	}
 }
 
@@ -257,7 +259,7 @@
 	for text, want := range map[string]bool{end: true, end + "x": false} {
 		reader := NewReader(strings.NewReader(text), Rules{Sequential: true}, 0)
 		if _, err := reader.Next(); err != nil || reader.ExpectEOF() != want {
-			t.Errorf("%q: %v, not %v", text, err, want)
+			t.Errorf("%q: error %v, or ExpectEOF is not %v", text, err, want)
 		}
 	}
 }
--- a/proxy/stream/stream_fuzz_test.go
+++ b/proxy/stream/stream_fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing/iotest"
 )
 
-// Whatever a runner sends, reading it neither panics nor makes anything up: the events are the bytes of the body in
-// their order, their ids rise, and how the body was divided into chunks makes no difference.
+// For any body that a runner sends, the reader must not panic. The events hold the bytes of the body in order, their
+// ids increase, and the division of the body into chunks makes no difference.
 func FuzzReader(fuzz *testing.F) {
 	for _, text := range []string{
 		"",
@@ -27,18 +27,18 @@
 		fuzz.Add([]byte(text), 0, true)
 		fuzz.Add([]byte(text), 3, false)
 	}
-	fuzz.Fuzz(func(t *testing.T, content []byte, last int, counted bool) {
-		rules := Rules{Sequential: counted}
-		whole, wholeErr := readAll(bytes.NewReader(content), rules, last)
+	fuzz.Fuzz(func(t *testing.T, content []byte, last int, sequential bool) {
+		rules := Rules{Sequential: sequential}
+		unchunked, unchunkedErr := readAll(bytes.NewReader(content), rules, last)
 		chunked, chunkedErr := readAll(iotest.OneByteReader(bytes.NewReader(content)), rules, last)
-		if !sameEvents(whole, chunked) || EndsRun(wholeErr) != EndsRun(chunkedErr) {
-			t.Fatalf("%q: %v %v in one piece, %v %v byte by byte", content, whole, wholeErr, chunked, chunkedErr)
+		if !sameEvents(unchunked, chunked) || EndsRun(unchunkedErr) != EndsRun(chunkedErr) {
+			t.Fatalf("%q: %v %v read at once, %v %v byte by byte", content, unchunked, unchunkedErr, chunked, chunkedErr)
 		}
-		checkEvents(t, content, whole, rules, last, EndsRun(wholeErr))
+		checkEvents(t, content, unchunked, rules, last, EndsRun(unchunkedErr))
 	})
 }
 
-// readAll reads events up to the first error.
+// readAll reads events until the first error and returns both.
 func readAll(source io.Reader, rules Rules, last int) ([]Event, error) {
 	reader := NewReader(source, rules, last)
 	var events []Event
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkEvents compares what was read with the bytes that it was read from.
+// checkEvents compares events with the body that they were read from.
 func checkEvents(t *testing.T, content []byte, events []Event, rules Rules, last int, finished bool) {
 	t.Helper()
 	rest := content
@@ -63,11 +63,11 @@
 			continue
 		}
 		if !bytes.HasPrefix(rest, event.Raw) {
-			t.Fatalf("%q: %q is not what came", content, event.Raw)
+			t.Fatalf("%q: event %q does not match the body", content, event.Raw)
 		}
 		rest = rest[len(event.Raw):]
 	}
 	if finished && !rules.Sequential && len(rest) > 0 {
-		t.Fatalf("%q: %q was left out", content, rest)
+		t.Fatalf("%q: bytes %q at the end of the body were not returned", content, rest)
 	}
 }
