--- a/transport/counters.go
+++ b/transport/counters.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Counters count what a transport has done since it was created.
+// Counters counts a transport's operations since its creation.
 type Counters struct {
-	// Sent and Received count envelopes, Dropped those that could not be sent.
+	// Sent and Received count envelopes, Dropped those that were discarded instead of sent.
 	Sent, Dropped, Received atomic.Uint64
 	// BadFrames counts inbound connections that ended because of an invalid frame.
 	BadFrames atomic.Uint64
-	// BytesOut and BytesIn count the bytes of frames; BytesOtherZone those sent to processes of other zones.
+	// BytesOut and BytesIn count the bytes of frames, BytesOtherZone the bytes sent to processes in other zones.
 	BytesOut, BytesIn, BytesOtherZone atomic.Uint64
 }
 
-// CounterValues returns a transport's counters by their names in status documents.
+// CounterValues returns the values of a transport's counters, keyed by their names in status documents.
 func CounterValues(transport *Transport) map[string]any {
 	counters := &transport.Counters
 	return map[string]any{
--- a/transport/frame/frame.go
+++ b/transport/frame/frame.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// Version is the protocol version that this build writes. It reads every version since OldestVersion.
+	// Version is the protocol version that this build writes. It reads every version from OldestVersion on.
 	Version = 1
 	// OldestVersion is the lowest protocol version that this build still reads.
 	OldestVersion = 1
-	// MaximumSize is the largest size of an encoded envelope, in bytes.
+	// MaximumSize is the maximum size of an encoded envelope, in bytes.
 	MaximumSize = 24 << 20
 	// headerLength is the length of a frame's header, in bytes.
 	headerLength = 8
-	// allocationStep is the size of the first buffer for a frame's content, in bytes.
+	// allocationStep is the size of the first allocation for a frame's content, in bytes.
 	allocationStep = 64 << 10
 )
 
-// Encode returns the frame of an envelope, whose ProtocolVersion it sets. An envelope of more than Maximum bytes is
-// rejected with apierror.TooLarge.
+// Encode sets the ProtocolVersion of an envelope and returns its frame. For an envelope of more than MaximumSize bytes
+// it returns an apierror.TooLarge.
 func Encode(envelope *wire.Envelope) ([]byte, error) {
 	envelope.ProtocolVersion = Version
 	size := proto.Size(envelope)
 	if size > MaximumSize {
-		return nil, apierror.New(apierror.TooLarge, "a frame of %d bytes; at most %d", size, MaximumSize)
+		return nil, apierror.New(apierror.TooLarge, "envelope of %d bytes exceeds the maximum of %d", size, MaximumSize)
 	}
 	content := make([]byte, headerLength, headerLength+size)
 	content[0], content[1], content[2] = 'W', 'T', Version
@@ -44,8 +44,8 @@
 	return content, apierror.Wrap(err, apierror.InvalidFrame, "encoding")
 }
 
-// Decode reads the next frame and returns its envelope and its size in bytes, header included. It returns io.EOF at the
-// end of the stream between two frames. Foreign, truncated and oversized frames return an error with the code
+// Decode reads the next frame and returns its envelope and its size in bytes, including the header. If the stream ends
+// between two frames, it returns io.EOF. For a foreign, truncated or oversized frame it returns an error with the code
 // apierror.InvalidFrame, after which the stream can't be used any more.
 func Decode(reader *bufio.Reader) (*wire.Envelope, int, error) {
 	var head [headerLength]byte
@@ -53,31 +53,31 @@
 		if errors.Is(err, io.EOF) {
 			return nil, 0, io.EOF
 		}
-		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "a torn header")
+		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "truncated header")
 	}
 	if head[0] != 'W' || head[1] != 'T' || head[3] != 0 {
 		return nil, 0, apierror.New(apierror.InvalidFrame, "not a wardtray frame")
 	}
-	// Newer versions only add fields, which decoding skips; versions before OldestVersion lack fields that we need.
+	// Newer versions only add fields, which decoding skips; versions before OldestVersion lack required fields.
 	if head[2] < OldestVersion {
-		return nil, 0, apierror.New(apierror.InvalidFrame, "edition %d is older than %d", head[2], OldestVersion)
+		return nil, 0, apierror.New(apierror.InvalidFrame, "protocol version %d is older than %d", head[2], OldestVersion)
 	}
 	size := binary.BigEndian.Uint32(head[4:])
 	if size > MaximumSize {
-		return nil, 0, apierror.New(apierror.InvalidFrame, "a frame of %d bytes; at most %d", size, MaximumSize)
+		return nil, 0, apierror.New(apierror.InvalidFrame, "frame of %d bytes exceeds the maximum of %d", size, MaximumSize)
 	}
 	content, err := readBounded(reader, int(size))
 	if err != nil {
-		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "a torn frame")
+		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "truncated frame")
 	}
 	envelope := &wire.Envelope{}
 	if err := proto.Unmarshal(content, envelope); err != nil {
-		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "not an envelope")
+		return nil, 0, apierror.Wrap(err, apierror.InvalidFrame, "decoding an envelope")
 	}
 	return envelope, headerLength + int(size), nil
 }
 
-// readBounded reads size bytes and allocates memory only as they arrive, so that a false length costs little.
+// readBounded reads size bytes and allocates memory only as they arrive, so that a forged length allocates little.
 func readBounded(reader io.Reader, size int) ([]byte, error) {
 	content := make([]byte, 0, min(size, allocationStep))
 	for len(content) < size {
--- a/transport/frame/frame_fuzz_test.go
+++ b/transport/frame/frame_fuzz_test.go
@@ -14,8 +14,8 @@
 	"wardtray/wire/wiretest"
 )
 
-// Whatever arrives over a connection, decoding neither panics nor consumes more bytes than arrived, and a decoded
-// envelope survives a round trip through its own encoding.
+// For any bytes that arrive over a connection, decoding must neither panic nor report more bytes than arrived, and a
+// decoded envelope must survive a round trip through its own encoding.
 func FuzzStreamOfFrames(fuzz *testing.F) {
 	for _, sample := range wiretest.Envelopes() {
 		content, err := Encode(sample.Envelope)
@@ -34,12 +34,12 @@
 			envelope, size, err := Decode(reader)
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !apierror.Is(err, apierror.InvalidFrame) {
-					t.Fatalf("%v", err)
+					t.Fatalf("unexpected error: %v", err)
 				}
 				return
 			}
 			if consumed += size; size < headerLength || consumed > len(content) {
-				t.Fatalf("%d bytes were read of %d", consumed, len(content))
+				t.Fatalf("%d bytes reported as read, of %d", consumed, len(content))
 			}
 			requireReadBack(t, envelope)
 		}
@@ -55,6 +55,6 @@
 	}
 	second, _, err := Decode(bufio.NewReader(bytes.NewReader(again)))
 	if err != nil || !proto.Equal(envelope, second) {
-		t.Fatalf("%v is read back as %v: %v", envelope, second, err)
+		t.Fatalf("%v is decoded after encoding as %v: %v", envelope, second, err)
 	}
 }
--- a/transport/frame/frame_test.go
+++ b/transport/frame/frame_test.go
@@ -47,31 +47,31 @@
 	reader := bufio.NewReader(bytes.NewReader(append(bytes.Clone(valid), valid...)))
 	for range 2 {
 		if envelope, _, err := Decode(reader); err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 3 {
-			t.Fatalf("two frames in a row: %v", err)
+			t.Fatalf("one of two consecutive frames: %v", err)
 		}
 	}
 	if _, _, err := Decode(reader); !errors.Is(err, io.EOF) {
-		t.Fatalf("the end between two frames: %v", err)
+		t.Fatalf("end of the stream after two frames: %v, want io.EOF", err)
 	}
 }
 
-// A peer of the next version may add fields; this one skips them and keeps them when the message is passed on. A peer
-// of an older version leaves newer fields out.
+// During an upgrade, peers of adjacent versions exchange frames. Fields of the next version must be skipped, and kept
+// when the message is forwarded; fields that an older version lacks must decode as empty.
 func TestDecodeAcceptsAdjacentVersions(t *testing.T) {
 	newer := encoded(t)
 	newer = protowire.AppendTag(newer, 900, protowire.BytesType)
-	newer = protowire.AppendString(newer, "from the next edition")
+	newer = protowire.AppendString(newer, "from the next version")
 	newer[2] = Version + 1
 	newer[7] = byte(len(newer) - headerLength)
 	envelope, _, err := Decode(bufio.NewReader(bytes.NewReader(newer)))
 	if err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 3 {
-		t.Fatalf("a frame of the next edition: %v", err)
+		t.Fatalf("a frame of the next version: %v", err)
 	}
-	passed, err := proto.Marshal(envelope)
-	if err != nil || !bytes.Contains(passed, []byte("from the next edition")) {
-		t.Fatal("an unknown field was lost on the way")
+	forwarded, err := proto.Marshal(envelope)
+	if err != nil || !bytes.Contains(forwarded, []byte("from the next version")) {
+		t.Fatal("an unknown field was lost in the forwarded message")
 	}
-	// An older encoding of a lease request, from before it held the zone and the HTTP address.
+	// An older encoding of a lease request, which lacks the zone and the HTTP address.
 	var request, older []byte
 	request = protowire.AppendTag(request, 1, protowire.VarintType)
 	request = protowire.AppendVarint(request, 9)
@@ -82,7 +82,7 @@
 	content := append([]byte{'W', 'T', OldestVersion, 0, 0, 0, 0, byte(len(older))}, older...)
 	envelope, _, err = Decode(bufio.NewReader(bytes.NewReader(content)))
 	if err != nil || envelope.GetDaemonLeaseRequest().GetNonce() != 9 || envelope.GetDaemonLeaseRequest().GetZone() != "" {
-		t.Fatalf("an older encoding: %v", err)
+		t.Fatalf("a frame of an older version: %v", err)
 	}
 }
 
@@ -96,7 +96,7 @@
 			return
 		}
 		if size > len(content) {
-			t.Fatal("more read than there was")
+			t.Fatal("Decode reports more bytes than the stream held")
 		}
 		if _, err := Encode(envelope); err != nil {
 			t.Fatal(err)
--- a/transport/listen.go
+++ b/transport/listen.go
@@ -9,12 +9,15 @@
 )
 
 const (
+	// listenRetryInterval is the time between two attempts to open a port, listenTimeout the time after which ListenTCP
+	// stops retrying.
 	listenRetryInterval = 100 * time.Millisecond
 	listenTimeout       = 3 * time.Second
 )
 
-// ListenTCP opens a TCP port. A port that a previous process of the same address still holds is retried for up to 3 s;
-// after that it fails with apierror.InvalidSettings. The context concerns the resolution of a host name only.
+// ListenTCP opens a TCP port. A previous process with the same address may still hold the port, so a failure is retried
+// for up to 3 s; then ListenTCP returns an apierror.InvalidSettings. The context limits only the resolution of a host
+// name.
 func ListenTCP(ctx context.Context, address string) (net.Listener, error) {
 	started := time.Now()
 	for {
--- a/transport/receiver.go
+++ b/transport/receiver.go
@@ -10,7 +10,7 @@
 	"wardtray/transport/frame"
 )
 
-// accept takes inbound connections until the transport is closed.
+// accept accepts inbound connections until the transport is closed.
 func (transport *Transport) accept() {
 	for {
 		connection, err := transport.listener.Accept()
@@ -18,13 +18,13 @@
 			if transport.context.Err() != nil {
 				return
 			}
-			// Out of file descriptors, for instance; retrying at once would only burn a core.
+			// The process may be out of file descriptors; retrying at once would only use up a core.
 			transport.pause(failurePause)
 			continue
 		}
 		if transport.inbound.Add(1) > maximumInbound {
 			transport.inbound.Add(-1)
-			_ = connection.Close() // It has carried nothing.
+			_ = connection.Close() // It has carried no envelope.
 			continue
 		}
 		go transport.read(connection)
@@ -34,14 +34,14 @@
 // read receives envelopes over one inbound connection until it ends.
 func (transport *Transport) read(connection net.Conn) {
 	defer transport.inbound.Add(-1)
-	defer func() { _ = connection.Close() }() // Nothing is written to it, so that nothing can be lost.
+	defer func() { _ = connection.Close() }() // Nothing is written to it, so nothing can be lost.
 	release := context.AfterFunc(transport.context, func() { _ = connection.Close() })
 	defer release()
 	detectDeadPeer(connection)
 	reader := bufio.NewReaderSize(connection, bufferSize)
 	for {
-		// A sender closes a connection after idleTimeout, so that one from which nothing arrives for longer is dead. A
-		// deadline can only fail on a closed connection, on which reading fails as well.
+		// A sender closes its connection after idleTimeout, so a connection that is silent for longer is dead. Setting a
+		// deadline fails only on a closed connection, on which reading fails as well.
 		_ = connection.SetReadDeadline(time.Now().Add(2 * idleTimeout))
 		envelope, size, err := frame.Decode(reader)
 		if err != nil {
--- a/transport/sender.go
+++ b/transport/sender.go
@@ -13,16 +13,17 @@
 )
 
 const (
+	// dialTimeout limits the establishment of a connection, writeTimeout the writing of a batch of frames.
 	dialTimeout  = 500 * time.Millisecond
 	writeTimeout = time.Second
 )
 
-// sender sends the envelopes of one address, on a goroutine of its own.
+// sender sends the envelopes queued for one address, on its own goroutine.
 type sender struct {
 	transport *Transport
 	address   string
 	queue     chan *wire.Envelope
-	// connection and writer are nil while there is no connection; peerClosed is closed once the peer has closed it.
+	// connection is nil while there is none; peerClosed is closed once the peer has closed the connection.
 	connection net.Conn
 	writer     *bufio.Writer
 	peerClosed chan struct{}
@@ -33,7 +34,7 @@
 	return &sender{transport: transport, address: address, queue: queue}
 }
 
-// run sends what is queued until the transport is closed or nothing was queued for idleTimeout.
+// run sends queued envelopes until the transport is closed or nothing was queued for idleTimeout.
 func (sender *sender) run() {
 	defer sender.disconnect()
 	idle := time.NewTimer(idleTimeout)
@@ -44,7 +45,8 @@
 			idle.Reset(idleTimeout)
 			sender.send(envelope)
 		case <-sender.peerClosed:
-			// A peer that closes its connection may be dead. Whether anybody listens there now shows it for certain.
+			// A peer that closes its connection may be dead. A new connection attempt shows whether a process still
+			// listens at its address.
 			sender.disconnect()
 			sender.connect()
 		case <-sender.transport.context.Done():
@@ -58,8 +60,7 @@
 	}
 }
 
-// connect dials the address and reports whether there is a connection now. A refused connection is reported to the
-// transport's owner.
+// connect dials the address and reports whether it succeeded. It reports a refused connection to the transport's owner.
 func (sender *sender) connect() bool {
 	transport, tried := sender.transport, time.Now()
 	dialer := net.Dialer{
@@ -85,13 +86,13 @@
 // disconnect closes the connection, if there is one.
 func (sender *sender) disconnect() {
 	if sender.connection != nil {
-		_ = sender.connection.Close() // What it did not carry is lost either way.
+		_ = sender.connection.Close() // What it has not delivered is lost either way.
 		sender.connection, sender.peerClosed = nil, nil
 	}
 }
 
-// send writes one envelope, and flushes it if no other is queued. If the address can't be reached, everything queued
-// for it is dropped.
+// send writes one envelope, and flushes it if no other is queued. If the address can't be reached, it drops everything
+// queued for the address.
 func (sender *sender) send(envelope *wire.Envelope) {
 	transport := sender.transport
 	content, err := frame.Encode(envelope)
@@ -112,10 +113,10 @@
 	transport.countSent(sender.address, len(content))
 }
 
-// write buffers a frame, and flushes the buffer if no other envelope is queued.
+// write writes a frame to the buffer and flushes the buffer if no other envelope is queued.
 func (sender *sender) write(content []byte) error {
 	if sender.writer.Buffered() == 0 {
-		// A deadline can only fail on a closed connection, on which writing fails as well.
+		// Setting a deadline fails only on a closed connection, on which writing fails as well.
 		_ = sender.connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
 	if _, err := sender.writer.Write(content); err != nil {
@@ -127,8 +128,8 @@
 	return sender.writer.Flush()
 }
 
-// awaitClose waits until a connection ends and closes a channel then, so that the next message goes over a new one. The
-// peer sends nothing over it, so that a read returns at the end only.
+// awaitClose waits until a connection ends and then closes a channel, so that the next message goes over a new
+// connection. The peer sends nothing over it, so a read returns only at its end.
 func awaitClose(connection net.Conn, closed chan<- struct{}) {
 	var buffer [1]byte
 	_, _ = connection.Read(buffer[:])
--- a/transport/socket.go
+++ b/transport/socket.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedTimeout is for how long sent bytes may stay unacknowledged before a connection is aborted: the peer may
-// be without power or behind a network partition, and only a new connection reaches it soon after it is back.
+// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection is aborted. The peer may
+// have lost power or be behind a network partition, and only a new connection reaches it soon after it has recovered.
 const unacknowledgedTimeout = time.Second
 
-// keepAlive ends connections on which nothing is sent while the peer is dead.
+// keepAlive ends idle connections whose peer is dead.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 15 * time.Second, Interval: 3 * time.Second, Count: 3}
 
-// detectDeadPeer sets the socket options by which an inbound connection ends once its peer is dead. Without them that
-// is only noticed later, so an error is of no consequence.
+// detectDeadPeer sets the socket options that end an inbound connection once its peer is dead. Without them a dead peer
+// is only detected later, by the read deadline, so errors are ignored.
 func detectDeadPeer(connection net.Conn) {
 	tcpConnection, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
@@ -28,7 +28,7 @@
 	}
 }
 
-// limitUnacknowledged sets unacknowledgedTimeout on a socket. Its first arguments are those of net.Dialer.Control.
+// limitUnacknowledged sets unacknowledgedTimeout on a socket. Its signature is that of net.Dialer.Control.
 func limitUnacknowledged(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	controlErr := raw.Control(func(descriptor uintptr) {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,7 +1,7 @@
 // Package transport carries envelopes between processes over TCP.
 //
-// Sending never blocks: each address has a bounded queue and one connection. What can't be sent is dropped and counted,
-// as the state machines above expect of a network.
+// Sending never blocks: each address has a bounded queue and one connection. Envelopes that can't be sent are dropped
+// and counted; the state machines that use the transport expect a lossy network.
 package transport
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// queueLength is how many envelopes wait for one address.
+	// queueLength is the maximum number of envelopes queued for one address.
 	queueLength = 256
-	// bufferSize is the size of a connection's read or write buffer, in bytes.
+	// bufferSize is the size of a connection's read buffer and of its write buffer, in bytes.
 	bufferSize = 4 << 10
 	// maximumInbound and maximumOutbound limit the connections of each direction.
 	maximumInbound  = 4096
 	maximumOutbound = 4096
-	// idleTimeout is after how long without an envelope an outbound connection is closed.
+	// idleTimeout is the time without an envelope after which an outbound connection is closed.
 	idleTimeout = time.Minute
-	// failurePause is how long an address, or the listener, is left alone after a failure.
+	// failurePause is the delay before an address is dialed, or the listener accepts, again after a failure.
 	failurePause = 100 * time.Millisecond
 )
 
-// Transport is the endpoint of one process. It is safe for concurrent use.
+// Transport is the network endpoint of one process. It is safe for concurrent use.
 type Transport struct {
 	address  string
 	zone     string
@@ -39,16 +39,17 @@
 	context  context.Context
 	stop     context.CancelFunc
 	mutex    sync.Mutex
-	// queues are what waits to be sent, by address; a goroutine for each sends it.
+	// queues holds the envelopes to be sent, by address. Each address has a sender goroutine.
 	queues map[string]chan *wire.Envelope
-	// zones are the zones of processes, by their addresses, as learned from what they sent.
+	// zones maps the addresses of processes to their zones, as stated in received envelopes.
 	zones    sync.Map
 	inbound  atomic.Int64
 	Counters Counters
 }
 
-// New returns a transport that is not listening yet. receive handles what arrives; refused is called with an address at
-// which nobody listens and the moment when it was tried. Both are called concurrently.
+// New returns a transport that does not listen yet. It calls receive with each received envelope, and refused with an
+// address that refused a connection and the time at which the attempt began; refused may be nil. Both are called
+// concurrently.
 func New(
 	address, zone string,
 	receive func(envelope *wire.Envelope),
@@ -66,7 +67,7 @@
 	}
 }
 
-// Listen opens the port and starts to receive.
+// Listen opens the port and starts to accept connections.
 func (transport *Transport) Listen() error {
 	listener, err := ListenTCP(transport.context, transport.address)
 	if err != nil {
@@ -77,15 +78,15 @@
 	return nil
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (transport *Transport) Close() {
 	transport.stop()
 	if transport.listener != nil {
-		_ = transport.listener.Close() // Nothing can be done about a listener that won't close at the end.
+		_ = transport.listener.Close() // The process can't react to a failed close.
 	}
 }
 
-// Send queues messages for sending and drops those for which there is no room.
+// Send queues messages for sending. It drops and counts those whose queue is full.
 func (transport *Transport) Send(messages []statemachine.Message) {
 	for _, message := range messages {
 		if !transport.enqueue(message) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// enqueue adds a message to its address's queue and reports whether there was room.
+// enqueue adds a message to the queue of its address and reports whether there was room.
 func (transport *Transport) enqueue(message statemachine.Message) bool {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// retire removes the queue of an address and reports whether it was empty.
+// retire removes the queue of an address if it is empty, and reports whether it was.
 func (transport *Transport) retire(address string, queue chan *wire.Envelope) bool {
 	transport.mutex.Lock()
 	defer transport.mutex.Unlock()
@@ -136,7 +137,7 @@
 	}
 }
 
-// countSent counts an envelope that was sent to an address.
+// countSent counts a sent envelope and its size in bytes.
 func (transport *Transport) countSent(address string, size int) {
 	transport.Counters.Sent.Add(1)
 	transport.Counters.BytesOut.Add(uint64(size))
@@ -145,8 +146,8 @@
 	}
 }
 
-// localAddress returns the address that outbound connections are bound to, so that they leave from the process's own;
-// nil if it has none.
+// localAddress returns the local address of outbound connections, which is the process's own IP address, or nil if it
+// has none.
 func (transport *Transport) localAddress() net.Addr {
 	host, _, err := net.SplitHostPort(transport.address)
 	if err != nil {
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -10,35 +10,36 @@
 	"wardtray/wire"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
-// refusal is a call of a transport's refused function.
+// refusal holds the arguments of a call of a transport's refused function.
 type refusal struct {
 	address string
 	tried   time.Time
 }
 
-// endpoint is a transport that listens at a free port of the loopback interface.
+// endpoint is a transport that listens on the loopback interface and records the calls of its functions.
 type endpoint struct {
 	*Transport
 	received chan *wire.Envelope
 	refused  chan refusal
 }
 
+// listen starts an endpoint at an address until the test ends.
 func listen(t *testing.T, address string) *endpoint {
 	t.Helper()
-	created := &endpoint{received: make(chan *wire.Envelope, 4096), refused: make(chan refusal, 64)}
-	created.Transport = New(address, "a", func(envelope *wire.Envelope) { created.received <- envelope },
-		func(address string, tried time.Time) { created.refused <- refusal{address, tried} })
-	if err := created.Listen(); err != nil {
+	started := &endpoint{received: make(chan *wire.Envelope, 4096), refused: make(chan refusal, 64)}
+	started.Transport = New(address, "a", func(envelope *wire.Envelope) { started.received <- envelope },
+		func(address string, tried time.Time) { started.refused <- refusal{address, tried} })
+	if err := started.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(created.Close)
-	return created
+	t.Cleanup(started.Close)
+	return started
 }
 
-// free returns an address at which nobody listens.
+// free returns an address at which no process listens.
 func free(t *testing.T) string {
 	t.Helper()
 	listener := listenTCP(t)
@@ -65,28 +66,29 @@
 	return []statemachine.Message{{To: to, Envelope: &wire.Envelope{Body: body}}}
 }
 
-// within returns what a channel delivers before the test's timeout.
+// within returns the next value of a channel, or fails the test after testTimeout.
 func within[Value any](t *testing.T, channel <-chan Value, what string) Value {
 	t.Helper()
 	select {
 	case value := <-channel:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("%s: not within %v", what, testTimeout)
+		t.Fatalf("%s did not arrive within %v", what, testTimeout)
 		panic("unreachable")
 	}
 }
 
-// A peer that ends is found dead without anything being sent to it, and a new process at the same address is reached.
+// A peer that ends must be detected as dead without sending to it, and a new process at the same address must be
+// reached over a new connection.
 func TestDeadPeersAreDetectedAtOnce(t *testing.T) {
 	one, other := listen(t, free(t)), listen(t, free(t))
 	one.Send(prompt(other.address))
 	within(t, other.received, "the first message")
 	before := time.Now()
 	other.Close()
-	found := within(t, one.refused, "the refusal")
+	found := within(t, one.refused, "the refused connection")
 	if found.address != other.address || found.tried.Before(before) {
-		t.Fatalf("%v", found)
+		t.Fatalf("unexpected refused connection: %v", found)
 	}
 	again := listen(t, other.address)
 	for started := time.Now(); time.Since(started) < testTimeout; {
@@ -97,10 +99,11 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	t.Fatal("the new process at the address was not reached")
+	t.Fatal("the new process at the same address was not reached")
 }
 
-// A peer that takes connections and reads nothing, and one that does not exist, delay nobody else.
+// A peer that accepts connections but reads nothing, and one that does not exist, must not delay messages to other
+// peers.
 func TestUnresponsivePeersDelayNobody(t *testing.T) {
 	unresponsive := listenTCP(t)
 	one, other := listen(t, free(t)), listen(t, free(t))
@@ -115,6 +118,6 @@
 		within(t, other.received, fmt.Sprint("message ", number))
 	}
 	if one.Counters.Dropped.Load() == 0 && len(one.queues[unresponsive.Addr().String()]) == 0 {
-		t.Fatal("the unresponsive peer took everything, so that nothing was tested")
+		t.Fatal("the unresponsive peer read everything, so that nothing was tested")
 	}
 }
