--- a/transport/netio/client.go
+++ b/transport/netio/client.go
@@ -7,10 +7,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// httpClient is the Client of one request to an HTTP server.
+// httpClient implements Client for one request to a fasthttp server.
 type httpClient struct{ request *fasthttp.RequestCtx }
 
-// FromHTTP returns the client of one HTTP request.
+// FromHTTP returns the Client of a request to a fasthttp server.
 func FromHTTP(request *fasthttp.RequestCtx) Client { return httpClient{request} }
 
 // Method returns the HTTP method.
@@ -19,7 +19,7 @@
 // Authority returns the Host header.
 func (client httpClient) Authority() string { return string(client.request.Request.Header.Host()) }
 
-// Target returns the request target byte by byte as received: normalizing it would change what was asked for.
+// Target returns the request target exactly as received: normalizing it would change what the client requested.
 func (client httpClient) Target() string {
 	return string(client.request.Request.Header.RequestURI())
 }
@@ -37,28 +37,28 @@
 	return values
 }
 
-// Headers calls a function for each header line of the request.
+// Headers calls a function for each header line, in order.
 func (client httpClient) Headers(each func(name, value string)) {
 	for name, value := range client.request.Request.Header.All() {
 		each(string(name), string(value))
 	}
 }
 
-// Body returns the complete body, which the server has read.
+// Body returns the complete body, which the server has already read.
 func (client httpClient) Body() []byte { return client.request.PostBody() }
 
-// Disconnected inspects the state of the connection.
+// Disconnected polls the socket of the connection.
 func (client httpClient) Disconnected() bool { return Disconnected(client.request.Conn()) }
 
-// OnDisconnect waits for the end of the connection on a goroutine of its own.
-func (client httpClient) OnDisconnect(left func()) (stop func()) {
-	return watch(client.request.Conn(), left)
+// OnDisconnect starts a goroutine that waits for the close of the connection.
+func (client httpClient) OnDisconnect(onClose func()) (stop func()) {
+	return watchClose(client.request.Conn(), onClose)
 }
 
 // ConnectedAt returns when the server began to serve the connection.
 func (client httpClient) ConnectedAt() time.Time { return client.request.ConnTime() }
 
-// CloseAfterResponse closes the connection after this response.
+// CloseAfterResponse makes the server close the connection after this response.
 func (client httpClient) CloseAfterResponse() { client.request.SetConnectionClose() }
 
 // writeHead sets the status and the headers of the response.
@@ -66,7 +66,7 @@
 	client.request.ResetBody()
 	client.request.SetStatusCode(status)
 	for _, header := range headers {
-		// A header may occur several times, and all of its values count.
+		// A header may occur several times; Add keeps all of its values.
 		client.request.Response.Header.Add(header.Name, header.Value)
 	}
 }
@@ -77,7 +77,7 @@
 	client.request.SetBody(body)
 }
 
-// Stream hands the source to the server, which writes each chunk out as it is read: without a goroutine or a pipe in
+// Stream passes the source to the server, which writes each chunk as it is read. Without a goroutine or a pipe in
 // between, an event costs one write.
 func (client httpClient) Stream(status int, headers []Header, source io.ReadCloser) {
 	client.writeHead(status, headers)
--- a/transport/netio/departure.go
+++ b/transport/netio/disconnect.go
@@ -9,40 +9,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// closedEvents are the poll events of a connection that the peer has closed, whether in order or by a reset.
+// closedEvents are the poll events of a connection that the peer has closed, in order or by a reset.
 //
-// Why poll and not a read of zero bytes: a close can stand behind a request that nobody has read yet. A peer that only
-// shuts down its sending side looks the same and counts as closed, as with most HTTP servers.
+// A read of zero bytes would not detect a close behind a request that has not been read yet; poll does. A peer that
+// only shuts down its sending side looks the same and counts as closed, as with most HTTP servers.
 const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// expiredDeadline is a deadline in the past, which ends a pending read.
+// expiredDeadline is a deadline in the past; setting it ends a pending read.
 var expiredDeadline = time.Unix(1, 0)
 
-// Disconnected reports whether the peer has closed a connection, by one system call that never blocks. A connection
-// that is no socket of the operating system counts as open.
+// Disconnected reports whether the peer has closed a connection. It makes one system call and never blocks. A
+// connection without a socket of the operating system counts as open.
 func Disconnected(connection net.Conn) bool {
 	raw := rawConnection(connection)
 	if raw == nil {
 		return false
 	}
 	closed := false
-	// Control fails on a connection that is closed on this side, which has no peer any more.
+	// Control fails on a connection that this side has closed, which has no peer any more.
 	if err := raw.Control(func(descriptor uintptr) { closed = closedByPeer(descriptor) }); err != nil {
 		return true
 	}
 	return closed
 }
 
-// watch calls a function as soon as the peer closes a connection. stop ends the watch.
+// watchClose calls a function as soon as the peer closes a connection. stop ends the watch and waits for a running
+// call.
 //
-// Why a goroutine that waits to read, and reads nothing: the runtime's poller then reports the close without a system
-// call or a timer for a request whose client stays. Meanwhile nobody else may read from the connection.
-func watch(connection net.Conn, left func()) (stop func()) {
+// It starts a goroutine that waits until the connection is readable but reads nothing. The runtime's poller then
+// reports the close, at the cost of no system call and no timer for a request whose client stays connected. Nothing
+// else may read from the connection during the watch.
+func watchClose(connection net.Conn, onClose func()) (stop func()) {
 	raw := rawConnection(connection)
 	if raw == nil {
 		return func() {}
 	}
-	// The server's deadline for reading the request does not apply to the watch. Deadlines can only fail on a closed
+	// The server's deadline for reading the request must not end the watch. Setting a deadline fails only on a closed
 	// connection, on which the wait ends by itself.
 	_ = connection.SetReadDeadline(time.Time{})
 	finished := make(chan struct{})
@@ -55,7 +57,7 @@
 			return closed
 		})
 		if closed {
-			left()
+			onClose()
 		}
 	}()
 	return func() {
@@ -78,7 +80,7 @@
 	return raw
 }
 
-// closedByPeer polls the state of a socket and consumes nothing.
+// closedByPeer reports whether the peer has closed a socket. It consumes no bytes.
 func closedByPeer(descriptor uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
 	for {
--- a/transport/netio/departure_test.go
+++ b/transport/netio/disconnect_test.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 // listen opens a free port of the loopback interface until the test ends.
@@ -57,92 +57,97 @@
 	return near, far
 }
 
-// departures are the ways in which the other side may end a connection.
-var departures = map[string]func(far *net.TCPConn){
+// closeMethods are the ways in which the peer may close a connection.
+var closeMethods = map[string]func(far *net.TCPConn){
 	"closes":                func(far *net.TCPConn) { _ = far.Close() },
 	"resets":                func(far *net.TCPConn) { _, _ = far.SetLinger(0), far.Close() },
 	"ends its sending side": func(far *net.TCPConn) { _ = far.CloseWrite() },
-	"closes behind bytes that nobody reads": func(far *net.TCPConn) {
+	"closes after sending bytes that are not read": func(far *net.TCPConn) {
 		_, _ = far.Write([]byte("GET / HTTP/1.1\r\n"))
 		_ = far.Close()
 	},
 }
 
-func TestLeftReportsClosedConnections(t *testing.T) {
-	for name, leave := range departures {
+// Disconnected must report every kind of close, also behind unread bytes, and must not consume these. Otherwise a
+// request of a client that has disconnected runs on, or the next request on a connection is damaged.
+func TestDisconnectedReportsClosedConnections(t *testing.T) {
+	for name, closePeer := range closeMethods {
 		near, far := pair(t)
 		if Disconnected(near) {
-			t.Errorf("%s: it has left before", name)
+			t.Errorf("%s: reported as closed before the close", name)
 		}
 		if _, err := far.Write([]byte("x")); err != nil || Disconnected(near) {
-			t.Errorf("%s: unread bytes are taken for a close (%v)", name, err)
+			t.Errorf("%s: reported as closed because of unread bytes (%v)", name, err)
 		}
-		leave(far)
+		closePeer(far)
 		for end := time.Now().Add(testTimeout); !Disconnected(near); runtime.Gosched() {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never seen", name)
+				t.Fatalf("%s: the close was not reported", name)
 			}
 		}
-		// The check consumes nothing.
-		if one, err := bufio.NewReader(near).ReadByte(); name != "resets" && (err != nil || one != 'x') {
-			t.Errorf("%s: %q, %v", name, one, err)
+		// Disconnected consumes no bytes.
+		if received, err := bufio.NewReader(near).ReadByte(); name != "resets" && (err != nil || received != 'x') {
+			t.Errorf("%s: read %q, %v after the check", name, received, err)
 		}
 	}
 	near, _ := pair(t)
 	_ = near.Close()
 	if !Disconnected(near) {
-		t.Error("a connection that is closed here has somebody on the other side")
+		t.Error("a connection that this side has closed is reported as open")
 	}
-	if in, _ := net.Pipe(); Disconnected(in) {
+	if end, _ := net.Pipe(); Disconnected(end) {
 		t.Error("a connection without a socket is reported as closed")
 	}
 }
 
+// watchClose must call its function exactly once for every kind of close, whether it happens before or during the
+// watch.
 func TestWatchReportsTheCloseOnce(t *testing.T) {
-	for name, leave := range departures {
+	for name, closePeer := range closeMethods {
 		for when, before := range map[string]bool{"before the watch": true, "during the watch": false} {
 			near, far := pair(t)
 			if before {
-				leave(far)
+				closePeer(far)
 			}
 			calls := make(chan struct{}, 2)
-			// A read deadline left over from the request does not matter.
+			// An expired read deadline of the request must not end the watch.
 			_ = near.SetReadDeadline(time.Now().Add(-time.Second))
-			stop := watch(near, func() { calls <- struct{}{} })
+			stop := watchClose(near, func() { calls <- struct{}{} })
 			if !before {
-				_, _ = far.Write([]byte("a request behind the first"))
-				leave(far)
+				_, _ = far.Write([]byte("a pipelined request"))
+				closePeer(far)
 			}
 			select {
 			case <-calls:
 			case <-time.After(testTimeout):
-				t.Fatalf("%s %s: not reported", name, when)
+				t.Fatalf("%s %s: the close was not reported", name, when)
 			}
 			stop()
 			if len(calls) > 0 {
-				t.Errorf("%s %s: reported twice", name, when)
+				t.Errorf("%s %s: the close was reported twice", name, when)
 			}
 		}
 	}
 }
 
-// A stopped watch makes no calls any more, and bytes that arrived meanwhile can be read.
+// After stop returns, the watch must make no more calls, and bytes that arrived during it must be readable: they belong
+// to the next request.
 func TestStoppedWatchReportsNothing(t *testing.T) {
 	for range 100 {
 		near, far := pair(t)
 		called := false
-		stop := watch(near, func() { called = true })
+		stop := watchClose(near, func() { called = true })
 		_, _ = far.Write([]byte("next"))
 		stop()
 		_ = far.Close()
 		content, err := io.ReadAll(near)
 		if err != nil || string(content) != "next" || called {
-			t.Fatalf("%q, %v, called %v", content, err, called)
+			t.Fatalf("read %q, %v after the watch; called: %v", content, err, called)
 		}
 	}
 }
 
-// One connection carries many requests, each watched, also if they arrive before the previous response.
+// Pipelined requests on one connection are each watched. Their bytes must not be taken for a close, nor be lost.
 func TestWatchedConnectionCarriesManyRequests(t *testing.T) {
 	listener := listen(t)
 	notified := make(chan struct{}, 8)
@@ -150,7 +155,7 @@
 		client := FromHTTP(request)
 		stop := client.OnDisconnect(func() { notified <- struct{}{} })
 		if client.Disconnected() {
-			t.Error("it has left")
+			t.Error("the client is reported as disconnected")
 		}
 		stop()
 		request.SetBody(request.Path())
@@ -171,7 +176,7 @@
 		}
 	}
 	if len(notified) > 0 {
-		t.Error("a client that stays is taken to have left")
+		t.Error("a connected client was reported as disconnected")
 	}
 }
 
@@ -185,8 +190,9 @@
 	return string(content), errors.Join(err, response.Body.Close())
 }
 
-// bound returns a connection that is bound to a context, its other side, and what ends the context and releases it.
-func bound(t *testing.T) (conn Conn, far net.Conn, leave func(), release func() bool) {
+// dialBound dials a connection and binds it to a context. It returns the connection, its peer, a function that cancels
+// the context and the function that releases the connection from it.
+func dialBound(t *testing.T) (conn Conn, far net.Conn, cancel func(), release func() bool) {
 	t.Helper()
 	listener := listen(t)
 	timeouts := Timeouts{Dial: time.Second, Unacknowledged: time.Second}
@@ -197,49 +203,50 @@
 	if far, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	return conn, far, leave, conn.Bind(ctx)
+	ctx, cancel := context.WithCancel(context.Background())
+	return conn, far, cancel, conn.Bind(ctx)
 }
 
-// A connection to a runner ends with the context that it is bound to.
+// A connection must be closed on both sides when the context that it is bound to ends, or its runner would run on for a
+// client that has disconnected.
 func TestBoundConnectionEndsWithItsContext(t *testing.T) {
-	conn, far, leave, release := bound(t)
-	leave()
+	conn, far, cancel, release := dialBound(t)
+	cancel()
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("it still reads")
+		t.Error("the connection can still be read")
 	}
 	if _, err := far.Read(make([]byte, 1)); err == nil {
-		t.Error("the peer does not see the close")
+		t.Error("the peer does not receive the close")
 	}
 	if release() {
-		t.Error("it is said to stand")
+		t.Error("release reports that the context had not ended")
 	}
 }
 
-// One that was released before stays.
+// A connection that was released before its context ends must stay open, because another request may use it.
 func TestReleasedConnectionStays(t *testing.T) {
-	conn, _, leave, release := bound(t)
+	conn, _, cancel, release := dialBound(t)
 	if !release() {
-		t.Error("it does not stand")
+		t.Error("release reports that the context had ended")
 	}
-	leave()
+	cancel()
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Error(err)
 	}
 	_ = conn.Close()
 }
 
-// A dial and a wait end with their context.
+// Dial and Wait must return as soon as their context ends, not only at their timeout.
 func TestWaitsEndWithTheirContext(t *testing.T) {
-	ctx, leave := context.WithCancel(context.Background())
-	leave()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	environment, started := Real(nil), time.Now()
 	environment.Wait(ctx, testTimeout, nil)
 	timeouts := Timeouts{Dial: testTimeout, Unacknowledged: time.Second}
 	if _, err := environment.Dial(ctx, "127.0.0.1:1", timeouts); err == nil {
-		t.Error("a connection for nobody was made")
+		t.Error("Dial succeeded although its context had ended")
 	}
 	if took := time.Since(started); took > testTimeout/2 {
-		t.Errorf("it took %v", took)
+		t.Errorf("Wait and Dial returned after %v", took)
 	}
 }
--- a/transport/netio/real.go
+++ b/transport/netio/real.go
@@ -12,11 +12,11 @@
 	"wardtray/apierror"
 )
 
-// errNotTCP is returned for a dialed connection that is not a TCP connection, which the network "tcp" rules out.
+// errNotTCP is returned for a dialed connection that is not a *net.TCPConn, which the network "tcp" rules out.
 var errNotTCP = errors.New("not a TCP connection")
 
-// Real returns the environment of a process. Its connections are bound to the local address; nil leaves the choice to
-// the operating system.
+// Real returns the environment of a process. It dials from the local address; if local is nil, the operating system
+// selects one.
 func Real(local net.Addr) Environment {
 	return Environment{
 		Now:  time.Now,
@@ -38,7 +38,7 @@
 	}
 	tcpConnection, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
-		_ = connection.Close() // It carried nothing.
+		_ = connection.Close() // It has carried no request.
 		return nil, apierror.Wrap(errNotTCP, apierror.Unreachable, "dialing %s", address)
 	}
 	return tcpConn{tcpConnection}, nil
@@ -67,9 +67,9 @@
 
 // setOptions makes every close an abort and limits how long sent bytes may stay unacknowledged.
 //
-// Why: the kernel keeps retransmitting what a closed socket, or a killed process, left behind. A request that was
-// given up would reach its runner when a network partition heals, long after the zone was closed or the runner was
-// drained.
+// Otherwise the kernel would keep retransmitting the unacknowledged bytes of a closed socket or a killed process. A
+// cancelled request would then reach its runner when a network partition heals, long after the zone was closed or the
+// runner was drained.
 func setOptions(descriptor int, timeouts Timeouts) error {
 	abort := &unix.Linger{Onoff: 1, Linger: 0}
 	if err := unix.SetsockoptLinger(descriptor, unix.SOL_SOCKET, unix.SO_LINGER, abort); err != nil {
@@ -82,24 +82,24 @@
 // tcpConn is a Conn over TCP.
 type tcpConn struct{ *net.TCPConn }
 
-// Bind closes the connection when the context ends, unless it is released before.
+// Bind closes the connection when the context ends, unless the connection is released before.
 func (conn tcpConn) Bind(ctx context.Context) (release func() bool) {
-	// The close is an abort; an error would mean that the connection is closed already.
+	// The close is an abort; an error means that the connection is already closed.
 	return context.AfterFunc(ctx, func() { _ = conn.Close() })
 }
 
-// Idle peeks into the socket's receive buffer without consuming anything.
+// Idle peeks into the socket's receive buffer and consumes no bytes.
 func (conn tcpConn) Idle() bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var buffer [1]byte
 		_, _, peekErr := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(peekErr, unix.EAGAIN)
+		idle = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
