--- a/proxy/admission/parse.go
+++ b/proxy/admission/parse.go
@@ -135,7 +135,7 @@
 func parsePart(pair string) (name string, tokens int, err error) {
 	name, count, found := strings.Cut(pair, "=")
 	tokens, err = strconv.Atoi(count)
-	validName := name != "" && len(name) <= MaximumPart && utf8.ValidString(name)
+	validName := name != "" && len(name) <= MaximumPartName && utf8.ValidString(name)
 	if !found || err != nil || !validName || tokens < 1 || tokens > MaximumTokens {
 		return "", 0, apierror.New(apierror.Malformed, "%s: %q is no name=tokens", HeaderPrefix, clip(pair))
 	}
--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// Each request has one fault in its headers or its body, and must be rejected with the code for that fault.
 func TestParseRejectsMalformed(t *testing.T) {
 	changes := map[string]map[string][]string{
 		"no lane":              {HeaderRoute: nil},
@@ -107,6 +108,7 @@
 	}
 }
 
+// For any headers and body, Parse must not panic, and an accepted prefix must fit into its prompt.
 func FuzzParse(fuzz *testing.F) {
 	fuzz.Add("l", "100", "system=40, more=20", []byte(`{"prompt":"x"}`))
 	fuzz.Add("l", "-1", "=,=", []byte(`{"prompt":5}`))
--- a/proxy/admission/request.go
+++ b/proxy/admission/request.go
@@ -12,8 +12,8 @@
 	MaximumBody = 2 << 20
 	// MaximumParts is the maximum number of parts of a prompt's prefix.
 	MaximumParts = 512
-	// MaximumPart is the maximum length of the name of one part, in bytes.
-	MaximumPart = 128
+	// MaximumPartName is the maximum length of the name of one part, in bytes.
+	MaximumPartName = 128
 	// MaximumTokens is the maximum of every token count.
 	MaximumTokens = 4_000_000
 	// MaximumName is the maximum length of a header value that is a name or an id, in bytes.
--- a/proxy/dedup/table_test.go
+++ b/proxy/dedup/table_test.go
@@ -72,12 +72,15 @@
 	}
 }
 
+// If routes and ids were concatenated without a separator, two different requests could share a key, and one of them
+// would be refused as a duplicate.
 func TestKeySeparatesRouteFromID(t *testing.T) {
 	if KeyOf("ruling", "r1") == KeyOf("rulin", "gr1") {
 		t.Fatal("two different requests have the same key")
 	}
 }
 
+// An entry that expires early lets a retry run a second time; one that never expires fills the table.
 func TestEntriesExpire(t *testing.T) {
 	table, key := New(), KeyOf("ruling", "r1")
 	table.Begin(started, key)
--- a/proxy/stream/reader_test.go
+++ b/proxy/stream/reader_test.go
@@ -214,6 +214,7 @@
 	properties.TestingRun(t)
 }
 
+// A line or event of more than MaximumEvent bytes must fail the run: the reader would buffer an endless one completely.
 func TestNextBoundsEvents(t *testing.T) {
 	for name, text := range map[string]string{
 		"one line":   "data: " + strings.Repeat("x", MaximumEvent),
@@ -254,6 +255,8 @@
 	}
 }
 
+// A connection may be reused only if its body ends after the last event: further bytes would be read as the next
+// response.
 func TestExpectEOF(t *testing.T) {
 	end := "id: 1\nevent: done\ndata: {\"events\":0}\n\n"
 	for text, want := range map[string]bool{end: true, end + "x": false} {
--- a/transport/connpool/pool_test.go
+++ b/transport/connpool/pool_test.go
@@ -28,7 +28,7 @@
 	return listener
 }
 
-// free returns an address that nobody listens on.
+// free returns an address at which no process listens.
 func free(t *testing.T) string {
 	t.Helper()
 	listener := listen(t)
--- a/transport/frame/frame_test.go
+++ b/transport/frame/frame_test.go
@@ -25,6 +25,8 @@
 	return content
 }
 
+// Bytes that are not a complete frame must be rejected with the code InvalidFrame. The end of the stream between two
+// frames must return io.EOF instead.
 func TestDecodeRejectsInvalidFrames(t *testing.T) {
 	valid := encoded(t)
 	oversized := bytes.Clone(valid)
@@ -86,6 +88,8 @@
 	}
 }
 
+// For any bytes, Decode must neither panic nor report more bytes than it was given, and a decoded envelope can be
+// encoded.
 func FuzzDecode(fuzz *testing.F) {
 	fuzz.Add(encoded(fuzz))
 	fuzz.Add([]byte("WT\x01\x00\x00\x00\x00\x00"))
