--- a/transport/netio/disconnect_test.go
+++ b/transport/netio/disconnect_test.go
@@ -95,7 +95,7 @@
 	if !Disconnected(near) {
 		t.Error("a connection that this side has closed is reported as open")
 	}
-	if end, _ := net.Pipe(); Disconnected(end) {
+	if pipe, _ := net.Pipe(); Disconnected(pipe) {
 		t.Error("a connection without a socket is reported as closed")
 	}
 }
