--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -8,7 +8,7 @@
 	"wardtray/apierror"
 )
 
-// validHeaders returns the headers of a valid request.
+// validHeaders returns a new copy of the headers of a valid request.
 func validHeaders() map[string][]string {
 	return map[string][]string{
 		HeaderRoute:   {"l"},
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if strings.Join(request.Parts, " ") != "system rheolau more" || request.PartTokens[1] != 20 {
-		t.Fatalf("parts %v %v", request.Parts, request.PartTokens)
+		t.Fatalf("parsed parts %v with token counts %v", request.Parts, request.PartTokens)
 	}
 }
 
@@ -47,6 +47,7 @@
 	}
 }
 
+// Each request has one fault in its headers or its body, and must be rejected with the code for that fault.
 func TestParseRejectsMalformed(t *testing.T) {
 	changes := map[string]map[string][]string{
 		"no lane":              {HeaderRoute: nil},
@@ -103,10 +104,11 @@
 		err,
 		apierror.TooLarge,
 	) {
-		t.Errorf("a large body: %v", err)
+		t.Errorf("body larger than the limit: %v", err)
 	}
 }
 
+// For any headers and body, Parse must not panic, and an accepted prefix must fit into its prompt.
 func FuzzParse(fuzz *testing.F) {
 	fuzz.Add("l", "100", "system=40, more=20", []byte(`{"prompt":"x"}`))
 	fuzz.Add("l", "-1", "=,=", []byte(`{"prompt":5}`))
@@ -124,7 +126,7 @@
 			total += tokens
 		}
 		if total > request.PromptTokens || len(request.Parts) != len(request.PartTokens) {
-			t.Fatal("a prefix that is longer than its prompt")
+			t.Fatal("the prefix has more tokens than the prompt, or parts without a token count")
 		}
 	})
 }
