--- a/cmd/wtcore/main.go
+++ b/cmd/wtcore/main.go
@@ -1,4 +1,4 @@
-// Command wtcore is the daemon of the control plane, one on each machine with a disk.
+// Command wtcore is the control plane's process; one runs on each machine with a disk.
 package main
 
 import (
--- a/cmd/wtctl/diff.go
+++ b/cmd/wtctl/diff.go
@@ -5,16 +5,16 @@
 	"wardtray/control/proposal"
 )
 
-// difference is how a document differs from the present one.
+// difference lists the changes between the present configuration document and a new one, and the new one's problems.
 type difference struct {
 	Changes []string `json:"changes"`
-	// Epoch is the version of the present document.
+	// Epoch is the configuration version of the present document.
 	Epoch    uint64           `json:"epoch"`
 	Problems []config.Problem `json:"flaws"`
 }
 
-// diff prints how the document in a file differs from the present one, and its problems. The exit code is exitRefused
-// if there is anything to print.
+// diff prints the changes between the present document and the one in a file, and the problems of the latter. The exit
+// code is exitRefused if there is a change or a problem.
 func (session *session) diff(path string) (exitCode, error) {
 	content, err := readFile(path, session.input)
 	if err != nil {
@@ -33,7 +33,8 @@
 	})
 }
 
-// compare returns how a document differs from the present one, which a reply holds; without one from an empty one.
+// compare returns the difference between the present document, which the reply contains, and a wanted one. A reply
+// without a document stands for an empty one.
 func compare(reply proposal.Reply, wanted *config.Spec) (difference, error) {
 	present := &config.Spec{}
 	if len(reply.Spec) > 0 {
@@ -54,7 +55,7 @@
 	return exitFine
 }
 
-// printDifference prints a difference, as JSON if that is wanted.
+// printDifference prints a difference, as JSON if --json is set.
 func (session *session) printDifference(found difference) error {
 	if session.json {
 		return session.output.printJSON(found)
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// print prints a line for each change and each problem.
+// print writes a line for each change and each problem.
 func (found difference) print(output *printer) {
 	output.printf("against epoch %d\n", found.Epoch)
 	for _, change := range found.Changes {
--- a/cmd/wtctl/document.go
+++ b/cmd/wtctl/document.go
@@ -17,26 +17,26 @@
 func (session *session) registerDocument(known commands, application *kingpin.Application) {
 	get := application.Command("get", "Print the present spec; its epoch goes to standard error.")
 	known[get.FullCommand()] = session.get
-	apply := application.Command("apply", "Put a whole spec into effect, or nothing of it.")
+	apply := application.Command("apply", "Replace the spec by the one in a file, completely or not at all.")
 	session.registerChange(known, apply, "The spec", (*operator.Client).Apply)
 	change := application.Command("change",
-		"Add, replace and remove named zones, pools and lanes: all of it, or nothing.")
+		"Add, replace and remove named zones, pools and lanes, all of them or none.")
 	session.registerChange(known, change, "The change", (*operator.Client).Change)
 	diff := application.Command("diff", "Show how a spec differs from the present one.")
 	file := diff.Arg("file", "The spec; - for standard input.").Required().String()
 	known[diff.FullCommand()] = func() (exitCode, error) { return session.diff(*file) }
 }
 
-// sender sends a document, or a change of one, to the control plane.
+// sender sends a complete document, or a change to the present one, to the control plane.
 type sender func(client *operator.Client, content []byte, change operator.Change) (proposal.Reply, error)
 
-// registerChange declares a command that sends a file.
+// registerChange declares a command that sends a file; content names what the file contains, for the help text.
 func (session *session) registerChange(known commands, command *kingpin.CmdClause, content string, send sender) {
 	file := command.Arg("file", content+"; - for standard input.").Required().String()
-	baseFlag := command.Flag("base", "The epoch it was built on; the present one if left out.")
+	baseFlag := command.Flag("base", "The epoch of the spec that the file is based on; default: the present one.")
 	base := baseFlag.Default("").String()
-	operation := command.Flag("operation", "An id of your own, to ask by and to repeat safely.").String()
-	epochFlag := command.Flag("epoch", "The epoch that the spec is to have; the next one if left out.")
+	operation := command.Flag("operation", "Operation id, for queries and safe retries; default: random.").String()
+	epochFlag := command.Flag("epoch", "The epoch to give to the new spec; default: the next one.")
 	epoch := epochFlag.Uint64()
 	known[command.FullCommand()] = func() (exitCode, error) {
 		change := operator.Change{Operation: operationID(*operation), Epoch: *epoch}
@@ -44,7 +44,7 @@
 	}
 }
 
-// get prints the present document, and its epoch to the errors.
+// get prints the present document to standard output and its epoch to standard error.
 func (session *session) get() (exitCode, error) {
 	return session.withPresent(func(reply proposal.Reply) (exitCode, error) {
 		if session.json {
@@ -59,8 +59,8 @@
 	})
 }
 
-// withPresent reads the present spec and hands the reply on, which says that there is one or that there is none yet. A
-// refusal is printed instead. A read that nobody answered in time is an error of code Unreachable.
+// withPresent reads the present spec and passes the reply to use; its outcome is OutcomeFound, or OutcomeEmpty if there
+// is no spec yet. A refusal is printed instead. A read without a response in time is an error of code Unreachable.
 func (session *session) withPresent(use func(reply proposal.Reply) (exitCode, error)) (exitCode, error) {
 	reply, err := session.client.Get()
 	if err != nil {
@@ -75,9 +75,9 @@
 	return use(reply)
 }
 
-// readFile reads a file, or the input for a dash. Failures are InvalidSettings errors.
+// readFile reads a file, or the input if the path is a dash. Failures are InvalidSettings errors.
 func readFile(path string, input io.Reader) ([]byte, error) {
-	// Kingpin hands a lone dash on as an empty argument.
+	// Kingpin passes a lone dash as an empty argument.
 	if path == "-" || path == "" {
 		content, err := io.ReadAll(io.LimitReader(input, config.MaximumBytes+1))
 		return content, apierror.Wrap(err, apierror.InvalidSettings, "reading standard input")
@@ -86,7 +86,7 @@
 	return content, apierror.Wrap(err, apierror.InvalidSettings, "reading the spec")
 }
 
-// change reads a file and sends it, built on a base epoch, or on the present one if that is empty.
+// change reads a file and sends it with its base epoch, which is the present one if base is empty.
 func (session *session) change(send sender, path, base string, change operator.Change) (exitCode, error) {
 	content, err := readFile(path, session.input)
 	if err != nil {
@@ -99,7 +99,7 @@
 		})
 	}
 	if change.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-		return exitUsage, apierror.New(apierror.InvalidSettings, "--base %q is no whole number", base)
+		return exitUsage, apierror.New(apierror.InvalidSettings, "--base %q is not a whole number", base)
 	}
 	return session.printReply(send(session.client, content, change))
 }
--- a/cmd/wtctl/exit.go
+++ b/cmd/wtctl/exit.go
@@ -7,7 +7,7 @@
 	"wardtray/control/proposal"
 )
 
-// exitCode is the exit code of the process. Scripts branch on it; wtctl --help documents the codes.
+// exitCode is the exit code of the process. Scripts branch on it; wtctl --help lists the codes.
 type exitCode int
 
 const (
@@ -28,14 +28,14 @@
 	proposal.OutcomePending:  exitUnknown,
 }
 
-// errorExits maps errors to exit codes; any other code of an error is exitRefused.
+// errorExits maps error codes to exit codes; any other error code gives exitRefused.
 var errorExits = map[apierror.Code]exitCode{
 	apierror.Unreachable:     exitUnreachable,
 	apierror.InvalidSettings: exitUsage,
 }
 
-// exitOfOutcome returns the exit code of a reply's outcome. One that is not known, as from a newer control plane, tells
-// nothing.
+// exitOfOutcome returns the exit code of a reply's outcome. An outcome that this version does not know, such as one
+// from a newer control plane, gives exitUnknown.
 func exitOfOutcome(outcome string) exitCode {
 	if code, known := outcomeExits[outcome]; known {
 		return code
@@ -51,8 +51,8 @@
 	return exitRefused
 }
 
-// exitOfUsage returns the exit code where only the usage was printed: kingpin ends alike when help is requested and
-// when no command is given.
+// exitOfUsage returns the exit code if only the usage text was printed. Kingpin terminates in the same way when help is
+// requested and when no command is given, so the arguments decide.
 func exitOfUsage(arguments []string) exitCode {
 	for _, argument := range arguments {
 		if strings.HasPrefix(argument, "--help") || argument == "-h" || argument == "help" {
--- a/cmd/wtctl/explain.go
+++ b/cmd/wtctl/explain.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// explainBody is the body of the request that is explained; scheduling goes by the headers alone.
+	// explainBody is the body of the explained request; scheduling depends on the headers alone.
 	explainBody = `{"prompt":"-"}`
-	// explainID is its request id.
+	// explainID is the id of the explained request.
 	explainID = "explain"
-	// explainResponseTokens is how many tokens its response may have.
+	// explainResponseTokens is the maximum length of the explained request's response, in tokens.
 	explainResponseTokens = "1"
 )
 
-// explainedRequest is the request that explain asks about, as the flags describe it.
+// explainedRequest is the request whose scheduling is explained, as the flags describe it.
 type explainedRequest struct {
 	route, model, adapter string
-	// key is a tenant's; empty where the route needs none.
+	// key is a tenant's API key; empty if the route needs none.
 	key string
 	// promptTokens is the length of the prompt, and prefix its parts in order as name=tokens, separated by commas.
 	promptTokens, prefix string
 }
 
-// registerExplain declares the command that asks a daemon where it would send a request.
+// registerExplain declares the command that asks a daemon which runner it would choose for a request.
 func (session *session) registerExplain(known commands, application *kingpin.Application) {
-	command := application.Command("explain", "Tell where a request would go and why, without sending it.")
+	command := application.Command("explain", "Show where a request would go and why, without sending it.")
 	daemon := command.Arg("daemon", "HTTP address of a wtdata.").Required().String()
 	request := explainedRequest{}
 	command.Flag("lane", "The lane.").Required().StringVar(&request.route)
 	command.Flag("model", "The model.").Required().StringVar(&request.model)
 	command.Flag("adapter", "The adapter.").StringVar(&request.adapter)
-	key := command.Flag("key", "A tenant's key, where the lane needs one.")
+	key := command.Flag("key", "A tenant's key, if the lane needs one.")
 	key.Envar("WTCTL_KEY").StringVar(&request.key)
-	command.Flag("prompt-tokens", "The prompt's tokens.").Default("1000").StringVar(&request.promptTokens)
+	command.Flag("prompt-tokens", "The prompt's length in tokens.").Default("1000").StringVar(&request.promptTokens)
 	command.Flag("prefix", "Prefix parts in order, as name=tokens,name=tokens.").StringVar(&request.prefix)
 	known[command.FullCommand()] = func() (exitCode, error) { return session.explain(*daemon, request) }
 }
@@ -65,7 +65,7 @@
 	return headers
 }
 
-// explain prints how a daemon would schedule a request.
+// explain prints a daemon's scheduling decision for a request.
 func (session *session) explain(daemon string, request explainedRequest) (exitCode, error) {
 	content, err := session.client.Explain(daemon, request.headers(), []byte(explainBody))
 	if err != nil {
@@ -77,7 +77,7 @@
 	return exitFine, printExplanation(session.output, content)
 }
 
-// explanation is a daemon's response to the request for one.
+// explanation is a daemon's response to POST /v1/explain.
 type explanation struct {
 	Decision     scheduler.Decision          `json:"step"`
 	Candidates   []scheduler.ScoredCandidate `json:"quotes"`
@@ -85,7 +85,7 @@
 	Requirements scheduler.Requirements      `json:"bid"`
 }
 
-// printExplanation prints an encoded explanation: the decision, what it went by, and the candidates, the best first.
+// printExplanation prints an encoded explanation: the decision, its inputs, and the candidates, best score first.
 func printExplanation(output *printer, content []byte) error {
 	explained := explanation{}
 	if err := json.Unmarshal(content, &explained); err != nil {
@@ -95,7 +95,7 @@
 	return explained.printCandidates(output)
 }
 
-// printDecision prints the decision, the weights of costs and the requirements of the request.
+// printDecision prints the decision, the cost weights and the requirements of the request.
 func (explained explanation) printDecision(output *printer) {
 	decision, weights, requirements := explained.Decision, explained.CostWeights, explained.Requirements
 	output.printf("step: %s", decision.Kind)
--- a/cmd/wtctl/explain_test.go
+++ b/cmd/wtctl/explain_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The keys of an explanation are those that daemons of any version write, whatever the Go fields are called.
+// A renamed Go field must not change the JSON keys of an explanation: wtctl reads the responses of daemons of other
+// versions.
 func TestExplanationIsReadByItsKeys(t *testing.T) {
 	var output strings.Builder
 	content := `{"step":{"Kind":"pass","Runner":{"ID":"r-1","Address":"127.0.0.1:9"},"Reason":"cheapest"},
@@ -21,12 +22,12 @@
 	for _, part := range []string{"pass to r-1 at 127.0.0.1:9 (cheapest)", "2 microseconds a token, 3.00 s a place",
 		"worth 4, patience 5s, within its purse true", "bangor", "+1.5000"} {
 		if !strings.Contains(output.String(), part) {
-			t.Errorf("%q is missing in:\n%s", part, output.String())
+			t.Errorf("output lacks %q:\n%s", part, output.String())
 		}
 	}
 }
 
-// Every flag becomes its header of the request that the daemon is asked about; what is not given is left out.
+// Each flag sets one header of the explained request; a flag that is not given sets none.
 func TestExplainSendsItsFlagsAsHeaders(t *testing.T) {
 	names := []string{"Wardtray-Lane", "Wardtray-Model", "Wardtray-Request", "Wardtray-Prompt-Tokens",
 		"Wardtray-Answer-Tokens", "Wardtray-Adapter", "Prompt-Prefix", "Authorization"}
@@ -43,16 +44,16 @@
 		}
 	}))
 	t.Cleanup(daemon.Close)
-	least := map[string]string{"path": "POST /v1/explain", "Wardtray-Lane": "l", "Wardtray-Model": "m",
+	required := map[string]string{"path": "POST /v1/explain", "Wardtray-Lane": "l", "Wardtray-Model": "m",
 		"Wardtray-Request": "explain", "Wardtray-Prompt-Tokens": "1000", "Wardtray-Answer-Tokens": "1"}
-	all := maps.Clone(least)
+	all := maps.Clone(required)
 	maps.Copy(all, map[string]string{"Wardtray-Prompt-Tokens": "9", "Wardtray-Adapter": "cy", "Prompt-Prefix": "a=4",
 		"Authorization": "Bearer k"})
 	for name, test := range map[string]struct {
 		flags []string
 		want  map[string]string
 	}{
-		"required ones": {nil, least},
+		"required ones": {nil, required},
 		"all":           {[]string{"--adapter", "cy", "--key", "k", "--prompt-tokens", "9", "--prefix", "a=4"}, all},
 	} {
 		arguments := append([]string{"explain", strings.TrimPrefix(daemon.URL, "http://"), "--lane", "l", "--model", "m"},
--- a/cmd/wtctl/import.go
+++ b/cmd/wtctl/import.go
@@ -11,7 +11,7 @@
 // registerImport declares the command that imports another program's configuration.
 func (session *session) registerImport(known commands, application *kingpin.Application) {
 	command := application.Command("import",
-		"Read an nginx configuration's upstreams into a spec to be reviewed; notes go to standard error.")
+		"Convert the upstreams of an nginx configuration to a spec for review; notes go to standard error.")
 	file := command.Arg("file", "The configuration.").Required().String()
 	known[command.FullCommand()] = func() (exitCode, error) {
 		spec, notes, err := nginx.Import(*file)
--- a/cmd/wtctl/main.go
+++ b/cmd/wtctl/main.go
@@ -1,8 +1,9 @@
-// Command wtctl is the operators' command line for a whole fleet.
+// Command wtctl is the operators' command line for a fleet.
 //
 // Each group of commands has a file: the configuration document (document.go, diff.go), zones, operations, the state of
 // the fleet (status.go, with a status_*.go for each of its tables), explanations of scheduling, and the import of other
-// programs' configurations. session.go joins them, exit.go has the exit codes, printer.go and table.go the output.
+// programs' configurations. session.go registers them all, exit.go defines the exit codes, and printer.go and table.go
+// write the output.
 package main
 
 import (
@@ -15,10 +16,10 @@
 	"wardtray/control/operator"
 )
 
-const help = `wtctl drives a wardtray fleet.
+const help = `wtctl operates a wardtray fleet.
 
-Exit codes: 0 done, 1 refused (or diff found a difference), 2 wrong use, 3 outcome unknown (ask with
-"wtctl operation ID"), 4 nobody answers.
+Exit codes: 0 done, 1 refused (or diff found a difference), 2 wrong usage, 3 outcome unknown (query it with
+"wtctl operation ID"), 4 fleet unreachable.
 
 Examples:
   export WTCTL_CORE=127.0.1.1:8100
@@ -37,8 +38,8 @@
 	os.Exit(int(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)))
 }
 
-// run runs one command and returns the exit code. A failure to write the output is an error of the command; one to
-// write to the errors can't be reported anywhere, and shows in nothing but the exit code of what went wrong before.
+// run runs one command and returns the exit code. A failure to write to output is an error of the command. A failure to
+// write to errors can't be reported; the exit code still reports the error that was to be printed.
 func run(arguments []string, input io.Reader, output, errors io.Writer) exitCode {
 	session := &session{
 		input:  input,
@@ -49,9 +50,9 @@
 	application := kingpin.New("wtctl", help).UsageWriter(session.output).ErrorWriter(session.errors)
 	application.Terminate(func(int) { usagePrinted = true })
 	application.HelpFlag.Short('h')
-	cores := application.Flag("core", "HTTP address of a wtcore; may be given several times, tried in order.")
+	cores := application.Flag("core", "HTTP address of a wtcore; may be given several times; they are tried in order.")
 	addresses := cores.Short('c').Envar("WTCTL_CORE").Strings()
-	asJSON := application.Flag("json", "Print answers as JSON.").Bool()
+	asJSON := application.Flag("json", "Print responses as JSON.").Bool()
 	commands := session.register(application)
 	chosen, err := application.Parse(arguments)
 	if usagePrinted {
--- a/cmd/wtctl/main_test.go
+++ b/cmd/wtctl/main_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// fakeCore starts a server that responds as a wtcore does, by method and path, and returns its address.
+// fakeCore starts a server that stands in for a wtcore, with a fixed response for each method and path, and returns its
+// address.
 func fakeCore(t *testing.T, responses map[string]string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -23,7 +24,7 @@
 
 const present = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
-// Each outcome of a command has its exit code, and its output or an error.
+// Each outcome of a command sets the exit code that scripts branch on, and prints the output or an error.
 func TestRunReturnsTheExitCodeOfTheOutcome(t *testing.T) {
 	address := fakeCore(t, map[string]string{
 		"GET /v1/spec":            `{"outcome":"found","epoch":4,"spec":` + present + `}`,
@@ -66,7 +67,7 @@
 				t.Errorf("code %d, output %s, errors %s", code, output.String(), errors.String())
 			}
 			if code != exitFine && test.output == "" && errors.Len() == 0 {
-				t.Error("no error is printed")
+				t.Error("a failed command prints neither output nor an error")
 			}
 		})
 	}
@@ -90,8 +91,8 @@
 	}
 }
 
-// A command that needs the present spec, and gets none, says so: it neither prints nor compares with an empty one, nor
-// sends a change that is built on epoch 0.
+// A command that needs the present spec and can't read it reports that. It must not print an empty spec, compare with
+// one, or send a change with base epoch 0.
 func TestCommandsThatCannotReadThePresentSpec(t *testing.T) {
 	for outcome, want := range map[string]struct {
 		reply  string
@@ -119,7 +120,8 @@
 	}
 }
 
-// An outcome that this version does not know, or none at all, is no success.
+// An outcome that this version does not know, as from a newer control plane, or a missing one must not be taken for
+// success.
 func TestExitOfAnOutcomeThatIsNotKnown(t *testing.T) {
 	for _, reply := range []string{`{"outcome":"postponed"}`, `{}`} {
 		address := fakeCore(t, map[string]string{"POST /v1/zones/a/close": reply})
--- a/cmd/wtctl/printer.go
+++ b/cmd/wtctl/printer.go
@@ -8,8 +8,8 @@
 	"wardtray/apierror"
 )
 
-// printer writes text and remembers the first error, after which it writes nothing. So its callers print line by line,
-// and the error is handled once, at the end.
+// printer writes text and keeps the first error, after which it writes nothing. Its callers print line by line and
+// check the error once, at the end.
 type printer struct {
 	writer io.Writer
 	err    error
@@ -25,9 +25,9 @@
 	return written, err
 }
 
-// printf prints as fmt.Printf does.
+// printf formats as fmt.Printf does.
 func (printer *printer) printf(format string, values ...any) {
-	_, _ = fmt.Fprintf(printer, format, values...) // The printer remembers the error.
+	_, _ = fmt.Fprintf(printer, format, values...) // The printer keeps the error.
 }
 
 // printJSON prints a value as indented JSON.
--- a/cmd/wtctl/printer_test.go
+++ b/cmd/wtctl/printer_test.go
@@ -21,14 +21,14 @@
 	return writer.Builder.Write(content)
 }
 
-func TestPrinterRemembersItsFirstError(t *testing.T) {
+func TestPrinterKeepsItsFirstError(t *testing.T) {
 	writer := &limitedWriter{}
 	output := &printer{writer: writer}
 	for _, line := range []string{"one", "two", "three"} {
 		output.printf("%s\n", line)
 	}
 	if !errors.Is(output.err, errFull) || writer.writes != 2 || writer.String() != "one\n" {
-		t.Errorf("%v after %d writes of %q", output.err, writer.writes, writer.String())
+		t.Errorf("the printer keeps the error %v after %d writes of %q", output.err, writer.writes, writer.String())
 	}
 	if err := output.printJSON(1); !errors.Is(err, errFull) {
 		t.Errorf("printJSON returns %v", err)
--- a/cmd/wtctl/reply.go
+++ b/cmd/wtctl/reply.go
@@ -2,7 +2,7 @@
 
 import "wardtray/control/proposal"
 
-// printReply prints a reply and returns the exit code of its outcome; an error is returned as it is.
+// printReply prints a reply and returns the exit code of its outcome. It returns an error unchanged.
 func (session *session) printReply(reply proposal.Reply, err error) (exitCode, error) {
 	if err != nil {
 		return exitRefused, err
--- a/cmd/wtctl/session.go
+++ b/cmd/wtctl/session.go
@@ -8,18 +8,18 @@
 	"wardtray/control/operator"
 )
 
-// session is what every command works with; client and json are set once the flags are parsed.
+// session is the state that all commands share; client and json are set once the flags are parsed.
 type session struct {
 	client *operator.Client
-	// json says that replies are printed as JSON.
+	// json is the --json flag: replies are printed as JSON.
 	json   bool
 	input  io.Reader
 	output *printer
 	errors *printer
 }
 
-// commands maps the full name of each command to the function that runs it. It returns the exit code; an error is
-// printed by the caller, and its own code (exitOf) takes the place of the one returned.
+// commands maps the full name of each command to the function that runs it. The function returns the exit code; if it
+// returns an error, the caller prints that and uses the error's own exit code (exitOf) instead.
 type commands map[string]func() (code exitCode, err error)
 
 // register declares every command, in the order of the usage text.
--- a/cmd/wtctl/status.go
+++ b/cmd/wtctl/status.go
@@ -9,10 +9,10 @@
 	"wardtray/control/operator"
 )
 
-// allParts is the argument of status for every part.
+// allParts is the argument of the status command that selects every part.
 const allParts = "all"
 
-// statusPart is a part of the fleet's state that is shown as a table.
+// statusPart is a part of the fleet's state, printed as a table.
 type statusPart struct {
 	name string
 	show func(table *table, fleet operator.FleetStatus)
@@ -29,7 +29,7 @@
 	{"counters", showCounters},
 }
 
-// partNames returns what the argument of status may be.
+// partNames returns the valid arguments of the status command.
 func partNames() []string {
 	names := make([]string, 0, len(statusParts)+1)
 	names = append(names, allParts)
@@ -39,9 +39,9 @@
 	return names
 }
 
-// registerStatus declares the command that shows the state of the fleet.
+// registerStatus declares the command that prints the state of the fleet.
 func (session *session) registerStatus(known commands, application *kingpin.Application) {
-	command := application.Command("status", "Show the fleet.")
+	command := application.Command("status", "Show the state of the fleet.")
 	argument := command.Arg("part", "all, chain, view, cohort, runners, tenants, reservations or counters.")
 	part := argument.Default(allParts).Enum(partNames()...)
 	known[command.FullCommand()] = func() (exitCode, error) { return session.status(*part) }
@@ -71,7 +71,8 @@
 	return exitFine, table.flush()
 }
 
-// warnings returns what the control nodes warn of and who doesn't respond, each once and in order.
+// warnings returns the control machines' warnings and one for each process that does not respond, sorted and without
+// duplicates.
 func warnings(fleet operator.FleetStatus) []string {
 	distinct := map[string]bool{}
 	for _, core := range fleet.Cores {
--- a/cmd/wtctl/status_chain.go
+++ b/cmd/wtctl/status_chain.go
@@ -2,7 +2,7 @@
 
 import "wardtray/control/operator"
 
-// showChain prints the state of each control node.
+// showChain prints the state of each control machine.
 func showChain(table *table, fleet operator.FleetStatus) {
 	table.printf("MACHINE\tZONE\tPLACE\tSYNCED\tCOMMITTED\tEPOCH\tCLAIM\tSICK\tID\n")
 	for _, core := range fleet.Cores {
--- a/cmd/wtctl/status_counters.go
+++ b/cmd/wtctl/status_counters.go
@@ -8,7 +8,7 @@
 	"wardtray/metrics"
 )
 
-// routeTotals returns the counters of each route, summed over the daemons. Only those that are printed are summed.
+// routeTotals returns the counters of each route, summed over the daemons. Counters that are not printed stay zero.
 func routeTotals(fleet operator.FleetStatus) map[string]*metrics.RouteMetrics {
 	totals := map[string]*metrics.RouteMetrics{}
 	for _, data := range fleet.Daemons {
@@ -26,15 +26,15 @@
 			total.CachedTokens += route.CachedTokens
 			total.PromptTokens += route.PromptTokens
 			total.CrossZoneBytes += route.CrossZoneBytes
-			for end, count := range route.Outcomes {
-				total.Outcomes[end] += count
+			for outcome, count := range route.Outcomes {
+				total.Outcomes[outcome] += count
 			}
 		}
 	}
 	return totals
 }
 
-// cachedPercentage returns how much of the prompts was assumed to be in the runners' prefix caches.
+// cachedPercentage returns the percentage of prompt tokens that daemons assumed to be in the runners' prefix caches.
 func cachedPercentage(route *metrics.RouteMetrics) float64 {
 	if route.PromptTokens == 0 {
 		return 0
@@ -61,7 +61,7 @@
 	}
 }
 
-// showTransport prints the counters of a process's connections to other processes, which it reports by name.
+// showTransport prints the counters of a process's connections to other processes, by the names that it reports.
 func showTransport(table *table, address string, counters map[string]any) {
 	table.printf("%s\t%v\t%v\t%v\t%v\t%v\n", address, counters["sent"], counters["dropped"], counters["bad_frames"],
 		counters["bytes_out"], counters["bytes_other_zone"])
--- a/cmd/wtctl/status_daemons.go
+++ b/cmd/wtctl/status_daemons.go
@@ -2,7 +2,7 @@
 
 import "wardtray/control/operator"
 
-// showDaemons prints the state of each daemon of the data plane.
+// showDaemons prints the state of each data daemon.
 func showDaemons(table *table, fleet operator.FleetStatus) {
 	table.printf("DAEMON\tZONE\tEPOCH\tVIEW\tSERVING\tDRAINING\tIN FLIGHT\tNEIGHBOURS\tUPTIME\n")
 	for _, data := range fleet.Daemons {
--- a/cmd/wtctl/status_reservations.go
+++ b/cmd/wtctl/status_reservations.go
@@ -8,8 +8,8 @@
 	"wardtray/dataplane/controller"
 )
 
-// showReservations prints what the daemons hold of requests that run at most once, and since when they know everything
-// of each zone, as the daemon that is furthest has it.
+// showReservations prints each daemon's counters of reservations for at-most-once requests, and for each zone the epoch
+// since which its replicas know every reservation, as reported by the daemon with the newest epoch.
 func showReservations(table *table, fleet operator.FleetStatus) {
 	table.printf("DAEMON\tTERM\tSYNCED\tHELD\tGRANTED\tOTHER ZONE\tTAKEN\tIN DOUBT\tUNREACHABLE\tFULL\n")
 	newest := &controller.ReservationStatus{}
--- a/cmd/wtctl/status_reservations_test.go
+++ b/cmd/wtctl/status_reservations_test.go
@@ -10,7 +10,7 @@
 	"wardtray/dataplane/daemon"
 )
 
-// Each daemon that makes reservations has a row, and each zone of the newest membership.
+// Each daemon that makes reservations has a row. The zones' rows come from the newest membership only.
 func TestShowReservations(t *testing.T) {
 	old := &controller.ReservationStatus{Epoch: 3, Zones: map[string]controller.ReservationZoneStatus{"a": {Replicas: 9}}}
 	newest := &controller.ReservationStatus{Epoch: 4, Synced: true, Held: 6,
--- a/cmd/wtctl/status_runners.go
+++ b/cmd/wtctl/status_runners.go
@@ -7,20 +7,20 @@
 	"wardtray/control/operator"
 )
 
-// runnerRow is what the daemons together know of a runner.
+// runnerRow is the state of a runner, combined from the reports of all daemons.
 type runnerRow struct {
 	address, zone, service, state string
-	// load is the greatest that any daemon knows.
+	// load is the greatest load that any daemon reports.
 	load float64
 	// inFlight is the sum over the daemons.
 	inFlight, slots int
-	// usable and daemons count the daemons that would send requests to the runner, and those that know it. reason is
-	// why one of the others would not.
+	// usable counts the daemons that would send requests to the runner, daemons those that know it. reason is the
+	// reason that one of the others gives.
 	usable, daemons int
 	reason          string
 }
 
-// runnerRows returns a row for each runner that any daemon knows, by its id.
+// runnerRows returns a row for each runner that any daemon reports, by runner id.
 func runnerRows(fleet operator.FleetStatus) map[string]*runnerRow {
 	rows := map[string]*runnerRow{}
 	for _, data := range fleet.Daemons {
@@ -44,7 +44,7 @@
 	return rows
 }
 
-// showRunners prints the runners in the order of their ids.
+// showRunners prints the runners, sorted by id.
 func showRunners(table *table, fleet operator.FleetStatus) {
 	rows := runnerRows(fleet)
 	table.printf("RUNNER\tADDRESS\tZONE\tSERVICE\tSTATE\tIN FLIGHT\tLOAD\tSLOTS\tUSABLE BY\tWHY NOT\n")
--- a/cmd/wtctl/status_tenants.go
+++ b/cmd/wtctl/status_tenants.go
@@ -8,7 +8,7 @@
 	"wardtray/coordination/quota"
 )
 
-// showTenants prints the use of each tenant with a quota: over all daemons together, and at each that knows it.
+// showTenants prints the usage of each tenant with a quota: the total, and the usage at each daemon that reports it.
 func showTenants(table *table, fleet operator.FleetStatus) {
 	totals := map[string]quota.Usage{}
 	for _, data := range fleet.Daemons {
--- a/cmd/wtctl/status_tenants_test.go
+++ b/cmd/wtctl/status_tenants_test.go
@@ -9,7 +9,7 @@
 	"wardtray/dataplane/daemon"
 )
 
-// Each tenant has a row for all daemons together and one for each daemon that knows it.
+// Each tenant has a row for the total and one for each daemon that reports it.
 func TestShowTenants(t *testing.T) {
 	fleet := operator.FleetStatus{Daemons: []daemon.Status{
 		{Address: "d1", Tenants: map[string]quota.Usage{"a": {Used: 10, Refused: 2, Balance: 5, Demand: 3}}},
--- a/cmd/wtctl/status_test.go
+++ b/cmd/wtctl/status_test.go
@@ -10,7 +10,7 @@
 	"wardtray/control/server"
 )
 
-// tableRows shows a part of a fleet and returns the rows below the heading, with single blanks between columns.
+// tableRows prints a part of a fleet's state and returns the rows below the heading, with one blank between columns.
 func tableRows(t *testing.T, show func(*table, operator.FleetStatus), fleet operator.FleetStatus) []string {
 	t.Helper()
 	var output strings.Builder
@@ -35,7 +35,7 @@
 	}
 }
 
-// The whole status has a heading for each part, in order, and the warnings at its end; one part has no heading.
+// The complete status prints a heading for each part, in order; a single part has no heading. Warnings come last.
 func TestStatusPrintsItsPartsAndThenTheWarnings(t *testing.T) {
 	address := fakeCore(t, map[string]string{"GET /v1/status": `{"address":"c1","core":{"warnings":["a chain is short"]}}`})
 	for part, want := range map[string][]string{
--- a/cmd/wtctl/status_view.go
+++ b/cmd/wtctl/status_view.go
@@ -6,7 +6,7 @@
 	"wardtray/control/operator"
 )
 
-// showView prints the view that each control node has.
+// showView prints the view that each control machine knows.
 func showView(table *table, fleet operator.FleetStatus) {
 	table.printf("SEEN BY\tVIEW\tFLEET\tCHAIN\tKEEPERS\n")
 	for _, core := range fleet.Cores {
--- a/cmd/wtctl/status_view_test.go
+++ b/cmd/wtctl/status_view_test.go
@@ -9,7 +9,7 @@
 	"wardtray/control/server"
 )
 
-// Each machine's view is shown as that machine has it.
+// Control machines may know different views; each row prints the view of its own machine.
 func TestShowView(t *testing.T) {
 	chain := []node.MemberStatus{{Address: "c1"}, {Address: "c2"}}
 	fleet := operator.FleetStatus{Cores: []server.Status{
--- a/cmd/wtctl/table.go
+++ b/cmd/wtctl/table.go
@@ -7,13 +7,13 @@
 	"wardtray/apierror"
 )
 
-// The layout of tables: columns are padded with blanks, and at least so many stand between two.
+// The layout of tables: columns are padded with blanks, at least columnPadding of them between two columns.
 const (
 	columnPadding = 2
 	tabWidth      = 4
 )
 
-// table prints rows whose columns are separated by tabs, aligned when it is flushed.
+// table prints rows whose columns are separated by tabs, and aligns them when it is flushed.
 type table struct {
 	*printer
 	columns *tabwriter.Writer
@@ -24,7 +24,7 @@
 	return &table{printer: &printer{writer: columns}, columns: columns}
 }
 
-// flush prints the rows; it returns the first error of the table.
+// flush writes the rows and returns the table's first error.
 func (table *table) flush() error {
 	err := table.err
 	if err == nil {
--- a/cmd/wtdata/main.go
+++ b/cmd/wtdata/main.go
@@ -1,4 +1,4 @@
-// Command wtdata is the daemon of the data plane: it accepts requests of clients and relays the streams of runners.
+// Command wtdata is the data daemon: it accepts requests from clients and relays the runners' response streams.
 package main
 
 import (
