--- a/cmd/wtverify/capacity_test.go
+++ b/cmd/wtverify/capacity_test.go
@@ -16,7 +16,7 @@
 	"wardtray/proxy/dedup"
 )
 
-// TestCapacityPageNamesTheBounds compares the column "has" of the capacity page's bounds with the constants.
+// A constant that is changed without the capacity page would leave the page's column "has" wrong.
 func TestCapacityPageNamesTheBounds(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -32,8 +32,8 @@
 		"requests that run at most once remembered by their daemon, requests":       dedup.Capacity,
 		"requests queued at a daemon for one backend, one second's worth, requests": scheduler.QueueLength,
 	}
-	for figure, bound := range bounds {
-		if cells := fmt.Sprintf("| %s | %d |", figure, bound); !strings.Contains(string(page), cells) {
+	for quantity, bound := range bounds {
+		if cells := fmt.Sprintf("| %s | %d |", quantity, bound); !strings.Contains(string(page), cells) {
 			t.Errorf("docs/CAPACITY.md has no row with %q", cells)
 		}
 	}
--- a/cmd/wtverify/exit.go
+++ b/cmd/wtverify/exit.go
@@ -13,22 +13,23 @@
 	exitUsage  = 2
 )
 
-// errRulesBroken means that a rule was broken, or a scenario's verdict was not clean; that was printed.
+// errRulesBroken reports that a rule was broken or that a scenario's verdict was not clean. The details were printed
+// before.
 var errRulesBroken = errors.New("rules are broken")
 
-// usageError means that the flags of a command make no sense together.
+// usageError reports flags that are invalid, alone or together.
 type usageError struct {
 	text string
 }
 
-// Error returns what is wrong and what to give instead.
+// Error names the invalid values and the valid ones.
 func (err *usageError) Error() string { return err.text }
 
 func usagef(format string, values ...any) error {
 	return &usageError{fmt.Sprintf(format, values...)}
 }
 
-// verdict returns the error of a command whose rules all held, or not.
+// verdict returns nil for a clean run, and errRulesBroken otherwise.
 func verdict(clean bool) error {
 	if clean {
 		return nil
@@ -44,7 +45,7 @@
 	if errors.Is(err, errRulesBroken) {
 		return exitFailed
 	}
-	// What can't be printed is in the exit code.
+	// If printing fails, the exit code still reports the error.
 	_, _ = fmt.Fprintln(output, "wtverify:", err)
 	var usage *usageError
 	if errors.As(err, &usage) {
--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -23,14 +23,14 @@
 		Default("default").
 		Enum(append(names, "all")...)
 	options := fleet.Options{Output: os.Stdout}
-	command.Flag("seconds", "How long the load lasts.").Default("30").IntVar(&options.Seconds)
+	command.Flag("seconds", "Duration of the load, in seconds.").Default("30").IntVar(&options.Seconds)
 	command.Flag("seed", "Seed of the load and the faults.").Default("1").Int64Var(&options.Seed)
-	command.Flag("rate", "Requests a second; 0 for the deployment's own.").Default("0").Float64Var(&options.Rate)
-	command.Flag("folder", "Where startup files, data and logs go; a temporary one if empty.").
+	command.Flag("rate", "Requests a second; 0 for the deployment's default.").Default("0").Float64Var(&options.Rate)
+	command.Flag("folder", "Folder for startup files, data and logs; a temporary one if empty.").
 		StringVar(&options.Folder)
 	command.Flag("keep", "Keep the temporary folder.").BoolVar(&options.Keep)
-	command.Flag("binaries", "Where wtdata and wtcore are; beside wtverify if empty.").StringVar(&options.Binaries)
-	record := command.Flag("record", "Write each scenario's history into this folder, as histories reads it.").String()
+	command.Flag("binaries", "Folder of wtdata and wtcore; that of wtverify if empty.").StringVar(&options.Binaries)
+	record := command.Flag("record", "Write each scenario's history into this folder, for the command histories.").String()
 	known[command.FullCommand()] = func() error {
 		chosen := []string{*scenario}
 		if *scenario == "all" {
@@ -40,12 +40,13 @@
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		context.AfterFunc(ctx, stop)
-		return proveFleet(ctx, *deployment, chosen, options, *record)
+		return runScenarios(ctx, *deployment, chosen, options, *record)
 	}
 }
 
-// proveFleet runs scenarios one after the other, and records their histories where a folder is given.
-func proveFleet(
+// runScenarios runs scenarios one after the other, and writes their histories into the folder record unless that is
+// empty.
+func runScenarios(
 	ctx context.Context, deployment string, scenarios []string, options fleet.Options, record string,
 ) error {
 	if options.Binaries == "" {
--- a/cmd/wtverify/histories.go
+++ b/cmd/wtverify/histories.go
@@ -15,19 +15,20 @@
 	"wardtray/verify/simulation"
 )
 
-// registerHistories adds the command that judges a recorded history.
+// registerHistories adds the command that checks whether a recorded history is linearizable.
 func registerHistories(application *kingpin.Application, known commands) {
 	command := application.Command("histories",
-		"Look for an order of a single machine that explains what the callers of a fleet saw, as path and fleet record it.")
+		"Check that a history, as path and fleet record it, is linearizable: that an order on a single machine explains it.")
 	file := command.Arg("file", "The recorded history, as JSON.").Required().String()
-	timeout := command.Flag("timeout", "For how long to look, for the configuration and for the requests.").
+	timeout := command.Flag("timeout", "Time limit of the search, for the configuration and for the requests each.").
 		Default("1m").Duration()
 	pages := command.Flag("draw", "Write pages that show the history and the orders found into this folder.").String()
-	known[command.FullCommand()] = func() error { return judgeFile(os.Stdout, *file, *timeout, *pages) }
+	known[command.FullCommand()] = func() error { return checkHistory(os.Stdout, *file, *timeout, *pages) }
 }
 
-// judgeFile judges the history of a file, and draws it where a folder is given.
-func judgeFile(output io.Writer, file string, timeout time.Duration, pages string) error {
+// checkHistory checks the history in a file, prints the result, and draws the history into the folder pages unless
+// that is empty.
+func checkHistory(output io.Writer, file string, timeout time.Duration, pages string) error {
 	source, err := os.Open(file) //nolint:gosec // The caller names the file.
 	if err != nil {
 		return err
@@ -47,15 +48,15 @@
 	return verdict(found.IsLinearizable())
 }
 
-// recorder writes the histories of simulated runs into a folder; none where its name is empty. It is safe for
-// concurrent use.
+// recorder writes the histories of simulated runs into a folder, or nothing if the folder's name is empty. It is safe
+// for concurrent use.
 type recorder struct {
 	folder string
 	mutex  sync.Mutex
 	err    error
 }
 
-// record writes the history of a run, named by its seed, and keeps the errors for failure.
+// record writes the history of a run to a file named by the run's seed. failure returns its errors.
 func (recorder *recorder) record(world *simulation.World) {
 	if recorder.folder == "" {
 		return
@@ -67,7 +68,7 @@
 	recorder.err = errors.Join(recorder.err, err)
 }
 
-// failure returns what could not be written.
+// failure returns the errors of all calls of record, joined.
 func (recorder *recorder) failure() error {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
--- a/cmd/wtverify/histories_test.go
+++ b/cmd/wtverify/histories_test.go
@@ -13,11 +13,12 @@
 	"wardtray/verify/simulation"
 )
 
-// writeHistory writes a history of two reads, of epochs one after the other, and returns its file.
+// writeHistory writes a history of a change that was accepted as epoch 1 and of two later reads, which returned the
+// epochs first and second, and returns the file's path.
 func writeHistory(t *testing.T, first, second uint64) string {
 	t.Helper()
-	span := func(second time.Duration) linearizability.Span {
-		return linearizability.Span{Start: second * time.Second, End: second*time.Second + time.Millisecond}
+	span := func(start time.Duration) linearizability.Span {
+		return linearizability.Span{Start: start * time.Second, End: start*time.Second + time.Millisecond}
 	}
 	recording := linearizability.Recording{Calls: []linearizability.Call{
 		{Span: span(1), Kind: linearizability.KindChange, Operation: "a", Answer: linearizability.AnswerDone, Result: 1},
@@ -31,11 +32,11 @@
 	return file
 }
 
-func TestJudgeFile(t *testing.T) {
+func TestCheckHistory(t *testing.T) {
 	t.Parallel()
 	var output bytes.Buffer
 	pages := t.TempDir()
-	if err := judgeFile(&output, writeHistory(t, 1, 1), time.Minute, pages); err != nil {
+	if err := checkHistory(&output, writeHistory(t, 1, 1), time.Minute, pages); err != nil {
 		t.Errorf("%v: %s", err, &output)
 	}
 	for _, name := range []string{linearizability.ConfigurationPage, linearizability.ExecutionsPage} {
@@ -44,16 +45,16 @@
 		}
 	}
 	output.Reset()
-	err := judgeFile(&output, writeHistory(t, 1, 0), time.Minute, "")
+	err := checkHistory(&output, writeHistory(t, 1, 0), time.Minute, "")
 	if !errors.Is(err, errRulesBroken) || !strings.Contains(output.String(), "not linearizable: [configuration]") {
-		t.Errorf("a read that goes back: %v, %s", err, &output)
+		t.Errorf("a read of an older epoch than the read before: %v, %s", err, &output)
 	}
-	if err := judgeFile(&output, filepath.Join(pages, linearizability.ConfigurationPage), time.Minute, ""); err == nil {
-		t.Error("judged what is no history")
+	if err := checkHistory(&output, filepath.Join(pages, linearizability.ConfigurationPage), time.Minute, ""); err == nil {
+		t.Error("a page is accepted as a history")
 	}
 }
 
-func TestRecorderWritesWhatCanBeJudged(t *testing.T) {
+func TestRecorderWritesReadableHistories(t *testing.T) {
 	t.Parallel()
 	world := simulation.PlayEvery(1, controlOnly["guild"], []string{"core killed"}, 1, time.Second)
 	folder := t.TempDir()
@@ -63,12 +64,12 @@
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
-	if err := judgeFile(&output, filepath.Join(folder, "1.json"), time.Minute, ""); err != nil {
+	if err := checkHistory(&output, filepath.Join(folder, "1.json"), time.Minute, ""); err != nil {
 		t.Errorf("%v: %s", err, &output)
 	}
 	nowhere := &recorder{folder: filepath.Join(folder, "missing")}
 	nowhere.record(world)
 	if nowhere.failure() == nil {
-		t.Error("a history that could not be written is not told")
+		t.Error("no error for a history that could not be written")
 	}
 }
--- a/cmd/wtverify/main.go
+++ b/cmd/wtverify/main.go
@@ -1,6 +1,6 @@
-// Command wtverify verifies a fleet: it runs one as real processes with emulated runners, platform and clients, or in
-// simulated time, does harm to it, and checks what everybody saw. The exit code is 0 where every rule held, 1 where one
-// was broken or the command failed, and 2 where its flags make no sense.
+// Command wtverify verifies a fleet. It runs one as real processes with emulated runners, platform and clients, or in
+// simulated time, injects faults, and checks what clients, runners and operators observed. The exit code is 0 if every
+// rule held, 1 if one was broken or the command failed, and 2 if the flags are invalid.
 package main
 
 import (
@@ -13,13 +13,13 @@
 	"wardtray/verify/modelcheck"
 )
 
-// commands are the functions that run a command, by its full name. exitCode says what an error means.
+// commands maps the full name of each command to the function that runs it. exitCode maps its error to an exit code.
 type commands map[string]func() error
 
 func main() {
 	application := kingpin.New(
 		"wtverify",
-		"Proves a wardtray fleet under failure.\n\nExample:\n"+
+		"Verifies a wardtray fleet under faults.\n\nExample:\n"+
 			"  wtverify fleet guild --seconds 30\n  wtverify fleet ferries --scenario default --seed 7",
 	)
 	application.HelpFlag.Short('h')
@@ -39,10 +39,12 @@
 	os.Exit(exitCode(known[called](), os.Stderr))
 }
 
-// deploymentArgument is the deployment that most commands want.
+// deploymentArgument adds the argument that names the deployment, which most commands take.
 func deploymentArgument(command *kingpin.CmdClause) *string {
 	return command.Arg("deployment", "guild or ferries").Required().Enum("guild", "ferries")
 }
 
-// sortedNames returns the keys of a table in order.
-func sortedNames[Value any](table map[string]Value) []string { return slices.Sorted(maps.Keys(table)) }
+// sortedNames returns the keys of a map in ascending order.
+func sortedNames[Value any](byName map[string]Value) []string {
+	return slices.Sorted(maps.Keys(byName))
+}
--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -13,14 +13,14 @@
 // registerPlace adds the command that measures placement.
 func registerPlace(application *kingpin.Application, known commands) {
 	command := application.Command("place",
-		"Measure placement in simulated time beside random, least loaded and index only.")
+		"Measure placement in simulated time, compared with random, least loaded and index only.")
 	deployment := deploymentArgument(command)
 	rates := command.Flag("rate", "Requests a second; may be given several times.").
 		Default("60", "200", "400").
 		Float64List()
 	length := command.Flag("length", "Simulated time.").Default("60s").Duration()
 	seed := command.Flag("seed", "Seed.").Default("1").Int64()
-	hot := command.Flag("hot", "Part of the requests that carry one opening.").Default("0").Float64()
+	hot := command.Flag("hot", "Fraction of the requests that share one prompt prefix.").Default("0").Float64()
 	known[command.FullCommand()] = func() error {
 		setting := placement.Settings[*deployment]
 		setting.Length, setting.Seed, setting.Hot = *length, *seed, *hot
@@ -31,47 +31,47 @@
 // registerBatches adds the command that measures placement on batching engines.
 func registerBatches(application *kingpin.Application, known commands) {
 	command := application.Command("batches",
-		"Measure placement on engines that run requests in batches, in simulated time, beside other ways of choosing.")
-	deployment := command.Arg("deployment", "Which fleet and engines.").Required().Enum(placement.DeploymentNames()...)
-	loads := command.Flag("load", "Times the usual load; may be given several times.").
+		"Measure placement on engines that run requests in batches, in simulated time, compared with other policies.")
+	deployment := command.Arg("deployment", "The fleet and its engines.").Required().Enum(placement.DeploymentNames()...)
+	loads := command.Flag("load", "Load as a multiple of the usual one; may be given several times.").
 		Default("0.7", "1", "1.3").
 		Float64List()
-	ways := command.Flag("way", "Ways of choosing; may be given several times.").
+	policies := command.Flag("way", "A placement policy; may be given several times.").
 		Default(placement.PolicyNames()...).
 		Enums(placement.PolicyNames()...)
-	seeds := command.Flag("seeds", "How many seeds are added up.").Default("2").Int()
+	seeds := command.Flag("seeds", "Number of seeds whose results are added up.").Default("2").Int()
 	play := placement.Play{}
 	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&play.Length)
 	command.Flag("seed", "First seed.").Default("1").Int64Var(&play.Seed)
-	command.Flag("polls", "How old a runner's word may grow before it is asked; 0: never.").
+	command.Flag("polls", "Age of a runner's last report from which the runner is polled; 0: never.").
 		Default("1s").
 		DurationVar(&play.ReportAge)
-	command.Flag("hot", "Part of the hot lane's requests that carry one opening, for a third of the time.").
+	command.Flag("hot", "Fraction of the hot lane's requests that share one prompt prefix, for a third of the time.").
 		Default("0").
 		Float64Var(&play.Hot)
 	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&play.HotRoute, "survey", "confirm")
-	command.Flag("slow", "Part of the runners that are three times slower for a third of the time.").
+	command.Flag("slow", "Fraction of the runners that are three times slower for a third of the time.").
 		Default("0").
 		Float64Var(&play.Slow)
-	command.Flag("crash", "Part of the runners that crash for a third of the time.").
+	command.Flag("crash", "Fraction of the runners that are down after a crash for a third of the time.").
 		Default("0").
 		Float64Var(&play.Crash)
-	command.Flag("release", "Part of the runners that are replaced one after the other.").
+	command.Flag("release", "Fraction of the runners that are replaced one after the other.").
 		Default("0").
 		Float64Var(&play.Release)
 	known[command.FullCommand()] = func() error {
 		play.Deployment = placement.Deployments[*deployment]
-		return placement.Report(os.Stdout, play, *loads, *ways, *seeds)
+		return placement.Report(os.Stdout, play, *loads, *policies, *seeds)
 	}
 }
 
-// registerSpread adds the command that measures how a change spreads.
+// registerSpread adds the command that measures how fast a configuration change reaches the data daemons.
 func registerSpread(application *kingpin.Application, known commands) {
-	command := application.Command("spread", "Measure in simulated time how a change reaches cohorts of several sizes.")
-	sizes := command.Flag("daemons", "Size of a cohort; may be given several times.").
+	command := application.Command("spread", "Measure in simulated time how fast a change reaches the data daemons.")
+	sizes := command.Flag("daemons", "Number of data daemons; may be given several times.").
 		Default("12", "100", "1000").
 		Ints()
-	routes := command.Flag("lanes", "Lanes of the spec that is sent.").Default("10").Int()
+	routes := command.Flag("lanes", "Number of lanes in the spec that is sent.").Default("10").Int()
 	known[command.FullCommand()] = func() error {
 		for _, size := range *sizes {
 			spread, err := simulation.MeasureSpread(1, size, *routes)
--- a/cmd/wtverify/seeds_test.go
+++ b/cmd/wtverify/seeds_test.go
@@ -12,7 +12,7 @@
 	"wardtray/verify/simulation"
 )
 
-func TestCheckRange(t *testing.T) {
+func TestCheckFlags(t *testing.T) {
 	known := []string{"a", "b"}
 	for name, test := range map[string]struct {
 		seeds  seedRange
@@ -29,7 +29,7 @@
 		"too many faults": {seedRange{1, 1}, 17, nil, "--at-once 17: give 1 to 16"},
 		"unknown fault":   {seedRange{1, 1}, 1, []string{"a", "c"}, `there is no fault "c": give one of a, b`},
 	} {
-		err := checkRange(test.seeds, test.atOnce, test.faults, known)
+		err := checkFlags(test.seeds, test.atOnce, test.faults, known)
 		var usage *usageError
 		if (err != nil) != (test.text != "") || err != nil && !errors.As(err, &usage) {
 			t.Errorf("%s: %v", name, err)
@@ -59,27 +59,27 @@
 	}
 }
 
-// Every seed of a range is played once.
-func TestSimulatePlaysEachSeed(t *testing.T) {
+// The workers that share a range run every seed once: none is skipped or run twice.
+func TestSimulateRunsEachSeed(t *testing.T) {
 	var mutex sync.Mutex
-	played := map[int64]int{}
+	runs := map[int64]int{}
 	output := &strings.Builder{}
 	clean := simulate(output, seedRange{from: 5, count: 40}, func(seed int64) *simulation.World {
 		mutex.Lock()
 		defer mutex.Unlock()
-		played[seed]++
+		runs[seed]++
 		return simulation.NewWorld(seed)
 	})
 	if want := "40 seeds, 0 changes acknowledged, 0 awards checked\nverdict: clean\n"; !clean || output.String() != want {
 		t.Errorf("%q instead of %q", output, want)
 	}
 	for seed := int64(5); seed < 45; seed++ {
-		if played[seed] != 1 {
-			t.Errorf("seed %d was played %d times", seed, played[seed])
+		if runs[seed] != 1 {
+			t.Errorf("seed %d was run %d times", seed, runs[seed])
 		}
 	}
-	if len(played) != 40 {
-		t.Errorf("%d seeds were played", len(played))
+	if len(runs) != 40 {
+		t.Errorf("%d seeds were run", len(runs))
 	}
 }
 
@@ -100,7 +100,7 @@
 }
 
 func TestWorstCasesAreThoseOfAllRuns(t *testing.T) {
-	gathered := newWorst()
+	gathered := newWorstCases()
 	gathered.add(histories.WorstCases{Ignored: time.Second, Return: 2 * time.Second})
 	gathered.add(histories.WorstCases{Ignored: 3 * time.Second, Concurrent: 4})
 	gathered.count(map[string]int{"done": 5, "refused": 1})
--- a/cmd/wtverify/summary.go
+++ b/cmd/wtverify/summary.go
@@ -12,23 +12,26 @@
 	"wardtray/verify/simulation"
 )
 
-// summary gathers what many runs showed. It is safe for concurrent use.
+// summary collects the results of many runs. It is safe for concurrent use.
 type summary struct {
 	printer
-	mutex                sync.Mutex
-	clean                bool
-	awards, acknowledged int
-	// calls and requests are how many were judged by an order that explains them, judging how long that took.
+	mutex sync.Mutex
+	clean bool
+	// decisions counts the checks in which a data daemon would have scheduled a request; acknowledged counts the
+	// operators' accepted changes.
+	decisions, acknowledged int
+	// calls and requests count the operators' calls and the at-most-once requests whose histories were checked for
+	// linearizability; checkTime is the total time of these checks.
 	calls, requests int
-	judging         time.Duration
-	worst           *worst
+	checkTime       time.Duration
+	worst           *worstCases
 }
 
 func newSummary(output io.Writer) *summary {
-	return &summary{printer: printer{output}, clean: true, worst: newWorst()}
+	return &summary{printer: printer{output}, clean: true, worst: newWorstCases()}
 }
 
-// add takes in a run that has ended; it prints what broke.
+// add adds the results of a finished run, and prints the rules that it broke.
 func (summary *summary) add(world *simulation.World) {
 	summary.mutex.Lock()
 	defer summary.mutex.Unlock()
@@ -39,10 +42,10 @@
 	if len(world.Check.Violations) > 0 {
 		summary.println("  harm done before:", strings.Join(world.Log[max(0, len(world.Log)-6):], "; "))
 	}
-	summary.awards += world.Check.Decisions
+	summary.decisions += world.Check.Decisions
 	summary.calls += world.Check.Verdict.Calls
 	summary.requests += world.Check.Verdict.Requests
-	summary.judging += world.Check.Verdict.Took
+	summary.checkTime += world.Check.Verdict.Took
 	if world.Traffic != nil {
 		summary.worst.add(histories.Worst(world.Traffic.History))
 		summary.worst.count(world.Traffic.Counts())
@@ -57,12 +60,13 @@
 	}
 }
 
-// print writes what was seen in so many seeds.
+// print writes the results of all runs; seeds is the number of runs.
 func (summary *summary) print(seeds int64) {
-	summary.printf("%d seeds, %d changes acknowledged, %d awards checked\n", seeds, summary.acknowledged, summary.awards)
+	summary.printf("%d seeds, %d changes acknowledged, %d awards checked\n",
+		seeds, summary.acknowledged, summary.decisions)
 	if summary.calls+summary.requests > 0 {
 		summary.printf("histories: %d calls of operators and %d requests that run at most once judged in %v\n", summary.calls,
-			summary.requests, summary.judging.Round(time.Millisecond))
+			summary.requests, summary.checkTime.Round(time.Millisecond))
 	}
 	summary.worst.print(summary.printer)
 	if summary.clean {
@@ -72,7 +76,7 @@
 	summary.println("verdict: rules broken; run again with --from SEED --seeds 1")
 }
 
-// printer writes what the reader of the terminal sees; an output that takes no more says nothing about the fleet.
+// printer writes to the terminal. It ignores write errors, which say nothing about the fleet under test.
 type printer struct {
 	output io.Writer
 }
--- a/cmd/wtverify/worstcases.go
+++ b/cmd/wtverify/worstcases.go
@@ -6,19 +6,21 @@
 	"wardtray/verify/histories"
 )
 
-// worst gathers the worst cases of many runs.
-type worst struct {
+// worstCases collects the worst cases of many runs.
+type worstCases struct {
+	// lengths maps a description of each case to the longest duration seen.
 	lengths map[string]time.Duration
 	cases   histories.WorstCases
-	counts  map[string]int
+	// counts maps an outcome of requests to the number of requests that had it.
+	counts map[string]int
 }
 
-func newWorst() *worst {
-	return &worst{lengths: map[string]time.Duration{}, counts: map[string]int{}}
+func newWorstCases() *worstCases {
+	return &worstCases{lengths: map[string]time.Duration{}, counts: map[string]int{}}
 }
 
-// add takes in the worst cases of one run.
-func (worst *worst) add(cases histories.WorstCases) {
+// add adds the worst cases of one run.
+func (worst *worstCases) add(cases histories.WorstCases) {
 	worst.cases.Add(cases)
 	worst.lengths["work against an acknowledged spec"] = worst.cases.Ignored
 	worst.lengths["work to a leaving runner"] = worst.cases.Draining
@@ -27,15 +29,15 @@
 	worst.lengths["final answer after a loss could be known"] = worst.cases.Overdue
 }
 
-// count adds up what the runs count.
-func (worst *worst) count(counts map[string]int) {
+// count adds the request counts of one run, by outcome.
+func (worst *worstCases) count(counts map[string]int) {
 	for name, count := range counts {
 		worst.counts[name] += count
 	}
 }
 
-// print writes the worst cases, and the counts where there are any.
-func (worst *worst) print(output printer) {
+// print writes the worst cases, and the request counts if there are any.
+func (worst *worstCases) print(output printer) {
 	for _, rule := range sortedNames(worst.lengths) {
 		output.printf("  worst case, %s: %v\n", rule, worst.lengths[rule].Round(time.Millisecond))
 	}
