--- a/tools/ablation/main.go
+++ b/tools/ablation/main.go
@@ -1,6 +1,6 @@
-// Command ablation measures what each feature of the daemons is worth: it runs days of deployments on the users' bench
-// with one feature switched off at a time, and the same days and seeds with all of them on, and prints a table of the
-// differences. Trials that have a report are not run again, so that it can be stopped and resumed.
+// Command ablation measures the benefit of each feature of the daemons. It runs days of sites with a benchmark program,
+// once with all features on and once for each feature with that one switched off, with the same seeds, and prints a
+// table of the differences. It runs no trial that has a report already, so that it can be stopped and resumed.
 package main
 
 import (
@@ -17,18 +17,19 @@
 
 // options are the command's flags.
 type options struct {
-	// bench is the path of the bench's program.
+	// bench is the path of the benchmark program.
 	bench string
-	// out is the folder of reports and of the copies of the sources that are run.
+	// out is the folder of the reports and of the copies of the sources that are run.
 	out string
-	// sites, days, seeds and features span the trials; sites are paths of site files.
+	// sites, days, seeds and features: each combination of them is a trial. sites are paths of site files, and days are
+	// the benchmark's names of scenarios.
 	sites    []string
 	days     []string
 	seeds    []int64
 	features []string
-	// jobs is how many trials run at once.
+	// jobs is the number of trials that run at once.
 	jobs int
-	// tableOnly prints the table of the reports that exist, and runs nothing.
+	// tableOnly makes the command print the table of the existing reports and run nothing.
 	tableOnly bool
 }
 
@@ -40,19 +41,19 @@
 	}
 }
 
-// parseOptions parses the flags; wrong ones end the process.
+// parseOptions parses the flags; invalid ones end the process.
 func parseOptions(arguments []string) options {
 	chosen := options{}
-	application := kingpin.New("ablation", "Measures what each mechanism is worth, on the users' bench.")
-	application.Flag("bench", "The bench's program.").Required().StringVar(&chosen.bench)
-	application.Flag("out", "Folder of reports and of the trees that are played.").Required().StringVar(&chosen.out)
+	application := kingpin.New("ablation", "Measures the benefit of each feature with a benchmark program.")
+	application.Flag("bench", "Path of the benchmark program.").Required().StringVar(&chosen.bench)
+	application.Flag("out", "Folder of the reports and of the copies of the sources.").Required().StringVar(&chosen.out)
 	application.Flag("site", "A site file; may be given several times.").Required().StringsVar(&chosen.sites)
 	application.Flag("day", "A day of the sites; may be given several times.").Required().StringsVar(&chosen.days)
 	application.Flag("seed", "A seed; may be given several times.").Required().Int64ListVar(&chosen.seeds)
-	mechanism := application.Flag("mechanism", "A mechanism; may be given several times; default: all.")
+	mechanism := application.Flag("mechanism", "A feature; may be given several times; default: all.")
 	mechanism.StringsVar(&chosen.features)
-	application.Flag("jobs", "How many days are played at once.").Default("3").IntVar(&chosen.jobs)
-	table := application.Flag("table", "Print the table of the reports that are there, and play nothing.")
+	application.Flag("jobs", "Number of trials that run at once.").Default("3").IntVar(&chosen.jobs)
+	table := application.Flag("table", "Print the table of the existing reports and run nothing.")
 	table.BoolVar(&chosen.tableOnly)
 	kingpin.MustParse(application.Parse(arguments))
 	if len(chosen.features) == 0 {
--- a/tools/ablation/report.go
+++ b/tools/ablation/report.go
@@ -8,23 +8,23 @@
 	"os"
 )
 
-// report is the part of a bench's report that the table uses.
+// report is the part of the benchmark's report that the table uses.
 type report struct {
-	// Value is what the day earned less prices, as a part of what was due.
+	// Value is the day's earnings less prices, as a fraction of the earnings due.
 	Value float64 `json:"G"`
-	// Prices are taken off the value.
+	// Prices lists the deductions, which are already subtracted in Value.
 	Prices []json.RawMessage `json:"prices"`
-	// Breaks holds the rules that were broken.
+	// Breaks lists the broken rules by name.
 	Breaks map[string]any `json:"breaks"`
 }
 
-// The elements of a price: its name, an amount, and its part of the value.
+// The elements of a price: its name, an amount, and the deduction as a fraction like report.Value.
 const (
 	priceElements     = 3
 	priceValueElement = 2
 )
 
-// totalPrice sums the prices. Entries of another form are left out.
+// totalPrice returns the sum of all deductions. Entries of another form are ignored.
 func (report report) totalPrice() float64 {
 	total := 0.0
 	for _, price := range report.Prices {
@@ -40,7 +40,7 @@
 	return total
 }
 
-// readReports reads the reports that exist.
+// readReports reads the existing reports.
 func readReports(chosen options) (map[trial]report, error) {
 	reports := map[trial]report{}
 	for _, next := range chosen.trials() {
--- a/tools/ablation/sources.go
+++ b/tools/ablation/sources.go
@@ -9,30 +9,31 @@
 	"strings"
 )
 
-// The modes of what is made.
+// File modes of created folders and files.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
 )
 
-// deployFile is the path of the file that says how the programs are started, from the repository's root.
+// deployFile is the path of the file with the programs' start commands, relative to the repository's root.
 const deployFile = "deploy/system.toml"
 
 // dataPlaneCommand begins the line of the deploy file that starts the data plane.
 const dataPlaneCommand = `run = "target/wtdata `
 
-// errNoDataPlane is the error of a deploy file that starts no data plane.
+// errNoDataPlane reports a deploy file without a start command of the data plane.
 var errNoDataPlane = fmt.Errorf("%s has no line that begins with %s", deployFile, dataPlaneCommand)
 
-// copySources copies all files that git would track to the folder $0, without the journal.
+// copySources is a shell command that copies the tracked and the untracked, not ignored files to the folder $0, without
+// the journal.
 const copySources = `git ls-files -co --exclude-standard -- . ':!journal' | tar cf - -T - | tar xf - -C "$0"`
 
-// sources returns the path of the copy of the sources in which a feature is switched off.
+// sources returns the folder of the copy of the sources in which a feature is switched off.
 func (chosen options) sources(feature string) string {
 	return filepath.Join(chosen.out, "trees", feature)
 }
 
-// prepareSources copies the sources, unless there is a copy, and switches a feature off in its deploy file.
+// prepareSources copies the sources, unless a copy exists, and switches a feature off in the copy's deploy file.
 func prepareSources(ctx context.Context, chosen options, feature string) error {
 	sources := chosen.sources(feature)
 	path := filepath.Join(sources, deployFile)
--- a/tools/ablation/sources_test.go
+++ b/tools/ablation/sources_test.go
@@ -18,10 +18,10 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(changed, "target/wtdata --without homes --adapter") {
-		t.Errorf("nothing is switched off in %s", changed)
+		t.Errorf("the feature is not switched off in %s", changed)
 	}
 	if strings.Contains(changed, "wtcore --without") {
-		t.Errorf("the control plane is changed too in %s", changed)
+		t.Errorf("the control plane's start command is changed too in %s", changed)
 	}
 	if _, err := switchOff("[roles]", "homes"); !errors.Is(err, errNoDataPlane) {
 		t.Errorf("a deploy file without a data plane: %v", err)
--- a/tools/ablation/table.go
+++ b/tools/ablation/table.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// comparison is how trials without a feature differ from those of the baseline, over pairs of the same day and seed.
+// comparison holds the differences between the trials without a feature and those of the baseline, in pairs of the same
+// day and seed.
 type comparison struct {
-	// values and prices hold a difference for each pair.
+	// values and prices hold the difference of each pair: without the feature minus baseline.
 	values, prices []float64
 	// broken counts the trials without the feature that broke a rule.
 	broken int
 }
 
-// compare pairs the trials of a site without a feature with those of the baseline. Pairs of which a report is missing
-// are left out.
+// compare pairs the trials of a site without a feature with those of the baseline. Pairs that lack a report are left
+// out.
 func compare(chosen options, reports map[trial]report, site, feature string) comparison {
 	compared := comparison{}
 	for _, day := range chosen.days {
@@ -44,7 +45,7 @@
 	return average
 }
 
-// deviation returns the sample standard deviation of values; 0 for less than two.
+// deviation returns the sample standard deviation of values; 0 for fewer than two.
 func deviation(values []float64) float64 {
 	if len(values) < 2 {
 		return 0
@@ -61,7 +62,7 @@
 | --- | --- | --- | --- | --- | --- | --- |
 `
 
-// table returns the comparisons as a table in Markdown.
+// table returns the comparisons of all sites and features as a table in Markdown.
 func table(chosen options, reports map[trial]report) string {
 	var page strings.Builder
 	page.WriteString(tableHead)
--- a/tools/ablation/table_test.go
+++ b/tools/ablation/table_test.go
@@ -51,6 +51,6 @@
 		t.Fatalf("%q", lines)
 	}
 	if price := reports[trial{baseline, chosen.sites[0], "quiet-1", 1}].totalPrice(); price < 0.299 || price > 0.301 {
-		t.Errorf("prices add up to %v", price)
+		t.Errorf("prices add up to %v, want 0.3", price)
 	}
 }
--- a/tools/ablation/trial.go
+++ b/tools/ablation/trial.go
@@ -12,10 +12,10 @@
 	"sync"
 )
 
-// baseline stands in the place of a feature for the trials with all features on.
+// baseline is the feature of trials in which no feature is switched off.
 const baseline = "everything"
 
-// trial is one run of the bench: a day of a site under a seed, with one feature switched off or as the baseline.
+// trial is one run of the benchmark: a day of a site with a seed, with one feature switched off or none (baseline).
 type trial struct {
 	feature, site, day string
 	seed               int64
@@ -30,7 +30,7 @@
 	return filepath.Join(out, "reports", name)
 }
 
-// reason says in the bench's journal why the trial was run.
+// reason returns the reason for the trial that the benchmark writes to its journal.
 func (trial trial) reason() string {
 	if trial.feature == baseline {
 		return "ablation: everything on"
@@ -52,17 +52,17 @@
 	return trials
 }
 
-// seeded returns a trial once for each seed.
-func (chosen options) seeded(once trial) []trial {
+// seeded returns a copy of a trial for each seed.
+func (chosen options) seeded(template trial) []trial {
 	trials := make([]trial, len(chosen.seeds))
 	for i, seed := range chosen.seeds {
-		trials[i] = once
+		trials[i] = template
 		trials[i].seed = seed
 	}
 	return trials
 }
 
-// trialError is a trial that failed.
+// trialError reports a failed trial.
 type trialError struct {
 	trial trial
 	cause error
@@ -78,30 +78,30 @@
 // Unwrap returns the cause.
 func (err trialError) Unwrap() error { return err.cause }
 
-// runTrials runs the trials that have no report, several at once. A trial that fails is logged, and has no report.
+// runTrials runs the trials that have no report, chosen.jobs at once. It logs those that fail; they get no report.
 func runTrials(ctx context.Context, chosen options, failures *log.Logger) error {
 	if err := os.MkdirAll(filepath.Join(chosen.out, "reports"), directoryMode); err != nil {
 		return err
 	}
-	waiting := make(chan trial)
+	queue := make(chan trial)
 	var workers sync.WaitGroup
 	for range max(1, chosen.jobs) {
 		workers.Go(func() {
-			for next := range waiting {
+			for next := range queue {
 				if err := runTrial(ctx, chosen, next); err != nil {
 					failures.Print(trialError{trial: next, cause: err})
 				}
 			}
 		})
 	}
-	err := startTrials(ctx, chosen, waiting)
-	close(waiting)
+	err := startTrials(ctx, chosen, queue)
+	close(queue)
 	workers.Wait()
 	return err
 }
 
-// startTrials prepares the sources of the trials that have no report, and hands them to the workers.
-func startTrials(ctx context.Context, chosen options, waiting chan<- trial) error {
+// startTrials prepares the sources of the trials that have no report, and sends these trials to the workers.
+func startTrials(ctx context.Context, chosen options, queue chan<- trial) error {
 	for _, next := range chosen.trials() {
 		if _, err := os.Stat(next.reportPath(chosen.out)); err == nil {
 			continue
@@ -109,12 +109,12 @@
 		if err := prepareSources(ctx, chosen, next.feature); err != nil {
 			return err
 		}
-		waiting <- next
+		queue <- next
 	}
 	return nil
 }
 
-// runTrial runs one trial; its journal entry stays in the copy's journal.
+// runTrial runs one trial in its copy of the sources; the benchmark's journal entry stays in that copy.
 func runTrial(ctx context.Context, chosen options, next trial) error {
 	report := next.reportPath(chosen.out)
 	partial := report + ".part"
@@ -122,7 +122,7 @@
 		"--seed", strconv.FormatInt(next.seed, 10), "--why", next.reason(), "--report", partial)
 	bench.Dir = chosen.sources(next.feature)
 	if output, err := bench.CombinedOutput(); err != nil {
-		// A report that was written counts, even if the bench ended with an error.
+		// The trial counts if its report was written, even if the benchmark exited with an error.
 		if _, missing := os.Stat(partial); missing != nil {
 			return fmt.Errorf("%w: %s", err, output)
 		}
--- a/tools/ablation/trial_test.go
+++ b/tools/ablation/trial_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// fakeBench is a bench that writes a report after a moment, and fails on the day "bad".
+// fakeBench is a benchmark program that writes a report after 0.1 s, and fails on the day "bad".
 const fakeBench = `#!/bin/sh
 sleep 0.1
 if [ "$3" = bad ]; then echo no such day; exit 1; fi
@@ -21,8 +21,8 @@
 done
 `
 
-// newRepository makes a repository with a deploy file, changes into it, and returns options for trials of it with the
-// fake bench.
+// newRepository creates a git repository with a deploy file, changes into it, and returns options for trials of it with
+// the fake benchmark.
 func newRepository(t *testing.T, deploy string) options {
 	t.Helper()
 	repository, folder := t.TempDir(), t.TempDir()
@@ -53,8 +53,8 @@
 	}
 }
 
-// Each trial runs in its own copy of the sources, one that fails is logged and has no report, and one that has a report
-// is not run again.
+// Each feature's trials run in their own copy of the sources, a trial that fails is logged and gets no report, and a
+// trial that has a report is not run again.
 func TestRunTrials(t *testing.T) {
 	chosen := newRepository(t, dataPlaneCommand+"--adapter platform\"\n")
 	chosen.days = append(chosen.days, "bad")
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		if isOff := strings.Contains(string(content), "--without homes"); isOff != (next.feature == "homes") {
-			t.Errorf("%+v: homes are switched off: %v", next, isOff)
+			t.Errorf("%+v: the feature homes is switched off: %v", next, isOff)
 		}
 	}
 	if !strings.Contains(lines.String(), "one without homes, bad 1: exit status 1: no such day") {
@@ -86,11 +86,11 @@
 		t.Fatal(err)
 	}
 	if content, err := os.ReadFile(kept); err != nil || string(content) != "kept" {
-		t.Errorf("a report is written again: %q, %v", content, err)
+		t.Errorf("an existing report was written again: %q, %v", content, err)
 	}
 }
 
-// Where the sources of a trial can't be prepared, those that run already come to their end and have their reports.
+// If the sources of a trial can't be prepared, the trials that already run still finish and write their reports.
 func TestRunTrialsWaitsForThoseThatRun(t *testing.T) {
 	chosen := newRepository(t, "[roles]\n")
 	err := runTrials(t.Context(), chosen, log.New(os.Stderr, "", 0))
--- a/tools/doccheck/checker_test.go
+++ b/tools/doccheck/checker_test.go
@@ -12,27 +12,28 @@
 	linkPattern     = regexp.MustCompile(`\]\(([^()\s]+)\)`)
 	codeSpanPattern = regexp.MustCompile("`([^`]+)`")
 	testPattern     = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
-	// pathPattern matches a path of several elements, or one that begins with "./"; its first element is looked up.
+	// pathPattern matches a path of at least two elements, or one that begins with "./". checkPath ignores a match whose
+	// first element is not a folder of the module.
 	pathPattern = regexp.MustCompile(`^(?:\./)?[\w.-]+(?:/[\w.*-]+)+/?$`)
 	// identifierPattern matches package.Identifier, package.Type.Member and Type.Member, with a path before the package.
 	identifierPattern = regexp.MustCompile(`^(?:[\w-]+/)*(\w+)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?(?:\(\))?$`)
 )
 
-// fileExtensions are the endings that tell a file from an identifier of a package.
+// fileExtensions are the extensions that distinguish a file name, such as a.go, from an identifier, such as a.Go.
 var fileExtensions = []string{
 	".go", ".md", ".json", ".toml", ".txt", ".mod", ".sum", ".proto", ".patch", ".conf", ".yml", ".yaml", ".sh",
 	".log", ".lock", ".html", ".csv", ".jsonl", ".gz", ".service", ".map", ".key",
 }
 
-// problem is something that a page names and the module does not have, or that can't be read.
+// problem is a fault of a page: a reference to something that does not exist, or a malformed table.
 type problem struct {
-	// path and line are where it is, the path from the root and the line from 1.
+	// path and line locate the fault: the path from the root, the line counted from 1.
 	path string
 	line int
 	text string
 }
 
-// String returns the problem in the form of a compiler's error.
+// String formats the problem as compilers format errors: path:line: text.
 func (problem problem) String() string {
 	return fmt.Sprintf("%s:%d: %s", problem.path, problem.line, problem.text)
 }
@@ -60,7 +61,7 @@
 	return problems
 }
 
-// checkLinks checks the links of a line: the file that each leads to, and the heading in it.
+// checkLinks checks that the file and the heading to which each link of a line leads exist.
 func (c checker) checkLinks(checked page, line string) []string {
 	var problems []string
 	for _, link := range linkPattern.FindAllStringSubmatch(line, -1) {
@@ -83,7 +84,8 @@
 	return problems
 }
 
-// hasAnchor reports whether a heading of the page at a path has an anchor. The checked page itself needs no file.
+// hasAnchor reports whether the page at a path has a heading with an anchor. The checked page itself is not read from
+// disk.
 func (c checker) hasAnchor(checked page, path, anchor string) bool {
 	if path != checked.path {
 		text, err := os.ReadFile(filepath.Join(c.root, path))
@@ -95,11 +97,11 @@
 	return checked.anchors()[anchor]
 }
 
-// checkSpan checks the text of one code span: the tests that it names, or the identifier or path that it is.
+// checkSpan checks the text of one code span: the tests that it names, and the identifier or path if it is one.
 func (c checker) checkSpan(span string) []string {
 	var problems []string
 	for _, test := range testPattern.FindAllString(span, -1) {
-		// The pattern of a -run flag may be the beginning of a name.
+		// A pattern of go test -run may be a prefix of a test's name.
 		isPattern := strings.Contains(span, "-run ") && c.declared.hasTestPrefix(test)
 		if !c.declared.tests[test] && !isPattern {
 			problems = append(problems, fmt.Sprintf("test %s does not exist", test))
@@ -119,7 +121,7 @@
 	return problems
 }
 
-// isFile reports whether a span ends as the name of a file does.
+// isFile reports whether a span ends with one of fileExtensions.
 func isFile(span string) bool {
 	for _, extension := range fileExtensions {
 		if strings.HasSuffix(span, extension) {
@@ -129,8 +131,8 @@
 	return false
 }
 
-// checkPath checks a span that is the name of a Go file, or a path whose first element is a folder of the module. Other
-// spans have no problem.
+// checkPath checks a span that is the name of a Go file, or a path whose first element is a folder of the module. It
+// ignores other spans.
 func (c checker) checkPath(span string) []string {
 	if strings.HasSuffix(span, ".go") && !strings.ContainsAny(span, "/* ") && !c.declared.files[span] {
 		return []string{fmt.Sprintf("file %s does not exist", span)}
@@ -147,7 +149,7 @@
 	return []string{fmt.Sprintf("path %s does not exist", span)}
 }
 
-// exists reports whether a file or folder matches a path from the root, in which * stands for any part of a name.
+// exists reports whether a file or folder matches a path from the root, which may contain wildcards (filepath.Glob).
 func (c checker) exists(path string) bool {
 	found, err := filepath.Glob(filepath.Join(c.root, path))
 	return err == nil && len(found) > 0
--- a/tools/doccheck/declarations_test.go
+++ b/tools/doccheck/declarations_test.go
@@ -13,13 +13,13 @@
 	"testing"
 )
 
-// declarations are the names that a module declares, by the name of the package. Packages of one name are not told
-// apart: a reference resolves if any of them has it.
+// declarations holds the names that a module declares. Packages are identified by name, not by path, so that a
+// reference resolves if any package of that name declares it.
 type declarations struct {
 	packages map[string]map[string]bool // package -> identifiers at package level
 	types    map[typeName]*typeMembers
-	imported map[string]bool // last elements of the import paths of all packages
-	tests    map[string]bool // tests, fuzz tests and benchmarks of all packages
+	imported map[string]bool // last elements of the import paths in all files
+	tests    map[string]bool // functions of all packages, tests among them
 	files    map[string]bool // names of all Go files
 }
 
@@ -28,13 +28,13 @@
 	pkg, name string
 }
 
-// typeMembers are the fields and methods of a type, and the types whose members it has too: embedded or aliased ones.
+// typeMembers are the fields and methods of a type, and the embedded or aliased types whose members it inherits.
 type typeMembers struct {
 	names    map[string]bool
 	inherits []typeName
 }
 
-// parseModule parses the Go files of the module at root, without those of modules inside it.
+// parseModule parses the Go files of the module at root, without those of nested modules.
 func parseModule(t *testing.T, root string) *declarations {
 	t.Helper()
 	paths, err := goFiles(root)
@@ -68,7 +68,7 @@
 	return found
 }
 
-// goFiles returns the Go files below root. Folders of test data, hidden ones and other modules are left out.
+// goFiles returns the Go files below root, except those in testdata folders, hidden folders and nested modules.
 func goFiles(root string) ([]string, error) {
 	var paths []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -89,7 +89,7 @@
 	return paths, err
 }
 
-// isSkipped reports whether a folder holds no package of the module.
+// isSkipped reports whether a folder and those below it contain no package of the module.
 func isSkipped(path, name string) bool {
 	if name == "testdata" || strings.HasPrefix(name, ".") || strings.HasPrefix(name, "_") {
 		return true
@@ -145,7 +145,8 @@
 	}
 }
 
-// addType adds the fields, interface methods, embedded types and, of an alias, the type that it stands for.
+// addType adds a type's fields, interface methods and embedded types. For an alias and for a type that is defined by
+// another named type, it adds that type.
 func (d *declarations) addType(pkg string, spec *ast.TypeSpec) {
 	members := d.members(typeName{pkg, spec.Name.Name})
 	var fields *ast.FieldList
@@ -172,7 +173,7 @@
 	}
 }
 
-// members returns the members of a type, which are empty at first.
+// members returns the members of a type; it creates an empty entry for a new type.
 func (d *declarations) members(name typeName) *typeMembers {
 	if d.types[name] == nil {
 		d.types[name] = &typeMembers{names: map[string]bool{}}
@@ -180,8 +181,8 @@
 	return d.types[name]
 }
 
-// namedType returns the type that an expression names, also behind a pointer or with type arguments. A package that is
-// imported under another name is not followed.
+// namedType returns the type that an expression names, without pointers and type arguments. It does not resolve
+// packages that are imported under another name.
 func namedType(pkg string, expression ast.Expr) (typeName, bool) {
 	switch expression := expression.(type) {
 	case *ast.Ident:
@@ -210,9 +211,9 @@
 	return false
 }
 
-// resolves reports whether a reference is to something declared: qualifier.name with member empty, or
-// qualifier.name.member. The qualifier is a package or a type. Packages of other modules that this one imports are not
-// looked into.
+// resolves reports whether a reference is declared: qualifier.name if member is empty, or else qualifier.name.member.
+// The qualifier is a package or a type. Any name resolves in an imported package of another module, since those
+// packages are not parsed.
 func (d *declarations) resolves(qualifier, name, member string) bool {
 	if identifiers, isPackage := d.packages[qualifier]; isPackage {
 		return identifiers[name] && (member == "" || d.hasMember(typeName{qualifier, name}, member))
@@ -227,11 +228,11 @@
 			return true
 		}
 	}
-	// Keys of documents have dots too, but no capital letters.
+	// A key of a configuration document, such as limits.body_bytes, looks like an identifier; it has no capital letters.
 	return d.imported[qualifier] || !isType && !ast.IsExported(name)
 }
 
-// hasMember reports whether a type has a field or method, of its own or of a type that it embeds or stands for.
+// hasMember reports whether a type has a field or method of a name, its own or an inherited one.
 func (d *declarations) hasMember(name typeName, member string) bool {
 	members := d.types[name]
 	if members == nil {
--- a/tools/doccheck/doccheck_test.go
+++ b/tools/doccheck/doccheck_test.go
@@ -1,5 +1,5 @@
-// Package doccheck_test checks the pages of the documentation against the repository: every relative link leads to a
-// file and to a heading in it, every name in backticks that looks like a Go identifier, a test or a path of this module
+// Package doccheck_test checks the pages of the documentation against the repository: every relative link leads to an
+// existing file and heading, every name in backticks that looks like a Go identifier, a test or a path of this module
 // exists, and the rows of each table have as many cells as its head.
 package doccheck_test
 
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// repositoryRoot is the root of the module, seen from the folder in which the tests run.
+// repositoryRoot is the root of the module, relative to this folder, in which go test runs the tests.
 const repositoryRoot = "../.."
 
 // readPages returns the README and every page below docs/.
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestCheck checks the checker itself on a module that is written for it.
+// TestCheck checks the checker itself on a small module, so that it neither misses a problem nor reports a valid
+// reference.
 func TestCheck(t *testing.T) {
 	root := t.TempDir()
 	writeFile(t, root, "go.mod", "module example\n")
--- a/tools/doccheck/page_test.go
+++ b/tools/doccheck/page_test.go
@@ -38,8 +38,8 @@
 // headingPattern matches a heading.
 var headingPattern = regexp.MustCompile(`^#{1,6} +(.*?) *$`)
 
-// anchors returns the anchors of the headings. A heading that is there twice has one; the numbered ones of renderers
-// are not known.
+// anchors returns the anchors of the headings. Headings with the same text share one anchor; the numbered anchors that
+// renderers add for the later ones are missing.
 func (p page) anchors() map[string]bool {
 	anchors := map[string]bool{}
 	for _, line := range p.prose() {
@@ -50,7 +50,7 @@
 	return anchors
 }
 
-// anchorOf returns the anchor of a heading as renderers form it: lower case, blanks as hyphens, without punctuation.
+// anchorOf returns the anchor of a heading as renderers generate it: lower case, hyphens for blanks, no punctuation.
 func anchorOf(heading string) string {
 	return strings.Map(func(letter rune) rune {
 		switch {
@@ -66,14 +66,14 @@
 
 // tableChecker checks the tables of a page, line by line.
 type tableChecker struct {
-	// rows counts the lines of the present table so far, and columns the cells of its head.
+	// rows is the number of lines of the current table so far, and columns the number of cells in its head.
 	rows, columns int
 }
 
 // delimiterPattern matches the line below the head of a table.
 var delimiterPattern = regexp.MustCompile(`^\|( *:?-+:? *\|)+$`)
 
-// check returns the problems of a line as a row of a table. Other lines end the table and have none.
+// check returns the problems of a line that is a row of a table. Any other line ends the table and has no problems.
 func (table *tableChecker) check(line proseLine) []string {
 	text := strings.TrimSpace(line.text)
 	if !strings.HasPrefix(text, "|") {
--- a/tools/knownred/declared.go
+++ b/tools/knownred/declared.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// declarationError is a test that is not declared in just one package.
+// declarationError reports a test that is not declared in exactly one package.
 type declarationError struct {
 	// function is the name of the test function, and packages the number of packages that declare it.
 	function string
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("%s is declared in %d packages, want 1", err.function, err.packages)
 }
 
-// checkDeclared checks that each test is declared in just one package of a tree: go test -skip looks at names only and
-// would skip a namesake too. The error of one that is not is a declarationError.
+// checkDeclared returns a declarationError for a test that is not declared in exactly one package of a tree: go test
+// -skip compares names only and would also skip a test of the same name in another package.
 func checkDeclared(tree fs.FS, tests []knownRed) error {
 	if len(tests) == 0 {
 		return nil
@@ -40,7 +40,7 @@
 // packageSet is a set of packages by their paths.
 type packageSet map[string]bool
 
-// findDeclarations returns for each test function the packages that declare it.
+// findDeclarations returns the packages that declare each test function, by the function's name.
 func findDeclarations(tree fs.FS, tests []knownRed) (map[string]packageSet, error) {
 	declarations := map[string]packageSet{}
 	for _, test := range tests {
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -7,32 +7,32 @@
 	"strings"
 )
 
-// maximumListed bounds the tests that may be listed.
+// maximumListed is the maximum number of listed tests.
 const maximumListed = 3
 
-// separator stands between the fields of a line.
+// separator separates the fields of a line.
 const separator = " | "
 
-// The errors of a list.
+// The errors of an invalid list.
 var (
-	// errFields: a line lacks a field.
+	// errFields reports a line that lacks a field.
 	errFields = errors.New("want test | cause | issue")
-	// errTooMany: more tests are listed than may be.
+	// errTooMany reports a list of more than maximumListed tests.
 	errTooMany = fmt.Errorf("more than %d tests are listed", maximumListed)
-	// errNotOneTest: a pattern matches any number of tests.
-	errNotOneTest = errors.New("does not mean one test; write ^TestName$ or ^TestName$/^subtest$")
+	// errNotOneTest reports a pattern that may match more than one test.
+	errNotOneTest = errors.New("does not name exactly one test; write ^TestName$ or ^TestName$/^subtest$")
 )
 
 // knownRed is a test that is known to fail: one line of the list.
 type knownRed struct {
-	// pattern is the test's name for go test -skip, each part of it anchored at both ends.
+	// pattern is the test's name as a pattern for go test -skip, with each element anchored at both ends.
 	pattern string
-	// cause says why the test fails, and issue where that is tracked.
+	// cause is the reason for the failure as far as it is known, and issue the number of its open issue.
 	cause string
 	issue string
 }
 
-// singleTest matches a pattern that means just one test: anchored literal names, joined by slashes.
+// singleTest matches a pattern that names exactly one test: anchored literal names, joined by slashes.
 var singleTest = regexp.MustCompile(`^\^(Test\w+)\$(/\^([\w,#=:-]|\\[.+*()])+\$)*$`)
 
 // function returns the name of the test function.
@@ -61,7 +61,7 @@
 
 // parseLine parses one line of the list.
 func parseLine(line string) (knownRed, error) {
-	// The cause may hold the separator itself: the test is before the first, the issue after the last.
+	// The cause may contain the separator: the test ends at the first one, and the issue begins after the last one.
 	pattern, rest, _ := strings.Cut(line, separator)
 	end := strings.LastIndex(rest, separator)
 	if end < 0 {
@@ -81,7 +81,7 @@
 	return test, nil
 }
 
-// skipPattern joins the patterns for go test -skip, which accepts alternatives of complete paths.
+// skipPattern joins the patterns with "|" for go test -skip, which splits its value there before it splits at slashes.
 func skipPattern(tests []knownRed) string {
 	patterns := make([]string, len(tests))
 	for i, test := range tests {
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred reads KNOWN-RED.txt, the list of tests that fail for a real fault that is not fixed yet. It prints
-// the pattern for go test -skip to standard output, empty if the list is, and the tests that are skipped to standard
-// error. A list that is too long, malformed or stale ends it with exit code 1.
+// Command knownred reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet. It
+// prints a pattern for go test -skip to standard output, which is empty if the list is, and the skipped tests to
+// standard error. The exit code is 1 if the list is too long, is malformed, or names a test that does not exist.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// listFile is the path of the list, from the repository's root.
+// listFile is the path of the list, relative to the repository's root.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// run checks the list of a tree and prints the pattern and the report.
+// run checks the list of a tree, and prints the pattern to output and the skipped tests to report.
 func run(tree fs.FS, output, report io.Writer) error {
 	tests, err := readList(tree)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return err
 }
 
-// readList reads the list of a tree and checks that its tests are declared there.
+// readList reads the list of a tree and checks that the tree declares its tests.
 func readList(tree fs.FS) ([]knownRed, error) {
 	content, err := fs.ReadFile(tree, listFile)
 	if err != nil {
--- a/tools/knownred/main_test.go
+++ b/tools/knownred/main_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// The pattern goes to one writer, for go test -skip, and the report to the other.
+// Only the pattern may go to the output, which ./check passes to go test -skip; the report goes to the other writer.
 func TestRunPrintsThePatternAndTheReport(t *testing.T) {
 	tree := fstest.MapFS{
 		listFile:      {Data: []byte("^TestA$/^x$ | slow disk | 17\n")},
@@ -36,7 +36,7 @@
 	}
 }
 
-// A list that is missing, malformed or stale prints nothing.
+// For a list that is missing, malformed or stale, nothing is printed, so that no tests are skipped.
 func TestRunRejectsTheList(t *testing.T) {
 	for name, test := range map[string]struct {
 		tree fstest.MapFS
--- a/tools/layers/layers_test.go
+++ b/tools/layers/layers_test.go
@@ -1,8 +1,8 @@
 // Package layers_test checks that imports go downwards: each top-level folder of the repository is a layer, and its
-// packages import those of their own layer and of the layers below it. docs/architecture.md says what each folder
-// contains.
+// packages import only packages of their own layer and of the layers below it. docs/architecture.md says what each
+// folder contains.
 //
-// Run it with -count=1, as ./check does: the cache of tests does not know which files go list reads.
+// Run it with -count=1, as ./check does: the test cache does not track the files that go list reads.
 package layers_test
 
 import (
@@ -35,7 +35,7 @@
 	"coordination",
 	"config",
 	"wire",
-	// The leaves, which import nothing but each other.
+	// The lowest layers, which import only each other.
 	"features",
 	"metrics",
 	"strictjson",
@@ -43,14 +43,14 @@
 	"apierror",
 }
 
-// goPackage is what the check needs of a package, as go list prints it. Imports are those of the package itself: tests
-// may import any layer, since many use the libraries of verify.
+// goPackage is the part of go list's output on a package that the check needs. Imports excludes the imports of tests,
+// which may import any layer, since many use the libraries of verify.
 type goPackage struct {
 	ImportPath string
 	Imports    []string
 }
 
-// unknownLayerError is a package that is in no known layer.
+// unknownLayerError reports a package that is in no known layer.
 type unknownLayerError struct {
 	importPath string
 }
@@ -58,7 +58,7 @@
 // Error names the package.
 func (err unknownLayerError) Error() string { return err.importPath + " is in no layer" }
 
-// upwardImportError is an import of a layer above the importer's.
+// upwardImportError reports an import of a package in a layer above the importer's.
 type upwardImportError struct {
 	importer, imported string
 }
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("%s imports %s, which is in a layer above", err.importer, err.imported)
 }
 
-// layerOf returns the position of a package's layer, 0 for the top. A package in no known layer, as the root's and
-// those of other modules, has none.
+// layerOf returns the position of a package's layer, 0 for the top. found is false for a package in no known layer,
+// such as the root package and those of other modules.
 func layerOf(importPath string) (layer int, found bool) {
 	path, inModule := strings.CutPrefix(importPath, module+"/")
 	if !inModule {
@@ -80,7 +80,7 @@
 	return layer, layer >= 0
 }
 
-// check returns an unknownLayerError or upwardImportErrors of a package.
+// check returns an unknownLayerError if the package is in no layer, or else an upwardImportError for each such import.
 func (listed goPackage) check() []error {
 	layer, found := layerOf(listed.ImportPath)
 	if !found {
@@ -88,7 +88,7 @@
 	}
 	var violations []error
 	for _, imported := range listed.Imports {
-		// An imported package in no layer is a violation by itself.
+		// An imported package of the module in no layer is reported when that package itself is checked.
 		if importedLayer, found := layerOf(imported); found && importedLayer < layer {
 			violations = append(violations, upwardImportError{listed.ImportPath, imported})
 		}
@@ -124,7 +124,7 @@
 func TestImportsGoDownwards(t *testing.T) {
 	packages := listPackages(t)
 	if len(packages) < len(layers) {
-		t.Fatalf("go list knows %d packages, less than there are layers", len(packages))
+		t.Fatalf("go list prints %d packages, fewer than there are layers", len(packages))
 	}
 	for _, listed := range packages {
 		for _, violation := range listed.check() {
--- a/tools/wiregen/main.go
+++ b/tools/wiregen/main.go
@@ -1,5 +1,5 @@
-// Command wiregen writes the Go code of a proto file next to it. The compiler and the generator are both pinned in
-// go.mod, so that no protoc has to be installed.
+// Command wiregen generates the Go code of a proto file and writes it next to that file. The compiler and the generator
+// are pinned in go.mod, so that no protoc needs to be installed.
 package main
 
 import (
@@ -31,7 +31,7 @@
 // run generates the code of the one proto file that the arguments name.
 func run(ctx context.Context, arguments []string) error {
 	if len(arguments) != 1 {
-		return errors.New("give one proto file")
+		return errors.New("usage: wiregen FILE.proto")
 	}
 	folder, name := filepath.Split(arguments[0])
 	request, err := compile(ctx, folder, name)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// compile parses a proto file and returns the request for its code, as protoc would send it to a plugin.
+// compile parses a proto file and returns the code generator request that protoc would send to a plugin.
 func compile(ctx context.Context, folder, name string) (*pluginpb.CodeGeneratorRequest, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{folder}},
@@ -68,7 +68,7 @@
 	}, nil
 }
 
-// generate runs the generator that protoc-gen-go consists of.
+// generate runs the code generator of protoc-gen-go.
 func generate(request *pluginpb.CodeGeneratorRequest) (*pluginpb.CodeGeneratorResponse, error) {
 	plugin, err := protogen.Options{}.New(request)
 	if err != nil {
