--- a/verify/golden/golden.go
+++ b/verify/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden helps tests that pin a format: it fills values completely and always alike, and compares what they
-// encode to with files that are kept in the repository. A golden file is written only by a test run with -update.
+// Package golden helps tests that pin an encoding. It fills every field of a value deterministically and compares the
+// encoded value with a golden file in the repository. Only a test run with -update writes golden files.
 package golden
 
 import (
@@ -10,15 +10,16 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew; review every line that changes")
+var update = flag.Bool("update", false, "rewrite the golden files; review every line that changes")
 
-// folder is where a package keeps its golden files.
+// folder contains a package's golden files.
 const folder = "testdata"
 
-// Updating reports whether this run is to write golden files.
+// Updating reports whether this run writes golden files, as the flag -update requests.
 func Updating() bool { return *update }
 
-// Compare wants text to be what a golden file of the package under test holds, and names the lines that differ.
+// Compare compares text with a golden file of the package under test. If they differ, it fails the test and reports the
+// lines that differ. With -update it writes the file first.
 func Compare(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join(folder, name)
@@ -33,15 +34,15 @@
 		return
 	}
 	for _, line := range missing(string(wanted), text) {
-		t.Errorf("%s holds this line, which is not written any more: %s", path, line)
+		t.Errorf("%s contains this line, which is not written any more: %s", path, line)
 	}
 	for _, line := range missing(text, string(wanted)) {
 		t.Errorf("%s lacks this line: %s", path, line)
 	}
-	t.Errorf("%s: the format has changed; processes and data of an earlier version go by the old one", path)
+	t.Errorf("%s: the format has changed; processes and stored data of earlier versions use the old one", path)
 }
 
-// Lines returns the lines of a golden file, in which a space divides a key from its value.
+// Lines returns the values in a golden file by their keys. Each line is a key and a value, separated by a space.
 func Lines(t *testing.T, name string) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(folder, name))
@@ -51,8 +52,8 @@
 	lines := map[string]string{}
 	for line := range strings.Lines(string(content)) {
 		key, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		if _, twice := lines[key]; twice {
-			t.Fatalf("%s: %s is there twice", name, key)
+		if _, duplicate := lines[key]; duplicate {
+			t.Fatalf("%s: duplicate key %s", name, key)
 		}
 		lines[key] = value
 	}
@@ -69,15 +70,15 @@
 	}
 }
 
-// missing returns the lines of a text that another lacks.
+// missing returns the lines of text that other lacks.
 func missing(text, other string) []string {
-	held := map[string]bool{}
+	present := map[string]bool{}
 	for line := range strings.Lines(other) {
-		held[line] = true
+		present[line] = true
 	}
 	var lines []string
 	for line := range strings.Lines(text) {
-		if !held[line] {
+		if !present[line] {
 			lines = append(lines, strings.TrimSuffix(line, "\n"))
 		}
 	}
--- a/verify/golden/message.go
+++ b/verify/golden/message.go
@@ -6,24 +6,25 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maximumDepth bounds how deep messages are filled; entries of a document nest three deep.
+// maximumDepth is the depth to which nested messages are filled; entries of a document nest three deep.
 const maximumDepth = 4
 
-// elements is how many elements a repeated field gets, so that an order can be told from its reverse.
+// elements is the number of elements in a filled list: two, so that a reversed order is detected.
 const elements = 2
 
-// Variant is a filled message; where the message has a oneof, Case names the alternative that is set.
+// Variant is a filled message. Case is the name of the oneof's alternative that is set, or empty for a message without
+// a oneof.
 type Variant struct {
 	Case    string
 	Message protoreflect.Message
 }
 
 // Variants returns a message with every field set, once for each alternative of its oneof. The values depend on the
-// numbers of the fields alone, so that a renaming leaves them as they are.
-func Variants(kind protoreflect.MessageType) []Variant {
-	oneofs := kind.Descriptor().Oneofs()
+// field numbers and kinds alone, so that a rename does not change them.
+func Variants(messageType protoreflect.MessageType) []Variant {
+	oneofs := messageType.Descriptor().Oneofs()
 	if oneofs.Len() == 0 {
-		message := kind.New()
+		message := messageType.New()
 		fill(message, nil, maximumDepth)
 		return []Variant{{Message: message}}
 	}
@@ -32,7 +33,7 @@
 		alternatives := oneofs.Get(index).Fields()
 		for alternative := range alternatives.Len() {
 			field := alternatives.Get(alternative)
-			message := kind.New()
+			message := messageType.New()
 			fill(message, field, maximumDepth)
 			variants = append(variants, Variant{Case: string(field.Name()), Message: message})
 		}
@@ -40,7 +41,8 @@
 	return variants
 }
 
-// fill sets every field of a message, and of each oneof the chosen alternative, or the first where none was chosen.
+// fill sets every field of a message down to a depth. In a oneof it sets the chosen alternative, or the first if none
+// is chosen.
 func fill(message protoreflect.Message, chosen protoreflect.FieldDescriptor, depth int) {
 	if depth == 0 {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// selected reports whether a field is outside of every oneof, or the alternative to set.
+// selected reports whether fill sets a field: one outside of any oneof, or the alternative that fill sets.
 func selected(field, chosen protoreflect.FieldDescriptor) bool {
 	oneof := field.ContainingOneof()
 	if oneof == nil {
@@ -79,15 +81,15 @@
 	return field == oneof.Fields().Get(0)
 }
 
-// value returns the value of a field, or of one element of it.
-func value(field protoreflect.FieldDescriptor, blank func() protoreflect.Value, element, depth int) protoreflect.Value {
-	// Above 127, so that it takes more than one byte.
-	number := int64(field.Number())*1000 + int64(element)
+// value returns a value for a field, or for the element of its list with an index. create returns an empty value.
+func value(field protoreflect.FieldDescriptor, create func() protoreflect.Value, index, depth int) protoreflect.Value {
+	// Above 127, so that a varint takes more than one byte.
+	number := int64(field.Number())*1000 + int64(index)
 	switch field.Kind() {
 	case protoreflect.MessageKind:
-		made := blank()
-		fill(made.Message(), nil, depth-1)
-		return made
+		message := create()
+		fill(message.Message(), nil, depth-1)
+		return message
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(true)
 	case protoreflect.StringKind:
@@ -113,21 +115,21 @@
 	panic(fmt.Sprintf("%s: no value for a field of kind %s", field.FullName(), field.Kind()))
 }
 
-// Unknown reports whether a message, or one within it, holds fields that its description lacks.
+// Unknown reports whether a message, or a message nested in it, contains fields that its descriptor lacks.
 func Unknown(message protoreflect.Message) bool {
 	if len(message.GetUnknown()) > 0 {
 		return true
 	}
 	unknown := false
-	message.Range(func(field protoreflect.FieldDescriptor, held protoreflect.Value) bool {
+	message.Range(func(field protoreflect.FieldDescriptor, fieldValue protoreflect.Value) bool {
 		switch {
 		case field.Kind() != protoreflect.MessageKind || field.IsMap():
 		case field.IsList():
-			for index := range held.List().Len() {
-				unknown = unknown || Unknown(held.List().Get(index).Message())
+			for index := range fieldValue.List().Len() {
+				unknown = unknown || Unknown(fieldValue.List().Get(index).Message())
 			}
 		default:
-			unknown = Unknown(held.Message())
+			unknown = Unknown(fieldValue.Message())
 		}
 		return !unknown
 	})
--- a/verify/golden/value.go
+++ b/verify/golden/value.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// Fill sets every exported field of the value that a pointer points to, lists with two elements and maps with one. Each
-// value differs from the others and depends on the order of the fields alone, so that a renaming of Go fields leaves it
-// as it is. A value of an interface type is filled with a string.
+// Fill sets every exported field of the value that a pointer points to. Slices get two elements, maps one entry, and
+// values of an interface type a string. Numbers and strings differ from each other and depend on the order of the
+// fields alone, so that a rename of Go fields does not change them.
 func Fill(pointer any) {
 	filler := &filler{}
 	filler.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// Outline returns the value that a pointer points to one element in each list and one entry in each map, and leaves
-// everything else at its zero, so that each nested type is there with nothing set.
+// Outline sets each slice, map and pointer in the value that a pointer points to, with one zero element or entry, and
+// leaves all other values zero. The encoded outline shows which keys of nested types are omitted when empty.
 func Outline(pointer any) { outline(reflect.ValueOf(pointer).Elem()) }
 
 func outline(value reflect.Value) {
@@ -35,17 +35,17 @@
 			outline(value.Index(0))
 		}
 	case reflect.Map:
-		held := reflect.New(value.Type().Elem()).Elem()
-		outline(held)
+		entry := reflect.New(value.Type().Elem()).Elem()
+		outline(entry)
 		value.Set(reflect.MakeMap(value.Type()))
-		value.SetMapIndex(reflect.Zero(value.Type().Key()), held)
+		value.SetMapIndex(reflect.Zero(value.Type().Key()), entry)
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
 		outline(value.Elem())
 	}
 }
 
-// filler counts the values given out.
+// filler fills values. count is the number of distinct values generated so far.
 type filler struct{ count int }
 
 func (filler *filler) next() int {
@@ -68,22 +68,22 @@
 			filler.fill(value.Index(index))
 		}
 	case reflect.Map:
-		key, held := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		key, entry := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		filler.fill(key)
-		filler.fill(held)
+		filler.fill(entry)
 		value.Set(reflect.MakeMap(value.Type()))
-		value.SetMapIndex(key, held)
+		value.SetMapIndex(key, entry)
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
 		filler.fill(value.Elem())
 	case reflect.Interface:
 		value.Set(reflect.ValueOf(fmt.Sprint("any", filler.next())))
 	default:
-		filler.fillPlain(value)
+		filler.fillScalar(value)
 	}
 }
 
-// fillSlice fills a list; bytes get a number as a text, which is JSON too, as raw JSON must be.
+// fillSlice fills a slice. A byte slice gets a decimal number, which is valid JSON, since it may be a json.RawMessage.
 func (filler *filler) fillSlice(value reflect.Value) {
 	if value.Type().Elem().Kind() == reflect.Uint8 {
 		value.Set(reflect.ValueOf([]byte(strconv.Itoa(filler.next()))).Convert(value.Type()))
@@ -95,7 +95,7 @@
 	}
 }
 
-func (filler *filler) fillPlain(value reflect.Value) {
+func (filler *filler) fillScalar(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.String:
 		value.SetString(fmt.Sprint("text", filler.next()))
@@ -112,12 +112,13 @@
 	}
 }
 
-// Indent returns JSON, which must have no blanks, with a line for each key in the order in which it was written.
+// Indent returns JSON with a line for each key, in the order of content. It fails the test if content is not compact
+// JSON.
 func Indent(t *testing.T, content []byte) string {
 	t.Helper()
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, content); err != nil || !bytes.Equal(compact.Bytes(), content) {
-		t.Errorf("written with blanks, or no JSON: %v: %s", err, content)
+		t.Errorf("not compact JSON: %v: %s", err, content)
 	}
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, content, "", "  "); err != nil {
@@ -126,8 +127,8 @@
 	return indented.String() + "\n"
 }
 
-// CompareJSON wants encode to write what the golden files of a name hold: for a value with every field set, for its
-// outline, which shows which keys of nested types are left out, and for a value with nothing set.
+// CompareJSON compares what encode writes with the golden files of a name: for a value with every field set (Fill), for
+// its outline (Outline), and for the zero value.
 func CompareJSON[Value any](t *testing.T, name string, encode func(*Value) ([]byte, error)) {
 	t.Helper()
 	full, outlined := new(Value), new(Value)
@@ -142,5 +143,5 @@
 	}
 }
 
-// Marshal encodes as encoding/json does.
+// Marshal encodes a value with encoding/json; it is an encode function for CompareJSON.
 func Marshal[Value any](value *Value) ([]byte, error) { return json.Marshal(value) }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -18,14 +18,14 @@
 const (
 	messagesFile    = "golden.txt"
 	descriptorsFile = "descriptors.txt"
-	// These are the two files of the newest release, which is b5586e0. They are replaced at a release only.
+	// These are copies of the two files in the newest release, commit b5586e0. They are replaced only at a release.
 	releasedMessagesFile    = "released.txt"
 	releasedDescriptorsFile = "released-descriptors.txt"
 )
 
-// goldenNames maps a message or field that was renamed to the full name under which the golden files still know it.
-// Names do not travel, so a rename is harmless, but a renamed message or field must keep its bytes: a rename adds a
-// line here, for review, and leaves the golden files as they are. What is not here goes by its present name.
+// goldenNames maps the full name of a renamed message or field to its name in the golden files. Names are not encoded,
+// so that a rename is compatible as long as the encoded bytes stay the same. To show that, a rename adds a line here,
+// for review, and leaves the golden files unchanged. What is not listed here has its present name there.
 var goldenNames = map[protoreflect.FullName]protoreflect.FullName{
 	"wardtray.wire.View.acceptors":                    "wardtray.wire.View.keepers",
 	"wardtray.wire.View.min_replicas":                 "wardtray.wire.View.floor",
@@ -113,14 +113,14 @@
 	"wardtray.wire.DurableState.cleared_term":         "wardtray.wire.Memory.cleared",
 }
 
-// goldenPackage is the name of the protobuf package in the golden files, should the package be renamed.
+// goldenPackage is the name of the protobuf package in the golden files. It stays if the package is renamed.
 const goldenPackage = "wardtray.wire"
 
-// goldenName gives the name of a message or field in the golden files.
+// goldenName returns the name of a message or field in the golden files.
 func goldenName(descriptor protoreflect.Descriptor) string {
 	name := descriptor.FullName()
-	if kept, renamed := goldenNames[name]; renamed {
-		return string(kept)
+	if original, renamed := goldenNames[name]; renamed {
+		return string(original)
 	}
 	if _, isMessage := descriptor.(protoreflect.MessageDescriptor); !isMessage {
 		return goldenName(descriptor.Parent()) + "." + string(descriptor.Name())
@@ -131,26 +131,26 @@
 	return goldenPackage + "." + string(descriptor.Name())
 }
 
-// messageTypes gives every message of the package, nested ones after their parents.
+// messageTypes returns every message type of the package, nested ones after their parents.
 func messageTypes(t *testing.T) []protoreflect.MessageType {
 	t.Helper()
 	var found []protoreflect.MessageType
 	var collect func(protoreflect.MessageDescriptors)
 	collect = func(descriptors protoreflect.MessageDescriptors) {
-		for place := range descriptors.Len() {
-			descriptor := descriptors.Get(place)
+		for index := range descriptors.Len() {
+			descriptor := descriptors.Get(index)
 			if descriptor.IsMapEntry() {
 				continue
 			}
-			kind, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
+			messageType, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
 			if err != nil {
 				t.Fatal(err)
 			}
-			found = append(found, kind)
+			found = append(found, messageType)
 			collect(descriptor.Messages())
 		}
 	}
-	// Every file of the protobuf package, should the one that there is be divided.
+	// All files of the protobuf package, so that a message that moves to a second file is still checked.
 	protobufPackage := wire.File_wire_proto.Package()
 	protoregistry.GlobalFiles.RangeFilesByPackage(protobufPackage, func(file protoreflect.FileDescriptor) bool {
 		collect(file.Messages())
@@ -162,7 +162,7 @@
 	return found
 }
 
-// goldenKey gives the key of a filled message in the golden file.
+// goldenKey returns the key of a filled message in the golden file.
 func goldenKey(variant golden.Variant) string {
 	descriptor := variant.Message.Descriptor()
 	if variant.Case == "" {
@@ -171,11 +171,13 @@
 	return goldenName(descriptor.Fields().ByName(protoreflect.Name(variant.Case)))
 }
 
-// Every message, with every field set and each alternative of a oneof in turn, encodes to the bytes of the golden file.
+// A message that encodes to other bytes can't be exchanged with processes of an earlier version, or read from their
+// disks. Every message, with every field set and with each alternative of a oneof in turn, encodes to the bytes in the
+// golden file.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	var lines []string
-	for _, kind := range messageTypes(t) {
-		for _, variant := range golden.Variants(kind) {
+	for _, messageType := range messageTypes(t) {
+		for _, variant := range golden.Variants(messageType) {
 			content, err := proto.MarshalOptions{Deterministic: true}.Marshal(variant.Message.Interface())
 			if err != nil {
 				t.Fatal(err)
@@ -186,60 +188,64 @@
 	golden.Compare(t, messagesFile, text(lines))
 }
 
-// The bytes of the golden file are understood whole: no field is unknown, and they encode to the same bytes again.
+// The bytes in the golden file are decoded completely: no field is unknown, and the message encodes to the same bytes
+// again.
 func TestGoldenBytesAreUnderstood(t *testing.T) {
-	unread := golden.Lines(t, messagesFile)
-	for _, kind := range messageTypes(t) {
-		for _, variant := range golden.Variants(kind) {
+	remaining := golden.Lines(t, messagesFile)
+	for _, messageType := range messageTypes(t) {
+		for _, variant := range golden.Variants(messageType) {
 			key := goldenKey(variant)
-			digits, found := unread[key]
+			digits, found := remaining[key]
 			if !found {
 				t.Errorf("%s is not in the golden file", key)
 				continue
 			}
-			delete(unread, key)
-			decodeAgain(t, kind, key, digits)
+			delete(remaining, key)
+			checkRoundTrip(t, messageType, key, digits)
 		}
 	}
-	for key := range unread {
-		t.Errorf("%s is in the golden file, and there is no such message any more", key)
+	for key := range remaining {
+		t.Errorf("%s is in the golden file, but the message does not exist any more", key)
 	}
 }
 
-// What the newest release writes and sends is understood whole: nothing that it has was removed or took another number.
+// What the newest release sends and stores is decoded completely. This fails if a message or field of that release was
+// removed or renumbered.
 func TestReleasedBytesAreUnderstood(t *testing.T) {
 	released := golden.Lines(t, releasedMessagesFile)
-	for _, kind := range messageTypes(t) {
-		for _, variant := range golden.Variants(kind) {
+	for _, messageType := range messageTypes(t) {
+		for _, variant := range golden.Variants(messageType) {
 			key := goldenKey(variant)
 			if digits, found := released[key]; found {
 				delete(released, key)
-				decodeAgain(t, kind, key, digits)
+				checkRoundTrip(t, messageType, key, digits)
 			}
 		}
 	}
 	for key := range released {
-		t.Errorf("%s was released, and there is no such message any more", key)
+		t.Errorf("%s was released, but the message does not exist any more", key)
 	}
 }
 
-// Every field of the newest release is as it was.
+// Every field of the newest release keeps its number, kind and cardinality.
 func TestReleasedDescriptorsStay(t *testing.T) {
 	present := golden.Lines(t, descriptorsFile)
-	for field, form := range golden.Lines(t, releasedDescriptorsFile) {
-		if present[field] != form {
-			t.Errorf("%s was released as %q and is %q", field, form, present[field])
+	for field, description := range golden.Lines(t, releasedDescriptorsFile) {
+		if present[field] != description {
+			t.Errorf("%s was released as %q and is %q", field, description, present[field])
 		}
 	}
 }
 
-func decodeAgain(t *testing.T, kind protoreflect.MessageType, key, digits string) {
+// checkRoundTrip decodes the golden bytes of a message from hexadecimal digits, and checks that no field is unknown and
+// that the message encodes to the same bytes again.
+func checkRoundTrip(t *testing.T, messageType protoreflect.MessageType, key, digits string) {
 	t.Helper()
 	content, err := hex.DecodeString(digits)
 	if err != nil {
 		t.Fatalf("%s: %v", key, err)
 	}
-	message := kind.New()
+	message := messageType.New()
 	if err := proto.Unmarshal(content, message.Interface()); err != nil {
 		t.Errorf("%s: %v", key, err)
 		return
@@ -253,20 +259,20 @@
 	}
 }
 
-// Every field keeps its number, kind and cardinality under its name, so that two fields of one kind that change places,
-// which leaves all bytes as they were, are seen.
+// Every field keeps its number, kind and cardinality under its name. This detects two fields of one kind that exchange
+// their numbers, which changes no encoded bytes of filled messages.
 func TestDescriptorsStay(t *testing.T) {
 	var lines []string
-	for _, kind := range messageTypes(t) {
-		fields := kind.Descriptor().Fields()
-		for place := range fields.Len() {
-			lines = append(lines, describe(fields.Get(place)))
+	for _, messageType := range messageTypes(t) {
+		fields := messageType.Descriptor().Fields()
+		for index := range fields.Len() {
+			lines = append(lines, describe(fields.Get(index)))
 		}
 	}
 	golden.Compare(t, descriptorsFile, text(lines))
 }
 
-// describe gives the line of a field.
+// describe returns the line of a field in the file of descriptors.
 func describe(field protoreflect.FieldDescriptor) string {
 	kind := field.Kind().String()
 	if message := field.Message(); message != nil && !field.IsMap() {
@@ -285,7 +291,7 @@
 	return line
 }
 
-// text gives lines in the order of the alphabet, since the order of messages in their file means nothing.
+// text sorts lines and joins them, since the order of messages in wire.proto is of no importance.
 func text(lines []string) string {
 	slices.Sort(lines)
 	return strings.Join(lines, "\n") + "\n"
--- a/wire/wiretest/wiretest.go
+++ b/wire/wiretest/wiretest.go
@@ -1,4 +1,4 @@
-// Package wiretest provides tests with one envelope of every kind.
+// Package wiretest provides sample envelopes of every kind for tests.
 package wiretest
 
 import (
@@ -7,16 +7,17 @@
 	"wardtray/wire"
 )
 
-// maximumDepth bounds how deep messages are filled.
+// maximumDepth is the depth to which nested messages are filled.
 const maximumDepth = 5
 
-// Sample is one envelope of a kind.
+// Sample is an envelope and its kind, the name of its body's field.
 type Sample struct {
 	Kind     string
 	Envelope *wire.Envelope
 }
 
-// Envelopes returns, for every kind of body, an envelope whose body is empty and one whose every field is set.
+// Envelopes returns, for every kind of body, an envelope with an empty body and one with every field of the body set,
+// except maps.
 func Envelopes() []Sample {
 	fields := (&wire.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
 	depths := []int{0, maximumDepth}
@@ -33,7 +34,7 @@
 	return samples
 }
 
-// fill sets every field of a message down to a depth.
+// fill sets every field of a message except maps, and nested messages down to a depth.
 func fill(message protoreflect.Message, depth int) {
 	if depth == 0 {
 		return
@@ -53,11 +54,11 @@
 	}
 }
 
-// element returns a value for a field, or for an element of its list.
-func element(field protoreflect.FieldDescriptor, blank func() protoreflect.Value, depth int) protoreflect.Value {
+// element returns a value for a field, or for an element of its list. newValue creates an empty value of the type.
+func element(field protoreflect.FieldDescriptor, newValue func() protoreflect.Value, depth int) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.MessageKind:
-		value := blank()
+		value := newValue()
 		fill(value.Message(), depth-1)
 		return value
 	case protoreflect.StringKind:
@@ -77,6 +78,6 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(1)
 	default:
-		return blank()
+		return newValue()
 	}
 }
