--- a/cmd/wtverify/histories.go
+++ b/cmd/wtverify/histories.go
@@ -29,7 +29,7 @@
 // checkHistory checks the history in a file, prints the result, and draws the history into the folder pages unless
 // that is empty.
 func checkHistory(output io.Writer, file string, timeout time.Duration, pages string) error {
-	source, err := os.Open(file) //nolint:gosec // The caller names the file.
+	source, err := os.Open(file)
 	if err != nil {
 		return err
 	}
--- a/deploy/system_test.go
+++ b/deploy/system_test.go
@@ -11,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// packageName is the form of package names in Debian's policy, section 5.6.7.
+// packageName matches valid names of Debian packages (Debian policy, section 5.6.7).
 var packageName = regexp.MustCompile(`^[a-z0-9][a-z0-9+.-]+$`)
 
 // systemPackages returns the list of packages from system.toml.
@@ -30,7 +30,7 @@
 	return system.Packages
 }
 
-// ciScript returns a script of the folder .ci without its comments.
+// ciScript returns the text of a script in the folder .ci, without lines that are comments.
 func ciScript(t *testing.T, name string) string {
 	t.Helper()
 	content, err := os.ReadFile("../.ci/" + name)
@@ -46,11 +46,11 @@
 		t.Fatal("system.toml names no packages at its top level")
 	}
 	if !slices.IsSorted(packages) || len(slices.Compact(slices.Clone(packages))) != len(packages) {
-		t.Errorf("not sorted, or named twice: %q", packages)
+		t.Errorf("packages are not sorted or contain duplicates: %q", packages)
 	}
 	for _, name := range packages {
 		if !packageName.MatchString(name) {
-			t.Errorf("%q is no name of a package", name)
+			t.Errorf("%q is not a valid package name", name)
 		}
 	}
 }
@@ -65,25 +65,25 @@
 	}
 }
 
-// Nothing is installed but what the list holds: .ci/run has one command that installs, without a name in it, and
-// neither script names a package.
+// CI must install only the listed packages, or the list would not suffice for a clean build: .ci/run has exactly one
+// install command, which names no package, and neither script names one elsewhere.
 func TestCINamesNoPackageItself(t *testing.T) {
 	script := ciScript(t, "run")
 	const install = `apt-get install -y --no-install-recommends "${missing[@]}"`
 	if !strings.Contains(script, install) {
-		t.Fatalf(".ci/run wants %s", install)
+		t.Fatalf(".ci/run lacks %s", install)
 	}
 	rest := strings.Replace(script, install, "", 1)
 	for _, installer := range []string{"install", "apk", "dnf", "dpkg -i", "pip", "curl", "wget"} {
 		if strings.Contains(rest, installer+" ") {
-			t.Errorf(".ci/run has a second installer: %q", installer)
+			t.Errorf(".ci/run has a second install command: %q", installer)
 		}
 	}
 	for _, name := range systemPackages(t) {
 		word := regexp.MustCompile(`(^|[^\w.+-])` + regexp.QuoteMeta(name) + `($|[^\w.+-])`)
 		for _, script := range []string{script, ciScript(t, "packages")} {
 			if word.MatchString(script) {
-				t.Errorf("%s stands in a script of .ci", name)
+				t.Errorf("a script in .ci names the package %s", name)
 			}
 		}
 	}
