--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -62,11 +62,11 @@
 		if record != "" {
 			options.RecordFile = filepath.Join(record, name+".json")
 		}
-		held, err := fleet.Prove(ctx, fleet.Deployments[deployment], fleet.Scenarios[name], options)
+		passed, err := fleet.Prove(ctx, fleet.Deployments[deployment], fleet.Scenarios[name], options)
 		if err != nil {
 			return err
 		}
-		clean = clean && held
+		clean = clean && passed
 	}
 	return verdict(clean)
 }
--- a/cmd/wtverify/histories_test.go
+++ b/cmd/wtverify/histories_test.go
@@ -58,18 +58,18 @@
 	t.Parallel()
 	world := simulation.PlayEvery(1, controlOnly["guild"], []string{"core killed"}, 1, time.Second)
 	folder := t.TempDir()
-	kept := &recorder{folder: folder}
-	kept.record(world)
-	if err := kept.failure(); err != nil {
+	recorded := &recorder{folder: folder}
+	recorded.record(world)
+	if err := recorded.failure(); err != nil {
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
 	if err := checkHistory(&output, filepath.Join(folder, "1.json"), time.Minute, ""); err != nil {
 		t.Errorf("%v: %s", err, &output)
 	}
-	nowhere := &recorder{folder: filepath.Join(folder, "missing")}
-	nowhere.record(world)
-	if nowhere.failure() == nil {
+	misplaced := &recorder{folder: filepath.Join(folder, "missing")}
+	misplaced.record(world)
+	if misplaced.failure() == nil {
 		t.Error("no error for a history that could not be written")
 	}
 }
--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -40,28 +40,28 @@
 		Default(placement.PolicyNames()...).
 		Enums(placement.PolicyNames()...)
 	seeds := command.Flag("seeds", "Number of seeds whose results are added up.").Default("2").Int()
-	play := placement.Play{}
-	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&play.Length)
-	command.Flag("seed", "First seed.").Default("1").Int64Var(&play.Seed)
+	run := placement.Play{}
+	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&run.Length)
+	command.Flag("seed", "First seed.").Default("1").Int64Var(&run.Seed)
 	command.Flag("polls", "Age of a runner's last report from which the runner is polled; 0: never.").
 		Default("1s").
-		DurationVar(&play.ReportAge)
+		DurationVar(&run.ReportAge)
 	command.Flag("hot", "Fraction of the hot lane's requests that share one prompt prefix, for a third of the time.").
 		Default("0").
-		Float64Var(&play.Hot)
-	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&play.HotRoute, "survey", "confirm")
+		Float64Var(&run.Hot)
+	command.Flag("hot-lane", "The hot lane.").Default("survey").EnumVar(&run.HotRoute, "survey", "confirm")
 	command.Flag("slow", "Fraction of the runners that are three times slower for a third of the time.").
 		Default("0").
-		Float64Var(&play.Slow)
+		Float64Var(&run.Slow)
 	command.Flag("crash", "Fraction of the runners that are down after a crash for a third of the time.").
 		Default("0").
-		Float64Var(&play.Crash)
+		Float64Var(&run.Crash)
 	command.Flag("release", "Fraction of the runners that are replaced one after the other.").
 		Default("0").
-		Float64Var(&play.Release)
+		Float64Var(&run.Release)
 	known[command.FullCommand()] = func() error {
-		play.Deployment = placement.Deployments[*deployment]
-		return placement.Report(os.Stdout, play, *loads, *policies, *seeds)
+		run.Deployment = placement.Deployments[*deployment]
+		return placement.Report(os.Stdout, run, *loads, *policies, *seeds)
 	}
 }
 
--- a/cmd/wtverify/seeds_test.go
+++ b/cmd/wtverify/seeds_test.go
@@ -44,16 +44,16 @@
 func TestFaultSets(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	for name, test := range map[string]struct {
-		asked []string
-		want  [][]string
+		requested []string
+		want      [][]string
 	}{
-		"none asked for":  {nil, [][]string{all}},
+		"none requested":  {nil, [][]string{all}},
 		"one":             {[]string{"b"}, [][]string{{"b"}}},
 		"some together":   {[]string{"b", "c"}, [][]string{{"b", "c"}}},
 		"each by itself":  {[]string{eachFault}, [][]string{{"a"}, {"b"}, {"c"}}},
 		"each and others": {[]string{eachFault, "b"}, [][]string{{eachFault, "b"}}},
 	} {
-		if sets := faultSets(test.asked, all); !reflect.DeepEqual(sets, test.want) {
+		if sets := faultSets(test.requested, all); !reflect.DeepEqual(sets, test.want) {
 			t.Errorf("%s: %q instead of %q", name, sets, test.want)
 		}
 	}
