--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -1,8 +1,8 @@
-// Package apierror defines the errors of wardtray. An Error has a Code, which travels to callers as JSON, a detail that
-// names what failed, and a remedy that tells the reader what to do; it may wrap a cause. Errors carry the stack of
-// where they were made, by cockroachdb/errors.
+// Package apierror defines the errors of wardtray. An Error has a Code, which clients receive as JSON, a detail that
+// describes what failed, and a remedy that advises the reader what to do; it may wrap a cause. New and Wrap attach a
+// stack trace (cockroachdb/errors).
 //
-// Callers branch on the code, by Is, Of, or errors.Is with a Code as target; never on text.
+// Callers branch on the code, by Is, Of, or errors.Is with a Code as target, and never on the text.
 package apierror
 
 import (
@@ -13,9 +13,9 @@
 
 // Error is a failure with a code. Use New or Wrap to make one.
 type Error struct {
-	// Code says what kind of failure it is.
+	// Code identifies the kind of failure.
 	Code Code
-	// Detail names what failed, in words for the reader; empty where the code says it all.
+	// Detail describes what failed, for a human reader; empty if the code is sufficient.
 	Detail string
 	cause  error
 }
@@ -41,7 +41,7 @@
 	return isCode && code == err.Code
 }
 
-// Remedy says what the reader of the error can do about it.
+// Remedy returns advice to the reader of the error, by its code.
 func (err *Error) Remedy() string { return remedies[err.Code] }
 
 // New returns an error with a code and a detail.
@@ -49,8 +49,8 @@
 	return errors.WithStackDepth(&Error{Code: code, Detail: fmt.Sprintf(format, values...)}, 1)
 }
 
-// Wrap returns an error with a code and a detail that wraps a cause. A nil cause returns nil, so that a result can be
-// wrapped without a test.
+// Wrap returns an error with a code and a detail that wraps a cause. For a nil cause it returns nil, so that a
+// result can be wrapped without a nil check.
 func Wrap(cause error, code Code, format string, values ...any) error {
 	if cause == nil {
 		return nil
@@ -58,8 +58,8 @@
 	return errors.WithStackDepth(&Error{Code: code, Detail: fmt.Sprintf(format, values...), cause: cause}, 1)
 }
 
-// Of returns the outermost Error in a chain of wrapped errors. For one without any, it returns an Internal error that
-// wraps it.
+// Of returns the outermost Error in a chain of wrapped errors. For a chain without an Error, it returns an Internal
+// error that wraps err.
 func Of(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -68,8 +68,8 @@
 	return &Error{Code: Internal, cause: err}
 }
 
-// Is reports whether the outermost Error in a chain has a code, which is the code that callers would receive. Unlike
-// errors.Is, it does not look at the causes, and it counts errors without a code as Internal. A nil error has no code.
+// Is reports whether the outermost Error in a chain has a code, which is the code that clients receive. Unlike
+// errors.Is, it ignores the causes, and treats errors without a code as Internal. A nil error has no code.
 func Is(err error, code Code) bool {
 	return err != nil && Of(err).Code == code
 }
--- a/apierror/apierror_test.go
+++ b/apierror/apierror_test.go
@@ -44,14 +44,14 @@
 		}
 	}
 	if Is(outer, Unreachable) || Is(nil, Internal) {
-		t.Error("the code of a cause or of no error is found")
+		t.Error("Is reports the code of a cause, or a code for a nil error")
 	}
 }
 
 func TestStandardIsAndAsLookAtEveryError(t *testing.T) {
 	err := fmt.Errorf("context: %w", Wrap(New(Unreachable, "inner"), InvalidSettings, "outer"))
 	if !errors.Is(err, InvalidSettings) || !errors.Is(err, Unreachable) || errors.Is(err, Busy) {
-		t.Error("errors.Is does not find just the codes of the chain")
+		t.Error("errors.Is misses a code of the chain, or reports one that is not in it")
 	}
 	if cause := Wrap(io.EOF, DiskFailed, ""); !errors.Is(cause, io.EOF) {
 		t.Error("errors.Is does not find the cause")
--- a/apierror/codes.go
+++ b/apierror/codes.go
@@ -1,14 +1,14 @@
 package apierror
 
-// Code identifies a kind of failure. It is part of the public interface: callers receive it in JSON, and programs may
-// depend on it. A Code is an error itself, so that errors.Is(err, apierror.Busy) finds a failure of that kind anywhere
+// Code identifies a kind of failure. It is part of the public interface: clients receive it in JSON, and programs may
+// depend on it. A Code is itself an error, so that errors.Is(err, apierror.Busy) finds a failure of that kind anywhere
 // in a chain of wrapped errors.
 type Code string
 
 // Error returns the code as it appears in JSON.
 func (code Code) Error() string { return string(code) }
 
-// Requests that are rejected because of what they say.
+// Refusals of requests because of their content.
 const (
 	// Malformed: the request can't be parsed; the detail names the place.
 	Malformed Code = "malformed"
@@ -24,11 +24,11 @@
 	UnknownKey Code = "unknown_key"
 	// DuplicateRequest: a request with the same id was accepted before.
 	DuplicateRequest Code = "already_taken"
-	// NotFound: there is nothing at the path, or with the id, that was asked for.
+	// NotFound: nothing exists at the requested path, or with the requested id.
 	NotFound Code = "not_found"
 )
 
-// Requests that are rejected because of load. None of them was sent to a runner; they may be retried after Retry-After.
+// Refusals of requests because of load. The request was not sent to a runner, and may be retried after Retry-After.
 const (
 	// QuotaExceeded: the tenant has used up its quota.
 	QuotaExceeded Code = "quota_spent"
@@ -36,37 +36,37 @@
 	ConcurrencyLimitReached Code = "purse_spent"
 	// LatencyTargetMissed: the request would be dispatched too late for the route's latency target.
 	LatencyTargetMissed Code = "patience_short"
-	// QueueFull: no more requests may wait.
+	// QueueFull: the queue of waiting requests is full.
 	QueueFull Code = "waitlist_full"
-	// NoRunner: the backend has no runner that can be used.
+	// NoRunner: the backend has no usable runner.
 	NoRunner Code = "no_fit_runner"
-	// NotServing: the daemon has no valid configuration to serve by.
+	// NotServing: the daemon has no valid configuration.
 	NotServing Code = "not_serving"
-	// TooManyRemembered: no more requests that run at most once can be remembered.
+	// TooManyRemembered: the daemon can't retain the ids of more at-most-once requests.
 	TooManyRemembered Code = "too_many_remembered"
 )
 
-// Requests that fail after they were accepted.
+// Failures of requests after they were accepted.
 const (
 	// OutcomeUnknown: the request, or the change, may or may not have taken effect.
 	OutcomeUnknown Code = "outcome_unknown"
-	// RunFailed: the run started and broke off.
+	// RunFailed: the run started and was interrupted.
 	RunFailed Code = "run_failed"
 	// ClientDisconnected: the client disconnected before the response was complete.
 	ClientDisconnected Code = "requester_gone"
 )
 
-// Changes of the configuration that are rejected.
+// Refusals of changes of the configuration.
 const (
-	// StaleBase: the change was built on a version of the configuration that has been replaced.
+	// StaleBase: the change is based on a configuration version that has been replaced.
 	StaleBase Code = "stale_base"
-	// InvalidSpec: the configuration that would result has problems; each is listed with its path.
+	// InvalidSpec: the resulting configuration would have problems; each is listed with its path.
 	InvalidSpec Code = "invalid_spec"
 	// NoQuorum: there is no quorum of the control plane.
 	NoQuorum Code = "no_majority"
 	// Busy: too many changes are pending.
 	Busy Code = "busy"
-	// Partitioned: the control node that was asked is partitioned from the daemons and most other nodes.
+	// Partitioned: the requested control node is partitioned from the daemons and most other nodes.
 	Partitioned Code = "cut_off"
 )
 
@@ -74,18 +74,18 @@
 const (
 	// InvalidSettings: the settings or flags of a process are invalid; each problem is listed.
 	InvalidSettings Code = "bad_startup"
-	// InvalidFrame: what arrived on a connection between processes is no frame of the protocol.
+	// InvalidFrame: a connection between processes received bytes that are not a frame of the protocol.
 	InvalidFrame Code = "bad_frame"
 	// DataLost: the data folder's content is missing or corrupt.
 	DataLost Code = "no_memory"
 	// DiskFailed: a read or a write of the data folder failed.
 	DiskFailed Code = "disk_failed"
-	// WrongIdentity: another runner than the one expected answered at its address.
+	// WrongIdentity: a runner other than the expected one answered at its address.
 	WrongIdentity Code = "wrong_identity"
 	// Unreachable: a process can't be reached.
 	Unreachable Code = "unreachable"
-	// NotAnswered: a process was reached, but doesn't serve the request.
+	// NotAnswered: the process was reached, but doesn't serve this request.
 	NotAnswered Code = "not_answered"
-	// Internal: a defect of wardtray, and the code of every error without another.
+	// Internal: a defect of wardtray, and the code of every error without a code.
 	Internal Code = "internal"
 )
--- a/apierror/golden_test.go
+++ b/apierror/golden_test.go
@@ -15,7 +15,7 @@
 	"wardtray/verify/golden"
 )
 
-// Codes and remedies travel to callers; neither changes.
+// Clients receive codes and remedies, so neither may change.
 func TestCodesKeepTheirTexts(t *testing.T) {
 	var lines strings.Builder
 	for _, code := range slices.Sorted(maps.Keys(remedies)) {
@@ -24,7 +24,7 @@
 	golden.Compare(t, "kinds.txt", lines.String())
 }
 
-// Every code that is declared has a remedy, so that the golden file names all of them.
+// Every declared code has a remedy, so that the golden file, which is written from the remedies, lists every code.
 func TestEveryCodeHasARemedy(t *testing.T) {
 	declared := declaredCodes(t)
 	if len(declared) != len(remedies) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// declaredCodes reads the constants of type Code from the source, since they can't be listed at run time.
+// declaredCodes returns the constants of type Code. It parses the source, since they can't be listed at run time.
 func declaredCodes(t *testing.T) []Code {
 	t.Helper()
 	entries, err := os.ReadDir(".")
@@ -63,7 +63,7 @@
 	return codes
 }
 
-// codesOf returns the codes that one declaration makes.
+// codesOf returns the codes that one declaration defines.
 func codesOf(declared *ast.ValueSpec) []Code {
 	if named, isName := declared.Type.(*ast.Ident); !isName || named.Name != "Code" {
 		return nil
--- a/apierror/remedies.go
+++ b/apierror/remedies.go
@@ -1,6 +1,6 @@
 package apierror
 
-// remedies says for each code what the reader of an error can do about it. Callers receive it in JSON beside the code.
+// remedies maps each code to advice for the reader of the error. Clients receive it in JSON with the code.
 var remedies = map[Code]string{
 	Malformed:               "mend the request as the detail says and send it again",
 	TooLarge:                "send less: the limits are in docs/interface.md",
--- a/config/annotations.go
+++ b/config/annotations.go
@@ -9,8 +9,8 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Annotations are values that operators' tools keep beside an entry, by name. wardtray returns them unchanged and uses
-// none of them.
+// Annotations are named values that operators' tools attach to an entry. wardtray returns them unchanged and does not
+// interpret them.
 type Annotations map[string]easyjson.RawMessage
 
 // MarshalEasyJSON writes the annotations in the order of their names, so that a document has one canonical form.
@@ -34,7 +34,7 @@
 	for !lexer.IsDelim('}') {
 		name := lexer.String()
 		lexer.WantColon()
-		// The lexer's buffer is reused, and annotations outlive it.
+		// The lexer reuses its buffer, so the value is copied.
 		read[name] = append(easyjson.RawMessage{}, lexer.Raw()...)
 		lexer.WantComma()
 	}
@@ -42,7 +42,8 @@
 	*annotations = read
 }
 
-// with returns a copy in which those of a change replace those of the same name; null removes one.
+// with returns a copy with the annotations of a change merged in. They replace those of the same name; null removes
+// an annotation.
 func (annotations Annotations) with(change Annotations) Annotations {
 	merged := Annotations{}
 	maps.Copy(merged, annotations)
@@ -56,5 +57,5 @@
 	return merged
 }
 
-// names returns the names in order.
+// names returns the names in ascending order.
 func (annotations Annotations) names() []string { return slices.Sorted(maps.Keys(annotations)) }
--- a/config/bounds.go
+++ b/config/bounds.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// The bounds of a document and of the length of its lists.
+// The bounds of the size of a document and of the length of its lists.
 const (
-	// MaximumBytes bounds an encoded document, and a change of one.
+	// MaximumBytes bounds the size of an encoded document or change.
 	MaximumBytes = 16 << 20
-	// MaximumRoutes bounds the routes of a document.
+	// MaximumRoutes bounds the number of routes of a document.
 	MaximumRoutes = 50000
-	// MaximumBackends bounds the backends of a document.
+	// MaximumBackends bounds the number of backends of a document.
 	MaximumBackends = 10000
-	// MaximumZones bounds the zones of a document.
+	// MaximumZones bounds the number of zones of a document.
 	MaximumZones = 64
-	// MaximumTenants bounds the tenants of a document.
+	// MaximumTenants bounds the number of tenants of a document.
 	MaximumTenants = 10000
 
 	maximumServices = 64
@@ -51,9 +51,9 @@
 const (
 	// MaximumSpan bounds every duration without a bound of its own.
 	MaximumSpan = 24 * time.Hour
-	// MinimumLatencyTarget is the least Route.LatencyTarget.
+	// MinimumLatencyTarget is the smallest allowed Route.LatencyTarget.
 	MinimumLatencyTarget = 10 * time.Millisecond
-	// MaximumLatencyTarget is the greatest Route.LatencyTarget.
+	// MaximumLatencyTarget is the greatest allowed Route.LatencyTarget.
 	MaximumLatencyTarget = time.Hour
 )
 
@@ -64,6 +64,6 @@
 	maximumAuthority = 256
 	maximumPath      = 1024
 	maximumKey       = 1024
-	// maximumAnnotations bounds the annotations of one entry together.
+	// maximumAnnotations bounds the total size of the annotations of one entry.
 	maximumAnnotations = 256 << 10
 )
--- a/config/catalog.go
+++ b/config/catalog.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Catalog indexes a checked document: entries by name, routes by host and path, tenants by key. It is not changed after
-// it was made, and may be read by any number of goroutines.
+// Catalog indexes a checked document: entries by name, routes by host and path, tenants by key. It is immutable, and
+// safe for concurrent use.
 type Catalog struct {
-	// Spec is the document that was indexed.
+	// Spec is the indexed document.
 	Spec *Spec
 	// Routes, Backends and Zones hold the document's entries by name.
 	Routes   map[string]*Route
@@ -25,12 +25,12 @@
 	longest int
 }
 
-// backendSplit divides the requests of one route over its backends.
+// backendSplit distributes the requests of one route over its backends by weight.
 type backendSplit struct {
 	backends []*Backend
 	// cumulative holds, for each backend, the sum of the weights up to and including its own.
 	cumulative []int
-	// distinct holds the same backends, each once.
+	// distinct holds the same backends without duplicates.
 	distinct []*Backend
 }
 
@@ -57,7 +57,7 @@
 	return catalog
 }
 
-// addRoute indexes a route; the backends are indexed before.
+// addRoute indexes a route. The backends must have been indexed before.
 func (catalog *Catalog) addRoute(route *Route) {
 	catalog.Routes[route.Name] = route
 	catalog.splits[route.Name] = catalog.newSplit(route)
@@ -77,7 +77,7 @@
 	host.longest = max(host.longest, len(route.PathPrefix))
 }
 
-// newSplit resolves the backends of a route, without those that do not exist or have no weight.
+// newSplit returns the split of a route over its backends, without those that do not exist or have a weight of 0.
 func (catalog *Catalog) newSplit(route *Route) *backendSplit {
 	shares := route.Split
 	if shares == nil {
@@ -100,8 +100,8 @@
 	return split
 }
 
-// TenantOf returns the tenant that owns a key, or nil. authorized reports whether the key opens a route: a public route
-// needs none, and neither does any route of a document without tenants.
+// TenantOf returns the tenant that owns a key, or nil. authorized reports whether the key grants access to a route: a
+// public route requires no key, and neither does any route of a document without tenants.
 func (catalog *Catalog) TenantOf(key string, route *Route) (tenant *Tenant, authorized bool) {
 	tenant = catalog.keys.owner(key)
 	return tenant, tenant != nil || route.Public || len(catalog.Spec.Tenants) == 0
@@ -116,7 +116,7 @@
 	return listed != nil && !listed.Closed
 }
 
-// Match returns the route of a host and a path: the one with the longest matching path prefix, or nil.
+// Match returns the route for a host and a path: the one with the longest matching path prefix, or nil.
 func (catalog *Catalog) Match(authority, path string) *Route {
 	host := catalog.hosts[Host(authority)]
 	if host == nil {
@@ -127,8 +127,8 @@
 
 // match returns the route with the longest prefix of a path, or nil.
 func (host *hostRoutes) match(path string) *Route {
-	// Every prefix ends with a slash, so only the positions after one can be its end; a path with more slashes than any
-	// prefix is long costs nothing.
+	// Every prefix ends with a slash, so a prefix can only end after a slash of the path. The part of the path beyond
+	// the longest prefix is skipped, so that a path with many slashes costs no more.
 	for end := min(len(path), host.longest); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
 		if path[end-1] != '/' {
 			continue
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// BackendsOf returns the backends that a route's requests may go to, each once. The caller must not change the list.
+// BackendsOf returns the backends of a route without duplicates. The caller must not change the list.
 func (catalog *Catalog) BackendsOf(route *Route) []*Backend {
 	if split := catalog.splits[route.Name]; split != nil {
 		return split.distinct
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// BackendAt returns the backend at a point of a route's split, or nil if the route has none. Points run from 0 up to
-// but not including 1; a point drawn evenly chooses each backend by its weight.
+// BackendAt returns the backend at a point of a route's split, or nil if the route has no backend. Points range from 0
+// up to but not including 1; a uniformly distributed point selects each backend in proportion to its weight.
 func (catalog *Catalog) BackendAt(route *Route, point float64) *Backend {
 	split := catalog.splits[route.Name]
 	if split == nil || len(split.backends) == 0 {
@@ -158,7 +158,7 @@
 	return split.at(point)
 }
 
-// at returns the backend at a point; there is at least one.
+// at returns the backend at a point. The split must have at least one backend.
 func (split *backendSplit) at(point float64) *Backend {
 	last := len(split.backends) - 1
 	position := point * float64(split.cumulative[last])
@@ -173,7 +173,7 @@
 // Host returns the form in which hosts are compared: lower case, without a port.
 func Host(authority string) string {
 	if colon := strings.LastIndexByte(authority, ':'); colon >= 0 {
-		// The colons of a bare IPv6 address precede no port.
+		// An IPv6 address without brackets has no port: its colons are part of the address.
 		if host := authority[:colon]; !strings.Contains(host, ":") || strings.HasSuffix(host, "]") {
 			authority = host
 		}
--- a/config/catalog_test.go
+++ b/config/catalog_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// catalogOf makes a catalog of routes that are named by their index and given as host and path prefix.
+// catalogOf returns a catalog of routes given as host and path prefix. Each route is named by its index.
 func catalogOf(matches ...string) *Catalog {
 	spec := &Spec{Backends: []Backend{{Name: "p"}}}
 	for i, match := range matches {
@@ -21,7 +21,7 @@
 
 func TestMatchIsTheLongestPrefixOfTheHost(t *testing.T) {
 	catalog := catalogOf("a.example/", "a.example/x/", "a.example/x/y/", "b.example/x/", "[::1]:80/v/")
-	for asked, want := range map[string]string{
+	for requested, want := range map[string]string{
 		"a.example /": "0", "a.example /x": "0", "a.example //x/": "0",
 		"a.example /x/": "1", "a.example /x/z": "1", "a.example /x/y": "1",
 		"a.example /x/y/": "2", "a.example /x/y/z/w": "2", "A.Example:8080 /x/y/z": "2",
@@ -29,21 +29,21 @@
 		"[::1] /v/w": "4", "[::1]:9 /v/w": "4",
 		"b.example /": "", "b.example /y/": "", "c.example /x/": "", "a.example x": "", "a.example *": "",
 	} {
-		host, path, _ := strings.Cut(asked, " ")
+		host, path, _ := strings.Cut(requested, " ")
 		got := ""
 		if route := catalog.Match(host, path); route != nil {
 			got = route.Name
 		}
 		if got != want {
-			t.Errorf("%s goes to %q", asked, got)
+			t.Errorf("%s matches route %q", requested, got)
 		}
 	}
 	if catalog.Match("", "") != nil {
-		t.Error("an empty host has a route")
+		t.Error("an empty host matches a route")
 	}
 }
 
-// longestPrefix is the definition of a route: the route of the host whose prefix of the path is the longest.
+// longestPrefix is a reference implementation of Match: it compares the path with every prefix of the host.
 func longestPrefix(spec *Spec, host, path string) (found *Route) {
 	for i := range spec.Routes {
 		route := &spec.Routes[i]
@@ -57,32 +57,32 @@
 	return found
 }
 
-// The quick search agrees with the definition on drawn prefixes and paths.
+// Match finds the same route as a linear search, for random prefixes and paths.
 func TestMatchAgreesWithItsDefinition(t *testing.T) {
 	random := rand.New(rand.NewSource(7))
-	path := func(most int) string {
-		var drawn strings.Builder
-		drawn.WriteByte('/')
-		for range random.Intn(most) {
-			drawn.WriteString([]string{"a", "b", "/", "a/", "b/"}[random.Intn(5)])
+	randomPath := func(maximum int) string {
+		var path strings.Builder
+		path.WriteByte('/')
+		for range random.Intn(maximum) {
+			path.WriteString([]string{"a", "b", "/", "a/", "b/"}[random.Intn(5)])
 		}
-		return drawn.String()
+		return path.String()
 	}
 	for range 300 {
 		var matches []string
 		taken := map[string]bool{}
 		for range 1 + random.Intn(20) {
-			match := []string{"h", "k"}[random.Intn(2)] + strings.TrimSuffix(path(5), "/") + "/"
+			match := []string{"h", "k"}[random.Intn(2)] + strings.TrimSuffix(randomPath(5), "/") + "/"
 			if !taken[match] {
 				taken[match], matches = true, append(matches, match)
 			}
 		}
 		catalog := catalogOf(matches...)
 		for range 50 {
-			host, asked := []string{"h", "k"}[random.Intn(2)], path(9)
-			want := longestPrefix(catalog.Spec, host, asked)
-			if got := catalog.Match(host, asked); got != want {
-				t.Fatalf("%v: %s%s goes to %v, not %v", matches, host, asked, got, want)
+			host, requested := []string{"h", "k"}[random.Intn(2)], randomPath(9)
+			want := longestPrefix(catalog.Spec, host, requested)
+			if got := catalog.Match(host, requested); got != want {
+				t.Fatalf("%v: %s%s matches %v instead of %v", matches, host, requested, got, want)
 			}
 		}
 	}
@@ -102,14 +102,14 @@
 	}
 	for point, want := range map[float64]string{0: "p", 0.59: "p", 0.6: "q", 0.699: "q", 0.7: "p", 0.9999: "p", 1: "p"} {
 		if got := catalog.BackendAt(route, point).Name; got != want {
-			t.Errorf("%v goes to %s", point, got)
+			t.Errorf("point %v selects %s", point, got)
 		}
 	}
 	if catalog.BackendAt(single, 0.3).Name != "q" {
-		t.Error("a route with one backend goes elsewhere")
+		t.Error("a route with one backend selects another")
 	}
 	if catalog.BackendAt(missing, 0.3) != nil || len(catalog.BackendsOf(missing)) != 0 {
-		t.Error("a route without an existing backend has one")
+		t.Error("a backend was returned for a route without an existing backend")
 	}
 }
 
--- a/config/change.go
+++ b/config/change.go
@@ -18,8 +18,8 @@
 // Encode returns the canonical form.
 func (change *Change) Encode() []byte { return encode(change) }
 
-// Apply returns the document that follows from a present one, which it leaves as it is, and every problem of the change
-// and of the result. An entry that is replaced keeps its position; new ones come last, in the order of the change.
+// Apply returns the document that results from the change to a present one, which is not modified, and every problem of
+// the change and of the result. A replaced entry keeps its position; new entries come last, in the order of the change.
 func (change *Change) Apply(present *Spec) (*Spec, []Problem) {
 	merger := &merger{origins: map[string]string{}}
 	upsert, remove := &change.Upsert, &change.Remove
@@ -46,16 +46,16 @@
 func routeName(route *Route) string       { return route.Name }
 func tenantName(tenant *Tenant) string    { return tenant.Name }
 
-// merger applies a change to the lists of a document. It collects the problems of the change itself, and keeps track of
-// where the entries of the result came from.
+// merger applies a change to the lists of a document. It collects the problems of the change itself, and records which
+// entries of the result come from the change.
 type merger struct {
 	checker
 	// origins maps the path of an entry of the result to its path in the change.
 	origins map[string]string
 }
 
-// origin translates a path in the result to the path in the change, which is what its author knows. Paths of what the
-// change did not bring stay.
+// origin translates a path in the result to the path in the change, which the author of the change knows. Paths of
+// entries that are not from the change are returned unchanged.
 func (merger *merger) origin(path string) string {
 	entry, rest, _ := strings.Cut(path, "]")
 	if origin, found := merger.origins[entry+"]"]; found {
@@ -73,12 +73,12 @@
 	name            func(*Entry) string
 }
 
-// path returns the path in the change of the upserted entry at an index.
+// path returns the path, in the change, of the upserted entry at an index.
 func (change listChange[Entry]) path(index int) string {
 	return fmt.Sprintf("upsert.%s[%d]", change.list, index)
 }
 
-// index maps the names of the upserted entries to their indices, and reports names that occur twice or are removed too.
+// index maps the names of the upserted entries to their indices, and reports duplicate names and names also removed.
 func (change listChange[Entry]) index(merger *merger, removed map[string]bool) map[string]int {
 	indices := map[string]int{}
 	for i := range change.upsert {
@@ -94,7 +94,7 @@
 	return indices
 }
 
-// merge returns a list with entries replaced, added and removed, and records the origins of those from the change.
+// merge returns a list with the change applied, and records the origins of the entries that come from the change.
 func merge[Entry any](merger *merger, change listChange[Entry]) []Entry {
 	removed := map[string]bool{}
 	for _, name := range change.remove {
@@ -119,7 +119,7 @@
 		}
 	}
 	for i := range change.upsert {
-		// Of entries with the same name, which were reported, the last one counts.
+		// Duplicate names were reported as problems; the last entry of a name is added.
 		if name := change.name(&change.upsert[i]); !replaced[name] && upserted[name] == i {
 			add(i)
 		}
--- a/config/change_test.go
+++ b/config/change_test.go
@@ -25,13 +25,13 @@
 	}
 	next, problems := change.Apply(present)
 	if len(problems) > 0 || string(present.Encode()) != before {
-		t.Fatalf("%v; the present spec is now %s", problems, present.Encode())
+		t.Fatalf("problems %v, or the present spec was modified: %s", problems, present.Encode())
 	}
 	want, err := Parse([]byte(`{"zones":[{"name":"b","closed":true}],"pools":[{"name":"p","services":["s"]}],
 "lanes":[{"name":"k","pool":"p","patience":"1s"},{"name":"l","pool":"p","patience":"2s","worth":5},
 {"name":"n","pool":"p","patience":"1s"}],"limits":{"body_bytes":7},"annotations":{"y":2,"z":{"a": 1}}}`))
 	if err != nil || string(next.Encode()) != string(want.Encode()) {
-		t.Fatalf("%v: got %s", err, next.Encode())
+		t.Fatalf("%v: the resulting spec is %s", err, next.Encode())
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// changedZones is the definition of a change for zones; upsert and removed hold the names in the change.
+// changedZones is a reference implementation of a change of zones. upsert and removed hold the names in the change.
 func changedZones(present, upserted []Zone, upsert, removed map[string]bool) (zones []Zone) {
 	for _, zone := range present {
 		if !removed[zone.Name] {
@@ -63,39 +63,39 @@
 	return zones
 }
 
-// A change agrees with its definition on drawn lists: entries that stay or are replaced keep their order,
-// those that are new follow in the order given.
+// Applying random changes gives the same lists as a reference implementation: entries that stay or are replaced keep
+// their order, and new entries follow in the order of the change. A name in both lists of a change is a problem.
 func TestApplyAgreesWithItsDefinition(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
-	names := func() (drawn []string) {
+	randomNames := func() (names []string) {
 		for _, number := range random.Perm(8)[:random.Intn(6)] {
-			drawn = append(drawn, strconv.Itoa(number))
+			names = append(names, strconv.Itoa(number))
 		}
-		return drawn
+		return names
 	}
 	for range 500 {
 		present, change := &Spec{Zones: []Zone{}, Backends: []Backend{}, Routes: Routes{}}, &Change{}
-		for _, name := range names() {
+		for _, name := range randomNames() {
 			present.Zones = append(present.Zones, Zone{Name: name})
 		}
 		upsert, removed := map[string]bool{}, map[string]bool{}
-		for _, name := range names() {
+		for _, name := range randomNames() {
 			change.Upsert.Zones, upsert[name] = append(change.Upsert.Zones, Zone{Name: name, Closed: true}), true
 		}
-		clash := false
-		for _, name := range names() {
-			change.Remove.Zones, removed[name], clash = append(change.Remove.Zones, name), true, clash || upsert[name]
+		conflict := false
+		for _, name := range randomNames() {
+			change.Remove.Zones, removed[name], conflict = append(change.Remove.Zones, name), true, conflict || upsert[name]
 		}
 		want := changedZones(present.Zones, change.Upsert.Zones, upsert, removed)
 		present.Backends = []Backend{{Name: "p", Services: []string{"s"}}}
 		route := Route{Name: "l", Backend: "p", Value: 1, ConcurrencyLimit: 1, LatencyTarget: Duration(time.Second)}
 		present.Routes = Routes{route}
 		next, problems := change.Apply(present)
-		if clash != (len(problems) > 0) {
+		if conflict != (len(problems) > 0) {
 			t.Fatalf("%+v: %v", change, problems)
 		}
-		if !clash && fmt.Sprint(next.Zones) != fmt.Sprint(want) {
-			t.Fatalf("%+v\nto    %v\ngives %v\nwants %v", change, present.Zones, next.Zones, want)
+		if !conflict && fmt.Sprint(next.Zones) != fmt.Sprint(want) {
+			t.Fatalf("change   %+v\nof zones %v\ngives    %v\nwant     %v", change, present.Zones, next.Zones, want)
 		}
 	}
 }
--- a/config/check.go
+++ b/config/check.go
@@ -26,10 +26,10 @@
 	return checker.problems
 }
 
-// lists checks that the required lists are there and not too long.
+// lists checks that the required lists are present, and the lengths of these lists.
 func (checker *checker) lists(spec *Spec) {
-	// A list left out is more likely forgotten than meant, and would remove everything. The same goes for one that is
-	// empty where zones are listed; a document without zones has nothing that would be served there.
+	// An omitted list is more likely an oversight than intended, and would remove every entry. The same holds for an
+	// empty list where zones are listed; a document without zones has nothing to serve.
 	least := min(1, len(spec.Zones))
 	for _, list := range []struct {
 		path                string
@@ -48,7 +48,7 @@
 	}
 }
 
-// backend checks one backend; names holds those of the backends before it.
+// backend checks one backend; names holds the names of the backends before it.
 func (checker *checker) backend(path string, backend *Backend, names map[string]bool) {
 	checker.name(path, backend.Name, names)
 	if backend.Model != "" || backend.Weights != "" {
@@ -77,7 +77,7 @@
 	checker.duration(path+".idle_time", limits.IdleTime, 0, MaximumSpan)
 }
 
-// routeChecker checks the routes of a document, one after the other.
+// routeChecker checks the routes of a document in their order.
 type routeChecker struct {
 	*checker
 	// backends holds the names of the document's backends.
@@ -107,7 +107,7 @@
 	checker.annotations(path+".annotations", route.Annotations)
 }
 
-// destination checks that the route's requests have a backend to go to.
+// destination checks that the route names existing backends.
 func (checker *routeChecker) destination(path string, route *Route) {
 	if route.Split == nil {
 		if !checker.backends[route.Backend] {
@@ -153,7 +153,7 @@
 	checker.matches[host+route.PathPrefix] = true
 }
 
-// tenants checks the tenants, and that no two have a key in common.
+// tenants checks the tenants, and that no two tenants have the same key.
 func (checker *checker) tenants(spec *Spec) {
 	checker.length("tenants", len(spec.Tenants), 0, MaximumTenants)
 	if len(spec.KeySalt) > 0 {
@@ -176,8 +176,8 @@
 	}
 }
 
-// key checks one key of the tenant at an index; owners maps the keys checked so far to their tenants' indices. A key is
-// a secret and is part of no problem.
+// key checks one key of the tenant at an index; owners maps the keys checked so far to their tenants' indices. Keys are
+// secrets, so no problem contains one.
 func (checker *checker) key(path, key string, tenant int, owners map[string]int) {
 	if key == "" || len(key) > maximumKey || !isVisible(key) {
 		checker.report(path, "wants 1 to %d visible bytes without blanks", maximumKey)
@@ -188,7 +188,7 @@
 	owners[key] = tenant
 }
 
-// quota checks a quota; its comparisons are such that they reject NaN.
+// quota checks a quota. The comparisons are written so that they reject NaN.
 func (checker *checker) quota(path string, quota Quota) {
 	for _, amount := range []struct {
 		name  string
--- a/config/checker.go
+++ b/config/checker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checker collects the problems of a document. Each of its methods checks one value and names it by its path.
+// checker collects the problems of a document. Each of its methods checks one value and reports problems by its path.
 type checker struct {
 	problems []Problem
 }
@@ -23,7 +23,7 @@
 	}
 }
 
-// name checks the name of an entry, and that no earlier entry of its list has the same.
+// name checks the name of an entry, and that no earlier entry of its list has the same name.
 func (checker *checker) name(path, name string, seen map[string]bool) {
 	if !isName(name) {
 		checker.report(path+".name", "wants 1 to %d of the letters a-z and A-Z, 0-9, '-', '_' and '.'", maximumName)
@@ -35,14 +35,14 @@
 	seen[name] = true
 }
 
-// text checks a text that is required.
+// text checks a required string.
 func (checker *checker) text(path, value string) {
 	if value == "" || len(value) > maximumText {
 		checker.report(path, "wants 1 to %d bytes", maximumText)
 	}
 }
 
-// distinct checks a list of texts of which each may stand there once.
+// distinct checks a list of required strings without duplicates.
 func (checker *checker) distinct(path string, list []string) {
 	seen := map[string]bool{}
 	for i, value := range list {
@@ -69,7 +69,7 @@
 	}
 }
 
-// annotations checks the names and the size of annotations.
+// annotations checks the names of annotations and their total size.
 func (checker *checker) annotations(path string, annotations Annotations) {
 	size := 0
 	for _, name := range annotations.names() {
@@ -86,7 +86,8 @@
 	return strings.HasPrefix(path, "/") && len(path) <= maximumPath && isVisible(path)
 }
 
-// isVisible reports whether a text can stand in the first line and the headers of a request.
+// isVisible reports whether a text has neither blanks nor control characters, so that it can be part of a request line
+// or a header.
 func isVisible(text string) bool {
 	for _, octet := range []byte(text) {
 		if octet <= ' ' || octet == 0x7f {
@@ -96,7 +97,7 @@
 	return true
 }
 
-// isName reports whether a text can stand in headers, paths and command lines as it is.
+// isName reports whether a text can be used in headers, paths and command lines without escapes.
 func isName(text string) bool {
 	for _, character := range text {
 		if !isNameCharacter(character) {
--- a/config/diff.go
+++ b/config/diff.go
@@ -7,8 +7,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// Diff returns the entries that are added, removed or changed from one document to another, a line each: "+" or "-",
-// the kind and name of the entry, and its JSON. An entry that changed has a line for each of its two forms.
+// Diff returns a line for each entry that is added or removed between two documents: "+" or "-", the kind and name of
+// the entry, and its JSON. A changed entry has two lines: the former entry with "-" and the new one with "+".
 func Diff(from, to *Spec) []string {
 	before, after := encodedEntries(from), encodedEntries(to)
 	all := maps.Clone(before)
@@ -28,7 +28,7 @@
 	return changes
 }
 
-// encodedEntries maps the kind and name of each entry of a document to its JSON, in which no key of a tenant is shown.
+// encodedEntries maps the kind and name of each entry of a document to its JSON, with tenants' keys replaced by hashes.
 func encodedEntries(spec *Spec) map[string]string {
 	entries := map[string]string{}
 	add := func(name string, entry easyjson.Marshaler) { entries[name] = string(encode(entry)) }
@@ -45,7 +45,7 @@
 		tenant.KeyHashes, tenant.Keys = hashKeys(diffSalt, tenant.Keys), nil
 		add("tenant "+tenant.Name, &tenant)
 	}
-	// Limits and annotations that are not set are no entries, or an empty document would have some.
+	// Limits and annotations count as entries only if they are set; otherwise an empty document would have entries.
 	if spec.Limits != (Limits{}) {
 		add("limits", &spec.Limits)
 	}
--- a/config/duration.go
+++ b/config/duration.go
@@ -8,15 +8,15 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Duration is a length of time that JSON documents write as text in the form of time.ParseDuration, such as "1.5s".
+// Duration is a duration that JSON documents hold as a string in the form of time.ParseDuration, such as "1.5s".
 type Duration time.Duration
 
-// MarshalEasyJSON writes the duration as text.
+// MarshalEasyJSON writes the duration as a string.
 func (duration Duration) MarshalEasyJSON(writer *jwriter.Writer) {
 	writer.String(time.Duration(duration).String())
 }
 
-// UnmarshalEasyJSON reads the duration from text; anything else is an error of the lexer.
+// UnmarshalEasyJSON reads the duration from a string; anything else is an error of the lexer.
 func (duration *Duration) UnmarshalEasyJSON(lexer *jlexer.Lexer) {
 	text := lexer.String()
 	if !lexer.Ok() {
--- a/config/encoding.go
+++ b/config/encoding.go
@@ -30,7 +30,7 @@
 // Encode returns the canonical form: equal documents have equal bytes.
 func (spec *Spec) Encode() []byte { return encode(spec) }
 
-// parseStrictly parses what an operator has sent; name says in an error what it should be.
+// parseStrictly parses an operator's document or change; name is its kind in error messages.
 func parseStrictly(content []byte, name string, parsed easyjson.Unmarshaler) error {
 	if len(content) > MaximumBytes {
 		return apierror.New(apierror.TooLarge, "a %s of %d bytes; at most %d", name, len(content), MaximumBytes)
@@ -48,7 +48,7 @@
 func encode(value easyjson.Marshaler) []byte {
 	content, err := easyjson.Marshal(value)
 	if err != nil {
-		panic(err) // Plain fields always marshal; anything else is a defect of this package.
+		panic(err) // Plain fields always marshal; an error is a defect of this package.
 	}
 	return content
 }
--- a/config/entries.go
+++ b/config/entries.go
@@ -7,12 +7,12 @@
 	return slices.Contains(backend.Services, service)
 }
 
-// ServesModel reports whether the backend serves a model; one that names none serves any.
+// ServesModel reports whether the backend serves a model. A backend without a model serves any.
 func (backend *Backend) ServesModel(model string) bool {
 	return backend.Model == "" || backend.Model == model
 }
 
-// ServesAdapter reports whether the backend serves an adapter; requests without an adapter are always served.
+// ServesAdapter reports whether the backend serves an adapter. It always serves requests without an adapter.
 func (backend *Backend) ServesAdapter(adapter string) bool {
 	return adapter == "" || slices.Contains(backend.Adapters, adapter)
 }
@@ -20,14 +20,14 @@
 // CancelsOnDisconnect reports whether a run of the route is cancelled when its client disconnects.
 func (route *Route) CancelsOnDisconnect() bool { return route.Idempotent || route.CancelOnDisconnect }
 
-// requestCost is what a request counts against a quota whose unit is a request.
+// requestCost is the cost of a request in a quota whose unit is a request.
 const requestCost = 1
 
-// Limited reports whether the quota bounds anything.
+// Limited reports whether the quota sets a limit.
 func (quota Quota) Limited() bool { return quota.Rate > 0 }
 
-// Cost returns the units that a request of so many tokens counts; declared is false for a request that does not declare
-// its tokens.
+// Cost returns the cost of a request in units of the quota. tokens is the number of tokens that the request declares;
+// declared is false for a request that does not declare its tokens.
 func (quota Quota) Cost(tokens int, declared bool) float64 {
 	if !quota.Tokens {
 		return requestCost
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -13,13 +13,14 @@
 
 func encodeChange(change *Change) ([]byte, error) { return change.Encode(), nil }
 
-// The configuration document, with every key of every part of it, keeps its form, and is read back with nothing lost.
+// The configuration document keeps every key, since operators and stored documents use them, and each key is read into
+// the field that wrote it.
 func TestSpecKeepsItsKeys(t *testing.T) {
 	golden.CompareJSON(t, "spec", encodeSpec)
 	wanted := &Spec{}
 	golden.Fill(wanted)
 	content := goldenContent(t, "spec.json")
-	// Operators' documents are read by Parse; what is kept on disk and sent to daemons by Decode.
+	// Parse reads operators' documents, and Decode those that are stored or sent to daemons.
 	for name, parse := range map[string]func([]byte) (*Spec, error){"Parse": Parse, "Decode": Decode} {
 		if read, err := parse(content); err != nil || !reflect.DeepEqual(read, wanted) {
 			t.Errorf("%s: %v, %+v", name, err, read)
--- a/config/keys.go
+++ b/config/keys.go
@@ -16,11 +16,11 @@
 // saltBytes is the length of a salt.
 const saltBytes = 16
 
-// diffSalt hashes the keys of both documents of a diff alike. It is drawn once per process, so that a hash that is
-// shown says no more than which keys are the same.
+// diffSalt is the salt for the keys of both documents of a diff. It is generated once per process, so that a printed
+// hash reveals only which keys are equal.
 var diffSalt = newSalt()
 
-// KeyHash is a tenant's key under a keyed hash (HMAC-SHA-256), by which a daemon recognizes a key without keeping it.
+// KeyHash is a tenant's key under a keyed hash (HMAC-SHA-256), by which a daemon recognizes a key without storing it.
 type KeyHash [sha256.Size]byte
 
 // MarshalEasyJSON writes the hash in hexadecimal digits.
@@ -42,10 +42,10 @@
 	copy(hash[:], content)
 }
 
-// newSalt draws a salt.
+// newSalt returns a random salt.
 func newSalt() []byte {
 	salt := make([]byte, saltBytes)
-	// Reading from the system's source of randomness never fails: the library ends the process instead.
+	// rand.Read never returns an error: if the system's source of randomness fails, it ends the process.
 	_, _ = rand.Read(salt)
 	return salt
 }
@@ -67,8 +67,8 @@
 	return hashes
 }
 
-// Seal returns the daemons' copy of a document: each key replaced by its hash under a salt that was drawn for this
-// copy. The document itself stays as it is. One without tenants, or sealed before, is returned itself.
+// Seal returns the daemons' copy of a document, in which each key is replaced by its hash under a salt generated for
+// this copy. The document itself is not changed. A document without tenants, or sealed before, is returned as it is.
 func (spec *Spec) Seal() *Spec {
 	if len(spec.Tenants) == 0 || len(spec.KeySalt) > 0 {
 		return spec
@@ -83,7 +83,7 @@
 	return &sealed
 }
 
-// SealContent returns the daemons' copy of an encoded document; one that can't be read is returned unchanged.
+// SealContent returns the daemons' copy of an encoded document. A document that can't be read is returned unchanged.
 func SealContent(content []byte) []byte {
 	if !bytes.Contains(content, []byte(`"tenants":`)) {
 		return content
@@ -95,7 +95,7 @@
 	return spec.Seal().Encode()
 }
 
-// keyring finds the tenant of a key.
+// keyring maps keys to tenants by the keys' hashes.
 type keyring struct {
 	salt   []byte
 	owners map[KeyHash]*Tenant
@@ -113,8 +113,8 @@
 	return ring
 }
 
-// owner returns the tenant of a key, or nil. Keys are looked up by their hashes alone, so that the time it takes
-// reveals nothing about a key that is similar to one.
+// owner returns the tenant of a key, or nil. Keys are looked up only by their hashes, so that the duration of a lookup
+// does not reveal whether the key is similar to a valid one.
 func (ring keyring) owner(key string) *Tenant {
 	if key == "" || len(ring.owners) == 0 {
 		return nil
--- a/config/keys_test.go
+++ b/config/keys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The keys of these tests, none of which may be seen outside the control plane.
+// The keys of these tests. None of them may appear outside the control plane.
 const (
 	firstKey  = "nu6wsjnbanfqasnmgkcu"
 	secondKey = "yj8pjbvk9m68k7b2ex5w"
@@ -27,7 +27,8 @@
 const twoTenants = `[{"name":"a","keys":["` + firstKey + `","` + secondKey + `"],
 "quota":{"rate":100,"burst":50,"tokens":true,"uncounted_tokens":7}},{"name":"b","keys":["` + otherKey + `"],"rank":2}]`
 
-// A key opens its tenant's routes, by the spec itself and by the copy that daemons get.
+// A key is attributed to its tenant and authorized, both by the spec itself and by the daemons' copy, which holds only
+// hashes. An unknown key is authorized only for public routes.
 func TestTenantOfAKey(t *testing.T) {
 	spec := specWithTenants(t, twoTenants)
 	if problems := spec.Check(); len(problems) > 0 {
@@ -41,26 +42,26 @@
 		for key, want := range map[string]string{firstKey: "a", secondKey: "a", otherKey: "b", "unknown": "", "": ""} {
 			tenant, known := catalog.TenantOf(key, catalog.Routes["closed"])
 			if known != (want != "") || known && tenant.Name != want {
-				t.Errorf("%s: key of %q gives %v, %v", name, want, tenant, known)
+				t.Errorf("%s: the key of tenant %q is attributed to %v, authorized %v", name, want, tenant, known)
 			}
 			if _, known := catalog.TenantOf(key, catalog.Routes["open"]); !known {
-				t.Errorf("%s: a public route is closed to the key of %q", name, want)
+				t.Errorf("%s: the key of tenant %q is not authorized for a public route", name, want)
 			}
 		}
 	}
 	without := specWithTenants(t, "[]")
 	if tenant, known := NewCatalog(without).TenantOf("any", &without.Routes[0]); tenant != nil || !known {
-		t.Error("without tenants a key is asked for")
+		t.Error("a spec without tenants requires a key")
 	}
 }
 
-// What daemons get, and what a diff shows, holds no key.
+// Neither the daemons' copy of a spec nor a diff contains a key.
 func TestKeysStayWithTheControlPlane(t *testing.T) {
 	spec := specWithTenants(t, twoTenants)
 	shown := append(SealContent(spec.Encode()), strings.Join(Diff(&Spec{}, spec), "\n")...)
 	for _, key := range []string{firstKey, secondKey, otherKey} {
 		if bytes.Contains(shown, []byte(key)) {
-			t.Errorf("a key is shown in %s", shown)
+			t.Errorf("a key is contained in %s", shown)
 		}
 	}
 	if spec.Tenants[0].Keys[0] != firstKey || len(spec.KeySalt) > 0 {
@@ -70,7 +71,7 @@
 		t.Error("two copies have the same salt")
 	}
 	if plain := []byte(`{"zones":[],"pools":[],"lanes":[]}`); !bytes.Equal(SealContent(plain), plain) {
-		t.Error("a spec without tenants is changed")
+		t.Error("sealing changed a spec without tenants")
 	}
 }
 
@@ -91,7 +92,7 @@
 		}
 		for _, problem := range problems {
 			if strings.Contains(problem.Detail, firstKey) {
-				t.Errorf("a problem shows a key: %v", problem)
+				t.Errorf("a problem contains a key: %v", problem)
 			}
 		}
 	}
@@ -99,11 +100,12 @@
 		t.Errorf("a tenant's own key twice: %v", problems)
 	}
 	if _, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[],"tenants":[{"name":"a","key_hashes":["00"]}]}`)); err == nil {
-		t.Error("a hash of one byte is read")
+		t.Error("a hash of one byte is accepted")
 	}
 }
 
-// Tenants are replaced, added and removed by their names, and a change that gives one tenant another's key is refused.
+// Tenants are replaced, added and removed by name. A key may move to another tenant within a change, but a change that
+// gives a tenant the key of another one has a problem.
 func TestChangesOfTenants(t *testing.T) {
 	present := specWithTenants(t, twoTenants)
 	change, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"b","keys":["fresh"]},
@@ -117,10 +119,10 @@
 	}
 	catalog := NewCatalog(next)
 	if tenant, _ := catalog.TenantOf(otherKey, catalog.Routes["closed"]); tenant == nil || tenant.Name != "c" {
-		t.Errorf("the key that moved belongs to %v", tenant)
+		t.Errorf("the moved key is attributed to %v", tenant)
 	}
 	if _, known := catalog.TenantOf(firstKey, catalog.Routes["closed"]); known {
-		t.Error("a removed tenant's key still opens a route")
+		t.Error("a removed tenant's key is still authorized")
 	}
 	stolen, err := ParseChange([]byte(`{"upsert":{"tenants":[{"name":"c","keys":["` + firstKey + `"]}]}}`))
 	if err != nil {
--- a/config/pack.go
+++ b/config/pack.go
@@ -10,8 +10,8 @@
 	"wardtray/apierror"
 )
 
-// Pack compresses an encoded document for its way to many daemons; documents are repetitive. It keeps no state between
-// calls: a writer of the standard library takes 1.2 MB, far more than any document, and each change packs one.
+// Pack compresses an encoded document, since it is sent to many daemons and documents are repetitive. The compressor
+// is stateless: a writer of the standard library allocates 1.2 MB, far more than any document, on every change.
 func Pack(content []byte) []byte {
 	var packed bytes.Buffer
 	if err := stateless.StatelessDeflate(&packed, content, true, nil); err != nil {
--- a/config/routes.go
+++ b/config/routes.go
@@ -11,7 +11,7 @@
 	defaultConcurrencyLimit = 1
 )
 
-// Routes is a list of routes; reading one sets the defaults of the keys that were left out.
+// Routes is a list of routes. Decoding it sets the defaults of omitted keys.
 type Routes []Route
 
 // MarshalEasyJSON writes the routes.
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -6,37 +6,39 @@
 	"wardtray/wire"
 )
 
-// Snapshot is what the data plane knows while it handles requests: configuration and runners at one moment. It is
-// replaced as a whole, never changed.
+// Snapshot is the configuration and the list of runners by which the data plane handles requests at one moment. It is
+// immutable; an update replaces it.
 type Snapshot struct {
 	// Sequence is the log position of the configuration, and SpecEpoch its version.
 	Sequence  uint64
 	SpecEpoch uint64
 	// Catalog indexes the configuration.
 	Catalog *Catalog
-	// Runners lists the runners that are known.
+	// Runners lists the known runners.
 	Runners []*wire.Runner
-	// Registered is set where runners register themselves, so that an empty list means that none is left.
+	// Registered reports whether runners register themselves, so that an empty list means that no runner is left.
 	Registered bool
-	// Until is when the snapshot expires: no request may be dispatched by it afterwards.
+	// Until is the time at which the snapshot expires: no request may be dispatched by it afterwards.
 	Until time.Time
-	// Daemons is how many daemons share the work.
+	// Daemons is the number of data daemons that share the load.
 	Daemons int
-	// Term is what callers are told for the requests that they send from now on (package reservation); 0: none.
+	// Term is the term announced to clients for the requests that they send from now on (package reservation); 0 if
+	// there is none.
 	Term uint64
-	// Terms are the newest terms that this process has known, in their order.
+	// Terms lists the newest terms that this process has learned of, the oldest first.
 	Terms []KnownTerm
 }
 
-// KnownTerm is a term that a process has known.
+// KnownTerm is a term that a process has learned of.
 type KnownTerm struct {
 	Term uint64
-	// Since is from when on whoever connects to this process can have sent nothing before the term began.
+	// Since is the time from which on every new connection to this process carries only requests that were sent after
+	// the term began.
 	Since time.Time
 }
 
-// TermBefore returns the newest term that began before whatever came over a connection, which was taken at a moment,
-// was sent; 0: none.
+// TermBefore returns the newest term that began before any request over a connection was sent, by the time at which the
+// connection was accepted; 0 if there is none.
 func (snapshot *Snapshot) TermBefore(connected time.Time) uint64 {
 	for index := len(snapshot.Terms) - 1; index >= 0; index-- {
 		if known := snapshot.Terms[index]; !connected.Before(known.Since) {
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -8,17 +8,17 @@
 	"wardtray/apierror"
 )
 
-const good = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
+const validSpec = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
 "lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
 func TestBadTextIsMalformed(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty": "", "blanks": "  ", "no object": "5", "cut short": good[:40], "text after": good + "{}",
-		"unknown key":  strings.Replace(good, `"worth"`, `"worht"`, 1),
-		"repeated key": strings.Replace(good, `"worth":1`, `"worth":1,"worth":2`, 1),
-		"wrong type":   strings.Replace(good, `"worth":1`, `"worth":"1"`, 1),
-		"no duration":  strings.Replace(good, `"1s"`, `"soon"`, 1),
-		"bad text":     strings.Replace(good, `"m"`, "\"\xff\"", 1),
+		"empty": "", "blanks": "  ", "no object": "5", "cut short": validSpec[:40], "text after": validSpec + "{}",
+		"unknown key":  strings.Replace(validSpec, `"worth"`, `"worht"`, 1),
+		"repeated key": strings.Replace(validSpec, `"worth":1`, `"worth":1,"worth":2`, 1),
+		"wrong type":   strings.Replace(validSpec, `"worth":1`, `"worth":"1"`, 1),
+		"no duration":  strings.Replace(validSpec, `"1s"`, `"soon"`, 1),
+		"bad text":     strings.Replace(validSpec, `"m"`, "\"\xff\"", 1),
 		"deep":         strings.Repeat("[", 100),
 	} {
 		if _, err := Parse([]byte(text)); !apierror.Is(err, apierror.Malformed) {
@@ -48,22 +48,22 @@
 	if err != nil || len(empty.Check()) != 3 {
 		t.Fatalf("an empty document: %v %v", err, empty.Check())
 	}
-	valid, err := Parse([]byte(good))
+	valid, err := Parse([]byte(validSpec))
 	if err != nil || len(valid.Check()) != 0 {
-		t.Fatalf("a good one: %v %v", err, valid.Check())
+		t.Fatalf("a valid document: %v %v", err, valid.Check())
 	}
 	if changes := Diff(empty, valid); len(changes) != 3 || !strings.HasPrefix(changes[0], "+ lane l") {
 		t.Fatalf("the difference: %v", changes)
 	}
 }
 
-// goodWith parses the good document with one text in place of another.
-func goodWith(t *testing.T, old, replacement string) *Spec {
+// validSpecWith parses the valid spec with one text replaced by another.
+func validSpecWith(t *testing.T, old, replacement string) *Spec {
 	t.Helper()
-	if !strings.Contains(good, old) {
-		t.Fatalf("%s is not in the good spec", old)
+	if !strings.Contains(validSpec, old) {
+		t.Fatalf("%s is not in the valid spec", old)
 	}
-	parsed, err := Parse([]byte(strings.Replace(good, old, replacement, 1)))
+	parsed, err := Parse([]byte(strings.Replace(validSpec, old, replacement, 1)))
 	if err != nil {
 		t.Fatalf("%s: %v", replacement, err)
 	}
@@ -77,7 +77,7 @@
 	zonesKey   = `"zones":`
 )
 
-// TestEveryFieldHasItsBounds breaks one field at a time; the path of the problem names it.
+// Each invalid field is the only problem of its document, and is reported with the field's path.
 func TestEveryFieldHasItsBounds(t *testing.T) {
 	long := strings.Repeat("x", 257)
 	second := routeKey + `"patience":"1s","purse":1,"repeatable":false,"authority":"H.example:80","path_prefix":"/a/"},
@@ -134,7 +134,7 @@
 		{"annotations", zonesKey, `"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"},` + zonesKey},
 	}
 	for _, test := range cases {
-		problems := goodWith(t, test.old, test.replacement).Check()
+		problems := validSpecWith(t, test.old, test.replacement).Check()
 		if len(problems) != 1 || problems[0].Path != test.path {
 			t.Errorf("%s: %v", test.path, problems)
 		}
@@ -142,34 +142,34 @@
 }
 
 func TestDefaultsOfOmittedKeys(t *testing.T) {
-	parsed := goodWith(t, `"worth":1,"patience":"1s","purse":0.5,`, `"patience":"1s",`)
+	parsed := validSpecWith(t, `"worth":1,"patience":"1s","purse":0.5,`, `"patience":"1s",`)
 	if len(parsed.Check()) > 0 || parsed.Routes[0].Value != 1 || parsed.Routes[0].ConcurrencyLimit != 1 {
 		t.Fatalf("%v %+v", parsed.Check(), parsed.Routes[0])
 	}
-	bare := goodWith(t, `"model":"m","weights":"w",`, ``)
+	bare := validSpecWith(t, `"model":"m","weights":"w",`, ``)
 	if len(bare.Check()) > 0 || !bare.Backends[0].ServesModel("any") {
-		t.Fatalf("a pool of any model: %v", bare.Check())
+		t.Fatalf("a pool without a model has problems, or does not serve every model: %v", bare.Check())
 	}
-	named := goodWith(t, zonesKey, zonesKey).Backends[0]
+	named := validSpecWith(t, zonesKey, zonesKey).Backends[0]
 	if named.ServesModel("any") || !named.ServesModel("m") {
-		t.Fatal("a pool of one model serves another")
+		t.Fatal("a pool with a model serves another model, or not its own")
 	}
 	empty, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[]}`))
 	if err != nil || len(empty.Check()) > 0 {
-		t.Fatalf("a spec that holds nothing on purpose: %v %v", err, empty.Check())
+		t.Fatalf("a spec with explicitly empty lists: %v %v", err, empty.Check())
 	}
 	if !NewCatalog(empty).IsOpen("anywhere") || NewCatalog(parsed).IsOpen("anywhere") || !NewCatalog(parsed).IsOpen("a") {
-		t.Fatal("a spec without zones leaves all open, one with zones only those it names")
+		t.Fatal("without zones in the spec every zone must be open, and with zones only the listed ones")
 	}
 }
 
 func TestAnnotationsAreReturnedUnchanged(t *testing.T) {
 	text := `{"z":1.50,"a":{"x":[1, 2],"b":null},"m":"é\u0041"}`
-	parsed := goodWith(t, routeKey, routeKey+`"annotations":`+text+`,`)
+	parsed := validSpecWith(t, routeKey, routeKey+`"annotations":`+text+`,`)
 	for range 20 {
 		again, err := Parse(parsed.Encode())
 		if err != nil || string(again.Encode()) != string(parsed.Encode()) {
-			t.Fatalf("another form each time: %v", err)
+			t.Fatalf("the encoding is not canonical: %v", err)
 		}
 		for name, want := range map[string]string{"z": "1.50", "a": `{"x":[1, 2],"b":null}`, "m": `"é\u0041"`} {
 			if got := string(again.Routes[0].Annotations[name]); got != want {
@@ -180,7 +180,7 @@
 }
 
 func FuzzParse(fuzz *testing.F) {
-	fuzz.Add([]byte(good))
+	fuzz.Add([]byte(validSpec))
 	fuzz.Add([]byte(`{"zones":[{"name":"a","closed":1}]}`))
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
 		parsed, err := Parse(content)
@@ -189,7 +189,7 @@
 		}
 		again, err := Parse(parsed.Encode())
 		if err != nil || len(Diff(parsed, again)) > 0 {
-			t.Fatalf("the canonical form reads back as another: %v", err)
+			t.Fatalf("the canonical form is parsed as another spec: %v", err)
 		}
 		parsed.Check()
 	})
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -1,5 +1,5 @@
-// Package strictjson finds what lenient JSON parsers accept: repeated keys, invalid UTF-8, text after the end of the
-// document, and nesting that is too deep.
+// Package strictjson rejects documents that lenient JSON parsers accept: those with repeated keys, invalid UTF-8, text
+// after the end of the document, or too deep nesting.
 package strictjson
 
 import (
@@ -13,10 +13,10 @@
 	"wardtray/apierror"
 )
 
-// MaximumDepth bounds how many objects and arrays may be nested.
+// MaximumDepth bounds the nesting of objects and arrays.
 const MaximumDepth = 16
 
-// Check returns a Malformed error for the first violation in a document, with its path or position; nil if there is
+// Check returns a Malformed error for the first violation in a document, with its path or position, or nil if there is
 // none.
 func Check(content []byte) error {
 	if !utf8.Valid(content) {
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// walker follows the tokens of one document.
+// walker tracks the position in one document, token by token.
 type walker struct {
-	// levels holds the objects and arrays that are open, the outermost first.
+	// levels holds the open objects and arrays, the outermost first.
 	levels []*level
 }
 
-// next handles one token; it reports whether the document's value ends with it.
+// next handles one token, and reports whether the document's value ends with it.
 func (walker *walker) next(token json.Token) (finished bool, err error) {
 	innermost := walker.innermost()
 	if key, isString := token.(string); isString && innermost != nil && innermost.wantsKey() {
@@ -59,7 +59,7 @@
 	case json.Delim('}'), json.Delim(']'):
 		walker.levels = walker.levels[:len(walker.levels)-1]
 	}
-	// A value has ended: the document's, or one within the object or array that is now the innermost.
+	// A value has ended: that of the document, or one within the innermost open object or array.
 	if innermost = walker.innermost(); innermost == nil {
 		return true, nil
 	}
@@ -92,12 +92,12 @@
 type level struct {
 	path     string
 	isObject bool
-	// keys holds the keys of an object that have occurred.
+	// keys holds the keys of an object read so far.
 	keys map[string]bool
-	// key is an object's last key, and hasKey says that its value comes next.
+	// key is the last key read of an object, and hasKey reports whether its value comes next.
 	key    string
 	hasKey bool
-	// index is the number of values that have ended.
+	// index is the number of values read so far.
 	index int
 }
 
--- a/strictjson/strictjson_test.go
+++ b/strictjson/strictjson_test.go
@@ -10,7 +10,7 @@
 func TestCheckAcceptsDocuments(t *testing.T) {
 	for _, content := range []string{
 		`{}`, `[]`, `null`, `1.5`, `"text"`, " {\"a\": [1, {\"b\": {}}], \"c\": \"a\"}\n",
-		// A text may equal its name, and two objects may have the same names.
+		// A value may equal its key, and two objects may have the same keys.
 		`{"a":"a","b":["a","a"]}`, `[{"a":1},{"a":2}]`, `{"a":{"a":{"a":1}}}`,
 		nested(MaximumDepth, ""),
 	} {
@@ -20,7 +20,7 @@
 	}
 }
 
-// nested returns a value within a number of arrays.
+// nested returns a value enclosed in the given number of arrays.
 func nested(depth int, value string) string {
 	return strings.Repeat("[", depth) + value + strings.Repeat("]", depth)
 }
