--- a/config/change_fuzz_test.go
+++ b/config/change_fuzz_test.go
@@ -9,7 +9,7 @@
 	fuzz.Add([]byte(`{"upsert":{"lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":1,"repeatable":true}]}}`))
 	fuzz.Add([]byte(`{"remove":{"zones":["a"],"pools":["p"]},"limits":{"body_bytes":5},"annotations":{"x":null}}`))
 	fuzz.Add([]byte(`{"upsert":{"pools":[{"name":"p"},{"name":"p"}]},"remove":{"pools":["p"]}}`))
-	present, err := Parse([]byte(validSpec))
+	present, err := Parse([]byte(valid))
 	if err != nil {
 		fuzz.Fatal(err)
 	}
--- a/config/nginx/nginx.go
+++ b/config/nginx/nginx.go
@@ -1,5 +1,5 @@
-// Package nginx imports the upstreams and proxied locations of an nginx configuration into a document for an operator
-// to review. What has no counterpart is listed as a note, never dropped in silence.
+// Package nginx translates the upstreams and proxied locations of an nginx configuration into a configuration document
+// for an operator to review. Every directive without a counterpart is reported in a note.
 package nginx
 
 import (
@@ -14,9 +14,9 @@
 	"wardtray/config"
 )
 
-// Note is something that the operator must know or decide.
+// Note describes something that the operator must know or decide.
 type Note struct {
-	// File and Line say where the directive stands.
+	// File and Line are the position of the directive.
 	File string
 	Line int
 	Text string
@@ -26,16 +26,17 @@
 func (note Note) String() string { return fmt.Sprintf("%s:%d: %s", note.File, note.Line, note.Text) }
 
 const (
-	// defaultLatencyTarget is nginx's own default of proxy_read_timeout.
+	// defaultLatencyTarget is nginx's default for proxy_read_timeout.
 	defaultLatencyTarget = 60 * time.Second
-	// importedZone stands for all machines, since an nginx configuration has no zones.
+	// importedZone is the zone of all machines, since an nginx configuration has no zones.
 	importedZone = "imported"
-	// maximumName bounds the names that are made, in bytes.
+	// maximumName bounds the names made from upstreams and paths, in bytes, without the suffix of a duplicate.
 	maximumName = 56
 )
 
-// Import reads a file and those that it includes. A file that can't be read completely is a Malformed error that names
-// its line; one without an upstream and a location that passes to it is an InvalidSpec error.
+// Import reads a file and the files that it includes. A file that can't be read completely is a Malformed error that
+// names the line; a configuration without an upstream, or without a location that passes to one, is an InvalidSpec
+// error.
 func Import(path string) (*config.Spec, []Note, error) {
 	options := &crossplane.ParseOptions{StopParsingOnError: true, CombineConfigs: true, SkipDirectiveContextCheck: true}
 	payload, err := crossplane.Parse(path, options)
@@ -60,10 +61,10 @@
 type importer struct {
 	spec  config.Spec
 	notes []Note
-	// backends and routes hold the names that are taken.
+	// backends and routes hold the names in use.
 	backends map[string]bool
 	routes   map[string]bool
-	// file is the path of the file that is being imported.
+	// file is the path of the file being imported.
 	file string
 }
 
@@ -75,13 +76,13 @@
 	}
 }
 
-// handlers handle directives by name; context names the blocks around the directive.
+// handlers maps names of directives to their handlers. context names the blocks that enclose the directive.
 type handlers map[string]func(directive *crossplane.Directive, context string)
 
-// ignore is the handler of a directive that was handled before.
+// ignore is the handler of a directive that is handled in another pass.
 func ignore(*crossplane.Directive, string) {}
 
-// importFile imports one file. Upstreams come first, since locations name upstreams that may stand further down.
+// importFile imports one file. It handles upstreams first, since a location may name an upstream defined after it.
 func (importer *importer) importFile(file crossplane.Config) {
 	importer.file = file.File
 	importer.walk(file.Parsed, "", handlers{"upstream": importer.upstream}, ignore)
@@ -89,10 +90,10 @@
 	importer.walk(file.Parsed, "", locations, importer.unsupported)
 }
 
-// containers are the blocks that are only walked through.
+// containers are the blocks without a meaning of their own, whose directives are handled.
 var containers = map[string]bool{"http": true, "server": true, "stream": true}
 
-// walk hands each directive to the handler of its name, or to the other one if there is none.
+// walk calls the handler of each directive by its name, or the handler other if it has none.
 func (importer *importer) walk(
 	directives crossplane.Directives,
 	context string,
@@ -112,7 +113,7 @@
 	}
 }
 
-// note adds a note on a directive.
+// note adds a note about a directive.
 func (importer *importer) note(directive *crossplane.Directive, format string, values ...any) {
 	file := directive.File
 	if file == "" {
@@ -122,7 +123,7 @@
 	importer.notes = append(importer.notes, note)
 }
 
-// unsupported notes that a directive has no counterpart.
+// unsupported adds a note that a directive has no counterpart.
 func (importer *importer) unsupported(directive *crossplane.Directive, context string) {
 	text := strings.TrimSpace(directive.Directive + " " + strings.Join(directive.Args, " "))
 	if context != "" {
@@ -174,7 +175,7 @@
 	importer.spec.Routes = append(importer.spec.Routes, route)
 }
 
-// locationDirective sets what a directive of a location says of its route; it reports whether there is a counterpart.
+// locationDirective applies a directive of a location to its route. It reports whether the directive has a counterpart.
 func (importer *importer) locationDirective(directive *crossplane.Directive, route *config.Route) bool {
 	switch directive.Directive {
 	case "proxy_pass":
@@ -194,14 +195,14 @@
 	}
 }
 
-// passTarget returns the host of a URL of proxy_pass.
+// passTarget returns the host in the URL of a proxy_pass directive.
 func passTarget(address string) string {
 	address = strings.TrimPrefix(strings.TrimPrefix(address, "https://"), "http://")
 	host, _, _ := strings.Cut(address, "/")
 	return host
 }
 
-// parseTime parses a time of nginx, which is in seconds if it has no unit.
+// parseTime parses a time in nginx's syntax. A number without a unit is in seconds.
 func parseTime(text string) (time.Duration, error) {
 	if duration, err := time.ParseDuration(text); err == nil {
 		return duration, nil
@@ -209,7 +210,7 @@
 	return time.ParseDuration(text + "s")
 }
 
-// uniqueName makes a name that a document allows and that is not taken, and takes it.
+// uniqueName makes a name from a text that is valid in a document and not taken, and adds it to the taken names.
 func uniqueName(text string, taken map[string]bool) string {
 	base := strings.Trim(strings.Map(nameCharacter, text), "-")
 	if base == "" {
@@ -226,7 +227,7 @@
 	return name
 }
 
-// nameCharacter returns the lower case of a letter or digit of ASCII, and a dash for any other character.
+// nameCharacter returns the lower case of an ASCII letter or digit, and a dash for any other character.
 func nameCharacter(character rune) rune {
 	character = unicode.ToLower(character)
 	if character >= 'a' && character <= 'z' || character >= '0' && character <= '9' {
--- a/config/process/check.go
+++ b/config/process/check.go
@@ -21,13 +21,13 @@
 	maximumZone      = 64
 )
 
-// Requirements says which settings a program needs beside those that all need.
+// Requirements describes the settings that a program requires beside those that every program requires.
 type Requirements struct {
-	// Folder is set where the program keeps data.
+	// Folder reports whether the program requires a data folder.
 	Folder bool
-	// Platform is set where the program reads the platform's list of runners.
+	// Platform reports whether the program reads the platform's list of runners.
 	Platform bool
-	// Adapters read the settings of platforms, by the name that the flag --adapter gives.
+	// Adapters maps the values of the flag --adapter to the functions that read the settings of these platforms.
 	Adapters map[string]func() (*Settings, error)
 }
 
@@ -52,12 +52,12 @@
 	return found.err()
 }
 
-// problems collects what is wrong with settings.
+// problems collects the problems of settings.
 type problems struct {
 	details []string
 }
 
-// add adds a problem, which begins with the key.
+// add adds a problem. Its text begins with the key of the setting.
 func (found *problems) add(format string, values ...any) {
 	found.details = append(found.details, fmt.Sprintf(format, values...))
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkFolder checks that there is a data folder where one is needed, and only there.
+// checkFolder checks that a data folder is set if the program requires one, and only then.
 func (settings *Settings) checkFolder(needs Requirements, found *problems) {
 	if needs.Folder == (settings.Folder == "") && !settings.Diskless {
 		found.add("folder: wtcore needs one, wtdata must have none")
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkPlatform checks that there is a platform's URL where one is needed, and only there.
+// checkPlatform checks that the URL of the platform is set if the program requires it, and only then.
 func (settings *Settings) checkPlatform(needs Requirements, found *problems) {
 	if !needs.Platform || settings.Registered && settings.Platform == "" {
 		if settings.Platform != "" {
@@ -182,11 +182,11 @@
 	}
 }
 
-// DisabledFeatures returns the features that are switched off.
+// DisabledFeatures returns the features that the setting without disables.
 func (settings *Settings) DisabledFeatures() features.Set {
 	set, err := features.Parse(settings.Without)
 	if err != nil {
-		return nil // Checked settings name no unknown feature.
+		return nil // Check rejects unknown features.
 	}
 	return set
 }
--- a/config/process/durations.go
+++ b/config/process/durations.go
@@ -47,7 +47,7 @@
 	return drain
 }
 
-// durationOr parses a duration; the fallback stands for one that is not set. Settings.Check rejects other texts.
+// durationOr returns a parsed duration, or the fallback if it is not set. Settings.Check rejects invalid durations.
 func durationOr(text string, fallback time.Duration) time.Duration {
 	if duration, err := time.ParseDuration(text); err == nil {
 		return duration
@@ -55,7 +55,7 @@
 	return fallback
 }
 
-// FinishTime returns the setting finish, or the fallback.
+// FinishTime returns the setting finish, or the fallback if it is not set.
 func (settings *Settings) FinishTime(fallback time.Duration) time.Duration {
 	return durationOr(settings.Finish, fallback)
 }
--- a/config/process/file.go
+++ b/config/process/file.go
@@ -9,8 +9,8 @@
 	"wardtray/strictjson"
 )
 
-// Read reads a settings file; an empty path returns empty settings. Unknown and repeated keys, and a file that can't be
-// read, are InvalidSettings errors. Values are not checked; see Settings.Check.
+// Read reads a settings file. For an empty path it returns empty settings. Unknown and repeated keys, and a file that
+// can't be read, are InvalidSettings errors. Values are not checked; see Settings.Check.
 func Read(path string) (*Settings, error) {
 	settings := &Settings{}
 	if path == "" {
--- a/config/process/flags.go
+++ b/config/process/flags.go
@@ -27,8 +27,8 @@
 	return settings
 }
 
-// Parse returns the checked settings of a daemon from arguments and the file that they name. Invalid ones are a
-// InvalidSettings error. terminate is called with an exit code after the usage was printed.
+// Parse returns the checked settings of a daemon from arguments and the file that they name. Invalid settings are an
+// InvalidSettings error. After printing the usage text it calls terminate with an exit code.
 func Parse(name, help string, needs Requirements, arguments []string, terminate func(int)) (*Settings, error) {
 	application := kingpin.New(name, help).UsageWriter(os.Stdout).ErrorWriter(io.Discard).Terminate(terminate)
 	application.HelpFlag.Short('h')
@@ -48,17 +48,17 @@
 	return settings, settings.Check(needs)
 }
 
-// flags are what a command line gives.
+// flags holds the values given on a command line.
 type flags struct {
-	// file is the path of the settings file, and adapter the platform whose file is read in its place.
+	// file is the path of the settings file, and adapter the platform whose settings file is read instead.
 	file, adapter string
-	// settings hold the flags that replace settings of the file.
+	// settings holds the values of the flags that override settings of the file.
 	settings Settings
 }
 
-// register declares the flags, in the order of the usage text.
+// register defines the flags, in the order of the usage text.
 func (given *flags) register(application *kingpin.Application, needs Requirements) {
-	startup := application.Flag("startup", "Startup file (JSON). Flags go over what it says.")
+	startup := application.Flag("startup", "Startup file (JSON). Flags override its settings.")
 	startup.Short('s').StringVar(&given.file)
 	if len(needs.Adapters) > 0 {
 		names := slices.Sorted(maps.Keys(needs.Adapters))
@@ -78,11 +78,11 @@
 	if needs.Folder {
 		text("folder", "The data folder.", &settings.Folder)
 	}
-	text("contact", "How long machines must be cut off to count as out of touch.", &settings.Contact)
+	text("contact", "After what time machines that can't reach each other count as partitioned.", &settings.Contact)
 	if needs.Folder {
-		text("acknowledge", "Within what time a valid change must be acknowledged while the core is whole.",
+		text("acknowledge", "Within what time a valid change must be acknowledged while no wtcore has failed.",
 			&settings.Acknowledge)
-		text("catch-up", "After what time a machine that is back, or new, no longer counts as lost.", &settings.CatchUp)
+		text("catch-up", "After what time a wtcore that returned, or is new, no longer counts as failed.", &settings.CatchUp)
 		text("grace", "How long the process may take to end after SIGTERM.", &settings.Grace)
 	}
 	if needs.Platform {
@@ -95,7 +95,7 @@
 	}
 }
 
-// readSettings reads the settings file, or that of a platform.
+// readSettings reads the settings file, or the platform's file if an adapter is given.
 func (given *flags) readSettings(needs Requirements) (*Settings, error) {
 	if given.adapter == "" {
 		return Read(given.file)
@@ -108,7 +108,7 @@
 	return settings, nil
 }
 
-// override replaces the settings for which there is a flag.
+// override replaces the settings whose flags are given.
 func (given *flags) override(settings *Settings) {
 	flags := &given.settings
 	for _, pair := range []struct{ setting, flag *string }{
--- a/config/process/settings_test.go
+++ b/config/process/settings_test.go
@@ -13,14 +13,14 @@
 
 func parse(t *testing.T, needs Requirements, arguments ...string) (*Settings, error) {
 	t.Helper()
-	return Parse("x", "x", needs, arguments, func(int) { t.Fatal("the parser wanted to end the process") })
+	return Parse("x", "x", needs, arguments, func(int) { t.Fatal("the parser tried to end the process") })
 }
 
-// valid are the flags that every program needs.
+// valid are the flags that every program requires, with valid values.
 var valid = []string{"--address", "127.0.0.1:1", "--http", "127.0.0.1:2", "--zone", "a",
 	"--seed", "127.0.0.1:1", "--seed", "127.0.0.2:1"}
 
-// withValid returns arguments followed by the flags that every program needs.
+// withValid returns arguments followed by the flags that every program requires.
 func withValid(arguments ...string) []string { return append(arguments, valid...) }
 
 func writeFile(t *testing.T, path, content string) {
@@ -72,21 +72,21 @@
 
 func TestEachProgramHasItsOwnNeeds(t *testing.T) {
 	if _, err := parse(t, Requirements{Folder: true}, valid...); !apierror.Is(err, apierror.InvalidSettings) {
-		t.Error("wtcore without a folder")
+		t.Error("wtcore accepts settings without a folder")
 	}
 	if _, err := parse(t, Requirements{Folder: true}, withValid("--folder", t.TempDir())...); err != nil {
 		t.Error(err)
 	}
 	_, err := parse(t, Requirements{Platform: true}, withValid("--folder", "x")...)
 	if !apierror.Is(err, apierror.InvalidSettings) {
-		t.Error("wtdata with a folder")
+		t.Error("wtdata accepts settings with a folder")
 	}
 	if _, err := parse(t, Requirements{Platform: true}, withValid("--platform", "http://127.0.0.1:3/x")...); err != nil {
 		t.Error(err)
 	}
 }
 
-// durations returns the settings that both tests of durations look at.
+// durations returns the durations that two tests compare.
 func durations(settings *Settings) []time.Duration {
 	return []time.Duration{settings.ContactTime(), settings.AcknowledgeTime(), settings.CatchUpTime(),
 		settings.GraceTime(), settings.WithoutCoreTime()}
@@ -95,7 +95,7 @@
 func TestDefaultDurations(t *testing.T) {
 	want := []time.Duration{3 * time.Second, 4 * time.Second, 4 * time.Second, 8 * time.Second, 5 * time.Minute}
 	if got := durations(&Settings{}); !slices.Equal(got, want) {
-		t.Errorf("%v instead of %v by default", got, want)
+		t.Errorf("default durations %v instead of %v", got, want)
 	}
 }
 
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -8,17 +8,17 @@
 	"wardtray/apierror"
 )
 
-const validSpec = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
+const valid = `{"zones":[{"name":"a","closed":false}],"pools":[{"name":"p","model":"m","weights":"w","services":["s"]}],
 "lanes":[{"name":"l","pool":"p","worth":1,"patience":"1s","purse":0.5,"repeatable":false}]}`
 
 func TestBadTextIsMalformed(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty": "", "blanks": "  ", "no object": "5", "cut short": validSpec[:40], "text after": validSpec + "{}",
-		"unknown key":  strings.Replace(validSpec, `"worth"`, `"worht"`, 1),
-		"repeated key": strings.Replace(validSpec, `"worth":1`, `"worth":1,"worth":2`, 1),
-		"wrong type":   strings.Replace(validSpec, `"worth":1`, `"worth":"1"`, 1),
-		"no duration":  strings.Replace(validSpec, `"1s"`, `"soon"`, 1),
-		"bad text":     strings.Replace(validSpec, `"m"`, "\"\xff\"", 1),
+		"empty": "", "blanks": "  ", "no object": "5", "cut short": valid[:40], "text after": valid + "{}",
+		"unknown key":  strings.Replace(valid, `"worth"`, `"worht"`, 1),
+		"repeated key": strings.Replace(valid, `"worth":1`, `"worth":1,"worth":2`, 1),
+		"wrong type":   strings.Replace(valid, `"worth":1`, `"worth":"1"`, 1),
+		"no duration":  strings.Replace(valid, `"1s"`, `"soon"`, 1),
+		"bad text":     strings.Replace(valid, `"m"`, "\"\xff\"", 1),
 		"deep":         strings.Repeat("[", 100),
 	} {
 		if _, err := Parse([]byte(text)); !apierror.Is(err, apierror.Malformed) {
@@ -48,22 +48,22 @@
 	if err != nil || len(empty.Check()) != 3 {
 		t.Fatalf("an empty document: %v %v", err, empty.Check())
 	}
-	valid, err := Parse([]byte(validSpec))
-	if err != nil || len(valid.Check()) != 0 {
-		t.Fatalf("a valid document: %v %v", err, valid.Check())
+	checked, err := Parse([]byte(valid))
+	if err != nil || len(checked.Check()) != 0 {
+		t.Fatalf("a valid document: %v %v", err, checked.Check())
 	}
-	if changes := Diff(empty, valid); len(changes) != 3 || !strings.HasPrefix(changes[0], "+ lane l") {
+	if changes := Diff(empty, checked); len(changes) != 3 || !strings.HasPrefix(changes[0], "+ lane l") {
 		t.Fatalf("the difference: %v", changes)
 	}
 }
 
-// validSpecWith parses the valid spec with one text replaced by another.
-func validSpecWith(t *testing.T, old, replacement string) *Spec {
+// validWith parses the valid spec with one text replaced by another.
+func validWith(t *testing.T, old, replacement string) *Spec {
 	t.Helper()
-	if !strings.Contains(validSpec, old) {
+	if !strings.Contains(valid, old) {
 		t.Fatalf("%s is not in the valid spec", old)
 	}
-	parsed, err := Parse([]byte(strings.Replace(validSpec, old, replacement, 1)))
+	parsed, err := Parse([]byte(strings.Replace(valid, old, replacement, 1)))
 	if err != nil {
 		t.Fatalf("%s: %v", replacement, err)
 	}
@@ -134,7 +134,7 @@
 		{"annotations", zonesKey, `"annotations":{"a":"` + strings.Repeat("x", 256<<10) + `"},` + zonesKey},
 	}
 	for _, test := range cases {
-		problems := validSpecWith(t, test.old, test.replacement).Check()
+		problems := validWith(t, test.old, test.replacement).Check()
 		if len(problems) != 1 || problems[0].Path != test.path {
 			t.Errorf("%s: %v", test.path, problems)
 		}
@@ -142,15 +142,15 @@
 }
 
 func TestDefaultsOfOmittedKeys(t *testing.T) {
-	parsed := validSpecWith(t, `"worth":1,"patience":"1s","purse":0.5,`, `"patience":"1s",`)
+	parsed := validWith(t, `"worth":1,"patience":"1s","purse":0.5,`, `"patience":"1s",`)
 	if len(parsed.Check()) > 0 || parsed.Routes[0].Value != 1 || parsed.Routes[0].ConcurrencyLimit != 1 {
 		t.Fatalf("%v %+v", parsed.Check(), parsed.Routes[0])
 	}
-	bare := validSpecWith(t, `"model":"m","weights":"w",`, ``)
+	bare := validWith(t, `"model":"m","weights":"w",`, ``)
 	if len(bare.Check()) > 0 || !bare.Backends[0].ServesModel("any") {
 		t.Fatalf("a pool without a model has problems, or does not serve every model: %v", bare.Check())
 	}
-	named := validSpecWith(t, zonesKey, zonesKey).Backends[0]
+	named := validWith(t, zonesKey, zonesKey).Backends[0]
 	if named.ServesModel("any") || !named.ServesModel("m") {
 		t.Fatal("a pool with a model serves another model, or not its own")
 	}
@@ -165,7 +165,7 @@
 
 func TestAnnotationsAreReturnedUnchanged(t *testing.T) {
 	text := `{"z":1.50,"a":{"x":[1, 2],"b":null},"m":"é\u0041"}`
-	parsed := validSpecWith(t, routeKey, routeKey+`"annotations":`+text+`,`)
+	parsed := validWith(t, routeKey, routeKey+`"annotations":`+text+`,`)
 	for range 20 {
 		again, err := Parse(parsed.Encode())
 		if err != nil || string(again.Encode()) != string(parsed.Encode()) {
@@ -180,7 +180,7 @@
 }
 
 func FuzzParse(fuzz *testing.F) {
-	fuzz.Add([]byte(validSpec))
+	fuzz.Add([]byte(valid))
 	fuzz.Add([]byte(`{"zones":[{"name":"a","closed":1}]}`))
 	fuzz.Fuzz(func(t *testing.T, content []byte) {
 		parsed, err := Parse(content)
