--- a/verify/loadtest/client_source.go
+++ b/verify/loadtest/client_source.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// latestHangUp is how long after sending its request a client that leaves does so at the latest.
-	latestHangUp = time.Second
-	// latestResend is how long after its first sending a client sends a request again at the latest, mostResends how often
-	// at most.
-	latestResend = 4 * time.Second
-	mostResends  = 2
-	// leastRate is the lowest rate of a load, in requests a second.
-	leastRate = 0.1
+	// maximumDisconnectDelay bounds the time between a client's request and its disconnection.
+	maximumDisconnectDelay = time.Second
+	// maximumRetryDelay bounds the time between a request's first attempt and its retries.
+	maximumRetryDelay = 4 * time.Second
+	// maximumRetries bounds the number of retries of a request.
+	maximumRetries = 2
+	// minimumRate is the lowest rate of a load, in requests per second.
+	minimumRate = 0.1
 )
 
-// clientSource draws clients from a seed. It may be used by several goroutines.
+// clientSource generates random clients from a seed. It is safe for concurrent use.
 type clientSource struct {
-	mix    Mix
-	zones  []string
-	prefix string
+	mix   Mix
+	zones []string
+	// idPrefix begins the ID of each request.
+	idPrefix string
 
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -35,45 +36,47 @@
 type drawnClient struct {
 	request Drawn
 	zone    string
-	// hangsUpAfter is how long after sending the request the client leaves; 0: it stays.
-	hangsUpAfter time.Duration
-	// resends are its further sendings of the same request.
-	resends []resend
+	// disconnectDelay is the time between sending the request and closing its connection; 0: the client waits for the
+	// end of the response.
+	disconnectDelay time.Duration
+	// retries are the client's later attempts of the same request, in order.
+	retries []scheduledRetry
 }
 
-// resend is one more sending of a request, to any daemon of a zone, so long after the first.
-type resend struct {
+// scheduledRetry is a retry of a request, sent to any daemon of a zone.
+type scheduledRetry struct {
+	// after is the delay from the first attempt.
 	after time.Duration
 	zone  string
 }
 
-// again returns the client as it sends its request the next time: number counts the sendings from 1.
-func (client drawnClient) again(number int, resend resend) drawnClient {
-	client.zone, client.request.Attempt = resend.zone, number
+// withRetry returns the client with the zone and the attempt number of a retry; the first attempt has number 1.
+func (client drawnClient) withRetry(number int, retry scheduledRetry) drawnClient {
+	client.zone, client.request.Attempt = retry.zone, number
 	return client
 }
 
-// behavior is what clients do besides sending their requests.
+// behavior configures what clients do besides sending their requests. Its fields are fractions from 0 to 1.
 type behavior struct {
-	// hot is the part (0 to 1) of the requests that carry one opening, hangUps that of the clients that leave, resends
-	// that of the clients that send a request again which runs at most once.
-	hot, hangUps, resends float64
+	// hotShare is the share of the requests whose prompts have the same prefix, disconnectShare the share of the clients
+	// that disconnect early, retryShare the share of the clients that retry an at-most-once request.
+	hotShare, disconnectShare, retryShare float64
 }
 
 func newClientSource(mix Mix, zones []string, seed int64) *clientSource {
 	return &clientSource{
-		mix:    mix,
-		zones:  zones,
-		prefix: fmt.Sprintf("q%d", seed),
-		random: rand.New(rand.NewSource(seed)),
+		mix:      mix,
+		zones:    zones,
+		idPrefix: fmt.Sprintf("q%d", seed),
+		random:   rand.New(rand.NewSource(seed)),
 	}
 }
 
-// gap draws the time to the next request at a rate of requests a second.
+// gap draws the time to the next request, at a rate in requests per second.
 func (source *clientSource) gap(rate float64) time.Duration {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	return time.Duration(source.random.ExpFloat64() / max(leastRate, rate) * float64(time.Second))
+	return time.Duration(source.random.ExpFloat64() / max(minimumRate, rate) * float64(time.Second))
 }
 
 // next draws a client.
@@ -82,27 +85,27 @@
 	defer source.mutex.Unlock()
 	source.drawn++
 	client := drawnClient{zone: source.zones[source.random.Intn(len(source.zones))]}
-	client.request = source.mix.Draw(source.random, behavior.hot)
-	client.request.ID, client.request.Attempt = fmt.Sprintf("%s-%d", source.prefix, source.drawn), 1
-	if behavior.hangUps > 0 && source.random.Float64() < behavior.hangUps {
-		client.hangsUpAfter = 1 + time.Duration(source.random.Int63n(int64(latestHangUp)))
+	client.request = source.mix.Draw(source.random, behavior.hotShare)
+	client.request.ID, client.request.Attempt = fmt.Sprintf("%s-%d", source.idPrefix, source.drawn), 1
+	if behavior.disconnectShare > 0 && source.random.Float64() < behavior.disconnectShare {
+		client.disconnectDelay = 1 + time.Duration(source.random.Int63n(int64(maximumDisconnectDelay)))
 	}
-	if behavior.resends > 0 && client.request.Kind.Once && source.random.Float64() < behavior.resends {
-		client.resends = source.drawResends()
+	if behavior.retryShare > 0 && client.request.Kind.Once && source.random.Float64() < behavior.retryShare {
+		client.retries = source.drawRetries()
 	}
 	return client
 }
 
-// drawResends draws when and where a client sends its request again.
-func (source *clientSource) drawResends() []resend {
-	resends := make([]resend, 1+source.random.Intn(mostResends))
-	for index := range resends {
-		resends[index] = resend{
-			after: time.Duration(source.random.Int63n(int64(latestResend))),
+// drawRetries draws the delays and the zones of a client's retries.
+func (source *clientSource) drawRetries() []scheduledRetry {
+	retries := make([]scheduledRetry, 1+source.random.Intn(maximumRetries))
+	for index := range retries {
+		retries[index] = scheduledRetry{
+			after: time.Duration(source.random.Int63n(int64(maximumRetryDelay))),
 			zone:  source.zones[source.random.Intn(len(source.zones))],
 		}
 	}
-	// A client numbers its sendings in their order.
-	slices.SortFunc(resends, func(left, right resend) int { return cmp.Compare(left.after, right.after) })
-	return resends
+	// Attempt numbers follow the order of the attempts.
+	slices.SortFunc(retries, func(left, right scheduledRetry) int { return cmp.Compare(left.after, right.after) })
+	return retries
 }
--- a/verify/loadtest/deployments.go
+++ b/verify/loadtest/deployments.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Guild is the fibre guild's mix: survey summaries lead, chats in Welsh and English and confirmations are close.
+// Guild is the mix of the fibre guild's deployment: survey summaries, chats in Welsh and English, and confirmations,
+// in order of their share.
 var Guild = Mix{Model: "cynorthwyydd", Pool: "booking", Weights: "w-2026-11", Service: "booking-runners", Kinds: []Kind{
 	{
 		Route:            "survey",
@@ -10,11 +11,11 @@
 		Value:            1,
 		LatencyTarget:    20 * time.Second,
 		ConcurrencyLimit: 0.5,
-		Opening:          6,
-		OpeningTokens:    500,
-		Own:              600,
+		PrefixParts:      6,
+		PrefixPartTokens: 500,
+		UniqueTokens:     600,
 		Answer:           120,
-		Families:         24,
+		Prefixes:         24,
 		Text:             "Write up the survey of the duct and its joints.",
 	},
 	{
@@ -23,11 +24,11 @@
 		Value:            4,
 		LatencyTarget:    4 * time.Second,
 		ConcurrencyLimit: 0.4,
-		Opening:          3,
-		OpeningTokens:    400,
-		Own:              120,
+		PrefixParts:      3,
+		PrefixPartTokens: 400,
+		UniqueTokens:     120,
 		Answer:           60,
-		Families:         12,
+		Prefixes:         12,
 		Text:             "Ble mae'r cabinet agosaf, a sut mae cyrraedd ato? Diolch yn fawr iawn, rŵan te.",
 	},
 	{
@@ -37,16 +38,17 @@
 		Value:            10,
 		LatencyTarget:    3 * time.Second,
 		ConcurrencyLimit: 0.4,
-		Opening:          2,
-		OpeningTokens:    400,
-		Own:              80,
+		PrefixParts:      2,
+		PrefixPartTokens: 400,
+		UniqueTokens:     80,
 		Answer:           30,
-		Families:         4,
+		Prefixes:         4,
 		Text:             "Confirm the slot on Thursday at ten.",
 	},
 }}
 
-// Ferries is the ferry company's mix: counter queries and reconciliations lead, rulings come a little behind.
+// Ferries is the mix of the ferry company's deployment: counter queries, reconciliations and rulings, in order of their
+// share.
 var Ferries = Mix{Model: "tocyn", Pool: "ticketing", Weights: "t-7", Service: "ticket-runners", Kinds: []Kind{
 	{
 		Route:            "counter",
@@ -54,11 +56,11 @@
 		Value:            5,
 		LatencyTarget:    4 * time.Second,
 		ConcurrencyLimit: 0.4,
-		Opening:          3,
-		OpeningTokens:    400,
-		Own:              100,
+		PrefixParts:      3,
+		PrefixPartTokens: 400,
+		UniqueTokens:     100,
 		Answer:           50,
-		Families:         10,
+		Prefixes:         10,
 		Text:             "What does a car and four cost on the evening crossing?",
 	},
 	{
@@ -67,11 +69,11 @@
 		Value:            1,
 		LatencyTarget:    20 * time.Second,
 		ConcurrencyLimit: 0.5,
-		Opening:          6,
-		OpeningTokens:    500,
-		Own:              800,
+		PrefixParts:      6,
+		PrefixPartTokens: 500,
+		UniqueTokens:     800,
 		Answer:           110,
-		Families:         16,
+		Prefixes:         16,
 		Text:             "Reconcile the manifest with the tickets.",
 	},
 	{
@@ -81,11 +83,11 @@
 		Value:            8,
 		LatencyTarget:    4 * time.Second,
 		ConcurrencyLimit: 0.4,
-		Opening:          4,
-		OpeningTokens:    400,
-		Own:              200,
+		PrefixParts:      4,
+		PrefixPartTokens: 400,
+		UniqueTokens:     200,
 		Answer:           40,
-		Families:         6,
+		Prefixes:         6,
 		Text:             "Rule on the refund of the cancelled crossing.",
 	},
 }}
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -8,18 +8,19 @@
 	"wardtray/verify/histories"
 )
 
-// longestGap is the longest time between two looks at the rate.
-const longestGap = time.Second
+// maximumGap bounds the time for which Run waits with one value of the rate.
+const maximumGap = time.Second
 
-// Load sends a mix over HTTP, each request as a client of its own.
+// Load sends a mix over HTTP, each request from a client of its own. Its exported fields default to 0 and are set
+// before Run.
 type Load struct {
-	// Hot is the part (0 to 1) of the requests that carry one and the same opening.
+	// Hot is the share (0 to 1) of the requests whose prompts have the same prefix.
 	Hot float64
-	// HangUps is the part (0 to 1) of the clients that close their connections at some moment, whatever they have got by
-	// then.
+	// HangUps is the share (0 to 1) of the clients that close their connections at a random time, whatever they have
+	// received until then.
 	HangUps float64
-	// Resends is the part (0 to 1) of the clients that send a request which runs at most once again, some seconds later
-	// and to any zone, whatever became of the first sending.
+	// Resends is the share (0 to 1) of the clients that retry their at-most-once requests within a few seconds, in any
+	// zone and whatever the outcome of the first attempt.
 	Resends float64
 
 	record  *histories.History
@@ -28,8 +29,8 @@
 	waiting sync.WaitGroup
 }
 
-// New makes a load whose requests are drawn from a seed, and come from all zones. pick returns the address of a daemon
-// for a client of a zone, and "" where there is none; the answers are added to the record.
+// New returns a load whose requests are generated from a seed and come from clients in all of the zones. pick returns
+// the address of a daemon for a client in a zone, or "" if there is none; the answers are added to the record.
 func New(mix Mix, zones []string, pick func(zone string) string, record *histories.History, seed int64) *Load {
 	return &Load{
 		record:  record,
@@ -38,13 +39,13 @@
 	}
 }
 
-// Run sends so many requests a second, at random moments, until the context ends, then waits for all answers. The rate
-// is asked anew for each request.
+// Run sends requests at random times until the context is done, then waits for all answers. It calls rate, which
+// returns the mean number of requests per second, before each request and at least once per second.
 func (load *Load) Run(running context.Context, rate func() float64) {
-	// Requests under way end by themselves when no more are sent.
+	// Requests in progress are not cancelled: Run waits for their answers.
 	requests := context.WithoutCancel(running)
 	for running.Err() == nil {
-		timer := time.NewTimer(min(load.clients.gap(rate()), longestGap))
+		timer := time.NewTimer(min(load.clients.gap(rate()), maximumGap))
 		select {
 		case <-timer.C:
 			load.serve(requests, load.clients.next(behavior{load.Hot, load.HangUps, load.Resends}))
@@ -55,20 +56,20 @@
 	load.waiting.Wait()
 }
 
-// serve begins the sendings of a client, each at its time.
+// serve schedules all attempts of a client's request.
 func (load *Load) serve(ctx context.Context, client drawnClient) {
 	client.request.Term = load.sender.terms.of(client.zone)
 	load.waiting.Go(func() { load.send(ctx, client) })
-	for index, resend := range client.resends {
-		again := client.again(index+2, resend)
+	for index, retry := range client.retries {
+		retrying := client.withRetry(index+2, retry)
 		load.waiting.Go(func() {
-			time.Sleep(resend.after)
-			load.send(ctx, again)
+			time.Sleep(retry.after)
+			load.send(ctx, retrying)
 		})
 	}
 }
 
-// send sends a client's request once and records the answer.
+// send makes one attempt of a client's request and records the answer.
 func (load *Load) send(ctx context.Context, client drawnClient) {
 	answer := load.sender.send(ctx, client)
 	load.record.Change(func(history *histories.History) { history.Answers = append(history.Answers, answer) })
--- a/verify/loadtest/load_test.go
+++ b/verify/loadtest/load_test.go
@@ -18,20 +18,21 @@
 func TestASeedFixesTheClients(t *testing.T) {
 	left, right := newClientSource(Guild, []string{"a", "b"}, 4), newClientSource(Guild, []string{"a", "b"}, 4)
 	for number := range 100 {
-		first, second := left.next(behavior{hot: 0.2, hangUps: 0.3}), right.next(behavior{hot: 0.2, hangUps: 0.3})
+		first, second := left.next(behavior{hotShare: 0.2, disconnectShare: 0.3}),
+			right.next(behavior{hotShare: 0.2, disconnectShare: 0.3})
 		if !reflect.DeepEqual(first, second) || left.gap(10) != right.gap(10) {
-			t.Fatalf("client %d: %+v and %+v", number, first, second)
+			t.Fatalf("client %d: %+v with one source, %+v with another of the same seed", number, first, second)
 		}
 		if want := fmt.Sprintf("q4-%d", number+1); first.request.ID != want {
-			t.Errorf("client %d is %s instead of %s", number, first.request.ID, want)
+			t.Errorf("client %d: request ID %s, want %s", number, first.request.ID, want)
 		}
-		if first.hangsUpAfter < 0 || first.hangsUpAfter > latestHangUp {
-			t.Errorf("client %d leaves after %v", number, first.hangsUpAfter)
+		if first.disconnectDelay < 0 || first.disconnectDelay > maximumDisconnectDelay {
+			t.Errorf("client %d disconnects after %v", number, first.disconnectDelay)
 		}
 	}
 }
 
-// startDaemon starts a server in the place of a daemon, and returns its address.
+// startDaemon starts an HTTP server that replaces a data daemon, and returns its address.
 func startDaemon(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -39,7 +40,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// closedAddress is an address that refuses connections.
+// closedAddress returns an address that refuses connections.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -50,7 +51,7 @@
 	return listener.Addr().String()
 }
 
-// sendTo sends one request whose connections go to the addresses in turn.
+// sendTo sends a client's request; successive connection attempts use successive addresses.
 func sendTo(client drawnClient, addresses ...string) *histories.Answer {
 	picked := 0
 	sender := newSender("m", func(string) string {
@@ -68,7 +69,7 @@
 func TestSenderRecordsACompleteStream(t *testing.T) {
 	address := startDaemon(t, func(writer http.ResponseWriter, request *http.Request) {
 		if got := request.Header.Get("Wardtray-Request"); got != "q1-7" || request.URL.Path != "/v1/stream" {
-			t.Errorf("request %q to %s", got, request.URL.Path)
+			t.Errorf("request %q sent to %s", got, request.URL.Path)
 		}
 		writer.Header().Set("Wardtray-Runner", "r1")
 		_, _ = io.WriteString(writer, completeStream)
@@ -76,7 +77,7 @@
 	answer := sendTo(drawnClient{request: testRequest(), zone: "a"}, address)
 	if !answer.Done || answer.ConnectionLost || answer.HungUp || !answer.RequestSent || answer.Head != "r1" ||
 		answer.Status != http.StatusOK || answer.Daemon != address || answer.Zone != "a" {
-		t.Errorf("%+v", answer)
+		t.Errorf("recorded %+v, want a complete stream from r1", answer)
 	}
 }
 
@@ -89,11 +90,12 @@
 	answer := sendTo(drawnClient{request: testRequest()}, address)
 	if answer.Status != http.StatusTooManyRequests || answer.Kind != "patience_short" || !answer.RetryAfter ||
 		answer.Ran != "did not run" || answer.Done || answer.ConnectionLost {
-		t.Errorf("%+v", answer)
+		t.Errorf("recorded %+v, want a refusal", answer)
 	}
 }
 
-// Only a request whose connection was never made goes to another daemon.
+// A sender tries another daemon only if no connection was made. After a connection was made, the daemon may have read
+// the request, and a second transmission could run it twice.
 func TestSenderGoesOnOnlyWhereNothingWasRead(t *testing.T) {
 	complete := startDaemon(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, completeStream)
@@ -119,7 +121,7 @@
 	})
 	answer := sendTo(drawnClient{request: testRequest()}, address)
 	if !answer.ConnectionLost || answer.Done || len(answer.IDs) != 1 {
-		t.Errorf("%+v", answer)
+		t.Errorf("recorded %+v, want one event and a lost connection", answer)
 	}
 }
 
@@ -127,17 +129,17 @@
 	address := startDaemon(t, func(writer http.ResponseWriter, request *http.Request) {
 		writer.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(writer).Flush()
-		// The end of the connection is seen only once the body was read.
+		// net/http detects the client's disconnection only after the body was read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 	})
-	answer := sendTo(drawnClient{request: testRequest(), hangsUpAfter: 20 * time.Millisecond}, address)
+	answer := sendTo(drawnClient{request: testRequest(), disconnectDelay: 20 * time.Millisecond}, address)
 	if !answer.HungUp || answer.HungUpAt.IsZero() || answer.Done {
-		t.Errorf("%+v", answer)
+		t.Errorf("recorded %+v, want a client that disconnected", answer)
 	}
 }
 
-// A load sends until it is stopped, waits for what is under way, and records every answer once.
+// A load sends requests until its context is done, waits for those in progress, and records each answer once.
 func TestLoadRecordsEveryAnswerOnce(t *testing.T) {
 	address := startDaemon(t, func(writer http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
@@ -151,11 +153,11 @@
 	seen := map[string]bool{}
 	for _, answer := range record.Answers {
 		if seen[answer.Request] || !answer.Done {
-			t.Errorf("%+v", answer)
+			t.Errorf("recorded twice or incomplete: %+v", answer)
 		}
 		seen[answer.Request] = true
 	}
 	if len(seen) == 0 {
-		t.Error("nothing was sent")
+		t.Error("no requests were sent")
 	}
 }
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Kind is one kind of requests of a mix, with the terms of its route.
+// Kind describes the requests of one route of a mix, and the configuration of that route.
 type Kind struct {
 	Route string
-	// Share is its part (0 to 1) of the requests.
+	// Share is the share (0 to 1) of the mix's requests that are of this kind.
 	Share float64
-	// Once means that its requests run at most once: its route is not idempotent.
+	// Once marks at-most-once requests: the route is not idempotent.
 	Once bool
-	// Value, LatencyTarget and ConcurrencyLimit are its route's.
+	// Value, LatencyTarget and ConcurrencyLimit are settings of the route.
 	Value            float64
 	LatencyTarget    time.Duration
 	ConcurrencyLimit float64
-	// Opening is the number of parts of a prompt that others share, OpeningTokens the tokens of each; Own are the tokens
-	// of the rest, Answer those of the answer.
-	Opening, OpeningTokens, Own, Answer int
-	// Families is how many different openings there are.
-	Families int
-	// Text is the prompt that is sent.
+	// PrefixParts is the number of parts of a prompt's shared prefix, PrefixPartTokens the number of tokens of each part.
+	// UniqueTokens is the number of prompt tokens after the prefix, Answer the number of tokens of the answer.
+	PrefixParts, PrefixPartTokens, UniqueTokens, Answer int
+	// Prefixes is the number of different prompt prefixes.
+	Prefixes int
+	// Text is the prompt in the request's body.
 	Text string
-	// Resumable means that its route's streams may go on at another runner, after pauses of at most Pause.
+	// Resumable allows streams of the route to be resumed at another runner, after a pause of at most Pause.
 	Resumable bool
 	Pause     time.Duration
-	// Cancel means that its route's runs end when their clients leave, also where they run at most once.
+	// Cancel makes a run of the route end when its client disconnects, even if it is an at-most-once request.
 	Cancel bool
-	// Wait is about how long its clients wait, where they tell it; Deadline is the longest that its route holds a
-	// request. 0: neither is told.
+	// Wait is about the mean of the time limits that clients declare, Deadline the time limit of the route; 0: none.
 	Wait, Deadline time.Duration
 }
 
-// Mix is the work of one deployment, and the backend that does it.
+// Mix is the workload of one deployment, and the backend that serves it: Pool is the name of the backend.
 type Mix struct {
 	Model, Pool, Weights, Service string
 	Kinds                         []Kind
 }
 
-// Lengths of the variants of a mix.
+// Settings of the variants of a mix.
 const (
-	// longAnswerTokens are the tokens of answers that last long enough to be interrupted.
+	// longAnswerTokens is a length of answers that leaves time to interrupt them.
 	longAnswerTokens = 300
-	resumptionPause  = 500 * time.Millisecond
+	// resumptionPause is the maximum pause of a stream that is resumed.
+	resumptionPause = 500 * time.Millisecond
 )
 
-// withKinds returns the mix with every kind changed.
+// withKinds returns a copy of the mix with change applied to each kind.
 func (mix Mix) withKinds(change func(kind *Kind)) Mix {
 	mix.Kinds = append([]Kind{}, mix.Kinds...)
 	for index := range mix.Kinds {
@@ -55,7 +55,7 @@
 	return mix
 }
 
-// WithResumption is the mix with longer answers, which may be resumed wherever they may be repeated.
+// WithResumption returns the mix with longer, resumable answers for all kinds except at-most-once requests.
 func (mix Mix) WithResumption() Mix {
 	return mix.withKinds(func(kind *Kind) {
 		if !kind.Once {
@@ -64,30 +64,31 @@
 	})
 }
 
-// WithDeadlines is the mix whose clients tell how long they wait, and whose routes have a deadline of their own.
+// WithDeadlines returns the mix with clients that declare time limits and routes that have deadlines.
 func (mix Mix) WithDeadlines() Mix {
 	return mix.withKinds(func(kind *Kind) { kind.Wait, kind.Deadline = kind.LatencyTarget/2, kind.LatencyTarget })
 }
 
-// Cancelling is the mix with longer answers, whose runs all end when their clients leave, also those that run at most
-// once.
+// Cancelling returns the mix with longer answers and with runs that end when their clients disconnect, including those
+// of at-most-once requests.
 func (mix Mix) Cancelling() Mix {
 	return mix.withKinds(func(kind *Kind) { kind.Cancel, kind.Answer = true, longAnswerTokens })
 }
 
-// Draw draws a request from the mix, without an ID; hot is the part (0 to 1) of the requests that carry one opening.
+// Draw returns a random request of the mix, without an ID; hot is the share (0 to 1) of the requests whose prompts have
+// prefix 0 of their kind.
 func (mix Mix) Draw(random *rand.Rand, hot float64) Drawn {
 	drawn := Drawn{Kind: mix.drawKind(random)}
-	// Few openings draw most of the work, as popular questions do.
-	drawn.Family = min(random.Intn(drawn.Kind.Families), random.Intn(drawn.Kind.Families))
+	// The minimum of two draws makes some prefixes more popular than others.
+	drawn.Prefix = min(random.Intn(drawn.Kind.Prefixes), random.Intn(drawn.Kind.Prefixes))
 	if random.Float64() < hot {
-		drawn.Family = 0
+		drawn.Prefix = 0
 	}
 	drawn.Wait = drawn.Kind.drawWait(random)
 	return drawn
 }
 
-// drawKind takes a kind by the kinds' shares.
+// drawKind returns a random kind, weighted by Share.
 func (mix Mix) drawKind(random *rand.Rand) Kind {
 	point := random.Float64()
 	for _, kind := range mix.Kinds {
@@ -98,7 +99,8 @@
 	return mix.Kinds[len(mix.Kinds)-1]
 }
 
-// drawWait draws how long a client waits. Some clients tell nothing (0), and then the route's own deadline holds.
+// drawWait draws the time limit that a client declares. A quarter of the clients declare none (0), so that the route's
+// deadline applies.
 func (kind Kind) drawWait(random *rand.Rand) time.Duration {
 	if kind.Wait == 0 || random.Intn(4) == 0 {
 		return 0
--- a/verify/loadtest/mix_test.go
+++ b/verify/loadtest/mix_test.go
@@ -31,7 +31,7 @@
 		}
 		for _, kind := range mix.Kinds {
 			if got := float64(counts[kind.Route]) / drawn; math.Abs(got-kind.Share) > 0.03 {
-				t.Errorf("%s: %s is a part of %.3f instead of %.3f", name, kind.Route, got, kind.Share)
+				t.Errorf("%s: %s has a share of %.3f, want %.3f", name, kind.Route, got, kind.Share)
 			}
 		}
 	}
@@ -42,65 +42,66 @@
 	left, right := rand.New(rand.NewSource(5)), rand.New(rand.NewSource(5))
 	for number := range 200 {
 		if first, second := mix.Draw(left, 0.3), mix.Draw(right, 0.3); !reflect.DeepEqual(first, second) {
-			t.Fatalf("request %d: %+v and %+v", number, first, second)
+			t.Fatalf("request %d: %+v from one source, %+v from another of the same seed", number, first, second)
 		}
 	}
 }
 
 func TestHotRequestsCarryOneOpening(t *testing.T) {
-	random, families := rand.New(rand.NewSource(1)), map[int]bool{}
+	random, prefixes := rand.New(rand.NewSource(1)), map[int]bool{}
 	for range 300 {
-		if drawn := Guild.Draw(random, 1); drawn.Family != 0 {
-			t.Fatalf("a hot request of family %d", drawn.Family)
+		if drawn := Guild.Draw(random, 1); drawn.Prefix != 0 {
+			t.Fatalf("a hot request with prefix %d, want 0", drawn.Prefix)
 		}
-		families[Guild.Draw(random, 0).Family] = true
+		prefixes[Guild.Draw(random, 0).Prefix] = true
 	}
-	if len(families) < 10 {
-		t.Errorf("%d families without hot requests", len(families))
+	if len(prefixes) < 10 {
+		t.Errorf("%d different prefixes without hot requests, want at least 10", len(prefixes))
 	}
 }
 
-// A variant changes its own kinds and leaves those of the mix alone.
+// Each variant has the settings that its name states, and doesn't modify the kinds of the original mix, which share a
+// backing array until withKinds copies them.
 func TestVariantsOfAMix(t *testing.T) {
 	for name, mix := range mixes {
 		before := append([]Kind{}, mix.Kinds...)
 		resumable, deadlines, cancelling := mix.WithResumption(), mix.WithDeadlines(), mix.Cancelling()
 		if !reflect.DeepEqual(before, mix.Kinds) {
-			t.Errorf("%s: a variant changed the mix", name)
+			t.Errorf("%s: a variant modified the original mix", name)
 		}
 		for index, kind := range mix.Kinds {
 			if got := resumable.Kinds[index]; got.Resumable == kind.Once || (got.Pause > 0) == kind.Once {
-				t.Errorf("%s: %s may be resumed: %v, after %v", name, kind.Route, got.Resumable, got.Pause)
+				t.Errorf("%s: %s: resumable %v, pause %v", name, kind.Route, got.Resumable, got.Pause)
 			}
 			if got := deadlines.Kinds[index]; got.Deadline != kind.LatencyTarget || got.Wait != kind.LatencyTarget/2 {
-				t.Errorf("%s: %s has a deadline of %v and waits %v", name, kind.Route, got.Deadline, got.Wait)
+				t.Errorf("%s: %s: deadline %v, client time limit %v", name, kind.Route, got.Deadline, got.Wait)
 			}
 			if got := cancelling.Kinds[index]; !got.Cancel || got.Answer != longAnswerTokens {
-				t.Errorf("%s: %s cancels: %v, answers of %d tokens", name, kind.Route, got.Cancel, got.Answer)
+				t.Errorf("%s: %s: cancelled on disconnection %v, %d answer tokens", name, kind.Route, got.Cancel, got.Answer)
 			}
 		}
 	}
 }
 
-// Three in four clients tell how long they wait, from an eighth of the usual time on.
+// Three quarters of the clients declare a time limit, of at least an eighth of the kind's Wait.
 func TestSomeClientsTellHowLongTheyWait(t *testing.T) {
 	kind, random := Kind{Wait: 800 * time.Millisecond}, rand.New(rand.NewSource(1))
-	told := 0
+	declared := 0
 	const drawn = 2000
 	for range drawn {
 		wait := kind.drawWait(random)
 		if wait == 0 {
 			continue
 		}
-		told++
+		declared++
 		if wait < 100*time.Millisecond || wait > 1700*time.Millisecond {
-			t.Fatalf("waits %v", wait)
+			t.Fatalf("time limit %v", wait)
 		}
 	}
-	if part := float64(told) / drawn; math.Abs(part-0.75) > 0.03 {
-		t.Errorf("a part of %.3f tells", part)
+	if share := float64(declared) / drawn; math.Abs(share-0.75) > 0.03 {
+		t.Errorf("a share of %.3f declares a time limit, want 0.75", share)
 	}
 	if wait := (Kind{}).drawWait(random); wait != 0 {
-		t.Errorf("a kind that does not wait waits %v", wait)
+		t.Errorf("time limit %v of a kind without one", wait)
 	}
 }
--- a/verify/loadtest/request.go
+++ b/verify/loadtest/request.go
@@ -10,28 +10,28 @@
 	"wardtray/verify/histories"
 )
 
-// Drawn is one request drawn from a mix.
+// Drawn is a request that Mix.Draw generated.
 type Drawn struct {
 	Kind Kind
-	// Family says which of the kind's openings the prompt has.
-	Family int
-	// ID is the request's identity; whoever draws a request gives it one.
+	// Prefix is the index of the prompt's prefix among the prefixes of its kind.
+	Prefix int
+	// ID is the request's identifier, set by the caller of Mix.Draw.
 	ID string
-	// Wait is how long its client waits; 0: not told.
+	// Wait is the time limit that the client declares; 0: none.
 	Wait time.Duration
-	// Attempt is the number of the sending, 1 for the first, and Term the newest term that the client knew when it sent
-	// the request for the first time; 0: not told.
+	// Attempt is the number of the client attempt, 1 for the first, and Term the newest term that the client knew at its
+	// first attempt. The client doesn't declare a value that is 0.
 	Attempt int
 	Term    uint64
 }
 
-// Part is a part of a prompt that other prompts share: its name, and how many tokens it has.
+// Part is a part of a prompt prefix, which prompts may share: its name and its number of tokens.
 type Part struct {
 	Name   string
 	Tokens int
 }
 
-// TimeLimit is how long the request may be held; 0: not told.
+// TimeLimit returns the shorter of the client's time limit and the route's deadline; 0: there is neither.
 func (drawn Drawn) TimeLimit() time.Duration {
 	if drawn.Wait > 0 && (drawn.Kind.Deadline == 0 || drawn.Wait < drawn.Kind.Deadline) {
 		return drawn.Wait
@@ -39,25 +39,25 @@
 	return drawn.Kind.Deadline
 }
 
-// Parts returns the parts of the prompt's opening. The first is the same in all families.
+// Parts returns the parts of the prompt's prefix. The first part is the same in all prefixes of a kind.
 func (drawn Drawn) Parts() []Part {
-	parts := make([]Part, 0, drawn.Kind.Opening)
-	for index := range drawn.Kind.Opening {
-		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Family, index)
+	parts := make([]Part, 0, drawn.Kind.PrefixParts)
+	for index := range drawn.Kind.PrefixParts {
+		name := fmt.Sprintf("%s-%d-%d", drawn.Kind.Route, drawn.Prefix, index)
 		if index == 0 {
 			name = drawn.Kind.Route + "-system"
 		}
-		parts = append(parts, Part{Name: name, Tokens: drawn.Kind.OpeningTokens})
+		parts = append(parts, Part{Name: name, Tokens: drawn.Kind.PrefixPartTokens})
 	}
 	return parts
 }
 
-// PromptTokens returns the tokens of the whole prompt.
+// PromptTokens returns the number of tokens of the complete prompt.
 func (drawn Drawn) PromptTokens() int {
-	return drawn.Kind.Opening*drawn.Kind.OpeningTokens + drawn.Kind.Own
+	return drawn.Kind.PrefixParts*drawn.Kind.PrefixPartTokens + drawn.Kind.UniqueTokens
 }
 
-// Headers returns the request's headers, for a backend of a model.
+// Headers returns the request's headers, with the name of the model.
 func (drawn Drawn) Headers(model string) map[string][]string {
 	headers := map[string][]string{
 		admission.HeaderRoute:   {drawn.Kind.Route},
@@ -86,12 +86,12 @@
 func (drawn Drawn) Body() []byte {
 	content, err := json.Marshal(map[string]string{"prompt": drawn.Kind.Text})
 	if err != nil {
-		panic(err) // A map of strings always marshals.
+		panic(err) // Marshalling a map of strings can't fail.
 	}
 	return content
 }
 
-// NewAnswer returns the record of an answer to the request, sent from a zone, of which nothing has come yet.
+// NewAnswer returns the record of the answer to the request, sent by a client in a zone, before any of it is received.
 func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.Answer {
 	return &histories.Answer{
 		Request:       drawn.ID,
--- a/verify/loadtest/request_test.go
+++ b/verify/loadtest/request_test.go
@@ -13,15 +13,15 @@
 func testRequest() Drawn {
 	return Drawn{
 		Kind: Kind{
-			Route:         "chat",
-			LatencyTarget: 4 * time.Second,
-			Opening:       2,
-			OpeningTokens: 400,
-			Own:           120,
-			Answer:        60,
-			Text:          "Diolch yn fawr",
+			Route:            "chat",
+			LatencyTarget:    4 * time.Second,
+			PrefixParts:      2,
+			PrefixPartTokens: 400,
+			UniqueTokens:     120,
+			Answer:           60,
+			Text:             "Diolch yn fawr",
 		},
-		Family: 3,
+		Prefix: 3,
 		ID:     "q1-7",
 	}
 }
@@ -30,10 +30,10 @@
 	drawn := testRequest()
 	want := []Part{{"chat-system", 400}, {"chat-3-1", 400}}
 	if got := drawn.Parts(); !slices.Equal(got, want) {
-		t.Errorf("%v instead of %v", got, want)
+		t.Errorf("parts %v, want %v", got, want)
 	}
 	if got := drawn.PromptTokens(); got != 920 {
-		t.Errorf("%d prompt tokens instead of 920", got)
+		t.Errorf("%d prompt tokens, want 920", got)
 	}
 }
 
@@ -48,18 +48,18 @@
 		"Prompt-Prefix":          {"chat-system=400", "chat-3-1=400"},
 	}
 	if got := drawn.Headers("m"); !reflect.DeepEqual(got, want) {
-		t.Errorf("%v instead of %v", got, want)
+		t.Errorf("headers %v, want %v", got, want)
 	}
 	drawn.Wait = 1500 * time.Millisecond
 	if got := drawn.Headers("m")[admission.HeaderWait]; !slices.Equal(got, []string{"1500"}) {
-		t.Errorf("waits %v instead of 1500", got)
+		t.Errorf("time limit %v, want 1500", got)
 	}
 }
 
 func TestBodyOfARequest(t *testing.T) {
 	body := map[string]string{}
 	if err := json.Unmarshal(testRequest().Body(), &body); err != nil || body["prompt"] != "Diolch yn fawr" {
-		t.Errorf("%v, %v", body, err)
+		t.Errorf("body %v, error %v", body, err)
 	}
 }
 
@@ -73,12 +73,12 @@
 	} {
 		drawn := Drawn{Kind: Kind{Deadline: trial.deadline}, Wait: trial.wait}
 		if got := drawn.TimeLimit(); got != trial.want {
-			t.Errorf("waits %v, deadline %v: %v instead of %v", trial.wait, trial.deadline, got, trial.want)
+			t.Errorf("client time limit %v, deadline %v: limit %v, want %v", trial.wait, trial.deadline, got, trial.want)
 		}
 	}
 }
 
-// A run ends with its client where its route says so, or may run again.
+// A run ends when its client disconnects if the route is idempotent or cancels runs on disconnection.
 func TestNewAnswerKnowsWhetherTheRunIsCancelled(t *testing.T) {
 	sent := time.Unix(5, 0)
 	for _, trial := range []struct{ once, cancel, want bool }{
@@ -91,10 +91,11 @@
 		drawn.Kind.Once, drawn.Kind.Cancel = trial.once, trial.cancel
 		answer := drawn.NewAnswer("a", sent)
 		if answer.Cancels != trial.want || answer.Once != trial.once {
-			t.Errorf("once %v, cancel %v: cancels %v", trial.once, trial.cancel, answer.Cancels)
+			t.Errorf("at most once %v, cancel %v: recorded as cancelled on disconnection %v", trial.once, trial.cancel,
+				answer.Cancels)
 		}
 		if answer.Request != "q1-7" || answer.Route != "chat" || answer.Zone != "a" || !answer.Sent.Equal(sent) {
-			t.Errorf("%+v", answer)
+			t.Errorf("recorded %+v", answer)
 		}
 	}
 }
--- a/verify/loadtest/response.go
+++ b/verify/loadtest/response.go
@@ -9,19 +9,20 @@
 	"wardtray/verify/histories"
 )
 
-// EventParser reads a stream's lines as a client does, believing nothing but what it reads.
+// EventParser parses the lines of an event stream as a client does: from the bytes received alone.
 type EventParser struct {
-	// Record gets what was read.
+	// Record receives the events, set by the caller.
 	Record *histories.Answer
-	// event is the event under way. A field that an event leaves out keeps the value of the event before.
+	// event is the incomplete event. A field that an event omits keeps the value of the previous event.
 	event event
 }
 
-// event is what an event says: its name, its id and the run that it belongs to.
+// event is an event of a stream.
 type event struct {
 	name string
 	id   int
-	run  string
+	// run identifies the run that the event belongs to.
+	run string
 }
 
 // Names of the events that end a stream.
@@ -30,7 +31,7 @@
 	eventError = "error"
 )
 
-// ParseLine takes one line without its end; now is when it came. An empty line ends an event.
+// ParseLine parses one line without its line end, received at now. An empty line ends an event.
 func (parser *EventParser) ParseLine(now time.Time, line string) {
 	if line == "" {
 		parser.endEvent(now)
@@ -50,7 +51,7 @@
 	}
 }
 
-// endEvent records the event under way.
+// endEvent records the event, which is complete.
 func (parser *EventParser) endEvent(now time.Time) {
 	record := parser.Record
 	record.Last = now
@@ -65,10 +66,10 @@
 	record.Done = parser.event.name == eventDone
 }
 
-// kindUnreadable is recorded for a refusal that is not as documented.
+// kindUnreadable is the recorded kind of a refusal that doesn't have the documented form.
 const kindUnreadable = "unreadable"
 
-// ParseRejection takes a refusal's body.
+// ParseRejection records the body of a refusal.
 func ParseRejection(record *histories.Answer, body []byte) {
 	refusal := struct{ Kind, Detail, Ran string }{}
 	if err := json.Unmarshal(body, &refusal); err != nil || refusal.Kind == "" {
--- a/verify/loadtest/response_test.go
+++ b/verify/loadtest/response_test.go
@@ -39,7 +39,7 @@
 		}
 		if !slices.Equal(record.IDs, trial.want.IDs) || !slices.Equal(record.Runs, trial.want.Runs) ||
 			record.Done != trial.want.Done || record.Error != trial.want.Error || record.Kind != trial.want.Kind {
-			t.Errorf("%s: %+v instead of %+v", name, *record, trial.want)
+			t.Errorf("%s: recorded %+v, want %+v", name, *record, trial.want)
 		}
 		if record.First != time.Second || !record.Last.Equal(sent.Add(time.Second)) {
 			t.Errorf("%s: first after %v, last at %v", name, record.First, record.Last)
@@ -59,7 +59,7 @@
 		record := &histories.Answer{}
 		ParseRejection(record, []byte(body))
 		if record.Kind != want.Kind || record.Detail != want.Detail || record.Ran != want.Ran {
-			t.Errorf("%q: %+v instead of %+v", body, *record, want)
+			t.Errorf("%q: recorded %+v, want %+v", body, *record, want)
 		}
 	}
 }
--- a/verify/loadtest/sender.go
+++ b/verify/loadtest/sender.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt, responseTimeout a whole request.
+	// dialTimeout bounds a connection attempt, responseTimeout a request with its complete response.
 	dialTimeout     = time.Second
 	responseTimeout = 90 * time.Second
-	// dialAttempts is to how many daemons a client goes until a connection is made.
+	// dialAttempts bounds the number of daemons that a client tries to connect to.
 	dialAttempts = 5
-	// idleConnections and idleTimeout bound the connections to a daemon that are kept.
+	// idleConnections and idleTimeout bound the idle connections to a daemon.
 	idleConnections = 64
 	idleTimeout     = 5 * time.Second
-	// rejectionBytes is how much of a refusal's body is read.
+	// rejectionBytes bounds the part of a refusal's body that is read.
 	rejectionBytes = 64 << 10
 )
 
-// sender sends requests of clients and reads their answers.
+// sender sends the requests of clients and reads the responses.
 type sender struct {
 	model string
-	// pick returns the address of a daemon for a client of a zone, "" where there is none.
+	// pick returns the address of a daemon for a client in a zone, or "" if there is none.
 	pick func(zone string) string
 	http *http.Client
-	// terms are the newest that answers have named.
+	// terms holds the newest terms that responses have contained.
 	terms *terms
 }
 
@@ -48,26 +48,26 @@
 		terms: newTerms()}
 }
 
-// send sends a client's request and returns what became of it. A client whose connection was never made may go to
-// another daemon: nothing of its request was read.
+// send sends a client's request and returns its outcome. If no connection could be made, it tries another daemon, since
+// the first can't have read any of the request.
 func (sender *sender) send(ctx context.Context, client drawnClient) *histories.Answer {
 	record := client.request.NewAnswer(client.zone, time.Now())
 	record.Resent = client.request.Attempt > 1
-	staying, leave := context.WithCancel(ctx)
-	defer leave()
-	if client.hangsUpAfter > 0 {
-		timer := time.AfterFunc(client.hangsUpAfter, leave)
+	connected, disconnect := context.WithCancel(ctx)
+	defer disconnect()
+	if client.disconnectDelay > 0 {
+		timer := time.AfterFunc(client.disconnectDelay, disconnect)
 		defer timer.Stop()
 	}
 	for range dialAttempts {
 		record.Daemon = sender.pick(client.zone)
-		if record.Daemon == "" || sender.attempt(staying, client.request, record) {
+		if record.Daemon == "" || sender.attempt(connected, client.request, record) {
 			break
 		}
 	}
 	record.Got = time.Now()
-	// The request returns as soon as its connection is closed, and on one machine the close is there at once.
-	if staying.Err() != nil && !record.Done {
+	// The request returns as soon as its connection is closed, and on one machine the peer sees the close immediately.
+	if connected.Err() != nil && !record.Done {
 		record.HungUp, record.HungUpAt = true, record.Got
 	}
 	if record.Status == 0 {
@@ -76,8 +76,8 @@
 	return record
 }
 
-// attempt sends a request to the record's daemon and reads the answer; false means that the request was surely not
-// read.
+// attempt sends a request to the record's daemon and reads the response; it returns false if no connection was made, so
+// that the daemon can't have read the request.
 func (sender *sender) attempt(ctx context.Context, drawn Drawn, record *histories.Answer) bool {
 	request, err := sender.newRequest(ctx, drawn, record.Daemon)
 	if err != nil {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return true
 	}
-	// The body was read; its close can lose nothing.
+	// The body has been read, so that an error of Close loses nothing.
 	defer func() { _ = response.Body.Close() }()
 	record.Status = response.StatusCode
 	record.RetryAfter = response.Header.Get("Retry-After") != ""
@@ -101,7 +101,7 @@
 		readEvents(response.Body, record)
 		return true
 	}
-	// What can't be read is no refusal as documented, and is recorded as such.
+	// A body that can't be read completely is recorded as a refusal without the documented form.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, rejectionBytes))
 	ParseRejection(record, body)
 	return true
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A body that can't be taken again keeps the HTTP client from sending a request twice of its own accord.
+	// Without GetBody, the HTTP client doesn't retry the request by itself.
 	request.GetBody = nil
 	for name, values := range drawn.Headers(sender.model) {
 		for _, value := range values {
@@ -123,7 +123,7 @@
 	return request, nil
 }
 
-// isDialError reports whether no connection was made.
+// isDialError reports whether an error means that no connection was made.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
@@ -135,7 +135,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			// A stream that ends without its last event is a broken answer, not a lost one: some of it was read.
+			// The stream ended without its last event.
 			if !record.Done && !record.Error {
 				record.ConnectionLost = true
 			}
--- a/verify/loadtest/spec.go
+++ b/verify/loadtest/spec.go
@@ -6,13 +6,13 @@
 	"wardtray/config"
 )
 
-// markerLatencyTarget and markerConcurrencyLimit are those of the routes that only mark a document.
+// Settings of marker routes, which receive no requests: they distinguish one configuration version from another.
 const (
 	markerLatencyTarget    = 5 * time.Second
 	markerConcurrencyLimit = 0.1
 )
 
-// Spec returns the deployment's configuration document, with one more route for each marker.
+// Spec returns the deployment's configuration, with an additional route named after each marker.
 func (mix Mix) Spec(zones []string, markers ...string) *config.Spec {
 	spec := &config.Spec{
 		Backends: []config.Backend{
@@ -38,7 +38,7 @@
 	return spec
 }
 
-// route returns the kind's route to a backend.
+// route returns the configuration of the kind's route to a backend.
 func (kind Kind) route(backend string) config.Route {
 	return config.Route{
 		Name:               kind.Route,
--- a/verify/loadtest/spec_test.go
+++ b/verify/loadtest/spec_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each document of a deployment is valid, and has a route for each kind and each marker.
+// The configuration of every mix and variant is valid, and has a route for each kind and each marker.
 func TestSpecsAreValid(t *testing.T) {
 	for name, mix := range mixes {
 		for _, variant := range []Mix{mix, mix.WithResumption(), mix.WithDeadlines(), mix.Cancelling()} {
@@ -26,6 +26,6 @@
 	if route.Name != "r" || route.Backend != "p" || route.Idempotent || !route.CancelOnDisconnect ||
 		route.Value != 3 || time.Duration(route.LatencyTarget) != time.Second ||
 		time.Duration(route.Deadline) != time.Minute {
-		t.Errorf("%+v", route)
+		t.Errorf("route %+v", route)
 	}
 }
--- a/verify/loadtest/terms.go
+++ b/verify/loadtest/terms.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// terms are the newest terms that the clients of each zone have seen in answers. It is safe for concurrent use.
+// terms holds, for each zone, the newest term that its clients have received in responses. It is safe for concurrent
+// use.
 type terms struct {
 	mutex  sync.Mutex
 	newest map[string]uint64
@@ -13,7 +14,7 @@
 
 func newTerms() *terms { return &terms{newest: map[string]uint64{}} }
 
-// learn takes the term that an answer names, if it names one.
+// learn records the term in a response header; a value that isn't a number is ignored.
 func (terms *terms) learn(zone, value string) {
 	term, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
@@ -24,7 +25,7 @@
 	terms.newest[zone] = max(terms.newest[zone], term)
 }
 
-// of returns the newest term that the clients of a zone have seen, 0 for none.
+// of returns the newest term that the clients in a zone have received, or 0.
 func (terms *terms) of(zone string) uint64 {
 	terms.mutex.Lock()
 	defer terms.mutex.Unlock()
--- a/verify/placement/slot_simulation_test.go
+++ b/verify/placement/slot_simulation_test.go
@@ -47,7 +47,7 @@
 			setting.Policy, setting.Rate, setting.Length, setting.Seed = way, 60, 8*time.Second, 3
 			setting.Mix.Kinds = append([]loadtest.Kind{}, setting.Mix.Kinds...)
 			for place := range setting.Mix.Kinds {
-				setting.Mix.Kinds[place].Opening, setting.Mix.Kinds[place].Own = 0, 800
+				setting.Mix.Kinds[place].PrefixParts, setting.Mix.Kinds[place].UniqueTokens = 0, 800
 			}
 			results, err := Measure(setting)
 			if err != nil {
