--- a/verify/placement/batch_arrivals.go
+++ b/verify/placement/batch_arrivals.go
@@ -7,44 +7,46 @@
 	"wardtray/balancer/scheduler"
 )
 
-// Arrivals come in clumps of arrivalClump requests on average, at rates that swing by the part arrivalSwing over a time
-// of arrivalPeriod seconds, in each zone at another time.
+// Parameters of the arrivals, which are bursts at a rate that varies sinusoidally, with a different phase in each zone.
 const (
-	arrivalClump  = 3.0
-	arrivalSwing  = 0.15
-	arrivalPeriod = 11.0
-	// clumpLength is the time over which the requests of a clump arrive.
-	clumpLength = 10 * time.Millisecond
+	// meanBurstSize is the mean number of requests in a burst.
+	meanBurstSize = 3.0
+	// rateAmplitude is the amplitude of the rate, relative to its mean.
+	rateAmplitude = 0.15
+	// ratePeriod is the period of the rate, in seconds.
+	ratePeriod = 11.0
+	// burstDuration is the time over which the requests of a burst arrive.
+	burstDuration = 10 * time.Millisecond
 )
 
-// scheduleArrivals lets clumps of requests arrive from random clients of a zone, until the play's length is over.
+// scheduleArrivals schedules bursts of requests from random clients in a zone, until Length has passed.
 func (simulated *batchSimulation) scheduleArrivals(zone int) {
 	since := simulated.world.Now.Sub(simulated.started)
-	if since > simulated.play.Length {
+	if since > simulated.experiment.Length {
 		return
 	}
-	zones, random := simulated.play.Deployment.Zones, simulated.random
-	phase := since.Seconds()/arrivalPeriod + float64(zone)/float64(zones)
-	rate := simulated.workload.rate * simulated.play.Load / float64(zones) *
-		(1 + arrivalSwing*math.Sin(2*math.Pi*(phase)))
-	gap := time.Duration(random.ExpFloat64() * arrivalClump / rate * float64(time.Second))
+	zones, random := simulated.experiment.Deployment.Zones, simulated.random
+	phase := since.Seconds()/ratePeriod + float64(zone)/float64(zones)
+	rate := simulated.workload.rate * simulated.experiment.Load / float64(zones) *
+		(1 + rateAmplitude*math.Sin(2*math.Pi*(phase)))
+	gap := time.Duration(random.ExpFloat64() * meanBurstSize / rate * float64(time.Second))
 	simulated.world.After(gap, func() {
 		daemon := simulated.clients[random.Intn(len(simulated.clients)/zones)*zones+zone]
-		for more := true; more; more = random.Float64() > 1/arrivalClump {
-			simulated.world.After(time.Duration(random.Int63n(int64(clumpLength))),
+		for more := true; more; more = random.Float64() > 1/meanBurstSize {
+			simulated.world.After(time.Duration(random.Int63n(int64(burstDuration))),
 				func() { simulated.arrive(daemon) })
 		}
 		simulated.scheduleArrivals(zone)
 	})
 }
 
-// arrive draws a request and gives it to a daemon.
+// arrive generates a request and passes it to a daemon.
 func (simulated *batchSimulation) arrive(daemon *daemon) {
 	hotRoute := noRoute
 	if simulated.inMiddle() {
-		hotRoute = simulated.play.HotRoute
+		hotRoute = simulated.experiment.HotRoute
 	}
-	drawn := simulated.workload.draw(hotRoute, simulated.play.Hot)
+	drawn := simulated.workload.draw(hotRoute, simulated.experiment.Hot)
 	request := &batchRequest{
 		drawnRequest: drawn,
 		arrived:      simulated.world.Now,
@@ -59,7 +61,7 @@
 			Zone:          daemon.zone,
 		}),
 	}
-	simulated.results.update(drawn.route.Name, func(earned *Earned) { earned.arrived(request) })
+	simulated.results.update(drawn.route.Name, func(result *BatchResult) { result.recordArrival(request) })
 	daemon.budget.RecordRequest(simulated.world.Now)
 	simulated.schedule(daemon, request)
 }
--- a/verify/placement/batch_request.go
+++ b/verify/placement/batch_request.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// maximumRetries is how often a request is sent again at most.
+	// maximumRetries bounds the number of retries of a request.
 	maximumRetries = 3
-	// refusedConnectionTime is how long it takes to learn that a runner is unreachable.
+	// refusedConnectionTime is the time until a connection to an unreachable runner is refused.
 	refusedConnectionTime = time.Millisecond
-	// headBytes are what the heads of a request and its answer take on the way, eventBytes what an event does; a prompt
+	// headerBytes is the size of the headers of a request and its response, eventBytes the size of an event; a prompt
 	// token takes about one byte.
-	headBytes  = 1000
-	eventBytes = 80
+	headerBytes = 1000
+	eventBytes  = 80
 )
 
-// batchRequest is one request of a batchSimulation from its arrival on.
+// batchRequest is a request of a batchSimulation after its arrival.
 type batchRequest struct {
 	drawnRequest
 	queued  *scheduler.QueuedRequest
 	arrived time.Time
-	// window is the number of the window of time in which the request arrived.
+	// window is the number of the time window in which the request arrived.
 	window int
-	// retries is how often the request was given up by a runner so far.
+	// retries is the number of attempts after which retryElsewhere was called.
 	retries    int
 	firstEvent time.Time
 }
 
-// schedule gives a request to a daemon, at its arrival or for a retry.
+// schedule passes a request to a daemon's scheduler, at its arrival or for a retry.
 func (simulated *batchSimulation) schedule(daemon *daemon, request *batchRequest) {
 	daemon.schedule(simulated.world.Now, request.queued, func(decision scheduler.Decision) {
 		if decision.Kind == scheduler.Dispatch {
 			simulated.dispatch(daemon, request, decision)
 			return
 		}
-		simulated.results.update(request.route.Name, func(earned *Earned) { earned.Refused++ })
+		simulated.results.update(request.route.Name, func(result *BatchResult) { result.Refused++ })
 	})
 }
 
-// dispatch sends a request to the runner that the scheduler took.
+// dispatch sends a request to the runner that the scheduler chose.
 func (simulated *batchSimulation) dispatch(daemon *daemon, request *batchRequest, decision scheduler.Decision) {
 	world, runner := simulated.world, simulated.runners.available(decision.Runner.ID)
-	simulated.results.update(request.route.Name, func(earned *Earned) { earned.Sends++ })
+	simulated.results.update(request.route.Name, func(result *BatchResult) { result.Sends++ })
 	if runner == nil {
 		daemon.table.Eject(world.Now, decision.Runner.ID, "unreachable")
-		// What no connection was made for costs no retry budget.
+		// A retry after a refused connection doesn't use the retry budget.
 		world.After(refusedConnectionTime, func() { simulated.retryElsewhere(daemon, request, decision, true) })
 		return
 	}
@@ -65,26 +65,26 @@
 	}
 }
 
-// retryElsewhere schedules a request anew that its runner did not take, if it has retries left and the retry budget
-// allows it; a free retry does without the budget.
+// retryElsewhere schedules a request again that its runner did not accept, if it has retries left and the retry budget
+// allows it. An unbudgeted retry doesn't use the budget.
 func (simulated *batchSimulation) retryElsewhere(
 	daemon *daemon,
 	request *batchRequest,
 	decision scheduler.Decision,
-	free bool,
+	unbudgeted bool,
 ) {
 	now, runner := simulated.world.Now, decision.Runner.ID
 	daemon.scheduler.Release(now, request.queued, runner)
 	request.queued.Requirements.ExcludedRunners[runner] = true
 	request.retries++
-	if request.retries > maximumRetries || !free && !daemon.budget.AllowRetry(now) {
-		simulated.results.update(request.route.Name, func(earned *Earned) { earned.Failed++ })
+	if request.retries > maximumRetries || !unbudgeted && !daemon.budget.AllowRetry(now) {
+		simulated.results.update(request.route.Name, func(result *BatchResult) { result.Failed++ })
 		return
 	}
 	simulated.schedule(daemon, request)
 }
 
-// attempt is one request at one runner.
+// attempt is an attempt to run a request at a runner.
 type attempt struct {
 	simulated *batchSimulation
 	daemon    *daemon
@@ -94,7 +94,7 @@
 	sent      time.Time
 }
 
-// sequenceRequest is what the runner gets of the attempt.
+// sequenceRequest returns the request that the runner receives.
 func (attempt *attempt) sequenceRequest() sequenceRequest {
 	request := attempt.request
 	return sequenceRequest{
@@ -109,36 +109,36 @@
 	}
 }
 
-// firstEventReceived takes the first event of an answer, of whose prompt so many tokens were cached.
+// firstEventReceived handles the first event of an answer; cached is the number of prompt tokens that were cached.
 func (attempt *attempt) firstEventReceived(cached int) {
 	simulated, daemon, request, runner := attempt.simulated, attempt.daemon, attempt.request, attempt.runner
 	now := simulated.world.Now
 	request.firstEvent = now
 	daemon.table.RequestSucceeded(runner.id)
-	// The report that comes with a response tells nothing of memory.
+	// The load report in a response contains no memory use.
 	report := runner.report()
 	report.MemoryTokens, report.UsedTokens = 0, 0
 	daemon.table.RecordReport(now, runner.id, report)
 	daemon.scheduler.FirstEventReceived(request.queued, attempt.decision, now.Sub(attempt.sent))
 	reread := simulated.rereadTokens(request, cached)
-	simulated.results.update(request.route.Name, func(earned *Earned) {
-		earned.First = append(earned.First, now.Sub(request.arrived))
-		earned.RereadTokens += reread
+	simulated.results.update(request.route.Name, func(result *BatchResult) {
+		result.FirstEventTimes = append(result.FirstEventTimes, now.Sub(request.arrived))
+		result.RereadTokens += reread
 		if runner.zone != daemon.zone {
-			earned.CrossZone++
-			earned.CrossZoneBytes += request.bytes(runner.figures.Stride)
+			result.CrossZone++
+			result.CrossZoneBytes += request.bytes(runner.profile.Stride)
 		}
 	})
 }
 
-// bytes is about what a request and its answer take on the way, with events of so many tokens.
+// bytes returns the approximate network traffic of a request and its answer, whose events have stride tokens each.
 func (request *batchRequest) bytes(stride int) float64 {
-	return headBytes + float64(request.promptTokens) +
+	return headerBytes + float64(request.promptTokens) +
 		eventBytes*float64(request.answerTokens)/float64(stride)
 }
 
-// rereadTokens counts the tokens of a prompt's shared parts that some runner had read before and that were read anew
-// since only so many were cached; it notes the parts as read.
+// rereadTokens returns the number of tokens of a prompt's shared parts that some runner had prefilled before and that
+// were not cached, so that they were prefilled again. It records the parts as prefilled.
 func (simulated *batchSimulation) rereadTokens(request *batchRequest, cached int) (reread int) {
 	shared := request.queued.Keys[:len(request.queued.Keys)-1]
 	for index, key := range shared {
@@ -151,17 +151,17 @@
 	return reread
 }
 
-// finished takes the end of an answer, which is complete or not.
-func (attempt *attempt) finished(result sequenceResult) {
+// finished handles the end of an attempt, with a complete or an incomplete answer.
+func (attempt *attempt) finished(outcome sequenceOutcome) {
 	simulated, daemon, request := attempt.simulated, attempt.daemon, attempt.request
 	now := simulated.world.Now
-	inTime := result.worstPause <= request.route.Pause &&
+	inTime := outcome.longestPause <= request.route.MaximumPause &&
 		request.firstEvent.Sub(request.arrived) <= request.route.LatencyTarget
 	simulated.results.update(request.route.Name,
-		func(earned *Earned) { earned.ended(request, result.complete, inTime) })
-	if result.complete {
+		func(result *BatchResult) { result.recordEnd(request, outcome.complete, inTime) })
+	if outcome.complete {
 		daemon.scheduler.RequestCompleted(0, 0, now.Sub(attempt.sent))
-	} else if !result.started {
+	} else if !outcome.started {
 		daemon.table.Eject(now, attempt.runner.id, "gave no first event")
 	}
 	daemon.release(now, request.queued, attempt.runner.id)
--- a/verify/placement/batch_runner.go
+++ b/verify/placement/batch_runner.go
@@ -12,49 +12,51 @@
 	"wardtray/verify/simulation"
 )
 
-// Figures are those of a batching engine.
-type Figures struct {
-	// Slots is how many requests run at once, Queue how many more may wait.
+// BatchProfile configures the speed and the capacity of an engine with continuous batching.
+type BatchProfile struct {
+	// Slots is the maximum number of running requests, Queue the maximum number of waiting requests.
 	Slots, Queue int
-	// A step takes Step, PerSlot for each request in it and PerContext for each thousand tokens that these
-	// have before them; each prompt token takes PerToken, each million pairs of tokens PerPairs.
+	// Step is the base duration of a step. PerSlot is added for each decoding request, PerContext for each thousand
+	// tokens in the contexts of these requests, PerToken for each prompt token, and PerPairs for each million pairs of a
+	// prompt token and a token before it in its context.
 	Step, PerSlot, PerContext, PerToken, PerPairs time.Duration
-	// Stride is how many tokens an event holds, Chunk how many prompt tokens a step reads.
+	// Stride is the number of tokens in an event, Chunk the maximum number of tokens that a step processes.
 	Stride, Chunk int
-	// MemoryTokens is what running requests and kept parts share.
+	// MemoryTokens is the memory for the contexts of running requests, in tokens. The prefix cache's capacity is three
+	// quarters of it.
 	MemoryTokens int
-	// ReportLag is how old a report is when it is given.
+	// ReportLag is the age of a load report when a daemon receives it.
 	ReportLag time.Duration
-	// Overtaking lets a more urgent prompt be read before others that are half read.
+	// Overtaking allows the prefill of a more urgent prompt before the rest of a prompt that is partly prefilled.
 	Overtaking bool
 }
 
-// batchRunner is the model of a runner that batches: it runs requests side by side in steps. Each step writes a token
-// of every request whose prompt is read, and reads a chunk of the prompts of others.
+// batchRunner models a runner with continuous batching, which runs requests concurrently in steps. Each step decodes a
+// token of every request whose prompt is prefilled, and prefills chunks of the other prompts.
 type batchRunner struct {
 	id, zone string
-	figures  Figures
-	// slowdown multiplies the time of each step.
+	profile  BatchProfile
+	// slowdown multiplies the duration of each step.
 	slowdown       float64
 	world          *simulation.World
 	cache          *emulator.Cache[kvblock.BlockKey]
 	running, queue []*sequence
-	// accepted is how many requests were accepted so far.
+	// accepted is the number of requests accepted so far.
 	accepted int
-	// stepping means that a step is under way.
+	// stepping reports whether a step is in progress.
 	stepping bool
-	// crashed runners neither accept requests nor end steps.
+	// crashed is set by crash; a crashed runner doesn't complete its step.
 	crashed bool
 	reports reportHistory
 }
 
-// report is the load that the runner has now; a request counts as waiting until its prompt is read.
+// report returns the runner's current load; a request counts as waiting until its prompt is prefilled.
 func (runner *batchRunner) report() load.Report {
 	report := load.Report{
-		Slots:        runner.figures.Slots,
+		Slots:        runner.profile.Slots,
 		Waiting:      len(runner.queue),
 		UsedTokens:   runner.usedTokens(),
-		MemoryTokens: runner.figures.MemoryTokens,
+		MemoryTokens: runner.profile.MemoryTokens,
 	}
 	for _, running := range runner.running {
 		if running.decoding {
@@ -66,7 +68,7 @@
 	return report
 }
 
-// usedTokens are the tokens of memory that running requests take.
+// usedTokens returns the memory that running requests use, in tokens.
 func (runner *batchRunner) usedTokens() (tokens int) {
 	for _, running := range runner.running {
 		tokens += running.contextTokens()
@@ -74,9 +76,9 @@
 	return tokens
 }
 
-// accept queues a request; it reports whether there was capacity for it.
+// accept queues a request, and reports whether there was capacity for it.
 func (runner *batchRunner) accept(request sequenceRequest) bool {
-	if len(runner.running)+len(runner.queue) >= runner.figures.Slots+runner.figures.Queue {
+	if len(runner.running)+len(runner.queue) >= runner.profile.Slots+runner.profile.Queue {
 		return false
 	}
 	runner.accepted++
@@ -87,7 +89,7 @@
 	return true
 }
 
-// step plans one step and begins it; without work, the runner rests.
+// step plans and starts the next step; without work, the runner stops stepping until it accepts a request.
 func (runner *batchRunner) step() {
 	sort.SliceStable(runner.queue,
 		func(left, right int) bool { return runner.queue[left].before(runner.queue[right]) })
@@ -100,7 +102,7 @@
 	runner.world.After(length, func() { runner.finishStep(planned) })
 }
 
-// finishStep gives out what a step made, and begins the next.
+// finishStep applies the results of a step and starts the next step.
 func (runner *batchRunner) finishStep(done *step) {
 	now := runner.world.Now
 	if runner.crashed {
@@ -109,7 +111,7 @@
 	}
 	for _, sequence := range done.decoding {
 		if !sequence.ended {
-			sequence.writeToken(now, runner.figures.Stride)
+			sequence.writeToken(now, runner.profile.Stride)
 		}
 	}
 	started := advancePrompts(now, done.chunks)
@@ -120,14 +122,14 @@
 	}
 	runner.dropExpired(now)
 	runner.step()
-	// The first events are given out once the next step is planned, the latest arrival first.
+	// The first events are sent after the next step is planned, the latest arrival first.
 	for _, sequence := range slices.Backward(started) {
 		sequence.firstEvent(sequence.cached)
 	}
 }
 
-// advancePrompts counts what was read of each prompt; it returns the sequences that have now written their first token,
-// by arrival.
+// advancePrompts records the prefilled tokens of each sequence, and returns the sequences that have thereby produced
+// their first token, in order of arrival.
 func advancePrompts(now time.Time, chunks map[*sequence]int) (started []*sequence) {
 	reading := slices.SortedFunc(maps.Keys(chunks),
 		func(left, right *sequence) int { return left.arrival - right.arrival })
@@ -139,7 +141,7 @@
 	return started
 }
 
-// removeFinished takes those out of the running that are complete or past their deadline, and returns them.
+// removeFinished removes and returns the running sequences that are complete or past their deadline.
 func (runner *batchRunner) removeFinished(now time.Time) (finished []*sequence) {
 	remaining := runner.running[:0]
 	for _, sequence := range runner.running {
@@ -156,9 +158,9 @@
 	return finished
 }
 
-// evictOverMemory sends the last to be read back to the queue until the rest fits in memory.
+// evictOverMemory moves the running sequence of the lowest priority back to the queue until the others fit in memory.
 func (runner *batchRunner) evictOverMemory() {
-	for runner.usedTokens() > runner.figures.MemoryTokens && len(runner.running) > 1 {
+	for runner.usedTokens() > runner.profile.MemoryTokens && len(runner.running) > 1 {
 		last := 0
 		for index, sequence := range runner.running {
 			if !sequence.before(runner.running[last]) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// dropExpired ends queued requests that are past their deadline.
+// dropExpired ends the queued sequences that are past their deadline.
 func (runner *batchRunner) dropExpired(now time.Time) {
 	remaining := runner.queue[:0]
 	for _, sequence := range runner.queue {
@@ -185,7 +187,7 @@
 	runner.queue = remaining
 }
 
-// crash ends everything that runs or waits, incomplete.
+// crash ends all running and queued sequences, incomplete.
 func (runner *batchRunner) crash() {
 	runner.crashed = true
 	lost := slices.Concat(runner.running, runner.queue)
--- a/verify/placement/batch_runner_test.go
+++ b/verify/placement/batch_runner_test.go
@@ -10,10 +10,11 @@
 	"wardtray/verify/simulation"
 )
 
-// newTestBatchRunner has two slots, one place in the queue, and steps of 10 ms that read 100 prompt tokens.
+// newTestBatchRunner returns a runner with two slots, a queue of one request, and steps of 10 ms that process 100
+// tokens.
 func newTestBatchRunner() *batchRunner {
 	return &batchRunner{
-		figures: Figures{
+		profile: BatchProfile{
 			Slots:        2,
 			Queue:        1,
 			Step:         10 * time.Millisecond,
@@ -27,26 +28,26 @@
 	}
 }
 
-// observedRun is what came of a request, in time since the runner's begin.
+// observedRun records the outcome of a request, with times since the request was created.
 type observedRun struct {
 	firstAt, endedAt time.Duration
 	cached           int
 	ends             int
-	result           sequenceResult
+	outcome          sequenceOutcome
 }
 
-// observe makes a request that notes what comes of it.
+// observe returns a request and the record of its outcome.
 func observe(runner *batchRunner, prompt, answer int) (sequenceRequest, *observedRun) {
-	begin, observed := runner.world.Now, &observedRun{}
+	created, observed := runner.world.Now, &observedRun{}
 	return sequenceRequest{
 		prompt:  prompt,
 		answer:  answer,
-		expires: begin.Add(time.Minute),
+		expires: created.Add(time.Minute),
 		firstEvent: func(cached int) {
-			observed.firstAt, observed.cached = runner.world.Now.Sub(begin), cached
+			observed.firstAt, observed.cached = runner.world.Now.Sub(created), cached
 		},
-		finished: func(result sequenceResult) {
-			observed.endedAt, observed.result = runner.world.Now.Sub(begin), result
+		finished: func(outcome sequenceOutcome) {
+			observed.endedAt, observed.outcome = runner.world.Now.Sub(created), outcome
 			observed.ends++
 		},
 	}, observed
@@ -55,25 +56,26 @@
 func (observed *observedRun) check(t *testing.T, name string, firstAt, endedAt time.Duration, complete bool) {
 	t.Helper()
 	if observed.ends != 1 || observed.firstAt != firstAt || observed.endedAt != endedAt ||
-		observed.result.complete != complete {
-		t.Errorf("%s: %+v instead of the first event at %v and the end at %v, complete: %v", name, *observed, firstAt,
+		observed.outcome.complete != complete {
+		t.Errorf("%s: %+v, want the first event at %v and the end at %v, complete: %v", name, *observed, firstAt,
 			endedAt, complete)
 	}
 }
 
-// A prompt of 250 tokens takes three steps, whose last writes a token; four more tokens take four steps.
+// The prefill of 250 tokens takes three steps, the last of which produces the first answer token; four more tokens take
+// four steps.
 func TestBatchRunnerReadsInChunksAndWritesATokenAStep(t *testing.T) {
 	runner := newTestBatchRunner()
 	request, observed := observe(runner, 250, 5)
 	runner.accept(request)
 	runner.world.Run(time.Second)
 	observed.check(t, "alone", 30*time.Millisecond, 70*time.Millisecond, true)
-	// Tokens 2, 4 and 5 end an event, with two steps between the second and the first of these at most.
-	if observed.result.worstPause != 20*time.Millisecond {
-		t.Errorf("worst pause %v instead of 20ms", observed.result.worstPause)
+	// Tokens 2, 4 and 5 end an event; the longest pause is the two steps between tokens 2 and 4.
+	if observed.outcome.longestPause != 20*time.Millisecond {
+		t.Errorf("longest pause %v, want 20ms", observed.outcome.longestPause)
 	}
 	if runner.stepping {
-		t.Error("a runner without work still steps")
+		t.Error("a runner without work still runs steps")
 	}
 }
 
@@ -85,11 +87,11 @@
 		accepted = append(accepted, runner.accept(request))
 	}
 	if want := []bool{true, true, true, false}; !slices.Equal(accepted, want) {
-		t.Errorf("accepted %v instead of %v", accepted, want)
+		t.Errorf("accepted %v, want %v", accepted, want)
 	}
 	runner.world.Run(30 * time.Millisecond)
 	if report := runner.report(); report.Running != 2 || report.Waiting != 1 || report.Slots != 2 {
-		t.Errorf("reported %+v", report)
+		t.Errorf("reported %+v, want 2 running, 1 waiting and 2 slots", report)
 	}
 }
 
@@ -100,30 +102,31 @@
 	runner.accept(request)
 	runner.world.Run(time.Second)
 	observed.check(t, "expired", 10*time.Millisecond, 60*time.Millisecond, false)
-	if !observed.result.started {
-		t.Error("a request that was decoding counts as not started")
+	if !observed.outcome.started {
+		t.Error("a request that was decoding is reported as not started")
 	}
 }
 
-// What runs out of memory is read anew with what it had written, and completes.
+// When memory runs out, the request that arrived last is evicted. It is prefilled again with the answer tokens produced
+// so far, and completes after the other.
 func TestBatchRunnerEvictsTheLastAndReadsItAnew(t *testing.T) {
 	runner := newTestBatchRunner()
-	runner.figures.MemoryTokens = 210
+	runner.profile.MemoryTokens = 210
 	first, firstObserved := observe(runner, 100, 20)
 	second, secondObserved := observe(runner, 100, 20)
 	runner.accept(first)
 	runner.accept(second)
 	runner.world.Run(5 * time.Second)
-	if firstObserved.ends != 1 || !firstObserved.result.complete || secondObserved.ends != 1 ||
-		!secondObserved.result.complete {
-		t.Fatalf("%+v and %+v instead of two complete answers", *firstObserved, *secondObserved)
+	if firstObserved.ends != 1 || !firstObserved.outcome.complete || secondObserved.ends != 1 ||
+		!secondObserved.outcome.complete {
+		t.Fatalf("%+v and %+v, want two complete answers", *firstObserved, *secondObserved)
 	}
 	if firstObserved.endedAt >= secondObserved.endedAt {
-		t.Errorf("the one that was evicted ended at %v, the other at %v", secondObserved.endedAt,
+		t.Errorf("the evicted request ended at %v, before the other at %v", secondObserved.endedAt,
 			firstObserved.endedAt)
 	}
-	if secondObserved.result.worstPause < 100*time.Millisecond {
-		t.Errorf("worst pause %v of the one that was evicted", secondObserved.result.worstPause)
+	if secondObserved.outcome.longestPause < 100*time.Millisecond {
+		t.Errorf("longest pause %v of the evicted request, want at least 100ms", secondObserved.outcome.longestPause)
 	}
 }
 
@@ -132,14 +135,14 @@
 	cached := make([]int, 0, 2)
 	for range 2 {
 		request, observed := observe(runner, 250, 1)
-		request.keys = blockKeys.BlockKeys([]string{"opening"}, kvblock.Extra{})
+		request.keys = blockKeys.BlockKeys([]string{"prefix"}, kvblock.Extra{})
 		request.partTokens = []int{200}
 		runner.accept(request)
 		runner.world.Run(time.Second)
 		cached = append(cached, observed.cached)
 	}
 	if want := []int{0, 200}; !slices.Equal(cached, want) {
-		t.Errorf("cached %v instead of %v", cached, want)
+		t.Errorf("cached %v, want %v", cached, want)
 	}
 }
 
@@ -155,8 +158,8 @@
 	runner.crash()
 	runner.world.Run(time.Second)
 	for number, observed := range all {
-		if observed.ends != 1 || observed.result.complete {
-			t.Errorf("request %d: %+v instead of one incomplete end", number, *observed)
+		if observed.ends != 1 || observed.outcome.complete {
+			t.Errorf("request %d: %+v, want one incomplete end", number, *observed)
 		}
 	}
 	if len(runner.running)+len(runner.queue) != 0 || runner.stepping {
@@ -167,7 +170,7 @@
 func TestOvertakingReadsTheMoreUrgentFirst(t *testing.T) {
 	for _, overtaking := range []bool{false, true} {
 		runner := newTestBatchRunner()
-		runner.figures.Overtaking = overtaking
+		runner.profile.Overtaking = overtaking
 		long, longObserved := observe(runner, 500, 1)
 		long.urgency = 1
 		runner.accept(long)
--- a/verify/placement/batch_simulation.go
+++ b/verify/placement/batch_simulation.go
@@ -12,75 +12,77 @@
 )
 
 const (
-	// batchReportPeriod is how often batch runners report.
+	// batchReportPeriod is the interval between the load reports of a batch runner.
 	batchReportPeriod = 25 * time.Millisecond
-	// batchDrainTime is for how long the simulation goes on after the last arrival.
+	// batchDrainTime is the simulated time after the last arrival, in which the requests in progress end.
 	batchDrainTime = 25 * time.Second
 )
 
-// batchRetrySettings allow a fifth of the requests to be retried, and some more over the whole fleet.
+// batchRetrySettings allows retries of a fifth of the requests, and some more in the complete fleet.
 var batchRetrySettings = retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}
 
-// Play is one measurement of a deployment.
+// Play configures one simulation of a deployment with batch runners. Shares are fractions from 0 to 1.
 type Play struct {
 	Deployment Deployment
 	// Load multiplies the routes' rates.
-	Load   float64
+	Load float64
+	// Length is the simulated time in which requests arrive.
 	Length time.Duration
 	Seed   int64
 	// Policy is one of PolicyNames.
 	Policy string
-	// ReportAge is how old a runner's report may grow before it is polled; 0: never.
+	// ReportAge is the age of a runner's report beyond which daemons poll the runner; 0: they never poll.
 	ReportAge time.Duration
-	// Hot is the part of HotRoute's requests that carry one opening, from a third to two thirds of the time.
+	// Hot is the share of HotRoute's requests in the middle third of Length whose prompts have the same shared parts.
 	Hot      float64
 	HotRoute string
-	// Slow is the part of the runners that are three times slower, Crash of those that crash, in the same time.
+	// Slow is the share of the runners that are slowed down by slowRunnerFactor in the middle third of Length, Crash the
+	// share of the runners that crash at its beginning; they are replaced at its end.
 	Slow, Crash float64
-	// Release is the part of the runners that are replaced one after the other from the beginning on.
+	// Release is the share of the runners that are replaced in turn, at equal intervals over Length.
 	Release float64
 }
 
-// batchSimulation lets a workload arrive at daemons that place it on batch runners.
+// batchSimulation simulates a workload that daemons place on batch runners.
 type batchSimulation struct {
-	play     Play
-	world    *simulation.World
-	random   *rand.Rand
-	started  time.Time
-	runners  *runnerSet
-	workload *workload
-	daemons  []*daemon
-	// clients are the daemons to which each client sends; client i is in zone i modulo the number of zones.
+	experiment Play
+	world      *simulation.World
+	random     *rand.Rand
+	started    time.Time
+	runners    *runnerSet
+	workload   *workload
+	daemons    []*daemon
+	// clients holds the daemon to which each client sends; client i is in zone i modulo the number of zones.
 	clients []*daemon
-	// knownBlocks are the blocks of prompts that some runner has read.
+	// knownBlocks holds the blocks of prompts that some runner has prefilled.
 	knownBlocks map[kvblock.BlockKey]bool
-	results     byRoute[Earned]
+	results     byRoute[BatchResult]
 }
 
-// Run simulates it and returns what was earned for each route and, under "", for all. The error is that of an index
-// which can't be made.
-func (play Play) Run() (map[string]*Earned, error) {
-	world := simulation.NewWorld(play.Seed)
+// Run runs the simulation and returns the results of each route and, under "", of all routes together. It returns an
+// error if a daemon's prefix index can't be created.
+func (experiment Play) Run() (map[string]*BatchResult, error) {
+	world := simulation.NewWorld(experiment.Seed)
 	simulated := &batchSimulation{
-		play:    play,
-		world:   world,
-		random:  rand.New(rand.NewSource(play.Seed)),
-		started: world.Now,
+		experiment: experiment,
+		world:      world,
+		random:     rand.New(rand.NewSource(experiment.Seed)),
+		started:    world.Now,
 		runners: &runnerSet{
 			world:   world,
-			figures: play.Deployment.Engine,
+			profile: experiment.Deployment.Engine,
 			byID:    map[string]*batchRunner{},
 		},
 		knownBlocks: map[kvblock.BlockKey]bool{},
-		results:     byRoute[Earned]{allRoutes: newEarned()},
+		results:     byRoute[BatchResult]{allRoutes: newBatchResult()},
 	}
-	for number := range play.Deployment.Runners {
-		simulated.runners.add(zoneName(number % play.Deployment.Zones))
+	for number := range experiment.Deployment.Runners {
+		simulated.runners.add(zoneName(number % experiment.Deployment.Zones))
 	}
-	for _, route := range play.Deployment.Routes {
-		simulated.results[route.Name] = newEarned()
+	for _, route := range experiment.Deployment.Routes {
+		simulated.results[route.Name] = newBatchResult()
 	}
-	simulated.workload = newWorkload(play.Deployment, simulated.random)
+	simulated.workload = newWorkload(experiment.Deployment, simulated.random)
 	if err := simulated.addDaemons(); err != nil {
 		return nil, err
 	}
@@ -88,18 +90,18 @@
 	simulated.runners.recordReports()
 	simulated.pollReports()
 	rebalancePeriodically(world, simulated.daemons)
-	for zone := range play.Deployment.Zones {
+	for zone := range experiment.Deployment.Zones {
 		simulated.scheduleArrivals(zone)
 	}
 	simulated.scheduleFaults()
-	world.Run(play.Length + batchDrainTime)
+	world.Run(experiment.Length + batchDrainTime)
 	return simulated.results, nil
 }
 
 func zoneName(number int) string { return fmt.Sprint("z", number) }
 
 func (simulated *batchSimulation) addDaemons() error {
-	deployment := simulated.play.Deployment
+	deployment := simulated.experiment.Deployment
 	zones := make([]string, deployment.Zones)
 	for number := range zones {
 		zones[number] = zoneName(number)
@@ -116,31 +118,31 @@
 				EventTokens:  deployment.Engine.Stride,
 			},
 		},
-		policy: simulated.play.Policy,
+		policy: simulated.experiment.Policy,
 		budget: func() *retrybudget.Budget { return retrybudget.New(batchRetrySettings, daemonCount) },
 	}, simulated.random)
 	simulated.daemons = daemons
 	return err
 }
 
-// addClients gives each client a daemon of its zone at random, so that shares are uneven.
+// addClients assigns each client a random daemon in its zone, so that the daemons' loads are uneven.
 func (simulated *batchSimulation) addClients() {
-	deployment := simulated.play.Deployment
+	deployment := simulated.experiment.Deployment
 	for number := range deployment.Clients {
 		zone := zoneName(number % deployment.Zones)
-		var near []*daemon
+		var local []*daemon
 		for _, daemon := range simulated.daemons {
 			if daemon.zone == zone {
-				near = append(near, daemon)
+				local = append(local, daemon)
 			}
 		}
-		simulated.clients = append(simulated.clients, near[simulated.random.Intn(len(near))])
+		simulated.clients = append(simulated.clients, local[simulated.random.Intn(len(local))])
 	}
 }
 
-// pollReports lets each daemon poll runners whose reports are old, from a random moment on.
+// pollReports starts the periodic polls of each daemon, at a random time, for runners whose reports exceed ReportAge.
 func (simulated *batchSimulation) pollReports() {
-	world, reportAge := simulated.world, simulated.play.ReportAge
+	world, reportAge := simulated.world, simulated.experiment.ReportAge
 	if reportAge == 0 {
 		return
 	}
@@ -163,6 +165,6 @@
 	}
 	if report, found := runner.reports.read(); found {
 		daemon.table.RecordReport(simulated.world.Now, id, report)
-		simulated.results[allRoutes].Probes++
+		simulated.results[allRoutes].Polls++
 	}
 }
--- a/verify/placement/batch_simulation_test.go
+++ b/verify/placement/batch_simulation_test.go
@@ -5,107 +5,115 @@
 	"time"
 )
 
-func played(t *testing.T, deployment, way string, change func(play *Play)) map[string]*Earned {
+// runExperiment runs a simulation of a deployment at the usual load; change may modify its settings.
+func runExperiment(t *testing.T, deployment, policy string, change func(experiment *Play)) map[string]*BatchResult {
 	t.Helper()
-	play := Play{
+	experiment := Play{
 		Deployment: Deployments[deployment],
 		Load:       1,
 		Length:     9 * time.Second,
 		Seed:       5,
-		Policy:     way,
+		Policy:     policy,
 		ReportAge:  time.Second,
 	}
 	if change != nil {
-		change(&play)
+		change(&experiment)
 	}
-	results, err := play.Run()
+	results, err := experiment.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return results
 }
 
-// On batching engines, at the usual load: more is earned after prices than by the reports alone, and what all runners
-// together read once more is half of it at most.
+// Guards against a policy that places requests no better than by load reports alone: with batching engines at the usual
+// load, the value net of costs must be higher and the number of tokens prefilled again at most half of the baseline's.
 func TestForecastBeatsReports(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range []string{"guild", "ferries", "slow-engines"} {
-		results := map[string]*Earned{}
-		for _, way := range []string{"wardtray", "least-loaded"} {
-			// Three seeds, since engines with few slots get few requests.
-			sums, err := total(Play{
+		results := map[string]*BatchResult{}
+		for _, policy := range []string{"wardtray", "least-loaded"} {
+			// Three seeds, since engines with few slots receive few requests.
+			sums, err := runSeeds(Play{
 				Deployment: Deployments[deployment],
 				Load:       1,
 				Length:     9 * time.Second,
 				Seed:       5,
-				Policy:     way,
+				Policy:     policy,
 				ReportAge:  time.Second,
 			}, 3)
 			if err != nil {
 				t.Fatal(err)
 			}
-			results[way] = sums[""]
+			results[policy] = sums[""]
 		}
-		ours, reports := results["wardtray"], results["least-loaded"]
-		// Engines with few slots and few requests earn much the same either way; what they read again tells.
-		if ours.Share() < reports.Share()-0.01 || ours.Net() < reports.Net()+0.05 {
-			t.Errorf("%s: earned %.3f, after prices %.3f, by reports %.3f and %.3f", deployment, ours.Share(),
-				ours.Net(), reports.Share(), reports.Net())
+		wardtray, baseline := results["wardtray"], results["least-loaded"]
+		// With few slots and few requests, the values are almost equal; the tokens prefilled again make the difference.
+		if wardtray.ValueShare() < baseline.ValueShare()-0.01 || wardtray.NetShare() < baseline.NetShare()+0.05 {
+			t.Errorf("%s: value share %.3f, net of costs %.3f, with least-loaded %.3f and %.3f", deployment,
+				wardtray.ValueShare(), wardtray.NetShare(), baseline.ValueShare(), baseline.NetShare())
 		}
-		if 2*ours.RereadTokens > reports.RereadTokens {
-			t.Errorf("%s: %d tokens read again, by reports %d", deployment, ours.RereadTokens, reports.RereadTokens)
+		if 2*wardtray.RereadTokens > baseline.RereadTokens {
+			t.Errorf("%s: %d tokens prefilled again, with least-loaded %d", deployment, wardtray.RereadTokens,
+				baseline.RereadTokens)
 		}
-		if ours.Refused > 0 || 50*ours.Failed > ours.Requests {
-			t.Errorf("%s: %d refused and %d lost of %d", deployment, ours.Refused, ours.Failed, ours.Requests)
+		if wardtray.Refused > 0 || 50*wardtray.Failed > wardtray.Requests {
+			t.Errorf("%s: %d refused and %d failed of %d requests", deployment, wardtray.Refused, wardtray.Failed,
+				wardtray.Requests)
 		}
 	}
 }
 
-// Well above what the fleet can do, those that can be in time are, and of the largest at least half as many
-// are served as of the rest.
+// Guards against wasted capacity and starvation of large requests under overload: at 1.5 times the usual load, the
+// value must exceed that of the baseline, and the share of large requests that are served must be at least half of the
+// share of all requests.
 func TestOverloadOfBatches(t *testing.T) {
 	t.Parallel()
-	change := func(play *Play) { play.Load = 1.5 }
-	ours, reports := played(t, "guild", "wardtray", change), played(t, "guild", "least-loaded", change)
-	if ours[""].Share() < reports[""].Share()+0.1 {
-		t.Errorf("earned %.3f, by reports %.3f", ours[""].Share(), reports[""].Share())
+	change := func(experiment *Play) { experiment.Load = 1.5 }
+	wardtray, baseline := runExperiment(t, "guild", "wardtray", change), runExperiment(t, "guild", "least-loaded", change)
+	if wardtray[""].ValueShare() < baseline[""].ValueShare()+0.1 {
+		t.Errorf("value share %.3f, with least-loaded %.3f", wardtray[""].ValueShare(), baseline[""].ValueShare())
 	}
-	for route, earned := range ours {
-		served := earned.InTime + earned.Late
-		if 2*earned.LargeServed*earned.Requests < served*earned.Large {
-			t.Errorf("%q: %d of %d large ones served, %d of %d in all", route, earned.LargeServed, earned.Large, served,
-				earned.Requests)
+	for route, result := range wardtray {
+		served := result.InTime + result.Late
+		if 2*result.LargeServed*result.Requests < served*result.Large {
+			t.Errorf("%q: %d of %d large requests served, %d of %d of all", route, result.LargeServed, result.Large, served,
+				result.Requests)
 		}
 	}
 }
 
-// A crowd's opening spreads over several runners, and slow and crashed runners are gone around.
+// Requests with a popular prefix must be spread over several runners, and slow, crashed and draining runners avoided:
+// with each fault, the value net of costs must exceed that of the baseline, and no request may be refused.
 func TestTroublesOfBatches(t *testing.T) {
 	t.Parallel()
-	troubles := map[string]func(play *Play){
-		"hot":     func(play *Play) { play.Hot, play.HotRoute = 0.28, "confirm" },
-		"slow":    func(play *Play) { play.Slow = 0.15 },
-		"crash":   func(play *Play) { play.Crash = 0.2 },
-		"release": func(play *Play) { play.Release = 0.45 },
+	faults := map[string]func(experiment *Play){
+		"hot":     func(experiment *Play) { experiment.Hot, experiment.HotRoute = 0.28, "confirm" },
+		"slow":    func(experiment *Play) { experiment.Slow = 0.15 },
+		"crash":   func(experiment *Play) { experiment.Crash = 0.2 },
+		"release": func(experiment *Play) { experiment.Release = 0.45 },
 	}
-	for name, change := range troubles {
-		ours, reports := played(t, "guild", "wardtray", change)[""], played(t, "guild", "least-loaded", change)[""]
-		if ours.Net() < reports.Net()+0.1 {
-			t.Errorf("%s: %.3f left after prices, by reports %.3f", name, ours.Net(), reports.Net())
+	for name, change := range faults {
+		wardtray, baseline := runExperiment(t, "guild", "wardtray", change)[""],
+			runExperiment(t, "guild", "least-loaded", change)[""]
+		if wardtray.NetShare() < baseline.NetShare()+0.1 {
+			t.Errorf("%s: value share net of costs %.3f, with least-loaded %.3f", name, wardtray.NetShare(), baseline.NetShare())
 		}
-		if ours.Refused > 0 {
-			t.Errorf("%s: %d refused", name, ours.Refused)
+		if wardtray.Refused > 0 {
+			t.Errorf("%s: %d requests refused", name, wardtray.Refused)
 		}
 	}
 }
 
-// Where each of many daemons sees a hundredth of the work, homes that all agree on stand for what nobody tells.
+// With about a hundred daemons and no polls, each daemon observes about a hundredth of the requests and receives few
+// load reports. The preferred runners of a prefix, which all daemons derive alike, must then replace this knowledge.
 func TestHomesOfAGrownFleet(t *testing.T) {
 	t.Parallel()
-	change := func(play *Play) { play.ReportAge, play.Length = 0, 9*time.Second }
-	ours, index := played(t, "ferries-grown", "wardtray", change)[""], played(t, "ferries-grown", "random", change)[""]
-	if ours.Share() < index.Share() || 2*ours.RereadTokens > index.RereadTokens {
-		t.Errorf("earned %.3f with %d read again, by lot %.3f with %d", ours.Share(), ours.RereadTokens, index.Share(),
-			index.RereadTokens)
+	change := func(experiment *Play) { experiment.ReportAge, experiment.Length = 0, 9*time.Second }
+	wardtray, random := runExperiment(t, "ferries-grown", "wardtray", change)[""],
+		runExperiment(t, "ferries-grown", "random", change)[""]
+	if wardtray.ValueShare() < random.ValueShare() || 2*wardtray.RereadTokens > random.RereadTokens {
+		t.Errorf("value share %.3f with %d tokens prefilled again, with random %.3f and %d", wardtray.ValueShare(),
+			wardtray.RereadTokens, random.ValueShare(), random.RereadTokens)
 	}
 }
--- a/verify/placement/batch_step.go
+++ b/verify/placement/batch_step.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// step is one step of a batchRunner: what it does, and how long that takes.
+// step is the plan of one step of a batchRunner.
 type step struct {
 	runner *batchRunner
-	// budget is how many tokens the step may still take.
+	// budget is the number of tokens that the step can process in addition to those planned.
 	budget int
-	// length is the time that the step takes on a runner that is not slowed down.
+	// length is the duration of the step on a runner without a slowdown.
 	length time.Duration
-	// decoding are the sequences that write a token, reading those whose prompt is not read yet.
+	// decoding holds the sequences that produce a token, reading those whose prompts are not completely prefilled.
 	decoding, reading []*sequence
-	// chunks are how many prompt tokens of each sequence the step reads.
+	// chunks is the number of prompt tokens that the step prefills, by sequence.
 	chunks map[*sequence]int
 }
 
-// planStep plans the next step of a runner whose queue is sorted, and admits queued requests to it.
+// planStep plans the next step of a runner whose queue is sorted, and admits queued sequences.
 func planStep(runner *batchRunner) *step {
 	planned := &step{
 		runner: runner,
-		budget: runner.figures.Chunk,
-		length: runner.figures.Step,
+		budget: runner.profile.Chunk,
+		length: runner.profile.Step,
 		chunks: map[*sequence]int{},
 	}
 	planned.decode()
-	if runner.figures.Overtaking {
+	if runner.profile.Overtaking {
 		planned.overtake()
 	}
 	planned.fill()
@@ -37,9 +37,9 @@
 // empty reports whether the step has nothing to do.
 func (step *step) empty() bool { return len(step.decoding) == 0 && len(step.chunks) == 0 }
 
-// decode lets every sequence whose prompt is read write a token.
+// decode plans a token of each sequence whose prompt is prefilled.
 func (step *step) decode() {
-	figures := step.runner.figures
+	profile := step.runner.profile
 	for _, running := range step.runner.running {
 		if !running.decoding {
 			step.reading = append(step.reading, running)
@@ -47,11 +47,11 @@
 		}
 		step.decoding = append(step.decoding, running)
 		step.budget--
-		step.length += figures.PerSlot + scale(figures.PerContext, float64(running.contextTokens())/1000)
+		step.length += profile.PerSlot + scale(profile.PerContext, float64(running.contextTokens())/1000)
 	}
 }
 
-// overtake admits and reads prompts that are more urgent than those that are half read.
+// overtake admits and prefills the queued sequences that precede those whose prompts are partly prefilled.
 func (step *step) overtake() {
 	sort.SliceStable(step.reading,
 		func(left, right int) bool { return step.reading[left].before(step.reading[right]) })
@@ -60,13 +60,13 @@
 	}
 }
 
-// queueIsNext reports whether there is a queued request that is more urgent than what is half read.
+// queueIsNext reports whether a queued sequence precedes all those whose prompts are partly prefilled.
 func (step *step) queueIsNext() bool {
 	queue := step.runner.queue
 	return len(queue) > 0 && (len(step.reading) == 0 || queue[0].before(step.reading[0]))
 }
 
-// fill spends the rest of the budget: on prompts that are half read, then on those in the queue.
+// fill uses the rest of the budget for prompts that are partly prefilled, then for queued sequences.
 func (step *step) fill() {
 	for _, sequence := range step.reading {
 		if step.budget > 0 && step.chunks[sequence] == 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// read lets the step read as much of a prompt as the budget allows.
+// read plans the prefill of as many tokens of a prompt as the budget allows.
 func (step *step) read(sequence *sequence) {
 	chunk := min(step.budget, sequence.prompt-sequence.read)
 	if chunk <= 0 {
@@ -86,12 +86,12 @@
 	}
 	step.chunks[sequence] = chunk
 	step.budget -= chunk
-	figures := step.runner.figures
+	profile := step.runner.profile
 	pairs := float64(chunk)*float64(sequence.read) + float64(chunk)*float64(chunk)/2
-	step.length += scale(figures.PerToken, float64(chunk)) + scale(figures.PerPairs, pairs/1e6)
+	step.length += scale(profile.PerToken, float64(chunk)) + scale(profile.PerPairs, pairs/1e6)
 }
 
-// admitAndRead admits the first queued request and reads of its prompt; it reports whether one was admitted.
+// admitAndRead admits the first queued sequence and plans its prefill; it reports whether a sequence was admitted.
 func (step *step) admitAndRead() bool {
 	admitted := step.runner.admit()
 	if admitted == nil {
@@ -102,13 +102,13 @@
 	return true
 }
 
-// admit gives the first queued request a slot; it returns nil where none is queued or there is no slot or memory.
+// admit moves the first queued sequence to a slot; it returns nil if none is queued or there is no slot or memory.
 func (runner *batchRunner) admit() *sequence {
-	if len(runner.queue) == 0 || len(runner.running) >= runner.figures.Slots {
+	if len(runner.queue) == 0 || len(runner.running) >= runner.profile.Slots {
 		return nil
 	}
 	next := runner.queue[0]
-	if len(runner.running) > 0 && runner.usedTokens()+next.prompt > runner.figures.MemoryTokens {
+	if len(runner.running) > 0 && runner.usedTokens()+next.prompt > runner.profile.MemoryTokens {
 		return nil
 	}
 	runner.queue = runner.queue[1:]
@@ -118,7 +118,7 @@
 	return next
 }
 
-// scale multiplies a time.
+// scale multiplies a duration.
 func scale(length time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(length) * factor)
 }
--- a/verify/placement/daemon.go
+++ b/verify/placement/daemon.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// indexedBlocks is how many blocks a daemon's index of the runners' caches holds.
+	// indexedBlocks is the capacity of a daemon's prefix index, in blocks.
 	indexedBlocks = 100_000
-	// rebalancePeriod is how often daemons look at their queued requests anew.
+	// rebalancePeriod is the interval at which daemons reschedule their queued requests.
 	rebalancePeriod = 20 * time.Millisecond
 )
 
-// Words of the runner list.
+// Values in the entries of the runner list.
 const (
 	runnerService  = "s"
 	runnerReady    = "ready"
 	runnerDraining = "draining"
 )
 
-// daemon is what a data daemon has for placement: the product's own scheduler, load table, prefix index and retry
-// budget. Requests enter by schedule; whoever dispatched one calls the scheduler and the table as the proxy does.
+// daemon holds the parts of a data daemon that place requests: the product's scheduler, load table, prefix index and
+// retry budget. Requests enter through schedule; the simulations call the scheduler and the table as the proxy does.
 type daemon struct {
 	zone      string
 	table     *load.Table
@@ -39,27 +39,28 @@
 	pending   []pendingRequest
 }
 
-// pendingRequest is a request without a decision, and who gets it.
+// pendingRequest is a request without a decision, and the callback for the decision.
 type pendingRequest struct {
 	queued  *scheduler.QueuedRequest
 	decided func(decision scheduler.Decision)
 }
 
-// daemonSettings are common to the daemons of a simulation.
+// daemonSettings are the common settings of the daemons of a simulation.
 type daemonSettings struct {
 	count int
-	// zones are given to the daemons in turn.
+	// zones are assigned to the daemons in turn.
 	zones []string
-	// listing are the runners that all daemons know at first.
+	// listing is the initial runner list of all daemons.
 	listing []*wire.Runner
-	// backend is what the configuration says of the runners.
+	// backend is the configuration of the runners.
 	backend config.Backend
 	// policy is a key of policies.
 	policy string
+	// budget creates the retry budget of a daemon.
 	budget func() *retrybudget.Budget
 }
 
-// newDaemons makes daemons whose schedulers draw from seeds of random.
+// newDaemons creates daemons; random supplies the seeds of their schedulers.
 func newDaemons(now time.Time, settings daemonSettings, random *rand.Rand) ([]*daemon, error) {
 	names := make([]string, settings.count)
 	for number := range names {
@@ -71,27 +72,27 @@
 		if err != nil {
 			return nil, err
 		}
-		made := &daemon{
+		created := &daemon{
 			zone:   settings.zones[number%len(settings.zones)],
 			table:  load.NewTable(now, name),
 			budget: settings.budget(),
 		}
-		made.table.UpdateListing(now, settings.listing)
+		created.table.UpdateListing(now, settings.listing)
 		snapshot := func(now time.Time) scheduler.Snapshot {
 			return scheduler.Snapshot{
-				Runners: made.table.Runners(now, names),
+				Runners: created.table.Runners(now, names),
 				Daemons: len(names),
 				Backend: settings.backend,
 			}
 		}
-		made.scheduler = scheduler.NewScheduler(snapshot, made.table, indexer, rand.New(rand.NewSource(random.Int63())))
-		made.scheduler.Picker = policies[settings.policy]
-		daemons = append(daemons, made)
+		created.scheduler = scheduler.NewScheduler(snapshot, created.table, indexer, rand.New(rand.NewSource(random.Int63())))
+		created.scheduler.Picker = policies[settings.policy]
+		daemons = append(daemons, created)
 	}
 	return daemons, nil
 }
 
-// schedule gives a request to the scheduler; decided gets the decision as soon as there is one.
+// schedule passes a request to the scheduler, and calls decided with the decision as soon as there is one.
 func (daemon *daemon) schedule(
 	now time.Time,
 	queued *scheduler.QueuedRequest,
@@ -102,27 +103,27 @@
 	daemon.deliverDecisions()
 }
 
-// deliverDecisions passes on whatever the scheduler has decided. What gets a decision may schedule requests itself.
+// deliverDecisions delivers the scheduler's pending decisions. The callbacks may schedule requests themselves.
 func (daemon *daemon) deliverDecisions() {
 	pending := daemon.pending
 	daemon.pending = nil
-	for _, one := range pending {
+	for _, request := range pending {
 		select {
-		case decision := <-one.queued.Decisions:
-			one.decided(decision)
+		case decision := <-request.queued.Decisions:
+			request.decided(decision)
 		default:
-			daemon.pending = append(daemon.pending, one)
+			daemon.pending = append(daemon.pending, request)
 		}
 	}
 }
 
-// release ends a request that was dispatched to a runner, and passes on what that lets the scheduler decide.
+// release ends a request that was dispatched to a runner, and delivers the decisions that become possible.
 func (daemon *daemon) release(now time.Time, queued *scheduler.QueuedRequest, runner string) {
 	daemon.scheduler.Release(now, queued, runner)
 	daemon.deliverDecisions()
 }
 
-// rebalancePeriodically lets daemons look at their queued requests anew, from now on.
+// rebalancePeriodically makes daemons reschedule their queued requests, now and after each rebalancePeriod.
 func rebalancePeriodically(world *simulation.World, daemons []*daemon) {
 	for _, daemon := range daemons {
 		if daemon.scheduler.HasQueued() {
@@ -133,24 +134,24 @@
 	world.After(rebalancePeriod, func() { rebalancePeriodically(world, daemons) })
 }
 
-// blockKeys derives the keys of prompt blocks, by the seed that all daemons share.
+// blockKeys derives the keys of prompt blocks, with the seed that all daemons share.
 var blockKeys = kvblock.NewTokenProcessor(kvblock.DefaultSeed)
 
-// prompt is the parts of a prompt that caches can hold: a name and a number of tokens for each.
+// prompt holds the names and the numbers of tokens of the parts of a prompt that caches can hold.
 type prompt struct {
 	parts  []string
 	tokens []int
 }
 
-// newPrompt returns a prompt of the parts of a mix's request.
-func newPrompt(parts []loadtest.Part) (made prompt) {
+// newPrompt returns the prompt with the parts of a mix's request.
+func newPrompt(parts []loadtest.Part) (created prompt) {
 	for _, part := range parts {
-		made.parts, made.tokens = append(made.parts, part.Name), append(made.tokens, part.Tokens)
+		created.parts, created.tokens = append(created.parts, part.Name), append(created.tokens, part.Tokens)
 	}
-	return made
+	return created
 }
 
-// newQueuedRequest makes a request of a route as the proxy gives it to the scheduler.
+// newQueuedRequest returns a request of a route in the form in which the proxy passes it to the scheduler.
 func newQueuedRequest(
 	route string,
 	concurrencyLimit float64,
--- a/verify/placement/daemon_test.go
+++ b/verify/placement/daemon_test.go
@@ -10,7 +10,7 @@
 	"wardtray/wire"
 )
 
-// newTestDaemons makes three daemons of two zones that know the runners.
+// newTestDaemons returns three daemons in two zones with a list of runners.
 func newTestDaemons(t *testing.T, world *simulation.World, runners ...*wire.Runner) []*daemon {
 	t.Helper()
 	daemons, err := newDaemons(world.Now, daemonSettings{
@@ -27,7 +27,7 @@
 }
 
 func testRequest() *scheduler.QueuedRequest {
-	return newQueuedRequest("chat", 1, prompt{[]string{"opening"}, []int{400}}, "m",
+	return newQueuedRequest("chat", 1, prompt{[]string{"prefix"}, []int{400}}, "m",
 		scheduler.Requirements{Value: 1, PromptTokens: 500, Zone: "a"})
 }
 
@@ -35,7 +35,7 @@
 	daemons := newTestDaemons(t, simulation.NewWorld(1))
 	for number, want := range []string{"a", "b", "a"} {
 		if got := daemons[number].zone; got != want {
-			t.Errorf("daemon %d: zone %s instead of %s", number, got, want)
+			t.Errorf("daemon %d: zone %s, want %s", number, got, want)
 		}
 	}
 }
@@ -49,14 +49,15 @@
 	daemon.schedule(world.Now, request, func(decision scheduler.Decision) { decisions = append(decisions, decision) })
 	daemon.deliverDecisions()
 	if len(decisions) != 1 || decisions[0].Kind != scheduler.Dispatch || decisions[0].Runner.ID != "r" {
-		t.Fatalf("decisions %+v instead of one dispatch to r", decisions)
+		t.Fatalf("decisions %+v, want one dispatch to r", decisions)
 	}
 	if len(daemon.pending) != 0 {
-		t.Errorf("%d requests still pending", len(daemon.pending))
+		t.Errorf("%d requests are still pending", len(daemon.pending))
 	}
 }
 
-// A request that is scheduled anew by what gets its decision is pending beside the others, and gets its own decision.
+// A callback that receives a decision may schedule another request, which must get a decision of its own instead of
+// being lost when deliverDecisions stores the list of pending requests.
 func TestDaemonTakesRequestsWhileItDelivers(t *testing.T) {
 	world := simulation.NewWorld(1)
 	daemon := newTestDaemons(t, world,
@@ -67,6 +68,6 @@
 		daemon.schedule(world.Now, testRequest(), func(scheduler.Decision) { delivered++ })
 	})
 	if delivered != 2 || len(daemon.pending) != 0 {
-		t.Errorf("%d decisions delivered instead of 2, %d requests pending", delivered, len(daemon.pending))
+		t.Errorf("%d decisions delivered, want 2; %d requests pending", delivered, len(daemon.pending))
 	}
 }
--- a/verify/placement/doc.go
+++ b/verify/placement/doc.go
@@ -1,12 +1,12 @@
-// Package placement measures in simulated time which runner a prompt is given to, and what that costs. Daemons use the
-// product's own schedulers, load tables, prefix indexes and retry budgets; requests, runners and faults are models. Two
-// simulations differ in their models:
+// Package placement measures, in simulated time, the cost of policies that choose a runner for each request. Daemons
+// use the product's schedulers, load tables, prefix indexes and retry budgets; requests, runners and faults are models.
+// There are two simulations with different models:
 //
-//   - slotSimulation (Measure, Table) lets a mix of loadtest arrive at random moments, on runners that prefill one
-//     prompt after the other and answer side by side (slotRunner);
-//   - batchSimulation (Play.Run, Report) lets a workload with shared parts arrive in clumps, on runners that batch
-//     (batchRunner), with slow, crashed and replaced runners.
+//   - slotSimulation (Measure, Table): requests of a loadtest.Mix arrive at random times at runners that prefill one
+//     prompt at a time and decode several answers concurrently (slotRunner);
+//   - batchSimulation (Play.Run, Report): requests of a workload with shared prompt parts arrive in bursts at runners
+//     with continuous batching (batchRunner), some of which are slow, crash or are replaced.
 //
-// Each policy of picking a runner sees the same requests. A seed fixes every figure: a simulation is one goroutine, and
-// draws from nothing but its seed. A fleet is simulated alone; the control plane has no part in it.
+// All policies receive the same requests. Results are reproducible from the seed: a simulation is one goroutine and
+// draws all random numbers from its seed. A simulation contains one fleet and no control plane.
 package placement
--- a/verify/placement/policy.go
+++ b/verify/placement/policy.go
@@ -8,10 +8,10 @@
 	"wardtray/balancer/scheduler"
 )
 
-// wardtrayPolicy is the product's own policy; every other one is a baseline.
+// wardtrayPolicy is the name of the product's policy; all others are baselines.
 const wardtrayPolicy = "wardtray"
 
-// policies are the ways of picking a runner that are compared, by the name that the tables print.
+// policies holds the compared policies of choosing a runner, by the name in the tables.
 var policies = map[string]scheduler.Picker{
 	wardtrayPolicy: scheduler.Sample,
 	"random":       bestOf(everyCandidate, randomValue),
@@ -20,10 +20,10 @@
 	"index-only":   bestOf(everyCandidate, cachedTokens),
 }
 
-// slotPolicies are the policies that Table compares, in the order of its lines.
+// slotPolicies lists the policies that Table compares, in the order of its lines.
 var slotPolicies = []string{wardtrayPolicy, "index-only", "least-loaded", "random"}
 
-// PolicyNames returns the names of all policies: the product's first, the baselines by name.
+// PolicyNames returns the names of all policies: the product's first, then the baselines in alphabetical order.
 func PolicyNames() []string {
 	names := []string{wardtrayPolicy}
 	for _, name := range slices.Sorted(maps.Keys(policies)) {
@@ -34,14 +34,14 @@
 	return names
 }
 
-// candidateValue says how good a candidate is for a policy; the greatest is taken.
+// candidateValue rates a candidate for a policy, which chooses the greatest value.
 type candidateValue func(scored scheduler.ScoredCandidate, random *rand.Rand) float64
 
-// everyCandidate lets bestOf compare all candidates.
+// everyCandidate makes bestOf compare all candidates.
 const everyCandidate = 0
 
-// bestOf makes a policy that draws at most limit candidates at random (everyCandidate: all), leaving out saturated
-// ones, and takes the one of the greatest value; of equal ones, the one drawn first.
+// bestOf returns a policy that draws up to limit candidates that are not saturated at random (everyCandidate: all), and
+// chooses the one with the greatest value; among equal values, the one drawn first.
 func bestOf(limit int, value candidateValue) scheduler.Picker {
 	return func(_ scheduler.Requirements, candidates []scheduler.ScoredCandidate, random *rand.Rand) int {
 		best, greatest, compared := -1, 0.0, 0
--- a/verify/placement/report_history.go
+++ b/verify/placement/report_history.go
@@ -2,14 +2,14 @@
 
 import "wardtray/balancer/load"
 
-// reportHistory keeps the last reports of a runner, so that daemons read them with a lag.
+// reportHistory holds a runner's last load reports, so that daemons read them with a lag.
 type reportHistory struct {
-	// lag is by how many reports the one that is read is older than the last.
+	// lag is the number of reports recorded after the one that read returns.
 	lag     int
 	reports []load.Report
 }
 
-// record adds a report and forgets those older than the lag.
+// record adds a report and removes those older than the lag.
 func (history *reportHistory) record(report load.Report) {
 	history.reports = append(history.reports, report)
 	if len(history.reports) > history.lag+1 {
@@ -17,7 +17,7 @@
 	}
 }
 
-// read returns the oldest report kept, and false where there is none yet.
+// read returns the oldest report held, or false if there is none.
 func (history *reportHistory) read() (load.Report, bool) {
 	if len(history.reports) == 0 {
 		return load.Report{}, false
--- a/verify/placement/runner_faults.go
+++ b/verify/placement/runner_faults.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// slowRunnerFactor is how many times slower the runners of Play.Slow are.
+	// slowRunnerFactor is the slowdown of the runners of Play.Slow.
 	slowRunnerFactor = 3
-	// crashDetectionTime is after how long a crashed runner is off the list: some of its calls have to be missing.
+	// crashDetectionTime is the time until a crashed runner is removed from the list, after several missing heartbeats.
 	crashDetectionTime = 3600 * time.Millisecond
-	// runnerDrainTime is how long a runner that is replaced still has for its work.
+	// runnerDrainTime is the time for which a replaced runner drains before it stops.
 	runnerDrainTime = 3 * time.Second
 )
 
-// scheduleFaults plans what goes wrong in the middle third, and the replacements over the whole length.
+// scheduleFaults schedules the faults in the middle third of Length and the replacements over all of it.
 func (simulated *batchSimulation) scheduleFaults() {
-	play, world := simulated.play, simulated.world
-	third := play.Length / 3
+	experiment, world := simulated.experiment, simulated.world
+	third := experiment.Length / 3
 	world.After(third, func() {
-		for _, runner := range simulated.drawRunners(play.Slow) {
+		for _, runner := range simulated.drawRunners(experiment.Slow) {
 			runner.slowdown = slowRunnerFactor
 			world.After(third, func() { runner.slowdown = 1 })
 		}
-		for _, runner := range simulated.drawRunners(play.Crash) {
+		for _, runner := range simulated.drawRunners(experiment.Crash) {
 			simulated.crashRunner(runner, third)
 		}
 	})
-	intervals := time.Duration(1 + int(play.Release*float64(len(simulated.runners.list))))
-	for index, runner := range simulated.drawRunners(play.Release) {
-		world.After(time.Duration(index+1)*play.Length/intervals, func() { simulated.replaceRunner(runner) })
+	intervals := time.Duration(1 + int(experiment.Release*float64(len(simulated.runners.list))))
+	for index, runner := range simulated.drawRunners(experiment.Release) {
+		world.After(time.Duration(index+1)*experiment.Length/intervals, func() { simulated.replaceRunner(runner) })
 	}
 }
 
-// inMiddle reports whether the middle third of the length is now.
+// inMiddle reports whether the current time is in the middle third of Length.
 func (simulated *batchSimulation) inMiddle() bool {
 	since := simulated.world.Now.Sub(simulated.started)
-	return since >= simulated.play.Length/3 && since < 2*simulated.play.Length/3
+	return since >= simulated.experiment.Length/3 && since < 2*simulated.experiment.Length/3
 }
 
-// drawRunners returns a part (0 to 1) of the runners at random.
-func (simulated *batchSimulation) drawRunners(part float64) []*batchRunner {
+// drawRunners returns a random share (0 to 1) of the runners.
+func (simulated *batchSimulation) drawRunners(share float64) []*batchRunner {
 	all := simulated.runners.list
-	count := int(math.Round(part * float64(len(all))))
+	count := int(math.Round(share * float64(len(all))))
 	drawn := make([]*batchRunner, 0, count)
 	for _, index := range simulated.random.Perm(len(all))[:count] {
 		drawn = append(drawn, all[index])
@@ -50,7 +50,7 @@
 	return drawn
 }
 
-// crashRunner ends a runner without notice; another takes its place after a while.
+// crashRunner stops a runner abruptly; a new runner in its zone replaces it after replacedAfter.
 func (simulated *batchSimulation) crashRunner(runner *batchRunner, replacedAfter time.Duration) {
 	runner.crash()
 	simulated.world.After(crashDetectionTime, func() { simulated.removeRunner(runner) })
@@ -60,7 +60,7 @@
 	})
 }
 
-// replaceRunner drains a runner beside one that takes its place.
+// replaceRunner starts a new runner in the zone of another, which it drains and then stops.
 func (simulated *batchSimulation) replaceRunner(runner *batchRunner) {
 	simulated.runners.drain(runner)
 	simulated.runners.add(runner.zone)
@@ -73,7 +73,7 @@
 	simulated.updateListings()
 }
 
-// updateListings gives all daemons the list of runners.
+// updateListings sends the current runner list to all daemons.
 func (simulated *batchSimulation) updateListings() {
 	for _, daemon := range simulated.daemons {
 		daemon.table.UpdateListing(simulated.world.Now, simulated.runners.copyListing())
--- a/verify/placement/runner_set.go
+++ b/verify/placement/runner_set.go
@@ -10,28 +10,28 @@
 	"wardtray/wire"
 )
 
-// runnerSet has the batch runners of a simulation and the list of them that daemons are given.
+// runnerSet holds the batch runners of a simulation and the runner list that daemons receive.
 type runnerSet struct {
 	world   *simulation.World
-	figures Figures
+	profile BatchProfile
 	byID    map[string]*batchRunner
 	// list and listing are in the order in which runners were added.
 	list    []*batchRunner
 	listing []*wire.Runner
-	// added is how many runners there ever were.
+	// added is the number of runners added so far.
 	added int
 }
 
-// add starts a runner with an empty cache in a zone, and lists it.
+// add starts a runner with an empty cache in a zone and adds it to the list.
 func (runners *runnerSet) add(zone string) {
 	runner := &batchRunner{
 		id:       fmt.Sprintf("r%03d", runners.added),
 		zone:     zone,
-		figures:  runners.figures,
+		profile:  runners.profile,
 		slowdown: 1,
 		world:    runners.world,
-		cache:    emulator.NewCache[kvblock.BlockKey](runners.figures.MemoryTokens * 3 / 4),
-		reports:  reportHistory{lag: int(runners.figures.ReportLag / batchReportPeriod)},
+		cache:    emulator.NewCache[kvblock.BlockKey](runners.profile.MemoryTokens * 3 / 4),
+		reports:  reportHistory{lag: int(runners.profile.ReportLag / batchReportPeriod)},
 	}
 	runners.added++
 	runners.byID[runner.id] = runner
@@ -41,11 +41,11 @@
 		Zone:     zone,
 		Service:  runnerService,
 		State:    runnerReady,
-		Slots:    uint32(runners.figures.Slots),
+		Slots:    uint32(runners.profile.Slots),
 	})
 }
 
-// available returns a runner by its id, or nil where it was removed or has crashed.
+// available returns the runner with an ID, or nil if it was removed or has crashed.
 func (runners *runnerSet) available(id string) *batchRunner {
 	if runner := runners.byID[id]; runner != nil && !runner.crashed {
 		return runner
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// drain lists a runner as draining.
+// drain sets a runner's state in the list to draining.
 func (runners *runnerSet) drain(runner *batchRunner) {
 	for _, line := range runners.listing {
 		if line.RunnerId == runner.id {
@@ -62,7 +62,7 @@
 	}
 }
 
-// remove ends a runner and takes it off the list.
+// remove stops a runner and removes it from the list.
 func (runners *runnerSet) remove(removed *batchRunner) {
 	delete(runners.byID, removed.id)
 	runners.listing = slices.DeleteFunc(slices.Clone(runners.listing),
@@ -72,7 +72,7 @@
 	removed.crash()
 }
 
-// copyListing returns the list as a daemon gets it, which later changes don't touch.
+// copyListing returns a copy of the list for a daemon, which later changes don't modify.
 func (runners *runnerSet) copyListing() []*wire.Runner {
 	listing := make([]*wire.Runner, 0, len(runners.listing))
 	for _, line := range runners.listing {
@@ -87,7 +87,7 @@
 	return listing
 }
 
-// recordReports lets all runners report, from now on.
+// recordReports records a load report of each runner, now and after each batchReportPeriod.
 func (runners *runnerSet) recordReports() {
 	for _, runner := range runners.list {
 		runner.reports.record(runner.report())
--- a/verify/placement/runner_set_test.go
+++ b/verify/placement/runner_set_test.go
@@ -9,7 +9,7 @@
 func newTestRunnerSet() *runnerSet {
 	runners := &runnerSet{
 		world:   simulation.NewWorld(1),
-		figures: Figures{Slots: 4, Queue: 4, Chunk: 100, Stride: 1, MemoryTokens: 1000},
+		profile: BatchProfile{Slots: 4, Queue: 4, Chunk: 100, Stride: 1, MemoryTokens: 1000},
 		byID:    map[string]*batchRunner{},
 	}
 	runners.add("z0")
@@ -29,11 +29,11 @@
 		t.Error("a crashed or a removed runner is available")
 	}
 	if len(runners.listing) != 1 || runners.listing[0].RunnerId != "r000" {
-		t.Errorf("listed are %v instead of r000", runners.listing)
+		t.Errorf("listed %v, want r000", runners.listing)
 	}
 	runners.add("z1")
 	if runners.available("r002") == nil {
-		t.Error("an added runner took an id again")
+		t.Error("a new runner has the ID of a removed one")
 	}
 }
 
@@ -42,7 +42,7 @@
 	copied := runners.copyListing()
 	runners.drain(runners.list[0])
 	if copied[0].State != runnerReady || runners.copyListing()[0].State != runnerDraining {
-		t.Errorf("the copy says %s, a later one %s", copied[0].State, runners.copyListing()[0].State)
+		t.Errorf("state %s in the copy, %s in a later copy", copied[0].State, runners.copyListing()[0].State)
 	}
 }
 
@@ -50,6 +50,6 @@
 	runners := newTestRunnerSet()
 	runners.recordReports()
 	if report, found := runners.list[0].reports.read(); !found || report.Slots != 4 {
-		t.Errorf("report %+v (%v) instead of one of 4 slots", report, found)
+		t.Errorf("report %+v (found: %v), want 4 slots", report, found)
 	}
 }
--- a/verify/placement/sequence.go
+++ b/verify/placement/sequence.go
@@ -6,56 +6,57 @@
 	"wardtray/balancer/kvblock"
 )
 
-// sequenceRequest is what a batchRunner has to know of a request.
+// sequenceRequest describes a request to a batchRunner.
 type sequenceRequest struct {
 	keys       []kvblock.BlockKey
 	partTokens []int
-	// urgency orders requests: the smaller is read first.
+	// urgency orders requests: the smallest is prefilled first.
 	urgency int
-	// prompt and answer are the tokens of the whole prompt and of the answer.
+	// prompt and answer are the numbers of tokens of the complete prompt and of the answer.
 	prompt, answer int
-	// expires is the moment after which the runner ends the request.
+	// expires is the deadline after which the runner ends the request.
 	expires time.Time
-	// firstEvent is called at the first event, with the prompt tokens that were cached. finished is called once, at the
-	// end of the request, with what became of it.
+	// firstEvent is called at the first event, with the number of prompt tokens that were cached. finished is called
+	// once, at the end of the request.
 	firstEvent func(cached int)
-	finished   func(result sequenceResult)
+	finished   func(outcome sequenceOutcome)
 }
 
-// sequenceResult is what became of a request at a batchRunner.
-type sequenceResult struct {
-	// started means that the prompt was read at the end; complete that the whole answer was written as well.
+// sequenceOutcome is the outcome of a request at a batchRunner.
+type sequenceOutcome struct {
+	// started reports whether the prompt was completely prefilled when the request ended, complete whether the answer was
+	// complete as well.
 	started, complete bool
-	// worstPause is the longest time between two events.
-	worstPause time.Duration
+	// longestPause is the longest time between two events.
+	longestPause time.Duration
 }
 
-// sequence is one request at a batchRunner, queued or running.
+// sequence is a queued or running request at a batchRunner.
 type sequence struct {
 	sequenceRequest
-	// arrival is the number of the request in the order of acceptance.
+	// arrival is the number of the request in order of acceptance.
 	arrival int
-	// read are the tokens of the prompt that were read or cached, cached those of them that were cached at admission,
-	// written those of the answer.
+	// read is the number of prompt tokens that were prefilled or cached, cached the number of those that were cached at
+	// admission, written the number of answer tokens.
 	read, cached, written int
-	// decoding means that the whole prompt was read.
+	// decoding reports whether the prompt is completely prefilled.
 	decoding  bool
 	lastEvent time.Time
-	// worstPause is the longest time between two events so far.
-	worstPause time.Duration
-	// ended means that finished was called.
+	// longestPause is the longest time between two events so far.
+	longestPause time.Duration
+	// ended reports whether finished was called.
 	ended bool
 }
 
-// contextTokens are the tokens that the sequence takes in memory.
+// contextTokens returns the memory that the sequence uses, in tokens.
 func (sequence *sequence) contextTokens() int { return sequence.prompt + sequence.written }
 
-// complete reports whether the whole answer was written.
+// complete reports whether the answer is complete.
 func (sequence *sequence) complete() bool {
 	return sequence.decoding && sequence.written >= sequence.answer
 }
 
-// before reports whether the sequence is to be read before another: the more urgent first, then the earlier.
+// before reports whether the sequence precedes another: the more urgent is first, then the one that arrived earlier.
 func (sequence *sequence) before(other *sequence) bool {
 	if sequence.urgency != other.urgency {
 		return sequence.urgency < other.urgency
@@ -63,17 +64,17 @@
 	return sequence.arrival < other.arrival
 }
 
-// writeToken adds a token; an event goes out with each stride of them, and with the last.
+// writeToken adds an answer token; an event is sent after every stride tokens and after the last token.
 func (sequence *sequence) writeToken(now time.Time, stride int) {
 	sequence.written++
 	if sequence.written%stride == 0 || sequence.written >= sequence.answer {
-		sequence.worstPause = max(sequence.worstPause, now.Sub(sequence.lastEvent))
+		sequence.longestPause = max(sequence.longestPause, now.Sub(sequence.lastEvent))
 		sequence.lastEvent = now
 	}
 }
 
-// readTokens counts prompt tokens that were read; it reports whether the sequence has written its first token with
-// them.
+// readTokens records prefilled prompt tokens, and reports whether the sequence has thereby produced its first answer
+// token.
 func (sequence *sequence) readTokens(now time.Time, tokens int) (first bool) {
 	sequence.read += tokens
 	if sequence.read < sequence.prompt || sequence.ended {
@@ -88,7 +89,7 @@
 	return first
 }
 
-// evict takes the sequence out of memory: what was written is read anew with the prompt.
+// evict removes the sequence from memory: the next prefill includes the answer tokens produced so far.
 func (sequence *sequence) evict() {
 	sequence.prompt += sequence.written
 	sequence.read = 0
@@ -98,12 +99,12 @@
 // expired reports whether the sequence is past its deadline.
 func (sequence *sequence) expired(now time.Time) bool { return now.After(sequence.expires) }
 
-// end tells whoever sent the request what became of it.
+// end ends the sequence and calls finished with the outcome.
 func (sequence *sequence) end(complete bool) {
 	sequence.ended = true
-	sequence.finished(sequenceResult{
-		started:    sequence.decoding,
-		complete:   complete,
-		worstPause: sequence.worstPause,
+	sequence.finished(sequenceOutcome{
+		started:      sequence.decoding,
+		complete:     complete,
+		longestPause: sequence.longestPause,
 	})
 }
--- a/verify/placement/settings.go
+++ b/verify/placement/settings.go
@@ -5,7 +5,7 @@
 	"wardtray/verify/loadtest"
 )
 
-// Settings are the two deployments on slot runners.
+// Settings holds the fleets of the guild and ferries deployments with slot runners; the caller sets the other fields.
 var Settings = map[string]Setting{
 	"guild": {
 		Mix:     loadtest.Guild,
--- a/verify/placement/slot_runner.go
+++ b/verify/placement/slot_runner.go
@@ -9,36 +9,37 @@
 	"wardtray/verify/simulation"
 )
 
-// slotRunner is the model of a runner with slots: it prefills one prompt after the other and answers side by side. It
-// queues requests beyond its slots, and rejects them beyond its profile's queue.
+// slotRunner models a runner with slots that prefills one prompt at a time and decodes several answers concurrently. It
+// queues requests while all slots are in use, and rejects them beyond the queue length of its profile.
 type slotRunner struct {
 	id, zone string
 	profile  emulator.RunnerProfile
 	world    *simulation.World
 	cache    *emulator.Cache[kvblock.BlockKey]
-	// running are the requests that have a slot.
+	// running is the number of requests that have a slot.
 	running int
 	queue   []slotRun
-	// prefillFree is when the last prefill accepted so far is over.
+	// prefillFree is the end of the last prefill scheduled so far.
 	prefillFree time.Time
 	reports     reportHistory
 }
 
-// slotRun is one request at a slotRunner.
+// slotRun is a request at a slotRunner.
 type slotRun struct {
 	keys       []kvblock.BlockKey
 	partTokens []int
-	// prompt and answer are the tokens of the whole prompt and of the answer.
+	// prompt and answer are the numbers of tokens of the complete prompt and of the answer.
 	prompt, answer int
-	// firstEvent is called at the first event, with the prompt tokens that were cached, and finished after the last.
+	// firstEvent is called at the first event, with the number of prompt tokens that were cached, finished after the
+	// last event.
 	firstEvent func(cached int)
 	finished   func()
 }
 
-// active returns how many requests run or are queued.
+// active returns the number of running and queued requests.
 func (runner *slotRunner) active() int { return runner.running + len(runner.queue) }
 
-// accept runs or queues a request; it reports whether there was capacity for it.
+// accept starts or queues a request, and reports whether there was capacity for it.
 func (runner *slotRunner) accept(run slotRun) bool {
 	if runner.active() >= runner.profile.Slots+runner.profile.PutBackAbove {
 		return false
@@ -51,7 +52,7 @@
 	return true
 }
 
-// start gives a request a slot.
+// start assigns a slot to a request and schedules its prefill and its end.
 func (runner *slotRunner) start(run slotRun) {
 	runner.running++
 	cached := runner.cache.Use(run.keys, run.partTokens)
@@ -66,7 +67,7 @@
 	})
 }
 
-// finish frees the slot of a request for the next one in the queue.
+// finish ends a request and starts the first queued request in its slot.
 func (runner *slotRunner) finish(run slotRun) {
 	runner.running--
 	if len(runner.queue) > 0 {
@@ -77,7 +78,7 @@
 	run.finished()
 }
 
-// report is the load that the runner has now.
+// report returns the runner's current load.
 func (runner *slotRunner) report() load.Report {
 	return load.Report{Running: runner.running, Waiting: len(runner.queue), Slots: runner.profile.Slots}
 }
--- a/verify/placement/slot_runner_test.go
+++ b/verify/placement/slot_runner_test.go
@@ -10,7 +10,8 @@
 	"wardtray/verify/simulation"
 )
 
-// Two slots, one place in the queue, a millisecond for each prompt token and each answer token.
+// newTestSlotRunner returns a runner with two slots, a queue of one request, and 1 ms for each prompt token and answer
+// token.
 func newTestSlotRunner() *slotRunner {
 	return &slotRunner{
 		profile: emulator.RunnerProfile{
@@ -32,18 +33,18 @@
 		accepted = append(accepted, runner.accept(run))
 	}
 	if want := []bool{true, true, true, false}; !slices.Equal(accepted, want) {
-		t.Errorf("accepted %v instead of %v", accepted, want)
+		t.Errorf("accepted %v, want %v", accepted, want)
 	}
 	if report := runner.report(); report.Running != 2 || report.Waiting != 1 || report.Slots != 2 {
-		t.Errorf("reported %+v", report)
+		t.Errorf("reported %+v, want 2 running, 1 waiting and 2 slots", report)
 	}
 	runner.world.Run(time.Second)
 	if runner.active() != 0 {
-		t.Errorf("%d requests left", runner.active())
+		t.Errorf("%d requests are left", runner.active())
 	}
 }
 
-// Prefills are one after the other: the second begins when the first is over, the third when a slot is free.
+// Prefills run one at a time: the second starts at the end of the first, the third when a slot becomes free.
 func TestSlotRunnerPrefillsOneAfterTheOther(t *testing.T) {
 	runner := newTestSlotRunner()
 	started := runner.world.Now
@@ -66,19 +67,19 @@
 		return times
 	}
 	if want := milliseconds(10, 20, 40); !slices.Equal(first, want) {
-		t.Errorf("first events at %v instead of %v", first, want)
+		t.Errorf("first events at %v, want %v", first, want)
 	}
 	if want := milliseconds(30, 40, 60); !slices.Equal(finished, want) {
-		t.Errorf("finished at %v instead of %v", finished, want)
+		t.Errorf("finished at %v, want %v", finished, want)
 	}
 }
 
-// What is cached is not read again.
+// The prefill doesn't include the prompt tokens that are cached.
 func TestSlotRunnerReadsOnlyWhatIsNotCached(t *testing.T) {
 	runner := newTestSlotRunner()
 	cachedTokens := []int{}
 	run := slotRun{
-		keys:       blockKeys.BlockKeys([]string{"opening"}, kvblock.Extra{}),
+		keys:       blockKeys.BlockKeys([]string{"prefix"}, kvblock.Extra{}),
 		partTokens: []int{400},
 		prompt:     500,
 		firstEvent: func(cached int) { cachedTokens = append(cachedTokens, cached) },
@@ -88,6 +89,6 @@
 	runner.accept(run)
 	runner.world.Run(time.Second)
 	if want := []int{0, 400}; !slices.Equal(cachedTokens, want) {
-		t.Errorf("cached %v instead of %v", cachedTokens, want)
+		t.Errorf("cached %v, want %v", cachedTokens, want)
 	}
 }
--- a/verify/placement/slot_simulation.go
+++ b/verify/placement/slot_simulation.go
@@ -15,23 +15,25 @@
 )
 
 const (
-	// slotReportPeriod is how often slot runners report, slotPollPeriod how often each daemon reads the reports.
+	// slotReportPeriod is the interval between the load reports of a slot runner, slotPollPeriod the interval at which
+	// each daemon reads the reports.
 	slotReportPeriod = 100 * time.Millisecond
 	slotPollPeriod   = 250 * time.Millisecond
-	// slotDrainTime is for how long the simulation goes on after the last arrival.
+	// slotDrainTime is the simulated time after the last arrival, in which the requests in progress end.
 	slotDrainTime = 30 * time.Second
 )
 
-// Setting is one measurement on slot runners.
+// Setting configures one simulation with slot runners.
 type Setting struct {
 	Mix     loadtest.Mix
 	Zones   []string
 	Daemons int
 	Runners int
-	// Rate is how many requests arrive a second, at random moments of Length.
+	// Rate is the mean number of requests per second, which arrive at random times. Length is the simulated time in which
+	// they arrive.
 	Rate   float64
 	Length time.Duration
-	// Hot is the part (0 to 1) of the requests that carry one and the same opening.
+	// Hot is the share (0 to 1) of the requests whose prompts have the same prefix.
 	Hot  float64
 	Seed int64
 	// Policy is one of PolicyNames.
@@ -39,46 +41,46 @@
 	Profile emulator.RunnerProfile
 }
 
-// slotSimulation lets a mix arrive at daemons that place it on slot runners.
+// slotSimulation simulates the requests of a mix, which daemons place on slot runners.
 type slotSimulation struct {
-	setting Setting
-	world   *simulation.World
-	random  *rand.Rand
-	started time.Time
-	runners []*slotRunner
-	byID    map[string]*slotRunner
-	daemons []*daemon
-	results byRoute[Result]
+	experiment Setting
+	world      *simulation.World
+	random     *rand.Rand
+	started    time.Time
+	runners    []*slotRunner
+	byID       map[string]*slotRunner
+	daemons    []*daemon
+	results    byRoute[SlotResult]
 }
 
-// slotRequest is one request from its arrival on.
+// slotRequest is a request of a slotSimulation after its arrival.
 type slotRequest struct {
 	kind    loadtest.Kind
 	queued  *scheduler.QueuedRequest
 	arrived time.Time
 }
 
-// Measure simulates a setting and returns results for each route and, under "", for all. The error is that of an index
-// which can't be made.
-func Measure(setting Setting) (map[string]*Result, error) {
-	world := simulation.NewWorld(setting.Seed)
+// Measure runs a simulation and returns the results of each route and, under "", of all routes together. It returns an
+// error if a daemon's prefix index can't be created.
+func Measure(experiment Setting) (map[string]*SlotResult, error) {
+	world := simulation.NewWorld(experiment.Seed)
 	simulated := &slotSimulation{
-		setting: setting,
-		world:   world,
-		random:  rand.New(rand.NewSource(setting.Seed)),
-		started: world.Now,
-		byID:    map[string]*slotRunner{},
-		results: byRoute[Result]{allRoutes: {}},
+		experiment: experiment,
+		world:      world,
+		random:     rand.New(rand.NewSource(experiment.Seed)),
+		started:    world.Now,
+		byID:       map[string]*slotRunner{},
+		results:    byRoute[SlotResult]{allRoutes: {}},
 	}
-	for _, kind := range setting.Mix.Kinds {
-		simulated.results[kind.Route] = &Result{}
+	for _, kind := range experiment.Mix.Kinds {
+		simulated.results[kind.Route] = &SlotResult{}
 	}
 	listing := simulated.addRunners()
 	daemons, err := newDaemons(world.Now, daemonSettings{
-		count:   setting.Daemons,
-		zones:   setting.Zones,
+		count:   experiment.Daemons,
+		zones:   experiment.Zones,
 		listing: listing,
-		policy:  setting.Policy,
+		policy:  experiment.Policy,
 		budget:  func() *retrybudget.Budget { return retrybudget.New(retrybudget.DefaultSettings, nil) },
 	}, simulated.random)
 	if err != nil {
@@ -89,22 +91,22 @@
 	simulated.pollReports()
 	rebalancePeriodically(world, daemons)
 	simulated.scheduleArrival()
-	world.Run(setting.Length + slotDrainTime)
+	world.Run(experiment.Length + slotDrainTime)
 	return simulated.results, nil
 }
 
-// addRunners makes the runners and returns their lines in the runner list.
+// addRunners creates the runners and returns the runner list.
 func (simulated *slotSimulation) addRunners() []*wire.Runner {
-	setting := simulated.setting
-	listing := make([]*wire.Runner, 0, setting.Runners)
-	for number := range setting.Runners {
+	experiment := simulated.experiment
+	listing := make([]*wire.Runner, 0, experiment.Runners)
+	for number := range experiment.Runners {
 		runner := &slotRunner{
 			id:      fmt.Sprintf("r%02d", number),
-			zone:    setting.Zones[number%len(setting.Zones)],
-			profile: setting.Profile,
+			zone:    experiment.Zones[number%len(experiment.Zones)],
+			profile: experiment.Profile,
 			world:   simulated.world,
-			cache:   emulator.NewCache[kvblock.BlockKey](setting.Profile.CacheTokens),
-			reports: reportHistory{lag: int(setting.Profile.ReportAge / slotReportPeriod)},
+			cache:   emulator.NewCache[kvblock.BlockKey](experiment.Profile.CacheTokens),
+			reports: reportHistory{lag: int(experiment.Profile.ReportAge / slotReportPeriod)},
 		}
 		simulated.byID[runner.id] = runner
 		simulated.runners = append(simulated.runners, runner)
@@ -114,7 +116,7 @@
 	return listing
 }
 
-// recordReports lets all runners report, from now on.
+// recordReports records a load report of each runner, now and after each slotReportPeriod.
 func (simulated *slotSimulation) recordReports() {
 	for _, runner := range simulated.runners {
 		runner.reports.record(runner.report())
@@ -122,7 +124,7 @@
 	simulated.world.After(slotReportPeriod, simulated.recordReports)
 }
 
-// pollReports lets each daemon read all reports, from a random moment on.
+// pollReports starts the periodic polls of each daemon, which read all runners' reports, at a random time.
 func (simulated *slotSimulation) pollReports() {
 	for _, daemon := range simulated.daemons {
 		var poll func()
@@ -138,26 +140,26 @@
 	}
 }
 
-// scheduleArrival lets requests arrive at random moments, until the setting's length is over.
+// scheduleArrival schedules the next request, and repeatedly those after it until Length has passed.
 func (simulated *slotSimulation) scheduleArrival() {
-	if simulated.world.Now.Sub(simulated.started) > simulated.setting.Length {
+	if simulated.world.Now.Sub(simulated.started) > simulated.experiment.Length {
 		return
 	}
-	gap := time.Duration(simulated.random.ExpFloat64() / simulated.setting.Rate * float64(time.Second))
+	gap := time.Duration(simulated.random.ExpFloat64() / simulated.experiment.Rate * float64(time.Second))
 	simulated.world.After(gap, func() {
 		simulated.arrive()
 		simulated.scheduleArrival()
 	})
 }
 
-// arrive draws a request and gives it to a random daemon.
+// arrive generates a request and passes it to a random daemon.
 func (simulated *slotSimulation) arrive() {
-	drawn := simulated.setting.Mix.Draw(simulated.random, simulated.setting.Hot)
+	drawn := simulated.experiment.Mix.Draw(simulated.random, simulated.experiment.Hot)
 	daemon := simulated.daemons[simulated.random.Intn(len(simulated.daemons))]
 	request := &slotRequest{
 		kind: drawn.Kind,
 		queued: newQueuedRequest(drawn.Kind.Route, drawn.Kind.ConcurrencyLimit, newPrompt(drawn.Parts()),
-			simulated.setting.Mix.Model, scheduler.Requirements{
+			simulated.experiment.Mix.Model, scheduler.Requirements{
 				Value:         drawn.Kind.Value,
 				LatencyTarget: drawn.Kind.LatencyTarget,
 				PromptTokens:  drawn.PromptTokens(),
@@ -165,12 +167,12 @@
 			}),
 		arrived: simulated.world.Now,
 	}
-	simulated.results.update(drawn.Kind.Route, func(result *Result) { result.Requests++ })
+	simulated.results.update(drawn.Kind.Route, func(result *SlotResult) { result.Requests++ })
 	daemon.budget.RecordRequest(simulated.world.Now)
 	simulated.schedule(daemon, request)
 }
 
-// schedule gives a request to a daemon, at its arrival or for a retry.
+// schedule passes a request to a daemon's scheduler, at its arrival or for a retry.
 func (simulated *slotSimulation) schedule(daemon *daemon, request *slotRequest) {
 	daemon.schedule(simulated.world.Now, request.queued, func(decision scheduler.Decision) {
 		if decision.Kind == scheduler.Dispatch {
@@ -178,11 +180,11 @@
 			return
 		}
 		waited := simulated.world.Now.Sub(request.arrived)
-		simulated.results.update(request.kind.Route, func(result *Result) { result.refused(waited) })
+		simulated.results.update(request.kind.Route, func(result *SlotResult) { result.refused(waited) })
 	})
 }
 
-// dispatch sends a request to the runner that the scheduler took.
+// dispatch sends a request to the runner that the scheduler chose.
 func (simulated *slotSimulation) dispatch(daemon *daemon, request *slotRequest, decision scheduler.Decision) {
 	world, runner := simulated.world, simulated.byID[decision.Runner.ID]
 	sent := world.Now
@@ -193,17 +195,17 @@
 		prompt:     request.queued.Requirements.PromptTokens,
 		answer:     request.kind.Answer,
 		finished: func() {
-			simulated.results.update(request.kind.Route, func(result *Result) { result.Done++ })
+			simulated.results.update(request.kind.Route, func(result *SlotResult) { result.Done++ })
 			daemon.scheduler.RequestCompleted(0, 0, world.Now.Sub(sent))
 			daemon.release(world.Now, request.queued, runner.id)
 		},
 	}
 	run.firstEvent = func(cached int) {
 		daemon.scheduler.FirstEventReceived(request.queued, decision, world.Now.Sub(sent))
-		simulated.results.update(request.kind.Route, func(result *Result) {
-			result.First = append(result.First, world.Now.Sub(request.arrived))
-			result.Cached += cached
-			result.Prompted += run.prompt
+		simulated.results.update(request.kind.Route, func(result *SlotResult) {
+			result.FirstEventTimes = append(result.FirstEventTimes, world.Now.Sub(request.arrived))
+			result.CachedTokens += cached
+			result.PromptTokens += run.prompt
 			if runner.zone != daemon.zone {
 				result.CrossZone++
 			}
@@ -214,18 +216,18 @@
 		return
 	}
 	simulated.results.update(request.kind.Route,
-		func(result *Result) { result.MostAtOnce = max(result.MostAtOnce, runner.active()) })
+		func(result *SlotResult) { result.MaximumActive = max(result.MaximumActive, runner.active()) })
 }
 
-// retryElsewhere schedules a request anew that its runner has rejected, if the retry budget allows it.
+// retryElsewhere schedules a request again that its runner has rejected, if the retry budget allows it.
 func (simulated *slotSimulation) retryElsewhere(daemon *daemon, request *slotRequest, decision scheduler.Decision) {
 	now, runner := simulated.world.Now, decision.Runner.ID
 	daemon.scheduler.RequestRejected(now, request.queued, decision)
 	daemon.scheduler.Release(now, request.queued, runner)
 	request.queued.Requirements.ExcludedRunners[runner] = true
-	simulated.results.update(request.kind.Route, func(result *Result) { result.PutBack++ })
+	simulated.results.update(request.kind.Route, func(result *SlotResult) { result.Rejected++ })
 	if !daemon.budget.AllowRetry(now) {
-		simulated.results.update(request.kind.Route, func(result *Result) { result.NoBudget++ })
+		simulated.results.update(request.kind.Route, func(result *SlotResult) { result.RetriesDenied++ })
 		return
 	}
 	simulated.schedule(daemon, request)
--- a/verify/placement/slot_simulation_test.go
+++ b/verify/placement/slot_simulation_test.go
@@ -7,84 +7,90 @@
 	"wardtray/verify/loadtest"
 )
 
-func measure(t *testing.T, deployment, way string, rate, hot float64) map[string]*Result {
+// measure runs a simulation of a deployment with a policy, a rate and a share of hot requests.
+func measure(t *testing.T, deployment, policy string, rate, hot float64) map[string]*SlotResult {
 	t.Helper()
-	setting := Settings[deployment]
-	setting.Policy, setting.Rate, setting.Hot, setting.Length, setting.Seed = way, rate, hot, 8*time.Second, 3
-	results, err := Measure(setting)
+	experiment := Settings[deployment]
+	experiment.Policy, experiment.Rate, experiment.Hot, experiment.Length, experiment.Seed = policy, rate, hot,
+		8*time.Second, 3
+	results, err := Measure(experiment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return results
 }
 
-// In simulated time and so the same on every machine: the index and the homes find far more in caches than
-// chance does.
+// Guards against a policy that makes little use of prefix caches: the cache share must be at least 1.5 times that of
+// random placement. Simulated time makes the results equal on all machines.
 func TestPlacementBeatsChance(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range []string{"guild", "ferries"} {
-		ours, chance := measure(t, deployment, "wardtray", 60, 0)[""], measure(t, deployment, "random", 60, 0)[""]
-		if ours.Done != ours.Requests {
-			t.Errorf("%s: %d of %d done with room to spare", deployment, ours.Done, ours.Requests)
+		wardtray, random := measure(t, deployment, "wardtray", 60, 0)[""], measure(t, deployment, "random", 60, 0)[""]
+		if wardtray.Done != wardtray.Requests {
+			t.Errorf("%s: %d of %d requests done although the fleet has spare capacity", deployment, wardtray.Done,
+				wardtray.Requests)
 		}
-		if ours.CacheShare() < 1.5*chance.CacheShare() {
-			t.Errorf("%s: %.0f%% cached, by chance %.0f%%", deployment, 100*ours.CacheShare(), 100*chance.CacheShare())
+		if wardtray.CacheShare() < 1.5*random.CacheShare() {
+			t.Errorf("%s: %.0f%% cached, with random %.0f%%", deployment, 100*wardtray.CacheShare(),
+				100*random.CacheShare())
 		}
-		if ours.CrossZone > chance.CrossZone {
-			t.Errorf("%s: %d awards across zones, by chance %d", deployment, ours.CrossZone, chance.CrossZone)
+		if wardtray.CrossZone > random.CrossZone {
+			t.Errorf("%s: %d answers across zones, with random %d", deployment, wardtray.CrossZone, random.CrossZone)
 		}
 	}
 }
 
-// A prompt crosses zones for its opening, whose second reading costs fifty times what its bytes do. One
-// without an opening stays where it came.
+// A request is sent to another zone if its prefix is cached there, since prefilling the prefix again costs fifty times
+// as much as the traffic. Requests without a prefix must stay in their zone more often than with random placement.
 func TestPromptsWithoutOpeningsStayInTheirZone(t *testing.T) {
 	t.Parallel()
 	for _, deployment := range []string{"guild", "ferries"} {
 		crossZone := map[string]int{}
-		for _, way := range []string{"wardtray", "random"} {
-			setting := Settings[deployment]
-			setting.Policy, setting.Rate, setting.Length, setting.Seed = way, 60, 8*time.Second, 3
-			setting.Mix.Kinds = append([]loadtest.Kind{}, setting.Mix.Kinds...)
-			for place := range setting.Mix.Kinds {
-				setting.Mix.Kinds[place].PrefixParts, setting.Mix.Kinds[place].UniqueTokens = 0, 800
+		for _, policy := range []string{"wardtray", "random"} {
+			experiment := Settings[deployment]
+			experiment.Policy, experiment.Rate, experiment.Length, experiment.Seed = policy, 60, 8*time.Second, 3
+			experiment.Mix.Kinds = append([]loadtest.Kind{}, experiment.Mix.Kinds...)
+			for index := range experiment.Mix.Kinds {
+				experiment.Mix.Kinds[index].PrefixParts, experiment.Mix.Kinds[index].UniqueTokens = 0, 800
 			}
-			results, err := Measure(setting)
+			results, err := Measure(experiment)
 			if err != nil {
 				t.Fatal(err)
 			}
-			crossZone[way] = results[""].CrossZone
+			crossZone[policy] = results[""].CrossZone
 		}
 		if crossZone["wardtray"]*3 > crossZone["random"]*2 {
-			t.Errorf("%s: %d awards across zones, by chance %d", deployment, crossZone["wardtray"], crossZone["random"])
+			t.Errorf("%s: %d answers across zones, with random %d", deployment, crossZone["wardtray"], crossZone["random"])
 		}
 	}
 }
 
-// One key with nine tenths of the work spills: nobody is turned away, and no runner is filled to where it puts back.
+// Nine tenths of the requests have the same prefix, more than its preferred runner can serve. They must spill over to
+// other runners, so that all requests are answered.
 func TestHotKeySpillsOverTheFleet(t *testing.T) {
 	t.Parallel()
-	ours := measure(t, "guild", "wardtray", 150, 0.9)[""]
-	if ours.Done != ours.Requests || ours.CacheShare() < 0.7 {
-		t.Errorf("%d of %d done, %.0f%% cached", ours.Done, ours.Requests, 100*ours.CacheShare())
+	wardtray := measure(t, "guild", "wardtray", 150, 0.9)[""]
+	if wardtray.Done != wardtray.Requests || wardtray.CacheShare() < 0.7 {
+		t.Errorf("%d of %d requests done, %.0f%% cached", wardtray.Done, wardtray.Requests, 100*wardtray.CacheShare())
 	}
 }
 
-// At twice what the fleet can do: every route still gets some, what is worth more gets more of what it
-// asks for, and nearly all refusals come at the door.
+// Guards against starvation and late refusals under overload. At twice the fleet's capacity, a tenth of each route's
+// requests must be answered, the route of the highest value must have the shorter median time to the first event, and
+// most refusals must be early.
 func TestOverloadIsSharedAndToldEarly(t *testing.T) {
 	t.Parallel()
 	results := measure(t, "guild", "wardtray", 500, 0)
 	share := func(route string) float64 { return float64(results[route].Done) / float64(results[route].Requests) }
 	for route, result := range results {
 		if share(route) < 0.1 {
-			t.Errorf("%s starves: %d of %d done", route, result.Done, result.Requests)
+			t.Errorf("%s starves: %d of %d requests done", route, result.Done, result.Requests)
 		}
 	}
-	if dear, cheap := results["confirm"].Quantile(0.5), results["survey"].Quantile(0.5); dear*2 > cheap {
-		t.Errorf("confirm waits %v, survey %v", dear, cheap)
+	if confirm, survey := results["confirm"].Quantile(0.5), results["survey"].Quantile(0.5); confirm*2 > survey {
+		t.Errorf("median time to the first event: confirm %v, survey %v", confirm, survey)
 	}
-	if all := results[""]; all.Late > all.Early {
-		t.Errorf("%d late refusals, %d early", all.Late, all.Early)
+	if all := results[""]; all.RefusedLate > all.RefusedEarly {
+		t.Errorf("%d late refusals, %d early", all.RefusedLate, all.RefusedEarly)
 	}
 }
--- a/verify/placement/workload.go
+++ b/verify/placement/workload.go
@@ -8,78 +8,78 @@
 )
 
 const (
-	// answerTokenCost is how many prompt tokens an answer token weighs in the size of a request.
-	answerTokenCost = 10
-	// sizeSamples is how many sizes are drawn to find a route's mean and its largest tenth.
+	// answerTokenWeight is the weight of an answer token in the size of a request, relative to a prompt token.
+	answerTokenWeight = 10
+	// sizeSamples is the number of samples that estimate the mean and the 90th percentile of a route's request sizes.
 	sizeSamples = 2000
-	// hotItem is the item that all hot requests share.
+	// hotItem is the item of the last shared part of all hot requests.
 	hotItem = 7
-	// noRoute stands for a hot route where there is none.
+	// noRoute is the value of a hot route if there is none.
 	noRoute = ""
 )
 
-// workload draws the requests of a deployment's routes. Prompts share parts: each has one of each of its route's shared
-// parts, and an own part behind them.
+// workload generates the requests of a deployment's routes. A prompt consists of one item of each of its route's shared
+// parts, followed by a unique part.
 type workload struct {
 	random *rand.Rand
-	routes []RouteWork
+	routes []RouteWorkload
 	stride int
-	// rate is that of all routes together, requests a second.
-	rate   float64
-	shapes map[string]*routeShape
+	// rate is the rate of all routes together, in requests per second.
+	rate       float64
+	parameters map[string]*routeParameters
 }
 
-// routeShape is what was drawn or reckoned once for a route.
-type routeShape struct {
-	// partTokens are the sizes of the items of each shared part.
+// routeParameters holds the precomputed parameters of a route's requests.
+type routeParameters struct {
+	// partTokens holds the numbers of tokens of the items of each shared part.
 	partTokens [][]int
 	// popularity is the cumulative popularity of the last shared part's items.
 	popularity []float64
-	// meanSize is the mean size of requests, largeSize that beyond which the largest tenth lies.
+	// meanSize is the mean of the request sizes, largeSize their 90th percentile.
 	meanSize, largeSize float64
 }
 
-// drawnRequest is one request of a workload.
+// drawnRequest is a generated request of a workload.
 type drawnRequest struct {
-	route RouteWork
-	// prompt are the parts, the own one last; sharedTokens are the tokens of the others.
+	route RouteWorkload
+	// prompt holds the parts of the prompt, the unique part last; sharedTokens is the number of tokens of the others.
 	prompt       prompt
 	promptTokens int
 	sharedTokens int
 	answerTokens int
-	// value is for an answer within the latency target, late for a later one.
+	// value is the value of an answer in time, late the value of a later one.
 	value, late float64
-	// large means that the request is of its route's largest tenth.
+	// large reports whether the request is among the largest tenth of its route.
 	large bool
 }
 
-// newWorkload draws the shared parts of a deployment's routes.
+// newWorkload returns the workload of a deployment; it draws the sizes of the shared parts from random.
 func newWorkload(deployment Deployment, random *rand.Rand) *workload {
-	made := &workload{
-		random: random,
-		routes: deployment.Routes,
-		stride: deployment.Engine.Stride,
-		shapes: map[string]*routeShape{},
+	created := &workload{
+		random:     random,
+		routes:     deployment.Routes,
+		stride:     deployment.Engine.Stride,
+		parameters: map[string]*routeParameters{},
 	}
 	for _, route := range deployment.Routes {
-		made.rate += route.Rate
-		made.shapes[route.Name] = made.drawShape(route)
+		created.rate += route.Rate
+		created.parameters[route.Name] = created.drawParameters(route)
 	}
-	return made
+	return created
 }
 
-func (workload *workload) drawShape(route RouteWork) *routeShape {
-	shape := &routeShape{}
+func (workload *workload) drawParameters(route RouteWorkload) *routeParameters {
+	parameters := &routeParameters{}
 	sharedMean := 0.0
-	for _, shared := range route.Chain {
+	for _, shared := range route.SharedParts {
 		tokens := make([]int, shared.Items)
 		for item := range tokens {
 			tokens[item] = shared.Tokens.draw(workload.random)
 		}
-		shape.partTokens = append(shape.partTokens, tokens)
+		parameters.partTokens = append(parameters.partTokens, tokens)
 		sharedMean += shared.Tokens.Mean
 	}
-	shape.popularity = cumulativePopularity(route.Chain[len(route.Chain)-1])
+	parameters.popularity = cumulativePopularity(route.SharedParts[len(route.SharedParts)-1])
 	sizes, total := make([]float64, 0, sizeSamples), 0.0
 	for range sizeSamples {
 		own := route.Prompt.draw(workload.random)
@@ -88,13 +88,13 @@
 		total += size
 	}
 	sort.Float64s(sizes)
-	shape.meanSize = total/sizeSamples + sharedMean
-	shape.largeSize = sizes[sizeSamples*9/10] + sharedMean
-	return shape
+	parameters.meanSize = total/sizeSamples + sharedMean
+	parameters.largeSize = sizes[sizeSamples*9/10] + sharedMean
+	return parameters
 }
 
-// cumulativePopularity returns for each item the popularity of it and all before it.
-func cumulativePopularity(shared Shared) []float64 {
+// cumulativePopularity returns, for each item, the sum of the popularities of the items up to and including it.
+func cumulativePopularity(shared SharedPart) []float64 {
 	popularity, sum := make([]float64, shared.Items), 0.0
 	for item := range popularity {
 		sum += math.Pow(float64(item+1), -shared.Skew)
@@ -103,20 +103,21 @@
 	return popularity
 }
 
-// requestSize weighs a request's tokens.
+// requestSize returns the size of a request: the weighted sum of its tokens.
 func requestSize(promptTokens, answerTokens int) float64 {
-	return float64(promptTokens) + answerTokenCost*float64(answerTokens)
+	return float64(promptTokens) + answerTokenWeight*float64(answerTokens)
 }
 
-// draw draws a request; hot is the part (0 to 1) of hotRoute's requests that carry the hot item (noRoute: none do).
+// draw returns a random request; hot is the share (0 to 1) of hotRoute's requests that have the hot item. With noRoute,
+// there are no hot requests.
 func (workload *workload) draw(hotRoute string, hot float64) drawnRequest {
 	route := workload.drawRoute()
-	shape := workload.shapes[route.Name]
-	item := shape.drawItem(workload.random)
+	parameters := workload.parameters[route.Name]
+	item := parameters.drawItem(workload.random)
 	if route.Name == hotRoute && workload.random.Float64() < hot {
 		item = hotItem
 	}
-	drawn := drawnRequest{route: route, prompt: shape.sharedParts(route.Name, item)}
+	drawn := drawnRequest{route: route, prompt: parameters.sharedParts(route.Name, item)}
 	for _, tokens := range drawn.prompt.tokens {
 		drawn.sharedTokens += tokens
 	}
@@ -126,15 +127,15 @@
 	drawn.prompt.tokens = append(drawn.prompt.tokens, own)
 	drawn.promptTokens = drawn.sharedTokens + own
 	size := requestSize(drawn.promptTokens, drawn.answerTokens)
-	// Larger requests are worth more, within bounds.
-	weight := min(4, 0.3+0.7*size/shape.meanSize)
-	drawn.value, drawn.late = route.Value*weight, route.Late*weight
-	drawn.large = size > shape.largeSize
+	// The value grows with the size, from 0.3 to 4 times the route's value.
+	weight := min(4, 0.3+0.7*size/parameters.meanSize)
+	drawn.value, drawn.late = route.Value*weight, route.LateValue*weight
+	drawn.large = size > parameters.largeSize
 	return drawn
 }
 
-// drawRoute takes a route by the routes' rates.
-func (workload *workload) drawRoute() RouteWork {
+// drawRoute returns a random route, weighted by rate.
+func (workload *workload) drawRoute() RouteWorkload {
 	point := workload.random.Float64() * workload.rate
 	for _, route := range workload.routes {
 		if point -= route.Rate; point < 0 {
@@ -144,22 +145,22 @@
 	return workload.routes[len(workload.routes)-1]
 }
 
-// drawItem takes an item by popularity.
-func (shape *routeShape) drawItem(random *rand.Rand) int {
-	all := shape.popularity[len(shape.popularity)-1]
-	return sort.SearchFloat64s(shape.popularity, random.Float64()*all)
+// drawItem returns a random item, weighted by popularity.
+func (parameters *routeParameters) drawItem(random *rand.Rand) int {
+	all := parameters.popularity[len(parameters.popularity)-1]
+	return sort.SearchFloat64s(parameters.popularity, random.Float64()*all)
 }
 
-// sharedParts returns the shared parts of a route's prompts about an item.
-func (shape *routeShape) sharedParts(route string, item int) prompt {
-	made := prompt{
-		parts:  make([]string, 0, len(shape.partTokens)+1),
-		tokens: make([]int, 0, len(shape.partTokens)+1),
+// sharedParts returns the shared parts of a prompt of a route; item is the item of the last part.
+func (parameters *routeParameters) sharedParts(route string, item int) prompt {
+	created := prompt{
+		parts:  make([]string, 0, len(parameters.partTokens)+1),
+		tokens: make([]int, 0, len(parameters.partTokens)+1),
 	}
-	for part, sizes := range shape.partTokens {
-		here := item % len(sizes)
-		made.parts = append(made.parts, fmt.Sprint(route, part, "-", here))
-		made.tokens = append(made.tokens, sizes[here])
+	for part, sizes := range parameters.partTokens {
+		partItem := item % len(sizes)
+		created.parts = append(created.parts, fmt.Sprint(route, part, "-", partItem))
+		created.tokens = append(created.tokens, sizes[partItem])
 	}
-	return made
+	return created
 }
--- a/verify/placement/workload_test.go
+++ b/verify/placement/workload_test.go
@@ -21,7 +21,7 @@
 	for _, route := range workload.routes {
 		want, got := route.Rate/workload.rate, float64(counts[route.Name])/drawn
 		if math.Abs(got-want) > 0.03 {
-			t.Errorf("%s: a part of %.3f instead of %.3f", route.Name, got, want)
+			t.Errorf("%s: a share of %.3f of the requests, want %.3f", route.Name, got, want)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	left, right := newTestWorkload(7), newTestWorkload(7)
 	for number := range 100 {
 		if first, second := left.draw("survey", 0.5), right.draw("survey", 0.5); !reflect.DeepEqual(first, second) {
-			t.Fatalf("request %d: %+v and %+v", number, first, second)
+			t.Fatalf("request %d: %+v from one workload, %+v from another of the same seed", number, first, second)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 		}
 		own := request.prompt.tokens[len(request.prompt.tokens)-1]
 		if tokens != request.promptTokens || tokens-own != request.sharedTokens {
-			t.Fatalf("%d tokens of parts, %d of them own; %d prompt tokens, %d shared", tokens, own,
+			t.Fatalf("%d tokens in all parts, %d of them unique; %d prompt tokens, %d shared", tokens, own,
 				request.promptTokens, request.sharedTokens)
 		}
 		if len(request.prompt.parts) != len(request.prompt.tokens) {
@@ -60,12 +60,12 @@
 			large++
 		}
 	}
-	if part := float64(large) / drawn; part < 0.05 || part > 0.2 {
-		t.Errorf("a part of %.3f is large, about a tenth was meant", part)
+	if share := float64(large) / drawn; share < 0.05 || share > 0.2 {
+		t.Errorf("a share of %.3f of the requests is large, want about 0.1", share)
 	}
 }
 
-// All hot requests of the hot route, and only these, are about one item.
+// All hot requests of the hot route have the same item; those of other routes have different items.
 func TestHotRequestsShareOneItem(t *testing.T) {
 	workload := newTestWorkload(5)
 	items := map[string]map[string]bool{"survey": {}, "confirm": {}}
@@ -75,6 +75,7 @@
 		items[request.route.Name][last] = true
 	}
 	if len(items["survey"]) != 1 || len(items["confirm"]) < 20 {
-		t.Errorf("%d items of the hot route, %d of the other", len(items["survey"]), len(items["confirm"]))
+		t.Errorf("%d items of the hot route, want 1; %d items of the other, want at least 20", len(items["survey"]),
+			len(items["confirm"]))
 	}
 }
