--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -79,7 +79,7 @@
 // prefix 0 of their kind.
 func (mix Mix) Draw(random *rand.Rand, hot float64) Drawn {
 	drawn := Drawn{Kind: mix.drawKind(random)}
-	// The minimum of two draws makes some prefixes more popular than others.
+	// The minimum of two draws makes a few prefixes receive most of the requests, as popular questions do.
 	drawn.Prefix = min(random.Intn(drawn.Kind.Prefixes), random.Intn(drawn.Kind.Prefixes))
 	if random.Float64() < hot {
 		drawn.Prefix = 0
--- a/verify/loadtest/sender.go
+++ b/verify/loadtest/sender.go
@@ -135,7 +135,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			// The stream ended without its last event.
+			// Without its last event, the answer is incomplete, although some of it was read.
 			if !record.Done && !record.Error {
 				record.ConnectionLost = true
 			}
--- a/verify/placement/batch_runner.go
+++ b/verify/placement/batch_runner.go
@@ -45,7 +45,7 @@
 	accepted int
 	// stepping reports whether a step is in progress.
 	stepping bool
-	// crashed is set by crash; a crashed runner doesn't complete its step.
+	// crashed is set by crash. A crashed runner doesn't complete its step, and runnerSet.available doesn't return it.
 	crashed bool
 	reports reportHistory
 }
