--- a/verify/modelcheck/action.go
+++ b/verify/modelcheck/action.go
@@ -11,44 +11,48 @@
 
 // The actions that the explorer chooses between.
 const (
-	// Deliver hands a message over, Drop loses it, Hold keeps it back until Release.
+	// Deliver delivers a message, Drop loses it, Hold delays it until Release.
 	Deliver Verb = "deliver"
 	Drop    Verb = "drop"
 	Hold    Verb = "hold"
 	Release Verb = "release"
-	// Sync completes all writes that a machine's disk was asked for.
+	// Sync completes all outstanding writes of a machine's disk.
 	Sync Verb = "sync"
-	// Tick lets one step of time pass, Wait several, in which every message is delivered and every write synced.
+	// Tick advances the clock by one step, Wait by several, while every message is delivered and every write synced.
 	Tick Verb = "tick"
 	Wait Verb = "wait"
-	// Send has an operator send a question.
+	// Send sends an operator's request.
 	Send Verb = "send"
-	// Kill ends a process, Crash takes the power from a machine, Wipe its disk as well; Start starts it again.
+	// Kill ends a process, Crash powers a machine off, Wipe also replaces its disk by a blank one. Start starts the
+	// process again.
 	Kill  Verb = "kill"
 	Crash Verb = "crash"
 	Wipe  Verb = "wipe"
 	Start Verb = "start"
-	// Freeze stops a process without ending it; Wake lets it go on.
+	// Freeze suspends a process; Wake resumes it.
 	Freeze Verb = "freeze"
 	Wake   Verb = "wake"
-	// Cut parts a group of machines from all others; Heal ends all cuts.
+	// Cut isolates a group of machines from all others, or cuts one link; Heal ends all cuts.
 	Cut  Verb = "cut"
 	Heal Verb = "heal"
-	// Leave has a machine leave by order; Stop ends its process, and takes its disk, once it may go.
+	// Leave orders the decommissioning of a machine; Stop, possible once it is decommissioned, ends its process and
+	// removes its disk.
 	Leave Verb = "leave"
 	Stop  Verb = "stop"
-	// Blackout takes the power from all machines at once, and one disk; the others must recover. It ends a run.
+	// Blackout powers all machines off at once and replaces one disk by a blank one; the fleet must recover. It ends a
+	// run.
 	Blackout Verb = "blackout"
 )
 
-// Action is one step that the explorer takes. Message is the digest of the message it is about, if it is about one.
+// Action is one step of the explorer. Subject names what the verb acts on; Message is the digest of the message, for
+// verbs that act on one.
 type Action struct {
 	Verb    Verb
 	Subject string
 	Message uint64
 }
 
-// String writes an action so that ParseAction reads it back.
+// String formats an action as ParseAction reads it.
 func (action Action) String() string {
 	text := string(action.Verb)
 	if action.Subject != "" {
@@ -60,10 +64,10 @@
 	return text
 }
 
-// messageVerbs are the verbs whose actions name a message.
+// messageVerbs are the verbs that act on a message.
 var messageVerbs = map[Verb]bool{Deliver: true, Drop: true, Hold: true, Release: true}
 
-// ParseAction reads what String wrote.
+// ParseAction parses the format of Action.String.
 func ParseAction(text string) (Action, error) {
 	words := strings.Fields(text)
 	if len(words) == 0 || len(words) > 3 {
--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -11,12 +11,12 @@
 	"wardtray/wire"
 )
 
-// recoveryTicks bounds for how long a fleet may take to recover from a blackout.
+// recoveryTicks is the maximum duration of the recovery from a blackout, in ticks.
 const recoveryTicks = 150
 
 func sortedKeys[Value any](of map[string]Value) []string { return slices.Sorted(maps.Keys(of)) }
 
-// actions lists what may happen next, in a fixed order.
+// actions lists the possible actions, in a fixed order.
 func (world *world) actions() []Action {
 	if world.finished || world.checker.violation != "" {
 		return nil
@@ -34,7 +34,8 @@
 		}
 	}
 	actions = append(actions, world.faultActions()...)
-	// Nothing that could be done at this moment is put off, but by Hold and by a freeze.
+	// The clock advances only when nothing can be delivered or synced at this moment: only Hold and Freeze delay a
+	// message.
 	if world.quiescent() {
 		add(Tick, "")
 		if world.remaining[Wait] > 0 {
@@ -44,7 +45,7 @@
 	return actions
 }
 
-// messageActions lists what may happen to the messages on their way. Of several that are alike one stands for all.
+// messageActions lists the actions on messages in flight or delayed. Of several equal messages it lists one.
 func (world *world) messageActions() []Action {
 	var actions []Action
 	listed := map[uint64]bool{}
@@ -87,7 +88,8 @@
 	return actions
 }
 
-// quiescent means that no message and no write waits for anything but a held message or the end of a freeze.
+// quiescent reports whether no message can be delivered and no write synced: what is outstanding is delayed by Hold or
+// belongs to a frozen machine.
 func (world *world) quiescent() bool {
 	for _, message := range world.network.inFlight {
 		if !world.byName[message.to].frozen {
@@ -97,7 +99,7 @@
 	return len(world.names(func(host *host) bool { return host.up && !host.frozen && len(host.writes) > 0 })) == 0
 }
 
-// faultActions lists the faults that may be injected into machines and links, and what ends them.
+// faultActions lists the possible faults of machines and links, and the actions that end them.
 func (world *world) faultActions() []Action {
 	var actions []Action
 	for _, name := range world.targets() {
@@ -117,15 +119,15 @@
 	return append(append(actions, world.partitionActions()...), world.blackoutActions()...)
 }
 
-// canFail reports whether a kind of fault may be injected into a host.
+// canFail reports whether a kind of fault is possible at a host.
 func (world *world) canFail(host *host, verb Verb) bool {
 	if world.remaining[verb] == 0 || !host.up || host.frozen || verb == Leave && host.decommissioning {
 		return false
 	}
-	return host.core || verb != Wipe && verb != Leave
+	return host.isControlNode || verb != Wipe && verb != Leave
 }
 
-// recoveryConditions tell whether a host may be started, woken or, having left, be taken away.
+// recoveryConditions report whether a host may be started, resumed or, once decommissioned, stopped.
 var recoveryConditions = map[Verb]func(world *world, host *host) bool{
 	Start: func(world *world, host *host) bool {
 		return !host.up && !host.removed && (host.everStarted || world.remaining[Start] > 0)
@@ -136,7 +138,7 @@
 	},
 }
 
-// partitionActions lists the ways to cut off somebody or, where somebody is, to heal that.
+// partitionActions lists the possible cuts or, while there is one, its healing.
 func (world *world) partitionActions() []Action {
 	if world.network.isPartitioned() {
 		return []Action{{Verb: Heal}}
@@ -154,7 +156,7 @@
 	return actions
 }
 
-// targets lists whom harm may come to.
+// targets lists the machines at which faults are possible.
 func (world *world) targets() []string {
 	targets := append([]string{}, world.scenario.Targets...)
 	if leader := world.leader(); world.scenario.Leaders && leader != nil && !slices.Contains(targets, leader.name) {
@@ -163,8 +165,8 @@
 	return targets
 }
 
-// blackoutActions lists the ways in which all machines may lose their power and one its disk, once there is something
-// to lose.
+// blackoutActions lists the possible blackouts, one for each disk that may be lost, once a change has been
+// acknowledged.
 func (world *world) blackoutActions() []Action {
 	if world.remaining[Blackout] == 0 || len(world.checker.accepted) == 0 && world.scenario.PriorChanges == 0 {
 		return nil
@@ -173,14 +175,15 @@
 		return []Action{{Verb: Blackout}}
 	}
 	var actions []Action
-	for _, name := range world.names(func(host *host) bool { return host.core && host.everStarted && !host.removed }) {
+	for _, name := range world.names(
+		func(host *host) bool { return host.isControlNode && host.everStarted && !host.removed }) {
 		actions = append(actions, Action{Verb: Blackout, Subject: name})
 	}
 	return actions
 }
 
-// toleratesDiskLoss means that the fleet must bear the loss of another disk: none was wiped, or each wiped one has its
-// successor in a view that the leader acts by. A machine that left by order is no loss.
+// toleratesDiskLoss reports whether the fleet must survive the loss of another disk: none was wiped, or each wiped one
+// has been replaced in the leader's view. A decommissioned machine does not count as a loss.
 func (world *world) toleratesDiskLoss() bool {
 	if world.remaining[Wipe] == world.scenario.Budget[Wipe] {
 		return true
@@ -191,7 +194,7 @@
 	}
 	live := map[string]bool{}
 	for _, host := range world.hosts {
-		if host.core && host.disk.state != nil && !host.removed {
+		if host.isControlNode && host.disk.state != nil && !host.removed {
 			live[host.disk.state.Id] = true
 		}
 	}
@@ -203,12 +206,12 @@
 	return len(leader.node.View().Chain) >= toleratedFaults+1
 }
 
-// apply takes one action; it fails where that is not possible.
+// apply takes one action, or returns an error if it is not possible in this state.
 func (world *world) apply(action Action) error {
 	if !slices.Contains(world.actions(), action) {
-		return fmt.Errorf("%q is not possible here", action)
+		return fmt.Errorf("action %q is not possible in this state", action)
 	}
-	// Whoever ran before may always come back.
+	// A restart consumes no budget; only the first start of a blank machine does.
 	if world.remaining[action.Verb] > 0 && !(action.Verb == Start && world.byName[action.Subject].everStarted) {
 		world.remaining[action.Verb]--
 	}
@@ -231,8 +234,8 @@
 	}
 }
 
-// actionHandlers are what the actions do that are not about a message; subject is the action's, host the machine of
-// that name.
+// actionHandlers carry out the actions that are not about a message; subject is the action's, host the machine of that
+// name.
 var actionHandlers = map[Verb]func(world *world, host *host, subject string){
 	Sync:  func(world *world, host *host, _ string) { world.sync(host) },
 	Tick:  func(world *world, _ *host, _ string) { world.tick() },
@@ -263,7 +266,7 @@
 	Blackout: func(world *world, host *host, _ string) { world.blackout(host) },
 }
 
-// send has an operator ask a question.
+// send submits an operator's request; subject is its index in the scenario.
 func (world *world) send(subject string) {
 	index := 0
 	if _, err := fmt.Sscan(subject, &index); err != nil {
@@ -298,8 +301,8 @@
 	}
 }
 
-// blackout takes the power from everything, the disk from one machine, and starts all again. Those who come back must
-// lead with all that was acknowledged.
+// blackout powers all machines off, blanks the disk of one, and starts all again. Within recoveryTicks a machine must
+// lead with every acknowledged change.
 func (world *world) blackout(lost *host) {
 	world.finished = true
 	world.network.heal()
@@ -325,9 +328,10 @@
 			return
 		}
 	}
-	world.checker.fail("P3", "nobody leads with epoch %d again, %v after all lost their power and %s its disk",
+	world.checker.fail("P3", "no machine leads with epoch %d, %v after all lost power and %s lost its disk",
 		world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
 }
 
-// settleTime is for how long a prepared fleet runs before a search begins; every machine then counts as reached.
+// settleTime is how long a prepared fleet runs before a search begins. It is no shorter than startupTime, so that
+// daemons count as reaching the control machines.
 const settleTime = 2 * time.Second
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -11,33 +11,33 @@
 	"wardtray/wire"
 )
 
-// checker remembers what was seen in one run, and what of it breaks a property. The numbers P1 to P5 are those of
-// the package's own documentation.
+// checker records what one run has shown and the first violated property. The package documentation defines P1 to P5.
 type checker struct {
 	world *world
-	// violation is the first property that did not hold.
+	// violation describes the first property that did not hold; "" while all hold.
 	violation string
 
-	// documents and views are the digests of all committed documents by sequence, and of all views by epoch.
+	// documents are the digests of all committed documents by sequence number, views those of all views by epoch.
 	documents  map[uint64]uint64
 	views      map[uint64]uint64
 	newestView uint64
 	committed  uint64
-	// acknowledgedBefore is the epoch that was acknowledged before the search began, known what was when each view was
-	// first seen.
+	// acknowledgedBefore is the greatest epoch acknowledged before the search began, acknowledgedAtView the greatest one
+	// acknowledged when each view, by its epoch, was first seen.
 	acknowledgedBefore uint64
 	acknowledgedAtView map[uint64]uint64
 	// effective are the committed operations and their epochs.
 	effective map[string]uint64
 	accepted  map[string]acceptedChange
 	rejected  map[string]bool
-	// copies is on how many disks an operation was at once, at most.
+	// copies is the greatest number of disks that held an operation at the same time.
 	copies map[string]int
-	// servedEpoch is the greatest epoch by which a daemon awarded, reached since when it reaches a core machine.
+	// servedEpoch is the last epoch under which each daemon could assign work, reachableSince the time since which it has
+	// reached a control machine.
 	servedEpoch    map[string]uint64
 	reachableSince map[string]time.Time
-	// responded tells which questions have their answer, asked which wait for one and since which epoch was
-	// acknowledged.
+	// responded holds the requests, by index, that have their response; epochAtRequest holds for those that wait for one
+	// the epoch that was acknowledged when they were sent.
 	responded      map[int]bool
 	epochAtRequest map[int]uint64
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// addToFingerprint folds in what later checks go by.
+// addToFingerprint adds everything that later checks depend on.
 func (checker *checker) addToFingerprint(hash *digest, walker *walker) {
 	parts := []any{
 		checker.newestView, checker.acknowledgedAtView[checker.newestView], checker.committed, checker.effective,
@@ -83,9 +83,9 @@
 	}
 }
 
-// check checks whatever a step of this host can have broken.
+// check checks the properties that a step of a host can violate.
 func (checker *checker) check(host *host) {
-	if !host.core {
+	if !host.isControlNode {
 		checker.checkDaemon(host)
 		return
 	}
@@ -107,7 +107,7 @@
 	hash := messageDigest(document)
 	if known, found := checker.documents[document.Sequence]; found {
 		if known != hash {
-			checker.fail("agreement", "%s holds another document %d than others", host.name, document.Sequence)
+			checker.fail("agreement", "%s holds another document %d than other machines", host.name, document.Sequence)
 		}
 		return
 	}
@@ -123,7 +123,7 @@
 			checker.fail("P2", "%s was refused and is in effect at %s", outcome.Operation, host.name)
 		}
 		if epoch, found := checker.effective[outcome.Operation]; found && epoch != outcome.SpecEpoch {
-			checker.fail("P2", "%s is epoch %d and %d", outcome.Operation, epoch, outcome.SpecEpoch)
+			checker.fail("P2", "%s is epoch %d and epoch %d", outcome.Operation, epoch, outcome.SpecEpoch)
 		}
 		checker.effective[outcome.Operation] = outcome.SpecEpoch
 	}
@@ -137,7 +137,7 @@
 	host.view = view
 	hash := messageDigest(view)
 	if known, found := checker.views[view.Epoch]; found && known != hash {
-		checker.fail("agreement", "%s has another view %d than others", host.name, view.Epoch)
+		checker.fail("agreement", "%s has another view %d than other machines", host.name, view.Epoch)
 	}
 	checker.views[view.Epoch] = hash
 	if _, found := checker.acknowledgedAtView[view.Epoch]; !found {
@@ -147,23 +147,24 @@
 	checker.newestView = max(checker.newestView, view.Epoch)
 }
 
-// checkJoiners checks that whoever joins by a view has learned all that was acknowledged before the last view.
+// checkJoiners checks that a machine that joins the chain in a view has learned every change that was acknowledged
+// before the preceding view.
 func (checker *checker) checkJoiners(view *wire.View) {
 	least := checker.acknowledgedAtView[view.Epoch-1]
 	for _, host := range checker.world.hosts {
-		if !host.core || !host.up || host.frozen || host.node.Chain().IsMember() {
+		if !host.isControlNode || !host.up || host.frozen || host.node.Chain().IsMember() {
 			continue
 		}
 		for _, member := range view.Chain {
 			if epoch := host.node.Chain().Latest().SpecEpoch; member.Id == host.node.Self().Id && epoch < least {
-				checker.fail("P4", "%s joins by view %d with epoch %d, %d was acknowledged before view %d", host.name,
+				checker.fail("P4", "%s joins in view %d with epoch %d, %d was acknowledged before view %d", host.name,
 					view.Epoch, epoch, least, view.Epoch-1)
 			}
 		}
 	}
 }
 
-// checkHistory checks that no operation was entered twice.
+// checkHistory checks that a machine's history, its pending entries included, has each operation once.
 func (checker *checker) checkHistory(host *host) {
 	if len(host.node.Chain().Pending()) == 0 {
 		return
@@ -177,10 +178,10 @@
 	}
 }
 
-// checkLeader checks that one machine at most leads, and with all that was committed.
+// checkLeader checks that at most one machine leads, and that its history includes every committed document.
 func (checker *checker) checkLeader(host *host) {
 	for _, other := range checker.world.hosts {
-		if other != host && other.core && other.up && !other.frozen && other.node.IsLeading(checker.world.now) {
+		if other != host && other.isControlNode && other.up && !other.frozen && other.node.IsLeading(checker.world.now) {
 			checker.fail("P1", "%s and %s lead at once", host.name, other.name)
 		}
 	}
@@ -205,7 +206,7 @@
 	}
 }
 
-// acknowledged returns the greatest epoch that was acknowledged, also before the search.
+// acknowledged returns the greatest acknowledged epoch, including those acknowledged before the search began.
 func (checker *checker) acknowledged() uint64 {
 	greatest := checker.acknowledgedBefore
 	for _, one := range checker.accepted {
@@ -214,7 +215,7 @@
 	return greatest
 }
 
-// countCopies notes on how many disks each operation is.
+// countCopies updates the greatest number of disks that held each operation.
 func (checker *checker) countCopies() {
 	for index, request := range checker.world.scenario.Requests {
 		if !checker.world.sent[index] {
@@ -222,7 +223,7 @@
 		}
 		copies := 0
 		for _, host := range checker.world.hosts {
-			if host.core && host.disk.operations[request.Operation] {
+			if host.isControlNode && host.disk.operations[request.Operation] {
 				copies++
 			}
 		}
@@ -230,7 +231,7 @@
 	}
 }
 
-// checkDaemon checks by what a daemon would award work at this moment.
+// checkDaemon checks the epoch under which a daemon would assign work at this moment.
 func (checker *checker) checkDaemon(host *host) {
 	now := checker.world.now
 	checker.recordReachability(host)
@@ -248,9 +249,9 @@
 	}
 }
 
-// checkServedEpoch checks that a daemon that reaches a core machine does not award by less than was acknowledged. A
-// change is acknowledged only when nobody can go by an older one any more; only a daemon that reached none for a while
-// has a lease's time from when it reaches one again.
+// checkServedEpoch checks that a daemon that reaches a control machine assigns no work under an epoch older than the
+// acknowledged one. A change is acknowledged only when no daemon can act under an older one. The exception is a daemon
+// that reached no control machine: it has the duration of a lease from when it reaches one again.
 func (checker *checker) checkServedEpoch(host *host, epoch uint64, reached time.Time) {
 	for _, operation := range sortedKeys(checker.accepted) {
 		since := checker.accepted[operation].At
@@ -264,12 +265,13 @@
 	}
 }
 
-// recordReachability notes since when a daemon reaches at least one core machine. One that reaches none may go on by
-// what it has for as long as it is told to. A machine that began less than startupTime ago can't tell whether there
-// is a head and counts as none, as docs/control.md says under "Without any core".
+// recordReachability records since when a daemon has reached at least one control machine. A daemon that reaches none
+// may continue under its last configuration version for isolationLimit. A control machine that started less than
+// startupTime ago cannot yet know whether there is a head and does not count; see "Without any core" in
+// docs/control.md.
 func (checker *checker) recordReachability(daemon *host) {
 	for _, host := range checker.world.hosts {
-		if host.core && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime &&
+		if host.isControlNode && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime &&
 			!checker.world.network.disconnected(daemon.name, host.name) {
 			if checker.reachableSince[daemon.name].IsZero() {
 				checker.reachableSince[daemon.name] = checker.world.now
@@ -280,34 +282,34 @@
 	delete(checker.reachableSince, daemon.name)
 }
 
-// checkResponse takes an operator's answer.
+// checkResponse checks the response to an operator's request.
 func (checker *checker) checkResponse(index int, status int, body []byte) {
 	request := checker.world.scenario.Requests[index]
 	if checker.responded[index] {
-		checker.fail("P5", "question %d was answered twice", index)
+		checker.fail("P5", "request %d got two responses", index)
 	}
 	checker.responded[index] = true
 	least := checker.epochAtRequest[index]
 	delete(checker.epochAtRequest, index)
 	reply := proposal.Reply{}
 	if err := json.Unmarshal(body, &reply); err != nil {
-		checker.fail("P5", "question %d got an answer that is no JSON", index)
+		checker.fail("P5", "request %d got a response that is not JSON", index)
 		return
 	}
 	if reply.Operation != request.Operation {
-		checker.fail("P5", "question %d, about %q, got an answer about %q", index, request.Operation, reply.Operation)
+		checker.fail("P5", "request %d for operation %q got the response for %q", index, request.Operation, reply.Operation)
 	}
 	if request.Verb == "get" {
 		if status == 200 && reply.Epoch < least {
-			checker.fail("P1", "a read gave epoch %d, %d had been acknowledged before it was asked", reply.Epoch, least)
+			checker.fail("P1", "a read gave epoch %d, %d had been acknowledged before it was sent", reply.Epoch, least)
 		}
 		return
 	}
 	checker.checkChangeResponse(request, status, reply)
 }
 
-// checkChangeResponse takes the answer to a change. 503 and 504 of an operation that was sent more than once say
-// nothing of its other copies; 504 says nothing at all.
+// checkChangeResponse checks the response to a change. 504 states no outcome; 503 states the outcome of one
+// transmission only, so it says nothing of an operation that is sent more than once.
 func (checker *checker) checkChangeResponse(request Request, status int, reply proposal.Reply) {
 	operation := request.Operation
 	if status == 200 {
@@ -350,13 +352,13 @@
 	}
 	checker.accepted[operation] = acceptedChange{Base: request.Base, Epoch: epoch, At: checker.world.now}
 	for _, host := range checker.world.hosts {
-		if !host.core && host.up && !host.frozen {
+		if !host.isControlNode && host.up && !host.frozen {
 			checker.checkDaemon(host)
 		}
 	}
 }
 
-// timesSent tells how often an operation was sent, or will be.
+// timesSent returns how often a scenario sends an operation.
 func (checker *checker) timesSent(operation string) int {
 	count := 0
 	for _, request := range checker.world.scenario.Requests {
--- a/verify/modelcheck/command.go
+++ b/verify/modelcheck/command.go
@@ -9,12 +9,12 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// errViolation means that a property does not hold; what breaks it was printed.
+// errViolation reports that a property does not hold; the violation and its trace have been printed.
 var errViolation = errors.New("a property does not hold")
 
-// SearchCommand is the command line of a search.
+// SearchCommand is the command "model" and its flags.
 type SearchCommand struct {
-	// Command is the name under which the command was registered.
+	// Command is the full name under which kingpin registered the command.
 	Command  string
 	options  Options
 	scenario string
@@ -41,7 +41,7 @@
 	return search
 }
 
-// Run carries the command out.
+// Run searches the chosen scenarios, or replays a trace, and writes the results to output.
 func (search *SearchCommand) Run(output io.Writer) error {
 	chosen := Scenarios
 	if scenario, found := Find(search.scenario); found {
@@ -72,12 +72,12 @@
 	if err != nil {
 		return err
 	}
-	broken, err := Replay(chosen[0], trace)
+	violation, err := Replay(chosen[0], trace)
 	if err != nil {
 		return err
 	}
-	if broken != "" {
-		if _, err := fmt.Fprintf(output, "BROKEN %s\n", broken); err != nil {
+	if violation != "" {
+		if _, err := fmt.Fprintf(output, "BROKEN %s\n", violation); err != nil {
 			return err
 		}
 		return errViolation
--- a/verify/modelcheck/disk.go
+++ b/verify/modelcheck/disk.go
@@ -8,14 +8,14 @@
 	"wardtray/wire"
 )
 
-// disk is what a machine's data folder holds: a whole memory and the records after it. Torn and damaged files are the
-// business of the tests of package snapshot; here a write is either carried out or lost.
+// disk models a machine's data directory: a snapshot of the durable state and the records that follow it. A write is
+// either carried out completely or lost; package snapshot tests torn and damaged files.
 type disk struct {
 	state   *wire.DurableState
 	records []*wire.Record
-	// operations are the changes that it holds, committed or not.
+	// operations are the changes that the disk holds, committed or not.
 	operations map[string]bool
-	// digest stands for all that was ever written.
+	// digest covers every write so far.
 	digest digest
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// compact folds all records into the state.
+// compact applies all records to the state.
 func (disk *disk) compact() {
 	if disk.state == nil {
 		return
@@ -67,7 +67,7 @@
 	disk.indexOperations(disk.state.Document, disk.state.Pending)
 }
 
-// messageDigest returns the digest of a message that is kept or sent.
+// messageDigest returns the digest of a message's deterministic encoding.
 func messageDigest(message proto.Message) uint64 {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/verify/modelcheck/doc.go
+++ b/verify/modelcheck/doc.go
@@ -1,24 +1,26 @@
-// Package modelcheck searches the states of a small fleet's control plane. The machines are the real ones (node.Node
-// and controller.Controller, and with them views, leases, chain, joining, leaving, acknowledgements and snapshots);
-// what is modelled are the network, the disks, the time and the operators. An explorer takes one action after the other
-// (deliver, lose or keep back a message, sync a disk, let time pass, end or start a process, lose a disk, cut a link)
-// and checks the five properties after each:
+// Package modelcheck explores the states of the control plane of a small fleet. It runs the product's state machines
+// (node.Node and controller.Controller, which include views, leases, the chain, joining, decommissioning,
+// acknowledgements and snapshots) and models the network, the disks, the clock and the operators. An explorer takes
+// one action at a time (deliver, lose or delay a message, sync a disk, advance the clock, stop or start a process,
+// lose a disk, cut a link) and checks five properties after each action:
 //
-//	P1 whoever is cut off hands out, refuses and confirms nothing: one machine leads at a time, no read is older than
-//	   what was acknowledged before it was asked, and from the moment of an acknowledgement on no daemon that reaches a
-//	   core machine awards by less (one that reached none for a while has Staleness from then on)
-//	P2 of two changes on one base one at most is acknowledged, and no outcome is ever taken back
-//	P3 what was acknowledged outlives the loss of one disk while all others lose their power, at any moment
-//	P4 nobody leads, teaches or joins with less than was acknowledged
-//	P5 an answer reaches the question it answers, once, and an operation is entered once
+//	P1 an isolated machine grants, refuses and confirms nothing: at most one machine leads at a time, a read returns no
+//	   state older than what was acknowledged before the read began, and from the acknowledgement of a change on, no
+//	   daemon that reaches a control machine assigns work under an older epoch (a daemon that reached none has
+//	   lease.DaemonTTL from when it reaches one again)
+//	P2 of two changes with the same base at most one is acknowledged, and no outcome is ever reversed
+//	P3 an acknowledged change survives the loss of one disk while all other machines lose power, at any moment
+//	P4 no machine leads, transfers state to another or joins the chain with less history than was acknowledged
+//	P5 each response reaches its own request, once, and an operation is entered once
 //
-// and agreement: one document for each sequence, one view for each epoch.
+// and agreement: one document for each sequence number, one view for each epoch.
 //
-// Every order is tried up to a few actions, which the search prints; beyond that it goes on at random, by a seed, up
-// to the scenario's depth. Scenarios begin with a fleet that was founded, serves, and holds acknowledged changes.
+// Up to a small depth, which the search prints, every order of actions is tried. Beyond it the search continues at
+// random, from a seed, up to the scenario's depth. A scenario begins with a fleet that has been founded, serves, and
+// holds acknowledged changes.
 //
-// What is not explored: clocks that drift, damaged files (package snapshot), the transport, the registry of runners,
-// and the order of messages that a scenario does not name, which are delivered as they are sent. Time passes by steps
-// of 100 ms, and messages take none unless they are held back. A state is known by a hash of everything that the
-// machines hold, read by reflection; see walker for what it leaves out.
+// Not explored: clock drift, damaged files (see package snapshot), the transport, the registry of runners, and the
+// order of messages of kinds that a scenario does not name, which are delivered in the order in which they are sent.
+// Time advances in steps of 100 ms; a message takes no time unless it is held. A state is identified by a hash of
+// everything that the machines hold, read by reflection; see walker for what the hash leaves out.
 package modelcheck
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -8,29 +8,30 @@
 
 // Options bound a search.
 type Options struct {
-	// States is how many different states are seen before the search ends, Depth how many actions one run takes.
+	// States is the number of distinct states after which the search ends, Depth the maximum number of actions of one
+	// run. Seed seeds the random choices.
 	States int
 	Depth  int
 	Seed   int64
 }
 
-// Result is what a search saw.
+// Result holds the statistics of a search and the violation that it found, if any.
 type Result struct {
-	// States are the different states, Transitions the actions taken between them, Again those that led to a state
-	// seen before, Runs how often the search began anew.
+	// States counts the distinct states, Transitions the actions taken between them, Revisited the actions that led to a
+	// state seen before, and Runs how often the search restarted from the initial state.
 	States, Transitions, Revisited, Runs int
-	// Deepest is the greatest number of actions to a state, Complete up to how many actions every order was tried.
+	// Deepest is the greatest depth of a state in actions, Complete the depth up to which every order was tried.
 	Deepest, Complete int
-	// Exhausted means that there is no further state within the depth.
+	// Exhausted reports that every state within the maximum depth has been seen.
 	Exhausted bool
-	// Acknowledged counts the states in which a change was acknowledged, Ended those after a blackout.
+	// Acknowledged counts the states in which a change was acknowledged, Finished those after a blackout.
 	Acknowledged, Finished int
-	// Violation is the property that did not hold, and Trace the actions that led there.
+	// Violation describes the property that did not hold, and Trace the actions that lead there.
 	Violation string
 	Trace     []Action
 }
 
-// String returns the counts in one line.
+// String returns the statistics in one line.
 func (result Result) String() string {
 	return fmt.Sprintf(
 		"%d states, %d transitions, %d to states seen before, %d runs, deepest %d, every order up to %d actions, "+
@@ -47,7 +48,7 @@
 	)
 }
 
-// stateNode is one state that was seen: how to get there, and what was not tried from there yet.
+// stateNode is one state that was seen: the shortest known path to it, and the actions not yet tried from it.
 type stateNode struct {
 	parent  int
 	action  Action
@@ -61,10 +62,10 @@
 	to     int
 }
 
-// explorer searches the states of one scenario. The machines can't be copied, so a state is the actions that lead
-// there, and going back means to begin anew. It begins each run at the shallowest state from which something was not
-// tried, and goes on from there at random for as long as it finds what was not tried; so the search is complete up
-// to some depth, and reaches far beyond it elsewhere.
+// explorer searches the states of one scenario. The machines can't be copied, so a state is represented by the actions
+// that lead to it, and returning to one means replaying them from the initial state. Each run begins at the shallowest
+// state that has untried actions and takes untried actions at random while there are any. So the search is complete up
+// to some depth, and samples states far beyond it.
 type explorer struct {
 	prepared *prepared
 	options  Options
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// shallowestUntried returns the shallowest state from which something was not tried yet, or -1.
+// shallowestUntried returns the shallowest state that has untried actions, or -1.
 func (explorer *explorer) shallowestUntried() int {
 	for len(explorer.frontier) > 0 {
 		first := explorer.frontier[0]
@@ -132,18 +133,18 @@
 	return -1
 }
 
-// replayTo brings a new world to a state.
+// replayTo returns a new world in a state that was seen before, by replaying its trace.
 func (explorer *explorer) replayTo(state int) (*world, error) {
 	explorer.result.Runs++
 	world := explorer.prepared.start()
 	for _, action := range explorer.trace(state) {
 		if err := world.apply(action); err != nil {
-			return nil, fmt.Errorf("the fingerprint left something out, or a run does not repeat: %w", err)
+			return nil, fmt.Errorf("the fingerprint omits state, or a run is not deterministic: %w", err)
 		}
 	}
 	if found, known := explorer.seen[world.fingerprint()]; !known || found != state {
 		return nil, fmt.Errorf(
-			"the fingerprint left something out, or a run does not repeat: state %d was not reached again",
+			"the fingerprint omits state, or a run is not deterministic: replay did not reach state %d",
 			state,
 		)
 	}
@@ -159,7 +160,7 @@
 	return trace
 }
 
-// extend takes actions that were not tried yet, for as long as there are some.
+// extend takes untried actions, beginning at a state, while there are any.
 func (explorer *explorer) extend(world *world, state int) error {
 	for explorer.result.Violation == "" && len(explorer.nodes) < explorer.options.States {
 		untried := explorer.nodes[state].untried
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// blackoutRedraws is how many more times than once a run that could go on draws again where it would end by a blackout.
+// blackoutRedraws is how often the choice of an action is repeated while it is a blackout, which ends the run.
 const blackoutRedraws = 3
 
 func (explorer *explorer) choose(untried []Action) int {
@@ -192,7 +193,7 @@
 	return index
 }
 
-// visit notes the state that an action led to.
+// visit records the state that an action led to, and returns its number.
 func (explorer *explorer) visit(world *world, from int, action Action) int {
 	depth := 0
 	if from >= 0 {
@@ -230,15 +231,15 @@
 	}
 }
 
-// relaxDepths takes over a shorter way to a state, and with it to all that were reached from there.
+// relaxDepths records a shorter path to a state and, through it, to the states reached from there.
 func (explorer *explorer) relaxDepths(from int, first edge) {
-	type way struct {
+	type pendingEdge struct {
 		from int
 		edge edge
 	}
-	for open := []way{{from, first}}; len(open) > 0; {
-		last := open[len(open)-1]
-		open = open[:len(open)-1]
+	for pending := []pendingEdge{{from, first}}; len(pending) > 0; {
+		last := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		depth, state := explorer.nodes[last.from].depth+1, &explorer.nodes[last.edge.to]
 		if depth >= state.depth {
 			continue
@@ -246,12 +247,12 @@
 		state.depth, state.parent, state.action = depth, last.from, last.edge.action
 		heap.Push(&explorer.frontier, frontierEntry{depth: depth, state: last.edge.to})
 		for _, further := range state.edges {
-			open = append(open, way{last.edge.to, further})
+			pending = append(pending, pendingEdge{last.edge.to, further})
 		}
 	}
 }
 
-// summarize fills in the figures that follow from the states seen.
+// summarize computes the statistics that follow from the states seen.
 func (explorer *explorer) summarize() {
 	result := &explorer.result
 	result.States, result.Complete = len(explorer.nodes), explorer.options.Depth
@@ -263,7 +264,7 @@
 	}
 }
 
-// frontier is a heap of states from which something was not tried, the shallowest first, the older first among those.
+// frontier is a heap of states that may have untried actions, ordered by depth, then by the order of discovery.
 type frontier []frontierEntry
 
 type frontierEntry struct{ depth, state int }
@@ -279,16 +280,16 @@
 	frontier[left], frontier[right] = frontier[right], frontier[left]
 }
 
-// Push and Pop serve container/heap.
+// Push implements heap.Interface.
 func (frontier *frontier) Push(added any) {
 	entry, isEntry := added.(frontierEntry)
 	if !isEntry {
-		panic(fmt.Sprintf("a frontier holds no %T", added))
+		panic(fmt.Sprintf("pushed a %T, want a frontierEntry", added))
 	}
 	*frontier = append(*frontier, entry)
 }
 
-// Pop takes out the last.
+// Pop implements heap.Interface: it removes the last element.
 func (frontier *frontier) Pop() any {
 	last := (*frontier)[len(*frontier)-1]
 	*frontier = (*frontier)[:len(*frontier)-1]
--- a/verify/modelcheck/fingerprint.go
+++ b/verify/modelcheck/fingerprint.go
@@ -17,7 +17,7 @@
 
 const digestSeed digest = 0x9e3779b97f4a7c15
 
-// add folds in one number (the finishing steps of splitmix64).
+// add adds one number, mixed by the final steps of splitmix64.
 func (hash *digest) add(value uint64) {
 	mixed := uint64(*hash) ^ (value + 0x9e3779b97f4a7c15)
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
@@ -39,7 +39,7 @@
 	hash.add(last)
 }
 
-// addTime folds in a time as a distance from now, so that the same situation later has the same digest.
+// addTime adds a time relative to now, so that equal states at different times have equal digests.
 func (hash *digest) addTime(now, at time.Time) {
 	if at.IsZero() {
 		hash.add(0)
@@ -55,24 +55,24 @@
 	return uint64(hash)
 }
 
-// walker folds everything that a state machine holds into a digest, private fields included, by reflection. Why: the
-// machines' fields change often, and one that a hand-written method forgot would merge states that differ. It leaves
-// out functions, counters for display and what only caches a document.
+// walker computes the digest of everything that a state machine holds, including unexported fields, by reflection. A
+// hand-written method could omit a field that was added later, and so merge different states. The walker skips
+// functions, counters for display and caches of a document.
 type walker struct {
 	now time.Time
-	// known are the digests of what pointers of this walk point to; open are those being walked.
-	known map[target]uint64
-	open  map[target]bool
+	// known are the digests of the pointees walked so far; open are those that are being walked.
+	known map[pointee]uint64
+	open  map[pointee]bool
 }
 
-// target is what a pointer points to. A struct and its first field share an address, so the type belongs to it.
-type target struct {
+// pointee identifies what a pointer points to. A struct and its first field share an address, so the type is included.
+type pointee struct {
 	address uintptr
 	kind    reflect.Type
 }
 
 func newWalker(now time.Time) *walker {
-	return &walker{now: now, known: map[target]uint64{}, open: map[target]bool{}}
+	return &walker{now: now, known: map[pointee]uint64{}, open: map[pointee]bool{}}
 }
 
 var (
@@ -80,34 +80,35 @@
 	catalogType = reflect.TypeFor[config.Catalog]()
 )
 
-// kindWalkers fold in values of each kind. Functions and channels say nothing that another field does not.
+// kindWalkers add the values of each kind to a digest. Functions and channels add nothing: they hold no state that is
+// not in another field.
 var kindWalkers [reflect.UnsafePointer + 1]func(walker *walker, hash *digest, value reflect.Value)
 
 func init() {
-	enter := func(walk func(walker *walker, hash *digest, value reflect.Value), kinds ...reflect.Kind) {
+	register := func(walk func(walker *walker, hash *digest, value reflect.Value), kinds ...reflect.Kind) {
 		for _, kind := range kinds {
 			kindWalkers[kind] = walk
 		}
 	}
-	enter(func(_ *walker, hash *digest, value reflect.Value) {
+	register(func(_ *walker, hash *digest, value reflect.Value) {
 		if value.Bool() {
 			hash.add(1)
 		}
 	}, reflect.Bool)
-	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(uint64(value.Int())) },
+	register(func(_ *walker, hash *digest, value reflect.Value) { hash.add(uint64(value.Int())) },
 		reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64)
-	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.add(value.Uint()) },
+	register(func(_ *walker, hash *digest, value reflect.Value) { hash.add(value.Uint()) },
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr)
-	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) },
+	register(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(fmt.Sprint(value.Float())) },
 		reflect.Float32, reflect.Float64)
-	enter(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(value.String()) }, reflect.String)
-	enter(func(_ *walker, _ *digest, _ reflect.Value) {}, reflect.Func, reflect.Chan, reflect.UnsafePointer)
-	enter(func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) },
+	register(func(_ *walker, hash *digest, value reflect.Value) { hash.addText(value.String()) }, reflect.String)
+	register(func(_ *walker, _ *digest, _ reflect.Value) {}, reflect.Func, reflect.Chan, reflect.UnsafePointer)
+	register(func(walker *walker, hash *digest, value reflect.Value) { hash.add(walker.walkPointer(value)) },
 		reflect.Pointer)
-	enter((*walker).walkInterface, reflect.Interface)
-	enter((*walker).walkStruct, reflect.Struct)
-	enter((*walker).walkList, reflect.Slice, reflect.Array)
-	enter((*walker).walkMap, reflect.Map)
+	register((*walker).walkInterface, reflect.Interface)
+	register((*walker).walkStruct, reflect.Struct)
+	register((*walker).walkList, reflect.Slice, reflect.Array)
+	register((*walker).walkMap, reflect.Map)
 }
 
 // walk returns the digest of a value.
@@ -115,7 +116,7 @@
 	hash := digestSeed
 	walk := kindWalkers[value.Kind()]
 	if walk == nil {
-		panic("a kind that the fingerprint does not know: " + value.Kind().String())
+		panic("the fingerprint does not support kind " + value.Kind().String())
 	}
 	walk(walker, &hash, value)
 	return uint64(hash)
@@ -132,12 +133,12 @@
 	if value.IsNil() || value.Type().Elem() == catalogType {
 		return 0
 	}
-	pointed := target{address: value.Pointer(), kind: value.Type().Elem()}
+	pointed := pointee{address: value.Pointer(), kind: value.Type().Elem()}
 	if known, found := walker.known[pointed]; found {
 		return known
 	}
 	if walker.open[pointed] {
-		panic("the fingerprint can't walk a circle: " + value.Type().String())
+		panic("the fingerprint does not support cyclic pointers: " + value.Type().String())
 	}
 	walker.open[pointed] = true
 	hash := walker.walk(value.Elem())
@@ -156,8 +157,8 @@
 	}
 }
 
-// walkedFieldsByType remembers which fields of each struct type are walked, since asking for them takes longer than
-// walking.
+// walkedFieldsByType caches the indices of the fields to walk by struct type, since determining them takes longer than
+// walking them.
 var walkedFieldsByType sync.Map
 
 func walkedFields(kind reflect.Type) []int {
@@ -176,7 +177,7 @@
 	return walked
 }
 
-// skipped reports whether a field says nothing about how its machine goes on.
+// skipped reports whether a field has no influence on what its machine does next.
 func skipped(field reflect.StructField) bool {
 	return field.Name == "sizeCache" || strings.Contains(field.Type.PkgPath(), "google.golang.org/protobuf") ||
 		field.Type.Name() == "Counters" || field.Type.Kind() == reflect.Map && field.Type.Elem().Kind() == reflect.Func
@@ -205,7 +206,7 @@
 	}
 }
 
-// walkMap folds in a map's entries in the order of their digests, since maps have none of their own.
+// walkMap adds a map's entries in the order of their digests, since the iteration order of maps is undefined.
 func (walker *walker) walkMap(hash *digest, value reflect.Value) {
 	entries := make([]uint64, 0, value.Len())
 	for iterator := value.MapRange(); iterator.Next(); {
@@ -217,7 +218,7 @@
 	hash.addSorted(entries)
 }
 
-// addSorted folds in a set of digests.
+// addSorted adds a set of digests. It sorts the slice.
 func (hash *digest) addSorted(digests []uint64) {
 	slices.Sort(digests)
 	hash.add(uint64(len(digests)))
@@ -226,10 +227,10 @@
 	}
 }
 
-// source is a random source of one number, which the fingerprint can read.
+// source is a random source whose state is one number, which the fingerprint can read.
 type source struct{ state uint64 }
 
-// newRandom returns a random source for one life of a machine.
+// newRandom returns a random number generator for one incarnation of a machine.
 func newRandom(name string, incarnation int) *rand.Rand {
 	hash := digestSeed
 	hash.addText(name)
@@ -237,7 +238,7 @@
 	return rand.New(&source{state: uint64(hash)})
 }
 
-// Uint64 is splitmix64.
+// Uint64 implements splitmix64.
 func (source *source) Uint64() uint64 {
 	source.state += 0x9e3779b97f4a7c15
 	mixed := source.state
@@ -246,7 +247,7 @@
 	return mixed ^ mixed>>31
 }
 
-// Int63 returns the upper bits.
+// Int63 returns the upper 63 bits of Uint64.
 func (source *source) Int63() int64 { return int64(source.Uint64() >> 1) }
 
 // Seed sets the state.
--- a/verify/modelcheck/host_test.go
+++ b/verify/modelcheck/host_test.go
@@ -14,8 +14,8 @@
 }
 
 func TestScenarioNamesItsFounders(t *testing.T) {
-	founders := (&Scenario{Cores: 3, Founders: 2}).founders()
-	if len(founders) != 2 || founders[0] != coreName(0) || founders[1] != coreName(1) {
+	founders := (&Scenario{ControlNodes: 3, Founders: 2}).founders()
+	if len(founders) != 2 || founders[0] != controlNodeName(0) || founders[1] != controlNodeName(1) {
 		t.Errorf("founders are %v", founders)
 	}
 }
--- a/verify/modelcheck/modelcheck_test.go
+++ b/verify/modelcheck/modelcheck_test.go
@@ -10,15 +10,17 @@
 	"time"
 )
 
-// collectAt is how much the heap may grow between two collections, in percent; a search makes much that is soon gone.
-const collectAt = 400
+// gcPercent is the growth of the heap between two garbage collections, in percent. A search allocates much short-lived
+// memory.
+const gcPercent = 400
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	os.Exit(m.Run())
 }
 
-// TestScenarios searches each scenario up to its bound of states, with one seed or those up to WARDTRAY_SEEDS.
+// TestScenarios searches each scenario up to its maximum number of states, with seed 1 or with the seeds from 1 to
+// WARDTRAY_SEEDS.
 func TestScenarios(t *testing.T) {
 	for _, scenario := range Scenarios {
 		t.Run(scenario.Name, func(t *testing.T) {
@@ -37,7 +39,7 @@
 	}
 	count, err := strconv.ParseInt(set, 10, 64)
 	if err != nil || count < 1 {
-		t.Fatalf("WARDTRAY_SEEDS is %q", set)
+		t.Fatalf("WARDTRAY_SEEDS is %q, want a positive number", set)
 	}
 	return count
 }
@@ -45,17 +47,17 @@
 func search(t *testing.T, scenario Scenario, seed int64) {
 	t.Helper()
 	started, output := time.Now(), &strings.Builder{}
-	held, err := Print(output, []Scenario{scenario}, Options{States: scenario.States / raceShare, Seed: seed})
+	held, err := Print(output, []Scenario{scenario}, Options{States: scenario.States / raceStateDivisor, Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%s(%v)", output, time.Since(started).Round(time.Millisecond))
 	if !held {
-		t.Error("a property does not hold; the actions above lead there")
+		t.Error("a property does not hold; the trace is above")
 	}
 }
 
-// TestSearchRepeats wants two searches with one seed to see the same.
+// TestSearchRepeats checks that two searches with the same seed have the same result.
 func TestSearchRepeats(t *testing.T) {
 	scenario, _ := Find("race")
 	var seen [2]Result
@@ -67,11 +69,11 @@
 		seen[index] = result
 	}
 	if seen[0].String() != seen[1].String() {
-		t.Errorf("%v\n%v", seen[0], seen[1])
+		t.Errorf("two searches with the same seed differ:\n%v\n%v", seen[0], seen[1])
 	}
 }
 
-// TestSmallDepthIsExhausted wants every order of a few actions tried, whatever the seed.
+// TestSmallDepthIsExhausted checks that every order of three actions is tried, whatever the seed.
 func TestSmallDepthIsExhausted(t *testing.T) {
 	scenario, _ := Find("race")
 	states := make([]int, 0, 2)
@@ -86,11 +88,11 @@
 		states = append(states, result.States)
 	}
 	if states[0] != states[1] {
-		t.Errorf("%d and %d states within three actions, by the seed alone", states[0], states[1])
+		t.Errorf("%d and %d states within three actions; the seed must not matter", states[0], states[1])
 	}
 }
 
-// TestTracesRoundTrip wants a written trace to be the same when read.
+// TestTracesRoundTrip checks that a formatted trace is parsed back unchanged, and that invalid lines are refused.
 func TestTracesRoundTrip(t *testing.T) {
 	trace := []Action{
 		{Verb: Wait},
@@ -107,18 +109,18 @@
 	}
 	for index := range trace {
 		if read[index] != trace[index] {
-			t.Errorf("%v was read as %v", trace[index], read[index])
+			t.Errorf("%v was parsed as %v", trace[index], read[index])
 		}
 	}
 	for _, wrong := range []string{"deliver a x", "tick a 1", "a b c d"} {
 		if _, err := ReadTrace(wrong); err == nil {
-			t.Errorf("%q was read", wrong)
+			t.Errorf("%q was accepted as an action", wrong)
 		}
 	}
 }
 
-// TestKnownTraces takes the actions of each trace below testdata, which once broke a property, and wants all to hold.
-// The file's name begins with that of its scenario.
+// TestKnownTraces replays the traces in testdata, each of which once violated a property, and checks that all
+// properties hold. A file's name begins with the name of its scenario.
 func TestKnownTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
@@ -136,9 +138,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken, err := Replay(scenario, trace)
-			if broken != "" || err != nil {
-				t.Errorf("BROKEN %s %v", broken, err)
+			violation, err := Replay(scenario, trace)
+			if violation != "" || err != nil {
+				t.Errorf("BROKEN %s %v", violation, err)
 			}
 		})
 	}
--- a/verify/modelcheck/network.go
+++ b/verify/modelcheck/network.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// message is one that is on its way.
+// message is a message between two machines; kind is that of its body, content its encoding.
 type message struct {
 	from, to string
 	kind     string
@@ -13,12 +13,12 @@
 	digest   uint64
 }
 
-// network is what is on its way between machines, and who can't reach whom.
+// network holds the messages in flight between machines, and the cuts.
 type network struct {
-	// inFlight are the messages whose order is explored, delayed those that Hold took out of them.
+	// inFlight are the messages whose order is explored, delayed those that Hold removed from inFlight.
 	inFlight []message
 	delayed  []message
-	// isolated names the machines of the group that is cut off and the links that are cut.
+	// isolated holds the names of the machines in the isolated group, and of the links that are cut.
 	isolated map[string]bool
 }
 
@@ -26,10 +26,11 @@
 
 func linkName(one, other string) string { return one + "|" + other }
 
-// isPartitioned reports whether a machine or a link is cut off.
+// isPartitioned reports whether a group is isolated or a link is cut.
 func (network *network) isPartitioned() bool { return len(network.isolated) > 0 }
 
-// isolate cuts off a group of machines, or one link; messages on their way over the cut are lost.
+// isolate cuts off a group of machines, named by a list with commas, or one link; messages in flight across the cut are
+// lost.
 func (network *network) isolate(subject string) {
 	for _, name := range strings.Split(subject, ",") {
 		network.isolated[name] = true
@@ -47,7 +48,7 @@
 		network.isolated[linkName(other, one)]
 }
 
-// drop takes messages out of those on their way.
+// drop removes messages in flight or delayed.
 func (network *network) drop(lost func(message message) bool) {
 	for _, list := range []*[]message{&network.inFlight, &network.delayed} {
 		remaining := (*list)[:0:0]
@@ -60,7 +61,8 @@
 	}
 }
 
-// take takes out the first message that a verb is about: Release those that are delayed, any other those in flight.
+// take removes and returns the first message with a digest: for Release from the delayed ones, for any other verb from
+// those in flight.
 func (network *network) take(verb Verb, digest uint64) message {
 	list := &network.inFlight
 	if verb == Release {
--- a/verify/modelcheck/network_test.go
+++ b/verify/modelcheck/network_test.go
@@ -51,15 +51,15 @@
 	network.delayed = []message{{to: "delayed", digest: 1}}
 	before := network.inFlight
 	if taken := network.take(Deliver, 1); taken.to != "first" {
-		t.Errorf("took that to %s out of those in flight", taken.to)
+		t.Errorf("took the message in flight to %s, want that to first", taken.to)
 	}
 	if got := digestsOf(network.inFlight); !slices.Equal(got, []uint64{1, 2}) {
 		t.Errorf("in flight: %v, want 1 and 2", got)
 	}
 	if before[0].to != "first" {
-		t.Error("the list from before was changed")
+		t.Error("take changed the earlier slice")
 	}
 	if taken := network.take(Release, 1); taken.to != "delayed" || len(network.delayed) != 0 {
-		t.Errorf("took that to %s out of those delayed, of which %d are left", taken.to, len(network.delayed))
+		t.Errorf("took the delayed message to %s, %d delayed are left, want 0", taken.to, len(network.delayed))
 	}
 }
--- a/verify/modelcheck/norace_test.go
+++ b/verify/modelcheck/norace_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-const raceShare = 1
+const raceStateDivisor = 1
--- a/verify/modelcheck/prepare.go
+++ b/verify/modelcheck/prepare.go
@@ -9,28 +9,28 @@
 	"wardtray/wire"
 )
 
-// prepared is a founded fleet: what its disks hold.
+// prepared holds the disk contents of a founded fleet, from which each run of a search starts.
 type prepared struct {
 	scenario *Scenario
 	states   map[string]*wire.DurableState
-	// identities is how many identities were given to disks so far.
+	// identities is the number of disk identities assigned so far.
 	identities int
 }
 
-// prepareBound bounds for how long the preparation of a fleet may take.
-const prepareBound = 20 * time.Second
+// prepareTimeout bounds each phase of the preparation of a fleet, in the model's time.
+const prepareTimeout = 20 * time.Second
 
-// prepare founds a fleet, brings its daemons into the directory and has its first changes acknowledged.
+// prepare founds a fleet, adds its daemons and further members, and applies the prior changes.
 func prepare(scenario *Scenario) (*prepared, error) {
 	world := newWorld(scenario)
 	for _, host := range world.hosts[:scenario.Founders] {
 		world.boot(host)
 	}
-	for _, host := range world.hosts[scenario.Cores:] {
+	for _, host := range world.hosts[scenario.ControlNodes:] {
 		world.boot(host)
 	}
 	if err := world.runUntil(func() bool { return world.leader() != nil && world.allServe() }); err != nil {
-		return nil, fmt.Errorf("preparing %s: nobody leads", scenario.Name)
+		return nil, fmt.Errorf("preparing %s: no machine leads, or not all daemons serve", scenario.Name)
 	}
 	for _, host := range world.hosts[scenario.Founders:scenario.Members] {
 		world.boot(host)
@@ -39,9 +39,9 @@
 		leader := world.leader()
 		return leader != nil && len(leader.node.View().Chain) == scenario.Members
 	}); err != nil {
-		return nil, fmt.Errorf("preparing %s: not all have joined", scenario.Name)
+		return nil, fmt.Errorf("preparing %s: not all members have joined", scenario.Name)
 	}
-	// The search begins with what was acknowledged here, but counts none of it as its own.
+	// The search begins with the changes acknowledged here, but none of them is a request of the scenario.
 	requests := scenario.Requests
 	defer func() { scenario.Requests = requests }()
 	for epoch := range scenario.PriorChanges + 1 {
@@ -49,11 +49,11 @@
 			world.stopProcess(world.byName[scenario.Absent], true)
 		}
 		scenario.Requests = []Request{
-			{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: coreName(0), After: -1},
+			{Verb: "apply", Operation: fmt.Sprintf("first%d", epoch), Base: uint64(epoch), Via: controlNodeName(0), After: -1},
 		}
 		world.sent, world.checker.responded = []bool{false}, map[int]bool{}
 		if err := world.runUntil(func() bool { return world.leader() != nil && world.allServe() }); err != nil {
-			return nil, fmt.Errorf("preparing %s: nobody leads", scenario.Name)
+			return nil, fmt.Errorf("preparing %s: no machine leads, or not all daemons serve", scenario.Name)
 		}
 		world.send("0")
 		if err := world.runUntil(func() bool { return len(world.checker.accepted) == epoch+1 }); err != nil {
@@ -64,7 +64,7 @@
 	world.wait(int(settleTime / tickLength))
 	states := map[string]*wire.DurableState{}
 	for _, host := range world.hosts {
-		if host.core && host.everStarted {
+		if host.isControlNode && host.everStarted {
 			host.disk.compact()
 			states[host.name] = host.disk.state
 		}
@@ -73,27 +73,27 @@
 }
 
 func (world *world) runUntil(done func() bool) error {
-	for end := world.now.Add(prepareBound); world.now.Before(end); {
+	for end := world.now.Add(prepareTimeout); world.now.Before(end); {
 		if done() {
 			return nil
 		}
 		world.tick()
 		world.flush()
 	}
-	return fmt.Errorf("not within %v", prepareBound)
+	return fmt.Errorf("not within %v", prepareTimeout)
 }
 
-// allServe reports whether every daemon may award work.
+// allServe reports whether every daemon may assign work.
 func (world *world) allServe() bool {
 	for _, host := range world.hosts {
-		if !host.core && host.up && !world.now.Before(host.controller.Until(world.now)) {
+		if !host.isControlNode && host.up && !world.now.Before(host.controller.Until(world.now)) {
 			return false
 		}
 	}
 	return true
 }
 
-// start returns the state from which a search begins: the prepared fleet, started anew and in full order.
+// start returns the initial state of a search: the prepared fleet, restarted and settled.
 func (prepared *prepared) start() *world {
 	scenario := prepared.scenario
 	world := newWorld(scenario)
@@ -107,7 +107,7 @@
 			host.disk.digest.add(messageDigest(state))
 		}
 		host.poweredOff = true
-		if host.name != scenario.Absent && (state != nil || !host.core) {
+		if host.name != scenario.Absent && (state != nil || !host.isControlNode) {
 			world.boot(host)
 		}
 	}
--- a/verify/modelcheck/race_test.go
+++ b/verify/modelcheck/race_test.go
@@ -2,6 +2,6 @@
 
 package modelcheck
 
-// raceShare divides the bounds of states under the race detector, which finds nothing in a search of one thread and
-// makes it many times slower; ./check runs the whole search without it.
-const raceShare = 40
+// raceStateDivisor divides the maximum number of states under the race detector, which makes a search many times slower
+// and can find nothing in its single goroutine; ./check runs the complete search without the detector.
+const raceStateDivisor = 40
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -2,70 +2,72 @@
 
 import "time"
 
-// Scenario is one search: a fleet, what operators send, which messages are explored in every order, and how often each
-// kind of harm may come in one run.
+// Scenario defines one search: the fleet, the operators' requests, the kinds of messages whose orders are explored, and
+// the number of faults of each kind in one run.
 type Scenario struct {
 	Name string
 	Help string
-	// Cores are the machines with a disk. The first Founders of them found the fleet, those up to Members have joined
-	// it before the search, the others are blank and off.
-	Cores    int
-	Founders int
-	Members  int
-	Daemons  int
-	// Absent is a core that was off while Before further changes were committed, or "".
+	// ControlNodes is the number of control machines. The first Founders of them found the fleet, the first Members are
+	// in it when the search begins, the others are blank and off. Daemons is the number of data daemons.
+	ControlNodes int
+	Founders     int
+	Members      int
+	Daemons      int
+	// Absent names a control machine that was off while the last PriorChanges changes of the preparation were committed;
+	// "" for none.
 	Absent       string
 	PriorChanges int
-	// Requests are the operators' questions; each is sent at most once, at any moment.
+	// Requests are the operators' requests; each is sent at most once, at any moment.
 	Requests []Request
-	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered at once, in the
-	// order in which they were sent. Disks means that the moments at which writes are synced are explored as well.
+	// ExploredKinds are the kinds of messages whose orders are explored. All others are delivered immediately, in the
+	// order in which they were sent. Disks reports whether the moments at which writes are synced are explored as well;
+	// otherwise they are synced immediately.
 	ExploredKinds []string
 	Disks         bool
-	// Budget is how often each verb may be taken in one run; 0 stands for never. Deliver, Release, Sync, Tick, Heal,
-	// Wake, Stop and Send need none. Starts need none either, but for cores that never ran.
+	// Budget is the maximum number of actions of each verb in one run; 0 permits none. Deliver, Release, Sync, Tick,
+	// Heal, Wake, Stop and Send need no budget, nor does Start except for the first start of a blank control machine.
 	Budget map[Verb]int
-	// Cuts are the groups that may be cut off from everybody else, Links the pairs that may lose each other alone. One
-	// cut lasts until it is healed. Targets are whom the other harm may come to.
+	// Cuts are the groups that may be isolated from all other machines, Links the pairs whose link may be cut. There is
+	// one cut at a time. Targets are the machines at which the other faults may occur.
 	Cuts    [][]string
 	Links   [][2]string
 	Targets []string
-	// Leaders means that Targets is not fixed but the machine that leads at the moment, besides those of Targets.
+	// Leaders adds the current leader to Targets.
 	Leaders bool
-	// Depth is how many actions one run takes at most, States how many states CI looks at.
+	// Depth is the default maximum number of actions of one run, States the default number of states of a search.
 	Depth  int
 	States int
 }
 
-// Request is what an operator sends.
+// Request is an operator's request.
 type Request struct {
 	Verb string
-	// Operation and Base are those of a change. The prepared fleet is at epoch 1 plus Before.
+	// Operation and Base are those of a change. The prepared fleet is at epoch 1 plus PriorChanges.
 	Operation string
 	Base      uint64
-	// Via is the core that is asked.
+	// Via is the control machine to which the request is sent.
 	Via string
-	// After names a question, by its place, that must have been sent before; -1 for none.
+	// After is the index of a request that must have been sent before; -1 for none.
 	After int
 }
 
 const (
-	// tickLength is how long one tick takes, ticksPerWait how many of them one Wait is.
+	// tickLength is the duration of one Tick; one Wait is ticksPerWait of them.
 	tickLength   = 100 * time.Millisecond
 	ticksPerWait = 8
-	// startupTime is for how long after its start a machine can't tell daemons whether there is a head.
+	// startupTime is how long after its start a control machine can't know whether there is a head.
 	startupTime = 2 * time.Second
-	// withoutCore is for how long a daemon that reaches no core machine goes on, as in the product.
-	withoutCore = 5 * time.Minute
-	// toleratedFaults is how many disks may be lost at once.
+	// isolationLimit is how long a daemon that reaches no control machine continues to serve, as in the product.
+	isolationLimit = 5 * time.Minute
+	// toleratedFaults is the number of disks that may be lost at the same time.
 	toleratedFaults = 1
 )
 
-// founders names the core machines that found the fleet.
+// founders returns the names of the control machines that found the fleet.
 func (scenario *Scenario) founders() []string {
 	names := make([]string, 0, scenario.Founders)
 	for number := range scenario.Founders {
-		names = append(names, coreName(number))
+		names = append(names, controlNodeName(number))
 	}
 	return names
 }
--- a/verify/modelcheck/scenarios.go
+++ b/verify/modelcheck/scenarios.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// The kinds of messages that belong together.
+// Groups of message kinds.
 var (
 	operatorKinds = []string{"OperatorRequest", "OperatorResponse"}
 	chainKinds    = []string{"ChainForward", "ChainAck"}
@@ -18,7 +18,7 @@
 	return all
 }
 
-// Questions that several scenarios ask.
+// Requests that several scenarios share.
 var (
 	leftFirst   = Request{Verb: "apply", Operation: "left", Base: 1, Via: "core2", After: -1}
 	rightFirst  = Request{Verb: "apply", Operation: "right", Base: 1, Via: "core3", After: -1}
@@ -28,13 +28,13 @@
 	readAtThird = Request{Verb: "get", Via: "core3", After: 0}
 )
 
-// Scenarios are the searches, in the order in which they are run.
+// Scenarios lists all searches, in the order in which they are run.
 var Scenarios = []Scenario{
 	{
 		Name: "race",
-		Help: "two changes on one base through two machines, with lost and late messages and a " +
-			"head that ends",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
+		Help: "two changes on one base through two machines, with lost and delayed messages and a " +
+			"head that is killed",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests: []Request{leftFirst, rightFirst, leftAgain},
 		ExploredKinds: kinds(
 			operatorKinds,
@@ -43,18 +43,18 @@
 	},
 	{
 		Name: "lost-answer",
-		Help: "a change whose answer is lost with the head, sent again through another machine, " +
-			"every write at any moment",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
+		Help: "a change whose response is lost with the head, sent again through another machine, " +
+			"with every write synced at any moment",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests: []Request{leftFirst, leftAgain, readAtThird},
 		ExploredKinds: kinds(operatorKinds,
 			chainKinds), Disks: true, Budget: map[Verb]int{Drop: 1, Kill: 1, Crash: 1, Wait: 4}, Leaders: true,
 		Depth: 45, States: 8000,
 	},
 	{
-		Name:  "cut-leader",
-		Help:  "the leader is cut off, alone or with a daemon, while two changes and reads meet on both sides",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
+		Name:         "cut-leader",
+		Help:         "the leader is cut off, alone or with daemons, while changes and reads are sent on both sides",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests:      []Request{leftAtFirst, rightFirst, readAtFirst, readAtThird},
 		ExploredKinds: kinds(operatorKinds, viewKinds), Budget: map[Verb]int{Cut: 2, Wait: 4, Hold: 1},
 		Cuts: [][]string{
@@ -65,43 +65,43 @@
 		}, Depth: 50, States: 8000,
 	},
 	{
-		Name:  "lease",
-		Help:  "the head's lease against late grants, a frozen head, a cut and the vote on the next view",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 1,
+		Name:         "lease",
+		Help:         "the head's lease with delayed grants, a frozen head, a cut and the vote on the next view",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 1,
 		Requests:      []Request{leftFirst, readAtFirst},
 		ExploredKinds: kinds(leaseKinds, viewKinds), Budget: map[Verb]int{Cut: 1, Freeze: 1, Hold: 2, Wait: 3},
 		Cuts: [][]string{{"core1"}, {"core2"}}, Targets: []string{"core1"}, Leaders: true, Depth: 50, States: 8000,
 	},
 	{
-		Name:  "wipe",
-		Help:  "a disk is lost during and after an acknowledgement, and another one while the view changes",
-		Cores: 4, Founders: 3, Members: 4, Daemons: 1,
+		Name:         "wipe",
+		Help:         "a disk is lost during or after an acknowledgement, and another one while the view changes",
+		ControlNodes: 4, Founders: 3, Members: 4, Daemons: 1,
 		Requests: []Request{leftFirst},
 		ExploredKinds: kinds(chainKinds,
 			viewKinds), Disks: true, Budget: map[Verb]int{Wipe: 1, Crash: 1, Wait: 4, Blackout: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 7000,
 	},
 	{
-		Name:  "leave-join",
-		Help:  "a member leaves by order while another joins and a change is made",
-		Cores: 5, Founders: 3, Members: 4, Daemons: 1,
+		Name:         "leave-join",
+		Help:         "a member is decommissioned while another joins and a change is made",
+		ControlNodes: 5, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst},
 		ExploredKinds: kinds(viewKinds, learnKinds), Budget: map[Verb]int{Leave: 1, Start: 1, Wait: 5, Drop: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 6000,
 	},
 	{
 		Name: "leave-loss",
-		Help: "a member leaves by order while another joins and a change is made; then all lose " +
-			"their power and one its disk",
-		Cores: 5, Founders: 3, Members: 4, Daemons: 1,
+		Help: "a member is decommissioned while another joins and a change is made; then all lose " +
+			"power and one loses its disk",
+		ControlNodes: 5, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst},
 		ExploredKinds: kinds(viewKinds, learnKinds), Budget: map[Verb]int{Leave: 1, Start: 1, Wait: 5, Blackout: 1},
 		Targets: []string{"core1", "core2", "core4"}, Depth: 45, States: 4000,
 	},
 	{
-		Name:  "leave-leader",
-		Help:  "the leader leaves by order and is cut off meanwhile, alone or with another, while it is read",
-		Cores: 4, Founders: 3, Members: 4, Daemons: 1,
+		Name:         "leave-leader",
+		Help:         "the leader is decommissioned and meanwhile cut off, alone or with another, during a read",
+		ControlNodes: 4, Founders: 3, Members: 4, Daemons: 1,
 		Requests:      []Request{leftFirst, readAtFirst},
 		ExploredKinds: viewKinds, Budget: map[Verb]int{Leave: 1, Cut: 1, Drop: 4, Wait: 2},
 		Cuts: [][]string{
@@ -112,9 +112,9 @@
 	},
 	{
 		Name: "restart",
-		Help: "a member that was off for many changes comes back, while others end or are cut off " +
+		Help: "a member that was off during many changes restarts while others are killed or crash " +
 			"and a change is made",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
 		Requests: []Request{
 			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
 			{Verb: "get", Via: "core3", After: 0},
@@ -125,9 +125,9 @@
 	},
 	{
 		Name: "restart-loss",
-		Help: "a member that was off for many changes comes back, while others end or are cut off " +
-			"and a change is made; then all lose their power and one its disk",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
+		Help: "a member that was off during many changes restarts while others are killed or crash " +
+			"and a change is made; then all lose power and one loses its disk",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 8,
 		Requests: []Request{
 			{Verb: "apply", Operation: "left", Base: 9, Via: "core2", After: -1},
 			{Verb: "get", Via: "core3", After: 0},
@@ -137,9 +137,9 @@
 		Targets: []string{"core1", "core2"}, Depth: 45, States: 4000,
 	},
 	{
-		Name:  "daemons",
-		Help:  "what daemons may award by, against acknowledgements, with daemons cut off, frozen and ended",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
+		Name:         "daemons",
+		Help:         "the epochs under which daemons assign work, with daemons cut off, frozen and killed",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests:      []Request{leftAtFirst, {Verb: "apply", Operation: "next", Base: 2, Via: "core2", After: 0}},
 		ExploredKinds: daemonKinds, Budget: map[Verb]int{Cut: 2, Freeze: 1, Kill: 1, Hold: 1, Wait: 3},
 		Cuts: [][]string{
@@ -151,9 +151,9 @@
 	},
 	{
 		Name: "keepers",
-		Help: "daemons that hear the head no more go by the keepers' word, against late words, " +
-			"keepers that begin anew and changes",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 2,
+		Help: "daemons that the head no longer reaches renew their leases through acceptors, with " +
+			"delayed messages, restarting acceptors and changes",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 2,
 		Requests: []Request{leftAtFirst},
 		ExploredKinds: []string{
 			"GossipMessage",
@@ -168,9 +168,9 @@
 	},
 	{
 		Name: "keeper-back",
-		Help: "a keeper that was away and is not in the chain yet comes back, and speaks to a " +
-			"daemon that hears the head no more",
-		Cores: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 1,
+		Help: "an acceptor that was off and is not in the chain yet restarts, and sends to a " +
+			"daemon that the head no longer reaches",
+		ControlNodes: 3, Founders: 3, Members: 3, Daemons: 1, Absent: "core3", PriorChanges: 1,
 		Requests: []Request{{Verb: "apply", Operation: "left", Base: 2, Via: "core1", After: -1}},
 		ExploredKinds: []string{
 			"DaemonLeaseRequest",
--- a/verify/modelcheck/task_queue.go
+++ b/verify/modelcheck/task_queue.go
@@ -1,12 +1,12 @@
 package modelcheck
 
-// taskQueue holds what happens at once and needs no choice, in order.
+// taskQueue holds the tasks that run immediately, in order, without a choice of the explorer.
 type taskQueue struct{ tasks []func() }
 
 // add puts a task at the end.
 func (queue *taskQueue) add(do func()) { queue.tasks = append(queue.tasks, do) }
 
-// run does all tasks and those that they add.
+// run runs all tasks, including those that tasks add.
 func (queue *taskQueue) run() {
 	for len(queue.tasks) > 0 {
 		next := queue.tasks[0]
@@ -15,5 +15,5 @@
 	}
 }
 
-// clear drops all tasks.
+// clear removes all tasks.
 func (queue *taskQueue) clear() { queue.tasks = nil }
--- a/verify/modelcheck/task_queue_test.go
+++ b/verify/modelcheck/task_queue_test.go
@@ -14,9 +14,9 @@
 	queue.add(func() { done = append(done, 2) })
 	queue.run()
 	if !slices.Equal(done, []int{1, 2, 3}) {
-		t.Errorf("done %v, want 1, 2, 3", done)
+		t.Errorf("tasks ran in the order %v, want 1, 2, 3", done)
 	}
-	queue.add(func() { t.Error("a cleared task was run") })
+	queue.add(func() { t.Error("a cleared task ran") })
 	queue.clear()
 	queue.run()
 }
--- a/verify/modelcheck/trace.go
+++ b/verify/modelcheck/trace.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Replay takes the actions of a trace and returns the property that they break, or "". A message whose content has
-// changed since the trace was written is found by its kind, its sender and its receiver.
-func Replay(scenario Scenario, trace []Action) (broken string, err error) {
+// Replay takes the actions of a trace and returns the violation that they cause, or "". A message whose content has
+// changed since the trace was recorded is found by its kind, sender and receiver.
+func Replay(scenario Scenario, trace []Action) (violation string, err error) {
 	prepared, err := prepare(&scenario)
 	if err != nil {
 		return "", err
@@ -23,8 +23,8 @@
 	return world.checker.violation, nil
 }
 
-// closestAction returns the action itself where it is possible, or else the first that differs from it only by the
-// message.
+// closestAction returns the action itself if it is possible, or else the first possible one with the same verb and
+// subject.
 func (world *world) closestAction(action Action) Action {
 	possible := world.actions()
 	if slices.Contains(possible, action) {
@@ -38,24 +38,24 @@
 	return action
 }
 
-// minimize leaves out actions of a trace for as long as what is left breaks the same property. Where an action is not
-// possible any more without another one, it is left out as well.
-func minimize(prepared *prepared, trace []Action, broken string) ([]Action, string) {
-	property, _, _ := strings.Cut(broken, ":")
+// minimize removes actions from a trace while the remaining ones still violate the same property. An action that is no
+// longer possible after the removal of another is removed as well.
+func minimize(prepared *prepared, trace []Action, violation string) ([]Action, string) {
+	property, _, _ := strings.Cut(violation, ":")
 	for index := 0; index < len(trace); {
 		shorter := append(append([]Action{}, trace[:index]...), trace[index+1:]...)
 		taken, found := tryTrace(prepared, shorter)
 		if strings.HasPrefix(found, property+":") {
-			trace, broken = taken, found
+			trace, violation = taken, found
 			continue
 		}
 		index++
 	}
-	return trace, broken
+	return trace, violation
 }
 
-// tryTrace takes those actions of a trace that are possible; it returns them and the property that they break, or "".
-func tryTrace(prepared *prepared, trace []Action) (taken []Action, broken string) {
+// tryTrace takes the possible actions of a trace; it returns them and the violation that they cause, or "".
+func tryTrace(prepared *prepared, trace []Action) (taken []Action, violation string) {
 	world := prepared.start()
 	for _, action := range trace {
 		if world.apply(action) != nil {
@@ -69,7 +69,7 @@
 	return taken, ""
 }
 
-// ReadTrace reads actions, one a line; empty lines are passed over.
+// ReadTrace parses actions, one per line; blank lines are ignored.
 func ReadTrace(text string) ([]Action, error) {
 	var trace []Action
 	for _, line := range strings.Split(text, "\n") {
@@ -85,7 +85,7 @@
 	return trace, nil
 }
 
-// Print searches scenarios one after the other and prints what was seen. It reports whether all properties held.
+// Print searches scenarios in order and prints their results. It reports whether all properties held.
 func Print(output io.Writer, scenarios []Scenario, options Options) (bool, error) {
 	held := true
 	for _, scenario := range scenarios {
@@ -108,7 +108,7 @@
 	return held, nil
 }
 
-// print writes the counts and, where a property did not hold, the actions that lead there.
+// print writes the statistics and, if a property did not hold, the trace of the violation.
 func (result Result) print(output io.Writer, scenario string) error {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "%s: %v\n", scenario, result)
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -15,7 +15,7 @@
 	"wardtray/wire"
 )
 
-// world is one state: the machines, what is on its way between them, and what the checks remember.
+// world is one state of the model: the machines, the messages between them, and the checker's records.
 type world struct {
 	scenario *Scenario
 	now      time.Time
@@ -23,7 +23,7 @@
 	hosts    []*host
 	byName   map[string]*host
 	explored map[string]bool
-	// synchronous has every message delivered and every write synced at once.
+	// synchronous makes every message be delivered and every write be synced immediately.
 	synchronous bool
 	queue       *taskQueue
 	network     *network
@@ -54,8 +54,8 @@
 	for verb, count := range scenario.Budget {
 		world.remaining[verb] = count
 	}
-	for number := range scenario.Cores {
-		world.add(&host{name: coreName(number), zone: zoneName(number), core: true, disk: newDisk()})
+	for number := range scenario.ControlNodes {
+		world.add(&host{name: controlNodeName(number), zone: zoneName(number), isControlNode: true, disk: newDisk()})
 	}
 	for number := range scenario.Daemons {
 		world.add(&host{name: fmt.Sprintf("daemon%d", number+1), zone: zoneName(number)})
@@ -64,7 +64,7 @@
 	return world
 }
 
-func coreName(number int) string { return fmt.Sprintf("core%d", number+1) }
+func controlNodeName(number int) string { return fmt.Sprintf("core%d", number+1) }
 
 func zoneName(number int) string { return string(rune('a' + number%3)) }
 
@@ -73,14 +73,14 @@
 	world.byName[host.name] = host
 }
 
-// boot starts a process from what its disk holds.
+// boot starts a host's process from the contents of its disk.
 func (world *world) boot(host *host) {
 	first := !host.everStarted
 	host.everStarted, host.up, host.poweredOff, host.frozen, host.decommissioning = true, true, false, false, false
 	host.writes, host.backlog, host.bootedAt = nil, nil, world.now
 	host.incarnation++
 	random := newRandom(host.name, host.incarnation)
-	if !host.core {
+	if !host.isControlNode {
 		host.controller = controller.New(
 			world.now,
 			controller.Settings{
@@ -89,7 +89,7 @@
 				Zone:        host.zone,
 				Seeds:       world.scenario.founders(),
 				Registered:  true,
-				WithoutCore: withoutCore,
+				WithoutCore: isolationLimit,
 			},
 			random,
 		)
@@ -117,8 +117,8 @@
 	)
 }
 
-// step runs one step of a host's machine, takes over what that asks for, and checks what it may have broken.
-// digest stands for what the step does.
+// step runs one step of a host's state machine, collects its output and checks the properties. A frozen host defers the
+// step; digest identifies what the step does.
 func (world *world) step(host *host, incarnation int, digest uint64, do func()) {
 	if !host.up || host.incarnation != incarnation {
 		return
@@ -129,12 +129,13 @@
 		return
 	}
 	do()
-	world.drain(host)
+	world.collectOutput(host)
 	world.checker.check(host)
 }
 
-func (world *world) drain(host *host) {
-	if !host.core {
+// collectOutput takes the messages and writes that a host's state machine has produced.
+func (world *world) collectOutput(host *host) {
+	if !host.isControlNode {
 		for _, outgoing := range host.controller.Ready() {
 			world.transmit(host, outgoing)
 		}
@@ -158,7 +159,7 @@
 
 func (world *world) exploresDisks() bool { return world.scenario.Disks && !world.synchronous }
 
-// transmit sends a message on its way: among those explored, or at once.
+// transmit sends a message: it puts one of an explored kind in flight and delivers any other immediately.
 func (world *world) transmit(from *host, outgoing statemachine.Message) {
 	target := world.byName[outgoing.To]
 	if target == nil || world.network.disconnected(from.name, target.name) {
@@ -172,16 +173,16 @@
 	if err != nil {
 		panic(err)
 	}
-	sending := message{from: from.name, to: target.name, kind: kindOf(outgoing.Envelope), content: string(content)}
-	sending.digest = digestOf(sending.from + ">" + sending.to + ":" + sending.content)
-	if world.synchronous || !world.explored[sending.kind] || from == target {
-		world.queue.add(func() { world.deliver(sending) })
+	sent := message{from: from.name, to: target.name, kind: kindOf(outgoing.Envelope), content: string(content)}
+	sent.digest = digestOf(sent.from + ">" + sent.to + ":" + sent.content)
+	if world.synchronous || !world.explored[sent.kind] || from == target {
+		world.queue.add(func() { world.deliver(sent) })
 		return
 	}
-	world.network.inFlight = append(world.network.inFlight, sending)
+	world.network.inFlight = append(world.network.inFlight, sent)
 }
 
-// kindOf names the kind of an envelope's body, such as ChainPass.
+// kindOf returns the kind of an envelope's body, such as ChainForward.
 func kindOf(envelope *wire.Envelope) string {
 	if envelope.Body == nil {
 		return ""
@@ -189,7 +190,7 @@
 	return strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_")
 }
 
-// deliver delivers a message.
+// deliver delivers a message unless its receiver is down or cut off.
 func (world *world) deliver(message message) {
 	target := world.byName[message.to]
 	if !target.up || world.network.disconnected(message.from, message.to) {
@@ -200,7 +201,7 @@
 		panic(err)
 	}
 	world.step(target, target.incarnation, message.digest, func() {
-		if target.core {
+		if target.isControlNode {
 			target.node.Receive(world.now, envelope)
 			return
 		}
@@ -208,7 +209,7 @@
 	})
 }
 
-// refuseConnection tells a host that nobody listens at another, if the machine there is alive to say so.
+// refuseConnection notifies a host that another refused its connection, if the other machine has power.
 func (world *world) refuseConnection(from, to *host) {
 	if to.poweredOff {
 		return
@@ -219,7 +220,7 @@
 			return
 		}
 		world.step(from, incarnation, digestOf("refused "+to.name), func() {
-			if from.core {
+			if from.isControlNode {
 				from.node.ConnectionRefused(world.now, to.name, tried)
 				return
 			}
@@ -228,7 +229,7 @@
 	})
 }
 
-// sync completes all writes that a machine's disk was asked for.
+// sync completes all outstanding writes of a host's disk.
 func (world *world) sync(host *host) {
 	writes := host.writes
 	host.writes = nil
@@ -242,11 +243,10 @@
 	world.step(host, host.incarnation, last, func() { host.node.Synced(world.now, last) })
 }
 
-// tick lets one step of time pass and ticks every process.
+// tick advances the clock by one step and ticks every process that is not frozen.
 func (world *world) tick() {
 	world.now = world.now.Add(tickLength)
 	for _, host := range world.hosts {
-		// A frozen process misses its ticks.
 		if host.up && !host.frozen {
 			world.step(host, host.incarnation, 0, func() { host.tick(world.now) })
 			world.queue.run()
@@ -254,7 +254,7 @@
 	}
 }
 
-// wait lets time pass while every message is delivered and every write synced.
+// wait advances the clock by a number of steps while every message is delivered and every write synced.
 func (world *world) wait(steps int) {
 	world.synchronous = true
 	for range steps {
@@ -264,16 +264,16 @@
 	world.synchronous = false
 }
 
-// flush delivers and syncs whatever is left from before, in a fixed order.
+// flush syncs all outstanding writes and delivers all messages in flight, in a fixed order, except at frozen hosts.
 func (world *world) flush() {
 	for _, host := range world.hosts {
 		if host.up && !host.frozen {
 			world.sync(host)
 		}
 	}
-	flying := world.network.inFlight
+	inFlight := world.network.inFlight
 	world.network.inFlight = nil
-	for _, message := range flying {
+	for _, message := range inFlight {
 		if world.byName[message.to].frozen {
 			world.network.inFlight = append(world.network.inFlight, message)
 			continue
@@ -283,15 +283,15 @@
 	world.queue.run()
 }
 
-// stopProcess stops a process; what waited for its disk is lost.
-func (world *world) stopProcess(host *host, dark bool) {
-	host.up, host.poweredOff, host.frozen, host.writes, host.backlog = false, dark, false, nil, nil
+// stopProcess ends a process, by a loss of power or without; writes that are not synced are lost.
+func (world *world) stopProcess(host *host, powerOff bool) {
+	host.up, host.poweredOff, host.frozen, host.writes, host.backlog = false, powerOff, false, nil, nil
 	host.node, host.controller = nil, nil
 	world.network.drop(func(message message) bool { return message.to == host.name })
-	if dark {
+	if powerOff {
 		return
 	}
-	// The system of a machine whose process ended closes its connections; whoever had one tries again at once.
+	// The operating system closes the connections of an ended process; its peers reconnect immediately and are refused.
 	for _, other := range world.hosts {
 		if other.up && !world.network.disconnected(other.name, host.name) {
 			world.refuseConnection(other, host)
@@ -299,17 +299,17 @@
 	}
 }
 
-// leader returns the machine that leads at this moment, if one does.
+// leader returns the machine that leads at this moment, or nil.
 func (world *world) leader() *host {
 	for _, host := range world.hosts {
-		if host.core && host.up && !host.frozen && host.node.IsLeading(world.now) {
+		if host.isControlNode && host.up && !host.frozen && host.node.IsLeading(world.now) {
 			return host
 		}
 	}
 	return nil
 }
 
-// fingerprint is the digest of everything that decides how this world goes on.
+// fingerprint returns the digest of everything that determines what can happen next.
 func (world *world) fingerprint() uint64 {
 	hash, walker := digestSeed, newWalker(world.now)
 	for _, host := range world.hosts {
@@ -325,7 +325,7 @@
 	return uint64(hash)
 }
 
-// names sorts the names of hosts that a condition holds for.
+// names returns the sorted names of the hosts for which a condition holds.
 func (world *world) names(is func(host *host) bool) []string {
 	var names []string
 	for _, host := range world.hosts {
