--- a/verify/histories/capacity.go
+++ b/verify/histories/capacity.go
@@ -7,7 +7,7 @@
 	"wardtray/config"
 )
 
-// canUseRunners reports whether a spec lets the backend use its runners at all.
+// canUseRunners reports whether a spec permits some backend to use the runners.
 func (history *History) canUseRunners(catalog *config.Catalog) bool {
 	for _, backend := range catalog.Backends {
 		if backend.AllowsService(history.Service) && backend.Weights == history.Weights {
@@ -17,13 +17,13 @@
 	return false
 }
 
-// leastFreeShare returns the least part (0 to 1) of the backend's slots that was free over a span of time, in zones
-// that were open all the while by every spec that a daemon may go by; 0 where nobody looked.
+// leastFreeShare returns the minimum over a span of time of the share (0 to 1) of the backend's slots that were free.
+// It counts zones that are open in every spec under which a daemon may act in that time. It returns 0 without samples.
 func (checker *Checker) leastFreeShare(daemon string, from, until time.Time) float64 {
 	least, seen := 1.0, false
 	samples := checker.history.CapacitySamples
 	versions := checker.specs.between(from, until, SpecBound+checker.history.isolatedFor(daemon, until))
-	// The last sample before the span says how it begins.
+	// The last sample before the span gives its initial state.
 	after := sort.Search(len(samples), func(index int) bool { return samples[index].At.After(from) })
 	for _, sample := range samples[max(0, after-1):] {
 		seen = true
@@ -38,7 +38,7 @@
 	return least
 }
 
-// freeShare returns the free part (0 to 1) of a sample's slots, in zones that some specs all let be used.
+// freeShare returns the free share (0 to 1) of a sample's slots, in zones that all the versions permit to use.
 func (checker *Checker) freeShare(sample CapacitySample, versions []specVersion) float64 {
 	free, slots := 0, 0
 	for zone, count := range sample.Free {
--- a/verify/histories/capacity_test.go
+++ b/verify/histories/capacity_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// sampled returns a checker of a history with samples a second apart, in which zone a has so many slots of ten free and
-// zone b, which is closed from 20 s on, all of its thirty.
-func sampled(free ...int) (checker *Checker, at func(seconds float64) time.Time) {
+// checkerWithSamples returns a checker of a history with one capacity sample per second from 30 s on. In zone a the
+// given number of its ten slots is free; in zone b, which is closed from 20 s on, all thirty.
+func checkerWithSamples(free ...int) (checker *Checker, at func(seconds float64) time.Time) {
 	history := clean()
 	at = func(seconds float64) time.Time {
 		return history.Started.Add(time.Duration(seconds * float64(time.Second)))
@@ -26,41 +26,42 @@
 }
 
 func TestLeastFreeShareLooksAtOpenZones(t *testing.T) {
-	checker, at := sampled(5, 8, 2, 9, 1)
-	for _, trial := range []struct {
+	checker, at := checkerWithSamples(5, 8, 2, 9, 1)
+	for _, test := range []struct {
 		name        string
 		from, until float64
 		want        float64
 	}{
-		{"from the sample before on", 30.5, 30.6, 0.5},
-		{"up to the sample after", 31.2, 31.5, 0.2},
-		{"a span", 30.5, 32.5, 0.2},
-		{"beyond the last", 40, 41, 0.1},
+		{"uses the sample before", 30.5, 30.6, 0.5},
+		{"uses the sample after", 31.2, 31.5, 0.2},
+		{"several samples", 30.5, 32.5, 0.2},
+		{"after the last sample", 40, 41, 0.1},
 	} {
-		if got := checker.leastFreeShare("d1", at(trial.from), at(trial.until)); got != trial.want {
-			t.Errorf("%s: %v instead of %v", trial.name, got, trial.want)
+		if got := checker.leastFreeShare("d1", at(test.from), at(test.until)); got != test.want {
+			t.Errorf("%s: %v instead of %v", test.name, got, test.want)
 		}
 	}
 }
 
 func TestNothingIsFreeWhereNobodyLooked(t *testing.T) {
-	checker, at := sampled()
+	checker, at := checkerWithSamples()
 	if got := checker.leastFreeShare("d1", at(30), at(31)); got != 0 {
 		t.Errorf("%v instead of 0", got)
 	}
 }
 
 func TestNothingIsFreeWhereTheSpecAllowsNoRunner(t *testing.T) {
-	checker, at := sampled(10, 10)
+	checker, at := checkerWithSamples(10, 10)
 	checker.history.Weights = "other"
 	if got := checker.leastFreeShare("d1", at(30), at(31)); got != 0 {
 		t.Errorf("%v instead of 0", got)
 	}
 }
 
-// A daemon that has lost the core goes by the spec that it had then, in which a zone may be closed that is open again.
+// A daemon that has lost its path to the control machines acts under the spec that it had then, in which a zone may be
+// closed that has been opened since. The free share must count only zones that are open for that daemon.
 func TestFreeShareIsThatOfTheSpecsOfTheDaemon(t *testing.T) {
-	checker, at := sampled(10, 10, 10, 10)
+	checker, at := checkerWithSamples(10, 10, 10, 10)
 	history := checker.history
 	history.Orders = append(history.Orders, &Order{Operation: "opening", Verb: "open", Zone: "b", Sent: at(25),
 		Got: at(25.1), Outcome: "accepted", Epoch: 3})
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -9,56 +9,57 @@
 	"wardtray/config"
 )
 
-// Violation is one broken rule: its name, one of Rules, and what broke it.
+// Violation is one violation of a rule. Rule is one of Rules, Detail describes what violated it.
 type Violation struct {
 	Rule   string
 	Detail string
 }
 
-// Checker looks at a history while it grows: at each run and each answer as it comes, and at the rest at the end. It
-// takes no lock.
+// Checker checks a growing history: each run and each answer when it is recorded, and the remaining rules at the end.
+// It takes no lock.
 type Checker struct {
 	history *History
-	// Violations are those found so far.
+	// Violations are the violations found so far.
 	Violations []Violation
-	// known are the operations in effect and their epochs.
+	// known holds the operations in effect and their epochs.
 	known map[string]uint64
-	// By request: the runs that started, the answers that are complete, and all answers from their sending on; once has
-	// those that may run at most once.
-	runs     map[string][]*Run
-	answers  map[string][]*Answer
-	requests map[string][]*Answer
-	once     map[string]bool
-	// drains are by runner; drainsSeen is how many of the history they hold.
+	// By request: runs that started, answers that are complete, and requests, which holds an answer's record from its
+	// sending on. atMostOnce holds the at-most-once requests.
+	runs       map[string][]*Run
+	answers    map[string][]*Answer
+	requests   map[string][]*Answer
+	atMostOnce map[string]bool
+	// drains holds the first drainsSeen drains of the history, by runner.
 	drains     map[string][]*Drain
 	drainsSeen int
-	// epochs are the greatest by which each daemon has worked.
+	// epochs holds the greatest epoch under which each daemon has sent work.
 	epochs map[string]workedEpoch
 	specs  specTimeline
 }
 
-// workedEpoch is an epoch by which a daemon has worked, and when it did so first.
+// workedEpoch is an epoch under which a daemon has sent work, and when it first did.
 type workedEpoch struct {
 	epoch uint64
 	since time.Time
 }
 
-// NewChecker makes a checker of a history; known gives the operations that took effect, and may grow.
+// NewChecker returns a checker of a history. known holds the operations that took effect and their epochs; the caller
+// may add to it while the history grows.
 func NewChecker(history *History, known map[string]uint64) *Checker {
 	return &Checker{
-		history:  history,
-		known:    known,
-		runs:     map[string][]*Run{},
-		answers:  map[string][]*Answer{},
-		requests: map[string][]*Answer{},
-		once:     map[string]bool{},
-		drains:   map[string][]*Drain{},
-		epochs:   map[string]workedEpoch{},
-		specs:    newSpecTimeline(),
+		history:    history,
+		known:      known,
+		runs:       map[string][]*Run{},
+		answers:    map[string][]*Answer{},
+		requests:   map[string][]*Answer{},
+		atMostOnce: map[string]bool{},
+		drains:     map[string][]*Drain{},
+		epochs:     map[string]workedEpoch{},
+		specs:      newSpecTimeline(),
 	}
 }
 
-// Check checks a whole history at once.
+// Check checks a complete history and returns all violations.
 func Check(history *History) []Violation {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
@@ -81,8 +82,8 @@
 	return checker.Violations
 }
 
-// apply checks those of some rules that Rules names, in its order.
-func (checker *Checker) apply(rules map[string]func(checker *Checker, broken reportFunc)) {
+// apply checks some rules, in the order of Rules.
+func (checker *Checker) apply(rules map[string]func(checker *Checker, report reportFunc)) {
 	for _, rule := range Rules {
 		if check := rules[rule]; check != nil {
 			check(checker, checker.reporter(rule))
@@ -93,54 +94,54 @@
 // reportFunc records a violation of the rule that is being checked.
 type reportFunc func(format string, values ...any)
 
-// reporter returns what records violations of a rule.
+// reporter returns the function that records violations of a rule.
 func (checker *Checker) reporter(rule string) reportFunc {
 	return func(format string, values ...any) {
 		checker.Violations = append(checker.Violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, values...)})
 	}
 }
 
-// ObserveRequest notes that a request is on its way, so that its runs can be checked before its answer is there.
+// ObserveRequest records that a request was sent, so that its runs can be checked before its answer is complete.
 func (checker *Checker) ObserveRequest(answer *Answer) {
-	checker.once[answer.Request] = checker.once[answer.Request] || answer.Once
+	checker.atMostOnce[answer.Request] = checker.atMostOnce[answer.Request] || answer.Once
 	checker.requests[answer.Request] = append(checker.requests[answer.Request], answer)
 }
 
-// ObserveRun checks a run that has just been recorded.
+// ObserveRun checks a newly recorded run.
 func (checker *Checker) ObserveRun(run *Run) {
 	if run.Started {
 		checker.runs[run.Request] = append(checker.runs[run.Request], run)
 	}
 	checker.refresh()
-	checker.apply(bind(onRun, run))
+	checker.apply(bind(runRules, run))
 }
 
-// ObserveAnswer checks an answer that has just been recorded.
+// ObserveAnswer checks a newly recorded, complete answer.
 func (checker *Checker) ObserveAnswer(answer *Answer) {
 	checker.answers[answer.Request] = append(checker.answers[answer.Request], answer)
 	checker.refresh()
-	checker.apply(bind(onAnswer, answer))
+	checker.apply(bind(answerRules, answer))
 }
 
-// Finish checks what only the whole history shows.
+// Finish checks the rules that need the complete history.
 func (checker *Checker) Finish() {
 	checker.refresh()
-	checker.apply(atEnd)
+	checker.apply(finalRules)
 }
 
-// bind returns rules about something as rules about the one that was seen.
-func bind[Seen any](
-	rules map[string]func(checker *Checker, seen Seen, broken reportFunc),
-	seen Seen,
-) map[string]func(checker *Checker, broken reportFunc) {
-	bound := make(map[string]func(checker *Checker, broken reportFunc), len(rules))
+// bind returns rules about a kind of observation with their observation fixed.
+func bind[Observation any](
+	rules map[string]func(checker *Checker, observation Observation, report reportFunc),
+	observation Observation,
+) map[string]func(checker *Checker, report reportFunc) {
+	bound := make(map[string]func(checker *Checker, report reportFunc), len(rules))
 	for rule, check := range rules {
-		bound[rule] = func(checker *Checker, broken reportFunc) { check(checker, seen, broken) }
+		bound[rule] = func(checker *Checker, report reportFunc) { check(checker, observation, report) }
 	}
 	return bound
 }
 
-// refresh brings the checker's views of draining runners and of the configuration up to date.
+// refresh updates the checker's indices of draining runners and of specs.
 func (checker *Checker) refresh() {
 	if checker.drainsSeen != len(checker.history.Drains) {
 		checker.drainsSeen = len(checker.history.Drains)
@@ -152,13 +153,14 @@
 	checker.specs.refresh(checker.history.Orders, checker.known)
 }
 
-// specsInForce returns the specs by which a daemon's work at a moment may go, a bound after each acknowledgement. One
-// that has no path to the core may go by what it had when it lost that.
+// specsInForce returns the specs under which a daemon may act at a moment, where each remains permitted for a bound
+// after the acknowledgement of its successor. A daemon without a path to the control machines may act under the specs
+// of the moment at which it lost the path.
 func (checker *Checker) specsInForce(daemon string, at time.Time, bound time.Duration) []specVersion {
 	return checker.specs.between(at, at, bound+checker.history.isolatedFor(daemon, at))
 }
 
-// permittedBySomeSpec reports whether a spec by which a daemon's work at a moment may go permits something.
+// permittedBySomeSpec reports whether some spec under which a daemon may act at a moment permits something.
 func (checker *Checker) permittedBySomeSpec(
 	daemon string,
 	at time.Time,
--- a/verify/histories/disconnect.go
+++ b/verify/histories/disconnect.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// sentAfterDeparture returns how long after its client had left a request was sent to its runner.
+// sentAfterDisconnect returns how long after its client had disconnected a request was sent to its runner.
 //
-// Where only its arrival is known, bytes that left in time and were held up on their way to a runner in trouble are
-// excused, for as long as a daemon leaves them on their way. Trouble of the daemon excuses nothing: it looks once more
-// when it wakes from a freeze.
-func (checker *Checker) sentAfterDeparture(run *Run, answer *Answer) time.Duration {
+// If only its arrival is known, a request is excused that may have been sent in time and delayed on its way to a faulty
+// runner, for up to transitTime. A fault of the daemon excuses nothing: a daemon checks for a disconnect again when it
+// resumes from a freeze.
+func (checker *Checker) sentAfterDisconnect(run *Run, answer *Answer) time.Duration {
 	sent := run.Sent
 	if sent.IsZero() {
 		sent = run.At
 	}
 	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) ||
-		checker.sentTwice(answer) {
+		checker.retriedAtSameDaemon(answer) {
 		return 0
 	}
 	late := sent.Sub(answer.HungUpAt)
-	if _, heldUp := checker.history.runnerFault(run.Runner, answer.Sent, run.At); heldUp && run.Sent.IsZero() &&
+	if _, isDelayed := checker.history.runnerFault(run.Runner, answer.Sent, run.At); isDelayed && run.Sent.IsZero() &&
 		late <= DepartureBound+transitTime {
 		return 0
 	}
 	return late
 }
 
-// sameMachine reports whether two addresses are one daemon's: clients know it by another port than runners do.
+// sameMachine reports whether two addresses belong to the same daemon. Its ports for clients and for runners differ.
 func sameMachine(left, right string) bool {
 	leftMachine, _, _ := strings.Cut(left, ":")
 	rightMachine, _, _ := strings.Cut(right, ":")
 	return leftMachine == rightMachine
 }
 
-// sentTwice reports whether the same request came to the same daemon more than once, so that runs can't be told apart.
-func (checker *Checker) sentTwice(answer *Answer) bool {
+// retriedAtSameDaemon reports whether the same request was sent to the same daemon more than once, so that its runs
+// can't be attributed to one client attempt.
+func (checker *Checker) retriedAtSameDaemon(answer *Answer) bool {
 	count := 0
 	for _, other := range checker.requests[answer.Request] {
 		if other.Daemon == answer.Daemon {
@@ -45,11 +46,11 @@
 	return count > 1
 }
 
-// CheckDeparture checks whether anybody still works for a client that has left, at a moment by which its daemon has had
-// DepartureBound to learn it. Runs that must come to their end are none of these; a daemon in trouble within that time
-// is excused.
+// CheckDeparture checks whether a run of a client that has disconnected still goes on at a moment by which its daemon
+// has had DepartureBound to detect the disconnect. Runs that are not cancelled by a disconnect are excepted, and a
+// fault of the daemon within that time excuses it.
 func (checker *Checker) CheckDeparture(answer *Answer, until time.Time) {
-	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.sentTwice(answer) {
+	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.retriedAtSameDaemon(answer) {
 		return
 	}
 	if checker.history.daemonFaulty(answer.Daemon, until.Add(-DepartureBound), until) {
@@ -57,13 +58,13 @@
 	}
 	for _, run := range checker.runs[answer.Request] {
 		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
-			checker.reporter("left-requester")("%s was still worked on at %s %v after its requester had left %s",
+			checker.reporter("left-requester")("%s still ran at %s %v after its client had disconnected from %s",
 				answer.Request, run.Runner, DepartureBound, run.Daemon)
 		}
 	}
 }
 
-// finishedBy reports whether a run had ended, or its daemon had let go of it, by a moment.
+// finishedBy reports whether a run had ended, or its daemon had cancelled it, by a moment.
 func (run *Run) finishedBy(at time.Time) bool {
 	return !run.Finished.IsZero() && !run.Finished.After(at) || !run.Canceled.IsZero() && !run.Canceled.After(at)
 }
--- a/verify/histories/disconnect_test.go
+++ b/verify/histories/disconnect_test.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// What a client that has left may still cost: what was under way, for half a second, and what must run to its end.
+// After a client has disconnected, its run may go on for at most DepartureBound unless its route doesn't cancel runs,
+// and no attempt may be sent later than that. The cases check which runs are excused.
 func TestWorkForClientsThatLeft(t *testing.T) {
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
-	for name, trial := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(history *History, run *Run, answer *Answer)
 		broken bool
 	}{
 		"ended in time": {func(_ *History, run *Run, _ *Answer) { run.Finished = at(3.55) }, false},
-		"cut in time": {func(_ *History, run *Run, _ *Answer) {
+		"cancelled in time": {func(_ *History, run *Run, _ *Answer) {
 			run.Canceled, run.Finished = at(3.3), at(9)
 		}, false},
-		"cut too late": {func(_ *History, run *Run, _ *Answer) {
+		"cancelled too late": {func(_ *History, run *Run, _ *Answer) {
 			run.Canceled, run.Finished = at(3.7), at(9)
 		}, true},
-		"never cut":    {func(_ *History, run *Run, _ *Answer) { run.Finished = at(9) }, true},
-		"not over yet": {func(_ *History, run *Run, _ *Answer) { run.Finished = time.Time{} }, true},
-		"must run to its end": {func(_ *History, run *Run, answer *Answer) {
+		"never cancelled":  {func(_ *History, run *Run, _ *Answer) { run.Finished = at(9) }, true},
+		"not finished yet": {func(_ *History, run *Run, _ *Answer) { run.Finished = time.Time{} }, true},
+		"not cancelled on its route": {func(_ *History, run *Run, answer *Answer) {
 			run.Finished, answer.Cancels = at(9), false
 		}, false},
 		"by another daemon": {func(_ *History, run *Run, _ *Answer) {
@@ -35,15 +36,15 @@
 			answer.HungUpAt, run.Finished = at(2.6), at(3.05)
 		}, false},
 		"sent too late": {func(_ *History, _ *Run, answer *Answer) { answer.HungUpAt = at(2.4) }, true},
-		"a daemon in trouble": {func(history *History, run *Run, _ *Answer) {
+		"a faulty daemon": {func(history *History, run *Run, _ *Answer) {
 			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.9), Until: at(3.2), Daemon: run.Daemon}}
 		}, false},
-		"a daemon in trouble before": {func(history *History, run *Run, _ *Answer) {
+		"a daemon with an earlier fault": {func(history *History, run *Run, _ *Answer) {
 			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.5), Until: at(3.05), Daemon: run.Daemon}}
 		}, true},
-		"a runner in trouble": {func(history *History, run *Run, _ *Answer) {
+		"a faulty runner": {func(history *History, run *Run, _ *Answer) {
 			run.Finished = at(9)
 			history.Faults = []Fault{{At: at(2.9), Until: at(3.2), Runner: run.Runner}}
 		}, true},
@@ -54,15 +55,15 @@
 			answer.HungUpAt, run.Sent = at(2.1), at(2.9)
 			history.Faults = []Fault{{At: at(1.4), Until: at(3.2), Runner: run.Runner}}
 		}, true},
-		"held up on its way": {func(history *History, run *Run, answer *Answer) {
+		"delayed in transit": {func(history *History, run *Run, answer *Answer) {
 			answer.Sent, answer.HungUpAt = at(1.5), at(1.6)
 			history.Faults = []Fault{{At: at(1.4), Until: at(3.2), Runner: run.Runner}}
 		}, false},
-		"held up for too long": {func(history *History, run *Run, answer *Answer) {
+		"delayed in transit for too long": {func(history *History, run *Run, answer *Answer) {
 			answer.Sent, answer.HungUpAt = at(0.5), at(0.6)
 			history.Faults = []Fault{{At: at(0.4), Until: at(3.2), Runner: run.Runner}}
 		}, true},
-		"sent by a daemon that woke from a freeze": {func(history *History, run *Run, answer *Answer) {
+		"sent by a daemon that resumed from a freeze": {func(history *History, run *Run, answer *Answer) {
 			answer.Sent, answer.HungUpAt = at(2.2), at(2.3)
 			history.Faults = []Fault{{At: at(2.1), Until: at(2.9), Daemon: run.Daemon}}
 		}, true},
@@ -70,10 +71,10 @@
 		history := clean()
 		run, answer := history.Runs[3], history.Answers[3]
 		answer.HungUpAt, answer.Cancels, answer.HungUp = at(3.1), true, true
-		trial.change(history, run, answer)
+		test.change(history, run, answer)
 		violations := Check(history)
-		if named := len(violations) == 1 && violations[0].Rule == "left-requester"; named != trial.broken ||
-			!trial.broken && len(violations) > 0 {
+		if isNamed := len(violations) == 1 && violations[0].Rule == "left-requester"; isNamed != test.broken ||
+			!test.broken && len(violations) > 0 {
 			t.Errorf("%s: %v", name, violations)
 		}
 	}
--- a/verify/histories/doc.go
+++ b/verify/histories/doc.go
@@ -1,10 +1,10 @@
-// Package histories records what clients, runners, the platform and operators saw, and checks it against what must
-// never happen.
+// Package histories records what clients, runners, the platform and operators observed of a fleet, and checks the
+// record against rules for what must never happen.
 //
-// A History holds records of single observations (Run, Answer, Order, Drain, Fault and others); moments are those of
-// one clock. A Checker looks at a history while it grows, at each run and each answer as it comes, and at the rest at
-// the end; Check does so for a complete history. Simulated and real histories are checked by the same rules, which
-// Rules names. A rule excuses only what a recorded fault touched, and its bounds are constants. The checker shares no
-// code with what it checks but the configuration document. A checker that is given a broken history must name the
-// rule; the tests break one for every rule.
+// A History holds records of single observations (Run, Answer, Order, Drain, Fault and others); all times are those of
+// one clock. A Checker checks a growing history: each run and each answer when it is recorded, and the remaining rules
+// at the end. Check checks a complete history at once. The same rules, listed in Rules, apply to simulated and real
+// histories. A rule excuses only what a recorded fault affected, and its bounds are constants. The checker shares only
+// the configuration document with the code that it checks. The tests violate each rule once and check that the checker
+// names it.
 package histories
--- a/verify/histories/faults.go
+++ b/verify/histories/faults.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// overlaps reports whether the fault lasted at some moment of a span of time.
+// overlaps reports whether the fault overlaps a span of time.
 func (fault *Fault) overlaps(from, until time.Time) bool {
 	return !until.Before(fault.At) && from.Before(fault.Until)
 }
 
-// shadows reports whether the fault, or the time in which its consequences are excused, overlaps a span of time.
-func (fault *Fault) shadows(from, until time.Time) bool {
-	return !until.Before(fault.At) && from.Before(fault.Until.Add(faultShadow))
+// excuses reports whether the fault, or the time after it in which its consequences are excused, overlaps a span of
+// time.
+func (fault *Fault) excuses(from, until time.Time) bool {
+	return !until.Before(fault.At) && from.Before(fault.Until.Add(faultExcusePeriod))
 }
 
-// daemonFaulty reports whether something was done to a daemon in a span of time.
+// daemonFaulty reports whether a daemon had a fault in a span of time.
 func (history *History) daemonFaulty(daemon string, from, until time.Time) bool {
 	for _, fault := range history.Faults {
 		if fault.Daemon == daemon && fault.overlaps(from, until) {
@@ -25,34 +26,35 @@
 	return false
 }
 
-// anyDaemonFaulty reports whether something was done to any daemon in a span of time.
+// anyDaemonFaulty reports whether any daemon had a fault in a span of time.
 func (history *History) anyDaemonFaulty(from, until time.Time) bool {
 	return slices.ContainsFunc(history.Faults, func(fault Fault) bool {
 		return fault.Daemon != "" && fault.overlaps(from, until)
 	})
 }
 
-// excusedByFault reports whether a fault excuses something at a daemon in a span of time.
+// excusedByFault reports whether a fault excuses the behaviour of a daemon in a span of time.
 func (history *History) excusedByFault(daemon string, from, until time.Time) bool {
 	for _, fault := range history.Faults {
-		if fault.Daemon == daemon && fault.shadows(from, until) {
+		if fault.Daemon == daemon && fault.excuses(from, until) {
 			return true
 		}
 	}
 	return false
 }
 
-// runnerFault returns the first fault of a runner whose consequences overlap a span of time.
+// runnerFault returns the first fault of a runner that, with the time in which its consequences are excused, overlaps a
+// span of time.
 func (history *History) runnerFault(runner string, from, until time.Time) (Fault, bool) {
 	for _, fault := range history.Faults {
-		if fault.Runner == runner && fault.shadows(from, until) {
+		if fault.Runner == runner && fault.excuses(from, until) {
 			return fault, true
 		}
 	}
 	return Fault{}, false
 }
 
-// isolatedFor returns for how long, at a moment, a daemon has had no path to the core.
+// isolatedFor returns for how long, at a moment, a daemon has had no path to the control machines.
 func (history *History) isolatedFor(daemon string, at time.Time) time.Duration {
 	for index := len(history.Isolations) - 1; index >= 0; index-- {
 		isolation := history.Isolations[index]
--- a/verify/histories/faults_test.go
+++ b/verify/histories/faults_test.go
@@ -12,28 +12,28 @@
 		{At: at(10), Until: at(20), Runner: "r", What: "first"},
 		{At: at(15), Until: at(25), Runner: "r", What: "second"},
 	}}
-	shadow := int(faultShadow / time.Second)
-	for _, trial := range []struct {
+	excusePeriod := int(faultExcusePeriod / time.Second)
+	for _, test := range []struct {
 		name            string
 		from, until     int
 		faulty, excused bool
 	}{
 		{"before", 1, 9, false, false},
-		{"up to its begin", 1, 10, true, true},
+		{"up to its beginning", 1, 10, true, true},
 		{"within", 12, 13, true, true},
 		{"from its end on", 20, 30, false, true},
-		{"in its shadow", 20 + shadow - 1, 60, false, true},
-		{"after its shadow", 20 + shadow, 60, false, false},
+		{"within the excuse period", 20 + excusePeriod - 1, 60, false, true},
+		{"after the excuse period", 20 + excusePeriod, 60, false, false},
 	} {
-		from, until := at(trial.from), at(trial.until)
-		if got := history.daemonFaulty("d", from, until); got != trial.faulty {
-			t.Errorf("%s: faulty %v instead of %v", trial.name, got, trial.faulty)
+		from, until := at(test.from), at(test.until)
+		if got := history.daemonFaulty("d", from, until); got != test.faulty {
+			t.Errorf("%s: faulty %v instead of %v", test.name, got, test.faulty)
 		}
-		if got := history.excusedByFault("d", from, until); got != trial.excused {
-			t.Errorf("%s: excused %v instead of %v", trial.name, got, trial.excused)
+		if got := history.excusedByFault("d", from, until); got != test.excused {
+			t.Errorf("%s: excused %v instead of %v", test.name, got, test.excused)
 		}
 		if history.daemonFaulty("other", from, until) || history.excusedByFault("other", from, until) {
-			t.Errorf("%s: another daemon is excused", trial.name)
+			t.Errorf("%s: another daemon is excused", test.name)
 		}
 	}
 	if fault, found := history.runnerFault("r", at(16), at(17)); !found || fault.What != "first" {
--- a/verify/histories/final_rules.go
+++ b/verify/histories/final_rules.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// atEnd is checked over the whole history.
-var atEnd = map[string]func(checker *Checker, broken reportFunc){
-	"refused-in-effect": refusedInEffect,
-	"two-on-one-base":   twoOnOneBase,
-	"repeats":           retries,
-	"forgotten":         forgotten,
-	"down":              down,
+// finalRules are checked over the complete history.
+var finalRules = map[string]func(checker *Checker, report reportFunc){
+	"refused-in-effect": checkRefusals,
+	"two-on-one-base":   checkBases,
+	"repeats":           checkRetries,
+	"forgotten":         checkDurability,
+	"down":              checkReturns,
 }
 
-// accepted returns the acknowledged orders by the time of their acknowledgement.
+// accepted returns the acknowledged changes, ordered by the time of their acknowledgement.
 func (history *History) accepted() []*Order {
 	var accepted []*Order
 	for _, order := range history.Orders {
@@ -28,8 +28,8 @@
 	return accepted
 }
 
-// refusedInEffect wants that no order that was refused took effect.
-func refusedInEffect(checker *Checker, broken reportFunc) {
+// checkRefusals checks that no refused change took effect.
+func checkRefusals(checker *Checker, report reportFunc) {
 	history, routes := checker.history, map[string]bool{}
 	for _, route := range history.Final.Routes {
 		routes[route] = true
@@ -39,17 +39,17 @@
 			continue
 		}
 		if order.Marker != "" && routes[order.Marker] {
-			broken("%s was refused and its lane %q is in effect", order.Operation, order.Marker)
+			report("%s was refused and its route %q is in effect", order.Operation, order.Marker)
 		}
 		if epoch, known := history.Final.Known[order.Operation]; known {
-			broken("%s was refused and is recorded as epoch %d", order.Operation, epoch)
+			report("%s was refused and is recorded as epoch %d", order.Operation, epoch)
 		}
 	}
 }
 
-// isBinding reports whether a refusal says of its operation that it never takes effect. One that judges the change
-// always does. One for want of a head, a disk or room (503) speaks for the one sending that it answers: the operator
-// may send the operation again, and one of the other sendings, if it was not refused too, may take effect.
+// isBinding reports whether a refusal means that its operation never takes effect. A refusal of the change itself
+// always does. A refusal because there is no head, disk or capacity (503) applies only to the attempt that it answers:
+// the operator may send the operation again, and another attempt that was not refused may take effect.
 func isBinding(orders []*Order, refused *Order) bool {
 	if refused.HTTPStatus != http.StatusServiceUnavailable {
 		return true
@@ -59,42 +59,43 @@
 	})
 }
 
-// twoOnOneBase wants that each epoch is given to one order, and is the base of one.
-func twoOnOneBase(checker *Checker, broken reportFunc) {
+// checkBases checks that each epoch is assigned to at most one change, and is the base of at most one.
+func checkBases(checker *Checker, report reportFunc) {
 	bases, epochs := map[uint64]string{}, map[uint64]string{}
 	for _, order := range checker.history.accepted() {
 		if (order.Verb == verbApply || order.Verb == verbChange) && order.HasBase {
 			if other, found := bases[order.Base]; found && other != order.Operation {
-				broken("%s and %s were both accepted on epoch %d", other, order.Operation, order.Base)
+				report("%s and %s were both accepted on base %d", other, order.Operation, order.Base)
 			}
 			bases[order.Base] = order.Operation
 		}
 		if other, found := epochs[order.Epoch]; found && other != order.Operation {
-			broken("%s and %s were both given epoch %d", other, order.Operation, order.Epoch)
+			report("%s and %s were both accepted as epoch %d", other, order.Operation, order.Epoch)
 		}
 		epochs[order.Epoch] = order.Operation
 	}
 }
 
-// forgotten wants that the fleet knows every acknowledged order at the end.
-func forgotten(checker *Checker, broken reportFunc) {
+// checkDurability checks that the fleet has every acknowledged change at the end.
+func checkDurability(checker *Checker, report reportFunc) {
 	history := checker.history
 	if !history.Final.Asked {
-		broken("nobody asked for the state at the end")
+		report("the final state was not read")
 		return
 	}
 	for _, order := range history.accepted() {
 		if history.Final.Epoch < order.Epoch {
-			broken("%s was acknowledged as epoch %d; the fleet ended at %d", order.Operation, order.Epoch,
+			report("%s was acknowledged as epoch %d; the final epoch is %d", order.Operation, order.Epoch,
 				history.Final.Epoch)
 		}
 		if epoch, known := history.Final.Known[order.Operation]; !known || epoch != order.Epoch {
-			broken("%s was acknowledged as epoch %d; the fleet knows %d", order.Operation, order.Epoch, epoch)
+			report("%s was acknowledged as epoch %d; the fleet records epoch %d", order.Operation, order.Epoch, epoch)
 		}
 	}
 }
 
-// returnInterrupted reports whether machines were taken again before a return could be checked.
+// returnInterrupted reports whether a daemon had another fault within ReturnBound after a return, so that the return
+// can't be checked.
 func returnInterrupted(history *History, back Return) bool {
 	for _, fault := range history.Faults {
 		if fault.Daemon != "" && fault.At.After(back.At) && fault.At.Sub(back.At) <= ReturnBound {
@@ -104,8 +105,9 @@
 	return false
 }
 
-// down wants, after every return of the machines, whole answers in each zone and an accepted change.
-func down(checker *Checker, broken reportFunc) {
+// checkReturns checks that within ReturnBound after each return of all machines every zone gives a complete answer and
+// a change is accepted.
+func checkReturns(checker *Checker, report reportFunc) {
 	history := checker.history
 	for _, back := range history.Returns {
 		if returnInterrupted(history, back) {
@@ -116,12 +118,12 @@
 			if !slices.ContainsFunc(history.Answers, func(answer *Answer) bool {
 				return answer.Zone == zone && answer.Done && within(answer.Sent) && within(answer.Got)
 			}) {
-				broken("no request of zone %s was served within %v of the machines' return", zone, ReturnBound)
+				report("no request of zone %s was served within %v of the machines' return", zone, ReturnBound)
 			}
 		}
 		if !slices.ContainsFunc(history.accepted(),
 			func(order *Order) bool { return within(order.Sent) && within(order.Got) }) {
-			broken("no change was accepted within %v of the machines' return", ReturnBound)
+			report("no change was accepted within %v of the machines' return", ReturnBound)
 		}
 	}
 }
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// History is everything.
+// History is the record of everything observed in one run of a fleet.
 type History struct {
 	mutex   sync.Mutex
 	Started time.Time
 	Zones   []string
-	// Service and Weights are those of the backend's runners.
+	// Service and Weights are the service and the model weights of the backend's runners.
 	Service, Weights string
-	// Daemons is how many there are.
+	// Daemons is the number of data daemons.
 	Daemons int
-	// ZoneOf is the zone of each daemon.
+	// ZoneOf maps each daemon to its zone.
 	ZoneOf  map[string]string
 	Runs    []*Run
 	Answers []*Answer
 	Orders  []*Order
 	Drains  []*Drain
 	Faults  []Fault
-	// Isolations are the times in which daemons had no path to the core, where the simulator tells of them.
+	// Isolations are the periods in which daemons had no path to the control machines. Only the simulator records them.
 	Isolations      []*Isolation
 	Returns         []Return
 	CapacitySamples []CapacitySample
 	Final           Final
 }
 
-// New begins a history.
+// New returns an empty history that starts now.
 func New() *History { return &History{Started: time.Now()} }
 
-// Change runs under the history's lock.
+// Change runs a function under the history's lock.
 func (history *History) Change(change func(history *History)) {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
--- a/verify/histories/records.go
+++ b/verify/histories/records.go
@@ -6,7 +6,7 @@
 	"wardtray/config"
 )
 
-// Run is one request that a runner read.
+// Run is one arrival of a request at a runner.
 type Run struct {
 	// At is when the request reached the runner's machine.
 	At      time.Time
@@ -16,33 +16,32 @@
 	Model   string
 	Weights string
 	Runner  string
-	// Wanted is the runner that the daemon meant.
+	// Wanted is the runner that the daemon intended.
 	Wanted  string
 	Service string
 	Zone    string
 	Daemon  string
 	Epoch   uint64
-	// Started is false where the runner put the request back.
+	// Started reports whether the runner executed the request; false if it rejected it.
 	Started bool
-	// Sent is when its daemon sent the request, where that is known, and Canceled when the daemon let go of the run,
-	// or at the latest when the end of its connection reached the runner; zero where that did not happen while the run
-	// went on.
+	// Sent is when the daemon sent the request, if known. Canceled is when the daemon cancelled the run, at the latest
+	// when the end of its connection reached the runner; zero if that did not happen during the run.
 	Sent, Canceled time.Time
-	// Finished is when the run was over; Complete means that its last event went out, after Events others.
+	// Finished is when the run ended; Complete reports that its last event was sent, after Events others.
 	Finished time.Time
 	Complete bool
 	Events   int
-	// Name is what its events call it; After is the id of the event behind which it began.
+	// Name identifies the run in its events; After is the id of the event after which it began, 0 for the start.
 	Name  string
 	After int
-	// Concurrent is how much other work the runner had when this came; WarmingUp means that it was still slow
-	// after its start, and Capacity is how much it could truly do at once then.
+	// Concurrent is the number of other requests at the runner on arrival. WarmingUp reports that the runner was still
+	// slow after its start, Capacity how many requests it could then process concurrently.
 	Concurrent int
 	WarmingUp  bool
 	Capacity   int
 }
 
-// Answer is what a client got.
+// Answer is one client attempt: a client's transmission of a request and the response to it.
 type Answer struct {
 	Request       string
 	Route         string
@@ -57,35 +56,36 @@
 	Detail        string
 	Ran           string
 	RetryAfter    bool
-	// IDs and Runs are the ids of the events and the runs that they name.
+	// IDs are the ids of the received events, Runs the runs that they name.
 	IDs  []int
 	Runs []string
-	// Done means that the last event was a done event; Error that it was an error event.
+	// Done reports that the last event was a done event, Error that it was an error event.
 	Done, Error bool
-	// ConnectionLost means that the connection broke without an answer; RequestSent that the request had been sent.
+	// ConnectionLost reports that the connection broke without an answer, RequestSent that the request had been sent.
 	ConnectionLost, RequestSent bool
-	// HungUp means that the client itself hung up, and HungUpAt when its close reached the machine of its daemon.
+	// HungUp reports that the client itself disconnected; HungUpAt is when its close reached the daemon's machine.
 	HungUp   bool
 	HungUpAt time.Time
-	// Cancels means that a run on the request's route is to end when its client leaves.
+	// Cancels reports that on the request's route a run is cancelled when its client disconnects.
 	Cancels bool
-	// Resent means that the same request had been sent before, Undeclared that its client did not say whether it had.
+	// Resent reports that the same request had been sent before, Undeclared that its client did not state whether it had.
 	Resent, Undeclared bool
-	// MinorityLeft means that some control machines ran when the answer came, but not most, or that most could not reach
-	// each other, or that this had ended a moment before.
+	// MinorityLeft reports that when the answer came, or shortly before, some control machines ran but no majority, or no
+	// majority of them could reach each other.
 	MinorityLeft bool
-	// Attempt is the number of the sending, as its client states it; 0: it states none.
+	// Attempt is the number of the attempt as its client states it; 0 if it states none.
 	Attempt int
-	// Resumable means that its stream may go on at another runner; Head is the runner that its head names.
+	// Resumable reports that the stream may continue at another runner; Head is the runner that the response's header
+	// names.
 	Resumable bool
 	Head      string
-	// Last is when the last event came. Started is when the daemon had the whole request, and Bound how long after
-	// that it may be held; 0: as long as it takes.
+	// Last is when the last event arrived. Started is when the daemon had received the complete request, and Bound the
+	// request's deadline after Started; 0 for none.
 	Last, Started time.Time
 	Bound         time.Duration
 }
 
-// Words of an operator's change, as the interface has them.
+// Outcomes and verbs of operators' requests, as on the operators' interface.
 const (
 	outcomeAccepted = "accepted"
 	outcomeRefused  = "refused"
@@ -97,16 +97,16 @@
 	verbOperation = "operation"
 )
 
-// Order is one operator's change.
+// Order is one operator's request, most often a change, and its response.
 type Order struct {
 	Operation string
 	Verb      string
 	Zone      string
 	Base      uint64
 	HasBase   bool
-	// Marker is a route that only this order's spec has.
+	// Marker is a route that only this request's spec has.
 	Marker string
-	// Spec is the whole document of an apply, Change that of a change of named entries.
+	// Spec is the complete document of an apply, Change the document of a change of named entries.
 	Spec       *config.Spec
 	Change     *config.Change
 	Sent, Got  time.Time
@@ -115,45 +115,46 @@
 	HTTPStatus int
 }
 
-// Drain means that the platform began to list a runner as draining, or no longer. Back is when it
-// listed the runner as before, if it did; one that drained never comes back under its identity.
+// Drain records that the platform began to list a runner as draining, or ceased to list it. Back is when it listed the
+// runner as before, if it did; a runner that has drained never returns under the same identity.
 type Drain struct {
 	At, Back time.Time
 	Runner   string
 	Drained  bool
 }
 
-// Fault is something that was done to the fleet. It excuses only what it touched.
+// Fault is a fault that was injected into the fleet. It excuses only what it affected.
 type Fault struct {
 	At, Until time.Time
 	What      string
-	// Daemon is the HTTP address of the data daemon that it touched, Runner the id of the runner.
+	// Daemon is the HTTP address of the affected data daemon, Runner the id of the affected runner; "" for none.
 	Daemon, Runner string
-	// Kills means that work under way at the daemon may be lost.
+	// Kills reports that requests in progress at the daemon may be lost.
 	Kills bool
-	// Knowable is how long after its begin the others can know of it.
+	// Knowable is the time from the fault's begin until others can detect it.
 	Knowable time.Duration
 }
 
-// Isolation means that a daemon had no path to the core in a time. Until is when it must have learned what it missed,
-// or serve no more.
+// Isolation is a period in which a daemon had no path to the control machines. By Until it must have learned the
+// changes that it missed, or have stopped serving.
 type Isolation struct {
 	Daemon      string
 	From, Until time.Time
 }
 
-// Return means that all machines were back after a time of being down.
+// Return records when all machines were back after an outage.
 type Return struct{ At time.Time }
 
-// CapacitySample is how the backend truly was at a moment: the slots, and those free, of the runners of each zone
-// that are well, listed and warm.
+// CapacitySample is the actual capacity of the backend at a moment: the free slots and all slots, by zone, of the
+// runners that are healthy, listed and warmed up.
 type CapacitySample struct {
 	At    time.Time
 	Free  map[string]int
 	Slots map[string]int
 }
 
-// Final is what the fleet said at the end.
+// Final is the fleet's final state. Known holds the operations in effect and their epochs, Missing those that were not
+// found, and Asked reports whether the state was read.
 type Final struct {
 	Epoch   uint64
 	Routes  []string
--- a/verify/histories/retries.go
+++ b/verify/histories/retries.go
@@ -5,74 +5,74 @@
 	"time"
 )
 
-// retryCount counts what a backend's runners got within RetryWindow.
+// retryCount counts the retries and first attempts that reached a backend's runners within RetryWindow.
 type retryCount struct{ retries, requests int }
 
-// allowed is how many retries the rule allows beside the requests.
+// allowed returns the number of retries that the rule allows for the counted requests.
 func (count retryCount) allowed() float64 { return RetryShare*float64(count.requests) + RetryAllowance }
 
-// used is the part of the allowed retries that there were; over 1, the rule is broken.
+// used returns the ratio of the retries to the allowed ones; above 1 the rule is violated.
 func (count retryCount) used() float64 { return float64(count.retries) / count.allowed() }
 
-// add counts a send, or takes it away again.
-func (count *retryCount) add(sent send, times int) {
-	if sent.retry {
-		count.retries += times
+// add counts an attempt, with weight -1 to remove it again.
+func (count *retryCount) add(counted attempt, weight int) {
+	if counted.isRetry {
+		count.retries += weight
 	} else {
-		count.requests += times
+		count.requests += weight
 	}
 }
 
-// retryPeak is what the worst windows of a history had.
+// retryPeak describes the worst windows of a history.
 type retryPeak struct {
-	// over is the most retries beyond those allowed in any window; negative where all were allowed.
-	over float64
-	// worst is the window that used up most of its allowance.
+	// excess is the greatest number of retries beyond the allowed ones in any window; negative if all were allowed.
+	excess float64
+	// worst is the window that used the greatest part of its allowance.
 	worst retryCount
 }
 
-// send is one request that reached a runner.
-type send struct {
-	at    time.Time
-	retry bool
+// attempt is one arrival of a request at a runner.
+type attempt struct {
+	at      time.Time
+	isRetry bool
 }
 
-// sendsTo returns what reached the runners of a backend. What a client itself sends again is another request, not a
-// retry of ours.
-func sendsTo(history *History, backend string) []send {
-	var sends []send
-	seen, asked := map[string]int{}, map[string][]time.Time{}
+// attemptsAt returns the attempts at the runners of a backend. A client's own retry counts as another request, not as a
+// retry of the fleet.
+func attemptsAt(history *History, backend string) []attempt {
+	var attempts []attempt
+	seen, clientAttempts := map[string]int{}, map[string][]time.Time{}
 	for _, answer := range history.Answers {
-		asked[answer.Request] = append(asked[answer.Request], answer.Sent)
+		clientAttempts[answer.Request] = append(clientAttempts[answer.Request], answer.Sent)
 	}
 	for _, run := range history.Runs {
 		if run.Pool != backend {
 			continue
 		}
-		asks := 0
-		for _, at := range asked[run.Request] {
+		sent := 0
+		for _, at := range clientAttempts[run.Request] {
 			if !at.After(run.At) {
-				asks++
+				sent++
 			}
 		}
-		sends = append(sends, send{run.At, seen[run.Request] >= max(1, asks)})
+		attempts = append(attempts, attempt{run.At, seen[run.Request] >= max(1, sent)})
 		seen[run.Request]++
 	}
-	return sends
+	return attempts
 }
 
-// findRetryPeak looks at every window of RetryWindow that ends with a send to a backend.
+// findRetryPeak evaluates every window of RetryWindow that ends with an attempt at a backend.
 func findRetryPeak(history *History, backend string) retryPeak {
-	peak, used := retryPeak{over: math.Inf(-1)}, -1.0
-	sends := sendsTo(history, backend)
+	peak, used := retryPeak{excess: math.Inf(-1)}, -1.0
+	attempts := attemptsAt(history, backend)
 	first, window := 0, retryCount{}
-	for _, last := range sends {
+	for _, last := range attempts {
 		window.add(last, 1)
-		for last.at.Sub(sends[first].at) > RetryWindow {
-			window.add(sends[first], -1)
+		for last.at.Sub(attempts[first].at) > RetryWindow {
+			window.add(attempts[first], -1)
 			first++
 		}
-		peak.over = max(peak.over, float64(window.retries)-window.allowed())
+		peak.excess = max(peak.excess, float64(window.retries)-window.allowed())
 		if window.used() > used {
 			used, peak.worst = window.used(), window
 		}
@@ -80,17 +80,17 @@
 	return peak
 }
 
-// retries wants that retries stay within their share of the requests, in each window of time.
-func retries(checker *Checker, broken reportFunc) {
+// checkRetries checks that in each window of RetryWindow the retries stay within their share of the requests.
+func checkRetries(checker *Checker, report reportFunc) {
 	for backend := range checker.history.backends() {
-		if peak := findRetryPeak(checker.history, backend); peak.over > 0 {
-			broken("pool %s: %d repeats to %d requests within ten seconds", backend, peak.worst.retries,
+		if peak := findRetryPeak(checker.history, backend); peak.excess > 0 {
+			report("backend %s: %d retries for %d requests within ten seconds", backend, peak.worst.retries,
 				peak.worst.requests)
 		}
 	}
 }
 
-// backends returns the names of all backends whose runners got requests.
+// backends returns the names of all backends whose runners received requests.
 func (history *History) backends() map[string]bool {
 	backends := map[string]bool{}
 	for _, run := range history.Runs {
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -4,46 +4,50 @@
 	"time"
 )
 
-// The bounds of the brief, each with what belongs to measuring rather than to the fleet.
+// The bounds of the rules. Each includes an allowance for the accuracy of the observations.
 const (
+	// DrainingBound is how long a runner may receive work after it is listed as draining, SpecBound how long work may
+	// follow an outdated spec after the acknowledgement of its successor, ZoneBound how long a zone may receive work
+	// after its closing is acknowledged, and ReturnBound how long the fleet may take to serve after all machines are back.
 	DrainingBound = 3 * time.Second
 	SpecBound     = 2 * time.Second
 	ZoneBound     = 5 * time.Second
 	ReturnBound   = 12 * time.Second
 	RetryWindow   = 10 * time.Second
 	RetryShare    = 0.2
-	// RetryAllowance is the brief's "plus a little": one unlucky request at each of a few daemons.
+	// RetryAllowance is the number of retries allowed beyond RetryShare: one request that fails at each of a few daemons.
 	RetryAllowance = 3
-	// WarmUpAllowance is how much more than its true room a cold runner may get: daemons that have not heard of
-	// one another yet may each send one.
+	// WarmUpAllowance is the number of requests that a cold runner may receive beyond its capacity: daemons that have not
+	// exchanged their loads yet may each send one.
 	WarmUpAllowance = 2
-	// OverdueBound is how long after a loss could be known a final answer may come.
+	// OverdueBound is the maximum time from when a loss could be known to the final answer.
 	OverdueBound = 2 * time.Second
-	// DeadlineAllowance is how much after its deadline an answer may come: a daemon's own work and the way. Clocks may
-	// be wrong by one part in ClockErrorDivisor.
+	// DeadlineAllowance is how long after its deadline an answer may arrive, for the daemon's processing and the network.
+	// Clocks may deviate by one part in ClockErrorDivisor.
 	DeadlineAllowance = 100 * time.Millisecond
 	ClockErrorDivisor = 50
-	faultShadow       = 12 * time.Second
-	// DoubtBound is for how long after a fault of a daemon a request may be in doubt.
+	// faultExcusePeriod is how long after its end a fault excuses its consequences.
+	faultExcusePeriod = 12 * time.Second
+	// DoubtBound is how long after a fault of a daemon a request may be refused as possibly executed.
 	DoubtBound = 13 * time.Minute
-	// FirstDoubtBound is for how long after the last of the daemons of all zones were killed one that is sent for the
-	// first time may be.
+	// FirstDoubtBound is the same bound for a client's first attempt, after daemons of every zone were killed: the time
+	// since the last of them was killed.
 	FirstDoubtBound = 1500 * time.Millisecond
-	// transitTime is for how long bytes may be on their way.
+	// transitTime is the maximum time for which bytes may be in transit.
 	transitTime = 1500 * time.Millisecond
-	// resetTransitTime is how long news of a reset may be on its way.
+	// resetTransitTime is the maximum time for which a connection reset may be in transit.
 	resetTransitTime = 100 * time.Millisecond
-	// DepartureBound is how long after its client has left a request may reach a runner, or be worked on.
+	// DepartureBound is how long after its client has disconnected a request may reach a runner, or still run there.
 	DepartureBound = 500 * time.Millisecond
-	// ReportStaleness is how old a daemon's knowledge of runners may be: reports 0.7 s old, read four times a second
-	// and smoothed.
+	// ReportStaleness is the maximum age of a daemon's knowledge of runners: reports are 0.7 s old, read four times a
+	// second and smoothed.
 	ReportStaleness = 2 * time.Second
-	// AmpleShare is the free part of a backend beside which no request can be refused for want of room. It is
-	// the slack in which routes may go beyond their concurrency limit.
+	// AmpleShare is the free share of a backend at or above which no request may be refused for lack of capacity. It
+	// equals the free share that lets routes exceed their concurrency limit.
 	AmpleShare = 0.25
 )
 
-// Rules names every check, in the order of the brief.
+// Rules lists the names of all rules, in the order in which they are checked and reported.
 var Rules = []string{
 	"run-twice",
 	"ran-after-refusal",
@@ -70,7 +74,7 @@
 	"left-requester",
 }
 
-// timed are the rules with a bound in seconds, which a machine that stands still for a while can break.
+// timed are the rules with a bound in seconds, which a test machine that stalls can violate.
 var timed = map[string]bool{
 	"leaving":        true,
 	"change-ignored": true,
@@ -85,7 +89,7 @@
 	"left-requester": true,
 }
 
-// Timeless leaves out the violations of rules that are measured in seconds.
+// Timeless returns the violations of rules that have no bound in seconds.
 func Timeless(violations []Violation) []Violation {
 	var kept []Violation
 	for _, violation := range violations {
--- a/verify/histories/rules_test.go
+++ b/verify/histories/rules_test.go
@@ -7,7 +7,8 @@
 	"wardtray/config"
 )
 
-// clean returns a small history in which nothing is wrong.
+// clean returns a small history without violations: one request a second from 0 to 39 s, of which the one at 3 s has
+// the name D, and the acknowledged closing of zone b at 20.1 s.
 func clean() *History {
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
@@ -107,50 +108,52 @@
 
 func TestCleanHistoryPasses(t *testing.T) {
 	if violations := Check(clean()); len(violations) > 0 {
-		t.Fatalf("a clean history: %v", violations)
+		t.Fatalf("violations in a clean history: %v", violations)
 	}
 }
 
-// A refusal for want of a head, a disk or room answers one sending; one that judges the change answers all of them.
+// A refusal because there is no head, disk or capacity (503) applies to one attempt of a change; a refusal of the
+// change itself (409) applies to all. A change that took effect despite a refusal of all attempts must be reported.
 func TestRefusedInEffect(t *testing.T) {
 	t.Parallel()
 	const operation = "sent-again"
 	stale, noHead := Order{Outcome: "refused", HTTPStatus: 409}, Order{Outcome: "refused", HTTPStatus: 503}
 	accepted, unknown := Order{Outcome: "accepted"}, Order{Outcome: "unknown"}
 	for name, test := range map[string]struct {
-		sendings []Order
+		attempts []Order
 		broken   bool
 	}{
-		"judged, not sent again":    {[]Order{stale}, true},
-		"judged, then accepted":     {[]Order{stale, accepted}, true},
-		"no head, not sent again":   {[]Order{noHead}, true},
-		"no head, then accepted":    {[]Order{noHead, accepted}, false},
-		"unknown, then no head":     {[]Order{unknown, noHead}, false},
-		"no head, twice":            {[]Order{noHead, noHead}, true},
-		"no head, then judged":      {[]Order{noHead, stale}, true},
-		"no head; accepted another": {[]Order{noHead, {Operation: "other", Outcome: "accepted"}}, true},
+		"refused by its base, not sent again": {[]Order{stale}, true},
+		"refused by its base, then accepted":  {[]Order{stale, accepted}, true},
+		"no head, not sent again":             {[]Order{noHead}, true},
+		"no head, then accepted":              {[]Order{noHead, accepted}, false},
+		"unknown, then no head":               {[]Order{unknown, noHead}, false},
+		"no head, twice":                      {[]Order{noHead, noHead}, true},
+		"no head, then refused by its base":   {[]Order{noHead, stale}, true},
+		"no head; accepted another":           {[]Order{noHead, {Operation: "other", Outcome: "accepted"}}, true},
 	} {
 		history := clean()
 		history.Final.Known[operation] = 7
-		for _, order := range test.sendings {
+		for _, order := range test.attempts {
 			if order.Operation == "" {
 				order.Operation = operation
 			}
 			history.Orders = append(history.Orders, &order)
 		}
 		checker := NewChecker(history, history.Final.Known)
-		refusedInEffect(checker, checker.reporter("refused-in-effect"))
+		checkRefusals(checker, checker.reporter("refused-in-effect"))
 		if found := len(checker.Violations) > 0; found != test.broken {
 			t.Errorf("%s: %v", name, checker.Violations)
 		}
 	}
 }
 
-// Each check names its rule, and no other, on a history broken in its one way.
+// For each rule, a clean history is changed so that it violates just this rule. The checker must report this rule and
+// no other.
 func TestEveryRuleIsNamedOnABrokenHistory(t *testing.T) {
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
-	breaks := map[string]func(history *History){
+	changes := map[string]func(history *History){
 		"run-twice": func(history *History) {
 			again := *history.Runs[3]
 			history.Runs = append(history.Runs, &again)
@@ -259,21 +262,21 @@
 		},
 	}
 	for _, rule := range Rules {
-		broken := clean()
-		breaks[rule](broken)
-		violations := Check(broken)
+		violating := clean()
+		changes[rule](violating)
+		violations := Check(violating)
 		if len(violations) == 0 {
-			t.Errorf("%s: not noticed", rule)
+			t.Errorf("%s: violation not detected", rule)
 		}
 		for _, violation := range violations {
 			if violation.Rule != rule {
-				t.Errorf("%s: named as %s: %s", rule, violation.Rule, violation.Detail)
+				t.Errorf("%s: reported as %s: %s", rule, violation.Rule, violation.Detail)
 			}
 		}
 	}
 }
 
-// resumed returns a history in which request D was gone on with by another run behind its first event.
+// resumed returns a history in which request D was continued by another run after its first event.
 func resumed() *History {
 	history := clean()
 	first := history.Runs[3]
@@ -288,60 +291,61 @@
 	return history
 }
 
-// A stream that may be resumed goes on exactly behind what came, under its first runner's head.
+// A resumed stream must continue directly after the last received event, without gaps or repeats, and its response
+// header must name the first runner.
 func TestResumedStreams(t *testing.T) {
 	if violations := Check(resumed()); len(violations) > 0 {
-		t.Fatalf("a proper resumption: %v", violations)
+		t.Fatalf("violations in a correct resumption: %v", violations)
 	}
-	for name, trial := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(history *History)
 		rule   string
 	}{
-		"began anew":            {func(history *History) { history.Runs[len(history.Runs)-1].After = 0 }, "spliced"},
-		"began further on":      {func(history *History) { history.Runs[len(history.Runs)-1].After = 2 }, "spliced"},
-		"an event is missing":   {func(history *History) { history.Answers[3].IDs = []int{1, 3, 4} }, "spliced"},
-		"an event comes twice":  {func(history *History) { history.Answers[3].IDs = []int{1, 1, 2} }, "spliced"},
-		"a run nobody knows":    {func(history *History) { history.Answers[3].Runs[2] = "z" }, "spliced"},
-		"the second run's head": {func(history *History) { history.Answers[3].Head = "r2" }, "resumed"},
-		"may not be resumed":    {func(history *History) { history.Answers[3].Resumable = false }, "resumed"},
-		"ends too soon":         {func(history *History) { history.Runs[len(history.Runs)-1].Events = 3 }, "not-whole"},
+		"restarted":                   {func(history *History) { history.Runs[len(history.Runs)-1].After = 0 }, "spliced"},
+		"began too far on":            {func(history *History) { history.Runs[len(history.Runs)-1].After = 2 }, "spliced"},
+		"an event is missing":         {func(history *History) { history.Answers[3].IDs = []int{1, 3, 4} }, "spliced"},
+		"an event is repeated":        {func(history *History) { history.Answers[3].IDs = []int{1, 1, 2} }, "spliced"},
+		"an unknown run":              {func(history *History) { history.Answers[3].Runs[2] = "z" }, "spliced"},
+		"header of the second runner": {func(history *History) { history.Answers[3].Head = "r2" }, "resumed"},
+		"not resumable":               {func(history *History) { history.Answers[3].Resumable = false }, "resumed"},
+		"incomplete":                  {func(history *History) { history.Runs[len(history.Runs)-1].Events = 3 }, "not-whole"},
 	} {
-		broken := resumed()
-		trial.change(broken)
+		violating := resumed()
+		test.change(violating)
 		found := false
-		for _, violation := range Check(broken) {
-			found = found || violation.Rule == trial.rule
+		for _, violation := range Check(violating) {
+			found = found || violation.Rule == test.rule
 		}
 		if !found {
-			t.Errorf("%s: not noticed as %s: %v", name, trial.rule, Check(broken))
+			t.Errorf("%s: not reported as %s: %v", name, test.rule, Check(violating))
 		}
 	}
 }
 
-// A daemon that has had no path to the core goes by what it had when it lost that, and by nothing older; it alone, and
-// no longer than it is without the core.
+// A daemon without a path to the control machines may act under the spec that it had when it lost the path, but not
+// under an older one. This holds only for that daemon, and only until the path is restored.
 func TestDaemonWithoutTheCore(t *testing.T) {
 	started := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return started.Add(time.Duration(seconds * float64(time.Second))) }
-	for name, trial := range map[string]struct {
+	for name, test := range map[string]struct {
 		daemon      string
 		from, until float64
 		rule        string
 	}{
-		"apart since before the closing": {"d1", 19, 31, ""},
-		"another daemon is apart":        {"d2", 19, 31, "closed-zone"},
-		"back for a while":               {"d1", 19, 29, "closed-zone"},
-		"apart only after the closing":   {"d1", 27, 31, "closed-zone"},
+		"isolated since before the closing": {"d1", 19, 31, ""},
+		"another daemon is isolated":        {"d2", 19, 31, "closed-zone"},
+		"reconnected":                       {"d1", 19, 29, "closed-zone"},
+		"isolated only after the closing":   {"d1", 27, 31, "closed-zone"},
 	} {
 		history := clean()
 		history.Runs[30].Zone = "b"
-		history.Isolations = []*Isolation{{Daemon: trial.daemon, From: at(trial.from), Until: at(trial.until)}}
+		history.Isolations = []*Isolation{{Daemon: test.daemon, From: at(test.from), Until: at(test.until)}}
 		found := ""
 		for _, violation := range Check(history) {
 			found = violation.Rule
 		}
-		if found != trial.rule {
-			t.Errorf("%s: %q instead of %q", name, found, trial.rule)
+		if found != test.rule {
+			t.Errorf("%s: %q instead of %q", name, found, test.rule)
 		}
 	}
 }
--- a/verify/histories/run_rules.go
+++ b/verify/histories/run_rules.go
@@ -6,86 +6,87 @@
 	"wardtray/config"
 )
 
-// onRun is checked whenever a runner has read a request.
-var onRun = map[string]func(checker *Checker, run *Run, broken reportFunc){
-	"run-twice": func(checker *Checker, run *Run, broken reportFunc) {
-		if runs := checker.runs[run.Request]; run.Started && checker.once[run.Request] && len(runs) > 1 {
-			broken("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner,
+// runRules are checked whenever a runner has received a request.
+var runRules = map[string]func(checker *Checker, run *Run, report reportFunc){
+	"run-twice": func(checker *Checker, run *Run, report reportFunc) {
+		if runs := checker.runs[run.Request]; run.Started && checker.atMostOnce[run.Request] && len(runs) > 1 {
+			report("%s ran %d times, at %s by %s and at %s by %s", run.Request, len(runs), runs[0].Runner,
 				runs[0].Daemon, run.Runner, run.Daemon)
 		}
 	},
-	"ran-after-refusal": func(checker *Checker, run *Run, broken reportFunc) {
+	"ran-after-refusal": func(checker *Checker, run *Run, report reportFunc) {
 		for _, answer := range checker.answers[run.Request] {
-			// A client that sends its request anew after this word asks for another run.
-			if run.Started && answer.Ran == didNotRun && !checker.sentAgain(answer) {
-				broken("%s ran at %s after its requester was told %q that it did not run", run.Request, run.Runner,
+			// A client that retries its request after this refusal asks for another run.
+			if run.Started && answer.Ran == didNotRun && !checker.retriedAfter(answer) {
+				report("%s ran at %s after it was refused with %q as not executed", run.Request, run.Runner,
 					answer.Kind)
 			}
 		}
 	},
-	"not-allowed": func(checker *Checker, run *Run, broken reportFunc) {
+	"not-allowed": func(checker *Checker, run *Run, report reportFunc) {
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound,
 			func(catalog *config.Catalog) bool { return allows(catalog, run) }) {
-			broken("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service,
+			report("%s went to service %q of runner %s, which no spec in force allows", run.Request, run.Service,
 				run.Runner)
 		}
 	},
-	"wrong-runner": func(_ *Checker, run *Run, broken reportFunc) {
+	"wrong-runner": func(_ *Checker, run *Run, report reportFunc) {
 		if run.Wanted != run.Runner {
-			broken("%s was meant for %s and reached %s", run.Request, run.Wanted, run.Runner)
+			report("%s was sent to %s and reached %s", run.Request, run.Wanted, run.Runner)
 		}
 	},
-	"leaving": func(checker *Checker, run *Run, broken reportFunc) {
+	"leaving": func(checker *Checker, run *Run, report reportFunc) {
 		if late := checker.drainingFor(run); late > DrainingBound {
-			broken("%s went to %s %v after it began to leave", run.Request, run.Runner, late)
+			report("%s reached %s %v after it was listed as draining", run.Request, run.Runner, late)
 		}
 	},
-	"change-ignored": func(checker *Checker, run *Run, broken reportFunc) {
+	"change-ignored": func(checker *Checker, run *Run, report reportFunc) {
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, SpecBound,
 			func(catalog *config.Catalog) bool { return serves(catalog, run) }) {
-			broken("%s of lane %q went to weights %q by %s, %v after this was no longer so by an acknowledged spec",
+			report("%s of route %q was sent to weights %q by %s, %v after a spec without this was acknowledged",
 				run.Request, run.Route, run.Weights, run.Daemon,
 				checker.specs.outdatedFor(run.At, func(catalog *config.Catalog) bool { return serves(catalog, run) }))
 		}
 	},
-	"slipped-back": func(checker *Checker, run *Run, broken reportFunc) {
-		// Requests of one daemon overtake each other while bytes are on their way; a slip back lasts.
+	"slipped-back": func(checker *Checker, run *Run, report reportFunc) {
+		// Requests of one daemon may overtake each other in transit, so only a lasting return to an older epoch counts.
 		greatest := checker.epochs[run.Daemon]
 		if run.Epoch < greatest.epoch && run.At.Sub(greatest.since) > transitTime {
-			broken("%s went from epoch %d back to %d", run.Daemon, greatest.epoch, run.Epoch)
+			report("%s went from epoch %d back to %d", run.Daemon, greatest.epoch, run.Epoch)
 		}
 		if run.Epoch > greatest.epoch {
 			checker.epochs[run.Daemon] = workedEpoch{epoch: run.Epoch, since: run.At}
 		}
 	},
-	"closed-zone": func(checker *Checker, run *Run, broken reportFunc) {
+	"closed-zone": func(checker *Checker, run *Run, report reportFunc) {
 		open := func(catalog *config.Catalog) bool { return catalog.IsOpen(run.Zone) }
 		if !checker.permittedBySomeSpec(run.Daemon, run.At, ZoneBound, open) {
-			broken("%s went into zone %s %v after its closing was acknowledged", run.Request, run.Zone,
+			report("%s was sent to zone %s %v after its closing was acknowledged", run.Request, run.Zone,
 				checker.specs.outdatedFor(run.At, open))
 		}
 	},
-	"left-requester": func(checker *Checker, run *Run, broken reportFunc) {
+	"left-requester": func(checker *Checker, run *Run, report reportFunc) {
 		for _, answer := range checker.requests[run.Request] {
-			if late := checker.sentAfterDeparture(run, answer); late > DepartureBound {
-				broken("%s reached %s %v after its requester had left %s", run.Request, run.Runner, late, run.Daemon)
+			if late := checker.sentAfterDisconnect(run, answer); late > DepartureBound {
+				report("%s reached %s %v after its client had disconnected from %s", run.Request, run.Runner, late, run.Daemon)
 			}
 		}
 	},
-	"cold-flooded": func(_ *Checker, run *Run, broken reportFunc) {
+	"cold-flooded": func(_ *Checker, run *Run, report reportFunc) {
 		if run.WarmingUp && run.Concurrent >= run.Capacity+WarmUpAllowance {
-			broken("%s came to %s, still cold with room for %d, beside %d others", run.Request, run.Runner,
+			report("%s reached %s, still cold with capacity %d, beside %d others", run.Request, run.Runner,
 				run.Capacity, run.Concurrent)
 		}
 	},
 }
 
+// didNotRun is the statement in an answer that neither this attempt nor an earlier one runs.
 const didNotRun = "did not run"
 
-// sentAgain reports whether a request was sent anew after an answer, so that another run of it is wanted. What an
-// answer says of a request speaks for its own sending and for those with a smaller number; one without a number speaks
-// for those that are over.
-func (checker *Checker) sentAgain(answer *Answer) bool {
+// retriedAfter reports whether the client retried a request after an answer, so that another run is allowed. An answer
+// covers its own attempt and those with a smaller number; an answer to an attempt without a number covers the attempts
+// that ended before it.
+func (checker *Checker) retriedAfter(answer *Answer) bool {
 	for _, other := range checker.requests[answer.Request] {
 		if other == answer {
 			continue
@@ -119,7 +120,7 @@
 	return backend != nil && backend.Model == run.Model && backend.Weights == run.Weights
 }
 
-// drainingFor returns how long before a run its runner was known to leave.
+// drainingFor returns how long before a run its runner was listed as draining; 0 if it was not.
 func (checker *Checker) drainingFor(run *Run) time.Duration {
 	longest := time.Duration(0)
 	for _, drain := range checker.drains[run.Runner] {
--- a/verify/histories/spec_timeline.go
+++ b/verify/histories/spec_timeline.go
@@ -8,29 +8,29 @@
 	"wardtray/config"
 )
 
-// specVersion is a spec, and when it was sent and acknowledged; the latter is zero where nobody was told.
+// specVersion is a spec, and when it was sent and acknowledged; acknowledged is zero if its operator got no answer.
 type specVersion struct {
 	catalog            *config.Catalog
 	sent, acknowledged time.Time
 }
 
-// specTimeline has every spec that was ever in effect, in the order of epochs.
+// specTimeline holds every spec that was ever in effect, in the order of epochs.
 type specTimeline struct {
 	versions []specVersion
-	// changesSeen is how many changes were settled when the versions were made; -1 before.
-	changesSeen int
+	// settledCount is the number of settled changes from which the versions were built; -1 before the first build.
+	settledCount int
 }
 
-func newSpecTimeline() specTimeline { return specTimeline{changesSeen: -1} }
+func newSpecTimeline() specTimeline { return specTimeline{settledCount: -1} }
 
-// settledOrder is an order that took effect, and the epoch that it was given.
+// settledOrder is a change that took effect, and the epoch that was assigned to it.
 type settledOrder struct {
 	*Order
 	epoch uint64
 }
 
-// refresh makes the versions anew if more changes are settled than before. known are the operations in effect and their
-// epochs, also of orders that were not acknowledged.
+// refresh rebuilds the versions if the number of settled changes differs. known holds the operations in effect and
+// their epochs, including those of changes that were not acknowledged.
 func (timeline *specTimeline) refresh(orders []*Order, known map[string]uint64) {
 	settled := len(known)
 	for _, order := range orders {
@@ -38,10 +38,10 @@
 			settled++
 		}
 	}
-	if settled == timeline.changesSeen {
+	if settled == timeline.settledCount {
 		return
 	}
-	timeline.changesSeen = settled
+	timeline.settledCount = settled
 	changes := settledOrders(orders, known)
 	timeline.versions = make([]specVersion, 0, len(changes))
 	spec := &config.Spec{}
@@ -55,7 +55,7 @@
 	}
 }
 
-// settledOrders returns the changes that took effect, in the order of epochs.
+// settledOrders returns the changes that took effect, in the order of their epochs.
 func settledOrders(orders []*Order, known map[string]uint64) []settledOrder {
 	var settled []settledOrder
 	for _, order := range orders {
@@ -71,10 +71,10 @@
 	return settled
 }
 
-// changesSpec reports whether the order asks for a change, rather than for what is.
+// changesSpec reports whether the request is a change rather than a query.
 func (order *Order) changesSpec() bool { return order.Verb != verbGet && order.Verb != verbOperation }
 
-// applyTo returns what the order makes of a spec, which stays as it is.
+// applyTo returns the spec after the change. It does not modify its argument.
 func (order *Order) applyTo(spec *config.Spec) *config.Spec {
 	if order.Verb == verbApply && order.Spec != nil {
 		return order.Spec
@@ -93,8 +93,8 @@
 	return &toggled
 }
 
-// between returns the specs by which work may have gone at some moment of a span of time: those sent by its end, from
-// the last one on that was acknowledged longer than a bound before its begin.
+// between returns the specs under which daemons may have acted at some moment of a span of time: those sent by its end,
+// from the last one on that was acknowledged more than a bound before its begin.
 func (timeline *specTimeline) between(from, until time.Time, bound time.Duration) []specVersion {
 	oldest := 0
 	for index, version := range timeline.versions {
@@ -111,8 +111,8 @@
 	return possible
 }
 
-// outdatedFor returns for how long work at a moment was against the acknowledged specs: the time since the first
-// acknowledgement of those after the last spec that permits it.
+// outdatedFor returns for how long work at a moment had not been permitted: the time since the first acknowledgement of
+// a spec after the last one that permits it.
 func (timeline *specTimeline) outdatedFor(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
 	longest := time.Duration(0)
 	for _, version := range slices.Backward(timeline.versions) {
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -7,25 +7,25 @@
 	"wardtray/config"
 )
 
-// WorstCases are the worst cases seen of the rules with a figure.
+// WorstCases holds the worst observed value for each rule with a numeric bound.
 type WorstCases struct {
-	// Ignored is the longest time after an acknowledgement at which work went out against the spec.
+	// Ignored is the longest time after the acknowledgement of a spec at which work was sent that it does not permit.
 	Ignored time.Duration
-	// Draining is the longest time after the list said that a runner leaves at which it still got work.
+	// Draining is the longest time after a runner was listed as draining at which it still received work.
 	Draining time.Duration
-	// Closed is the longest time after a closing was acknowledged at which the zone still got work.
+	// Closed is the longest time after the closing of a zone was acknowledged at which it still received work.
 	Closed time.Duration
-	// Return is the longest time from the machines' return to the first whole answer.
+	// Return is the longest time from the machines' return to the first complete answer.
 	Return time.Duration
-	// Overdue is the longest time from when a loss could be known to the final answer.
+	// Overdue is the longest time from when a loss could be known to the final answer of a request.
 	Overdue time.Duration
-	// Concurrent is the most work beside which a cold runner got more.
+	// Concurrent is the greatest number of requests at a cold runner when it received another.
 	Concurrent int
-	// Retried and Requests are of the ten seconds that were worst for the rule of repeats.
+	// Retried and Requests are the counts of the RetryWindow that used the greatest part of its allowed retries.
 	Retried, Requests int
 }
 
-// Worst returns the worst of a history.
+// Worst returns the worst cases of a history.
 func Worst(history *History) WorstCases {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
@@ -63,8 +63,8 @@
 	return worst
 }
 
-// firstAnswerAfter returns how long after a moment the first complete answer to a request sent since then was there;
-// the greatest time where there is none.
+// firstAnswerAfter returns the time from a moment to the first complete answer to a request sent after it, or the
+// maximum duration if there is none.
 func (history *History) firstAnswerAfter(at time.Time) time.Duration {
 	first := time.Duration(math.MaxInt64)
 	for _, answer := range history.Answers {
@@ -75,14 +75,14 @@
 	return first
 }
 
-// addRetries keeps the worse of two windows.
+// addRetries keeps the worse of the recorded window and another.
 func (worst *WorstCases) addRetries(window retryCount) {
 	if window.used() > (retryCount{worst.Retried, worst.Requests}).used() {
 		worst.Retried, worst.Requests = window.retries, window.requests
 	}
 }
 
-// Add keeps the worse of each case.
+// Add keeps the worse value of each case.
 func (worst *WorstCases) Add(other WorstCases) {
 	worst.Ignored = max(worst.Ignored, other.Ignored)
 	worst.Draining = max(worst.Draining, other.Draining)
--- a/verify/histories/worst_cases_test.go
+++ b/verify/histories/worst_cases_test.go
@@ -9,7 +9,7 @@
 	worst := Worst(clean())
 	// The machines are back at 18 s, and the first request after that is answered 0.6 s after 19 s.
 	if want := 1600 * time.Millisecond; worst.Return != want {
-		t.Errorf("back after %v instead of %v", worst.Return, want)
+		t.Errorf("first answer %v after the return instead of %v", worst.Return, want)
 	}
 	if worst.Draining != 0 || worst.Closed != 0 || worst.Ignored != 0 || worst.Concurrent != 0 {
 		t.Errorf("%+v", worst)
@@ -34,7 +34,7 @@
 	if want := (WorstCases{Ignored: 2, Draining: 4, Overdue: 5, Retried: 2, Requests: 10}); worst != want {
 		t.Errorf("%+v instead of %+v", worst, want)
 	}
-	// The same retries beside more requests use less of what is allowed.
+	// The same number of retries for more requests uses a smaller part of the allowance.
 	worst.Add(WorstCases{Retried: 2, Requests: 100})
 	if worst.Requests != 10 {
 		t.Errorf("%d requests instead of 10", worst.Requests)
--- a/verify/histories/wrongful_refusals.go
+++ b/verify/histories/wrongful_refusals.go
@@ -1,21 +1,22 @@
 package histories
 
-// wrongfulRejections tell for each kind of refusal why it was our own mistake; "" where it was not.
-var wrongfulRejections = map[string]func(checker *Checker, answer *Answer) string{
+// wrongfulRefusals holds for each kind of refusal a function that returns why the refusal was wrong; "" if it was
+// right.
+var wrongfulRefusals = map[string]func(checker *Checker, answer *Answer) string{
 	"patience_short":  ampleCapacity,
 	"purse_spent":     ampleCapacity,
 	"waitlist_full":   ampleCapacity,
 	"no_fit_runner":   ampleCapacity,
-	"not_serving":     lonelyDaemon,
-	"outcome_unknown": soundRunner,
-	"run_failed":      soundRunner,
-	"unknown_lane":    inSpec,
-	"unknown_model":   inSpec,
-	"already_taken":   sentOnce,
+	"not_serving":     untouchedDaemon,
+	"outcome_unknown": faultlessRunner,
+	"run_failed":      faultlessRunner,
+	"unknown_lane":    routeInSpec,
+	"unknown_model":   routeInSpec,
+	"already_taken":   singleAttempt,
 }
 
-// sentOnce finds a request refused because of another sending, where there was none.
-func sentOnce(checker *Checker, answer *Answer) string {
+// singleAttempt detects a request that was refused as a duplicate although it was sent only once.
+func singleAttempt(checker *Checker, answer *Answer) string {
 	for _, other := range checker.requests[answer.Request] {
 		if other != answer && other.Sent.Before(answer.Got) {
 			return ""
@@ -24,39 +25,40 @@
 	return "it was sent only once"
 }
 
-// ampleCapacity finds a refusal for want of room beside a backend that had plenty all the while.
+// ampleCapacity detects a refusal for lack of capacity while the backend had AmpleShare free throughout.
 func ampleCapacity(checker *Checker, answer *Answer) string {
-	if room := checker.leastFreeShare(answer.Daemon, answer.Sent.Add(-ReportStaleness), answer.Got); room >= AmpleShare {
-		return "a good part of the pool was free all the while"
+	if free := checker.leastFreeShare(answer.Daemon, answer.Sent.Add(-ReportStaleness), answer.Got); free >= AmpleShare {
+		return "an ample share of the backend was free throughout"
 	}
 	return ""
 }
 
-// lonelyDaemon finds a daemon that did not serve although nothing was done to it and most others were there: it could
-// be sure of its spec by the head or by them. Where only a minority of the control machines is left, it can't be: the
-// others may go on elsewhere. Where none is left, it goes by what it has.
-func lonelyDaemon(checker *Checker, answer *Answer) string {
-	touched := map[string]bool{}
+// untouchedDaemon detects a daemon that did not serve although neither it nor half of the daemons had a fault, so that
+// the head or the other daemons could confirm its spec. While only a minority of the control machines is left, the spec
+// can't be confirmed, since the majority may have changed it elsewhere. While none is left, a daemon serves under the
+// spec that it has.
+func untouchedDaemon(checker *Checker, answer *Answer) string {
+	faulty := map[string]bool{}
 	for _, fault := range checker.history.Faults {
-		if fault.Daemon != "" && fault.shadows(answer.Sent, answer.Got) {
-			touched[fault.Daemon] = true
+		if fault.Daemon != "" && fault.excuses(answer.Sent, answer.Got) {
+			faulty[fault.Daemon] = true
 		}
 	}
-	if 2*len(touched) >= checker.history.Daemons || answer.MinorityLeft {
+	if 2*len(faulty) >= checker.history.Daemons || answer.MinorityLeft {
 		return ""
 	}
-	return "no fault touched it, nor half of the others"
+	return "neither it nor half of the daemons had a fault"
 }
 
-// soundRunner finds a run given up although nothing was done to its runner.
-func soundRunner(checker *Checker, answer *Answer) string {
+// faultlessRunner detects a failed run, or one of unknown outcome, whose runner had no fault.
+func faultlessRunner(checker *Checker, answer *Answer) string {
 	for _, run := range checker.runs[answer.Request] {
 		if _, found := checker.history.runnerFault(run.Runner, run.At, answer.Got); found {
 			return ""
 		}
 	}
-	// Bytes may be lost on the way to a runner that never saw them, as long as its loss could not be known. Where a
-	// request was sent more than once, its runs may all be of other sendings.
+	// A request may be lost on its way to a failed runner before the failure could be known; no run is recorded then. If a
+	// request was sent more than once, all its recorded runs may belong to other attempts.
 	if len(checker.runs[answer.Request]) < len(checker.requests[answer.Request]) && answer.Kind == "outcome_unknown" {
 		for _, fault := range checker.history.Faults {
 			if fault.Runner != "" && !answer.Got.Before(fault.At) &&
@@ -65,15 +67,16 @@
 			}
 		}
 	}
-	return "nothing was done to its runner"
+	return "its runner had no fault"
 }
 
-// inSpec finds a request refused as unknown although every spec that could be in force has its route.
-func inSpec(checker *Checker, answer *Answer) string {
+// routeInSpec detects a request that was refused for an unknown route or model although every spec in force has its
+// route.
+func routeInSpec(checker *Checker, answer *Answer) string {
 	for _, version := range checker.specsInForce(answer.Daemon, answer.Got, SpecBound) {
 		if version.catalog.Routes[answer.Route] == nil {
 			return ""
 		}
 	}
-	return "every spec in force has its lane"
+	return "every spec in force has its route"
 }
