--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -23,8 +23,8 @@
 	Violations []Violation
 	// known holds the operations in effect and their epochs.
 	known map[string]uint64
-	// By request: runs that started, answers that are complete, and requests, which holds an answer's record from its
-	// sending on. atMostOnce holds the at-most-once requests.
+	// By request: runs that started, answers that are complete, and requests, which holds an answer's record from the
+	// time it is sent. atMostOnce holds the at-most-once requests.
 	runs       map[string][]*Run
 	answers    map[string][]*Answer
 	requests   map[string][]*Answer
--- a/verify/linearizability/configuration.go
+++ b/verify/linearizability/configuration.go
@@ -7,19 +7,19 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// configuration is the state of the operators' configuration: its epoch, and which operations were accepted. It is
-// never changed; each change makes another one.
+// configuration is a state of the operators' configuration: its epoch and the accepted operations. It is immutable;
+// each change returns a new one.
 type configuration struct {
 	epoch uint64
-	// operation is the last that was accepted, before what was there before; nil for none.
+	// operation is the last accepted operation, previous the state before it; nil in the initial state.
 	operation string
-	before    *configuration
+	previous  *configuration
 	hash      uint64
 }
 
 // acceptedEpoch returns the epoch under which an operation was accepted.
 func (state *configuration) acceptedEpoch(operation string) (epoch uint64, found bool) {
-	for ; state.before != nil; state = state.before {
+	for ; state.previous != nil; state = state.previous {
 		if state.operation == operation {
 			return state.epoch, true
 		}
@@ -27,15 +27,15 @@
 	return 0, false
 }
 
-// accept returns the state after a change.
+// accept returns the state after an accepted change.
 func (state *configuration) accept(operation string, epoch uint64) *configuration {
 	hash := fnv.New64a()
-	// Writes to a hash can't fail.
+	// Writing to a hash never fails.
 	_, _ = fmt.Fprintf(hash, "%d %d %s", state.hash, epoch, operation)
-	return &configuration{epoch: epoch, operation: operation, before: state, hash: hash.Sum64()}
+	return &configuration{epoch: epoch, operation: operation, previous: state, hash: hash.Sum64()}
 }
 
-// configurationModel is a single machine that holds the configuration.
+// configurationModel models a single machine that holds the configuration.
 var configurationModel = porcupine.Model{
 	Init: func() any { return &configuration{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -64,7 +64,7 @@
 	return present.hash
 }
 
-// step returns the state after a call that was answered as it was; nil: no machine in this state answers so.
+// step returns the state after a call, or nil if a machine in this state can't have given the call's answer.
 func (state *configuration) step(call Call) *configuration {
 	if call.Answer == AnswerNothing {
 		return state
@@ -101,16 +101,16 @@
 	return state.unchangedIf(!found)
 }
 
-// change accepts a change once, on its base, under an epoch that rises; the same operation again gets the first one's
-// outcome.
+// change returns the state after a change. An operation is accepted once, on its base, under a greater epoch than the
+// present one; later calls with the same operation get the first outcome.
 func (state *configuration) change(call Call) *configuration {
 	accepted, found := state.acceptedEpoch(call.Operation)
-	hasItsBase := !call.HasBase || call.Base == state.epoch
+	matchesBase := !call.HasBase || call.Base == state.epoch
 	switch {
 	case found:
 		return state.unchangedIf(call.Answer == AnswerDone && accepted == call.Result)
 	case call.Answer == AnswerStale:
-		return state.unchangedIf(!hasItsBase)
+		return state.unchangedIf(!matchesBase)
 	case call.Answer == AnswerRefused:
 		return state
 	}
@@ -118,17 +118,17 @@
 	if call.HasEpoch {
 		isNext = call.Result == call.Epoch && call.Epoch > state.epoch
 	}
-	if !hasItsBase || !isNext || call.follows != state.epoch {
+	if !matchesBase || !isNext || call.previousEpoch != state.epoch {
 		return nil
 	}
 	return state.accept(call.Operation, call.Result)
 }
 
-// describe returns a call in words.
+// describe returns a call and its answer for display.
 func (call Call) describe() string {
-	asked := call.Kind + " " + call.Operation
+	request := call.Kind + " " + call.Operation
 	if call.HasBase {
-		asked += fmt.Sprintf(" on %d", call.Base)
+		request += fmt.Sprintf(" on %d", call.Base)
 	}
-	return fmt.Sprintf("%s -> %s %d", asked, call.Answer, call.Result)
+	return fmt.Sprintf("%s -> %s %d", request, call.Answer, call.Result)
 }
--- a/verify/linearizability/decisive.go
+++ b/verify/linearizability/decisive.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// statement is what a look says of the configuration, whenever it was made.
+// statement is what an observation states about the configuration, independently of its time.
 type statement struct {
 	kind, operation, answer string
 	base, result            uint64
 	hasBase                 bool
 }
 
-// statement returns what a call says.
+// statement returns what a call states.
 func (call Call) statement() statement {
-	said := statement{kind: call.Kind, operation: call.Operation, answer: call.Answer}
+	stated := statement{kind: call.Kind, operation: call.Operation, answer: call.Answer}
 	if call.Answer == AnswerDone {
-		said.result = call.Result
+		stated.result = call.Result
 	}
 	if call.Answer == AnswerStale {
-		said.base, said.hasBase = call.Base, call.HasBase
+		stated.base, stated.hasBase = call.Base, call.HasBase
 	}
-	return said
+	return stated
 }
 
-// extremes are the places of the look that ended first and of the one that began last.
+// extremes are the indices of the observation that ended first and of the one that started last.
 type extremes struct {
 	firstEnded, lastStarted int
 }
 
-// decisive leaves out looks that another one of the same statement makes superfluous. Each statement holds during one
-// stretch of the configuration's life (while an epoch is the present one, before an operation is accepted, after it),
-// and a look agrees with that stretch if it ended after the stretch began and started before it ended: so the look
-// that ended first and the one that started last decide for all. A base is stale before and after the epoch that it
-// names, which are two stretches; those looks are all kept.
-func decisive(looks []Call) []Call {
+// decisive removes observations that are implied by others with the same statement. Each statement holds during one
+// contiguous period (while an epoch is current, before an operation is accepted, or after it). An observation is
+// consistent with that period if it ended after the period began and started before the period ended. So the
+// observation that ended first and the one that started last decide for all. A base is stale both before and after the
+// epoch that it names, which are two periods; so all observations of a stale base are kept.
+func decisive(observations []Call) []Call {
 	byStatement := map[statement]extremes{}
-	for place, look := range looks {
-		said := look.statement()
-		found, isKnown := byStatement[said]
+	for index, observation := range observations {
+		stated := observation.statement()
+		found, isKnown := byStatement[stated]
 		if !isKnown {
-			found = extremes{place, place}
+			found = extremes{index, index}
 		}
-		if endsBefore(look.End, looks[found.firstEnded].End) {
-			found.firstEnded = place
+		if endsBefore(observation.End, observations[found.firstEnded].End) {
+			found.firstEnded = index
 		}
-		if look.Start > looks[found.lastStarted].Start {
-			found.lastStarted = place
+		if observation.Start > observations[found.lastStarted].Start {
+			found.lastStarted = index
 		}
-		byStatement[said] = found
+		byStatement[stated] = found
 	}
 	var kept []Call
-	for place, look := range looks {
-		found := byStatement[look.statement()]
-		if look.Answer == AnswerStale || place == found.firstEnded || place == found.lastStarted {
-			kept = append(kept, look)
+	for index, observation := range observations {
+		found := byStatement[observation.statement()]
+		if observation.Answer == AnswerStale || index == found.firstEnded || index == found.lastStarted {
+			kept = append(kept, observation)
 		}
 	}
 	return kept
 }
 
-// endsBefore reports whether one end came before another; no answer comes last.
+// endsBefore reports whether one end is before another; Never is after all others.
 func endsBefore(end, other time.Duration) bool {
 	return end != Never && (other == Never || end < other)
 }
--- a/verify/linearizability/doc.go
+++ b/verify/linearizability/doc.go
@@ -1,7 +1,8 @@
-// Package linearizability judges what callers saw of a fleet: whether there is an order of their calls, each at one
-// moment between its start and its end, in which a single machine could have answered so. The search is porcupine's;
-// this package has the two models: the operators' configuration (Call), and requests that run at most once (Sending).
+// Package linearizability checks whether the history of a fleet's callers is linearizable: whether their calls can be
+// ordered, each at one moment between its start and its end, so that a single machine would have given the same
+// answers. Porcupine does the search; this package defines the two models: the operators' configuration (Call), and
+// at-most-once requests (ClientAttempt).
 //
-// A Recording is what was seen. It is kept as JSON, so that a history of real processes can be judged again, and
-// drawn, by wtverify histories.
+// A Recording is such a history. It is stored as JSON, so that "wtverify histories" can check and draw a history of
+// real processes again.
 package linearizability
--- a/verify/linearizability/judge.go
+++ b/verify/linearizability/judge.go
@@ -14,23 +14,24 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Verdict is what was found of a recording.
+// Verdict is the result of checking a recording.
 type Verdict struct {
-	// Calls and Requests are how many calls, and requests with their sendings, were judged.
+	// Calls and Requests are the numbers of checked operators' calls and at-most-once requests.
 	Calls, Requests int
-	// Broken says in which parts no order explains what was seen, Undecided which took too long.
+	// Broken names the parts that are not linearizable, Undecided those whose search timed out.
 	Broken, Undecided []string
-	Took              time.Duration
-	configuration     porcupine.LinearizationInfo
-	executions        porcupine.LinearizationInfo
+	// Took is the duration of the check.
+	Took          time.Duration
+	configuration porcupine.LinearizationInfo
+	executions    porcupine.LinearizationInfo
 }
 
-// IsLinearizable reports whether both parts were decided and can be explained.
+// IsLinearizable reports whether both parts were decided and are linearizable.
 func (verdict Verdict) IsLinearizable() bool {
 	return len(verdict.Broken) == 0 && len(verdict.Undecided) == 0
 }
 
-// Flaws returns what is wrong, in words. What was not decided is not known to be right.
+// Flaws returns a text for each part that is not linearizable or was not decided.
 func (verdict Verdict) Flaws() []string {
 	flaws := make([]string, 0, len(verdict.Broken)+len(verdict.Undecided))
 	for _, part := range verdict.Broken {
@@ -42,22 +43,22 @@
 	return flaws
 }
 
-// String returns the verdict in words.
+// String returns the verdict in one line.
 func (verdict Verdict) String() string {
 	return fmt.Sprintf("%d calls and %d requests judged in %v; not linearizable: %v, not decided: %v", verdict.Calls,
 		verdict.Requests, verdict.Took.Round(time.Millisecond), verdict.Broken, verdict.Undecided)
 }
 
-// DefaultTimeout is for how long an order that explains a history is looked for where nobody waits for the verdict.
+// DefaultTimeout is the maximum duration of the search for each part where no caller waits for the verdict.
 const DefaultTimeout = time.Minute
 
-// The parts of a verdict.
+// The parts of a recording, as a verdict names them.
 const (
 	partConfiguration = "configuration"
 	partExecutions    = "requests that run at most once"
 )
 
-// Judge looks for an order that explains a recording, for a time at most for each part.
+// Judge checks whether the parts of a recording are linearizable. The timeout applies to each part.
 func Judge(recording Recording, timeout time.Duration) Verdict {
 	started := time.Now()
 	verdict := Verdict{}
@@ -65,17 +66,17 @@
 	verdict.Calls = len(recording.Calls)
 	var result porcupine.CheckResult
 	result, verdict.configuration = porcupine.CheckOperationsVerbose(configurationModel, calls, timeout)
-	verdict.note(partConfiguration, result)
-	sendings := recording.sendingOperations()
-	verdict.Requests = len(partitionByRequest(sendings))
-	result, verdict.executions = porcupine.CheckOperationsVerbose(executionModel.ToModel(), sendings, timeout)
-	verdict.note(partExecutions, result)
+	verdict.record(partConfiguration, result)
+	attempts := recording.attemptOperations()
+	verdict.Requests = len(partitionByRequest(attempts))
+	result, verdict.executions = porcupine.CheckOperationsVerbose(executionModel.ToModel(), attempts, timeout)
+	verdict.record(partExecutions, result)
 	verdict.Took = time.Since(started)
 	return verdict
 }
 
-// note records the result of a part.
-func (verdict *Verdict) note(part string, result porcupine.CheckResult) {
+// record records the result of a part.
+func (verdict *Verdict) record(part string, result porcupine.CheckResult) {
 	switch result {
 	case porcupine.Illegal:
 		verdict.Broken = append(verdict.Broken, part)
@@ -85,8 +86,8 @@
 	}
 }
 
-// operation returns a call or a sending as porcupine takes it. Half nanoseconds are its unit, so that what follows a
-// call at the same moment can be put after it.
+// operation returns a call or a client attempt as porcupine's operation. Its times are in half nanoseconds, so that an
+// operation can be placed directly after a call at the same nanosecond.
 func (span Span) operation(caller int, input any) porcupine.Operation {
 	end := int64(math.MaxInt64)
 	if span.End != Never {
@@ -95,27 +96,28 @@
 	return porcupine.Operation{ClientId: caller, Input: input, Call: 2 * span.Start.Nanoseconds(), Return: end}
 }
 
-// callOperations returns the operators' calls that say something. However often a change was sent, it is accepted
-// once: that is an operation of its own, between the first sending and whatever shows its effect, and each answer to
-// a sending is a look at it. So a change without an answer leaves nothing open. Of looks that say the same, only the
-// decisive ones are kept.
+// callOperations returns the operators' calls that state something. However often a change was sent, it is accepted at
+// most once: its effect is one operation between the first transmission and the first evidence of the effect, and each
+// answer to a transmission is an observation of it. So a change without an answer adds no operation without an end. Of
+// observations with the same statement, only the decisive ones are kept.
 func (recording Recording) callOperations() []porcupine.Operation {
 	operations := make([]porcupine.Operation, 0, len(recording.Calls))
 	for _, change := range recording.effects() {
 		operation := change.operation(change.Caller, change)
-		// It follows the looks that began at the moment to which its start was moved.
+		// The change must come after the observations that began at the moment to which its start was moved.
 		operation.Call++
 		operations = append(operations, operation)
 	}
-	for _, call := range decisive(recording.looks()) {
+	for _, call := range decisive(recording.observations()) {
 		operations = append(operations, call.operation(call.Caller, call))
 	}
 	return operations
 }
 
-// looks returns the answered calls that say something, and change nothing by themselves.
-func (recording Recording) looks() []Call {
-	var looks []Call
+// observations returns the calls whose answers state something, as calls without an effect: an accepted change becomes
+// a lookup of its operation.
+func (recording Recording) observations() []Call {
+	var observations []Call
 	for _, call := range recording.Calls {
 		if call.Answer == AnswerNothing || call.Answer == AnswerUnavailable {
 			continue
@@ -123,29 +125,29 @@
 		if call.Kind == KindChange && call.Answer == AnswerDone {
 			call.Kind = KindLookup
 		}
-		looks = append(looks, call)
+		observations = append(observations, call)
 	}
-	return looks
+	return observations
 }
 
-// effects returns the changes that were accepted in the order of their epochs, each with the one that it follows and
-// with the time in which it can have taken effect.
+// effects returns the accepted changes in the order of their epochs, each with the epoch before it and with the period
+// in which it can have taken effect.
 func (recording Recording) effects() []Call {
 	accepted := recording.acceptedChanges()
 	effects := slices.SortedFunc(maps.Values(accepted), func(left, right Call) int {
 		return cmp.Or(cmp.Compare(left.Result, right.Result), cmp.Compare(left.Operation, right.Operation))
 	})
-	follows := uint64(0)
-	for place := range effects {
-		effects[place].follows = follows
-		follows = effects[place].Result
-		recording.narrow(&effects[place])
+	previousEpoch := uint64(0)
+	for index := range effects {
+		effects[index].previousEpoch = previousEpoch
+		previousEpoch = effects[index].Result
+		recording.narrowSpan(&effects[index])
 	}
 	return effects
 }
 
-// acceptedChanges returns, by operation, the changes that were accepted, by what their answers say or is known in the
-// end. Each begins with its first sending and has no end.
+// acceptedChanges returns, by operation, the changes that were accepted according to their answers or to the fleet's
+// final state. Each starts with its first transmission and has no end.
 func (recording Recording) acceptedChanges() map[string]Call {
 	known := map[string]uint64{}
 	maps.Copy(known, recording.Known)
@@ -170,9 +172,10 @@
 	return accepted
 }
 
-// narrow bounds when an accepted change can have taken effect. Epochs only rise, so that it came before the end of
-// whatever shows its epoch or a later one, and after the start of whatever shows an earlier one.
-func (recording Recording) narrow(change *Call) {
+// narrowSpan narrows the period in which an accepted change can have taken effect. Epochs only rise, so the change took
+// effect before the end of any call that shows its epoch or a later one, and after the start of any read that shows an
+// earlier one.
+func (recording Recording) narrowSpan(change *Call) {
 	span := change.Span
 	for _, call := range recording.Calls {
 		if call.Answer != AnswerDone {
@@ -185,42 +188,42 @@
 			change.Start = call.Start
 		}
 	}
-	// What contradicts itself is left for the search to find.
+	// A contradiction is left for the search to detect.
 	if change.End != Never && change.End < change.Start {
 		change.Span = span
 	}
 }
 
-// sendingOperations returns the sendings of requests.
-func (recording Recording) sendingOperations() []porcupine.Operation {
+// attemptOperations returns the client attempts of at-most-once requests.
+func (recording Recording) attemptOperations() []porcupine.Operation {
 	operations := make([]porcupine.Operation, 0, len(recording.Sendings))
-	for _, sending := range recording.Sendings {
-		operations = append(operations, sending.operation(sending.Number, sending))
+	for _, attempt := range recording.Sendings {
+		operations = append(operations, attempt.operation(attempt.Number, attempt))
 	}
 	return operations
 }
 
-// The names of the pages that show a history.
+// File names of the HTML pages that show a history.
 const (
 	ConfigurationPage = "configuration.html"
 	ExecutionsPage    = "requests.html"
 )
 
-// WritePages writes the pages that show the history and the orders that were found into a folder.
-func (verdict Verdict) WritePages(folder string) error {
+// WritePages writes HTML pages that show the history and the linearizations found into a directory.
+func (verdict Verdict) WritePages(directory string) error {
 	return errors.Join(
-		writeFile(filepath.Join(folder, ConfigurationPage), verdict.DrawConfiguration),
-		writeFile(filepath.Join(folder, ExecutionsPage), verdict.DrawExecutions),
+		writeFile(filepath.Join(directory, ConfigurationPage), verdict.DrawConfiguration),
+		writeFile(filepath.Join(directory, ExecutionsPage), verdict.DrawExecutions),
 	)
 }
 
-// DrawConfiguration writes a page that shows the operators' calls and the orders that were found, and DrawExecutions
-// one for requests that run at most once.
+// DrawConfiguration writes an HTML page that shows the operators' calls and the linearizations found.
 func (verdict Verdict) DrawConfiguration(target io.Writer) error {
 	return porcupine.Visualize(configurationModel, verdict.configuration, target)
 }
 
-// DrawExecutions is described at DrawConfiguration.
+// DrawExecutions writes an HTML page that shows the client attempts of at-most-once requests and the linearizations
+// found.
 func (verdict Verdict) DrawExecutions(target io.Writer) error {
 	return porcupine.Visualize(executionModel.ToModel(), verdict.executions, target)
 }
--- a/verify/linearizability/judge_test.go
+++ b/verify/linearizability/judge_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// at is a span of a second from a second on; while one that is not answered begins.
+// at returns a span of one second that starts at a second.
 func at(second int) Span {
 	return Span{Start: time.Duration(second) * time.Second, End: time.Duration(second+1) * time.Second}
 }
 
+// unanswered returns a span without an end that starts at a second.
 func unanswered(second int) Span { return Span{Start: time.Duration(second) * time.Second, End: Never} }
 
-// changeOn is a change on a base that was answered, with the epoch that the answer names.
+// changeOn returns a change on a base, with its answer and the epoch that the answer names.
 func changeOn(span Span, operation string, base uint64, answer string, result uint64) Call {
 	return Call{Span: span, Kind: KindChange, Operation: operation, Base: base, HasBase: true, Answer: answer,
 		Result: result}
@@ -35,51 +36,51 @@
 	numbered := Call{Span: at(2), Kind: KindChange, Operation: "b", Base: 1, HasBase: true, Epoch: 9, HasEpoch: true,
 		Answer: AnswerDone, Result: 9}
 	for name, test := range map[string]struct {
-		calls []Call
-		known map[string]uint64
-		broke bool
+		calls    []Call
+		known    map[string]uint64
+		violates bool
 	}{
 		"one after the other": {
 			[]Call{first, changeOn(at(2), "b", 1, AnswerDone, 2), read(at(4), 2)}, nil, false,
 		},
-		"an epoch of the caller's":   {[]Call{first, numbered, read(at(4), 9)}, nil, false},
-		"two on one base":            {[]Call{first, changeOn(at(2), "b", 0, AnswerDone, 2)}, nil, true},
-		"a read of before":           {[]Call{first, read(at(2), 0)}, nil, true},
-		"a read while it is changed": {[]Call{first, read(at(0), 0), read(at(0), 1)}, nil, false},
-		"a read of what is undone": {
+		"an epoch chosen by the caller": {[]Call{first, numbered, read(at(4), 9)}, nil, false},
+		"two on one base":               {[]Call{first, changeOn(at(2), "b", 0, AnswerDone, 2)}, nil, true},
+		"a stale read":                  {[]Call{first, read(at(2), 0)}, nil, true},
+		"reads during a change":         {[]Call{first, read(at(0), 0), read(at(0), 1)}, nil, false},
+		"a read of an older epoch after a newer one": {
 			[]Call{read(at(0), 1), read(at(2), 0), changeOn(at(0), "a", 0, AnswerDone, 1)}, nil, true,
 		},
-		"a copy gets the same":         {[]Call{first, changeOn(at(2), "a", 0, AnswerDone, 1)}, nil, false},
-		"a copy gets another epoch":    {[]Call{first, changeOn(at(2), "a", 0, AnswerDone, 2)}, nil, true},
-		"a copy is refused":            {[]Call{first, changeOn(at(2), "a", 0, AnswerStale, 1)}, nil, true},
-		"refused as stale, and is":     {[]Call{first, changeOn(at(2), "b", 0, AnswerStale, 1)}, nil, false},
-		"refused as stale, and is not": {[]Call{first, changeOn(at(2), "b", 1, AnswerStale, 1)}, nil, true},
-		"refused for what it says":     {[]Call{first, changeOn(at(2), "b", 1, AnswerRefused, 1)}, nil, false},
-		"no answer, and no effect": {
+		"sent again, same outcome":  {[]Call{first, changeOn(at(2), "a", 0, AnswerDone, 1)}, nil, false},
+		"sent again, another epoch": {[]Call{first, changeOn(at(2), "a", 0, AnswerDone, 2)}, nil, true},
+		"sent again, refused":       {[]Call{first, changeOn(at(2), "a", 0, AnswerStale, 1)}, nil, true},
+		"refused as stale, rightly": {[]Call{first, changeOn(at(2), "b", 0, AnswerStale, 1)}, nil, false},
+		"refused as stale, wrongly": {[]Call{first, changeOn(at(2), "b", 1, AnswerStale, 1)}, nil, true},
+		"refused for its content":   {[]Call{first, changeOn(at(2), "b", 1, AnswerRefused, 1)}, nil, false},
+		"no answer, no effect": {
 			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), read(at(2), 0)}, nil, false,
 		},
-		"no answer, and seen": {
+		"no answer, effect read later": {
 			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), read(at(2), 0), read(at(4), 1)},
 			map[string]uint64{"a": 1}, false,
 		},
-		"no answer, and seen at its end": {
+		"no answer, effect read before it is sent again": {
 			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), changeOn(at(5), "a", 0, AnswerDone, 1), read(at(2), 1)},
 			nil, false,
 		},
-		"in effect, and nobody's": {[]Call{first, read(at(2), 2)}, nil, true},
-		"unavailable, and in effect": {
+		"an epoch without a change": {[]Call{first, read(at(2), 2)}, nil, true},
+		"unavailable, but in effect": {
 			[]Call{changeOn(at(0), "a", 0, AnswerUnavailable, 0), read(at(2), 1)}, map[string]uint64{"a": 1}, true,
 		},
 		"looked up": {
 			[]Call{first, lookUp(at(2), "a", AnswerDone, 1), lookUp(at(2), "b", AnswerRefused, 0)}, nil, false,
 		},
-		"looked up and not found": {[]Call{first, lookUp(at(2), "a", AnswerRefused, 0)}, nil, true},
-		"looked up before it is there": {
+		"looked up, not found although accepted": {[]Call{first, lookUp(at(2), "a", AnswerRefused, 0)}, nil, true},
+		"looked up, found before it was sent": {
 			[]Call{lookUp(at(0), "a", AnswerDone, 1), changeOn(at(2), "a", 0, AnswerDone, 1)}, nil, true,
 		},
 	} {
 		verdict := Judge(Recording{Calls: test.calls, Known: test.known}, time.Minute)
-		if verdict.IsLinearizable() == test.broke || verdict.Calls > len(test.calls) {
+		if verdict.IsLinearizable() == test.violates || verdict.Calls > len(test.calls) {
 			t.Errorf("%s: %v", name, verdict)
 		}
 	}
@@ -87,48 +88,48 @@
 
 func TestJudgeExecutions(t *testing.T) {
 	t.Parallel()
-	sending := func(span Span, number int, outcome string, runs int) Sending {
-		return Sending{Span: span, Request: "r", Number: number, Outcome: outcome, Runs: runs}
+	attempt := func(span Span, number int, outcome string, runs int) ClientAttempt {
+		return ClientAttempt{Span: span, Request: "r", Number: number, Outcome: outcome, Runs: runs}
 	}
 	for name, test := range map[string]struct {
-		sendings []Sending
-		broke    bool
+		attempts []ClientAttempt
+		violates bool
 	}{
-		"once": {[]Sending{sending(at(0), 1, OutcomeRan, 1)}, false},
+		"once": {[]ClientAttempt{attempt(at(0), 1, OutcomeRan, 1)}, false},
 		"twice": {
-			[]Sending{sending(at(0), 1, OutcomeRan, 2), sending(at(2), 2, OutcomeRan, 2)}, true,
+			[]ClientAttempt{attempt(at(0), 1, OutcomeRan, 2), attempt(at(2), 2, OutcomeRan, 2)}, true,
 		},
 		"refused, then run": {
-			[]Sending{sending(at(0), 1, OutcomeDidNotRun, 1), sending(at(2), 2, OutcomeRan, 1)}, false,
+			[]ClientAttempt{attempt(at(0), 1, OutcomeDidNotRun, 1), attempt(at(2), 2, OutcomeRan, 1)}, false,
 		},
-		"refused, then the earlier one": {
-			[]Sending{sending(at(0), 2, OutcomeDidNotRun, 1), sending(at(2), 1, OutcomeRan, 1)}, true,
+		"refused, then an earlier attempt runs": {
+			[]ClientAttempt{attempt(at(0), 2, OutcomeDidNotRun, 1), attempt(at(2), 1, OutcomeRan, 1)}, true,
 		},
 		"run, then refused as not run": {
-			[]Sending{sending(at(0), 1, OutcomeRan, 1), sending(at(2), 2, OutcomeDidNotRun, 1)}, true,
+			[]ClientAttempt{attempt(at(0), 1, OutcomeRan, 1), attempt(at(2), 2, OutcomeDidNotRun, 1)}, true,
 		},
-		"refused beside a later one that ran": {
-			[]Sending{sending(at(0), 2, OutcomeRan, 1), sending(at(2), 1, OutcomeDidNotRun, 1)}, false,
+		"an earlier attempt refused after a later one ran": {
+			[]ClientAttempt{attempt(at(0), 2, OutcomeRan, 1), attempt(at(2), 1, OutcomeDidNotRun, 1)}, false,
 		},
-		"unknown, then known to have run": {
-			[]Sending{sending(unanswered(0), 1, OutcomeUnknown, 1), sending(at(2), 2, OutcomeRanBefore, 1)}, false,
+		"unknown, then reported as run before": {
+			[]ClientAttempt{attempt(unanswered(0), 1, OutcomeUnknown, 1), attempt(at(2), 2, OutcomeRanBefore, 1)}, false,
 		},
 		"unknown, then run": {
-			[]Sending{sending(unanswered(0), 1, OutcomeUnknown, 1), sending(at(2), 2, OutcomeRan, 1)}, false,
+			[]ClientAttempt{attempt(unanswered(0), 1, OutcomeUnknown, 1), attempt(at(2), 2, OutcomeRan, 1)}, false,
 		},
-		"known to have run, and never did": {[]Sending{sending(at(0), 1, OutcomeRanBefore, 0)}, true},
-		"unknown, and seen by no runner": {
-			[]Sending{sending(at(0), 1, OutcomeUnknown, 0), sending(at(2), 2, OutcomeRanBefore, 0)}, true,
+		"reported as run before, but never ran": {[]ClientAttempt{attempt(at(0), 1, OutcomeRanBefore, 0)}, true},
+		"reported as run before, but seen by no runner": {
+			[]ClientAttempt{attempt(at(0), 1, OutcomeUnknown, 0), attempt(at(2), 2, OutcomeRanBefore, 0)}, true,
 		},
-		"undeclared": {
-			[]Sending{sending(at(0), 0, OutcomeDidNotRun, 1), sending(at(2), 0, OutcomeRan, 1)}, false,
+		"without numbers, once": {
+			[]ClientAttempt{attempt(at(0), 0, OutcomeDidNotRun, 1), attempt(at(2), 0, OutcomeRan, 1)}, false,
 		},
-		"undeclared, twice": {
-			[]Sending{sending(at(0), 0, OutcomeRan, 2), sending(at(2), 0, OutcomeRan, 2)}, true,
+		"without numbers, twice": {
+			[]ClientAttempt{attempt(at(0), 0, OutcomeRan, 2), attempt(at(2), 0, OutcomeRan, 2)}, true,
 		},
 	} {
-		verdict := Judge(Recording{Sendings: test.sendings}, time.Minute)
-		if verdict.IsLinearizable() == test.broke || verdict.Requests != 1 {
+		verdict := Judge(Recording{Sendings: test.attempts}, time.Minute)
+		if verdict.IsLinearizable() == test.violates || verdict.Requests != 1 {
 			t.Errorf("%s: %v", name, verdict)
 		}
 	}
@@ -138,7 +139,7 @@
 	t.Parallel()
 	recording := Recording{
 		Calls:    []Call{changeOn(unanswered(1), "a", 3, AnswerNothing, 0), read(at(2), 4)},
-		Sendings: []Sending{{Span: at(0), Request: "r", Number: 2, Daemon: "d", Outcome: OutcomeRan, Runs: 1}},
+		Sendings: []ClientAttempt{{Span: at(0), Request: "r", Number: 2, Daemon: "d", Outcome: OutcomeRan, Runs: 1}},
 		Known:    map[string]uint64{"a": 4},
 	}
 	var written bytes.Buffer
@@ -150,19 +151,19 @@
 		t.Errorf("%+v, %v", returned, err)
 	}
 	if _, err := Read(strings.NewReader(`{"unknown":1}`)); err == nil {
-		t.Error("read what is no recording")
+		t.Error("a document with an unknown field was accepted")
 	}
 }
 
 func TestVerdictIsDrawn(t *testing.T) {
 	t.Parallel()
 	verdict := Judge(Recording{Calls: []Call{read(at(0), 0)},
-		Sendings: []Sending{{Span: at(0), Request: "drawn", Number: 1, Outcome: OutcomeRan, Runs: 1}}}, time.Minute)
-	var calls, sendings bytes.Buffer
+		Sendings: []ClientAttempt{{Span: at(0), Request: "drawn", Number: 1, Outcome: OutcomeRan, Runs: 1}}}, time.Minute)
+	var calls, executions bytes.Buffer
 	if err := verdict.DrawConfiguration(&calls); err != nil || !strings.Contains(calls.String(), "read") {
 		t.Errorf("%v, %d bytes", err, calls.Len())
 	}
-	if err := verdict.DrawExecutions(&sendings); err != nil || !strings.Contains(sendings.String(), "drawn") {
-		t.Errorf("%v, %d bytes", err, sendings.Len())
+	if err := verdict.DrawExecutions(&executions); err != nil || !strings.Contains(executions.String(), "drawn") {
+		t.Errorf("%v, %d bytes", err, executions.Len())
 	}
 }
--- a/verify/linearizability/observed.go
+++ b/verify/linearizability/observed.go
@@ -8,17 +8,17 @@
 	"wardtray/verify/histories"
 )
 
-// Observed is what an answer to an operator's call has.
+// Observed is an operator's call with the status and outcome of its response.
 type Observed struct {
-	// Kind is the call's, HasBase says that it is a change which names one.
+	// Kind is the kind of the call. HasBase reports whether it is a change that names a base.
 	Kind    string
 	HasBase bool
-	// Status and Outcome are the answer's; both are empty where there was none.
+	// Status and Outcome are those of the response, zero if there was none.
 	Status  int
 	Outcome string
 }
 
-// Answer returns what an answer says of the configuration.
+// Answer classifies what the response states about the configuration.
 func (observed Observed) Answer() string {
 	switch {
 	case observed.Status == 0, observed.Outcome == proposal.OutcomeUnknown:
@@ -37,15 +37,15 @@
 	}
 }
 
-// SendingsOf returns the sendings of requests that run at most once, of a history that began at a time.
-func SendingsOf(history *histories.History, started time.Time) []Sending {
+// SendingsOf returns the client attempts of at-most-once requests in a history that began at a time.
+func SendingsOf(history *histories.History, started time.Time) []ClientAttempt {
 	runs := map[string]int{}
 	for _, run := range history.Runs {
 		if run.Started {
 			runs[run.Request]++
 		}
 	}
-	var sendings []Sending
+	var attempts []ClientAttempt
 	for _, answer := range history.Answers {
 		if !answer.Once || !answer.RequestSent {
 			continue
@@ -54,13 +54,13 @@
 		if answer.ConnectionLost || answer.Got.IsZero() {
 			span.End = Never
 		}
-		sendings = append(sendings, Sending{Span: span, Request: answer.Request, Number: answer.Attempt,
+		attempts = append(attempts, ClientAttempt{Span: span, Request: answer.Request, Number: answer.Attempt,
 			Daemon: answer.Daemon, Outcome: outcomeOf(answer), Runs: runs[answer.Request]})
 	}
-	return sendings
+	return attempts
 }
 
-// outcomeOf returns what an answer says of its request.
+// outcomeOf returns the outcome that a client attempt's response states.
 func outcomeOf(answer *histories.Answer) string {
 	outcomes := map[string]string{"did not run": OutcomeDidNotRun, "ran": OutcomeRanBefore}
 	if answer.Done {
--- a/verify/linearizability/observed_test.go
+++ b/verify/linearizability/observed_test.go
@@ -15,18 +15,18 @@
 		observed Observed
 		want     string
 	}{
-		"none":    {Observed{KindChange, true, 0, ""}, AnswerNothing},
-		"unknown": {Observed{KindChange, true, http.StatusGatewayTimeout, proposal.OutcomeUnknown}, AnswerNothing},
+		"no response": {Observed{KindChange, true, 0, ""}, AnswerNothing},
+		"unknown":     {Observed{KindChange, true, http.StatusGatewayTimeout, proposal.OutcomeUnknown}, AnswerNothing},
 		"no head": {
 			Observed{KindChange, true, http.StatusServiceUnavailable, proposal.OutcomeRefused}, AnswerUnavailable,
 		},
-		"accepted":         {Observed{KindChange, true, http.StatusOK, proposal.OutcomeAccepted}, AnswerDone},
-		"found":            {Observed{KindRead, false, http.StatusOK, proposal.OutcomeFound}, AnswerDone},
-		"nothing yet":      {Observed{KindRead, false, http.StatusNotFound, proposal.OutcomeEmpty}, AnswerDone},
-		"under way":        {Observed{KindLookup, false, http.StatusAccepted, proposal.OutcomePending}, AnswerNothing},
-		"stale":            {Observed{KindChange, true, http.StatusConflict, proposal.OutcomeRefused}, AnswerStale},
-		"not valid":        {Observed{KindChange, true, http.StatusBadRequest, proposal.OutcomeRefused}, AnswerRefused},
-		"behind its epoch": {Observed{KindChange, false, http.StatusConflict, proposal.OutcomeRefused}, AnswerRefused},
+		"accepted":             {Observed{KindChange, true, http.StatusOK, proposal.OutcomeAccepted}, AnswerDone},
+		"found":                {Observed{KindRead, false, http.StatusOK, proposal.OutcomeFound}, AnswerDone},
+		"no configuration yet": {Observed{KindRead, false, http.StatusNotFound, proposal.OutcomeEmpty}, AnswerDone},
+		"pending":              {Observed{KindLookup, false, http.StatusAccepted, proposal.OutcomePending}, AnswerNothing},
+		"stale":                {Observed{KindChange, true, http.StatusConflict, proposal.OutcomeRefused}, AnswerStale},
+		"invalid":              {Observed{KindChange, true, http.StatusBadRequest, proposal.OutcomeRefused}, AnswerRefused},
+		"epoch too low":        {Observed{KindChange, false, http.StatusConflict, proposal.OutcomeRefused}, AnswerRefused},
 	} {
 		if answer := test.observed.Answer(); answer != test.want {
 			t.Errorf("%s: %s instead of %s", name, answer, test.want)
@@ -48,24 +48,24 @@
 			{Request: "e", Once: true}, {Request: "b", RequestSent: true},
 		},
 	}
-	want := []Sending{
-		{Span: seconds(1, 2), Request: "a", Number: 1, Outcome: OutcomeRan, Runs: 1},
-		{Span: seconds(3, 4), Request: "a", Number: 2, Outcome: OutcomeRanBefore, Runs: 1},
+	want := []ClientAttempt{
+		{Span: spanOf(1, 2), Request: "a", Number: 1, Outcome: OutcomeRan, Runs: 1},
+		{Span: spanOf(3, 4), Request: "a", Number: 2, Outcome: OutcomeRanBefore, Runs: 1},
 		{Span: Span{Start: 5 * time.Second, End: Never}, Request: "c", Number: 1, Outcome: OutcomeUnknown},
-		{Span: seconds(7, 8), Request: "d", Number: 1, Outcome: OutcomeDidNotRun},
+		{Span: spanOf(7, 8), Request: "d", Number: 1, Outcome: OutcomeDidNotRun},
 	}
-	sendings := SendingsOf(history, started)
-	if len(sendings) != len(want) {
-		t.Fatalf("%d sendings instead of %d", len(sendings), len(want))
+	attempts := SendingsOf(history, started)
+	if len(attempts) != len(want) {
+		t.Fatalf("%d attempts instead of %d", len(attempts), len(want))
 	}
 	for index := range want {
-		if sendings[index] != want[index] {
-			t.Errorf("%+v instead of %+v", sendings[index], want[index])
+		if attempts[index] != want[index] {
+			t.Errorf("%+v instead of %+v", attempts[index], want[index])
 		}
 	}
 }
 
-// seconds is a span of seconds.
-func seconds(start, end int) Span {
+// spanOf returns a span from its start and end in seconds.
+func spanOf(start, end int) Span {
 	return Span{Start: time.Duration(start) * time.Second, End: time.Duration(end) * time.Second}
 }
--- a/verify/linearizability/recording.go
+++ b/verify/linearizability/recording.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Never is the end of a call that was not answered: it may take effect at any time.
+// Never is the end of a call without an answer: it may take effect at any time after its start.
 const Never time.Duration = -1
 
-// Recording is the history of a fleet as its callers saw it.
+// Recording is the history of a fleet as its callers observed it.
 type Recording struct {
-	// Calls are the operators'.
+	// Calls are the operators' calls.
 	Calls []Call `json:"calls"`
-	// Sendings are those of requests that run at most once.
-	Sendings []Sending `json:"sendings"`
-	// Known is the epoch of each operation that the fleet has in the end.
+	// Sendings are the client attempts of at-most-once requests.
+	Sendings []ClientAttempt `json:"sendings"`
+	// Known is the epoch of each operation in the fleet's final state.
 	Known map[string]uint64 `json:"known"`
 }
 
-// Span is when a call was made, and when it was answered, since the beginning of the recording.
+// Span holds when a call was made and when it was answered, as durations since the beginning of the recording.
 type Span struct {
 	Start time.Duration `json:"start"`
-	// End is Never where there was no answer.
+	// End is Never if there was no answer.
 	End time.Duration `json:"end"`
 }
 
@@ -37,73 +37,73 @@
 
 // The answers to operators' calls.
 const (
-	// AnswerDone is a read with its epoch, and a change or a lookup of one that is accepted under it.
+	// AnswerDone means a read that returned an epoch, or a change that is accepted under an epoch, or the lookup of one.
 	AnswerDone = "done"
-	// AnswerRefused is a change that is judged and not accepted, and a lookup that finds nothing.
+	// AnswerRefused means a change that was refused for its content, or a lookup that found nothing.
 	AnswerRefused = "refused"
-	// AnswerStale is a change refused because its base is not the present epoch.
+	// AnswerStale means a change that was refused because its base is not the current epoch.
 	AnswerStale = "stale"
-	// AnswerUnavailable is a refusal for want of a head, a disk or room: this call has and will have no effect.
+	// AnswerUnavailable means a refusal because there is no head, disk or capacity: this call never has an effect.
 	AnswerUnavailable = "unavailable"
-	// AnswerNothing says nothing of the configuration: there was no answer, or one that names no outcome.
+	// AnswerNothing means that there was no answer, or one that states no outcome.
 	AnswerNothing = "nothing"
 )
 
-// Call is one call of an operator.
+// Call is one call of an operator and its answer.
 type Call struct {
 	Span
-	// Caller tells callers apart where the history is drawn.
+	// Caller identifies the caller in drawings of the history.
 	Caller    int    `json:"caller"`
 	Kind      string `json:"kind"`
 	Operation string `json:"operation,omitempty"`
-	// Base and Epoch are what a change names, where it does.
+	// Base and Epoch are those that a change names; HasBase and HasEpoch report whether it does.
 	Base     uint64 `json:"base,omitempty"`
 	HasBase  bool   `json:"has_base,omitempty"`
 	Epoch    uint64 `json:"epoch,omitempty"`
 	HasEpoch bool   `json:"has_epoch,omitempty"`
-	// Answer is one of those above, Result the epoch that it names.
+	// Answer is one of the Answer constants, Result the epoch that the answer names.
 	Answer string `json:"answer"`
 	Result uint64 `json:"result,omitempty"`
-	// follows is, of an accepted change, the epoch of the one that was accepted before it. Epochs only rise, so that the
-	// order of accepted changes is known.
-	follows uint64
+	// previousEpoch is, for an accepted change, the epoch of the change accepted before it. Epochs only rise, so the order
+	// of accepted changes is known.
+	previousEpoch uint64
 }
 
-// The outcomes of sendings.
+// The outcomes of client attempts.
 const (
-	// OutcomeRan is a complete response: the request ran through this sending.
+	// OutcomeRan means a complete response: the request ran through this attempt.
 	OutcomeRan = "ran"
-	// OutcomeRanBefore says that another sending of the request ran.
+	// OutcomeRanBefore means that another attempt of the request ran.
 	OutcomeRanBefore = "ran before"
-	// OutcomeDidNotRun promises that neither this sending nor one with a smaller number runs.
+	// OutcomeDidNotRun promises that neither this attempt nor one with a smaller number runs.
 	OutcomeDidNotRun = "did not run"
-	// OutcomeUnknown says nothing.
+	// OutcomeUnknown means that the response states no outcome, or that there was none.
 	OutcomeUnknown = "unknown"
 )
 
-// Sending is one sending of a request that runs at most once.
-type Sending struct {
+// ClientAttempt is one client attempt of an at-most-once request.
+type ClientAttempt struct {
 	Span
 	Request string `json:"request"`
-	// Number is that of the sending; 0: its caller states none.
+	// Number is the attempt number that the client states; 0 if it states none.
 	Number  int    `json:"number"`
 	Daemon  string `json:"daemon"`
 	Outcome string `json:"outcome"`
-	// Runs is how many runs of the request runners have seen, however they began.
+	// Runs is the number of runs of the request at runners, through whichever attempt.
 	Runs int `json:"runs"`
 }
 
-// Write writes a recording as JSON.
+// Write writes a recording as indented JSON.
 func (recording Recording) Write(target io.Writer) error {
 	encoder := json.NewEncoder(target)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(recording)
 }
 
-// WriteFile writes a recording into a file.
+// WriteFile writes a recording to a file.
 func (recording Recording) WriteFile(path string) error { return writeFile(path, recording.Write) }
 
-// writeFile has a file written.
+// writeFile creates a file, writes its contents and closes it.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path) //nolint:gosec // The caller names the file.
 	if err != nil {
@@ -112,7 +112,7 @@
 	return errors.Join(write(file), file.Close())
 }
 
-// Read reads a recording.
+// Read reads a recording from JSON. Unknown fields are an error.
 func Read(source io.Reader) (Recording, error) {
 	recording := Recording{}
 	decoder := json.NewDecoder(source)
