--- a/verify/simulation/once_cost.go
+++ b/verify/simulation/at_most_once_cost.go
@@ -8,47 +8,47 @@
 	"wardtray/proxy/codec"
 )
 
-// OnceDesign is a way to keep a request from running twice.
-type OnceDesign string
+// AtMostOnceDesign is a design that keeps a request from running twice.
+type AtMostOnceDesign string
 
 // The designs that are compared, of those in docs/at-most-once.md.
 const (
-	// Announced tells the other daemons of the zone, without waiting.
-	Announced OnceDesign = "announced to the zone"
+	// Announced announces each request to the other daemons of the zone, without waiting for answers.
+	Announced AtMostOnceDesign = "announced to the zone"
 	// ReservedInOneZone reserves with a majority of a group of the zone.
-	ReservedInOneZone OnceDesign = "reserved in one zone"
+	ReservedInOneZone AtMostOnceDesign = "reserved in one zone"
 	// ReservedInAllZones reserves with a majority of a group of every zone.
-	ReservedInAllZones OnceDesign = "reserved in all zones"
+	ReservedInAllZones AtMostOnceDesign = "reserved in all zones"
 )
 
-// OnceCost is what a design costs a request that runs at most once, in quiet times.
-type OnceCost struct {
-	// Requests is how many were measured.
+// AtMostOnceCost is the cost of a design for one at-most-once request, in a fleet without faults or changes.
+type AtMostOnceCost struct {
+	// Requests is the number of requests measured.
 	Requests int
-	// Median and P99 are of the time to the first event.
+	// Median and P99 are quantiles of the time to the first event.
 	Median, P99 time.Duration
-	// Messages and Bytes are those between daemons for one request, ZoneBytes those that cross a border of zones.
+	// Messages and Bytes are those between daemons for one request, ZoneBytes those between zones.
 	Messages, Bytes, ZoneBytes float64
 }
 
-// announcingCodec is the product's own with requests of which none is reserved.
+// announcingCodec is the native codec, except that no request is reserved.
 type announcingCodec struct{ codec.Native }
 
 // SingleUse is true, so that the daemon makes no reservations.
 func (announcingCodec) SingleUse() bool { return true }
 
-// isOnceMessage reports whether a kind of message between daemons is one that a design sends for a request.
-func isOnceMessage(kind string) bool {
+// isAtMostOnceMessage reports whether a design sends this kind of message between daemons for a request.
+func isAtMostOnceMessage(kind string) bool {
 	return strings.HasPrefix(kind, "Reservation") || kind == "RequestDispatched"
 }
 
-// MeasureOnce returns what a design costs in a deployment with its usual traffic, without faults or changes.
-func MeasureOnce(seed int64, shape Shape, design OnceDesign) OnceCost {
+// MeasureAtMostOnce returns the cost of a design in a deployment with its usual traffic, without faults or changes.
+func MeasureAtMostOnce(seed int64, shape Shape, design AtMostOnceDesign) AtMostOnceCost {
 	const length = 30 * time.Second
-	world := Found(seed, shape, func(world *World) { world.announcesOnly = design == Announced })
+	world := NewDeployment(seed, shape, func(world *World) { world.announcesOnly = design == Announced })
 	defer world.Close()
 	traffic := world.Traffic
-	world.Run(foundingTime)
+	world.Run(bootstrapTime)
 	newOperators(world, 500_000).apply(world.Cores()[0])
 	world.Run(3 * time.Second)
 	traffic.Rate = DefaultTrial.Rate
@@ -58,7 +58,7 @@
 	world.Run(5 * time.Second)
 	messages, bytes, zoneBytes, from := 0, 0, 0, world.Now
 	world.network.Metrics = func(from, to *Host, kind string, size int) {
-		if !isOnceMessage(kind) || to == nil {
+		if !isAtMostOnceMessage(kind) || to == nil {
 			return
 		}
 		messages++
@@ -75,7 +75,7 @@
 		}
 	}
 	slices.Sort(firsts)
-	cost := OnceCost{Requests: len(firsts)}
+	cost := AtMostOnceCost{Requests: len(firsts)}
 	if cost.Requests > 0 {
 		requests := float64(cost.Requests)
 		cost.Median, cost.P99 = firsts[cost.Requests/2], firsts[cost.Requests*99/100]
--- a/verify/simulation/once_cost_test.go
+++ b/verify/simulation/at_most_once_cost_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// What it costs to keep requests from running twice, by design. A first sending waits for one round trip within its
-// zone at most, and nothing of it crosses a border of zones.
+// Compares the costs of the designs of at-most-once requests. A first attempt waits for at most one round trip within
+// its zone, and none of its messages crosses zones.
 func TestCostOfAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for name, shape := range map[string]Shape{"guild": GuildPath, "ferries": FerriesPath} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			costs := map[OnceDesign]OnceCost{}
-			for _, design := range []OnceDesign{Announced, ReservedInOneZone, ReservedInAllZones} {
-				cost := MeasureOnce(1, shape, design)
+			costs := map[AtMostOnceDesign]AtMostOnceCost{}
+			for _, design := range []AtMostOnceDesign{Announced, ReservedInOneZone, ReservedInAllZones} {
+				cost := MeasureAtMostOnce(1, shape, design)
 				costs[design] = cost
 				t.Logf("%s: %d requests, first event %v and %v (99th), %.1f messages and %.0f B a request, %.0f B between zones",
 					design, cost.Requests, cost.Median.Round(10*time.Microsecond), cost.P99.Round(10*time.Microsecond),
@@ -31,5 +31,5 @@
 	}
 }
 
-// longestRoundTrip is that of two messages between machines of the simulated network.
+// longestRoundTrip is the longest time of two messages between machines of the simulated network.
 const longestRoundTrip = 2 * (defaultDelay + defaultJitter)
--- a/verify/simulation/capacity_sampler.go
+++ b/verify/simulation/capacity_sampler.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// warmUpAllowance is how long after it is listed as ready a runner is used in full: daemons can't know sooner that it
-	// is warm, and take it up step by step.
+	// warmUpAllowance is the time from a runner's first listing as ready until its full capacity counts. Daemons learn no
+	// sooner that it is warm, and raise its load step by step.
 	warmUpAllowance = 6 * time.Second
-	// capacityInterval is how often the backend's room is noted.
+	// capacityInterval is the interval between two samples of the backend's capacity.
 	capacityInterval = 100 * time.Millisecond
 )
 
-// capacitySampler notes in the history how much room the backend truly has, by which refusals are judged.
+// capacitySampler records the true capacity of the backend in the history. The history's checker uses it to decide
+// whether a refusal was justified.
 type capacitySampler struct {
 	world   *World
 	history *histories.History
-	// readySince is when each runner, by its id, was first seen listed as ready.
+	// readySince maps each runner's id to the time when it was first seen listed as ready.
 	readySince map[string]time.Time
 }
 
@@ -26,29 +27,30 @@
 	return &capacitySampler{world: world, history: history, readySince: map[string]time.Time{}}
 }
 
-// sample notes the room now and again and again.
+// sample records the capacity and schedules the next sample.
 func (sampler *capacitySampler) sample() {
 	sampler.record()
 	sampler.world.After(capacityInterval, sampler.sample)
 }
 
-// record takes the backend's room by what each runner is and how it is listed.
+// record appends the current capacity of each zone to the history. Only reachable, healthy runners that are warm and
+// listed as ready count.
 func (sampler *capacitySampler) record() {
 	world := sampler.world
 	listed := sampler.warmListed()
-	room := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
+	sample := histories.CapacitySample{At: world.Now, Free: map[string]int{}, Slots: map[string]int{}}
 	for _, host := range world.Runners() {
 		engine := host.runner.engine
-		well := host.up && !host.frozen && engine.servesRequests()
-		if well && listed[engine.id] && !engine.warmingUp() && sampler.isReachable(host) {
-			room.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
-			room.Slots[host.Zone] += engine.profile.Slots
+		healthy := host.up && !host.frozen && engine.servesRequests()
+		if healthy && listed[engine.id] && !engine.warmingUp() && sampler.isReachable(host) {
+			sample.Free[host.Zone] += max(0, engine.profile.Slots-engine.active)
+			sample.Slots[host.Zone] += engine.profile.Slots
 		}
 	}
-	sampler.history.CapacitySamples = append(sampler.history.CapacitySamples, room)
+	sampler.history.CapacitySamples = append(sampler.history.CapacitySamples, sample)
 }
 
-// warmListed returns the ids of the runners that have been listed as ready for long enough.
+// warmListed reports by id which runners have been listed as ready for warmUpAllowance.
 func (sampler *capacitySampler) warmListed() map[string]bool {
 	world := sampler.world
 	listed := map[string]bool{}
@@ -64,10 +66,10 @@
 	return listed
 }
 
-// isReachable reports whether most daemons can talk to a runner.
+// isReachable reports whether a majority of the daemons has a path both ways to a runner.
 func (sampler *capacitySampler) isReachable(runner *Host) bool {
 	reached, all := 0, 0
-	for _, host := range sampler.world.Datas() {
+	for _, host := range sampler.world.Daemons() {
 		all++
 		if sampler.world.topology.passes(host, runner) && sampler.world.topology.passes(runner, host) {
 			reached++
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -7,22 +7,23 @@
 	"wardtray/verify/linearizability"
 )
 
-// Checker looks at the world after each step, and at each answer to an operator, and reports the rules that are broken.
+// Checker checks the world's state after each step and each answer to an operator, and collects the violated rules.
 type Checker struct {
 	world *World
-	// Violations are the broken rules; a run stops at the first.
+	// Violations are the violated rules; a run stops at the first.
 	Violations []string
-	// Orders are all requests that operators sent, in their order.
+	// Orders are all requests that operators sent, in order of sending.
 	Orders []*Order
-	// WorstCases keep the worst case seen of each rule with a figure.
+	// WorstCases holds the longest duration measured for each rule.
 	WorstCases map[string]time.Duration
-	// Decisions is how often a data daemon would have scheduled a request at the end of a step, Refusals how often not.
+	// Decisions counts the steps after which a data daemon would have scheduled a request, Refusals those after which it
+	// would have refused one.
 	Decisions, Refusals int
-	// Verdict is that on the whole history of callers, once a run is over.
+	// Verdict is the result of the linearizability check of the complete history, available once a run is over.
 	Verdict linearizability.Verdict
-	// OnAccepted, if set, runs when a change has been acknowledged.
+	// OnAccepted, if set, is called when a change has been acknowledged.
 	OnAccepted func()
-	// onlyHistories has nothing judged but the histories of callers, so that these are what notices a fault.
+	// onlyHistories disables all checks but the one of the callers' histories, so that only that check can notice a fault.
 	onlyHistories bool
 	outcomes      *outcomes
 	replicas      *replicaCheck
@@ -37,7 +38,7 @@
 	return checker
 }
 
-// violation reports a broken rule.
+// violation records a violated rule, unless onlyHistories is set.
 func (checker *Checker) violation(format string, values ...any) {
 	if checker.onlyHistories {
 		return
@@ -45,19 +46,19 @@
 	checker.report(format, values...)
 }
 
-// report adds to the broken rules.
+// report appends to Violations, with the seed and the simulated time.
 func (checker *Checker) report(format string, values ...any) {
 	world := checker.world
 	checker.Violations = append(checker.Violations,
 		fmt.Sprintf("seed %d at %v: ", world.Seed, world.Now.Sub(world.started))+fmt.Sprintf(format, values...))
 }
 
-// recordWorst keeps the longest length of time seen of a rule.
-func (checker *Checker) recordWorst(rule string, length time.Duration) {
+// recordWorstCase keeps the longest duration measured for a rule.
+func (checker *Checker) recordWorstCase(rule string, length time.Duration) {
 	checker.WorstCases[rule] = max(checker.WorstCases[rule], length)
 }
 
-// step checks whatever a step of this host can have broken.
+// step checks the rules that the last step of this host may have violated.
 func (checker *Checker) step(host *Host) {
 	if !host.up || host.frozen {
 		return
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maximumAttempts is how many daemons may refuse a client's connection before it gives up.
-	maximumAttempts = 5
-	// latestRetry is how long after its first sending a client sends a request to another daemon at the latest.
+	// maximumRefusals is the number of refused connections after which a client gives up.
+	maximumRefusals = 5
+	// latestRetry is the latest time after a client's first attempt at which it retries at another daemon.
 	latestRetry = 20 * time.Second
 )
 
-// resend has a client send its request once more to the same daemon, at some moment during the
-// first's life or after it.
+// resend makes a client send its request once more to the same daemon, at a random time during the first attempt or
+// after it.
 func (traffic *Traffic) resend(drawn loadtest.Drawn, first *client) {
 	traffic.world.After(50*time.Millisecond+time.Duration(traffic.random.Int63n(int64(2*time.Second))), func() {
 		if host := first.host; host != nil && host.up && first.incarnation == host.incarnation {
@@ -25,21 +25,21 @@
 	})
 }
 
-// resendElsewhere has a client send its request once more to any daemon of any zone, at some moment up to long after
-// the first's life. What that daemon can reach meanwhile, and what it remembers, is left to chance.
+// resendElsewhere makes a client send its request once more to any daemon of any zone, up to latestRetry after its
+// first attempt. The seed decides what that daemon can reach by then and which requests it still knows.
 func (traffic *Traffic) resendElsewhere(drawn loadtest.Drawn, zone string) {
-	datas := traffic.world.Datas()
+	daemons := traffic.world.Daemons()
 	traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestRetry))), func() {
-		if host := datas[traffic.random.Intn(len(datas))]; host.up {
+		if host := daemons[traffic.random.Intn(len(daemons))]; host.up {
 			traffic.sendAgain(drawn, zone, host)
 		}
 	})
 }
 
-// sendAgain sends a request that was sent before.
+// sendAgain sends a retry of a request.
 func (traffic *Traffic) sendAgain(drawn loadtest.Drawn, zone string, host *Host) {
 	if drawn.Attempt > 0 {
-		// Whoever sends it again numbers its sendings in their order.
+		// A client that retries numbers its attempts in order.
 		traffic.resent[drawn.ID]++
 		drawn.Attempt += traffic.resent[drawn.ID]
 	}
@@ -48,26 +48,26 @@
 	again.send(host)
 }
 
-// client is one client with its request.
+// client is one client with its one request.
 type client struct {
 	traffic  *Traffic
 	drawn    loadtest.Drawn
 	record   *histories.Answer
 	exchange *clientExchange
-	// host is the daemon's, in its incarnation at that time, that took the request; nil: none has yet.
+	// host is the data daemon that accepted the request, in this incarnation; nil until one has.
 	host        *Host
 	incarnation int
-	// attempts counts the daemons that refused the connection.
-	attempts int
-	// read means that the daemon has the request, finished that the client waits for nothing more.
+	// refusals counts the daemons that refused the connection.
+	refusals int
+	// read means that the daemon has read the request, finished that the client waits for nothing more.
 	read, finished bool
-	// hangsUpAfter is after how many events the client hangs up; 0: it does not for their number.
-	hangsUpAfter int
-	// hungUp means that the client has closed its connection.
-	hungUp bool
+	// disconnectsAfter is the number of events after which the client disconnects; 0: the number does not matter.
+	disconnectsAfter int
+	// disconnected means that the client has closed its connection.
+	disconnected bool
 }
 
-// newClient makes a client of a zone, whose request is not sent yet.
+// newClient returns a client of a zone whose request is not sent yet.
 func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
 	made := &client{traffic: traffic, drawn: drawn, record: drawn.NewAnswer(zone, traffic.world.Now)}
 	made.exchange = newClientExchange(made)
@@ -75,14 +75,15 @@
 	return made
 }
 
-// sendRequest has a client of a zone send a request to a daemon; nil: there is none.
+// sendRequest makes a client of a zone send a request to a daemon; a nil host fails the request at once.
 func (traffic *Traffic) sendRequest(drawn loadtest.Drawn, zone string, host *Host) *client {
 	made := traffic.newClient(drawn, zone)
 	made.send(host)
 	return made
 }
 
-// send hands the request to a daemon. One whose connection is refused goes to another: nothing was read.
+// send sends the request to a daemon. If the connection is refused, nothing was read and the client tries another
+// daemon.
 func (client *client) send(host *Host) {
 	traffic := client.traffic
 	if host == nil {
@@ -91,8 +92,8 @@
 	}
 	traffic.world.After(traffic.world.network.transitTime(), func() {
 		if !host.up {
-			client.attempts++
-			if client.attempts >= maximumAttempts || client.record.Resent {
+			client.refusals++
+			if client.refusals >= maximumRefusals || client.record.Resent {
 				client.finish(true)
 				return
 			}
@@ -101,8 +102,8 @@
 		}
 		client.host, client.incarnation, client.record.Daemon = host, host.incarnation, host.Address
 		host.daemon.clients = append(host.daemon.clients, client)
-		if client.hungUp {
-			client.deliverHangUp()
+		if client.disconnected {
+			client.deliverDisconnect()
 		}
 		traffic.world.coroutines.spawn(host, func() {
 			client.read, client.record.Started = true, traffic.world.Now
@@ -114,7 +115,7 @@
 	})
 }
 
-// finish records what the client got.
+// finish records the client's result and checks it.
 func (client *client) finish(lost bool) {
 	if client.finished {
 		return
@@ -125,7 +126,7 @@
 	}
 	traffic, record := client.traffic, client.record
 	record.Got, record.ConnectionLost, record.RequestSent = traffic.world.Now, lost, client.read
-	record.MinorityLeft = traffic.world.isolations.isMinorityLeft()
+	record.MinorityLeft = traffic.world.isolations.isOnlyMinorityLeft()
 	traffic.History.Answers = append(traffic.History.Answers, record)
 	if !record.Done {
 		traffic.capacity.record()
@@ -134,9 +135,9 @@
 	traffic.reportViolations()
 }
 
-// loseDaemon is how a client sees the end of its daemon.
-func (client *client) loseDaemon() {
-	lost := !client.record.Done && !client.record.Error && !client.hungUp
+// onDaemonLost ends the request when the client's daemon ends, and may schedule a retry at another daemon.
+func (client *client) onDaemonLost() {
+	lost := !client.record.Done && !client.record.Error && !client.disconnected
 	client.finish(lost)
 	traffic := client.traffic
 	if !lost || traffic.Retries == 0 || client.record.Resent {
--- a/verify/simulation/client_exchange.go
+++ b/verify/simulation/client_exchange.go
@@ -14,21 +14,21 @@
 	"wardtray/verify/loadtest"
 )
 
-// answerBound is how long a decided answer may take, which is nothing but the daemon's own work.
+// answerBound is the longest time from a final decision to its answer: only the daemon's own work lies in between.
 const answerBound = time.Millisecond
 
-var errHungUp = errors.New("the requester hung up")
+var errDisconnected = errors.New("the client has disconnected")
 
-// clientExchange is a client's request as its daemon's handler sees it; what the handler sends is recorded.
+// clientExchange implements netio.Client for a simulated client. It records what the daemon's handler sends.
 type clientExchange struct {
 	client  *client
 	record  *histories.Answer
 	headers map[string][]string
 	parser  loadtest.EventParser
-	// unparsed is the part of the answer behind the last complete line.
+	// unparsed is the part of the answer after the last complete line.
 	unparsed string
-	// onHangUp is what the daemon wants called when the client hangs up.
-	onHangUp func()
+	// onDisconnect, if set, is called when the client's disconnect reaches the daemon's process.
+	onDisconnect func()
 }
 
 var _ netio.Client = (*clientExchange)(nil)
@@ -49,13 +49,13 @@
 // Method returns the request's method.
 func (exchange *clientExchange) Method() string { return "POST" }
 
-// Authority returns the host that the request names.
+// Authority returns the requested host.
 func (exchange *clientExchange) Authority() string { return "sim" }
 
 // Target returns the request's path.
 func (exchange *clientExchange) Target() string { return "/v1/stream" }
 
-// Headers passes each request header, in the order of their names.
+// Headers calls each for every request header, sorted by name.
 func (exchange *clientExchange) Headers(each func(name, value string)) {
 	for _, name := range slices.Sorted(maps.Keys(exchange.headers)) {
 		for _, value := range exchange.headers[name] {
@@ -67,47 +67,49 @@
 // Body returns the request's body.
 func (exchange *clientExchange) Body() []byte { return exchange.client.drawn.Body() }
 
-// ConnectedAt returns when the connection reached the daemon's machine, by that machine's clock. A frozen daemon takes
-// it only once it is resumed, and a little later.
-func (exchange *clientExchange) ConnectedAt() time.Time { return exchange.client.host.local() }
+// ConnectedAt returns the time when the connection reached the daemon's machine, by that machine's clock. A frozen
+// daemon accepts it only after it has been resumed.
+func (exchange *clientExchange) ConnectedAt() time.Time { return exchange.client.host.localTime() }
 
 // CloseAfterResponse does nothing: each client sends one request.
 func (exchange *clientExchange) CloseAfterResponse() {}
 
-// Respond takes a complete response, and checks that it came as soon as it was decided.
+// Respond records a complete response, and checks that it was sent as soon as it was decided.
 func (exchange *clientExchange) Respond(status int, headers []netio.Header, body []byte) {
 	exchange.recordHead(status, headers)
 	loadtest.ParseRejection(exchange.record, body)
-	if !exchange.client.hungUp {
+	if !exchange.client.disconnected {
 		exchange.requirePrompt()
 	}
 }
 
-// requirePrompt checks that a response is not held back. From the moment at which its last way was lost a request has
-// nothing to wait for, but that its daemon is sure of its spec: only then can it be said whether there is another way.
+// requirePrompt checks that a response is not held back. Once the last runner that could serve a request is lost, the
+// request waits for nothing but its daemon's lease: without a current configuration the daemon can't know whether
+// another runner could serve it.
 func (exchange *clientExchange) requirePrompt() {
 	host := exchange.client.host
 	world := host.world
-	lost := world.coroutines.current.decided
+	lost := world.coroutines.current.decidedAt
 	decided := lost
 	if host.daemon.leasedSince.After(decided) {
 		decided = host.daemon.leasedSince
 	}
 	if held := world.Now.Sub(decided); !lost.IsZero() && held > answerBound &&
-		host.local().Before(host.daemon.plane.Snapshot().Until) {
+		host.localTime().Before(host.daemon.plane.Snapshot().Until) {
 		world.Check.violation("held-back: %s got its final %q %v after it was decided", exchange.record.Request,
 			exchange.record.Kind, held)
 	}
 }
 
-// Stream takes a response event by event.
+// Stream records a streamed response event by event.
 func (exchange *clientExchange) Stream(status int, headers []netio.Header, source io.ReadCloser) {
 	exchange.recordHead(status, headers)
 	exchange.relay(source)
-	// Not deferred: a process that ends in the middle closes nothing in order.
+	// Not deferred: a process that is killed in the middle closes nothing in order.
 	_ = source.Close()
 }
 
+// recordHead records the status and the headers of a response.
 func (exchange *clientExchange) recordHead(status int, headers []netio.Header) {
 	exchange.record.Status = status
 	for _, header := range headers {
@@ -121,7 +123,7 @@
 	}
 }
 
-// relay takes what a source gives up to its end, or until the client has hung up.
+// relay reads a source to its end, or until the client has disconnected.
 func (exchange *clientExchange) relay(source io.Reader) {
 	for buffer := make([]byte, 4<<10); ; {
 		count, err := source.Read(buffer)
@@ -136,10 +138,10 @@
 	}
 }
 
-// Write is what reaches the client, which may hang up in the middle.
+// Write passes content to the client, which may disconnect in the middle.
 func (exchange *clientExchange) Write(content []byte) (int, error) {
 	if exchange.record.HungUp {
-		return 0, errHungUp
+		return 0, errDisconnected
 	}
 	exchange.unparsed += string(content)
 	for {
@@ -150,28 +152,29 @@
 		exchange.unparsed = rest
 		exchange.parser.ParseLine(exchange.client.traffic.world.Now, line)
 	}
-	exchange.client.hangUpMidway()
+	exchange.client.disconnectMidway()
 	return len(content), nil
 }
 
-// Disconnected reports whether the close has reached the daemon's machine.
+// Disconnected reports whether the disconnect has reached the daemon's machine.
 func (exchange *clientExchange) Disconnected() bool { return !exchange.record.HungUpAt.IsZero() }
 
-// OnDisconnect has a function called when the close comes, or a moment later where it is there.
-func (exchange *clientExchange) OnDisconnect(left func()) (stop func()) {
-	exchange.onHangUp = left
+// OnDisconnect registers a function to be called when the client disconnects. If it has disconnected already, the call
+// is scheduled as the next event.
+func (exchange *clientExchange) OnDisconnect(notify func()) (stop func()) {
+	exchange.onDisconnect = notify
 	if exchange.Disconnected() {
-		exchange.client.traffic.world.After(0, exchange.notifyHangUp)
+		exchange.client.traffic.world.After(0, exchange.notifyDisconnect)
 	}
-	return func() { exchange.onHangUp = nil }
+	return func() { exchange.onDisconnect = nil }
 }
 
-// notifyHangUp has the daemon's process learn of the close, at once or when it wakes from a freeze.
-func (exchange *clientExchange) notifyHangUp() {
+// notifyDisconnect notifies the daemon's process of the disconnect, at once or when it wakes from a freeze.
+func (exchange *clientExchange) notifyDisconnect() {
 	client := exchange.client
-	client.host.on(client.incarnation, func() {
-		if notify := exchange.onHangUp; notify != nil {
-			exchange.onHangUp = nil
+	client.host.runInProcess(client.incarnation, func() {
+		if notify := exchange.onDisconnect; notify != nil {
+			exchange.onDisconnect = nil
 			notify()
 		}
 	})
--- a/verify/simulation/client_exchange_test.go
+++ b/verify/simulation/client_exchange_test.go
@@ -11,12 +11,12 @@
 	for name, delay := range map[string]time.Duration{"at once": 0, "held back": 10 * answerBound} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			world := settledPath(t)
-			traffic, host := world.Traffic, world.Datas()[0]
+			world := settledFleetWithTraffic(t)
+			traffic, host := world.Traffic, world.Daemons()[0]
 			waiting := traffic.newClient(traffic.Mix.Draw(traffic.random, 0), host.Zone)
 			waiting.host, waiting.incarnation = host, host.incarnation
 			world.coroutines.spawn(host, func() {
-				world.coroutines.current.decided = world.Now
+				world.coroutines.current.decidedAt = world.Now
 				world.coroutines.sleep(delay)
 				waiting.exchange.Respond(503, nil, []byte("{}"))
 			})
@@ -31,21 +31,21 @@
 
 func TestClientExchangeEndsWhenItsClientHangsUp(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
-	host := world.Datas()[0]
+	world := settledFleetWithTraffic(t)
+	host := world.Daemons()[0]
 	leaving := request(world, host)
-	leaving.hangsUpAfter = 2
+	leaving.disconnectsAfter = 2
 	world.Run(30 * time.Second)
 	record := leaving.record
 	if !record.HungUp || record.HungUpAt.IsZero() || record.Done || len(record.IDs) != 2 {
-		t.Errorf("hung up %v, done %v, %d events", record.HungUp, record.Done, len(record.IDs))
+		t.Errorf("disconnected %v, done %v, %d events", record.HungUp, record.Done, len(record.IDs))
 	}
 	if !leaving.exchange.Disconnected() || !leaving.finished || len(host.daemon.clients) != 0 {
 		t.Errorf("disconnected %v, finished %v, %d clients", leaving.exchange.Disconnected(), leaving.finished,
 			len(host.daemon.clients))
 	}
 	if _, err := leaving.exchange.Write([]byte("id: 3\n")); err == nil {
-		t.Error("a client that has hung up takes events")
+		t.Error("a client that has disconnected accepts events")
 	}
 	for _, violation := range world.Check.Violations {
 		t.Error(violation)
--- a/verify/simulation/closed_zone_test.go
+++ b/verify/simulation/closed_zone_test.go
@@ -8,17 +8,17 @@
 	"wardtray/wire"
 )
 
-// TestClosedZoneIsLeft keeps a zone closed for longer than requests may still go there, without any fault; whether the
-// attempt "closed zone" closes one for so long depends on its seed.
+// A zone that stays closed for longer than histories.ZoneBound gets no more requests, in a fleet without faults. The
+// attempt "closed zone" closes a zone for so long under some seeds only.
 func TestClosedZoneIsLeft(t *testing.T) {
 	t.Parallel()
 	if underRace {
-		t.Skip("played without the race detector")
+		t.Skip("not run under the race detector")
 	}
 	for index, shape := range []Shape{GuildPath, FerriesPath} {
 		t.Run(shape.Mix.Pool, func(t *testing.T) {
 			t.Parallel()
-			world := Found(int64(index+1), shape)
+			world := NewDeployment(int64(index+1), shape)
 			defer world.Close()
 			world.Run(8 * time.Second)
 			newOperators(world, 500_000).apply(world.Cores()[0])
@@ -30,7 +30,7 @@
 			order := world.Check.Send(world.Cores()[0], closing)
 			world.Run(time.Second)
 			if order.Outcome != "accepted" {
-				t.Fatalf("the closing is %q", order.Outcome)
+				t.Fatalf("closing the zone: outcome %q", order.Outcome)
 			}
 			world.Run(histories.ZoneBound)
 			runs := len(traffic.History.Runs)
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -13,34 +13,36 @@
 	"wardtray/verify/histories"
 )
 
-const retryEvery = 60 * time.Millisecond
+// retransmitInterval is the interval at which a dial or a transfer over a broken path is tried again.
+const retransmitInterval = 60 * time.Millisecond
 
 var (
-	errReset       = errors.New("connection reset by the other side")
+	errReset       = errors.New("connection reset by peer")
 	errRefused     = errors.New("connection refused")
-	errNotAccepted = errors.New("the other side's machine takes nothing")
+	errNotAccepted = errors.New("the peer's machine acknowledges nothing")
 )
 
-// packet is bytes on their way, or the end of a stream.
+// packet is a write in flight, or the end of a stream.
 type packet struct {
 	content []byte
 	sent    time.Time
 	end     bool
 }
 
-// conn is one end of a connection. It keeps order and loses nothing while it stands: a cut, a dark
-// machine and a freeze only hold bytes up; a crash resets it.
+// conn is one end of a connection. It delivers bytes in order and loses none while it is open: cut links, powered-off
+// machines and freezes only delay them, and a crash resets the connection.
 type conn struct {
-	world  *World
-	owner  *Host
-	peer   *conn
-	remote string
-	terms  netio.Timeouts
-	// inFlight are the packets that the other machine has not taken yet.
-	inFlight []packet
-	pumping  bool
-	received []byte
-	// receivedAt is when the oldest bytes that were not read yet came.
+	world    *World
+	owner    *Host
+	peer     *conn
+	remote   string
+	timeouts netio.Timeouts
+	// inFlight are the packets that the other machine has not received yet; transferring means that an event for the first
+	// of them is scheduled.
+	inFlight     []packet
+	transferring bool
+	received     []byte
+	// receivedAt is when the oldest unread bytes arrived.
 	receivedAt time.Time
 	// sentAt is when those bytes were written.
 	sentAt   time.Time
@@ -49,9 +51,9 @@
 	err      error
 	deadline time.Time
 	reader   *coroutine
-	// boundContext ends the connection with it; nil: nothing does.
+	// boundContext is the context that ends reads and writes when it ends; nil: none.
 	boundContext context.Context
-	// run is what a runner's end serves now, and server the coroutine that does.
+	// run is what a runner's end is serving, server the coroutine that serves it.
 	run    *histories.Run
 	server *coroutine
 }
@@ -61,20 +63,27 @@
 func (address address) Network() string { return "sim" }
 func (address address) String() string  { return string(address) }
 
+// transitTime draws the time that a packet takes.
 func (network *network) transitTime() time.Duration {
 	return network.Delay/4 + time.Duration(network.world.random.Int63n(int64(network.Jitter)/4+1))
 }
 
-// dial makes a connection from the running coroutine.
-func (network *network) dial(ctx context.Context, from *Host, target string, terms netio.Timeouts) (netio.Conn, error) {
+// dial opens a connection from the running coroutine. While there is no path both ways, it retries until the dial
+// timeout.
+func (network *network) dial(
+	ctx context.Context,
+	from *Host,
+	target string,
+	timeouts netio.Timeouts,
+) (netio.Conn, error) {
 	world := network.world
 	to, started, coroutine := world.byName[target], world.Now, world.coroutines.current
-	defer func() { coroutine.decided = world.Now }()
+	defer func() { coroutine.decidedAt = world.Now }()
 	for to != nil && !(world.topology.passes(from, to) && world.topology.passes(to, from)) {
-		if world.Now.Sub(started) >= terms.Dial {
+		if world.Now.Sub(started) >= timeouts.Dial {
 			return nil, apierror.Wrap(os.ErrDeadlineExceeded, apierror.Unreachable, "dialing %s", target)
 		}
-		world.coroutines.wait(ctx, min(retryEvery, terms.Dial), nil)
+		world.coroutines.wait(ctx, min(retransmitInterval, timeouts.Dial), nil)
 		if err := ctx.Err(); err != nil {
 			return nil, apierror.Wrap(err, apierror.Unreachable, "dialing %s", target)
 		}
@@ -86,7 +95,7 @@
 	if to == nil || !to.up || to.runner == nil {
 		return nil, apierror.Wrap(errRefused, apierror.Unreachable, "dialing %s", target)
 	}
-	near := &conn{world: world, owner: from, remote: target, terms: terms}
+	near := &conn{world: world, owner: from, remote: target, timeouts: timeouts}
 	far := &conn{world: world, owner: to, remote: from.Address, peer: near}
 	near.peer = far
 	from.conns, to.conns = append(from.conns, near), append(to.conns, far)
@@ -95,6 +104,7 @@
 	return near, nil
 }
 
+// fail ends this end with an error, cancels its run and wakes its readers.
 func (conn *conn) fail(err error) {
 	if conn.err == nil {
 		conn.err = err
@@ -111,7 +121,7 @@
 	}
 }
 
-// reset tells the other side that this end is no more, if that can be told.
+// reset resets the other end, if there is a path to its machine.
 func (conn *conn) reset() {
 	world, peer := conn.world, conn.peer
 	if !world.topology.passes(conn.owner, peer.owner) {
@@ -120,14 +130,14 @@
 	world.After(world.network.transitTime(), func() { peer.fail(errReset) })
 }
 
-// resetBothEnds has both ends learn of a reset when it comes to them, before, while or after they write.
+// resetBothEnds resets both ends independently, each a transit time from now: before, while or after it writes.
 func (conn *conn) resetBothEnds() {
 	world := conn.world
 	world.After(world.network.transitTime(), func() { conn.fail(errReset) })
 	world.After(world.network.transitTime(), func() { conn.peer.fail(errReset) })
 }
 
-// crash ends this end with its process; reachable is whether its machine still answers for it.
+// crash ends this end together with its process; reachable means that its machine still sends a reset.
 func (conn *conn) crash(reachable bool) {
 	conn.closed = true
 	conn.inFlight = nil
@@ -136,7 +146,7 @@
 	}
 }
 
-// bindRun notes which run this end works on, so that the run is told when its connection ends.
+// bindRun sets the run that this end works on, which is cancelled when the connection ends.
 func (conn *conn) bindRun(run *histories.Run) {
 	conn.run = run
 	if conn.err != nil || conn.peer.closed {
@@ -144,35 +154,36 @@
 	}
 }
 
-// cancelRun notes that whoever waited for this end's run does no more.
+// cancelRun records that nobody waits for this end's run any more.
 func (conn *conn) cancelRun() {
 	if conn.run != nil && conn.run.Canceled.IsZero() {
 		conn.run.Canceled = conn.world.Now
 	}
 }
 
-// startTransfer carries packets over, in order.
+// startTransfer schedules the transfer of the first packet in flight.
 func (conn *conn) startTransfer() {
-	if conn.pumping || len(conn.inFlight) == 0 {
+	if conn.transferring || len(conn.inFlight) == 0 {
 		return
 	}
-	conn.pumping = true
+	conn.transferring = true
 	conn.world.After(conn.world.network.transitTime(), conn.transfer)
 }
 
+// transfer delivers the first packet in flight, or tries again later while there is no path both ways.
 func (conn *conn) transfer() {
-	conn.pumping = false
+	conn.transferring = false
 	if len(conn.inFlight) == 0 {
 		return
 	}
 	world, peer, first := conn.world, conn.peer, conn.inFlight[0]
 	if !world.topology.passes(conn.owner, peer.owner) || !world.topology.passes(peer.owner, conn.owner) {
-		if conn.terms.Unacknowledged > 0 && world.Now.Sub(first.sent) >= conn.terms.Unacknowledged {
+		if conn.timeouts.Unacknowledged > 0 && world.Now.Sub(first.sent) >= conn.timeouts.Unacknowledged {
 			conn.fail(errNotAccepted)
 			return
 		}
-		conn.pumping = true
-		world.After(retryEvery, conn.transfer)
+		conn.transferring = true
+		world.After(retransmitInterval, conn.transfer)
 		return
 	}
 	conn.inFlight = conn.inFlight[1:]
@@ -188,10 +199,10 @@
 	conn.startTransfer()
 }
 
-// Read returns what has arrived, and parks until something has.
+// Read returns the bytes that have arrived, and parks the coroutine until there are any.
 func (conn *conn) Read(into []byte) (int, error) {
 	coroutine := conn.world.coroutines.current
-	defer func() { coroutine.decided = conn.world.Now }()
+	defer func() { coroutine.decidedAt = conn.world.Now }()
 	for {
 		if conn.closed || conn.contextEnded() {
 			return 0, net.ErrClosed
@@ -207,18 +218,18 @@
 		if conn.finished {
 			return 0, io.EOF
 		}
-		if !conn.deadline.IsZero() && !conn.owner.local().Before(conn.deadline) {
+		if !conn.deadline.IsZero() && !conn.owner.localTime().Before(conn.deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		conn.reader = conn.world.coroutines.current
-		conn.reader.arrive = conn.contextEnded
+		conn.reader.isReady = conn.contextEnded
 		conn.reader.park()
-		conn.reader.arrive = nil
+		conn.reader.isReady = nil
 		conn.reader = nil
 	}
 }
 
-// Write hands bytes to the machine's own system, which sends them as it can.
+// Write hands bytes to the machine's network stack, which sends them when it can.
 func (conn *conn) Write(content []byte) (int, error) {
 	if conn.closed || conn.contextEnded() {
 		return 0, net.ErrClosed
@@ -231,8 +242,8 @@
 	return len(content), nil
 }
 
-// Close aborts a daemon's connection: what was not taken yet is not sent any more. A runner's own end
-// closes as systems do, after all that was written.
+// Close aborts a daemon's connection: packets in flight are dropped. A runner's end closes gracefully, after all that
+// was written.
 func (conn *conn) Close() error {
 	if conn.closed {
 		return net.ErrClosed
@@ -250,13 +261,13 @@
 	return nil
 }
 
-// Bind has reads and writes end with a context; who uses the connection closes it then.
+// Bind ends reads and writes when a context ends; the user of the connection closes it then.
 func (conn *conn) Bind(ctx context.Context) (release func() bool) {
 	conn.boundContext = ctx
 	return func() bool {
-		stands := !conn.contextEnded()
+		bound := !conn.contextEnded()
 		conn.boundContext = nil
-		return stands
+		return bound
 	}
 }
 
@@ -265,19 +276,19 @@
 	return conn.boundContext != nil && conn.boundContext.Err() != nil
 }
 
-// Idle reports whether nothing has come that was not asked for.
+// Idle reports whether the connection is open and has no unread bytes, so that it can be reused.
 func (conn *conn) Idle() bool {
 	return !conn.closed && !conn.contextEnded() && conn.err == nil && !conn.finished && len(conn.received) == 0
 }
 
-// SetDeadline bounds reading, by the owner's own clock.
+// SetDeadline sets the deadline of reads, by the owner's clock.
 func (conn *conn) SetDeadline(at time.Time) error {
 	conn.deadline = at
 	if at.IsZero() {
 		return nil
 	}
-	left := at.Sub(conn.owner.local())
-	// The owner's clock may go half a percent slower than the world's.
+	left := at.Sub(conn.owner.localTime())
+	// The owner's clock may run half a percent slower than simulated time.
 	conn.world.After(max(0, left+left/100+time.Millisecond), func() {
 		if conn.deadline.Equal(at) {
 			conn.world.coroutines.wake(conn.reader)
@@ -286,14 +297,14 @@
 	return nil
 }
 
-// SetReadDeadline is SetDeadline: writing never waits.
+// SetReadDeadline is SetDeadline: writes never block.
 func (conn *conn) SetReadDeadline(at time.Time) error { return conn.SetDeadline(at) }
 
-// SetWriteDeadline does nothing: writing never waits.
+// SetWriteDeadline does nothing: writes never block.
 func (conn *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// LocalAddr and RemoteAddr name the two machines.
+// LocalAddr returns the address of the owner's machine.
 func (conn *conn) LocalAddr() net.Addr { return address(conn.owner.Address) }
 
-// RemoteAddr names the other machine.
+// RemoteAddr returns the address of the other machine.
 func (conn *conn) RemoteAddr() net.Addr { return address(conn.remote) }
--- a/verify/simulation/connection_faults.go
+++ b/verify/simulation/connection_faults.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// resetGap is at most the time between two resets of connections.
+	// resetGap is the longest time between two resets of connections.
 	resetGap = 200 * time.Millisecond
-	// momentaryFreeze is at most how long a daemon freezes that does so again and again, momentaryRun how long it runs
-	// between two freezes.
+	// momentaryFreeze is the longest of the repeated freezes of a daemon, momentaryRun the longest time that it runs
+	// between two of them.
 	momentaryFreeze = 1500 * time.Millisecond
 	momentaryRun    = 300 * time.Millisecond
 )
 
-// connectionFaults concern the connections between daemons and runners.
+// connectionFaults are the kinds of fault of connections between daemons and runners.
 var connectionFaults = map[string]Fault{
 	"daemon cut from runners":    onDaemon(unresponsive, cutFromRunners),
 	"daemon frozen for a moment": onDaemon(impact{}, freezeForMoments),
@@ -23,8 +23,8 @@
 	return world.topology.Heal
 }
 
-// freezeForMoments freezes a process again and again. It stops wherever an exchange reads, waits or dials, which is as
-// near to a write as the simulator comes.
+// freezeForMoments freezes a process repeatedly. A process stops only where an exchange reads, waits or dials; the
+// simulator can't stop it in the middle of a write.
 func freezeForMoments(world *World, host *Host) func() {
 	going := true
 	var freeze func()
@@ -42,16 +42,16 @@
 	return func() { going = false }
 }
 
-// resetConnections resets about half of a daemon's connections, again and again.
+// resetConnections repeatedly resets about half of the connections of a random daemon.
 func resetConnections(world *World) func() {
-	touched, going := &touchedRunners{world: world, impact: impact{knowable: perConnection}}, true
+	affected, going := &affectedRunners{world: world, impact: impact{detectableAfter: perConnection}}, true
 	var reset func()
 	reset = func() {
 		if !going {
 			return
 		}
-		touched.record()
-		host := world.pick(world.Datas())
+		affected.record()
+		host := world.pick(world.Daemons())
 		for _, conn := range append([]*conn{}, host.conns...) {
 			if world.random.Intn(2) == 0 {
 				conn.resetBothEnds()
@@ -60,33 +60,33 @@
 		world.After(time.Duration(world.random.Int63n(int64(resetGap))), reset)
 	}
 	reset()
-	return both(touched.end, func() { going = false })
+	return both(affected.end, func() { going = false })
 }
 
-// touchedRunners are the runners that a fault touches for as long as it lasts, those included that come meanwhile.
-type touchedRunners struct {
+// affectedRunners are the runners that a fault affects, including those that start while it lasts.
+type affectedRunners struct {
 	world  *World
 	impact impact
 	known  map[string]bool
 	ends   []func()
 }
 
-// record records the fault for the runners that are new.
-func (touched *touchedRunners) record() {
-	if touched.known == nil {
-		touched.known = map[string]bool{}
+// record records the fault for the runners that have started since the last call.
+func (affected *affectedRunners) record() {
+	if affected.known == nil {
+		affected.known = map[string]bool{}
 	}
-	for _, host := range touched.world.Runners() {
-		if identity := host.runner.engine.id; !touched.known[identity] {
-			touched.known[identity] = true
-			touched.ends = append(touched.ends, touched.world.injector.record(touched.impact, host))
+	for _, host := range affected.world.Runners() {
+		if identity := host.runner.engine.id; !affected.known[identity] {
+			affected.known[identity] = true
+			affected.ends = append(affected.ends, affected.world.injector.record(affected.impact, host))
 		}
 	}
 }
 
-// end records the end of the fault.
-func (touched *touchedRunners) end() {
-	for _, end := range touched.ends {
+// end records the end of the fault for all affected runners.
+func (affected *affectedRunners) end() {
+	for _, end := range affected.ends {
 		end()
 	}
 }
--- a/verify/simulation/core_process_test.go
+++ b/verify/simulation/core_process_test.go
@@ -17,12 +17,12 @@
 	undo := fillDisk(world, host)
 	host.Boot()
 	if host.Up() {
-		t.Fatal("a core runs from a full, empty disk")
+		t.Fatal("a control node runs without space on its empty disk")
 	}
 	undo()
 	world.Run(2 * bootRetryInterval)
 	if !host.Up() {
-		t.Error("the core does not run though its disk has space again")
+		t.Error("the control node does not run although its disk has space again")
 	}
 }
 
@@ -34,12 +34,12 @@
 	host.Kill()
 	host.Boot()
 	if again := host.core.node.Self().Id; again != first {
-		t.Errorf("%s is %s after a restart", first, again)
+		t.Errorf("identity %s became %s after a restart", first, again)
 	}
 	host.core.wipe()
 	host.Boot()
 	if wiped := host.core.node.Self().Id; wiped == first {
-		t.Errorf("%s has kept its identity without its disk", first)
+		t.Errorf("identity %s was kept without its disk", first)
 	}
 }
 
@@ -48,7 +48,7 @@
 	world := settledFleet(t)
 	host, ended := world.Cores()[0], false
 	host.core.decommission(func() { ended = true })
-	world.Run(graceTime + time.Second)
+	world.Run(shutdownGracePeriod + time.Second)
 	if !ended || host.Up() {
 		t.Errorf("ended %v, up %v", ended, host.Up())
 	}
--- a/verify/simulation/core_storage.go
+++ b/verify/simulation/core_storage.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// minimumWriteTime is the least time that a batch of writes takes, writeTimeSpread the most that chance adds to it.
+	// minimumWriteTime is the shortest time that a batch of writes takes, writeTimeSpread the longest random addition to
+	// it.
 	minimumWriteTime = time.Millisecond
 	writeTimeSpread  = 3 * time.Millisecond
-	// stallPollInterval is how often a batch looks whether its disk still stalls.
+	// stallPollInterval is the interval at which a batch checks whether its disk still stalls.
 	stallPollInterval = 20 * time.Millisecond
 )
 
-// coreStorage is the disk of a core's machine with the writes that wait for it, one batch at a time. While the process
-// is frozen the disk works on, and the process hears of it when it wakes.
+// coreStorage is the disk of a control machine with its queue of writes, written one batch at a time. While the process
+// is frozen the disk continues, and the process is notified when it wakes.
 type coreStorage struct {
 	core  *coreProcess
 	disk  *disk
 	store *snapshot.Store
-	// queued are the writes behind the batch that is being written.
+	// queued are the writes that follow the batch being written.
 	queued  []statemachine.Write
 	writing bool
-	// stalled means that the disk completes nothing, delay is what it adds to the time of each batch.
+	// stalled means that the disk completes nothing; delay is added to the time of each batch.
 	stalled bool
 	delay   time.Duration
 }
@@ -34,10 +35,10 @@
 	return &coreStorage{core: core, disk: newDisk(core.host.world.random)}
 }
 
-// recoverState reads what the disk holds, as a process does that starts; newIdentity names a disk that is empty.
+// recoverState reads the disk as a starting process does; newIdentity names an empty disk.
 func (device *coreStorage) recoverState(newIdentity func() string) (storage.Recovery, error) {
 	device.reset()
-	device.disk.dying = false
+	device.disk.losingPower = false
 	recovered, err := storage.Recover(device.disk, newIdentity, "")
 	if err != nil {
 		return storage.Recovery{}, err
@@ -46,16 +47,16 @@
 	return recovered, nil
 }
 
-// reset forgets the writes that wait, as the end of the process does.
+// reset drops the queued writes, as the end of the process does.
 func (device *coreStorage) reset() { device.queued, device.writing = nil, false }
 
-// enqueue has the disk carry out more writes.
+// enqueue adds writes to the queue.
 func (device *coreStorage) enqueue(writes []statemachine.Write) {
 	device.queued = append(device.queued, writes...)
 	device.writeNext()
 }
 
-// writeNext begins a batch of all that waits, unless one is being written or the disk stalls.
+// writeNext starts a batch of all queued writes, unless one is being written or the disk stalls.
 func (device *coreStorage) writeNext() {
 	if device.writing || len(device.queued) == 0 || device.stalled {
 		return
@@ -69,7 +70,7 @@
 	})
 }
 
-// finish completes a batch once the disk does not stall, and tells the process, if it is still that incarnation.
+// finish completes a batch once the disk does not stall, and notifies the process if it is still in that incarnation.
 func (device *coreStorage) finish(incarnation int, batch []statemachine.Write) {
 	core, host := device.core, device.core.host
 	if !host.up || host.incarnation != incarnation {
@@ -81,9 +82,9 @@
 	}
 	device.writing = false
 	storage.WriteBatch(device.store, batch, func(sequence uint64) {
-		host.on(incarnation, func() { core.node.Synced(host.local(), sequence) })
+		host.runInProcess(incarnation, func() { core.node.Synced(host.localTime(), sequence) })
 	}, func(error) {
-		host.on(incarnation, func() { core.node.DiskFailed(host.local()) })
+		host.runInProcess(incarnation, func() { core.node.DiskFailed(host.localTime()) })
 	})
 	device.writeNext()
 }
@@ -94,11 +95,11 @@
 	device.writeNext()
 }
 
-// losePower has the power go in the middle of the writes that wait, of which a torn piece is left.
+// losePower cuts the power during the queued writes, which leaves a torn write behind.
 func (device *coreStorage) losePower() {
 	if len(device.queued) == 0 {
 		return
 	}
-	device.disk.dying = true
+	device.disk.losingPower = true
 	storage.WriteBatch(device.store, device.queued, func(uint64) {}, func(error) {})
 }
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -12,8 +12,8 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// coroutine is one piece of work of a host as a coroutine: it runs until it parks, and nothing else runs
-// meanwhile. The seed decides how soon it goes on after it was woken.
+// coroutine is one task of a host: it runs until it parks, and nothing else runs meanwhile. The seed decides how soon
+// it resumes after it was woken.
 type coroutine struct {
 	host        *Host
 	incarnation int
@@ -22,23 +22,24 @@
 	yield       func(struct{}) bool
 	woken       bool
 	finished    bool
-	arrive      func() bool
-	// decided is when this coroutine last learned something of its request's ways: a step of its scheduler, what a
-	// runner said, or that a connection failed.
-	decided time.Time
+	// isReady, if set, reports whether the condition that the coroutine is parked for holds.
+	isReady func() bool
+	// decidedAt is when this coroutine last learned something that decides its request: a decision of its scheduler, a
+	// runner's answer, or a failed connection.
+	decidedAt time.Time
 }
 
 // processEnded unwinds a coroutine whose process has ended.
 type processEnded struct{}
 
-// coroutines runs the pieces of work of all hosts, one at a time.
+// coroutines schedules the tasks of all hosts, one at a time.
 type coroutines struct {
 	world *World
-	// current is the coroutine that runs now; nil: none does.
+	// current is the running coroutine; nil: none.
 	current *coroutine
 }
 
-// spawn begins a piece of work in a host's process.
+// spawn starts a task in a host's process.
 func (coroutines *coroutines) spawn(host *Host, work func()) {
 	made := &coroutine{host: host, incarnation: host.incarnation}
 	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -54,7 +55,7 @@
 	coroutines.wake(made)
 }
 
-// wake lets a coroutine go on a moment later, or when its host wakes from a freeze.
+// wake schedules a coroutine to resume, up to 60 µs later, or when its host wakes from a freeze.
 func (coroutines *coroutines) wake(coroutine *coroutine) {
 	world := coroutines.world
 	if coroutine == nil || coroutine.woken || coroutine.finished {
@@ -62,11 +63,12 @@
 	}
 	coroutine.woken = true
 	world.After(time.Duration(world.random.Int63n(int64(60*time.Microsecond))), func() {
-		coroutine.host.on(coroutine.incarnation, func() { coroutines.goOn(coroutine) })
+		coroutine.host.runInProcess(coroutine.incarnation, func() { coroutines.resume(coroutine) })
 	})
 }
 
-func (coroutines *coroutines) goOn(coroutine *coroutine) {
+// resume runs a coroutine until it parks or ends.
+func (coroutines *coroutines) resume(coroutine *coroutine) {
 	coroutine.woken = false
 	if coroutine.finished {
 		return
@@ -89,14 +91,14 @@
 	}
 }
 
-// park lets everything else go on until somebody wakes this coroutine.
+// park suspends this coroutine until it is woken.
 func (coroutine *coroutine) park() {
 	if !coroutine.yield(struct{}{}) {
 		panic(processEnded{})
 	}
 }
 
-// sleep parks the running coroutine for a length of true time.
+// sleep parks the running coroutine for a duration of simulated time.
 func (coroutines *coroutines) sleep(length time.Duration) {
 	world := coroutines.world
 	coroutine, until := coroutines.current, world.Now.Add(length)
@@ -106,17 +108,18 @@
 	}
 }
 
-// wait parks the running coroutine for a length of true time, or until a channel is closed or a context ends.
+// wait parks the running coroutine for a duration of simulated time, or until a channel is closed or a context ends.
 func (coroutines *coroutines) wait(ctx context.Context, length time.Duration, woken <-chan struct{}) {
 	world := coroutines.world
 	coroutine, end := coroutines.current, world.Now.Add(length)
 	world.At(end, func() { coroutines.wake(coroutine) })
-	coroutines.until(func() bool { return closed(woken) || ctx.Err() != nil || !world.Now.Before(end) })
+	coroutines.parkUntil(func() bool { return closed(woken) || ctx.Err() != nil || !world.Now.Before(end) })
 	if closed(woken) {
-		coroutine.decided = world.Now
+		coroutine.decidedAt = world.Now
 	}
 }
 
+// closed reports whether a channel is closed.
 func closed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
@@ -126,32 +129,32 @@
 	}
 }
 
-// until parks the running coroutine until something of its own process holds.
-func (coroutines *coroutines) until(holds func() bool) {
+// parkUntil parks the running coroutine until a condition on its own process holds.
+func (coroutines *coroutines) parkUntil(holds func() bool) {
 	coroutine := coroutines.current
 	for !holds() {
-		coroutine.arrive = holds
+		coroutine.isReady = holds
 		coroutine.park()
 	}
-	coroutine.arrive = nil
+	coroutine.isReady = nil
 }
 
-// stir wakes whoever waited for something of its process that has come about.
-func (coroutines *coroutines) stir(host *Host) {
+// wakeReady wakes the coroutines of a host whose condition holds now.
+func (coroutines *coroutines) wakeReady(host *Host) {
 	for _, coroutine := range host.coroutines {
-		if coroutine.arrive != nil && coroutine.arrive() {
+		if coroutine.isReady != nil && coroutine.isReady() {
 			coroutines.wake(coroutine)
 		}
 	}
 }
 
-// await is how an exchange waits for its scheduler's next step.
+// await parks an exchange until its scheduler's next decision, or until its context ends.
 func (coroutines *coroutines) await(
 	ctx context.Context,
 	steps <-chan scheduler.Decision,
 ) (step scheduler.Decision, decided bool) {
-	coroutines.until(func() bool { return len(steps) > 0 || ctx.Err() != nil })
-	coroutines.current.decided = coroutines.world.Now
+	coroutines.parkUntil(func() bool { return len(steps) > 0 || ctx.Err() != nil })
+	coroutines.current.decidedAt = coroutines.world.Now
 	if len(steps) == 0 {
 		return scheduler.Decision{}, false
 	}
--- a/verify/simulation/coroutine_test.go
+++ b/verify/simulation/coroutine_test.go
@@ -22,7 +22,7 @@
 	})
 	host.world.After(2*time.Second, func() {
 		close(ready)
-		coroutines.stir(host)
+		coroutines.wakeReady(host)
 	})
 	host.world.Run(3 * time.Second)
 	if want := []string{"slept", "woken"}; !slices.Equal(happened, want) {
--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -7,8 +7,8 @@
 	"wardtray/wire"
 )
 
-// daemonCheck has data daemons schedule a request after each of their steps, if they would, and checks what they would
-// go by.
+// daemonCheck checks, after each step of a data daemon that would schedule requests, the configuration and the runners
+// that it would use.
 type daemonCheck struct {
 	checker *Checker
 	// served is the greatest epoch under which each daemon would have scheduled a request.
@@ -19,9 +19,9 @@
 	return &daemonCheck{checker: checker, served: map[*Host]uint64{}}
 }
 
-// step checks what a step of a running data daemon can have broken.
+// step checks the rules that a step of a running data daemon may have violated.
 func (check *daemonCheck) step(host *Host) {
-	checker, local := check.checker, host.local()
+	checker, local := check.checker, host.localTime()
 	world := checker.world
 	world.isolations.refresh()
 	snapshot := host.daemon.controller.Snapshot(local)
@@ -38,7 +38,7 @@
 	check.requireNoRemovedRunner(host, snapshot.Runners)
 }
 
-// requireNoOlderEpoch checks that a daemon does not go back to an older configuration.
+// requireNoOlderEpoch checks that a daemon does not return to an older configuration.
 func (check *daemonCheck) requireNoOlderEpoch(host *Host, epoch uint64) {
 	if served := check.served[host]; epoch < served {
 		check.checker.violation("%s slipped back from epoch %d to %d", host.Address, served, epoch)
@@ -46,7 +46,7 @@
 	check.served[host] = epoch
 }
 
-// requireAcknowledged checks that a daemon goes by every acknowledged change, but those that it may ignore yet.
+// requireAcknowledged checks that a daemon applies every acknowledged change, except those that it may still ignore.
 func (check *daemonCheck) requireAcknowledged(host *Host, epoch uint64) {
 	acknowledged := check.checker.outcomes.acknowledged
 	for index := len(acknowledged) - 1; index >= 0; index-- {
@@ -62,7 +62,8 @@
 	}
 }
 
-// requireNoRemovedRunner checks that a daemon soon knows of a runner that the platform took off its list.
+// requireNoRemovedRunner checks that a daemon drops a runner within histories.DrainingBound of its removal from the
+// platform's list.
 func (check *daemonCheck) requireNoRemovedRunner(host *Host, runners []*wire.Runner) {
 	world := check.checker.world
 	for _, runner := range runners {
@@ -71,19 +72,19 @@
 			continue
 		}
 		late := world.Now.Sub(left)
-		check.checker.recordWorst("work to a leaving runner", late)
+		check.checker.recordWorstCase("work to a leaving runner", late)
 		if late > histories.DrainingBound {
 			check.checker.violation("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, late)
 		}
 	}
 }
 
-// mayIgnore reports whether a daemon may still schedule by what it knew before something was acknowledged a while ago:
-// within a bound in any case, and while it has been without the core, for the time that its settings allow.
+// mayIgnore reports whether a daemon may still schedule by its state before a change that was acknowledged late ago:
+// within bound in any case, and while it is isolated from the control machines, for as long as its settings allow.
 func (check *daemonCheck) mayIgnore(host *Host, late, bound time.Duration) bool {
 	checker, world := check.checker, check.checker.world
 	if late <= bound {
-		checker.recordWorst("change ignored after the acknowledgement", late)
+		checker.recordWorstCase("change ignored after the acknowledgement", late)
 		return true
 	}
 	if world.WithoutCore == 0 {
@@ -92,13 +93,13 @@
 	isolation := world.isolations.of(host)
 	if !isolation.since.IsZero() {
 		length := world.Now.Sub(isolation.since)
-		checker.recordWorst("older news used without the core", length)
+		checker.recordWorstCase("older news used without the core", length)
 		return length <= world.WithoutCore+leaseBound
 	}
 	back := world.Now.Sub(isolation.finished)
 	if isolation.finished.IsZero() || back > reconnectBound {
 		return false
 	}
-	checker.recordWorst("older news used after the core was back", back)
+	checker.recordWorstCase("older news used after the core was back", back)
 	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
 }
--- a/verify/simulation/daemon_picker.go
+++ b/verify/simulation/daemon_picker.go
@@ -6,14 +6,15 @@
 	"wardtray/verify/emulator"
 )
 
-// unevenPart is the part of a zone's clients that are sent to one of its daemons where the load is uneven.
-const unevenPart = 0.8
+// unevenShare is the fraction of a zone's clients that are sent to one of its daemons while the load is uneven.
+const unevenShare = 0.8
 
-// daemonPicker is how the platform spreads clients over the daemons: by an opinion of them that trails the truth.
+// daemonPicker is the platform's load balancer: it distributes clients over the daemons by readiness information that
+// lags behind.
 type daemonPicker struct {
 	world  *World
 	random *rand.Rand
-	// eligible are the addresses of the daemons that are taken to be ready.
+	// eligible are the addresses of the daemons that the platform considers ready.
 	eligible map[string]bool
 	// uneven sends most clients of a zone to one of its daemons.
 	uneven bool
@@ -23,18 +24,18 @@
 	return &daemonPicker{world: world, random: random, eligible: map[string]bool{}}
 }
 
-// update takes the platform's opinion of the daemons, now and again and again.
+// update refreshes the platform's view of the daemons' readiness and schedules the next update.
 func (picker *daemonPicker) update() {
-	for _, host := range picker.world.Datas() {
+	for _, host := range picker.world.Daemons() {
 		picker.eligible[host.Address] = host.up && !host.frozen && host.daemon.plane.Ready()
 	}
 	picker.world.After(emulator.ListLag, picker.update)
 }
 
-// pick returns a daemon that the platform takes to be fit, in the client's zone if there is one.
+// pick returns a random eligible daemon, of the client's zone if it has any; nil if none is eligible.
 func (picker *daemonPicker) pick(zone string) *Host {
 	var near, far []*Host
-	for _, host := range picker.world.Datas() {
+	for _, host := range picker.world.Daemons() {
 		if picker.eligible[host.Address] && host.Zone == zone {
 			near = append(near, host)
 		}
@@ -48,7 +49,7 @@
 	if len(near) == 0 {
 		return nil
 	}
-	if picker.uneven && picker.random.Float64() < unevenPart {
+	if picker.uneven && picker.random.Float64() < unevenShare {
 		return near[0]
 	}
 	return near[picker.random.Intn(len(near))]
--- a/verify/simulation/daemon_process.go
+++ b/verify/simulation/daemon_process.go
@@ -15,23 +15,23 @@
 	"wardtray/wire"
 )
 
-// drainTime is how long a daemon told to stop goes on taking requests.
+// drainTime is the time for which a daemon that shuts down still accepts requests.
 const drainTime = 2 * time.Second
 
-// daemonProcess is the data daemon of one host, with the clients that it has.
+// daemonProcess is the data daemon of one host, with its clients.
 type daemonProcess struct {
 	host *Host
-	// controller and plane are those of the present process; nil: none runs.
+	// controller and plane belong to the running process; nil: none runs.
 	controller *controller.Controller
 	plane      *dataplane.Plane
-	// clients are those whose requests have no answer yet.
+	// clients are those whose requests are not answered yet.
 	clients []*client
-	// leasedUntil is up to when the daemon was last seen to be sure of its spec, by its own clock; leasedSince is since
-	// when it has been so without a break.
+	// leasedUntil is the end of the daemon's lease as last seen, by its own clock; leasedSince is the time since when it
+	// has held a lease without interruption.
 	leasedUntil, leasedSince time.Time
 }
 
-// boot starts a data daemon as its process would.
+// boot starts a data daemon as its process does.
 func (daemon *daemonProcess) boot() {
 	host, world := daemon.host, daemon.host.world
 	made, err := dataplane.New(daemon.environment(), daemon.settings())
@@ -41,30 +41,30 @@
 	daemon.plane = made
 	made.WithController(func(machine *controller.Controller) { daemon.controller = machine })
 	if world.Traffic != nil {
-		host.every(host.incarnation, dataplane.RebalanceInterval, made.Rebalance)
-		host.every(host.incarnation, dataplane.ProbeInterval, made.ProbeStale)
-		host.every(host.incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
-		host.every(host.incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
+		host.startRepeating(host.incarnation, dataplane.RebalanceInterval, made.Rebalance)
+		host.startRepeating(host.incarnation, dataplane.ProbeInterval, made.ProbeStale)
+		host.startRepeating(host.incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
+		host.startRepeating(host.incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
 	}
-	host.repeat(host.incarnation, tickEvery, func() {
+	host.repeat(host.incarnation, tickInterval, func() {
 		daemon.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Tick(now) })
 	})
 }
 
-// environment is the daemon's clock, coroutines and network.
+// environment returns the daemon's clock, coroutines and network.
 func (daemon *daemonProcess) environment() netio.Environment {
 	host, world := daemon.host, daemon.host.world
 	return netio.Environment{
-		Now:  host.local,
+		Now:  host.localTime,
 		Go:   func(work func()) { world.coroutines.spawn(host, work) },
 		Wait: world.coroutines.wait,
-		Dial: func(ctx context.Context, address string, terms netio.Timeouts) (netio.Conn, error) {
-			return world.network.dial(ctx, host, address, terms)
+		Dial: func(ctx context.Context, address string, timeouts netio.Timeouts) (netio.Conn, error) {
+			return world.network.dial(ctx, host, address, timeouts)
 		},
 	}
 }
 
-// settings are those of the present process.
+// settings returns the settings for a new process.
 func (daemon *daemonProcess) settings() dataplane.Settings {
 	host, world := daemon.host, daemon.host.world
 	incarnation, random := host.incarnation, rand.New(rand.NewSource(world.random.Int63()))
@@ -84,51 +84,51 @@
 	}
 }
 
-// afterStep wakes the coroutines for which the step has changed something.
+// afterStep wakes the coroutines whose conditions the step has made true, and checks the daemon.
 func (daemon *daemonProcess) afterStep() {
 	daemon.recordLease()
-	daemon.host.world.coroutines.stir(daemon.host)
+	daemon.host.world.coroutines.wakeReady(daemon.host)
 	daemon.host.world.Check.step(daemon.host)
 }
 
-// recordLease notes since when the daemon has been sure of its spec.
+// recordLease updates the period for which the daemon has held its lease.
 func (daemon *daemonProcess) recordLease() {
 	if daemon.plane == nil {
 		return
 	}
-	if local := daemon.host.local(); !local.Before(daemon.leasedUntil) {
+	if local := daemon.host.localTime(); !local.Before(daemon.leasedUntil) {
 		daemon.leasedSince = daemon.host.world.Now
 	}
 	daemon.leasedUntil = daemon.plane.Snapshot().Until
 }
 
-// holdsLease reports whether a running daemon is sure of its spec now.
+// holdsLease reports whether a running daemon holds a lease on its configuration.
 func (daemon *daemonProcess) holdsLease() bool {
-	local := daemon.host.local()
+	local := daemon.host.localTime()
 	return local.Before(daemon.controller.Until(local))
 }
 
-// receive hands a message to the controller.
+// receive passes a message to the controller.
 func (daemon *daemonProcess) receive(envelope *wire.Envelope) {
 	daemon.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Receive(now, envelope) })
 }
 
-// connectionRefused tells the controller that nobody listens at an address.
+// connectionRefused notifies the controller that an address refused a connection.
 func (daemon *daemonProcess) connectionRefused(address string, tried time.Time) {
 	daemon.plane.Step(func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, address, tried) })
 }
 
-// end has the clients see the end of their daemon.
+// end notifies the clients that their daemon has ended.
 func (daemon *daemonProcess) end() {
 	clients := daemon.clients
 	daemon.clients = nil
 	for _, client := range clients {
-		client.loseDaemon()
+		client.onDaemonLost()
 	}
 	daemon.controller, daemon.plane = nil, nil
 }
 
-// removeClient forgets a client whose request has ended.
+// removeClient removes a client whose request has ended.
 func (daemon *daemonProcess) removeClient(gone *client) {
 	for index, other := range daemon.clients {
 		if other == gone {
@@ -138,15 +138,15 @@
 	}
 }
 
-// drainAndRestart restarts the daemon as planned: it fails its readiness, finishes all that it has read, ends and is
-// started again.
+// drainAndRestart performs a planned restart: the daemon fails its readiness check, finishes all requests that it has
+// read, ends and is started again.
 func (daemon *daemonProcess) drainAndRestart() {
 	host := daemon.host
 	if !host.up || host.frozen {
 		return
 	}
 	incarnation := host.incarnation
-	host.on(incarnation, daemon.plane.Drain)
+	host.runInProcess(incarnation, daemon.plane.Drain)
 	var poll func()
 	poll = func() {
 		if host.incarnation != incarnation || !host.up {
@@ -164,7 +164,7 @@
 
 // describe writes the controller's state.
 func (daemon *daemonProcess) describe(text *strings.Builder) {
-	local := daemon.host.local()
+	local := daemon.host.localTime()
 	snapshot := daemon.controller.Snapshot(local)
 	fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", daemon.host.Address,
 		local.Before(snapshot.Until), snapshot.Sequence, snapshot.SpecEpoch, daemon.controller.View().GetEpoch())
--- a/verify/simulation/daemon_process_test.go
+++ b/verify/simulation/daemon_process_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// settledPath returns a small fleet with its request path that serves, and without requests of its own.
-func settledPath(t *testing.T) *World {
+// settledFleetWithTraffic returns a small serving fleet with its request path, without requests of its own.
+func settledFleetWithTraffic(t *testing.T) *World {
 	t.Helper()
-	world := Found(1, Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1},
+	world := NewDeployment(1, Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1},
 		Mix: GuildPath.Mix})
 	t.Cleanup(world.Close)
 	world.Run(8 * time.Second)
@@ -17,7 +17,7 @@
 	return world
 }
 
-// request has a client send a request to a daemon.
+// request makes a client send a request to a daemon.
 func request(world *World, host *Host) *client {
 	traffic := world.Traffic
 	drawn := traffic.Mix.Draw(traffic.random, 0)
@@ -27,8 +27,8 @@
 
 func TestDaemonProcessServesItsClientsToTheEnd(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
-	host := world.Datas()[0]
+	world := settledFleetWithTraffic(t)
+	host := world.Daemons()[0]
 	sent := request(world, host)
 	world.Run(50 * time.Millisecond)
 	if len(host.daemon.clients) != 1 || sent.finished {
@@ -47,8 +47,8 @@
 
 func TestDaemonProcessLosesItsClientsWhenItIsKilled(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
-	host := world.Datas()[0]
+	world := settledFleetWithTraffic(t)
+	host := world.Daemons()[0]
 	sent := request(world, host)
 	world.Run(50 * time.Millisecond)
 	host.Kill()
@@ -63,10 +63,10 @@
 
 func TestDaemonProcessNotesSinceWhenItHoldsItsLease(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
-	host := world.Datas()[0]
+	world := settledFleetWithTraffic(t)
+	host := world.Daemons()[0]
 	if !host.daemon.holdsLease() {
-		t.Fatal("a daemon beside the core holds no lease")
+		t.Fatal("a daemon that reaches the control machines holds no lease")
 	}
 	since := host.daemon.leasedSince
 	world.Run(5 * time.Second)
--- a/verify/simulation/deployment.go
+++ b/verify/simulation/deployment.go
@@ -9,22 +9,24 @@
 
 // Shape is the size of a simulated deployment.
 type Shape struct {
+	// Zones are the names of the zones; Machines and Disks are the numbers of machines and of disks in each of them.
 	Zones    []string
 	Machines []int
 	Disks    []int
-	// Faults is how many machines may lose their disks at once; 1 if not told.
+	// Faults is the number of machines that may lose their disks at once; 0 stands for 1.
 	Faults int
-	// Mix is the work of its clients; without one the control plane is played alone.
+	// Mix is the clients' workload; without one only the control plane is simulated.
 	Mix loadtest.Mix
 }
 
-// With returns the shape with its request path.
+// With returns the shape with a workload for the request path.
 func (shape Shape) With(mix loadtest.Mix) Shape {
 	shape.Mix = mix
 	return shape
 }
 
-// Guild and Ferries are the two deployments; their machines run both planes where there is a disk.
+// Guild and Ferries are the shapes of the two real deployments. A machine with a disk runs a control node and a data
+// daemon, any other machine a data daemon only.
 var (
 	Guild   = Shape{Zones: []string{"a", "b", "c"}, Machines: []int{4, 4, 4}, Disks: []int{1, 1, 1}}
 	Ferries = Shape{Zones: []string{"a", "b", "c", "d"}, Machines: []int{3, 3, 3, 2}, Disks: []int{1, 1, 1, 1}}
@@ -36,8 +38,8 @@
 	Narrow = Shape{Zones: []string{"a"}, Machines: []int{8}, Disks: []int{6}, Faults: 2}
 )
 
-// Found builds a deployment and boots it; what comes before that may change the world.
-func Found(seed int64, shape Shape, before ...func(world *World)) *World {
+// NewDeployment builds a deployment and starts it. The functions in before may change the world before the start.
+func NewDeployment(seed int64, shape Shape, before ...func(world *World)) *World {
 	world := NewWorld(seed)
 	world.Faults = max(1, shape.Faults)
 	var seeds []string
@@ -50,7 +52,7 @@
 					seeds = append(seeds, name+":core")
 				}
 			}
-			world.AddData(name+":data", zone)
+			world.AddDaemon(name+":data", zone)
 		}
 	}
 	world.SetSeeds(seeds)
@@ -69,16 +71,17 @@
 // wideZones are the zones of a wide deployment.
 var wideZones = []string{"a", "b", "c"}
 
-// foundWide builds a deployment of one core in each of three zones and so many daemons beside them, with a platform
-// that lists so many runners, and boots it; what comes before that may change the world.
-func foundWide(seed int64, daemons, listed int, before ...func(world *World)) *World {
+// newWideDeployment builds and starts a deployment with one control machine in each of three zones, the given number of
+// data daemons, and a platform that lists the given number of runners. The functions in before may change the world
+// before the start.
+func newWideDeployment(seed int64, daemons, listed int, before ...func(world *World)) *World {
 	world := NewWorld(seed)
 	seeds := make([]string, 0, len(wideZones))
 	for _, zone := range wideZones {
 		seeds = append(seeds, world.AddCore(zone+":core", zone).Address)
 	}
 	for number := range daemons {
-		world.AddData(fmt.Sprintf("d%04d", number), wideZones[number%len(wideZones)])
+		world.AddDaemon(fmt.Sprintf("d%04d", number), wideZones[number%len(wideZones)])
 	}
 	world.SetSeeds(seeds)
 	world.Platform.fill(listed)
@@ -89,7 +92,7 @@
 	return world
 }
 
-// bootEverything starts each process within half a second.
+// bootEverything starts each process at a random time within half a second.
 func bootEverything(world *World) {
 	for _, host := range world.Hosts {
 		world.After(time.Duration(world.random.Intn(500))*time.Millisecond, host.Boot)
--- a/verify/simulation/describe.go
+++ b/verify/simulation/describe.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// describedLog is how many of the last lines of the log a description shows.
+// describedLog is the number of log lines that a description ends with.
 const describedLog = 8
 
-// Describe reports the state of each machine, for whoever looks for the cause of a failure.
+// Describe returns the last lines of the log and the state of each machine, for the analysis of a failure.
 func (world *World) Describe() string {
 	text := &strings.Builder{}
 	for _, entry := range world.Log[max(0, len(world.Log)-describedLog):] {
@@ -22,7 +22,7 @@
 	return text.String()
 }
 
-// describe writes the state of a core or a data daemon.
+// describe writes the state of a control node or a data daemon.
 func (host *Host) describe(text *strings.Builder) {
 	switch {
 	case !host.up:
--- a/verify/simulation/disk.go
+++ b/verify/simulation/disk.go
@@ -5,18 +5,18 @@
 	"math/rand"
 )
 
-// disk is a simulated data folder: what is written is synced, unless the power goes in the middle,
-// which leaves a torn piece of the one write under way.
+// disk is a simulated data directory. Every write is synced at once, except that a power loss leaves a torn piece of
+// the one write in progress.
 type disk struct {
-	files  map[string][]byte
-	full   bool
-	dying  bool
-	random *rand.Rand
+	files       map[string][]byte
+	full        bool
+	losingPower bool
+	random      *rand.Rand
 }
 
 var (
 	errFull  = errors.New("no space left")
-	errPower = errors.New("the power is gone")
+	errPower = errors.New("power lost")
 )
 
 func newDisk(random *rand.Rand) *disk { return &disk{files: map[string][]byte{}, random: random} }
@@ -26,7 +26,7 @@
 	return append([]byte{}, content...), found, nil
 }
 
-// torn leaves a random piece of a write behind when the power goes.
+// torn fails a write on a full disk, or leaves a random prefix of it behind when the power is lost.
 func (disk *disk) torn(before, content []byte, name string) error {
 	if disk.full {
 		return errFull
@@ -36,7 +36,7 @@
 }
 
 func (disk *disk) Put(name string, content []byte) error {
-	if disk.full || disk.dying {
+	if disk.full || disk.losingPower {
 		return disk.torn(nil, content, name)
 	}
 	disk.files[name] = append([]byte{}, content...)
@@ -44,7 +44,7 @@
 }
 
 func (disk *disk) Append(name string, content []byte) error {
-	if disk.full || disk.dying {
+	if disk.full || disk.losingPower {
 		return disk.torn(disk.files[name], content, name)
 	}
 	disk.files[name] = append(append([]byte{}, disk.files[name]...), content...)
@@ -52,7 +52,7 @@
 }
 
 func (disk *disk) Rename(from, to string) error {
-	if disk.dying {
+	if disk.losingPower {
 		return errPower
 	}
 	disk.files[to] = disk.files[from]
--- a/verify/simulation/disk_faults.go
+++ b/verify/simulation/disk_faults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// diskFaults are the kinds of fault of cores' disks.
+// diskFaults are the kinds of fault of control machines' disks.
 var diskFaults = map[string]Fault{
 	"disk stalled":        onCore(stallDisk),
 	"head's disk stalled": onHead(stallDisk),
@@ -11,8 +11,8 @@
 	"core wiped":          wipeCore,
 }
 
-// wipeCore wipes a core's disk. Two disks lost at once are more than any deployment bears, and nothing could be checked
-// after that.
+// wipeCore wipes the disk of a control machine, if the fleet is redundant: two disks lost at once are beyond what any
+// deployment tolerates, and nothing could be checked after that.
 func wipeCore(world *World) func() {
 	if !world.recovery.isRedundant() {
 		return nothingToUndo
@@ -31,8 +31,9 @@
 	}
 }
 
-// damageDisk changes one bit on a core's disk. Other copies must be complete, or the fleet would have lost two
-// disks; and until a sweep has found it, or the machine has started anew, the loss of another disk is one too many.
+// damageDisk flips one bit on the disk of a control machine, if the fleet is redundant. The other copies must be
+// complete, or the fleet would have lost two disks. Until a scrub has found the damage, or the machine has restarted,
+// the loss of another disk is not tolerated either.
 func damageDisk(world *World) func() {
 	const damagedBit = 0x40
 	host := world.pick(world.Cores())
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -7,30 +7,30 @@
 	"wardtray/verify/emulator"
 )
 
-// engine is the runner of one host, as it is in one life: its load, its prefix cache, and the time that its work takes.
+// engine is one incarnation of a runner: its load, its prefix cache, and the time that its work takes.
 type engine struct {
-	misbehavior
+	faultyBehavior
 
 	world *World
 	host  *Host
-	// id, service and weights are what it says it is.
+	// id, service and weights are what it reports as its identity.
 	id      string
 	service string
 	weights string
 	profile emulator.RunnerProfile
 	started time.Time
-	// active counts the requests that it has taken and not ended, runs those that it has ever begun.
+	// active counts the requests that it has accepted and not ended, runs those that it has ever started.
 	active int
 	runs   int
 	slots  *engineSlots
-	// prefillFree is when the prompts are read that it has so far.
+	// prefillFree is when the prompts that it has accepted so far will have been read.
 	prefillFree time.Time
 	cache       *emulator.Cache[string]
-	// reports are its loads of late, the oldest first; it tells the oldest.
+	// reports are its recent load samples, the oldest first; it reports the oldest, profile.ReportAge late.
 	reports []load.Report
 }
 
-// newEngine begins a life of a runner.
+// newEngine starts an incarnation of a runner.
 func newEngine(host *Host, id, service, weights string) *engine {
 	profile := emulator.DefaultProfile
 	return &engine{
@@ -46,7 +46,7 @@
 	}
 }
 
-// observe notes the present load; the last of the notes that are kept is the newest.
+// observe samples the current load and drops samples older than profile.ReportAge.
 func (engine *engine) observe() {
 	running := min(engine.active, engine.profile.Slots)
 	engine.reports = append(engine.reports,
@@ -56,12 +56,12 @@
 	}
 }
 
-// warmingUp reports whether the runner is cold yet.
+// warmingUp reports whether the runner is still cold.
 func (engine *engine) warmingUp() bool {
 	return engine.world.Now.Sub(engine.started) < engine.profile.ColdTime
 }
 
-// capacity is how much the runner can truly do at once now.
+// capacity returns the number of requests that the runner can serve at once now.
 func (engine *engine) capacity() int {
 	if engine.warmingUp() {
 		return max(1, engine.profile.Slots/engine.profile.ColdFactor)
@@ -69,7 +69,7 @@
 	return engine.profile.Slots
 }
 
-// work lets a length of time pass; it reports whether the request's connection stood so long. A runner drops a request
+// work lets simulated time pass and reports whether the request's connection stayed open. A runner drops a request
 // whose connection ends.
 func (engine *engine) work(connection *conn, length time.Duration) bool {
 	world, coroutine := engine.world, engine.world.coroutines.current
@@ -81,7 +81,7 @@
 	return connection.err == nil
 }
 
-// prefill takes one prompt after the other; it reports whether the request's connection stood so long.
+// prefill reads one prompt after the other, and reports whether the request's connection stayed open.
 func (engine *engine) prefill(connection *conn, tokens int) bool {
 	length := engine.slowed(time.Duration(tokens) * engine.profile.TokenTime)
 	if engine.warmingUp() {
--- a/verify/simulation/engine_server.go
+++ b/verify/simulation/engine_server.go
@@ -16,7 +16,7 @@
 	"wardtray/verify/histories"
 )
 
-// serve answers one connection until it ends.
+// serve answers the requests of one connection until it ends.
 func (engine *engine) serve(connection *conn) {
 	// A connection that has ended already needs no close.
 	defer func() { _ = connection.Close() }()
@@ -27,7 +27,7 @@
 			return
 		}
 		reached := connection.receivedAt
-		// A request whose end never came is none.
+		// A request whose end never arrives is dropped.
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
@@ -40,7 +40,7 @@
 			if request.URL.Path == "/run" {
 				connection.bindRun(engine.recordRun(connection, request, reached, true))
 			}
-			engine.world.coroutines.until(func() bool { return false })
+			engine.world.coroutines.parkUntil(func() bool { return false })
 		}
 		if engine.late > 0 {
 			engine.world.coroutines.sleep(engine.late)
@@ -54,7 +54,7 @@
 	}
 }
 
-// answer writes a response; it reports whether the connection took it.
+// answer writes a response and reports whether the connection accepted it.
 func answer(connection *conn, status int, value any) bool {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return err == nil
 }
 
-// identity answers who the runner is.
+// identity answers with the runner's identity.
 func (engine *engine) identity(connection *conn, _ *http.Request, _ time.Time) bool {
 	return answer(
 		connection,
@@ -78,7 +78,7 @@
 	)
 }
 
-// loadReport answers the load that the runner had a while ago.
+// loadReport answers with the load that the runner had profile.ReportAge ago.
 func (engine *engine) loadReport(connection *conn, _ *http.Request, _ time.Time) bool {
 	report := load.Report{Slots: engine.profile.Slots}
 	if len(engine.reports) > 0 {
@@ -87,7 +87,7 @@
 	return answer(connection, http.StatusOK, report)
 }
 
-// recordRun records a request as read.
+// recordRun records a request that the runner has read.
 func (engine *engine) recordRun(
 	connection *conn,
 	request *http.Request,
@@ -118,7 +118,7 @@
 	return run
 }
 
-// run does a piece of work; it reports whether the connection can be used again.
+// run serves one request and reports whether the connection can be reused.
 func (engine *engine) run(connection *conn, request *http.Request, reached time.Time) bool {
 	if engine.rejects || engine.active >= engine.profile.Slots+engine.profile.PutBackAbove {
 		engine.recordRun(connection, request, reached, false)
@@ -152,7 +152,7 @@
 	return newEventStream(engine, connection, run, length).send()
 }
 
-// prefixesOf returns the parts of a request's prompt that may be cached, with their lengths in tokens.
+// prefixesOf returns the cacheable parts of a request's prompt, with their lengths in tokens.
 func prefixesOf(request *http.Request) (parts []string, tokens []int) {
 	for _, value := range request.Header.Values(admission.HeaderPrefix) {
 		part, count, _ := strings.Cut(value, "=")
--- a/verify/simulation/engine_slots.go
+++ b/verify/simulation/engine_slots.go
@@ -1,15 +1,15 @@
 package simulation
 
-// engineSlots are how many runs a runner works on at once; further ones wait for their turn.
+// engineSlots limits the number of requests that a runner works on at once; further ones wait in a FIFO queue.
 type engineSlots struct {
 	coroutines *coroutines
-	// limit is how many there are, used how many are taken.
+	// limit is the number of slots, used the number taken.
 	limit, used int
-	// waiting hand a free slot over to those that wait, in their order; each reports whether it is taken.
+	// waiting offers a free slot to each waiting request; it reports whether that takes the slot.
 	waiting []func() bool
 }
 
-// acquire parks the running coroutine until it has a slot; it reports whether the request's connection stood so long.
+// acquire parks the running coroutine until it has a slot, and reports whether the request's connection stayed open.
 func (slots *engineSlots) acquire(connection *conn) bool {
 	if slots.used < slots.limit {
 		slots.used++
@@ -34,7 +34,7 @@
 	return true
 }
 
-// release hands the slot to the next that still waits.
+// release passes the slot to the next request that still waits.
 func (slots *engineSlots) release() {
 	for len(slots.waiting) > 0 {
 		next := slots.waiting[0]
--- a/verify/simulation/engine_test.go
+++ b/verify/simulation/engine_test.go
@@ -14,7 +14,7 @@
 	"wardtray/transport/netio"
 )
 
-// exchange is what came back for a request to a runner.
+// exchange is the answer to a request to a runner.
 type exchange struct {
 	status int
 	body   string
@@ -22,7 +22,7 @@
 	over   bool
 }
 
-// runAt sends a request for a run of 48 tokens from a daemon's host to a runner, and reads the response to its end.
+// runAt sends a request for an answer of 48 tokens from a daemon's host to a runner, and reads the response to its end.
 func runAt(world *World, daemon, runner *Host) *exchange {
 	result := &exchange{}
 	world.coroutines.spawn(daemon, func() {
@@ -51,47 +51,49 @@
 	return result
 }
 
-// runThroughViolations runs a world on although a request that no daemon scheduled breaks the rules.
-func runThroughViolations(world *World, length time.Duration) { world.run(length, runsOn, func() {}) }
+// runThroughViolations runs a world without stopping at violations: requests that no daemon scheduled break the rules.
+func runThroughViolations(world *World, length time.Duration) {
+	world.run(length, neverHalt, func() {})
+}
 
 func TestRunnersMisbehaveAsTheyAreTold(t *testing.T) {
 	t.Parallel()
 	const complete = "event: done\n"
 	tests := []struct {
-		name   string
-		wrong  misbehavior
-		status int
-		want   string
-		whole  bool
+		name     string
+		behavior faultyBehavior
+		status   int
+		want     string
+		whole    bool
 	}{
-		{"sound", misbehavior{}, http.StatusOK, "id: 4\nevent: token\n", true},
-		{"partial", misbehavior{partial: true}, http.StatusOK, "id: 2\nevent: token\n", false},
-		{"rejects", misbehavior{rejects: true}, http.StatusServiceUnavailable, `"started":false`, false},
-		{"fails", misbehavior{fails: true}, http.StatusInternalServerError, "", false},
-		{"skips an event", misbehavior{garble: skipsEvent}, http.StatusOK, "id: 4\nevent: token\n", false},
-		{"repeats an event", misbehavior{garble: repeatsEvent}, http.StatusOK, "id: 2\nevent: token\n", false},
-		{"counts wrongly", misbehavior{garble: countsWrongly}, http.StatusOK, `"events":7`, true},
-		{"unknown event", misbehavior{garble: unknownEvent}, http.StatusOK, "event: other\n", false},
-		{"unnumbered event", misbehavior{garble: unnumberedEvent}, http.StatusOK, "id: x\n", false},
-		{"unresponsive", misbehavior{unresponsive: true}, 0, "", false},
+		{"sound", faultyBehavior{}, http.StatusOK, "id: 4\nevent: token\n", true},
+		{"partial", faultyBehavior{partial: true}, http.StatusOK, "id: 2\nevent: token\n", false},
+		{"rejects", faultyBehavior{rejects: true}, http.StatusServiceUnavailable, `"started":false`, false},
+		{"fails", faultyBehavior{fails: true}, http.StatusInternalServerError, "", false},
+		{"skips an event", faultyBehavior{corruption: skipsEvent}, http.StatusOK, "id: 4\nevent: token\n", false},
+		{"repeats an event", faultyBehavior{corruption: repeatsEvent}, http.StatusOK, "id: 2\nevent: token\n", false},
+		{"counts wrongly", faultyBehavior{corruption: countsWrongly}, http.StatusOK, `"events":7`, true},
+		{"unknown event", faultyBehavior{corruption: unknownEvent}, http.StatusOK, "event: other\n", false},
+		{"unnumbered event", faultyBehavior{corruption: unnumberedEvent}, http.StatusOK, "id: x\n", false},
+		{"unresponsive", faultyBehavior{unresponsive: true}, 0, "", false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			world := settledPath(t)
+			world := settledFleetWithTraffic(t)
 			runner := world.Runners()[0]
-			runner.runner.engine.misbehavior = test.wrong
-			result := runAt(world, world.Datas()[0], runner)
+			runner.runner.engine.faultyBehavior = test.behavior
+			result := runAt(world, world.Daemons()[0], runner)
 			runThroughViolations(world, 10*time.Second)
-			if result.over == test.wrong.unresponsive {
+			if result.over == test.behavior.unresponsive {
 				t.Fatalf("over %v", result.over)
 			}
 			if result.status != test.status || !strings.Contains(result.body, test.want) ||
 				strings.Contains(result.body, complete) != test.whole {
 				t.Errorf("status %d, body\n%s", result.status, result.body)
 			}
-			if test.wrong.servesRequests() != (test.name == "sound") {
-				t.Errorf("serves requests: %v", test.wrong.servesRequests())
+			if test.behavior.servesRequests() != (test.name == "sound") {
+				t.Errorf("serves requests: %v", test.behavior.servesRequests())
 			}
 		})
 	}
@@ -100,21 +102,21 @@
 func TestSlowAndLateRunnersTakeLonger(t *testing.T) {
 	t.Parallel()
 	took := map[string]time.Duration{}
-	for name, change := range map[string]func(wrong *misbehavior, on bool){
-		"sound": func(*misbehavior, bool) {}, "slow": (*misbehavior).setSlow, "late": (*misbehavior).setLate,
+	for name, change := range map[string]func(behavior *faultyBehavior, on bool){
+		"sound": func(*faultyBehavior, bool) {}, "slow": (*faultyBehavior).setSlow, "late": (*faultyBehavior).setLate,
 	} {
-		world := settledPath(t)
+		world := settledFleetWithTraffic(t)
 		runner := world.Runners()[0]
-		change(&runner.runner.engine.misbehavior, true)
-		result := runAt(world, world.Datas()[0], runner)
+		change(&runner.runner.engine.faultyBehavior, true)
+		result := runAt(world, world.Daemons()[0], runner)
 		runThroughViolations(world, time.Minute)
 		if result.status != http.StatusOK {
 			t.Fatalf("%s: status %d", name, result.status)
 		}
 		took[name] = result.took
-		change(&runner.runner.engine.misbehavior, false)
+		change(&runner.runner.engine.faultyBehavior, false)
 		if !runner.runner.engine.servesRequests() {
-			t.Errorf("%s: is not sound again", name)
+			t.Errorf("%s: not healthy again", name)
 		}
 	}
 	if took["slow"] < 4*took["sound"] || took["late"] < took["sound"]+lateAnswer/2 {
--- a/verify/simulation/event_loop.go
+++ b/verify/simulation/event_loop.go
@@ -28,7 +28,7 @@
 func (events *events) Push(added any) {
 	planned, isEvent := added.(event)
 	if !isEvent {
-		panic(fmt.Sprintf("the queue holds no %T", added))
+		panic(fmt.Sprintf("event queue: unexpected %T", added))
 	}
 	*events = append(*events, planned)
 }
@@ -39,10 +39,10 @@
 	return last
 }
 
-// eventLoop is the simulated time and what is planned to happen in it. Events of one moment happen in the order in
-// which they were planned.
+// eventLoop is the simulated time with its queue of scheduled events. Events of the same time run in the order in which
+// they were scheduled.
 type eventLoop struct {
-	// Now is the true time, which no host knows.
+	// Now is the true simulated time, which no host knows.
 	Now      time.Time
 	started  time.Time
 	queue    events
@@ -52,17 +52,17 @@
 
 func newEventLoop(started time.Time) *eventLoop { return &eventLoop{Now: started, started: started} }
 
-// At plans something.
+// At schedules an event.
 func (loop *eventLoop) At(at time.Time, do func()) {
 	loop.sequence++
 	heap.Push(&loop.queue, event{at: at, sequence: loop.sequence, do: do})
 }
 
-// After plans something for later.
+// After schedules an event after a duration.
 func (loop *eventLoop) After(length time.Duration, do func()) { loop.At(loop.Now.Add(length), do) }
 
-// run has all events of a length of simulated time happen, unless it is halted before; afterEach is called after each
-// event.
+// run runs the events of a duration of simulated time, unless halted reports true before; afterEach is called after
+// each event.
 func (loop *eventLoop) run(length time.Duration, halted func() bool, afterEach func()) {
 	end := loop.Now.Add(length)
 	for len(loop.queue) > 0 && !loop.queue[0].at.After(end) && !halted() {
@@ -76,8 +76,8 @@
 	loop.Now = end
 }
 
-// addToTrace folds something into the trace, so that two runs of one seed can be compared.
+// addToTrace hashes a value into the trace, so that two runs of one seed can be compared.
 func (loop *eventLoop) addToTrace(value uint64) { loop.trace = (loop.trace ^ value) * 0x100000001b3 }
 
-// Trace is a hash of all that happened.
+// Trace returns a hash of all events and messages so far.
 func (loop *eventLoop) Trace() uint64 { return loop.trace }
--- a/verify/simulation/event_loop_test.go
+++ b/verify/simulation/event_loop_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func runsOn() bool { return false }
+func neverHalt() bool { return false }
 
 func TestEventLoopRunsEventsByTimeAndThenByOrderOfPlanning(t *testing.T) {
 	loop := newEventLoop(time.Unix(0, 0))
@@ -19,7 +19,7 @@
 	loop.At(time.Unix(1, 0), note("second"))
 	loop.After(3*time.Second, note("after the end"))
 	count := 0
-	loop.run(2*time.Second, runsOn, func() { count++ })
+	loop.run(2*time.Second, neverHalt, func() { count++ })
 	if want := []string{"first", "second", "third"}; !slices.Equal(happened, want) {
 		t.Errorf("happened %v, want %v", happened, want)
 	}
@@ -52,7 +52,7 @@
 		for _, length := range lengths {
 			loop.After(length, func() {})
 		}
-		loop.run(time.Minute, runsOn, func() {})
+		loop.run(time.Minute, neverHalt, func() {})
 		return loop.Trace()
 	}
 	first, same, other := trace(1, 2), trace(1, 2), trace(2, 1)
--- a/verify/simulation/event_stream.go
+++ b/verify/simulation/event_stream.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// A run of an answer's length in tokens has minimumEvents and one for each tokensPerEvent, at most maximumEvents.
+	// An answer has minimumEvents and one more for each tokensPerEvent of its length, at most maximumEvents.
 	minimumEvents  = 2
 	maximumEvents  = 12
 	tokensPerEvent = 24
-	// garbledEvent is the number of the event that a garbling runner tells wrongly.
-	garbledEvent = 3
-	// streamHead has the name of the header with the request's id, and that id.
+	// corruptedEventNumber is the number of the event that a runner with a corruption sends corrupted.
+	corruptedEventNumber = 3
+	// streamHead is a format of the name and the value of the header with the request's id.
 	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" +
 		"Transfer-Encoding: chunked\r\n%s: %s\r\n\r\n"
 	streamEnd = "0\r\n\r\n"
 )
 
-// eventStream is the answer of one run, from behind the event that its client has already.
+// eventStream is the answer of one run, after the last event that its client already has.
 type eventStream struct {
 	engine     *engine
 	connection *conn
 	run        *histories.Run
-	// events is how many tokens it tells, gap the time between two.
+	// events is the number of token events, gap the time between two of them.
 	events int
 	gap    time.Duration
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// send tells the events one after the other; it reports whether the connection can be used again.
+// send sends the events in order, and reports whether the connection can be reused.
 func (stream *eventStream) send() bool {
 	if _, err := fmt.Fprintf(stream.connection, streamHead, admission.HeaderRequest, stream.run.Request); err != nil {
 		return false
@@ -53,7 +53,7 @@
 			return false
 		}
 	}
-	// The run is complete from the moment its last event may have left.
+	// The run counts as complete from the moment when its last event may have been sent.
 	stream.run.Complete, stream.run.Events = true, stream.events
 	if !stream.chunk("id: %d\nevent: done\ndata: {\"run\":%q,\"events\":%d}\n\n", stream.events+1, stream.run.Name,
 		stream.events) {
@@ -63,20 +63,20 @@
 	return err == nil
 }
 
-// sendToken tells one event; it reports whether the stream goes on.
+// sendToken sends one event, and reports whether the stream continues.
 func (stream *eventStream) sendToken(number int) bool {
 	name := stream.run.Name
 	if stream.engine.partial && number > stream.events/2 {
 		return false
 	}
-	if garble := stream.engine.garble; garble != "" && number == garbledEvent {
-		stream.chunk(garbledEvents[garble], name)
+	if corruption := stream.engine.corruption; corruption != "" && number == corruptedEventNumber {
+		stream.chunk(corruptedEvents[corruption], name)
 		return false
 	}
 	return stream.chunk("id: %d\nevent: token\ndata: {\"run\":%q,\"text\":\"rhan %d\"}\n\n", number, name, number)
 }
 
-// chunk writes one chunk of the body; it reports whether the connection took it.
+// chunk writes one chunk of the body, and reports whether the connection accepted it.
 func (stream *eventStream) chunk(format string, values ...any) bool {
 	text := fmt.Sprintf(format, values...)
 	_, err := fmt.Fprintf(stream.connection, "%x\r\n%s\r\n", len(text), text)
--- a/verify/simulation/fault_injector.go
+++ b/verify/simulation/fault_injector.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// unresponsiveBound is how long a loss of which nobody says anything may take to be known.
+// unresponsiveBound is the longest time until a loss that nobody reports is detected.
 const unresponsiveBound = 4 * time.Second
 
-// impact is what a fault means for the requests at the daemons and runners that it touches.
+// impact describes how a fault affects the requests at its daemons and runners.
 type impact struct {
 	// kills means that it ends their processes.
 	kills bool
-	// knowable is after what time others can know of it; 0: at once.
-	knowable time.Duration
+	// detectableAfter is the time after which others can detect it; 0: at once.
+	detectableAfter time.Duration
 }
 
-// faultInjector chooses what faults are done to, does those that several kinds of fault share, and records them: in the
-// world's log, and for the checker of the request path where there is one.
+// faultInjector chooses the targets of faults, implements what several kinds of fault share, and records faults in the
+// world's log and, where there is a request path, for its checker.
 type faultInjector struct {
 	world *World
-	// replacements counts the core machines that were started at a new address, returns the times that all machines were
-	// back.
+	// replacements counts the control machines that were started at a new address, returns the times that all machines
+	// came back after a power loss.
 	replacements, returns int
 }
 
-// The operations of whoever sends changes after a return of all machines are numbered from firstReturn on, for each
-// return so many.
+// The operators that send changes after all machines have come back number their operations from firstReturnOperation,
+// with operationsPerReturn numbers for each return.
 const (
-	firstReturn         = 700_000
-	operationsPerReturn = 1000
+	firstReturnOperation = 700_000
+	operationsPerReturn  = 1000
 )
 
-// nextReturn returns the number from which the operations after a return of all machines are counted. No two returns
-// share any, also where they come at once: one id stands for one change.
+// nextReturn returns the offset of the operation numbers after a return of all machines. Two returns share no number,
+// even when they happen at the same time: one operation id stands for one change.
 func (injector *faultInjector) nextReturn() int {
 	injector.returns++
-	return firstReturn + operationsPerReturn*injector.returns
+	return firstReturnOperation + operationsPerReturn*injector.returns
 }
 
-// log notes what is done, or undone, and when.
+// log records a fault, or its end, with the simulated time.
 func (injector *faultInjector) log(format string, values ...any) {
 	world := injector.world
 	passed := world.Now.Sub(world.started).Round(time.Millisecond)
 	world.Log = append(world.Log, fmt.Sprintf("%v "+format, append([]any{passed}, values...)...))
 }
 
-// record tells the checker of the request path, where there is one, that a fault touches daemons and runners. The
-// function that it returns records the fault's end.
+// record records, where there is a request path, that a fault affects daemons and runners. The returned function
+// records the fault's end.
 func (injector *faultInjector) record(impact impact, hosts ...*Host) (end func()) {
 	traffic := injector.world.Traffic
 	if traffic == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// head returns the core that leads, or any if none does.
+// head returns the head of the chain, or a random control machine if none leads.
 func (injector *faultInjector) head() *Host {
 	cores := injector.world.Cores()
 	for _, host := range cores {
@@ -77,7 +77,7 @@
 	return injector.world.pick(cores)
 }
 
-// runner draws a runner, one that is up and not frozen if there is any.
+// runner returns a random runner, one that runs and is not frozen if there is any.
 func (injector *faultInjector) runner() *Host {
 	world := injector.world
 	var running []*Host
@@ -92,14 +92,14 @@
 	return world.pick(running)
 }
 
-// shuffled puts hosts into a random order, in place, and returns them.
+// shuffled shuffles hosts in place and returns them.
 func (injector *faultInjector) shuffled(hosts []*Host) []*Host {
 	injector.world.random.Shuffle(len(hosts),
 		func(left, right int) { hosts[left], hosts[right] = hosts[right], hosts[left] })
 	return hosts
 }
 
-// halves parts the zones into two sides at random.
+// halves splits the zones into two random groups and returns their hosts.
 func (injector *faultInjector) halves() (left, right []*Host) {
 	world := injector.world
 	first := world.pick(world.Cores()).Zone
@@ -113,7 +113,7 @@
 	return left, right
 }
 
-// restart ends processes one after the other within a second, each for a moment.
+// restart restarts processes, each at a random time within a second.
 func (injector *faultInjector) restart(hosts []*Host) {
 	world := injector.world
 	for _, host := range hosts {
@@ -121,7 +121,7 @@
 	}
 }
 
-// restartOne ends a process, if it runs, and starts it again a moment later, unless something else did.
+// restartOne kills a running process and starts it again 200 to 400 ms later, unless something else has by then.
 func (injector *faultInjector) restartOne(host *Host) {
 	world := injector.world
 	if !host.up || host.frozen {
@@ -138,8 +138,8 @@
 	})
 }
 
-// addReplacement adds a core machine with an empty disk at a new address, which takes another one's place. It is not
-// started yet.
+// addReplacement adds a control machine with an empty disk at a new address, in place of another one. It is not started
+// yet.
 func (injector *faultInjector) addReplacement(old *Host) *Host {
 	injector.replacements++
 	host := injector.world.AddCore(fmt.Sprintf("%s+%d", old.Address, injector.replacements), old.Zone)
@@ -149,7 +149,7 @@
 	return host
 }
 
-// shuffleSeeds gives every process, from its next start on, other seeds out of the present core machines.
+// shuffleSeeds gives every process random seeds out of the present control machines, which it uses from its next start.
 func (injector *faultInjector) shuffleSeeds() {
 	const seedsEach = 3
 	world := injector.world
--- a/verify/simulation/fault_scheduler.go
+++ b/verify/simulation/fault_scheduler.go
@@ -5,38 +5,38 @@
 )
 
 const (
-	// A fault lasts for minimumFaultLength and at most faultLengthSpread more; the next one is thought of after
-	// minimumFaultGap and at most faultGapSpread more.
+	// A fault lasts for minimumFaultLength and a random time of at most faultLengthSpread more; the next one is considered
+	// after minimumFaultGap and a random time of at most faultGapSpread more.
 	minimumFaultLength = 200 * time.Millisecond
 	faultLengthSpread  = 8 * time.Second
 	minimumFaultGap    = 200 * time.Millisecond
 	faultGapSpread     = 3 * time.Second
 )
 
-// faultScheduler injects random faults for a length of time: at most so many at once, each undone after a while. A
-// fault counts until the fleet has its full redundancy back. Everything is undone at the end.
+// faultScheduler injects random faults for a period, at most atOnce at the same time, and undoes each after a random
+// time. A fault counts until the fleet has its full redundancy back. All faults are undone at the end.
 type faultScheduler struct {
 	world *World
 	// names are the kinds of fault that are drawn from.
 	names  []string
 	atOnce int
 	end    time.Time
-	// unrepaired counts the faults after which the fleet has not been redundant yet, active those not undone yet.
+	// unrepaired counts the faults after which the fleet has not been redundant again yet, active those not undone yet.
 	unrepaired, active int
-	// lastEnded is when a fault was last undone: what another fault still holds can't come back, so that a repair counts
-	// from the end of the last.
+	// lastEnded is when a fault was last undone. A repair can't complete while another fault is active, so that its time
+	// counts from the end of the last one.
 	lastEnded time.Time
 	injected  []*injectedFault
 }
 
-// injectedFault is one fault that was done to the world.
+// injectedFault is one fault that was injected.
 type injectedFault struct {
 	name   string
 	undo   func()
 	undone bool
 }
 
-// scheduleFaults injects faults of these kinds from now on for a length of time, at most so many at once.
+// scheduleFaults injects faults of these kinds from now on for a duration, at most atOnce at the same time.
 func scheduleFaults(world *World, length time.Duration, names []string, atOnce int) {
 	scheduler := &faultScheduler{
 		world:     world,
@@ -49,7 +49,7 @@
 	world.At(scheduler.end, scheduler.finish)
 }
 
-// step injects a fault if there is room for one, and comes back after a while until the end.
+// step injects a fault unless atOnce are unrepaired, and schedules the next step until the end.
 func (scheduler *faultScheduler) step() {
 	world := scheduler.world
 	if !world.Now.Before(scheduler.end) {
@@ -61,7 +61,7 @@
 	world.After(minimumFaultGap+time.Duration(world.random.Int63n(int64(faultGapSpread))), scheduler.step)
 }
 
-// inject does one fault, which is undone after a random time.
+// inject injects one fault, which is undone after a random time.
 func (scheduler *faultScheduler) inject(name string) {
 	world := scheduler.world
 	fault := &injectedFault{name: name, undo: faultNamed(name)(world)}
@@ -73,7 +73,7 @@
 		func() { scheduler.undo(fault) })
 }
 
-// undo ends a fault that has not been ended yet; it counts until it is repaired.
+// undo ends a fault that has not ended yet; it counts until it is repaired.
 func (scheduler *faultScheduler) undo(fault *injectedFault) {
 	if fault.undone {
 		return
@@ -89,7 +89,7 @@
 	)
 }
 
-// finish undoes all faults and cuts.
+// finish undoes all faults and heals all links.
 func (scheduler *faultScheduler) finish() {
 	for _, fault := range scheduler.injected {
 		scheduler.undo(fault)
--- a/verify/simulation/fault_scheduler_test.go
+++ b/verify/simulation/fault_scheduler_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// playSchedule injects faults for a while and returns for each moment of a fine sampling how many cores were down.
-func playSchedule(t *testing.T, names []string, atOnce int) (world *World, down []int) {
+// runSchedule injects faults for 20 s and returns the number of control machines that were down, sampled every 10 ms.
+func runSchedule(t *testing.T, names []string, atOnce int) (world *World, down []int) {
 	t.Helper()
 	const length, sample = 20 * time.Second, 10 * time.Millisecond
 	world = settledFleet(t)
@@ -30,7 +30,7 @@
 func TestFaultSchedulerKeepsToItsNumberAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, atOnce := range []int{1, 2} {
-		world, down := playSchedule(t, []string{"core killed"}, atOnce)
+		world, down := runSchedule(t, []string{"core killed"}, atOnce)
 		if most := slices.Max(down); most != atOnce {
 			t.Errorf("%d cores were down at once, want %d\n%s", most, atOnce, strings.Join(world.Log, "\n"))
 		}
@@ -39,7 +39,7 @@
 
 func TestFaultSchedulerUndoesEverythingAtItsEnd(t *testing.T) {
 	t.Parallel()
-	world, _ := playSchedule(t, []string{"core killed", "core frozen", "core cut off"}, 2)
+	world, _ := runSchedule(t, []string{"core killed", "core frozen", "core cut off"}, 2)
 	world.Run(time.Millisecond)
 	for _, host := range world.Cores() {
 		if !host.up || host.frozen {
@@ -94,10 +94,10 @@
 	t.Parallel()
 	world := settledFleet(t)
 	before := map[*Host]int{}
-	for _, host := range world.Datas() {
+	for _, host := range world.Daemons() {
 		before[host] = host.incarnation
 	}
-	world.injector.restart(world.Datas())
+	world.injector.restart(world.Daemons())
 	world.Run(2 * time.Second)
 	for host, incarnation := range before {
 		// The end of a process and its start each begin another incarnation.
@@ -110,7 +110,7 @@
 func TestFaultInjectorLeavesAProcessThatOtherFaultsHold(t *testing.T) {
 	t.Parallel()
 	world := settledFleet(t)
-	host := world.Datas()[0]
+	host := world.Daemons()[0]
 	world.injector.restartOne(host)
 	host.Boot()
 	incarnation := host.incarnation
--- a/verify/simulation/faults.go
+++ b/verify/simulation/faults.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// Fault does something to a world and returns what undoes it.
+// Fault injects a fault into a world and returns the function that undoes it.
 type Fault func(world *World) (undo func())
 
 var (
-	// Faults are all kinds of fault of the control plane and its daemons, each within what a deployment must bear alone.
+	// Faults are all kinds of fault of the control plane and the data daemons; a deployment must tolerate each of them
+	// alone.
 	Faults = joined(processFaults, machineFaults, diskFaults, networkFaults)
-	// RunnerFaults are all kinds of fault of the request path: of runners, of the platform's list, of planned work, and
-	// of clients.
+	// RunnerFaults are all kinds of fault of the request path: of runners, the platform's list, connections, planned
+	// restarts and load.
 	RunnerFaults = joined(runnerFaults, listFaults, connectionFaults, loadFaults)
-	// RegistrationFaults are the kinds of fault that only concern runners that register themselves.
+	// RegistrationFaults are the kinds of fault that only concern self-registering runners.
 	RegistrationFaults = map[string]Fault{"control lost": killAllCores}
 )
 
-// FaultNames returns every kind of fault of the control plane and its daemons in order.
+// FaultNames returns the names of Faults in order.
 func FaultNames() []string { return sorted(Faults) }
 
-// RunnerFaultNames returns every kind of fault of the request path in order.
+// RunnerFaultNames returns the names of RunnerFaults in order.
 func RunnerFaultNames() []string { return sorted(RunnerFaults) }
 
 // faultNamed returns a kind of fault by its name, or nil.
@@ -34,7 +35,7 @@
 	return RunnerFaults[name]
 }
 
-// joined returns the entries of several maps in one.
+// joined merges several maps into one.
 func joined(parts ...map[string]Fault) map[string]Fault {
 	all := map[string]Fault{}
 	for _, part := range parts {
--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// hostState is what faults change of a host.
+// hostState is the part of a host's state that faults change.
 type hostState struct {
 	up, frozen, stalled, full, cut bool
 	processingDelay, diskDelay     time.Duration
@@ -79,13 +79,13 @@
 			}
 			undo()
 			if got := stateOf(host); got != sound {
-				t.Errorf("%+v after the undoing, want %+v", got, sound)
+				t.Errorf("%+v after undoing it, want %+v", got, sound)
 			}
 		})
 	}
 }
 
-// Each fault of the control plane, alone, is over when it is undone: the fleet repairs itself.
+// Each fault of the control plane alone ends when it is undone: the fleet repairs itself.
 func TestFaultsAreRepaired(t *testing.T) {
 	t.Parallel()
 	for name, fault := range Faults {
@@ -107,11 +107,11 @@
 func TestFaultsAreRecordedForTheRequestPath(t *testing.T) {
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1}, Mix: GuildPath.Mix}
-	world := Found(1, shape)
+	world := NewDeployment(1, shape)
 	t.Cleanup(world.Close)
 	world.Run(8 * time.Second)
-	host, core := world.Datas()[0], world.Cores()[0]
-	end := world.injector.record(impact{kills: true, knowable: time.Second}, host, core)
+	host, core := world.Daemons()[0], world.Cores()[0]
+	end := world.injector.record(impact{kills: true, detectableAfter: time.Second}, host, core)
 	faults := world.Traffic.History.Faults
 	if len(faults) != 1 || faults[0].Daemon != host.Address || !faults[0].Kills || faults[0].Knowable != time.Second ||
 		!faults[0].Until.After(world.Now) {
--- a/verify/simulation/fleet.go
+++ b/verify/simulation/fleet.go
@@ -1,6 +1,6 @@
 package simulation
 
-// fleet is all hosts that were ever added, in the order of their addition.
+// fleet holds all hosts that were ever added, in order of their addition.
 type fleet struct {
 	Hosts  []*Host
 	byName map[string]*Host
@@ -8,19 +8,19 @@
 
 func newFleet() *fleet { return &fleet{byName: map[string]*Host{}} }
 
-// insert adds a host; it replaces another one of the same address only for look-ups by it.
+// insert adds a host. A host with the address of an earlier one replaces that only in byName.
 func (fleet *fleet) insert(host *Host) {
 	fleet.Hosts = append(fleet.Hosts, host)
 	fleet.byName[host.Address] = host
 }
 
-// Cores returns the hosts with a disk that were not removed for good.
+// Cores returns the control machines that were not removed permanently.
 func (fleet *fleet) Cores() []*Host {
 	return fleet.filter(func(host *Host) bool { return host.core != nil && !host.removed })
 }
 
-// Datas returns the data daemons that were not removed for good.
-func (fleet *fleet) Datas() []*Host {
+// Daemons returns the data daemons that were not removed permanently.
+func (fleet *fleet) Daemons() []*Host {
 	return fleet.filter(func(host *Host) bool { return host.daemon != nil && !host.removed })
 }
 
@@ -39,7 +39,7 @@
 	return hosts
 }
 
-// zone returns the hosts in a zone and all others.
+// zone returns the hosts in a zone and those outside it.
 func (fleet *fleet) zone(zone string) (inside, outside []*Host) {
 	for _, host := range fleet.Hosts {
 		if host.Zone == zone {
--- a/verify/simulation/fleet_test.go
+++ b/verify/simulation/fleet_test.go
@@ -23,7 +23,7 @@
 		want  []string
 	}{
 		{"cores", fleet.Cores(), []string{"core"}},
-		{"data daemons", fleet.Datas(), []string{"data"}},
+		{"data daemons", fleet.Daemons(), []string{"data"}},
 		{"runners", fleet.Runners(), []string{"runner"}},
 		{"in the zone", inside, []string{"data", "runner"}},
 		{"in other zones", outside, []string{"core", "removed core", "removed data"}},
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-// The moments of TestHeadAndHalfOfTheDaemonsLost, counted from when the operator begins.
+// The times of TestHeadAndHalfOfTheDaemonsLost, counted from the operator's first change.
 const (
 	lossAt      = 2 * time.Second
 	returnAt    = 6 * time.Second
@@ -17,10 +17,10 @@
 	changeEvery = 500 * time.Millisecond
 )
 
-// lossPeriod is one part of a run in which the head and half of the daemons are lost.
+// lossPeriod is a period of a run in which the head and half of the daemons are lost.
 type lossPeriod int
 
-// A run passes through these in their order.
+// The periods, in order.
 const (
 	beforeLoss lossPeriod = iota
 	withoutHead
@@ -33,18 +33,19 @@
 	return [...]string{"before the loss", "without a head", "with half of the daemons", "after the return"}[period]
 }
 
-// lossRun is what is counted in such a run.
+// lossRun is such a run with its counters.
 type lossRun struct {
 	world    *World
 	lost     map[*Host]bool
 	period   lossPeriod
 	messages [lossPeriods]int
 	accepted [lossPeriods]int
-	// samples counts how often each remaining daemon was looked at in each period, unleased how often it held no lease.
+	// samples counts the checks of the remaining daemons' leases in each period, unleased those that found none.
 	samples, unleased [lossPeriods]int
 }
 
-// operate sends a change every so often to a core that runs, and counts those acknowledged by when they were sent.
+// operate sends a change to a running control machine, and counts it in the period in which it was sent if it is
+// acknowledged within changeEvery.
 func (run *lossRun) operate(operators *Operators) {
 	for _, core := range run.world.Cores() {
 		if !core.Up() {
@@ -61,17 +62,17 @@
 	}
 }
 
-// advance runs the world until a moment, or until done reports true, and samples the remaining daemons' leases.
+// advance runs the world until a time, or until done reports true, and samples the remaining daemons' leases.
 func (run *lossRun) advance(until time.Time, done func() bool) {
 	const sampleEvery = 20 * time.Millisecond
 	for run.world.Now.Before(until) && len(run.world.Check.Violations) == 0 && !done() {
 		run.world.Run(sampleEvery)
-		for _, host := range run.world.Datas() {
+		for _, host := range run.world.Daemons() {
 			if run.lost[host] || !host.Up() {
 				continue
 			}
 			run.samples[run.period]++
-			if !host.local().Before(host.daemon.plane.Snapshot().Until) {
+			if !host.localTime().Before(host.daemon.plane.Snapshot().Until) {
 				run.unleased[run.period]++
 			}
 		}
@@ -80,20 +81,20 @@
 
 func never() bool { return false }
 
-// lose takes the power from the head and from every other data daemon at once.
+// lose cuts the power of the head and of every other data daemon at once.
 func (run *lossRun) lose(t *testing.T) (head *Host) {
 	t.Helper()
 	head = leader(run.world)
 	if head == nil {
 		t.Fatal("no head before the loss")
 	}
-	for index, host := range run.world.Datas() {
+	for index, host := range run.world.Daemons() {
 		if index%2 == 0 {
 			run.lost[host] = true
-			host.Power()
+			host.PowerOff()
 		}
 	}
-	head.Power()
+	head.PowerOff()
 	return head
 }
 
@@ -107,7 +108,7 @@
 			t.Errorf("%v: no daemon sent a message", period)
 		}
 		if run.samples[period] == 0 {
-			t.Errorf("%v: no lease was looked at", period)
+			t.Errorf("%v: no lease was sampled", period)
 		}
 		if period != withoutHead && run.accepted[period] == 0 {
 			t.Errorf("%v: no change was acknowledged", period)
@@ -117,8 +118,8 @@
 		t.Errorf("the remaining daemons held no lease in %d of %d samples", run.unleased[withHalf],
 			run.samples[withHalf])
 	}
-	for _, host := range run.world.Datas() {
-		if !host.local().Before(host.daemon.plane.Snapshot().Until) {
+	for _, host := range run.world.Daemons() {
+		if !host.localTime().Before(host.daemon.plane.Snapshot().Until) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
@@ -126,8 +127,8 @@
 		run.samples)
 }
 
-// The head and half of the daemons lose their power at once and come back: another head acts, changes are
-// acknowledged before, meanwhile and afterwards, and the daemons that remain hold leases.
+// The head and half of the daemons lose their power at once and come back. Another head takes over, changes are
+// acknowledged before, during and after the loss, and the remaining daemons hold leases.
 func TestHeadAndHalfOfTheDaemonsLost(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 3; seed++ {
@@ -140,7 +141,7 @@
 
 func loseHeadAndHalf(t *testing.T, seed int64) {
 	t.Helper()
-	world := Found(seed, Guild)
+	world := NewDeployment(seed, Guild)
 	world.Run(10 * time.Second)
 	run := &lossRun{world: world, lost: map[*Host]bool{}}
 	world.network.Metrics = func(from, _ *Host, _ string, _ int) {
@@ -162,7 +163,7 @@
 	run.period = withHalf
 	run.advance(started.Add(returnAt), never)
 	head.Boot()
-	for _, host := range world.Datas() {
+	for _, host := range world.Daemons() {
 		if run.lost[host] {
 			host.Boot()
 		}
@@ -173,13 +174,13 @@
 	run.check(t)
 }
 
-// A founded fleet has every daemon in the head's directory, its daemons and cores send each other every kind of
-// message that keeps it so, and the cores' updates about runners reach the daemons.
+// In a new fleet the head's directory contains every daemon, the processes send every kind of message that maintains
+// it, and the runner updates of the control machines reach the daemons.
 func TestFoundedFleetKnowsEveryDaemon(t *testing.T) {
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{3, 3, 3}, Disks: []int{1, 1, 1}}
 	kinds, unaddressed := map[string]bool{}, 0
-	world := Found(1, shape, func(world *World) { startRegisteringRunners(world, 6, shape.Zones) })
+	world := NewDeployment(1, shape, func(world *World) { startRegisteringRunners(world, 6, shape.Zones) })
 	world.network.Metrics = func(from, to *Host, kind string, _ int) {
 		if to == nil {
 			unaddressed++
@@ -199,9 +200,9 @@
 	if !order.isAccepted() {
 		t.Errorf("the change's outcome is %s", order.Outcome)
 	}
-	directory := head.core.node.Status(head.local()).Daemons
-	if len(directory) != len(world.Datas()) {
-		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Datas()))
+	directory := head.core.node.Status(head.localTime()).Daemons
+	if len(directory) != len(world.Daemons()) {
+		t.Errorf("the directory holds %d of %d daemons", len(directory), len(world.Daemons()))
 	}
 	wanted := []string{
 		"daemon to core DaemonLeaseRequest",
@@ -217,7 +218,7 @@
 		}
 	}
 	if unaddressed > 0 {
-		t.Errorf("%d messages went to nobody", unaddressed)
+		t.Errorf("%d messages had an unknown target", unaddressed)
 	}
 	world.RegisteringRunners.check.requireFinalLists()
 	for _, violation := range world.Check.Violations {
--- a/verify/simulation/host.go
+++ b/verify/simulation/host.go
@@ -6,71 +6,73 @@
 	"wardtray/wire"
 )
 
-// tickEvery is how often the state machine of a core or a data daemon is ticked.
-const tickEvery = 50 * time.Millisecond
+// tickInterval is the interval at which the state machine of a control node or a data daemon ticks.
+const tickInterval = 50 * time.Millisecond
 
-// process is what a host runs. Its methods are called in steps of the host's process only, but for boot and end.
+// process is what a host runs. Apart from boot and end, its methods are called only in steps of the host's process.
 type process interface {
-	// boot starts it in the host's present incarnation.
+	// boot starts it in the host's current incarnation.
 	boot()
-	// afterStep carries out what a step has brought about.
+	// afterStep carries out the effects of a step.
 	afterStep()
-	// receive hands it a message from another host.
+	// receive passes it a message from another host.
 	receive(envelope *wire.Envelope)
-	// connectionRefused tells it that nobody listens at an address to which it sent something at a time, by its own clock.
+	// connectionRefused notifies it that an address refused a connection; tried is when it sent the message, by its own
+	// clock.
 	connectionRefused(address string, tried time.Time)
-	// end is called when it ends, in whatever way.
+	// end is called when the process ends, whether planned or not.
 	end()
 }
 
-// Host is one simulated machine and the lives of its process: a core, a data daemon or a runner.
+// Host is one simulated machine with the successive incarnations of its process: a control node, a data daemon or a
+// runner.
 type Host struct {
 	world   *World
 	Address string
 	Zone    string
-	// process is what the machine runs; it is the one of the following that is not nil.
+	// process is what the machine runs; it is the one of the following three that is not nil.
 	process process
 	core    *coreProcess
 	daemon  *daemonProcess
 	runner  *runnerProcess
-	// seeds are the addresses that the process begins with.
+	// seeds are the addresses that the process starts with.
 	seeds []string
-	// drift is by what part the machine's clock goes wrong.
+	// drift is the relative error of the machine's clock rate.
 	drift float64
 	// incarnation counts the starts and the ends of the process.
 	incarnation int
 	up          bool
-	// frozen means that the process stands still; backlog is what it does when it wakes.
+	// frozen means that the process is stopped without having ended; backlog is the work that it does when it wakes.
 	frozen  bool
 	backlog []func()
 	// wokenAt is when the process last woke from a freeze.
 	wokenAt time.Time
-	// poweredOff means that the machine is gone without a word: nothing answers, not even its system.
+	// poweredOff means that the machine has no power: not even its network stack answers.
 	poweredOff bool
-	// removed means that the machine was taken away for good.
+	// removed means that the machine was removed permanently.
 	removed bool
-	// coroutines are the pieces of work of this incarnation that have begun and not ended, conns its connections.
+	// coroutines are the running tasks of this incarnation, conns its connections.
 	coroutines []*coroutine
 	conns      []*conn
-	// processingDelay is how much later than others the process deals with what comes.
+	// processingDelay is the additional delay of each message that the process receives.
 	processingDelay time.Duration
-	// resetAt is when the machine's connections were last reset: what was on its way then is lost.
+	// resetAt is when the machine's connections were last reset; messages in flight at that time are lost.
 	resetAt time.Time
-	// Sent is how many bytes of messages it has sent.
+	// Sent is the number of bytes of messages that it has sent.
 	Sent uint64
 }
 
 // Up reports whether the host's process runs.
 func (host *Host) Up() bool { return host.up }
 
-// local returns the time by the host's own clock.
-func (host *Host) local() time.Time {
+// localTime returns the time by the host's own clock.
+func (host *Host) localTime() time.Time {
 	world := host.world
 	passed := world.Now.Sub(world.started)
 	return world.started.Add(passed + time.Duration(float64(passed)*host.drift))
 }
 
-// Boot starts a host's process, if it does not run.
+// Boot starts a host's process, unless it runs or the host was removed.
 func (host *Host) Boot() {
 	if host.up || host.removed {
 		return
@@ -96,8 +98,8 @@
 	host.backlog = nil
 }
 
-// Power takes the power from a machine in the middle of whatever it was writing.
-func (host *Host) Power() {
+// PowerOff cuts a machine's power in the middle of its pending writes.
+func (host *Host) PowerOff() {
 	if host.core != nil && host.up {
 		host.core.storage.losePower()
 	}
@@ -105,7 +107,7 @@
 	host.Kill()
 }
 
-// Freeze stops a process without ending it; Wake lets it go on, with all that came meanwhile.
+// Freeze stops a process without ending it; Wake continues it with all the work that arrived meanwhile.
 func (host *Host) Freeze() {
 	host.frozen = true
 	host.world.topology.changed()
@@ -126,50 +128,50 @@
 	}
 }
 
-// on runs something in a host's process, or later if it is frozen, or never if it ended.
-func (host *Host) on(incarnation int, do func()) {
+// runInProcess runs a step of a host's process: now, after Wake if it is frozen, or never if that incarnation has
+// ended.
+func (host *Host) runInProcess(incarnation int, do func()) {
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if host.frozen {
-		host.backlog = append(host.backlog, func() { host.on(incarnation, do) })
+		host.backlog = append(host.backlog, func() { host.runInProcess(incarnation, do) })
 		return
 	}
 	do()
 	host.process.afterStep()
 }
 
-// reach runs something at a host, if it is there.
-func (host *Host) reach(do func()) {
-	if !host.up || host.poweredOff || host.isFull() {
+// runIfReachable runs a step of a host's process if the host accepts connections.
+func (host *Host) runIfReachable(do func()) {
+	if !host.up || host.poweredOff || host.isBacklogFull() {
 		return
 	}
-	host.on(host.incarnation, do)
+	host.runInProcess(host.incarnation, do)
 }
 
-// isFull reports whether a frozen process has got so much that its machine's sockets take no more.
-func (host *Host) isFull() bool { return host.frozen && len(host.backlog) >= backlogLimit }
+// isBacklogFull reports whether the socket buffers of a frozen process's machine are full.
+func (host *Host) isBacklogFull() bool { return host.frozen && len(host.backlog) >= backlogLimit }
 
-// every does something in a host's process again and again, while that lives and is not frozen, from a random moment
-// on.
-func (host *Host) every(incarnation int, length time.Duration, do func()) {
+// startRepeating runs a step at a fixed interval from a random time on, as repeat does.
+func (host *Host) startRepeating(incarnation int, length time.Duration, do func()) {
 	world := host.world
 	world.After(time.Duration(world.random.Int63n(int64(length))),
 		func() { host.repeat(incarnation, length, do) })
 }
 
-// repeat does something in a host's process now and again and again, while that lives and is not frozen.
+// repeat runs a step now and at a fixed interval until the incarnation ends, except while the process is frozen.
 func (host *Host) repeat(incarnation int, length time.Duration, do func()) {
 	if !host.up || host.incarnation != incarnation {
 		return
 	}
 	if !host.frozen {
-		host.on(incarnation, do)
+		host.runInProcess(incarnation, do)
 	}
 	host.world.After(length, func() { host.repeat(incarnation, length, do) })
 }
 
-// endCoroutines unwinds all work of a host.
+// endCoroutines unwinds all tasks of a host.
 func (host *Host) endCoroutines() {
 	for _, coroutine := range host.coroutines {
 		coroutine.finished = true
@@ -186,5 +188,5 @@
 	host.conns = nil
 }
 
-// resetConnections loses all that is on its way to or from a machine.
+// resetConnections drops all messages in flight to or from a machine.
 func (host *Host) resetConnections() { host.resetAt = host.world.Now }
--- a/verify/simulation/host_faults.go
+++ b/verify/simulation/host_faults.go
@@ -3,52 +3,53 @@
 import "time"
 
 const (
-	// slowDelay is what a slow disk adds to each write, and a slow process to each message that it receives.
+	// slowDelay is the delay that a slow disk adds to each batch of writes, and a slow process to each message that it
+	// receives.
 	slowDelay = 300 * time.Millisecond
 )
 
-// hostFault does something to one host and returns what undoes it.
+// hostFault injects a fault into one host and returns the function that undoes it.
 type hostFault func(world *World, host *Host) (undo func())
 
-// onCore has a fault done to any core.
+// onCore applies a fault to a random control machine.
 func onCore(fault hostFault) Fault {
 	return func(world *World) func() { return fault(world, world.pick(world.Cores())) }
 }
 
-// onHead has a fault done to the core that leads.
+// onHead applies a fault to the head of the chain.
 func onHead(fault hostFault) Fault {
 	return func(world *World) func() { return fault(world, world.injector.head()) }
 }
 
-// onDaemon has a fault done to any data daemon, and records it.
+// onDaemon applies a fault to a random data daemon, and records it.
 func onDaemon(impact impact, fault hostFault) Fault {
-	return func(world *World) func() { return recorded(world, world.pick(world.Datas()), impact, fault) }
+	return func(world *World) func() { return recorded(world, world.pick(world.Daemons()), impact, fault) }
 }
 
-// onRunner has a fault done to a runner, and records it.
+// onRunner applies a fault to a random runner, and records it.
 func onRunner(impact impact, fault hostFault) Fault {
 	return func(world *World) func() { return recorded(world, world.injector.runner(), impact, fault) }
 }
 
-// recorded does a fault to a host and records it from its beginning to its end.
+// recorded applies a fault to a host, and records its start and its end.
 func recorded(world *World, host *Host, impact impact, fault hostFault) (undo func()) {
 	end := world.injector.record(impact, host)
 	return both(end, fault(world, host))
 }
 
-// killProcess ends a host's process; the undoing starts it again.
+// killProcess kills a host's process; undoing it starts the process again.
 func killProcess(_ *World, host *Host) func() {
 	host.Kill()
 	return host.Boot
 }
 
-// powerOff takes the power from a host's machine.
+// powerOff cuts the power of a host's machine.
 func powerOff(_ *World, host *Host) func() {
-	host.Power()
+	host.PowerOff()
 	return host.Boot
 }
 
-// wipeDisk ends a core and replaces its disk by an empty one.
+// wipeDisk kills a control node and replaces its disk by an empty one.
 func wipeDisk(_ *World, host *Host) func() {
 	host.core.wipe()
 	return host.Boot
@@ -60,50 +61,50 @@
 	return host.Wake
 }
 
-// slowProcess has a process receive each message late.
+// slowProcess delays each message that a process receives.
 func slowProcess(_ *World, host *Host) func() {
 	host.processingDelay = slowDelay
 	return func() { host.processingDelay = 0 }
 }
 
-// stallDisk has a core's disk complete no write.
+// stallDisk stops the disk of a control machine from completing writes.
 func stallDisk(_ *World, host *Host) func() {
 	host.core.storage.stalled = true
 	return host.core.storage.resume
 }
 
-// slowDisk has a core's disk take long for each write.
+// slowDisk delays each write of the disk of a control machine.
 func slowDisk(_ *World, host *Host) func() {
 	host.core.storage.delay = slowDelay
 	return func() { host.core.storage.delay = 0 }
 }
 
-// fillDisk leaves no space on the disk that a core has now.
+// fillDisk fills the present disk of a control machine.
 func fillDisk(_ *World, host *Host) func() {
 	disk := host.core.storage.disk
 	disk.full = true
 	return func() { disk.full = false }
 }
 
-// cutOff parts a host from all others.
+// cutOff cuts a host off from all others.
 func cutOff(world *World, host *Host) func() {
 	world.topology.CutOff([]*Host{host}, without(world.Hosts, host))
 	return world.topology.Heal
 }
 
-// deafen has a host receive nothing from any other.
+// deafen stops all messages from other hosts to a host.
 func deafen(world *World, host *Host) func() {
 	world.topology.cutOneWay(host, world.Hosts, false)
 	return world.topology.Heal
 }
 
-// mute has no other host receive anything from a host.
+// mute stops all messages from a host to other hosts.
 func mute(world *World, host *Host) func() {
 	world.topology.cutOneWay(host, world.Hosts, true)
 	return world.topology.Heal
 }
 
-// both does one after the other.
+// both returns a function that calls two functions in order.
 func both(first, second func()) func() {
 	return func() {
 		first()
@@ -111,7 +112,7 @@
 	}
 }
 
-// without returns some hosts without one of them.
+// without returns hosts without one of them.
 func without(hosts []*Host, out *Host) []*Host {
 	var rest []*Host
 	for _, host := range hosts {
--- a/verify/simulation/host_test.go
+++ b/verify/simulation/host_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runningHost returns a running host on which nothing happens by itself.
+// runningHost returns a running host without work of its own.
 func runningHost(t *testing.T) *Host {
 	t.Helper()
 	world := NewWorld(1)
@@ -18,9 +18,9 @@
 func TestHostDefersWorkWhileFrozen(t *testing.T) {
 	host, done := runningHost(t), 0
 	work := func() { done++ }
-	host.on(host.incarnation, work)
+	host.runInProcess(host.incarnation, work)
 	host.Freeze()
-	host.on(host.incarnation, work)
+	host.runInProcess(host.incarnation, work)
 	if done != 1 {
 		t.Fatalf("%d pieces of work were done by a frozen host, want 1 from before", done)
 	}
@@ -34,9 +34,9 @@
 	host, done := runningHost(t), 0
 	incarnation := host.incarnation
 	host.Kill()
-	host.on(incarnation, func() { done++ })
+	host.runInProcess(incarnation, func() { done++ })
 	host.up = true
-	host.on(incarnation, func() { done++ })
+	host.runInProcess(incarnation, func() { done++ })
 	if done != 0 {
 		t.Errorf("%d pieces of work were done in a process that has ended", done)
 	}
@@ -44,7 +44,7 @@
 
 func TestHostRepeatsWorkUntilItsProcessEnds(t *testing.T) {
 	host, done := runningHost(t), 0
-	host.every(host.incarnation, time.Second, func() { done++ })
+	host.startRepeating(host.incarnation, time.Second, func() { done++ })
 	host.world.Run(10 * time.Second)
 	if done != 10 {
 		t.Errorf("done %d times in ten seconds, want 10", done)
--- a/verify/simulation/idle.go
+++ b/verify/simulation/idle_traffic.go
@@ -4,22 +4,23 @@
 	"time"
 )
 
-// Idle is what a process of one kind sends and receives in a second in which nothing happens.
-type Idle struct {
+// IdleTraffic is the number of messages that a process sends and receives in an idle second, and their bytes.
+type IdleTraffic struct {
 	Sent, Received, Bytes float64
 	// Kinds are the messages sent, by kind.
 	Kinds map[string]float64
 }
 
-// MeasureIdle returns what data daemons, cores, and the busiest core do in a second of quiet.
-func MeasureIdle(seed int64, shape Shape) (data, core, busiest Idle) {
+// MeasureIdleTraffic returns the idle traffic of the average data daemon, the average control node, and the control
+// node that sends most.
+func MeasureIdleTraffic(seed int64, shape Shape) (data, core, busiest IdleTraffic) {
 	const length = 10 * time.Second
-	world := Found(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
+	world := NewDeployment(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
 	world.Run(10 * time.Second)
-	counts := map[*Host]*Idle{}
-	of := func(host *Host) *Idle {
+	counts := map[*Host]*IdleTraffic{}
+	of := func(host *Host) *IdleTraffic {
 		if counts[host] == nil {
-			counts[host] = &Idle{Kinds: map[string]float64{}}
+			counts[host] = &IdleTraffic{Kinds: map[string]float64{}}
 		}
 		return counts[host]
 	}
@@ -34,8 +35,8 @@
 	}
 	world.Run(length)
 	world.network.Metrics = nil
-	mean := func(hosts []*Host) Idle {
-		sum := Idle{Kinds: map[string]float64{}}
+	mean := func(hosts []*Host) IdleTraffic {
+		sum := IdleTraffic{Kinds: map[string]float64{}}
 		for _, host := range hosts {
 			one, share := of(host), 1/float64(len(hosts))
 			sum.Sent += share * one.Sent
@@ -52,5 +53,5 @@
 			busiest = *one
 		}
 	}
-	return mean(world.Datas()), mean(world.Cores()), busiest
+	return mean(world.Daemons()), mean(world.Cores()), busiest
 }
--- a/verify/simulation/idle_test.go
+++ b/verify/simulation/idle_traffic_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What processes of small and grown deployments say to each other when nothing happens stays small.
+// The idle traffic of the processes of a small and a large deployment is bounded.
 func TestIdleCost(t *testing.T) {
 	eighty := Shape{
 		Zones: []string{"a", "b", "c", "d"}, Machines: []int{20, 20, 20, 20}, Disks: []int{2, 2, 2, 2}, Faults: 2,
@@ -16,14 +16,15 @@
 	for _, one := range []struct {
 		name  string
 		shape Shape
-		// The most messages a second that a daemon and a core send and receive, and the bytes of a daemon.
+		// The largest number of messages per second that a daemon and a control node send and receive, and of bytes of a
+		// daemon.
 		data, core, bytes float64
 	}{
 		{"12 daemons", Guild, 16, 120, 2500},
 		{"80 daemons", eighty, 16, 200, 2500},
 	} {
-		data, core, busiest := MeasureIdle(1, one.shape)
-		for kind, idle := range map[string]Idle{"daemon": data, "core": core, "busiest core": busiest} {
+		data, core, busiest := MeasureIdleTraffic(1, one.shape)
+		for kind, idle := range map[string]IdleTraffic{"daemon": data, "core": core, "busiest core": busiest} {
 			t.Logf("%s, %s: %.1f sent, %.1f received, %.0f B a second;%s", one.name, kind, idle.Sent, idle.Received,
 				idle.Bytes, kinds(idle))
 		}
@@ -34,7 +35,7 @@
 	}
 }
 
-func kinds(idle Idle) string {
+func kinds(idle IdleTraffic) string {
 	lines := make([]string, 0, len(idle.Kinds))
 	for kind, count := range idle.Kinds {
 		lines = append(lines, fmt.Sprintf(" %s %.2f", kind, count))
--- a/verify/simulation/injected_faults_test.go
+++ b/verify/simulation/injected_faults_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A fault that touches all runners touches those that come while it lasts, each once.
+// A fault that affects all runners also affects those that start while it lasts, each once.
 func TestTouchedRunnersIncludeNewOnes(t *testing.T) {
-	world := Found(1, GuildPath)
+	world := NewDeployment(1, GuildPath)
 	defer world.Close()
-	world.Run(foundingTime)
-	touched := &touchedRunners{world: world, impact: impact{knowable: perConnection}}
-	touched.record()
-	touched.record()
+	world.Run(bootstrapTime)
+	affected := &affectedRunners{world: world, impact: impact{detectableAfter: perConnection}}
+	affected.record()
+	affected.record()
 	count := len(world.Traffic.History.Faults)
 	if count != len(world.Runners()) {
 		t.Fatalf("%d faults of %d runners", count, len(world.Runners()))
@@ -22,15 +22,15 @@
 	host.Kill()
 	host.Boot()
 	if host.runner.engine.id == former {
-		t.Fatal("it came back under the same identity")
+		t.Fatal("the runner came back with its old identity")
 	}
-	touched.record()
+	affected.record()
 	faults := world.Traffic.History.Faults
 	if len(faults) != count+1 || faults[count].Runner != host.runner.engine.id {
 		t.Fatalf("%d faults, the last %+v", len(faults), faults[len(faults)-1])
 	}
 	world.Run(time.Second)
-	touched.end()
+	affected.end()
 	for _, fault := range world.Traffic.History.Faults {
 		if !fault.Until.Equal(world.Now) {
 			t.Errorf("%+v ends at %v", fault, fault.Until)
@@ -38,11 +38,11 @@
 	}
 }
 
-// Two operators who send changes after two returns at once never name one operation.
+// Operators that send changes after two returns at the same time never share an operation id.
 func TestReturnsShareNoOperation(t *testing.T) {
 	injector := &faultInjector{}
 	first, second := injector.nextReturn(), injector.nextReturn()
-	if second-first < operationsPerReturn || first < firstReturn {
+	if second-first < operationsPerReturn || first < firstReturnOperation {
 		t.Errorf("operations are counted from %d and from %d", first, second)
 	}
 }
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -8,34 +8,36 @@
 )
 
 const (
-	// reconnectBound is within what time of getting back a path to the core a daemon has learned of what it missed, or
-	// serves no more. The users' rule leaves it three seconds.
+	// reconnectBound is the time within which a daemon that regains a path to the control machines has learned of the
+	// changes that it missed, or stops serving. The users' rule allows three seconds.
 	reconnectBound = time.Second
-	// leaseBound is how much longer than the last answer of a core machine a lease counts, with what clocks go wrong.
+	// leaseBound is the longest time that a lease outlives the last answer of a control machine, clock drift included.
 	leaseBound = 1200 * time.Millisecond
 )
 
-// isolation is how a data daemon stands to the core: since when it has had no path both ways to any core machine that
-// runs, is not frozen and itself reaches more than half of the core; and the last such time that is over.
+// isolation is the state of a data daemon's isolation from the control machines. A daemon is isolated while it has no
+// path both ways to any running, unfrozen control machine that itself reaches a majority of them. since is the start of
+// the current isolation, previous and finished are the start and the end of the last one that is over.
 type isolation struct {
 	since, previous, finished time.Time
 	history                   *histories.Isolation
 }
 
-// isolationTracker notes for each data daemon when it lost the core and when it had it back.
+// isolationTracker records for each data daemon when it lost the control machines and when it regained them.
 type isolationTracker struct {
 	world  *World
 	states map[*Host]*isolation
-	// hasMinority says that some core machines run, but none reaches most of them; hadMinority is when that last ended.
-	hasMinority bool
-	hadMinority time.Time
+	// hasOnlyMinority means that some control machines run, but none reaches a majority; minorityEndedAt is when that
+	// state last ended.
+	hasOnlyMinority bool
+	minorityEndedAt time.Time
 }
 
 func newIsolationTracker(world *World) *isolationTracker {
 	return &isolationTracker{world: world, states: map[*Host]*isolation{}}
 }
 
-// of returns how a data daemon stands to the core.
+// of returns the isolation state of a data daemon.
 func (tracker *isolationTracker) of(host *Host) *isolation {
 	if tracker.states[host] == nil {
 		tracker.states[host] = &isolation{}
@@ -43,37 +45,37 @@
 	return tracker.states[host]
 }
 
-// refresh brings each daemon's separation from the core up to date after a change of the topology.
+// refresh updates all isolation states after a change of the topology.
 func (tracker *isolationTracker) refresh() {
 	world := tracker.world
 	if !world.topology.takeChange() {
 		return
 	}
 	tracker.refreshMinority()
-	settled := tracker.quorumCores()
-	for _, host := range world.Datas() {
-		tracker.set(host, !tracker.reachesAny(host, settled))
+	quorum := tracker.quorumCores()
+	for _, host := range world.Daemons() {
+		tracker.setIsolated(host, !tracker.reachesAny(host, quorum))
 	}
 }
 
-// refreshMinority notes whether a majority of the core can agree on anything.
+// refreshMinority updates whether no majority of the control machines can agree on anything.
 func (tracker *isolationTracker) refreshMinority() {
 	running := tracker.runningCores()
-	hasMinority := len(running) > 0 && len(tracker.thatReachMost(running)) == 0
-	if tracker.hasMinority && !hasMinority {
-		tracker.hadMinority = tracker.world.Now
+	hasOnlyMinority := len(running) > 0 && len(tracker.withQuorumAmong(running)) == 0
+	if tracker.hasOnlyMinority && !hasOnlyMinority {
+		tracker.minorityEndedAt = tracker.world.Now
 	}
-	tracker.hasMinority = hasMinority
+	tracker.hasOnlyMinority = hasOnlyMinority
 }
 
-// runningCores returns the core machines that run and are not frozen.
+// runningCores returns the control machines that run and are not frozen.
 func (tracker *isolationTracker) runningCores() []*Host {
 	return slices.DeleteFunc(tracker.world.Cores(), func(host *Host) bool { return !host.up || host.frozen })
 }
 
-// thatReachMost returns the running core machines that reach, with themselves, more than half of the core among some
-// of its machines.
-func (tracker *isolationTracker) thatReachMost(among []*Host) []*Host {
+// withQuorumAmong returns the running control machines that reach, among the given ones and with themselves, a majority
+// of all control machines.
+func (tracker *isolationTracker) withQuorumAmong(among []*Host) []*Host {
 	isLinked := tracker.world.topology.linked
 	return slices.DeleteFunc(tracker.runningCores(), func(host *Host) bool {
 		reached := 0
@@ -86,18 +88,19 @@
 	})
 }
 
-// isMinorityLeft reports whether some core machines run, but can't agree on anything, or could not a moment ago.
-func (tracker *isolationTracker) isMinorityLeft() bool {
-	return tracker.hasMinority ||
-		!tracker.hadMinority.IsZero() && tracker.world.Now.Sub(tracker.hadMinority) <= reconnectBound
+// isOnlyMinorityLeft reports whether some control machines run, but can't agree on anything, or could not up to
+// reconnectBound ago.
+func (tracker *isolationTracker) isOnlyMinorityLeft() bool {
+	return tracker.hasOnlyMinority ||
+		!tracker.minorityEndedAt.IsZero() && tracker.world.Now.Sub(tracker.minorityEndedAt) <= reconnectBound
 }
 
-// quorumCores returns the running, unfrozen core machines that reach more than half of the core.
+// quorumCores returns the running, unfrozen control machines that reach a majority.
 func (tracker *isolationTracker) quorumCores() []*Host {
-	return tracker.thatReachMost(tracker.world.Cores())
+	return tracker.withQuorumAmong(tracker.world.Cores())
 }
 
-// reachesAny reports whether a daemon has a path both ways to any of these core machines.
+// reachesAny reports whether a daemon has a path both ways to any of these control machines.
 func (tracker *isolationTracker) reachesAny(host *Host, cores []*Host) bool {
 	for _, core := range cores {
 		if tracker.world.topology.linked(host, core) {
@@ -107,13 +110,13 @@
 	return false
 }
 
-// set notes that a daemon has lost the core, or has it back.
-func (tracker *isolationTracker) set(host *Host, apart bool) {
+// setIsolated records that a daemon is isolated, or no longer is.
+func (tracker *isolationTracker) setIsolated(host *Host, isolated bool) {
 	world, isolation := tracker.world, tracker.of(host)
-	if apart != isolation.since.IsZero() {
+	if isolated != isolation.since.IsZero() {
 		return
 	}
-	if !apart {
+	if !isolated {
 		isolation.previous, isolation.finished = isolation.since, world.Now
 		isolation.since = time.Time{}
 		if isolation.history != nil {
--- a/verify/simulation/isolation_test.go
+++ b/verify/simulation/isolation_test.go
@@ -7,7 +7,7 @@
 
 func TestIsolationTrackerNotesLossAndReturnOfTheCore(t *testing.T) {
 	world := NewWorld(1)
-	core, daemon := world.AddCore("core", "a"), world.AddData("data", "a")
+	core, daemon := world.AddCore("core", "a"), world.AddDaemon("data", "a")
 	core.up, daemon.up = true, true
 	world.isolations.refresh()
 	if !world.isolations.of(daemon).since.IsZero() {
--- a/verify/simulation/pace_test.go
+++ b/verify/simulation/latencies_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// paces are the kinds of harm of a deployment's days, with the longest that an acknowledgement may take and
-// that a daemon which was left alone may pause.
-var paces = map[string]struct {
+// latencyBounds are the kinds of fault that are measured, each with the longest time until an acknowledgement and the
+// longest gap of a daemon without a fault of its own.
+var latencyBounds = map[string]struct {
 	names      []string
 	ack, pause time.Duration
 }{
@@ -26,8 +26,8 @@
 	"daemons restarted":    {[]string{"daemons restarted"}, 800 * time.Millisecond, 0},
 }
 
-// paceSeeds is how many seeds each kind of harm is played under.
-const paceSeeds = 1
+// latencySeeds is the number of seeds for each kind of fault.
+const latencySeeds = 1
 
 func TestPace(t *testing.T) {
 	t.Parallel()
@@ -35,41 +35,41 @@
 		name  string
 		kinds []string
 		Shape
-	}{{"guild", sorted(paces), Guild}, {"grown", []string{"all restarted", "core killed"}, Grown}} {
+	}{{"guild", sorted(latencyBounds), Guild}, {"grown", []string{"all restarted", "core killed"}, Grown}} {
 		for _, name := range shape.kinds {
 			t.Run(shape.name+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				testPace(t, shape.Shape, name)
+				testLatencies(t, shape.Shape, name)
 			})
 		}
 	}
 }
 
-// testPace plays one kind of harm and holds its figures to their bounds.
-func testPace(t *testing.T, shape Shape, name string) {
+// testLatencies measures one kind of fault and checks its bounds.
+func testLatencies(t *testing.T, shape Shape, name string) {
 	t.Helper()
-	bounds, whole := paces[name], &Pace{}
-	for seed := int64(1); seed <= paceSeeds; seed++ {
-		pace := MeasurePace(seed, shape, bounds.names)
-		for _, line := range pace.Broken {
+	bounds, all := latencyBounds[name], &Latencies{}
+	for seed := int64(1); seed <= latencySeeds; seed++ {
+		latencies := MeasureLatencies(seed, shape, bounds.names)
+		for _, line := range latencies.Violations {
 			t.Error(line)
 		}
-		whole.Acks, whole.Gaps, whole.Starts = append(
-			whole.Acks,
-			pace.Acks...), append(
-			whole.Gaps,
-			pace.Gaps...), append(
-			whole.Starts,
-			pace.Starts...)
+		all.Acks, all.Gaps, all.Starts = append(
+			all.Acks,
+			latencies.Acks...), append(
+			all.Gaps,
+			latencies.Gaps...), append(
+			all.Starts,
+			latencies.Starts...)
 	}
 	t.Logf("%4d acks: half %v, 0.9 %v, 0.99 %v, all %v; %3d pauses up to %v; %3d starts: half %v, all %v",
-		len(whole.Acks), At(whole.Acks, 0.5), At(whole.Acks, 0.9), At(whole.Acks, 0.99), At(whole.Acks, 1),
-		len(whole.Gaps), At(whole.Gaps, 1), len(whole.Starts), At(whole.Starts, 0.5), At(whole.Starts, 1))
-	if len(whole.Acks) < 40 || At(whole.Acks, 1) > bounds.ack {
-		t.Errorf("%d acknowledgements, up to %v; at most %v", len(whole.Acks), At(whole.Acks, 1), bounds.ack)
+		len(all.Acks), Quantile(all.Acks, 0.5), Quantile(all.Acks, 0.9), Quantile(all.Acks, 0.99), Quantile(all.Acks, 1),
+		len(all.Gaps), Quantile(all.Gaps, 1), len(all.Starts), Quantile(all.Starts, 0.5), Quantile(all.Starts, 1))
+	if len(all.Acks) < 40 || Quantile(all.Acks, 1) > bounds.ack {
+		t.Errorf("%d acknowledgements, up to %v; at most %v", len(all.Acks), Quantile(all.Acks, 1), bounds.ack)
 	}
-	if At(whole.Gaps, 1) > bounds.pause {
-		t.Errorf("%d pauses of daemons that were left alone, up to %v; at most %v", len(whole.Gaps), At(whole.Gaps, 1),
+	if Quantile(all.Gaps, 1) > bounds.pause {
+		t.Errorf("%d pauses of daemons that were left alone, up to %v; at most %v", len(all.Gaps), Quantile(all.Gaps, 1),
 			bounds.pause)
 	}
 }
@@ -80,15 +80,15 @@
 	watch := &orderWatch{world: world, operators: newOperators(world, 0)}
 	for range 100 {
 		watch.sample()
-		world.Run(paceSample)
+		world.Run(latencySampleInterval)
 	}
 	accepted := len(world.Check.outcomes.acknowledged)
 	if len(watch.acks) == 0 || accepted < len(watch.acks) || accepted > len(watch.acks)+1 {
-		t.Fatalf("%d acknowledgements taken down of %d", len(watch.acks), accepted)
+		t.Fatalf("%d acknowledgements recorded of %d", len(watch.acks), accepted)
 	}
 	before := len(watch.acks)
-	watch.ask()
-	watch.asked.Freeze()
+	watch.sendNext()
+	watch.target.Freeze()
 	watch.sample()
 	if watch.order != nil && watch.order.isAnswered() || len(watch.acks) > before {
 		t.Errorf("%d acknowledgements after %d, though the machine that was asked is frozen", len(watch.acks), before)
@@ -98,28 +98,28 @@
 func TestDaemonWatchTellsStartsFromPauses(t *testing.T) {
 	t.Parallel()
 	world := settledFleet(t)
-	watch, host := newDaemonWatch(world), world.Datas()[0]
+	watch, host := newDaemonWatch(world), world.Daemons()[0]
 	sample := func(length time.Duration) {
 		for end := world.Now.Add(length); world.Now.Before(end); {
 			watch.sample()
-			world.Run(paceSample)
+			world.Run(latencySampleInterval)
 		}
 	}
 	world.recovery.requireService()
-	sample(2 * settledAfter)
+	sample(2 * settlingTime)
 	host.Kill()
 	host.Boot()
-	sample(2 * settledAfter)
+	sample(2 * settlingTime)
 	if len(watch.starts) != 1 || len(watch.gaps) != 0 {
 		t.Fatalf("starts %v, pauses %v after a restart", watch.starts, watch.gaps)
 	}
 	for _, core := range world.Cores() {
 		core.Kill()
 	}
-	world.topology.Cut(host, world.Datas()[1])
-	sample(2 * settledAfter)
+	world.topology.Cut(host, world.Daemons()[1])
+	sample(2 * settlingTime)
 	boot(world.Cores())
-	sample(2 * settledAfter)
+	sample(2 * settlingTime)
 	if _, paused := watch.paused[host]; paused || len(watch.starts) != 1 {
 		t.Errorf("a daemon whose link is cut counts as paused; starts %v", watch.starts)
 	}
--- a/verify/simulation/list_faults.go
+++ b/verify/simulation/list_faults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// listFaults are the kinds of fault of the list of runners that the platform serves.
+// listFaults are the kinds of fault of the runner list that the platform serves.
 var listFaults = map[string]Fault{
 	"list silent":     onList(func(platform *platform, on bool) { platform.unreachable = on }),
 	"list empty":      onList(func(platform *platform, on bool) { platform.empty = on }),
@@ -10,7 +10,7 @@
 	"runner delisted": delistRunner,
 }
 
-// onList changes what the platform serves for a while.
+// onList changes the list that the platform serves until the fault is undone.
 func onList(change func(platform *platform, on bool)) Fault {
 	return func(world *World) func() {
 		change(&world.Platform, true)
@@ -18,7 +18,7 @@
 	}
 }
 
-// delistRunner takes a runner that runs on off the list.
+// delistRunner removes a runner from the list while it continues to run.
 func delistRunner(world *World) func() {
 	host := world.injector.runner()
 	incarnation := host.incarnation
--- a/verify/simulation/load_faults.go
+++ b/verify/simulation/load_faults.go
@@ -1,18 +1,18 @@
 package simulation
 
-// hotPart is the part of the requests that share one prefix while there is a hot key.
-const hotPart = 0.9
+// hotKeyShare is the fraction of the requests that share one prefix while there is a hot key.
+const hotKeyShare = 0.9
 
-// loadFaults concern the clients' requests and the planned restarts of daemons.
+// loadFaults are the kinds of load imbalance, and planned restarts of daemons.
 var loadFaults = map[string]Fault{
 	"daemon drained": drainDaemon,
 	"crowd":          overload,
-	"hot key":        heatOneKey,
+	"hot key":        concentrateOnHotKey,
 	"uneven daemons": loadUnevenly,
 }
 
 func drainDaemon(world *World) func() {
-	world.pick(world.Datas()).daemon.drainAndRestart()
+	world.pick(world.Daemons()).daemon.drainAndRestart()
 	return nothingToUndo
 }
 
@@ -21,8 +21,8 @@
 	return func() { world.Traffic.overloadBursts-- }
 }
 
-func heatOneKey(world *World) func() {
-	world.Traffic.Hot = hotPart
+func concentrateOnHotKey(world *World) func() {
+	world.Traffic.Hot = hotKeyShare
 	return func() { world.Traffic.Hot = 0 }
 }
 
--- a/verify/simulation/machine_faults.go
+++ b/verify/simulation/machine_faults.go
@@ -2,17 +2,17 @@
 
 import "wardtray/verify/histories"
 
-// machineFaults replace machines, or take the power from several at once.
+// machineFaults replace machines, or cut the power of several at once.
 var machineFaults = map[string]Fault{
 	"core replaced":               replaceCore,
-	"zone lost":                   loseZone,
-	"all down":                    loseAll,
+	"zone lost":                   powerOffZone,
+	"all down":                    powerOffAll,
 	"power after acknowledgement": losePowerAfterAcknowledgement,
-	"disks lost in the dark":      loseDisksInTheDark,
+	"disks lost in the dark":      loseDisksDuringPowerLoss,
 	"runner replaced":             replaceRunner,
 }
 
-// replaceCore takes a core machine away for good; the undoing starts another one at a new address.
+// replaceCore removes a control machine permanently; undoing it starts another one at a new address.
 func replaceCore(world *World) func() {
 	if !world.recovery.isRedundant() {
 		return nothingToUndo
@@ -23,21 +23,21 @@
 	return world.injector.addReplacement(old).Boot
 }
 
-// loseZone takes the power from all machines of a zone with a core.
-func loseZone(world *World) func() {
+// powerOffZone cuts the power of all machines of a zone that has a control machine.
+func powerOffZone(world *World) func() {
 	inside, _ := world.zone(world.pick(world.Cores()).Zone)
-	end := world.injector.record(impact{kills: true, knowable: unresponsiveBound}, inside...)
+	end := world.injector.record(impact{kills: true, detectableAfter: unresponsiveBound}, inside...)
 	for _, host := range inside {
-		host.Power()
+		host.PowerOff()
 	}
 	return both(end, func() { boot(inside) })
 }
 
-// loseAll takes the power from all machines. After their return an operator sends changes until one is accepted.
-func loseAll(world *World) func() {
-	end := world.injector.record(impact{kills: true, knowable: unresponsiveBound}, world.Hosts...)
+// powerOffAll cuts the power of all machines. After their return an operator sends changes until one is accepted.
+func powerOffAll(world *World) func() {
+	end := world.injector.record(impact{kills: true, detectableAfter: unresponsiveBound}, world.Hosts...)
 	for _, host := range world.Hosts {
-		host.Power()
+		host.PowerOff()
 	}
 	return func() {
 		end()
@@ -50,22 +50,22 @@
 	}
 }
 
-// powerLoss is the machines that lost their power together.
+// powerLoss is a set of machines that lose their power together.
 type powerLoss struct {
 	world *World
 	hosts []*Host
 	ends  []func()
 }
 
-// add takes the power from a machine.
+// add cuts the power of a machine.
 func (loss *powerLoss) add(host *Host) {
 	loss.ends = append(loss.ends,
-		loss.world.injector.record(impact{kills: true, knowable: unresponsiveBound}, host))
-	host.Power()
+		loss.world.injector.record(impact{kills: true, detectableAfter: unresponsiveBound}, host))
+	host.PowerOff()
 	loss.hosts = append(loss.hosts, host)
 }
 
-// undo starts the machines again, and has none lose its power any more where that has not come about.
+// undo starts the machines again, and cancels a power loss that has not happened yet.
 func (loss *powerLoss) undo() {
 	loss.world.Check.OnAccepted = nil
 	for index, host := range loss.hosts {
@@ -74,8 +74,8 @@
 	}
 }
 
-// losePowerAfterAcknowledgement takes the power from all cores, and about half of the other machines, a moment after a
-// change has been acknowledged: it must be on the disks by then, however many machines stop.
+// losePowerAfterAcknowledgement cuts the power of all control machines, and of about half of the other machines, right
+// after a change has been acknowledged: the change must be on the disks by then, however many machines stop.
 func losePowerAfterAcknowledgement(world *World) func() {
 	loss := &powerLoss{world: world}
 	world.Check.OnAccepted = func() {
@@ -91,9 +91,9 @@
 	return loss.undo
 }
 
-// loseDisksInTheDark takes the power from all machines a moment after a change has been acknowledged, and the disk from
-// as many cores as may lose it: the memory of every other machine is only what its disk holds.
-func loseDisksInTheDark(world *World) func() {
+// loseDisksDuringPowerLoss cuts the power of all machines right after a change has been acknowledged, and wipes the
+// disks of as many control machines as may lose theirs. The other machines keep only what is on their disks.
+func loseDisksDuringPowerLoss(world *World) func() {
 	loss := &powerLoss{world: world}
 	world.Check.OnAccepted = func() {
 		if !world.recovery.isRedundant() {
@@ -114,7 +114,7 @@
 	return loss.undo
 }
 
-// replaceRunner has the platform list another runner in place of one.
+// replaceRunner replaces a runner in the platform's list by another one; with a request path it kills a runner.
 func replaceRunner(world *World) func() {
 	if world.Traffic != nil {
 		return killRunner(world)
--- a/verify/simulation/minority_test.go
+++ b/verify/simulation/minority_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minorityWorld has four core machines, so many of which run.
+// minorityWorld returns a world with four control machines, of which the given number runs.
 func minorityWorld(running int) (*World, []*Host) {
 	world := NewWorld(1)
 	for number := range 4 {
@@ -19,28 +19,29 @@
 		world, _ := minorityWorld(running)
 		world.topology.changed()
 		world.isolations.refresh()
-		if left := world.isolations.isMinorityLeft(); left != want {
+		if left := world.isolations.isOnlyMinorityLeft(); left != want {
 			t.Errorf("%d of 4 run: %t", running, left)
 		}
 	}
 }
 
-// A machine that is deaf or mute is none of a majority; what can't agree a moment ago may have left its mark.
+// A machine that can't send to the others is not part of a majority. The state counts for reconnectBound after its end,
+// since daemons may still be affected by it.
 func TestMinorityIsLeftWhereMostCannotReachEachOther(t *testing.T) {
 	world, cores := minorityWorld(3)
 	world.topology.cutOneWay(cores[0], cores, true)
 	world.isolations.refresh()
-	if !world.isolations.isMinorityLeft() {
-		t.Fatal("three of four run, of which one is mute")
+	if !world.isolations.isOnlyMinorityLeft() {
+		t.Fatal("three of four run and one of them is mute, but a majority counts as left")
 	}
 	world.topology.Heal()
 	world.isolations.refresh()
 	world.Now = world.Now.Add(reconnectBound)
-	if !world.isolations.isMinorityLeft() {
-		t.Error("it has just ended")
+	if !world.isolations.isOnlyMinorityLeft() {
+		t.Error("the state does not count right after its end")
 	}
 	world.Now = world.Now.Add(time.Millisecond)
-	if world.isolations.isMinorityLeft() {
-		t.Error("it ended long ago")
+	if world.isolations.isOnlyMinorityLeft() {
+		t.Error("the state still counts long after its end")
 	}
 }
--- a/verify/simulation/network.go
+++ b/verify/simulation/network.go
@@ -12,17 +12,17 @@
 	"wardtray/wire"
 )
 
-// network carries the messages between hosts: each arrives after a random delay, unless it is lost or its link is cut.
+// network delivers messages between hosts: each arrives after a random delay, unless it is lost or its link is cut.
 type network struct {
 	world *World
-	// lastSent is when one host last sent to another; its connection stays for a while.
+	// lastSent is when one host last sent to another over a connection, which stays open for idleConnectionLifetime.
 	lastSent map[link]time.Time
-	// Loss is the part of all messages that get lost.
+	// Loss is the fraction of all messages that are lost.
 	Loss float64
-	// Delay is the least time that a message takes, Jitter the most that chance adds to it.
+	// Delay is the shortest time that a message takes, Jitter the longest random addition to it.
 	Delay  time.Duration
 	Jitter time.Duration
-	// Messages, Bytes and CrossZoneBytes count what was sent; for the measurements of cost and spread.
+	// Messages, Bytes and CrossZoneBytes count what was sent, for measurements.
 	Messages, Bytes, CrossZoneBytes uint64
 	// Metrics, if set, is called for every message.
 	Metrics func(from, to *Host, kind string, size int)
@@ -59,7 +59,7 @@
 		if target == nil || world.random.Float64() < network.Loss {
 			continue
 		}
-		from, tried, sent := host, host.local(), world.Now
+		from, tried, sent := host, host.localTime(), world.Now
 		network.lastSent[link{host.Address, outgoing.To}] = world.Now
 		world.After(network.lag()+target.processingDelay, func() {
 			if !sent.After(from.resetAt) || !sent.After(target.resetAt) {
@@ -71,13 +71,13 @@
 	}
 }
 
-// lag draws how long a message takes.
+// lag draws the time that a message takes.
 func (network *network) lag() time.Duration {
 	return network.Delay + time.Duration(network.world.random.Int63n(int64(network.Jitter)+1))
 }
 
-// refuseConnection tells a sender that nobody listened where its message came to, if the machine there is alive to say
-// so.
+// refuseConnection notifies a sender that its connection was refused, if the target's machine runs without the process
+// and there is a path both ways.
 func (network *network) refuseConnection(from, to *Host, tried time.Time) {
 	world := network.world
 	if to.up || to.poweredOff || to.runner != nil || world.topology.disconnected(from, to) {
@@ -88,46 +88,46 @@
 		if world.topology.disconnected(from, to) {
 			return
 		}
-		from.on(incarnation, func() { from.process.connectionRefused(to.Address, tried) })
+		from.runInProcess(incarnation, func() { from.process.connectionRefused(to.Address, tried) })
 	})
 }
 
-// connectionLasts is how long an idle connection is kept.
-const connectionLasts = time.Minute
+// idleConnectionLifetime is how long an idle connection is kept open.
+const idleConnectionLifetime = time.Minute
 
-// closeConnections has the system of a machine whose process ended close its connections; whoever had one tries again
-// at once.
+// closeConnections closes the connections of a process that has ended, as its machine's network stack does. Each peer
+// with an open connection reconnects at once and is refused.
 func (network *network) closeConnections(host *Host) {
 	world := network.world
 	for _, other := range world.Hosts {
 		sent, linked := network.lastSent[link{other.Address, host.Address}]
-		if !linked || !other.up || other == host || world.Now.Sub(sent) > connectionLasts {
+		if !linked || !other.up || other == host || world.Now.Sub(sent) > idleConnectionLifetime {
 			continue
 		}
 		from, incarnation := other, other.incarnation
 		world.After(network.lag(), func() {
 			if from.incarnation == incarnation && !world.topology.disconnected(from, host) {
-				tried := from.local()
+				tried := from.localTime()
 				world.After(network.lag(), func() { network.refuseConnection(from, host, tried) })
 			}
 		})
 	}
 }
 
-// deliver gives a message to the process that it is for, if that runs and can be reached.
+// deliver passes a message to its target's process, if that runs and can be reached.
 func (network *network) deliver(from, to *Host, content []byte) {
-	// A frozen machine's sockets hold only so much.
-	if network.world.topology.isCut(from, to) || !to.up || to.isFull() {
+	// The socket buffers of a frozen process's machine are bounded.
+	if network.world.topology.isCut(from, to) || !to.up || to.isBacklogFull() {
 		return
 	}
 	envelope := &wire.Envelope{}
 	if err := proto.Unmarshal(content, envelope); err != nil {
 		panic(err)
 	}
-	to.on(to.incarnation, func() { to.process.receive(envelope) })
+	to.runInProcess(to.incarnation, func() { to.process.receive(envelope) })
 }
 
-// countMessage counts a message that a host sends.
+// countMessage reports a message to Metrics.
 func (network *network) countMessage(from, to *Host, envelope *wire.Envelope, size int) {
 	if network.Metrics != nil {
 		network.Metrics(from, to, strings.TrimPrefix(reflect.TypeOf(envelope.Body).Elem().Name(), "Envelope_"), size)
--- a/verify/simulation/network_faults.go
+++ b/verify/simulation/network_faults.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// lossyPart is the part of all messages that a lossy network loses.
-	lossyPart = 0.15
-	// slowJitter is the most that chance adds to a message's time in a slow network.
+	// lossyNetworkLoss is the fraction of all messages that a lossy network loses.
+	lossyNetworkLoss = 0.15
+	// slowJitter is the longest random addition to a message's time in a slow network.
 	slowJitter = 400 * time.Millisecond
 )
 
-// networkFaults cut links between the control plane and its daemons, lose messages or delay them.
+// networkFaults cut links between control machines and data daemons, lose messages or delay them.
 var networkFaults = map[string]Fault{
 	"data cut off":          onDaemon(impact{}, cutOff),
 	"data deaf":             onDaemon(impact{}, deafen),
@@ -26,11 +26,11 @@
 }
 
 func cutDaemonFromCores(world *World) func() {
-	world.topology.CutOff([]*Host{world.pick(world.Datas())}, world.Cores())
+	world.topology.CutOff([]*Host{world.pick(world.Daemons())}, world.Cores())
 	return world.topology.Heal
 }
 
-// cutCoresInHalves parts the cores from each other in two halves; no daemon is cut off.
+// cutCoresInHalves cuts the control machines into two halves; the data daemons reach both.
 func cutCoresInHalves(world *World) func() {
 	cores := world.injector.shuffled(world.Cores())
 	world.topology.CutOff(cores[:len(cores)/2], cores[len(cores)/2:])
@@ -44,27 +44,27 @@
 }
 
 func cutCoresFromDaemons(world *World) func() {
-	world.topology.CutOff(world.Cores(), world.Datas())
+	world.topology.CutOff(world.Cores(), world.Daemons())
 	return world.topology.Heal
 }
 
-// cutOffZone cuts off a zone with a core.
+// cutOffZone cuts off a zone that has a control machine.
 func cutOffZone(world *World) func() {
 	inside, outside := world.zone(world.pick(world.Cores()).Zone)
-	end := world.injector.record(impact{knowable: unresponsiveBound}, inside...)
+	end := world.injector.record(impact{detectableAfter: unresponsiveBound}, inside...)
 	world.topology.CutOff(inside, outside)
 	return both(end, world.topology.Heal)
 }
 
 func loseMessages(world *World) func() {
-	world.network.Loss = lossyPart
+	world.network.Loss = lossyNetworkLoss
 	return func() { world.network.Loss = 0 }
 }
 
-// delayMessages has messages take so long that no daemon can be sure of a new configuration in time; the brief knows no
-// such network.
+// delayMessages delays messages so much that no daemon can confirm its configuration in time. The users' requirements
+// include no such network.
 func delayMessages(world *World) func() {
-	end := world.injector.record(impact{knowable: unresponsiveBound}, world.Hosts...)
+	end := world.injector.record(impact{detectableAfter: unresponsiveBound}, world.Hosts...)
 	world.network.Jitter = slowJitter
 	return both(end, func() { world.network.Jitter = defaultJitter })
 }
--- a/verify/simulation/operator_workloads.go
+++ b/verify/simulation/operator_workloads.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// repeatedWithin is within what time an operator sends a change again, unchanged, that was sent before.
+	// repeatedWithin is the longest time after which an operator sends a change again, unchanged.
 	repeatedWithin = 2 * time.Second
-	// returnRetryInterval is how often an operator tries again after the machines' return.
+	// returnRetryInterval is the interval at which an operator tries again after the machines' return.
 	returnRetryInterval = time.Second
 )
 
-// operatorWorkload sends operators' requests now and then: two at once on one base, whole specs and named entries,
-// closures, reads, invalid changes, and changes sent again unchanged.
+// operatorWorkload sends operators' requests at random times: pairs of changes with the same base, complete
+// configurations and changes of named entries, closed and opened zones, reads, invalid changes, and changes sent again
+// unchanged.
 type operatorWorkload struct {
 	operators *Operators
-	// every is about how often something is sent.
+	// every is the mean interval between two requests.
 	every   time.Duration
 	stopped bool
-	// cores are those that are asked now.
+	// cores are the control machines that the current requests are sent to.
 	cores []*Host
 }
 
-// startOperators has operators send a request about every so often, from now on.
+// startOperators starts a workload with this mean interval.
 func startOperators(world *World, every time.Duration) *operatorWorkload {
 	workload := &operatorWorkload{operators: newOperators(world, 0), every: every}
 	workload.step()
@@ -35,7 +36,7 @@
 // Stop ends the workload.
 func (workload *operatorWorkload) Stop() { workload.stopped = true }
 
-// step sends one of the kinds of request, and comes back after a while.
+// step sends one random kind of request, and schedules the next step.
 func (workload *operatorWorkload) step() {
 	if workload.stopped {
 		return
@@ -57,10 +58,10 @@
 	world.After(workload.every/2+time.Duration(world.random.Int63n(int64(workload.every))), workload.step)
 }
 
-// pick draws a core.
+// pick returns a random control machine.
 func (workload *operatorWorkload) pick() *Host { return workload.operators.world.pick(workload.cores) }
 
-// changeTwice has two operators build on one base.
+// changeTwice sends two changes with the same base.
 func (workload *operatorWorkload) changeTwice() {
 	workload.change()
 	workload.change()
@@ -83,7 +84,7 @@
 		func() { operators.resend(world.pick(cores)) })
 }
 
-// closeOrOpenZone closes or opens one of the zones that all deployments of more than one zone have.
+// closeOrOpenZone closes or opens one of zones a, b and c, which exist in every configuration that SpecText returns.
 func (workload *operatorWorkload) closeOrOpenZone() {
 	random, operation := workload.operators.world.random, workload.operators.nextOperation()
 	verb := []string{proposal.VerbClose, proposal.VerbOpen}[random.Intn(2)]
@@ -96,7 +97,7 @@
 	workload.operators.world.Check.Send(workload.pick(), &wire.OperatorRequest{Verb: proposal.VerbGet})
 }
 
-// sendInvalid sends a change that no fleet may accept.
+// sendInvalid sends a change that must be refused.
 func (workload *operatorWorkload) sendInvalid() {
 	world, operation := workload.operators.world, workload.operators.nextOperation()
 	world.Check.outcomes.expectRefusal(operation)
@@ -106,8 +107,8 @@
 	world.Check.Send(workload.pick(), invalid)
 }
 
-// invalidRequests are changes that must be refused: incomplete specs, specs that are no JSON, a zone that is not there,
-// an epoch that is not above the base, an entry that names nothing, and entries that are no JSON.
+// invalidRequests returns changes that must be refused: an incomplete configuration, one that is no JSON, an unknown
+// zone, an epoch that is not above the base, an entry with an unknown pool, and entries that are no JSON.
 func invalidRequests(base uint64, valid []byte) []*wire.OperatorRequest {
 	return []*wire.OperatorRequest{
 		{Verb: proposal.VerbApply, Spec: []byte(`{"zones":[{"name":"a","closed":false}],"pools":[],"lanes":[]}`),
@@ -122,8 +123,8 @@
 	}
 }
 
-// retryChange has an operator send a change again and again until one is accepted or a moment has come, so that
-// somebody asks for what the machines' return is checked by.
+// retryChange sends changes until one is accepted or the deadline has passed, so that the check of the machines' return
+// has a change to check.
 func (operators *Operators) retryChange(until time.Time) {
 	world := operators.world
 	var order *Order
@@ -138,36 +139,36 @@
 	world.After(returnRetryInterval, retry)
 }
 
-// changeSteadily has one operator send a change every so often, each on what is known by then.
-func (operators *Operators) changeSteadily(every time.Duration, until time.Time) {
+// changePeriodically sends a change at a fixed interval, each based on the newest version known by then.
+func (operators *Operators) changePeriodically(every time.Duration, until time.Time) {
 	if !operators.world.Now.Before(until) {
 		return
 	}
 	operators.applyNewest()
-	operators.world.After(every, func() { operators.changeSteadily(every, until) })
+	operators.world.After(every, func() { operators.changePeriodically(every, until) })
 }
 
-// wantAcknowledged sends a change every so often, on the newest version, and wants each acknowledged within the bound
-// unless another one won the race.
-func (operators *Operators) wantAcknowledged(every time.Duration, until time.Time) {
+// sendRequiringAnswers sends a change at a fixed interval, each based on the newest version, and requires that each is
+// answered within acknowledgementBound.
+func (operators *Operators) sendRequiringAnswers(every time.Duration, until time.Time) {
 	world := operators.world
 	if !world.Now.Before(until) {
 		return
 	}
 	order := operators.applyNewest()
 	world.After(acknowledgementBound, func() { operators.requireAnswer(order) })
-	world.After(every, func() { operators.wantAcknowledged(every, until) })
+	world.After(every, func() { operators.sendRequiringAnswers(every, until) })
 }
 
-// requireAnswer checks that a change has got its answer by now, acknowledgementBound after it was sent.
+// requireAnswer checks that a change has been answered by now, acknowledgementBound after it was sent.
 func (operators *Operators) requireAnswer(order *Order) {
 	check, took := operators.world.Check, acknowledgementBound
 	if order.isAnswered() {
 		took = order.Got.Sub(order.Sent)
 	}
-	check.recordWorst("answer to a change while most daemons are gone", took)
+	check.recordWorstCase("answer to a change while most daemons are gone", took)
 	if !order.isAnswered() {
-		check.violation("no-ack: %s had no answer within %v, though the core is whole", order.Operation,
+		check.violation("no-ack: %s had no answer within %v, though all control machines are healthy", order.Operation,
 			acknowledgementBound)
 	}
 }
--- a/verify/simulation/operator_workloads_test.go
+++ b/verify/simulation/operator_workloads_test.go
@@ -7,7 +7,7 @@
 	"wardtray/control/proposal"
 )
 
-// sendsOf returns how many requests of each verb a workload sent in a while, and how many of them again.
+// sendsOf returns the number of requests of each verb that a workload sent, and the number of retries.
 func sendsOf(orders []*Order) (verbs map[string]int, resent int) {
 	verbs = map[string]int{}
 	for _, order := range orders {
@@ -92,7 +92,7 @@
 					host.Kill()
 				}
 			}
-			newOperators(world, 0).wantAcknowledged(time.Second, world.Now.Add(3*time.Second))
+			newOperators(world, 0).sendRequiringAnswers(time.Second, world.Now.Add(3*time.Second))
 			world.Run(3*time.Second + acknowledgementBound)
 			if reported := len(world.Check.Violations) > 0; reported != lose {
 				t.Errorf("violations %v", world.Check.Violations)
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -9,7 +9,7 @@
 	"wardtray/wire"
 )
 
-// SpecText is a small spec; the number makes each one different.
+// SpecText returns a small configuration, distinguished by its number.
 func SpecText(number int) []byte {
 	return []byte(
 		fmt.Sprintf(
@@ -22,44 +22,44 @@
 	)
 }
 
-// Operators send changes through cores: whole specs and named entries, built on a version that they read, with epochs
-// that climb in uneven steps, and again unchanged.
+// Operators send changes through control machines: complete configurations and changes of named entries, based on a
+// version that they read, with epochs that increase in uneven steps, and again unchanged.
 type Operators struct {
 	world *World
-	// number is that of the newest operation, base the version on which changes are built.
+	// number is that of the newest operation, base the version on which changes are based.
 	number int
 	base   uint64
-	// last is the newest change, order what became of it.
+	// last is the newest change, order its outcome.
 	last  *wire.OperatorRequest
 	order *Order
 }
 
-// newOperators returns operators that number their operations from one above a number.
+// newOperators returns operators that number their operations from number+1.
 func newOperators(world *World, number int) *Operators {
 	return &Operators{world: world, number: number}
 }
 
-// applyNewest sends a whole spec that is built on the newest version, through any core.
+// applyNewest sends a complete configuration based on the newest version, through a random control machine.
 func (operators *Operators) applyNewest() *Order {
 	operators.readNewest()
 	return operators.apply(operators.world.pick(operators.world.Cores()))
 }
 
-// readNewest has the next changes be built on the newest version.
+// readNewest makes the newest version the base of the next changes.
 func (operators *Operators) readNewest() {
 	operators.base = operators.world.Check.outcomes.greatestCommitted()
 }
 
-// nextOperation returns the name of the operator's next operation.
+// nextOperation returns the id of a new operation.
 func (operators *Operators) nextOperation() string {
 	operators.number++
 	return operators.operation()
 }
 
-// operation returns the name of the operator's present operation.
+// operation returns the id of the current operation.
 func (operators *Operators) operation() string { return fmt.Sprintf("o%d", operators.number) }
 
-// apply sends a whole spec.
+// apply sends a complete configuration.
 func (operators *Operators) apply(host *Host) *Order {
 	operation := operators.nextOperation()
 	content := SpecText(operators.number)
@@ -69,12 +69,12 @@
 	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbApply, Spec: content})
 }
 
-// change sends a whole spec or named entries.
+// change sends a complete configuration or a change of named entries.
 func (operators *Operators) change(host *Host) {
 	[]func(host *Host) *Order{operators.apply, operators.changeEntries}[operators.world.random.Intn(2)](host)
 }
 
-// changeEntries sends named entries.
+// changeEntries sends a change of named entries.
 func (operators *Operators) changeEntries(host *Host) *Order {
 	operators.number++
 	content := fmt.Sprintf(
@@ -90,20 +90,20 @@
 	return operators.send(host, &wire.OperatorRequest{Verb: proposal.VerbChange, Spec: []byte(content)})
 }
 
-// send completes a change with its base, its operation and, now and then, an epoch some steps on.
-func (operators *Operators) send(host *Host, ask *wire.OperatorRequest) *Order {
+// send sends a change with its base, its operation and, half of the time, an explicit epoch one to five above the base.
+func (operators *Operators) send(host *Host, request *wire.OperatorRequest) *Order {
 	random := operators.world.random
-	ask.Base, ask.HasBase, ask.Operation = operators.base, true, operators.operation()
+	request.Base, request.HasBase, request.Operation = operators.base, true, operators.operation()
 	if random.Intn(2) == 0 {
-		ask.Epoch, ask.HasEpoch = operators.base+1+uint64(random.Intn(5)), true
+		request.Epoch, request.HasEpoch = operators.base+1+uint64(random.Intn(5)), true
 	}
-	// Whoever carries an order marks it, and the operator's own copy must stay as it was.
-	operators.last = proto.CloneOf(ask)
-	operators.order = operators.world.Check.Send(host, ask)
+	// The control machines mark a request in transit; the operator's own copy must stay unchanged.
+	operators.last = proto.CloneOf(request)
+	operators.order = operators.world.Check.Send(host, request)
 	return operators.order
 }
 
-// resend sends the newest change once more, as an operator does who got no clear answer.
+// resend sends the newest change again, as an operator does whose first attempt got no clear answer.
 func (operators *Operators) resend(host *Host) *Order {
 	if operators.last == nil {
 		return nil
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -13,101 +13,101 @@
 	"wardtray/wire"
 )
 
-// Order is one operator's change in the simulation.
+// Order is one operator's change with its outcome.
 type Order struct {
 	Operation string
 	Verb      string
-	// Base is the epoch that it is built on, AskedEpoch the one that it is to have, where it names them.
+	// Base is the epoch that it is based on, AskedEpoch the one that it requests, where it names them.
 	Base, AskedEpoch  uint64
 	HasBase, HasEpoch bool
 	Sent, Got         time.Time
 	Outcome           string
 	Epoch             uint64
 	Status            int
-	// Resent means that the same operation was sent more than once.
+	// Resent means that the operation was sent more than once.
 	Resent bool
 }
 
-// isAnswered reports whether it is known what became of the change.
+// isAnswered reports whether the change's outcome is known.
 func (order *Order) isAnswered() bool { return order.Outcome != proposal.OutcomeUnknown }
 
 // isAccepted reports whether the change was acknowledged.
 func (order *Order) isAccepted() bool { return order.Outcome == proposal.OutcomeAccepted }
 
-// isRefused reports whether the operator was told that the change is refused.
+// isRefused reports whether the change was refused.
 func (order *Order) isRefused() bool { return order.Outcome == proposal.OutcomeRefused }
 
-// namesBase names the verbs that name the epoch they are built on.
+// namesBase contains the verbs whose requests name the epoch that they are based on.
 var namesBase = map[string]bool{proposal.VerbApply: true, proposal.VerbChange: true}
 
-// Resend has an operator send a change that was sent before, unchanged, through another core.
-func (checker *Checker) Resend(host *Host, order *Order, ask *wire.OperatorRequest) *Order {
+// Resend sends an operator's change again, unchanged, through another control machine.
+func (checker *Checker) Resend(host *Host, order *Order, request *wire.OperatorRequest) *Order {
 	order.Resent = true
-	// A way to the head that was not found is no word on the change, which may be sent again.
+	// 503 means that no path to the head was found: the change itself is not refused and may be sent again.
 	if order.Status == http.StatusServiceUnavailable {
 		checker.outcomes.withdrawRefusal(order.Operation)
 	}
-	return checker.send(host, proto.CloneOf(ask), true)
+	return checker.send(host, proto.CloneOf(request), true)
 }
 
-// Send has an operator send a change through a core; what comes back is checked.
-func (checker *Checker) Send(host *Host, ask *wire.OperatorRequest) *Order {
-	return checker.send(host, ask, false)
+// Send sends an operator's request through a control machine and checks the answer.
+func (checker *Checker) Send(host *Host, request *wire.OperatorRequest) *Order {
+	return checker.send(host, request, false)
 }
 
-func (checker *Checker) send(host *Host, ask *wire.OperatorRequest, again bool) *Order {
+func (checker *Checker) send(host *Host, request *wire.OperatorRequest, again bool) *Order {
 	world := checker.world
 	order := &Order{
-		Operation:  ask.Operation,
-		Verb:       ask.Verb,
-		Base:       ask.Base,
-		HasBase:    ask.HasBase,
-		AskedEpoch: ask.Epoch,
-		HasEpoch:   ask.HasEpoch,
+		Operation:  request.Operation,
+		Verb:       request.Verb,
+		Base:       request.Base,
+		HasBase:    request.HasBase,
+		AskedEpoch: request.Epoch,
+		HasEpoch:   request.HasEpoch,
 		Sent:       world.Now,
 		Outcome:    proposal.OutcomeUnknown,
 		Resent:     again,
 	}
 	checker.Orders = append(checker.Orders, order)
-	recorded := checker.record(order, ask)
+	recorded := checker.record(order, request)
 	if !host.up || host.frozen {
 		return order
 	}
 	least := checker.outcomes.greatestAcknowledged()
-	host.on(host.incarnation, func() {
-		host.core.node.Submit(host.local(), ask, func(status int, body []byte) {
+	host.runInProcess(host.incarnation, func() {
+		host.core.node.Submit(host.localTime(), request, func(status int, body []byte) {
 			reply := proposal.Reply{}
 			if err := json.Unmarshal(body, &reply); err != nil {
-				checker.violation("an answer that is no JSON: %s", body)
+				checker.violation("an answer is not JSON: %s", body)
 				return
 			}
 			order.Got, order.Outcome, order.Epoch, order.Status = world.Now, reply.Outcome, reply.Epoch, status
-			// Of an operation that was sent twice, one copy may find no way to the head while the other does.
+			// Of an operation that was sent twice, one attempt may find no path to the head while the other does.
 			if status == http.StatusGatewayTimeout || order.Resent && status == http.StatusServiceUnavailable {
 				order.Outcome = proposal.OutcomeUnknown
 			}
 			recorded.Got, recorded.Outcome = world.Now, order.Outcome
 			recorded.Epoch, recorded.HTTPStatus = order.Epoch, status
-			checker.checkReply(order, ask, least)
+			checker.checkReply(order, request, least)
 		})
 	})
 	return order
 }
 
 // record records a change for the checker of the request path, where there is one.
-func (checker *Checker) record(order *Order, ask *wire.OperatorRequest) *histories.Order {
+func (checker *Checker) record(order *Order, request *wire.OperatorRequest) *histories.Order {
 	recorded := &histories.Order{
-		Operation: ask.Operation,
-		Verb:      ask.Verb,
-		Zone:      ask.Zone,
-		Base:      ask.Base,
-		HasBase:   ask.HasBase,
+		Operation: request.Operation,
+		Verb:      request.Verb,
+		Zone:      request.Zone,
+		Base:      request.Base,
+		HasBase:   request.HasBase,
 		Sent:      order.Sent,
 		Outcome:   proposal.OutcomeUnknown,
 	}
-	if traffic := checker.world.Traffic; traffic != nil && ask.Verb != proposal.VerbGet {
-		recorded.Spec = traffic.drafter.specs[ask.Operation]
-		if change, err := config.ParseChange(ask.Spec); ask.Verb == proposal.VerbChange && err == nil {
+	if traffic := checker.world.Traffic; traffic != nil && request.Verb != proposal.VerbGet {
+		recorded.Spec = traffic.drafter.specs[request.Operation]
+		if change, err := config.ParseChange(request.Spec); request.Verb == proposal.VerbChange && err == nil {
 			recorded.Change = change
 		}
 		traffic.History.Orders = append(traffic.History.Orders, recorded)
@@ -115,15 +115,15 @@
 	return recorded
 }
 
-// checkReply checks the answer to an operator's question.
-func (checker *Checker) checkReply(order *Order, ask *wire.OperatorRequest, least uint64) {
-	if ask.Verb == proposal.VerbGet {
+// checkReply checks the answer to an operator's request.
+func (checker *Checker) checkReply(order *Order, request *wire.OperatorRequest, least uint64) {
+	if request.Verb == proposal.VerbGet {
 		if order.Status == http.StatusOK && order.Epoch < least {
 			checker.violation("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
 		}
 		return
 	}
-	if ask.Verb == proposal.VerbOperation {
+	if request.Verb == proposal.VerbOperation {
 		return
 	}
 	if order.isRefused() {
