--- a/verify/simulation/outcomes.go
+++ b/verify/simulation/outcomes.go
@@ -2,17 +2,17 @@
 
 import "wardtray/wire"
 
-// outcomes is what became of each operation, by what cores have committed and by what operators were answered. It
-// checks that both agree, everywhere and for good.
+// outcomes tracks the outcome of each operation, as committed by control machines and as reported to operators, and
+// checks that both agree, on all machines and permanently.
 type outcomes struct {
 	checker *Checker
-	// committed is the epoch of each operation that any core has committed.
+	// committed maps each operation that any control machine has committed to its epoch.
 	committed map[string]uint64
-	// refused are the operations that an operator was told are refused.
+	// refused are the operations that were reported as refused.
 	refused map[string]bool
-	// invalid are the changes that no fleet may accept.
+	// invalid are the operations that must not be accepted.
 	invalid map[string]bool
-	// acknowledged are the accepted changes, in the order of their answers.
+	// acknowledged are the accepted changes, in order of their answers.
 	acknowledged []*Order
 }
 
@@ -25,7 +25,7 @@
 	}
 }
 
-// observe checks that each operation in a core's committed document has one outcome everywhere.
+// observe checks that each operation in a control machine's committed document has the same outcome everywhere.
 func (outcomes *outcomes) observe(host *Host, document *wire.Document) {
 	for _, outcome := range document.Outcomes {
 		if outcomes.refused[outcome.Operation] {
@@ -38,10 +38,10 @@
 	}
 }
 
-// expectRefusal notes that no fleet may accept an operation.
+// expectRefusal records that an operation must not be accepted.
 func (outcomes *outcomes) expectRefusal(operation string) { outcomes.invalid[operation] = true }
 
-// recordRefusal takes in that an operator was told that its change is refused.
+// recordRefusal records that an operator's change was reported as refused.
 func (outcomes *outcomes) recordRefusal(order *Order) {
 	if _, committed := outcomes.committed[order.Operation]; committed {
 		outcomes.checker.violation("%s was refused and is in effect", order.Operation)
@@ -49,10 +49,10 @@
 	outcomes.refused[order.Operation] = true
 }
 
-// withdrawRefusal forgets a refusal that was no word on the change itself.
+// withdrawRefusal drops a refusal that did not concern the change itself.
 func (outcomes *outcomes) withdrawRefusal(operation string) { delete(outcomes.refused, operation) }
 
-// checkAccepted checks that an acknowledged order is valid, in effect, and the only one on its base.
+// checkAccepted checks that an acknowledged change is valid, committed, and the only one with its base.
 func (outcomes *outcomes) checkAccepted(order *Order) {
 	checker := outcomes.checker
 	if outcomes.invalid[order.Operation] {
@@ -62,23 +62,23 @@
 		checker.violation("%s was acknowledged as epoch %d and is committed as %d", order.Operation, order.Epoch, epoch)
 	}
 	for _, other := range outcomes.acknowledged {
-		if other.Operation != order.Operation && (other.Epoch == order.Epoch || haveOneBase(order, other)) {
+		if other.Operation != order.Operation && (other.Epoch == order.Epoch || haveSameBase(order, other)) {
 			checker.violation("%s and %s were both accepted on one base", other.Operation, order.Operation)
 		}
 	}
 }
 
-// haveOneBase reports whether two changes name the same epoch that they are built on.
-func haveOneBase(one, other *Order) bool {
+// haveSameBase reports whether two changes name the same epoch as their base.
+func haveSameBase(one, other *Order) bool {
 	return namesBase[one.Verb] && namesBase[other.Verb] && one.Base == other.Base
 }
 
-// recordAccepted takes in an acknowledged order.
+// recordAccepted records an acknowledged change.
 func (outcomes *outcomes) recordAccepted(order *Order) {
 	outcomes.acknowledged = append(outcomes.acknowledged, order)
 }
 
-// requireKept checks that a core has every acknowledged change under its epoch, and no refused one.
+// requireKept checks that a control machine has every acknowledged change with its epoch, and no refused one.
 func (outcomes *outcomes) requireKept(host *Host) {
 	checker, kept := outcomes.checker, map[string]uint64{}
 	for _, outcome := range host.core.node.Chain().Committed().Outcomes {
@@ -97,7 +97,8 @@
 	}
 }
 
-// greatestCommitted is the epoch that an operator who reads would build on.
+// greatestCommitted returns the newest epoch that any control machine has committed, on which an operator bases a
+// change.
 func (outcomes *outcomes) greatestCommitted() uint64 {
 	greatest := uint64(0)
 	for _, epoch := range outcomes.committed {
@@ -106,7 +107,7 @@
 	return greatest
 }
 
-// greatestAcknowledged is the greatest epoch of an acknowledged order; reads may give no older one.
+// greatestAcknowledged returns the greatest epoch of an acknowledged change; a read may return no older one.
 func (outcomes *outcomes) greatestAcknowledged() uint64 {
 	greatest := uint64(0)
 	for _, order := range outcomes.acknowledged {
--- a/verify/simulation/outcomes_test.go
+++ b/verify/simulation/outcomes_test.go
@@ -8,7 +8,7 @@
 	"wardtray/wire"
 )
 
-// documentWith returns a document in which an operation has an epoch.
+// documentWith returns a document in which an operation has the given epoch.
 func documentWith(operation string, epoch uint64) *wire.Document {
 	return &wire.Document{SpecEpoch: epoch, Outcomes: []*wire.Outcome{{Operation: operation, SpecEpoch: epoch}}}
 }
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -12,7 +12,7 @@
 	"wardtray/wire"
 )
 
-// platform is the simulated list of runners. What it serves trails the truth, and may be wrong.
+// platform simulates the platform's list of runners. The list that it serves lags behind and may be wrong.
 type platform struct {
 	world        *World
 	actual       []*wire.Runner
@@ -20,13 +20,13 @@
 	previous     [][]*wire.Runner
 	removedAt    map[string]time.Time
 	incarnations int
-	// unreachable lets no list be read, empty gives an empty one, stuck goes on giving the present one, and
-	// truncated leaves some out.
+	// unreachable fails all reads of the list, empty serves an empty one, frozen keeps serving the present one, and
+	// truncated leaves out half of it. outdated serves an older list.
 	unreachable, empty, frozen, truncated bool
 	outdated                              bool
 }
 
-// fill lists so many runners.
+// fill lists the given number of runners.
 func (platform *platform) fill(count int) {
 	platform.removedAt = map[string]time.Time{}
 	for range count {
@@ -48,7 +48,7 @@
 	)
 }
 
-// replace takes one runner off and lists another.
+// replace removes a random runner and lists a new one.
 func (platform *platform) replace(random *rand.Rand) {
 	index := random.Intn(len(platform.listed))
 	platform.removedAt[platform.listed[index].RunnerId] = platform.world.Now
@@ -61,11 +61,11 @@
 	content, read := platform.served(), !platform.unreachable
 	world := platform.world
 	world.After(5*time.Millisecond, func() {
-		host.on(incarnation, func() { host.daemon.plane.OnPolled(content, read) })
+		host.runInProcess(incarnation, func() { host.daemon.plane.OnPolled(content, read) })
 	})
 }
 
-// served is the list as the platform gives it now.
+// served returns the list in the platform's encoding.
 func (platform *platform) served() []byte {
 	listed := []dataplane.ListedRunner{}
 	for _, runner := range platform.listed {
@@ -90,7 +90,7 @@
 	return content
 }
 
-// set changes a runner's true state; an empty state takes it off.
+// set changes a runner's true state; an empty state removes it.
 func (platform *platform) set(host *Host, state string) {
 	remaining := make([]*wire.Runner, 0, len(platform.actual)+1)
 	for _, runner := range platform.actual {
@@ -113,7 +113,7 @@
 	platform.actual = remaining
 }
 
-// publish makes what is served follow the truth, and notes who is seen to leave.
+// publish updates the served list to the true one, records the runners that drain, and schedules the next update.
 func (platform *platform) publish() {
 	served := append([]*wire.Runner{}, platform.actual...)
 	if platform.truncated {
@@ -133,7 +133,7 @@
 	platform.world.After(emulator.ListLag, platform.publish)
 }
 
-// recordDrains records who began to leave between two lists, and who is back.
+// recordDrains records the runners that began to drain, or were removed, between two lists, and those that are back.
 func (platform *platform) recordDrains(before, now []*wire.Runner) {
 	record := platform.world.Traffic.History
 	going, listed := map[string]bool{}, map[string]string{}
@@ -160,7 +160,7 @@
 	}
 }
 
-// delist has the platform notice after a while that a runner is gone.
+// delist removes a dead runner after delistingDelay, unless it has been started again.
 func (platform *platform) delist(host *Host) {
 	incarnation := host.incarnation
 	platform.world.After(delistingDelay, func() {
@@ -170,7 +170,7 @@
 	})
 }
 
-// delistAfterwards takes one incarnation of a runner off after a while, whether it runs or not.
+// delistAfterwards removes one incarnation of a runner after delistingDelay, whether it runs or not.
 func (platform *platform) delistAfterwards(host *Host, incarnation int) {
 	platform.world.After(delistingDelay, func() {
 		if host.incarnation == incarnation {
--- a/verify/simulation/process_faults.go
+++ b/verify/simulation/process_faults.go
@@ -1,9 +1,9 @@
 package simulation
 
-// processFaults end, freeze or slow processes of the control plane and its daemons.
+// processFaults kill, freeze or slow down control nodes and data daemons.
 var processFaults = map[string]Fault{
 	"data killed":        onDaemon(impact{kills: true}, killProcess),
-	"data without power": onDaemon(impact{kills: true, knowable: unresponsiveBound}, powerOff),
+	"data without power": onDaemon(impact{kills: true, detectableAfter: unresponsiveBound}, powerOff),
 	"data frozen":        onDaemon(impact{}, freezeProcess),
 	"daemons restarted":  restartDaemons,
 	"all restarted":      restartAll,
@@ -14,21 +14,21 @@
 	"head killed":        onHead(killProcess),
 }
 
-// nothingToUndo is the undoing of a fault that is over by itself.
+// nothingToUndo undoes a fault that ends by itself.
 func nothingToUndo() {}
 
 func restartDaemons(world *World) func() {
-	world.injector.restart(world.Datas())
+	world.injector.restart(world.Daemons())
 	return nothingToUndo
 }
 
 func restartAll(world *World) func() {
 	world.injector.shuffleSeeds()
-	world.injector.restart(append(world.Cores(), world.Datas()...))
+	world.injector.restart(append(world.Cores(), world.Daemons()...))
 	return nothingToUndo
 }
 
-// killAllCores ends the process of each core.
+// killAllCores kills all control nodes.
 func killAllCores(world *World) func() {
 	for _, host := range world.Cores() {
 		host.Kill()
@@ -36,7 +36,7 @@
 	return func() { boot(world.Cores()) }
 }
 
-// boot starts those of some hosts that don't run.
+// boot starts those of the hosts that don't run.
 func boot(hosts []*Host) {
 	for _, host := range hosts {
 		host.Boot()
--- a/verify/simulation/race_test.go
+++ b/verify/simulation/race_test.go
@@ -2,6 +2,6 @@
 
 package simulation
 
-// underRace means that the race detector watches. It keeps something for every coroutine that ever was, so
-// that a whole set of attempts takes more memory than small machines have; ./check plays them without it too.
+// underRace means that the race detector is on. It keeps memory for every coroutine that ever ran, so that a complete
+// set of attempts needs more memory than small machines have; ./check also runs them without it.
 const underRace = true
--- a/verify/simulation/read_back.go
+++ b/verify/simulation/read_back.go
@@ -8,10 +8,11 @@
 	"wardtray/wire"
 )
 
-// readBackTime is how long the fleet has to settle before it is read back, and each core to answer a read.
+// readBackTime is the time that the fleet gets to settle before it is read back, and each control machine to answer a
+// read.
 const readBackTime = 2 * time.Second
 
-// readBack runs the world and reads back from every core what became of each change that was answered.
+// readBack lets the fleet settle, and checks on every control machine the outcome of each answered change.
 func readBack(world *World) {
 	world.Run(readBackTime)
 	for _, host := range world.Cores() {
--- a/verify/simulation/recording.go
+++ b/verify/simulation/recording.go
@@ -7,8 +7,8 @@
 	"wardtray/verify/linearizability"
 )
 
-// judge has the history of the world's callers judged, where nothing else is wrong with it yet.
-func (checker *Checker) judge() {
+// checkHistory checks the linearizability of the callers' history, if no other rule is violated yet.
+func (checker *Checker) checkHistory() {
 	if len(checker.Violations) > 0 {
 		return
 	}
@@ -18,7 +18,7 @@
 	}
 }
 
-// Recording returns what the world's callers have seen.
+// Recording returns the history of the world's callers.
 func (world *World) Recording() linearizability.Recording {
 	recording := linearizability.Recording{Known: world.Check.outcomes.committed}
 	for number, order := range world.Check.Orders {
@@ -30,7 +30,7 @@
 	return recording
 }
 
-// since returns a moment as a recording has it.
+// since returns the time of a moment since the start; linearizability.Never for the zero time.
 func (world *World) since(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return linearizability.Never
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// returnBound is within what time of the last fault a change is acknowledged and every daemon serves under it.
+	// returnBound is the time after the last fault within which a change is acknowledged and every daemon serves under it.
 	returnBound = histories.ReturnBound
-	// repairBound is within what time of the end of the faults the fleet is fully redundant.
+	// repairBound is the time after the end of the faults within which the fleet is fully redundant.
 	repairBound = 15 * time.Second
-	// scrubAllowance is how long damage on a disk may go unfound: until the next sweep, and a while to mend it.
+	// scrubAllowance is the longest time for which damage on a disk may stay undetected: until the next scrub, and the
+	// time to repair it.
 	scrubAllowance = 6 * time.Second
-	// recoveryPollInterval is how often a recovery that is waited for is looked at.
+	// recoveryPollInterval is the interval at which an awaited recovery is checked.
 	recoveryPollInterval = 100 * time.Millisecond
-	// recoveryOrderTimeout is after what time a change without an answer is sent anew as another one.
+	// recoveryOrderTimeout is the time after which a change without an answer is abandoned and a new one is sent.
 	recoveryOrderTimeout = 2 * time.Second
-	// recoveryOrders is above the numbers of all changes that ordinary operators send.
-	recoveryOrders = 1_000_000
-	// toleratedPending is how many entries a member may have pending while it counts as up to date.
+	// recoveryOperations is the offset of these operators' operation numbers, beyond those of the other operators.
+	recoveryOperations = 1_000_000
+	// toleratedPending is the number of entries that a member may have pending while it counts as up to date.
 	toleratedPending = 2
 )
 
-// recoveryCheck says whether a fleet has its full redundancy and its service back after faults, and reports a
-// violation where that takes longer than its bound.
+// recoveryCheck checks whether a fleet has regained its full redundancy and its service after faults, and reports a
+// violation where that exceeds its bound.
 type recoveryCheck struct {
 	world *World
-	// unscrubbedUntil is up to when damage on a disk may not have been found yet.
+	// unscrubbedUntil is the time until which damage on a disk may be undetected.
 	unscrubbedUntil time.Time
 }
 
-// noteDiskDamage has the fleet count as not redundant until a sweep must have found the damage that was just done.
+// noteDiskDamage marks the fleet as not redundant until a scrub must have found the damage that was just done.
 func (recovery *recoveryCheck) noteDiskDamage() {
 	recovery.unscrubbedUntil = recovery.world.Now.Add(scrubAllowance)
 }
 
-// isRedundant reports whether every core is in the chain and the acceptors are live and complete.
+// isRedundant reports whether all control machines run, are in the chain and are up to date.
 func (recovery *recoveryCheck) isRedundant() bool {
 	world := recovery.world
 	if world.Now.Before(recovery.unscrubbedUntil) {
@@ -52,10 +53,10 @@
 	return true
 }
 
-// hasRejoined reports whether a running core is up to date, holds the lease where it is the chain's head, has nothing
-// to warn of that can be mended, and knows a chain of all cores under the newest view.
+// hasRejoined reports whether a running control machine is up to date, holds the lease if it is the head, has no
+// warning that can be resolved, and knows a chain of all control machines under the newest view.
 func (recovery *recoveryCheck) hasRejoined(host *Host) bool {
-	status, view := host.core.node.Status(host.local()), host.core.node.View()
+	status, view := host.core.node.Status(host.localTime()), host.core.node.View()
 	if status.Position != "outside" && status.Pending > toleratedPending {
 		return false
 	}
@@ -69,13 +70,13 @@
 		view.Epoch == recovery.newestView().Epoch
 }
 
-// isHead reports whether a machine of this status is the first of a view's chain.
+// isHead reports whether a machine with this status is the first of a view's chain.
 func isHead(view *wire.View, status node.Status) bool {
 	return len(view.Chain) > 0 && view.Chain[0].Id == status.ID
 }
 
-// hasSpareDisks reports whether there are disks and zones enough for everything that the status page wants; where there
-// are not, its warnings stay.
+// hasSpareDisks reports whether there are enough disks and zones for all recommendations of the status page; otherwise
+// its warnings stay.
 func (recovery *recoveryCheck) hasSpareDisks() bool {
 	cores, zones := recovery.world.Cores(), map[string]bool{}
 	for _, host := range cores {
@@ -84,7 +85,7 @@
 	return len(cores) > 2*recovery.world.Faults && len(zones) > 2
 }
 
-// newestView returns the newest view that any core knows.
+// newestView returns the newest view that any control machine knows.
 func (recovery *recoveryCheck) newestView() *wire.View {
 	newest := &wire.View{}
 	for _, host := range recovery.world.Cores() {
@@ -95,21 +96,21 @@
 	return newest
 }
 
-// requireService runs the world until service is back, and reports a violation if it is not within returnBound.
+// requireService runs the world until service is back, and reports a violation if that takes longer than returnBound.
 func (recovery *recoveryCheck) requireService() {
 	check := recovery.world.Check
 	took, restored := recovery.awaitService(returnBound)
-	check.recordWorst("service after the last fault", took)
+	check.recordWorstCase("service after the last fault", took)
 	if !restored && len(check.Violations) == 0 {
 		check.violation("not recovered %v after the last fault\n%s", returnBound, recovery.world.Describe())
 	}
 }
 
 // awaitService runs the world until a change is acknowledged and every daemon serves under it, at most for a bound. It
-// returns how long that took and whether it came about.
+// returns the time that this took and whether it happened.
 func (recovery *recoveryCheck) awaitService(bound time.Duration) (took time.Duration, restored bool) {
 	world := recovery.world
-	started, operators := world.Now, newOperators(world, recoveryOrders)
+	started, operators := world.Now, newOperators(world, recoveryOperations)
 	var order *Order
 	for world.Now.Sub(started) < bound && len(world.Check.Violations) == 0 {
 		if order == nil || order.isRefused() ||
@@ -124,19 +125,19 @@
 	return bound, false
 }
 
-// allServe reports whether every daemon holds a lease on a configuration of at least an epoch.
+// allServe reports whether every daemon holds a lease on a configuration of at least this epoch.
 func (recovery *recoveryCheck) allServe(epoch uint64) bool {
-	for _, host := range recovery.world.Datas() {
+	for _, host := range recovery.world.Daemons() {
 		if !host.up || !host.daemon.holdsLease() ||
-			host.daemon.controller.Snapshot(host.local()).SpecEpoch < epoch {
+			host.daemon.controller.Snapshot(host.localTime()).SpecEpoch < epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// requireRedundancy runs the world until it is fully redundant, and reports a violation if it is not within repairBound
-// of the end of the faults.
+// requireRedundancy runs the world until it is fully redundant, and reports a violation if that takes longer than
+// repairBound after the end of the faults.
 func (recovery *recoveryCheck) requireRedundancy(faultsEnded time.Time) {
 	world := recovery.world
 	for !recovery.isRedundant() && len(world.Check.Violations) == 0 {
@@ -145,17 +146,17 @@
 		}
 		world.Run(recoveryPollInterval)
 	}
-	world.Check.recordWorst("full redundancy after the last fault", world.Now.Sub(faultsEnded))
+	world.Check.recordWorstCase("full redundancy after the last fault", world.Now.Sub(faultsEnded))
 }
 
-// whenRepaired calls a function once nothing that the last fault took is missing any more: a deployment must bear one
-// loss at a time, and a loss lasts until it is repaired. faults tells since when no fault has ended, and whether one
-// goes on; a violation is reported where none does and the repair takes longer than repairBound.
+// whenRepaired calls a function once the fleet is fully redundant again: a deployment must tolerate one loss at a time,
+// and a loss lasts until it is repaired. faults returns when a fault last ended and whether one is active. It reports a
+// violation if none is active and the repair takes longer than repairBound.
 func (recovery *recoveryCheck) whenRepaired(faults func() (lastEnded time.Time, active bool), repaired func()) {
 	world := recovery.world
 	lastEnded, active := faults()
 	if recovery.isRedundant() {
-		world.Check.recordWorst("full redundancy after a fault", world.Now.Sub(lastEnded))
+		world.Check.recordWorstCase("full redundancy after a fault", world.Now.Sub(lastEnded))
 		repaired()
 		return
 	}
--- a/verify/simulation/recovery_test.go
+++ b/verify/simulation/recovery_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// settledFleet returns a small fleet that has founded itself.
+// settledFleet returns a small fleet that has started completely.
 func settledFleet(t *testing.T) *World {
 	t.Helper()
-	world := Found(1, Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1}})
+	world := NewDeployment(1, Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1}})
 	t.Cleanup(world.Close)
 	world.Run(8 * time.Second)
 	if !world.recovery.isRedundant() {
@@ -85,11 +85,11 @@
 
 func TestRecoveryCheckRequiresServiceAndRedundancy(t *testing.T) {
 	t.Parallel()
-	whole := settledFleet(t)
-	whole.recovery.requireService()
-	whole.recovery.requireRedundancy(whole.Now)
-	if len(whole.Check.Violations) > 0 {
-		t.Errorf("a fleet without faults: %v", whole.Check.Violations)
+	sound := settledFleet(t)
+	sound.recovery.requireService()
+	sound.recovery.requireRedundancy(sound.Now)
+	if len(sound.Check.Violations) > 0 {
+		t.Errorf("a fleet without faults: %v", sound.Check.Violations)
 	}
 	for name, requirement := range map[string]func(recovery *recoveryCheck, since time.Time){
 		"not recovered":       func(recovery *recoveryCheck, _ time.Time) { recovery.requireService() },
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -7,23 +7,23 @@
 	"wardtray/coordination/registry"
 )
 
-// unresponsiveKnown is after what time at the latest everybody knows of a runner that ended without a word.
-const unresponsiveKnown = 20 * time.Second
+// crashDetectionBound is the longest time until everybody knows of a runner that ended without notice.
+const crashDetectionBound = 20 * time.Second
 
-// RegisteringRunners are runners that register themselves at the cores, with what is known of each life.
+// RegisteringRunners are runners that register themselves with the control machines.
 type RegisteringRunners struct {
 	world *World
 	check *registrationCheck
-	// Incarnations are all lives, in the order of their starts; byID finds them by their ids.
+	// Incarnations are all incarnations in order of their starts; byID finds them by their ids.
 	Incarnations []*runnerIncarnation
 	byID         map[string]*runnerIncarnation
-	// churnEvery is about how often one of them leaves, crashes, or is replaced; none while it is 0.
+	// churnEvery is the mean interval at which an incarnation drains or crashes and is replaced; 0: never.
 	churnEvery time.Duration
-	// Acknowledged and Rejected count the answers to calls.
+	// Acknowledged and Rejected count the answers to registrations.
 	Acknowledged, Rejected int
 }
 
-// startRegisteringRunners brings in so many runners.
+// startRegisteringRunners starts the given number of runners.
 func startRegisteringRunners(world *World, count int, zones []string) *RegisteringRunners {
 	runners := &RegisteringRunners{world: world, byID: map[string]*runnerIncarnation{}}
 	runners.check = &registrationCheck{runners: runners}
@@ -34,7 +34,7 @@
 	return runners
 }
 
-// start begins a life at an address.
+// start starts an incarnation at an address.
 func (runners *RegisteringRunners) start(address, zone, service string) {
 	world := runners.world
 	incarnation := &runnerIncarnation{
@@ -50,47 +50,48 @@
 	}
 	runners.Incarnations = append(runners.Incarnations, incarnation)
 	runners.byID[incarnation.id] = incarnation
-	world.After(time.Duration(world.random.Int63n(int64(callEvery))), incarnation.heartbeat)
+	world.After(time.Duration(world.random.Int63n(int64(heartbeatInterval))), incarnation.heartbeat)
 }
 
-// startChurn has lives end about every so often, as planned or not.
+// startChurn ends incarnations at this mean interval, planned or not.
 func (runners *RegisteringRunners) startChurn(every time.Duration) {
 	runners.churnEvery = every
-	runners.endOne()
+	runners.endRandomIncarnation()
 }
 
-// stopChurn has no more lives end.
+// stopChurn ends the churn.
 func (runners *RegisteringRunners) stopChurn() { runners.churnEvery = 0 }
 
-// endOne has one life end, two out of three as planned, and comes back after a while.
-func (runners *RegisteringRunners) endOne() {
+// endRandomIncarnation ends a random incarnation, planned in two cases of three, and schedules the next end.
+func (runners *RegisteringRunners) endRandomIncarnation() {
 	world := runners.world
 	if runners.churnEvery == 0 {
 		return
 	}
-	if steady := runners.steady(); len(steady) > 0 {
-		incarnation := steady[world.random.Intn(len(steady))]
+	if registered := runners.registered(); len(registered) > 0 {
+		incarnation := registered[world.random.Intn(len(registered))]
 		ends := []func(){incarnation.drain, incarnation.drain, incarnation.stop}
 		ends[world.random.Intn(len(ends))]()
 	}
-	world.After(runners.churnEvery/2+time.Duration(world.random.Int63n(int64(runners.churnEvery))), runners.endOne)
+	world.After(runners.churnEvery/2+time.Duration(world.random.Int63n(int64(runners.churnEvery))),
+		runners.endRandomIncarnation)
 }
 
-// steady returns the lives that are known and don't leave.
-func (runners *RegisteringRunners) steady() []*runnerIncarnation {
-	var steady []*runnerIncarnation
+// registered returns the incarnations that are registered and don't drain.
+func (runners *RegisteringRunners) registered() []*runnerIncarnation {
+	var registered []*runnerIncarnation
 	for _, incarnation := range runners.Incarnations {
-		if incarnation.isSteady() {
-			steady = append(steady, incarnation)
+		if incarnation.isRegistered() {
+			registered = append(registered, incarnation)
 		}
 	}
-	return steady
+	return registered
 }
 
-// PlayRegisteringRunners founds a deployment whose runners register themselves, injects faults while they come and
-// go, and sees whether everybody knows who is there in the end.
-func PlayRegisteringRunners(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
-	world := Found(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
+// RunRegistrationScenario starts a deployment with self-registering runners, injects faults while runners start and
+// end, and checks that every daemon lists the right runners in the end.
+func RunRegistrationScenario(seed int64, shape Shape, names []string, atOnce int, knownBound time.Duration) *World {
+	world := NewDeployment(seed, shape, func(world *World) { startRegisteringRunners(world, 18, shape.Zones) })
 	runners := world.RegisteringRunners
 	world.Run(10 * time.Second)
 	runners.check.knownBound = knownBound
@@ -99,7 +100,7 @@
 	scheduleFaults(world, 40*time.Second, names, atOnce)
 	world.Run(40*time.Second + time.Millisecond)
 	runners.stopChurn()
-	world.Run(unresponsiveKnown)
+	world.Run(crashDetectionBound)
 	operators.Stop()
 	if len(world.Check.Violations) == 0 {
 		runners.check.requireFinalLists()
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// noCutFaults are the faults that part no cores and no daemons from them, apart those that part daemons from the
-// cores: while they last no daemon may lose a runner that calls.
+// noCutFaults are faults that partition neither control machines nor daemons, isolatingFaults those that isolate
+// daemons from the control machines only. Daemons must keep every runner that calls while they last.
 var (
 	noCutFaults = []string{
 		"core killed",
@@ -25,76 +25,77 @@
 )
 
 const (
-	// knownBound is when a new runner must be known, knownBoundWithCuts where cuts may last for 8.2 s, one after the
-	// other.
+	// knownBound is the time within which a new runner must be known, knownBoundWithCuts that where partitions may last
+	// for 8.2 s, one after the other.
 	knownBound         = 2 * time.Second
 	knownBoundWithCuts = 20 * time.Second
 )
 
-// registryFaults are all faults of the control plane and its daemons but the one that concerns the platform's list.
+// registryFaults returns all faults of the control plane and the data daemons but the one that concerns the platform's
+// list.
 func registryFaults() []string {
 	return slices.DeleteFunc(FaultNames(), func(name string) bool { return name == "runner replaced" })
 }
 
-func playRegisteringRunners(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
+func runRegistrationScenario(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
 	t.Helper()
 	t.Parallel()
 	for number := range seedCount(t) * 6 {
 		seed := int64(number + 1)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			world := PlayRegisteringRunners(seed, shape, names, atOnce, kept)
+			world := RunRegistrationScenario(seed, shape, names, atOnce, kept)
 			for _, violation := range world.Check.Violations {
 				t.Error(violation)
 			}
 			if t.Failed() {
 				t.Log(world.Log)
 			}
-			t.Log(world.RegisteringRunners.Acknowledged, "acknowledged,", world.RegisteringRunners.Rejected, "refused,",
-				len(world.RegisteringRunners.Incarnations), "lives", world.Check.WorstCases)
+			t.Log(world.RegisteringRunners.Acknowledged, "acknowledged,", world.RegisteringRunners.Rejected, "rejected,",
+				len(world.RegisteringRunners.Incarnations), "incarnations", world.Check.WorstCases)
 		})
 	}
 }
 
 func TestRunnersThatCallAreKeptThroughFaults(t *testing.T) {
-	playRegisteringRunners(t, Guild, noCutFaults, 1, knownBound)
+	runRegistrationScenario(t, Guild, noCutFaults, 1, knownBound)
 }
 
 func TestRunnersThatCallAreKeptWithoutControl(t *testing.T) {
-	playRegisteringRunners(t, Ferries, isolatingFaults, 1, knownBoundWithCuts)
+	runRegistrationScenario(t, Ferries, isolatingFaults, 1, knownBoundWithCuts)
 }
 
 func TestRunnersThatLeaveAreNotUsed(t *testing.T) {
-	playRegisteringRunners(t, Ferries, registryFaults(), 1, 0)
+	runRegistrationScenario(t, Ferries, registryFaults(), 1, 0)
 }
 
 func TestRunnersThatLeaveAreNotUsedWithManyFaults(t *testing.T) {
-	playRegisteringRunners(t, Guild, registryFaults(), 3, 0)
+	runRegistrationScenario(t, Guild, registryFaults(), 3, 0)
 }
 
-// In a calm time nothing is told of runners that only call on: what the processes say to each other does
-// not grow with their number.
+// Runners that only repeat their registrations cause no updates: the number of messages between processes does not grow
+// with the number of runners.
 func TestCallsAloneCostNoMessages(t *testing.T) {
 	t.Parallel()
 	counts := map[int]uint64{}
 	for _, count := range []int{0, 60} {
-		world := Found(1, Guild, func(world *World) { startRegisteringRunners(world, count, Guild.Zones) })
+		world := NewDeployment(1, Guild, func(world *World) { startRegisteringRunners(world, count, Guild.Zones) })
 		world.Run(20 * time.Second)
 		before := world.network.Messages
 		world.Run(20 * time.Second)
 		counts[count] = world.network.Messages - before
 	}
-	// The cores tell each other twice a beat who has called.
+	// The control machines exchange the newest calls twice per heartbeat.
 	if allowed := counts[0] + 20*2*6*2; counts[60] > allowed {
 		t.Fatal(counts)
 	}
 }
 
-// A large fleet: what the registry adds must be small beside 10 Mbit/s, also while runners are replaced.
+// In a large fleet the registry's traffic is small compared with 10 Mbit/s, also while runners are replaced.
 func TestReleaseInALargeFleetCostsLittle(t *testing.T) {
 	t.Parallel()
 	if underRace {
-		t.Skip("played without the race detector")
+		t.Skip("not run under the race detector")
 	}
 	const bytesOfLink = 10_000_000 / 8
 	none, _ := MeasureRegistry(1, 72, 0, time.Hour)
--- a/verify/simulation/registration_check_test.go
+++ b/verify/simulation/registration_check_test.go
@@ -28,10 +28,10 @@
 		{"another address", func(*World, *runnerIncarnation) {}, line(func(runner *wire.Runner) { runner.Address = "x" }),
 			"wrong-runner: data has q1 at x"},
 		{"leaving since a moment", func(world *World, incarnation *runnerIncarnation) {
-			incarnation.leftAt = world.Now.Add(-leaveKnown)
+			incarnation.leftAt = world.Now.Add(-drainingKnownBound)
 		}, asItIs, ""},
 		{"leaving for long", func(world *World, incarnation *runnerIncarnation) {
-			incarnation.leftAt = world.Now.Add(-leaveKnown - time.Millisecond)
+			incarnation.leftAt = world.Now.Add(-drainingKnownBound - time.Millisecond)
 		}, asItIs, "leaving-used: data still uses q1"},
 		{"leaving for long, listed as draining", func(world *World, incarnation *runnerIncarnation) {
 			incarnation.leftAt = world.Now.Add(-time.Hour)
@@ -63,26 +63,26 @@
 
 func TestRegisteringRunnersAreReplacedAtTheirAddresses(t *testing.T) {
 	t.Parallel()
-	world := Found(1, Guild, func(world *World) { startRegisteringRunners(world, 3, Guild.Zones) })
+	world := NewDeployment(1, Guild, func(world *World) { startRegisteringRunners(world, 3, Guild.Zones) })
 	t.Cleanup(world.Close)
 	world.Run(10 * time.Second)
 	runners := world.RegisteringRunners
 	first, second := runners.Incarnations[0], runners.Incarnations[1]
-	if !first.isSteady() || !second.isSteady() {
+	if !first.isRegistered() || !second.isRegistered() {
 		t.Fatal("runners that call are not known after ten seconds")
 	}
 	first.drain()
 	second.stop()
-	world.Run(unresponsiveKnown)
+	world.Run(crashDetectionBound)
 	if first.running || first.leftAt.IsZero() || second.running || !second.leftAt.IsZero() {
 		t.Errorf("planned: %+v, unplanned: %+v", first, second)
 	}
 	addresses := map[string]bool{}
-	for _, incarnation := range runners.steady() {
+	for _, incarnation := range runners.registered() {
 		addresses[incarnation.address] = true
 	}
 	if len(runners.Incarnations) != 5 || len(addresses) != 3 {
-		t.Errorf("%d lives, %d addresses in use", len(runners.Incarnations), len(addresses))
+		t.Errorf("%d incarnations, %d addresses in use", len(runners.Incarnations), len(addresses))
 	}
 	runners.check.requireFinalLists()
 	for _, violation := range world.Check.Violations {
--- a/verify/simulation/replica_check.go
+++ b/verify/simulation/replica_check.go
@@ -8,15 +8,15 @@
 	"wardtray/wire"
 )
 
-// replicaCheck checks that all cores agree on history, that one at most leads, and that what is acknowledged stands on
-// as many disks as it must.
+// replicaCheck checks that all control machines agree on the history, that at most one leads, and that acknowledged
+// changes are on enough disks.
 type replicaCheck struct {
 	checker *Checker
-	// digests are of the committed document of each sequence.
+	// digests are the digests of the committed documents, by sequence.
 	digests map[uint64][sha256.Size]byte
-	// observed is the newest sequence that was looked at of each core, by its address.
+	// observed is the newest sequence checked of each control machine, by its address.
 	observed map[string]uint64
-	// copies is on how many disks of its chain a head that may act had an epoch, at most.
+	// copies is, for each epoch, the greatest number of disks of its chain on which a head that may act had it.
 	copies map[uint64]int
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// step checks what a step of a running core can have broken.
+// step checks the rules that a step of a running control node may have violated.
 func (check *replicaCheck) step(host *Host) {
 	document := host.core.node.Chain().Committed()
 	_, known := check.digests[document.Sequence]
@@ -44,7 +44,7 @@
 	}
 }
 
-// compare checks that a core's document is the same as all others' of its sequence.
+// compare checks that a control node's document equals all others of the same sequence.
 func (check *replicaCheck) compare(host *Host, document *wire.Document) {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(document)
 	if err != nil {
@@ -57,7 +57,7 @@
 	check.digests[document.Sequence] = digest
 }
 
-// requireOneLeader checks that no other core leads beside one.
+// requireOneLeader checks that no other control node leads at the same time.
 func (check *replicaCheck) requireOneLeader(host *Host) {
 	for _, other := range check.checker.world.Hosts {
 		if other != host && other.core != nil && other.core.isLeading() {
@@ -66,8 +66,8 @@
 	}
 }
 
-// countCopies notes on how many disks of its own chain a head has what it may acknowledge now. Why: the answer itself
-// may reach its client much later, when the chain is another.
+// countCopies records on how many disks of its chain a head has the epoch that it may acknowledge now. It can't be
+// counted when the answer arrives: by then the chain may have changed.
 func (check *replicaCheck) countCopies(head *Host) {
 	epoch, copies := head.core.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range check.checker.world.Cores() {
@@ -79,8 +79,8 @@
 	check.copies[epoch] = max(check.copies[epoch], copies)
 }
 
-// requireCopies checks that an acknowledged order stands on as many disks as may be lost, and one more: with three
-// disks or more no change may be told as accepted that stands on one disk only.
+// requireCopies checks that an acknowledged change is on one more disk than may be lost at once: with three disks or
+// more, no change that is on one disk only may be reported as accepted.
 func (check *replicaCheck) requireCopies(order *Order) {
 	world := check.checker.world
 	for _, host := range world.Cores() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// holds reports whether a member of an identity is among others.
+// holds reports whether members contain one with this id.
 func holds(members []*wire.Member, id string) bool {
 	for _, member := range members {
 		if member.Id == id {
--- /dev/null
+++ b/verify/simulation/request_scenario.go
@@ -0,0 +1,102 @@
+package simulation
+
+import (
+	"time"
+
+	"wardtray/verify/loadtest"
+)
+
+// Trial configures a run of a deployment with its request path.
+type Trial struct {
+	// Faults are the kinds of fault injected, at most AtOnce at the same time, for Length.
+	Faults []string
+	AtOnce int
+	Length time.Duration
+	// Every is the mean interval between operators' requests, TakeAway the fraction of their configurations that remove
+	// something that requests need.
+	Every    time.Duration
+	TakeAway float64
+	// Rate is the number of requests per second. DisconnectsMidway, Disconnects and Retries are the fractions of them
+	// whose clients disconnect in the middle of an answer, disconnect at any time, or send them again.
+	Rate, DisconnectsMidway, Disconnects, Retries float64
+	// RetriesElsewhere is the fraction of the requests that are sent again to any daemon, Undeclared that of the clients
+	// that don't declare whether a request is a retry.
+	RetriesElsewhere, Undeclared float64
+	// Mix, if set, changes the deployment's workload.
+	Mix func(mix loadtest.Mix) loadtest.Mix
+}
+
+// DefaultTrial is the trial on which all others are based; it has no faults.
+var DefaultTrial = Trial{
+	AtOnce:            1,
+	Length:            40 * time.Second,
+	Every:             2 * time.Second,
+	TakeAway:          0.25,
+	Rate:              60,
+	DisconnectsMidway: 0.01,
+	Retries:           0.03,
+
+	RetriesElsewhere: 0.05,
+	Undeclared:       0.05,
+}
+
+// Try starts a deployment, injects faults under load, ends them, and checks the complete history.
+func Try(seed int64, shape Shape, trial Trial) *World {
+	if trial.Mix != nil {
+		shape.Mix = trial.Mix(shape.Mix)
+	}
+	world := NewDeployment(seed, shape)
+	defer world.Close()
+	traffic := world.Traffic
+	world.Run(bootstrapTime)
+	first := newOperators(world, 500_000)
+	first.apply(world.Cores()[0])
+	world.Run(3 * time.Second)
+	traffic.Rate, traffic.Retries, traffic.drafter.takeAway = trial.Rate, trial.Retries, trial.TakeAway
+	traffic.DisconnectsMidway, traffic.Disconnects = trial.DisconnectsMidway, trial.Disconnects
+	traffic.RetriesElsewhere, traffic.Undeclared = trial.RetriesElsewhere, trial.Undeclared
+	operators := startOperators(world, trial.Every)
+	world.Run(5 * time.Second)
+	if len(trial.Faults) > 0 {
+		scheduleFaults(world, trial.Length, trial.Faults, trial.AtOnce)
+	}
+	world.Run(trial.Length + time.Millisecond)
+	// Requests must continue, or nobody could see whether service is back.
+	traffic.drafter.takeAway = 0
+	world.Run(returnBound)
+	operators.Stop()
+	world.recovery.requireService()
+	traffic.stopped = true
+	// The longest patience must have passed before a request counts as forgotten.
+	end := world.Now.Add(45 * time.Second)
+	for traffic.pendingClients() > 0 && world.Now.Before(end) && len(world.Check.Violations) == 0 {
+		world.Run(time.Second)
+	}
+	if len(world.Check.Violations) == 0 {
+		traffic.requireAllAnswered()
+	}
+	if len(world.Check.Violations) == 0 {
+		traffic.End()
+	}
+	world.Check.checkHistory()
+	return world
+}
+
+// pendingClients returns the number of clients whose requests are not answered yet.
+func (traffic *Traffic) pendingClients() int {
+	count := 0
+	for _, host := range traffic.world.Daemons() {
+		count += len(host.daemon.clients)
+	}
+	return count
+}
+
+// requireAllAnswered reports requests that were never answered although nothing delays them any more.
+func (traffic *Traffic) requireAllAnswered() {
+	for _, host := range traffic.world.Daemons() {
+		for _, client := range host.daemon.clients {
+			traffic.world.Check.violation("dropped: %s, sent to %s %v ago, has no answer yet", client.record.Request,
+				host.Address, traffic.world.Now.Sub(client.record.Sent))
+		}
+	}
+}
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -6,20 +6,20 @@
 	"wardtray/verify/loadtest"
 )
 
-// GuildPath and FerriesPath are the deployments with their request paths.
+// GuildPath and FerriesPath are the two deployments with their request paths.
 var (
 	GuildPath   = Guild.With(loadtest.Guild)
 	FerriesPath = Ferries.With(loadtest.Ferries)
 )
 
-// Attempt is a trial aimed at one part of a rule of the brief.
+// Attempt is a trial that provokes a violation of one part of a rule of the users' requirements.
 type Attempt struct {
-	// Faults are the kinds of fault that cause what must not happen.
+	// Faults are the kinds of fault that can cause the violation.
 	Faults []string
 	change func(trial *Trial)
 }
 
-// Trial returns the trial of an attempt, with faults for a length of time.
+// Trial returns the attempt's trial, with faults for the given duration.
 func (attempt Attempt) Trial(length time.Duration) Trial {
 	trial := DefaultTrial
 	trial.Faults, trial.Length = attempt.Faults, length
@@ -32,19 +32,19 @@
 // AttemptNames returns the names of all attempts in order.
 func AttemptNames() []string { return sorted(Attempts) }
 
-// often has operators send many changes, most of which take away what requests need.
-func often(trial *Trial) { trial.Every, trial.TakeAway = 800*time.Millisecond, 0.6 }
+// changeOften sends many changes, most of which remove something that requests need.
+func changeOften(trial *Trial) { trial.Every, trial.TakeAway = 800*time.Millisecond, 0.6 }
 
-// seldom lets most of what a change takes away stay away for longer than histories.ZoneBound.
-func seldom(trial *Trial) { trial.Every, trial.TakeAway = 8*time.Second, 0.8 }
+// changeSeldom sends changes so rarely that what one removes mostly stays away for longer than histories.ZoneBound.
+func changeSeldom(trial *Trial) { trial.Every, trial.TakeAway = 8*time.Second, 0.8 }
 
-// resendOften has many clients send their requests again, to daemons of all zones, and some not say so.
+// resendOften makes many clients send their requests again, to daemons of all zones, some without declaring it.
 func resendOften(trial *Trial) {
 	trial.Retries, trial.RetriesElsewhere, trial.Undeclared = 0.2, 0.4, 0.15
 }
 
-// Attempts has one row for each part of each point of "What must never happen". docs/rules.md names the
-// broken code that turns each of them red.
+// Attempts has one entry for each part of each point of "What must never happen" in the users' requirements.
+// docs/rules.md names for each of them the faulty code that makes it fail.
 var Attempts = map[string]Attempt{
 	"run twice": {Faults: []string{"runner fails", "runner killed", "runner frozen", "runner deaf"}},
 	"run twice, sent again": {
@@ -66,7 +66,7 @@
 	"run after will not run":    {Faults: []string{"runner fails", "pool killed", "all put back"}},
 	"not whole":                 {Faults: []string{"runner partial", "runner killed"}},
 	"skip, repeat, splice":      {Faults: []string{"runner garbles", "runner partial"}},
-	"service not allowed":       {Faults: []string{"data cut from control", "address taken"}, change: often},
+	"service not allowed":       {Faults: []string{"data cut from control", "address taken"}, change: changeOften},
 	"address reused":            {Faults: []string{"address taken", "runner replaced"}},
 	"draining": {
 		Faults: []string{"runner drained", "list older", "list stuck"},
@@ -79,17 +79,17 @@
 	},
 	"change ignored": {
 		Faults: []string{"data cut off", "data cut from control", "data deaf", "data frozen"},
-		change: often,
+		change: changeOften,
 	},
 	"slips back": {
 		Faults: []string{"data killed", "data cut from control", "zone cut off"},
-		change: often,
+		change: changeOften,
 	},
 	"refused, losing, invalid": {
 		Faults: []string{"core killed", "core frozen", "core link cut one way"},
-		change: often,
+		change: changeOften,
 	},
-	"closed zone": {Faults: []string{"data cut off", "zone cut off", "runner deaf"}, change: seldom},
+	"closed zone": {Faults: []string{"data cut off", "zone cut off", "runner deaf"}, change: changeSeldom},
 	"repeats": {
 		Faults: []string{"all put back", "pool killed", "uneven daemons", "runner fails"},
 		change: func(trial *Trial) { trial.AtOnce = 2 },
@@ -102,7 +102,7 @@
 		Faults: []string{"daemon drained", "runner drained", "crowd"},
 		change: func(trial *Trial) { trial.AtOnce = 2 },
 	},
-	"change under way": {Faults: []string{"crowd", "uneven daemons"}, change: often},
+	"change under way": {Faults: []string{"crowd", "uneven daemons"}, change: changeOften},
 	"forgotten": {
 		Faults: []string{"power after acknowledgement", "all disks slow", "core wiped"},
 		change: func(trial *Trial) { trial.AtOnce, trial.Every = 2, 700*time.Millisecond },
@@ -135,7 +135,7 @@
 	"resumed beside changes": {
 		Faults: []string{"runner partial", "runner drained", "data cut from control", "address taken"},
 		change: func(trial *Trial) {
-			often(trial)
+			changeOften(trial)
 			trial.AtOnce, trial.Mix = 2, loadtest.Mix.WithResumption
 		},
 	},
@@ -175,13 +175,13 @@
 			"runner slow",
 		},
 		change: func(trial *Trial) {
-			trial.AtOnce, trial.Rate, trial.HangUps, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
+			trial.AtOnce, trial.Rate, trial.Disconnects, trial.Mix = 2, 50, 0.6, loadtest.Mix.Cancelling
 		},
 	},
 	"requesters leave, some runs go on": {
 		Faults: []string{"runner killed", "runner partial", "runner garbles", "daemon frozen for a moment"},
 		change: func(trial *Trial) {
-			trial.AtOnce, trial.HangUps, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.WithResumption
+			trial.AtOnce, trial.Disconnects, trial.Retries, trial.Mix = 2, 0.3, 0.1, loadtest.Mix.WithResumption
 		},
 	},
 	"answer at once": {Faults: []string{"runner dark", "runner mute", "runner unheard", "address taken"}},
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func try(t *testing.T, seed int64, shape Shape, attempt Attempt) *World {
+func runTrial(t *testing.T, seed int64, shape Shape, attempt Attempt) *World {
 	t.Helper()
 	trial := attempt.Trial(15 * time.Second)
 	if underRace {
@@ -24,7 +24,7 @@
 	return world
 }
 
-// seedCount is how many seeds each attempt gets at each deployment; WARDTRAY_SEEDS asks for more than one.
+// seedCount returns the number of seeds for each attempt at each deployment: one, unless WARDTRAY_SEEDS is set.
 func seedCount(t *testing.T) int {
 	t.Helper()
 	text := os.Getenv("WARDTRAY_SEEDS")
@@ -33,7 +33,7 @@
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 1 {
-		t.Fatalf("WARDTRAY_SEEDS=%q is no count", text)
+		t.Fatalf("WARDTRAY_SEEDS=%q is not a positive number", text)
 	}
 	return count
 }
@@ -48,7 +48,7 @@
 			t.Run(fmt.Sprint(name, ", ", shape.Mix.Pool), func(t *testing.T) {
 				t.Parallel()
 				for number := range seedCount(t) {
-					t.Log(try(t, int64(index+1+2*number), shape, attempt).Traffic.Summary())
+					t.Log(runTrial(t, int64(index+1+2*number), shape, attempt).Traffic.Summary())
 					if t.Failed() {
 						return
 					}
@@ -61,14 +61,14 @@
 func TestSameSeedSamePath(t *testing.T) {
 	t.Parallel()
 	if underRace {
-		t.Skip("played without the race detector")
+		t.Skip("not run under the race detector")
 	}
 	attempt := Attempt{Faults: append(RunnerFaultNames(), FaultNames()...)}
-	first, second := try(t, 3, GuildPath, attempt), try(t, 3, GuildPath, attempt)
+	first, second := runTrial(t, 3, GuildPath, attempt), runTrial(t, 3, GuildPath, attempt)
 	if first.Trace() != second.Trace() || first.Traffic.Summary() != second.Traffic.Summary() {
 		t.Fatalf("one seed gave two runs: %s; %s", first.Traffic.Summary(), second.Traffic.Summary())
 	}
-	if third := try(t, 4, GuildPath, attempt); third.Trace() == first.Trace() {
+	if third := runTrial(t, 4, GuildPath, attempt); third.Trace() == first.Trace() {
 		t.Fatal("two seeds gave one run")
 	}
 }
--- a/verify/simulation/runner_faults.go
+++ b/verify/simulation/runner_faults.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// delistingDelay is how long the platform takes to take a dead runner off its list.
+// delistingDelay is the time until the platform removes a dead runner from its list.
 const delistingDelay = 1500 * time.Millisecond
 
-// perConnection is for how long a fault goes on that shows on each connection by itself, at any time: longer than any
+// perConnection is the detection time of a fault that shows on each connection separately, at any time: longer than any
 // fault lasts.
 const perConnection = 10 * time.Second
 
-// unresponsive is the impact of a fault of which nobody says anything and that ends no process.
-var unresponsive = impact{knowable: unresponsiveBound}
+// unresponsive is the impact of a fault that nobody reports and that ends no process.
+var unresponsive = impact{detectableAfter: unresponsiveBound}
 
 // runnerFaults are the kinds of fault of runners.
 var runnerFaults = map[string]Fault{
@@ -20,30 +20,34 @@
 	"runner deaf":             onRunner(unresponsive, cutFromDaemons),
 	"runner unheard":          onRunner(unresponsive, cutToDaemons),
 	"runner cut and delisted": cutAndDelistRunner,
-	"runner mute":             misbehave(unresponsive, func(wrong *misbehavior, on bool) { wrong.unresponsive = on }),
-	"runner partial":          misbehave(impact{}, func(wrong *misbehavior, on bool) { wrong.partial = on }),
-	"runner fails":            misbehave(impact{}, func(wrong *misbehavior, on bool) { wrong.fails = on }),
-	"runner slow":             misbehave(unresponsive, (*misbehavior).setSlow),
-	"runner late":             misbehave(unresponsive, (*misbehavior).setLate),
-	"runner garbles":          garbleRunner,
-	"runner gives surplus answers": misbehave(impact{knowable: perConnection},
-		func(wrong *misbehavior, on bool) { wrong.surplus = on }),
+	"runner mute": withFaultyBehavior(unresponsive,
+		func(behavior *faultyBehavior, on bool) { behavior.unresponsive = on }),
+	"runner partial": withFaultyBehavior(impact{},
+		func(behavior *faultyBehavior, on bool) { behavior.partial = on }),
+	"runner fails": withFaultyBehavior(impact{},
+		func(behavior *faultyBehavior, on bool) { behavior.fails = on }),
+	"runner slow":    withFaultyBehavior(unresponsive, (*faultyBehavior).setSlow),
+	"runner late":    withFaultyBehavior(unresponsive, (*faultyBehavior).setLate),
+	"runner garbles": corruptRunnerEvents,
+	"runner gives surplus answers": withFaultyBehavior(impact{detectableAfter: perConnection},
+		func(behavior *faultyBehavior, on bool) { behavior.surplus = on }),
 	"all put back":   rejectEverywhere,
 	"pool killed":    killAllRunners,
 	"runner drained": drainRunner,
 	"address taken":  takeAddress,
 }
 
-// misbehave changes a runner's nature for a while.
-func misbehave(impact impact, change func(wrong *misbehavior, on bool)) Fault {
+// withFaultyBehavior changes a runner's behavior until the fault is undone.
+func withFaultyBehavior(impact impact, change func(behavior *faultyBehavior, on bool)) Fault {
 	return onRunner(impact, func(_ *World, host *Host) func() {
-		wrong := &host.runner.engine.misbehavior
-		change(wrong, true)
-		return func() { change(wrong, false) }
+		behavior := &host.runner.engine.faultyBehavior
+		change(behavior, true)
+		return func() { change(behavior, false) }
 	})
 }
 
-// delisted does a fault to a runner, which the platform takes off its list a while later if it is still down.
+// delisted applies a fault to a runner, which the platform removes from its list after delistingDelay if it is still
+// down.
 func delisted(fault hostFault) hostFault {
 	return func(world *World, host *Host) func() {
 		undo := fault(world, host)
@@ -56,23 +60,23 @@
 	return onRunner(impact{}, delisted(killProcess))(world)
 }
 
-// cutFromDaemons has a runner receive nothing from the daemons.
+// cutFromDaemons stops all messages from the daemons to a runner.
 func cutFromDaemons(world *World, host *Host) func() {
-	world.topology.cutOneWay(host, world.Datas(), false)
+	world.topology.cutOneWay(host, world.Daemons(), false)
 	return world.topology.Heal
 }
 
-// cutToDaemons has no daemon receive anything from a runner.
+// cutToDaemons stops all messages from a runner to the daemons.
 func cutToDaemons(world *World, host *Host) func() {
-	world.topology.cutOneWay(host, world.Datas(), true)
+	world.topology.cutOneWay(host, world.Daemons(), true)
 	return world.topology.Heal
 }
 
-// cutAndDelistRunner cuts a runner off from the daemons; the platform takes it off its list a while later.
+// cutAndDelistRunner cuts a runner off from the daemons; the platform removes it from its list after delistingDelay.
 func cutAndDelistRunner(world *World) func() {
 	host := world.injector.runner()
 	incarnation, end := host.incarnation, world.injector.record(unresponsive, host)
-	world.topology.CutOff([]*Host{host}, world.Datas())
+	world.topology.CutOff([]*Host{host}, world.Daemons())
 	world.Platform.delistAfterwards(host, incarnation)
 	return func() {
 		end()
@@ -81,16 +85,16 @@
 	}
 }
 
-// garbleRunner has a runner tell the third event of each stream wrongly, in one of the ways that there are.
-func garbleRunner(world *World) func() {
+// corruptRunnerEvents makes a runner corrupt the third event of each stream, in a random way.
+func corruptRunnerEvents(world *World) func() {
 	return onRunner(impact{}, func(world *World, host *Host) func() {
 		engine := host.runner.engine
-		engine.garble = garblings[world.random.Intn(len(garblings))]
-		return func() { engine.garble = "" }
+		engine.corruption = eventCorruptions[world.random.Intn(len(eventCorruptions))]
+		return func() { engine.corruption = "" }
 	})(world)
 }
 
-// rejectEverywhere has all runners reject every request.
+// rejectEverywhere makes all runners reject every request.
 func rejectEverywhere(world *World) func() {
 	end := world.injector.record(impact{}, world.Runners()...)
 	setRejects(world.Runners(), true)
@@ -118,7 +122,7 @@
 	}
 }
 
-// drainRunner has the platform list a runner as draining; the undoing restarts it.
+// drainRunner lists a runner as draining; undoing it restarts the runner.
 func drainRunner(world *World) func() {
 	host := world.injector.runner()
 	incarnation := host.incarnation
@@ -134,7 +138,8 @@
 	}
 }
 
-// takeAddress has a runner of another service start at a runner's address; the undoing gives the address back.
+// takeAddress starts a runner of another service at a runner's address; undoing it starts the former service there
+// again.
 func takeAddress(world *World) func() {
 	host := world.injector.runner()
 	end := world.injector.record(impact{}, host)
--- a/verify/simulation/runner_incarnation.go
+++ b/verify/simulation/runner_incarnation.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// callEvery is how often a runner calls, ackBound how long it waits for the acknowledgement, callRetries how many
-	// other cores it calls then.
-	callEvery   = 1200 * time.Millisecond
-	ackBound    = time.Second
-	callRetries = 2
-	// drainServe is how long a runner serves on after the acknowledgement that it leaves; it waits for that for
-	// drainAckTimeout, and calls drainRetries other cores.
-	drainServe      = 2500 * time.Millisecond
-	drainAckTimeout = 6 * time.Second
-	drainRetries    = 3
-	// addressRest is for how long at least nobody uses the address of a runner that is gone.
-	addressRest = 2 * time.Second
-	warmUpTime  = 1500 * time.Millisecond
+	// heartbeatInterval is the mean interval between two heartbeats of a runner, ackTimeout the time for which it waits
+	// for the acknowledgement, and heartbeatRetries the number of other control machines that it calls then.
+	heartbeatInterval = 1200 * time.Millisecond
+	ackTimeout        = time.Second
+	heartbeatRetries  = 2
+	// drainGracePeriod is the time for which a runner continues to serve after the acknowledgement that it drains. It
+	// waits for the acknowledgement for drainAckTimeout, and calls drainRetries other control machines.
+	drainGracePeriod = 2500 * time.Millisecond
+	drainAckTimeout  = 6 * time.Second
+	drainRetries     = 3
+	// addressReuseDelay is the shortest time before another runner uses the address of one that has ended.
+	addressReuseDelay = 2 * time.Second
+	warmUpTime        = 1500 * time.Millisecond
 )
 
-// runnerIncarnation is one life of a runner.
+// runnerIncarnation is one incarnation of a runner.
 type runnerIncarnation struct {
 	runners *RegisteringRunners
 	id      string
@@ -35,29 +35,30 @@
 	core    int
 	state   string
 	running bool
-	// pendingCall is the call under way.
+	// pendingCall is the number of the call that is not acknowledged yet; 0: none.
 	pendingCall uint64
-	// knownSince is when a call was first acknowledged, leftAt when it was that it drains or is gone, finishedAt when it
-	// stopped without a word or with one.
+	// knownSince is when a call was first acknowledged, leftAt when it was acknowledged that the runner drains or has
+	// ended, and finishedAt when its process stopped, announced or not.
 	knownSince, leftAt, finishedAt time.Time
 }
 
-// isSteady reports whether it runs, is known and does not leave.
-func (incarnation *runnerIncarnation) isSteady() bool {
+// isRegistered reports whether it runs, has been acknowledged, and does not drain.
+func (incarnation *runnerIncarnation) isRegistered() bool {
 	return incarnation.running && incarnation.state == registry.Ready && !incarnation.knownSince.IsZero()
 }
 
-// heartbeat calls now and again after a while.
+// heartbeat calls a control machine and schedules the next heartbeat.
 func (incarnation *runnerIncarnation) heartbeat() {
 	if !incarnation.running {
 		return
 	}
-	incarnation.register(callRetries)
+	incarnation.register(heartbeatRetries)
 	world := incarnation.runners.world
-	world.After(callEvery*9/10+time.Duration(world.random.Int63n(int64(callEvery/5))), incarnation.heartbeat)
+	world.After(heartbeatInterval*9/10+time.Duration(world.random.Int63n(int64(heartbeatInterval/5))),
+		incarnation.heartbeat)
 }
 
-// registration is what the runner tells of itself now.
+// registration returns the contents of a call.
 func (incarnation *runnerIncarnation) registration() *wire.Runner {
 	registration := &wire.Runner{
 		RunnerId: incarnation.id,
@@ -75,7 +76,7 @@
 	return registration
 }
 
-// register calls a core, and others if that does not acknowledge.
+// register calls a control machine, and up to more others if it does not acknowledge in time.
 func (incarnation *runnerIncarnation) register(more int) {
 	incarnation.call++
 	call, registration := incarnation.call, incarnation.registration()
@@ -90,14 +91,14 @@
 		incarnation.recordAcknowledged(draining)
 	})
 	world := incarnation.runners.world
-	// A copy may be long on its way and come to a core that has heard nothing else of this life.
+	// A copy of the call may be delayed and reach a control machine that has heard nothing else of this incarnation.
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
 			host := world.pick(world.Cores())
-			host.reach(func() { host.core.node.Register(host.local(), registration, func(registry.Outcome) {}) })
+			host.runIfReachable(func() { host.core.node.Register(host.localTime(), registration, func(registry.Outcome) {}) })
 		})
 	}
-	world.After(ackBound, func() {
+	world.After(ackTimeout, func() {
 		if incarnation.pendingCall == call && incarnation.running && more > 0 {
 			incarnation.core++
 			incarnation.register(more - 1)
@@ -105,18 +106,18 @@
 	})
 }
 
-// recordAcknowledged notes what an acknowledgement promises.
-func (incarnation *runnerIncarnation) recordAcknowledged(leaves bool) {
+// recordAcknowledged records what an acknowledgement promises.
+func (incarnation *runnerIncarnation) recordAcknowledged(draining bool) {
 	incarnation.runners.Acknowledged++
 	if incarnation.knownSince.IsZero() {
 		incarnation.knownSince = incarnation.runners.world.Now
 	}
-	if leaves && incarnation.leftAt.IsZero() {
+	if draining && incarnation.leftAt.IsZero() {
 		incarnation.leftAt = incarnation.runners.world.Now
 	}
 }
 
-// send hands a call to the core that the life calls now; a refusal makes the next one come soon.
+// send sends a call to the incarnation's current control machine; after a rejection the next call goes to another one.
 func (incarnation *runnerIncarnation) send(
 	do func(now time.Time, host *Host, answer func(outcome registry.Outcome)),
 	acked func(),
@@ -125,9 +126,9 @@
 	cores := world.Cores()
 	host := cores[incarnation.core%len(cores)]
 	world.After(world.network.lag(), func() {
-		host.reach(func() {
+		host.runIfReachable(func() {
 			sent := host.incarnation
-			do(host.local(), host, func(outcome registry.Outcome) {
+			do(host.localTime(), host, func(outcome registry.Outcome) {
 				world.After(world.network.lag(), func() {
 					if host.incarnation != sent {
 						return
@@ -144,22 +145,23 @@
 	})
 }
 
-// drain has a life end as planned: it says so, serves on for a while after the acknowledgement, ends its registration
-// and is gone.
+// drain ends an incarnation as planned: it announces that it drains, continues to serve for a while after the
+// acknowledgement, deregisters and ends.
 func (incarnation *runnerIncarnation) drain() {
 	incarnation.state = registry.Draining
 	incarnation.register(drainRetries)
-	incarnation.leaveWhenAcknowledged(incarnation.runners.world.Now)
+	incarnation.deregisterWhenAcknowledged(incarnation.runners.world.Now)
 }
 
-// leaveWhenAcknowledged serves on for drainServe once the leaving is acknowledged, or was not for too long.
-func (incarnation *runnerIncarnation) leaveWhenAcknowledged(tried time.Time) {
+// deregisterWhenAcknowledged deregisters drainGracePeriod after the draining is acknowledged, or after drainAckTimeout
+// without an acknowledgement.
+func (incarnation *runnerIncarnation) deregisterWhenAcknowledged(tried time.Time) {
 	world := incarnation.runners.world
 	if incarnation.leftAt.IsZero() && world.Now.Sub(tried) < drainAckTimeout {
-		world.After(50*time.Millisecond, func() { incarnation.leaveWhenAcknowledged(tried) })
+		world.After(50*time.Millisecond, func() { incarnation.deregisterWhenAcknowledged(tried) })
 		return
 	}
-	world.After(drainServe, incarnation.deregister)
+	world.After(drainGracePeriod, incarnation.deregister)
 }
 
 // deregister ends the registration, and the process a moment later.
@@ -170,14 +172,14 @@
 	incarnation.runners.world.After(200*time.Millisecond, incarnation.stop)
 }
 
-// stop stops a life without a word; its address goes to another one after a rest.
+// stop ends an incarnation without notice; another one reuses its address after addressReuseDelay or later.
 func (incarnation *runnerIncarnation) stop() {
 	if !incarnation.running {
 		return
 	}
 	world := incarnation.runners.world
 	incarnation.running, incarnation.finishedAt = false, world.Now
-	world.After(addressRest+time.Duration(world.random.Int63n(int64(3*time.Second))), func() {
+	world.After(addressReuseDelay+time.Duration(world.random.Int63n(int64(3*time.Second))), func() {
 		incarnation.runners.start(incarnation.address, incarnation.zone, []string{"s", "t"}[world.random.Intn(2)])
 	})
 }
--- a/verify/simulation/runner_process.go
+++ b/verify/simulation/runner_process.go
@@ -8,19 +8,19 @@
 	"wardtray/wire"
 )
 
-// reportInterval is how often a runner notes its load.
+// reportInterval is the interval at which a runner samples its load.
 const reportInterval = 100 * time.Millisecond
 
 // runnerProcess is the runner of one host. It exchanges no messages with the daemons: they connect to it.
 type runnerProcess struct {
 	host *Host
-	// engine is that of the last process, which may have ended.
+	// engine belongs to the last process, which may have ended.
 	engine *engine
-	// otherService, where it is set, makes the next process a runner of that service, which the platform does not list.
+	// otherService, if set, makes the next process a runner of that service, which the platform does not list.
 	otherService string
 }
 
-// boot starts a runner under a new identity with an empty cache.
+// boot starts a runner with a new identity and an empty cache.
 func (runner *runnerProcess) boot() {
 	host, world := runner.host, runner.host.world
 	world.identities++
@@ -31,13 +31,13 @@
 	}
 	id := fmt.Sprintf("%s-%d", host.Address, world.identities)
 	runner.engine = newEngine(host, id, service, traffic.weights)
-	host.every(host.incarnation, reportInterval, runner.engine.observe)
+	host.startRepeating(host.incarnation, reportInterval, runner.engine.observe)
 	if runner.otherService == "" {
 		runner.list()
 	}
 }
 
-// list has the platform list the present process, as cold until it is warm.
+// list lists the present process on the platform, as cold until it is warm.
 func (runner *runnerProcess) list() {
 	host, world := runner.host, runner.host.world
 	world.Platform.set(host, "cold")
@@ -54,5 +54,5 @@
 // connectionRefused does nothing: a runner sends no messages.
 func (runner *runnerProcess) connectionRefused(string, time.Time) {}
 
-// end does nothing: the platform learns of it by itself.
+// end does nothing: the platform detects the end by itself.
 func (runner *runnerProcess) end() {}
--- a/verify/simulation/runner_process_test.go
+++ b/verify/simulation/runner_process_test.go
@@ -7,7 +7,7 @@
 	"wardtray/verify/emulator"
 )
 
-// listedState is how the platform's truth has a host's runner; empty: not at all.
+// listedState returns the state of a host's runner in the platform's true list, or nothing if it is not listed.
 func listedState(world *World, host *Host) string {
 	for _, runner := range world.Platform.actual {
 		if runner.Address == host.Address {
@@ -19,7 +19,7 @@
 
 func TestRunnerProcessIsListedAsColdUntilItIsWarm(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
+	world := settledFleetWithTraffic(t)
 	host := world.Runners()[0]
 	host.Kill()
 	previous := host.runner.engine.id
@@ -35,7 +35,7 @@
 
 func TestRunnerProcessOfAnotherServiceIsNotListed(t *testing.T) {
 	t.Parallel()
-	world := settledPath(t)
+	world := settledFleetWithTraffic(t)
 	host := world.Runners()[0]
 	host.Kill()
 	world.Platform.set(host, "")
--- a/verify/simulation/second_loss_days_test.go
+++ b/verify/simulation/second_loss_scenarios_test.go
@@ -40,8 +40,8 @@
 		{firstLossLength + catchUpTime - time.Millisecond, true, true},
 		{firstLossLength + catchUpTime, true, false},
 	} {
-		if day := SecondLossDay("repair", test.wiped, test.after); day.Fleeting != test.want {
-			t.Errorf("after %v, wiped %v: fleeting %v", test.after, test.wiped, day.Fleeting)
+		if scenario := SecondLossScenario("repair", test.wiped, test.after); scenario.ExceedsTolerance != test.want {
+			t.Errorf("after %v, wiped %v: fleeting %v", test.after, test.wiped, scenario.ExceedsTolerance)
 		}
 	}
 }
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func play(t *testing.T, seed int64, shape Shape, names []string, atOnce int) *World {
+func runFaults(t *testing.T, seed int64, shape Shape, names []string, atOnce int) *World {
 	t.Helper()
-	world := Play(seed, shape, names, atOnce)
+	world := RunFaults(seed, shape, names, atOnce)
 	for _, violation := range world.Check.Violations {
 		t.Error(violation)
 	}
@@ -16,42 +16,42 @@
 
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
-	first, second := play(t, 5, Guild, FaultNames(), 1), play(t, 5, Guild, FaultNames(), 1)
+	first, second := runFaults(t, 5, Guild, FaultNames(), 1), runFaults(t, 5, Guild, FaultNames(), 1)
 	if first.Trace() != second.Trace() {
 		t.Fatal("one seed gave two runs")
 	}
-	if third := play(t, 6, Guild, FaultNames(), 1); third.Trace() == first.Trace() {
+	if third := runFaults(t, 6, Guild, FaultNames(), 1); third.Trace() == first.Trace() {
 		t.Fatal("two seeds gave one run")
 	}
 }
 
-// seeds plays many seeds side by side.
-func seeds(t *testing.T, shape Shape, count int64, names []string, atOnce int) {
+// runSeeds runs many seeds in parallel.
+func runSeeds(t *testing.T, shape Shape, count int64, names []string, atOnce int) {
 	t.Helper()
 	t.Parallel()
 	for seed := int64(1); seed <= count; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed, shape, names, atOnce)
+			runFaults(t, seed, shape, names, atOnce)
 		})
 	}
 }
 
-// One fault at a time, repaired before the next, is what a deployment must bear without a pause longer than the
-// brief's.
-func TestSingleFaultsOnTheGuild(t *testing.T)   { seeds(t, Guild, 16, FaultNames(), 1) }
-func TestSingleFaultsOnTheFerries(t *testing.T) { seeds(t, Ferries, 16, FaultNames(), 1) }
+// A deployment tolerates one fault at a time, repaired before the next, without an interruption longer than the users'
+// requirements allow.
+func TestSingleFaultsOnTheGuild(t *testing.T)   { runSeeds(t, Guild, 16, FaultNames(), 1) }
+func TestSingleFaultsOnTheFerries(t *testing.T) { runSeeds(t, Ferries, 16, FaultNames(), 1) }
 
-// As many machines as may lose their disks lose them, a moment after a change was acknowledged, while all
-// others lose their power.
+// As many machines as may lose their disks lose them right after a change was acknowledged, while all others lose their
+// power.
 func TestDisksLostInTheDark(t *testing.T) {
 	t.Parallel()
 	for name, shape := range map[string]Shape{"guild": Guild, "ferries": Ferries, "grown": Grown, "narrow": Narrow} {
-		t.Run(name, func(t *testing.T) { seeds(t, shape, 6, []string{"disks lost in the dark"}, 1) })
+		t.Run(name, func(t *testing.T) { runSeeds(t, shape, 6, []string{"disks lost in the dark"}, 1) })
 	}
 }
 
-// Fewer disks than seeds should be, and many in one zone.
+// Deployments with fewer disks than seeds are recommended, or with many disks in one zone.
 func TestFewDisksAndFewZones(t *testing.T) {
 	t.Parallel()
 	kinds := []string{
@@ -64,27 +64,27 @@
 		"all down",
 	}
 	for name, shape := range map[string]Shape{"single": Single, "pair": Pair, "narrow": Narrow} {
-		t.Run(name, func(t *testing.T) { seeds(t, shape, 4, kinds, 1) })
+		t.Run(name, func(t *testing.T) { runSeeds(t, shape, 4, kinds, 1) })
 	}
 }
 
-func TestSingleFaultsOnTheGrown(t *testing.T) { seeds(t, Grown, 6, FaultNames(), 1) }
+func TestSingleFaultsOnTheGrown(t *testing.T) { runSeeds(t, Grown, 6, FaultNames(), 1) }
 
-// More at once may stop service, but must break no rule, and service comes back.
-func TestManyFaultsAtOnce(t *testing.T) { seeds(t, Guild, 12, FaultNames(), 3) }
+// Several faults at once may interrupt service, but must violate no rule, and service comes back.
+func TestManyFaultsAtOnce(t *testing.T) { runSeeds(t, Guild, 12, FaultNames(), 3) }
 
-// Found by seed 6 of the single faults: records that failed on a full disk kept putting off the
-// attempt to write the memory anew, so that the machine stayed sick when there was space again.
-func TestFullDiskComesBack(t *testing.T) { seeds(t, Guild, 4, []string{"disk full"}, 1) }
+// Records that failed on a full disk kept postponing the rewrite of the state, so that the machine stayed unhealthy
+// when there was space again (found by seed 6 of the single faults).
+func TestFullDiskComesBack(t *testing.T) { runSeeds(t, Guild, 4, []string{"disk full"}, 1) }
 
-// Found by seed 16: with the head wiped before a machine that had been out was back in the chain, the
-// one left waited for the lost one for good.
+// If the head was wiped before a machine that had been away was back in the chain, the remaining machine waited for the
+// lost one forever (found by seed 16).
 func TestLastOfTheChainTeachesTheOthers(t *testing.T) {
-	seeds(t, Guild, 6, []string{"core wiped", "core link cut one way"}, 2)
+	runSeeds(t, Guild, 6, []string{"core wiped", "core link cut one way"}, 2)
 }
 
-// A byte is damaged on one disk after another, and machines restart: the sweep finds it and a whole
-// memory is written anew, or the machine starts as a new one; no change is lost.
+// A bit is flipped on one disk after another while machines restart. The scrub finds the damage and the complete state
+// is written anew, or the machine starts with a new identity; no change is lost.
 func TestSweepMendsDamagedDisks(t *testing.T) {
-	seeds(t, Guild, 6, []string{"disk damaged", "core killed", "disk damaged"}, 1)
+	runSeeds(t, Guild, 6, []string{"disk damaged", "core killed", "disk damaged"}, 1)
 }
--- a/verify/simulation/spec_drafter.go
+++ b/verify/simulation/spec_drafter.go
@@ -8,14 +8,14 @@
 	"wardtray/verify/loadtest"
 )
 
-// specDrafter makes the configurations and changes that operators send where there is a request path.
+// specDrafter generates the configurations and changes that operators send where there is a request path.
 type specDrafter struct {
 	random *rand.Rand
 	mix    loadtest.Mix
 	zones  []string
-	// takeAway is the part of them that take away what requests need.
+	// takeAway is the fraction of them that remove something that requests need.
 	takeAway float64
-	// specs are the complete configurations of each operation, for the checker of the history.
+	// specs are the complete configurations by operation, for the checker of the history.
 	specs map[string]*config.Spec
 }
 
@@ -23,8 +23,8 @@
 	return &specDrafter{random: random, mix: mix, zones: zones, specs: map[string]*config.Spec{}}
 }
 
-// spec returns a spec for an operator to send; the number marks it. Now and then it takes away what
-// requests may be waiting for: a route, a zone, the service or the weights.
+// spec returns a configuration for an operator to send, distinguished by its number. A fraction takeAway of them
+// removes something that requests may be waiting for: a route, a zone, the service or the weights.
 func (drafter *specDrafter) spec(number int) *config.Spec {
 	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
 	takes := map[int]func(){
@@ -39,14 +39,15 @@
 	return made
 }
 
-// draft makes a spec and keeps it for the checker of the history.
+// draft returns an encoded configuration and keeps it for the checker of the history.
 func (drafter *specDrafter) draft(operation string, number int) []byte {
 	made := drafter.spec(number)
 	drafter.specs[operation] = made
 	return made.Encode()
 }
 
-// draftChange makes a change of named entries: it sets right whatever an earlier spec took, or takes something itself.
+// draftChange returns a change of named entries: it restores whatever an earlier configuration removed, or removes
+// something itself.
 func (drafter *specDrafter) draftChange(number int) *config.Change {
 	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
 	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
--- a/verify/simulation/spread.go
+++ b/verify/simulation/spread.go
@@ -10,20 +10,21 @@
 	"wardtray/wire"
 )
 
-// Spread is how a change reached a partial view of some size.
+// Spread reports how a change propagated through a fleet with partial views.
 type Spread struct {
 	Daemons int
-	// Half, Most and All are how long after the commit half, 99 % and all daemons had the change;
-	// Acknowledged is how long after it was sent the operator had the answer.
+	// Half, Most and All are the times after the commit at which half, 99 % and all daemons had the change; Acknowledged
+	// is the time from sending it to the operator's answer.
 	Half, Most, All, Acknowledged time.Duration
-	// Messages and Bytes are what one daemon sent in a second of quiet; ChangeBytes is what the change
-	// itself added for each daemon, by its difference to the quiet.
+	// Messages, Bytes and CrossZoneBytes are what one daemon sent in an idle second; ChangeBytes is what the change added
+	// for each daemon, as the difference to idle traffic.
 	Messages, Bytes, CrossZoneBytes, ChangeBytes float64
 }
 
-// MeasureSpread founds a deployment with so many daemons in three zones and lets one change through.
+// MeasureSpread starts a deployment with the given number of daemons in three zones and measures how one change
+// propagates.
 func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
-	world := foundWide(seed, daemons, 18)
+	world := newWideDeployment(seed, daemons, 18)
 	world.Run(15 * time.Second)
 	spread := Spread{Daemons: daemons}
 	network := world.network
@@ -45,14 +46,14 @@
 		if committed.IsZero() && world.byName["c:core"].core.node.Chain().Committed().SpecEpoch == 1 {
 			committed = world.Now
 		}
-		for _, host := range world.Datas() {
-			if _, had := arrived[host.Address]; !had && host.daemon.controller.Snapshot(host.local()).SpecEpoch == 1 {
+		for _, host := range world.Daemons() {
+			if _, had := arrived[host.Address]; !had && host.daemon.controller.Snapshot(host.localTime()).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
 	}
 	if len(world.Check.Violations) > 0 || len(arrived) < daemons || !order.isAccepted() {
-		return spread, fmt.Errorf("%d of %d have the change, its outcome is %s; %v", len(arrived), daemons,
+		return spread, fmt.Errorf("%d of %d daemons have the change, its outcome is %s; %v", len(arrived), daemons,
 			order.Outcome, world.Check.Violations)
 	}
 	quietBytes := spread.Bytes * float64(daemons) * window.Seconds()
@@ -67,7 +68,7 @@
 	return spread, nil
 }
 
-// manyRoutes is a spec with so many routes.
+// manyRoutes returns a configuration with the given number of routes.
 func manyRoutes(count int) []byte {
 	text := &strings.Builder{}
 	text.WriteString(`{"zones":[{"name":"a","closed":false}],`)
--- a/verify/simulation/topology.go
+++ b/verify/simulation/topology.go
@@ -3,8 +3,8 @@
 // link is one direction between two hosts, by their addresses.
 type link struct{ from, to string }
 
-// topology is which hosts' machines reach each other: all do, except over a link that is cut or with a machine that is
-// powered off.
+// topology records which hosts' machines reach each other: all do, except over a link that is cut or with a machine
+// that is powered off.
 type topology struct {
 	cuts map[link]bool
 	// dirty means that the topology has changed since takeChange was last called.
@@ -16,18 +16,18 @@
 // hasCuts reports whether any link is cut.
 func (topology *topology) hasCuts() bool { return len(topology.cuts) > 0 }
 
-// isCut reports whether messages from one host to another are stopped.
+// isCut reports whether the link from one host to another is cut.
 func (topology *topology) isCut(from, to *Host) bool {
 	return topology.cuts[link{from.Address, to.Address}]
 }
 
-// Cut stops messages from one host to another; Heal ends all cuts.
+// Cut cuts the link from one host to another.
 func (topology *topology) Cut(from, to *Host) {
 	topology.cuts[link{from.Address, to.Address}] = true
 	topology.changed()
 }
 
-// CutOff parts two groups from each other.
+// CutOff cuts all links between two groups, in both directions.
 func (topology *topology) CutOff(left, right []*Host) {
 	for _, one := range left {
 		for _, other := range right {
@@ -43,7 +43,7 @@
 	topology.changed()
 }
 
-// passes reports whether anything gets from one host's machine to another's now.
+// passes reports whether messages pass from one host's machine to another's now.
 func (topology *topology) passes(from, to *Host) bool {
 	return !topology.isCut(from, to) && !from.poweredOff && !to.poweredOff
 }
@@ -58,7 +58,7 @@
 	return topology.isCut(one, other) || topology.isCut(other, one)
 }
 
-// severed reports whether a cut stands between a host and any other.
+// severed reports whether any link of a host is cut.
 func (topology *topology) severed(host *Host) bool {
 	for cut := range topology.cuts {
 		if cut.from == host.Address || cut.to == host.Address {
@@ -68,10 +68,10 @@
 	return false
 }
 
-// changed notes that links, machines or processes are other than before.
+// changed records that links, machines or processes have changed.
 func (topology *topology) changed() { topology.dirty = true }
 
-// cutOneWay has a host be heard by none of the others, or hear none of them.
+// cutOneWay cuts one direction between a host and the others: from the host if unheard, to it otherwise.
 func (topology *topology) cutOneWay(host *Host, others []*Host, unheard bool) {
 	for _, other := range without(others, host) {
 		if unheard {
@@ -82,8 +82,8 @@
 	}
 }
 
-// join connects a host that is new as the others are: one that hears nobody, or is heard by nobody, is not reached by
-// the new one, or doesn't reach it, either.
+// join applies the present cuts to a new host: it does not reach a host that none of the others reaches, and is not
+// reached by a host that reaches none of them.
 func (topology *topology) join(joiner *Host, others []*Host) {
 	present := without(others, joiner)
 	for _, host := range present {
@@ -96,7 +96,7 @@
 	}
 }
 
-// allCut reports whether there are hosts, and a link is cut to each.
+// allCut reports whether there are hosts, and the link to each of those that were not removed is cut.
 func (topology *topology) allCut(hosts []*Host, isCut func(host *Host) bool) bool {
 	for _, host := range hosts {
 		if !host.removed && !isCut(host) {
@@ -106,7 +106,7 @@
 	return len(hosts) > 0
 }
 
-// takeChange reports whether the topology has changed since it was last asked.
+// takeChange reports whether the topology has changed since the last call.
 func (topology *topology) takeChange() bool {
 	changed := topology.dirty
 	topology.dirty = false
--- a/verify/simulation/topology_test.go
+++ b/verify/simulation/topology_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A machine that joins hears a mute host as little as the others do, and a deaf one hears it as little; a link that is
-// cut between two hosts is none of its business.
+// A new host is not reached by a mute host and does not reach a deaf one, as all others; a cut link between two other
+// hosts does not affect it.
 func TestJoinerIsConnectedAsTheOthersAre(t *testing.T) {
 	deaf, mute, one, other, joiner := &Host{Address: "deaf"}, &Host{Address: "mute"}, &Host{Address: "one"},
 		&Host{Address: "other"}, &Host{Address: "joiner"}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -11,30 +11,31 @@
 	"wardtray/verify/loadtest"
 )
 
-// Traffic is the request path of a world: clients, runners, and what all of them saw.
+// Traffic is the request path of a world: its clients and runners, and the history of what they observed.
 type Traffic struct {
 	world  *World
 	random *rand.Rand
-	// Mix is what the clients send, and what the operators' configurations say of it; weights are those of its runners.
+	// Mix is the clients' workload, and the source of the operators' configurations; weights are those of its runners.
 	Mix     loadtest.Mix
 	weights string
 	History *histories.History
 	checker *histories.Checker
-	// Rate is how many requests come a second, Hot the part of them that share one prefix.
+	// Rate is the number of requests per second, Hot the fraction of them that share one prefix.
 	Rate, Hot float64
-	// HangUpsMidway is the part of the clients that hang up in the middle, HangUps that of those that hang up at any
-	// moment, also before they are read and while nothing has come.
-	HangUpsMidway, HangUps float64
-	// Retries is the part of the requests that their clients send again to the same daemon, RetriesElsewhere that of those
-	// sent again to any daemon. Undeclared is the part of the clients that don't say whether they send a request again.
+	// DisconnectsMidway is the fraction of the clients that disconnect in the middle of an answer, Disconnects that of
+	// those that disconnect at any time, also before the request is read or before any event has arrived.
+	DisconnectsMidway, Disconnects float64
+	// Retries is the fraction of the requests that their clients send again to the same daemon, RetriesElsewhere that of
+	// those sent again to any daemon. Undeclared is the fraction of the clients that don't declare whether a request is a
+	// retry.
 	Retries, RetriesElsewhere, Undeclared float64
-	// terms are the newest that the clients of each zone have heard of.
+	// terms are the newest terms that the clients of each zone have received.
 	terms map[string]uint64
 	// resent counts how often each request was sent again.
 	resent map[string]int
-	// overloadBursts counts the faults that multiply the rate now.
+	// overloadBursts counts the active faults that multiply the rate.
 	overloadBursts int
-	// number is that of the newest request; none comes any more when the traffic is stopped.
+	// number is that of the newest request; stopped ends new requests.
 	number   int
 	stopped  bool
 	daemons  *daemonPicker
@@ -42,7 +43,7 @@
 	drafter  *specDrafter
 }
 
-// startTraffic brings the request path in: so many runners, and clients once Rate is above zero.
+// startTraffic adds the request path: the given number of runners, and clients once Rate is above zero.
 func startTraffic(world *World, mix loadtest.Mix, zones []string, runners int) *Traffic {
 	traffic := &Traffic{
 		world:   world,
@@ -56,8 +57,8 @@
 	world.Traffic = traffic
 	traffic.History.Started, traffic.History.Zones = world.Now, zones
 	traffic.History.Service, traffic.History.Weights = mix.Service, mix.Weights
-	traffic.History.Daemons, traffic.History.ZoneOf = len(world.Datas()), map[string]string{}
-	for _, host := range world.Datas() {
+	traffic.History.Daemons, traffic.History.ZoneOf = len(world.Daemons()), map[string]string{}
+	for _, host := range world.Daemons() {
 		traffic.History.ZoneOf[host.Address] = host.Zone
 	}
 	traffic.checker = histories.NewChecker(traffic.History, world.Check.outcomes.committed)
@@ -70,12 +71,12 @@
 	world.Platform.publish()
 	traffic.daemons.update()
 	traffic.capacity.sample()
-	traffic.arrive()
+	traffic.scheduleArrival()
 	return traffic
 }
 
-// reportViolations passes what the history's checker found to the world's, so that a run stops at its first broken
-// rule.
+// reportViolations moves the violations of the history's checker to the world's, so that a run stops at the first
+// violated rule.
 func (traffic *Traffic) reportViolations() {
 	for _, violation := range traffic.checker.Violations {
 		traffic.world.Check.violation("%s: %s", violation.Rule, violation.Detail)
@@ -83,7 +84,7 @@
 	traffic.checker.Violations = nil
 }
 
-// recordRun takes in a request that a runner has read.
+// recordRun records a request that a runner has read.
 func (traffic *Traffic) recordRun(run *histories.Run) {
 	traffic.History.Runs = append(traffic.History.Runs, run)
 	traffic.world.addToTrace(uint64(len(run.Request) + len(run.Runner)))
@@ -91,8 +92,8 @@
 	traffic.reportViolations()
 }
 
-// arrive lets requests come at random moments.
-func (traffic *Traffic) arrive() {
+// scheduleArrival schedules the next request after an exponentially distributed time.
+func (traffic *Traffic) scheduleArrival() {
 	rate := traffic.Rate
 	if traffic.overloadBursts > 0 {
 		rate *= overloadFactor
@@ -102,11 +103,11 @@
 		if !traffic.stopped && rate > 0 {
 			traffic.request()
 		}
-		traffic.arrive()
+		traffic.scheduleArrival()
 	})
 }
 
-// request sends one request of the mix.
+// request sends one request of the workload.
 func (traffic *Traffic) request() {
 	traffic.number++
 	drawn := traffic.Mix.Draw(traffic.random, traffic.Hot)
@@ -116,11 +117,11 @@
 		drawn.Attempt, drawn.Term = 1, traffic.terms[zone]
 	}
 	one := traffic.sendRequest(drawn, zone, traffic.daemons.pick(zone))
-	if traffic.random.Float64() < traffic.HangUpsMidway {
-		one.hangsUpAfter = 1 + traffic.random.Intn(4)
+	if traffic.random.Float64() < traffic.DisconnectsMidway {
+		one.disconnectsAfter = 1 + traffic.random.Intn(4)
 	}
-	if traffic.HangUps > 0 && traffic.random.Float64() < traffic.HangUps {
-		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestLeave))), one.hangUp)
+	if traffic.Disconnects > 0 && traffic.random.Float64() < traffic.Disconnects {
+		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestDisconnect))), one.disconnect)
 	}
 	if traffic.random.Float64() < traffic.Retries {
 		traffic.resend(drawn, one)
@@ -130,26 +131,26 @@
 	}
 }
 
-// learnTerm has the clients of a zone hear of a term.
+// learnTerm records the term that a response carries for the clients of a zone.
 func (traffic *Traffic) learnTerm(zone, value string) {
 	term, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		traffic.world.Check.violation("a response names the term %q", value)
+		traffic.world.Check.violation("a response carries the malformed term %q", value)
 	}
 	traffic.terms[zone] = max(traffic.terms[zone], term)
 }
 
 const (
-	// latestLeave is how long after sending its request a client that leaves does so at the latest.
-	latestLeave = time.Second
-	// overloadFactor is by how much more requests come during an overload.
+	// latestDisconnect is the latest time after sending its request at which a client disconnects.
+	latestDisconnect = time.Second
+	// overloadFactor is the factor by which an overload raises the rate.
 	overloadFactor = 5
 )
 
-// recordFault records that something touches a daemon or a runner, and returns what ends it.
+// recordFault records a fault of a daemon or a runner; the returned function records its end.
 func (traffic *Traffic) recordFault(host *Host, impact impact) (end func()) {
 	record, now := traffic.History, traffic.world.Now
-	fault := histories.Fault{At: now, Until: now.Add(time.Hour), Kills: impact.kills, Knowable: impact.knowable}
+	fault := histories.Fault{At: now, Until: now.Add(time.Hour), Kills: impact.kills, Knowable: impact.detectableAfter}
 	if host.runner != nil {
 		fault.Runner = host.runner.engine.id
 	} else {
@@ -160,14 +161,14 @@
 	return func() { record.Faults[index].Until = traffic.world.Now }
 }
 
-// End reads the final state and checks the whole history.
+// End records the final state and checks the complete history.
 func (traffic *Traffic) End() {
 	traffic.History.Final = finalState(traffic.world)
 	traffic.checker.Finish()
 	traffic.reportViolations()
 }
 
-// finalState is the newest configuration and the outcomes of all operations that any core has.
+// finalState returns the newest configuration and the outcomes of all operations that any control machine has.
 func finalState(world *World) histories.Final {
 	final := histories.Final{Asked: true, Known: map[string]uint64{}}
 	for _, host := range world.Cores() {
@@ -198,7 +199,7 @@
 	return names
 }
 
-// Counts tells what clients got.
+// Counts returns the number of answers by result, and the number of runs.
 func (traffic *Traffic) Counts() map[string]int {
 	counts := map[string]int{}
 	for _, answer := range traffic.History.Answers {
@@ -221,5 +222,5 @@
 	return counts
 }
 
-// Summary tells the same in one line.
+// Summary returns the counts in one line.
 func (traffic *Traffic) Summary() string { return fmt.Sprint(traffic.Counts()) }
--- a/verify/simulation/traffic_test.go
+++ b/verify/simulation/traffic_test.go
@@ -12,8 +12,8 @@
 
 func TestDaemonPickerPrefersTheClientsZone(t *testing.T) {
 	world := NewWorld(1)
-	first, second := world.AddData("first", "a"), world.AddData("second", "a")
-	far := world.AddData("far", "b")
+	first, second := world.AddDaemon("first", "a"), world.AddDaemon("second", "a")
+	far := world.AddDaemon("far", "b")
 	picker := newDaemonPicker(world, rand.New(rand.NewSource(1)))
 	if host := picker.pick("a"); host != nil {
 		t.Fatalf("picked %s where none is eligible", host.Address)
@@ -44,7 +44,7 @@
 
 func TestCapacitySamplerCountsWarmSoundRunners(t *testing.T) {
 	world := NewWorld(1)
-	daemon, runner := world.AddData("data", "a"), world.AddRunner("runner", "b")
+	daemon, runner := world.AddDaemon("data", "a"), world.AddRunner("runner", "b")
 	runner.up = true
 	runner.runner.engine = newEngine(runner, "id", "service", "weights")
 	world.Platform.listed = []*wire.Runner{{RunnerId: "id", State: "ready"}}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -1,11 +1,12 @@
-// Package simulation is a seeded world in one thread: a network, clocks and disks on which the very state
-// machines of the daemons run, while faults are done to them and the rules are checked after each
-// step. The same seed gives the same run; a failure names its seed.
+// Package simulation is a seeded, single-threaded simulator: a network, clocks and disks on which the production state
+// machines of the daemons run, while faults are injected and the rules are checked after each step. The same seed gives
+// the same run; a failure reports its seed.
 //
-// A World has hosts, each with the process that it runs: a core, a data daemon or a runner. Scenarios (Play, Try,
-// PlayControlDay, PlayRegisteringRunners) found a deployment, start workloads (operators, racers, traffic), schedule
-// faults, and require that the fleet recovers. The Checker reports what breaks a rule. All randomness is drawn from the
-// world's seed and all that happens is an event of its loop, so that a change of the order of either changes every run.
+// A World has hosts, each with the process that it runs: a control node (core), a data daemon or a runner. Scenarios
+// (RunFaults, Try, RunControlScenario, RunRegistrationScenario) start a deployment and its workloads (operators,
+// concurrent writers, traffic), schedule faults, and require that the fleet recovers. The Checker reports violated
+// rules. All randomness is drawn from the world's seed and everything that happens is an event of its loop, so that a
+// change of the order of either changes every run.
 package simulation
 
 import (
@@ -14,29 +15,29 @@
 )
 
 const (
-	// backlogLimit is how much a frozen machine's sockets hold.
+	// backlogLimit is the number of messages that the socket buffers of a frozen process's machine hold.
 	backlogLimit = 2000
-	// driftRange is by what part the fastest and the slowest clock of hosts may differ.
+	// driftRange is the largest relative difference between the rates of two hosts' clocks.
 	driftRange = 0.01
-	// defaultWithoutCore is for how long daemons go on while they reach no core machine.
+	// defaultWithoutCore is the default of World.WithoutCore.
 	defaultWithoutCore = 5 * time.Minute
 )
 
-// World is the whole simulation. It is composed of the event loop, the hosts, and what connects them.
+// World is a complete simulation, composed of the event loop, the hosts, and what connects them.
 type World struct {
 	*eventLoop
 	*fleet
 	Seed   int64
 	random *rand.Rand
 
-	// These connect the hosts: which reach each other, their messages and connections, and the work of their processes.
+	// These connect the hosts: links, messages and connections, and the tasks of their processes.
 	topology   *topology
 	network    *network
 	coroutines *coroutines
 	// Platform is the list of runners that the data daemons read.
 	Platform platform
 
-	// These judge what happens, and injector does faults.
+	// These check the rules and inject faults.
 	Check      *Checker
 	isolations *isolationTracker
 	recovery   *recoveryCheck
@@ -44,23 +45,23 @@
 
 	// Traffic is the request path, where there is one.
 	Traffic *Traffic
-	// RegisteringRunners are the runners that register themselves, where they do.
+	// RegisteringRunners are the self-registering runners, if there are any.
 	RegisteringRunners *RegisteringRunners
-	// founders are the cores that found the fleet, seeds the addresses that new processes begin with.
+	// founders are the control machines that found the fleet, seeds the addresses that new processes start with.
 	founders, seeds []string
-	// Faults is how many machines may lose their disks at once.
+	// Faults is the number of machines that may lose their disks at once.
 	Faults int
-	// identities counts the identities that disks and runners were given.
+	// identities counts the identities given to disks and runners.
 	identities int
-	// Log names the faults injected and undone, with the time since the start.
+	// Log records the faults injected and undone, with the simulated time.
 	Log []string
-	// announcesOnly has the data daemons make no reservations.
+	// announcesOnly makes the data daemons announce requests instead of reserving them.
 	announcesOnly bool
-	// WithoutCore is for how long data daemons go on while they reach no core machine.
+	// WithoutCore is the time for which data daemons continue to serve while they reach no control machine.
 	WithoutCore time.Duration
 }
 
-// NewWorld makes an empty world.
+// NewWorld returns an empty world.
 func NewWorld(seed int64) *World {
 	world := &World{
 		eventLoop:   newEventLoop(time.Unix(1_700_000_000, 0)),
@@ -80,12 +81,12 @@
 	return world
 }
 
-// Run goes on for a length of simulated time, or until a rule is broken.
+// Run runs the events of a duration of simulated time, or until a rule is violated.
 func (world *World) Run(length time.Duration) {
 	world.run(length, func() bool { return len(world.Check.Violations) > 0 }, world.isolations.refresh)
 }
 
-// AddCore brings in a core machine; Boot starts it.
+// AddCore adds a control machine; Host.Boot starts it.
 func (world *World) AddCore(address, zone string) *Host {
 	host := world.add(address, zone)
 	host.core = newCoreProcess(host)
@@ -93,15 +94,15 @@
 	return host
 }
 
-// AddData brings in a data daemon.
-func (world *World) AddData(address, zone string) *Host {
+// AddDaemon adds a data daemon; Host.Boot starts it.
+func (world *World) AddDaemon(address, zone string) *Host {
 	host := world.add(address, zone)
 	host.daemon = &daemonProcess{host: host}
 	host.process = host.daemon
 	return host
 }
 
-// AddRunner brings in a runner's machine.
+// AddRunner adds a runner; Host.Boot starts it.
 func (world *World) AddRunner(address, zone string) *Host {
 	host := world.add(address, zone)
 	host.runner = &runnerProcess{host: host, engine: &engine{}}
@@ -109,7 +110,7 @@
 	return host
 }
 
-// add brings in a machine without a process.
+// add adds a machine without a process.
 func (world *World) add(address, zone string) *Host {
 	host := &Host{
 		world:   world,
@@ -123,10 +124,10 @@
 	return host
 }
 
-// pick draws one of some hosts.
+// pick returns a random host of some hosts.
 func (world *World) pick(hosts []*Host) *Host { return hosts[world.random.Intn(len(hosts))] }
 
-// SetSeeds says which addresses all processes begin with; founders are the same.
+// SetSeeds sets the addresses that all processes start with; they are also the founders.
 func (world *World) SetSeeds(seeds []string) {
 	world.seeds, world.founders = seeds, seeds
 	for _, host := range world.Hosts {
@@ -134,7 +135,7 @@
 	}
 }
 
-// Close ends all work, so that nothing is left behind when a run is over.
+// Close unwinds all tasks, so that no goroutine outlives a run.
 func (world *World) Close() {
 	for _, host := range world.Hosts {
 		host.endCoroutines()
