--- a/verify/simulation/concurrent_writers.go
+++ b/verify/simulation/concurrent_writers.go
@@ -41,7 +41,7 @@
 type unansweredOrder struct {
 	request *wire.OperatorRequest
 	order   *Order
-	tries   int
+	retries int
 }
 
 // startConcurrentWriters starts writers with this interval between conflicting changes and this fraction of lost
@@ -114,13 +114,13 @@
 		// The answer is lost: the operator never learns the result of this attempt.
 		pending.order = &Order{Operation: pending.order.Operation, Outcome: proposal.OutcomeUnknown, Sent: pending.order.Sent}
 	}
-	if world.Now.Sub(pending.order.Sent) < answerTimeout+time.Duration(pending.tries)*retryGrowth {
+	if world.Now.Sub(pending.order.Sent) < answerTimeout+time.Duration(pending.retries)*retryGrowth {
 		return false
 	}
-	if pending.tries >= maximumRetries {
+	if pending.retries >= maximumRetries {
 		return true
 	}
-	pending.tries++
+	pending.retries++
 	writers.Resent++
 	pending.order = world.Check.Resend(world.pick(world.Cores()), pending.order, pending.request)
 	return false
--- a/verify/simulation/control_scenario.go
+++ b/verify/simulation/control_scenario.go
@@ -15,8 +15,8 @@
 	// don't reach their operators.
 	ConflictEvery time.Duration
 	LostAnswers   float64
-	// WithoutCore overrides World.WithoutCore; 0 keeps the default and a negative value stands for 0.
-	WithoutCore time.Duration
+	// IsolationLimit overrides World.IsolationLimit; 0 keeps the default and a negative value stands for 0.
+	IsolationLimit time.Duration
 	// ExceedsTolerance means that more is lost than a deployment tolerates: the safety rules must still hold, but service
 	// need not recover.
 	ExceedsTolerance bool
@@ -28,8 +28,8 @@
 // refused change is in effect, and that service and redundancy recover.
 func RunControlScenario(seed int64, shape Shape, scenario ControlScenario) (*World, *ConcurrentWriters) {
 	world := NewDeployment(seed, shape, func(world *World) {
-		if scenario.WithoutCore != 0 {
-			world.WithoutCore = max(0, scenario.WithoutCore)
+		if scenario.IsolationLimit != 0 {
+			world.IsolationLimit = max(0, scenario.IsolationLimit)
 		}
 	})
 	world.Run(bootstrapTime)
--- a/verify/simulation/control_scenario_test.go
+++ b/verify/simulation/control_scenario_test.go
@@ -48,7 +48,7 @@
 func TestMostDaemonsDark(t *testing.T) { runScenarios(t, DaemonLossScenarios) }
 
 // A machine is lost at every moment of another one's repair, planned leave or replacement, in steps of 100 ms. With one
-// seed the steps are distributed over these four; with more, each of them gets all steps.
+// seed the steps are distributed over the ways of FirstLossNames; with more, each of them gets all steps.
 func TestSecondLossAtEveryMoment(t *testing.T) {
 	if underRace {
 		t.Skip("not run under the race detector")
--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -87,19 +87,19 @@
 		checker.recordWorstCase("change ignored after the acknowledgement", late)
 		return true
 	}
-	if world.WithoutCore == 0 {
+	if world.IsolationLimit == 0 {
 		return false
 	}
 	isolation := world.isolations.of(host)
 	if !isolation.since.IsZero() {
 		length := world.Now.Sub(isolation.since)
 		checker.recordWorstCase("older news used without the core", length)
-		return length <= world.WithoutCore+leaseBound
+		return length <= world.IsolationLimit+leaseBound
 	}
 	back := world.Now.Sub(isolation.finished)
 	if isolation.finished.IsZero() || back > reconnectBound {
 		return false
 	}
 	checker.recordWorstCase("older news used after the core was back", back)
-	return isolation.finished.Sub(isolation.previous) <= world.WithoutCore+leaseBound
+	return isolation.finished.Sub(isolation.previous) <= world.IsolationLimit+leaseBound
 }
--- a/verify/simulation/daemon_check_test.go
+++ b/verify/simulation/daemon_check_test.go
@@ -50,10 +50,10 @@
 	const late = histories.SpecBound + time.Second
 	isolated := func(world *World) isolation { return isolation{since: world.Now.Add(-late)} }
 	tests := []struct {
-		name        string
-		withoutCore time.Duration
-		state       func(world *World) isolation
-		want        bool
+		name           string
+		isolationLimit time.Duration
+		state          func(world *World) isolation
+		want           bool
 	}{
 		{"never isolated", time.Minute, func(*World) isolation { return isolation{} }, false},
 		{"isolated within its setting", time.Minute, isolated, true},
@@ -69,7 +69,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			world, host := NewWorld(1), &Host{Address: "data"}
-			world.WithoutCore = test.withoutCore
+			world.IsolationLimit = test.isolationLimit
 			*world.isolations.of(host) = test.state(world)
 			if got := world.Check.daemons.mayIgnore(host, late, histories.SpecBound); got != test.want {
 				t.Errorf("may ignore it: %v, want %v", got, test.want)
--- a/verify/simulation/daemon_process.go
+++ b/verify/simulation/daemon_process.go
@@ -75,7 +75,7 @@
 	return dataplane.Settings{
 		Codec: protocol,
 		Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds,
-			Registered: world.RegisteringRunners != nil, WithoutCore: world.WithoutCore},
+			Registered: world.RegisteringRunners != nil, WithoutCore: world.IsolationLimit},
 		Random: random,
 		Await:  world.coroutines.await,
 		Send:   func(outbox []statemachine.Message) { world.network.send(host, outbox) },
--- a/verify/simulation/engine_test.go
+++ b/verify/simulation/engine_test.go
@@ -64,7 +64,7 @@
 		behavior faultyBehavior
 		status   int
 		want     string
-		whole    bool
+		ended    bool
 	}{
 		{"sound", faultyBehavior{}, http.StatusOK, "id: 4\nevent: token\n", true},
 		{"partial", faultyBehavior{partial: true}, http.StatusOK, "id: 2\nevent: token\n", false},
@@ -89,7 +89,7 @@
 				t.Fatalf("over %v", result.over)
 			}
 			if result.status != test.status || !strings.Contains(result.body, test.want) ||
-				strings.Contains(result.body, complete) != test.whole {
+				strings.Contains(result.body, complete) != test.ended {
 				t.Errorf("status %d, body\n%s", result.status, result.body)
 			}
 			if test.behavior.servesRequests() != (test.name == "sound") {
--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -50,7 +50,7 @@
 
 func TestHostFaultsAreUndone(t *testing.T) {
 	t.Parallel()
-	sound := hostState{up: true}
+	healthy := hostState{up: true}
 	tests := []struct {
 		name  string
 		fault hostFault
@@ -78,8 +78,8 @@
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
 			undo()
-			if got := stateOf(host); got != sound {
-				t.Errorf("%+v after undoing it, want %+v", got, sound)
+			if got := stateOf(host); got != healthy {
+				t.Errorf("%+v after undoing it, want %+v", got, healthy)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	faults := world.Traffic.History.Faults
 	if len(faults) != 1 || faults[0].Daemon != host.Address || !faults[0].Kills || faults[0].Knowable != time.Second ||
 		!faults[0].Until.After(world.Now) {
-		t.Fatalf("recorded %+v, want one of the data daemon that goes on", faults)
+		t.Fatalf("recorded %+v, want one active fault of the data daemon", faults)
 	}
 	end()
 	if ended := world.Traffic.History.Faults[0]; !ended.Until.Equal(world.Now) {
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -125,11 +125,11 @@
 		return
 	}
 	isolation.since, isolation.history = world.Now, nil
-	if world.Traffic != nil && world.WithoutCore > 0 {
+	if world.Traffic != nil && world.IsolationLimit > 0 {
 		isolation.history = &histories.Isolation{
 			Daemon: host.Address,
 			From:   world.Now,
-			Until:  world.Now.Add(world.WithoutCore + leaseBound),
+			Until:  world.Now.Add(world.IsolationLimit + leaseBound),
 		}
 		world.Traffic.History.Isolations = append(world.Traffic.History.Isolations, isolation.history)
 	}
--- a/verify/simulation/operator_workloads.go
+++ b/verify/simulation/operator_workloads.go
@@ -84,7 +84,7 @@
 		func() { operators.resend(world.pick(cores)) })
 }
 
-// closeOrOpenZone closes or opens one of zones a, b and c, which exist in every configuration that SpecText returns.
+// closeOrOpenZone closes or opens one of the zones that all deployments of more than two zones have.
 func (workload *operatorWorkload) closeOrOpenZone() {
 	random, operation := workload.operators.world.random, workload.operators.nextOperation()
 	verb := []string{proposal.VerbClose, proposal.VerbOpen}[random.Intn(2)]
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -73,7 +73,7 @@
 	if !host.up || host.frozen {
 		return order
 	}
-	least := checker.outcomes.greatestAcknowledged()
+	minimum := checker.outcomes.greatestAcknowledged()
 	host.runInProcess(host.incarnation, func() {
 		host.core.node.Submit(host.localTime(), request, func(status int, body []byte) {
 			reply := proposal.Reply{}
@@ -88,7 +88,7 @@
 			}
 			recorded.Got, recorded.Outcome = world.Now, order.Outcome
 			recorded.Epoch, recorded.HTTPStatus = order.Epoch, status
-			checker.checkReply(order, request, least)
+			checker.checkReply(order, request, minimum)
 		})
 	})
 	return order
@@ -116,10 +116,10 @@
 }
 
 // checkReply checks the answer to an operator's request.
-func (checker *Checker) checkReply(order *Order, request *wire.OperatorRequest, least uint64) {
+func (checker *Checker) checkReply(order *Order, request *wire.OperatorRequest, minimum uint64) {
 	if request.Verb == proposal.VerbGet {
-		if order.Status == http.StatusOK && order.Epoch < least {
-			checker.violation("a read gave epoch %d after %d had been acknowledged", order.Epoch, least)
+		if order.Status == http.StatusOK && order.Epoch < minimum {
+			checker.violation("a read gave epoch %d after %d had been acknowledged", order.Epoch, minimum)
 		}
 		return
 	}
--- a/verify/simulation/partition_scenarios.go
+++ b/verify/simulation/partition_scenarios.go
@@ -145,6 +145,6 @@
 		lost, rest := daemons[:len(daemons)/3], append(world.Cores(), daemons[len(daemons)/3:]...)
 		world.topology.CutOff(lost, rest)
 	})
-	scenario.WithoutCore = setting
+	scenario.IsolationLimit = setting
 	return scenario
 }
--- a/verify/simulation/read_back.go
+++ b/verify/simulation/read_back.go
@@ -19,9 +19,9 @@
 		world.Check.outcomes.requireKept(host)
 		read := world.Check.Send(host, &wire.OperatorRequest{Verb: proposal.VerbGet})
 		world.Run(readBackTime)
-		if least := world.Check.outcomes.greatestAcknowledged(); read.Status != http.StatusOK || read.Epoch < least {
+		if minimum := world.Check.outcomes.greatestAcknowledged(); read.Status != http.StatusOK || read.Epoch < minimum {
 			world.Check.violation("forgotten: read back at %s: status %d, epoch %d of %d", host.Address, read.Status,
-				read.Epoch, least)
+				read.Epoch, minimum)
 		}
 	}
 }
--- a/verify/simulation/recovery_test.go
+++ b/verify/simulation/recovery_test.go
@@ -85,11 +85,11 @@
 
 func TestRecoveryCheckRequiresServiceAndRedundancy(t *testing.T) {
 	t.Parallel()
-	sound := settledFleet(t)
-	sound.recovery.requireService()
-	sound.recovery.requireRedundancy(sound.Now)
-	if len(sound.Check.Violations) > 0 {
-		t.Errorf("a fleet without faults: %v", sound.Check.Violations)
+	healthy := settledFleet(t)
+	healthy.recovery.requireService()
+	healthy.recovery.requireRedundancy(healthy.Now)
+	if len(healthy.Check.Violations) > 0 {
+		t.Errorf("a fleet without faults: %v", healthy.Check.Violations)
 	}
 	for name, requirement := range map[string]func(recovery *recoveryCheck, since time.Time){
 		"not recovered":       func(recovery *recoveryCheck, _ time.Time) { recovery.requireService() },
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -37,14 +37,14 @@
 	return slices.DeleteFunc(FaultNames(), func(name string) bool { return name == "runner replaced" })
 }
 
-func runRegistrationScenario(t *testing.T, shape Shape, names []string, atOnce int, kept time.Duration) {
+func runRegistrationScenario(t *testing.T, shape Shape, names []string, atOnce int, knownWithin time.Duration) {
 	t.Helper()
 	t.Parallel()
 	for number := range seedCount(t) * 6 {
 		seed := int64(number + 1)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			world := RunRegistrationScenario(seed, shape, names, atOnce, kept)
+			world := RunRegistrationScenario(seed, shape, names, atOnce, knownWithin)
 			for _, violation := range world.Check.Violations {
 				t.Error(violation)
 			}
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -19,8 +19,8 @@
 	backlogLimit = 2000
 	// driftRange is the largest relative difference between the rates of two hosts' clocks.
 	driftRange = 0.01
-	// defaultWithoutCore is the default of World.WithoutCore.
-	defaultWithoutCore = 5 * time.Minute
+	// defaultIsolationLimit is the default of World.IsolationLimit.
+	defaultIsolationLimit = 5 * time.Minute
 )
 
 // World is a complete simulation, composed of the event loop, the hosts, and what connects them.
@@ -57,19 +57,19 @@
 	Log []string
 	// announcesOnly makes the data daemons announce requests instead of reserving them.
 	announcesOnly bool
-	// WithoutCore is the time for which data daemons continue to serve while they reach no control machine.
-	WithoutCore time.Duration
+	// IsolationLimit is the time for which data daemons continue to serve while they reach no control machine.
+	IsolationLimit time.Duration
 }
 
 // NewWorld returns an empty world.
 func NewWorld(seed int64) *World {
 	world := &World{
-		eventLoop:   newEventLoop(time.Unix(1_700_000_000, 0)),
-		fleet:       newFleet(),
-		Seed:        seed,
-		random:      rand.New(rand.NewSource(seed)),
-		topology:    newTopology(),
-		WithoutCore: defaultWithoutCore,
+		eventLoop:      newEventLoop(time.Unix(1_700_000_000, 0)),
+		fleet:          newFleet(),
+		Seed:           seed,
+		random:         rand.New(rand.NewSource(seed)),
+		topology:       newTopology(),
+		IsolationLimit: defaultIsolationLimit,
 	}
 	world.network = newNetwork(world)
 	world.coroutines = &coroutines{world: world}
