--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// hostState is what faults change of a host.
+// hostState is the part of a host's state that faults change.
 type hostState struct {
 	up, frozen, stalled, full, cut bool
 	processingDelay, diskDelay     time.Duration
@@ -50,7 +50,7 @@
 
 func TestHostFaultsAreUndone(t *testing.T) {
 	t.Parallel()
-	sound := hostState{up: true}
+	healthy := hostState{up: true}
 	tests := []struct {
 		name  string
 		fault hostFault
@@ -78,14 +78,14 @@
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
 			undo()
-			if got := stateOf(host); got != sound {
-				t.Errorf("%+v after the undoing, want %+v", got, sound)
+			if got := stateOf(host); got != healthy {
+				t.Errorf("%+v after undoing it, want %+v", got, healthy)
 			}
 		})
 	}
 }
 
-// Each fault of the control plane, alone, is over when it is undone: the fleet repairs itself.
+// Each fault of the control plane alone ends when it is undone: the fleet repairs itself.
 func TestFaultsAreRepaired(t *testing.T) {
 	t.Parallel()
 	for name, fault := range Faults {
@@ -107,15 +107,15 @@
 func TestFaultsAreRecordedForTheRequestPath(t *testing.T) {
 	t.Parallel()
 	shape := Shape{Zones: []string{"a", "b", "c"}, Machines: []int{1, 1, 1}, Disks: []int{1, 1, 1}, Mix: GuildPath.Mix}
-	world := Found(1, shape)
+	world := NewDeployment(1, shape)
 	t.Cleanup(world.Close)
 	world.Run(8 * time.Second)
-	host, core := world.Datas()[0], world.Cores()[0]
-	end := world.injector.record(impact{kills: true, knowable: time.Second}, host, core)
+	host, core := world.Daemons()[0], world.Cores()[0]
+	end := world.injector.record(impact{kills: true, detectableAfter: time.Second}, host, core)
 	faults := world.Traffic.History.Faults
 	if len(faults) != 1 || faults[0].Daemon != host.Address || !faults[0].Kills || faults[0].Knowable != time.Second ||
 		!faults[0].Until.After(world.Now) {
-		t.Fatalf("recorded %+v, want one of the data daemon that goes on", faults)
+		t.Fatalf("recorded %+v, want one active fault of the data daemon", faults)
 	}
 	end()
 	if ended := world.Traffic.History.Faults[0]; !ended.Until.Equal(world.Now) {
