--- a/verify/fleet/actions.go
+++ b/verify/fleet/actions.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// unresponsiveBound is how long a loss of which nobody says anything may take to be known.
-	unresponsiveBound = 4 * time.Second
-	// crashExcuse is for how long what a runner's crash breaks is excused.
-	crashExcuse = time.Second
-	// daemonExcuse and coreExcuse are for how long what the end of a process breaks is excused.
-	daemonExcuse = 2 * time.Second
-	coreExcuse   = 5 * time.Second
+	// maximumDetectionTime is how long the data daemons may take to detect a failure that nothing reports.
+	maximumDetectionTime = 4 * time.Second
+	// crashGracePeriod is the period after a runner's crash in which failures that it causes are tolerated.
+	crashGracePeriod = time.Second
+	// daemonGracePeriod and coreGracePeriod are the same after the end of a data daemon or a control machine.
+	daemonGracePeriod = 2 * time.Second
+	coreGracePeriod   = 5 * time.Second
 )
 
-// scaleLoad lets clients send so many times the usual requests.
+// scaleLoad multiplies the clients' base request rate by a factor.
 func scaleLoad(factor float64) Action {
-	return func(_ context.Context, stage *Stage) error {
-		stage.rate.scale(factor)
+	return func(_ context.Context, run *ScenarioRun) error {
+		run.rate.scale(factor)
 		return nil
 	}
 }
 
-// change applies a change through a core, whatever becomes of it.
+// change applies a configuration change through a control machine and ignores its outcome.
 func change(core int, operation string) Action {
-	return func(ctx context.Context, stage *Stage) error {
-		stage.change(ctx, stage.Cores()[core], operation)
+	return func(ctx context.Context, run *ScenarioRun) error {
+		run.change(ctx, run.Cores()[core], operation)
 		return nil
 	}
 }
 
 // killDaemon kills a data daemon.
 func killDaemon(number int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		daemon := stage.DataDaemons()[number]
-		stage.recordFault(daemon.Name+" killed", daemon, true, daemonExcuse)
+	return func(_ context.Context, run *ScenarioRun) error {
+		daemon := run.DataDaemons()[number]
+		run.recordFault(daemon.Name+" killed", daemon, true, daemonGracePeriod)
 		daemon.Kill()
 		return nil
 	}
 }
 
-// startDaemon starts a data daemon again.
+// startDaemon restarts a killed data daemon.
 func startDaemon(number int) Action {
-	return func(ctx context.Context, stage *Stage) error { return stage.DataDaemons()[number].Start(ctx) }
+	return func(ctx context.Context, run *ScenarioRun) error { return run.DataDaemons()[number].Start(ctx) }
 }
 
-// freezeDaemon freezes a data daemon for a part of the load's length.
-func freezeDaemon(number int, part float64) Action {
-	return func(_ context.Context, stage *Stage) error {
-		daemon := stage.DataDaemons()[number]
-		stage.recordFault(daemon.Name+" frozen", daemon, true, stage.wholeSeconds(part))
+// freezeDaemon freezes a data daemon and records a fault that lasts for a fraction of the load's duration.
+func freezeDaemon(number int, fraction float64) Action {
+	return func(_ context.Context, run *ScenarioRun) error {
+		daemon := run.DataDaemons()[number]
+		run.recordFault(daemon.Name+" frozen", daemon, true, run.wholeSecondsOf(fraction))
 		daemon.Freeze()
 		return nil
 	}
@@ -59,53 +59,53 @@
 
 // resumeDaemon continues a frozen data daemon.
 func resumeDaemon(number int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		stage.DataDaemons()[number].Resume()
+	return func(_ context.Context, run *ScenarioRun) error {
+		run.DataDaemons()[number].Resume()
 		return nil
 	}
 }
 
-// startCore starts a control machine's process again.
+// startCore restarts a control machine's process.
 func startCore(number int) Action {
-	return func(ctx context.Context, stage *Stage) error { return stage.Cores()[number].Start(ctx) }
+	return func(ctx context.Context, run *ScenarioRun) error { return run.Cores()[number].Start(ctx) }
 }
 
 // resumeCore continues a frozen control machine's process.
 func resumeCore(number int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		stage.Cores()[number].Resume()
+	return func(_ context.Context, run *ScenarioRun) error {
+		run.Cores()[number].Resume()
 		return nil
 	}
 }
 
-// startRunner starts a new runner in a place.
-func startRunner(place int) Action {
-	return func(ctx context.Context, stage *Stage) error { return stage.Runners.Start(ctx, place) }
+// startRunner starts a new runner at an index.
+func startRunner(index int) Action {
+	return func(ctx context.Context, run *ScenarioRun) error { return run.Runners.Start(ctx, index) }
 }
 
-// crashRunner ends the runner in a place; the platform notices at once.
-func crashRunner(place int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		stage.recordRunnerFault(fmt.Sprintf("runner %d killed", place), stage.Runners.At(place), crashExcuse, 0)
-		stage.Runners.Crash(place)
+// crashRunner ends the runner at an index and removes it from the platform's list at once.
+func crashRunner(index int) Action {
+	return func(_ context.Context, run *ScenarioRun) error {
+		run.recordRunnerFault(fmt.Sprintf("runner %d killed", index), run.Runners.At(index), crashGracePeriod, 0)
+		run.Runners.Crash(index)
 		return nil
 	}
 }
 
-// silenceRunner lets the runner in a place read requests and never respond, until it is removed.
-func silenceRunner(place int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		runner := stage.Runners.At(place)
-		stage.recordRunnerFault(fmt.Sprintf("runner %d goes dark", place), runner, stage.length, unresponsiveBound)
+// makeRunnerUnresponsive makes the runner at an index read requests without responding, until it is removed.
+func makeRunnerUnresponsive(index int) Action {
+	return func(_ context.Context, run *ScenarioRun) error {
+		runner := run.Runners.At(index)
+		run.recordRunnerFault(fmt.Sprintf("runner %d goes dark", index), runner, run.loadDuration, maximumDetectionTime)
 		runner.Faults.Unresponsive.Store(true)
 		return nil
 	}
 }
 
-// removeRunner ends a runner whose fault was recorded before.
-func removeRunner(place int) Action {
-	return func(_ context.Context, stage *Stage) error {
-		stage.Runners.Crash(place)
+// removeRunner ends a runner whose fault is already recorded.
+func removeRunner(index int) Action {
+	return func(_ context.Context, run *ScenarioRun) error {
+		run.Runners.Crash(index)
 		return nil
 	}
 }
--- a/verify/fleet/addresses.go
+++ b/verify/fleet/addresses.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// The ports of a fleet's processes. Each has an address of its own, so that all wtcores, for one, have the same.
+// The ports of a fleet's processes. Each machine and runner has its own IP address, so all processes of one program
+// use the same port.
 const (
 	portCore     = 7100
 	portCoreHTTP = 8100
@@ -12,18 +13,18 @@
 	portRunner   = 9100
 )
 
-// The third byte of an address says what is there: machines have the number of their zone, from 1. In the ranges of
-// the runners each zone has a byte of its own.
+// The third byte of an address shows the kind of its owner: for machines it is the number of their zone, from 1; for
+// runners it is firstRunnerByte or firstReplacementByte plus the index of their zone.
 const (
-	firstRunnerByte   = 100
-	firstReleasedByte = 150
-	swappedByte       = 200
-	platformByte      = 250
+	firstRunnerByte      = 100
+	firstReplacementByte = 150
+	swappedByte          = 200
+	platformByte         = 250
 )
 
-// addressPlan gives each part of a deployment its address on loopback.
+// addressPlan assigns the loopback addresses of a deployment.
 type addressPlan struct {
-	// network is the second byte of all of its addresses.
+	// network is the second byte of all addresses of the deployment.
 	network int
 }
 
@@ -34,20 +35,20 @@
 // machine returns the IP address of a machine; zone and number count from 0.
 func (plan addressPlan) machine(zone, number int) string { return plan.ip(zone+1, number+1) }
 
-// swappedMachine returns the IP address of the machine that takes the place of a control machine.
+// swappedMachine returns the IP address of the machine that replaces a control machine.
 func (plan addressPlan) swappedMachine(number int) string { return plan.ip(swappedByte, number+1) }
 
-// platform returns the address of the platform's list.
+// platform returns the address at which the platform serves its list of runners.
 func (plan addressPlan) platform() string { return join(plan.ip(platformByte, 1), portPlatform) }
 
-// runner returns the address of the runner in a place of a zone.
-func (plan addressPlan) runner(zone, place int) string {
-	return join(plan.ip(firstRunnerByte+zone, place+1), portRunner)
+// runner returns the address of the runner at an index.
+func (plan addressPlan) runner(zone, index int) string {
+	return join(plan.ip(firstRunnerByte+zone, index+1), portRunner)
 }
 
-// releasedRunner returns the address of the runner that a release starts beside the one in a place.
-func (plan addressPlan) releasedRunner(zone, place int) string {
-	return join(plan.ip(firstReleasedByte+zone, place+1), portRunner)
+// replacementRunner returns the address of the runner that a rolling release starts while its predecessor still runs.
+func (plan addressPlan) replacementRunner(zone, index int) string {
+	return join(plan.ip(firstReplacementByte+zone, index+1), portRunner)
 }
 
 func join(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
--- a/verify/fleet/callrecorder.go
+++ b/verify/fleet/callrecorder.go
@@ -8,16 +8,16 @@
 	"wardtray/verify/linearizability"
 )
 
-// ruleLinearizable is broken where no order of a single machine explains what callers saw.
+// ruleLinearizable is violated if no sequential order of the operations explains the observed responses.
 const ruleLinearizable = "not-linearizable"
 
-// callRecorder keeps the operators' calls as they saw them. It is safe for concurrent use.
+// callRecorder records the operators' calls and the responses they observed. It is safe for concurrent use.
 type callRecorder struct {
 	mutex sync.Mutex
 	calls []linearizability.Call
 }
 
-// add keeps a call, as that of a caller of its own.
+// add records a call under a new caller number, so that calls may overlap.
 func (recorder *callRecorder) add(call linearizability.Call) {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
@@ -25,14 +25,14 @@
 	recorder.calls = append(recorder.calls, call)
 }
 
-// all returns the calls so far.
+// all returns the calls recorded so far.
 func (recorder *callRecorder) all() []linearizability.Call {
 	recorder.mutex.Lock()
 	defer recorder.mutex.Unlock()
 	return slices.Clone(recorder.calls)
 }
 
-// Recording returns what the fleet's operators and clients have seen.
+// Recording returns the calls and observations of the fleet's operators and clients.
 func (fleet *Fleet) Recording() linearizability.Recording {
 	recording := linearizability.Recording{Calls: fleet.Operator.calls.all()}
 	fleet.History.Change(func(history *histories.History) {
@@ -42,7 +42,7 @@
 	return recording
 }
 
-// violationsOf returns what a verdict on a recording says is wrong.
+// violationsOf converts the flaws in a verdict to violations of ruleLinearizable.
 func violationsOf(verdict linearizability.Verdict) []histories.Violation {
 	flaws := verdict.Flaws()
 	violations := make([]histories.Violation, 0, len(flaws))
--- a/verify/fleet/callrecorder_test.go
+++ b/verify/fleet/callrecorder_test.go
@@ -9,7 +9,8 @@
 	"wardtray/verify/linearizability"
 )
 
-// What operators see is recorded, and a read that goes back is noticed.
+// Operators' calls are recorded, and a read that returns an older state than an earlier one is a violation. Without the
+// record, a control machine that forgets a committed configuration would go undetected.
 func TestOperatorsCallsAreJudged(t *testing.T) {
 	core, fake := serveCore(t, map[string]fakeResponse{
 		"GET /v1/spec":             {200, `{"outcome":"found","epoch":1,"spec":{}}`},
@@ -33,7 +34,7 @@
 	}
 	fake.responses["GET /v1/spec"] = fakeResponse{404, `{"outcome":"empty"}`}
 	if _, err := fleet.Operator.Get(t.Context(), core); err == nil {
-		t.Fatal("read what is not there")
+		t.Fatal("Get returned no error for a missing configuration")
 	}
 	found := violationsOf(linearizability.Judge(fleet.Recording(), time.Minute))
 	if len(found) != 1 || found[0].Rule != ruleLinearizable || !strings.Contains(found[0].Detail, "configuration") {
--- a/verify/fleet/control_scenarios.go
+++ b/verify/fleet/control_scenarios.go
@@ -9,39 +9,40 @@
 	"wardtray/verify/histories"
 )
 
-// coresFrozen freezes the head of the chain, and the next one later, in the middle of changes.
+// coresFrozen freezes the initial head of the chain and later the next control machine, each during a configuration
+// change.
 func coresFrozen(Deployment) []Step {
-	const begin, every, length = 0.1, 0.45, 0.2
+	const begin, interval, duration = 0.1, 0.45, 0.2
 	const cores = 2
 	steps := make([]Step, 0, 2*cores)
 	for core := range cores {
-		part := begin + every*float64(core)
+		fraction := begin + interval*float64(core)
 		steps = append(steps,
-			at(part, freezeCoreDuringChange(core), change(2, fmt.Sprintf("beside-the-freeze-%d", core))),
-			at(part+length, resumeCore(core), change(core, fmt.Sprintf("after-the-freeze-%d", core))),
+			at(fraction, freezeCoreDuringChange(core), change(2, fmt.Sprintf("beside-the-freeze-%d", core))),
+			at(fraction+duration, resumeCore(core), change(core, fmt.Sprintf("after-the-freeze-%d", core))),
 		)
 	}
 	return steps
 }
 
-// freezeCoreDuringChange freezes a control machine's process while a change is sent to it.
+// freezeCoreDuringChange freezes a control machine's process while a change is being sent to it.
 func freezeCoreDuringChange(number int) Action {
-	return func(ctx context.Context, stage *Stage) error {
-		core := stage.Cores()[number]
-		stage.recordFault(core.Name+" frozen", core, false, coreExcuse)
-		stage.background.Go(func() { stage.change(ctx, core, fmt.Sprintf("into-the-freeze-%d", number)) })
+	return func(ctx context.Context, run *ScenarioRun) error {
+		core := run.Cores()[number]
+		run.recordFault(core.Name+" frozen", core, false, coreGracePeriod)
+		run.background.Go(func() { run.change(ctx, core, fmt.Sprintf("into-the-freeze-%d", number)) })
 		core.Freeze()
 		return nil
 	}
 }
 
-// coreWiped has a control machine lose its disk.
+// coreWiped kills a control machine, deletes its data and starts it again without data.
 func coreWiped(Deployment) []Step {
 	const wiped = 1
-	wipe := func(_ context.Context, stage *Stage) error {
-		core := stage.Cores()[wiped]
-		stage.recordFault(core.Name+" loses its disk", core, false, coreExcuse)
-		return stage.wipeCore(wiped)
+	wipe := func(_ context.Context, run *ScenarioRun) error {
+		core := run.Cores()[wiped]
+		run.recordFault(core.Name+" loses its disk", core, false, coreGracePeriod)
+		return run.wipeCore(wiped)
 	}
 	return []Step{
 		at(0.2, wipe, change(0, "without-it")),
@@ -50,44 +51,45 @@
 	}
 }
 
-// coresSwapped replaces every control machine, one after the other, by one without data at a new address.
+// coresSwapped replaces each control machine in turn by one without data at a new address.
 func coresSwapped(deployment Deployment) []Step {
 	const begin, share, end = 0.05, 0.85, 0.95
 	count := deployment.Cores()
 	var steps []Step
 	for number := range count {
-		part := begin + share*float64(number)/float64(count)
-		steps = append(steps, at(part, swapCore(number), change((number+1)%count, fmt.Sprintf("swap-%d", number))))
+		fraction := begin + share*float64(number)/float64(count)
+		steps = append(steps, at(fraction, swapCore(number), change((number+1)%count, fmt.Sprintf("swap-%d", number))))
 	}
 	return append(steps, at(end, change(0, "after-all")))
 }
 
 func swapCore(number int) Action {
-	return func(ctx context.Context, stage *Stage) error {
-		core := stage.Cores()[number]
-		stage.recordFault(core.Name+" swapped for a blank one at a new address", core, false, coreExcuse)
-		return stage.swapCore(ctx, number)
+	return func(ctx context.Context, run *ScenarioRun) error {
+		core := run.Cores()[number]
+		run.recordFault(core.Name+" swapped for a blank one at a new address", core, false, coreGracePeriod)
+		return run.swapCore(ctx, number)
 	}
 }
 
-// controlOff has no control plane for a while. A change must be accepted soon after its return.
-func controlOff(Deployment) []Step {
-	kill := func(_ context.Context, stage *Stage) error {
-		killAll(stage.Cores())
+// controlPlaneDown stops the control plane for half of the load. After its return, a change must be accepted within
+// histories.ReturnBound.
+func controlPlaneDown(Deployment) []Step {
+	kill := func(_ context.Context, run *ScenarioRun) error {
+		killAll(run.Cores())
 		return nil
 	}
-	start := func(ctx context.Context, stage *Stage) error { return startAll(ctx, stage.Cores()) }
+	start := func(ctx context.Context, run *ScenarioRun) error { return startAll(ctx, run.Cores()) }
 	return []Step{at(0.2, kill), at(0.7, start, changeUntilAccepted)}
 }
 
-// changeUntilAccepted sends changes through the first core until one is accepted; the error is a NotAcceptedError where
-// none is within the bound of a return.
-func changeUntilAccepted(ctx context.Context, stage *Stage) error {
-	back := time.Now()
-	order := stage.change(ctx, stage.Cores()[0], "after-control")
+// changeUntilAccepted sends changes through the first control machine until one is accepted. If none is accepted within
+// histories.ReturnBound, the error wraps ErrTimeout and a NotAcceptedError.
+func changeUntilAccepted(ctx context.Context, run *ScenarioRun) error {
+	returned := time.Now()
+	order := run.change(ctx, run.Cores()[0], "after-control")
 	err := waitFor(ctx, histories.ReturnBound, func() bool {
 		if !isAccepted(order) {
-			order = stage.change(ctx, stage.Cores()[0], fmt.Sprintf("after-control-%v", time.Since(back)))
+			order = run.change(ctx, run.Cores()[0], fmt.Sprintf("after-control-%v", time.Since(returned)))
 		}
 		return isAccepted(order)
 	})
@@ -97,32 +99,32 @@
 	return nil
 }
 
-// zoneLost kills everything in the first zone, and starts it again later.
+// zoneLost kills all processes and runners of the first zone and starts them again later.
 func zoneLost(deployment Deployment) []Step {
 	zone := deployment.Zones[0].Name
-	lose := func(_ context.Context, stage *Stage) error {
-		const excused = 4 * time.Second
-		for _, process := range stage.processesIn(zone) {
-			stage.recordFault(process.Name+" lost with its zone", process, true, excused)
+	lose := func(_ context.Context, run *ScenarioRun) error {
+		const gracePeriod = 4 * time.Second
+		for _, process := range run.processesIn(zone) {
+			run.recordFault(process.Name+" lost with its zone", process, true, gracePeriod)
 			process.Kill()
 		}
-		for place := range deployment.Runners {
-			if runner := stage.Runners.At(place); runner.Zone == zone {
-				stage.recordRunnerFault("lost with its zone", runner, crashExcuse, 0)
-				stage.Runners.Crash(place)
+		for index := range deployment.Runners {
+			if runner := run.Runners.At(index); runner.Zone == zone {
+				run.recordRunnerFault("lost with its zone", runner, crashGracePeriod, 0)
+				run.Runners.Crash(index)
 			}
 		}
 		return nil
 	}
-	start := func(ctx context.Context, stage *Stage) error {
-		if err := startAll(ctx, stage.processesIn(zone)); err != nil {
+	start := func(ctx context.Context, run *ScenarioRun) error {
+		if err := startAll(ctx, run.processesIn(zone)); err != nil {
 			return err
 		}
-		for place := range deployment.Runners {
-			if deployment.zoneOf(place) != 0 {
+		for index := range deployment.Runners {
+			if deployment.zoneOf(index) != 0 {
 				continue
 			}
-			if err := stage.Runners.Start(ctx, place); err != nil {
+			if err := run.Runners.Start(ctx, index); err != nil {
 				return err
 			}
 		}
@@ -131,15 +133,15 @@
 	return []Step{at(0.2, lose, change(1, "without-the-zone")), at(0.6, start)}
 }
 
-// allDown kills every process at once and starts all of them again.
+// allDown kills all processes at once and starts them again.
 var allDown = steps(
-	at(0.15, change(0, "before"), func(ctx context.Context, stage *Stage) error {
-		return stage.restartAll(ctx, "killed with all others")
+	at(0.15, change(0, "before"), func(ctx context.Context, run *ScenarioRun) error {
+		return run.restartAll(ctx, "killed with all others")
 	}),
 	at(0.9, change(0, "afterwards")),
 )
 
-// rollingRestart restarts every process in order, one after the other.
+// rollingRestart restarts the processes gracefully, one after the other.
 func rollingRestart(deployment Deployment) []Step {
 	const begin, share = 0.05, 0.9
 	count := deployment.Cores() + deployment.Machines()
@@ -150,10 +152,10 @@
 	return steps
 }
 
-// restart ends a process in order and starts it again.
+// restart terminates a process gracefully and starts it again.
 func restart(index int) Action {
-	return func(ctx context.Context, stage *Stage) error {
-		process := stage.Processes()[index]
+	return func(ctx context.Context, run *ScenarioRun) error {
+		process := run.Processes()[index]
 		if err := process.Terminate(ctx); err != nil {
 			return err
 		}
@@ -161,17 +163,18 @@
 	}
 }
 
-// faultAtTheEnd kills every process directly after a change was acknowledged. When they are back, a change is sent.
-var faultAtTheEnd = steps(at(0.97, func(ctx context.Context, stage *Stage) error {
-	order := stage.change(ctx, stage.Cores()[0], "last")
+// faultAtTheEnd kills every process directly after a change is acknowledged. After their restart it sends another
+// change.
+var faultAtTheEnd = steps(at(0.97, func(ctx context.Context, run *ScenarioRun) error {
+	order := run.change(ctx, run.Cores()[0], "last")
 	if !isAccepted(order) {
 		return &NotAcceptedError{order}
 	}
-	if err := stage.restartAll(ctx, "killed at the very end"); err != nil {
+	if err := run.restartAll(ctx, "killed at the very end"); err != nil {
 		return err
 	}
-	// The rule of returns wants a change that is accepted, and judges where there is none.
-	if err := changeUntilAccepted(ctx, stage); !errors.Is(err, ErrTimeout) {
+	// The rule on returns reports a violation if no change is accepted after the restart, so a timeout is no error here.
+	if err := changeUntilAccepted(ctx, run); !errors.Is(err, ErrTimeout) {
 		return err
 	}
 	return nil
--- a/verify/fleet/control_scenarios_test.go
+++ b/verify/fleet/control_scenarios_test.go
@@ -12,7 +12,8 @@
 	"wardtray/verify/histories"
 )
 
-// A change is sent again until one is accepted, each time under an id of its own.
+// A refused change is followed by another one until one is accepted, each with its own operation ID, since the final
+// state maps operation IDs to outcomes.
 func TestChangeUntilAccepted(t *testing.T) {
 	changes := 0
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -27,19 +28,19 @@
 		_, _ = writer.Write([]byte(body))
 	}))
 	t.Cleanup(server.Close)
-	stage := newTestStage(time.Second)
-	stage.Operator = newOperator(stage.History)
+	run := newTestRun(time.Second)
+	run.Operator = newOperator(run.History)
 	settings := process.Settings{HTTP: strings.TrimPrefix(server.URL, "http://")}
-	stage.Machines = []*Machine{{Core: &Process{Settings: settings}}}
-	if err := changeUntilAccepted(t.Context(), stage); err != nil {
+	run.Machines = []*Machine{{Core: &Process{Settings: settings}}}
+	if err := changeUntilAccepted(t.Context(), run); err != nil {
 		t.Fatal(err)
 	}
 	operations := map[string]bool{}
-	for _, order := range stage.History.Orders {
+	for _, order := range run.History.Orders {
 		operations[order.Operation] = true
 	}
-	if len(stage.History.Orders) != 3 || len(operations) != 3 {
-		t.Errorf("%d changes, operations %v", len(stage.History.Orders), operations)
+	if len(run.History.Orders) != 3 || len(operations) != 3 {
+		t.Errorf("%d changes, operations %v", len(run.History.Orders), operations)
 	}
 }
 
--- a/verify/fleet/deployment.go
+++ b/verify/fleet/deployment.go
@@ -5,24 +5,24 @@
 // Zone is one zone of a deployment.
 type Zone struct {
 	Name string
-	// Machines is how many machines it has, Disks how many of these have a disk.
+	// Machines is the number of machines, Disks the number of those that have a disk and run a wtcore.
 	Machines, Disks int
 }
 
-// Deployment describes a fleet, its runners and its load.
+// Deployment specifies the zones, machines, runners and load of a fleet.
 type Deployment struct {
 	Name string
-	// Network is the second byte of all its addresses.
+	// Network is the second byte of all its loopback addresses.
 	Network int
 	Zones   []Zone
-	// Runners is how many runners there are; they are spread over the zones.
+	// Runners is the number of runners, which are distributed evenly over the zones.
 	Runners int
 	Mix     loadtest.Mix
-	// Rate is how many requests clients send in a second.
+	// Rate is the default request rate of the clients, in requests a second.
 	Rate float64
 }
 
-// Deployments are the two deployments of the brief, by name.
+// Deployments maps the names of the two predefined deployments to their specifications.
 var Deployments = map[string]Deployment{
 	"guild": {
 		Name:    "guild",
@@ -51,7 +51,7 @@
 	},
 }
 
-// ZoneNames returns the names of the zones in order.
+// ZoneNames returns the names of the zones in the order of Zones.
 func (deployment Deployment) ZoneNames() []string {
 	names := make([]string, 0, len(deployment.Zones))
 	for _, zone := range deployment.Zones {
@@ -60,7 +60,7 @@
 	return names
 }
 
-// Cores returns how many control machines there are.
+// Cores returns the number of control machines.
 func (deployment Deployment) Cores() (count int) {
 	for _, zone := range deployment.Zones {
 		count += zone.Disks
@@ -68,7 +68,7 @@
 	return count
 }
 
-// Machines returns how many machines there are.
+// Machines returns the number of machines.
 func (deployment Deployment) Machines() (count int) {
 	for _, zone := range deployment.Zones {
 		count += zone.Machines
@@ -76,5 +76,5 @@
 	return count
 }
 
-// zoneOf returns the index of the zone of a runner's place.
-func (deployment Deployment) zoneOf(place int) int { return place % len(deployment.Zones) }
+// zoneOf returns the index of the zone of the runner at an index.
+func (deployment Deployment) zoneOf(index int) int { return index % len(deployment.Zones) }
--- a/verify/fleet/deployment_test.go
+++ b/verify/fleet/deployment_test.go
@@ -24,13 +24,14 @@
 	}
 }
 
-// Everything that may run at the same time in a fleet has an address of its own.
+// Everything that may run at the same time in a fleet has its own address on loopback: with a shared one, the second
+// process or runner would fail to listen.
 func TestAddressesDiffer(t *testing.T) {
 	for name, deployment := range Deployments {
 		seen := map[string]bool{}
-		take := func(address string) {
+		checkUnique := func(address string) {
 			if seen[address] {
-				t.Errorf("%s: %s is given out twice", name, address)
+				t.Errorf("%s: %s is assigned twice", name, address)
 			}
 			seen[address] = true
 			if host, _, err := net.SplitHostPort(address); err != nil || !net.ParseIP(host).IsLoopback() {
@@ -38,37 +39,37 @@
 			}
 		}
 		plan := addressPlan{deployment.Network}
-		take(plan.platform())
-		for _, machine := range layOut(deployment) {
+		checkUnique(plan.platform())
+		for _, machine := range machinesOf(deployment) {
 			for _, port := range []int{portCore, portCoreHTTP, portData, portDataHTTP} {
-				take(join(machine.IP, port))
+				checkUnique(join(machine.IP, port))
 			}
 		}
 		for number := range deployment.Cores() {
-			take(join(plan.swappedMachine(number), portCore))
+			checkUnique(join(plan.swappedMachine(number), portCore))
 		}
-		for place := range deployment.Runners {
-			zone := deployment.zoneOf(place)
-			take(plan.runner(zone, place))
-			take(plan.releasedRunner(zone, place))
+		for index := range deployment.Runners {
+			zone := deployment.zoneOf(index)
+			checkUnique(plan.runner(zone, index))
+			checkUnique(plan.replacementRunner(zone, index))
 		}
 	}
 }
 
-func TestLayOutOfTheGuild(t *testing.T) {
-	machines := layOut(Deployments["guild"])
+func TestMachinesOfTheGuild(t *testing.T) {
+	machines := machinesOf(Deployments["guild"])
 	first, fifth := machines[0], machines[4]
 	if first.Name != "bangor-1" || first.IP != "127.40.1.1" || first.Zone != "bangor" || !first.Disk {
-		t.Errorf("the first machine: %+v", first)
+		t.Errorf("first machine: %+v", first)
 	}
 	if fifth.Name != "dolgellau-1" || fifth.IP != "127.40.2.1" || !fifth.Disk || machines[5].Disk {
-		t.Errorf("the fifth machine: %+v", fifth)
+		t.Errorf("fifth machine: %+v", fifth)
 	}
 	want := []string{"127.40.1.1:7100", "127.40.2.1:7100", "127.40.3.1:7100"}
 	if seeds := seedsOf(machines); !slices.Equal(seeds, want) {
 		t.Errorf("seeds %q instead of %q", seeds, want)
 	}
-	if seeds := seedsOf(layOut(Deployments["ferries"])); len(seeds) != mostSeeds {
-		t.Errorf("%d seeds", len(seeds))
+	if seeds := seedsOf(machinesOf(Deployments["ferries"])); len(seeds) != maximumSeeds {
+		t.Errorf("ferries has %d seeds", len(seeds))
 	}
 }
--- a/verify/fleet/errors.go
+++ b/verify/fleet/errors.go
@@ -8,27 +8,27 @@
 )
 
 var (
-	// ErrTimeout means that a condition did not hold in time.
+	// ErrTimeout is returned if a condition does not hold within its timeout.
 	ErrTimeout = errors.New("timed out")
-	// ErrRunning means that a process was to be started that runs already.
-	ErrRunning = errors.New("the process runs already")
+	// ErrRunning is returned by Process.Start if the process is already running.
+	ErrRunning = errors.New("the process is already running")
 )
 
-// StatusError is a response of a core that says that it did not do what it was asked to.
+// StatusError is a control machine's response to a read with a status other than 200.
 type StatusError struct {
 	Path   string
 	Status int
 }
 
-// Error returns path and status.
+// Error returns the request's path and the response's status.
 func (err *StatusError) Error() string { return fmt.Sprintf("%s: status %d", err.Path, err.Status) }
 
-// NotAcceptedError is a change that a scenario relies on and that was not accepted.
+// NotAcceptedError reports that a configuration change which a scenario depends on was not accepted.
 type NotAcceptedError struct {
 	Order *histories.Order
 }
 
-// Error returns what became of the change.
+// Error returns the change's operation ID, status, outcome and epochs.
 func (err *NotAcceptedError) Error() string {
 	order := err.Order
 	return fmt.Sprintf("the change %q was not accepted: status %d, outcome %q, epoch %d, on epoch %d",
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"wardtray/verify/histories"
 )
 
-// Fleet is a deployment that is laid out, and runs between Start and Stop.
+// Fleet is an instance of a deployment. Its processes and runners run between Start and Stop.
 type Fleet struct {
 	Deployment Deployment
 	Machines   []*Machine
@@ -20,16 +20,17 @@
 	History    *histories.History
 
 	addresses addressPlan
-	// folder has settings, logs and data, binaries the programs.
+	// folder is the directory of settings, logs and data; binaries is that of the programs.
 	folder, binaries string
 }
 
-// New lays out a fleet in a folder and starts its platform; the machines don't run yet. The caller must Stop it.
+// New creates a fleet with its settings in a folder and starts the emulated platform. Start starts the processes and
+// runners. The caller must call Stop.
 func New(ctx context.Context, deployment Deployment, folder, binaries string, seed int64) (*Fleet, error) {
 	history := histories.New()
 	fleet := &Fleet{
 		Deployment: deployment,
-		Machines:   layOut(deployment),
+		Machines:   machinesOf(deployment),
 		Operator:   newOperator(history),
 		History:    history,
 		addresses:  addressPlan{deployment.Network},
@@ -56,10 +57,10 @@
 	return fleet, nil
 }
 
-// Processes returns every process, control plane first.
+// Processes returns all processes, those of the control plane first.
 func (fleet *Fleet) Processes() []*Process { return append(fleet.Cores(), fleet.DataDaemons()...) }
 
-// Cores returns the processes of the control plane, the first head of the chain first.
+// Cores returns the processes of the control plane, beginning with the initial head of the chain.
 func (fleet *Fleet) Cores() []*Process {
 	var cores []*Process
 	for _, machine := range fleet.Machines {
@@ -85,7 +86,7 @@
 	return cores[len(cores)-1]
 }
 
-// processesIn returns the processes of a zone, control plane first.
+// processesIn returns the processes of a zone, those of the control plane first.
 func (fleet *Fleet) processesIn(zone string) []*Process {
 	var found []*Process
 	for _, process := range fleet.Processes() {
@@ -96,27 +97,27 @@
 	return found
 }
 
-// Start starts every process and every runner. The end of the context kills the processes.
+// Start starts every process and every runner. Cancelling the context kills the processes.
 func (fleet *Fleet) Start(ctx context.Context) error {
 	if err := startAll(ctx, fleet.Processes()); err != nil {
 		return err
 	}
-	for place := range fleet.Deployment.Runners {
-		if err := fleet.Runners.Start(ctx, place); err != nil {
+	for index := range fleet.Deployment.Runners {
+		if err := fleet.Runners.Start(ctx, index); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Stop ends everything.
+// Stop kills all processes and runners and closes the platform.
 func (fleet *Fleet) Stop() {
 	killAll(fleet.Processes())
 	fleet.Runners.Stop()
 	fleet.Platform.Close()
 }
 
-// swapCore kills the process of a control machine and starts one without data at a new address in its place.
+// swapCore kills the process of a control machine and starts one without data at a new address to replace it.
 func (fleet *Fleet) swapCore(ctx context.Context, number int) error {
 	previous := fleet.Cores()[number]
 	previous.Kill()
@@ -137,14 +138,15 @@
 	return fleet.Cores()[number].Start(ctx)
 }
 
-// wipeCore kills the process of a control machine and removes its data.
+// wipeCore kills the process of a control machine and deletes its data. It doesn't start the process again.
 func (fleet *Fleet) wipeCore(number int) error {
 	core := fleet.Cores()[number]
 	core.Kill()
 	return os.RemoveAll(core.Settings.Folder)
 }
 
-// apply applies the deployment's configuration, with one more route where marker is not empty.
+// apply applies the deployment's configuration, with an additional route if marker is not empty, and returns the
+// recorded order.
 func (fleet *Fleet) apply(
 	ctx context.Context,
 	core *Process,
@@ -166,21 +168,25 @@
 	return order
 }
 
-// recordFault records that something is done to a process until length from now. kills means that work under way at
-// it may be lost.
-func (fleet *Fleet) recordFault(what string, process *Process, kills bool, length time.Duration) {
+// recordFault records a fault of a process that lasts for a duration from now. kills reports whether requests in
+// progress at the process may be lost.
+func (fleet *Fleet) recordFault(description string, process *Process, kills bool, duration time.Duration) {
 	now := time.Now()
-	fault := histories.Fault{At: now, Until: now.Add(length), What: what, Kills: kills}
+	fault := histories.Fault{At: now, Until: now.Add(duration), What: description, Kills: kills}
 	if process.Program == programData {
 		fault.Daemon = process.Settings.HTTP
 	}
 	fleet.History.Change(func(history *histories.History) { history.Faults = append(history.Faults, fault) })
 }
 
-// recordRunnerFault records that something is done to a runner until length from now; knowable is how long it may
-// take the others to know of it.
-func (fleet *Fleet) recordRunnerFault(what string, runner *emulator.Runner, length, knowable time.Duration) {
+// recordRunnerFault records a fault of a runner that lasts for a duration from now. detectionTime is how long the data
+// daemons may take to detect it.
+func (fleet *Fleet) recordRunnerFault(
+	description string, runner *emulator.Runner, duration, detectionTime time.Duration,
+) {
 	now := time.Now()
-	fault := histories.Fault{At: now, Until: now.Add(length), What: what, Runner: runner.ID, Knowable: knowable}
+	fault := histories.Fault{
+		At: now, Until: now.Add(duration), What: description, Runner: runner.ID, Knowable: detectionTime,
+	}
 	fleet.History.Change(func(history *histories.History) { history.Faults = append(history.Faults, fault) })
 }
--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"wardtray/verify/histories"
 )
 
-// newTestFleet lays out a fleet of the test's deployment until the test ends.
+// newTestFleet creates a fleet of testDeployment, which is stopped when the test ends.
 func newTestFleet(t *testing.T) *Fleet {
 	t.Helper()
 	fleet, err := New(t.Context(), testDeployment, t.TempDir(), t.TempDir(), 1)
@@ -30,14 +30,14 @@
 	return names
 }
 
-func TestNewLaysOutProcesses(t *testing.T) {
+func TestNewCreatesProcesses(t *testing.T) {
 	fleet := newTestFleet(t)
 	want := []string{"a-1.core", "a-1.data", "a-2.data", "b-1.data"}
 	if names := processNames(fleet.Processes()); !slices.Equal(names, want) {
 		t.Errorf("processes %q instead of %q", names, want)
 	}
 	if names := processNames(fleet.processesIn("b")); !slices.Equal(names, want[3:]) {
-		t.Errorf("processes in b: %q", names)
+		t.Errorf("processes in zone b: %q", names)
 	}
 	core, data := fleet.lastCore().Settings, fleet.DataDaemons()[2].Settings
 	if core.Address != testAddress("1.1:7100") || core.HTTP != testAddress("1.1:8100") ||
@@ -59,7 +59,7 @@
 func TestSwappedCoreHasANewAddressAndFolder(t *testing.T) {
 	fleet := newTestFleet(t)
 	previous := fleet.Cores()[0]
-	// Its binary is not there.
+	// The test folder has no binaries, so the new process can't start.
 	if err := fleet.swapCore(t.Context(), 0); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-// A fault excuses only what it touched: it names the data daemon or the runner.
+// A fault names the affected data daemon or runner: the rules would otherwise tolerate failures everywhere, or nowhere.
 func TestFaultsAreRecorded(t *testing.T) {
 	fleet := newTestFleet(t)
 	if err := fleet.Runners.Start(t.Context(), 0); err != nil {
@@ -101,8 +101,8 @@
 		{What: "runner", Runner: "r00-1", Knowable: 4 * time.Second},
 	}
 	for number, fault := range fleet.History.Faults {
-		if length := fault.Until.Sub(fault.At); length != time.Duration(number+1)*time.Second {
-			t.Errorf("%s: %v", fault.What, length)
+		if duration := fault.Until.Sub(fault.At); duration != time.Duration(number+1)*time.Second {
+			t.Errorf("%s lasts %v", fault.What, duration)
 		}
 		fault.At, fault.Until = time.Time{}, time.Time{}
 		if fault != want[number] {
@@ -110,6 +110,6 @@
 		}
 	}
 	if len(fleet.History.Faults) != len(want) {
-		t.Errorf("%d faults", len(fleet.History.Faults))
+		t.Errorf("%d faults are recorded", len(fleet.History.Faults))
 	}
 }
--- a/verify/fleet/machine.go
+++ b/verify/fleet/machine.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// mostSeeds is how many control machines the others are told of at first.
-	mostSeeds = 3
-	// drainTime is how long a data daemon accepts requests after SIGTERM.
+	// maximumSeeds is the maximum number of control machines in the seed list of each process.
+	maximumSeeds = 3
+	// drainTime is the period in which a data daemon still accepts requests after SIGTERM.
 	drainTime = "2s"
 )
 
 // Machine is one machine of a fleet.
 type Machine struct {
 	Name string
-	// IP is its address, Zone that of its deployment.
+	// IP is the machine's loopback address, Zone the name of its zone.
 	IP, Zone string
 	Disk     bool
-	// Data is its wtdata, Core its wtcore, which only a machine with a disk has.
+	// Data is the machine's wtdata process. Core is its wtcore process, or nil if it has no disk.
 	Data, Core *Process
 }
 
-// layOut returns the machines of a deployment, without their processes.
-func layOut(deployment Deployment) []*Machine {
+// machinesOf returns the machines of a deployment, without their processes.
+func machinesOf(deployment Deployment) []*Machine {
 	plan := addressPlan{deployment.Network}
 	var machines []*Machine
 	for index, zone := range deployment.Zones {
@@ -41,18 +41,18 @@
 	return machines
 }
 
-// seedsOf returns the addresses that the processes on such machines contact first.
+// seedsOf returns the seed list of the processes on the given machines: the addresses that they contact first.
 func seedsOf(machines []*Machine) []string {
 	var seeds []string
 	for _, machine := range machines {
-		if machine.Disk && len(seeds) < mostSeeds {
+		if machine.Disk && len(seeds) < maximumSeeds {
 			seeds = append(seeds, join(machine.IP, portCore))
 		}
 	}
 	return seeds
 }
 
-// prepare writes the settings of the machine's processes.
+// prepare creates the machine's processes and writes their settings. It starts nothing.
 func (machine *Machine) prepare(seeds []string, platform, folder, binaries string) error {
 	settings := process.Settings{
 		Address:  join(machine.IP, portData),
--- a/verify/fleet/mixed_scenarios.go
+++ b/verify/fleet/mixed_scenarios.go
@@ -6,8 +6,9 @@
 	"wardtray/control/proposal"
 )
 
-// oneOfEach is the default scenario: a runner, a data daemon and the head of the chain are killed and come back.
-func oneOfEach(deployment Deployment) []Step {
+// killOneOfEach kills and restarts a runner, a data daemon and the head of the chain, and changes the configuration
+// meanwhile. It is the default scenario.
+func killOneOfEach(deployment Deployment) []Step {
 	const (
 		runner = 3
 		daemon = 5
@@ -17,19 +18,19 @@
 		at(0.2, crashRunner(runner)),
 		at(0.35, killDaemon(daemon)),
 		at(0.45, startDaemon(daemon), startRunner(runner)),
-		at(0.5, func(ctx context.Context, stage *Stage) error {
-			core := stage.Cores()[head]
-			stage.recordFault(core.Name+" killed", core, true, coreExcuse)
+		at(0.5, func(ctx context.Context, run *ScenarioRun) error {
+			core := run.Cores()[head]
+			run.recordFault(core.Name+" killed", core, true, coreGracePeriod)
 			core.Kill()
-			stage.apply(ctx, stage.lastCore(), "during", firstEpoch, "extra-lane")
+			run.apply(ctx, run.lastCore(), "during", firstEpoch, "extra-lane")
 			return nil
 		}),
-		at(0.7, startCore(head), func(ctx context.Context, stage *Stage) error {
-			stage.Operator.Zone(ctx, stage.lastCore(), "closing", proposal.VerbClose, deployment.Zones[1].Name)
+		at(0.7, startCore(head), func(ctx context.Context, run *ScenarioRun) error {
+			run.Operator.Zone(ctx, run.lastCore(), "closing", proposal.VerbClose, deployment.Zones[1].Name)
 			return nil
 		}),
 	}
 }
 
-// overload has five times the usual load for a quarter of the time.
+// overload sends five times the base rate for a quarter of the load's duration.
 var overload = steps(at(0.3, scaleLoad(5)), at(0.55, scaleLoad(1)))
--- a/verify/fleet/operator.go
+++ b/verify/fleet/operator.go
@@ -17,15 +17,14 @@
 )
 
 const (
-	// operatorTimeout is how long an operator waits for a response; a core gives one within 6 s.
+	// operatorTimeout is the timeout for a response; a control machine responds within 6 s.
 	operatorTimeout = 9 * time.Second
-	// maximumResponse bounds the body of a response, in bytes.
+	// maximumResponse is the maximum size of a response body, in bytes.
 	maximumResponse = 64 << 20
 )
 
-// Operator changes the configuration of a fleet through any of its cores and records each change. It is safe for
-// concurrent use. It uses net/http and types of its own, so that it can't share the faults of the fleet's own
-// client.
+// Operator changes the configuration of a fleet through any of its control machines and records each change. It is safe
+// for concurrent use. It uses net/http and its own types, so that it doesn't share defects with the client under test.
 type Operator struct {
 	client  *http.Client
 	history *histories.History
@@ -37,27 +36,27 @@
 	return &Operator{client: &http.Client{Timeout: operatorTimeout, Transport: transport}, history: history}
 }
 
-// Reply is what a core replies to an operator.
+// Reply is a control machine's response to an operator.
 type Reply struct {
-	// Status is that of the response.
+	// Status is the HTTP status.
 	Status  int `json:"-"`
 	Outcome string
 	Epoch   uint64
 	Spec    json.RawMessage
 }
 
-// Get reads the committed configuration. Where there is none, or none can be read, the error is a StatusError.
+// Get reads the committed configuration. The error is a StatusError if there is none, or if it can't be read now.
 func (operator *Operator) Get(ctx context.Context, core *Process) (Reply, error) {
 	return operator.read(ctx, core, "/v1/spec", linearizability.Call{Kind: linearizability.KindRead})
 }
 
-// Outcome reads what became of a change. Where that is not known, the error is a StatusError.
+// Outcome reads the outcome of a change. The error is a StatusError if the outcome is not known.
 func (operator *Operator) Outcome(ctx context.Context, core *Process, operation string) (Reply, error) {
 	return operator.read(ctx, core, "/v1/operations/"+url.PathEscape(operation),
 		linearizability.Call{Kind: linearizability.KindLookup, Operation: operation})
 }
 
-// read sends a call that changes nothing, and records it.
+// read sends a read-only call and records it.
 func (operator *Operator) read(
 	ctx context.Context,
 	core *Process,
@@ -73,14 +72,15 @@
 	return reply, err
 }
 
-// Apply replaces the configuration by the order's Spec, on the epoch that is its Base, and records the order.
+// Apply replaces the configuration by the order's Spec, with the order's Base as the expected epoch, and records the
+// order with its outcome.
 func (operator *Operator) Apply(ctx context.Context, core *Process, order *histories.Order) {
 	order.Verb, order.HasBase = proposal.VerbApply, true
 	path := fmt.Sprintf("/v1/spec?base=%d&operation=%s", order.Base, url.QueryEscape(order.Operation))
 	operator.submit(ctx, core, order, http.MethodPut, path, order.Spec.Encode())
 }
 
-// Zone closes or opens a zone, by the verbs of package proposal, and records the order.
+// Zone closes or opens a zone and records the order with its outcome. The verb is proposal.VerbClose or VerbOpen.
 func (operator *Operator) Zone(ctx context.Context, core *Process, operation, verb, zone string) *histories.Order {
 	order := &histories.Order{Operation: operation, Verb: verb, Zone: zone}
 	path := fmt.Sprintf("/v1/zones/%s/%s?operation=%s", url.PathEscape(zone), verb, url.QueryEscape(operation))
@@ -88,7 +88,8 @@
 	return order
 }
 
-// submit sends a change, and completes and records its order. A change without a reply has an unknown outcome.
+// submit sends a change, adds the outcome to its order and records it. A change without a readable reply has an unknown
+// outcome.
 func (operator *Operator) submit(
 	ctx context.Context,
 	core *Process,
@@ -108,21 +109,21 @@
 		HasBase: order.HasBase}, order.Sent, order.Got, reply, err)
 }
 
-// record records a call with what was replied to it.
+// record records a call with its reply for the check of linearizability.
 func (operator *Operator) record(call linearizability.Call, sent, got time.Time, reply Reply, err error) {
 	started := operator.history.Started
 	call.Span = linearizability.Span{Start: sent.Sub(started), End: got.Sub(started)}
 	observed := linearizability.Observed{Kind: call.Kind, HasBase: call.HasBase, Status: reply.Status,
 		Outcome: reply.Outcome}
 	if err != nil {
-		// A reply that can't be read says nothing.
+		// A call without a readable reply may take effect at any later time, or never.
 		observed.Status, call.End = 0, linearizability.Never
 	}
 	call.Answer, call.Result = observed.Answer(), reply.Epoch
 	operator.calls.add(call)
 }
 
-// call sends a request. A reply that can't be decoded is returned with its status and the error.
+// call sends a request and decodes the reply. If it can't be decoded, call returns the status and the error.
 func (operator *Operator) call(
 	ctx context.Context,
 	method string,
@@ -138,7 +139,7 @@
 	if err != nil {
 		return Reply{}, err
 	}
-	// The body was read; its close can lose nothing.
+	// The body is read completely, so an error of Close is irrelevant.
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maximumResponse))
 	if err != nil {
@@ -146,12 +147,12 @@
 	}
 	reply := Reply{Status: response.StatusCode}
 	if err := json.Unmarshal(content, &reply); err != nil {
-		return reply, fmt.Errorf("the reply of %s to %s: %w", core.Name, path, err)
+		return reply, fmt.Errorf("decoding the reply of %s to %s: %w", core.Name, path, err)
 	}
 	return reply, nil
 }
 
-// FinalState reads through a core what the fleet says of the configuration and of all changes that were recorded.
+// FinalState reads the committed configuration and the outcomes of all recorded changes through a control machine.
 func (operator *Operator) FinalState(ctx context.Context, core *Process) (histories.Final, error) {
 	reply, err := operator.Get(ctx, core)
 	if err != nil {
@@ -161,7 +162,7 @@
 		Routes []struct{ Name string } `json:"lanes"`
 	}{}
 	if err := json.Unmarshal(reply.Spec, &spec); err != nil {
-		return histories.Final{}, fmt.Errorf("the configuration at the end: %w", err)
+		return histories.Final{}, fmt.Errorf("decoding the configuration at the end: %w", err)
 	}
 	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
 	for _, route := range spec.Routes {
@@ -181,7 +182,7 @@
 	return final, nil
 }
 
-// operations returns the ids of all recorded changes.
+// operations returns the operation IDs of all recorded changes.
 func (operator *Operator) operations() []string {
 	var operations []string
 	operator.history.Change(func(history *histories.History) {
--- a/verify/fleet/operator_test.go
+++ b/verify/fleet/operator_test.go
@@ -15,7 +15,7 @@
 	"wardtray/verify/loadtest"
 )
 
-// fakeCore responds to operators' requests, by method and URI, and keeps the bodies it was sent.
+// fakeCore is an HTTP handler that returns prepared responses and records the request bodies, by method and URI.
 type fakeCore struct {
 	responses map[string]fakeResponse
 	bodies    map[string]string
@@ -38,7 +38,7 @@
 	_, _ = io.WriteString(writer, response.body)
 }
 
-// serveCore serves a fake core until the test ends and returns it as a process.
+// serveCore serves a fakeCore until the test ends and returns a process with its address.
 func serveCore(t *testing.T, responses map[string]fakeResponse) (*Process, *fakeCore) {
 	t.Helper()
 	core := &fakeCore{responses: responses, bodies: map[string]string{}}
@@ -63,10 +63,10 @@
 	}
 	var status *StatusError
 	if _, err := operator.Outcome(t.Context(), core, "other"); !errors.As(err, &status) || status.Status != 404 {
-		t.Errorf("an operation that is not known: %v", err)
+		t.Errorf("outcome of an unknown operation: %v", err)
 	}
 	if _, err := operator.Outcome(t.Context(), core, "broken"); err == nil || errors.As(err, &status) {
-		t.Errorf("a reply that is no JSON: %v", err)
+		t.Errorf("reply that is not JSON: %v", err)
 	}
 }
 
@@ -103,14 +103,15 @@
 		}
 	}
 	if len(history.Orders) != len(want) || history.Orders[0] != order {
-		t.Errorf("%d orders", len(history.Orders))
+		t.Errorf("%d orders are recorded", len(history.Orders))
 	}
 	if body := fake.bodies[apply]; body != string(order.Spec.Encode()) {
 		t.Errorf("applied %s", body)
 	}
 }
 
-// The rule that no refused change is in effect looks at the routes that the fleet names at the end.
+// The final state has all routes and known outcomes: by the routes, the rule on refused changes finds a marker route
+// of a change that was refused but took effect.
 func TestFinalStateHasRoutesAndOutcomes(t *testing.T) {
 	spec := string(loadtest.Guild.Spec([]string{"a"}, "extra-lane").Encode())
 	core, _ := serveCore(t, map[string]fakeResponse{
--- a/verify/fleet/process.go
+++ b/verify/fleet/process.go
@@ -13,30 +13,31 @@
 	"wardtray/config/process"
 )
 
-// The programs of a fleet.
+// The names of the programs, which are those of their binaries.
 const (
 	programData = "wtdata"
 	programCore = "wtcore"
 )
 
-// filePermissions are those of settings and logs.
+// filePermissions are the permissions of settings files and logs.
 const filePermissions = 0o640
 
-// Process is one process of a fleet, which may be started again after its end. It is safe for concurrent use.
+// Process is one process of a fleet. It can be started again after it has ended. It is safe for concurrent use.
 type Process struct {
-	// Name tells it from all others. Program is that of its binary.
+	// Name is unique in the fleet. Program is the name of the binary.
 	Name, Program string
 	Settings      process.Settings
 
 	binary, settingsFile, logFile string
 
 	mutex sync.Mutex
-	// command and finished are those of the last start, nil before the first; finished is closed when it has ended.
+	// command and finished belong to the last start and are nil before the first. finished is closed when the process
+	// has ended.
 	command  *exec.Cmd
 	finished chan struct{}
 }
 
-// newProcess writes the settings of a process to a folder, where its log goes too. Nothing runs yet.
+// newProcess writes the settings of a process to a folder, which also receives its log. It doesn't start the process.
 func newProcess(name, program string, settings process.Settings, folder, binaries string) (*Process, error) {
 	process := &Process{
 		Name:         name,
@@ -53,7 +54,7 @@
 	return process, os.WriteFile(process.settingsFile, content, filePermissions)
 }
 
-// Start starts the process. The end of the context kills it.
+// Start starts the process. Cancelling the context kills it. It returns ErrRunning if the process is already running.
 func (process *Process) Start(ctx context.Context) error {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
@@ -64,11 +65,11 @@
 	if err != nil {
 		return err
 	}
-	// The process has a descriptor of its own.
+	// The child process has its own file descriptor.
 	defer func() { _ = log.Close() }()
 	command := exec.CommandContext(ctx, process.binary, "--startup", process.settingsFile)
 	command.Stdout, command.Stderr = log, log
-	// A wtverify that is killed must not leave a fleet behind.
+	// If wtverify is killed, its child processes must not stay behind.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	command.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := command.Start(); err != nil {
@@ -77,7 +78,7 @@
 	finished := make(chan struct{})
 	process.command, process.finished = command, finished
 	go func() {
-		// A process that was killed ends with an error that says just that.
+		// For a process that was killed, the error only reports the signal.
 		_ = command.Wait()
 		close(finished)
 	}()
@@ -97,13 +98,14 @@
 	}
 }
 
-// Freeze stops the process's execution until Resume.
+// Freeze suspends the process with SIGSTOP until Resume.
 func (process *Process) Freeze() { process.signal(syscall.SIGSTOP) }
 
-// Resume continues a frozen process.
+// Resume continues a frozen process with SIGCONT.
 func (process *Process) Resume() { process.signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end and waits until it has. It returns the context's error where that ends before.
+// Terminate sends SIGTERM and waits until the process has ended. It returns the context's error if the context is
+// cancelled first.
 func (process *Process) Terminate(ctx context.Context) error {
 	finished := process.signal(syscall.SIGTERM)
 	select {
@@ -114,10 +116,10 @@
 	}
 }
 
-// Kill ends the process at once and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has ended.
 func (process *Process) Kill() { <-process.signal(syscall.SIGKILL) }
 
-// signal sends a signal to the process, if it runs. What it returns is closed when the process has ended.
+// signal sends a signal to the process if it is running. The returned channel is closed when the process has ended.
 func (process *Process) signal(signal syscall.Signal) (finished <-chan struct{}) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
@@ -126,12 +128,12 @@
 		close(ended)
 		return ended
 	}
-	// It fails only where the process has ended, which the channel tells.
+	// Signal fails only if the process has ended; then the channel is closed or about to be.
 	_ = process.command.Process.Signal(signal)
 	return process.finished
 }
 
-// killAll ends processes at once, all of them before it waits for the first.
+// killAll sends SIGKILL to all processes before it waits for their ends.
 func killAll(processes []*Process) {
 	for _, process := range processes {
 		process.signal(syscall.SIGKILL)
@@ -141,7 +143,7 @@
 	}
 }
 
-// startAll starts processes in order.
+// startAll starts processes in order and stops at the first error.
 func startAll(ctx context.Context, processes []*Process) error {
 	for _, process := range processes {
 		if err := process.Start(ctx); err != nil {
--- a/verify/fleet/process_test.go
+++ b/verify/fleet/process_test.go
@@ -13,7 +13,8 @@
 	"wardtray/config/process"
 )
 
-// script prepares a process that runs a shell script, which says "up" in its log when it is up.
+// script returns a process that runs a shell script, which must write "up" to its log when it is ready. It is killed
+// when the test ends.
 func script(t *testing.T, body string) *Process {
 	t.Helper()
 	folder := t.TempDir()
@@ -29,7 +30,7 @@
 	return prepared
 }
 
-// awaitUp waits until a script has said "up" so many times.
+// awaitUp waits until the process's log contains "up" the given number of times.
 func awaitUp(t *testing.T, process *Process, times int) {
 	t.Helper()
 	if err := waitFor(t.Context(), 10*time.Second, func() bool {
@@ -40,10 +41,10 @@
 	}
 }
 
-const waiting = "echo up; while :; do sleep 0.01; done"
+const loopForever = "echo up; while :; do sleep 0.01; done"
 
 func TestProcessWritesItsSettings(t *testing.T) {
-	process := script(t, waiting)
+	process := script(t, loopForever)
 	content, err := os.ReadFile(process.settingsFile)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +57,7 @@
 }
 
 func TestProcessRunsUntilItIsKilledAndAgain(t *testing.T) {
-	process := script(t, waiting)
+	process := script(t, loopForever)
 	process.Kill()
 	for start := 1; start <= 2; start++ {
 		if err := process.Start(t.Context()); err != nil {
@@ -64,14 +65,14 @@
 		}
 		awaitUp(t, process, start)
 		if err := process.Start(t.Context()); !errors.Is(err, ErrRunning) {
-			t.Errorf("a process that runs was started again: %v", err)
+			t.Errorf("starting a process that is already running: %v", err)
 		}
 		process.Kill()
 	}
 }
 
 func TestProcessTerminates(t *testing.T) {
-	process := script(t, "trap 'echo ended; exit 0' TERM; "+waiting)
+	process := script(t, "trap 'echo ended; exit 0' TERM; "+loopForever)
 	if err := process.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -80,12 +81,12 @@
 		t.Fatal(err)
 	}
 	if log, err := os.ReadFile(process.logFile); err != nil || !strings.HasSuffix(string(log), "ended\n") {
-		t.Errorf("its log: %q, %v", log, err)
+		t.Errorf("log of the terminated process: %q, %v", log, err)
 	}
 }
 
 func TestTerminateReturnsWithItsContext(t *testing.T) {
-	process := script(t, "trap '' TERM; "+waiting)
+	process := script(t, "trap '' TERM; "+loopForever)
 	if err := process.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -93,12 +94,12 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := process.Terminate(ctx); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a process that ignores SIGTERM: %v", err)
+		t.Errorf("Terminate of a process that ignores SIGTERM: %v", err)
 	}
 }
 
 func TestFrozenProcessDoesNothingUntilItResumes(t *testing.T) {
-	process := script(t, "trap 'echo ended; exit 0' TERM; "+waiting)
+	process := script(t, "trap 'echo ended; exit 0' TERM; "+loopForever)
 	if err := process.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +117,7 @@
 }
 
 func TestProcessEndsWithItsContext(t *testing.T) {
-	process := script(t, waiting)
+	process := script(t, loopForever)
 	ctx, cancel := context.WithCancel(t.Context())
 	if err := process.Start(ctx); err != nil {
 		t.Fatal(err)
@@ -126,7 +127,7 @@
 	select {
 	case <-process.finished:
 	case <-time.After(10 * time.Second):
-		t.Error("it runs on")
+		t.Error("the process still runs after its context was cancelled")
 	}
 }
 
@@ -141,7 +142,7 @@
 }
 
 func TestStartAllAndKillAll(t *testing.T) {
-	processes := []*Process{script(t, waiting), script(t, waiting)}
+	processes := []*Process{script(t, loopForever), script(t, loopForever)}
 	if err := startAll(t.Context(), processes); err != nil {
 		t.Fatal(err)
 	}
--- a/verify/fleet/prove.go
+++ b/verify/fleet/prove.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// startTimeout is how long a fleet may take to come up, and to answer at the end. A slow machine may take its time;
-	// the bounds of the rules are measured elsewhere.
+	// startTimeout is the timeout for the start of a fleet and for reading the final state. It allows for slow machines:
+	// the rules check the required times.
 	startTimeout = time.Minute
-	// warmUpTime is when the load begins, after the start. The brief's traffic begins about ten seconds after the
-	// machines, when runners are warm and daemons known to be ready.
+	// warmUpTime is the time from the start to the beginning of the load. In the specified deployments, traffic begins
+	// about ten seconds after the machines start, when runners are warm and data daemons are known to be ready.
 	warmUpTime = 6 * time.Second
-	// firstEpoch is the epoch of the first configuration.
+	// firstEpoch is the epoch of the initial configuration.
 	firstEpoch = 1
-	// capacityInterval is how often the runners' capacity is recorded.
+	// capacityInterval is the sampling interval of the runners' capacity.
 	capacityInterval = 100 * time.Millisecond
 )
 
-// Options say how a proof runs.
+// Options configures Prove.
 type Options struct {
 	// Binaries is the folder of wtdata and wtcore.
 	Binaries string
-	// Folder is where settings, data and logs go. Default: a temporary folder, which is removed unless Keep is set.
+	// Folder receives settings, data and logs. Default: a temporary folder, which is removed unless Keep is set.
 	Folder string
 	Keep   bool
-	// Seconds is how long the load lasts.
+	// Seconds is the duration of the load, in seconds. The load lasts longer if the check of a return needs it.
 	Seconds int
-	// Seed is that of the requests and of the platform's choices.
+	// Seed is the seed of the requests and of the platform's random choices.
 	Seed int64
-	// Rate is how many requests clients send in a second. Default: that of the deployment.
+	// Rate is the clients' base rate, in requests a second. Default: the deployment's rate.
 	Rate float64
-	// Output is where the report goes.
+	// Output receives the report.
 	Output io.Writer
-	// RecordFile is where the history of operators and clients goes, as JSON. Default: nowhere.
+	// RecordFile is the path to which the history of operators and clients is written, as JSON. Default: not written.
 	RecordFile string
-	// Timeless judges only by the rules that a slow machine can't break.
-	Timeless bool
+	// IgnoreTiming restricts the check to the rules that a slow machine can't violate.
+	IgnoreTiming bool
 }
 
-// Prove runs one scenario on one deployment, prints a report, and reports whether every rule held. The error is one
-// that kept the proof from its end, such as a context that ended.
+// Prove runs one scenario on one deployment, prints a report, and reports whether every rule held. It returns an error
+// if the run could not be completed, for example because the context was cancelled.
 func Prove(ctx context.Context, deployment Deployment, scenario Scenario, options Options) (clean bool, err error) {
 	folder, remove, err := options.workFolder()
 	if err != nil {
@@ -69,13 +69,13 @@
 		return false, err
 	}
 	if err := fleet.readFinalState(ctx); errors.Is(err, ErrTimeout) {
-		// The report is printed all the same; an output that takes no more says nothing about the fleet.
+		// The report is printed nevertheless. An error of the output is irrelevant to the result.
 		_, _ = fmt.Fprintln(options.Output, "nobody answered for the state at the end")
 	} else if err != nil {
 		return false, err
 	}
 	violations := histories.Check(fleet.History)
-	if options.Timeless {
+	if options.IgnoreTiming {
 		violations = histories.Timeless(violations)
 	}
 	recording := fleet.Recording()
@@ -84,15 +84,15 @@
 			return false, err
 		}
 	}
-	judged := linearizability.Judge(recording, linearizability.DefaultTimeout)
-	violations = append(violations, violationsOf(judged)...)
+	verdict := linearizability.Judge(recording, linearizability.DefaultTimeout)
+	violations = append(violations, violationsOf(verdict)...)
 	report := newReport(fleet.History, fleet.Runners.CacheShare(), violations)
-	report.Judged = judged
+	report.Linearizability = verdict
 	report.Print(options.Output)
 	return report.Clean(), nil
 }
 
-// workFolder returns the folder for settings, data and logs, and the function that removes it if it is temporary.
+// workFolder returns the folder for settings, data and logs, and a function that removes it if it is temporary.
 func (options Options) workFolder() (folder string, remove func(), err error) {
 	keep := func() {}
 	if options.Folder != "" {
@@ -103,12 +103,13 @@
 		return folder, keep, err
 	}
 	return folder, func() {
-		// A temporary folder that stays behind does no harm.
+		// A temporary folder that can't be removed does no harm.
 		_ = os.RemoveAll(folder)
 	}, nil
 }
 
-// bringUp starts everything, waits for the first view, applies the first configuration and lets runners warm up.
+// bringUp starts the fleet, waits for the first view, applies the initial configuration and waits until the runners are
+// warm.
 func (fleet *Fleet) bringUp(ctx context.Context, output io.Writer) error {
 	if err := fleet.Start(ctx); err != nil {
 		return err
@@ -118,7 +119,7 @@
 		_, err := fleet.Operator.Get(ctx, fleet.Cores()[0])
 		return err == nil
 	}); err != nil {
-		return fmt.Errorf("the control plane gave no first view within %v; logs are in %s: %w",
+		return fmt.Errorf("the control plane has no view %v after the start; logs are in %s: %w",
 			startTimeout, fleet.folder, err)
 	}
 	var first *histories.Order
@@ -128,44 +129,44 @@
 	}); err != nil || !isAccepted(first) {
 		return errors.Join(err, &NotAcceptedError{first})
 	}
-	// A note on the way; the report follows.
+	// An error of the output is irrelevant to the result.
 	_, _ = fmt.Fprintf(output, "%s: %d machines, %d disks, %d runners; first spec in effect %v after the start\n",
 		fleet.Deployment.Name, len(fleet.Machines), len(fleet.Cores()), fleet.Deployment.Runners,
 		time.Since(started).Round(time.Millisecond))
 	return sleepUntil(ctx, started.Add(warmUpTime))
 }
 
-// runScenario sends the deployment's mix of requests while the scenario does its harm.
+// runScenario sends the deployment's mix of requests while it executes the steps of the scenario.
 func (fleet *Fleet) runScenario(ctx context.Context, scenario Scenario, options Options) error {
 	rate := options.Rate
 	if rate == 0 {
 		rate = fleet.Deployment.Rate
 	}
-	stage := &Stage{
-		Fleet:   fleet,
-		length:  time.Duration(options.Seconds) * time.Second,
-		started: time.Now(),
-		rate:    newRequestRate(rate),
+	run := &ScenarioRun{
+		Fleet:        fleet,
+		loadDuration: time.Duration(options.Seconds) * time.Second,
+		started:      time.Now(),
+		rate:         newRequestRate(rate),
 	}
 	deployment := fleet.Deployment
 	clients := loadtest.New(deployment.Mix, deployment.ZoneNames(), fleet.Platform.Pick, fleet.History, options.Seed)
-	clients.Hot, clients.HangUps, clients.Resends = scenario.Hot, scenario.Leaves, scenario.Resends
+	clients.Hot, clients.HangUps, clients.Resends = scenario.HotShare, scenario.DisconnectShare, scenario.RetryShare
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var load sync.WaitGroup
-	load.Go(func() { clients.Run(loadContext, stage.rate.current) })
+	load.Go(func() { clients.Run(loadContext, run.rate.current) })
 	load.Go(func() { fleet.sampleCapacity(loadContext) })
-	err := stage.play(ctx, scenario.stepsFor(deployment))
+	err := run.execute(ctx, scenario.stepsFor(deployment))
 	if err == nil {
-		err = sleepUntil(ctx, stage.loadEnd())
+		err = sleepUntil(ctx, run.loadEnd())
 	}
 	stopLoad()
 	load.Wait()
-	stage.background.Wait()
+	run.background.Wait()
 	return err
 }
 
-// sampleCapacity records how much the runners can truly do, until the context ends.
+// sampleCapacity records the runners' actual capacity periodically until the context is cancelled.
 func (fleet *Fleet) sampleCapacity(ctx context.Context) {
 	for sleep(ctx, capacityInterval) == nil {
 		sample := fleet.Runners.Capacity()
@@ -175,7 +176,8 @@
 	}
 }
 
-// readFinalState asks the cores for the state at the end until one has answered, and records it.
+// readFinalState reads the state at the end of the run from the first control machine that returns it, and records it.
+// It returns ErrTimeout if none does within startTimeout.
 func (fleet *Fleet) readFinalState(ctx context.Context) error {
 	return waitFor(ctx, startTimeout, func() bool {
 		for _, core := range fleet.Cores() {
--- a/verify/fleet/prove_test.go
+++ b/verify/fleet/prove_test.go
@@ -8,21 +8,22 @@
 	"testing"
 )
 
-// A short fleet of real processes: a runner, a daemon and the head are killed and the spec changes. It is
-// judged by the rules that no slow machine can break; the others are judged in simulated time.
+// Runs real processes for ten seconds, kills a runner, a data daemon and the head of the chain, and changes the
+// configuration. Guards against failures that the simulation can't show, since it doesn't start processes. Only the
+// rules that a slow machine can't violate are checked here; the simulation checks the others in simulated time.
 func TestShortFleet(t *testing.T) {
 	folder := t.TempDir()
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", folder, "wardtray/cmd/wtdata", "wardtray/cmd/wtcore")
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, output)
 	}
-	told := &strings.Builder{}
+	report := &strings.Builder{}
 	clean, err := Prove(t.Context(), Deployments["guild"], Scenarios["default"],
-		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: told, Timeless: true})
+		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: report, IgnoreTiming: true})
 	if err != nil || !clean {
-		t.Fatalf("%v\n%s", err, told)
+		t.Fatalf("%v\n%s", err, report)
 	}
-	t.Log(told)
+	t.Log(report)
 }
 
 func TestWorkFolderIsRemovedUnlessItIsKept(t *testing.T) {
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -11,28 +11,28 @@
 	"wardtray/verify/linearizability"
 )
 
-// mostViolations is how many violations a report prints.
-const mostViolations = 40
+// maximumViolations is the maximum number of violations that a report prints.
+const maximumViolations = 40
 
-// Report is the result of one proof.
+// Report is the result of one scenario run.
 type Report struct {
-	Figures Figures
-	// CacheShare is the part of the prompt tokens that runners found in their caches.
+	Statistics Statistics
+	// CacheShare is the fraction of the prompt tokens that runners found in their caches.
 	CacheShare float64
 	Worst      histories.WorstCases
-	// Started is when the history began, to which the faults' times are related.
+	// Started is the start of the history; the faults' times are printed relative to it.
 	Started    time.Time
 	Orders     []histories.Order
 	Faults     []histories.Fault
 	Violations []histories.Violation
-	// Judged is the verdict on the whole histories of operators and clients.
-	Judged linearizability.Verdict
+	// Linearizability is the verdict on the complete histories of operators and clients.
+	Linearizability linearizability.Verdict
 }
 
-// newReport takes a report from a history that has ended.
+// newReport creates the report on a completed history.
 func newReport(history *histories.History, cacheShare float64, violations []histories.Violation) Report {
 	report := Report{
-		Figures:    measure(history),
+		Statistics: newStatistics(history),
 		CacheShare: cacheShare,
 		Worst:      histories.Worst(history),
 		Violations: violations,
@@ -49,7 +49,7 @@
 // Clean reports whether every rule held.
 func (report Report) Clean() bool { return len(report.Violations) == 0 }
 
-// Print writes the report as text.
+// Print writes the report as text and ignores write errors.
 func (report Report) Print(output io.Writer) {
 	printer := printer{output}
 	report.printRequests(printer)
@@ -58,22 +58,22 @@
 	report.printVerdict(printer)
 }
 
-// printer writes lines.
+// printer writes formatted text to output and ignores write errors.
 type printer struct {
 	output io.Writer
 }
 
 func (printer printer) printf(format string, values ...any) {
-	// Whoever reads the report sees where it ends; an output that takes no more says nothing about the fleet.
+	// An error of the output is irrelevant to the result, and a truncated report is recognizable.
 	_, _ = fmt.Fprintf(printer.output, format, values...)
 }
 
 func (report Report) printRequests(printer printer) {
-	figures, worst := report.Figures, report.Worst
+	statistics, worst := report.Statistics, report.Worst
 	printer.printf("requests %d: done %d, refused %d, unknown %d, broken off %d, lost with a killed daemon %d\n",
-		figures.Requests, figures.Done, figures.Refused, figures.Unknown, figures.Broken, figures.Lost)
+		statistics.Requests, statistics.Done, statistics.Refused, statistics.Unknown, statistics.Broken, statistics.Lost)
 	printer.printf("prompt tokens found in runners' caches: %.0f%%; repeats: %d\n",
-		100*report.CacheShare, figures.Retries)
+		100*report.CacheShare, statistics.Retries)
 	printer.printf("worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), "+
 		"to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
 		milliseconds(worst.Ignored), milliseconds(worst.Draining), milliseconds(worst.Closed),
@@ -81,15 +81,16 @@
 }
 
 func (report Report) printRoutes(printer printer) {
-	first := report.Figures.First
+	first := report.Statistics.FirstEventTimes
 	for _, route := range slices.Sorted(maps.Keys(first)) {
-		lengths := first[route]
-		printer.printf("  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n", route, len(lengths),
-			milliseconds(quantile(lengths, 0.5)), milliseconds(quantile(lengths, 0.95)), milliseconds(quantile(lengths, 1)))
+		durations := first[route]
+		printer.printf("  %-10s done %5d   first event: median %v, 95%% %v, worst %v\n", route, len(durations),
+			milliseconds(quantile(durations, 0.5)), milliseconds(quantile(durations, 0.95)),
+			milliseconds(quantile(durations, 1)))
 	}
-	kinds := report.Figures.Kinds
-	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
-		printer.printf("  refused or unknown: %-28s %d\n", kind, kinds[kind])
+	codes := report.Statistics.ErrorCodes
+	for _, code := range slices.Sorted(maps.Keys(codes)) {
+		printer.printf("  refused or unknown: %-28s %d\n", code, codes[code])
 	}
 }
 
@@ -105,15 +106,15 @@
 
 func (report Report) printVerdict(printer printer) {
 	printer.printf("histories: %d calls of operators and %d requests that run at most once judged in %v\n",
-		report.Judged.Calls, report.Judged.Requests, milliseconds(report.Judged.Took))
+		report.Linearizability.Calls, report.Linearizability.Requests, milliseconds(report.Linearizability.Took))
 	if report.Clean() {
 		printer.printf("verdict: clean, all %d rules held\n", len(histories.Rules))
 		return
 	}
-	for _, violation := range report.Violations[:min(len(report.Violations), mostViolations)] {
+	for _, violation := range report.Violations[:min(len(report.Violations), maximumViolations)] {
 		printer.printf("BROKEN %s: %s\n", violation.Rule, violation.Detail)
 	}
 	printer.printf("verdict: %d violations\n", len(report.Violations))
 }
 
-func milliseconds(length time.Duration) time.Duration { return length.Round(time.Millisecond) }
+func milliseconds(duration time.Duration) time.Duration { return duration.Round(time.Millisecond) }
--- a/verify/fleet/report_test.go
+++ b/verify/fleet/report_test.go
@@ -33,7 +33,7 @@
 `
 	clean := fmt.Sprintf("verdict: clean, all %d rules held\n", len(histories.Rules))
 	report := newReport(history, 0.75, nil)
-	report.Judged = linearizability.Verdict{Calls: 4, Requests: 2, Took: 12 * time.Millisecond}
+	report.Linearizability = linearizability.Verdict{Calls: 4, Requests: 2, Took: 12 * time.Millisecond}
 	if text := printed(report); text != want+clean || !report.Clean() {
 		t.Errorf("%s\ninstead of\n%s", text, want+clean)
 	}
@@ -45,10 +45,10 @@
 }
 
 func TestReportPrintsTheFirstViolations(t *testing.T) {
-	violations := make([]histories.Violation, mostViolations+5)
+	violations := make([]histories.Violation, maximumViolations+5)
 	text := printed(newReport(histories.New(), 0, violations))
-	if count := strings.Count(text, "BROKEN"); count != mostViolations {
-		t.Errorf("%d violations are printed", count)
+	if count := strings.Count(text, "BROKEN"); count != maximumViolations {
+		t.Errorf("the report has %d violations", count)
 	}
 	if !strings.HasSuffix(text, "verdict: 45 violations\n") {
 		t.Errorf("%s", text)
--- a/verify/fleet/runners.go
+++ b/verify/fleet/runners.go
@@ -10,8 +10,8 @@
 	"wardtray/verify/histories"
 )
 
-// Runners are the emulated runners of a fleet. There is one in each place, from 0, unless it was removed; each start
-// makes a runner with an identity of its own. They are safe for concurrent use.
+// Runners manages the emulated runners of a fleet. Each index from 0 has a runner unless it was removed. Each start
+// creates a runner with a new identity. Runners is safe for concurrent use.
 type Runners struct {
 	deployment Deployment
 	addresses  addressPlan
@@ -20,10 +20,10 @@
 	history    *histories.History
 
 	mutex sync.Mutex
-	// started is every runner that was ever started, present the one in each place, or nil.
+	// started holds every runner ever started; current holds the runner at each index, or nil.
 	started []*emulator.Runner
-	present []*emulator.Runner
-	// incarnations is how many identities were given out.
+	current []*emulator.Runner
+	// incarnations is the number of identities assigned so far.
 	incarnations int
 }
 
@@ -34,48 +34,48 @@
 		profile:    emulator.DefaultProfile,
 		platform:   platform,
 		history:    history,
-		present:    make([]*emulator.Runner, deployment.Runners),
+		current:    make([]*emulator.Runner, deployment.Runners),
 	}
 }
 
-// Start starts a runner in a place, at the place's address.
-func (runners *Runners) Start(ctx context.Context, place int) error {
-	return runners.start(ctx, place, runners.addresses.runner(runners.deployment.zoneOf(place), place))
+// Start starts a runner at an index, with the address of that index.
+func (runners *Runners) Start(ctx context.Context, index int) error {
+	return runners.start(ctx, index, runners.addresses.runner(runners.deployment.zoneOf(index), index))
 }
 
-// StartBeside starts a runner in a place at another address, while the one that was there still runs. The caller
-// must take that one off the platform's list.
-func (runners *Runners) StartBeside(ctx context.Context, place int) error {
-	return runners.start(ctx, place, runners.addresses.releasedRunner(runners.deployment.zoneOf(place), place))
+// StartReplacement starts a new runner at an index, with another address, while the previous one still runs. The caller
+// must remove the previous one from the platform's list.
+func (runners *Runners) StartReplacement(ctx context.Context, index int) error {
+	return runners.start(ctx, index, runners.addresses.replacementRunner(runners.deployment.zoneOf(index), index))
 }
 
-func (runners *Runners) start(ctx context.Context, place int, address string) error {
-	runner, err := runners.launch(ctx, runners.identity(place, address))
+func (runners *Runners) start(ctx context.Context, index int, address string) error {
+	runner, err := runners.launch(ctx, runners.identity(index, address))
 	if err != nil {
 		return err
 	}
 	runners.mutex.Lock()
-	runners.present[place] = runner
+	runners.current[index] = runner
 	runners.mutex.Unlock()
 	runners.platform.Set(runner, emulator.StateCold)
 	time.AfterFunc(runners.profile.ColdTime, func() {
-		if runners.At(place) == runner {
+		if runners.At(index) == runner {
 			runners.platform.Set(runner, emulator.StateReady)
 		}
 	})
 	return nil
 }
 
-// identity returns a new identity for the runner in a place.
-func (runners *Runners) identity(place int, address string) emulator.Identity {
+// identity returns a new identity for the runner at an index.
+func (runners *Runners) identity(index int, address string) emulator.Identity {
 	runners.mutex.Lock()
 	defer runners.mutex.Unlock()
 	runners.incarnations++
 	mix := runners.deployment.Mix
 	return emulator.Identity{
-		ID:      fmt.Sprintf("r%02d-%d", place, runners.incarnations),
+		ID:      fmt.Sprintf("r%02d-%d", index, runners.incarnations),
 		Address: address,
-		Zone:    runners.deployment.Zones[runners.deployment.zoneOf(place)].Name,
+		Zone:    runners.deployment.Zones[runners.deployment.zoneOf(index)].Name,
 		Service: mix.Service,
 		Model:   mix.Model,
 		Weights: mix.Weights,
@@ -83,15 +83,15 @@
 	}
 }
 
-// StartStranger starts a runner of another service at the address of a runner that crashed. It is in no place, and
-// the platform does not list it.
-func (runners *Runners) StartStranger(ctx context.Context, crashed *emulator.Runner) (*emulator.Runner, error) {
+// StartForeign starts a runner of another service at the address of a crashed runner. It has no index, and the platform
+// does not list it.
+func (runners *Runners) StartForeign(ctx context.Context, crashed *emulator.Runner) (*emulator.Runner, error) {
 	identity := crashed.Identity
 	identity.ID, identity.Service = "stranger", "somebody-elses"
 	return runners.launch(ctx, identity)
 }
 
-// launch starts a runner that Stop ends.
+// launch starts a runner and records it, so that Stop ends it.
 func (runners *Runners) launch(ctx context.Context, identity emulator.Identity) (*emulator.Runner, error) {
 	runner, err := emulator.Start(ctx, identity, runners.profile, runners.history)
 	if err != nil {
@@ -103,19 +103,19 @@
 	return runner, nil
 }
 
-// At returns the runner in a place, or nil.
-func (runners *Runners) At(place int) *emulator.Runner {
+// At returns the runner at an index, or nil.
+func (runners *Runners) At(index int) *emulator.Runner {
 	runners.mutex.Lock()
 	defer runners.mutex.Unlock()
-	return runners.present[place]
+	return runners.current[index]
 }
 
-// Remove takes the runner in a place off the platform's list and out of its place. It returns nil where there is
-// none.
-func (runners *Runners) Remove(place int) *emulator.Runner {
+// Remove removes the runner at an index from the platform's list and from its index, and returns it. It returns nil if
+// there is none. The runner still runs.
+func (runners *Runners) Remove(index int) *emulator.Runner {
 	runners.mutex.Lock()
-	runner := runners.present[place]
-	runners.present[place] = nil
+	runner := runners.current[index]
+	runners.current[index] = nil
 	runners.mutex.Unlock()
 	if runner != nil {
 		runners.platform.Remove(runner)
@@ -123,19 +123,19 @@
 	return runner
 }
 
-// Crash removes the runner in a place and ends it at once.
-func (runners *Runners) Crash(place int) {
-	if runner := runners.Remove(place); runner != nil {
+// Crash removes the runner at an index and ends it at once.
+func (runners *Runners) Crash(index int) {
+	if runner := runners.Remove(index); runner != nil {
 		runner.Crash()
 	}
 }
 
-// Present returns the runners that are in their places.
-func (runners *Runners) Present() []*emulator.Runner {
+// Current returns the runners that were not removed, by index.
+func (runners *Runners) Current() []*emulator.Runner {
 	runners.mutex.Lock()
 	defer runners.mutex.Unlock()
 	var found []*emulator.Runner
-	for _, runner := range runners.present {
+	for _, runner := range runners.current {
 		if runner != nil {
 			found = append(found, runner)
 		}
@@ -143,21 +143,21 @@
 	return found
 }
 
-// Stop ends all runners, also those that left their places.
+// Stop ends all runners, including those that were removed.
 func (runners *Runners) Stop() {
 	runners.mutex.Lock()
 	started := runners.started
-	clear(runners.present)
+	clear(runners.current)
 	runners.mutex.Unlock()
 	for _, runner := range started {
 		runner.Crash()
 	}
 }
 
-// Capacity returns how much the runners that are ready and warm can truly do now.
+// Capacity returns the actual free and total slots by zone of the runners that are ready and warm.
 func (runners *Runners) Capacity() histories.CapacitySample {
 	sample := histories.CapacitySample{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
-	for _, runner := range runners.Present() {
+	for _, runner := range runners.Current() {
 		if !runners.platform.Settled(runner) {
 			continue
 		}
@@ -168,10 +168,10 @@
 	return sample
 }
 
-// CacheShare returns the part of all prompt tokens that the runners in their places found in their caches.
+// CacheShare returns the fraction of all prompt tokens that the current runners found in their caches.
 func (runners *Runners) CacheShare() float64 {
 	var cached, prompted int64
-	for _, runner := range runners.Present() {
+	for _, runner := range runners.Current() {
 		cachedHere, promptedHere := runner.CacheUse()
 		cached += cachedHere
 		prompted += promptedHere
--- a/verify/fleet/runners_test.go
+++ b/verify/fleet/runners_test.go
@@ -11,7 +11,8 @@
 	"wardtray/verify/loadtest"
 )
 
-// testDeployment has addresses that no other deployment has, and hardly any other run of these tests at the same time.
+// testDeployment uses addresses that no other deployment uses. They depend on the process ID, so that concurrent runs
+// of these tests rarely collide.
 var testDeployment = Deployment{
 	Name:    "test",
 	Network: 61 + os.Getpid()%180,
@@ -20,10 +21,10 @@
 	Mix:     loadtest.Guild,
 }
 
-// testAddress returns an address of testDeployment, by all but its first two bytes.
+// testAddress returns the address of testDeployment that ends in the given bytes and port.
 func testAddress(end string) string { return fmt.Sprintf("127.%d.%s", testDeployment.Network, end) }
 
-// newTestRunners returns runners that are warm at once, on a platform without daemons.
+// newTestRunners returns runners without a warm-up time, on a platform without data daemons.
 func newTestRunners(t *testing.T) *Runners {
 	t.Helper()
 	history := histories.New()
@@ -51,25 +52,25 @@
 	if first.Service != testDeployment.Mix.Service || first.Backend != testDeployment.Mix.Pool {
 		t.Errorf("%+v", first.Identity)
 	}
-	if err := runners.StartBeside(t.Context(), 1); err != nil {
+	if err := runners.StartReplacement(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	if beside := runners.At(1); beside.ID != "r01-2" || beside.Address != testAddress("151.2:9100") {
 		t.Errorf("%+v", beside.Identity)
 	}
 	if err := runners.Start(t.Context(), 1); err == nil {
-		t.Error("a runner starts at the address of one that still runs")
+		t.Error("a runner started at the address of one that still runs")
 	}
 	first.Crash()
 	if err := runners.Start(t.Context(), 1); err != nil {
-		t.Errorf("at the address of one that crashed: %v", err)
+		t.Errorf("starting at the address of a crashed runner: %v", err)
 	}
 }
 
-func TestRunnersLeaveTheirPlaces(t *testing.T) {
+func TestRunnersAreRemoved(t *testing.T) {
 	runners := newTestRunners(t)
-	for place := range testDeployment.Runners {
-		if err := runners.Start(t.Context(), place); err != nil {
+	for index := range testDeployment.Runners {
+		if err := runners.Start(t.Context(), index); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,21 +78,21 @@
 	runners.Crash(0)
 	runners.Crash(0)
 	if removed := runners.Remove(2); removed == nil || runners.Remove(2) != nil {
-		t.Error("a runner is removed once")
+		t.Error("the first Remove returned no runner, or the second one did")
 	}
-	if present := runners.Present(); len(present) != 1 || present[0] != runners.At(1) {
-		t.Errorf("%d runners are in their places", len(present))
+	if current := runners.Current(); len(current) != 1 || current[0] != runners.At(1) {
+		t.Errorf("%d current runners", len(current))
 	}
-	stranger, err := runners.StartStranger(t.Context(), crashed)
+	foreign, err := runners.StartForeign(t.Context(), crashed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if stranger.Address != crashed.Address || stranger.ID == crashed.ID || stranger.Service == crashed.Service {
-		t.Errorf("%+v", stranger.Identity)
+	if foreign.Address != crashed.Address || foreign.ID == crashed.ID || foreign.Service == crashed.Service {
+		t.Errorf("%+v", foreign.Identity)
 	}
 	runners.Stop()
-	if len(runners.Present()) != 0 {
-		t.Error("runners are in their places after all were stopped")
+	if len(runners.Current()) != 0 {
+		t.Error("there are current runners after Stop")
 	}
 	for _, address := range []string{crashed.Address, testAddress("100.3:9100")} {
 		identity := emulator.Identity{ID: "later", Address: address}
@@ -110,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if sample := runners.Capacity(); len(sample.Slots) != 0 {
-		t.Errorf("at once: %+v", sample)
+		t.Errorf("capacity directly after the start: %+v", sample)
 	}
 	if err := waitFor(t.Context(), time.Minute, func() bool { return runners.Capacity().Slots["a"] > 0 }); err != nil {
 		t.Fatal(err)
@@ -120,6 +121,6 @@
 		t.Errorf("%+v", sample)
 	}
 	if share := runners.CacheShare(); share != 0 {
-		t.Errorf("%v of no tokens are cached", share)
+		t.Errorf("cache share without any tokens: %v", share)
 	}
 }
--- a/verify/fleet/scenario_test.go
+++ b/verify/fleet/scenario_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Every scenario can be played on every deployment: its steps are within the load, and in order unless it is listed.
+// Every scenario can run on every deployment: its steps are within the load's duration, and in order unless the
+// scenario is listed as overlapping. A step out of order would start later than its time says.
 func TestStepsAreWithinTheLoad(t *testing.T) {
-	// In clientsLeave the freezes of the first daemons come late, directly after the overload.
+	// In clientsDisconnect the first freezes start late, directly after the overload.
 	overlapping := []string{"requesters-leave"}
 	for name, scenario := range Scenarios {
 		for _, deployment := range Deployments {
--- /dev/null
+++ b/verify/fleet/statistics.go
@@ -0,0 +1,73 @@
+package fleet
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"wardtray/verify/histories"
+)
+
+// Statistics summarizes the requests of a history.
+type Statistics struct {
+	// Requests is the number of requests that clients sent. Each is counted in exactly one field of the next group.
+	Requests int
+	// Done counts requests with a complete response, Refused those that did not run, Unknown those of which it is not
+	// known whether they ran, Broken those whose stream ended with an error event, and Lost those whose connection was
+	// lost.
+	Done, Refused, Unknown, Broken, Lost int
+	// ErrorCodes counts error responses by route and error code, separated by a space.
+	ErrorCodes map[string]int
+	// FirstEventTimes holds the times to the first event of the requests in Done, by route.
+	FirstEventTimes map[string][]time.Duration
+	// Retries is the number of runs beyond the first of each request.
+	Retries int
+}
+
+// newStatistics computes the statistics of a history.
+func newStatistics(history *histories.History) Statistics {
+	statistics := Statistics{ErrorCodes: map[string]int{}, FirstEventTimes: map[string][]time.Duration{}}
+	history.Change(func(history *histories.History) {
+		for _, answer := range history.Answers {
+			statistics.addAnswer(answer)
+		}
+		seen := map[string]bool{}
+		for _, run := range history.Runs {
+			if seen[run.Request] {
+				statistics.Retries++
+			}
+			seen[run.Request] = true
+		}
+	})
+	return statistics
+}
+
+// addAnswer counts one answer.
+func (statistics *Statistics) addAnswer(answer *histories.Answer) {
+	statistics.Requests++
+	switch {
+	case answer.Done:
+		statistics.Done++
+		statistics.FirstEventTimes[answer.Route] = append(statistics.FirstEventTimes[answer.Route], answer.First)
+	case answer.ConnectionLost:
+		statistics.Lost++
+	case answer.Error:
+		statistics.Broken++
+	case answer.Status == http.StatusGatewayTimeout:
+		statistics.Unknown++
+	default:
+		statistics.Refused++
+	}
+	if answer.Kind != "" {
+		statistics.ErrorCodes[answer.Route+" "+answer.Kind]++
+	}
+}
+
+// quantile returns the value below which a fraction of the durations lies, or 0 if there are none.
+func quantile(durations []time.Duration, fraction float64) time.Duration {
+	if len(durations) == 0 {
+		return 0
+	}
+	sorted := slices.Sorted(slices.Values(durations))
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
+}
--- a/verify/fleet/wait.go
+++ b/verify/fleet/wait.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// pollInterval is how often waitFor looks at its condition.
+// pollInterval is the interval at which waitFor evaluates its condition.
 const pollInterval = 100 * time.Millisecond
 
-// waitFor waits until a condition holds. It returns ErrTimeout where it does not in time, or the context's error.
+// waitFor waits until a condition holds. It returns ErrTimeout if the condition does not hold within the timeout, or
+// the context's error.
 func waitFor(ctx context.Context, timeout time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !condition() {
@@ -22,9 +23,9 @@
 	return nil
 }
 
-// sleep waits; it returns the context's error where that ends before.
-func sleep(ctx context.Context, length time.Duration) error {
-	timer := time.NewTimer(length)
+// sleep waits for a duration. It returns the context's error if the context is cancelled first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -34,5 +35,6 @@
 	}
 }
 
-// sleepUntil waits for a moment, which may have passed; it returns the context's error where that ends before.
+// sleepUntil waits until a moment, or not at all if it has passed. It returns the context's error if the context is
+// cancelled first.
 func sleepUntil(ctx context.Context, moment time.Time) error { return sleep(ctx, time.Until(moment)) }
--- a/verify/fleet/wait_test.go
+++ b/verify/fleet/wait_test.go
@@ -10,7 +10,7 @@
 
 func TestWaitFor(t *testing.T) {
 	for name, test := range map[string]struct {
-		// holdsAfter is when the condition holds, cancelAfter when the context ends.
+		// holdsAfter is the time until the condition holds, cancelAfter that until the context is cancelled.
 		holdsAfter, cancelAfter time.Duration
 		want                    error
 		took                    time.Duration
