--- a/verify/fleet/operator_test.go
+++ b/verify/fleet/operator_test.go
@@ -133,6 +133,7 @@
 	}
 }
 
+// An unreadable reply makes FinalState fail: an incomplete final state would let the rules miss lost changes.
 func TestFinalStateFailsWhereAnAnswerIsMissing(t *testing.T) {
 	history := histories.New()
 	history.Orders = []*histories.Order{{Operation: "first"}}
--- a/verify/fleet/process_test.go
+++ b/verify/fleet/process_test.go
@@ -85,6 +85,7 @@
 	}
 }
 
+// A process that ignores SIGTERM must not block a scenario after its context has ended.
 func TestTerminateReturnsWithItsContext(t *testing.T) {
 	process := script(t, "trap '' TERM; "+loopForever)
 	if err := process.Start(t.Context()); err != nil {
@@ -116,6 +117,7 @@
 	}
 }
 
+// Cancelling the context kills the process, so that an interrupted run leaves no processes behind.
 func TestProcessEndsWithItsContext(t *testing.T) {
 	process := script(t, loopForever)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/verify/fleet/prove_test.go
+++ b/verify/fleet/prove_test.go
@@ -26,6 +26,7 @@
 	t.Log(report)
 }
 
+// Prove removes only its own temporary folder, never one that the caller has given or wants to keep.
 func TestWorkFolderIsRemovedUnlessItIsKept(t *testing.T) {
 	given := t.TempDir()
 	t.Setenv("TMPDIR", t.TempDir())
--- a/verify/fleet/runners_test.go
+++ b/verify/fleet/runners_test.go
@@ -105,6 +105,8 @@
 	}
 }
 
+// Runners in their warm-up or slow start don't count as capacity: the rules would otherwise report refusals as
+// unnecessary while data daemons may not use these runners fully.
 func TestCapacityCountsRunnersThatAreSettled(t *testing.T) {
 	runners := newTestRunners(t)
 	if err := runners.Start(t.Context(), 0); err != nil {
--- a/verify/fleet/scenario_run.go
+++ b/verify/fleet/scenario_run.go
@@ -60,7 +60,8 @@
 	return run.started.Add(duration)
 }
 
-// epoch returns the epoch of the committed configuration, read through any core, or 0.
+// epoch returns the epoch of the committed configuration, read through the first control machine that responds, or 0 if
+// none does.
 func (run *ScenarioRun) epoch(ctx context.Context) uint64 {
 	for _, core := range run.Cores() {
 		if reply, err := run.Operator.Get(ctx, core); err == nil {
--- a/verify/mutation/check.go
+++ b/verify/mutation/check.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// checkAll reports whether every patch still fits the tree; it prints those that don't.
+// checkAll reports whether every patch is still valid for the tree, and prints those that aren't.
 func checkAll(patches []mutation, jobs int) (bool, error) {
 	folder, err := os.MkdirTemp("", "broken-tests-")
 	if err != nil {
@@ -17,25 +17,25 @@
 	}
 	defer removeAll(folder)
 	checker := &checker{subtests: newSubtestFinder(folder, subtestTimeout)}
-	fitting := judgeAll(patches, jobs, func(patch mutation) verdict {
+	succeeded := evaluateAll(patches, jobs, func(patch mutation) verdict {
 		if err := checker.check(patch); err != nil {
-			return verdict{line: labelled("STALE", patch, err.Error())}
+			return verdict{line: resultLine("STALE", patch, err.Error())}
 		}
 		return verdict{succeeded: true}
 	})
-	fmt.Printf("%d of %d pieces of broken code apply, build and name their test\n", fitting, len(patches))
-	return fitting == len(patches), nil
+	fmt.Printf("%d of %d pieces of broken code apply, build and name their test\n", succeeded, len(patches))
+	return succeeded == len(patches), nil
 }
 
-// checker checks that patches still fit the tree, without running their tests to the end. It doesn't see whether a test
-// still notices its patch, nor whether a pattern selects more, or fewer, tests than was meant, as long as it selects
-// one.
+// checker checks that patches are still valid for the tree, without running their tests to the end. It doesn't check
+// whether a test still detects its patch, nor whether a pattern that selects at least one test selects the intended
+// ones.
 type checker struct {
 	subtests *subtestFinder
 }
 
-// check sees that a patch applies, that the packages it touches build with it, and that its test exists. The tree stays
-// as it is: the patched files replace it by the build's overlay.
+// check checks that a patch applies, that the packages it changes build with it, and that its test exists. It doesn't
+// modify the tree: go build reads the patched files through an overlay.
 func (checker *checker) check(patch mutation) error {
 	if err := checker.checkTest(patch); err != nil {
 		return err
@@ -45,8 +45,8 @@
 		return err
 	}
 	defer removeAll(folder)
-	for _, file := range patch.touched {
-		// A file that the tree doesn't have may be one that the patch makes; applying it tells.
+	for _, file := range patch.changedFiles {
+		// The patch may create a file that the tree doesn't have. If it doesn't create it, apply fails.
 		if err := copyFile(file, filepath.Join(folder, file)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return err
 		}
@@ -57,7 +57,8 @@
 	return buildOverlaid(patch, folder)
 }
 
-// checkTest sees that the unpatched tree has a test function, and a subtest, that the patch's pattern selects.
+// checkTest checks that the patch's pattern selects a test function of the unpatched tree, and a subtest if it has
+// further elements.
 func (checker *checker) checkTest(patch mutation) error {
 	pattern, err := parseTestPattern(patch.test)
 	if err != nil {
@@ -69,16 +70,16 @@
 	return checker.subtests.find(patch.packageFolder, pattern, patch.seeds)
 }
 
-// overlay is the file of go build's flag of that name: paths, and the files that replace them.
+// overlay is the content of the file for go build -overlay. Replace maps paths to the files that replace them.
 type overlay struct {
 	Replace map[string]string
 }
 
-// buildOverlaid builds the packages that a patch touches, with the patched files from a folder in place of the tree's.
+// buildOverlaid builds the packages that a patch changes, with the patched files from a folder instead of the tree's.
 func buildOverlaid(patch mutation, folder string) error {
 	patched := overlay{Replace: map[string]string{}}
-	packages := make([]string, 0, len(patch.touched))
-	for _, file := range patch.touched {
+	packages := make([]string, 0, len(patch.changedFiles))
+	for _, file := range patch.changedFiles {
 		absolute, err := filepath.Abs(file)
 		if err != nil {
 			return err
@@ -97,7 +98,7 @@
 	}
 	arguments := append([]string{"build", "-overlay", overlayFile}, slices.Compact(packages)...)
 	if output, err := run(".", nil, "go", arguments...); err != nil {
-		return fmt.Errorf("%w: %s", errNotBuilding, beginning(output))
+		return fmt.Errorf("%w: %s", errNotBuilding, truncate(output))
 	}
 	return nil
 }
--- a/verify/mutation/check_test.go
+++ b/verify/mutation/check_test.go
@@ -11,7 +11,7 @@
 
 const sampleHead = "Rule: a rule\nTest: ./code TestCode/^part\nSeeds: 1\nRed: broken:\n\n"
 
-// sampleDiff changes the line that returns 1.
+// sampleDiff changes the line that returns 1. Tests replace RESULT.
 const sampleDiff = `diff --git a/code/code.go b/code/code.go
 --- a/code/code.go
 +++ b/code/code.go
@@ -24,10 +24,10 @@
  }
 `
 
-// shortTimeout is how long the check waits for a test that takes long to start a subtest.
+// shortTimeout is the subtest timeout for a test that starts its subtest too late.
 const shortTimeout = 200 * time.Millisecond
 
-// sampleTest has tests and subtests that the check must not wait for.
+// sampleTest has tests that pass or fail quickly, and tests and subtests of an hour, whose end a check must not await.
 const sampleTest = `package code
 
 import (
@@ -53,7 +53,7 @@
 }
 `
 
-// sampleTree makes a module with one package and its test, and makes it the working directory.
+// sampleTree creates a module with one package and its test, and changes the working directory to it.
 func sampleTree(t *testing.T) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -72,7 +72,7 @@
 	}
 }
 
-// samplePatch writes and reads a patch.
+// samplePatch writes a patch to the working directory and reads it.
 func samplePatch(t *testing.T, content string) mutation {
 	t.Helper()
 	if err := os.WriteFile("sample.patch", []byte(content), 0o644); err != nil {
@@ -85,6 +85,8 @@
 	return patches[0]
 }
 
+// A patch is stale if the code around it has changed so that it no longer applies or builds. The check must not change
+// the tree while it finds that out.
 func TestCheckFindsStalePatches(t *testing.T) {
 	cases := []struct {
 		name, content string
@@ -110,6 +112,7 @@
 	}
 }
 
+// A pattern that selects no test makes go test pass, so a renamed test would go unnoticed until the patch is tried.
 func TestCheckFindsMissingTests(t *testing.T) {
 	cases := []struct {
 		name, pattern string
@@ -149,7 +152,8 @@
 	}
 }
 
-func TestPatchesWantAWholeHead(t *testing.T) {
+// A head without a rule, test or failure pattern is an error: an empty failure pattern would match any failure.
+func TestPatchesNeedACompleteHead(t *testing.T) {
 	for _, tried := range []struct {
 		content string
 		finding error
--- a/verify/mutation/command.go
+++ b/verify/mutation/command.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// outputLimit is how many bytes of a command's output are printed.
+// outputLimit is the maximum number of bytes of a command's output that are printed.
 const outputLimit = 600
 
-// run returns a command's standard output and standard error together; environment is added to the process's own.
+// run runs a command in a folder and returns its combined standard output and standard error. environment is added to
+// the environment of this process.
 func run(folder string, environment []string, program string, arguments ...string) (string, error) {
 	command := exec.CommandContext(context.Background(), program, arguments...)
 	command.Dir = folder
@@ -19,8 +20,8 @@
 	return string(output), err
 }
 
-// beginning returns the beginning of a command's output.
-func beginning(output string) string {
+// truncate returns the first outputLimit bytes of a command's output, without surrounding space.
+func truncate(output string) string {
 	output = strings.TrimSpace(output)
 	return output[:min(len(output), outputLimit)]
 }
--- a/verify/mutation/errors.go
+++ b/verify/mutation/errors.go
@@ -2,15 +2,15 @@
 
 import "errors"
 
-// Why a patch cannot be read.
+// Errors of reading patches.
 var (
 	errNoPatches      = errors.New("no patches; start this from the root of the tree")
-	errIncompleteHead = errors.New("the head wants Rule, Test and Red")
+	errIncompleteHead = errors.New("the head must have Rule, Test and Red")
 	errNoFiles        = errors.New("the patch changes no file")
-	errBadPattern     = errors.New("not a pattern")
+	errBadPattern     = errors.New("not a valid regular expression")
 )
 
-// Why a patch no longer fits the tree.
+// Errors of patches that are no longer valid for the tree.
 var (
 	errNotApplying      = errors.New("the patch no longer applies")
 	errNotBuilding      = errors.New("the patched tree does not build")
@@ -22,15 +22,15 @@
 	errSubtestTimeout   = errors.New("the test started no subtest of the pattern in time")
 )
 
-// errNoTree is returned where git does not list the files of the tree.
+// errNoTree is returned if git can't list the files of the tree.
 var errNoTree = errors.New("git does not list the tree")
 
-// Why a trial did not notice a patch.
+// Errors of trials in which the test did not detect the patch.
 var (
-	errStaysGreen   = errors.New("the test stays green")
+	errTestPassed   = errors.New("the test stays green")
 	errOtherFailure = errors.New("the test is red, but for another reason")
 )
 
-// errNothingToDo is returned for flags that choose no patches or no workers.
+// errNothingToDo is returned if the flags select no patches or no workers.
 var errNothingToDo = errors.New(
-	"nothing to do: give --only a pattern of names that --list shows, and --jobs of at least 1")
+	"nothing to do: --only must match a name that --list prints, and --jobs must be at least 1")
--- a/verify/mutation/main.go
+++ b/verify/mutation/main.go
@@ -1,8 +1,7 @@
-// Command mutation proves that the tests can fail: it applies each patch of broken code to a copy of the tree, runs the
-// test that the patch names, and wants it red for the reason that the patch names.
+// Command mutation checks that the tests can fail: it applies each patch of broken code to a copy of the tree, runs the
+// test that the patch names, and requires that the test fails for the reason that the patch states.
 //
-// With --check no test is run to its end: each patch must still apply, build, and name a test, and a subtest, that
-// exists.
+// With --check no test runs to its end: each patch must still apply, build, and name an existing test and subtest.
 package main
 
 import (
@@ -14,13 +13,13 @@
 )
 
 const (
-	// patchFolder is where the patches lie, below the root of the tree.
+	// patchFolder is the folder of the patches, relative to the root of the tree.
 	patchFolder = "verify/mutation"
 	// programName is the name of the script at the root of the tree that runs this command.
 	programName = "broken"
 )
 
-// Exit codes: the result is not as wanted, and nothing could be done.
+// Exit codes: exitFailed means that a patch failed its trial or check, exitError that the command could not run.
 const (
 	exitFailed = 1
 	exitError  = 2
@@ -28,9 +27,9 @@
 
 // options are the command's flags.
 type options struct {
-	// only is nil for all patches.
+	// only selects patches by name; nil selects all.
 	only *regexp.Regexp
-	// jobs is how many patches are tried at once.
+	// jobs is the number of patches tried or checked concurrently.
 	jobs        int
 	list, check bool
 }
@@ -46,7 +45,7 @@
 	}
 }
 
-// execute does what the options say and reports whether the result is as wanted.
+// execute lists, checks or tries the selected patches and reports whether all of them succeeded.
 func execute(options options) (bool, error) {
 	patches, err := readPatches(patchFolder)
 	if err != nil {
@@ -63,7 +62,7 @@
 	case options.check:
 		return checkAll(patches, options.jobs)
 	default:
-		return tryAll(patches, options.jobs), nil
+		return runTrials(patches, options.jobs), nil
 	}
 }
 
@@ -71,14 +70,14 @@
 	application := kingpin.New(
 		programName,
 		"Applies each patch below verify/mutation to a copy of the tree "+
-			"and wants the named test red for the named reason.",
+			"and requires that the named test fails for the stated reason.",
 	)
 	application.HelpFlag.Short('h')
 	only := application.Flag("only", "Only patches whose name matches this pattern.").Regexp()
-	jobs := application.Flag("jobs", "How many at once.").Default("3").Int()
+	jobs := application.Flag("jobs", "Number of patches tried or checked concurrently.").Default("3").Int()
 	list := application.Flag("list", "Only list the patches.").Bool()
-	check := application.Flag("check", "Run no tests to their end: only see that each patch applies, "+
-		"builds and names a test, and a subtest, that exists.").
+	check := application.Flag("check", "Run no tests to their end: only check that each patch applies, "+
+		"builds and names an existing test and subtest.").
 		Bool()
 	kingpin.MustParse(application.Parse(arguments))
 	return options{only: *only, jobs: *jobs, list: *list, check: *check}
--- a/verify/mutation/patch.go
+++ b/verify/mutation/patch.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// mutation is one piece of broken code, kept as a patch, with the test that must notice it.
+// mutation is a patch that breaks the code, with the test that must detect it.
 type mutation struct {
-	// name is the file's name without its ending; file is the path of the patch.
+	// name is the file's name without its extension; file is the path of the patch.
 	name, file string
-	// rule says which rule the code breaks, and how.
+	// rule describes which rule the broken code violates, and how.
 	rule string
 	// packageFolder is the folder of the test's package, and test the pattern of the test that must fail.
 	packageFolder, test string
 	// seeds is the value of WARDTRAY_SEEDS for the test.
 	seeds string
-	// red is the pattern of the reason for which the test must fail: a line of its output, without the position, that does
-	// not only name the test.
-	red *regexp.Regexp
-	// touched are the files that the patch changes, relative to the root of the tree.
-	touched []string
+	// failurePattern matches the reason for which the test must fail: a line of its output, without the position, that
+	// doesn't only name the test.
+	failurePattern *regexp.Regexp
+	// changedFiles are the files that the patch changes or creates, relative to the root of the tree.
+	changedFiles []string
 }
 
-// touchedFile matches the line of a patch that names a file as it is after the patch.
-var touchedFile = regexp.MustCompile(`(?m)^\+\+\+ b/(\S+)$`)
+// changedFile matches the line of a patch that names a changed file, and captures its path.
+var changedFile = regexp.MustCompile(`(?m)^\+\+\+ b/(\S+)$`)
 
 // readPatches reads every patch in a folder, sorted by name.
 func readPatches(folder string) ([]mutation, error) {
@@ -72,15 +72,15 @@
 	if read.rule == "" || read.test == "" || fields["Red"] == "" {
 		return mutation{}, fmt.Errorf("%s: %w", file, errIncompleteHead)
 	}
-	red, err := regexp.Compile(fields["Red"])
+	failurePattern, err := regexp.Compile(fields["Red"])
 	if err != nil {
 		return mutation{}, fmt.Errorf("%s: Red: %w: %w", file, errBadPattern, err)
 	}
-	read.red = red
-	for _, match := range touchedFile.FindAllStringSubmatch(body, -1) {
-		read.touched = append(read.touched, match[1])
+	read.failurePattern = failurePattern
+	for _, match := range changedFile.FindAllStringSubmatch(body, -1) {
+		read.changedFiles = append(read.changedFiles, match[1])
 	}
-	if len(read.touched) == 0 {
+	if len(read.changedFiles) == 0 {
 		return mutation{}, fmt.Errorf("%s: %w", file, errNoFiles)
 	}
 	return read, nil
--- a/verify/mutation/subtests.go
+++ b/verify/mutation/subtests.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// subtestTimeout is how long a test may take to start a subtest of a pattern.
+// subtestTimeout is the maximum time that a test may take to start a subtest of a pattern.
 const subtestTimeout = time.Minute
 
 // startedTest matches the line by which a test binary reports that a test starts, and captures its full name.
 var startedTest = regexp.MustCompile(`^=== RUN +(\S+)$`)
 
-// subtestFinder looks for subtests in the unpatched tree. Their names are known to a running test only, so it starts
-// the test and ends it as soon as the first subtest of the pattern starts.
+// subtestFinder looks for subtests in the unpatched tree. Only a running test determines their names, so the finder
+// starts the test and kills it as soon as the first subtest of the pattern starts.
 type subtestFinder struct {
-	// folder is where the test binaries are written.
+	// folder receives the test binaries.
 	folder  string
 	timeout time.Duration
 
-	// mutex protects binaries, which has a function for each package that compiles its tests once.
+	// mutex protects binaries, which maps each package folder to a function that compiles the package's tests once.
 	mutex    sync.Mutex
 	binaries map[string]func() (string, error)
 }
@@ -37,8 +37,8 @@
 	return &subtestFinder{folder: folder, timeout: timeout, binaries: map[string]func() (string, error){}}
 }
 
-// find returns errNoSubtest if the pattern's test ends without a subtest of the pattern, and errSubtestTimeout if it
-// starts none in time. The seeds are passed on as in a trial.
+// find returns errNoSubtest if the pattern's test ends without starting a subtest of the pattern, and errSubtestTimeout
+// if it starts none within the timeout. The test gets the seeds as in a trial.
 func (finder *subtestFinder) find(packageFolder string, pattern testPattern, seeds string) error {
 	binary, err := finder.binary(packageFolder)
 	if err != nil {
@@ -73,18 +73,19 @@
 	return compile()
 }
 
-// compileTests writes the test binary of a package of a tree to a path. Paths are trimmed, so that copies of the tree
-// share what the build cache holds.
+// compileTests compiles the tests of a package of a tree into a binary at a path. It trims paths, so that copies of the
+// tree share the build cache.
 func compileTests(tree, packageFolder, path string) error {
 	output, err := run(tree, nil, "go", "test", "-c", "-trimpath", "-o", path, packageFolder)
 	if err != nil {
-		return fmt.Errorf("%w: %s", errTestsNotBuilding, beginning(output))
+		return fmt.Errorf("%w: %s", errTestsNotBuilding, truncate(output))
 	}
 	return nil
 }
 
-// startsTest runs a test binary in a folder until a test starts whose name has so many elements, or until it ends or
-// the context does; it reports whether such a test started. How the test itself ends does not matter.
+// startsTest runs a test binary in a folder until a test starts whose name has at least the given number of elements,
+// until the binary ends or until the context is cancelled. It reports whether such a test started, whether or not the
+// test passes.
 func startsTest(
 	ctx context.Context, folder, seeds string, elements int, binary string, arguments ...string,
 ) (bool, error) {
@@ -106,7 +107,7 @@
 		found = started != nil && strings.Count(started[1], "/") >= elements-1
 	}
 	stop()
-	// It was killed, or its tests passed or failed: none of these says more than the lines above.
+	// The exit status is irrelevant: the binary was killed, or its tests passed or failed.
 	_ = command.Wait()
 	return found, nil
 }
--- a/verify/mutation/testpattern.go
+++ b/verify/mutation/testpattern.go
@@ -19,8 +19,9 @@
 // function, each further one the subtests one level below.
 type testPattern []string
 
-// parseTestPattern splits a pattern as go test does: slashes within brackets and parentheses do not count. A pattern
-// that is two of them, separated by a bar, is errAmbiguousTest: one of the two could match nothing unnoticed.
+// parseTestPattern splits a pattern as go test does: slashes within brackets and parentheses do not separate elements.
+// For two alternatives separated by a bar it returns errAmbiguousTest, because one of them could match no test without
+// being noticed.
 func parseTestPattern(text string) (testPattern, error) {
 	pattern, bracketDepth, elementStart := testPattern{}, 0, 0
 	for index := 0; index < len(text); index++ {
--- a/verify/mutation/verdict.go
+++ b/verify/mutation/verdict.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// verdict is what a check or a trial says of one patch.
+// verdict is the result of a check or a trial of one patch.
 type verdict struct {
-	// succeeded says that the patch is as it is wanted.
+	// succeeded reports whether the trial detected the patch, or the check found it valid.
 	succeeded bool
-	// line is printed; it may be empty.
+	// line is the text to print, or empty.
 	line string
 }
 
-// judgeAll judges every patch, at most jobs of them at once, and returns the number of those that succeeded. It prints
-// each verdict's line as soon as there is one.
-func judgeAll(patches []mutation, jobs int, judge func(patch mutation) verdict) int {
+// evaluateAll evaluates every patch, at most jobs of them concurrently, and returns the number of those that succeeded.
+// It prints the line of each verdict as soon as it is available.
+func evaluateAll(patches []mutation, jobs int, evaluate func(patch mutation) verdict) int {
 	waiting, verdicts := make(chan mutation), make(chan verdict)
 	var workers sync.WaitGroup
 	for range jobs {
 		workers.Go(func() {
 			for patch := range waiting {
-				verdicts <- judge(patch)
+				verdicts <- evaluate(patch)
 			}
 		})
 	}
@@ -36,7 +36,7 @@
 	return printAll(verdicts)
 }
 
-// printAll prints verdicts until there are no more, and returns the number of those that succeeded.
+// printAll prints verdicts until the channel is closed, and returns the number of those that succeeded.
 func printAll(verdicts <-chan verdict) int {
 	succeeded := 0
 	for judged := range verdicts {
@@ -50,7 +50,7 @@
 	return succeeded
 }
 
-// labelled returns the line that is printed of a patch: a label, its name and a text.
-func labelled(label string, patch mutation, text string) string {
+// resultLine returns the line to print for a patch: a label, the patch's name and a text.
+func resultLine(label string, patch mutation, text string) string {
 	return fmt.Sprintf("%-7s %-24s %s", label, patch.name, text)
 }
