--- a/apierror/codes.go
+++ b/apierror/codes.go
@@ -42,8 +42,8 @@
 	NoRunner Code = "no_fit_runner"
 	// NotServing: the daemon has no valid configuration.
 	NotServing Code = "not_serving"
-	// TooManyRemembered: the daemon can't retain the ids of more at-most-once requests.
-	TooManyRemembered Code = "too_many_remembered"
+	// AtMostOnceLimitReached: the daemon can't retain the ids of more at-most-once requests.
+	AtMostOnceLimitReached Code = "too_many_remembered"
 )
 
 // Failures of requests after they were accepted.
--- a/apierror/remedies.go
+++ b/apierror/remedies.go
@@ -14,7 +14,7 @@
 	QueueFull:               "come back after Retry-After",
 	NoRunner:                "come back after Retry-After; look at wtctl status runners",
 	NotServing:              "ask another daemon; this one has no present spec",
-	TooManyRemembered:       "come back after Retry-After; add daemons where it lasts",
+	AtMostOnceLimitReached:  "come back after Retry-After; add daemons where it lasts",
 	OutcomeUnknown:          "ask by the operation or request id before sending it anew: it may have run",
 	RunFailed:               "the run broke off; send the request again if a second run does no harm",
 	DuplicateRequest: "a request with this id was taken already; " +
--- a/balancer/kvblock/pool.go
+++ b/balancer/kvblock/pool.go
@@ -15,8 +15,8 @@
 	workers []*worker
 	running sync.WaitGroup
 	// Dropped counts the events dropped because their worker's queue was full, Applied the events that were applied, and
-	// Inferred the blocks removed because of their age or the estimated capacity.
-	Dropped, Applied, Inferred atomic.Uint64
+	// InferredRemovals the blocks removed because of their age or the estimated capacity.
+	Dropped, Applied, InferredRemovals atomic.Uint64
 }
 
 // worker applies the events of its share of the runners.
@@ -31,7 +31,7 @@
 func NewPool(index *Index, workers int) *Pool {
 	pool := &Pool{}
 	for range max(1, workers) {
-		pool.workers = append(pool.workers, &worker{tracker: newCacheTracker(index, &pool.Inferred)})
+		pool.workers = append(pool.workers, &worker{tracker: newCacheTracker(index, &pool.InferredRemovals)})
 	}
 	if workers == 0 {
 		return pool
--- a/balancer/load/ejection.go
+++ b/balancer/load/ejection.go
@@ -48,7 +48,7 @@
 }
 
 func (table *Table) eject(now time.Time, entry *entry, reason string) {
-	if !table.Without[features.Ejection] {
+	if !table.Disabled[features.Ejection] {
 		entry.ejection.failed(now, reason)
 	}
 }
--- a/balancer/load/ejection_test.go
+++ b/balancer/load/ejection_test.go
@@ -10,9 +10,9 @@
 // With ejection and slow start switched off, failed and new runners are used like any other.
 func TestEjectionAndSlowStartSwitchedOff(t *testing.T) {
 	switchedOff := features.Set{features.Ejection: true, features.WarmUp: true}
-	for name, without := range map[string]features.Set{"on": nil, "off": switchedOff} {
+	for name, disabled := range map[string]features.Set{"on": nil, "off": switchedOff} {
 		table := tableOf("old")
-		table.Without = without
+		table.Disabled = disabled
 		later := started.Add(time.Hour)
 		table.UpdateListing(later, []*wire.Runner{{RunnerId: "old", State: "ready"}, {RunnerId: "new", State: "ready"}})
 		table.Eject(later, "old", "x")
--- a/balancer/load/runner.go
+++ b/balancer/load/runner.go
@@ -37,8 +37,8 @@
 	// Usable is false while the runner is draining, not listed or ejected; Reason says why.
 	Usable bool   `json:"Usable"`
 	Reason string `json:"Reason"`
-	// Until is the end of the ejection, zero if the runner is not ejected.
-	Until time.Time `json:"Until"`
+	// EjectedUntil is the end of the ejection, zero if the runner is not ejected.
+	EjectedUntil time.Time `json:"Until"`
 }
 
 // view returns a snapshot of an entry's runner. It also completes a slow start whose duration has passed.
@@ -65,7 +65,7 @@
 	case !entry.listed || !acceptsRequests(listing.State):
 		runner.Usable, runner.Reason = false, ReasonDraining
 	case entry.ejection.active(now):
-		runner.Usable, runner.Reason, runner.Until = false, entry.ejection.reason, entry.ejection.until
+		runner.Usable, runner.Reason, runner.EjectedUntil = false, entry.ejection.reason, entry.ejection.until
 	}
 	return runner
 }
--- a/balancer/load/slowstart.go
+++ b/balancer/load/slowstart.go
@@ -40,7 +40,7 @@
 	now time.Time, entry *entry, limit int, daemons []string,
 ) (active bool, limited int) {
 	state, cold := &entry.slowStart, entry.listing.State == stateCold
-	if state.completed && !cold || table.Without[features.WarmUp] {
+	if state.completed && !cold || table.Disabled[features.WarmUp] {
 		return false, limit
 	}
 	steps := 0
--- a/balancer/load/table.go
+++ b/balancer/load/table.go
@@ -26,8 +26,8 @@
 	self    string
 	started time.Time
 	shards  [shardCount]*shard
-	// Without names the mechanisms that are switched off.
-	Without  features.Set
+	// Disabled names the mechanisms that are switched off.
+	Disabled features.Set
 	services serviceTable
 }
 
--- a/balancer/scheduler/context.go
+++ b/balancer/scheduler/context.go
@@ -65,7 +65,7 @@
 		Now:              now,
 		CostWeights:      scheduler.enabledCostWeights(),
 		Daemons:          daemons,
-		IgnorePrediction: scheduler.Without[features.EarlyRejection],
+		IgnorePrediction: scheduler.Disabled[features.EarlyRefusal],
 	}
 	slots, used, capacity := 0.0, 0.0, 0.0
 	for _, runner := range readmitEjected(snapshot.Runners) {
@@ -102,7 +102,7 @@
 	}
 	forecast := scheduler.forecast
 	forecast.pruneBacklogs(snapshot.Runners)
-	if !scheduler.Without[features.LongRunners] {
+	if !scheduler.Disabled[features.LongRunners] {
 		cycle.LongRunners = longRunners(remaining, scheduler.longPrompts.reserve(forecast.longRatio()))
 	}
 	short := max(1, len(remaining)-len(cycle.LongRunners))
--- a/balancer/scheduler/decide.go
+++ b/balancer/scheduler/decide.go
@@ -55,8 +55,8 @@
 	retry := seconds(cycle.CostWeights.SlotSeconds)
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
-		if candidate.Reason != load.ReasonDraining && candidate.Until.After(cycle.Now) {
-			retry = min(retry, candidate.Until.Sub(cycle.Now))
+		if candidate.Reason != load.ReasonDraining && candidate.EjectedUntil.After(cycle.Now) {
+			retry = min(retry, candidate.EjectedUntil.Sub(cycle.Now))
 		}
 	}
 	return Decision{
--- a/balancer/scheduler/feedback.go
+++ b/balancer/scheduler/feedback.go
@@ -34,7 +34,7 @@
 	scheduler.table.Eject(now, decision.Runner.ID, "puts requests back")
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	if !scheduler.Without[features.ConcurrencyWindow] {
+	if !scheduler.Disabled[features.ConcurrencyWindow] {
 		scheduler.window.narrow(now)
 	}
 }
@@ -96,7 +96,7 @@
 func (scheduler *Scheduler) MaxDuration(request *QueuedRequest) time.Duration {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	generation, known := scheduler.generationPace.duration(request.Requirements.AnswerTokens)
+	generation, known := scheduler.generationPace.duration(request.Requirements.MaxResponseTokens)
 	if !known {
 		return 0
 	}
--- a/balancer/scheduler/filter.go
+++ b/balancer/scheduler/filter.go
@@ -34,7 +34,7 @@
 		return runners
 	}
 	sort.Slice(ejected, func(left, right int) bool {
-		return runners[ejected[left]].Until.Before(runners[ejected[right]].Until)
+		return runners[ejected[left]].EjectedUntil.Before(runners[ejected[right]].EjectedUntil)
 	})
 	readmitted := append([]load.Runner{}, runners...)
 	for _, index := range ejected[:excess] {
--- a/balancer/scheduler/pace_test.go
+++ b/balancer/scheduler/pace_test.go
@@ -10,7 +10,7 @@
 	const maxTokens, token = 1000, 10 * time.Millisecond
 	fixture := newFixture(t, 1)
 	request := fixture.request("l", 1, 1, time.Second, "a")
-	request.Requirements.AnswerTokens = maxTokens
+	request.Requirements.MaxResponseTokens = maxTokens
 	fixture.TokensReceived(0, time.Second)
 	fixture.TokensReceived(5, 0)
 	if duration := fixture.MaxDuration(request); duration != 0 {
--- a/balancer/scheduler/prediction.go
+++ b/balancer/scheduler/prediction.go
@@ -34,7 +34,7 @@
 	copy(candidates, cycle.Candidates)
 	cached := scheduler.cachedPrefixes(request, candidates, lookup)
 	probabilities := map[string]float64{}
-	if !scheduler.Without[features.Homes] {
+	if !scheduler.Disabled[features.Homes] {
 		probabilities = scheduler.homeProbabilities(request, cycle, cycle.preferredRunners(long), shared)
 	}
 	for index := range candidates {
@@ -56,7 +56,7 @@
 func (scheduler *Scheduler) cachedPrefixes(
 	request *QueuedRequest, candidates []Candidate, lookup prefixLookup,
 ) map[string]kvblock.CachedPrefix {
-	if scheduler.Without[features.PrefixIndex] {
+	if scheduler.Disabled[features.PrefixIndex] {
 		return nil
 	}
 	ids := make(map[string]bool, len(candidates))
@@ -101,7 +101,7 @@
 ) {
 	forecast := scheduler.forecast
 	slowdown := forecast.backlog(candidate.ID).slowdownAt(now)
-	if scheduler.Without[features.Slowness] {
+	if scheduler.Disabled[features.Slowness] {
 		slowdown = 1
 	}
 	uncached := forecast.speeds.prefill(promptTokens, 0)
@@ -114,7 +114,7 @@
 	}
 	candidate.Wait = forecast.ownWait(now, candidate.ID)*slowdown +
 		forecast.othersWait(now, &candidate.Runner, usual)*slowdown
-	if !scheduler.Without[features.OthersEstimate] {
+	if !scheduler.Disabled[features.OthersEstimate] {
 		candidate.UnreportedRequests = cycle.unreportedRequests(scheduler.window.inFlight, &candidate.Runner)
 	}
 	candidate.OthersDelay = shortRate * candidate.Prefill * candidate.Prefill / 2
@@ -146,7 +146,7 @@
 		forecast.count(now, trafficSample{
 			prefix: prefixKey(request.Keys),
 			work:   work,
-			tokens: promptTokens - shared + request.Requirements.AnswerTokens/2,
+			tokens: promptTokens - shared + request.Requirements.MaxResponseTokens/2,
 			long:   scheduler.longPrompts.isLong(work, request.Route, request.Requirements.LatencyTarget),
 		})
 	}
--- a/balancer/scheduler/request.go
+++ b/balancer/scheduler/request.go
@@ -43,8 +43,8 @@
 	// Deadline is the time after the arrival of the request for which the client waits at most; 0 if not given.
 	Deadline     time.Duration `json:"Deadline"`
 	PromptTokens int           `json:"PromptTokens"`
-	// AnswerTokens is the maximum number of tokens in the response; 0 if not given.
-	AnswerTokens int `json:"AnswerTokens"`
+	// MaxResponseTokens is the maximum number of tokens in the response; 0 if not given.
+	MaxResponseTokens int `json:"AnswerTokens"`
 	// Rank is the rank of the route under load, 0 first. The priority does not depend on it, but on Value.
 	Rank int `json:"Rank"`
 	// TenantRank is the rank of the tenant under load, 0 first; it takes precedence over WithinLimit and Value.
--- a/balancer/scheduler/retryafter.go
+++ b/balancer/scheduler/retryafter.go
@@ -22,7 +22,7 @@
 	for index := range cycle.Candidates {
 		candidate := &cycle.Candidates[index]
 		if candidate.Reason != load.ReasonDraining {
-			soonest = min(soonest, candidate.Until.Sub(now))
+			soonest = min(soonest, candidate.EjectedUntil.Sub(now))
 		}
 	}
 	wait := scheduler.queueWait(scheduler.queue.length()+1, cycle.Slots)
--- a/balancer/scheduler/saturation.go
+++ b/balancer/scheduler/saturation.go
@@ -41,7 +41,7 @@
 	if candidate.MemoryTokens == 0 {
 		return 0
 	}
-	used := float64(candidate.UsedTokens + requirements.PromptTokens + requirements.AnswerTokens/2)
+	used := float64(candidate.UsedTokens + requirements.PromptTokens + requirements.MaxResponseTokens/2)
 	return max(0, used/float64(candidate.MemoryTokens)-memoryLimit)
 }
 
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -27,8 +27,8 @@
 	random   *rand.Rand
 	// Picker picks one of the scored candidates. NewScheduler sets it to Sample; benchmarks replace it.
 	Picker Picker
-	// Without names the mechanisms that are switched off.
-	Without  features.Set
+	// Disabled names the mechanisms that are switched off.
+	Disabled features.Set
 	Counters Counters
 
 	queue  requestQueue
@@ -210,7 +210,7 @@
 	}
 	scored := Score(request.Requirements, requestCycle.Candidates, requestCycle.CostWeights)
 	decision := Decide(request.Requirements, requestCycle, scored, scheduler.Picker, scheduler.random)
-	if scheduler.Without[features.Urgency] {
+	if scheduler.Disabled[features.Urgency] {
 		decision.Urgency = DefaultUrgency
 	}
 	return decision
--- a/balancer/scheduler/scorer.go
+++ b/balancer/scheduler/scorer.go
@@ -115,13 +115,13 @@
 // enabledCostWeights returns the cost weights, with 0 for mechanisms that are switched off.
 func (scheduler *Scheduler) enabledCostWeights() CostWeights {
 	weights := scheduler.costWeights
-	if scheduler.Without[features.RecomputeCost] {
+	if scheduler.Disabled[features.RecomputeCost] {
 		weights.Recompute = 0
 	}
-	if scheduler.Without[features.Interference] {
+	if scheduler.Disabled[features.Interference] {
 		weights.OthersDelay = 0
 	}
-	if scheduler.Without[features.ZonePreference] {
+	if scheduler.Disabled[features.ZonePreference] {
 		weights.CrossZone, weights.CrossZoneTokens = 0, 0
 	}
 	return weights
--- a/cmd/wtctl/explain.go
+++ b/cmd/wtctl/explain.go
@@ -47,11 +47,11 @@
 // headers returns the headers of the request.
 func (request explainedRequest) headers() map[string]string {
 	headers := map[string]string{
-		admission.HeaderRoute:   request.route,
-		admission.HeaderModel:   request.model,
-		admission.HeaderRequest: explainID,
-		admission.HeaderPrompt:  request.promptTokens,
-		admission.HeaderAnswer:  explainResponseTokens,
+		admission.HeaderRoute:        request.route,
+		admission.HeaderModel:        request.model,
+		admission.HeaderRequest:      explainID,
+		admission.HeaderPromptTokens: request.promptTokens,
+		admission.HeaderAnswerTokens: explainResponseTokens,
 	}
 	if request.key != "" {
 		headers[admission.HeaderAuthorization] = "Bearer " + request.key
--- a/cmd/wtctl/status.go
+++ b/cmd/wtctl/status.go
@@ -75,7 +75,7 @@
 // duplicates.
 func warnings(fleet operator.FleetStatus) []string {
 	distinct := map[string]bool{}
-	for _, core := range fleet.Cores {
+	for _, core := range fleet.ControlNodes {
 		for _, warning := range core.Core.Warnings {
 			distinct[warning] = true
 		}
--- a/cmd/wtctl/status_chain_test.go
+++ b/cmd/wtctl/status_chain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestShowChain(t *testing.T) {
-	fleet := operator.FleetStatus{Cores: []server.Status{
+	fleet := operator.FleetStatus{ControlNodes: []server.Status{
 		{Address: "c1", Zone: "z", Core: node.Status{ID: "one", Position: "head", Synced: 9, Committed: 8, Epoch: 3,
 			HoldsLease: true}},
 		{Address: "c2", Zone: "y", Core: node.Status{ID: "two", Position: "outside", Unhealthy: true}},
--- a/cmd/wtctl/status_counters.go
+++ b/cmd/wtctl/status_counters.go
@@ -20,8 +20,8 @@
 			}
 			total.Requests += route.Requests
 			total.Completed += route.Completed
-			total.RejectedEarly += route.RejectedEarly
-			total.RejectedLate += route.RejectedLate
+			total.RefusedEarly += route.RefusedEarly
+			total.RefusedLate += route.RefusedLate
 			total.Retries += route.Retries
 			total.CachedTokens += route.CachedTokens
 			total.PromptTokens += route.PromptTokens
@@ -49,11 +49,11 @@
 		"BYTES ACROSS ZONES\tENDS\n")
 	for _, name := range slices.Sorted(maps.Keys(totals)) {
 		total := totals[name]
-		table.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, total.Requests, total.Completed, total.RejectedEarly,
-			total.RejectedLate, total.Retries, cachedPercentage(total), total.CrossZoneBytes, total.Outcomes)
+		table.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%d\t%v\n", name, total.Requests, total.Completed, total.RefusedEarly,
+			total.RefusedLate, total.Retries, cachedPercentage(total), total.CrossZoneBytes, total.Outcomes)
 	}
 	table.printf("PROCESS\tSENT\tDROPPED\tBAD FRAMES\tBYTES OUT\tOF THESE TO OTHER ZONES\n")
-	for _, core := range fleet.Cores {
+	for _, core := range fleet.ControlNodes {
 		showTransport(table, core.Address, core.Wire)
 	}
 	for _, data := range fleet.Daemons {
--- a/cmd/wtctl/status_counters_test.go
+++ b/cmd/wtctl/status_counters_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestShowCountersSumsOverDaemons(t *testing.T) {
-	route := metrics.RouteMetrics{Requests: 3, Completed: 2, RejectedEarly: 1, CachedTokens: 1, PromptTokens: 4,
+	route := metrics.RouteMetrics{Requests: 3, Completed: 2, RefusedEarly: 1, CachedTokens: 1, PromptTokens: 4,
 		Outcomes: map[string]uint64{"done": 2}}
 	fleet := operator.FleetStatus{Daemons: []daemon.Status{
 		{Address: "d1", Routes: map[string]metrics.RouteMetrics{"chat": route}},
--- a/cmd/wtctl/status_test.go
+++ b/cmd/wtctl/status_test.go
@@ -28,7 +28,7 @@
 
 func TestWarningsAreDistinct(t *testing.T) {
 	core := server.Status{Core: node.Status{Warnings: []string{"one disk is left", "a chain is short"}}}
-	fleet := operator.FleetStatus{Cores: []server.Status{core, core}, Unreachable: []string{"a:1"}}
+	fleet := operator.FleetStatus{ControlNodes: []server.Status{core, core}, Unreachable: []string{"a:1"}}
 	want := []string{"a chain is short", "no answer from a:1", "one disk is left"}
 	if got := warnings(fleet); !slices.Equal(got, want) {
 		t.Errorf("%q instead of %q", got, want)
--- a/cmd/wtctl/status_view.go
+++ b/cmd/wtctl/status_view.go
@@ -9,7 +9,7 @@
 // showView prints the view that each control machine knows.
 func showView(table *table, fleet operator.FleetStatus) {
 	table.printf("SEEN BY\tVIEW\tFLEET\tCHAIN\tKEEPERS\n")
-	for _, core := range fleet.Cores {
+	for _, core := range fleet.ControlNodes {
 		var chain, acceptors strings.Builder
 		for _, member := range core.Core.Chain {
 			chain.WriteString(member.Address + " ")
--- a/cmd/wtctl/status_view_test.go
+++ b/cmd/wtctl/status_view_test.go
@@ -12,7 +12,7 @@
 // Control machines may know different views; each row prints the view of its own machine.
 func TestShowView(t *testing.T) {
 	chain := []node.MemberStatus{{Address: "c1"}, {Address: "c2"}}
-	fleet := operator.FleetStatus{Cores: []server.Status{
+	fleet := operator.FleetStatus{ControlNodes: []server.Status{
 		{Address: "c1", Core: node.Status{View: 5, Fleet: "f", Chain: chain, Acceptors: chain[:1]}},
 		{Address: "c2", Core: node.Status{View: 4, Fleet: "f", Chain: chain[1:], Acceptors: chain[:1]}},
 	}}
--- a/cmd/wtverify/capacity_test.go
+++ b/cmd/wtverify/capacity_test.go
@@ -28,7 +28,7 @@
 		"prefixes in an index, keys":                                                kvblock.DefaultKeys,
 		"operations whose outcome is remembered for a day, operations":              chain.MaximumOutcomes,
 		"entries of a gossip store, entries":                                        gossip.MaximumEntries,
-		"reservations that a replica holds, reservations":                           reservation.Limit,
+		"reservations that a replica holds, reservations":                           reservation.MaximumReservations,
 		"requests that run at most once remembered by their daemon, requests":       dedup.Capacity,
 		"requests queued at a daemon for one backend, one second's worth, requests": scheduler.QueueLength,
 	}
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -18,10 +18,10 @@
 	Runners []*wire.Runner
 	// Registered reports whether runners register themselves, so that an empty list means that no runner is left.
 	Registered bool
-	// Until is the time at which the snapshot expires: no request may be dispatched by it afterwards.
-	Until time.Time
-	// Daemons is the number of data daemons that share the load.
-	Daemons int
+	// ExpiresAt is the time at which the snapshot expires: no request may be dispatched by it afterwards.
+	ExpiresAt time.Time
+	// DaemonCount is the number of data daemons that share the load.
+	DaemonCount int
 	// Term is the term announced to clients for the requests that they send from now on (package reservation); 0 if
 	// there is none.
 	Term uint64
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -26,9 +26,9 @@
 	until   time.Time
 }
 
-// Restarted handles that the process started with a view read from its disk. Views that ended shortly before the start
-// are unknown, so the confirmations of unknown acceptors may still be relied on.
-func (leases *Leases) Restarted(now time.Time) {
+// HandleRestart handles that the process started with a view read from its disk. Views that ended shortly before the
+// start are unknown, so the confirmations of unknown acceptors may still be relied on.
+func (leases *Leases) HandleRestart(now time.Time) {
 	leases.previous = []previousAcceptors{{until: now.Add(leases.Length())}}
 }
 
@@ -55,9 +55,9 @@
 	leases.previous = append(leases.previous, group)
 }
 
-// AcceptorReported records the sequence that an acceptor knows to be committed, and the time at which its confirmations
-// of older ones expire.
-func (leases *Leases) AcceptorReported(acceptor string, sequence uint64, until time.Time) {
+// ObserveAcceptorProgress records the sequence that an acceptor knows to be committed, and the time at which its
+// confirmations of older ones expire.
+func (leases *Leases) ObserveAcceptorProgress(acceptor string, sequence uint64, until time.Time) {
 	leases.acceptorProgress.Report(acceptor, sequence, until)
 }
 
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -21,7 +21,7 @@
 // acceptorsKnow has acceptors report that they know sequence 5 and that no older confirmation is outstanding.
 func acceptorsKnow(leases *Leases, ids ...string) {
 	for _, id := range ids {
-		leases.AcceptorReported(id, 5, start)
+		leases.ObserveAcceptorProgress(id, 5, start)
 	}
 }
 
@@ -65,18 +65,18 @@
 		}, true},
 		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
-			leases.Committed(start.Add(-leaseLength), 5)
+			leases.ObserveCommit(start.Add(-leaseLength), 5)
 			grant(leases, start, 4)
 		}, true},
 		"every daemon knows": {"d", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
-			leases.Committed(start, 5)
+			leases.ObserveCommit(start, 5)
 			leader.Since = start
 			grant(leases, start, 5)
 		}, true},
 		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
-			leases.Committed(start, 5)
+			leases.ObserveCommit(start, 5)
 			grant(leases, start, 5)
 		}, false},
 		"the head before may have granted a lease": {"d", func(leases *Leases, leader *DeliveryContext) {
@@ -85,7 +85,7 @@
 		}, false},
 		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
-			leases.AcceptorReported("b", 5, start.Add(1))
+			leases.ObserveAcceptorProgress("b", 5, start.Add(1))
 		}, false},
 		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -104,8 +104,8 @@
 // Length returns the time within which a lease has certainly expired, counted from its grant, including ClockMargin.
 func (leases *Leases) Length() time.Duration { return leases.duration + ClockMargin }
 
-// Committed records the time at which this process first saw a sequence committed.
-func (leases *Leases) Committed(now time.Time, sequence uint64) {
+// ObserveCommit records the time at which this process first saw a sequence committed.
+func (leases *Leases) ObserveCommit(now time.Time, sequence uint64) {
 	if len(leases.commits) >= maximumCommits {
 		leases.commits = map[uint64]time.Time{}
 	}
@@ -188,9 +188,9 @@
 	}
 }
 
-// Unleased lists the addresses of the directory's daemons that hold no lease. It returns nil until this head has led
-// for the length of a lease: before that, leases of the previous head may still run.
-func (leases *Leases) Unleased(now, leaderSince time.Time) []string {
+// DaemonsWithoutLease lists the addresses of the directory's daemons that hold no lease. It returns nil until this head
+// has led for the length of a lease: before that, leases of the previous head may still run.
+func (leases *Leases) DaemonsWithoutLease(now, leaderSince time.Time) []string {
 	if now.Sub(leaderSince) < leases.Length() {
 		return nil
 	}
@@ -228,22 +228,22 @@
 	return known.sequence, now.Sub(known.lastRequest) < leases.duration
 }
 
-// Arrivals lists, in no order, the daemons that request leases and are to be added to a directory.
-func (leases *Leases) Arrivals(now time.Time, directory []*wire.Member) []*wire.Member {
+// JoiningDaemons lists, in no order, the daemons that request leases and are to be added to a directory.
+func (leases *Leases) JoiningDaemons(now time.Time, directory []*wire.Member) []*wire.Member {
 	isListed := map[string]bool{}
 	for _, member := range directory {
 		isListed[member.Address] = true
 	}
-	var arrivals []*wire.Member
+	var joining []*wire.Member
 	for address, known := range leases.daemons {
 		isActive := known.requests >= joinRequests && !known.draining && now.Sub(known.lastRequest) < leases.duration
 		// A daemon that makes reservations may come to hold them too, so it must first prove that it is alive.
 		isProven := known.reservations == nil || known.liveness.incarnation == known.incarnation
 		if !isListed[address] && isActive && isProven {
-			arrivals = append(arrivals, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
+			joining = append(joining, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
 		}
 	}
-	return arrivals
+	return joining
 }
 
 // ExcludeMissing returns the members of a directory without the daemons that have made no request for missingAfter,
--- a/control/daemonlease/leases_test.go
+++ b/control/daemonlease/leases_test.go
@@ -40,7 +40,7 @@
 
 // A daemon counts as unleased only if no lease of this head or of the previous one can run; otherwise runners would not
 // be announced to a daemon that still serves requests.
-func TestLeasesUnleased(t *testing.T) {
+func TestLeasesDaemonsWithoutLease(t *testing.T) {
 	t.Parallel()
 	longAgo := start.Add(-time.Hour)
 	for name, test := range map[string]struct {
@@ -67,8 +67,8 @@
 	} {
 		leases, _ := newLeases("d")
 		test.prepare(leases)
-		if got := leases.Unleased(test.now, test.leaderSince); !slices.Equal(got, test.want) {
-			t.Errorf("%s: unleased daemons %v", name, got)
+		if got := leases.DaemonsWithoutLease(test.now, test.leaderSince); !slices.Equal(got, test.want) {
+			t.Errorf("%s: daemons without a lease %v", name, got)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func TestLeasesPrompt(t *testing.T) {
 	t.Parallel()
 	leases, outbox := newLeases("de")
-	leases.Committed(start, 5)
+	leases.ObserveCommit(start, 5)
 	grant(leases, start, 5)
 	for _, test := range []struct {
 		after time.Duration
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestLeasesArrivals(t *testing.T) {
+func TestLeasesJoiningDaemons(t *testing.T) {
 	t.Parallel()
 	leases, _ := newLeases("d")
 	request := &wire.DaemonLeaseRequest{Zone: "z"}
@@ -143,11 +143,11 @@
 		leases.HandleRequest(start, "draining", &wire.DaemonLeaseRequest{Draining: true})
 	}
 	leases.HandleRequest(start, "once", request)
-	arrivals := leases.Arrivals(start, membertest.Daemons("d"))
-	if len(arrivals) != 1 || arrivals[0].Address != "new" || arrivals[0].Zone != "z" {
-		t.Errorf("arrivals %v, want only \"new\" in zone z", arrivals)
+	joining := leases.JoiningDaemons(start, membertest.Daemons("d"))
+	if len(joining) != 1 || joining[0].Address != "new" || joining[0].Zone != "z" {
+		t.Errorf("joining %v, want only \"new\" in zone z", joining)
 	}
-	if got := leases.Arrivals(start.Add(leaseDuration), nil); len(got) != 0 {
+	if got := leases.JoiningDaemons(start.Add(leaseDuration), nil); len(got) != 0 {
 		t.Errorf("daemons that stopped making requests are listed: %v", got)
 	}
 }
--- a/control/directory/replicas.go
+++ b/control/directory/replicas.go
@@ -41,16 +41,16 @@
 		inForce = all && planner.mayStart()
 	}
 	age := leader.Now.Sub(planner.observed)
-	return reservation.Plan(current, reservation.Facts{
-		InForce:     inForce,
-		IsFounding:  len(document.Directory) == 0,
-		IsFormed:    age >= formingTime && holders.AllActUnder(document.Directory, current.GetEpoch()),
-		NewestEpoch: holders.NewestEpoch(),
-		Candidates:  holders.Candidates(),
-		HasEnded:    holders.HasEnded,
+	return reservation.Plan(current, reservation.PlanInput{
+		InForce:            inForce,
+		IsFounding:         len(document.Directory) == 0,
+		EarlierEpochsEnded: age >= formingTime && holders.AllActUnder(document.Directory, current.GetEpoch()),
+		NewestEpoch:        holders.NewestEpoch(),
+		Candidates:         holders.Candidates(),
+		HasEnded:           holders.HasEnded,
 		IsSynced: func(replica reservation.Identity) bool {
 			return holders.IsSynced(replica, current.GetEpoch())
 		},
-		MayLose: age >= syncTimeout,
+		AllowLoss: age >= syncTimeout,
 	})
 }
--- a/control/directory/updater.go
+++ b/control/directory/updater.go
@@ -48,17 +48,17 @@
 		return
 	}
 	document := updater.chain.Committed()
-	arrivals := updater.leases.Arrivals(leader.Now, document.Directory)
+	joining := updater.leases.JoiningDaemons(leader.Now, document.Directory)
 	remaining := updater.leases.ExcludeMissing(leader.Now, leader.Since, document.Directory)
 	reservations := updater.replicas.next(leader, document)
-	isUnchanged := len(arrivals) == 0 && len(remaining) == len(document.Directory) && reservations == nil
+	isUnchanged := len(joining) == 0 && len(remaining) == len(document.Directory) && reservations == nil
 	if isUnchanged || !updater.leases.IsDelivered(leader, document.Sequence) {
 		return
 	}
 	if len(document.Directory) == 0 && !updater.isFirstDirectoryDue(leader.Now, reservations != nil) {
 		return
 	}
-	next := append(remaining, arrivals...)
+	next := append(remaining, joining...)
 	sort.Slice(next, func(left, right int) bool { return next[left].Address < next[right].Address })
 	entry := &wire.Entry{Directory: next, SpecEpoch: document.SpecEpoch, Reservations: reservations}
 	if updater.chain.Submit(leader.Now, entry) != nil {
--- a/control/directory/updater_test.go
+++ b/control/directory/updater_test.go
@@ -35,8 +35,8 @@
 		request(start)
 		request(now)
 		if test.acceptorsKnow {
-			leases.AcceptorReported("a", 5, start)
-			leases.AcceptorReported("b", 5, start)
+			leases.ObserveAcceptorProgress("a", 5, start)
+			leases.ObserveAcceptorProgress("b", 5, start)
 		}
 		updater := NewUpdater(fixture.chain, leases, func() bool { return true })
 		updater.Tick(daemonlease.DeliveryContext{Now: now, Since: start, View: fixture.agent.Current(),
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -43,7 +43,7 @@
 
 // ConnectionRefused handles a connection attempt, made at the time tried, that was refused at an address.
 func (grantor *Grantor) ConnectionRefused(now time.Time, address string, tried time.Time) {
-	grantor.lessor.ObserveRefusal(now, address, tried)
+	grantor.lessor.ObserveConnectionRefused(now, address, tried)
 }
 
 // Tick sends the current view to earlier heads that may still act, so that their next messages prove that they adopted
--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -117,7 +117,7 @@
 	if !daemons.leadership.IsLeading(now) {
 		return nil
 	}
-	return daemons.leases.Unleased(now, daemons.leadership.Started())
+	return daemons.leases.DaemonsWithoutLease(now, daemons.leadership.Started())
 }
 
 // unleasedByHead returns the daemons of the directory that hold no lease according to the current head; nil if its
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -30,7 +30,7 @@
 func (node *Node) onCommit(now time.Time, sequence uint64) {
 	node.counters.Commits++
 	daemons := node.daemons
-	daemons.leases.Committed(now, sequence)
+	daemons.leases.ObserveCommit(now, sequence)
 	daemons.witness.ObserveCommit(sequence)
 	daemons.directory.Publish(now)
 	// The acceptors must learn of the commit before the change may be acknowledged, so they are notified at once and not
@@ -45,7 +45,7 @@
 		return
 	}
 	expiry := now.Add(time.Duration(grant.ConfirmedMilliseconds) * time.Millisecond)
-	node.daemons.leases.AcceptorReported(sender, grant.KnownSequence, expiry)
+	node.daemons.leases.ObserveAcceptorProgress(sender, grant.KnownSequence, expiry)
 	node.proposals.Acknowledge(now)
 }
 
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// sendHeartbeats sends a heartbeat, if one is due, to every address at which another control machine may be. Unleased
+// sendHeartbeats sends a heartbeat, if one is due, to every address at which another control machine may be. unleased
 // returns the daemons that hold no lease granted by this machine as head.
 func (members *members) sendHeartbeats(now time.Time, unleased func(now time.Time) []string) {
 	if !members.detector.TakeHeartbeat(now) {
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -74,8 +74,8 @@
 	node.daemons = newDaemons(now, node.members, leaseNonce, state.ClearedTerm, random)
 	node.requests, node.proposals = newProposals(incarnation, node.members, node.daemons)
 	node.registrar = registry.NewRegistrar(now, settings.RunnerHeartbeat, incarnation, node.outbox, registry.Environment{
-		Daemons: node.daemons.addresses, Cores: node.members.addresses, HearsMostCores: node.members.hearsMajority,
-		HearsNobody: node.daemons.isIsolated})
+		Daemons: node.daemons.addresses, ControlNodes: node.members.addresses,
+		HearsMostControlNodes: node.members.hearsMajority, IsIsolated: node.daemons.isIsolated})
 	node.handlers = newHandlers(node)
 	node.resume(now, state, isFoundingNow)
 	return node
@@ -105,8 +105,8 @@
 		node.members.disk.RequestSnapshot(now)
 	}
 	if current := node.members.agent.Current(); current.Epoch > 0 {
-		node.daemons.witness.AssumeForgottenConfirmations(now)
-		node.daemons.leases.Restarted(now)
+		node.daemons.witness.AssumeUnrecordedConfirmations(now)
+		node.daemons.leases.HandleRestart(now)
 		node.members.adopt(now, current)
 	}
 }
@@ -259,7 +259,7 @@
 	agent := node.members.agent
 	state := &wire.DurableState{Id: node.self.Id, View: agent.Current(), AcceptorState: agent.AcceptorState(),
 		Founding: node.members.proposer.IsFounding(), ClearedTerm: node.daemons.grantor.ClearedTerm()}
-	node.members.chain.AddTo(state)
+	node.members.chain.AddToSnapshot(state)
 	return state
 }
 
--- a/control/operator/client.go
+++ b/control/operator/client.go
@@ -28,14 +28,14 @@
 
 // Client is a client of one fleet.
 type Client struct {
-	// Cores are the HTTP addresses (host:port) of control nodes, in the order in which they are tried.
-	Cores []string
-	http  *fasthttp.Client
+	// ControlNodes are the HTTP addresses (host:port) of control nodes, in the order in which they are tried.
+	ControlNodes []string
+	http         *fasthttp.Client
 }
 
 // New returns a client of the control nodes at these HTTP addresses (host:port).
-func New(cores []string) *Client {
-	return &Client{Cores: cores, http: &fasthttp.Client{
+func New(controlNodes []string) *Client {
+	return &Client{ControlNodes: controlNodes, http: &fasthttp.Client{
 		ReadTimeout:               requestTimeout,
 		WriteTimeout:              requestTimeout,
 		MaxResponseBodySize:       maximumResponse,
@@ -73,11 +73,11 @@
 
 // request tries the control nodes in order and returns the first reply, or the last error.
 func (client *Client) request(method, path string, body []byte) (proposal.Reply, error) {
-	if len(client.Cores) == 0 {
+	if len(client.ControlNodes) == 0 {
 		return proposal.Reply{}, apierror.New(apierror.InvalidSettings, "no core is named; give --core")
 	}
 	var last error
-	for _, address := range client.Cores {
+	for _, address := range client.ControlNodes {
 		reply, err := client.requestFrom(address, method, path, body)
 		if err == nil {
 			return reply, nil
--- a/control/operator/client_test.go
+++ b/control/operator/client_test.go
@@ -89,12 +89,12 @@
 	if err != nil || reply.Outcome != proposal.OutcomeRefused {
 		t.Errorf("reply %+v, error %v, want the refusal of the third node", reply, err)
 	}
-	for code, cores := range map[apierror.Code][]string{
+	for code, controlNodes := range map[apierror.Code][]string{
 		apierror.Unreachable:     {malformed, unreachable},
 		apierror.Malformed:       {unreachable, malformed},
 		apierror.InvalidSettings: nil,
 	} {
-		if _, err := New(cores).Get(); !apierror.Is(err, code) {
+		if _, err := New(controlNodes).Get(); !apierror.Is(err, code) {
 			t.Errorf("want an error with the code %s, got %v", code, err)
 		}
 	}
@@ -113,8 +113,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(fleet.Cores) != 2 || fleet.Cores[0].Address != "a" || fleet.Cores[1].Address != "b" {
-		t.Errorf("control nodes %+v, want a and b", fleet.Cores)
+	if len(fleet.ControlNodes) != 2 || fleet.ControlNodes[0].Address != "a" || fleet.ControlNodes[1].Address != "b" {
+		t.Errorf("control nodes %+v, want a and b", fleet.ControlNodes)
 	}
 	if len(fleet.Daemons) != 1 || fleet.Daemons[0].Address != "data" {
 		t.Errorf("daemons %+v, want one", fleet.Daemons)
--- a/control/operator/status.go
+++ b/control/operator/status.go
@@ -14,8 +14,8 @@
 
 // FleetStatus holds the status of every process that responded, with each list ordered by address.
 type FleetStatus struct {
-	Cores   []server.Status `json:"cores"`
-	Daemons []daemon.Status `json:"datas"`
+	ControlNodes []server.Status `json:"cores"`
+	Daemons      []daemon.Status `json:"datas"`
 	// Unreachable are the HTTP addresses of the processes that did not respond.
 	Unreachable []string `json:"silent,omitempty"`
 }
@@ -25,12 +25,14 @@
 func (client *Client) Status() (FleetStatus, error) {
 	fleet := FleetStatus{}
 	daemons := client.collectControlNodes(&fleet)
-	if len(fleet.Cores) == 0 {
-		cores := strings.Join(client.Cores, ", ")
-		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", cores)
+	if len(fleet.ControlNodes) == 0 {
+		controlNodes := strings.Join(client.ControlNodes, ", ")
+		return fleet, apierror.New(apierror.Unreachable, "none of %s answers", controlNodes)
 	}
 	client.collectDaemons(&fleet, daemons)
-	sort.Slice(fleet.Cores, func(i, j int) bool { return fleet.Cores[i].Address < fleet.Cores[j].Address })
+	sort.Slice(fleet.ControlNodes, func(i, j int) bool {
+		return fleet.ControlNodes[i].Address < fleet.ControlNodes[j].Address
+	})
 	sort.Slice(fleet.Daemons, func(i, j int) bool { return fleet.Daemons[i].Address < fleet.Daemons[j].Address })
 	sort.Strings(fleet.Unreachable)
 	return fleet, nil
@@ -40,7 +42,7 @@
 // returns the HTTP addresses of the data daemons that they know.
 func (client *Client) collectControlNodes(fleet *FleetStatus) map[string]bool {
 	asked, daemons := map[string]bool{}, map[string]bool{}
-	pending := append([]string{}, client.Cores...)
+	pending := append([]string{}, client.ControlNodes...)
 	for len(pending) > 0 {
 		address := pending[0]
 		pending = pending[1:]
@@ -53,7 +55,7 @@
 			fleet.Unreachable = append(fleet.Unreachable, address)
 			continue
 		}
-		fleet.Cores = append(fleet.Cores, status)
+		fleet.ControlNodes = append(fleet.ControlNodes, status)
 		for _, member := range status.Core.Chain {
 			pending = append(pending, member.HTTP)
 		}
--- a/control/proposal/change.go
+++ b/control/proposal/change.go
@@ -30,9 +30,9 @@
 		change.repeat(now, outcome)
 		return
 	}
-	if message.HasSince && message.Since < proposals.chain.ForgottenBefore() {
+	if message.HasSince && message.Since < proposals.chain.OldestRetainedEpoch() {
 		detail := fmt.Sprintf("first sent at epoch %d; what became of changes up to epoch %d is not known any more",
-			message.Since, proposals.chain.ForgottenBefore())
+			message.Since, proposals.chain.OldestRetainedEpoch())
 		change.refuse(now, http.StatusConflict, change.refusal(apierror.StaleBase, detail))
 		return
 	}
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -114,10 +114,10 @@
 	request.SetBody(content)
 }
 
-// RejectAbandoned refuses a call whose caller has closed its connection, and reports whether it did. The process may
+// RefuseDisconnected refuses a call whose caller has closed its connection, and reports whether it did. The process may
 // read such a call long after the close, for example after a freeze of this machine; a caller that still needs a
 // response has called again.
-func RejectAbandoned(request *fasthttp.RequestCtx) bool {
+func RefuseDisconnected(request *fasthttp.RequestCtx) bool {
 	if !netio.Disconnected(request.Conn()) {
 		return false
 	}
--- a/control/server/operator.go
+++ b/control/server/operator.go
@@ -36,7 +36,7 @@
 // operatorHandler returns the handler of one verb: it submits the request to the chain and waits for the response.
 func (server *Server) operatorHandler(verb string) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
-		if RejectAbandoned(request) {
+		if RefuseDisconnected(request) {
 			return
 		}
 		message, err := parseOperatorRequest(verb, request)
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -43,7 +43,7 @@
 		WriteParseError(request, err)
 		return
 	}
-	if RejectAbandonedHeartbeat(request, runner) {
+	if RefuseDisconnectedHeartbeat(request, runner) {
 		return
 	}
 	writeRegistration(request, server.Register(runner))
@@ -101,13 +101,13 @@
 	return fasthttp.StatusOK, proposal.Reply{}
 }
 
-// RejectAbandonedHeartbeat refuses a runner's heartbeat whose caller has disconnected, as RejectAbandoned does, unless
-// the heartbeat states that the runner is draining.
+// RefuseDisconnectedHeartbeat refuses a runner's heartbeat whose caller has disconnected, as RefuseDisconnected does,
+// unless the heartbeat states that the runner is draining.
 //
 // A runner that got no response has called another process, or crashed, and handling its old heartbeat would count as a
 // sign of life. That a runner is draining stays true, however late the heartbeat is read.
-func RejectAbandonedHeartbeat(request *fasthttp.RequestCtx, runner *wire.Runner) bool {
-	return runner.State != registry.Draining && RejectAbandoned(request)
+func RefuseDisconnectedHeartbeat(request *fasthttp.RequestCtx, runner *wire.Runner) bool {
+	return runner.State != registry.Draining && RefuseDisconnected(request)
 }
 
 // WriteParseError responds to a request that cannot be parsed. An error with a code other than Malformed or TooLarge is
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -104,7 +104,7 @@
 		log.Error("the stored state can't be trusted and is set aside; this machine joins as a new one",
 			"cause", recovery.DiscardCause.Error())
 	}
-	if recovery.Fresh {
+	if recovery.HasNewIdentity {
 		log.Info("the data folder is blank; this machine starts with a new identity", "id", recovery.State.Id)
 	}
 	return recovery, nil
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -128,8 +128,8 @@
 		t.Run(version.Name(), func(t *testing.T) {
 			folder := loaded(t, version.Name())
 			recovery, err := Recover(folder, identity, "mark")
-			if err != nil || recovery.Fresh || recovery.DiscardCause != nil {
-				t.Fatalf("fresh %v, discard cause %v, error %v", recovery.Fresh, recovery.DiscardCause, err)
+			if err != nil || recovery.HasNewIdentity || recovery.DiscardCause != nil {
+				t.Fatalf("new identity %v, discard cause %v, error %v", recovery.HasNewIdentity, recovery.DiscardCause, err)
 			}
 			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.State, recovery.Records))
 		})
--- a/control/storage/recovery.go
+++ b/control/storage/recovery.go
@@ -28,8 +28,8 @@
 	State *wire.DurableState
 	// Records are those logged after State, in the order in which they were written.
 	Records []*wire.Record
-	// Fresh states that the identity is new, because the folder was blank or could not be trusted.
-	Fresh bool
+	// HasNewIdentity states that the identity is new, because the folder was blank or could not be trusted.
+	HasNewIdentity bool
 	// DiscardCause is the reason why earlier content was set aside; nil if none was.
 	DiscardCause error
 }
@@ -57,7 +57,8 @@
 	if err != nil {
 		return Recovery{}, err
 	}
-	recovery := Recovery{Store: store, State: &wire.DurableState{Id: identity()}, Fresh: true, DiscardCause: untrusted}
+	recovery := Recovery{Store: store, State: &wire.DurableState{Id: identity()},
+		HasNewIdentity: true, DiscardCause: untrusted}
 	return recovery, writeFirst(store, recovery.State)
 }
 
--- a/control/storage/recovery_test.go
+++ b/control/storage/recovery_test.go
@@ -30,7 +30,7 @@
 		}
 		return Recover(folder, func() string { return "another" }, "m")
 	})
-	if err != nil || attempts != 3 || recovery.State.Id != "fresh" || recovery.Fresh {
+	if err != nil || attempts != 3 || recovery.State.Id != "fresh" || recovery.HasNewIdentity {
 		t.Fatalf("error %v after %d attempts: %+v", err, attempts, recovery)
 	}
 	folder.full = true
@@ -84,8 +84,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if recovery.Fresh != (recovery.DiscardCause != nil) {
-			t.Fatalf("fresh %v, discard cause %v", recovery.Fresh, recovery.DiscardCause)
+		if recovery.HasNewIdentity != (recovery.DiscardCause != nil) {
+			t.Fatalf("new identity %v, discard cause %v", recovery.HasNewIdentity, recovery.DiscardCause)
 		}
 		now := time.Unix(1_700_000_000, 0)
 		settings := node.Settings{Address: "127.0.0.1:1", Zone: "a"}
--- a/control/storage/writer_test.go
+++ b/control/storage/writer_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("the synced writes are %v, want the last to be 4", synced)
 	}
 	recovered, err := Recover(folder, identity, "m")
-	if err != nil || recovered.Fresh || recovered.State.View.Epoch != 2 {
+	if err != nil || recovered.HasNewIdentity || recovered.State.View.Epoch != 2 {
 		t.Fatalf("error %v, recovered %+v", err, recovered)
 	}
 	if len(recovered.Records) != 1 || recovered.Records[0].GetClearedTerm() != 7 {
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -163,8 +163,9 @@
 	return chain.history.outcomes.byOperation[operation]
 }
 
-// ForgottenBefore returns the configuration epoch before which outcomes may have been evicted; 0 if none was evicted.
-func (chain *Chain) ForgottenBefore() uint64 {
+// OldestRetainedEpoch returns the configuration epoch before which outcomes may have been evicted; 0 if none was
+// evicted.
+func (chain *Chain) OldestRetainedEpoch() uint64 {
 	outcomes := chain.history.outcomes.list
 	if len(outcomes) < MaximumOutcomes {
 		return 0
@@ -179,9 +180,9 @@
 // RestoreIncomplete restores Incomplete from what the disk held.
 func (chain *Chain) RestoreIncomplete(incomplete bool) { chain.incomplete = incomplete }
 
-// AddTo adds this member's state to a snapshot. Documents and entries are immutable, so the disk goroutine may read
-// them concurrently with further calls.
-func (chain *Chain) AddTo(snapshot *wire.DurableState) {
+// AddToSnapshot adds this member's state to a snapshot. Documents and entries are immutable, so the disk goroutine may
+// read them concurrently with further calls.
+func (chain *Chain) AddToSnapshot(snapshot *wire.DurableState) {
 	snapshot.Document = chain.history.committed
 	snapshot.Pending = append([]*wire.Entry{}, chain.history.pending...)
 	snapshot.Incomplete = chain.incomplete
--- a/coordination/chain/learning_test.go
+++ b/coordination/chain/learning_test.go
@@ -106,7 +106,7 @@
 	cluster.adopt(3, "a", "b")
 	cluster.deliver()
 	if snapshot := new(wire.DurableState); learner.Incomplete() {
-		learner.AddTo(snapshot)
+		learner.AddToSnapshot(snapshot)
 		if !snapshot.Incomplete {
 			t.Fatal("the snapshot of an incomplete member is not marked as incomplete")
 		}
--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -187,7 +187,7 @@
 	}
 	simulation.send(machine, func(at time.Time) {
 		if machine.up {
-			machine.lessor.ObserveRefusal(at, other.id, tried)
+			machine.lessor.ObserveConnectionRefused(at, other.id, tried)
 		}
 	})
 }
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -18,8 +18,9 @@
 //
 // The head calls Lessee.Request, sends the request, calls Lessee.AddGrant for each grant that comes back, and checks
 // Lessee.Valid immediately before each action that needs the lease. An acceptor calls Lessor.AdoptView for each view
-// that its disk holds, Lessor.ObserveEpoch and Lessor.ObserveRefusal for what it observes of other machines, and grants
-// if Lessor.CanGrant reports true. The state machines do no I/O, read no clock, and are not safe for concurrent use.
+// that its disk holds, Lessor.ObserveEpoch and Lessor.ObserveConnectionRefused for what it observes of other machines,
+// and grants if Lessor.CanGrant reports true. The state machines do no I/O, read no clock, and are not safe for
+// concurrent use.
 package lease
 
 import "time"
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// ObserveRefusal handles the observation that a connection to an address, attempted at the moment tried, was refused
-// because nothing listened there.
-func (lessor *Lessor) ObserveRefusal(now time.Time, address string, tried time.Time) {
+// ObserveConnectionRefused handles the observation that a connection to an address, attempted at the moment tried, was
+// refused because nothing listened there.
+func (lessor *Lessor) ObserveConnectionRefused(now time.Time, address string, tried time.Time) {
 	// An earlier refusal proves nothing: a new incarnation of the same machine may have obtained the lease after it and
 	// before the term was learned.
 	if len(lessor.previousHeads) > 0 && tried.After(lessor.learnedAt) {
--- a/coordination/lease/lessor_test.go
+++ b/coordination/lease/lessor_test.go
@@ -30,7 +30,7 @@
 		return func(lessor *Lessor) { lessor.ObserveEpoch(later, head, epoch) }
 	}
 	refused := func(address string, tried time.Time) func(*Lessor) {
-		return func(lessor *Lessor) { lessor.ObserveRefusal(later, address, tried) }
+		return func(lessor *Lessor) { lessor.ObserveConnectionRefused(later, address, tried) }
 	}
 	restarted := func(cleared uint64) func(*Lessor) {
 		return func(lessor *Lessor) { *lessor = *NewLessor(later, second, cleared) }
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -17,9 +17,9 @@
 	committed      uint64
 	informedByHead bool
 	confirmations  map[string]confirmation
-	// forgottenUntil is the moment until which daemons may rely on confirmations of an earlier incarnation, of which this
+	// unrecordedUntil is the moment until which daemons may rely on confirmations of an earlier incarnation, of which this
 	// one has no record.
-	forgottenUntil time.Time
+	unrecordedUntil time.Time
 }
 
 // confirmation is the last confirmation issued to a daemon.
@@ -35,10 +35,11 @@
 	return &Witness{duration: duration, confirmations: map[string]confirmation{}}
 }
 
-// AssumeForgottenConfirmations accounts for an earlier incarnation of the acceptor, which may have issued confirmations
-// immediately before it stopped. Daemons are assumed to rely on them for the duration of a confirmation from now.
-func (witness *Witness) AssumeForgottenConfirmations(now time.Time) {
-	witness.forgottenUntil = now.Add(witness.duration)
+// AssumeUnrecordedConfirmations accounts for an earlier incarnation of the acceptor, which may have issued
+// confirmations immediately before it stopped. Daemons are assumed to rely on them for the duration of a confirmation
+// from now.
+func (witness *Witness) AssumeUnrecordedConfirmations(now time.Time) {
+	witness.unrecordedUntil = now.Add(witness.duration)
 }
 
 // ObserveHead handles a head's report that the history is committed up to a sequence.
@@ -89,7 +90,7 @@
 // Outstanding returns the longest time for which any daemon may still rely on a confirmation of a sequence older than
 // the given one; 0 if none does.
 func (witness *Witness) Outstanding(now time.Time, sequence uint64) time.Duration {
-	longest := max(0, witness.forgottenUntil.Sub(now))
+	longest := max(0, witness.unrecordedUntil.Sub(now))
 	for _, last := range witness.confirmations {
 		if last.sequence < sequence {
 			longest = max(longest, last.expiresAt.Sub(now))
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -63,7 +63,7 @@
 func TestRestartedWitnessCountsForgottenConfirmations(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	witness := NewWitness(duration)
-	witness.AssumeForgottenConfirmations(now)
+	witness.AssumeUnrecordedConfirmations(now)
 	witness.ObserveHead(5)
 	if got := witness.Outstanding(now.Add(duration/4), 5); got != duration*3/4 {
 		t.Fatalf("outstanding %v after a restart: %v", duration/4, got)
--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -25,8 +25,8 @@
 const (
 	// Size bounds the partial view.
 	Size = 12
-	// Exchange is the number of descriptors in one shuffle, including the sender's own.
-	Exchange = 5
+	// ShuffleSize is the number of descriptors in one shuffle, including the sender's own.
+	ShuffleSize = 5
 	// shuffleInterval is the interval between shuffles of a view that is less than half full, and
 	// filledShuffleInterval of one that is at least half full.
 	shuffleInterval       = time.Second
@@ -124,13 +124,13 @@
 	}
 }
 
-// send sends our own descriptor and others chosen at random, up to Exchange in all.
+// send sends our own descriptor and others chosen at random, up to ShuffleSize in all.
 func (view *PartialView) send(address string, response bool) {
 	peers := view.Peers()
 	view.random.Shuffle(len(peers), func(left, right int) { peers[left], peers[right] = peers[right], peers[left] })
 	sent := []*wire.PeerDescriptor{copyWithAge(view.self, 0)}
 	for _, peer := range peers {
-		if peer.Address != address && len(sent) < Exchange {
+		if peer.Address != address && len(sent) < ShuffleSize {
 			sent = append(sent, copyWithAge(peer, peer.Age))
 		}
 	}
@@ -149,7 +149,7 @@
 	if !message.Response {
 		view.send(from, true)
 	}
-	for _, received := range message.Peers[:min(len(message.Peers), Exchange)] {
+	for _, received := range message.Peers[:min(len(message.Peers), ShuffleSize)] {
 		view.add(received)
 	}
 	for len(view.descriptors) > Size {
--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -78,8 +78,8 @@
 	limiter.share(now, tenant).refund(cost)
 }
 
-// Reject counts a refused request and returns the delay after which a retry may succeed.
-func (limiter *Limiter) Reject(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
+// Refuse counts a refused request and returns the delay after which a retry may succeed.
+func (limiter *Limiter) Refuse(now time.Time, tenant string, cost float64) (retryAfter time.Duration) {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
 	return limiter.share(now, tenant).refuse(cost)
--- a/coordination/registry/announcement.go
+++ b/coordination/registry/announcement.go
@@ -11,7 +11,7 @@
 // otherProcesses returns the addresses of all other processes, sorted.
 func (registrar *Registrar) otherProcesses(now time.Time) []string {
 	others := map[string]bool{}
-	for _, address := range append(registrar.environment.Daemons(now), registrar.environment.Cores()...) {
+	for _, address := range append(registrar.environment.Daemons(now), registrar.environment.ControlNodes()...) {
 		others[address] = true
 	}
 	return slices.Sorted(maps.Keys(others))
@@ -42,7 +42,7 @@
 		return
 	}
 	message := &wire.RunnerHeartbeats{Calls: calls}
-	for _, node := range registrar.environment.Cores() {
+	for _, node := range registrar.environment.ControlNodes() {
 		registrar.outbox.Send(node, &wire.Envelope{Body: &wire.Envelope_RunnerHeartbeats{RunnerHeartbeats: message}})
 	}
 }
--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -73,7 +73,7 @@
 	}
 	broadcast.daemons = len(broadcast.unconfirmed)
 	broadcasts.send(nonce, broadcast)
-	for _, node := range broadcasts.environment.Cores() {
+	for _, node := range broadcasts.environment.ControlNodes() {
 		if !broadcast.unconfirmed[node] {
 			broadcasts.exchange.send(node, &wire.RunnerUpdate{Runners: []*wire.Runner{record}})
 		}
--- a/coordination/registry/registrar.go
+++ b/coordination/registry/registrar.go
@@ -35,13 +35,13 @@
 
 // Environment holds the registrar's callbacks to its control node.
 type Environment struct {
-	// Daemons returns the data daemons that must be notified of leaving runners, Cores the other control nodes.
-	Daemons func(now time.Time) []string
-	Cores   func() []string
-	// HearsMostCores reports whether this control node receives messages from a majority of the control nodes, HearsNobody
-	// whether it receives messages from no other process.
-	HearsMostCores func(now time.Time) bool
-	HearsNobody    func(now time.Time) bool
+	// Daemons returns the data daemons that must be notified of leaving runners, ControlNodes the other control nodes.
+	Daemons      func(now time.Time) []string
+	ControlNodes func() []string
+	// HearsMostControlNodes reports whether this control node receives messages from a majority of the control nodes,
+	// IsIsolated whether it receives messages from no other process.
+	HearsMostControlNodes func(now time.Time) bool
+	IsIsolated            func(now time.Time) bool
 }
 
 // Counters count the calls that a registrar handled and the changes they caused. Unconfirmed counts the calls that were
--- a/coordination/registry/registrar_test.go
+++ b/coordination/registry/registrar_test.go
@@ -27,10 +27,10 @@
 		t: t, outbox: statemachine.NewOutbox(), daemons: []string{"d0", "d1"}, hearsMost: true, now: startTime,
 	}
 	node.registrar = NewRegistrar(startTime, heartbeat, 7, node.outbox, Environment{
-		Daemons:        func(time.Time) []string { return node.daemons },
-		Cores:          func() []string { return []string{"c1"} },
-		HearsMostCores: func(time.Time) bool { return node.hearsMost },
-		HearsNobody:    func(time.Time) bool { return node.isolated },
+		Daemons:               func(time.Time) []string { return node.daemons },
+		ControlNodes:          func() []string { return []string{"c1"} },
+		HearsMostControlNodes: func(time.Time) bool { return node.hearsMost },
+		IsIsolated:            func(time.Time) bool { return node.isolated },
 	})
 	return node
 }
--- a/coordination/registry/registration.go
+++ b/coordination/registry/registration.go
@@ -70,7 +70,7 @@
 // rejectIfIsolated rejects a call if no other process could learn of it, so that the runner calls another control node.
 // It reports whether it did.
 func (registrar *Registrar) rejectIfIsolated(now time.Time, respond func(outcome Outcome)) bool {
-	if !registrar.environment.HearsNobody(now) {
+	if !registrar.environment.IsIsolated(now) {
 		return false
 	}
 	registrar.counters.Refused++
--- a/coordination/registry/survey.go
+++ b/coordination/registry/survey.go
@@ -52,7 +52,7 @@
 // isCutOff reports whether this control node receives messages from neither a majority of the control nodes nor half of
 // the runners: then it is probably the one that is cut off.
 func (registrar *Registrar) isCutOff(now time.Time, survey survey) bool {
-	return !registrar.environment.HearsMostCores(now) && 2*survey.direct < survey.serving
+	return !registrar.environment.HearsMostControlNodes(now) && 2*survey.direct < survey.serving
 }
 
 // unresponsive returns the runners to be marked silent. If most runners seem silent at once, a network fault on the way
--- a/coordination/reservation/bench_test.go
+++ b/coordination/reservation/bench_test.go
@@ -13,14 +13,14 @@
 	b.ReportAllocs()
 	for number := range b.N {
 		// A full replica refuses, which is a different path.
-		if number%Limit == 0 {
+		if number%MaximumReservations == 0 {
 			b.StopTimer()
 			fleet = newTestFleet(b, 1, 4)
 			b.StartTimer()
 		}
 		daemon, replica := fleet.daemons[0], fleet.daemons[1].replica
 		attempt := daemon.firstAttempt()
-		reservation := daemon.coordinator.Reserve(fleet.now, testKey(number%Limit), attempt)
+		reservation := daemon.coordinator.Reserve(fleet.now, testKey(number%MaximumReservations), attempt)
 		messages, _ := daemon.outbox.Drain()
 		for _, message := range messages {
 			response := replica.Reserve(fleet.now, message.Envelope.GetReservationRequest())
--- a/coordination/reservation/coordinator.go
+++ b/coordination/reservation/coordinator.go
@@ -100,7 +100,7 @@
 }
 
 // Reserve starts to reserve a request.
-func (coordinator *Coordinator) Reserve(now time.Time, key Key, attempt Sending) *Reservation {
+func (coordinator *Coordinator) Reserve(now time.Time, key Key, attempt ClientAttempt) *Reservation {
 	reservation := &Reservation{key: key, token: coordinator.newToken(), attempt: attempt,
 		done: make(chan struct{}), deadline: now.Add(reserveTimeout), contacted: map[string]bool{}}
 	if attempt.IsFirst() {
@@ -158,19 +158,19 @@
 // isComplete reports whether the replicas of a zone know every reservation made there since a term. Losses older than
 // the retention period of reservations do not matter.
 func (coordinator *Coordinator) isComplete(now time.Time, zone *Zone, term uint64) bool {
-	return zone.CompleteSince <= term || zone.CompleteSince != Never && coordinator.isStable(now, zone)
+	return zone.CompleteSince <= term || zone.CompleteSince != NeverComplete && coordinator.isStable(now, zone)
 }
 
 // isUsable reports whether a zone may reserve a first attempt: whether its replicas will know the reservation of any
 // retry. Retries are reserved in all zones that their daemons know of, with the same term. So the zone must have had
 // replicas in the epoch of the term, and must have lost nothing since. A first attempt that reaches this process was
 // not sent before the process started, so that earlier losses don't matter.
-func (coordinator *Coordinator) isUsable(now time.Time, zone *Zone, attempt Sending) bool {
+func (coordinator *Coordinator) isUsable(now time.Time, zone *Zone, attempt ClientAttempt) bool {
 	if len(zone.Replicas) == 0 || zone.FirstEpoch > attempt.Term && !coordinator.isStable(now, zone) {
 		return false
 	}
 	// Until the zone is complete, no retry is granted in any zone.
-	return zone.CompleteSince == Never || coordinator.isComplete(now, zone, max(attempt.Term, attempt.NotBefore))
+	return zone.CompleteSince == NeverComplete || coordinator.isComplete(now, zone, max(attempt.Term, attempt.NotBefore))
 }
 
 // isStable reports whether a zone's state has been unchanged for the retention period of reservations.
--- a/coordination/reservation/doc.go
+++ b/coordination/reservation/doc.go
@@ -29,8 +29,8 @@
 // number, so that the client can be notified that none of these attempts is executed.
 //
 // Clocks of different processes are never compared. Messages may be lost, repeated, delayed and reordered; processes
-// may end, freeze and be cut off at any moment. Replicas keep a reservation for at least Keep after it was made or last
-// renewed.
+// may end, freeze and be cut off at any moment. Replicas keep a reservation for at least MinimumRetention after it was
+// made or last renewed.
 package reservation
 
 import "time"
@@ -41,20 +41,20 @@
 	GroupSize = 3
 	// ShardCount is the number of shards into which keys are divided.
 	ShardCount = 128
-	// Keep is the minimum retention period of a reservation after its request has ended or was last renewed.
-	Keep = 10 * time.Minute
+	// MinimumRetention is the minimum retention period of a reservation after its request has ended or was last renewed.
+	MinimumRetention = 10 * time.Minute
 	// RenewInterval is the interval between renewals of the reservation of a request in progress.
-	RenewInterval = Keep / 4
+	RenewInterval = MinimumRetention / 4
 	// replicaRetention is the retention period of a reservation at a replica since it was granted or last renewed. It
-	// exceeds Keep by RenewInterval, since a request may end just before its next renewal.
-	replicaRetention = Keep + RenewInterval
+	// exceeds MinimumRetention by RenewInterval, since a request may end just before its next renewal.
+	replicaRetention = MinimumRetention + RenewInterval
 	// MaximumReplicas is the maximum number of replicas in a zone. The restart of a daemon that is not a replica changes
 	// no membership.
 	MaximumReplicas = 48
-	// Limit is the maximum number of reservations that one replica holds, about 30 MB.
-	Limit = 1 << 18
-	// Never is the value of CompleteSince of a zone whose replicas may lack reservations of any earlier epoch.
-	Never = ^uint64(0)
+	// MaximumReservations is the maximum number of reservations that one replica holds, about 30 MB.
+	MaximumReservations = 1 << 18
+	// NeverComplete is the value of CompleteSince of a zone whose replicas may lack reservations of any earlier epoch.
+	NeverComplete = ^uint64(0)
 )
 
 // KeySize is the length of a key in bytes.
@@ -67,8 +67,8 @@
 // shard returns the shard of a key.
 func (key Key) shard() uint32 { return uint32(key[0]) % ShardCount }
 
-// Sending describes one client attempt of a request: what the client states and when it can have sent it.
-type Sending struct {
+// ClientAttempt describes one client attempt of a request: what the client states and when it can have sent it.
+type ClientAttempt struct {
 	// Number is 1 for a first attempt, which the client has never sent before. With any other number, also 0, the request
 	// may have been sent before.
 	Number int
@@ -80,10 +80,10 @@
 }
 
 // IsFirst reports whether this is a first attempt.
-func (attempt Sending) IsFirst() bool { return attempt.Number == 1 }
+func (attempt ClientAttempt) IsFirst() bool { return attempt.Number == 1 }
 
 // number returns the number of the attempt on the wire, 0 if it has none.
-func (attempt Sending) number() uint32 { return uint32(max(attempt.Number, 0)) }
+func (attempt ClientAttempt) number() uint32 { return uint32(max(attempt.Number, 0)) }
 
 // Majority returns the size of a majority of a group of the given size.
 func Majority(size int) int {
--- a/coordination/reservation/explore_test.go
+++ b/coordination/reservation/explore_test.go
@@ -41,7 +41,7 @@
 type attemptInTransit struct {
 	request *exploredRequest
 	daemon  *testDaemon
-	attempt Sending
+	attempt ClientAttempt
 }
 
 // arrivedAttempt is a client attempt that has reached a daemon.
@@ -118,7 +118,7 @@
 	}
 	request.sent++
 	if daemon.isUp {
-		attempt := Sending{Number: request.sent, Term: request.term, NotBefore: daemon.firstEpoch}
+		attempt := ClientAttempt{Number: request.sent, Term: request.term, NotBefore: daemon.firstEpoch}
 		exploration.inTransit = append(exploration.inTransit, &attemptInTransit{request, daemon, attempt})
 	}
 }
--- a/coordination/reservation/fleet_test.go
+++ b/coordination/reservation/fleet_test.go
@@ -224,8 +224,8 @@
 
 // plan lets the head of the chain plan the next membership.
 func (fleet *testFleet) plan() {
-	facts := Facts{InForce: true, IsFounding: !fleet.isFounded, IsFormed: true,
-		MayLose: fleet.now.Sub(fleet.plannedAt) >= testSyncWait,
+	input := PlanInput{InForce: true, IsFounding: !fleet.isFounded, EarlierEpochsEnded: true,
+		AllowLoss: fleet.now.Sub(fleet.plannedAt) >= testSyncWait,
 		HasEnded: func(replica *wire.ReservationReplica) bool {
 			process := fleet.all[identityOf(replica)]
 			return process.ended || !process.cutOffAt.IsZero() && !process.mayServe(fleet.now)
@@ -234,10 +234,10 @@
 	}
 	for _, daemon := range fleet.daemons {
 		if daemon.isUp && daemon.cutOffAt.IsZero() {
-			facts.Candidates = append(facts.Candidates, Candidate{Identity: daemon.identity, Zone: daemon.zone})
+			input.Candidates = append(input.Candidates, Candidate{Identity: daemon.identity, Zone: daemon.zone})
 		}
 	}
-	if next := Plan(fleet.membership, facts); next != nil {
+	if next := Plan(fleet.membership, input); next != nil {
 		fleet.membership, fleet.plannedAt, fleet.isFounded = next, fleet.now, true
 		fleet.memberships = append(fleet.memberships, next)
 	}
@@ -265,7 +265,7 @@
 }
 
 // reserve reserves a key at a daemon and waits for the outcome.
-func (fleet *testFleet) reserve(daemon *testDaemon, key Key, attempt Sending) *Reservation {
+func (fleet *testFleet) reserve(daemon *testDaemon, key Key, attempt ClientAttempt) *Reservation {
 	reservation := daemon.coordinator.Reserve(fleet.now, key, attempt)
 	fleet.collect(daemon)
 	for end := fleet.now.Add(reserveTimeout + time.Second); reservation.Outcome() == Pending && fleet.now.Before(end); {
@@ -288,9 +288,11 @@
 }
 
 // firstAttempt returns a first attempt with the daemon's present term.
-func (daemon *testDaemon) firstAttempt() Sending {
-	return Sending{Number: 1, Term: daemon.coordinator.Term()}
+func (daemon *testDaemon) firstAttempt() ClientAttempt {
+	return ClientAttempt{Number: 1, Term: daemon.coordinator.Term()}
 }
 
 // retryOf returns the next attempt of the same request.
-func retryOf(attempt Sending) Sending { return Sending{Number: attempt.Number + 1, Term: attempt.Term} }
+func retryOf(attempt ClientAttempt) ClientAttempt {
+	return ClientAttempt{Number: attempt.Number + 1, Term: attempt.Term}
+}
--- a/coordination/reservation/holding.go
+++ b/coordination/reservation/holding.go
@@ -18,7 +18,7 @@
 }
 
 // Finish ends the renewals of a granted reservation whose request has ended, whatever its result. The replicas keep the
-// reservation for at least Keep from now on.
+// reservation for at least MinimumRetention from now on.
 func (coordinator *Coordinator) Finish(reservation *Reservation) {
 	if reservation.isRenewed {
 		reservation.isRenewed = false
--- a/coordination/reservation/outcome.go
+++ b/coordination/reservation/outcome.go
@@ -40,7 +40,7 @@
 type Reservation struct {
 	key     Key
 	token   uint64
-	attempt Sending
+	attempt ClientAttempt
 	done    chan struct{}
 	outcome Outcome
 	// retryAfter is the time after which a replica has capacity again, where the outcome is Full.
@@ -79,8 +79,8 @@
 	}
 }
 
-// RoomAfter returns the time after which a replica has capacity again, where the outcome is Full.
-func (reservation *Reservation) RoomAfter() time.Duration { return reservation.retryAfter }
+// RetryAfter returns the time after which a replica has capacity again, where the outcome is Full.
+func (reservation *Reservation) RetryAfter() time.Duration { return reservation.retryAfter }
 
 // Counters returns the counters.
 func (coordinator *Coordinator) Counters() Counters { return coordinator.counters }
--- a/coordination/reservation/plan.go
+++ b/coordination/reservation/plan.go
@@ -17,15 +17,15 @@
 	IsolationMilliseconds uint32
 }
 
-// Facts are the inputs, besides the present membership, from which Plan derives the next one.
-type Facts struct {
+// PlanInput holds the inputs, besides the present membership, from which Plan derives the next one.
+type PlanInput struct {
 	// InForce is set if every daemon that may serve makes reservations; otherwise nothing is reserved.
 	InForce bool
 	// IsFounding is set if no daemon has ever served, so that no request can have run.
 	IsFounding bool
-	// IsFormed is set if no daemon can act any more under an epoch in which nothing was reserved. It is read only while
-	// some zone's CompleteSince is Never.
-	IsFormed bool
+	// EarlierEpochsEnded is set if no daemon can act any more under an epoch in which nothing was reserved. It is read
+	// only while some zone's CompleteSince is NeverComplete.
+	EarlierEpochsEnded bool
 	// NewestEpoch is the newest epoch in which any daemon is known to act. The next epoch is greater, even if the present
 	// membership was lost.
 	NewestEpoch uint64
@@ -35,16 +35,16 @@
 	HasEnded func(replica *wire.ReservationReplica) bool
 	// IsSynced reports whether a replica holds all reservations that it must know in the present epoch.
 	IsSynced func(replica Identity) bool
-	// MayLose is set once the wait for replicas that are not synced has timed out. A change may then lose reservations
+	// AllowLoss is set once the wait for replicas that are not synced has timed out. A change may then lose reservations
 	// that only those replicas could have learned.
-	MayLose bool
+	AllowLoss bool
 }
 
 // Plan returns the membership that follows the present one, or nil if the present one stays. It depends on its
 // arguments only. present may be nil.
-func Plan(present *wire.ReservationMembership, facts Facts) *wire.ReservationMembership {
-	planner := planner{present: present, facts: facts}
-	if !facts.InForce {
+func Plan(present *wire.ReservationMembership, input PlanInput) *wire.ReservationMembership {
+	planner := planner{present: present, input: input}
+	if !input.InForce {
 		return planner.suspend()
 	}
 	next := &wire.ReservationMembership{Epoch: planner.nextEpoch()}
@@ -55,12 +55,12 @@
 		return nil
 	}
 	for _, zone := range next.Zones {
-		if zone.Epoch != next.Epoch || !planner.losesReservations(zone, facts.IsSynced) {
+		if zone.Epoch != next.Epoch || !planner.losesReservations(zone, input.IsSynced) {
 			continue
 		}
 		// If too few replicas remain even when all of them are synced, waiting is pointless.
 		isUnavoidable := planner.losesReservations(zone, func(Identity) bool { return true })
-		if !isUnavoidable && !facts.MayLose {
+		if !isUnavoidable && !input.AllowLoss {
 			return nil
 		}
 		zone.CompleteSince = max(zone.CompleteSince, next.Epoch)
@@ -70,7 +70,7 @@
 
 type planner struct {
 	present *wire.ReservationMembership
-	facts   Facts
+	input   PlanInput
 }
 
 // suspend returns a membership that names no replica, so that nothing is reserved, or nil if the present one names
@@ -84,17 +84,17 @@
 
 // nextEpoch returns the epoch of the next membership.
 func (planner planner) nextEpoch() uint64 {
-	return max(planner.present.GetEpoch(), planner.facts.NewestEpoch) + 1
+	return max(planner.present.GetEpoch(), planner.input.NewestEpoch) + 1
 }
 
 // zoneNames returns the sorted names of the zones of the next membership. A zone is never removed, since its replicas
 // may hold reservations that no other replica does.
 func (planner planner) zoneNames() []string {
-	names := make([]string, 0, len(planner.present.GetZones())+len(planner.facts.Candidates))
+	names := make([]string, 0, len(planner.present.GetZones())+len(planner.input.Candidates))
 	for _, zone := range planner.present.GetZones() {
 		names = append(names, zone.Zone)
 	}
-	for _, candidate := range planner.facts.Candidates {
+	for _, candidate := range planner.input.Candidates {
 		names = append(names, candidate.Zone)
 	}
 	slices.Sort(names)
@@ -118,12 +118,12 @@
 		PreviousReplicas: present.GetPreviousReplicas()}
 	occupied := map[string]bool{}
 	for _, replica := range present.GetReplicas() {
-		if !planner.facts.HasEnded(replica) {
+		if !planner.input.HasEnded(replica) {
 			next.Replicas = append(next.Replicas, replica)
 			occupied[replica.Address] = true
 		}
 	}
-	candidates := slices.Clone(planner.facts.Candidates)
+	candidates := slices.Clone(planner.input.Candidates)
 	sort.Slice(candidates, func(left, right int) bool { return candidates[left].Address < candidates[right].Address })
 	for _, candidate := range candidates {
 		if candidate.Zone != name || occupied[candidate.Address] || len(next.Replicas) >= MaximumReplicas {
@@ -150,7 +150,7 @@
 func (planner planner) completeSince(name string) uint64 {
 	present := planner.presentZone(name)
 	switch {
-	case present != nil && present.CompleteSince == Never && planner.facts.IsFormed:
+	case present != nil && present.CompleteSince == NeverComplete && planner.input.EarlierEpochsEnded:
 		return planner.nextEpoch()
 	case present != nil:
 		return present.CompleteSince
@@ -158,7 +158,7 @@
 		return 0
 	case len(planner.present.GetZones()) == 0:
 		// Daemons may still act under a membership that reserved nothing.
-		return Never
+		return NeverComplete
 	default:
 		// No request was reserved in this zone yet.
 		return 0
@@ -167,7 +167,7 @@
 
 // isFounding reports whether the next membership is the first one of a fleet in which no request has run.
 func (planner planner) isFounding() bool {
-	return planner.present.GetEpoch() == 0 && planner.facts.IsFounding
+	return planner.present.GetEpoch() == 0 && planner.input.IsFounding
 }
 
 // losesReservations reports whether a change may lose reservations: some group of the present zone keeps fewer synced
--- a/coordination/reservation/replica.go
+++ b/coordination/reservation/replica.go
@@ -164,7 +164,7 @@
 	switch {
 	case isHeld && !held.admits(request.Token, request.Number):
 		response.Outcome = wire.ReservationOutcome_RESERVATION_TAKEN
-	case !isHeld && replica.Len() >= Limit:
+	case !isHeld && replica.Len() >= MaximumReservations:
 		response.Outcome = wire.ReservationOutcome_RESERVATION_FULL
 		response.RoomMilliseconds = uint32(replica.untilNextExpiry(now).Milliseconds())
 	default:
--- a/coordination/reservation/reservation_test.go
+++ b/coordination/reservation/reservation_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 		fleet.now = fleet.now.Add(replicaRetention)
-		if got := fleet.reserve(fleet.daemons[0], testKey(3), Sending{}).Outcome(); got != Granted {
+		if got := fleet.reserve(fleet.daemons[0], testKey(3), ClientAttempt{}).Outcome(); got != Granted {
 			t.Errorf("%s: after the retention period of reservations: %s", name, got)
 		}
 	}
@@ -110,7 +110,7 @@
 	attempt := inside.firstAttempt()
 	for name, test := range map[string]struct {
 		daemon  *testDaemon
-		attempt Sending
+		attempt ClientAttempt
 		want    Outcome
 	}{
 		"first inside":  {inside, attempt, Granted},
@@ -154,12 +154,12 @@
 	attempt := daemon.firstAttempt()
 	fleet.reserve(daemon, testKey(1), attempt)
 	shard := daemon.replica.shards[2]
-	for number := daemon.replica.Len(); number < Limit; number++ {
+	for number := daemon.replica.Len(); number < MaximumReservations; number++ {
 		shard.put(record{key: Key{2, byte(number), byte(number >> 8), byte(number >> 16)}, until: fleet.now.Add(time.Minute)})
 	}
 	reservation := fleet.reserve(daemon, testKey(5), attempt)
-	if reservation.Outcome() != Full || reservation.RoomAfter() <= 0 || reservation.RoomAfter() > time.Minute {
-		t.Errorf("%s, room after %v", reservation.Outcome(), reservation.RoomAfter())
+	if reservation.Outcome() != Full || reservation.RetryAfter() <= 0 || reservation.RetryAfter() > time.Minute {
+		t.Errorf("%s, room after %v", reservation.Outcome(), reservation.RetryAfter())
 	}
 	if got := fleet.reserve(daemon, testKey(1), retryOf(attempt)).Outcome(); got != Taken {
 		t.Errorf("retry of a request reserved before the replica was full: %s", got)
@@ -171,7 +171,7 @@
 	}
 }
 
-// A reservation is kept while its request is in progress, and for Keep after its end.
+// A reservation is kept while its request is in progress, and for MinimumRetention after its end.
 func TestReservationsAreRenewed(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 8, 3, 3)
@@ -190,12 +190,12 @@
 		}
 	}
 	outcome := func() Outcome { return fleet.reserve(fleet.daemons[4], testKey(1), retryOf(attempt)).Outcome() }
-	advance(3 * Keep)
+	advance(3 * MinimumRetention)
 	if got := outcome(); got != Taken {
 		t.Fatalf("while the request is in progress: %s", got)
 	}
 	daemon.coordinator.Finish(reservation)
-	advance(Keep)
+	advance(MinimumRetention)
 	if got := outcome(); got != Taken {
 		t.Errorf("Keep after its end: %s", got)
 	}
@@ -210,7 +210,7 @@
 	t.Parallel()
 	fleet := newTestFleet(t, 9)
 	daemon := fleet.start("a0:1", "a")
-	if got := daemon.coordinator.Reserve(fleet.now, testKey(1), Sending{Number: 1}).Outcome(); got != NotInForce {
+	if got := daemon.coordinator.Reserve(fleet.now, testKey(1), ClientAttempt{Number: 1}).Outcome(); got != NotInForce {
 		t.Errorf("outcome without a membership: %s", got)
 	}
 	if daemon.coordinator.Term() != 0 {
--- a/coordination/reservation/stale_test.go
+++ b/coordination/reservation/stale_test.go
@@ -151,7 +151,7 @@
 	fleet.replaceMembership()
 	inNewZone := fleet.daemons[3]
 	inNewZone.adopt()
-	attempt := Sending{Number: 1, Term: inNewZone.coordinator.Term()}
+	attempt := ClientAttempt{Number: 1, Term: inNewZone.coordinator.Term()}
 	if got := fleet.reserve(inNewZone, testKey(1), attempt).Outcome(); got != Granted {
 		t.Fatalf("in the new zone: %s", got)
 	}
--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -10,7 +10,7 @@
 //     acknowledges no change before the holders of such leases have it.
 //   - A majority of the acceptors confirmed, in response to such requests, that they have nothing newer. No change is
 //     acknowledged before a majority of them has it and their earlier confirmations have expired.
-//   - No control machine responds at all, and less than Settings.WithoutCore has passed since the last lease.
+//   - No control machine responds at all, and less than Settings.IsolationLimit has passed since the last lease.
 //
 // See docs/control.md.
 package controller
@@ -45,9 +45,9 @@
 	Registered bool
 	// LeaseDuration is the duration of a lease or a confirmation, counted from its request; 0 means lease.DaemonTTL.
 	LeaseDuration time.Duration
-	// WithoutCore is the time after its last lease for which a daemon that reaches no control machine at all continues
+	// IsolationLimit is the time after its last lease for which a daemon that reaches no control machine at all continues
 	// to serve with its current configuration; 0 disables that.
-	WithoutCore time.Duration
+	IsolationLimit time.Duration
 	// Quota holds the daemon's shares of the tenants' quotas, which the controller requests from the head; nil if the
 	// daemon has none.
 	Quota *quota.Limiter
@@ -112,7 +112,7 @@
 	}
 	controller.gossip = gossip.New(settings.Zone, outbox, random, controller.gossipPeers, controller.onGossipEntry)
 	controller.leases = newLeases(settings.LeaseDuration, controller.configuration)
-	controller.permission = newPermission(settings.WithoutCore, controller.configuration, controller.leases)
+	controller.permission = newPermission(settings.IsolationLimit, controller.configuration, controller.leases)
 	controller.schedule = newRequestSchedule(
 		settings.Seeds, controller.partialView, controller.leases, controller.permission)
 	controller.runnerSync = newRunnerSync(
@@ -197,15 +197,15 @@
 		runners = controller.runnerSync.runners(now)
 	}
 	return config.Snapshot{
-		Sequence:   controller.configuration.sequence,
-		SpecEpoch:  controller.configuration.specEpoch,
-		Catalog:    controller.configuration.catalog,
-		Registered: controller.settings.Registered,
-		Runners:    runners,
-		Until:      controller.Until(now),
-		Daemons:    max(1, len(controller.configuration.directory)),
-		Term:       controller.reservations.coordinator.Term(),
-		Terms:      controller.reservations.terms,
+		Sequence:    controller.configuration.sequence,
+		SpecEpoch:   controller.configuration.specEpoch,
+		Catalog:     controller.configuration.catalog,
+		Registered:  controller.settings.Registered,
+		Runners:     runners,
+		ExpiresAt:   controller.Until(now),
+		DaemonCount: max(1, len(controller.configuration.directory)),
+		Term:        controller.reservations.coordinator.Term(),
+		Terms:       controller.reservations.terms,
 	}
 }
 
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -158,36 +158,36 @@
 // that receives a response without a grant and without a confirmation, or that learns of a newer document, stops at the
 // end of its lease.
 func TestServesWithoutAnyCore(t *testing.T) {
-	const without = 10 * time.Second
+	const isolationLimit = 10 * time.Second
 	cases := map[string]struct {
-		without  time.Duration
-		response *wire.DaemonLeaseGrant
-		to       time.Duration
+		isolationLimit time.Duration
+		response       *wire.DaemonLeaseGrant
+		to             time.Duration
 	}{
-		"no core responds": {without: without, to: lease.DaemonTTL + without},
+		"no core responds": {isolationLimit: isolationLimit, to: lease.DaemonTTL + isolationLimit},
 		"not allowed":      {to: lease.DaemonTTL},
 		"a minority responds": {
-			without:  without,
-			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7},
-			to:       lease.DaemonTTL,
+			isolationLimit: isolationLimit,
+			response:       &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 7},
+			to:             lease.DaemonTTL,
 		},
 		"a starting machine responds": {
-			without:  without,
-			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Starting: true},
-			to:       lease.DaemonTTL + without,
+			isolationLimit: isolationLimit,
+			response:       &wire.DaemonLeaseGrant{ViewEpoch: 3, Starting: true},
+			to:             lease.DaemonTTL + isolationLimit,
 		},
 		"a starting machine knows something newer": {
-			without:  without,
-			response: &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 8, Starting: true},
-			to:       lease.DaemonTTL,
+			isolationLimit: isolationLimit,
+			response:       &wire.DaemonLeaseGrant{ViewEpoch: 3, Sequence: 8, Starting: true},
+			to:             lease.DaemonTTL,
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			controller := newTestController(t, Settings{WithoutCore: test.without})
+			controller := newTestController(t, Settings{IsolationLimit: test.isolationLimit})
 			start := started.Add(time.Second)
 			grantLease(controller, start)
-			for now := start; now.Before(start.Add(2*lease.DaemonTTL + without)); now = now.Add(50 * time.Millisecond) {
+			for now := start; now.Before(start.Add(2*lease.DaemonTTL + isolationLimit)); now = now.Add(50 * time.Millisecond) {
 				nonces := tickAndCollect(controller, now)
 				if _, requested := nonces["c1"]; requested && test.response != nil {
 					respond(controller, now, nonces, 1, proto.CloneOf(test.response))
@@ -204,7 +204,7 @@
 // A daemon that was suspended has sent no requests meanwhile, so that missing responses do not show that it is
 // isolated.
 func TestASuspendedDaemonIsNotIsolated(t *testing.T) {
-	controller := newTestController(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{IsolationLimit: time.Minute})
 	grantLease(controller, started.Add(time.Second))
 	now := started.Add(8 * time.Second)
 	if now.Before(controller.Until(now)) {
@@ -219,7 +219,7 @@
 // A daemon that was suspended while it was isolated must not count as isolated when it resumes, as it has sent no
 // requests while it was suspended. Found by verify/simulation.
 func TestADaemonSuspendedWhileIsolatedIsNotIsolated(t *testing.T) {
-	controller := newTestController(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{IsolationLimit: time.Minute})
 	start := started.Add(time.Second)
 	grantLease(controller, start)
 	now := start
@@ -242,7 +242,7 @@
 
 // A restarted daemon has held no lease in its lifetime, so it must not serve in isolation.
 func TestARestartedDaemonIsNotIsolated(t *testing.T) {
-	controller := newTestController(t, Settings{WithoutCore: time.Minute})
+	controller := newTestController(t, Settings{IsolationLimit: time.Minute})
 	for now := started; now.Before(started.Add(5 * time.Second)); now = now.Add(50 * time.Millisecond) {
 		tickAndCollect(controller, now)
 		if now.Before(controller.Until(now)) {
--- a/dataplane/controller/lease.go
+++ b/dataplane/controller/lease.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// OnRefused handles a refused connection to an address.
-func (controller *Controller) OnRefused(now time.Time, address string, _ time.Time) {
+// OnConnectionRefused handles a refused connection to an address.
+func (controller *Controller) OnConnectionRefused(now time.Time, address string, _ time.Time) {
 	if controller.schedule.onRefused(address) {
 		controller.requestDueLeases(now)
 	}
--- a/dataplane/controller/reservations.go
+++ b/dataplane/controller/reservations.go
@@ -50,7 +50,7 @@
 func newReservations(now time.Time, settings Settings, incarnation uint64, configuration *configuration,
 	outbox *statemachine.Outbox, random *rand.Rand, environment reservation.Environment) *reservations {
 	self := reservation.Identity{Address: settings.Address, Incarnation: incarnation}
-	created := &reservations{enabled: settings.ReservationsEnabled, isolation: settings.WithoutCore,
+	created := &reservations{enabled: settings.ReservationsEnabled, isolation: settings.IsolationLimit,
 		configuration: configuration, lastTick: now}
 	created.replica = reservation.NewReplica(self, settings.Zone, outbox, environment)
 	created.coordinator = reservation.NewCoordinator(self, settings.Zone, outbox, random, created.replica, environment)
@@ -158,7 +158,7 @@
 // Reserve starts the reservation of a client attempt of an at-most-once request. Settings.ReservationsEnabled must be
 // set.
 func (controller *Controller) Reserve(now time.Time, key reservation.Key,
-	clientAttempt reservation.Sending) *reservation.Reservation {
+	clientAttempt reservation.ClientAttempt) *reservation.Reservation {
 	return controller.reservations.coordinator.Reserve(now, key, clientAttempt)
 }
 
@@ -206,7 +206,7 @@
 		Counters: reservations.coordinator.Counters()}
 	for _, zone := range membership.Zones() {
 		zoneStatus := ReservationZoneStatus{Replicas: len(zone.Replicas), CompleteSince: zone.CompleteSince}
-		if zone.CompleteSince == reservation.Never {
+		if zone.CompleteSince == reservation.NeverComplete {
 			zoneStatus.CompleteSince, zoneStatus.Forming = 0, true
 		}
 		status.Zones[zone.Name] = zoneStatus
--- a/dataplane/daemon/daemon.go
+++ b/dataplane/daemon/daemon.go
@@ -102,23 +102,23 @@
 	}
 	return dataplane.Settings{
 		Settings: controller.Settings{
-			Address:       settings.Address,
-			HTTP:          settings.HTTP,
-			Zone:          settings.Zone,
-			Seeds:         settings.Seeds,
-			LeaseDuration: lease.DaemonTTLFor(settings.ApplyTime()),
-			WithoutCore:   settings.WithoutCoreTime(),
-			Registered:    settings.Registered,
+			Address:        settings.Address,
+			HTTP:           settings.HTTP,
+			Zone:           settings.Zone,
+			Seeds:          settings.Seeds,
+			LeaseDuration:  lease.DaemonTTLFor(settings.ApplyTime()),
+			IsolationLimit: settings.WithoutCoreTime(),
+			Registered:     settings.Registered,
 		},
-		Codec:   adaptedCodec,
-		Retries: retrySettings(settings),
-		Without: settings.DisabledFeatures(),
-		Workers: kvblock.DefaultWorkers,
-		Random:  rand.New(rand.NewSource(randomseed.New())),
-		Await:   scheduler.Await,
-		Send:    func(messages []statemachine.Message) { daemon.transport.Send(messages) },
-		Poll:    func() { go daemon.poll() },
-		Log:     daemon.log,
+		Codec:    adaptedCodec,
+		Retries:  retrySettings(settings),
+		Disabled: settings.DisabledFeatures(),
+		Workers:  kvblock.DefaultWorkers,
+		Random:   rand.New(rand.NewSource(randomseed.New())),
+		Await:    scheduler.Await,
+		Send:     func(messages []statemachine.Message) { daemon.transport.Send(messages) },
+		Poll:     func() { go daemon.poll() },
+		Log:      daemon.log,
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // onConnectionRefused notifies the controller of a refused connection to another process.
 func (daemon *Daemon) onConnectionRefused(address string, tried time.Time) {
-	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, address, tried) })
+	daemon.Step(func(now time.Time, machine *controller.Controller) { machine.OnConnectionRefused(now, address, tried) })
 }
 
 // tick lets the controller perform the periodic work that is due.
--- a/dataplane/daemon/status.go
+++ b/dataplane/daemon/status.go
@@ -63,7 +63,7 @@
 		Uptime:     now.Sub(daemon.Started()).Round(time.Millisecond).String(),
 		Epoch:      snapshot.SpecEpoch,
 		Sequence:   snapshot.Sequence,
-		Serving:    now.Before(snapshot.Until),
+		Serving:    now.Before(snapshot.ExpiresAt),
 		Draining:   daemon.Handler.Draining.Load(),
 		InFlight:   daemon.Handler.InFlight.Load(),
 		Runners:    daemon.Handler.Loads.Runners(now, daemon.Daemons()),
@@ -107,7 +107,7 @@
 		"keys":              uint64(indexer.Index.Len()),
 		"events":            indexer.Pool.Applied.Load(),
 		"dropped":           indexer.Pool.Dropped.Load(),
-		"inferred_removals": indexer.Pool.Inferred.Load(),
+		"inferred_removals": indexer.Pool.InferredRemovals.Load(),
 	}
 }
 
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -49,8 +49,8 @@
 	Workers int
 	// Retries limits retries across all daemons; the zero value means retrybudget.DefaultSettings.
 	Retries retrybudget.Settings
-	// Without holds the disabled features.
-	Without features.Set
+	// Disabled holds the disabled features.
+	Disabled features.Set
 	// Codec is the protocol of clients and runners; nil means codec.Native.
 	Codec codec.Codec
 	// Random seeds the controller and the schedulers.
@@ -115,7 +115,7 @@
 	}
 	dispatched := dedup.New()
 	settings.Quota = quota.NewLimiter()
-	settings.Quota.OnDemand = settings.Without[features.QuotaPrefetch]
+	settings.Quota.OnDemand = settings.Disabled[features.QuotaPrefetch]
 	settings.ReservationsEnabled = !settings.Codec.SingleUse()
 	settings.OnDispatched = func(now time.Time, key []byte, dropped bool) {
 		if len(key) == len(dedup.Key{}) {
@@ -132,7 +132,7 @@
 	plane.Handler = plane.newHandler(settings, indexer, dispatched)
 	plane.schedulers = newSchedulerSet(settings.Random, func(backend string, random *rand.Rand) *scheduler.Scheduler {
 		created := scheduler.NewScheduler(plane.candidates(backend), plane.Handler.Loads, indexer, random)
-		created.Without = settings.Without
+		created.Disabled = settings.Disabled
 		return created
 	})
 	plane.prober = &prober{
@@ -140,7 +140,7 @@
 		loads:       plane.Handler.Loads,
 		connections: plane.Handler.Connections,
 		codec:       settings.Codec,
-		without:     settings.Without,
+		disabled:    settings.Disabled,
 		daemons:     plane.Daemons,
 	}
 	return plane, nil
@@ -149,9 +149,9 @@
 // newHandler returns the handler of client requests.
 func (plane *Plane) newHandler(settings Settings, indexer *kvblock.Indexer, dispatched *dedup.Table) *proxy.Handler {
 	loads := load.NewTable(plane.started, settings.Address)
-	loads.Without = settings.Without
+	loads.Disabled = settings.Disabled
 	connections := connpool.New(plane.environment, settings.Codec.IdentityPath())
-	connections.IsForeign = settings.Codec.AnswersRequest
+	connections.IsForeign = settings.Codec.RespondsToClient
 	return &proxy.Handler{
 		Name:         settings.Address,
 		Zone:         settings.Zone,
@@ -159,7 +159,7 @@
 		Started:      plane.started,
 		Codec:        settings.Codec,
 		Retries:      settings.Retries,
-		Disabled:     settings.Without,
+		Disabled:     settings.Disabled,
 		Await:        settings.Await,
 		Snapshot:     plane.snapshot.Load,
 		Renewed:      func() <-chan struct{} { return *plane.renewed.Load() },
--- a/dataplane/dataplane_test.go
+++ b/dataplane/dataplane_test.go
@@ -73,7 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plane.snapshot.Store(&config.Snapshot{SpecEpoch: 1, Catalog: config.NewCatalog(spec), Until: started.Add(time.Hour)})
+	plane.snapshot.Store(&config.Snapshot{
+		SpecEpoch: 1, Catalog: config.NewCatalog(spec), ExpiresAt: started.Add(time.Hour)})
 	runners := plane.candidates("p")(started).Runners
 	candidates := make([]string, 0, len(runners))
 	for _, runner := range runners {
--- a/dataplane/prober.go
+++ b/dataplane/prober.go
@@ -29,7 +29,7 @@
 	loads       *load.Table
 	connections *connpool.Pool
 	codec       codec.Codec
-	without     features.Set
+	disabled    features.Set
 	daemons     func() []string
 	// probing is the set of ids of the runners with a probe in progress.
 	probing sync.Map
@@ -47,7 +47,7 @@
 
 // probeStale requests a report from every runner whose latest one is outdated, unless a probe is in progress.
 func (prober *prober) probeStale() {
-	if prober.without[features.LoadReports] {
+	if prober.disabled[features.LoadReports] {
 		return
 	}
 	freshness := prober.freshness()
@@ -62,7 +62,7 @@
 // Inactivity alone does not show a failure: a runner that processes a long prompt is as inactive as an unreachable one,
 // but it responds to the probe at once.
 func (prober *prober) probeUnresponsive() {
-	if prober.without[features.SilenceProbes] {
+	if prober.disabled[features.SilenceProbes] {
 		return
 	}
 	for _, id := range prober.connections.Unresponsive(inactivityThreshold) {
--- a/dataplane/prober_test.go
+++ b/dataplane/prober_test.go
@@ -35,7 +35,7 @@
 		loads:       loads,
 		connections: connpool.New(environment, "/identity"),
 		codec:       codec.Native{},
-		without:     features.Set{},
+		disabled:    features.Set{},
 		daemons:     func() []string { return make([]string, daemons) },
 	}, dials, work
 }
@@ -68,7 +68,7 @@
 func TestProbeStale(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		tested, _, work := newTestProber(1)
-		tested.without[features.LoadReports] = disabled
+		tested.disabled[features.LoadReports] = disabled
 		tested.probeStale()
 		if probed := len(*work) > 0; probed == disabled {
 			t.Errorf("LoadReports disabled %v: probed %v", disabled, probed)
--- a/dataplane/readiness.go
+++ b/dataplane/readiness.go
@@ -24,7 +24,7 @@
 // dispatch requests.
 func (plane *Plane) Ready() bool {
 	snapshot := plane.Snapshot()
-	if plane.Handler.Draining.Load() || snapshot.Catalog == nil || !plane.environment.Now().Before(snapshot.Until) {
+	if plane.Handler.Draining.Load() || snapshot.Catalog == nil || !plane.environment.Now().Before(snapshot.ExpiresAt) {
 		return false
 	}
 	// A daemon that knows no runner can serve no request; until it does, clients should use other daemons.
--- a/dataplane/reservations.go
+++ b/dataplane/reservations.go
@@ -21,7 +21,7 @@
 
 // Reserve starts the reservation of a client attempt of an at-most-once request.
 func (reservations planeReservations) Reserve(key reservation.Key,
-	clientAttempt reservation.Sending) (started *reservation.Reservation) {
+	clientAttempt reservation.ClientAttempt) (started *reservation.Reservation) {
 	reservations.plane.stepInternal(func(now time.Time, machine *controller.Controller) {
 		started = machine.Reserve(now, key, clientAttempt)
 	})
--- a/dataplane/step.go
+++ b/dataplane/step.go
@@ -21,7 +21,7 @@
 	snapshot := plane.controller.Snapshot(now)
 	previous := plane.snapshot.Swap(&snapshot)
 	plane.applySnapshot(now, snapshot)
-	if snapshot.Until.After(previous.Until) {
+	if snapshot.ExpiresAt.After(previous.ExpiresAt) {
 		close(*plane.replaceRenewed())
 	}
 	if plane.controller.TakePollRequest() {
@@ -55,7 +55,7 @@
 		plane.specEpoch = snapshot.SpecEpoch
 		plane.log.Info("new configuration in use", "epoch", plane.specEpoch)
 	}
-	if serving := now.Before(snapshot.Until); serving != plane.serving {
+	if serving := now.Before(snapshot.ExpiresAt); serving != plane.serving {
 		plane.serving = serving
 		plane.log.Info("permission to dispatch requests changed; none are dispatched while serving is false",
 			"serving", serving)
--- a/features/features.go
+++ b/features/features.go
@@ -40,8 +40,8 @@
 	Urgency Feature = "urgency"
 	// ConcurrencyWindow limits a daemon's requests in flight; the limit decreases when runners reject requests.
 	ConcurrencyWindow Feature = "window"
-	// EarlyRejection refuses requests that would be dispatched too late, instead of queueing them.
-	EarlyRejection Feature = "early-refusal"
+	// EarlyRefusal refuses requests that would be dispatched too late, instead of queueing them.
+	EarlyRefusal Feature = "early-refusal"
 	// Ejection sends no requests to a runner for some time after a failure.
 	Ejection Feature = "ejection"
 	// WarmUp sends few requests to a new runner at first (slow start).
@@ -69,7 +69,7 @@
 	ZonePreference,
 	Urgency,
 	ConcurrencyWindow,
-	EarlyRejection,
+	EarlyRefusal,
 	Ejection,
 	WarmUp,
 	EarlyRetry,
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -35,12 +35,12 @@
 	Completed uint64 `json:"done"`
 	// Outcomes counts the requests by an outcome of the proxy or an error code.
 	Outcomes map[string]uint64 `json:"ends,omitempty"`
-	// RejectedEarly counts the requests that the scheduler refused within 50 ms of their arrival.
-	RejectedEarly uint64 `json:"refused_early"`
-	// RejectedLate counts the requests that the scheduler refused later.
-	RejectedLate uint64 `json:"refused_late"`
-	// RejectedByQuota counts the requests that were refused because their tenant had used up its quota.
-	RejectedByQuota uint64 `json:"refused_by_quota"`
+	// RefusedEarly counts the requests that the scheduler refused within 50 ms of their arrival.
+	RefusedEarly uint64 `json:"refused_early"`
+	// RefusedLate counts the requests that the scheduler refused later.
+	RefusedLate uint64 `json:"refused_late"`
+	// RefusedByQuota counts the requests that were refused because their tenant had used up its quota.
+	RefusedByQuota uint64 `json:"refused_by_quota"`
 	// Retries counts the attempts at runners after the first one that was sent.
 	Retries uint64 `json:"repeats"`
 	// UnsentAttempts counts the attempts that ended before the request was sent completely.
--- a/proxy/admission/headers.go
+++ b/proxy/admission/headers.go
@@ -9,19 +9,19 @@
 
 // Headers of requests from clients and to runners.
 const (
-	HeaderRoute   = "Wardtray-Lane"
-	HeaderModel   = "Wardtray-Model"
-	HeaderAdapter = "Wardtray-Adapter"
-	HeaderRequest = "Wardtray-Request"
-	HeaderPrompt  = "Wardtray-Prompt-Tokens"
-	HeaderAnswer  = "Wardtray-Answer-Tokens"
-	HeaderPrefix  = "Prompt-Prefix"
-	HeaderRunner  = "Wardtray-Runner"
-	HeaderEpoch   = "Wardtray-Epoch"
-	HeaderDaemon  = "Wardtray-Daemon"
-	HeaderWait    = "Wardtray-Wait"
-	HeaderAfter   = "Wardtray-After"
-	HeaderTenant  = "Wardtray-Tenant"
+	HeaderRoute        = "Wardtray-Lane"
+	HeaderModel        = "Wardtray-Model"
+	HeaderAdapter      = "Wardtray-Adapter"
+	HeaderRequest      = "Wardtray-Request"
+	HeaderPromptTokens = "Wardtray-Prompt-Tokens"
+	HeaderAnswerTokens = "Wardtray-Answer-Tokens"
+	HeaderPrefix       = "Prompt-Prefix"
+	HeaderRunner       = "Wardtray-Runner"
+	HeaderEpoch        = "Wardtray-Epoch"
+	HeaderDaemon       = "Wardtray-Daemon"
+	HeaderTimeout      = "Wardtray-Wait"
+	HeaderLastEventID  = "Wardtray-After"
+	HeaderTenant       = "Wardtray-Tenant"
 	// HeaderAttempt is the number of the client attempt, 1 for the first. HeaderTerm is the newest term that the client
 	// knew from responses when it made the first attempt.
 	HeaderAttempt = "Wardtray-Attempt"
--- a/proxy/admission/parse.go
+++ b/proxy/admission/parse.go
@@ -75,10 +75,10 @@
 func (request *Request) parseCounts(header Header) error {
 	waitMilliseconds, term := 0, 0
 	for _, counted := range []countHeader{
-		{HeaderPrompt, &request.PromptTokens, MaximumTokens, true},
-		{HeaderAnswer, &request.AnswerTokens, MaximumTokens, true},
-		{HeaderWait, &waitMilliseconds, MaximumTimeoutMilliseconds, false},
-		{HeaderAfter, &request.LastEventID, MaximumTokens, false},
+		{HeaderPromptTokens, &request.PromptTokens, MaximumTokens, true},
+		{HeaderAnswerTokens, &request.AnswerTokens, MaximumTokens, true},
+		{HeaderTimeout, &waitMilliseconds, MaximumTimeoutMilliseconds, false},
+		{HeaderLastEventID, &request.LastEventID, MaximumTokens, false},
 		{HeaderAttempt, &request.Attempt, MaximumAttempt, false},
 		{HeaderTerm, &term, MaximumTerm, false},
 	} {
--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -11,12 +11,12 @@
 // validHeaders returns a new copy of the headers of a valid request.
 func validHeaders() map[string][]string {
 	return map[string][]string{
-		HeaderRoute:   {"l"},
-		HeaderModel:   {"m"},
-		HeaderRequest: {"r"},
-		HeaderPrompt:  {"100"},
-		HeaderAnswer:  {"10"},
-		HeaderPrefix:  {"system=40, rheolau=20", "more=40"},
+		HeaderRoute:        {"l"},
+		HeaderModel:        {"m"},
+		HeaderRequest:      {"r"},
+		HeaderPromptTokens: {"100"},
+		HeaderAnswerTokens: {"10"},
+		HeaderPrefix:       {"system=40, rheolau=20", "more=40"},
 	}
 }
 
@@ -40,7 +40,7 @@
 	if plain, err := parse(headers, `{"prompt":"x"}`); err != nil || plain.Timeout != 0 || plain.LastEventID != 0 {
 		t.Fatal(plain, err)
 	}
-	headers[HeaderWait], headers[HeaderAfter] = []string{"1500"}, []string{"7"}
+	headers[HeaderTimeout], headers[HeaderLastEventID] = []string{"1500"}, []string{"7"}
 	request, err := parse(headers, `{"prompt":"x"}`)
 	if err != nil || request.Timeout != 1500*time.Millisecond || request.LastEventID != 7 {
 		t.Fatal(request, err)
@@ -56,23 +56,23 @@
 		"control":              {HeaderRequest: {"a\x01"}},
 		"delete":               {HeaderRequest: {"a\x7f"}},
 		"long":                 {HeaderRequest: {strings.Repeat("x", 300)}},
-		"no count":             {HeaderPrompt: nil},
-		"zero":                 {HeaderAnswer: {"0"}},
-		"negative":             {HeaderPrompt: {"-5"}},
-		"absurd":               {HeaderPrompt: {"99999999999999999999"}},
-		"words":                {HeaderPrompt: {"many"}},
+		"no count":             {HeaderPromptTokens: nil},
+		"zero":                 {HeaderAnswerTokens: {"0"}},
+		"negative":             {HeaderPromptTokens: {"-5"}},
+		"absurd":               {HeaderPromptTokens: {"99999999999999999999"}},
+		"words":                {HeaderPromptTokens: {"many"}},
 		"prefix too long":      {HeaderPrefix: {"a=101"}},
 		"prefix without count": {HeaderPrefix: {"a"}},
 		"prefix without name":  {HeaderPrefix: {"=5"}},
 		"empty part":           {HeaderPrefix: {"a=1,,b=1"}},
-		"wait of no length":    {HeaderWait: {"0"}},
-		"wait in words":        {HeaderWait: {"long"}},
-		"wait too long":        {HeaderWait: {"3600001"}},
-		"after nothing":        {HeaderAfter: {"0"}},
-		"after twice":          {HeaderAfter: {"1", "2"}},
+		"wait of no length":    {HeaderTimeout: {"0"}},
+		"wait in words":        {HeaderTimeout: {"long"}},
+		"wait too long":        {HeaderTimeout: {"3600001"}},
+		"after nothing":        {HeaderLastEventID: {"0"}},
+		"after twice":          {HeaderLastEventID: {"1", "2"}},
 		"many parts": {
-			HeaderPrefix: {strings.TrimSuffix(strings.Repeat("a=1,", MaximumParts+1), ",")},
-			HeaderPrompt: {"4000"},
+			HeaderPrefix:       {strings.TrimSuffix(strings.Repeat("a=1,", MaximumParts+1), ",")},
+			HeaderPromptTokens: {"4000"},
 		},
 	}
 	for name, change := range changes {
@@ -115,7 +115,7 @@
 	fuzz.Fuzz(func(t *testing.T, route, count, prefix string, body []byte) {
 		headers := validHeaders()
 		headers[HeaderRoute] = []string{route}
-		headers[HeaderPrompt] = []string{count}
+		headers[HeaderPromptTokens] = []string{count}
 		headers[HeaderPrefix] = []string{prefix}
 		request, err := Parse(func(name string) []string { return headers[name] }, body)
 		if err != nil {
--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -16,7 +16,7 @@
 // Reservations reserves at-most-once requests with the other daemons of the fleet (see package reservation).
 type Reservations interface {
 	// Reserve starts the reservation of a request and returns without waiting for the outcome.
-	Reserve(key reservation.Key, clientAttempt reservation.Sending) *reservation.Reservation
+	Reserve(key reservation.Key, clientAttempt reservation.ClientAttempt) *reservation.Reservation
 	// Release releases the reservation, decided or not, of a request that certainly did not run and will not run.
 	Release(held *reservation.Reservation)
 	// Finish ends the reservation of a request that has ended and may have run. The reservation is kept for a retention
@@ -38,7 +38,7 @@
 	// key identifies the request once this daemon has accepted it as an at-most-once request; nil otherwise. clientAttempt
 	// holds what the client states about this attempt.
 	key           *dedup.Key
-	clientAttempt reservation.Sending
+	clientAttempt reservation.ClientAttempt
 	// reserved is the reservation; nil until it is started.
 	reserved *reservation.Reservation
 	// isSent reports whether bytes of the request may have reached a runner, announced whether the other daemons were
@@ -69,7 +69,7 @@
 }
 
 // errTooManyRemembered is the error of a request for which this daemon or the replicas have no room.
-var errTooManyRemembered = apierror.New(apierror.TooManyRemembered,
+var errTooManyRemembered = apierror.New(apierror.AtMostOnceLimitReached,
 	"as many requests that run at most once are remembered as can be")
 
 // mustRuleOutEarlier reports whether earlier client attempts must be ruled out before the request is processed further
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -131,7 +131,7 @@
 	exchange := attempt.exchange
 	snapshot, now := exchange.handler.Snapshot(), exchange.now()
 	attempt.checkedAt = now
-	if !now.Before(snapshot.Until) || snapshot.Catalog == nil || exchange.deadline.passed(now) {
+	if !now.Before(snapshot.ExpiresAt) || snapshot.Catalog == nil || exchange.deadline.passed(now) {
 		return false
 	}
 	route := routeOf(snapshot.Catalog, exchange.request)
--- a/proxy/codec/attribution_test.go
+++ b/proxy/codec/attribution_test.go
@@ -57,8 +57,8 @@
 		if got := (Native{}).Classify(response, request, Attempt{}).Disposition; got != test.want {
 			t.Errorf("%s: disposition %q, want %q", name, got, test.want)
 		}
-		if answers := (Native{}).AnswersRequest(response); answers != (len(test.ids) > 0) {
-			t.Errorf("%s: AnswersRequest returned %t", name, answers)
+		if answers := (Native{}).RespondsToClient(response); answers != (len(test.ids) > 0) {
+			t.Errorf("%s: RespondsToClient returned %t", name, answers)
 		}
 	}
 }
--- a/proxy/codec/codec.go
+++ b/proxy/codec/codec.go
@@ -45,6 +45,6 @@
 	ReportTTL() time.Duration
 	// ParseReport parses the response to a probe. A malformed one returns an apierror.Unreachable.
 	ParseReport(content []byte) (load.Report, error)
-	// AnswersRequest reports whether a response belongs to a client's request and so can't be the response to a probe.
-	AnswersRequest(response *fasthttp.Response) bool
+	// RespondsToClient reports whether a response belongs to a client's request and so can't be the response to a probe.
+	RespondsToClient(response *fasthttp.Response) bool
 }
--- a/proxy/codec/native.go
+++ b/proxy/codec/native.go
@@ -48,7 +48,7 @@
 	apierror.QueueFull:               fasthttp.StatusTooManyRequests,
 	apierror.NoRunner:                fasthttp.StatusServiceUnavailable,
 	apierror.NotServing:              fasthttp.StatusServiceUnavailable,
-	apierror.TooManyRemembered:       fasthttp.StatusServiceUnavailable,
+	apierror.AtMostOnceLimitReached:  fasthttp.StatusServiceUnavailable,
 	apierror.OutcomeUnknown:          fasthttp.StatusGatewayTimeout,
 	apierror.RunFailed:               fasthttp.StatusBadGateway,
 	apierror.DuplicateRequest:        fasthttp.StatusConflict,
@@ -128,11 +128,11 @@
 		{Name: admission.HeaderRunner, Value: attempt.Runner.ID},
 		{Name: admission.HeaderDaemon, Value: attempt.Daemon},
 		{Name: admission.HeaderEpoch, Value: strconv.FormatUint(attempt.Epoch, 10)},
-		{Name: admission.HeaderPrompt, Value: strconv.Itoa(request.PromptTokens)},
-		{Name: admission.HeaderAnswer, Value: strconv.Itoa(request.AnswerTokens)},
+		{Name: admission.HeaderPromptTokens, Value: strconv.Itoa(request.PromptTokens)},
+		{Name: admission.HeaderAnswerTokens, Value: strconv.Itoa(request.AnswerTokens)},
 		{Name: admission.HeaderTenant, Value: attempt.Tenant},
-		{Name: admission.HeaderWait, Value: optionalCount(int(attempt.Remaining.Milliseconds()))},
-		{Name: admission.HeaderAfter, Value: optionalCount(attempt.LastEventID)},
+		{Name: admission.HeaderTimeout, Value: optionalCount(int(attempt.Remaining.Milliseconds()))},
+		{Name: admission.HeaderLastEventID, Value: optionalCount(attempt.LastEventID)},
 	} {
 		if header.Value != "" {
 			outgoing.Set(header.Name, header.Value)
@@ -195,7 +195,7 @@
 	return report, apierror.Wrap(json.Unmarshal(content, &report), apierror.Unreachable, "its pressure is no JSON")
 }
 
-// AnswersRequest reports whether a response names a request; the response to a probe does not.
-func (Native) AnswersRequest(response *fasthttp.Response) bool {
+// RespondsToClient reports whether a response names a request; the response to a probe does not.
+func (Native) RespondsToClient(response *fasthttp.Response) bool {
 	return len(response.Header.Peek(admission.HeaderRequest)) > 0
 }
--- a/proxy/codec/native_bench_test.go
+++ b/proxy/codec/native_bench_test.go
@@ -19,11 +19,11 @@
 func benchmarkedRequest() *fasthttp.RequestCtx {
 	request := &fasthttp.RequestCtx{}
 	for name, value := range map[string]string{
-		admission.HeaderRequest: "r-1",
-		admission.HeaderRoute:   "chat",
-		admission.HeaderModel:   "m",
-		admission.HeaderPrompt:  "1000",
-		admission.HeaderAnswer:  "100",
+		admission.HeaderRequest:      "r-1",
+		admission.HeaderRoute:        "chat",
+		admission.HeaderModel:        "m",
+		admission.HeaderPromptTokens: "1000",
+		admission.HeaderAnswerTokens: "100",
 	} {
 		request.Request.Header.Set(name, value)
 	}
--- a/proxy/codec/native_test.go
+++ b/proxy/codec/native_test.go
@@ -58,19 +58,19 @@
 		want    map[string]string
 	}{
 		"plain": {Attempt{Runner: runner, Daemon: "d", Epoch: 7}, map[string]string{
-			admission.HeaderRunner:  "r1",
-			admission.HeaderDaemon:  "d",
-			admission.HeaderEpoch:   "7",
-			admission.HeaderWait:    "",
-			admission.HeaderAfter:   "",
-			admission.HeaderAdapter: "cy",
-			admission.HeaderPrompt:  "100",
+			admission.HeaderRunner:       "r1",
+			admission.HeaderDaemon:       "d",
+			admission.HeaderEpoch:        "7",
+			admission.HeaderTimeout:      "",
+			admission.HeaderLastEventID:  "",
+			admission.HeaderAdapter:      "cy",
+			admission.HeaderPromptTokens: "100",
 		}},
 		"resumed, with a bound": {Attempt{
 			Runner: runner, Remaining: 1500 * time.Millisecond, LastEventID: 3,
 		}, map[string]string{
-			admission.HeaderWait:  "1500",
-			admission.HeaderAfter: "3",
+			admission.HeaderTimeout:     "1500",
+			admission.HeaderLastEventID: "3",
 		}},
 	} {
 		reader := bufio.NewReader(strings.NewReader(string(Native{}.EncodeRequest(request, test.attempt))))
--- a/proxy/dedup/table.go
+++ b/proxy/dedup/table.go
@@ -34,7 +34,7 @@
 
 const (
 	// retentionPeriod is how long the entry of a request is kept after the request has ended.
-	retentionPeriod = reservation.Keep
+	retentionPeriod = reservation.MinimumRetention
 	// shardCapacity is the maximum number of entries of one shard. A full shard refuses new requests and never evicts an
 	// entry before its retention period is over.
 	shardCapacity = 16384
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -129,16 +129,16 @@
 		Decisions:        make(chan scheduler.Decision, 1),
 		Keys:             exchange.handler.Indexer.Processor.BlockKeys(request.Parts, extra),
 		Requirements: scheduler.Requirements{
-			Value:           route.Value,
-			LatencyTarget:   exchange.waitLimits().latencyTarget(),
-			Deadline:        exchange.deadline.timeout(),
-			PromptTokens:    request.PromptTokens,
-			AnswerTokens:    request.AnswerTokens,
-			Rank:            route.Rank,
-			TenantRank:      tenantRank(exchange.tenant),
-			Resumed:         exchange.execution.relayed,
-			Zone:            exchange.handler.Zone,
-			ExcludedRunners: map[string]bool{},
+			Value:             route.Value,
+			LatencyTarget:     exchange.waitLimits().latencyTarget(),
+			Deadline:          exchange.deadline.timeout(),
+			PromptTokens:      request.PromptTokens,
+			MaxResponseTokens: request.AnswerTokens,
+			Rank:              route.Rank,
+			TenantRank:        tenantRank(exchange.tenant),
+			Resumed:           exchange.execution.relayed,
+			Zone:              exchange.handler.Zone,
+			ExcludedRunners:   map[string]bool{},
 		},
 	}
 }
@@ -157,7 +157,7 @@
 	if exchange.client.hasDisconnected() {
 		return exchange.refusalOf(errClientDisconnected())
 	}
-	exchange.count(func(route *metrics.RouteMetrics) { route.RejectedByQuota++ })
+	exchange.count(func(route *metrics.RouteMetrics) { route.RefusedByQuota++ })
 	return exchange.refusal(apierror.QuotaExceeded, "tenant "+tenant.Name+" has used up its quota for now",
-		scheduler.DidNotRun, exchange.handler.Quota.Reject(exchange.now(), tenant.Name, cost))
+		scheduler.DidNotRun, exchange.handler.Quota.Refuse(exchange.now(), tenant.Name, cost))
 }
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &config.Snapshot{SpecEpoch: epoch, Catalog: config.NewCatalog(parsed), Until: time.Now().Add(time.Hour)}
+	return &config.Snapshot{SpecEpoch: epoch, Catalog: config.NewCatalog(parsed), ExpiresAt: time.Now().Add(time.Hour)}
 }
 
 // listed returns the list of runners as the platform reports it.
@@ -315,11 +315,11 @@
 // 10.
 func requestHeaders(route, id string) map[string]string {
 	return map[string]string{
-		admission.HeaderRoute:   route,
-		admission.HeaderModel:   "m",
-		admission.HeaderRequest: id,
-		admission.HeaderPrompt:  "100",
-		admission.HeaderAnswer:  "10",
+		admission.HeaderRoute:        route,
+		admission.HeaderModel:        "m",
+		admission.HeaderRequest:      id,
+		admission.HeaderPromptTokens: "100",
+		admission.HeaderAnswerTokens: "10",
 	}
 }
 
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -25,7 +25,7 @@
 	daemon.snapshot = &config.Snapshot{
 		SpecEpoch: 2,
 		Catalog:   config.NewCatalog(&spec),
-		Until:     time.Now().Add(time.Hour),
+		ExpiresAt: time.Now().Add(time.Hour),
 	}
 	var number atomic.Uint64
 	daemon.Quota = quota.NewLimiter()
@@ -92,7 +92,7 @@
 			return &config.Snapshot{
 				SpecEpoch: 3,
 				Catalog:   config.NewCatalog(&revoked),
-				Until:     previous().Add(time.Hour),
+				ExpiresAt: previous().Add(time.Hour),
 			}
 		}
 		return snapshot()
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -19,8 +19,8 @@
 	typicalStartupTime = 800 * time.Millisecond
 	// maximumRetryAfter bounds the retry time that a daemon that is cut off reports to clients.
 	maximumRetryAfter = 10 * time.Second
-	// earlyRejectionLimit is the time after arrival up to which a rejected request is counted as rejected early.
-	earlyRejectionLimit = 50 * time.Millisecond
+	// earlyRefusalLimit is the time after arrival up to which a refused request is counted as refused early.
+	earlyRefusalLimit = 50 * time.Millisecond
 )
 
 // retryAfter estimates the time after which a client retry may succeed; 0 if that is not known.
@@ -28,7 +28,7 @@
 	switch {
 	case code == apierror.NotServing:
 		return exchange.handler.serviceExpectedIn(exchange.now())
-	case code == apierror.TooManyRemembered:
+	case code == apierror.AtMostOnceLimitReached:
 		return exchange.capacityExpectedIn()
 	case code == apierror.NoRunner, code == apierror.OutcomeUnknown && exchange.route.Idempotent:
 		return exchange.scheduler.RetryAfter(exchange.now(), exchange.queuedRequest)
@@ -40,7 +40,7 @@
 // capacityExpectedIn returns the time after which there is room to record one more at-most-once request.
 func (exchange *Exchange) capacityExpectedIn() time.Duration {
 	if reserved := exchange.atMostOnce.reserved; reserved != nil {
-		return reserved.RoomAfter()
+		return reserved.RetryAfter()
 	}
 	key := dedup.KeyOf(exchange.request.Route, exchange.request.ID)
 	return exchange.handler.Dedup.RoomAfter(exchange.now(), key)
@@ -52,7 +52,7 @@
 	if handler.Draining.Load() {
 		return otherDaemonRetryAfter
 	}
-	until := handler.Snapshot().Until
+	until := handler.Snapshot().ExpiresAt
 	// A daemon that has just started soon knows its configuration to be current, and there is no outage whose duration
 	// could be used for an estimate.
 	if until.Before(handler.Started) {
@@ -64,12 +64,12 @@
 
 // rejectedByScheduler counts a rejection by the scheduler and returns it as a refusal.
 func (exchange *Exchange) rejectedByScheduler() *codec.Refusal {
-	late := exchange.now().Sub(exchange.deadline.started) > earlyRejectionLimit
+	late := exchange.now().Sub(exchange.deadline.started) > earlyRefusalLimit
 	exchange.count(func(route *metrics.RouteMetrics) {
 		if late {
-			route.RejectedLate++
+			route.RefusedLate++
 		} else {
-			route.RejectedEarly++
+			route.RefusedEarly++
 		}
 	})
 	decision := exchange.decision
--- a/proxy/reservation_test.go
+++ b/proxy/reservation_test.go
@@ -18,13 +18,13 @@
 	outcome reservation.Outcome
 
 	mutex          sync.Mutex
-	clientAttempts []reservation.Sending
+	clientAttempts []reservation.ClientAttempt
 	// released and finished count the calls of Release and Finish.
 	released, finished int
 }
 
 func (scripted *scriptedReservations) Reserve(_ reservation.Key,
-	clientAttempt reservation.Sending) *reservation.Reservation {
+	clientAttempt reservation.ClientAttempt) *reservation.Reservation {
 	scripted.mutex.Lock()
 	defer scripted.mutex.Unlock()
 	scripted.clientAttempts = append(scripted.clientAttempts, clientAttempt)
@@ -117,7 +117,7 @@
 	for number, headers := range []map[string]string{firstClientAttempt, clientRetry, nil} {
 		daemon.sendWith(t, "once", fmt.Sprint("r", number), headers)
 	}
-	want := []reservation.Sending{{Number: 1, Term: 5, NotBefore: 3}, {Number: 2, Term: 5}, {}}
+	want := []reservation.ClientAttempt{{Number: 1, Term: 5, NotBefore: 3}, {Number: 2, Term: 5}, {}}
 	for index, got := range reservations.clientAttempts {
 		if got != want[index] {
 			t.Errorf("client attempt %d: %+v", index, got)
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -14,7 +14,7 @@
 	if request.SingleUse || exchange.atMostOnce.reservations == nil {
 		return
 	}
-	clientAttempt := reservation.Sending{Number: request.Attempt, Term: request.Term}
+	clientAttempt := reservation.ClientAttempt{Number: request.Attempt, Term: request.Term}
 	if clientAttempt.IsFirst() {
 		clientAttempt.NotBefore = snapshot.TermBefore(exchange.client.ConnectedAt())
 	} else {
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -45,7 +45,7 @@
 	}{
 		"the lease has run out": {"once", func(daemon *testDaemon) {
 			expired := *daemon.snapshot
-			expired.Until = daemon.Environment.Now().Add(-time.Second)
+			expired.ExpiresAt = daemon.Environment.Now().Add(-time.Second)
 			daemon.snapshot = &expired
 		}},
 		"the zone was closed": {"once", func(daemon *testDaemon) {
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -25,7 +25,7 @@
 // total events, and the end of the run once it has got that far.
 func resumes(name string, count, total int) func(net.Conn, *http.Request) {
 	return func(connection net.Conn, request *http.Request) {
-		after, _ := strconv.Atoi(request.Header.Get(admission.HeaderAfter))
+		after, _ := strconv.Atoi(request.Header.Get(admission.HeaderLastEventID))
 		text := tokenEvents(name, after+1, min(total, after+count))
 		if after+count >= total {
 			text += done(total)
@@ -201,7 +201,7 @@
 	} {
 		daemon := newDaemon(t, startRunner(t, "r1", trial.script))
 		started := time.Now()
-		status, body := daemon.sendWith(t, trial.route, "d", map[string]string{admission.HeaderWait: trial.wait})
+		status, body := daemon.sendWith(t, trial.route, "d", map[string]string{admission.HeaderTimeout: trial.wait})
 		if took := time.Since(started); status != trial.status || !strings.Contains(body, trial.says) ||
 			took < 140*time.Millisecond ||
 			took > 2*time.Second {
@@ -257,7 +257,7 @@
 	current := daemon.snapshot
 	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: current.Catalog}
 	started := time.Now()
-	status, body := daemon.sendWith(t, "once", "unsure", map[string]string{admission.HeaderWait: "100"})
+	status, body := daemon.sendWith(t, "once", "unsure", map[string]string{admission.HeaderTimeout: "100"})
 	if status != 503 || time.Since(started) > configurationTimeout/2 {
 		t.Errorf("without a current configuration: %d %s after %v", status, body, time.Since(started))
 	}
@@ -269,7 +269,7 @@
 		return nil, io.ErrClosedPipe
 	}
 	daemon.Connections = connpool.New(environment, codec.Native{}.IdentityPath())
-	daemon.sendWith(t, "once", "dials", map[string]string{admission.HeaderWait: "100"})
+	daemon.sendWith(t, "once", "dials", map[string]string{admission.HeaderTimeout: "100"})
 	daemon.Loads.RequestSucceeded("r1")
 	daemon.send(t, "once", "dials without a deadline")
 	if len(timeouts) != 2 || timeouts[0].Dial > 100*time.Millisecond || timeouts[0].Dial <= 0 ||
--- a/proxy/routing.go
+++ b/proxy/routing.go
@@ -123,7 +123,7 @@
 		if snapshot.Catalog == nil {
 			return false
 		}
-		if now.Before(snapshot.Until) {
+		if now.Before(snapshot.ExpiresAt) {
 			return true
 		}
 		if exchange.client.hasDisconnected() || !now.Before(until) {
--- a/proxy/search.go
+++ b/proxy/search.go
@@ -91,7 +91,7 @@
 	}
 	// The runner is not at fault if the attempt was not sent because this daemon's configuration was not known to be
 	// current.
-	if outcome != scheduler.NotSent || exchange.handler.Snapshot().Until.After(exchange.now()) {
+	if outcome != scheduler.NotSent || exchange.handler.Snapshot().ExpiresAt.After(exchange.now()) {
 		exchange.queuedRequest.Requirements.ExcludedRunners[runner] = true
 	}
 	return nil
--- a/verify/emulator/request.go
+++ b/verify/emulator/request.go
@@ -22,8 +22,8 @@
 // faults in what daemons send.
 func parsePrompt(header *fasthttp.RequestHeader) prompt {
 	parsed := prompt{
-		tokens:       parseNumber(header.Peek(admission.HeaderPrompt)),
-		answerTokens: parseNumber(header.Peek(admission.HeaderAnswer)),
+		tokens:       parseNumber(header.Peek(admission.HeaderPromptTokens)),
+		answerTokens: parseNumber(header.Peek(admission.HeaderAnswerTokens)),
 	}
 	for _, value := range header.PeekAll(admission.HeaderPrefix) {
 		part, tokens, _ := strings.Cut(string(value), "=")
--- a/verify/emulator/request_test.go
+++ b/verify/emulator/request_test.go
@@ -18,15 +18,15 @@
 		"nothing": {nil, prompt{}},
 		"all": {
 			[]field{
-				{admission.HeaderPrompt, "700"},
-				{admission.HeaderAnswer, "60"},
+				{admission.HeaderPromptTokens, "700"},
+				{admission.HeaderAnswerTokens, "60"},
 				{admission.HeaderPrefix, "system=400"},
 				{admission.HeaderPrefix, "family=200"},
 			},
 			prompt{parts: []string{"system", "family"}, partTokens: []int{400, 200}, tokens: 700, answerTokens: 60},
 		},
 		"numbers that can't be read": {
-			[]field{{admission.HeaderPrompt, "many"}, {admission.HeaderPrefix, "system"}},
+			[]field{{admission.HeaderPromptTokens, "many"}, {admission.HeaderPrefix, "system"}},
 			prompt{parts: []string{"system"}, partTokens: []int{0}},
 		},
 	} {
--- a/verify/emulator/runner_test.go
+++ b/verify/emulator/runner_test.go
@@ -70,8 +70,8 @@
 	header.Set(admission.HeaderRoute, "chat")
 	header.Set(admission.HeaderRunner, "r1")
 	header.Set(admission.HeaderEpoch, "7")
-	header.Set(admission.HeaderPrompt, "500")
-	header.Set(admission.HeaderAnswer, answerTokens)
+	header.Set(admission.HeaderPromptTokens, "500")
+	header.Set(admission.HeaderAnswerTokens, answerTokens)
 	header.Set(admission.HeaderPrefix, "system=400")
 	return header
 }
--- a/verify/loadtest/request.go
+++ b/verify/loadtest/request.go
@@ -60,14 +60,14 @@
 // Headers returns the request's headers, with the name of the model.
 func (drawn Drawn) Headers(model string) map[string][]string {
 	headers := map[string][]string{
-		admission.HeaderRoute:   {drawn.Kind.Route},
-		admission.HeaderModel:   {model},
-		admission.HeaderRequest: {drawn.ID},
-		admission.HeaderPrompt:  {strconv.Itoa(drawn.PromptTokens())},
-		admission.HeaderAnswer:  {strconv.Itoa(drawn.Kind.Answer)},
+		admission.HeaderRoute:        {drawn.Kind.Route},
+		admission.HeaderModel:        {model},
+		admission.HeaderRequest:      {drawn.ID},
+		admission.HeaderPromptTokens: {strconv.Itoa(drawn.PromptTokens())},
+		admission.HeaderAnswerTokens: {strconv.Itoa(drawn.Kind.Answer)},
 	}
 	if drawn.Wait > 0 {
-		headers[admission.HeaderWait] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
+		headers[admission.HeaderTimeout] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
 	}
 	if drawn.Attempt > 0 {
 		headers[admission.HeaderAttempt] = []string{strconv.Itoa(drawn.Attempt)}
--- a/verify/loadtest/request_test.go
+++ b/verify/loadtest/request_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("headers %v, want %v", got, want)
 	}
 	drawn.Wait = 1500 * time.Millisecond
-	if got := drawn.Headers("m")[admission.HeaderWait]; !slices.Equal(got, []string{"1500"}) {
+	if got := drawn.Headers("m")[admission.HeaderTimeout]; !slices.Equal(got, []string{"1500"}) {
 		t.Errorf("time limit %v, want 1500", got)
 	}
 }
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -236,7 +236,7 @@
 	now := checker.world.now
 	checker.recordReachability(host)
 	snapshot := host.controller.Snapshot(now)
-	if !now.Before(snapshot.Until) {
+	if !now.Before(snapshot.ExpiresAt) {
 		return
 	}
 	if snapshot.SpecEpoch < checker.servedEpoch[host.name] {
--- a/verify/modelcheck/world.go
+++ b/verify/modelcheck/world.go
@@ -84,12 +84,12 @@
 		host.controller = controller.New(
 			world.now,
 			controller.Settings{
-				Address:     host.name,
-				HTTP:        host.name,
-				Zone:        host.zone,
-				Seeds:       world.scenario.founders(),
-				Registered:  true,
-				WithoutCore: isolationLimit,
+				Address:        host.name,
+				HTTP:           host.name,
+				Zone:           host.zone,
+				Seeds:          world.scenario.founders(),
+				Registered:     true,
+				IsolationLimit: isolationLimit,
 			},
 			random,
 		)
@@ -224,7 +224,7 @@
 				from.node.ConnectionRefused(world.now, to.name, tried)
 				return
 			}
-			from.controller.OnRefused(world.now, to.name, tried)
+			from.controller.OnConnectionRefused(world.now, to.name, tried)
 		})
 	})
 }
--- a/verify/placement/batch_arrivals.go
+++ b/verify/placement/batch_arrivals.go
@@ -52,13 +52,13 @@
 		arrived:      simulated.world.Now,
 		window:       int(simulated.world.Now.Sub(simulated.started) / windowLength),
 		queued: newQueuedRequest(drawn.route.Name, 1, drawn.prompt, "", scheduler.Requirements{
-			Value:         drawn.route.Value,
-			LatencyTarget: drawn.route.LatencyTarget,
-			Deadline:      drawn.route.Deadline,
-			PromptTokens:  drawn.promptTokens,
-			AnswerTokens:  drawn.answerTokens,
-			Rank:          drawn.route.Rank,
-			Zone:          daemon.zone,
+			Value:             drawn.route.Value,
+			LatencyTarget:     drawn.route.LatencyTarget,
+			Deadline:          drawn.route.Deadline,
+			PromptTokens:      drawn.promptTokens,
+			MaxResponseTokens: drawn.answerTokens,
+			Rank:              drawn.route.Rank,
+			Zone:              daemon.zone,
 		}),
 	}
 	simulated.results.update(drawn.route.Name, func(result *BatchResult) { result.recordArrival(request) })
--- a/verify/simulation/client_exchange.go
+++ b/verify/simulation/client_exchange.go
@@ -95,7 +95,7 @@
 		decided = host.daemon.leasedSince
 	}
 	if held := world.Now.Sub(decided); !lost.IsZero() && held > answerBound &&
-		host.localTime().Before(host.daemon.plane.Snapshot().Until) {
+		host.localTime().Before(host.daemon.plane.Snapshot().ExpiresAt) {
 		world.Check.violation("held-back: %s got its final %q %v after it was decided", exchange.record.Request,
 			exchange.record.Kind, held)
 	}
--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -25,7 +25,7 @@
 	world := checker.world
 	world.isolations.refresh()
 	snapshot := host.daemon.controller.Snapshot(local)
-	if !local.Before(snapshot.Until) || snapshot.Catalog == nil {
+	if !local.Before(snapshot.ExpiresAt) || snapshot.Catalog == nil {
 		checker.Refusals++
 		return
 	}
--- a/verify/simulation/daemon_process.go
+++ b/verify/simulation/daemon_process.go
@@ -75,7 +75,7 @@
 	return dataplane.Settings{
 		Codec: protocol,
 		Settings: controller.Settings{Address: host.Address, HTTP: host.Address, Zone: host.Zone, Seeds: host.seeds,
-			Registered: world.RegisteringRunners != nil, WithoutCore: world.IsolationLimit},
+			Registered: world.RegisteringRunners != nil, IsolationLimit: world.IsolationLimit},
 		Random: random,
 		Await:  world.coroutines.await,
 		Send:   func(outbox []statemachine.Message) { world.network.send(host, outbox) },
@@ -99,7 +99,7 @@
 	if local := daemon.host.localTime(); !local.Before(daemon.leasedUntil) {
 		daemon.leasedSince = daemon.host.world.Now
 	}
-	daemon.leasedUntil = daemon.plane.Snapshot().Until
+	daemon.leasedUntil = daemon.plane.Snapshot().ExpiresAt
 }
 
 // holdsLease reports whether a running daemon holds a lease on its configuration.
@@ -115,7 +115,9 @@
 
 // connectionRefused notifies the controller that an address refused a connection.
 func (daemon *daemonProcess) connectionRefused(address string, tried time.Time) {
-	daemon.plane.Step(func(now time.Time, machine *controller.Controller) { machine.OnRefused(now, address, tried) })
+	daemon.plane.Step(func(now time.Time, machine *controller.Controller) {
+		machine.OnConnectionRefused(now, address, tried)
+	})
 }
 
 // end notifies the clients that their daemon has ended.
@@ -167,5 +169,5 @@
 	local := daemon.host.localTime()
 	snapshot := daemon.controller.Snapshot(local)
 	fmt.Fprintf(text, "  %s serves %v, sequence %d, epoch %d, view %d\n", daemon.host.Address,
-		local.Before(snapshot.Until), snapshot.Sequence, snapshot.SpecEpoch, daemon.controller.View().GetEpoch())
+		local.Before(snapshot.ExpiresAt), snapshot.Sequence, snapshot.SpecEpoch, daemon.controller.View().GetEpoch())
 }
--- a/verify/simulation/engine_server.go
+++ b/verify/simulation/engine_server.go
@@ -129,7 +129,7 @@
 	engine.active++
 	engine.runs++
 	run.Name = fmt.Sprintf("%s/%d", engine.id, engine.runs)
-	run.After, _ = strconv.Atoi(request.Header.Get(admission.HeaderAfter))
+	run.After, _ = strconv.Atoi(request.Header.Get(admission.HeaderLastEventID))
 	defer func() {
 		engine.active--
 		connection.run, run.Finished = nil, engine.world.Now
@@ -144,8 +144,8 @@
 	}
 	defer engine.slots.release()
 	parts, tokens := prefixesOf(request)
-	prompt, _ := strconv.Atoi(request.Header.Get(admission.HeaderPrompt))
-	length, _ := strconv.Atoi(request.Header.Get(admission.HeaderAnswer))
+	prompt, _ := strconv.Atoi(request.Header.Get(admission.HeaderPromptTokens))
+	length, _ := strconv.Atoi(request.Header.Get(admission.HeaderAnswerTokens))
 	if !engine.prefill(connection, prompt-engine.cache.Use(emulator.Chained(parts), tokens)) {
 		return false
 	}
--- a/verify/simulation/engine_test.go
+++ b/verify/simulation/engine_test.go
@@ -34,7 +34,7 @@
 			return
 		}
 		if _, err = fmt.Fprintf(conn, "POST /run HTTP/1.1\r\nHost: sim\r\nContent-Length: 0\r\n%s: 100\r\n%s: 48\r\n\r\n",
-			admission.HeaderPrompt, admission.HeaderAnswer); err != nil {
+			admission.HeaderPromptTokens, admission.HeaderAnswerTokens); err != nil {
 			return
 		}
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -72,7 +72,7 @@
 				continue
 			}
 			run.samples[run.period]++
-			if !host.localTime().Before(host.daemon.plane.Snapshot().Until) {
+			if !host.localTime().Before(host.daemon.plane.Snapshot().ExpiresAt) {
 				run.unleased[run.period]++
 			}
 		}
@@ -119,7 +119,7 @@
 			run.samples[withHalf])
 	}
 	for _, host := range run.world.Daemons() {
-		if !host.localTime().Before(host.daemon.plane.Snapshot().Until) {
+		if !host.localTime().Before(host.daemon.plane.Snapshot().ExpiresAt) {
 			t.Errorf("%s holds no lease in the end", host.Address)
 		}
 	}
