--- a/cmd/wtverify/fleet.go
+++ b/cmd/wtverify/fleet.go
@@ -62,7 +62,7 @@
 		if record != "" {
 			options.RecordFile = filepath.Join(record, name+".json")
 		}
-		passed, err := fleet.Prove(ctx, fleet.Deployments[deployment], fleet.Scenarios[name], options)
+		passed, err := fleet.RunScenario(ctx, fleet.Deployments[deployment], fleet.Scenarios[name], options)
 		if err != nil {
 			return err
 		}
--- a/cmd/wtverify/histories.go
+++ b/cmd/wtverify/histories.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	found := linearizability.Judge(recording, timeout)
+	found := linearizability.Check(recording, timeout)
 	printer{output}.println(found)
 	if pages != "" {
 		if err := found.WritePages(pages); err != nil {
--- a/cmd/wtverify/histories_test.go
+++ b/cmd/wtverify/histories_test.go
@@ -56,7 +56,7 @@
 
 func TestRecorderWritesReadableHistories(t *testing.T) {
 	t.Parallel()
-	world := simulation.PlayEvery(1, controlOnly["guild"], []string{"core killed"}, 1, time.Second)
+	world := simulation.RunFaultsEvery(1, controlOnly["guild"], []string{"core killed"}, 1, time.Second)
 	folder := t.TempDir()
 	recorded := &recorder{folder: folder}
 	recorded.record(world)
--- a/cmd/wtverify/measure.go
+++ b/cmd/wtverify/measure.go
@@ -22,9 +22,9 @@
 	seed := command.Flag("seed", "Seed.").Default("1").Int64()
 	hot := command.Flag("hot", "Fraction of the requests that share one prompt prefix.").Default("0").Float64()
 	known[command.FullCommand()] = func() error {
-		setting := placement.Settings[*deployment]
-		setting.Length, setting.Seed, setting.Hot = *length, *seed, *hot
-		return placement.Table(os.Stdout, setting, *rates)
+		experiment := placement.SlotExperiments[*deployment]
+		experiment.Length, experiment.Seed, experiment.Hot = *length, *seed, *hot
+		return placement.Table(os.Stdout, experiment, *rates)
 	}
 }
 
@@ -40,7 +40,7 @@
 		Default(placement.PolicyNames()...).
 		Enums(placement.PolicyNames()...)
 	seeds := command.Flag("seeds", "Number of seeds whose results are added up.").Default("2").Int()
-	run := placement.Play{}
+	run := placement.BatchExperiment{}
 	command.Flag("length", "Simulated time.").Default("20s").DurationVar(&run.Length)
 	command.Flag("seed", "First seed.").Default("1").Int64Var(&run.Seed)
 	command.Flag("polls", "Age of a runner's last report from which the runner is polled; 0: never.").
@@ -74,7 +74,7 @@
 	routes := command.Flag("lanes", "Number of lanes in the spec that is sent.").Default("10").Int()
 	known[command.FullCommand()] = func() error {
 		for _, size := range *sizes {
-			spread, err := simulation.MeasureSpread(1, size, *routes)
+			propagation, err := simulation.MeasurePropagation(1, size, *routes)
 			if err != nil {
 				return err
 			}
@@ -84,14 +84,14 @@
 					"the change %.0f bytes a daemon\n",
 				size,
 				*routes,
-				spread.Half,
-				spread.Most,
-				spread.All,
-				spread.Acknowledged,
-				spread.Messages,
-				spread.Bytes,
-				spread.CrossZoneBytes,
-				spread.ChangeBytes,
+				propagation.Half,
+				propagation.Most,
+				propagation.All,
+				propagation.Acknowledged,
+				propagation.Messages,
+				propagation.Bytes,
+				propagation.CrossZoneBytes,
+				propagation.ChangeBytes,
 			)
 		}
 		return nil
--- a/cmd/wtverify/seeds_test.go
+++ b/cmd/wtverify/seeds_test.go
@@ -101,8 +101,8 @@
 
 func TestWorstCasesAreThoseOfAllRuns(t *testing.T) {
 	gathered := newWorstCases()
-	gathered.add(histories.WorstCases{Ignored: time.Second, Return: 2 * time.Second})
-	gathered.add(histories.WorstCases{Ignored: 3 * time.Second, Concurrent: 4})
+	gathered.add(histories.WorstCases{OutdatedSpec: time.Second, Return: 2 * time.Second})
+	gathered.add(histories.WorstCases{OutdatedSpec: 3 * time.Second, Concurrent: 4})
 	gathered.count(map[string]int{"done": 5, "refused": 1})
 	gathered.count(map[string]int{"done": 6})
 	output := &strings.Builder{}
--- a/cmd/wtverify/simulation.go
+++ b/cmd/wtverify/simulation.go
@@ -40,7 +40,7 @@
 			*faults = simulation.FaultNames()
 		}
 		return verdict(simulate(os.Stdout, *seeds, func(seed int64) *simulation.World {
-			return simulation.PlayEvery(seed, controlOnly[*deployment], *faults, *atOnce, *every)
+			return simulation.RunFaultsEvery(seed, controlOnly[*deployment], *faults, *atOnce, *every)
 		}))
 	}
 }
@@ -71,9 +71,9 @@
 			if len(sets) > 1 {
 				fmt.Printf("--- %s\n", names[0])
 			}
-			trial := simulation.DefaultTrial
-			trial.Faults, trial.AtOnce, trial.Every = names, *atOnce, *every
-			clean = runTrial(*seeds, *deployment, trial, recorder) && clean
+			scenario := simulation.DefaultRequestScenario
+			scenario.Faults, scenario.AtOnce, scenario.Every = names, *atOnce, *every
+			clean = runScenario(*seeds, *deployment, scenario, recorder) && clean
 		}
 		if err := recorder.failure(); err != nil {
 			return err
@@ -107,29 +107,30 @@
 	seeds.register(command, "Number of seeds for each part.", "16")
 	length := command.Flag("length", "For how long faults are injected, in simulated time.").Default("40s").Duration()
 	only := command.Flag("rule", "Only this part; may be given several times. One of: "+
-		strings.Join(simulation.AttemptNames(), "; ")+".").
+		strings.Join(simulation.RuleScenarioNames(), "; ")+".").
 		Strings()
 	known[command.FullCommand()] = func() error {
-		if err := checkFlags(*seeds, 1, *only, simulation.AttemptNames()); err != nil {
+		if err := checkFlags(*seeds, 1, *only, simulation.RuleScenarioNames()); err != nil {
 			return err
 		}
 		if len(*only) == 0 {
-			*only = simulation.AttemptNames()
+			*only = simulation.RuleScenarioNames()
 		}
 		clean := true
 		for _, name := range *only {
-			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.Attempts[name].Faults, ", "))
-			trial := simulation.Attempts[name].Trial(*length)
-			clean = runTrial(*seeds, *deployment, trial, &recorder{}) && clean
+			fmt.Printf("--- %s: %s\n", name, strings.Join(simulation.RuleScenarios[name].Faults, ", "))
+			scenario := simulation.RuleScenarios[name].RequestScenario(*length)
+			clean = runScenario(*seeds, *deployment, scenario, &recorder{}) && clean
 		}
 		return verdict(clean)
 	}
 }
 
-// runTrial runs a trial with each seed on a deployment with its request path, and reports whether no rule was broken.
-func runTrial(seeds seedRange, deployment string, trial simulation.Trial, recorder *recorder) bool {
+// runScenario runs a request scenario with each seed on a deployment with its request path, and reports whether no rule
+// was broken.
+func runScenario(seeds seedRange, deployment string, scenario simulation.RequestScenario, recorder *recorder) bool {
 	return simulate(os.Stdout, seeds, func(seed int64) *simulation.World {
-		world := simulation.Try(seed, withPath[deployment], trial)
+		world := simulation.RunRequestScenario(seed, withPath[deployment], scenario)
 		recorder.record(world)
 		return world
 	})
--- a/cmd/wtverify/worstcases.go
+++ b/cmd/wtverify/worstcases.go
@@ -22,7 +22,7 @@
 // add adds the worst cases of one run.
 func (worst *worstCases) add(cases histories.WorstCases) {
 	worst.cases.Add(cases)
-	worst.lengths["work against an acknowledged spec"] = worst.cases.Ignored
+	worst.lengths["work against an acknowledged spec"] = worst.cases.OutdatedSpec
 	worst.lengths["work to a leaving runner"] = worst.cases.Draining
 	worst.lengths["work to a closed zone"] = worst.cases.Closed
 	worst.lengths["first answer after the machines' return"] = worst.cases.Return
--- a/control/server/abandoned_test.go
+++ b/control/server/abandoned_test.go
@@ -22,7 +22,7 @@
 
 // Calls that are read after their callers have closed the connection are refused: an outdated heartbeat would make a
 // runner appear alive. A heartbeat of a draining runner is accepted, since it stays true.
-func TestAbandonedCallsAreRejected(t *testing.T) {
+func TestCallsOfDisconnectedCallersAreRefused(t *testing.T) {
 	node := newSingleNode(t)
 	node.sendAndDisconnect(t, heartbeat("ready", "ready"))
 	node.sendAndDisconnect(t, callOf("PUT", "/v1/spec?base=0", "{}"))
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -101,7 +101,7 @@
 	t.Helper()
 	var text strings.Builder
 	add := func(name string, message proto.Message) {
-		if golden.Unknown(message.ProtoReflect()) {
+		if golden.HasUnknownFields(message.ProtoReflect()) {
 			t.Errorf("%s has unknown fields", name)
 		}
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
--- a/coordination/quota/share_test.go
+++ b/coordination/quota/share_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestRejectedRequestsAreToldWhenToRetry(t *testing.T) {
+func TestRefusedRequestsGetARetryTime(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		rate float64
--- a/coordination/reservation/reservation_test.go
+++ b/coordination/reservation/reservation_test.go
@@ -6,7 +6,7 @@
 )
 
 // A first attempt needs only the replicas of its own zone; every retry, at any daemon of any zone, must find it taken.
-func TestFirstSendingIsGrantedOnceInItsZone(t *testing.T) {
+func TestFirstAttemptIsGrantedOnceInItsZone(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 1, 4, 4, 4)
 	daemon := fleet.daemons[0]
@@ -127,7 +127,7 @@
 
 // When a majority of a group of the daemon's own zone is gone, another zone grants first attempts, and a retry must not
 // be granted as well.
-func TestFirstSendingTurnsToAnotherZone(t *testing.T) {
+func TestFirstAttemptTurnsToAnotherZone(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 6, 3, 3)
 	daemon := fleet.daemons[0]
--- a/verify/emulator/cache.go
+++ b/verify/emulator/cache.go
@@ -68,8 +68,8 @@
 	cache.order.Remove(oldest)
 }
 
-// Chained returns, for each part of a prefix, a key that identifies all parts up to and including it.
-func Chained(parts []string) []string {
+// ChainedKeys returns, for each part of a prefix, a key that identifies all parts up to and including it.
+func ChainedKeys(parts []string) []string {
 	keys, key := make([]string, len(parts)), ""
 	for index, part := range parts {
 		key += "\x00" + part
--- a/verify/emulator/cache_test.go
+++ b/verify/emulator/cache_test.go
@@ -56,11 +56,11 @@
 }
 
 func TestChainedKeysTellOpeningsApart(t *testing.T) {
-	first, second := Chained([]string{"a", "b", "c"}), Chained([]string{"a", "x", "c"})
+	first, second := ChainedKeys([]string{"a", "b", "c"}), ChainedKeys([]string{"a", "x", "c"})
 	if first[0] != second[0] || first[1] == second[1] || first[2] == second[2] {
 		t.Errorf("keys %q and %q, want only the first to be equal", first, second)
 	}
-	if slices.Equal(Chained([]string{"a", "bc"}), Chained([]string{"ab", "c"})) {
+	if slices.Equal(ChainedKeys([]string{"a", "bc"}), ChainedKeys([]string{"ab", "c"})) {
 		t.Error("parts whose concatenations are equal have the same keys")
 	}
 }
--- a/verify/emulator/engine.go
+++ b/verify/emulator/engine.go
@@ -53,12 +53,12 @@
 func (engine *engine) readPrompt(prompt prompt, disconnected <-chan struct{}) bool {
 	engine.prefill.Lock()
 	defer engine.prefill.Unlock()
-	cached := engine.cache.Use(Chained(prompt.parts), prompt.partTokens)
+	cached := engine.cache.Use(ChainedKeys(prompt.parts), prompt.partTokens)
 	engine.cachedTokens.Add(int64(cached))
 	engine.promptTokens.Add(int64(prompt.tokens))
 	length := time.Duration(prompt.tokens-cached) * engine.profile.TokenTime
 	if engine.profile.isWarmingUp(time.Since(engine.started)) {
-		length *= time.Duration(engine.profile.ColdFactor)
+		length *= time.Duration(engine.profile.WarmUpSlowdown)
 	}
 	return engine.work(length, disconnected)
 }
--- a/verify/emulator/engine_test.go
+++ b/verify/emulator/engine_test.go
@@ -8,12 +8,12 @@
 
 // testProfile has a prefill time of 1 ms per token and a warm-up period of 1 s.
 var testProfile = RunnerProfile{
-	Slots:       1,
-	TokenTime:   time.Millisecond,
-	AnswerTime:  time.Millisecond,
-	CacheTokens: 1000,
-	ColdTime:    time.Second,
-	ColdFactor:  4,
+	Slots:          1,
+	TokenTime:      time.Millisecond,
+	AnswerTime:     time.Millisecond,
+	CacheTokens:    1000,
+	WarmUpTime:     time.Second,
+	WarmUpSlowdown: 4,
 }
 
 func TestEngineReadsPromptsByCacheAndWarmth(t *testing.T) {
--- a/verify/emulator/handler.go
+++ b/verify/emulator/handler.go
@@ -123,22 +123,22 @@
 	now := time.Now()
 	age := now.Sub(runner.started)
 	run := &histories.Run{
-		At:         now,
-		Request:    header(admission.HeaderRequest),
-		Route:      header(admission.HeaderRoute),
-		Pool:       runner.Backend,
-		Model:      header(admission.HeaderModel),
-		Weights:    runner.Weights,
-		Runner:     runner.ID,
-		Wanted:     header(admission.HeaderRunner),
-		Service:    runner.Service,
-		Zone:       runner.Zone,
-		Daemon:     header(admission.HeaderDaemon),
-		Epoch:      epoch,
-		Started:    started,
-		Concurrent: concurrent,
-		WarmingUp:  runner.profile.isWarmingUp(age),
-		Capacity:   runner.profile.capacity(age),
+		At:             now,
+		Request:        header(admission.HeaderRequest),
+		Route:          header(admission.HeaderRoute),
+		Backend:        runner.Backend,
+		Model:          header(admission.HeaderModel),
+		Weights:        runner.Weights,
+		Runner:         runner.ID,
+		IntendedRunner: header(admission.HeaderRunner),
+		Service:        runner.Service,
+		Zone:           runner.Zone,
+		Daemon:         header(admission.HeaderDaemon),
+		Epoch:          epoch,
+		Started:        started,
+		Concurrent:     concurrent,
+		WarmingUp:      runner.profile.isWarmingUp(age),
+		Capacity:       runner.profile.capacity(age),
 	}
 	runner.history.Change(func(history *histories.History) { history.Runs = append(history.Runs, run) })
 	return run
--- a/verify/emulator/platform.go
+++ b/verify/emulator/platform.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// ListLag is the interval at which the platform publishes its list and probes the daemons.
-	ListLag = 500 * time.Millisecond
+	// UpdateInterval is the interval at which the platform publishes its list and probes the daemons.
+	UpdateInterval = 500 * time.Millisecond
 	// probeTimeout bounds the response time of a readiness probe.
 	probeTimeout = 300 * time.Millisecond
 	// probeIdleTimeout bounds the idle time of a connection to a daemon.
@@ -88,9 +88,9 @@
 // Remove removes a runner from the list with the next publication.
 func (platform *Platform) Remove(runner *Runner) { platform.runners.remove(runner.ID) }
 
-// Settled reports whether a runner has been listed as ready for at least load.SlowStartDuration, after which daemons
-// use its full capacity.
-func (platform *Platform) Settled(runner *Runner) bool {
+// IsPastSlowStart reports whether a runner has been listed as ready for at least load.SlowStartDuration, after which
+// daemons use its full capacity.
+func (platform *Platform) IsPastSlowStart(runner *Runner) bool {
 	return platform.runners.isPastSlowStart(runner.ID, time.Now())
 }
 
@@ -105,7 +105,7 @@
 
 // updatePeriodically publishes the list and probes the daemons until the context is done.
 func (platform *Platform) updatePeriodically(ctx context.Context) {
-	ticker := time.NewTicker(ListLag)
+	ticker := time.NewTicker(UpdateInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/verify/emulator/platform_test.go
+++ b/verify/emulator/platform_test.go
@@ -57,7 +57,7 @@
 	if picked := platform.Pick("a"); picked != ready {
 		t.Errorf("picked %q, want %q", picked, ready)
 	}
-	if platform.Settled(runner) {
+	if platform.IsPastSlowStart(runner) {
 		t.Error("a runner counts as past its slow start immediately")
 	}
 }
--- a/verify/emulator/profile_test.go
+++ b/verify/emulator/profile_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestProfileWhileWarmingUp(t *testing.T) {
-	profile := RunnerProfile{Slots: 4, ColdTime: 2 * time.Second, ColdFactor: 4, PutBackAbove: 6}
+	profile := RunnerProfile{Slots: 4, WarmUpTime: 2 * time.Second, WarmUpSlowdown: 4, QueueLimit: 6}
 	for _, test := range []struct {
 		age       time.Duration
 		warmingUp bool
@@ -23,7 +23,7 @@
 			t.Errorf("after %v: capacity %d, want %d", test.age, capacity, test.capacity)
 		}
 	}
-	profile.ColdFactor = 8
+	profile.WarmUpSlowdown = 8
 	if capacity := profile.capacity(0); capacity != 1 {
 		t.Errorf("capacity %d of a runner whose slowdown exceeds its number of slots, want 1", capacity)
 	}
--- a/verify/emulator/runner_test.go
+++ b/verify/emulator/runner_test.go
@@ -106,7 +106,7 @@
 	awaitRun(t, history, func(run *histories.Run) bool { return !run.Finished.IsZero() })
 	history.Change(func(history *histories.History) {
 		run := history.Runs[0]
-		if run.Request != "q1" || run.Route != "chat" || run.Wanted != "r1" || run.Epoch != 7 || run.Pool != "b" {
+		if run.Request != "q1" || run.Route != "chat" || run.IntendedRunner != "r1" || run.Epoch != 7 || run.Backend != "b" {
 			t.Errorf("recorded %+v", run)
 		}
 		if !run.Started || !run.Complete || run.Events != 3 || !run.Canceled.IsZero() {
--- a/verify/emulator/runnerlist_test.go
+++ b/verify/emulator/runnerlist_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestRunnerIsSettledAfterItsSlowStart(t *testing.T) {
+func TestRunnerIsPastSlowStart(t *testing.T) {
 	list, start := newRunnerList(), time.Now()
 	runner := Identity{ID: "a"}
 	list.set(runner, StateCold)
--- a/verify/fleet/callrecorder.go
+++ b/verify/fleet/callrecorder.go
@@ -37,7 +37,7 @@
 	recording := linearizability.Recording{Calls: fleet.Operator.calls.all()}
 	fleet.History.Change(func(history *histories.History) {
 		recording.Known = history.Final.Known
-		recording.Sendings = linearizability.SendingsOf(history, history.Started)
+		recording.ClientAttempts = linearizability.ClientAttemptsOf(history, history.Started)
 	})
 	return recording
 }
--- a/verify/fleet/callrecorder_test.go
+++ b/verify/fleet/callrecorder_test.go
@@ -11,7 +11,7 @@
 
 // Operators' calls are recorded, and a read that returns an older state than an earlier one is a violation. Without the
 // record, a control machine that forgets a committed configuration would go undetected.
-func TestOperatorsCallsAreJudged(t *testing.T) {
+func TestOperatorsCallsAreChecked(t *testing.T) {
 	core, fake := serveCore(t, map[string]fakeResponse{
 		"GET /v1/spec":             {200, `{"outcome":"found","epoch":1,"spec":{}}`},
 		"GET /v1/operations/first": {200, `{"outcome":"accepted","epoch":1}`},
@@ -29,14 +29,14 @@
 	if _, err := fleet.Operator.Outcome(t.Context(), core, "first"); err != nil {
 		t.Fatal(err)
 	}
-	if found := violationsOf(linearizability.Judge(fleet.Recording(), time.Minute)); len(found) > 0 {
+	if found := violationsOf(linearizability.Check(fleet.Recording(), time.Minute)); len(found) > 0 {
 		t.Fatal(found)
 	}
 	fake.responses["GET /v1/spec"] = fakeResponse{404, `{"outcome":"empty"}`}
 	if _, err := fleet.Operator.Get(t.Context(), core); err == nil {
 		t.Fatal("Get returned no error for a missing configuration")
 	}
-	found := violationsOf(linearizability.Judge(fleet.Recording(), time.Minute))
+	found := violationsOf(linearizability.Check(fleet.Recording(), time.Minute))
 	if len(found) != 1 || found[0].Rule != ruleLinearizable || !strings.Contains(found[0].Detail, "configuration") {
 		t.Errorf("%v", found)
 	}
--- a/verify/fleet/control_scenarios.go
+++ b/verify/fleet/control_scenarios.go
@@ -72,7 +72,7 @@
 }
 
 // controlPlaneDown stops the control plane for half of the load. After its return, a change must be accepted within
-// histories.ReturnBound.
+// histories.RecoveryBound.
 func controlPlaneDown(Deployment) []Step {
 	kill := func(_ context.Context, run *ScenarioRun) error {
 		killAll(run.Cores())
@@ -83,18 +83,18 @@
 }
 
 // changeUntilAccepted sends changes through the first control machine until one is accepted. If none is accepted within
-// histories.ReturnBound, the error wraps ErrTimeout and a NotAcceptedError.
+// histories.RecoveryBound, the error wraps ErrTimeout and a NotAcceptedError.
 func changeUntilAccepted(ctx context.Context, run *ScenarioRun) error {
 	returned := time.Now()
-	order := run.change(ctx, run.Cores()[0], "after-control")
-	err := waitFor(ctx, histories.ReturnBound, func() bool {
-		if !isAccepted(order) {
-			order = run.change(ctx, run.Cores()[0], fmt.Sprintf("after-control-%v", time.Since(returned)))
+	request := run.change(ctx, run.Cores()[0], "after-control")
+	err := waitFor(ctx, histories.RecoveryBound, func() bool {
+		if !isAccepted(request) {
+			request = run.change(ctx, run.Cores()[0], fmt.Sprintf("after-control-%v", time.Since(returned)))
 		}
-		return isAccepted(order)
+		return isAccepted(request)
 	})
 	if err != nil {
-		return fmt.Errorf("within %v of the return: %w: %w", histories.ReturnBound, err, &NotAcceptedError{order})
+		return fmt.Errorf("within %v of the return: %w: %w", histories.RecoveryBound, err, &NotAcceptedError{request})
 	}
 	return nil
 }
@@ -166,9 +166,9 @@
 // faultAtTheEnd kills every process directly after a change is acknowledged. After their restart it sends another
 // change.
 var faultAtTheEnd = steps(at(0.97, func(ctx context.Context, run *ScenarioRun) error {
-	order := run.change(ctx, run.Cores()[0], "last")
-	if !isAccepted(order) {
-		return &NotAcceptedError{order}
+	request := run.change(ctx, run.Cores()[0], "last")
+	if !isAccepted(request) {
+		return &NotAcceptedError{request}
 	}
 	if err := run.restartAll(ctx, "killed at the very end"); err != nil {
 		return err
--- a/verify/fleet/control_scenarios_test.go
+++ b/verify/fleet/control_scenarios_test.go
@@ -45,10 +45,10 @@
 }
 
 func TestNotAcceptedErrorIsFoundBesideItsCause(t *testing.T) {
-	order := &histories.Order{Operation: "last", HTTPStatus: 503, Outcome: "refused", Epoch: 2, Base: 1}
-	err := errors.Join(ErrTimeout, &NotAcceptedError{order})
+	request := &histories.OperatorRequest{Operation: "last", HTTPStatus: 503, Outcome: "refused", Epoch: 2, Base: 1}
+	err := errors.Join(ErrTimeout, &NotAcceptedError{request})
 	var notAccepted *NotAcceptedError
-	if !errors.Is(err, ErrTimeout) || !errors.As(err, &notAccepted) || notAccepted.Order != order {
+	if !errors.Is(err, ErrTimeout) || !errors.As(err, &notAccepted) || notAccepted.Order != request {
 		t.Errorf("%v", err)
 	}
 	want := `the change "last" was not accepted: status 503, outcome "refused", epoch 2, on epoch 1`
--- a/verify/fleet/errors.go
+++ b/verify/fleet/errors.go
@@ -25,12 +25,12 @@
 
 // NotAcceptedError reports that a configuration change which a scenario depends on was not accepted.
 type NotAcceptedError struct {
-	Order *histories.Order
+	Order *histories.OperatorRequest
 }
 
 // Error returns the change's operation ID, status, outcome and epochs.
 func (err *NotAcceptedError) Error() string {
-	order := err.Order
+	request := err.Order
 	return fmt.Sprintf("the change %q was not accepted: status %d, outcome %q, epoch %d, on epoch %d",
-		order.Operation, order.HTTPStatus, order.Outcome, order.Epoch, order.Base)
+		request.Operation, request.HTTPStatus, request.Outcome, request.Epoch, request.Base)
 }
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -153,26 +153,26 @@
 	operation string,
 	base uint64,
 	marker string,
-) *histories.Order {
+) *histories.OperatorRequest {
 	var markers []string
 	if marker != "" {
 		markers = []string{marker}
 	}
-	order := &histories.Order{
+	request := &histories.OperatorRequest{
 		Operation: operation,
 		Base:      base,
 		Marker:    marker,
 		Spec:      fleet.Deployment.Mix.Spec(fleet.Deployment.ZoneNames(), markers...),
 	}
-	fleet.Operator.Apply(ctx, core, order)
-	return order
+	fleet.Operator.Apply(ctx, core, request)
+	return request
 }
 
 // recordFault records a fault of a process that lasts for a duration from now. kills reports whether requests in
 // progress at the process may be lost.
 func (fleet *Fleet) recordFault(description string, process *Process, kills bool, duration time.Duration) {
 	now := time.Now()
-	fault := histories.Fault{At: now, Until: now.Add(duration), What: description, Kills: kills}
+	fault := histories.Fault{At: now, Until: now.Add(duration), What: description, LosesRequests: kills}
 	if process.Program == programData {
 		fault.Daemon = process.Settings.HTTP
 	}
@@ -186,7 +186,7 @@
 ) {
 	now := time.Now()
 	fault := histories.Fault{
-		At: now, Until: now.Add(duration), What: description, Runner: runner.ID, Knowable: detectionTime,
+		At: now, Until: now.Add(duration), What: description, Runner: runner.ID, DetectionTime: detectionTime,
 	}
 	fleet.History.Change(func(history *histories.History) { history.Faults = append(history.Faults, fault) })
 }
--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -97,8 +97,8 @@
 	fleet.recordRunnerFault("runner", fleet.Runners.At(0), 3*time.Second, 4*time.Second)
 	want := []histories.Fault{
 		{What: "core"},
-		{What: "daemon", Daemon: testAddress("1.1:8200"), Kills: true},
-		{What: "runner", Runner: "r00-1", Knowable: 4 * time.Second},
+		{What: "daemon", Daemon: testAddress("1.1:8200"), LosesRequests: true},
+		{What: "runner", Runner: "r00-1", DetectionTime: 4 * time.Second},
 	}
 	for number, fault := range fleet.History.Faults {
 		if duration := fault.Until.Sub(fault.At); duration != time.Duration(number+1)*time.Second {
--- a/verify/fleet/operator.go
+++ b/verify/fleet/operator.go
@@ -74,18 +74,19 @@
 
 // Apply replaces the configuration by the order's Spec, with the order's Base as the expected epoch, and records the
 // order with its outcome.
-func (operator *Operator) Apply(ctx context.Context, core *Process, order *histories.Order) {
-	order.Verb, order.HasBase = proposal.VerbApply, true
-	path := fmt.Sprintf("/v1/spec?base=%d&operation=%s", order.Base, url.QueryEscape(order.Operation))
-	operator.submit(ctx, core, order, http.MethodPut, path, order.Spec.Encode())
+func (operator *Operator) Apply(ctx context.Context, core *Process, request *histories.OperatorRequest) {
+	request.Verb, request.HasBase = proposal.VerbApply, true
+	path := fmt.Sprintf("/v1/spec?base=%d&operation=%s", request.Base, url.QueryEscape(request.Operation))
+	operator.submit(ctx, core, request, http.MethodPut, path, request.Spec.Encode())
 }
 
-// Zone closes or opens a zone and records the order with its outcome. The verb is proposal.VerbClose or VerbOpen.
-func (operator *Operator) Zone(ctx context.Context, core *Process, operation, verb, zone string) *histories.Order {
-	order := &histories.Order{Operation: operation, Verb: verb, Zone: zone}
+// Zone closes or opens a zone and records the request with its outcome. The verb is proposal.VerbClose or VerbOpen.
+func (operator *Operator) Zone(ctx context.Context, core *Process,
+	operation, verb, zone string) *histories.OperatorRequest {
+	request := &histories.OperatorRequest{Operation: operation, Verb: verb, Zone: zone}
 	path := fmt.Sprintf("/v1/zones/%s/%s?operation=%s", url.PathEscape(zone), verb, url.QueryEscape(operation))
-	operator.submit(ctx, core, order, http.MethodPost, path, nil)
-	return order
+	operator.submit(ctx, core, request, http.MethodPost, path, nil)
+	return request
 }
 
 // submit sends a change, adds the outcome to its order and records it. A change without a readable reply has an unknown
@@ -93,20 +94,20 @@
 func (operator *Operator) submit(
 	ctx context.Context,
 	core *Process,
-	order *histories.Order,
+	request *histories.OperatorRequest,
 	method, path string,
 	body []byte,
 ) {
-	order.Sent = time.Now()
+	request.Sent = time.Now()
 	reply, err := operator.call(ctx, method, core, path, body)
-	order.Got = time.Now()
-	order.HTTPStatus, order.Outcome, order.Epoch = reply.Status, reply.Outcome, reply.Epoch
+	request.Got = time.Now()
+	request.HTTPStatus, request.Outcome, request.Epoch = reply.Status, reply.Outcome, reply.Epoch
 	if err != nil {
-		order.Outcome = proposal.OutcomeUnknown
+		request.Outcome = proposal.OutcomeUnknown
 	}
-	operator.history.Change(func(history *histories.History) { history.Orders = append(history.Orders, order) })
-	operator.record(linearizability.Call{Kind: linearizability.KindChange, Operation: order.Operation, Base: order.Base,
-		HasBase: order.HasBase}, order.Sent, order.Got, reply, err)
+	operator.history.Change(func(history *histories.History) { history.Orders = append(history.Orders, request) })
+	operator.record(linearizability.Call{Kind: linearizability.KindChange, Operation: request.Operation,
+		Base: request.Base, HasBase: request.HasBase}, request.Sent, request.Got, reply, err)
 }
 
 // record records a call with its reply for the check of linearizability.
@@ -164,7 +165,7 @@
 	if err := json.Unmarshal(reply.Spec, &spec); err != nil {
 		return histories.Final{}, fmt.Errorf("decoding the configuration at the end: %w", err)
 	}
-	final := histories.Final{Asked: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
+	final := histories.Final{WasRead: true, Epoch: reply.Epoch, Known: map[string]uint64{}}
 	for _, route := range spec.Routes {
 		final.Routes = append(final.Routes, route.Name)
 	}
@@ -186,8 +187,8 @@
 func (operator *Operator) operations() []string {
 	var operations []string
 	operator.history.Change(func(history *histories.History) {
-		for _, order := range history.Orders {
-			operations = append(operations, order.Operation)
+		for _, request := range history.Orders {
+			operations = append(operations, request.Operation)
 		}
 	})
 	return operations
--- a/verify/fleet/operator_scenarios.go
+++ b/verify/fleet/operator_scenarios.go
@@ -34,14 +34,14 @@
 		for number := range count {
 			markers = append(markers, fmt.Sprintf("route-%d", number))
 		}
-		order := &histories.Order{
+		request := &histories.OperatorRequest{
 			Operation: "many",
 			Base:      run.epoch(ctx),
 			Spec:      deployment.Mix.Spec(deployment.ZoneNames(), markers...),
 		}
-		run.Operator.Apply(ctx, run.Cores()[1], order)
-		if !isAccepted(order) {
-			return &NotAcceptedError{order}
+		run.Operator.Apply(ctx, run.Cores()[1], request)
+		if !isAccepted(request) {
+			return &NotAcceptedError{request}
 		}
 		return nil
 	}
--- a/verify/fleet/operator_test.go
+++ b/verify/fleet/operator_test.go
@@ -78,8 +78,8 @@
 	})
 	history := histories.New()
 	operator := newOperator(history)
-	order := &histories.Order{Operation: "a b", Base: 2, Spec: loadtest.Guild.Spec([]string{"a"})}
-	operator.Apply(t.Context(), core, order)
+	request := &histories.OperatorRequest{Operation: "a b", Base: 2, Spec: loadtest.Guild.Spec([]string{"a"})}
+	operator.Apply(t.Context(), core, request)
 	operator.Zone(t.Context(), core, "c", proposal.VerbClose, "south")
 	core.Settings.HTTP = "127.0.0.1:1"
 	operator.Zone(t.Context(), core, "d", proposal.VerbOpen, "south")
@@ -94,18 +94,19 @@
 		{"close", "refused", 409, 3, false},
 		{"open", "unknown", 0, 0, false},
 	}
-	for number, order := range history.Orders {
-		if got := (result{order.Verb, order.Outcome, order.HTTPStatus, order.Epoch, order.HasBase}); got != want[number] {
-			t.Errorf("%s: %+v instead of %+v", order.Operation, got, want[number])
+	for number, request := range history.Orders {
+		if got := (result{request.Verb, request.Outcome, request.HTTPStatus,
+			request.Epoch, request.HasBase}); got != want[number] {
+			t.Errorf("%s: %+v instead of %+v", request.Operation, got, want[number])
 		}
-		if order.Sent.IsZero() || order.Got.Before(order.Sent) {
-			t.Errorf("%s: sent %v, got %v", order.Operation, order.Sent, order.Got)
+		if request.Sent.IsZero() || request.Got.Before(request.Sent) {
+			t.Errorf("%s: sent %v, got %v", request.Operation, request.Sent, request.Got)
 		}
 	}
-	if len(history.Orders) != len(want) || history.Orders[0] != order {
+	if len(history.Orders) != len(want) || history.Orders[0] != request {
 		t.Errorf("%d orders are recorded", len(history.Orders))
 	}
-	if body := fake.bodies[apply]; body != string(order.Spec.Encode()) {
+	if body := fake.bodies[apply]; body != string(request.Spec.Encode()) {
 		t.Errorf("applied %s", body)
 	}
 }
@@ -119,13 +120,13 @@
 		"GET /v1/operations/first": {200, `{"outcome":"accepted","epoch":1}`},
 	})
 	history := histories.New()
-	history.Orders = []*histories.Order{{Operation: "first"}, {Operation: "lost"}}
+	history.Orders = []*histories.OperatorRequest{{Operation: "first"}, {Operation: "lost"}}
 	final, err := newOperator(history).FinalState(t.Context(), core)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"survey", "chat", "confirm", "extra-lane"}
-	if !final.Asked || final.Epoch != 3 || !slices.Equal(final.Routes, want) {
+	if !final.WasRead || final.Epoch != 3 || !slices.Equal(final.Routes, want) {
 		t.Errorf("%+v", final)
 	}
 	if len(final.Known) != 1 || final.Known["first"] != 1 {
@@ -136,7 +137,7 @@
 // An unreadable reply makes FinalState fail: an incomplete final state would let the rules miss lost changes.
 func TestFinalStateFailsWhereAnAnswerIsMissing(t *testing.T) {
 	history := histories.New()
-	history.Orders = []*histories.Order{{Operation: "first"}}
+	history.Orders = []*histories.OperatorRequest{{Operation: "first"}}
 	found := fakeResponse{200, `{"outcome":"found","epoch":3,"spec":{}}`}
 	for name, responses := range map[string]map[string]fakeResponse{
 		"no configuration":           {},
--- a/verify/fleet/report.go
+++ b/verify/fleet/report.go
@@ -22,7 +22,7 @@
 	Worst      histories.WorstCases
 	// Started is the start of the history; the faults' times are printed relative to it.
 	Started    time.Time
-	Orders     []histories.Order
+	Orders     []histories.OperatorRequest
 	Faults     []histories.Fault
 	Violations []histories.Violation
 	// Linearizability is the verdict on the complete histories of operators and clients.
@@ -39,8 +39,8 @@
 	}
 	history.Change(func(history *histories.History) {
 		report.Started, report.Faults = history.Started, slices.Clone(history.Faults)
-		for _, order := range history.Orders {
-			report.Orders = append(report.Orders, *order)
+		for _, request := range history.Orders {
+			report.Orders = append(report.Orders, *request)
 		}
 	})
 	return report
@@ -76,7 +76,7 @@
 		100*report.CacheShare, statistics.Retries)
 	printer.printf("worst cases: a change ignored %v after its acknowledgement (2 s), work to a leaving runner %v (3 s), "+
 		"to a closed zone %v (5 s), first answer after return %v (12 s), %d repeats to %d requests in 10 s\n",
-		milliseconds(worst.Ignored), milliseconds(worst.Draining), milliseconds(worst.Closed),
+		milliseconds(worst.OutdatedSpec), milliseconds(worst.Draining), milliseconds(worst.Closed),
 		milliseconds(worst.Return), worst.Retried, worst.Requests)
 }
 
@@ -95,9 +95,9 @@
 }
 
 func (report Report) printEvents(printer printer) {
-	for _, order := range report.Orders {
+	for _, request := range report.Orders {
 		printer.printf("  order %-12s %-6s %-10s epoch %d in %v\n",
-			order.Operation, order.Verb, order.Outcome, order.Epoch, milliseconds(order.Got.Sub(order.Sent)))
+			request.Operation, request.Verb, request.Outcome, request.Epoch, milliseconds(request.Got.Sub(request.Sent)))
 	}
 	for _, fault := range report.Faults {
 		printer.printf("  at %6.2fs %s\n", fault.At.Sub(report.Started).Seconds(), fault.What)
--- a/verify/fleet/report_test.go
+++ b/verify/fleet/report_test.go
@@ -12,12 +12,12 @@
 
 func TestReportPrintsFiguresEventsAndVerdict(t *testing.T) {
 	history := histories.New()
-	history.Answers = []*histories.Answer{
+	history.Answers = []*histories.ClientAttempt{
 		{Route: "chat", Done: true, First: 10 * time.Millisecond},
 		{Route: "chat", Status: 503, Kind: "waitlist_full"},
 	}
 	sent := history.Started.Add(time.Second)
-	history.Orders = []*histories.Order{{
+	history.Orders = []*histories.OperatorRequest{{
 		Operation: "first", Verb: "apply", Outcome: "accepted", Epoch: 1, Sent: sent, Got: sent.Add(30 * time.Millisecond),
 	}}
 	history.Faults = []histories.Fault{{At: history.Started.Add(9060 * time.Millisecond), What: "runner 3 killed"}}
--- a/verify/fleet/prove.go
+++ b/verify/fleet/run_scenario.go
@@ -28,7 +28,7 @@
 	capacityInterval = 100 * time.Millisecond
 )
 
-// Options configures Prove.
+// Options configures RunScenario.
 type Options struct {
 	// Binaries is the folder of wtdata and wtcore.
 	Binaries string
@@ -49,9 +49,10 @@
 	IgnoreTiming bool
 }
 
-// Prove runs one scenario on one deployment, prints a report, and reports whether every rule held. It returns an error
-// if the run could not be completed, for example because the context was cancelled.
-func Prove(ctx context.Context, deployment Deployment, scenario Scenario, options Options) (clean bool, err error) {
+// RunScenario runs one scenario on one deployment, prints a report, and reports whether every rule held. It returns an
+// error if the run could not be completed, for example because the context was cancelled.
+func RunScenario(ctx context.Context, deployment Deployment, scenario Scenario,
+	options Options) (clean bool, err error) {
 	folder, remove, err := options.workFolder()
 	if err != nil {
 		return false, err
@@ -76,7 +77,7 @@
 	}
 	violations := histories.Check(fleet.History)
 	if options.IgnoreTiming {
-		violations = histories.Timeless(violations)
+		violations = histories.ExcludeTimed(violations)
 	}
 	recording := fleet.Recording()
 	if options.RecordFile != "" {
@@ -84,7 +85,7 @@
 			return false, err
 		}
 	}
-	verdict := linearizability.Judge(recording, linearizability.DefaultTimeout)
+	verdict := linearizability.Check(recording, linearizability.DefaultTimeout)
 	violations = append(violations, violationsOf(verdict)...)
 	report := newReport(fleet.History, fleet.Runners.CacheShare(), violations)
 	report.Linearizability = verdict
@@ -122,7 +123,7 @@
 		return fmt.Errorf("the control plane has no view %v after the start; logs are in %s: %w",
 			startTimeout, fleet.folder, err)
 	}
-	var first *histories.Order
+	var first *histories.OperatorRequest
 	if err := waitFor(ctx, startTimeout, func() bool {
 		first = fleet.apply(ctx, fleet.lastCore(), "first", 0, "")
 		return first.Outcome != proposal.OutcomeUnknown
@@ -150,7 +151,8 @@
 	}
 	deployment := fleet.Deployment
 	clients := loadtest.New(deployment.Mix, deployment.ZoneNames(), fleet.Platform.Pick, fleet.History, options.Seed)
-	clients.Hot, clients.HangUps, clients.Resends = scenario.HotShare, scenario.DisconnectShare, scenario.RetryShare
+	clients.HotShare, clients.DisconnectShare, clients.RetryShare =
+		scenario.HotShare, scenario.DisconnectShare, scenario.RetryShare
 	loadContext, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var load sync.WaitGroup
--- a/verify/fleet/prove_test.go
+++ b/verify/fleet/run_scenario_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("%v: %s", err, output)
 	}
 	report := &strings.Builder{}
-	clean, err := Prove(t.Context(), Deployments["guild"], Scenarios["default"],
+	clean, err := RunScenario(t.Context(), Deployments["guild"], Scenarios["default"],
 		Options{Binaries: folder, Folder: t.TempDir(), Seconds: 10, Seed: 1, Rate: 30, Output: report, IgnoreTiming: true})
 	if err != nil || !clean {
 		t.Fatalf("%v\n%s", err, report)
@@ -26,7 +26,7 @@
 	t.Log(report)
 }
 
-// Prove removes only its own temporary folder, never one that the caller has given or wants to keep.
+// RunScenario removes only its own temporary folder, never one that the caller has given or wants to keep.
 func TestWorkFolderIsRemovedUnlessItIsKept(t *testing.T) {
 	given := t.TempDir()
 	t.Setenv("TMPDIR", t.TempDir())
--- a/verify/fleet/runners.go
+++ b/verify/fleet/runners.go
@@ -58,7 +58,7 @@
 	runners.current[index] = runner
 	runners.mutex.Unlock()
 	runners.platform.Set(runner, emulator.StateCold)
-	time.AfterFunc(runners.profile.ColdTime, func() {
+	time.AfterFunc(runners.profile.WarmUpTime, func() {
 		if runners.At(index) == runner {
 			runners.platform.Set(runner, emulator.StateReady)
 		}
@@ -79,7 +79,7 @@
 		Service: mix.Service,
 		Model:   mix.Model,
 		Weights: mix.Weights,
-		Backend: mix.Pool,
+		Backend: mix.Backend,
 	}
 }
 
@@ -158,7 +158,7 @@
 func (runners *Runners) Capacity() histories.CapacitySample {
 	sample := histories.CapacitySample{At: time.Now(), Free: map[string]int{}, Slots: map[string]int{}}
 	for _, runner := range runners.Current() {
-		if !runners.platform.Settled(runner) {
+		if !runners.platform.IsPastSlowStart(runner) {
 			continue
 		}
 		free, slots := runner.Capacity()
--- a/verify/fleet/runners_test.go
+++ b/verify/fleet/runners_test.go
@@ -35,7 +35,7 @@
 	}
 	t.Cleanup(platform.Close)
 	runners := newRunners(testDeployment, platform, history)
-	runners.profile.ColdTime = 0
+	runners.profile.WarmUpTime = 0
 	t.Cleanup(runners.Stop)
 	return runners
 }
@@ -49,7 +49,7 @@
 	if first.ID != "r01-1" || first.Address != testAddress("101.2:9100") || first.Zone != "b" {
 		t.Errorf("%+v", first.Identity)
 	}
-	if first.Service != testDeployment.Mix.Service || first.Backend != testDeployment.Mix.Pool {
+	if first.Service != testDeployment.Mix.Service || first.Backend != testDeployment.Mix.Backend {
 		t.Errorf("%+v", first.Identity)
 	}
 	if err := runners.StartReplacement(t.Context(), 1); err != nil {
@@ -107,7 +107,7 @@
 
 // Runners in their warm-up or slow start don't count as capacity: the rules would otherwise report refusals as
 // unnecessary while data daemons may not use these runners fully.
-func TestCapacityCountsRunnersThatAreSettled(t *testing.T) {
+func TestCapacityCountsRunnersPastSlowStart(t *testing.T) {
 	runners := newTestRunners(t)
 	if err := runners.Start(t.Context(), 0); err != nil {
 		t.Fatal(err)
--- a/verify/fleet/scenario_run.go
+++ b/verify/fleet/scenario_run.go
@@ -46,13 +46,13 @@
 	return run.durationOf(fraction).Truncate(time.Second)
 }
 
-// loadEnd returns the time at which the load may end: after its planned duration, and not within histories.ReturnBound
-// of a restart of all processes, since only requests show whether the service recovers in time.
+// loadEnd returns the time at which the load may end: after its planned duration, and not within
+// histories.RecoveryBound of a restart of all processes, since only requests show whether the service recovers in time.
 func (run *ScenarioRun) loadEnd() time.Time {
 	duration := run.loadDuration
 	run.History.Change(func(history *histories.History) {
-		for _, returned := range history.Returns {
-			needed := returned.At.Add(histories.ReturnBound).Sub(run.started)
+		for _, end := range history.OutageEnds {
+			needed := end.At.Add(histories.RecoveryBound).Sub(run.started)
 			// Rounded up to seconds.
 			duration = max(duration, (needed + time.Second - 1).Truncate(time.Second))
 		}
@@ -73,7 +73,7 @@
 
 // change applies the deployment's configuration with a marker route through a control machine, based on the committed
 // epoch.
-func (run *ScenarioRun) change(ctx context.Context, core *Process, operation string) *histories.Order {
+func (run *ScenarioRun) change(ctx context.Context, core *Process, operation string) *histories.OperatorRequest {
 	return run.apply(ctx, core, operation, run.epoch(ctx), "lane-"+operation)
 }
 
@@ -83,8 +83,8 @@
 	if err := run.restartEach(ctx, run.Processes(), description, gracePeriod); err != nil {
 		return err
 	}
-	returned := histories.Return{At: time.Now()}
-	run.History.Change(func(history *histories.History) { history.Returns = append(history.Returns, returned) })
+	end := histories.OutageEnd{At: time.Now()}
+	run.History.Change(func(history *histories.History) { history.OutageEnds = append(history.OutageEnds, end) })
 	return nil
 }
 
@@ -100,7 +100,9 @@
 }
 
 // isAccepted reports whether a change was accepted.
-func isAccepted(order *histories.Order) bool { return order.Outcome == proposal.OutcomeAccepted }
+func isAccepted(request *histories.OperatorRequest) bool {
+	return request.Outcome == proposal.OutcomeAccepted
+}
 
 // requestRate is the clients' rate, in requests a second. It is safe for concurrent use.
 type requestRate struct {
--- a/verify/fleet/scenario_run_test.go
+++ b/verify/fleet/scenario_run_test.go
@@ -84,17 +84,17 @@
 	}{
 		"none":         {nil, 15 * time.Second},
 		"an early one": {[]time.Duration{time.Second}, 15 * time.Second},
-		"a late one":   {[]time.Duration{10 * time.Second}, 10*time.Second + histories.ReturnBound},
+		"a late one":   {[]time.Duration{10 * time.Second}, 10*time.Second + histories.RecoveryBound},
 		"parts of a second": {
 			[]time.Duration{time.Second, 10*time.Second + 1},
-			11*time.Second + histories.ReturnBound,
+			11*time.Second + histories.RecoveryBound,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run := newTestRun(15 * time.Second)
 			for _, after := range test.returns {
-				returned := histories.Return{At: run.started.Add(after)}
-				run.History.Returns = append(run.History.Returns, returned)
+				end := histories.OutageEnd{At: run.started.Add(after)}
+				run.History.OutageEnds = append(run.History.OutageEnds, end)
 			}
 			if duration := run.loadEnd().Sub(run.started); duration != test.want {
 				t.Errorf("%v instead of %v", duration, test.want)
--- a/verify/fleet/statistics.go
+++ b/verify/fleet/statistics.go
@@ -28,8 +28,8 @@
 func newStatistics(history *histories.History) Statistics {
 	statistics := Statistics{ErrorCodes: map[string]int{}, FirstEventTimes: map[string][]time.Duration{}}
 	history.Change(func(history *histories.History) {
-		for _, answer := range history.Answers {
-			statistics.addAnswer(answer)
+		for _, attempt := range history.Answers {
+			statistics.addAnswer(attempt)
 		}
 		seen := map[string]bool{}
 		for _, run := range history.Runs {
@@ -43,23 +43,23 @@
 }
 
 // addAnswer counts one answer.
-func (statistics *Statistics) addAnswer(answer *histories.Answer) {
+func (statistics *Statistics) addAnswer(attempt *histories.ClientAttempt) {
 	statistics.Requests++
 	switch {
-	case answer.Done:
+	case attempt.Done:
 		statistics.Done++
-		statistics.FirstEventTimes[answer.Route] = append(statistics.FirstEventTimes[answer.Route], answer.First)
-	case answer.ConnectionLost:
+		statistics.FirstEventTimes[attempt.Route] = append(statistics.FirstEventTimes[attempt.Route], attempt.First)
+	case attempt.ConnectionLost:
 		statistics.Lost++
-	case answer.Error:
+	case attempt.Error:
 		statistics.Broken++
-	case answer.Status == http.StatusGatewayTimeout:
+	case attempt.Status == http.StatusGatewayTimeout:
 		statistics.Unknown++
 	default:
 		statistics.Refused++
 	}
-	if answer.Kind != "" {
-		statistics.ErrorCodes[answer.Route+" "+answer.Kind]++
+	if attempt.Kind != "" {
+		statistics.ErrorCodes[attempt.Route+" "+attempt.Kind]++
 	}
 }
 
--- a/verify/fleet/statistics_test.go
+++ b/verify/fleet/statistics_test.go
@@ -10,7 +10,7 @@
 
 func TestStatisticsCountEachAnswerOnce(t *testing.T) {
 	history := histories.New()
-	history.Answers = []*histories.Answer{
+	history.Answers = []*histories.ClientAttempt{
 		{Route: "chat", Done: true, First: time.Second, Status: 200},
 		{Route: "chat", ConnectionLost: true, Error: true, Status: 200},
 		{Route: "chat", Error: true, Kind: "run_failed", Status: 200},
--- a/verify/golden/message.go
+++ b/verify/golden/message.go
@@ -115,8 +115,8 @@
 	panic(fmt.Sprintf("%s: no value for a field of kind %s", field.FullName(), field.Kind()))
 }
 
-// Unknown reports whether a message, or a message nested in it, contains fields that its descriptor lacks.
-func Unknown(message protoreflect.Message) bool {
+// HasUnknownFields reports whether a message, or a message nested in it, contains fields that its descriptor lacks.
+func HasUnknownFields(message protoreflect.Message) bool {
 	if len(message.GetUnknown()) > 0 {
 		return true
 	}
@@ -126,10 +126,10 @@
 		case field.Kind() != protoreflect.MessageKind || field.IsMap():
 		case field.IsList():
 			for index := range fieldValue.List().Len() {
-				unknown = unknown || Unknown(fieldValue.List().Get(index).Message())
+				unknown = unknown || HasUnknownFields(fieldValue.List().Get(index).Message())
 			}
 		default:
-			unknown = Unknown(fieldValue.Message())
+			unknown = HasUnknownFields(fieldValue.Message())
 		}
 		return !unknown
 	})
--- a/verify/histories/answer_rules.go
+++ b/verify/histories/answer_rules.go
@@ -5,128 +5,130 @@
 )
 
 // answerRules are checked whenever a client has received its complete answer.
-var answerRules = map[string]func(checker *Checker, answer *Answer, report reportFunc){
-	"ran-after-refusal": func(checker *Checker, answer *Answer, report reportFunc) {
-		for _, run := range checker.runs[answer.Request] {
-			if answer.Ran == didNotRun && run.At.Before(answer.Got) && !checker.retriedAfter(answer) {
-				report("%s was refused with %q as not executed, but runner %s ran it", answer.Request, answer.Kind,
+var answerRules = map[string]func(checker *Checker, attempt *ClientAttempt, report reportFunc){
+	"ran-after-refusal": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		for _, run := range checker.runs[attempt.Request] {
+			if attempt.Ran == didNotRun && run.At.Before(attempt.Got) && !checker.retriedAfter(attempt) {
+				report("%s was refused with %q as not executed, but runner %s ran it", attempt.Request, attempt.Kind,
 					run.Runner)
 			}
 		}
 	},
-	"not-whole": func(checker *Checker, answer *Answer, report reportFunc) {
-		complete := !answer.Done
-		for _, run := range checker.runs[answer.Request] {
-			complete = complete || run.Complete && run.Events == len(answer.IDs)-1
+	"not-whole": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		complete := !attempt.Done
+		for _, run := range checker.runs[attempt.Request] {
+			complete = complete || run.Complete && run.Events == len(attempt.IDs)-1
 		}
 		if !complete {
-			report("%s: a complete answer of %d events that no run produced", answer.Request, len(answer.IDs))
+			report("%s: a complete answer of %d events that no run produced", attempt.Request, len(attempt.IDs))
 		}
 	},
-	"spliced": func(checker *Checker, answer *Answer, report reportFunc) {
-		for index, id := range answer.IDs {
+	"spliced": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		for index, id := range attempt.IDs {
 			if id != index+1 {
-				report("%s: event %d in place %d", answer.Request, id, index+1)
+				report("%s: event %d in place %d", attempt.Request, id, index+1)
 				break
 			}
 		}
-		for index := range answer.Runs {
-			if answer.Runs[index] != answer.Runs[0] && !answer.Resumable {
-				report("%s mixes events of runs %s and %s", answer.Request, answer.Runs[0], answer.Runs[index])
+		for index := range attempt.Runs {
+			if attempt.Runs[index] != attempt.Runs[0] && !attempt.Resumable {
+				report("%s mixes events of runs %s and %s", attempt.Request, attempt.Runs[0], attempt.Runs[index])
 				break
 			}
 			// In a resumable stream another run must continue directly after the last relayed event.
-			if index > 0 && answer.Runs[index] != answer.Runs[index-1] &&
-				!checker.startedAfter(answer.Request, answer.Runs[index], answer.IDs[index-1]) {
-				report("%s: run %s continues after event %d, but did not begin there", answer.Request, answer.Runs[index],
-					answer.IDs[index-1])
+			if index > 0 && attempt.Runs[index] != attempt.Runs[index-1] &&
+				!checker.startedAfter(attempt.Request, attempt.Runs[index], attempt.IDs[index-1]) {
+				report("%s: run %s continues after event %d, but did not begin there", attempt.Request, attempt.Runs[index],
+					attempt.IDs[index-1])
 				break
 			}
 		}
 	},
-	"dropped": func(checker *Checker, answer *Answer, report reportFunc) {
-		if !answer.ConnectionLost || !answer.RequestSent || answer.HungUp {
+	"dropped": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		if !attempt.ConnectionLost || !attempt.RequestSent || attempt.ClientDisconnected {
 			return
 		}
 		for _, fault := range checker.history.Faults {
-			if fault.Kills && fault.Daemon == answer.Daemon && !answer.Got.Before(fault.At) &&
-				!answer.Sent.After(fault.Until) {
+			if fault.LosesRequests && fault.Daemon == attempt.Daemon && !attempt.Got.Before(fault.At) &&
+				!attempt.Sent.After(fault.Until) {
 				return
 			}
 		}
-		report("%s, sent to %s, got no answer, and no fault excuses it", answer.Request, answer.Daemon)
+		report("%s, sent to %s, got no answer, and no fault excuses it", attempt.Request, attempt.Daemon)
 	},
-	"turned-away": func(checker *Checker, answer *Answer, report reportFunc) {
-		if checker.isNeedlesslyInDoubt(answer) {
-			report("%s was refused as possibly executed (%s) by %s, though no daemon had a recent fault", answer.Request,
-				answer.Detail, answer.Daemon)
+	"turned-away": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		if checker.isNeedlesslyInDoubt(attempt) {
+			report("%s was refused as possibly executed (%s) by %s, though no daemon had a recent fault", attempt.Request,
+				attempt.Detail, attempt.Daemon)
 		}
-		if answer.Resent && answer.Kind == "already_taken" && checker.surelyNotRun(answer) {
-			report("%s was refused as a duplicate by %s, though it had surely not run", answer.Request, answer.Daemon)
+		if attempt.Resent && attempt.Kind == "already_taken" && checker.surelyNotRun(attempt) {
+			report("%s was refused as a duplicate by %s, though it had surely not run", attempt.Request, attempt.Daemon)
 		}
 		// A request whose deadline has passed may be refused for that reason.
-		if answer.ConnectionLost || answer.HungUp || answer.Done || answer.Resent || checker.isInDoubt(answer) ||
-			answer.Bound > 0 &&
-				!answer.lastEventAt().Before(answer.Started.Add(answer.Bound-answer.Bound/ClockErrorDivisor)) {
+		if attempt.ConnectionLost || attempt.ClientDisconnected || attempt.Done || attempt.Resent ||
+			checker.isInDoubt(attempt) ||
+			attempt.Deadline > 0 &&
+				!attempt.lastEventAt().Before(attempt.Started.Add(attempt.Deadline-attempt.Deadline/ClockErrorDivisor)) {
 			return
 		}
-		check := wrongfulRefusals[answer.Kind]
+		check := wrongfulRefusals[attempt.Kind]
 		if check == nil {
-			report("%s was refused with %d %q by %s", answer.Request, answer.Status, answer.Kind, answer.Daemon)
+			report("%s was refused with %d %q by %s", attempt.Request, attempt.Status, attempt.Kind, attempt.Daemon)
 			return
 		}
-		if checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if checker.history.excusedByFault(attempt.Daemon, attempt.Sent, attempt.Got) {
 			return
 		}
-		if why := check(checker, answer); why != "" {
-			report("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", answer.Request, answer.Route,
-				answer.Daemon, answer.Kind, answer.Detail, answer.Got.Sub(answer.Sent), why)
+		if why := check(checker, attempt); why != "" {
+			report("%s of %s, sent to %s, was refused with %q (%s) after %v, but %s", attempt.Request, attempt.Route,
+				attempt.Daemon, attempt.Kind, attempt.Detail, attempt.Got.Sub(attempt.Sent), why)
 		}
 	},
-	"no-return-time": func(_ *Checker, answer *Answer, report reportFunc) {
-		if retryable[answer.Kind] && !answer.RetryAfter && answer.Status != 200 {
-			report("%s was refused with %q without a retry time", answer.Request, answer.Kind)
+	"no-return-time": func(_ *Checker, attempt *ClientAttempt, report reportFunc) {
+		if retryable[attempt.Kind] && !attempt.RetryAfter && attempt.Status != 200 {
+			report("%s was refused with %q without a retry time", attempt.Request, attempt.Kind)
 		}
 	},
-	"held-back": func(checker *Checker, answer *Answer, report reportFunc) {
+	"held-back": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
 		// A retry may be refused at any time for the outcome of the first attempt.
-		if answer.ConnectionLost || answer.Done || answer.HungUp || answer.Resent ||
-			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+		if attempt.ConnectionLost || attempt.Done || attempt.ClientDisconnected || attempt.Resent ||
+			checker.history.excusedByFault(attempt.Daemon, attempt.Sent, attempt.Got) {
 			return
 		}
-		if late := checker.overdue(answer); late > OverdueBound {
-			report("%s got its final answer %q %v after its cause could be known", answer.Request, answer.Kind, late)
+		if late := checker.overdue(attempt); late > OverdueBound {
+			report("%s got its final answer %q %v after its cause could be known", attempt.Request, attempt.Kind, late)
 		}
 	},
-	"resumed": func(checker *Checker, answer *Answer, report reportFunc) {
-		for _, run := range checker.runs[answer.Request] {
-			if run.After > 0 && !answer.Resumable {
-				report("%s was resumed after event %d, which its route does not allow", answer.Request, run.After)
+	"resumed": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		for _, run := range checker.runs[attempt.Request] {
+			if run.After > 0 && !attempt.Resumable {
+				report("%s was resumed after event %d, which its route does not allow", attempt.Request, run.After)
 			}
-			if len(answer.Runs) > 0 && run.Name == answer.Runs[0] && answer.Head != "" && run.Runner != answer.Head {
-				report("%s began at %s; its head names %s", answer.Request, run.Runner, answer.Head)
+			if len(attempt.Runs) > 0 && run.Name == attempt.Runs[0] &&
+				attempt.HeaderRunner != "" && run.Runner != attempt.HeaderRunner {
+				report("%s began at %s; its head names %s", attempt.Request, run.Runner, attempt.HeaderRunner)
 			}
 		}
 	},
-	"past-deadline": func(checker *Checker, answer *Answer, report reportFunc) {
-		if answer.Bound == 0 || answer.Started.IsZero() || answer.ConnectionLost || answer.HungUp ||
-			checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
+	"past-deadline": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
+		if attempt.Deadline == 0 || attempt.Started.IsZero() || attempt.ConnectionLost || attempt.ClientDisconnected ||
+			checker.history.excusedByFault(attempt.Daemon, attempt.Sent, attempt.Got) {
 			return
 		}
-		late := answer.lastEventAt().Sub(answer.Started.Add(answer.Bound))
-		if late > DeadlineAllowance+answer.Bound/ClockErrorDivisor {
-			report("%s of %s was answered with %d %q (%s) %v after its deadline of %v", answer.Request, answer.Route,
-				answer.Status, answer.Kind, answer.Detail, late, answer.Bound)
+		late := attempt.lastEventAt().Sub(attempt.Started.Add(attempt.Deadline))
+		if late > DeadlineAllowance+attempt.Deadline/ClockErrorDivisor {
+			report("%s of %s was answered with %d %q (%s) %v after its deadline of %v", attempt.Request, attempt.Route,
+				attempt.Status, attempt.Kind, attempt.Detail, late, attempt.Deadline)
 		}
 	},
 }
 
 // lastEventAt returns when the last event of an answer, or the answer itself, was received.
-func (answer *Answer) lastEventAt() time.Time {
-	if answer.Last.IsZero() {
-		return answer.Got
+func (attempt *ClientAttempt) lastEventAt() time.Time {
+	if attempt.Last.IsZero() {
+		return attempt.Got
 	}
-	return answer.Last
+	return attempt.Last
 }
 
 // startedAfter reports whether a run of a request began after an event.
@@ -142,21 +144,22 @@
 // isInDoubt reports whether an at-most-once request was refused, rightly, because an earlier attempt may have run: its
 // client did not declare this attempt the first one, or daemons of every zone were killed recently, together with their
 // records of other attempts.
-func (checker *Checker) isInDoubt(answer *Answer) bool {
-	mayBeRepeated := answer.Resent || answer.Undeclared && answer.Once || answer.Once && checker.recordsWereLost(answer)
-	return mayBeRepeated && answer.Kind == "outcome_unknown" && len(checker.runs[answer.Request]) == 0
+func (checker *Checker) isInDoubt(attempt *ClientAttempt) bool {
+	mayBeRepeated := attempt.Resent || attempt.Undeclared && attempt.AtMostOnce ||
+		attempt.AtMostOnce && checker.recordsWereLost(attempt)
+	return mayBeRepeated && attempt.Kind == "outcome_unknown" && len(checker.runs[attempt.Request]) == 0
 }
 
 // recordsWereLost reports whether daemons of every zone were killed, none earlier than DoubtBound and the last one at
 // most FirstDoubtBound before a request was sent.
-func (checker *Checker) recordsWereLost(answer *Answer) bool {
+func (checker *Checker) recordsWereLost(attempt *ClientAttempt) bool {
 	killed, isRecent := map[string]bool{}, false
 	for _, fault := range checker.history.Faults {
-		if fault.Daemon == "" || !fault.Kills || !fault.overlaps(answer.Sent.Add(-DoubtBound), answer.Got) {
+		if fault.Daemon == "" || !fault.LosesRequests || !fault.overlaps(attempt.Sent.Add(-DoubtBound), attempt.Got) {
 			continue
 		}
 		killed[checker.history.ZoneOf[fault.Daemon]] = true
-		isRecent = isRecent || answer.Sent.Before(fault.Until.Add(FirstDoubtBound))
+		isRecent = isRecent || attempt.Sent.Before(fault.Until.Add(FirstDoubtBound))
 	}
 	for _, zone := range checker.history.Zones {
 		if !killed[zone] {
@@ -169,24 +172,24 @@
 // isNeedlesslyInDoubt reports whether a request was refused as possibly executed although the daemons had records of
 // every attempt that could have run. While only a minority of the control machines is left, daemons may neither serve
 // nor state outcomes, and such a refusal is allowed.
-func (checker *Checker) isNeedlesslyInDoubt(answer *Answer) bool {
-	return !answer.MinorityLeft && checker.isInDoubt(answer) && faultlessRunner(checker, answer) != "" &&
-		!checker.history.anyDaemonFaulty(answer.Sent.Add(-DoubtBound), answer.Got)
+func (checker *Checker) isNeedlesslyInDoubt(attempt *ClientAttempt) bool {
+	return !attempt.MinorityLeft && checker.isInDoubt(attempt) && faultlessRunner(checker, attempt) != "" &&
+		!checker.history.anyDaemonFaulty(attempt.Sent.Add(-DoubtBound), attempt.Got)
 }
 
 // surelyNotRun reports whether every earlier attempt of a request was refused as not executed, and no daemon had a
 // fault meanwhile that could have kept the others from learning that.
-func (checker *Checker) surelyNotRun(answer *Answer) bool {
+func (checker *Checker) surelyNotRun(attempt *ClientAttempt) bool {
 	before := 0
-	for _, other := range checker.answers[answer.Request] {
-		if other != answer && !other.Got.After(answer.Sent) {
-			if other.Ran != didNotRun || checker.history.anyDaemonFaulty(other.Sent, answer.Got) {
+	for _, other := range checker.answers[attempt.Request] {
+		if other != attempt && !other.Got.After(attempt.Sent) {
+			if other.Ran != didNotRun || checker.history.anyDaemonFaulty(other.Sent, attempt.Got) {
 				return false
 			}
 			before++
 		}
 	}
-	return before > 0 && before == len(checker.requests[answer.Request])-1 && len(checker.runs[answer.Request]) == 0
+	return before > 0 && before == len(checker.requests[attempt.Request])-1 && len(checker.runs[attempt.Request]) == 0
 }
 
 // retryable are the kinds of refusals after which a retry can succeed.
@@ -199,10 +202,10 @@
 }
 
 // overdue returns the time from when the cause of a request's final answer could be known to the answer.
-func (checker *Checker) overdue(answer *Answer) time.Duration {
-	known := answer.Sent.Add(answer.LatencyTarget)
-	for _, run := range checker.runs[answer.Request] {
-		fault, found := checker.history.runnerFault(run.Runner, run.At, answer.Got)
+func (checker *Checker) overdue(attempt *ClientAttempt) time.Duration {
+	known := attempt.Sent.Add(attempt.LatencyTarget)
+	for _, run := range checker.runs[attempt.Request] {
+		fault, found := checker.history.runnerFault(run.Runner, run.At, attempt.Got)
 		if !found {
 			// A runner without a fault is only slow and may still answer, so no loss can be known.
 			return 0
@@ -211,15 +214,15 @@
 		if begin.Before(run.At) {
 			begin = run.At
 		}
-		at := begin.Add(fault.Knowable)
-		if fault.Until.Sub(begin) < fault.Knowable {
+		at := begin.Add(fault.DetectionTime)
+		if fault.Until.Sub(begin) < fault.DetectionTime {
 			// A fault that ended before it could be detected shows only by the missing answer.
-			at = run.At.Add(2 * answer.LatencyTarget)
+			at = run.At.Add(2 * attempt.LatencyTarget)
 		}
 		// A repeatable request is retried at other runners within its latency target.
-		if at.After(known) || answer.Once {
+		if at.After(known) || attempt.AtMostOnce {
 			known = at
 		}
 	}
-	return answer.Got.Sub(known)
+	return attempt.Got.Sub(known)
 }
--- a/verify/histories/capacity_test.go
+++ b/verify/histories/capacity_test.go
@@ -63,7 +63,7 @@
 func TestFreeShareIsThatOfTheSpecsOfTheDaemon(t *testing.T) {
 	checker, at := checkerWithSamples(10, 10, 10, 10)
 	history := checker.history
-	history.Orders = append(history.Orders, &Order{Operation: "opening", Verb: "open", Zone: "b", Sent: at(25),
+	history.Orders = append(history.Orders, &OperatorRequest{Operation: "opening", Verb: "open", Zone: "b", Sent: at(25),
 		Got: at(25.1), Outcome: "accepted", Epoch: 3})
 	history.Isolations = []*Isolation{{Daemon: "isolated", From: at(24), Until: at(40)}}
 	history.CapacitySamples[1].Free["a"] = 0
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -26,8 +26,8 @@
 	// By request: runs that started, answers that are complete, and requests, which holds an answer's record from the
 	// time it is sent. atMostOnce holds the at-most-once requests.
 	runs       map[string][]*Run
-	answers    map[string][]*Answer
-	requests   map[string][]*Answer
+	answers    map[string][]*ClientAttempt
+	requests   map[string][]*ClientAttempt
 	atMostOnce map[string]bool
 	// drains holds the first drainsSeen drains of the history, by runner.
 	drains     map[string][]*Drain
@@ -50,8 +50,8 @@
 		history:    history,
 		known:      known,
 		runs:       map[string][]*Run{},
-		answers:    map[string][]*Answer{},
-		requests:   map[string][]*Answer{},
+		answers:    map[string][]*ClientAttempt{},
+		requests:   map[string][]*ClientAttempt{},
 		atMostOnce: map[string]bool{},
 		drains:     map[string][]*Drain{},
 		epochs:     map[string]workedEpoch{},
@@ -66,17 +66,17 @@
 	sort.SliceStable(history.Runs,
 		func(left, right int) bool { return history.Runs[left].At.Before(history.Runs[right].At) })
 	checker := NewChecker(history, history.Final.Known)
-	for _, answer := range history.Answers {
-		checker.ObserveRequest(answer)
+	for _, attempt := range history.Answers {
+		checker.ObserveRequest(attempt)
 	}
 	for _, run := range history.Runs {
 		checker.ObserveRun(run)
 	}
-	for _, answer := range history.Answers {
-		checker.ObserveAnswer(answer)
+	for _, attempt := range history.Answers {
+		checker.ObserveAnswer(attempt)
 	}
-	for _, answer := range history.Answers {
-		checker.CheckDeparture(answer, answer.HungUpAt.Add(DepartureBound))
+	for _, attempt := range history.Answers {
+		checker.CheckDisconnect(attempt, attempt.DisconnectedAt.Add(DisconnectBound))
 	}
 	checker.Finish()
 	return checker.Violations
@@ -102,9 +102,9 @@
 }
 
 // ObserveRequest records that a request was sent, so that its runs can be checked before its answer is complete.
-func (checker *Checker) ObserveRequest(answer *Answer) {
-	checker.atMostOnce[answer.Request] = checker.atMostOnce[answer.Request] || answer.Once
-	checker.requests[answer.Request] = append(checker.requests[answer.Request], answer)
+func (checker *Checker) ObserveRequest(attempt *ClientAttempt) {
+	checker.atMostOnce[attempt.Request] = checker.atMostOnce[attempt.Request] || attempt.AtMostOnce
+	checker.requests[attempt.Request] = append(checker.requests[attempt.Request], attempt)
 }
 
 // ObserveRun checks a newly recorded run.
@@ -117,10 +117,10 @@
 }
 
 // ObserveAnswer checks a newly recorded, complete answer.
-func (checker *Checker) ObserveAnswer(answer *Answer) {
-	checker.answers[answer.Request] = append(checker.answers[answer.Request], answer)
+func (checker *Checker) ObserveAnswer(attempt *ClientAttempt) {
+	checker.answers[attempt.Request] = append(checker.answers[attempt.Request], attempt)
 	checker.refresh()
-	checker.apply(bind(answerRules, answer))
+	checker.apply(bind(answerRules, attempt))
 }
 
 // Finish checks the rules that need the complete history.
--- a/verify/histories/disconnect.go
+++ b/verify/histories/disconnect.go
@@ -10,18 +10,19 @@
 // If only its arrival is known, a request is excused that may have been sent in time and delayed on its way to a faulty
 // runner, for up to transitTime. A fault of the daemon excuses nothing: a daemon checks for a disconnect again when it
 // resumes from a freeze.
-func (checker *Checker) sentAfterDisconnect(run *Run, answer *Answer) time.Duration {
+func (checker *Checker) sentAfterDisconnect(run *Run, attempt *ClientAttempt) time.Duration {
 	sent := run.Sent
 	if sent.IsZero() {
 		sent = run.At
 	}
-	if answer.HungUpAt.IsZero() || !sameMachine(answer.Daemon, run.Daemon) || sent.Before(answer.HungUpAt) ||
-		checker.retriedAtSameDaemon(answer) {
+	if attempt.DisconnectedAt.IsZero() || !sameMachine(attempt.Daemon, run.Daemon) ||
+		sent.Before(attempt.DisconnectedAt) ||
+		checker.retriedAtSameDaemon(attempt) {
 		return 0
 	}
-	late := sent.Sub(answer.HungUpAt)
-	if _, isDelayed := checker.history.runnerFault(run.Runner, answer.Sent, run.At); isDelayed && run.Sent.IsZero() &&
-		late <= DepartureBound+transitTime {
+	late := sent.Sub(attempt.DisconnectedAt)
+	if _, isDelayed := checker.history.runnerFault(run.Runner, attempt.Sent, run.At); isDelayed && run.Sent.IsZero() &&
+		late <= DisconnectBound+transitTime {
 		return 0
 	}
 	return late
@@ -36,30 +37,30 @@
 
 // retriedAtSameDaemon reports whether the same request was sent to the same daemon more than once, so that its runs
 // can't be attributed to one client attempt.
-func (checker *Checker) retriedAtSameDaemon(answer *Answer) bool {
+func (checker *Checker) retriedAtSameDaemon(attempt *ClientAttempt) bool {
 	count := 0
-	for _, other := range checker.requests[answer.Request] {
-		if other.Daemon == answer.Daemon {
+	for _, other := range checker.requests[attempt.Request] {
+		if other.Daemon == attempt.Daemon {
 			count++
 		}
 	}
 	return count > 1
 }
 
-// CheckDeparture checks whether a run of a client that has disconnected still goes on at a moment by which its daemon
-// has had DepartureBound to detect the disconnect. Runs that are not cancelled by a disconnect are excepted, and a
+// CheckDisconnect checks whether a run of a client that has disconnected still goes on at a moment by which its daemon
+// has had DisconnectBound to detect the disconnect. Runs that are not cancelled by a disconnect are excepted, and a
 // fault of the daemon within that time excuses it.
-func (checker *Checker) CheckDeparture(answer *Answer, until time.Time) {
-	if answer.HungUpAt.IsZero() || !answer.Cancels || checker.retriedAtSameDaemon(answer) {
+func (checker *Checker) CheckDisconnect(attempt *ClientAttempt, until time.Time) {
+	if attempt.DisconnectedAt.IsZero() || !attempt.CancelsOnDisconnect || checker.retriedAtSameDaemon(attempt) {
 		return
 	}
-	if checker.history.daemonFaulty(answer.Daemon, until.Add(-DepartureBound), until) {
+	if checker.history.daemonFaulty(attempt.Daemon, until.Add(-DisconnectBound), until) {
 		return
 	}
-	for _, run := range checker.runs[answer.Request] {
-		if sameMachine(run.Daemon, answer.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
+	for _, run := range checker.runs[attempt.Request] {
+		if sameMachine(run.Daemon, attempt.Daemon) && run.At.Before(until) && !run.finishedBy(until) {
 			checker.reporter("left-requester")("%s still ran at %s %v after its client had disconnected from %s",
-				answer.Request, run.Runner, DepartureBound, run.Daemon)
+				attempt.Request, run.Runner, DisconnectBound, run.Daemon)
 		}
 	}
 }
--- a/verify/histories/final_rules.go
+++ b/verify/histories/final_rules.go
@@ -17,11 +17,11 @@
 }
 
 // accepted returns the acknowledged changes, ordered by the time of their acknowledgement.
-func (history *History) accepted() []*Order {
-	var accepted []*Order
-	for _, order := range history.Orders {
-		if order.Outcome == outcomeAccepted && order.changesSpec() {
-			accepted = append(accepted, order)
+func (history *History) accepted() []*OperatorRequest {
+	var accepted []*OperatorRequest
+	for _, request := range history.Orders {
+		if request.Outcome == outcomeAccepted && request.changesSpec() {
+			accepted = append(accepted, request)
 		}
 	}
 	sort.SliceStable(accepted, func(left, right int) bool { return accepted[left].Got.Before(accepted[right].Got) })
@@ -34,15 +34,15 @@
 	for _, route := range history.Final.Routes {
 		routes[route] = true
 	}
-	for _, order := range history.Orders {
-		if order.Outcome != outcomeRefused || !isBinding(history.Orders, order) {
+	for _, request := range history.Orders {
+		if request.Outcome != outcomeRefused || !isBinding(history.Orders, request) {
 			continue
 		}
-		if order.Marker != "" && routes[order.Marker] {
-			report("%s was refused and its route %q is in effect", order.Operation, order.Marker)
+		if request.Marker != "" && routes[request.Marker] {
+			report("%s was refused and its route %q is in effect", request.Operation, request.Marker)
 		}
-		if epoch, known := history.Final.Known[order.Operation]; known {
-			report("%s was refused and is recorded as epoch %d", order.Operation, epoch)
+		if epoch, known := history.Final.Known[request.Operation]; known {
+			report("%s was refused and is recorded as epoch %d", request.Operation, epoch)
 		}
 	}
 }
@@ -50,11 +50,11 @@
 // isBinding reports whether a refusal means that its operation never takes effect. A refusal of the change itself
 // always does. A refusal because there is no head, disk or capacity (503) applies only to the attempt that it answers:
 // the operator may send the operation again, and another attempt that was not refused may take effect.
-func isBinding(orders []*Order, refused *Order) bool {
+func isBinding(requests []*OperatorRequest, refused *OperatorRequest) bool {
 	if refused.HTTPStatus != http.StatusServiceUnavailable {
 		return true
 	}
-	return !slices.ContainsFunc(orders, func(other *Order) bool {
+	return !slices.ContainsFunc(requests, func(other *OperatorRequest) bool {
 		return other != refused && other.Operation == refused.Operation && other.Outcome != outcomeRefused
 	})
 }
@@ -62,68 +62,68 @@
 // checkBases checks that each epoch is assigned to at most one change, and is the base of at most one.
 func checkBases(checker *Checker, report reportFunc) {
 	bases, epochs := map[uint64]string{}, map[uint64]string{}
-	for _, order := range checker.history.accepted() {
-		if (order.Verb == verbApply || order.Verb == verbChange) && order.HasBase {
-			if other, found := bases[order.Base]; found && other != order.Operation {
-				report("%s and %s were both accepted on base %d", other, order.Operation, order.Base)
+	for _, request := range checker.history.accepted() {
+		if (request.Verb == verbApply || request.Verb == verbChange) && request.HasBase {
+			if other, found := bases[request.Base]; found && other != request.Operation {
+				report("%s and %s were both accepted on base %d", other, request.Operation, request.Base)
 			}
-			bases[order.Base] = order.Operation
+			bases[request.Base] = request.Operation
 		}
-		if other, found := epochs[order.Epoch]; found && other != order.Operation {
-			report("%s and %s were both accepted as epoch %d", other, order.Operation, order.Epoch)
+		if other, found := epochs[request.Epoch]; found && other != request.Operation {
+			report("%s and %s were both accepted as epoch %d", other, request.Operation, request.Epoch)
 		}
-		epochs[order.Epoch] = order.Operation
+		epochs[request.Epoch] = request.Operation
 	}
 }
 
 // checkDurability checks that the fleet has every acknowledged change at the end.
 func checkDurability(checker *Checker, report reportFunc) {
 	history := checker.history
-	if !history.Final.Asked {
+	if !history.Final.WasRead {
 		report("the final state was not read")
 		return
 	}
-	for _, order := range history.accepted() {
-		if history.Final.Epoch < order.Epoch {
-			report("%s was acknowledged as epoch %d; the final epoch is %d", order.Operation, order.Epoch,
+	for _, request := range history.accepted() {
+		if history.Final.Epoch < request.Epoch {
+			report("%s was acknowledged as epoch %d; the final epoch is %d", request.Operation, request.Epoch,
 				history.Final.Epoch)
 		}
-		if epoch, known := history.Final.Known[order.Operation]; !known || epoch != order.Epoch {
-			report("%s was acknowledged as epoch %d; the fleet records epoch %d", order.Operation, order.Epoch, epoch)
+		if epoch, known := history.Final.Known[request.Operation]; !known || epoch != request.Epoch {
+			report("%s was acknowledged as epoch %d; the fleet records epoch %d", request.Operation, request.Epoch, epoch)
 		}
 	}
 }
 
-// returnInterrupted reports whether a daemon had another fault within ReturnBound after a return, so that the return
+// returnInterrupted reports whether a daemon had another fault within RecoveryBound after a return, so that the return
 // can't be checked.
-func returnInterrupted(history *History, back Return) bool {
+func returnInterrupted(history *History, back OutageEnd) bool {
 	for _, fault := range history.Faults {
-		if fault.Daemon != "" && fault.At.After(back.At) && fault.At.Sub(back.At) <= ReturnBound {
+		if fault.Daemon != "" && fault.At.After(back.At) && fault.At.Sub(back.At) <= RecoveryBound {
 			return true
 		}
 	}
 	return false
 }
 
-// checkReturns checks that within ReturnBound after each return of all machines every zone gives a complete answer and
-// a change is accepted.
+// checkReturns checks that within RecoveryBound after each return of all machines every zone gives a complete answer
+// and a change is accepted.
 func checkReturns(checker *Checker, report reportFunc) {
 	history := checker.history
-	for _, back := range history.Returns {
+	for _, back := range history.OutageEnds {
 		if returnInterrupted(history, back) {
 			continue
 		}
-		within := func(at time.Time) bool { return !at.Before(back.At) && at.Sub(back.At) <= ReturnBound }
+		within := func(at time.Time) bool { return !at.Before(back.At) && at.Sub(back.At) <= RecoveryBound }
 		for _, zone := range history.Zones {
-			if !slices.ContainsFunc(history.Answers, func(answer *Answer) bool {
-				return answer.Zone == zone && answer.Done && within(answer.Sent) && within(answer.Got)
+			if !slices.ContainsFunc(history.Answers, func(attempt *ClientAttempt) bool {
+				return attempt.Zone == zone && attempt.Done && within(attempt.Sent) && within(attempt.Got)
 			}) {
-				report("no request of zone %s was served within %v of the machines' return", zone, ReturnBound)
+				report("no request of zone %s was served within %v of the machines' return", zone, RecoveryBound)
 			}
 		}
 		if !slices.ContainsFunc(history.accepted(),
-			func(order *Order) bool { return within(order.Sent) && within(order.Got) }) {
-			report("no change was accepted within %v of the machines' return", ReturnBound)
+			func(request *OperatorRequest) bool { return within(request.Sent) && within(request.Got) }) {
+			report("no change was accepted within %v of the machines' return", RecoveryBound)
 		}
 	}
 }
--- a/verify/histories/history.go
+++ b/verify/histories/history.go
@@ -17,13 +17,13 @@
 	// ZoneOf maps each daemon to its zone.
 	ZoneOf  map[string]string
 	Runs    []*Run
-	Answers []*Answer
-	Orders  []*Order
+	Answers []*ClientAttempt
+	Orders  []*OperatorRequest
 	Drains  []*Drain
 	Faults  []Fault
 	// Isolations are the periods in which daemons had no path to the control machines. Only the simulator records them.
 	Isolations      []*Isolation
-	Returns         []Return
+	OutageEnds      []OutageEnd
 	CapacitySamples []CapacitySample
 	Final           Final
 }
--- a/verify/histories/records.go
+++ b/verify/histories/records.go
@@ -12,16 +12,16 @@
 	At      time.Time
 	Request string
 	Route   string
-	Pool    string
+	Backend string
 	Model   string
 	Weights string
 	Runner  string
-	// Wanted is the runner that the daemon intended.
-	Wanted  string
-	Service string
-	Zone    string
-	Daemon  string
-	Epoch   uint64
+	// IntendedRunner is the runner that the daemon intended.
+	IntendedRunner string
+	Service        string
+	Zone           string
+	Daemon         string
+	Epoch          uint64
 	// Started reports whether the runner executed the request; false if it rejected it.
 	Started bool
 	// Sent is when the daemon sent the request, if known. Canceled is when the daemon cancelled the run, at the latest
@@ -41,11 +41,11 @@
 	Capacity   int
 }
 
-// Answer is one client attempt: a client's transmission of a request and the response to it.
-type Answer struct {
+// ClientAttempt is one client attempt: a client's transmission of a request and the response to it.
+type ClientAttempt struct {
 	Request       string
 	Route         string
-	Once          bool
+	AtMostOnce    bool
 	LatencyTarget time.Duration
 	Daemon        string
 	Zone          string
@@ -63,11 +63,12 @@
 	Done, Error bool
 	// ConnectionLost reports that the connection broke without an answer, RequestSent that the request had been sent.
 	ConnectionLost, RequestSent bool
-	// HungUp reports that the client itself disconnected; HungUpAt is when its close reached the daemon's machine.
-	HungUp   bool
-	HungUpAt time.Time
-	// Cancels reports that on the request's route a run is cancelled when its client disconnects.
-	Cancels bool
+	// ClientDisconnected reports that the client itself disconnected; DisconnectedAt is when its close reached the
+	// daemon's machine.
+	ClientDisconnected bool
+	DisconnectedAt     time.Time
+	// CancelsOnDisconnect reports that on the request's route a run is cancelled when its client disconnects.
+	CancelsOnDisconnect bool
 	// Resent reports that the same request had been sent before, Undeclared that its client did not state whether it had.
 	Resent, Undeclared bool
 	// MinorityLeft reports that when the answer came, or shortly before, some control machines ran but no majority, or no
@@ -75,14 +76,14 @@
 	MinorityLeft bool
 	// Attempt is the number of the attempt as its client states it; 0 if it states none.
 	Attempt int
-	// Resumable reports that the stream may continue at another runner; Head is the runner that the response's header
-	// names.
-	Resumable bool
-	Head      string
-	// Last is when the last event arrived. Started is when the daemon had received the complete request, and Bound the
+	// Resumable reports that the stream may continue at another runner; HeaderRunner is the runner that the response's
+	// header names.
+	Resumable    bool
+	HeaderRunner string
+	// Last is when the last event arrived. Started is when the daemon had received the complete request, and Deadline the
 	// request's deadline after Started; 0 for none.
 	Last, Started time.Time
-	Bound         time.Duration
+	Deadline      time.Duration
 }
 
 // Outcomes and verbs of operators' requests, as on the operators' interface.
@@ -97,8 +98,8 @@
 	verbOperation = "operation"
 )
 
-// Order is one operator's request, most often a change, and its response.
-type Order struct {
+// OperatorRequest is one operator's request, most often a change, and its response.
+type OperatorRequest struct {
 	Operation string
 	Verb      string
 	Zone      string
@@ -129,10 +130,10 @@
 	What      string
 	// Daemon is the HTTP address of the affected data daemon, Runner the id of the affected runner; "" for none.
 	Daemon, Runner string
-	// Kills reports that requests in progress at the daemon may be lost.
-	Kills bool
-	// Knowable is the time from the fault's begin until others can detect it.
-	Knowable time.Duration
+	// LosesRequests reports that requests in progress at the daemon may be lost.
+	LosesRequests bool
+	// DetectionTime is the time from the fault's begin until others can detect it.
+	DetectionTime time.Duration
 }
 
 // Isolation is a period in which a daemon had no path to the control machines. By Until it must have learned the
@@ -142,8 +143,8 @@
 	From, Until time.Time
 }
 
-// Return records when all machines were back after an outage.
-type Return struct{ At time.Time }
+// OutageEnd records when all machines were back after an outage.
+type OutageEnd struct{ At time.Time }
 
 // CapacitySample is the actual capacity of the backend at a moment: the free slots and all slots, by zone, of the
 // runners that are healthy, listed and warmed up.
@@ -154,11 +155,11 @@
 }
 
 // Final is the fleet's final state. Known holds the operations in effect and their epochs, Missing those that were not
-// found, and Asked reports whether the state was read.
+// found, and WasRead reports whether the state was read.
 type Final struct {
 	Epoch   uint64
 	Routes  []string
 	Known   map[string]uint64
 	Missing []string
-	Asked   bool
+	WasRead bool
 }
--- a/verify/histories/retries.go
+++ b/verify/histories/retries.go
@@ -46,7 +46,7 @@
 		clientAttempts[answer.Request] = append(clientAttempts[answer.Request], answer.Sent)
 	}
 	for _, run := range history.Runs {
-		if run.Pool != backend {
+		if run.Backend != backend {
 			continue
 		}
 		sent := 0
@@ -94,7 +94,7 @@
 func (history *History) backends() map[string]bool {
 	backends := map[string]bool{}
 	for _, run := range history.Runs {
-		backends[run.Pool] = true
+		backends[run.Backend] = true
 	}
 	return backends
 }
--- a/verify/histories/retries_test.go
+++ b/verify/histories/retries_test.go
@@ -9,7 +9,7 @@
 func runAt(request string, seconds float64) *Run {
 	return &Run{
 		Request: request,
-		Pool:    "p",
+		Backend: "p",
 		At:      time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second))),
 	}
 }
@@ -33,7 +33,7 @@
 			retryCount{retries: 1},
 		},
 		"of another backend": {
-			[]*Run{runAt("a", 0), {Request: "a", Pool: "q", At: time.Unix(1001, 0)}},
+			[]*Run{runAt("a", 0), {Request: "a", Backend: "q", At: time.Unix(1001, 0)}},
 			retryCount{requests: 1},
 		},
 	} {
@@ -47,7 +47,7 @@
 func TestClientsMaySendAgain(t *testing.T) {
 	history := &History{
 		Runs: []*Run{runAt("a", 0), runAt("a", 5)},
-		Answers: []*Answer{
+		Answers: []*ClientAttempt{
 			{Request: "a", Sent: runAt("a", 0).At},
 			{Request: "a", Sent: runAt("a", 4).At},
 		},
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -8,11 +8,12 @@
 const (
 	// DrainingBound is how long a runner may receive work after it is listed as draining, SpecBound how long work may
 	// follow an outdated spec after the acknowledgement of its successor, ZoneBound how long a zone may receive work
-	// after its closing is acknowledged, and ReturnBound how long the fleet may take to serve after all machines are back.
+	// after its closing is acknowledged, and RecoveryBound how long the fleet may take to serve after all machines are
+	// back.
 	DrainingBound = 3 * time.Second
 	SpecBound     = 2 * time.Second
 	ZoneBound     = 5 * time.Second
-	ReturnBound   = 12 * time.Second
+	RecoveryBound = 12 * time.Second
 	RetryWindow   = 10 * time.Second
 	RetryShare    = 0.2
 	// RetryAllowance is the number of retries allowed beyond RetryShare: one request that fails at each of a few daemons.
@@ -37,8 +38,8 @@
 	transitTime = 1500 * time.Millisecond
 	// resetTransitTime is the maximum time for which a connection reset may be in transit.
 	resetTransitTime = 100 * time.Millisecond
-	// DepartureBound is how long after its client has disconnected a request may reach a runner, or still run there.
-	DepartureBound = 500 * time.Millisecond
+	// DisconnectBound is how long after its client has disconnected a request may reach a runner, or still run there.
+	DisconnectBound = 500 * time.Millisecond
 	// ReportStaleness is the maximum age of a daemon's knowledge of runners: reports are 0.7 s old, read four times a
 	// second and smoothed.
 	ReportStaleness = 2 * time.Second
@@ -89,8 +90,8 @@
 	"left-requester": true,
 }
 
-// Timeless returns the violations of rules that have no bound in seconds.
-func Timeless(violations []Violation) []Violation {
+// ExcludeTimed returns the violations of rules that have no bound in seconds.
+func ExcludeTimed(violations []Violation) []Violation {
 	var kept []Violation
 	for _, violation := range violations {
 		if !timed[violation.Rule] {
--- a/verify/histories/rules_test.go
+++ b/verify/histories/rules_test.go
@@ -18,7 +18,7 @@
 		Backends: []config.Backend{{Name: "p", Model: "m", Weights: "w", Services: []string{"good"}}},
 		Routes:   []config.Route{{Name: "l", Backend: "p"}, {Name: "k", Backend: "p"}},
 	}
-	history.Orders = []*Order{
+	history.Orders = []*OperatorRequest{
 		{
 			Operation: "first",
 			Verb:      "apply",
@@ -49,31 +49,31 @@
 			epoch = 2
 		}
 		run := &Run{
-			At:       at(float64(number)),
-			Request:  request,
-			Route:    "l",
-			Pool:     "p",
-			Model:    "m",
-			Weights:  "w",
-			Runner:   "r1",
-			Wanted:   "r1",
-			Service:  "good",
-			Zone:     "a",
-			Daemon:   "d1",
-			Epoch:    epoch,
-			Started:  true,
-			Finished: at(float64(number) + 0.5),
-			Complete: true,
-			Events:   2,
-			Capacity: 10,
+			At:             at(float64(number)),
+			Request:        request,
+			Route:          "l",
+			Backend:        "p",
+			Model:          "m",
+			Weights:        "w",
+			Runner:         "r1",
+			IntendedRunner: "r1",
+			Service:        "good",
+			Zone:           "a",
+			Daemon:         "d1",
+			Epoch:          epoch,
+			Started:        true,
+			Finished:       at(float64(number) + 0.5),
+			Complete:       true,
+			Events:         2,
+			Capacity:       10,
 		}
 		history.Runs = append(history.Runs, run)
 		history.Answers = append(
 			history.Answers,
-			&Answer{
+			&ClientAttempt{
 				Request:       request,
 				Route:         "l",
-				Once:          true,
+				AtMostOnce:    true,
 				Daemon:        "d1",
 				Zone:          "a",
 				LatencyTarget: 3 * time.Second,
@@ -96,12 +96,12 @@
 			},
 		)
 	}
-	history.Returns = []Return{{At: at(18)}}
+	history.OutageEnds = []OutageEnd{{At: at(18)}}
 	history.Final = Final{
-		Asked:  true,
-		Epoch:  2,
-		Routes: []string{"lane"},
-		Known:  map[string]uint64{"first": 1, "closing": 2},
+		WasRead: true,
+		Epoch:   2,
+		Routes:  []string{"lane"},
+		Known:   map[string]uint64{"first": 1, "closing": 2},
 	}
 	return history
 }
@@ -117,28 +117,29 @@
 func TestRefusedInEffect(t *testing.T) {
 	t.Parallel()
 	const operation = "sent-again"
-	stale, noHead := Order{Outcome: "refused", HTTPStatus: 409}, Order{Outcome: "refused", HTTPStatus: 503}
-	accepted, unknown := Order{Outcome: "accepted"}, Order{Outcome: "unknown"}
+	stale, noHead := OperatorRequest{Outcome: "refused", HTTPStatus: 409},
+		OperatorRequest{Outcome: "refused", HTTPStatus: 503}
+	accepted, unknown := OperatorRequest{Outcome: "accepted"}, OperatorRequest{Outcome: "unknown"}
 	for name, test := range map[string]struct {
-		attempts []Order
+		attempts []OperatorRequest
 		broken   bool
 	}{
-		"refused by its base, not sent again": {[]Order{stale}, true},
-		"refused by its base, then accepted":  {[]Order{stale, accepted}, true},
-		"no head, not sent again":             {[]Order{noHead}, true},
-		"no head, then accepted":              {[]Order{noHead, accepted}, false},
-		"unknown, then no head":               {[]Order{unknown, noHead}, false},
-		"no head, twice":                      {[]Order{noHead, noHead}, true},
-		"no head, then refused by its base":   {[]Order{noHead, stale}, true},
-		"no head; accepted another":           {[]Order{noHead, {Operation: "other", Outcome: "accepted"}}, true},
+		"refused by its base, not sent again": {[]OperatorRequest{stale}, true},
+		"refused by its base, then accepted":  {[]OperatorRequest{stale, accepted}, true},
+		"no head, not sent again":             {[]OperatorRequest{noHead}, true},
+		"no head, then accepted":              {[]OperatorRequest{noHead, accepted}, false},
+		"unknown, then no head":               {[]OperatorRequest{unknown, noHead}, false},
+		"no head, twice":                      {[]OperatorRequest{noHead, noHead}, true},
+		"no head, then refused by its base":   {[]OperatorRequest{noHead, stale}, true},
+		"no head; accepted another":           {[]OperatorRequest{noHead, {Operation: "other", Outcome: "accepted"}}, true},
 	} {
 		history := clean()
 		history.Final.Known[operation] = 7
-		for _, order := range test.attempts {
-			if order.Operation == "" {
-				order.Operation = operation
+		for _, request := range test.attempts {
+			if request.Operation == "" {
+				request.Operation = operation
 			}
-			history.Orders = append(history.Orders, &order)
+			history.Orders = append(history.Orders, &request)
 		}
 		checker := NewChecker(history, history.Final.Known)
 		checkRefusals(checker, checker.reporter("refused-in-effect"))
@@ -160,7 +161,7 @@
 		},
 		"ran-after-refusal": func(history *History) {
 			history.CapacitySamples = nil
-			history.Answers[3] = &Answer{
+			history.Answers[3] = &ClientAttempt{
 				Request:    "D",
 				Status:     429,
 				Kind:       "patience_short",
@@ -176,7 +177,7 @@
 		},
 		"not-allowed": func(history *History) { history.Runs[3].Service = "bad" },
 		"wrong-runner": func(history *History) {
-			history.Runs[3].Wanted = "r2"
+			history.Runs[3].IntendedRunner = "r2"
 		},
 		"leaving": func(history *History) {
 			history.Drains = append(history.Drains, &Drain{At: at(2.5), Back: at(8.2), Runner: "r1"})
@@ -207,7 +208,7 @@
 		"dropped": func(history *History) {
 			history.Answers = append(
 				history.Answers,
-				&Answer{
+				&ClientAttempt{
 					Request:        "lost",
 					Daemon:         "d1",
 					ConnectionLost: true,
@@ -222,7 +223,7 @@
 		"turned-away": func(history *History) {
 			history.Answers = append(
 				history.Answers,
-				&Answer{
+				&ClientAttempt{
 					Request: "away",
 					Status:  404,
 					Kind:    "unknown_lane",
@@ -236,12 +237,12 @@
 		"no-return-time": func(history *History) {
 			history.CapacitySamples = nil
 			history.Answers = append(history.Answers,
-				&Answer{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)})
+				&ClientAttempt{Request: "away", Status: 429, Kind: "patience_short", Daemon: "d1", Sent: at(3), Got: at(3)})
 		},
 		"held-back": func(history *History) {
 			history.Faults = append(history.Faults, Fault{At: at(3.1), Until: at(4), Runner: "r1"})
 			history.Runs[3].Complete = false
-			history.Answers[3] = &Answer{
+			history.Answers[3] = &ClientAttempt{
 				Request: "D",
 				Status:  504,
 				Kind:    "outcome_unknown",
@@ -252,9 +253,9 @@
 			}
 		},
 		"resumed":        func(history *History) { history.Runs[3].After = 2 },
-		"left-requester": func(history *History) { history.Answers[3].HungUpAt = at(2.2) },
+		"left-requester": func(history *History) { history.Answers[3].DisconnectedAt = at(2.2) },
 		"past-deadline": func(history *History) {
-			history.Answers[3].Started, history.Answers[3].Bound, history.Answers[3].Last = at(
+			history.Answers[3].Started, history.Answers[3].Deadline, history.Answers[3].Last = at(
 				3,
 			), 300*time.Millisecond, at(
 				3.5,
@@ -281,13 +282,13 @@
 	history := clean()
 	first := history.Runs[3]
 	second := *first
-	second.Runner, second.Wanted, second.Name, second.After, second.At = "r2", "r2", "y", 1, first.At.Add(
+	second.Runner, second.IntendedRunner, second.Name, second.After, second.At = "r2", "r2", "y", 1, first.At.Add(
 		200*time.Millisecond,
 	)
 	first.Name, first.Complete = "x", false
 	history.Runs = append(history.Runs, &second)
-	answer := history.Answers[3]
-	answer.Once, answer.Resumable, answer.Head, answer.Runs = false, true, "r1", []string{"x", "y", "y"}
+	attempt := history.Answers[3]
+	attempt.AtMostOnce, attempt.Resumable, attempt.HeaderRunner, attempt.Runs = false, true, "r1", []string{"x", "y", "y"}
 	return history
 }
 
@@ -306,7 +307,7 @@
 		"an event is missing":         {func(history *History) { history.Answers[3].IDs = []int{1, 3, 4} }, "spliced"},
 		"an event is repeated":        {func(history *History) { history.Answers[3].IDs = []int{1, 1, 2} }, "spliced"},
 		"an unknown run":              {func(history *History) { history.Answers[3].Runs[2] = "z" }, "spliced"},
-		"header of the second runner": {func(history *History) { history.Answers[3].Head = "r2" }, "resumed"},
+		"header of the second runner": {func(history *History) { history.Answers[3].HeaderRunner = "r2" }, "resumed"},
 		"not resumable":               {func(history *History) { history.Answers[3].Resumable = false }, "resumed"},
 		"incomplete":                  {func(history *History) { history.Runs[len(history.Runs)-1].Events = 3 }, "not-whole"},
 	} {
--- a/verify/histories/run_rules.go
+++ b/verify/histories/run_rules.go
@@ -15,11 +15,11 @@
 		}
 	},
 	"ran-after-refusal": func(checker *Checker, run *Run, report reportFunc) {
-		for _, answer := range checker.answers[run.Request] {
+		for _, attempt := range checker.answers[run.Request] {
 			// A client that retries its request after this refusal asks for another run.
-			if run.Started && answer.Ran == didNotRun && !checker.retriedAfter(answer) {
+			if run.Started && attempt.Ran == didNotRun && !checker.retriedAfter(attempt) {
 				report("%s ran at %s after it was refused with %q as not executed", run.Request, run.Runner,
-					answer.Kind)
+					attempt.Kind)
 			}
 		}
 	},
@@ -31,8 +31,8 @@
 		}
 	},
 	"wrong-runner": func(_ *Checker, run *Run, report reportFunc) {
-		if run.Wanted != run.Runner {
-			report("%s was sent to %s and reached %s", run.Request, run.Wanted, run.Runner)
+		if run.IntendedRunner != run.Runner {
+			report("%s was sent to %s and reached %s", run.Request, run.IntendedRunner, run.Runner)
 		}
 	},
 	"leaving": func(checker *Checker, run *Run, report reportFunc) {
@@ -66,8 +66,8 @@
 		}
 	},
 	"left-requester": func(checker *Checker, run *Run, report reportFunc) {
-		for _, answer := range checker.requests[run.Request] {
-			if late := checker.sentAfterDisconnect(run, answer); late > DepartureBound {
+		for _, attempt := range checker.requests[run.Request] {
+			if late := checker.sentAfterDisconnect(run, attempt); late > DisconnectBound {
 				report("%s reached %s %v after its client had disconnected from %s", run.Request, run.Runner, late, run.Daemon)
 			}
 		}
@@ -86,16 +86,16 @@
 // retriedAfter reports whether the client retried a request after an answer, so that another run is allowed. An answer
 // covers its own attempt and those with a smaller number; an answer to an attempt without a number covers the attempts
 // that ended before it.
-func (checker *Checker) retriedAfter(answer *Answer) bool {
-	for _, other := range checker.requests[answer.Request] {
-		if other == answer {
+func (checker *Checker) retriedAfter(attempt *ClientAttempt) bool {
+	for _, other := range checker.requests[attempt.Request] {
+		if other == attempt {
 			continue
 		}
-		isLater := other.Attempt > answer.Attempt
-		if answer.Attempt == 0 {
-			isLater = other.Got.IsZero() || !other.Got.Before(answer.Got)
+		isLater := other.Attempt > attempt.Attempt
+		if attempt.Attempt == 0 {
+			isLater = other.Got.IsZero() || !other.Got.Before(attempt.Got)
 		}
-		if isLater || !answer.Once {
+		if isLater || !attempt.AtMostOnce {
 			return true
 		}
 	}
--- a/verify/histories/spec_timeline.go
+++ b/verify/histories/spec_timeline.go
@@ -23,18 +23,18 @@
 
 func newSpecTimeline() specTimeline { return specTimeline{settledCount: -1} }
 
-// settledOrder is a change that took effect, and the epoch that was assigned to it.
-type settledOrder struct {
-	*Order
+// settledRequest is a change that took effect, and the epoch that was assigned to it.
+type settledRequest struct {
+	*OperatorRequest
 	epoch uint64
 }
 
 // refresh rebuilds the versions if the number of settled changes differs. known holds the operations in effect and
 // their epochs, including those of changes that were not acknowledged.
-func (timeline *specTimeline) refresh(orders []*Order, known map[string]uint64) {
+func (timeline *specTimeline) refresh(requests []*OperatorRequest, known map[string]uint64) {
 	settled := len(known)
-	for _, order := range orders {
-		if order.Outcome == outcomeAccepted {
+	for _, request := range requests {
+		if request.Outcome == outcomeAccepted {
 			settled++
 		}
 	}
@@ -42,7 +42,7 @@
 		return
 	}
 	timeline.settledCount = settled
-	changes := settledOrders(orders, known)
+	changes := settledRequests(requests, known)
 	timeline.versions = make([]specVersion, 0, len(changes))
 	spec := &config.Spec{}
 	for _, change := range changes {
@@ -55,16 +55,16 @@
 	}
 }
 
-// settledOrders returns the changes that took effect, in the order of their epochs.
-func settledOrders(orders []*Order, known map[string]uint64) []settledOrder {
-	var settled []settledOrder
-	for _, order := range orders {
-		epoch, found := known[order.Operation]
-		if order.Outcome == outcomeAccepted {
-			epoch, found = order.Epoch, true
+// settledRequests returns the changes that took effect, in the order of their epochs.
+func settledRequests(requests []*OperatorRequest, known map[string]uint64) []settledRequest {
+	var settled []settledRequest
+	for _, request := range requests {
+		epoch, found := known[request.Operation]
+		if request.Outcome == outcomeAccepted {
+			epoch, found = request.Epoch, true
 		}
-		if found && order.changesSpec() {
-			settled = append(settled, settledOrder{order, epoch})
+		if found && request.changesSpec() {
+			settled = append(settled, settledRequest{request, epoch})
 		}
 	}
 	sort.SliceStable(settled, func(left, right int) bool { return settled[left].epoch < settled[right].epoch })
@@ -72,22 +72,24 @@
 }
 
 // changesSpec reports whether the request is a change rather than a query.
-func (order *Order) changesSpec() bool { return order.Verb != verbGet && order.Verb != verbOperation }
+func (request *OperatorRequest) changesSpec() bool {
+	return request.Verb != verbGet && request.Verb != verbOperation
+}
 
 // applyTo returns the spec after the change. It does not modify its argument.
-func (order *Order) applyTo(spec *config.Spec) *config.Spec {
-	if order.Verb == verbApply && order.Spec != nil {
-		return order.Spec
+func (request *OperatorRequest) applyTo(spec *config.Spec) *config.Spec {
+	if request.Verb == verbApply && request.Spec != nil {
+		return request.Spec
 	}
-	if order.Change != nil {
-		changed, _ := order.Change.Apply(spec)
+	if request.Change != nil {
+		changed, _ := request.Change.Apply(spec)
 		return changed
 	}
 	toggled := *spec
 	toggled.Zones = slices.Clone(spec.Zones)
 	for index := range toggled.Zones {
-		if toggled.Zones[index].Name == order.Zone {
-			toggled.Zones[index].Closed = order.Verb == verbClose
+		if toggled.Zones[index].Name == request.Zone {
+			toggled.Zones[index].Closed = request.Verb == verbClose
 		}
 	}
 	return &toggled
--- a/verify/histories/spec_timeline_test.go
+++ b/verify/histories/spec_timeline_test.go
@@ -16,7 +16,7 @@
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
 	spec := &config.Spec{Zones: []config.Zone{{Name: "a"}, {Name: "b"}}}
-	orders := []*Order{
+	requests := []*OperatorRequest{
 		{Operation: "open", Verb: "open", Zone: "b", Sent: at(20), Got: at(25), Outcome: "lost"},
 		{Operation: "close", Verb: verbClose, Zone: "b", Sent: at(10), Got: at(11), Outcome: outcomeAccepted, Epoch: 2},
 		{Operation: "apply", Verb: verbApply, Spec: spec, Sent: at(0), Got: at(1), Outcome: outcomeAccepted, Epoch: 1},
@@ -24,7 +24,7 @@
 		{Operation: "refused", Verb: verbClose, Zone: "a", Sent: at(6), Got: at(7), Outcome: outcomeRefused},
 	}
 	timeline = newSpecTimeline()
-	timeline.refresh(orders, map[string]uint64{"open": 3})
+	timeline.refresh(requests, map[string]uint64{"open": 3})
 	return timeline, at
 }
 
@@ -56,7 +56,8 @@
 	if len(timeline.versions) != 3 {
 		t.Fatalf("%d versions instead of 3 after a refresh without further changes", len(timeline.versions))
 	}
-	timeline.refresh([]*Order{{Operation: "x", Verb: verbClose, Zone: "a", Sent: at(1)}}, map[string]uint64{"x": 1})
+	timeline.refresh([]*OperatorRequest{{Operation: "x", Verb: verbClose, Zone: "a", Sent: at(1)}},
+		map[string]uint64{"x": 1})
 	if len(timeline.versions) != 1 {
 		t.Errorf("%d versions instead of 1", len(timeline.versions))
 	}
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -9,8 +9,8 @@
 
 // WorstCases holds the worst observed value for each rule with a numeric bound.
 type WorstCases struct {
-	// Ignored is the longest time after the acknowledgement of a spec at which work was sent that it does not permit.
-	Ignored time.Duration
+	// OutdatedSpec is the longest time after the acknowledgement of a spec at which work was sent that it does not permit.
+	OutdatedSpec time.Duration
 	// Draining is the longest time after a runner was listed as draining at which it still received work.
 	Draining time.Duration
 	// Closed is the longest time after the closing of a zone was acknowledged at which it still received work.
@@ -34,8 +34,8 @@
 	checker.refresh()
 	for _, run := range history.Runs {
 		worst.Draining = max(worst.Draining, checker.drainingFor(run))
-		worst.Ignored = max(
-			worst.Ignored,
+		worst.OutdatedSpec = max(
+			worst.OutdatedSpec,
 			checker.specs.outdatedFor(run.At,
 				func(catalog *config.Catalog) bool { return serves(catalog, run) && allows(catalog, run) }),
 		)
@@ -48,13 +48,13 @@
 			checker.runs[run.Request] = append(checker.runs[run.Request], run)
 		}
 	}
-	for _, answer := range history.Answers {
-		if !answer.ConnectionLost && !answer.Done && !answer.HungUp && !answer.Resent &&
-			!checker.history.excusedByFault(answer.Daemon, answer.Sent, answer.Got) {
-			worst.Overdue = max(worst.Overdue, checker.overdue(answer))
+	for _, attempt := range history.Answers {
+		if !attempt.ConnectionLost && !attempt.Done && !attempt.ClientDisconnected && !attempt.Resent &&
+			!checker.history.excusedByFault(attempt.Daemon, attempt.Sent, attempt.Got) {
+			worst.Overdue = max(worst.Overdue, checker.overdue(attempt))
 		}
 	}
-	for _, back := range history.Returns {
+	for _, back := range history.OutageEnds {
 		worst.Return = max(worst.Return, history.firstAnswerAfter(back.At))
 	}
 	for backend := range history.backends() {
@@ -67,9 +67,9 @@
 // maximum duration if there is none.
 func (history *History) firstAnswerAfter(at time.Time) time.Duration {
 	first := time.Duration(math.MaxInt64)
-	for _, answer := range history.Answers {
-		if answer.Done && answer.Sent.After(at) {
-			first = min(first, answer.Got.Sub(at))
+	for _, attempt := range history.Answers {
+		if attempt.Done && attempt.Sent.After(at) {
+			first = min(first, attempt.Got.Sub(at))
 		}
 	}
 	return first
@@ -84,7 +84,7 @@
 
 // Add keeps the worse value of each case.
 func (worst *WorstCases) Add(other WorstCases) {
-	worst.Ignored = max(worst.Ignored, other.Ignored)
+	worst.OutdatedSpec = max(worst.OutdatedSpec, other.OutdatedSpec)
 	worst.Draining = max(worst.Draining, other.Draining)
 	worst.Closed = max(worst.Closed, other.Closed)
 	worst.Return = max(worst.Return, other.Return)
--- a/verify/histories/worst_cases_test.go
+++ b/verify/histories/worst_cases_test.go
@@ -11,7 +11,7 @@
 	if want := 1600 * time.Millisecond; worst.Return != want {
 		t.Errorf("first answer %v after the return instead of %v", worst.Return, want)
 	}
-	if worst.Draining != 0 || worst.Closed != 0 || worst.Ignored != 0 || worst.Concurrent != 0 {
+	if worst.Draining != 0 || worst.Closed != 0 || worst.OutdatedSpec != 0 || worst.Concurrent != 0 {
 		t.Errorf("%+v", worst)
 	}
 }
@@ -29,9 +29,9 @@
 }
 
 func TestAddKeepsTheWorse(t *testing.T) {
-	worst := WorstCases{Ignored: 2, Draining: 3, Retried: 1, Requests: 10}
-	worst.Add(WorstCases{Ignored: 1, Draining: 4, Overdue: 5, Retried: 2, Requests: 10})
-	if want := (WorstCases{Ignored: 2, Draining: 4, Overdue: 5, Retried: 2, Requests: 10}); worst != want {
+	worst := WorstCases{OutdatedSpec: 2, Draining: 3, Retried: 1, Requests: 10}
+	worst.Add(WorstCases{OutdatedSpec: 1, Draining: 4, Overdue: 5, Retried: 2, Requests: 10})
+	if want := (WorstCases{OutdatedSpec: 2, Draining: 4, Overdue: 5, Retried: 2, Requests: 10}); worst != want {
 		t.Errorf("%+v instead of %+v", worst, want)
 	}
 	// The same number of retries for more requests uses a smaller part of the allowance.
--- a/verify/histories/wrongful_refusals_test.go
+++ b/verify/histories/wrongful_refusals_test.go
@@ -29,8 +29,9 @@
 		for number := range 6 * max(0, -test.faulty) {
 			history.Faults = append(history.Faults, Fault{At: at(1), Until: at(2), Daemon: fmt.Sprint("d", number)})
 		}
-		answer := &Answer{Daemon: "other", Sent: at(54), Got: at(55), Kind: "not_serving", MinorityLeft: test.minorityLeft}
-		if why := untouchedDaemon(NewChecker(history, history.Final.Known), answer); (why == "") != test.excused {
+		attempt := &ClientAttempt{Daemon: "other", Sent: at(54), Got: at(55), Kind: "not_serving",
+			MinorityLeft: test.minorityLeft}
+		if why := untouchedDaemon(NewChecker(history, history.Final.Known), attempt); (why == "") != test.excused {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
--- a/verify/linearizability/judge.go
+++ b/verify/linearizability/check.go
@@ -58,8 +58,8 @@
 	partExecutions    = "requests that run at most once"
 )
 
-// Judge checks whether the parts of a recording are linearizable. The timeout applies to each part.
-func Judge(recording Recording, timeout time.Duration) Verdict {
+// Check checks whether the parts of a recording are linearizable. The timeout applies to each part.
+func Check(recording Recording, timeout time.Duration) Verdict {
 	started := time.Now()
 	verdict := Verdict{}
 	calls := recording.callOperations()
@@ -119,7 +119,7 @@
 func (recording Recording) observations() []Call {
 	var observations []Call
 	for _, call := range recording.Calls {
-		if call.Answer == AnswerNothing || call.Answer == AnswerUnavailable {
+		if call.Answer == AnswerUnknown || call.Answer == AnswerUnavailable {
 			continue
 		}
 		if call.Kind == KindChange && call.Answer == AnswerDone {
@@ -196,8 +196,8 @@
 
 // attemptOperations returns the client attempts of at-most-once requests.
 func (recording Recording) attemptOperations() []porcupine.Operation {
-	operations := make([]porcupine.Operation, 0, len(recording.Sendings))
-	for _, attempt := range recording.Sendings {
+	operations := make([]porcupine.Operation, 0, len(recording.ClientAttempts))
+	for _, attempt := range recording.ClientAttempts {
 		operations = append(operations, attempt.operation(attempt.Number, attempt))
 	}
 	return operations
--- a/verify/linearizability/judge_test.go
+++ b/verify/linearizability/check_test.go
@@ -30,7 +30,7 @@
 	return Call{Span: span, Kind: KindLookup, Operation: operation, Answer: answer, Result: result}
 }
 
-func TestJudgeConfiguration(t *testing.T) {
+func TestCheckConfiguration(t *testing.T) {
 	t.Parallel()
 	first := changeOn(at(0), "a", 0, AnswerDone, 1)
 	numbered := Call{Span: at(2), Kind: KindChange, Operation: "b", Base: 1, HasBase: true, Epoch: 9, HasEpoch: true,
@@ -57,14 +57,14 @@
 		"refused as stale, wrongly": {[]Call{first, changeOn(at(2), "b", 1, AnswerStale, 1)}, nil, true},
 		"refused for its content":   {[]Call{first, changeOn(at(2), "b", 1, AnswerRefused, 1)}, nil, false},
 		"no answer, no effect": {
-			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), read(at(2), 0)}, nil, false,
+			[]Call{changeOn(unanswered(0), "a", 0, AnswerUnknown, 0), read(at(2), 0)}, nil, false,
 		},
 		"no answer, effect read later": {
-			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), read(at(2), 0), read(at(4), 1)},
+			[]Call{changeOn(unanswered(0), "a", 0, AnswerUnknown, 0), read(at(2), 0), read(at(4), 1)},
 			map[string]uint64{"a": 1}, false,
 		},
 		"no answer, effect read before it is sent again": {
-			[]Call{changeOn(unanswered(0), "a", 0, AnswerNothing, 0), changeOn(at(5), "a", 0, AnswerDone, 1), read(at(2), 1)},
+			[]Call{changeOn(unanswered(0), "a", 0, AnswerUnknown, 0), changeOn(at(5), "a", 0, AnswerDone, 1), read(at(2), 1)},
 			nil, false,
 		},
 		"an epoch without a change": {[]Call{first, read(at(2), 2)}, nil, true},
@@ -79,14 +79,14 @@
 			[]Call{lookUp(at(0), "a", AnswerDone, 1), changeOn(at(2), "a", 0, AnswerDone, 1)}, nil, true,
 		},
 	} {
-		verdict := Judge(Recording{Calls: test.calls, Known: test.known}, time.Minute)
+		verdict := Check(Recording{Calls: test.calls, Known: test.known}, time.Minute)
 		if verdict.IsLinearizable() == test.violates || verdict.Calls > len(test.calls) {
 			t.Errorf("%s: %v", name, verdict)
 		}
 	}
 }
 
-func TestJudgeExecutions(t *testing.T) {
+func TestCheckExecutions(t *testing.T) {
 	t.Parallel()
 	attempt := func(span Span, number int, outcome string, runs int) ClientAttempt {
 		return ClientAttempt{Span: span, Request: "r", Number: number, Outcome: outcome, Runs: runs}
@@ -128,7 +128,7 @@
 			[]ClientAttempt{attempt(at(0), 0, OutcomeRan, 2), attempt(at(2), 0, OutcomeRan, 2)}, true,
 		},
 	} {
-		verdict := Judge(Recording{Sendings: test.attempts}, time.Minute)
+		verdict := Check(Recording{ClientAttempts: test.attempts}, time.Minute)
 		if verdict.IsLinearizable() == test.violates || verdict.Requests != 1 {
 			t.Errorf("%s: %v", name, verdict)
 		}
@@ -138,9 +138,9 @@
 func TestRecordingIsReadBack(t *testing.T) {
 	t.Parallel()
 	recording := Recording{
-		Calls:    []Call{changeOn(unanswered(1), "a", 3, AnswerNothing, 0), read(at(2), 4)},
-		Sendings: []ClientAttempt{{Span: at(0), Request: "r", Number: 2, Daemon: "d", Outcome: OutcomeRan, Runs: 1}},
-		Known:    map[string]uint64{"a": 4},
+		Calls:          []Call{changeOn(unanswered(1), "a", 3, AnswerUnknown, 0), read(at(2), 4)},
+		ClientAttempts: []ClientAttempt{{Span: at(0), Request: "r", Number: 2, Daemon: "d", Outcome: OutcomeRan, Runs: 1}},
+		Known:          map[string]uint64{"a": 4},
 	}
 	var written bytes.Buffer
 	if err := recording.Write(&written); err != nil {
@@ -157,8 +157,9 @@
 
 func TestVerdictIsDrawn(t *testing.T) {
 	t.Parallel()
-	verdict := Judge(Recording{Calls: []Call{read(at(0), 0)},
-		Sendings: []ClientAttempt{{Span: at(0), Request: "drawn", Number: 1, Outcome: OutcomeRan, Runs: 1}}}, time.Minute)
+	verdict := Check(Recording{Calls: []Call{read(at(0), 0)},
+		ClientAttempts: []ClientAttempt{{Span: at(0), Request: "drawn", Number: 1, Outcome: OutcomeRan, Runs: 1}}},
+		time.Minute)
 	var calls, executions bytes.Buffer
 	if err := verdict.DrawConfiguration(&calls); err != nil || !strings.Contains(calls.String(), "read") {
 		t.Errorf("%v, %d bytes", err, calls.Len())
--- a/verify/linearizability/configuration.go
+++ b/verify/linearizability/configuration.go
@@ -66,7 +66,7 @@
 
 // step returns the state after a call, or nil if a machine in this state can't have given the call's answer.
 func (state *configuration) step(call Call) *configuration {
-	if call.Answer == AnswerNothing {
+	if call.Answer == AnswerUnknown {
 		return state
 	}
 	switch call.Kind {
--- a/verify/linearizability/observed.go
+++ b/verify/linearizability/observed.go
@@ -22,14 +22,14 @@
 func (observed Observed) Answer() string {
 	switch {
 	case observed.Status == 0, observed.Outcome == proposal.OutcomeUnknown:
-		return AnswerNothing
+		return AnswerUnknown
 	case observed.Status == http.StatusServiceUnavailable:
 		return AnswerUnavailable
 	case observed.Outcome == proposal.OutcomeAccepted, observed.Outcome == proposal.OutcomeFound,
 		observed.Outcome == proposal.OutcomeEmpty:
 		return AnswerDone
 	case observed.Kind != KindChange && observed.Outcome == proposal.OutcomePending:
-		return AnswerNothing
+		return AnswerUnknown
 	case observed.Status == http.StatusConflict && observed.HasBase:
 		return AnswerStale
 	default:
@@ -37,8 +37,8 @@
 	}
 }
 
-// SendingsOf returns the client attempts of at-most-once requests in a history that began at a time.
-func SendingsOf(history *histories.History, started time.Time) []ClientAttempt {
+// ClientAttemptsOf returns the client attempts of at-most-once requests in a history that began at a time.
+func ClientAttemptsOf(history *histories.History, started time.Time) []ClientAttempt {
 	runs := map[string]int{}
 	for _, run := range history.Runs {
 		if run.Started {
@@ -46,27 +46,27 @@
 		}
 	}
 	var attempts []ClientAttempt
-	for _, answer := range history.Answers {
-		if !answer.Once || !answer.RequestSent {
+	for _, attempt := range history.Answers {
+		if !attempt.AtMostOnce || !attempt.RequestSent {
 			continue
 		}
-		span := Span{Start: answer.Sent.Sub(started), End: answer.Got.Sub(started)}
-		if answer.ConnectionLost || answer.Got.IsZero() {
+		span := Span{Start: attempt.Sent.Sub(started), End: attempt.Got.Sub(started)}
+		if attempt.ConnectionLost || attempt.Got.IsZero() {
 			span.End = Never
 		}
-		attempts = append(attempts, ClientAttempt{Span: span, Request: answer.Request, Number: answer.Attempt,
-			Daemon: answer.Daemon, Outcome: outcomeOf(answer), Runs: runs[answer.Request]})
+		attempts = append(attempts, ClientAttempt{Span: span, Request: attempt.Request, Number: attempt.Attempt,
+			Daemon: attempt.Daemon, Outcome: outcomeOf(attempt), Runs: runs[attempt.Request]})
 	}
 	return attempts
 }
 
 // outcomeOf returns the outcome that a client attempt's response states.
-func outcomeOf(answer *histories.Answer) string {
+func outcomeOf(attempt *histories.ClientAttempt) string {
 	outcomes := map[string]string{"did not run": OutcomeDidNotRun, "ran": OutcomeRanBefore}
-	if answer.Done {
+	if attempt.Done {
 		return OutcomeRan
 	}
-	if outcome, found := outcomes[answer.Ran]; found {
+	if outcome, found := outcomes[attempt.Ran]; found {
 		return outcome
 	}
 	return OutcomeUnknown
--- a/verify/linearizability/observed_test.go
+++ b/verify/linearizability/observed_test.go
@@ -15,15 +15,15 @@
 		observed Observed
 		want     string
 	}{
-		"no response": {Observed{KindChange, true, 0, ""}, AnswerNothing},
-		"unknown":     {Observed{KindChange, true, http.StatusGatewayTimeout, proposal.OutcomeUnknown}, AnswerNothing},
+		"no response": {Observed{KindChange, true, 0, ""}, AnswerUnknown},
+		"unknown":     {Observed{KindChange, true, http.StatusGatewayTimeout, proposal.OutcomeUnknown}, AnswerUnknown},
 		"no head": {
 			Observed{KindChange, true, http.StatusServiceUnavailable, proposal.OutcomeRefused}, AnswerUnavailable,
 		},
 		"accepted":             {Observed{KindChange, true, http.StatusOK, proposal.OutcomeAccepted}, AnswerDone},
 		"found":                {Observed{KindRead, false, http.StatusOK, proposal.OutcomeFound}, AnswerDone},
 		"no configuration yet": {Observed{KindRead, false, http.StatusNotFound, proposal.OutcomeEmpty}, AnswerDone},
-		"pending":              {Observed{KindLookup, false, http.StatusAccepted, proposal.OutcomePending}, AnswerNothing},
+		"pending":              {Observed{KindLookup, false, http.StatusAccepted, proposal.OutcomePending}, AnswerUnknown},
 		"stale":                {Observed{KindChange, true, http.StatusConflict, proposal.OutcomeRefused}, AnswerStale},
 		"invalid":              {Observed{KindChange, true, http.StatusBadRequest, proposal.OutcomeRefused}, AnswerRefused},
 		"epoch too low":        {Observed{KindChange, false, http.StatusConflict, proposal.OutcomeRefused}, AnswerRefused},
@@ -34,18 +34,18 @@
 	}
 }
 
-func TestSendingsOfAHistory(t *testing.T) {
+func TestClientAttemptsOfAHistory(t *testing.T) {
 	t.Parallel()
 	started := time.Unix(1000, 0)
 	at := func(seconds int) time.Time { return started.Add(time.Duration(seconds) * time.Second) }
 	history := &histories.History{
 		Runs: []*histories.Run{{Request: "a", Started: true}, {Request: "a"}, {Request: "b", Started: true}},
-		Answers: []*histories.Answer{
-			{Request: "a", Once: true, RequestSent: true, Attempt: 1, Sent: at(1), Got: at(2), Done: true},
-			{Request: "a", Once: true, RequestSent: true, Attempt: 2, Sent: at(3), Got: at(4), Ran: "ran"},
-			{Request: "c", Once: true, RequestSent: true, Attempt: 1, Sent: at(5), Got: at(6), ConnectionLost: true},
-			{Request: "d", Once: true, RequestSent: true, Attempt: 1, Sent: at(7), Got: at(8), Ran: "did not run"},
-			{Request: "e", Once: true}, {Request: "b", RequestSent: true},
+		Answers: []*histories.ClientAttempt{
+			{Request: "a", AtMostOnce: true, RequestSent: true, Attempt: 1, Sent: at(1), Got: at(2), Done: true},
+			{Request: "a", AtMostOnce: true, RequestSent: true, Attempt: 2, Sent: at(3), Got: at(4), Ran: "ran"},
+			{Request: "c", AtMostOnce: true, RequestSent: true, Attempt: 1, Sent: at(5), Got: at(6), ConnectionLost: true},
+			{Request: "d", AtMostOnce: true, RequestSent: true, Attempt: 1, Sent: at(7), Got: at(8), Ran: "did not run"},
+			{Request: "e", AtMostOnce: true}, {Request: "b", RequestSent: true},
 		},
 	}
 	want := []ClientAttempt{
@@ -54,7 +54,7 @@
 		{Span: Span{Start: 5 * time.Second, End: Never}, Request: "c", Number: 1, Outcome: OutcomeUnknown},
 		{Span: spanOf(7, 8), Request: "d", Number: 1, Outcome: OutcomeDidNotRun},
 	}
-	attempts := SendingsOf(history, started)
+	attempts := ClientAttemptsOf(history, started)
 	if len(attempts) != len(want) {
 		t.Fatalf("%d attempts instead of %d", len(attempts), len(want))
 	}
--- a/verify/linearizability/recording.go
+++ b/verify/linearizability/recording.go
@@ -15,8 +15,8 @@
 type Recording struct {
 	// Calls are the operators' calls.
 	Calls []Call `json:"calls"`
-	// Sendings are the client attempts of at-most-once requests.
-	Sendings []ClientAttempt `json:"sendings"`
+	// ClientAttempts are the client attempts of at-most-once requests.
+	ClientAttempts []ClientAttempt `json:"sendings"`
 	// Known is the epoch of each operation in the fleet's final state.
 	Known map[string]uint64 `json:"known"`
 }
@@ -45,8 +45,8 @@
 	AnswerStale = "stale"
 	// AnswerUnavailable means a refusal because there is no head, disk or capacity: this call never has an effect.
 	AnswerUnavailable = "unavailable"
-	// AnswerNothing means that there was no answer, or one that states no outcome.
-	AnswerNothing = "nothing"
+	// AnswerUnknown means that there was no answer, or one that states no outcome.
+	AnswerUnknown = "nothing"
 )
 
 // Call is one call of an operator and its answer.
--- a/verify/loadtest/client_source.go
+++ b/verify/loadtest/client_source.go
@@ -90,7 +90,7 @@
 	if behavior.disconnectShare > 0 && source.random.Float64() < behavior.disconnectShare {
 		client.disconnectDelay = 1 + time.Duration(source.random.Int63n(int64(maximumDisconnectDelay)))
 	}
-	if behavior.retryShare > 0 && client.request.Kind.Once && source.random.Float64() < behavior.retryShare {
+	if behavior.retryShare > 0 && client.request.Kind.AtMostOnce && source.random.Float64() < behavior.retryShare {
 		client.retries = source.drawRetries()
 	}
 	return client
--- a/verify/loadtest/load.go
+++ b/verify/loadtest/load.go
@@ -14,14 +14,14 @@
 // Load sends a mix over HTTP, each request from a client of its own. Its exported fields default to 0 and are set
 // before Run.
 type Load struct {
-	// Hot is the share (0 to 1) of the requests whose prompts have the same prefix.
-	Hot float64
-	// HangUps is the share (0 to 1) of the clients that close their connections at a random time, whatever they have
-	// received until then.
-	HangUps float64
-	// Resends is the share (0 to 1) of the clients that retry their at-most-once requests within a few seconds, in any
+	// HotShare is the share (0 to 1) of the requests whose prompts have the same prefix.
+	HotShare float64
+	// DisconnectShare is the share (0 to 1) of the clients that close their connections at a random time, whatever they
+	// have received until then.
+	DisconnectShare float64
+	// RetryShare is the share (0 to 1) of the clients that retry their at-most-once requests within a few seconds, in any
 	// zone and whatever the outcome of the first attempt.
-	Resends float64
+	RetryShare float64
 
 	record  *histories.History
 	clients *clientSource
@@ -48,7 +48,7 @@
 		timer := time.NewTimer(min(load.clients.gap(rate()), maximumGap))
 		select {
 		case <-timer.C:
-			load.serve(requests, load.clients.next(behavior{load.Hot, load.HangUps, load.Resends}))
+			load.serve(requests, load.clients.next(behavior{load.HotShare, load.DisconnectShare, load.RetryShare}))
 		case <-running.Done():
 			timer.Stop()
 		}
@@ -71,6 +71,6 @@
 
 // send makes one attempt of a client's request and records the answer.
 func (load *Load) send(ctx context.Context, client drawnClient) {
-	answer := load.sender.send(ctx, client)
-	load.record.Change(func(history *histories.History) { history.Answers = append(history.Answers, answer) })
+	attempt := load.sender.send(ctx, client)
+	load.record.Change(func(history *histories.History) { history.Answers = append(history.Answers, attempt) })
 }
--- a/verify/loadtest/load_test.go
+++ b/verify/loadtest/load_test.go
@@ -52,7 +52,7 @@
 }
 
 // sendTo sends a client's request; successive connection attempts use successive addresses.
-func sendTo(client drawnClient, addresses ...string) *histories.Answer {
+func sendTo(client drawnClient, addresses ...string) *histories.ClientAttempt {
 	picked := 0
 	sender := newSender("m", func(string) string {
 		if picked == len(addresses) {
@@ -74,10 +74,11 @@
 		writer.Header().Set("Wardtray-Runner", "r1")
 		_, _ = io.WriteString(writer, completeStream)
 	})
-	answer := sendTo(drawnClient{request: testRequest(), zone: "a"}, address)
-	if !answer.Done || answer.ConnectionLost || answer.HungUp || !answer.RequestSent || answer.Head != "r1" ||
-		answer.Status != http.StatusOK || answer.Daemon != address || answer.Zone != "a" {
-		t.Errorf("recorded %+v, want a complete stream from r1", answer)
+	attempt := sendTo(drawnClient{request: testRequest(), zone: "a"}, address)
+	if !attempt.Done || attempt.ConnectionLost || attempt.ClientDisconnected || !attempt.RequestSent ||
+		attempt.HeaderRunner != "r1" ||
+		attempt.Status != http.StatusOK || attempt.Daemon != address || attempt.Zone != "a" {
+		t.Errorf("recorded %+v, want a complete stream from r1", attempt)
 	}
 }
 
@@ -87,10 +88,10 @@
 		writer.WriteHeader(http.StatusTooManyRequests)
 		_, _ = io.WriteString(writer, `{"kind":"patience_short","ran":"did not run"}`)
 	})
-	answer := sendTo(drawnClient{request: testRequest()}, address)
-	if answer.Status != http.StatusTooManyRequests || answer.Kind != "patience_short" || !answer.RetryAfter ||
-		answer.Ran != "did not run" || answer.Done || answer.ConnectionLost {
-		t.Errorf("recorded %+v, want a refusal", answer)
+	attempt := sendTo(drawnClient{request: testRequest()}, address)
+	if attempt.Status != http.StatusTooManyRequests || attempt.Kind != "patience_short" || !attempt.RetryAfter ||
+		attempt.Ran != "did not run" || attempt.Done || attempt.ConnectionLost {
+		t.Errorf("recorded %+v, want a refusal", attempt)
 	}
 }
 
@@ -101,17 +102,17 @@
 		_, _ = io.WriteString(writer, completeStream)
 	})
 	aborting := startDaemon(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	answer := sendTo(drawnClient{request: testRequest()}, closedAddress(t), closedAddress(t), complete)
-	if !answer.Done || answer.Daemon != complete {
-		t.Errorf("after two refused connections: %+v", answer)
+	attempt := sendTo(drawnClient{request: testRequest()}, closedAddress(t), closedAddress(t), complete)
+	if !attempt.Done || attempt.Daemon != complete {
+		t.Errorf("after two refused connections: %+v", attempt)
 	}
-	answer = sendTo(drawnClient{request: testRequest()}, aborting, complete)
-	if answer.Done || !answer.ConnectionLost || !answer.RequestSent || answer.Daemon != aborting {
-		t.Errorf("after an aborted connection: %+v", answer)
+	attempt = sendTo(drawnClient{request: testRequest()}, aborting, complete)
+	if attempt.Done || !attempt.ConnectionLost || !attempt.RequestSent || attempt.Daemon != aborting {
+		t.Errorf("after an aborted connection: %+v", attempt)
 	}
-	answer = sendTo(drawnClient{request: testRequest()}, closedAddress(t))
-	if !answer.ConnectionLost || answer.RequestSent || answer.Daemon != "" {
-		t.Errorf("without a daemon: %+v", answer)
+	attempt = sendTo(drawnClient{request: testRequest()}, closedAddress(t))
+	if !attempt.ConnectionLost || attempt.RequestSent || attempt.Daemon != "" {
+		t.Errorf("without a daemon: %+v", attempt)
 	}
 }
 
@@ -119,9 +120,9 @@
 	address := startDaemon(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "id: 1\nevent: token\ndata: {\"run\":\"x\"}\n\n")
 	})
-	answer := sendTo(drawnClient{request: testRequest()}, address)
-	if !answer.ConnectionLost || answer.Done || len(answer.IDs) != 1 {
-		t.Errorf("recorded %+v, want one event and a lost connection", answer)
+	attempt := sendTo(drawnClient{request: testRequest()}, address)
+	if !attempt.ConnectionLost || attempt.Done || len(attempt.IDs) != 1 {
+		t.Errorf("recorded %+v, want one event and a lost connection", attempt)
 	}
 }
 
@@ -133,9 +134,9 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 	})
-	answer := sendTo(drawnClient{request: testRequest(), disconnectDelay: 20 * time.Millisecond}, address)
-	if !answer.HungUp || answer.HungUpAt.IsZero() || answer.Done {
-		t.Errorf("recorded %+v, want a client that disconnected", answer)
+	attempt := sendTo(drawnClient{request: testRequest(), disconnectDelay: 20 * time.Millisecond}, address)
+	if !attempt.ClientDisconnected || attempt.DisconnectedAt.IsZero() || attempt.Done {
+		t.Errorf("recorded %+v, want a client that disconnected", attempt)
 	}
 }
 
@@ -151,11 +152,11 @@
 	defer stop()
 	load.Run(running, func() float64 { return 200 })
 	seen := map[string]bool{}
-	for _, answer := range record.Answers {
-		if seen[answer.Request] || !answer.Done {
-			t.Errorf("recorded twice or incomplete: %+v", answer)
+	for _, attempt := range record.Answers {
+		if seen[attempt.Request] || !attempt.Done {
+			t.Errorf("recorded twice or incomplete: %+v", attempt)
 		}
-		seen[answer.Request] = true
+		seen[attempt.Request] = true
 	}
 	if len(seen) == 0 {
 		t.Error("no requests were sent")
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -10,8 +10,8 @@
 	Route string
 	// Share is the share (0 to 1) of the mix's requests that are of this kind.
 	Share float64
-	// Once marks at-most-once requests: the route is not idempotent.
-	Once bool
+	// AtMostOnce marks at-most-once requests: the route is not idempotent.
+	AtMostOnce bool
 	// Value, LatencyTarget and ConcurrencyLimit are settings of the route.
 	Value            float64
 	LatencyTarget    time.Duration
@@ -32,10 +32,10 @@
 	Wait, Deadline time.Duration
 }
 
-// Mix is the workload of one deployment, and the backend that serves it: Pool is the name of the backend.
+// Mix is the workload of one deployment, and the backend that serves it: Backend is the name of the backend.
 type Mix struct {
-	Model, Pool, Weights, Service string
-	Kinds                         []Kind
+	Model, Backend, Weights, Service string
+	Kinds                            []Kind
 }
 
 // Settings of the variants of a mix.
@@ -58,7 +58,7 @@
 // WithResumption returns the mix with longer, resumable answers for all kinds except at-most-once requests.
 func (mix Mix) WithResumption() Mix {
 	return mix.withKinds(func(kind *Kind) {
-		if !kind.Once {
+		if !kind.AtMostOnce {
 			kind.Resumable, kind.Pause, kind.Answer = true, resumptionPause, longAnswerTokens
 		}
 	})
--- a/verify/loadtest/mix_test.go
+++ b/verify/loadtest/mix_test.go
@@ -70,7 +70,7 @@
 			t.Errorf("%s: a variant modified the original mix", name)
 		}
 		for index, kind := range mix.Kinds {
-			if got := resumable.Kinds[index]; got.Resumable == kind.Once || (got.Pause > 0) == kind.Once {
+			if got := resumable.Kinds[index]; got.Resumable == kind.AtMostOnce || (got.Pause > 0) == kind.AtMostOnce {
 				t.Errorf("%s: %s: resumable %v, pause %v", name, kind.Route, got.Resumable, got.Pause)
 			}
 			if got := deadlines.Kinds[index]; got.Deadline != kind.LatencyTarget || got.Wait != kind.LatencyTarget/2 {
--- a/verify/loadtest/request.go
+++ b/verify/loadtest/request.go
@@ -92,18 +92,18 @@
 }
 
 // NewAnswer returns the record of the answer to the request, sent by a client in a zone, before any of it is received.
-func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.Answer {
-	return &histories.Answer{
-		Request:       drawn.ID,
-		Route:         drawn.Kind.Route,
-		Once:          drawn.Kind.Once,
-		LatencyTarget: drawn.Kind.LatencyTarget,
-		Zone:          zone,
-		Sent:          sent,
-		Resumable:     drawn.Kind.Resumable,
-		Undeclared:    drawn.Attempt == 0,
-		Attempt:       drawn.Attempt,
-		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
-		Bound:         drawn.TimeLimit(),
+func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.ClientAttempt {
+	return &histories.ClientAttempt{
+		Request:             drawn.ID,
+		Route:               drawn.Kind.Route,
+		AtMostOnce:          drawn.Kind.AtMostOnce,
+		LatencyTarget:       drawn.Kind.LatencyTarget,
+		Zone:                zone,
+		Sent:                sent,
+		Resumable:           drawn.Kind.Resumable,
+		Undeclared:          drawn.Attempt == 0,
+		Attempt:             drawn.Attempt,
+		CancelsOnDisconnect: drawn.Kind.Cancel || !drawn.Kind.AtMostOnce,
+		Deadline:            drawn.TimeLimit(),
 	}
 }
--- a/verify/loadtest/request_test.go
+++ b/verify/loadtest/request_test.go
@@ -88,14 +88,14 @@
 		{true, true, true},
 	} {
 		drawn := testRequest()
-		drawn.Kind.Once, drawn.Kind.Cancel = trial.once, trial.cancel
-		answer := drawn.NewAnswer("a", sent)
-		if answer.Cancels != trial.want || answer.Once != trial.once {
+		drawn.Kind.AtMostOnce, drawn.Kind.Cancel = trial.once, trial.cancel
+		attempt := drawn.NewAnswer("a", sent)
+		if attempt.CancelsOnDisconnect != trial.want || attempt.AtMostOnce != trial.once {
 			t.Errorf("at most once %v, cancel %v: recorded as cancelled on disconnection %v", trial.once, trial.cancel,
-				answer.Cancels)
+				attempt.CancelsOnDisconnect)
 		}
-		if answer.Request != "q1-7" || answer.Route != "chat" || answer.Zone != "a" || !answer.Sent.Equal(sent) {
-			t.Errorf("recorded %+v", answer)
+		if attempt.Request != "q1-7" || attempt.Route != "chat" || attempt.Zone != "a" || !attempt.Sent.Equal(sent) {
+			t.Errorf("recorded %+v", attempt)
 		}
 	}
 }
--- a/verify/loadtest/response.go
+++ b/verify/loadtest/response.go
@@ -12,7 +12,7 @@
 // EventParser parses the lines of an event stream as a client does: from the bytes received alone.
 type EventParser struct {
 	// Record receives the events, set by the caller.
-	Record *histories.Answer
+	Record *histories.ClientAttempt
 	// event is the incomplete event. A field that an event omits keeps the value of the previous event.
 	event event
 }
@@ -70,7 +70,7 @@
 const kindUnreadable = "unreadable"
 
 // ParseRejection records the body of a refusal.
-func ParseRejection(record *histories.Answer, body []byte) {
+func ParseRejection(record *histories.ClientAttempt, body []byte) {
 	refusal := struct{ Kind, Detail, Ran string }{}
 	if err := json.Unmarshal(body, &refusal); err != nil || refusal.Kind == "" {
 		record.Kind = kindUnreadable
--- a/verify/loadtest/retry_test.go
+++ b/verify/loadtest/retry_test.go
@@ -11,13 +11,13 @@
 	atMostOnce, retried := 0, 0
 	for range 200 {
 		client := source.next(behavior{retryShare: 0.5})
-		if client.request.Kind.Once {
+		if client.request.Kind.AtMostOnce {
 			atMostOnce++
 		}
 		if client.request.Attempt != 1 {
 			t.Fatalf("the first attempt has number %d", client.request.Attempt)
 		}
-		if len(client.retries) > 0 && !client.request.Kind.Once {
+		if len(client.retries) > 0 && !client.request.Kind.AtMostOnce {
 			t.Fatal("an idempotent request is retried")
 		}
 		last := time.Duration(0)
--- a/verify/loadtest/sender.go
+++ b/verify/loadtest/sender.go
@@ -50,7 +50,7 @@
 
 // send sends a client's request and returns its outcome. If no connection could be made, it tries another daemon, since
 // the first can't have read any of the request.
-func (sender *sender) send(ctx context.Context, client drawnClient) *histories.Answer {
+func (sender *sender) send(ctx context.Context, client drawnClient) *histories.ClientAttempt {
 	record := client.request.NewAnswer(client.zone, time.Now())
 	record.Resent = client.request.Attempt > 1
 	connected, disconnect := context.WithCancel(ctx)
@@ -68,7 +68,7 @@
 	record.Got = time.Now()
 	// The request returns as soon as its connection is closed, and on one machine the peer sees the close immediately.
 	if connected.Err() != nil && !record.Done {
-		record.HungUp, record.HungUpAt = true, record.Got
+		record.ClientDisconnected, record.DisconnectedAt = true, record.Got
 	}
 	if record.Status == 0 {
 		record.ConnectionLost = true
@@ -78,7 +78,7 @@
 
 // attempt sends a request to the record's daemon and reads the response; it returns false if no connection was made, so
 // that the daemon can't have read the request.
-func (sender *sender) attempt(ctx context.Context, drawn Drawn, record *histories.Answer) bool {
+func (sender *sender) attempt(ctx context.Context, drawn Drawn, record *histories.ClientAttempt) bool {
 	request, err := sender.newRequest(ctx, drawn, record.Daemon)
 	if err != nil {
 		return true
@@ -95,7 +95,7 @@
 	defer func() { _ = response.Body.Close() }()
 	record.Status = response.StatusCode
 	record.RetryAfter = response.Header.Get("Retry-After") != ""
-	record.Head = response.Header.Get(admission.HeaderRunner)
+	record.HeaderRunner = response.Header.Get(admission.HeaderRunner)
 	sender.terms.learn(record.Zone, response.Header.Get(admission.HeaderTerm))
 	if response.StatusCode == http.StatusOK {
 		readEvents(response.Body, record)
@@ -130,7 +130,7 @@
 }
 
 // readEvents reads a stream to its end.
-func readEvents(body io.Reader, record *histories.Answer) {
+func readEvents(body io.Reader, record *histories.ClientAttempt) {
 	reader, parser := bufio.NewReader(body), EventParser{Record: record}
 	for {
 		line, err := reader.ReadString('\n')
--- a/verify/loadtest/spec.go
+++ b/verify/loadtest/spec.go
@@ -16,19 +16,19 @@
 func (mix Mix) Spec(zones []string, markers ...string) *config.Spec {
 	spec := &config.Spec{
 		Backends: []config.Backend{
-			{Name: mix.Pool, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}},
+			{Name: mix.Backend, Model: mix.Model, Weights: mix.Weights, Services: []string{mix.Service}},
 		},
 	}
 	for _, zone := range zones {
 		spec.Zones = append(spec.Zones, config.Zone{Name: zone})
 	}
 	for _, kind := range mix.Kinds {
-		spec.Routes = append(spec.Routes, kind.route(mix.Pool))
+		spec.Routes = append(spec.Routes, kind.route(mix.Backend))
 	}
 	for _, marker := range markers {
 		spec.Routes = append(spec.Routes, config.Route{
 			Name:             marker,
-			Backend:          mix.Pool,
+			Backend:          mix.Backend,
 			Value:            1,
 			LatencyTarget:    config.Duration(markerLatencyTarget),
 			ConcurrencyLimit: markerConcurrencyLimit,
@@ -46,7 +46,7 @@
 		Value:              kind.Value,
 		LatencyTarget:      config.Duration(kind.LatencyTarget),
 		ConcurrencyLimit:   kind.ConcurrencyLimit,
-		Idempotent:         !kind.Once,
+		Idempotent:         !kind.AtMostOnce,
 		Resumable:          kind.Resumable,
 		CancelOnDisconnect: kind.Cancel,
 		Pause:              config.Duration(kind.Pause),
--- a/verify/loadtest/spec_test.go
+++ b/verify/loadtest/spec_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestARouteHasTheTermsOfItsKind(t *testing.T) {
-	kind := Kind{Route: "r", Once: true, Value: 3, LatencyTarget: time.Second, Cancel: true, Deadline: time.Minute}
+	kind := Kind{Route: "r", AtMostOnce: true, Value: 3, LatencyTarget: time.Second, Cancel: true, Deadline: time.Minute}
 	route := kind.route("p")
 	if route.Name != "r" || route.Backend != "p" || route.Idempotent || !route.CancelOnDisconnect ||
 		route.Value != 3 || time.Duration(route.LatencyTarget) != time.Second ||
--- a/verify/placement/batch_simulation.go
+++ b/verify/placement/batch_simulation.go
@@ -21,8 +21,8 @@
 // batchRetrySettings allows retries of a fifth of the requests, and some more in the complete fleet.
 var batchRetrySettings = retrybudget.Settings{Window: 10 * time.Second, Ratio: 0.2, Slack: 60}
 
-// Play configures one simulation of a deployment with batch runners. Shares are fractions from 0 to 1.
-type Play struct {
+// BatchExperiment configures one simulation of a deployment with batch runners. Shares are fractions from 0 to 1.
+type BatchExperiment struct {
 	Deployment Deployment
 	// Load multiplies the routes' rates.
 	Load float64
@@ -45,7 +45,7 @@
 
 // batchSimulation simulates a workload that daemons place on batch runners.
 type batchSimulation struct {
-	experiment Play
+	experiment BatchExperiment
 	world      *simulation.World
 	random     *rand.Rand
 	started    time.Time
@@ -61,7 +61,7 @@
 
 // Run runs the simulation and returns the results of each route and, under "", of all routes together. It returns an
 // error if a daemon's prefix index can't be created.
-func (experiment Play) Run() (map[string]*BatchResult, error) {
+func (experiment BatchExperiment) Run() (map[string]*BatchResult, error) {
 	world := simulation.NewWorld(experiment.Seed)
 	simulated := &batchSimulation{
 		experiment: experiment,
--- a/verify/placement/batch_simulation_test.go
+++ b/verify/placement/batch_simulation_test.go
@@ -6,9 +6,10 @@
 )
 
 // runExperiment runs a simulation of a deployment at the usual load; change may modify its settings.
-func runExperiment(t *testing.T, deployment, policy string, change func(experiment *Play)) map[string]*BatchResult {
+func runExperiment(t *testing.T, deployment, policy string,
+	change func(experiment *BatchExperiment)) map[string]*BatchResult {
 	t.Helper()
-	experiment := Play{
+	experiment := BatchExperiment{
 		Deployment: Deployments[deployment],
 		Load:       1,
 		Length:     9 * time.Second,
@@ -34,7 +35,7 @@
 		results := map[string]*BatchResult{}
 		for _, policy := range []string{"wardtray", "least-loaded"} {
 			// Three seeds, since engines with few slots receive few requests.
-			sums, err := runSeeds(Play{
+			sums, err := runSeeds(BatchExperiment{
 				Deployment: Deployments[deployment],
 				Load:       1,
 				Length:     9 * time.Second,
@@ -69,7 +70,7 @@
 // share of all requests.
 func TestOverloadOfBatches(t *testing.T) {
 	t.Parallel()
-	change := func(experiment *Play) { experiment.Load = 1.5 }
+	change := func(experiment *BatchExperiment) { experiment.Load = 1.5 }
 	wardtray, baseline := runExperiment(t, "guild", "wardtray", change), runExperiment(t, "guild", "least-loaded", change)
 	if wardtray[""].ValueShare() < baseline[""].ValueShare()+0.1 {
 		t.Errorf("value share %.3f, with least-loaded %.3f", wardtray[""].ValueShare(), baseline[""].ValueShare())
@@ -87,11 +88,11 @@
 // with each fault, the value net of costs must exceed that of the baseline, and no request may be refused.
 func TestTroublesOfBatches(t *testing.T) {
 	t.Parallel()
-	faults := map[string]func(experiment *Play){
-		"hot":     func(experiment *Play) { experiment.Hot, experiment.HotRoute = 0.28, "confirm" },
-		"slow":    func(experiment *Play) { experiment.Slow = 0.15 },
-		"crash":   func(experiment *Play) { experiment.Crash = 0.2 },
-		"release": func(experiment *Play) { experiment.Release = 0.45 },
+	faults := map[string]func(experiment *BatchExperiment){
+		"hot":     func(experiment *BatchExperiment) { experiment.Hot, experiment.HotRoute = 0.28, "confirm" },
+		"slow":    func(experiment *BatchExperiment) { experiment.Slow = 0.15 },
+		"crash":   func(experiment *BatchExperiment) { experiment.Crash = 0.2 },
+		"release": func(experiment *BatchExperiment) { experiment.Release = 0.45 },
 	}
 	for name, change := range faults {
 		wardtray, baseline := runExperiment(t, "guild", "wardtray", change)[""],
@@ -109,7 +110,7 @@
 // load reports. The preferred runners of a prefix, which all daemons derive alike, must then replace this knowledge.
 func TestHomesOfAGrownFleet(t *testing.T) {
 	t.Parallel()
-	change := func(experiment *Play) { experiment.ReportAge, experiment.Length = 0, 9*time.Second }
+	change := func(experiment *BatchExperiment) { experiment.ReportAge, experiment.Length = 0, 9*time.Second }
 	wardtray, random := runExperiment(t, "ferries-grown", "wardtray", change)[""],
 		runExperiment(t, "ferries-grown", "random", change)[""]
 	if wardtray.ValueShare() < random.ValueShare() || 2*wardtray.RereadTokens > random.RereadTokens {
--- a/verify/placement/runner_faults.go
+++ b/verify/placement/runner_faults.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// slowRunnerFactor is the slowdown of the runners of Play.Slow.
+	// slowRunnerFactor is the slowdown of the runners of BatchExperiment.Slow.
 	slowRunnerFactor = 3
 	// crashDetectionTime is the time until a crashed runner is removed from the list, after several missing heartbeats.
 	crashDetectionTime = 3600 * time.Millisecond
--- a/verify/placement/settings.go
+++ b/verify/placement/slot_experiments.go
@@ -5,8 +5,9 @@
 	"wardtray/verify/loadtest"
 )
 
-// Settings holds the fleets of the guild and ferries deployments with slot runners; the caller sets the other fields.
-var Settings = map[string]Setting{
+// SlotExperiments holds the fleets of the guild and ferries deployments with slot runners; the caller sets the other
+// fields.
+var SlotExperiments = map[string]SlotExperiment{
 	"guild": {
 		Mix:     loadtest.Guild,
 		Zones:   []string{"a", "b", "c"},
--- a/verify/placement/slot_runner.go
+++ b/verify/placement/slot_runner.go
@@ -41,7 +41,7 @@
 
 // accept starts or queues a request, and reports whether there was capacity for it.
 func (runner *slotRunner) accept(run slotRun) bool {
-	if runner.active() >= runner.profile.Slots+runner.profile.PutBackAbove {
+	if runner.active() >= runner.profile.Slots+runner.profile.QueueLimit {
 		return false
 	}
 	if runner.running < runner.profile.Slots {
--- a/verify/placement/slot_runner_test.go
+++ b/verify/placement/slot_runner_test.go
@@ -15,10 +15,10 @@
 func newTestSlotRunner() *slotRunner {
 	return &slotRunner{
 		profile: emulator.RunnerProfile{
-			Slots:        2,
-			PutBackAbove: 1,
-			TokenTime:    time.Millisecond,
-			AnswerTime:   time.Millisecond,
+			Slots:      2,
+			QueueLimit: 1,
+			TokenTime:  time.Millisecond,
+			AnswerTime: time.Millisecond,
 		},
 		world: simulation.NewWorld(1),
 		cache: emulator.NewCache[kvblock.BlockKey](1000),
--- a/verify/placement/slot_simulation.go
+++ b/verify/placement/slot_simulation.go
@@ -23,8 +23,8 @@
 	slotDrainTime = 30 * time.Second
 )
 
-// Setting configures one simulation with slot runners.
-type Setting struct {
+// SlotExperiment configures one simulation with slot runners.
+type SlotExperiment struct {
 	Mix     loadtest.Mix
 	Zones   []string
 	Daemons int
@@ -43,7 +43,7 @@
 
 // slotSimulation simulates the requests of a mix, which daemons place on slot runners.
 type slotSimulation struct {
-	experiment Setting
+	experiment SlotExperiment
 	world      *simulation.World
 	random     *rand.Rand
 	started    time.Time
@@ -62,7 +62,7 @@
 
 // Measure runs a simulation and returns the results of each route and, under "", of all routes together. It returns an
 // error if a daemon's prefix index can't be created.
-func Measure(experiment Setting) (map[string]*SlotResult, error) {
+func Measure(experiment SlotExperiment) (map[string]*SlotResult, error) {
 	world := simulation.NewWorld(experiment.Seed)
 	simulated := &slotSimulation{
 		experiment: experiment,
--- a/verify/placement/slot_simulation_test.go
+++ b/verify/placement/slot_simulation_test.go
@@ -10,7 +10,7 @@
 // measure runs a simulation of a deployment with a policy, a rate and a share of hot requests.
 func measure(t *testing.T, deployment, policy string, rate, hot float64) map[string]*SlotResult {
 	t.Helper()
-	experiment := Settings[deployment]
+	experiment := SlotExperiments[deployment]
 	experiment.Policy, experiment.Rate, experiment.Hot, experiment.Length, experiment.Seed = policy, rate, hot,
 		8*time.Second, 3
 	results, err := Measure(experiment)
@@ -47,7 +47,7 @@
 	for _, deployment := range []string{"guild", "ferries"} {
 		crossZone := map[string]int{}
 		for _, policy := range []string{"wardtray", "random"} {
-			experiment := Settings[deployment]
+			experiment := SlotExperiments[deployment]
 			experiment.Policy, experiment.Rate, experiment.Length, experiment.Seed = policy, 60, 8*time.Second, 3
 			experiment.Mix.Kinds = append([]loadtest.Kind{}, experiment.Mix.Kinds...)
 			for index := range experiment.Mix.Kinds {
--- a/verify/placement/table.go
+++ b/verify/placement/table.go
@@ -88,7 +88,7 @@
 
 // Table runs Measure with each of slotPolicies at each rate (in requests per second) and prints a line for each route.
 // It returns any error of Measure or of the output.
-func Table(output io.Writer, experiment Setting, rates []float64) error {
+func Table(output io.Writer, experiment SlotExperiment, rates []float64) error {
 	printed := newTable(output, []string{"RATE", "WAY"}, slotColumns)
 	for _, rate := range rates {
 		for _, policy := range slotPolicies {
@@ -122,9 +122,9 @@
 	{"99%", func(result *BatchResult) string { return latency(result.Quantile(0.99)) }},
 }
 
-// Report runs Play.Run with each policy at each load, sums the results over the given number of successive seeds and
-// prints a line for each route. It returns any error of Play.Run or of the output.
-func Report(output io.Writer, experiment Play, loads []float64, policyNames []string, seeds int) error {
+// Report runs BatchExperiment.Run with each policy at each load, sums the results over the given number of successive
+// seeds and prints a line for each route. It returns any error of BatchExperiment.Run or of the output.
+func Report(output io.Writer, experiment BatchExperiment, loads []float64, policyNames []string, seeds int) error {
 	printed := newTable(output, []string{"LOAD", "WAY"}, batchColumns)
 	for _, load := range loads {
 		for _, policy := range policyNames {
@@ -140,7 +140,7 @@
 }
 
 // runSeeds runs a simulation concurrently with successive seeds, from its own on, and sums the results.
-func runSeeds(experiment Play, seeds int) (map[string]*BatchResult, error) {
+func runSeeds(experiment BatchExperiment, seeds int) (map[string]*BatchResult, error) {
 	all := make([]map[string]*BatchResult, seeds)
 	failures := make([]error, seeds)
 	var running sync.WaitGroup
--- a/verify/simulation/at_most_once_cost.go
+++ b/verify/simulation/at_most_once_cost.go
@@ -51,7 +51,7 @@
 	world.Run(bootstrapTime)
 	newOperators(world, 500_000).apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate = DefaultTrial.Rate
+	traffic.Rate = DefaultRequestScenario.Rate
 	if design == ReservedInAllZones {
 		traffic.Undeclared = 1
 	}
@@ -69,9 +69,9 @@
 	}
 	world.Run(length)
 	var firsts []time.Duration
-	for _, answer := range traffic.History.Answers {
-		if answer.Once && answer.Done && answer.Sent.After(from) {
-			firsts = append(firsts, answer.First)
+	for _, attempt := range traffic.History.Answers {
+		if attempt.AtMostOnce && attempt.Done && attempt.Sent.After(from) {
+			firsts = append(firsts, attempt.First)
 		}
 	}
 	slices.Sort(firsts)
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -52,7 +52,7 @@
 type client struct {
 	traffic  *Traffic
 	drawn    loadtest.Drawn
-	record   *histories.Answer
+	record   *histories.ClientAttempt
 	exchange *clientExchange
 	// host is the data daemon that accepted the request, in this incarnation; nil until one has.
 	host        *Host
--- a/verify/simulation/client_disconnect.go
+++ b/verify/simulation/client_disconnect.go
@@ -11,7 +11,7 @@
 	if client.finished || client.disconnected {
 		return
 	}
-	client.disconnected, client.record.HungUp = true, true
+	client.disconnected, client.record.ClientDisconnected = true, true
 	if client.host != nil {
 		client.deliverDisconnect()
 	}
@@ -31,17 +31,17 @@
 		if client.finished || !host.up || host.incarnation != client.incarnation {
 			return
 		}
-		client.record.HungUpAt = traffic.world.Now
+		client.record.DisconnectedAt = traffic.world.Now
 		client.exchange.notifyDisconnect()
 		client.checkDisconnect(traffic.world.Now)
 	})
 }
 
 // checkDisconnect checks that the daemon has stopped working for the client, once its process has run for
-// histories.DepartureBound without a freeze.
+// histories.DisconnectBound without a freeze.
 func (client *client) checkDisconnect(since time.Time) {
 	traffic, host := client.traffic, client.host
-	traffic.world.After(histories.DepartureBound, func() {
+	traffic.world.After(histories.DisconnectBound, func() {
 		now := traffic.world.Now
 		if !host.up || host.incarnation != client.incarnation {
 			return
@@ -50,7 +50,7 @@
 			client.checkDisconnect(now)
 			return
 		}
-		traffic.checker.CheckDeparture(client.record, now)
+		traffic.checker.CheckDisconnect(client.record, now)
 		traffic.reportViolations()
 	})
 }
--- a/verify/simulation/client_exchange.go
+++ b/verify/simulation/client_exchange.go
@@ -22,7 +22,7 @@
 // clientExchange implements netio.Client for a simulated client. It records what the daemon's handler sends.
 type clientExchange struct {
 	client  *client
-	record  *histories.Answer
+	record  *histories.ClientAttempt
 	headers map[string][]string
 	parser  loadtest.EventParser
 	// unparsed is the part of the answer after the last complete line.
@@ -115,7 +115,7 @@
 	for _, header := range headers {
 		exchange.record.RetryAfter = exchange.record.RetryAfter || header.Name == "Retry-After"
 		if header.Name == admission.HeaderRunner {
-			exchange.record.Head = header.Value
+			exchange.record.HeaderRunner = header.Value
 		}
 		if header.Name == admission.HeaderTerm {
 			exchange.client.traffic.learnTerm(exchange.record.Zone, header.Value)
@@ -140,7 +140,7 @@
 
 // Write passes content to the client, which may disconnect in the middle.
 func (exchange *clientExchange) Write(content []byte) (int, error) {
-	if exchange.record.HungUp {
+	if exchange.record.ClientDisconnected {
 		return 0, errDisconnected
 	}
 	exchange.unparsed += string(content)
@@ -157,7 +157,7 @@
 }
 
 // Disconnected reports whether the disconnect has reached the daemon's machine.
-func (exchange *clientExchange) Disconnected() bool { return !exchange.record.HungUpAt.IsZero() }
+func (exchange *clientExchange) Disconnected() bool { return !exchange.record.DisconnectedAt.IsZero() }
 
 // OnDisconnect registers a function to be called when the client disconnects. If it has disconnected already, the call
 // is scheduled as the next event.
--- a/verify/simulation/client_exchange_test.go
+++ b/verify/simulation/client_exchange_test.go
@@ -37,8 +37,8 @@
 	leaving.disconnectsAfter = 2
 	world.Run(30 * time.Second)
 	record := leaving.record
-	if !record.HungUp || record.HungUpAt.IsZero() || record.Done || len(record.IDs) != 2 {
-		t.Errorf("disconnected %v, done %v, %d events", record.HungUp, record.Done, len(record.IDs))
+	if !record.ClientDisconnected || record.DisconnectedAt.IsZero() || record.Done || len(record.IDs) != 2 {
+		t.Errorf("disconnected %v, done %v, %d events", record.ClientDisconnected, record.Done, len(record.IDs))
 	}
 	if !leaving.exchange.Disconnected() || !leaving.finished || len(host.daemon.clients) != 0 {
 		t.Errorf("disconnected %v, finished %v, %d clients", leaving.exchange.Disconnected(), leaving.finished,
--- a/verify/simulation/closed_zone_test.go
+++ b/verify/simulation/closed_zone_test.go
@@ -9,14 +9,14 @@
 )
 
 // A zone that stays closed for longer than histories.ZoneBound gets no more requests, in a fleet without faults. The
-// attempt "closed zone" closes a zone for so long under some seeds only.
+// rule scenario "closed zone" closes a zone for so long under some seeds only.
 func TestClosedZoneIsLeft(t *testing.T) {
 	t.Parallel()
 	if underRace {
 		t.Skip("not run under the race detector")
 	}
 	for index, shape := range []Shape{GuildPath, FerriesPath} {
-		t.Run(shape.Mix.Pool, func(t *testing.T) {
+		t.Run(shape.Mix.Backend, func(t *testing.T) {
 			t.Parallel()
 			world := NewDeployment(int64(index+1), shape)
 			defer world.Close()
@@ -24,7 +24,7 @@
 			newOperators(world, 500_000).apply(world.Cores()[0])
 			world.Run(3 * time.Second)
 			traffic := world.Traffic
-			traffic.Rate = DefaultTrial.Rate
+			traffic.Rate = DefaultRequestScenario.Rate
 			world.Run(2 * time.Second)
 			closing := &wire.OperatorRequest{Verb: "close", Zone: traffic.History.Zones[0], Operation: "closing"}
 			order := world.Check.Send(world.Cores()[0], closing)
--- a/verify/simulation/daemon_picker.go
+++ b/verify/simulation/daemon_picker.go
@@ -29,7 +29,7 @@
 	for _, host := range picker.world.Daemons() {
 		picker.eligible[host.Address] = host.up && !host.frozen && host.daemon.plane.Ready()
 	}
-	picker.world.After(emulator.ListLag, picker.update)
+	picker.world.After(emulator.UpdateInterval, picker.update)
 }
 
 // pick returns a random eligible daemon, of the client's zone if it has any; nil if none is eligible.
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -58,13 +58,13 @@
 
 // warmingUp reports whether the runner is still cold.
 func (engine *engine) warmingUp() bool {
-	return engine.world.Now.Sub(engine.started) < engine.profile.ColdTime
+	return engine.world.Now.Sub(engine.started) < engine.profile.WarmUpTime
 }
 
 // capacity returns the number of requests that the runner can serve at once now.
 func (engine *engine) capacity() int {
 	if engine.warmingUp() {
-		return max(1, engine.profile.Slots/engine.profile.ColdFactor)
+		return max(1, engine.profile.Slots/engine.profile.WarmUpSlowdown)
 	}
 	return engine.profile.Slots
 }
@@ -85,7 +85,7 @@
 func (engine *engine) prefill(connection *conn, tokens int) bool {
 	length := engine.slowed(time.Duration(tokens) * engine.profile.TokenTime)
 	if engine.warmingUp() {
-		length *= time.Duration(engine.profile.ColdFactor)
+		length *= time.Duration(engine.profile.WarmUpSlowdown)
 	}
 	begin := engine.world.Now
 	if engine.prefillFree.After(begin) {
--- a/verify/simulation/engine_server.go
+++ b/verify/simulation/engine_server.go
@@ -96,23 +96,23 @@
 ) *histories.Run {
 	epoch, _ := strconv.ParseUint(request.Header.Get(admission.HeaderEpoch), 10, 64)
 	run := &histories.Run{
-		At:         reached,
-		Sent:       connection.sentAt,
-		Request:    request.Header.Get(admission.HeaderRequest),
-		Route:      request.Header.Get(admission.HeaderRoute),
-		Pool:       engine.world.Traffic.Mix.Pool,
-		Model:      request.Header.Get(admission.HeaderModel),
-		Weights:    engine.weights,
-		Runner:     engine.id,
-		Wanted:     request.Header.Get(admission.HeaderRunner),
-		Service:    engine.service,
-		Zone:       engine.host.Zone,
-		Daemon:     request.Header.Get(admission.HeaderDaemon),
-		Epoch:      epoch,
-		Started:    started,
-		Concurrent: engine.active,
-		WarmingUp:  engine.warmingUp(),
-		Capacity:   engine.capacity(),
+		At:             reached,
+		Sent:           connection.sentAt,
+		Request:        request.Header.Get(admission.HeaderRequest),
+		Route:          request.Header.Get(admission.HeaderRoute),
+		Backend:        engine.world.Traffic.Mix.Backend,
+		Model:          request.Header.Get(admission.HeaderModel),
+		Weights:        engine.weights,
+		Runner:         engine.id,
+		IntendedRunner: request.Header.Get(admission.HeaderRunner),
+		Service:        engine.service,
+		Zone:           engine.host.Zone,
+		Daemon:         request.Header.Get(admission.HeaderDaemon),
+		Epoch:          epoch,
+		Started:        started,
+		Concurrent:     engine.active,
+		WarmingUp:      engine.warmingUp(),
+		Capacity:       engine.capacity(),
 	}
 	engine.world.Traffic.recordRun(run)
 	return run
@@ -120,7 +120,7 @@
 
 // run serves one request and reports whether the connection can be reused.
 func (engine *engine) run(connection *conn, request *http.Request, reached time.Time) bool {
-	if engine.rejects || engine.active >= engine.profile.Slots+engine.profile.PutBackAbove {
+	if engine.rejects || engine.active >= engine.profile.Slots+engine.profile.QueueLimit {
 		engine.recordRun(connection, request, reached, false)
 		return answer(connection, http.StatusServiceUnavailable, map[string]any{"started": false})
 	}
@@ -146,7 +146,7 @@
 	parts, tokens := prefixesOf(request)
 	prompt, _ := strconv.Atoi(request.Header.Get(admission.HeaderPromptTokens))
 	length, _ := strconv.Atoi(request.Header.Get(admission.HeaderAnswerTokens))
-	if !engine.prefill(connection, prompt-engine.cache.Use(emulator.Chained(parts), tokens)) {
+	if !engine.prefill(connection, prompt-engine.cache.Use(emulator.ChainedKeys(parts), tokens)) {
 		return false
 	}
 	return newEventStream(engine, connection, run, length).send()
--- a/verify/simulation/fault_scenario.go
+++ b/verify/simulation/fault_scenario.go
@@ -7,12 +7,12 @@
 // RunFaults starts a deployment, injects faults for a minute, and checks that service recovers. With more faults at
 // once than a deployment tolerates the safety rules still hold; only service may be interrupted.
 func RunFaults(seed int64, shape Shape, names []string, atOnce int) *World {
-	return PlayEvery(seed, shape, names, atOnce, 700*time.Millisecond)
+	return RunFaultsEvery(seed, shape, names, atOnce, 700*time.Millisecond)
 }
 
-// PlayEvery is RunFaults with the given mean interval between operators' requests; a short one overloads the control
-// plane.
-func PlayEvery(seed int64, shape Shape, names []string, atOnce int, every time.Duration) *World {
+// RunFaultsEvery is RunFaults with the given mean interval between operators' requests; a short one overloads the
+// control plane.
+func RunFaultsEvery(seed int64, shape Shape, names []string, atOnce int, every time.Duration) *World {
 	world := NewDeployment(seed, shape)
 	world.Run(bootstrapTime)
 	operators := startOperators(world, every)
--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -113,7 +113,8 @@
 	host, core := world.Daemons()[0], world.Cores()[0]
 	end := world.injector.record(impact{kills: true, detectableAfter: time.Second}, host, core)
 	faults := world.Traffic.History.Faults
-	if len(faults) != 1 || faults[0].Daemon != host.Address || !faults[0].Kills || faults[0].Knowable != time.Second ||
+	if len(faults) != 1 || faults[0].Daemon != host.Address || !faults[0].LosesRequests ||
+		faults[0].DetectionTime != time.Second ||
 		!faults[0].Until.After(world.Now) {
 		t.Fatalf("recorded %+v, want one active fault of the data daemon", faults)
 	}
--- a/verify/simulation/machine_faults.go
+++ b/verify/simulation/machine_faults.go
@@ -43,9 +43,9 @@
 		end()
 		boot(world.Hosts)
 		if traffic := world.Traffic; traffic != nil {
-			traffic.History.Returns = append(traffic.History.Returns, histories.Return{At: world.Now})
+			traffic.History.OutageEnds = append(traffic.History.OutageEnds, histories.OutageEnd{At: world.Now})
 			operators := newOperators(world, world.injector.nextReturn())
-			operators.retryChange(world.Now.Add(returnBound))
+			operators.retryChange(world.Now.Add(recoveryBound))
 		}
 	}
 }
--- a/verify/simulation/operator_workloads_test.go
+++ b/verify/simulation/operator_workloads_test.go
@@ -66,10 +66,10 @@
 	for _, host := range world.Cores() {
 		host.Kill()
 	}
-	newOperators(world, 0).retryChange(world.Now.Add(returnBound))
+	newOperators(world, 0).retryChange(world.Now.Add(recoveryBound))
 	world.Run(3 * time.Second)
 	boot(world.Cores())
-	world.Run(returnBound)
+	world.Run(recoveryBound)
 	accepted := 0
 	for _, order := range world.Check.Orders {
 		if order.isAccepted() {
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -95,8 +95,8 @@
 }
 
 // record records a change for the checker of the request path, where there is one.
-func (checker *Checker) record(order *Order, request *wire.OperatorRequest) *histories.Order {
-	recorded := &histories.Order{
+func (checker *Checker) record(order *Order, request *wire.OperatorRequest) *histories.OperatorRequest {
+	recorded := &histories.OperatorRequest{
 		Operation: request.Operation,
 		Verb:      request.Verb,
 		Zone:      request.Zone,
--- a/verify/simulation/platform.go
+++ b/verify/simulation/platform.go
@@ -130,7 +130,7 @@
 		}
 		platform.listed = served
 	}
-	platform.world.After(emulator.ListLag, platform.publish)
+	platform.world.After(emulator.UpdateInterval, platform.publish)
 }
 
 // recordDrains records the runners that began to drain, or were removed, between two lists, and those that are back.
--- a/verify/simulation/spread.go
+++ b/verify/simulation/propagation.go
@@ -10,8 +10,8 @@
 	"wardtray/wire"
 )
 
-// Spread reports how a change propagated through a fleet with partial views.
-type Spread struct {
+// Propagation reports how a change propagated through a fleet with partial views.
+type Propagation struct {
 	Daemons int
 	// Half, Most and All are the times after the commit at which half, 99 % and all daemons had the change; Acknowledged
 	// is the time from sending it to the operator's answer.
@@ -21,20 +21,20 @@
 	Messages, Bytes, CrossZoneBytes, ChangeBytes float64
 }
 
-// MeasureSpread starts a deployment with the given number of daemons in three zones and measures how one change
+// MeasurePropagation starts a deployment with the given number of daemons in three zones and measures how one change
 // propagates.
-func MeasureSpread(seed int64, daemons int, routes int) (Spread, error) {
+func MeasurePropagation(seed int64, daemons int, routes int) (Propagation, error) {
 	world := newWideDeployment(seed, daemons, 18)
 	world.Run(15 * time.Second)
-	spread := Spread{Daemons: daemons}
+	propagation := Propagation{Daemons: daemons}
 	network := world.network
 	messages, bytes, crossZone := network.Messages, network.Bytes, network.CrossZoneBytes
 	const quiet = 4 * time.Second
 	world.Run(quiet)
 	per := float64(daemons) * quiet.Seconds()
-	spread.Messages = float64(network.Messages-messages) / per
-	spread.Bytes = float64(network.Bytes-bytes) / per
-	spread.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
+	propagation.Messages = float64(network.Messages-messages) / per
+	propagation.Bytes = float64(network.Bytes-bytes) / per
+	propagation.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
 	bytes = network.Bytes
 	order := world.Check.Send(world.Hosts[1],
 		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
@@ -53,19 +53,19 @@
 		}
 	}
 	if len(world.Check.Violations) > 0 || len(arrived) < daemons || !order.isAccepted() {
-		return spread, fmt.Errorf("%d of %d daemons have the change, its outcome is %s; %v", len(arrived), daemons,
+		return propagation, fmt.Errorf("%d of %d daemons have the change, its outcome is %s; %v", len(arrived), daemons,
 			order.Outcome, world.Check.Violations)
 	}
-	quietBytes := spread.Bytes * float64(daemons) * window.Seconds()
-	spread.ChangeBytes = (float64(network.Bytes-bytes) - quietBytes) / float64(daemons)
+	quietBytes := propagation.Bytes * float64(daemons) * window.Seconds()
+	propagation.ChangeBytes = (float64(network.Bytes-bytes) - quietBytes) / float64(daemons)
 	lengths := make([]time.Duration, 0, daemons)
 	for _, length := range arrived {
 		lengths = append(lengths, length)
 	}
 	sort.Slice(lengths, func(left, right int) bool { return lengths[left] < lengths[right] })
-	spread.Half, spread.Most, spread.All = lengths[daemons/2], lengths[daemons*99/100], lengths[daemons-1]
-	spread.Acknowledged = order.Got.Sub(sent)
-	return spread, nil
+	propagation.Half, propagation.Most, propagation.All = lengths[daemons/2], lengths[daemons*99/100], lengths[daemons-1]
+	propagation.Acknowledged = order.Got.Sub(sent)
+	return propagation, nil
 }
 
 // manyRoutes returns a configuration with the given number of routes.
--- a/verify/simulation/race_test.go
+++ b/verify/simulation/race_test.go
@@ -3,5 +3,5 @@
 package simulation
 
 // underRace means that the race detector is on. It keeps memory for every coroutine that ever ran, so that a complete
-// set of attempts needs more memory than small machines have; ./check also runs them without it.
+// set of rule scenarios needs more memory than small machines have; ./check also runs them without it.
 const underRace = true
--- a/verify/simulation/recording.go
+++ b/verify/simulation/recording.go
@@ -12,7 +12,7 @@
 	if len(checker.Violations) > 0 {
 		return
 	}
-	checker.Verdict = linearizability.Judge(checker.world.Recording(), linearizability.DefaultTimeout)
+	checker.Verdict = linearizability.Check(checker.world.Recording(), linearizability.DefaultTimeout)
 	for _, flaw := range checker.Verdict.Flaws() {
 		checker.report("not-linearizable: %s", flaw)
 	}
@@ -25,7 +25,7 @@
 		recording.Calls = append(recording.Calls, world.recordCall(number, order))
 	}
 	if world.Traffic != nil {
-		recording.Sendings = linearizability.SendingsOf(world.Traffic.History, world.started)
+		recording.ClientAttempts = linearizability.ClientAttemptsOf(world.Traffic.History, world.started)
 	}
 	return recording
 }
--- a/verify/simulation/recording_test.go
+++ b/verify/simulation/recording_test.go
@@ -70,7 +70,7 @@
 	scheduleFaults(world, 30*time.Second, faults, 2)
 	world.Run(30*time.Second + time.Millisecond)
 	writer.stopped = true
-	world.Run(returnBound)
+	world.Run(recoveryBound)
 	readBack(world)
 	world.Check.checkHistory()
 	return world
@@ -96,7 +96,7 @@
 }
 
 // A world's recording contains its calls, and an impossible history is reported as a violation.
-func TestWorldIsJudged(t *testing.T) {
+func TestWorldIsChecked(t *testing.T) {
 	t.Parallel()
 	world := runHistories(1, Guild, []string{"core killed"})
 	recording := world.Recording()
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// returnBound is the time after the last fault within which a change is acknowledged and every daemon serves under it.
-	returnBound = histories.ReturnBound
+	// recoveryBound is the time after the last fault within which a change is acknowledged and every daemon serves under
+	// it.
+	recoveryBound = histories.RecoveryBound
 	// repairBound is the time after the end of the faults within which the fleet is fully redundant.
 	repairBound = 15 * time.Second
 	// scrubAllowance is the longest time for which damage on a disk may stay undetected: until the next scrub, and the
@@ -96,13 +97,13 @@
 	return newest
 }
 
-// requireService runs the world until service is back, and reports a violation if that takes longer than returnBound.
+// requireService runs the world until service is back, and reports a violation if that takes longer than recoveryBound.
 func (recovery *recoveryCheck) requireService() {
 	check := recovery.world.Check
-	took, restored := recovery.awaitService(returnBound)
+	took, restored := recovery.awaitService(recoveryBound)
 	check.recordWorstCase("service after the last fault", took)
 	if !restored && len(check.Violations) == 0 {
-		check.violation("not recovered %v after the last fault\n%s", returnBound, recovery.world.Describe())
+		check.violation("not recovered %v after the last fault\n%s", recoveryBound, recovery.world.Describe())
 	}
 }
 
--- a/verify/simulation/request_scenario.go
+++ b/verify/simulation/request_scenario.go
@@ -6,8 +6,8 @@
 	"wardtray/verify/loadtest"
 )
 
-// Trial configures a run of a deployment with its request path.
-type Trial struct {
+// RequestScenario configures a run of a deployment with its request path.
+type RequestScenario struct {
 	// Faults are the kinds of fault injected, at most AtOnce at the same time, for Length.
 	Faults []string
 	AtOnce int
@@ -26,8 +26,8 @@
 	Mix func(mix loadtest.Mix) loadtest.Mix
 }
 
-// DefaultTrial is the trial on which all others are based; it has no faults.
-var DefaultTrial = Trial{
+// DefaultRequestScenario is the scenario on which all others are based; it has no faults.
+var DefaultRequestScenario = RequestScenario{
 	AtOnce:            1,
 	Length:            40 * time.Second,
 	Every:             2 * time.Second,
@@ -40,10 +40,10 @@
 	Undeclared:       0.05,
 }
 
-// Try starts a deployment, injects faults under load, ends them, and checks the complete history.
-func Try(seed int64, shape Shape, trial Trial) *World {
-	if trial.Mix != nil {
-		shape.Mix = trial.Mix(shape.Mix)
+// RunRequestScenario starts a deployment, injects faults under load, ends them, and checks the complete history.
+func RunRequestScenario(seed int64, shape Shape, scenario RequestScenario) *World {
+	if scenario.Mix != nil {
+		shape.Mix = scenario.Mix(shape.Mix)
 	}
 	world := NewDeployment(seed, shape)
 	defer world.Close()
@@ -52,18 +52,18 @@
 	first := newOperators(world, 500_000)
 	first.apply(world.Cores()[0])
 	world.Run(3 * time.Second)
-	traffic.Rate, traffic.Retries, traffic.drafter.takeAway = trial.Rate, trial.Retries, trial.TakeAway
-	traffic.DisconnectsMidway, traffic.Disconnects = trial.DisconnectsMidway, trial.Disconnects
-	traffic.RetriesElsewhere, traffic.Undeclared = trial.RetriesElsewhere, trial.Undeclared
-	operators := startOperators(world, trial.Every)
+	traffic.Rate, traffic.Retries, traffic.drafter.takeAway = scenario.Rate, scenario.Retries, scenario.TakeAway
+	traffic.DisconnectsMidway, traffic.Disconnects = scenario.DisconnectsMidway, scenario.Disconnects
+	traffic.RetriesElsewhere, traffic.Undeclared = scenario.RetriesElsewhere, scenario.Undeclared
+	operators := startOperators(world, scenario.Every)
 	world.Run(5 * time.Second)
-	if len(trial.Faults) > 0 {
-		scheduleFaults(world, trial.Length, trial.Faults, trial.AtOnce)
+	if len(scenario.Faults) > 0 {
+		scheduleFaults(world, scenario.Length, scenario.Faults, scenario.AtOnce)
 	}
-	world.Run(trial.Length + time.Millisecond)
+	world.Run(scenario.Length + time.Millisecond)
 	// Requests must continue, or nobody could see whether service is back.
 	traffic.drafter.takeAway = 0
-	world.Run(returnBound)
+	world.Run(recoveryBound)
 	operators.Stop()
 	world.recovery.requireService()
 	traffic.stopped = true
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-func runTrial(t *testing.T, seed int64, shape Shape, attempt Attempt) *World {
+func runRuleScenario(t *testing.T, seed int64, shape Shape, rule RuleScenario) *World {
 	t.Helper()
-	trial := attempt.Trial(15 * time.Second)
+	scenario := rule.RequestScenario(15 * time.Second)
 	if underRace {
-		trial.Length = 5 * time.Second
+		scenario.Length = 5 * time.Second
 	}
-	world := Try(seed, shape, trial)
+	world := RunRequestScenario(seed, shape, scenario)
 	for _, violation := range world.Check.Violations {
 		t.Error(violation)
 	}
@@ -24,7 +24,7 @@
 	return world
 }
 
-// seedCount returns the number of seeds for each attempt at each deployment: one, unless WARDTRAY_SEEDS is set.
+// seedCount returns the number of seeds for each rule scenario at each deployment: one, unless WARDTRAY_SEEDS is set.
 func seedCount(t *testing.T) int {
 	t.Helper()
 	text := os.Getenv("WARDTRAY_SEEDS")
@@ -40,15 +40,15 @@
 
 func TestRules(t *testing.T) {
 	t.Parallel()
-	for name, attempt := range Attempts {
+	for name, rule := range RuleScenarios {
 		if underRace && name != "run twice, sent again" && name != "not whole" {
 			continue
 		}
 		for index, shape := range []Shape{GuildPath, FerriesPath} {
-			t.Run(fmt.Sprint(name, ", ", shape.Mix.Pool), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", ", shape.Mix.Backend), func(t *testing.T) {
 				t.Parallel()
 				for number := range seedCount(t) {
-					t.Log(runTrial(t, int64(index+1+2*number), shape, attempt).Traffic.Summary())
+					t.Log(runRuleScenario(t, int64(index+1+2*number), shape, rule).Traffic.Summary())
 					if t.Failed() {
 						return
 					}
@@ -63,12 +63,12 @@
 	if underRace {
 		t.Skip("not run under the race detector")
 	}
-	attempt := Attempt{Faults: append(RunnerFaultNames(), FaultNames()...)}
-	first, second := runTrial(t, 3, GuildPath, attempt), runTrial(t, 3, GuildPath, attempt)
+	rule := RuleScenario{Faults: append(RunnerFaultNames(), FaultNames()...)}
+	first, second := runRuleScenario(t, 3, GuildPath, rule), runRuleScenario(t, 3, GuildPath, rule)
 	if first.Trace() != second.Trace() || first.Traffic.Summary() != second.Traffic.Summary() {
 		t.Fatalf("one seed gave two runs: %s; %s", first.Traffic.Summary(), second.Traffic.Summary())
 	}
-	if third := runTrial(t, 4, GuildPath, attempt); third.Trace() == first.Trace() {
+	if third := runRuleScenario(t, 4, GuildPath, rule); third.Trace() == first.Trace() {
 		t.Fatal("two seeds gave one run")
 	}
 }
--- a/verify/simulation/runner_process.go
+++ b/verify/simulation/runner_process.go
@@ -42,7 +42,7 @@
 	host, world := runner.host, runner.host.world
 	world.Platform.set(host, "cold")
 	incarnation := host.incarnation
-	world.After(emulator.DefaultProfile.ColdTime, func() { world.Platform.relist(host, incarnation) })
+	world.After(emulator.DefaultProfile.WarmUpTime, func() { world.Platform.relist(host, incarnation) })
 }
 
 // afterStep does nothing: a runner's coroutines wake each other.
--- a/verify/simulation/runner_process_test.go
+++ b/verify/simulation/runner_process_test.go
@@ -27,7 +27,7 @@
 	if state := listedState(world, host); state != "cold" || host.runner.engine.id == previous {
 		t.Errorf("%s after %s is listed as %q", host.runner.engine.id, previous, state)
 	}
-	world.Run(emulator.DefaultProfile.ColdTime)
+	world.Run(emulator.DefaultProfile.WarmUpTime)
 	if state := listedState(world, host); state != "ready" {
 		t.Errorf("listed as %q when it is warm", state)
 	}
@@ -41,7 +41,7 @@
 	world.Platform.set(host, "")
 	host.runner.otherService = "another"
 	host.Boot()
-	world.Run(emulator.DefaultProfile.ColdTime + time.Second)
+	world.Run(emulator.DefaultProfile.WarmUpTime + time.Second)
 	if state := listedState(world, host); state != "" || host.runner.engine.service != "another" {
 		t.Errorf("a runner of %s is listed as %q", host.runner.engine.service, state)
 	}
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -150,7 +150,8 @@
 // recordFault records a fault of a daemon or a runner; the returned function records its end.
 func (traffic *Traffic) recordFault(host *Host, impact impact) (end func()) {
 	record, now := traffic.History, traffic.world.Now
-	fault := histories.Fault{At: now, Until: now.Add(time.Hour), Kills: impact.kills, Knowable: impact.detectableAfter}
+	fault := histories.Fault{At: now, Until: now.Add(time.Hour),
+		LosesRequests: impact.kills, DetectionTime: impact.detectableAfter}
 	if host.runner != nil {
 		fault.Runner = host.runner.engine.id
 	} else {
@@ -170,7 +171,7 @@
 
 // finalState returns the newest configuration and the outcomes of all operations that any control machine has.
 func finalState(world *World) histories.Final {
-	final := histories.Final{Asked: true, Known: map[string]uint64{}}
+	final := histories.Final{WasRead: true, Known: map[string]uint64{}}
 	for _, host := range world.Cores() {
 		if host.core.node == nil {
 			continue
@@ -202,18 +203,18 @@
 // Counts returns the number of answers by result, and the number of runs.
 func (traffic *Traffic) Counts() map[string]int {
 	counts := map[string]int{}
-	for _, answer := range traffic.History.Answers {
-		name := answer.Kind
-		if answer.Done {
+	for _, attempt := range traffic.History.Answers {
+		name := attempt.Kind
+		if attempt.Done {
 			name = "done"
 		}
-		if answer.ConnectionLost {
+		if attempt.ConnectionLost {
 			name = "lost"
 		}
-		if answer.HungUp {
+		if attempt.ClientDisconnected {
 			name = "hung up"
 		}
-		if answer.Resent {
+		if attempt.Resent {
 			name = "sent again: " + name
 		}
 		counts[name]++
--- a/verify/simulation/traffic_test.go
+++ b/verify/simulation/traffic_test.go
@@ -51,7 +51,7 @@
 	slots := runner.runner.engine.profile.Slots
 	sampler := newCapacitySampler(world, histories.New())
 	sampler.record()
-	world.Now = world.Now.Add(warmUpAllowance + runner.runner.engine.profile.ColdTime)
+	world.Now = world.Now.Add(warmUpAllowance + runner.runner.engine.profile.WarmUpTime)
 	tests := []struct {
 		name   string
 		change func()
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -3,10 +3,10 @@
 // the same run; a failure reports its seed.
 //
 // A World has hosts, each with the process that it runs: a control node (core), a data daemon or a runner. Scenarios
-// (RunFaults, Try, RunControlScenario, RunRegistrationScenario) start a deployment and its workloads (operators,
-// concurrent writers, traffic), schedule faults, and require that the fleet recovers. The Checker reports violated
-// rules. All randomness is drawn from the world's seed and everything that happens is an event of its loop, so that a
-// change of the order of either changes every run.
+// (RunFaults, RunRequestScenario, RunControlScenario, RunRegistrationScenario) start a deployment and its workloads
+// (operators, concurrent writers, traffic), schedule faults, and require that the fleet recovers. The Checker reports
+// violated rules. All randomness is drawn from the world's seed and everything that happens is an event of its loop, so
+// that a change of the order of either changes every run.
 package simulation
 
 import (
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -250,7 +250,7 @@
 		t.Errorf("%s: %v", key, err)
 		return
 	}
-	if golden.Unknown(message) {
+	if golden.HasUnknownFields(message) {
 		t.Errorf("%s: fields of the golden bytes are unknown", key)
 	}
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(message.Interface())
