--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -101,7 +101,7 @@
 	t.Helper()
 	var text strings.Builder
 	add := func(name string, message proto.Message) {
-		if golden.Unknown(message.ProtoReflect()) {
+		if golden.HasUnknownFields(message.ProtoReflect()) {
 			t.Errorf("%s has unknown fields", name)
 		}
 		content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -128,8 +128,8 @@
 		t.Run(version.Name(), func(t *testing.T) {
 			folder := loaded(t, version.Name())
 			recovery, err := Recover(folder, identity, "mark")
-			if err != nil || recovery.Fresh || recovery.DiscardCause != nil {
-				t.Fatalf("fresh %v, discard cause %v, error %v", recovery.Fresh, recovery.DiscardCause, err)
+			if err != nil || recovery.HasNewIdentity || recovery.DiscardCause != nil {
+				t.Fatalf("new identity %v, discard cause %v, error %v", recovery.HasNewIdentity, recovery.DiscardCause, err)
 			}
 			golden.Compare(t, "stored-"+version.Name()+".txt", encoded(t, recovery.State, recovery.Records))
 		})
--- a/verify/loadtest/request.go
+++ b/verify/loadtest/request.go
@@ -60,14 +60,14 @@
 // Headers returns the request's headers, with the name of the model.
 func (drawn Drawn) Headers(model string) map[string][]string {
 	headers := map[string][]string{
-		admission.HeaderRoute:   {drawn.Kind.Route},
-		admission.HeaderModel:   {model},
-		admission.HeaderRequest: {drawn.ID},
-		admission.HeaderPrompt:  {strconv.Itoa(drawn.PromptTokens())},
-		admission.HeaderAnswer:  {strconv.Itoa(drawn.Kind.Answer)},
+		admission.HeaderRoute:        {drawn.Kind.Route},
+		admission.HeaderModel:        {model},
+		admission.HeaderRequest:      {drawn.ID},
+		admission.HeaderPromptTokens: {strconv.Itoa(drawn.PromptTokens())},
+		admission.HeaderAnswerTokens: {strconv.Itoa(drawn.Kind.Answer)},
 	}
 	if drawn.Wait > 0 {
-		headers[admission.HeaderWait] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
+		headers[admission.HeaderTimeout] = []string{strconv.FormatInt(drawn.Wait.Milliseconds(), 10)}
 	}
 	if drawn.Attempt > 0 {
 		headers[admission.HeaderAttempt] = []string{strconv.Itoa(drawn.Attempt)}
@@ -92,18 +92,18 @@
 }
 
 // NewAnswer returns the record of the answer to the request, sent by a client in a zone, before any of it is received.
-func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.Answer {
-	return &histories.Answer{
-		Request:       drawn.ID,
-		Route:         drawn.Kind.Route,
-		Once:          drawn.Kind.Once,
-		LatencyTarget: drawn.Kind.LatencyTarget,
-		Zone:          zone,
-		Sent:          sent,
-		Resumable:     drawn.Kind.Resumable,
-		Undeclared:    drawn.Attempt == 0,
-		Attempt:       drawn.Attempt,
-		Cancels:       drawn.Kind.Cancel || !drawn.Kind.Once,
-		Bound:         drawn.TimeLimit(),
+func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.ClientAttempt {
+	return &histories.ClientAttempt{
+		Request:             drawn.ID,
+		Route:               drawn.Kind.Route,
+		AtMostOnce:          drawn.Kind.AtMostOnce,
+		LatencyTarget:       drawn.Kind.LatencyTarget,
+		Zone:                zone,
+		Sent:                sent,
+		Resumable:           drawn.Kind.Resumable,
+		Undeclared:          drawn.Attempt == 0,
+		Attempt:             drawn.Attempt,
+		CancelsOnDisconnect: drawn.Kind.Cancel || !drawn.Kind.AtMostOnce,
+		Deadline:            drawn.TimeLimit(),
 	}
 }
