--- a/coordination/chain/alignment.go
+++ b/coordination/chain/alignment.go
@@ -6,9 +6,9 @@
 	"wardtray/wire"
 )
 
-// confirmAlignment notifies the successor that it has synced the complete history that this member had when the view
-// began. No member had committed a later entry before the view began, so a successor that lags behind a steady stream
-// of changes need not catch up with those entries first.
+// confirmAlignment notifies the successor once the successor has synced the complete history that this member had when
+// the view began. No member had committed a later entry before the view began, so a successor that lags behind a steady
+// stream of changes need not catch up with the later entries first.
 func (chain *Chain) confirmAlignment() {
 	successor := chain.successor()
 	if successor != nil && chain.aligned && chain.successorProgress.synced >= chain.alignmentTarget {
--- a/coordination/chain/alignment_test.go
+++ b/coordination/chain/alignment_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // A tail whose disk is slower than the stream of changes never catches up with its predecessor. It is aligned once it
-// has synced the entries that the predecessor had when the view began, since nothing newer was committed before. If it
-// had to catch up with all entries, no change would ever be committed again.
+// has synced the entries that the predecessor had when the view began, since no newer entry was committed before the
+// view began. If it had to catch up with all entries, no change would ever be committed again.
 func TestSlowTailIsAlignedWhileChangesArrive(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	submitOperation(t, cluster, 1)
--- a/coordination/chain/chain.go
+++ b/coordination/chain/chain.go
@@ -62,11 +62,11 @@
 	// received is the sequence of the newest entry, and synced the sequence up to which the disk holds the history.
 	received uint64
 	synced   uint64
-	// restored is the sequence of the newest entry that was on the disk at the start. Which of the restored entries
-	// were committed, and so may have been acknowledged, is not known. It is 0 once the history was replaced by a
-	// committed document.
+	// restored is the sequence of the newest entry that was on the disk at the start. The disk doesn't show which of the
+	// restored entries were committed, and so may have been acknowledged. restored is 0 once a committed document has
+	// replaced the history.
 	restored uint64
-	// replacements counts how often the complete history was replaced, so that late completions of writes of an earlier
+	// replacements counts the replacements of the complete history, so that late completions of writes of an earlier
 	// history are recognized.
 	replacements uint64
 
@@ -81,12 +81,14 @@
 	// successor is aligned once it has synced up to this sequence.
 	alignmentTarget uint64
 
-	// learnedView is the epoch of the view in which a member outside the chain has learned and synced a complete
-	// document, and learningView the epoch of the view whose learned document is being written to the disk.
+	// learnedView is the epoch of the view in which this member, outside the chain, has learned and synced a complete
+	// document. learningView is the epoch of the view whose document is being written to the disk. Each is 0 if there is
+	// no such view.
 	learnedView  uint64
 	learningView uint64
 	// incomplete reports whether the history may lack entries that were committed after this member learned the document
-	// outside the chain and before it joined the chain. It becomes false once this member is aligned and that is synced.
+	// outside the chain and before it joined the chain. It becomes false once this member is aligned and the record of its
+	// alignment is synced.
 	incomplete bool
 }
 
@@ -150,7 +152,7 @@
 // Synced returns the sequence up to which this member's disk holds the history.
 func (chain *Chain) Synced() uint64 { return chain.synced }
 
-// LearnedView returns the epoch of the view in which a member outside the chain has learned and synced a complete
+// LearnedView returns the epoch of the view in which this member, outside the chain, has learned and synced a complete
 // document; 0 if it has not.
 func (chain *Chain) LearnedView() uint64 { return chain.learnedView }
 
@@ -226,14 +228,14 @@
 	chain.acknowledge()
 }
 
-// isWritable reports whether the chain has at least the view's MinReplicas members, which a change needs to be
+// isWritable reports whether the chain has at least the view's MinReplicas members. Otherwise no new change is
 // committed.
 func (chain *Chain) isWritable() bool { return len(chain.view.Chain) >= int(chain.view.MinReplicas) }
 
 // commitAtTail commits the synced entries if this member is the tail. The members of a chain that is not writable may
-// all lose their disks without exceeding the tolerated faults. There it commits only the restored entries, since they
-// may have been acknowledged. No head acknowledged the others, because a head acknowledges an entry only after its
-// successor, and so every member after it, has committed it. They remain pending until the chain is writable again.
+// all lose their disks without exceeding the tolerated faults. In such a chain the tail commits only the restored
+// entries, since they may have been acknowledged. The other entries were not: a head acknowledges an entry only after
+// its successor, and so every later member, has committed it. They remain pending until the chain is writable again.
 func (chain *Chain) commitAtTail(now time.Time) {
 	if !chain.IsTail() {
 		return
--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// No member commits an entry before every member of the chain has synced it, in the order of the chain.
+// No member commits an entry before every member of the chain has synced it, in the order of the chain. An entry that
+// was committed earlier could be lost with the disks that hold it.
 func TestNoCommitBeforeEverySync(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
@@ -29,7 +30,8 @@
 	}
 }
 
-// No member forwards or acknowledges an entry before its own disk has synced it.
+// No member forwards or acknowledges an entry before its own disk has synced it. Otherwise the member could crash and
+// lack an entry that its successor holds or that its predecessor counts as replicated.
 func TestMembersAnnounceOnlyWhatTheySynced(t *testing.T) {
 	cluster := newCluster("a", "b")
 	cluster.deliver()
--- a/coordination/chain/history_test.go
+++ b/coordination/chain/history_test.go
@@ -23,7 +23,8 @@
 	return folded
 }
 
-// checkRetainedOutcomes fails unless the history finds exactly the operations whose outcomes the document want retains.
+// checkRetainedOutcomes fails the test unless the history finds exactly those operations whose outcomes are in the
+// document want.
 func checkRetainedOutcomes(t *testing.T, history history, want *wire.Document, entries int) {
 	t.Helper()
 	retained := map[string]bool{}
@@ -133,7 +134,8 @@
 	}
 }
 
-// The total size of pending changes is bounded; a single change of any size is accepted while none is pending.
+// The total size of pending changes is bounded; a single change of any size is accepted while none is pending. Without
+// a bound, a snapshot and the log, which hold all pending changes, could fill the disk.
 func TestPendingBytesAreBounded(t *testing.T) {
 	cluster := newSingle()
 	large := func(number, size int) *wire.Entry {
--- a/coordination/chain/learning_test.go
+++ b/coordination/chain/learning_test.go
@@ -23,7 +23,7 @@
 	first := cluster.writes["b"][0]
 	cluster.outbox["b"].Done(cluster.now, first.Sequence)
 	if learner.LearnedView() != 2 || learner.Committed().SpecEpoch != 1 || learner.Synced() != 1 {
-		t.Fatalf("learned in view %d, committed %d, synced %d",
+		t.Fatalf("learned in view %d, committed %d, synced %d; want 2, 1 and 1",
 			learner.LearnedView(), learner.Committed().SpecEpoch, learner.Synced())
 	}
 	learner.RequestDocument("a")
@@ -35,8 +35,8 @@
 	}
 }
 
-// While the disk of a member outside the chain writes a document, the member requests no other one, which it would
-// drop: each is as large as the complete configuration.
+// While the disk of a member outside the chain writes a document, the member must not request another one. It would
+// drop the response, which is as large as the complete configuration.
 func TestLearnerRequestsNothingThatItWouldDrop(t *testing.T) {
 	cluster := newCluster("a")
 	cluster.add("b")
--- a/coordination/chain/outcomes.go
+++ b/coordination/chain/outcomes.go
@@ -4,8 +4,8 @@
 
 // outcomeWindow holds the newest outcomes in order, at most MaximumOutcomes, with an index by operation.
 type outcomeWindow struct {
-	// list is append-only, and its array is replaced when it is full. The slices returned earlier, one for each document,
-	// therefore keep their contents without a copy for each.
+	// list is only appended to, and append allocates a new array when the present one is full. The slices returned
+	// earlier, one for each document, therefore keep their contents without being copied.
 	list        []*wire.Outcome
 	byOperation map[string]*wire.Outcome
 }
--- a/coordination/chain/replication.go
+++ b/coordination/chain/replication.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// sendWindow bounds the size of the entries in flight to the successor; a single entry may exceed it.
+	// sendWindow bounds the total size, in bytes, of the entries in flight to the successor; a single entry may exceed it.
 	sendWindow = 1 << 20
 	// retransmitInterval is the interval at which a member retransmits messages that may have been lost, and
-	// idleRetransmitInterval the interval while it knows of nothing that a neighbour in the chain lacks.
+	// idleRetransmitInterval the interval while, as far as it knows, its neighbours in the chain lack nothing.
 	retransmitInterval     = 200 * time.Millisecond
 	idleRetransmitInterval = time.Second
 )
@@ -53,9 +53,9 @@
 	return view == chain.view.Epoch && successor != nil && successor.Id == sender
 }
 
-// forward sends the successor the synced entries that it lacks and that were not sent yet, within sendWindow. It sends
-// the complete committed document first if the entries that the successor lacks are part of it and no longer kept one
-// by one.
+// forward sends the successor the synced entries that it lacks and that were not sent yet, within sendWindow. If some
+// of the missing entries are part of the committed document, and so no longer kept one by one, it first sends the
+// complete document.
 func (chain *Chain) forward() {
 	successor := chain.successor()
 	if successor == nil || !chain.successorProgress.acknowledged {
@@ -160,7 +160,7 @@
 	return now.Sub(chain.lastRetransmit) >= interval
 }
 
-// idle reports whether this member knows of nothing that a neighbour in the chain lacks.
+// idle reports whether, as far as this member knows, its neighbours in the chain lack nothing.
 func (chain *Chain) idle() bool {
 	if len(chain.history.pending) > 0 || !chain.aligned {
 		return false
