--- a/coordination/lease/exclusivity_test.go
+++ b/coordination/lease/exclusivity_test.go
@@ -253,7 +253,7 @@
 	simulation.lastHeldAt = simulation.now
 }
 
-// run simulates 3000 steps and reports whether no two machines ever held the lease at once.
+// run simulates 3000 steps. It returns false if two machines hold valid leases at the same time, and true otherwise.
 func (simulation *simulation) run() bool {
 	for range 3000 {
 		simulation.now = simulation.now.Add(step)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -10,9 +10,9 @@
 // not agree; they only have to run at rates whose drift over LessorTTL is below the margin between LessorTTL and
 // LesseeTTL.
 //
-// An acceptor that has voted for the next view grants no more in the old one, and it grants to the head of a new term
-// only once the leases of the heads before it have expired. These two rules together keep two heads from acting at the
-// same time, whatever messages are lost, repeated or delayed and whichever machines crash or freeze.
+// An acceptor that has voted for the next view grants nothing more in the present one, and it grants to the head of a
+// new term only once the leases of the heads before it have expired. These two rules together keep two heads from
+// acting at the same time, whatever messages are lost, repeated or delayed and whichever machines crash or freeze.
 //
 // # Usage
 //
@@ -41,6 +41,6 @@
 	DaemonRenewInterval = 300 * time.Millisecond
 )
 
-// DaemonTTLFor returns the duration for which a daemon may rely on a lease if a change must be in force at most apply
-// after its acknowledgement: half of apply, and at most DaemonTTL.
+// DaemonTTLFor returns the duration for which a daemon may rely on a lease: half of apply, and at most DaemonTTL. apply
+// is the time limit, from the acknowledgement of a change, within which the change must be in force.
 func DaemonTTLFor(apply time.Duration) time.Duration { return min(DaemonTTL, apply/2) }
--- a/coordination/lease/lessor.go
+++ b/coordination/lease/lessor.go
@@ -29,8 +29,8 @@
 	headEpoch uint64
 }
 
-// NewLessor returns the lessor of an acceptor that starts with the view on its disk. cleared is the term, also from its
-// disk, in which it may grant immediately because it could before the restart; 0 if there is none.
+// NewLessor returns the lessor of an acceptor that starts with the view on its disk. cleared, also from its disk, is
+// the term in which the acceptor could grant before the restart, and so may grant immediately now; 0 if there is none.
 func NewLessor(now time.Time, view *wire.View, cleared uint64) *Lessor {
 	lessor := &Lessor{unknownHeads: true}
 	lessor.AdoptView(now, view)
--- a/coordination/lease/progress_test.go
+++ b/coordination/lease/progress_test.go
@@ -31,6 +31,6 @@
 		t.Fatalf("%d reports kept, want at most %d", count, maximumReports)
 	}
 	if !tracker.Fenced(now.Add(time.Second), "k", 900) {
-		t.Fatal("sequence 900 is not fenced after its fence")
+		t.Fatal("sequence 900 is not fenced although the moment fencedFrom of its report has passed")
 	}
 }
--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -7,8 +7,8 @@
 
 // Witness issues an acceptor's confirmations to daemons that can't reach the head. A confirmation states that the
 // acceptor knows of no committed sequence newer than the daemon's; confirmations by a majority of the acceptors replace
-// a lease from the head. To the head the witness reports how long daemons may still rely on confirmations of older
-// sequences.
+// a lease from the head. The witness reports to the head the time for which daemons may still rely on confirmations of
+// older sequences.
 type Witness struct {
 	// duration is the time for which a daemon relies on a confirmation.
 	duration time.Duration
--- a/coordination/lease/witness_test.go
+++ b/coordination/lease/witness_test.go
@@ -43,7 +43,7 @@
 		want     time.Duration
 	}{{5, 0}, {6, duration}} {
 		if got := witness.Outstanding(now, test.sequence); got != test.want {
-			t.Fatalf("outstanding confirmations below sequence %d: %v", test.sequence, got)
+			t.Fatalf("confirmations of sequences below %d are outstanding for %v", test.sequence, got)
 		}
 	}
 	// A daemon that has the newer sequence no longer relies on the older one; one that reports an older sequence still
@@ -66,9 +66,9 @@
 	witness.AssumeUnrecordedConfirmations(now)
 	witness.ObserveHead(5)
 	if got := witness.Outstanding(now.Add(duration/4), 5); got != duration*3/4 {
-		t.Fatalf("outstanding %v after a restart: %v", duration/4, got)
+		t.Fatalf("%v after a restart: confirmations are outstanding for %v", duration/4, got)
 	}
 	if got := witness.Outstanding(now.Add(duration), 5); got != 0 {
-		t.Fatalf("outstanding %v after a restart: %v, want 0", duration, got)
+		t.Fatalf("%v after a restart: confirmations are outstanding for %v, want 0", duration, got)
 	}
 }
