--- a/coordination/view/proposer.go
+++ b/coordination/view/proposer.go
@@ -12,8 +12,8 @@
 const (
 	// AttemptTimeout is the time limit of the first attempt at a view, after which it counts as failed.
 	AttemptTimeout = 400 * time.Millisecond
-	// maximumTimeout bounds the time limit of later attempts. It doubles with each attempt, since a disk may be too slow
-	// for two writes within AttemptTimeout.
+	// maximumTimeout bounds the time limit of later attempts. The time limit doubles with each attempt, since a disk may
+	// be too slow for two writes within AttemptTimeout.
 	maximumTimeout = 4 * AttemptTimeout
 )
 
@@ -93,8 +93,9 @@
 	}
 }
 
-// announce sends a chosen view to its acceptors immediately. They have voted and grant no lease until they learn the
-// view. This process sends the view to all machines once it has synced it, but its disk may be the one that has failed.
+// announce immediately sends a chosen view to the acceptors that chose it. They have voted, and so grant no lease until
+// they learn the view. This process sends the view to all machines only after its own disk has synced the view, and
+// that disk may be the one that has failed.
 func (agent *Agent) announce(attempt *attempt) {
 	for _, acceptor := range attempt.acceptors {
 		if acceptor.Id != agent.self {
--- a/coordination/view/view.go
+++ b/coordination/view/view.go
@@ -70,7 +70,7 @@
 func (agent *Agent) Current() *wire.View { return agent.current }
 
 // Newest returns the newest learned view. It may not be synced yet. This agent's process no longer acts under any older
-// view, and under this one only once it is Current.
+// view, and acts under the newest one only once that is Current.
 func (agent *Agent) Newest() *wire.View { return agent.newest }
 
 // LearnedAt returns the moment at which the current view was learned, or at which this process started if that was
