--- a/coordination/statemachine/outbox.go
+++ b/coordination/statemachine/outbox.go
@@ -64,8 +64,9 @@
 	outbox.request(now, Write{Record: record}, onSynced)
 }
 
-// PersistSnapshot requests that a snapshot of the complete state be written to the other slot. The snapshot must
-// contain the effects of all writes requested before it, since its completion completes those writes too.
+// PersistSnapshot requests that a snapshot of the complete state be written to the slot that doesn't hold the newest
+// one (see package snapshot). The snapshot must contain the effects of all writes requested before it, since its
+// completion completes those writes too.
 func (outbox *Outbox) PersistSnapshot(now time.Time, state *wire.DurableState, onSynced func(now time.Time)) {
 	outbox.request(now, Write{Snapshot: state}, onSynced)
 }
@@ -82,8 +83,7 @@
 	outbox.Writes = append(outbox.Writes, write)
 }
 
-// Done handles that a write, and with it every earlier one, is synced. It calls their callbacks in the order of the
-// requests.
+// Done records that a write and every earlier one are synced, and calls their callbacks in the order of the requests.
 func (outbox *Outbox) Done(now time.Time, sequence uint64) {
 	for len(outbox.pending) > 0 && outbox.pending[0].sequence <= sequence {
 		completed := outbox.pending[0]
