--- a/coordination/gossip/antientropy.go
+++ b/coordination/gossip/antientropy.go
@@ -78,7 +78,7 @@
 	return missing
 }
 
-// lacksAny reports whether a digest names an entry that may enter our zone in a newer version than ours.
+// lacksAny reports whether a digest names a newer version than ours of an entry that may enter our zone.
 func (store *Store) lacksAny(digest *wire.Digest) bool {
 	return slices.ContainsFunc(digest.Entries, func(summary *wire.DigestEntry) bool {
 		return mayEnter(store.zone, summary.Key) && newer(summary, store.entries[summary.Key])
--- a/coordination/gossip/store.go
+++ b/coordination/gossip/store.go
@@ -79,8 +79,8 @@
 // Get returns the entry of a key, or nil if there is none.
 func (store *Store) Get(key string) *wire.GossipEntry { return store.entries[key] }
 
-// Put stores an entry if it is newer than the present one and the store is not full, and reports whether it did. The
-// entry is forwarded up to this number of hops.
+// Put stores an entry if it is newer than the present one of its key, and reports whether it did; a full store accepts
+// no further key. The entry is forwarded at most hops times.
 func (store *Store) Put(now time.Time, entry *wire.GossipEntry, hops uint32) bool {
 	present := store.entries[entry.Key]
 	if !newer(entry, present) {
--- a/coordination/gossip/store_test.go
+++ b/coordination/gossip/store_test.go
@@ -18,7 +18,7 @@
 	outbox     *statemachine.Outbox
 }
 
-// network is a network of storeCount stores in zoneCount zones, of which each knows some of the others.
+// network holds storeCount stores in zoneCount zones. Each store knows some of the others.
 type network struct {
 	random    *rand.Rand
 	now       time.Time
