--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// add adds a descriptor, unless it is our own or the view has one of that process that is no older.
+// add adds a descriptor, unless it is our own or the view has a descriptor of the same process that is no older.
 func (view *PartialView) add(received *wire.PeerDescriptor) {
 	if received.Address == view.self.Address || received.Address == "" {
 		return
