--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -17,7 +17,7 @@
 type allocation struct {
 	// rate bounds the daemon's refill rate. exposure bounds its balance, including the refill up to its capacity.
 	rate, exposure, demand float64
-	// expiresAt is when the daemon's share ends.
+	// expiresAt is the time at which the daemon's share ends.
 	expiresAt time.Time
 	// charged is the amount charged to the bucket for what the daemon may have refilled by itself until chargedTo.
 	charged   float64
--- a/coordination/quota/allocator.go
+++ b/coordination/quota/allocator.go
@@ -39,7 +39,7 @@
 	return allocator
 }
 
-// Term returns how long a share is valid, counted from the report that it answers.
+// Term returns the period for which a share is valid, counted from the report that it answers.
 func (allocator *Allocator) Term() time.Duration { return allocator.term }
 
 // SetLimits sets the limits of all tenants. A tenant that is not named has no limit and needs no shares.
--- a/coordination/quota/limiter.go
+++ b/coordination/quota/limiter.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// GrantTimeout is how long a limiter waits for the grant for a report before it sends another report instead.
+// GrantTimeout is the time limit of a limiter's wait for the grant for a report, after which it may send another
+// report.
 const GrantTimeout = 100 * time.Millisecond
 
 // Usage holds a daemon's counts for one tenant, in the unit of the quota; Demand is per second.
@@ -30,7 +31,7 @@
 	OnDemand bool
 }
 
-// pendingReport is a report that was sent, and whether it was answered.
+// pendingReport holds the newest report that was sent.
 type pendingReport struct {
 	number  uint64
 	sentAt  time.Time
@@ -147,8 +148,9 @@
 	return reports
 }
 
-// ApplyGrant applies the grant for the report with this number. The shares are valid for a term from when that report
-// was sent. It reports whether the grant was applied, which it is only once and only for the newest report.
+// ApplyGrant applies the grant for the report with this number. The shares are valid for a term from the moment at
+// which that report was sent. Only the grant for the newest report is applied, and only once; ApplyGrant reports
+// whether this one was.
 func (limiter *Limiter) ApplyGrant(now time.Time, number uint64, term time.Duration, shares []Share) bool {
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// While the allocator is replaced, daemons must go on serving from their allocated shares.
+// While the allocator is replaced, daemons must continue to serve from their allocated shares.
 func TestTakeoverKeepsServing(t *testing.T) {
 	fraction := refusedFraction(t, 6, func(seed int64) *testFleet {
 		fleet := newFleet(seed, 90, 730_000, 730_000*0.7, 5_300)
--- a/coordination/quota/share.go
+++ b/coordination/quota/share.go
@@ -3,12 +3,11 @@
 import "time"
 
 const (
-	// demandSpan is the time constant of the demand from which the wanted balance is computed, and steadyDemandSpan of
-	// the demand by which the rate is divided among daemons.
+	// demandSpan is the time constant of the average demand from which the wanted balance is computed, steadyDemandSpan
+	// that of the average demand by which the rate is divided among daemons.
 	demandSpan       = 1500 * time.Millisecond
 	steadyDemandSpan = 5 * time.Second
-	// A daemon would like to hold the tokens for the demand of the next horizon, and for requestsAhead average requests
-	// more.
+	// The wanted balance of a daemon covers the demand of the next horizon and requestsAhead further average requests.
 	horizon       = 800 * time.Millisecond
 	requestsAhead = 1.5
 	// rareRequestInterval is the average interval between requests above which no tokens are held for the next one.
@@ -19,7 +18,8 @@
 	requestCostWeight = 0.2
 	// idleDemand is the demand, in average requests per second, below which a tenant counts as idle.
 	idleDemand = 0.02
-	// shortageDuration is how long a tenant's requests don't wait for tokens after the allocator had too few.
+	// shortageDuration is the period after a grant of fewer tokens than needed during which the tenant's requests don't
+	// wait for tokens.
 	shortageDuration = 200 * time.Millisecond
 	// defaultRetryAfter is the retry delay of a refused request where the daemon has no part of the rate;
 	// minimumRetryAfter and maximumRetryAfter bound the computed delay.
