--- a/coordination/snapshot/directory.go
+++ b/coordination/snapshot/directory.go
@@ -60,7 +60,7 @@
 }
 
 // Put creates a new file rather than overwriting the old one: after a power loss during a rename the old name may still
-// exist, as a second name of the renamed file.
+// exist as a second name of the renamed file, which overwriting would damage.
 func (files files) Put(name string, content []byte) error {
 	if err := files.removeIfExists(name); err != nil {
 		return err
--- a/coordination/snapshot/open_test.go
+++ b/coordination/snapshot/open_test.go
@@ -11,11 +11,11 @@
 		generation uint64
 		want       string
 	}{
-		"the slot of the log":          {[2]slotFile{file("even", 4, true), file("odd", 3, true)}, 4, "even"},
-		"one whose log is yet to come": {[2]slotFile{file("even", 4, true), file("odd", 5, true)}, 4, "odd"},
-		"a torn one beside it":         {[2]slotFile{file("even", 4, true), file("odd", 0, false)}, 4, "even"},
-		"only an older one":            {[2]slotFile{file("even", 0, false), file("odd", 3, true)}, 4, ""},
-		"none":                         {[2]slotFile{file("even", 0, false), file("odd", 0, false)}, 0, ""},
+		"the slot of the log":                {[2]slotFile{file("even", 4, true), file("odd", 3, true)}, 4, "even"},
+		"a slot whose log was not started":   {[2]slotFile{file("even", 4, true), file("odd", 5, true)}, 4, "odd"},
+		"the slot of the log and a torn one": {[2]slotFile{file("even", 4, true), file("odd", 0, false)}, 4, "even"},
+		"only a slot older than the log":     {[2]slotFile{file("even", 0, false), file("odd", 3, true)}, 4, ""},
+		"no valid slot":                      {[2]slotFile{file("even", 0, false), file("odd", 0, false)}, 0, ""},
 	} {
 		got := ""
 		if newest := newestSlot(test.slots, test.generation); newest != nil {
--- a/coordination/snapshot/powerloss_test.go
+++ b/coordination/snapshot/powerloss_test.go
@@ -35,7 +35,8 @@
 }
 
 // reopen recovers a folder and checks that the result contains everything reported as synced, and nothing that was not
-// requested. It returns nil if the process was killed, or if the state may be lost.
+// requested. It returns nil if the process was killed, or if the state may be lost: before the first snapshot was
+// saved, which started reports, or after a rename that lost both names.
 func reopen(t *testing.T, system *crashFileSystem, progress *progress, started bool, where ...any) *Store {
 	t.Helper()
 	store, recovered, err := Open(files{"folder", system})
@@ -62,9 +63,10 @@
 	return store
 }
 
-// A process is killed at any step of any operation, with or without a power loss; it is restarted and goes on, and the
-// power fails at any step of that. Whichever subset of the unsynced name changes is lost, the last synced state or a
-// later one must be recovered. This fails if a file, its name or a recovered state is not synced before it is used.
+// A process is killed at any step of any operation, with or without a power loss. It is restarted and continues to
+// write, and the power fails at any step after the restart. Whichever subset of the unsynced name changes is lost, the
+// last synced state or a later one must be recovered. This fails if a file, its name or a recovered state is not synced
+// before it is used.
 func TestAnySubsetOfNamesMayBeLost(t *testing.T) {
 	const first = "rabrcrdre"
 	random := rand.New(rand.NewSource(1))
@@ -138,8 +140,8 @@
 	return ""
 }
 
-// A state that can't be trusted is set aside, and the power fails at any step of that. Whichever name changes are lost,
-// the state must never be recovered as a valid one, and only the state that was set aside last must be kept.
+// The power fails at any step while a state that can't be trusted is set aside. Whichever name changes are lost, the
+// state must never be recovered as a valid one, and only the state that was set aside last must be kept.
 func TestSetAsideLosesAnyNames(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	for killedAt := 0; ; killedAt++ {
--- a/coordination/snapshot/store.go
+++ b/coordination/snapshot/store.go
@@ -13,9 +13,10 @@
 // # Contract
 //
 // At most one Store at a time has a folder open. Its caller calls Open once, then Store.Append for
-// records and Store.SaveSnapshot for a snapshot that contains all records before it. Whatever
-// returned without an error is recovered after any later crash. After an error only
-// Store.SaveSnapshot may succeed. Store.Scrub detects when the disk no longer holds what was synced.
+// records and Store.SaveSnapshot for a snapshot that contains all records before it. Everything
+// written by a call that returned without an error is recovered after any later crash. After an
+// error only Store.SaveSnapshot may succeed. Store.Scrub detects when the disk no longer holds what
+// was synced.
 //
 // A crash may lose or keep each write that was not synced, tear it at any byte, and lose or keep
 // each name change (creation, rename, removal) since the folder was last synced. What is read after
