--- a/coordination/reservation/bench_test.go
+++ b/coordination/reservation/bench_test.go
@@ -12,7 +12,7 @@
 	var fleet *testFleet
 	b.ReportAllocs()
 	for number := range b.N {
-		// A full replica refuses, which is a different path.
+		// The fleet is replaced before a replica is full: a refusal by a full replica takes a different code path.
 		if number%MaximumReservations == 0 {
 			b.StopTimer()
 			fleet = newTestFleet(b, 1, 4)
--- a/coordination/reservation/coordinator.go
+++ b/coordination/reservation/coordinator.go
@@ -13,13 +13,13 @@
 const (
 	// resendInterval is the interval at which requests and releases are sent again to replicas that have not answered.
 	resendInterval = 50 * time.Millisecond
-	// zoneTimeout is how long a first attempt waits for the replicas of one zone before it asks those of the next.
+	// zoneTimeout is the time limit of a first attempt in one zone, after which the replicas of the next zone are asked.
 	zoneTimeout = 100 * time.Millisecond
-	// reserveTimeout is how long a retry waits for replicas, firstTimeout how long a first attempt does: a fleet whose
+	// reserveTimeout is the time limit of the reservation of a retry, firstTimeout that of a first attempt. A fleet whose
 	// daemons have all restarted agrees on new replicas within firstTimeout.
 	reserveTimeout = 500 * time.Millisecond
 	firstTimeout   = time.Second
-	// releaseTimeout is how long an unacknowledged release is sent again.
+	// releaseTimeout is the period, from its first transmission, during which an unacknowledged release is sent again.
 	releaseTimeout = 2 * time.Second
 )
 
@@ -27,7 +27,7 @@
 type zoneState struct {
 	// completeSince and firstEpoch are Zone.CompleteSince and Zone.FirstEpoch.
 	completeSince, firstEpoch uint64
-	// observedAt is when this state was first observed.
+	// observedAt is the time at which this state was first observed.
 	observedAt time.Time
 }
 
@@ -161,10 +161,10 @@
 	return zone.CompleteSince <= term || zone.CompleteSince != NeverComplete && coordinator.isStable(now, zone)
 }
 
-// isUsable reports whether a zone may reserve a first attempt: whether its replicas will know the reservation of any
-// retry. Retries are reserved in all zones that their daemons know of, with the same term. So the zone must have had
-// replicas in the epoch of the term, and must have lost nothing since. A first attempt that reaches this process was
-// not sent before the process started, so that earlier losses don't matter.
+// isUsable reports whether a zone may reserve a first attempt: its replicas must know the reservation of every retry,
+// whether the retry arrives earlier or later. A retry is reserved in all zones that its daemon knows of, and has the
+// same term. So the zone must have had replicas in the epoch of the term, and must have lost nothing since. A first
+// attempt that reaches this process was not sent before the process started, so that earlier losses don't matter.
 func (coordinator *Coordinator) isUsable(now time.Time, zone *Zone, attempt ClientAttempt) bool {
 	if len(zone.Replicas) == 0 || zone.FirstEpoch > attempt.Term && !coordinator.isStable(now, zone) {
 		return false
@@ -202,7 +202,7 @@
 	coordinator.evaluate(now, reservation)
 }
 
-// Tick sends requests again, ends reservations whose deadline has passed, and renews granted ones.
+// Tick sends requests again, decides reservations whose deadline has passed as Unreachable, and renews granted ones.
 func (coordinator *Coordinator) Tick(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(coordinator.pending)) {
 		reservation := coordinator.pending[token]
--- a/coordination/reservation/doc.go
+++ b/coordination/reservation/doc.go
@@ -41,17 +41,18 @@
 	GroupSize = 3
 	// ShardCount is the number of shards into which keys are divided.
 	ShardCount = 128
-	// MinimumRetention is the minimum retention period of a reservation after its request has ended or was last renewed.
+	// MinimumRetention is the minimum retention period of a reservation after its request has ended or it was last
+	// renewed.
 	MinimumRetention = 10 * time.Minute
 	// RenewInterval is the interval between renewals of the reservation of a request in progress.
 	RenewInterval = MinimumRetention / 4
 	// replicaRetention is the retention period of a reservation at a replica since it was granted or last renewed. It
 	// exceeds MinimumRetention by RenewInterval, since a request may end just before its next renewal.
 	replicaRetention = MinimumRetention + RenewInterval
-	// MaximumReplicas is the maximum number of replicas in a zone. The restart of a daemon that is not a replica changes
-	// no membership.
+	// MaximumReplicas is the maximum number of replicas in a zone. The other daemons of a larger zone can restart without
+	// a change of the membership.
 	MaximumReplicas = 48
-	// MaximumReservations is the maximum number of reservations that one replica holds, about 30 MB.
+	// MaximumReservations is the maximum number of reservations that one replica holds; they take about 30 MB.
 	MaximumReservations = 1 << 18
 	// NeverComplete is the value of CompleteSince of a zone whose replicas may lack reservations of any earlier epoch.
 	NeverComplete = ^uint64(0)
@@ -93,8 +94,8 @@
 	return size/2 + 1
 }
 
-// ReadQuorum returns the number of replicas of a group of the given size that intersects every majority of it: together
-// they hold every reservation that the group has granted.
+// ReadQuorum returns the number of replicas that suffices to share a member with every majority of a group of the given
+// size. Together these replicas hold every reservation that the group has granted.
 func ReadQuorum(size int) int {
 	if size == 0 {
 		return 0
--- a/coordination/reservation/fleet_test.go
+++ b/coordination/reservation/fleet_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// testIsolation is how long a test daemon that is cut off from the head of the chain continues to serve.
+	// testIsolation is the time for which a test daemon that is cut off from the head of the chain continues to serve.
 	testIsolation = 3 * time.Second
-	// testSyncWait is how long the head of a test fleet waits for replicas that are not synced.
+	// testSyncWait is the time limit of the head's wait, in a test fleet, for replicas that are not synced.
 	testSyncWait = 500 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 	replica     *Replica
 	coordinator *Coordinator
 	isUp        bool
-	// cutOffAt is when it was cut off from the head of the chain; zero: it is not.
+	// cutOffAt is the time at which it was cut off from the head of the chain; zero: it is not cut off.
 	cutOffAt time.Time
 	// fenced is set once the daemon may not serve, until it has the newest membership.
 	fenced bool
@@ -90,7 +90,7 @@
 	messages []testMessage
 	// isolatedZones can neither send to other zones nor receive from them.
 	isolatedZones map[string]bool
-	// membership is the agreed one, plannedAt the time when it was planned.
+	// membership is the newest agreed membership, plannedAt the time at which it was planned.
 	membership *wire.ReservationMembership
 	plannedAt  time.Time
 	isFounded  bool
--- a/coordination/reservation/holding.go
+++ b/coordination/reservation/holding.go
@@ -85,7 +85,7 @@
 }
 
 // resendReleases sends unacknowledged releases again. A release that is never acknowledged leaves an unused reservation
-// behind, and the request is refused as taken until that expires.
+// behind, and the request is refused as taken until the reservation expires.
 func (coordinator *Coordinator) resendReleases(now time.Time) {
 	for _, token := range slices.Sorted(maps.Keys(coordinator.releases)) {
 		release := coordinator.releases[token]
--- a/coordination/reservation/outcome.go
+++ b/coordination/reservation/outcome.go
@@ -47,14 +47,14 @@
 	retryAfter time.Duration
 
 	deadline time.Time
-	// zones are asked all at once for a retry, which all of them must grant, and one after the other, from current on, for
-	// a first attempt, which any of them may grant.
+	// zones holds the zones to ask. For a retry, all are asked at once, and all must grant. For a first attempt, they are
+	// asked one after the other, beginning at current, and any one may grant.
 	zones        []*zoneVote
 	current      int
 	zoneDeadline time.Time
 	// contacted holds the addresses of the replicas that were asked.
 	contacted map[string]bool
-	// isRenewed is set while the reservation is renewed.
+	// isRenewed is set while the reservation must be renewed: from its grant until Finish or Release.
 	isRenewed bool
 	renewedAt time.Time
 }
--- a/coordination/reservation/plan.go
+++ b/coordination/reservation/plan.go
@@ -13,7 +13,8 @@
 type Candidate struct {
 	Identity
 	Zone string
-	// IsolationMilliseconds is how long the daemon may continue to serve while it reaches no control machine.
+	// IsolationMilliseconds is the time in milliseconds for which the daemon may continue to serve while it reaches no
+	// control machine.
 	IsolationMilliseconds uint32
 }
 
--- a/coordination/reservation/replica.go
+++ b/coordination/reservation/replica.go
@@ -11,7 +11,7 @@
 // Environment holds the callbacks to the surrounding process.
 type Environment struct {
 	// MayServe reports whether this process may act under its membership at a given time. A replica grants nothing while
-	// it may not, which bounds how long an isolated replica can still grant.
+	// its process may not act, which bounds the time for which an isolated replica can still grant.
 	MayServe func(now time.Time) bool
 	// RequestMembership requests a newer membership from the process at an address.
 	RequestMembership func(now time.Time, from string)
--- a/coordination/reservation/reservation_test.go
+++ b/coordination/reservation/reservation_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// A reservation is kept while its request is in progress, and for MinimumRetention after its end.
+// A reservation must be kept while its request is in progress, and for MinimumRetention after the end of the request.
+// Otherwise a retry would run the request a second time.
 func TestReservationsAreRenewed(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 8, 3, 3)
@@ -197,7 +198,7 @@
 	daemon.coordinator.Finish(reservation)
 	advance(MinimumRetention)
 	if got := outcome(); got != Taken {
-		t.Errorf("Keep after its end: %s", got)
+		t.Errorf("within MinimumRetention after the end of the request: %s", got)
 	}
 	advance(2 * RenewInterval)
 	if got := outcome(); got != Granted {
--- a/coordination/reservation/synchronization.go
+++ b/coordination/reservation/synchronization.go
@@ -10,7 +10,7 @@
 const (
 	// syncInterval is the interval at which a replica repeats a synchronization request that was not answered.
 	syncInterval = 100 * time.Millisecond
-	// lossTimeout is how long a replica of a group that lost reservations waits for the remaining ones.
+	// lossTimeout is the time limit of a new replica's wait for the remaining replicas of a group that lost reservations.
 	lossTimeout = 500 * time.Millisecond
 	// syncPage is the maximum number of reservations in one message.
 	syncPage = 1024
@@ -25,7 +25,7 @@
 	isDone      bool
 }
 
-// synchronization tracks how a replica that is new in a group learns the reservations granted before. Each source that
+// synchronization tracks the transfer of earlier reservations to a replica that is new in a group. Each source that
 // answers has left the zone's previous epoch and grants nothing more in it; once enough sources have answered, no
 // majority of the previous group can grant anything more in that epoch.
 type synchronization struct {
--- a/coordination/reservation/table.go
+++ b/coordination/reservation/table.go
@@ -13,7 +13,7 @@
 	// refusedUpTo is the attempt number of a released reservation: no attempt with this or a smaller number is reserved.
 	// 0: the reservation was not released.
 	refusedUpTo uint32
-	// until is when the record expires.
+	// until is the time at which the record expires.
 	until time.Time
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// oldest returns when the first reservation expires; found is false if the table holds none.
+// oldest returns the time at which the first reservation expires; found is false if the table holds none.
 func (table *table) oldest() (until time.Time, found bool) {
 	for index := range table.records {
 		if table.isCurrent(index) {
--- a/coordination/reservation/vote.go
+++ b/coordination/reservation/vote.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// sendRequest sends a request to a replica. It returns the answer of the replica of this process at once; nil: the
-// answer arrives as a message.
+// sendRequest sends a request to a replica. It returns the answer if this process is the replica, and nil if the answer
+// will arrive as a message.
 func (coordinator *Coordinator) sendRequest(now time.Time, reservation *Reservation, replica Identity,
 	request *wire.ReservationRequest) *wire.ReservationResponse {
 	reservation.contacted[replica.Address] = true
@@ -77,7 +77,7 @@
 	}
 }
 
-// count returns the number of replicas that gave an answer.
+// count returns the number of replicas that gave the answer outcome.
 func (vote *zoneVote) count(outcome wire.ReservationOutcome) int {
 	count := 0
 	for _, answer := range vote.answers {
