--- a/coordination/registry/broadcast.go
+++ b/coordination/registry/broadcast.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// confirmTimeout is how long the response to a call waits for every daemon, halfTimeout how long it waits for half of
-	// them.
+	// confirmTimeout is the time limit of a call's wait for the acknowledgements of all daemons, halfTimeout that of its
+	// wait for the acknowledgements of half of the daemons.
 	confirmTimeout = 400 * time.Millisecond
 	halfTimeout    = 750 * time.Millisecond
 	// retryInterval is the interval at which an update is sent again to daemons that have not acknowledged it,
@@ -32,7 +32,8 @@
 	unconfirmed map[string]bool
 	confirmed   int
 	daemons     int
-	// pendingResponses respond to the calls that wait for the broadcast; nil once they have been called.
+	// pendingResponses holds the callbacks that respond to the calls that wait for the broadcast; nil once they have been
+	// called.
 	pendingResponses []func(outcome Outcome)
 }
 
@@ -175,7 +176,7 @@
 	}
 }
 
-// forget removes the announcements of runners that the table no longer holds.
-func (broadcasts *broadcasts) forget(isKnown func(id string) bool) {
+// removeUnknown removes the announcements of runners that the table no longer holds.
+func (broadcasts *broadcasts) removeUnknown(isKnown func(id string) bool) {
 	maps.DeleteFunc(broadcasts.announced, func(id string, _ bool) bool { return !isKnown(id) })
 }
--- a/coordination/registry/departure.go
+++ b/coordination/registry/departure.go
@@ -32,12 +32,12 @@
 	registrar.broadcast(now, record, respond)
 }
 
-// respondUnchanged responds to a call that changes nothing: at once, or when the broadcast of the leaving runner that
-// is in progress has its outcome.
+// respondUnchanged responds to a call that changes nothing: at once or, while a broadcast of the leaving runner is in
+// progress, with the outcome of the broadcast.
 func (registrar *Registrar) respondUnchanged(now time.Time, present *wire.Runner, outcome Outcome,
 	respond func(outcome Outcome)) {
-	// A control node that learned of it only from another one can't know whether that one has notified the daemons or has
-	// crashed before.
+	// A control node that learned only from another one that the runner leaves can't know whether the other one has
+	// notified the daemons or crashed before it did.
 	if stages[present.State] > 0 && !registrar.broadcasts.announced[present.RunnerId] {
 		registrar.broadcast(now, present, respond)
 		return
--- a/coordination/registry/departure_test.go
+++ b/coordination/registry/departure_test.go
@@ -94,7 +94,7 @@
 }
 
 // A call must not be accepted if fewer than half of the daemons acknowledge, whichever control nodes this one receives
-// messages from: the others would go on sending requests to the runner.
+// messages from: the other daemons would continue to send requests to the runner.
 func TestLeavingIsRejectedWithoutHalfOfTheDaemons(t *testing.T) {
 	for name, test := range map[string]struct {
 		hearsMost bool
@@ -117,8 +117,8 @@
 		if *got != test.outcome {
 			t.Errorf("%s: %q", name, *got)
 		}
-		// After a rejected call, the next one must start another broadcast. It was once accepted at once, without an update
-		// to any daemon.
+		// After a rejected call, the next one must start another broadcast. Otherwise that call would be accepted at once,
+		// without an update to any daemon.
 		if test.outcome == Unreachable {
 			again := node.register(draining(2))
 			node.advance(confirmTimeout)
--- a/coordination/registry/digest.go
+++ b/coordination/registry/digest.go
@@ -26,7 +26,8 @@
 		theirs[version.RunnerId] = version
 	}
 	// A process that never knew a runner that is gone does not need its record, unless the process has just started:
-	// another process that missed the end of the runner could then send it as live.
+	// another process that missed the end of the runner could otherwise send it the older record, in which the runner is
+	// live.
 	isStarting := len(digest.Versions) == 0
 	var missing []*wire.Runner
 	for _, id := range table.ids() {
--- a/coordination/registry/digest_test.go
+++ b/coordination/registry/digest_test.go
@@ -7,8 +7,9 @@
 	"wardtray/wire"
 )
 
-// A process that has just started must receive the records of runners that are gone, too. Otherwise a control node that
-// was frozen while a runner left could send it the runner as live.
+// A process that has just started has an empty table, so it must also receive the records of runners that are gone.
+// Otherwise it would accept an older record of such a runner, sent by a control node that was frozen when the runner
+// left, and list the runner as live.
 func TestStartingProcessLearnsWhoIsGone(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	sender, starting := NewTable(), NewTable()
@@ -28,6 +29,6 @@
 	}
 	// A process that knows some records is not starting, and does not receive those of unknown runners that are gone.
 	if missing := sender.missingIn(now, starting.digest(true)); len(missing) != 0 {
-		t.Fatalf("sent again: %v", missing)
+		t.Fatalf("records were sent although none is missing: %v", missing)
 	}
 }
--- a/coordination/registry/exchange.go
+++ b/coordination/registry/exchange.go
@@ -15,7 +15,7 @@
 type Exchange struct {
 	*Table
 	outbox *statemachine.Outbox
-	// lastDigest is when a digest was last sent with a request for a response, requestedFrom its recipient.
+	// lastDigest is the time at which a digest was last sent with a request for a response, requestedFrom its recipient.
 	lastDigest    time.Time
 	requestedFrom string
 }
--- a/coordination/registry/liveness.go
+++ b/coordination/registry/liveness.go
@@ -23,9 +23,9 @@
 // lastCall is the latest known call of a runner to any control node.
 type lastCall struct {
 	call uint64
-	// heardAt is when this control node learned of the call, direct whether it received the call itself.
-	heardAt time.Time
-	direct  bool
+	// learnedAt is the time at which this control node learned of the call; direct is set if it received the call itself.
+	learnedAt time.Time
+	direct    bool
 	// announced is the number of the latest call that was announced to the other control nodes.
 	announced uint64
 }
@@ -60,7 +60,7 @@
 		last = &lastCall{}
 		liveness.calls[id] = last
 	}
-	last.call, last.heardAt, last.direct = call, now, direct
+	last.call, last.learnedAt, last.direct = call, now, direct
 }
 
 func (liveness *liveness) remove(id string) { delete(liveness.calls, id) }
@@ -68,7 +68,7 @@
 // resume sets the time of every latest call to now.
 func (liveness *liveness) resume(now time.Time) {
 	for _, last := range liveness.calls {
-		last.heardAt = now
+		last.learnedAt = now
 	}
 }
 
@@ -97,7 +97,7 @@
 	if last == nil || last.call <= record.Call {
 		return false
 	}
-	return now.Sub(last.heardAt) <= liveness.silenceTimeout(last)
+	return now.Sub(last.learnedAt) <= liveness.silenceTimeout(last)
 }
 
 // takeUnannounced returns the calls that are due for announcement to the other control nodes, and marks them as
@@ -117,7 +117,7 @@
 	return calls
 }
 
-// forget removes the calls of runners that the table no longer holds.
-func (liveness *liveness) forget(isKnown func(id string) bool) {
+// removeUnknown removes the calls of runners that the table no longer holds.
+func (liveness *liveness) removeUnknown(isKnown func(id string) bool) {
 	maps.DeleteFunc(liveness.calls, func(id string, _ *lastCall) bool { return !isKnown(id) })
 }
--- a/coordination/registry/liveness_test.go
+++ b/coordination/registry/liveness_test.go
@@ -7,8 +7,8 @@
 	"wardtray/wire"
 )
 
-// A runner whose calls reach another control node gets a longer timeout than one that calls this one, since
-// announcements add a delay.
+// A runner whose calls reach another control node gets a longer timeout than a runner that calls this control node,
+// since announcements add a delay.
 func TestSilenceTimeout(t *testing.T) {
 	liveness := newLiveness(startTime, time.Second)
 	for _, test := range []struct {
@@ -41,7 +41,7 @@
 		}
 	}
 	if liveness.contradicts(startTime, &wire.Runner{RunnerId: "r2", State: Silent}) {
-		t.Error("a runner that never called contradicts its silence")
+		t.Error("a record that marks a runner silent is contradicted without any call of the runner")
 	}
 }
 
@@ -64,7 +64,7 @@
 }
 
 // If most runners seem silent at once, a network fault is more likely than their failure, and marking them silent would
-// stop all service.
+// stop all service. They must get more time.
 func TestMostRunnersAreGivenMoreTime(t *testing.T) {
 	few, most := []string{"a", "b", "c"}, []string{"a", "b", "c", "d"}
 	for _, test := range []struct {
--- a/coordination/registry/record.go
+++ b/coordination/registry/record.go
@@ -27,7 +27,8 @@
 // serving holds the states of runners that accept new requests.
 var serving = map[string]bool{Ready: true, Cold: true}
 
-// version is the part of a record that orders the records of one runner; a record has it, and its entry in a digest.
+// version is the part of a record that orders the records of one runner. It is implemented by a record and by its entry
+// in a digest.
 type version interface {
 	GetState() string
 	GetCall() uint64
--- a/coordination/registry/registration.go
+++ b/coordination/registry/registration.go
@@ -56,7 +56,7 @@
 }
 
 // isOutdated reports whether a call is older than the known state of its runner. The call with which a runner starts to
-// drain never is.
+// drain is never outdated.
 func (registrar *Registrar) isOutdated(present, record *wire.Runner) bool {
 	if present == nil {
 		return false
--- a/coordination/registry/registration_test.go
+++ b/coordination/registry/registration_test.go
@@ -81,16 +81,16 @@
 func TestAddressBelongsToTheLastCaller(t *testing.T) {
 	node := newTestNode(t)
 	node.register(ready("r1", 5))
-	taker := ready("r2", 1)
-	taker.Address = ready("r1", 1).Address
-	node.register(taker)
+	successor := ready("r2", 1)
+	successor.Address = ready("r1", 1).Address
+	node.register(successor)
 	if node.state("r1") != Silent || node.state("r2") != Ready {
 		t.Fatal(node.state("r1"), node.state("r2"))
 	}
-	// A delayed call of the former runner displaces the present one until that calls again.
+	// A delayed call of the former runner displaces the present runner until the present runner calls again.
 	node.register(ready("r1", 6))
 	again := ready("r2", 2)
-	again.Address = taker.Address
+	again.Address = successor.Address
 	node.register(again)
 	if node.state("r1") != Silent || node.state("r2") != Ready {
 		t.Fatal(node.state("r1"), node.state("r2"))
--- a/coordination/registry/survey.go
+++ b/coordination/registry/survey.go
@@ -23,7 +23,7 @@
 	// receives itself.
 	serving, direct int
 	// silent holds runners that have not called within their silence timeout, longSilent those that have not called within
-	// a multiple of it, and ended those that have drained for long enough.
+	// a multiple of it, and ended the draining ones that have not called for drainingHeartbeats.
 	silent, longSilent, ended []string
 }
 
@@ -36,8 +36,8 @@
 	registrar.liveness.lastCheck = now
 	survey := registrar.survey(now)
 	isKnown := func(id string) bool { return registrar.Record(id) != nil }
-	registrar.liveness.forget(isKnown)
-	registrar.broadcasts.forget(isKnown)
+	registrar.liveness.removeUnknown(isKnown)
+	registrar.broadcasts.removeUnknown(isKnown)
 	if now.Before(registrar.liveness.graceUntil) || registrar.isCutOff(now, survey) {
 		return
 	}
@@ -81,7 +81,7 @@
 // add adds one live runner to the survey.
 func (survey *survey) add(now time.Time, record *wire.Runner, liveness *liveness) {
 	last := liveness.ensureCall(now, record)
-	elapsed, timeout := now.Sub(last.heardAt), liveness.silenceTimeout(last)
+	elapsed, timeout := now.Sub(last.learnedAt), liveness.silenceTimeout(last)
 	if record.State == Draining {
 		if elapsed > drainingHeartbeats*liveness.heartbeat {
 			survey.ended = append(survey.ended, record.RunnerId)
--- a/coordination/registry/table.go
+++ b/coordination/registry/table.go
@@ -11,8 +11,8 @@
 const (
 	// MaximumRunners is the maximum number of records in a table, which other processes fill.
 	MaximumRunners = 4096
-	// retention is the retention period of the record of a runner that is gone or silent, so that an older record of it is
-	// recognized as old.
+	// retention is the retention period of the record of a runner that is gone or silent. Until it ends, older records of
+	// the runner are recognized as old.
 	retention     = 5 * time.Minute
 	pruneInterval = time.Second
 )
@@ -20,7 +20,7 @@
 // entry is one runner's record in a table.
 type entry struct {
 	record *wire.Runner
-	// storedAt is when this record was stored, coldUntil when the slow start of the runner ends.
+	// storedAt is the time at which this record was stored, coldUntil the time at which the slow start of the runner ends.
 	storedAt, coldUntil time.Time
 }
 
@@ -37,7 +37,7 @@
 type listing struct {
 	runners []*wire.Runner
 	valid   bool
-	// nextWarmAt is when the next slow start of a runner in the list ends; zero: no runner is cold.
+	// nextWarmAt is the time at which the next slow start of a runner in the list ends; zero: no runner is cold.
 	nextWarmAt time.Time
 }
 
