--- a/coordination/chain/chain_test.go
+++ b/coordination/chain/chain_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// No member commits an entry before every member of the chain has synced it, in the order of the chain. An entry that
-// was committed earlier could be lost with the disks that hold it.
+// No member commits an entry before every member of the chain has synced it, in the order of the chain. Otherwise a
+// committed entry could be lost with the few disks that hold it.
 func TestNoCommitBeforeEverySync(t *testing.T) {
 	cluster := newCluster("a", "b", "c")
 	cluster.deliver()
--- a/coordination/peersampling/partialview.go
+++ b/coordination/peersampling/partialview.go
@@ -8,9 +8,8 @@
 // A PartialView is one process's instance, a pure state machine. Its caller calls Tick often, passes it received
 // shuffles by HandleShuffle, and after each call drains the outbox (see package statemachine). Messages may be lost,
 // repeated and reordered. As long as every process reaches a seed or some neighbour, the views connect all live
-// processes and drop stopped ones within some rounds. A view has at most Size descriptors, none of its own process and
-// none twice.
-// A PartialView is not safe for concurrent use.
+// processes and drop stopped ones within some rounds. A view has at most Size descriptors: at most one of each process,
+// and none of its own process. A PartialView is not safe for concurrent use.
 package peersampling
 
 import (
--- a/coordination/registry/registration_test.go
+++ b/coordination/registry/registration_test.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// A runner that starts at the address of a former one must replace it, or requests for the former one would reach it.
+// A runner that starts at the address of a former runner must replace it. Otherwise requests for the former runner
+// would reach the new one.
 func TestAddressBelongsToTheLastCaller(t *testing.T) {
 	node := newTestNode(t)
 	node.register(ready("r1", 5))
--- a/coordination/reservation/doc.go
+++ b/coordination/reservation/doc.go
@@ -41,8 +41,7 @@
 	GroupSize = 3
 	// ShardCount is the number of shards into which keys are divided.
 	ShardCount = 128
-	// MinimumRetention is the minimum retention period of a reservation after its request has ended or it was last
-	// renewed.
+	// MinimumRetention is the minimum retention period of a reservation after the end of its request or its last renewal.
 	MinimumRetention = 10 * time.Minute
 	// RenewInterval is the interval between renewals of the reservation of a request in progress.
 	RenewInterval = MinimumRetention / 4
--- a/coordination/reservation/reservation_test.go
+++ b/coordination/reservation/reservation_test.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// In a partition between zones, first attempts are granted on both sides. Retries need all zones and must not be.
+// In a partition between zones, first attempts are granted on both sides. Retries need all zones and must not be
+// granted.
 func TestPartitionedZone(t *testing.T) {
 	t.Parallel()
 	fleet := newTestFleet(t, 5, 4, 4)
--- a/coordination/view/learner.go
+++ b/coordination/view/learner.go
@@ -6,7 +6,7 @@
 	"wardtray/wire"
 )
 
-// Learn adopts a chosen view that is newer than the newest known one, once it is synced.
+// Learn persists a chosen view that is newer than the newest known one, and adopts the view once it is synced.
 func (agent *Agent) Learn(now time.Time, view *wire.View) {
 	if view == nil || view.Epoch <= agent.newest.Epoch {
 		return
