--- a/proxy/admission/request.go
+++ b/proxy/admission/request.go
@@ -46,7 +46,8 @@
 	Method string
 	// ForwardedHeaders are the headers that are forwarded to the runner unchanged.
 	ForwardedHeaders []netio.Header
-	// Timeout is how long the client waits for the complete answer, from the arrival of the request; 0: not given.
+	// Timeout is the time for which the client waits for the complete answer, from the arrival of the request; 0: not
+	// given.
 	Timeout time.Duration
 	// LastEventID is the id of the last event of this stream that the client has received; 0: none.
 	LastEventID int
--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -31,7 +31,7 @@
 	// reservations is nil where no request is reserved.
 	reservations Reservations
 	// announce notifies the zone's other daemons that the request is being sent to a runner or, if dropped is set, that it
-	// certainly did not run. Daemons that make no reservations rely on it.
+	// certainly did not run. Daemons that make no reservations rely on this notification.
 	announce func(key dedup.Key, dropped bool)
 	// wait waits until a channel is closed, a duration has passed or a context ends, whichever comes first.
 	wait func(ctx context.Context, length time.Duration, woken <-chan struct{})
@@ -42,7 +42,7 @@
 	// reserved is the reservation; nil until it is started.
 	reserved *reservation.Reservation
 	// isSent reports whether bytes of the request may have reached a runner, announced whether the other daemons were
-	// notified of it.
+	// notified of the request.
 	isSent, announced bool
 	// readOnly makes accept look up a request without recording it; used for dry runs.
 	readOnly bool
@@ -63,13 +63,14 @@
 		guard.key = &key
 	}
 	if !isNew && known == dedup.NotSeen {
-		return dedup.NotSeen, errTooManyRemembered
+		return dedup.NotSeen, errAtMostOnceLimit
 	}
 	return known, nil
 }
 
-// errTooManyRemembered is the error of a request for which this daemon or the replicas have no room.
-var errTooManyRemembered = apierror.New(apierror.AtMostOnceLimitReached,
+// errAtMostOnceLimit refuses an at-most-once request that can't be recorded, because this daemon's table or the
+// replicas of its reservation are full.
+var errAtMostOnceLimit = apierror.New(apierror.AtMostOnceLimitReached,
 	"as many requests that run at most once are remembered as can be")
 
 // mustRuleOutEarlier reports whether earlier client attempts must be ruled out before the request is processed further
@@ -102,10 +103,11 @@
 		"it was first sent at a time of which this fleet has lost what ran"),
 	reservation.Unreachable: apierror.New(apierror.OutcomeUnknown,
 		"too few daemons say whether an earlier sending of it runs"),
-	reservation.Full: errTooManyRemembered,
+	reservation.Full: errAtMostOnceLimit,
 }
 
-// errorOf returns the error of a request by the outcome of its reservation; nil if the request may be sent to a runner.
+// errorOf returns the error with which a request is refused after this outcome of its reservation; nil if the request
+// may be sent to a runner.
 func (guard *atMostOnce) errorOf(outcome reservation.Outcome) error {
 	// A reservation that is still pending has timed out.
 	if outcome == reservation.Pending {
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -56,8 +56,8 @@
 	checkedAt time.Time
 	// connection is the connection to the runner; nil before it is made and after it was returned to the pool.
 	connection *connpool.Connection
-	// sentAt is the time at which the write of the request began. partial reports whether the runner did not receive the
-	// complete request.
+	// sentAt is the time at which the write of the request began. partial reports whether the request was not written
+	// completely.
 	sentAt  time.Time
 	partial bool
 	// response is the runner's response, head its classified head.
@@ -154,7 +154,7 @@
 }
 
 // isIdentified reports whether the runner at the other end of the connection is the chosen one. Where runners are not
-// asked for their identity, every request names the chosen runner, and any other one rejects it.
+// asked for their identity, every request names the chosen runner, and any other runner rejects the request.
 func (attempt *attempt) isIdentified(runner load.Runner, backend *config.Backend) bool {
 	if attempt.exchange.handler.Codec.IdentityPath() == "" {
 		return true
@@ -215,8 +215,8 @@
 		}
 		before = written
 	}
-	// If the local operating system has not accepted all bytes, no runner can have read the complete request. If it has, a
-	// write error does not show what the runner received, and the response decides.
+	// If the local operating system has not accepted all bytes, no runner can have read the complete request. If it has
+	// accepted all bytes, a write error does not show what the runner received, and the response decides the outcome.
 	written, _ := attempt.connection.Write(content[before:])
 	return before + written
 }
@@ -228,8 +228,8 @@
 	return attempt.isAllowed() && attempt.connection.Idle() && attempt.exchange.client.checkConnected()
 }
 
-// respondedEarly reports whether the runner has responded to a request that it did not receive completely. It may have
-// run what it received, so its response decides, not the write error.
+// respondedEarly reports whether the runner has responded to a request that it did not receive completely. The runner
+// may have started a run from the part that it received, so its response decides the outcome, not the write error.
 func (attempt *attempt) respondedEarly() bool {
 	attempt.setTimeout(earlyResponseTimeout)
 	_, err := attempt.connection.Reader.Peek(1)
@@ -242,7 +242,7 @@
 	_ = attempt.connection.SetDeadline(attempt.exchange.now().Add(timeout))
 }
 
-// describe returns the attempt as codecs see it.
+// describe returns the parameters of the attempt that a codec needs.
 func (attempt *attempt) describe() codec.Attempt {
 	exchange := attempt.exchange
 	return codec.Attempt{
@@ -266,8 +266,8 @@
 	}
 }
 
-// interruptedByClient reports whether the client's disconnect ended a write halfway. The runner may have begun to run
-// what it received, and can't say so over a closed connection.
+// interruptedByClient reports whether the client's disconnect ended a write halfway. The runner may have started a run
+// from the part that it received, and can't report this over a closed connection.
 func (attempt *attempt) interruptedByClient(written int) bool {
 	return written > 0 && attempt.exchange.client.hasDisconnected() && attempt.exchange.route.CancelsOnDisconnect()
 }
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -12,7 +12,8 @@
 	"wardtray/proxy/codec"
 )
 
-// Each case is the behaviour of a runner on one request and the expected outcome of the attempt.
+// Each case is the behaviour of a runner on one request and the expected outcome of the attempt. If an attempt that may
+// have run had the outcome NotSent or NotExecuted, an at-most-once request could run twice.
 func TestAttemptOutcomes(t *testing.T) {
 	const latencyTarget, grace = 2 * time.Second, firstEventGrace
 	stray, rejected := completeResponse(codec.Stray), completeResponse(codec.NotExecuted)
@@ -135,8 +136,9 @@
 	}
 }
 
-// A write that ends halfway: if the runner has responded, the response decides; otherwise the request was not sent,
-// unless a disconnect of the client interrupted the write.
+// A write may end halfway. If the runner has responded, the response decides the outcome; otherwise the request was not
+// sent, unless a disconnect of the client interrupted the write. A wrong outcome would let the request run twice, or
+// refuse it although it did not run.
 func TestAttemptWrittenInPart(t *testing.T) {
 	rejected := []delivery{{0, completeResponse(codec.NotExecuted)}}
 	for name, trial := range map[string]struct {
@@ -188,7 +190,7 @@
 }
 
 // A decision that is too old when the bytes are to go out is checked again. The last part of a long request is held
-// back until a separate check.
+// back until a separate check. Otherwise a request could run after a change that no longer allows it.
 func TestAttemptIsCheckedBeforeItsBytes(t *testing.T) {
 	for name, trial := range map[string]struct {
 		age     time.Duration
@@ -217,7 +219,8 @@
 	}
 }
 
-// A run is cancelled with its client, unless it must run to its end.
+// A disconnect of the client cancels its run, unless the request must run at most once. Otherwise runners would
+// generate responses that nobody reads.
 func TestAttemptIsBoundToItsClient(t *testing.T) {
 	for route, bound := range map[string]bool{"free": true, "resumed": true, "once": false} {
 		clock := &fakeClock{}
@@ -229,7 +232,8 @@
 	}
 }
 
-// A runner is not ejected for a run that was cancelled because its client disconnected.
+// A runner is not ejected for a run that was cancelled because its client disconnected. Otherwise clients that
+// disconnect would take healthy runners out of use.
 func TestAttemptBlamesNoRunnerForItsClient(t *testing.T) {
 	for disconnects, want := range map[bool]string{true: "", false: reasonNoResponse} {
 		clock := &fakeClock{}
@@ -245,7 +249,7 @@
 	}
 }
 
-// A codec is given everything that an attempt depends on.
+// describe must set every parameter of an attempt, or the parameter would be missing in the request to the runner.
 func TestAttemptDescribesItself(t *testing.T) {
 	clock := &fakeClock{}
 	attempt := newFakeClockAttempt(newFakeClockDaemon(t, clock, responding(clock)), "once")
@@ -261,7 +265,8 @@
 	}
 }
 
-// After a complete run the connection is returned to the pool only if the response ends with the run.
+// After a complete run the connection is returned to the pool only if the response ends with the run. Otherwise the
+// rest of it would be read as the response to the next request.
 func TestAttemptKeepsItsConnection(t *testing.T) {
 	streamStart := "HTTP/1.1 200 OK\r\nDisposition: runs\r\nTransfer-Encoding: chunked\r\n"
 	body := "\r\n" + chunk(tokenEvents("x", 1, 1)+done(1))
@@ -295,7 +300,8 @@
 	}
 }
 
-// A response body that is not a stream can't follow events that the client already has.
+// A response body that is not a stream must not follow events that the client has received, since the client would read
+// it as part of the stream.
 func TestAttemptGivesNoBodyAfterEvents(t *testing.T) {
 	clock := &fakeClock{}
 	daemon := newFakeClockDaemon(t, clock, responding(clock, delivery{0, completeResponse(codec.Finished)}))
@@ -306,7 +312,7 @@
 	}
 }
 
-// release releases the runner's slot in the scheduler.
+// An attempt that ends must release the runner's slot in the scheduler, or the slot would stay occupied.
 func TestAttemptReleasesItsSlot(t *testing.T) {
 	clock := &fakeClock{}
 	daemon := newFakeClockDaemon(t, clock, responding(clock))
--- a/proxy/attemptcounter.go
+++ b/proxy/attemptcounter.go
@@ -50,7 +50,8 @@
 	locked.mutex.Lock()
 	defer locked.mutex.Unlock()
 	if counter.sends == 0 {
-		// An attempt that ends before its last byte is not a send, and its request counts once.
+		// An attempt that ends before its last byte is written is not a send. The next attempt then gets here too and must
+		// not count the request again.
 		if !counter.counted {
 			counter.counted = true
 			locked.budget.RecordRequest(now)
--- a/proxy/codec/attempt.go
+++ b/proxy/codec/attempt.go
@@ -55,8 +55,8 @@
 	Disposition Disposition
 	// Report is the load that the runner reports; nil if it reports none.
 	Report *load.Report
-	// IdleTimeout is how long the runner keeps the connection open while idle; 0: not given. Closes reports whether the
-	// runner closes the connection after this response.
+	// IdleTimeout is the time for which the runner keeps the connection open while idle; 0: not given. Closes reports
+	// whether the runner closes the connection after this response.
 	IdleTimeout time.Duration
 	Closes      bool
 }
--- a/proxy/completion.go
+++ b/proxy/completion.go
@@ -37,8 +37,8 @@
 		attempt.connection.ResponseStarted()
 	}
 	took, runner := exchange.now().Sub(attempt.sentAt), attempt.decision.Runner
-	// A runner that answers with an error of its own is not credited with a success, which would send it more requests at
-	// once.
+	// A response with an error of the runner's own is not recorded as a success, which would end the runner's ejection and
+	// send it more requests at once.
 	if attempt.head.Disposition != codec.Failed {
 		exchange.handler.Loads.RequestSucceeded(runner.ID)
 	}
@@ -54,7 +54,7 @@
 	})
 }
 
-// recordedStates maps whether the run of a relayed request completed to the state that is recorded of the request.
+// recordedStates holds the state that is recorded for a relayed request, by whether its run completed.
 var recordedStates = map[bool]dedup.State{true: dedup.Ran, false: dedup.Unknown}
 
 // finish finishes a request that was relayed. It counts the request under end; ran reports whether the run completed.
--- a/proxy/deadline.go
+++ b/proxy/deadline.go
@@ -66,7 +66,7 @@
 // waitLimits bounds how long one request waits for its runner.
 type waitLimits struct {
 	route *config.Route
-	// remaining is how long the client still waits; 0 if that is not known.
+	// remaining is the time for which the client still waits; 0 if that is not known.
 	remaining time.Duration
 	// mayRetry reports whether the request may be sent to one more runner.
 	mayRetry bool
--- a/proxy/dedup/table.go
+++ b/proxy/dedup/table.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	// retentionPeriod is how long the entry of a request is kept after the request has ended.
+	// retentionPeriod is the time for which the entry of a request is kept after the request has ended.
 	retentionPeriod = reservation.MinimumRetention
 	// shardCapacity is the maximum number of entries of one shard. A full shard refuses new requests and never evicts an
 	// entry before its retention period is over.
@@ -118,7 +118,7 @@
 	shard.remove(key)
 }
 
-// RecordAnnounced records what another daemon announced of a request: that the daemon sent it to a runner, or, if
+// RecordAnnounced records another daemon's announcement of a request: that the daemon sent it to a runner, or, if
 // dropped is set, that the request certainly did not run. The states of this daemon's own requests take precedence.
 func (table *Table) RecordAnnounced(now time.Time, key Key, dropped bool) {
 	shard := table.lock(key)
--- a/proxy/disconnect_test.go
+++ b/proxy/disconnect_test.go
@@ -410,7 +410,7 @@
 func (client *disconnectedClient) ConnectedAt() time.Time { return time.Time{} }
 func (client *disconnectedClient) CloseAfterResponse()    {}
 
-// A client that shuts down only its sending side counts as disconnected and is answered so at once.
+// A client that shuts down only its sending side counts as disconnected and is sent the error for that at once.
 func TestHalfClosedConnectionIsAnswered(t *testing.T) {
 	runs := newBlockedRuns()
 	daemon := newDaemon(t, startRunner(t, "r1", runs.answer("", events(1, done(1), true))))
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// The wait for a new list of runners ends with the patience of the route.
+// The wait for a new list of runners ends with the latency target of the route.
 func TestStaleListingIsNotWaitedForTooLong(t *testing.T) {
 	runner := startRunner(t, "former", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -120,7 +120,7 @@
 		t.Errorf("%d %s", status, body)
 	}
 	if waited := time.Since(started); waited < time.Second || waited > 4*time.Second {
-		t.Errorf("answered after %v, with a patience of 2 s", waited)
+		t.Errorf("answered after %v, with a latency target of 2 s", waited)
 	}
 }
 
@@ -278,7 +278,7 @@
 	attempt.connection = connection
 	daemon.snapshot = &config.Snapshot{SpecEpoch: 1, Catalog: daemon.snapshot.Catalog}
 	if outcome := attempt.send(); outcome != scheduler.NotSent || runner.reached.Load() != 0 {
-		t.Fatalf("a complete long request was sent under a spec that is not known to be current; the runner saw %d",
+		t.Fatalf("a complete long request was sent under a configuration not known to be current; the runner saw %d",
 			runner.reached.Load())
 	}
 }
@@ -294,7 +294,7 @@
 	}
 	daemon.snapshot = &config.Snapshot{}
 	if status, body := daemon.post(t, "once"); status != 503 || !strings.Contains(body, "not_serving") {
-		t.Errorf("without a spec: %d %s", status, body)
+		t.Errorf("without a configuration: %d %s", status, body)
 	}
 	if runner.reached.Load() != 0 {
 		t.Error("the runner was reached")
--- a/proxy/execution.go
+++ b/proxy/execution.go
@@ -47,11 +47,11 @@
 	return ofAttempt
 }
 
-// refusal returns the refusal of a request that gets no stream, or no more of one. The code, the detail, the execution
-// state and the retry time passed in are those of the last attempt.
+// refusal returns the refusal of a request that gets no response, or whose stream ends early. The code, the detail, the
+// execution state and the retry time passed in are those of the last attempt.
 func (execution *execution) refusal(code apierror.Code, detail, ofAttempt string, retry time.Duration) *codec.Refusal {
 	ran := execution.ran(ofAttempt)
-	// An earlier attempt may have run, whatever ended this one, and the client must be informed of that.
+	// A previous attempt may have run even if the last one did not, and the client must be informed of that.
 	if execution.ambiguous && code != apierror.ClientDisconnected {
 		code = apierror.OutcomeUnknown
 	}
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -39,7 +39,7 @@
 	// Name is the name of the daemon, as the control plane and runners know it; Zone is the zone of the daemon.
 	Name string
 	Zone string
-	// Started is when the process began.
+	// Started is the time at which the process started.
 	Started time.Time
 
 	// Environment provides the clock, the dialer and the waits.
--- a/proxy/quotacharge.go
+++ b/proxy/quotacharge.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// quotaTimeout bounds how long a request waits for tokens of its tenant's quota, and quotaTimeoutFraction does so as a
-	// fraction of its latency target, so that after a refusal the client still has time to retry.
+	// A request waits for tokens of its tenant's quota for at most quotaTimeout, and for at most the fraction
+	// quotaTimeoutFraction of its latency target, so that the client still has time to retry after a refusal.
 	quotaTimeout         = 150 * time.Millisecond
 	quotaTimeoutFraction = 0.2
 	// startupPeriod is the time after its start during which a daemon attributes a lack of tokens to the start itself.
@@ -55,7 +55,7 @@
 	return true
 }
 
-// await requests more of a quota and waits for it. It reports whether the tokens could be taken.
+// await requests more tokens of a quota and waits for them. It reports whether the tokens could be taken.
 func (charge *quotaCharge) await(tenant string, tokens float64, latencyTarget time.Duration) bool {
 	limiter := charge.handler.Quota
 	done := limiter.AddWaiting(charge.now(), tenant, tokens)
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A key that is revoked between the decision and the write does not let the request out.
+// A request whose key is revoked between the decision and the write must not be sent.
 func TestRevokedKeyStopsTheLastCheck(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -161,7 +161,8 @@
 	}
 }
 
-// A request that certainly did not run is refunded its charge.
+// The charge of a request that certainly did not run is refunded. Otherwise refused requests would use up the quota of
+// their tenant.
 func TestChargeOfWhatDidNotRunIsRefunded(t *testing.T) {
 	runner := startRunner(t, "r1", rejects)
 	daemon := newDaemon(t, runner)
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -17,7 +17,8 @@
 	otherDaemonRetryAfter = 20 * time.Millisecond
 	// typicalStartupTime is the time after its start by which a daemon usually knows its configuration to be current.
 	typicalStartupTime = 800 * time.Millisecond
-	// maximumRetryAfter bounds the retry time that a daemon that is cut off reports to clients.
+	// maximumRetryAfter bounds the retry time that a daemon reports to clients while its configuration is not known to be
+	// current.
 	maximumRetryAfter = 10 * time.Second
 	// earlyRefusalLimit is the time after arrival up to which a refused request is counted as refused early.
 	earlyRefusalLimit = 50 * time.Millisecond
@@ -87,7 +88,7 @@
 	return exchange.refusal(next.ErrorCode, detail, next.Execution, exchange.retryAfter(next.ErrorCode))
 }
 
-// refusal returns the refusal of a request that gets no stream, or no more of one.
+// refusal returns the refusal of a request that gets no response, or whose stream ends early.
 func (exchange *Exchange) refusal(code apierror.Code, detail, ran string, retry time.Duration) *codec.Refusal {
 	refusal := exchange.execution.refusal(code, detail, ran, retry)
 	refusal.DeadlinePassed = exchange.isPastDeadline()
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -11,7 +11,8 @@
 	"wardtray/proxy/stream"
 )
 
-// chunkSize is the size in bytes from which on a chunk takes no more of the events that were already received.
+// chunkSize is the size, in bytes, at which a chunk is complete: further events that were already received go into the
+// next chunk.
 const chunkSize = 16 << 10
 
 // errIncompleteResponse ends the body of an incomplete response.
@@ -23,8 +24,8 @@
 	exchange *Exchange
 	pace     paceMeter
 	pending  []byte
-	// endError is returned once pending is read: nil while the run goes on. finishRequest then finishes the request, once;
-	// finished reports whether it was called.
+	// endError is the error that Read returns once pending is empty; nil while the run continues. finishRequest finishes
+	// the request and is called once; finished reports whether it was called.
 	endError      error
 	finishRequest func()
 	finished      bool
@@ -147,7 +148,7 @@
 		relay.finishRequest = func() { exchange.finishWithoutRunner(refusal.Code) }
 	}
 	relay.endError = errIncompleteResponse
-	// A codec that has an error event ends an incomplete stream with one, in order.
+	// If the codec has an error event, the incomplete stream ends with it, followed by a regular end of the body.
 	if message := exchange.handler.Codec.ErrorEvent(exchange.lastEventID, *refusal); len(message) > 0 {
 		relay.pending, relay.endError = append(relay.pending, message...), io.EOF
 	}
@@ -158,8 +159,8 @@
 func (relay *relay) resume() *codec.Refusal {
 	exchange := relay.exchange
 	exchange.attempt.release()
-	// The first event was received long ago; the rest is scheduled anew, with the latency target that fits into the
-	// remaining time, and that time as its deadline.
+	// The first event was received long ago; the rest is scheduled anew, with a latency target of at most the remaining
+	// time, and the remaining time as its deadline.
 	excluded := exchange.queuedRequest.Requirements.ExcludedRunners
 	exchange.enterScheduler()
 	excluded[exchange.attempt.decision.Runner.ID] = true
--- a/proxy/relay_test.go
+++ b/proxy/relay_test.go
@@ -57,7 +57,8 @@
 
 func (noErrorEventCodec) ErrorEvent(int, codec.Refusal) []byte { return nil }
 
-// Each case is a stream after its head and the expected end of its request.
+// Each case is a stream after its head and the expected end of its request. An incomplete or inconsistent stream must
+// not be relayed or recorded as complete.
 func TestRelayEndings(t *testing.T) {
 	const failed = string(apierror.RunFailed)
 	two := tokenEvents("x", 1, 2)
@@ -106,7 +107,7 @@
 	}
 }
 
-// If the codec has no error event, an incomplete stream is cut off.
+// If the codec has no error event, an incomplete stream is cut off, so that the client can't take it for complete.
 func TestRelayIsCutOffWithoutAnErrorEvent(t *testing.T) {
 	clock := &fakeClock{}
 	two := tokenEvents("x", 1, 2)
@@ -148,7 +149,7 @@
 	}
 }
 
-// A reader with a small buffer receives the same bytes.
+// A reader with a small buffer receives the same bytes: those that do not fit into the buffer must not be lost.
 func TestRelayFillsSmallBuffers(t *testing.T) {
 	clock := &fakeClock{}
 	text := tokenEvents("x", 1, 5) + done(5)
--- a/proxy/reservation_test.go
+++ b/proxy/reservation_test.go
@@ -56,8 +56,8 @@
 	clientRetry        = map[string]string{admission.HeaderAttempt: "2", admission.HeaderTerm: "5"}
 )
 
-// The fate of a request follows from the outcome of its reservation, and what its refusal says about earlier client
-// attempts from what the client states about this one.
+// The outcome of its reservation decides whether a request is sent. The client's statement about this attempt decides
+// what a refusal reports about earlier client attempts: a false report would let the client run the request twice.
 func TestReservedRequests(t *testing.T) {
 	t.Parallel()
 	ran := events(1, done(1), true)
@@ -107,7 +107,8 @@
 	}
 }
 
-// What a client states about its attempts is passed to the reservation, together with what is known of its connection.
+// The reservation must receive the number and the term that the client states, and for a first client attempt the term
+// before the client connected.
 func TestReservationsLearnWhatTheClientStates(t *testing.T) {
 	t.Parallel()
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
@@ -167,7 +168,7 @@
 	}
 }
 
-// A refusal for lack of room names the time after which there is room, and responses name the term.
+// A refusal for lack of room states the time after which there is room, and responses state the term.
 func TestFullReservationsNameTheTime(t *testing.T) {
 	t.Parallel()
 	daemon := newDaemon(t, startRunner(t, "r1", events(1, done(1), true)))
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -7,8 +7,9 @@
 	"wardtray/proxy/dedup"
 )
 
-// recordClientAttempt records what the client states about this attempt. Unless it is the first, an earlier client
-// attempt may have run until the contrary is known; on a route that may run more than once that does not matter.
+// recordClientAttempt records what the client states about this attempt. Unless this is the first, an earlier client
+// attempt counts as possibly run until the reservation rules it out, except on a route whose requests may run more than
+// once.
 func (exchange *Exchange) recordClientAttempt() {
 	request, snapshot := exchange.request, exchange.handler.Snapshot()
 	if request.SingleUse || exchange.atMostOnce.reservations == nil {
@@ -58,7 +59,8 @@
 	if exchange.client.hasDisconnected() {
 		return errClientDisconnected()
 	}
-	// Only a first client attempt that found no room, or no daemon that answered, is known to be the only one.
+	// These outcomes show that another client attempt may have run, even if the client states that this is the first.
+	// After any other outcome, a first client attempt is known to be the only one.
 	if outcome == reservation.Taken || outcome == reservation.InDoubt {
 		exchange.execution.earlierInDoubt = true
 	}
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -19,8 +19,8 @@
 	maximumStrayResponses = 4
 	// maximumResponse bounds the size in bytes of a response that is not a stream.
 	maximumResponse = 8 << 20
-	// tailTimeout bounds the wait for the rest of a response behind the part that the client receives, and tailSize its
-	// size in bytes.
+	// tailTimeout bounds the wait for the rest of a response after the part that the client receives, and tailSize the
+	// size of that rest in bytes.
 	tailTimeout = 500 * time.Millisecond
 	tailSize    = lastPartSize
 )
@@ -76,9 +76,9 @@
 	return attempt.exchange.request.Method == fasthttp.MethodHead
 }
 
-// mustNotReuse reports whether no other request may follow on this connection. The runner may still read this request;
-// or, after a HEAD request, a late second response would have a length and no body, which can't be distinguished from
-// one with a body.
+// mustNotReuse reports whether no other request may follow on this connection. After a partial write the runner may
+// still read the rest of this request. After a HEAD request, a late second response would state a length and have no
+// body, and could not be distinguished from a response with a body.
 func (attempt *attempt) mustNotReuse() bool { return attempt.partial || attempt.isHeadRequest() }
 
 // skipStray reads a response to another request to its end, where the expected response begins.
@@ -137,9 +137,9 @@
 	return responseReady
 }
 
-// handleFailedRun handles an error of the runner's own. The run has ended and may be started again only if that does no
-// harm. Such an error counts as a run: an at-most-once request is recorded as dedup.Ran, and a client retry under its
-// id is refused without the statement that it did not run.
+// handleFailedRun handles a response in which the runner reports an error of its own. The run has ended and is retried
+// only on an idempotent route. Such an error counts as a run: an at-most-once request is recorded as dedup.Ran, and a
+// client retry under its id is refused without the statement that it did not run.
 func (attempt *attempt) handleFailedRun() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonFailedRun)
@@ -158,8 +158,8 @@
 	return scheduler.NotExecuted
 }
 
-// handleReusedAddress handles an address that now belongs to another runner. The chosen runner will not come back
-// there, so the listed one is ejected.
+// handleReusedAddress handles an address that now belongs to another runner. The chosen runner will not return to this
+// address, so it is ejected.
 func (attempt *attempt) handleReusedAddress() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonAddressReused)
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -64,7 +64,7 @@
 }
 
 // A pooled connection that its runner closes, or over which it sends something, while the daemon is frozen between
-// taking the connection and writing, is not written to.
+// taking the connection and writing, is not written to. Otherwise the outcome of the request would be unknown.
 func TestConnectionEndsDuringAFreeze(t *testing.T) {
 	for name, ends := range map[string]func(connection net.Conn){
 		"closed": func(connection net.Conn) { _ = connection.Close() },
--- a/proxy/routing.go
+++ b/proxy/routing.go
@@ -117,7 +117,7 @@
 		until = own
 	}
 	for {
-		// Requested before the snapshot is read, so that a renewal between the two is not missed.
+		// The channel is requested before the snapshot is read, so that a renewal between the two is not missed.
 		renewed := exchange.handler.Renewed()
 		snapshot, now := exchange.handler.Snapshot(), exchange.now()
 		if snapshot.Catalog == nil {
--- a/proxy/search.go
+++ b/proxy/search.go
@@ -98,8 +98,8 @@
 }
 
 // waitsForListing reports whether the attempt found the list of runners to be out of date. Such an attempt does not
-// count against the request: the runner is ejected, and once all are, the request waits for a newer list. If ejection
-// is disabled every attempt counts, so that their number stays bounded.
+// count against the request: the runner is ejected, and once all runners are ejected, the request waits for a newer
+// list. If ejection is disabled every attempt counts, so that their number stays bounded.
 func (exchange *Exchange) waitsForListing() bool {
 	return exchange.attempt.listingIsStale && !exchange.handler.Disabled[features.Ejection]
 }
@@ -107,7 +107,7 @@
 // decideRetry returns whether another attempt may follow, and the refusal to report otherwise.
 func (exchange *Exchange) decideRetry(outcome scheduler.AttemptOutcome) scheduler.RetryDecision {
 	next := scheduler.DecideRetry(outcome, exchange.route.Idempotent)
-	// The client keeps what was relayed; a resumable stream continues after it at another runner.
+	// The client keeps the events that were relayed, and a resumable stream continues after them at another runner.
 	resumes := exchange.route.Resumable && !exchange.handler.Disabled[features.Resumption]
 	if outcome == scheduler.Broken && resumes {
 		next.Retry = true
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A stopping daemon accepts requests that will certainly end before it stops. It refuses, as not run, those that may
-// not.
+// A stopping daemon accepts requests that will certainly end before it stops, and refuses all others with the statement
+// that they did not run. Otherwise it would cut off their responses when it stops.
 func TestStoppingDaemonRefusesWhatMightOutlastIt(t *testing.T) {
 	const answer = 10 // tokens, of every request of these tests
 	for name, trial := range map[string]struct {
