--- a/transport/connpool/connection.go
+++ b/transport/connpool/connection.go
@@ -48,8 +48,8 @@
 	pool      *Pool
 	address   string
 	idleSince time.Time
-	// idleTimeout is how long the runner keeps the connection open while idle, as it last announced; 0 if it announced
-	// nothing.
+	// idleTimeout is the time for which the runner keeps the connection open while idle, as it last announced; 0 if it
+	// announced nothing.
 	idleTimeout time.Duration
 	// closeAnnounced is set once the runner has announced that it closes the connection after its response.
 	closeAnnounced bool
@@ -59,7 +59,8 @@
 	// awaitingResponse is set from the sending of a request until the first event of its response. retryable is set if
 	// that request may be retried at another runner.
 	awaitingResponse, retryable atomic.Bool
-	// unbindContext undoes Bind and reports whether the context had not closed the connection; nil if there is none.
+	// unbindContext undoes Bind and reports whether the context had not closed the connection; nil if the connection is
+	// not bound.
 	unbindContext func() bool
 }
 
--- a/transport/connpool/pool.go
+++ b/transport/connpool/pool.go
@@ -18,9 +18,9 @@
 	// dialTimeout limits the establishment of a connection, identityTimeout the request for the runner's identity.
 	dialTimeout     = 400 * time.Millisecond
 	identityTimeout = 500 * time.Millisecond
-	// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection is aborted.
+	// unacknowledgedTimeout is the time for which sent bytes may stay unacknowledged before a connection is aborted.
 	unacknowledgedTimeout = time.Second
-	// activeWindow is how long after its last activity a connection counts as active.
+	// activeWindow is the time after its last activity during which a connection counts as active.
 	activeWindow = time.Second
 )
 
@@ -139,9 +139,9 @@
 	}
 }
 
-// Release returns a connection to the pool after its last response was read completely. idleTimeout is how long the
-// runner keeps it open while idle, as announced by that response; 0 means that it announced nothing, so that an earlier
-// announcement stays valid. Connections that can't be reused are closed.
+// Release returns a connection to the pool after its last response was read completely. idleTimeout is the time for
+// which the runner keeps the connection open while idle, as announced by that response; 0 means that the response
+// announced nothing, so that an earlier announcement stays valid. Connections that can't be reused are closed.
 func (pool *Pool) Release(connection *Connection, idleTimeout time.Duration) {
 	_ = connection.SetDeadline(time.Time{}) // It fails only on a closed connection, which the next Take detects.
 	open := connection.unbind()
--- a/transport/connpool/runner.go
+++ b/transport/connpool/runner.go
@@ -21,8 +21,8 @@
 // each calls a function for each runner, in no particular order.
 func (table *runnerTable) each(do func(runner string, connections *runnerConnections)) {
 	table.entries.Range(func(key, entry any) bool {
-		runner, _ := key.(string)                    // The table has no other keys,
-		connections, _ := entry.(*runnerConnections) // and holds no other type.
+		runner, _ := key.(string)                    // Every key is a string.
+		connections, _ := entry.(*runnerConnections) // Every value is of this type.
 		do(runner, connections)
 		return true
 	})
--- a/transport/netio/disconnect_test.go
+++ b/transport/netio/disconnect_test.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// testTimeout is how long a test waits for an expected event.
+// testTimeout is the time for which a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 // listen opens a free port of the loopback interface until the test ends.
--- a/transport/netio/netio.go
+++ b/transport/netio/netio.go
@@ -27,7 +27,7 @@
 type Timeouts struct {
 	// Dial limits the establishment of the connection.
 	Dial time.Duration
-	// Unacknowledged is how long sent bytes may stay unacknowledged before the connection is aborted.
+	// Unacknowledged is the time for which sent bytes may stay unacknowledged before the connection is aborted.
 	Unacknowledged time.Duration
 }
 
--- a/transport/sender.go
+++ b/transport/sender.go
@@ -86,7 +86,7 @@
 // disconnect closes the connection, if there is one.
 func (sender *sender) disconnect() {
 	if sender.connection != nil {
-		_ = sender.connection.Close() // What it has not delivered is lost either way.
+		_ = sender.connection.Close() // Undelivered bytes are lost in any case.
 		sender.connection, sender.peerClosed = nil, nil
 	}
 }
--- a/transport/socket.go
+++ b/transport/socket.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection is aborted. The peer may
-// have lost power or be behind a network partition, and only a new connection reaches it soon after it has recovered.
+// unacknowledgedTimeout is the time for which sent bytes may stay unacknowledged before a connection is aborted. The
+// peer may have lost power or be behind a network partition, and only a new connection reaches it soon after it has
+// recovered.
 const unacknowledgedTimeout = time.Second
 
 // keepAlive ends idle connections whose peer is dead.
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -10,7 +10,7 @@
 	"wardtray/wire"
 )
 
-// testTimeout is how long a test waits for an expected event.
+// testTimeout is the time for which a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 // refusal holds the arguments of a call of a transport's refused function.
