--- a/balancer/kvblock/kvblock.go
+++ b/balancer/kvblock/kvblock.go
@@ -2,12 +2,12 @@
 // still hold which blocks of a prompt. The index is a hint for the scheduler: a wrong entry costs a prefill, but never
 // fails a request.
 //
-// As in llm-d-kv-cache are the module names, the chained FNV-64a keys over CBOR of [parent, part, extra], the two-level
-// LRU, the ordered worker queues sharded by FNV-1a of the runner, and the count of consecutive hits as score.
-// Differences: keys are computed over the prompt's declared prefix parts, and stored and removed blocks are inferred.
-// A block is taken as stored when this daemon sends it, and as removed because of its age, the estimated cache capacity
-// of the runner, a first token that came as late as on a runner without the blocks, or a rejected request. See
-// docs/indexer.md.
+// The following are as in llm-d-kv-cache: the module names, the chained FNV-64a keys over CBOR of [parent, part,
+// extra], the two-level LRU, the ordered worker queues sharded by FNV-1a of the runner, and the count of consecutive
+// hits as score. Two things differ: keys are computed over the prompt's declared prefix parts, and stored and removed
+// blocks are inferred. A block is taken as stored when this daemon sends it, and as removed because of its age, the
+// estimated cache capacity of the runner, a first token that came as late as on a runner without the blocks, or a
+// rejected request. See docs/indexer.md.
 package kvblock
 
 import "time"
--- a/balancer/scheduler/context.go
+++ b/balancer/scheduler/context.go
@@ -39,7 +39,8 @@
 	Short, Long PromptForecast
 	// LongRunners is the set of the IDs of the runners preferred for long prompts.
 	LongRunners map[string]bool
-	// ShortRate is the rate, in prompts per second, at which short prompts are sent to each of the other runners.
+	// ShortRate is the rate, in prompts per second, at which short prompts are sent to each runner that is not in
+	// LongRunners.
 	ShortRate float64
 	// CacheLifetime is the time for which a runner keeps an unused prompt part in its cache; 0 if unknown.
 	CacheLifetime time.Duration
--- a/balancer/scheduler/filter.go
+++ b/balancer/scheduler/filter.go
@@ -15,8 +15,9 @@
 	return candidate.Usable && !requirements.ExcludedRunners[candidate.ID] && candidate.Limit != 0
 }
 
-// readmitEjected makes ejected runners usable again if more than half of the runners are ejected, those whose ejection
-// ends first. The cause is then probably not in the runners, and a backend must not be left without runners.
+// readmitEjected makes the excess of ejected runners usable again if more than half of the runners are ejected,
+// beginning with those whose ejection ends first. The cause is then probably not in the runners, and a backend must not
+// be left without runners.
 func readmitEjected(runners []load.Runner) []load.Runner {
 	var ejected []int
 	remaining := 0
--- a/balancer/scheduler/flowcontrol.go
+++ b/balancer/scheduler/flowcontrol.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// withinLimit reports whether the request's route may have one more request in flight, where the backend has that much
-// capacity. One request in flight is always allowed.
+// withinLimit reports whether the request's route may have one more request in flight at a backend of the given
+// capacity, in requests. One request in flight is always allowed.
 func (routes routeConcurrency) withinLimit(request *QueuedRequest, capacity float64) bool {
 	return float64(routes[request.Route]+1) <= max(1, request.ConcurrencyLimit*capacity)
 }
@@ -67,9 +67,9 @@
 	maxWaitCorrection = 32
 )
 
-// waitCorrections maps each route to the factor of the predicted queueing time of its new requests; a missing route has
-// 1. The factor grows when a queued request is rejected and shrinks when one is dispatched, so that in overload
-// requests are rejected on arrival rather than after they were queued.
+// waitCorrections maps each route to the factor of the predicted queueing time of its new requests; the factor of a
+// missing route is 1. The factor grows when a queued request is rejected and shrinks when one is dispatched, so that in
+// overload requests are rejected on arrival rather than after they were queued.
 type waitCorrections map[string]float64
 
 // learn adjusts a route's correction after a queued request of it ended with a decision of the kind end.
--- a/balancer/scheduler/homes_test.go
+++ b/balancer/scheduler/homes_test.go
@@ -7,8 +7,8 @@
 	"wardtray/balancer/load"
 )
 
-// The keys are spread evenly over the runners by their first runner, and removing a runner moves only the keys whose
-// first runner it was. Otherwise a lost runner would invalidate the caches of the others.
+// The first runners of the keys in rendezvous order are spread evenly over all runners, and removing a runner moves
+// only the keys whose first runner it was. Otherwise a lost runner would invalidate the caches of the others.
 func TestHomesAreAgreedAndStable(t *testing.T) {
 	runners, firsts, moved := fleetOf(20), map[string]int{}, 0
 	without := append(append([]load.Runner{}, runners[:7]...), runners[8:]...)
@@ -32,7 +32,8 @@
 	}
 }
 
-// Daemons that have exchanged no messages send a prefix to the same runner.
+// Daemons that have exchanged no messages send a prefix to the same runner. Otherwise each of them would have the
+// prefix computed again at another runner.
 func TestDaemonsAgreeOnHomesWithoutAMessage(t *testing.T) {
 	chosen := map[string]int{}
 	for daemon := range 8 {
--- a/balancer/scheduler/longprompts.go
+++ b/balancer/scheduler/longprompts.go
@@ -9,7 +9,8 @@
 
 const (
 	// longPromptFactor is the ratio of the prefill time of a prompt to the lowest latency target of its backend above
-	// which the prompt is long. A factor of 2 earns less value, 0.5 the same (docs/placement.md).
+	// which the prompt is long. With a factor of 2 the responses have less value in total, with 0.5 the same; see
+	// docs/placement.md.
 	longPromptFactor = 1.0
 	// reserveFactor is the ratio of the runners reserved for long prompts to the runners that these need on average.
 	reserveFactor = 1.3
--- a/balancer/scheduler/longprompts_test.go
+++ b/balancer/scheduler/longprompts_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The reservation changes in quarters, and only when the need differs by more than the hysteresis.
+// The reservation changes in quarters, and only when the need differs by more than the hysteresis. Otherwise cached
+// prefixes would move with every change of the traffic.
 func TestLongPromptPolicyReservesSlowly(t *testing.T) {
 	policy := newLongPromptPolicy()
 	for _, step := range []struct {
--- a/balancer/scheduler/picker.go
+++ b/balancer/scheduler/picker.go
@@ -5,8 +5,8 @@
 // Picker returns the index of the candidate to dispatch to, or -1 if every candidate is saturated.
 type Picker func(requirements Requirements, scoredCandidates []ScoredCandidate, random *rand.Rand) int
 
-// cachedRatio is the fraction of the maximum expected cached tokens over all candidates from which on a candidate
-// counts as having the prompt cached.
+// cachedRatio is the minimum ratio of a candidate's expected cached tokens to the maximum over all candidates for the
+// candidate to count as having the prompt cached.
 const cachedRatio = 0.6
 
 // candidateGroup groups candidates by whether they probably have most of the prompt cached, and whether they are in the
--- a/balancer/scheduler/request.go
+++ b/balancer/scheduler/request.go
@@ -40,7 +40,7 @@
 	LatencyTarget time.Duration `json:"Patience"`
 	// Waited is the time for which the request has been queued.
 	Waited time.Duration `json:"Waited"`
-	// Deadline is the time after the arrival of the request for which the client waits at most; 0 if not given.
+	// Deadline is the maximum time for which the client waits, from the arrival of the request; 0 if not given.
 	Deadline     time.Duration `json:"Deadline"`
 	PromptTokens int           `json:"PromptTokens"`
 	// MaxResponseTokens is the maximum number of tokens in the response; 0 if not given.
--- a/balancer/scheduler/saturation.go
+++ b/balancer/scheduler/saturation.go
@@ -9,12 +9,12 @@
 const (
 	// memoryLimit is the fraction of a runner's memory above which it is likely to reject requests.
 	memoryLimit = 0.92
-	// memoryExcessCost is the cost, in seconds, of exceeding memoryLimit by the size of the memory.
+	// memoryExcessCost is the cost, in seconds, of exceeding memoryLimit by as much as the complete memory.
 	memoryExcessCost = 10
 	// occupancyWeight is the cost of a fully occupied runner, as a fraction of the time for which a slot is occupied.
 	occupancyWeight = 0.02
 	// nearlyFullCost, in seconds, weighs the risk that a runner is full when the prompt arrives: the runner then rejects
-	// the request, and there may be no second one. It applies above an occupancy of nearlyFullFrom.
+	// the request, and there may be no other runner for it. It applies above an occupancy of nearlyFullFrom.
 	nearlyFullCost, nearlyFullFrom = 4.0, 0.4
 	// maxOccupancy is the upper bound of a runner's occupancy, as a ratio of requests to slots.
 	maxOccupancy = 2
--- a/balancer/scheduler/speeds.go
+++ b/balancer/scheduler/speeds.go
@@ -40,9 +40,9 @@
 	return tokens, float64(prompt) - tokens/2
 }
 
-// learn adjusts the speeds after a first event that took that many seconds, where seen first events came before it.
-// Only whether it came earlier or later than predicted counts, not by how much, so that outliers such as one long queue
-// have a limited effect.
+// learn adjusts the speeds after a first event that took that many seconds; seen is the number of first events before
+// it. Only whether the event came earlier or later than predicted counts, not by how much, so that outliers such as one
+// long queue have a limited effect.
 func (speeds *engineSpeeds) learn(prompt, cached int, took float64, seen int) {
 	tokens, attended := prefillParts(prompt, cached)
 	overhead, linear, quadratic := speeds.overhead, speeds.token*tokens, speeds.pair*tokens*attended
--- a/balancer/scheduler/traffic.go
+++ b/balancer/scheduler/traffic.go
@@ -13,11 +13,11 @@
 	decayInterval = 40
 	decayFactor   = 0.9
 	// longPriorRatio is the prior of the fraction of all prefill time that long prompts take, and longPriorRequests the
-	// number of requests that this prior weighs as much as.
+	// weight of this prior, as a number of requests.
 	longPriorRequests = 150
 	longPriorRatio    = 0.15
-	// prefixPriorRequests is the weight of the prior of a prefix's fraction, which is 0. It is lower, so that a suddenly
-	// popular prefix is noticed quickly.
+	// prefixPriorRequests is the weight of the prior of a prefix's fraction, which is 0. This weight is lower than
+	// longPriorRequests, so that a suddenly popular prefix is noticed quickly.
 	prefixPriorRequests = 20
 	// rateInterval is the time constant of the exponentially weighted request rate.
 	rateInterval = 5 * time.Second
@@ -41,8 +41,9 @@
 	class.count, class.work, class.squares = class.count+1, class.work+work, class.squares+work*work
 }
 
-// remainingPrefill returns the mean remaining prefill time, in seconds, of the prompt that a new one finds in progress.
-// Long prompts are found in progress more often, so this is the mean residual E[x²]/(2E[x]), not half of the mean.
+// remainingPrefill returns the mean remaining prefill time, in seconds, of the prompt that a new prompt finds in
+// progress. Long prompts are found in progress more often, so this is the mean residual E[x²]/(2E[x]), not half of the
+// mean.
 func (class *promptClass) remainingPrefill() float64 {
 	if class.work <= 0 {
 		return defaultPrefill
@@ -136,7 +137,8 @@
 	return (longPriorRatio*prior + traffic.long.work) / (prior + work)
 }
 
-// prefixRatio returns the fraction of all prefill time that prompts with a prefix take, not counting one of them.
+// prefixRatio returns the fraction of all prefill time that prompts with a prefix take. The work of one average prompt
+// is subtracted from theirs.
 func (traffic *trafficStatistics) prefixRatio(prefix kvblock.BlockKey) float64 {
 	work := traffic.work()
 	if work <= 0 {
