--- a/balancer/scheduler/pace_test.go
+++ b/balancer/scheduler/pace_test.go
@@ -24,7 +24,7 @@
 	}
 	fixture.TokensReceived(64, 64*token)
 	checkNear("after the first sample", request.Requirements.LatencyTarget+maxTokens*token)
-	// One sample changes the average little; many samples of slower engines do.
+	// One sample changes the average little; many samples of slower engines change it to their pace.
 	fixture.TokensReceived(64, 2*64*token)
 	checkNear("after an outlier", request.Requirements.LatencyTarget+maxTokens*token)
 	for range 40 {
--- a/proxy/admission/parse_test.go
+++ b/proxy/admission/parse_test.go
@@ -50,8 +50,8 @@
 // Each request has one fault in its headers or its body, and must be rejected with the code for that fault.
 func TestParseRejectsMalformed(t *testing.T) {
 	changes := map[string]map[string][]string{
-		"no lane":              {HeaderRoute: nil},
-		"lane twice":           {HeaderRoute: {"a", "b"}},
+		"no route":             {HeaderRoute: nil},
+		"route twice":          {HeaderRoute: {"a", "b"}},
 		"bad bytes":            {HeaderModel: {"\xff"}},
 		"control":              {HeaderRequest: {"a\x01"}},
 		"delete":               {HeaderRequest: {"a\x7f"}},
--- a/proxy/disconnect_test.go
+++ b/proxy/disconnect_test.go
@@ -26,26 +26,26 @@
 )
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("never: %s", description)
 		}
 	}
 }
 
 // wantSoon waits for a signal and fails the test if it does not arrive soon.
-func wantSoon(t *testing.T, what string, signal <-chan struct{}) {
+func wantSoon(t *testing.T, description string, signal <-chan struct{}) {
 	t.Helper()
 	started := time.Now()
 	select {
 	case <-signal:
 		if took := time.Since(started); took > soon {
-			t.Errorf("%s took %v", what, took)
+			t.Errorf("%s took %v", description, took)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("never: %s", description)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// isAvoided reports whether a runner is ejected at present.
-func (daemon *testDaemon) isAvoided(runner string) bool {
+// isEjected reports whether a runner is ejected at present.
+func (daemon *testDaemon) isEjected(runner string) bool {
 	found, _ := daemon.Loads.Lookup(time.Now(), runner, []string{"d"})
 	return !found.Usable
 }
@@ -195,11 +195,11 @@
 		route string
 		extra string
 	}{
-		"before the first event":         {"", ran, "free", ""},
-		"in the middle of a stream":      {oneEvent(), restOf, "free", ""},
-		"of a lane that may be resumed":  {oneEvent(), restOf, "resumed", ""},
-		"of a lane that is to cancel":    {"", ran, "cancelled", cancelled},
-		"of such a lane, after an event": {oneEvent(), restOf, "cancelled", cancelled},
+		"before the first event":          {"", ran, "free", ""},
+		"in the middle of a stream":       {oneEvent(), restOf, "free", ""},
+		"on a resumable route":            {oneEvent(), restOf, "resumed", ""},
+		"on a route that cancels":         {"", ran, "cancelled", cancelled},
+		"on such a route, after an event": {oneEvent(), restOf, "cancelled", cancelled},
 	} {
 		runs := newBlockedRuns()
 		first := startRunner(t, "r1", runs.answer(trial.first, trial.then))
@@ -222,7 +222,7 @@
 		if sends := first.reached.Load() + second.reached.Load(); sends != 1 {
 			t.Errorf("%s: %d sends", name, sends)
 		}
-		if daemon.isAvoided("r1") || daemon.isAvoided("r2") {
+		if daemon.isEjected("r1") || daemon.isEjected("r2") {
 			t.Errorf("%s: the runner is avoided", name)
 		}
 	}
@@ -290,7 +290,7 @@
 	if took := time.Since(started); took > soon {
 		t.Errorf("it waited %v longer", took)
 	}
-	// A request that was not sent may be sent again.
+	// A request that was not sent must have no record, so that its client may retry it.
 	if state := daemon.Dedup.Lookup(dedup.KeyOf("once", "q")); state != "" || runner.reached.Load() != 0 {
 		t.Errorf("recorded as %q, the runner saw %d", state, runner.reached.Load())
 	}
@@ -313,7 +313,7 @@
 	_ = client.Close()
 	wantSoon(t, "the dial ends", finished)
 	daemon.wantNoneInFlight(t)
-	if daemon.isAvoided("r1") {
+	if daemon.isEjected("r1") {
 		t.Error("the runner is avoided")
 	}
 }
@@ -350,7 +350,7 @@
 func TestRequestReadBehindItsCloseIsDropped(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
-	// The client has no watch, as after a freeze: the poller has not seen the close yet.
+	// The client's watch never reports the close, as after a freeze, when the poller has not seen the close yet.
 	for _, route := range []string{"once", "free"} {
 		daemon.Serve(&disconnectedClient{route: route, body: []byte(`{"prompt":"x"}`)})
 		daemon.wantNoneInFlight(t)
--- a/proxy/exchange_test.go
+++ b/proxy/exchange_test.go
@@ -56,8 +56,8 @@
 		events(1, done(1), true),
 	)
 	daemon := newDaemon(t, first, second)
-	// Both reject the first request. The third attempt finds no runner left, and the refusal says that the request did not
-	// run.
+	// Both runners reject the first request. The third attempt finds no runner left, and the refusal says that the request
+	// did not run.
 	status, body := daemon.post(t, "once")
 	if status != 503 || !strings.Contains(body, scheduler.DidNotRun) ||
 		first.reached.Load()+second.reached.Load() != 2 {
@@ -289,7 +289,7 @@
 	for route, want := range map[string]int{"nowhere": 404, "": 400} {
 		if status, body := daemon.post(t, route); status != want || !strings.Contains(body, scheduler.DidNotRun) ||
 			!strings.Contains(body, "remedy") {
-			t.Errorf("lane %q: %d %s", route, status, body)
+			t.Errorf("route %q: %d %s", route, status, body)
 		}
 	}
 	daemon.snapshot = &config.Snapshot{}
--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -87,7 +87,8 @@
 	var reads atomic.Int64
 	snapshot := daemon.Snapshot
 	daemon.Snapshot = func() *config.Snapshot {
-		// The first reads return a configuration with the key, those directly before the write one without it.
+		// The first reads return a configuration with the key, and the reads directly before the write return a configuration
+		// without it.
 		if reads.Add(1) > 5 {
 			return &config.Snapshot{
 				SpecEpoch: 3,
--- a/proxy/relay_test.go
+++ b/proxy/relay_test.go
@@ -226,7 +226,7 @@
 // A resumable stream continues at another runner after the last event that was relayed, once it has stalled for twice
 // its usual pause. If no runner is left it ends as incomplete, once.
 func TestRelayResumes(t *testing.T) {
-	const pause = time.Second // That of the route "resumed".
+	const pause = time.Second // The pause of the route "resumed".
 	first := tokenEvents("x", 1, 2)
 	const failed = string(apierror.RunFailed)
 	continued, restarted := streamed(tokenEvents("x", 3, 4)+done(4)), streamed(first+done(2))
--- a/proxy/reservation_test.go
+++ b/proxy/reservation_test.go
@@ -152,8 +152,8 @@
 		headers map[string]string
 		ran     string
 	}{
-		"first, unknown lane":  {"nowhere", firstClientAttempt, "did not run"},
-		"again, unknown lane":  {"nowhere", clientRetry, "unknown"},
+		"first, unknown route": {"nowhere", firstClientAttempt, "did not run"},
+		"again, unknown route": {"nowhere", clientRetry, "unknown"},
 		"first, about to stop": {"once", firstClientAttempt, "did not run"},
 		"again, about to stop": {"once", clientRetry, "unknown"},
 		"undeclared, stopping": {"once", nil, "unknown"},
--- a/proxy/resume_test.go
+++ b/proxy/resume_test.go
@@ -83,11 +83,11 @@
 			"resumed", [][]script{{events(0, "", false)}, {events(0, "", false)}, {resumes("c", 9, 3)}},
 			"1 2 3 4", true, 0,
 		},
-		"not on another lane": {
+		"not on another route": {
 			"free", [][]script{{resumes("a", 2, 5)}, {resumes("a", 2, 5)}, {resumes("a", 2, 5)}},
 			"1 2 3", false, 1,
 		},
-		"not on a lane of one run": {
+		"not on an at-most-once route": {
 			"once", [][]script{{resumes("a", 2, 5)}, {resumes("a", 2, 5)}, {resumes("a", 2, 5)}},
 			"1 2 3", false, 1,
 		},
@@ -178,7 +178,8 @@
 	}
 }
 
-// The earlier of the route's and the client's deadline ends every wait.
+// The earlier of the route's and the client's deadline ends every wait. Otherwise a silent or stalled runner would hold
+// a request whose client no longer waits.
 func TestDeadlineEndsEveryWait(t *testing.T) {
 	silent := func(connection net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, connection) }
 	stalls := func(connection net.Conn, _ *http.Request) {
@@ -192,10 +193,10 @@
 		status      int
 		says        string
 	}{
-		"silent, the lane's":      {silent, "short", "", 504, `"ran":"unknown"`},
+		"silent, the route's":     {silent, "short", "", 504, `"ran":"unknown"`},
 		"silent, the client's":    {silent, "once", "150", 504, `"ran":"unknown"`},
 		"silent, the sooner":      {silent, "short", "60000", 504, `"ran":"unknown"`},
-		"stalled, the lane's":     {stalls, "short", "", 200, "event: error"},
+		"stalled, the route's":    {stalls, "short", "", 200, "event: error"},
 		"stalled, the client's":   {stalls, "once", "150", 200, "event: error"},
 		"stalled, may be resumed": {stalls, "resumed", "150", 200, "event: error"},
 	} {
--- a/proxy/stop_test.go
+++ b/proxy/stop_test.go
@@ -8,7 +8,7 @@
 // A stopping daemon accepts requests that will certainly end before it stops, and refuses all others with the statement
 // that they did not run. Otherwise it would cut off their responses when it stops.
 func TestStoppingDaemonRefusesWhatMightOutlastIt(t *testing.T) {
-	const answer = 10 // tokens, of every request of these tests
+	const answer = 10 // The maximum answer of every test request, in tokens.
 	for name, trial := range map[string]struct {
 		draining bool
 		// token is the time per token of answers, 0 if it is not known; left is the time until the daemon stops.
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -67,13 +67,13 @@
 }
 
 // within returns the next value of a channel, or fails the test after testTimeout.
-func within[Value any](t *testing.T, channel <-chan Value, what string) Value {
+func within[Value any](t *testing.T, channel <-chan Value, description string) Value {
 	t.Helper()
 	select {
 	case value := <-channel:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatalf("%s did not arrive within %v", what, testTimeout)
+		t.Fatalf("%s did not arrive within %v", description, testTimeout)
 		panic("unreachable")
 	}
 }
