--- a/proxy/atmostonce.go
+++ b/proxy/atmostonce.go
@@ -9,8 +9,8 @@
 	"wardtray/proxy/dedup"
 )
 
-// reservationTimeout bounds how long a request waits for the outcome of its reservation. Package reservation decides
-// earlier than that.
+// reservationTimeout bounds the wait of a request for the outcome of its reservation. The timeouts of package
+// reservation are shorter, so it normally decides before that.
 const reservationTimeout = 2 * time.Second
 
 // Reservations reserves at-most-once requests with the other daemons of the fleet (see package reservation).
--- a/proxy/deadline.go
+++ b/proxy/deadline.go
@@ -42,7 +42,7 @@
 	return deadline{started: started, until: started.Add(least)}
 }
 
-// timeout returns how long the client waits in total; 0 if that is not known.
+// timeout returns the total time for which the client waits; 0 if that is not known.
 func (deadline deadline) timeout() time.Duration {
 	if deadline.until.IsZero() {
 		return 0
@@ -82,7 +82,7 @@
 	return target
 }
 
-// firstEvent returns how long to wait for the first event. earlyRetry allows a runner that does not respond to be
+// firstEvent returns the maximum wait for the first event. earlyRetry allows a runner that does not respond to be
 // abandoned for another one before the deadline.
 func (limits waitLimits) firstEvent(earlyRetry bool) time.Duration {
 	target := time.Duration(limits.route.LatencyTarget)
@@ -102,7 +102,7 @@
 	return target + firstEventGrace
 }
 
-// nextEvent returns how long to wait for an event after the first.
+// nextEvent returns the maximum wait for an event after the first.
 func (limits waitLimits) nextEvent() time.Duration {
 	if limits.remaining == 0 {
 		return idleTimeout
--- a/proxy/fakeclock_test.go
+++ b/proxy/fakeclock_test.go
@@ -21,8 +21,8 @@
 	"wardtray/transport/netio"
 )
 
-// fakeClock is a clock that only advances when somebody waits for a fakeConnection: then it jumps to the end of the
-// wait. Durations that a test measures with it do not depend on the speed of the machine.
+// fakeClock is a clock that only advances when a read of a fakeConnection waits: then it jumps to the end of the wait.
+// Durations that a test measures with it do not depend on the speed of the machine.
 type fakeClock struct{ now time.Time }
 
 func (clock *fakeClock) advance(length time.Duration) { clock.now = clock.now.Add(length) }
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -33,7 +33,7 @@
 
 // Read returns at least one complete event, together with further events that were already received.
 func (relay *relay) Read(into []byte) (int, error) {
-	// A run that was just resumed elsewhere has not delivered an event yet.
+	// A run that was just resumed at another runner may not have delivered an event yet.
 	for len(relay.pending) == 0 && relay.endError == nil {
 		relay.fetch()
 	}
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -158,8 +158,8 @@
 	return scheduler.NotExecuted
 }
 
-// handleReusedAddress handles an address that now belongs to another runner. The chosen runner will not return to this
-// address, so it is ejected.
+// handleReusedAddress handles a response that shows that the address now belongs to another runner. The chosen runner
+// will not return to this address, so it is ejected.
 func (attempt *attempt) handleReusedAddress() scheduler.AttemptOutcome {
 	exchange := attempt.exchange
 	exchange.handler.Loads.Eject(exchange.now(), attempt.decision.Runner.ID, reasonAddressReused)
