--- a/proxy/quotacharge_test.go
+++ b/proxy/quotacharge_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A key that is revoked between the decision and the write does not let the request out.
+// A request whose key is revoked between the decision and the write must not be sent.
 func TestRevokedKeyStopsTheLastCheck(t *testing.T) {
 	runner := startRunner(t, "r1", events(1, done(1), true))
 	daemon := newDaemon(t, runner)
@@ -87,7 +87,8 @@
 	var reads atomic.Int64
 	snapshot := daemon.Snapshot
 	daemon.Snapshot = func() *config.Snapshot {
-		// The first reads return a configuration with the key, those directly before the write one without it.
+		// The first reads return a configuration with the key, and the reads directly before the write return a configuration
+		// without it.
 		if reads.Add(1) > 5 {
 			return &config.Snapshot{
 				SpecEpoch: 3,
@@ -161,7 +162,8 @@
 	}
 }
 
-// A request that certainly did not run is refunded its charge.
+// The charge of a request that certainly did not run is refunded. Otherwise refused requests would use up the quota of
+// their tenant.
 func TestChargeOfWhatDidNotRunIsRefunded(t *testing.T) {
 	runner := startRunner(t, "r1", rejects)
 	daemon := newDaemon(t, runner)
