--- a/verify/fleet/actions.go
+++ b/verify/fleet/actions.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// maximumDetectionTime is how long the data daemons may take to detect a failure that nothing reports.
+	// maximumDetectionTime bounds the time within which the data daemons detect a failure that nothing reports.
 	maximumDetectionTime = 4 * time.Second
 	// crashGracePeriod is the period after a runner's crash in which failures that it causes are tolerated.
 	crashGracePeriod = time.Second
-	// daemonGracePeriod and coreGracePeriod are the same after the end of a data daemon or a control machine.
+	// daemonGracePeriod and coreGracePeriod are the corresponding periods after the end of a data daemon and of a control
+	// machine.
 	daemonGracePeriod = 2 * time.Second
 	coreGracePeriod   = 5 * time.Second
 )
--- a/verify/fleet/callrecorder_test.go
+++ b/verify/fleet/callrecorder_test.go
@@ -38,10 +38,10 @@
 	}
 	found := violationsOf(linearizability.Check(fleet.Recording(), time.Minute))
 	if len(found) != 1 || found[0].Rule != ruleLinearizable || !strings.Contains(found[0].Detail, "configuration") {
-		t.Errorf("%v", found)
+		t.Errorf("violations %v, want one about the configuration", found)
 	}
 	undecided := linearizability.Verdict{Undecided: []string{"a part"}}
 	if found := violationsOf(undecided); len(found) != 1 || !strings.Contains(found[0].Detail, "a part") {
-		t.Errorf("%v", found)
+		t.Errorf("violations %v, want one about the undecided part", found)
 	}
 }
--- a/verify/fleet/control_scenarios.go
+++ b/verify/fleet/control_scenarios.go
@@ -173,7 +173,8 @@
 	if err := run.restartAll(ctx, "killed at the very end"); err != nil {
 		return err
 	}
-	// The rule on returns reports a violation if no change is accepted after the restart, so a timeout is no error here.
+	// If no change is accepted after the restart, the history's check of the recovery reports a violation, so a timeout is
+	// no error here.
 	if err := changeUntilAccepted(ctx, run); !errors.Is(err, ErrTimeout) {
 		return err
 	}
--- a/verify/fleet/control_scenarios_test.go
+++ b/verify/fleet/control_scenarios_test.go
@@ -40,7 +40,7 @@
 		operations[order.Operation] = true
 	}
 	if len(run.History.Orders) != 3 || len(operations) != 3 {
-		t.Errorf("%d changes, operations %v", len(run.History.Orders), operations)
+		t.Errorf("%d changes with the operation IDs %v", len(run.History.Orders), operations)
 	}
 }
 
@@ -49,10 +49,10 @@
 	err := errors.Join(ErrTimeout, &NotAcceptedError{request})
 	var notAccepted *NotAcceptedError
 	if !errors.Is(err, ErrTimeout) || !errors.As(err, &notAccepted) || notAccepted.Order != request {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a timeout with the order that was not accepted", err)
 	}
 	want := `the change "last" was not accepted: status 503, outcome "refused", epoch 2, on epoch 1`
 	if notAccepted.Error() != want {
-		t.Errorf("%q instead of %q", notAccepted, want)
+		t.Errorf("error text %q instead of %q", notAccepted, want)
 	}
 }
--- a/verify/fleet/fleet.go
+++ b/verify/fleet/fleet.go
@@ -20,7 +20,7 @@
 	History    *histories.History
 
 	addresses addressPlan
-	// folder is the directory of settings, logs and data; binaries is that of the programs.
+	// folder is the directory of settings, logs and data; binaries the directory of the programs.
 	folder, binaries string
 }
 
@@ -179,8 +179,8 @@
 	fleet.History.Change(func(history *histories.History) { history.Faults = append(history.Faults, fault) })
 }
 
-// recordRunnerFault records a fault of a runner that lasts for a duration from now. detectionTime is how long the data
-// daemons may take to detect it.
+// recordRunnerFault records a fault of a runner that lasts for a duration from now. detectionTime is the time within
+// which the data daemons must detect it.
 func (fleet *Fleet) recordRunnerFault(
 	description string, runner *emulator.Runner, duration, detectionTime time.Duration,
 ) {
--- a/verify/fleet/fleet_test.go
+++ b/verify/fleet/fleet_test.go
@@ -61,14 +61,14 @@
 	previous := fleet.Cores()[0]
 	// The test folder has no binaries, so the new process can't start.
 	if err := fleet.swapCore(t.Context(), 0); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v for a missing binary", err)
 	}
 	swapped := fleet.Cores()[0]
 	if swapped.Name != "a-1.core-swapped" || swapped.Settings.Address != testAddress("200.1:7100") {
-		t.Errorf("%s at %s", swapped.Name, swapped.Settings.Address)
+		t.Errorf("the replacement is %s at %s", swapped.Name, swapped.Settings.Address)
 	}
 	if swapped.Settings.HTTP != testAddress("200.1:8100") || swapped.Settings.Folder == previous.Settings.Folder {
-		t.Errorf("%+v", swapped.Settings)
+		t.Errorf("settings of the replacement: %+v", swapped.Settings)
 	}
 }
 
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(folder); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v for a deleted data directory", err)
 	}
 }
 
@@ -102,11 +102,11 @@
 	}
 	for number, fault := range fleet.History.Faults {
 		if duration := fault.Until.Sub(fault.At); duration != time.Duration(number+1)*time.Second {
-			t.Errorf("%s lasts %v", fault.What, duration)
+			t.Errorf("fault %s lasts %v", fault.What, duration)
 		}
 		fault.At, fault.Until = time.Time{}, time.Time{}
 		if fault != want[number] {
-			t.Errorf("%+v instead of %+v", fault, want[number])
+			t.Errorf("fault %+v instead of %+v", fault, want[number])
 		}
 	}
 	if len(fleet.History.Faults) != len(want) {
--- a/verify/fleet/operator_test.go
+++ b/verify/fleet/operator_test.go
@@ -56,10 +56,10 @@
 	})
 	operator := newOperator(histories.New())
 	if reply, err := operator.Get(t.Context(), core); err != nil || reply.Epoch != 3 || string(reply.Spec) != "{}" {
-		t.Errorf("%+v, %v", reply, err)
+		t.Errorf("reply %+v, error %v", reply, err)
 	}
 	if reply, err := operator.Outcome(t.Context(), core, "first"); err != nil || reply.Epoch != 1 {
-		t.Errorf("%+v, %v", reply, err)
+		t.Errorf("reply %+v, error %v", reply, err)
 	}
 	var status *StatusError
 	if _, err := operator.Outcome(t.Context(), core, "other"); !errors.As(err, &status) || status.Status != 404 {
@@ -97,7 +97,7 @@
 	for number, request := range history.Orders {
 		if got := (result{request.Verb, request.Outcome, request.HTTPStatus,
 			request.Epoch, request.HasBase}); got != want[number] {
-			t.Errorf("%s: %+v instead of %+v", request.Operation, got, want[number])
+			t.Errorf("%s: order %+v instead of %+v", request.Operation, got, want[number])
 		}
 		if request.Sent.IsZero() || request.Got.Before(request.Sent) {
 			t.Errorf("%s: sent %v, got %v", request.Operation, request.Sent, request.Got)
@@ -111,8 +111,8 @@
 	}
 }
 
-// The final state has all routes and known outcomes: by the routes, the rule on refused changes finds a marker route
-// of a change that was refused but took effect.
+// The final state has all routes and known outcomes. The check of refused changes needs the routes to find the marker
+// route of a change that was refused but took effect.
 func TestFinalStateHasRoutesAndOutcomes(t *testing.T) {
 	spec := string(loadtest.Guild.Spec([]string{"a"}, "extra-lane").Encode())
 	core, _ := serveCore(t, map[string]fakeResponse{
@@ -127,7 +127,7 @@
 	}
 	want := []string{"survey", "chat", "confirm", "extra-lane"}
 	if !final.WasRead || final.Epoch != 3 || !slices.Equal(final.Routes, want) {
-		t.Errorf("%+v", final)
+		t.Errorf("final state %+v", final)
 	}
 	if len(final.Known) != 1 || final.Known["first"] != 1 {
 		t.Errorf("known operations %v", final.Known)
@@ -146,7 +146,7 @@
 	} {
 		core, _ := serveCore(t, responses)
 		if final, err := newOperator(history).FinalState(t.Context(), core); err == nil {
-			t.Errorf("%s: %+v", name, final)
+			t.Errorf("%s: final state %+v and no error", name, final)
 		}
 	}
 }
--- a/verify/fleet/process_test.go
+++ b/verify/fleet/process_test.go
@@ -52,7 +52,7 @@
 	settings := process.Settings
 	settings.Zone = ""
 	if err := json.Unmarshal(content, &settings); err != nil || settings.Zone != "a" {
-		t.Errorf("%s, %v", content, err)
+		t.Errorf("settings %s, error %v", content, err)
 	}
 }
 
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	if err := missing.Start(t.Context()); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v for a missing binary", err)
 	}
 }
 
--- a/verify/fleet/report_test.go
+++ b/verify/fleet/report_test.go
@@ -35,12 +35,12 @@
 	report := newReport(history, 0.75, nil)
 	report.Linearizability = linearizability.Verdict{Calls: 4, Requests: 2, Took: 12 * time.Millisecond}
 	if text := printed(report); text != want+clean || !report.Clean() {
-		t.Errorf("%s\ninstead of\n%s", text, want+clean)
+		t.Errorf("report\n%s\ninstead of\n%s", text, want+clean)
 	}
 	report.Violations = []histories.Violation{{Rule: "down", Detail: "for 13 s"}}
 	broken := "BROKEN down: for 13 s\nverdict: 1 violations\n"
 	if text := printed(report); text != want+broken || report.Clean() {
-		t.Errorf("%s\ninstead of\n%s", text, want+broken)
+		t.Errorf("report\n%s\ninstead of\n%s", text, want+broken)
 	}
 }
 
@@ -51,7 +51,7 @@
 		t.Errorf("the report has %d violations", count)
 	}
 	if !strings.HasSuffix(text, "verdict: 45 violations\n") {
-		t.Errorf("%s", text)
+		t.Errorf("the last line of the report is wrong:\n%s", text)
 	}
 }
 
--- a/verify/fleet/run_scenario.go
+++ b/verify/fleet/run_scenario.go
@@ -35,7 +35,8 @@
 	// Folder receives settings, data and logs. Default: a temporary folder, which is removed unless Keep is set.
 	Folder string
 	Keep   bool
-	// Seconds is the duration of the load, in seconds. The load lasts longer if the check of a return needs it.
+	// Seconds is the duration of the load, in seconds. The load lasts longer if the check of the recovery after a restart
+	// of all processes needs it.
 	Seconds int
 	// Seed is the seed of the requests and of the platform's random choices.
 	Seed int64
--- a/verify/fleet/runners_test.go
+++ b/verify/fleet/runners_test.go
@@ -47,16 +47,16 @@
 	}
 	first := runners.At(1)
 	if first.ID != "r01-1" || first.Address != testAddress("101.2:9100") || first.Zone != "b" {
-		t.Errorf("%+v", first.Identity)
+		t.Errorf("identity of the runner at index 1: %+v", first.Identity)
 	}
 	if first.Service != testDeployment.Mix.Service || first.Backend != testDeployment.Mix.Backend {
-		t.Errorf("%+v", first.Identity)
+		t.Errorf("service or backend of the runner at index 1: %+v", first.Identity)
 	}
 	if err := runners.StartReplacement(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	if beside := runners.At(1); beside.ID != "r01-2" || beside.Address != testAddress("151.2:9100") {
-		t.Errorf("%+v", beside.Identity)
+	if replacement := runners.At(1); replacement.ID != "r01-2" || replacement.Address != testAddress("151.2:9100") {
+		t.Errorf("identity of the replacement: %+v", replacement.Identity)
 	}
 	if err := runners.Start(t.Context(), 1); err == nil {
 		t.Error("a runner started at the address of one that still runs")
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if foreign.Address != crashed.Address || foreign.ID == crashed.ID || foreign.Service == crashed.Service {
-		t.Errorf("%+v", foreign.Identity)
+		t.Errorf("identity of the foreign runner: %+v", foreign.Identity)
 	}
 	runners.Stop()
 	if len(runners.Current()) != 0 {
@@ -120,7 +120,7 @@
 	}
 	slots := emulator.DefaultProfile.Slots
 	if sample := runners.Capacity(); sample.Slots["a"] != slots || sample.Free["a"] != slots || len(sample.Slots) != 1 {
-		t.Errorf("%+v", sample)
+		t.Errorf("capacity after the slow start: %+v", sample)
 	}
 	if share := runners.CacheShare(); share != 0 {
 		t.Errorf("cache share without any tokens: %v", share)
--- a/verify/fleet/scenario_run_test.go
+++ b/verify/fleet/scenario_run_test.go
@@ -51,12 +51,12 @@
 			return nil
 		}
 		if err := run.execute(t.Context(), []Step{at(0, fail, never), at(0.1, never)}); !errors.Is(err, failure) {
-			t.Errorf("%v", err)
+			t.Errorf("error %v instead of that of the failed action", err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := run.execute(ctx, []Step{at(0.5, never)}); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("%v", err)
+			t.Errorf("error %v instead of that of the context", err)
 		}
 	})
 }
@@ -64,10 +64,10 @@
 func TestDurationsOfFractionsOfTheLoad(t *testing.T) {
 	run := newTestRun(15 * time.Second)
 	if fraction := run.durationOf(0.15); fraction != 2250*time.Millisecond {
-		t.Errorf("%v", fraction)
+		t.Errorf("duration %v", fraction)
 	}
 	if fraction := run.wholeSecondsOf(0.15); fraction != 2*time.Second {
-		t.Errorf("%v", fraction)
+		t.Errorf("whole seconds %v", fraction)
 	}
 	run.rate.scale(5)
 	if rate := run.rate.current(); rate != 300 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// The load lasts until the bound of the last return has passed: without requests, the rule on returns could not notice
-// that the service recovers too late, or not at all.
+// The load lasts at least until histories.RecoveryBound after the last restart of all processes. Without requests, the
+// check of the recovery would not notice a service that recovers too late, or not at all.
 func TestLoadEndsAfterTheLastReturn(t *testing.T) {
 	for name, test := range map[string]struct {
 		returns []time.Duration
@@ -97,7 +97,7 @@
 				run.History.OutageEnds = append(run.History.OutageEnds, end)
 			}
 			if duration := run.loadEnd().Sub(run.started); duration != test.want {
-				t.Errorf("%v instead of %v", duration, test.want)
+				t.Errorf("the load lasts %v instead of %v", duration, test.want)
 			}
 		})
 	}
--- a/verify/fleet/scenario_test.go
+++ b/verify/fleet/scenario_test.go
@@ -6,7 +6,7 @@
 )
 
 // Every scenario can run on every deployment: its steps are within the load's duration, and in order unless the
-// scenario is listed as overlapping. A step out of order would start later than its time says.
+// scenario is listed as overlapping. A step out of order would start later than its time.
 func TestStepsAreWithinTheLoad(t *testing.T) {
 	// In clientsDisconnect the first freezes start late, directly after the overload.
 	overlapping := []string{"requesters-leave"}
--- a/verify/fleet/statistics.go
+++ b/verify/fleet/statistics.go
@@ -12,9 +12,8 @@
 type Statistics struct {
 	// Requests is the number of requests that clients sent. Each is counted in exactly one field of the next group.
 	Requests int
-	// Done counts requests with a complete response, Refused those that did not run, Unknown those of which it is not
-	// known whether they ran, Broken those whose stream ended with an error event, and Lost those whose connection was
-	// lost.
+	// Done counts requests with a complete response, Refused those that did not run, Unknown those that may or may not
+	// have run, Broken those whose stream ended with an error event, and Lost those whose connection was lost.
 	Done, Refused, Unknown, Broken, Lost int
 	// ErrorCodes counts error responses by route and error code, separated by a space.
 	ErrorCodes map[string]int
--- a/verify/fleet/statistics_test.go
+++ b/verify/fleet/statistics_test.go
@@ -26,7 +26,7 @@
 		Retries:         2,
 	}
 	if statistics := newStatistics(history); !reflect.DeepEqual(statistics, want) {
-		t.Errorf("%+v instead of %+v", statistics, want)
+		t.Errorf("statistics %+v instead of %+v", statistics, want)
 	}
 }
 
@@ -34,7 +34,7 @@
 	durations := []time.Duration{4, 1, 3, 2}
 	for fraction, want := range map[float64]time.Duration{0: 1, 0.25: 2, 0.5: 3, 0.99: 4, 1: 4} {
 		if value := quantile(durations, fraction); value != want {
-			t.Errorf("%v: %d instead of %d", fraction, value, want)
+			t.Errorf("quantile %v: %d instead of %d", fraction, value, want)
 		}
 	}
 	if value := quantile(nil, 0.5); value != 0 {
--- a/verify/fleet/wait_test.go
+++ b/verify/fleet/wait_test.go
@@ -31,7 +31,7 @@
 				took = time.Since(begin)
 			})
 			if !errors.Is(err, test.want) || took != test.took {
-				t.Errorf("%v after %v instead of %v after %v", err, took, test.want, test.took)
+				t.Errorf("error %v after %v instead of %v after %v", err, took, test.want, test.took)
 			}
 		})
 	}
