--- a/verify/emulator/request.go
+++ b/verify/emulator/request.go
@@ -19,7 +19,7 @@
 }
 
 // parsePrompt parses the prompt headers of a request. An invalid number counts as 0; the checks of the histories find
-// faults in what daemons send.
+// faulty headers.
 func parsePrompt(header *fasthttp.RequestHeader) prompt {
 	parsed := prompt{
 		tokens:       parseNumber(header.Peek(admission.HeaderPromptTokens)),
--- a/verify/emulator/request_counter.go
+++ b/verify/emulator/request_counter.go
@@ -73,11 +73,11 @@
 func (counter *requestCounter) reportBefore(moment time.Time) loadReport {
 	counter.mutex.Lock()
 	defer counter.mutex.Unlock()
-	found := loadReport{}
+	newest := loadReport{}
 	for _, report := range counter.reports {
 		if !report.at.After(moment) {
-			found = report
+			newest = report
 		}
 	}
-	return found
+	return newest
 }
--- a/verify/emulator/stream.go
+++ b/verify/emulator/stream.go
@@ -52,7 +52,7 @@
 	_ = stream.send(events+1, "done", fmt.Sprintf(`{"run":%q,"events":%d}`, stream.name, events))
 }
 
-// writeTokens writes all events except the last, and reports whether it sent all of them at their pace.
+// writeTokens writes all events except the last, with a pause after each, and reports whether it completed this.
 func (stream *stream) writeTokens() bool {
 	engine, events := stream.runner.engine, eventCount(stream.prompt.answerTokens)
 	pause := time.Duration(stream.prompt.answerTokens) * engine.profile.AnswerTime / time.Duration(events)
--- a/verify/loadtest/client_source.go
+++ b/verify/loadtest/client_source.go
@@ -56,7 +56,7 @@
 	return client
 }
 
-// behavior configures what clients do besides sending their requests. Its fields are fractions from 0 to 1.
+// behavior configures the prefixes, disconnections and retries of clients. Its fields are fractions from 0 to 1.
 type behavior struct {
 	// hotShare is the share of the requests whose prompts have the same prefix, disconnectShare the share of the clients
 	// that disconnect early, retryShare the share of the clients that retry an at-most-once request.
--- a/verify/loadtest/mix.go
+++ b/verify/loadtest/mix.go
@@ -40,7 +40,7 @@
 
 // Settings of the variants of a mix.
 const (
-	// longAnswerTokens is a length of answers that leaves time to interrupt them.
+	// longAnswerTokens is the length of an answer that takes long enough to be interrupted.
 	longAnswerTokens = 300
 	// resumptionPause is the maximum pause of a stream that is resumed.
 	resumptionPause = 500 * time.Millisecond
--- a/verify/loadtest/request.go
+++ b/verify/loadtest/request.go
@@ -91,7 +91,8 @@
 	return content
 }
 
-// NewAnswer returns the record of the answer to the request, sent by a client in a zone, before any of it is received.
+// NewAnswer returns a record for the answer to the request, which a client in a zone sent. The record contains nothing
+// of the answer yet.
 func (drawn Drawn) NewAnswer(zone string, sent time.Time) *histories.ClientAttempt {
 	return &histories.ClientAttempt{
 		Request:             drawn.ID,
--- a/verify/loadtest/retry_test.go
+++ b/verify/loadtest/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Clients retry only at-most-once requests, after delays in the order of the attempt numbers and within the bound.
+// Clients retry only at-most-once requests, after delays that increase with the attempt number and are at most
+// maximumRetryDelay.
 func TestResendsAreDrawn(t *testing.T) {
 	source := newClientSource(Guild, []string{"a", "b"}, 1)
 	atMostOnce, retried := 0, 0
--- a/verify/loadtest/sender.go
+++ b/verify/loadtest/sender.go
@@ -76,8 +76,8 @@
 	return record
 }
 
-// attempt sends a request to the record's daemon and reads the response; it returns false if no connection was made, so
-// that the daemon can't have read the request.
+// attempt sends a request to the record's daemon and reads the response. It returns false if no connection was made:
+// then the daemon can't have read the request.
 func (sender *sender) attempt(ctx context.Context, drawn Drawn, record *histories.ClientAttempt) bool {
 	request, err := sender.newRequest(ctx, drawn, record.Daemon)
 	if err != nil {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return true
 	}
-	// The body has been read, so that an error of Close loses nothing.
+	// The body has been read, so an error of Close loses no data.
 	defer func() { _ = response.Body.Close() }()
 	record.Status = response.StatusCode
 	record.RetryAfter = response.Header.Get("Retry-After") != ""
