--- a/verify/simulation/at_most_once_cost_test.go
+++ b/verify/simulation/at_most_once_cost_test.go
@@ -22,10 +22,10 @@
 			}
 			one := costs[ReservedInOneZone]
 			if one.ZoneBytes != 0 || one.Messages > 2*3 || one.Requests < 100 {
-				t.Errorf("%+v", one)
+				t.Errorf("cost of a reservation in one zone: %+v", one)
 			}
 			if added := one.Median - costs[Announced].Median; added > longestRoundTrip {
-				t.Errorf("a first event takes %v longer", added)
+				t.Errorf("a reservation in one zone delays the first event by %v", added)
 			}
 		})
 	}
--- a/verify/simulation/capacity_sampler.go
+++ b/verify/simulation/capacity_sampler.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// warmUpAllowance is the time from a runner's first listing as ready until its full capacity counts. Daemons learn no
-	// sooner that it is warm, and raise its load step by step.
+	// warmUpAllowance is the time from a runner's first listing as ready until its full capacity counts. Daemons don't
+	// learn earlier that the runner is warm, and raise its load step by step.
 	warmUpAllowance = 6 * time.Second
 	// capacityInterval is the interval between two samples of the backend's capacity.
 	capacityInterval = 100 * time.Millisecond
--- a/verify/simulation/checker.go
+++ b/verify/simulation/checker.go
@@ -23,7 +23,8 @@
 	Verdict linearizability.Verdict
 	// OnAccepted, if set, is called when a change has been acknowledged.
 	OnAccepted func()
-	// onlyHistories disables all checks but the one of the callers' histories, so that only that check can notice a fault.
+	// onlyHistories disables all checks except the linearizability check of the callers' histories, so that a test shows
+	// which faults this check detects by itself.
 	onlyHistories bool
 	outcomes      *outcomes
 	replicas      *replicaCheck
--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -26,7 +26,8 @@
 }
 
 // resendElsewhere makes a client send its request once more to any daemon of any zone, up to latestRetry after its
-// first attempt. The seed decides what that daemon can reach by then and which requests it still knows.
+// first attempt. Which machines that daemon reaches by then, and which requests it still remembers, depends on the
+// seed.
 func (traffic *Traffic) resendElsewhere(drawn loadtest.Drawn, zone string) {
 	daemons := traffic.world.Daemons()
 	traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestRetry))), func() {
@@ -54,7 +55,8 @@
 	drawn    loadtest.Drawn
 	record   *histories.ClientAttempt
 	exchange *clientExchange
-	// host is the data daemon that accepted the request, in this incarnation; nil until one has.
+	// host is the data daemon that accepted the request, or nil until one has; incarnation is the daemon's incarnation at
+	// that time.
 	host        *Host
 	incarnation int
 	// refusals counts the daemons that refused the connection.
@@ -69,21 +71,21 @@
 
 // newClient returns a client of a zone whose request is not sent yet.
 func (traffic *Traffic) newClient(drawn loadtest.Drawn, zone string) *client {
-	made := &client{traffic: traffic, drawn: drawn, record: drawn.NewAnswer(zone, traffic.world.Now)}
-	made.exchange = newClientExchange(made)
-	traffic.checker.ObserveRequest(made.record)
-	return made
+	created := &client{traffic: traffic, drawn: drawn, record: drawn.NewAnswer(zone, traffic.world.Now)}
+	created.exchange = newClientExchange(created)
+	traffic.checker.ObserveRequest(created.record)
+	return created
 }
 
 // sendRequest makes a client of a zone send a request to a daemon; a nil host fails the request at once.
 func (traffic *Traffic) sendRequest(drawn loadtest.Drawn, zone string, host *Host) *client {
-	made := traffic.newClient(drawn, zone)
-	made.send(host)
-	return made
+	created := traffic.newClient(drawn, zone)
+	created.send(host)
+	return created
 }
 
-// send sends the request to a daemon. If the connection is refused, nothing was read and the client tries another
-// daemon.
+// send sends the request to a daemon. If the connection is refused, the daemon has read nothing and the client tries
+// another one.
 func (client *client) send(host *Host) {
 	traffic := client.traffic
 	if host == nil {
--- a/verify/simulation/client_exchange.go
+++ b/verify/simulation/client_exchange.go
@@ -14,7 +14,7 @@
 	"wardtray/verify/loadtest"
 )
 
-// answerBound is the longest time from a final decision to its answer: only the daemon's own work lies in between.
+// answerBound bounds the time from a final decision to its answer, in which the daemon waits for no other process.
 const answerBound = time.Millisecond
 
 var errDisconnected = errors.New("the client has disconnected")
@@ -83,9 +83,9 @@
 	}
 }
 
-// requirePrompt checks that a response is not held back. Once the last runner that could serve a request is lost, the
-// request waits for nothing but its daemon's lease: without a current configuration the daemon can't know whether
-// another runner could serve it.
+// requirePrompt checks that a response is not held back. Once the last runner that could serve a request is lost, only
+// a missing lease may still delay the response: without a current configuration the daemon can't know whether another
+// runner could serve the request.
 func (exchange *clientExchange) requirePrompt() {
 	host := exchange.client.host
 	world := host.world
@@ -105,7 +105,7 @@
 func (exchange *clientExchange) Stream(status int, headers []netio.Header, source io.ReadCloser) {
 	exchange.recordHead(status, headers)
 	exchange.relay(source)
-	// Not deferred: a process that is killed in the middle closes nothing in order.
+	// Not deferred: a process that is killed must not close the source while its coroutine unwinds.
 	_ = source.Close()
 }
 
--- a/verify/simulation/concurrent_writers.go
+++ b/verify/simulation/concurrent_writers.go
@@ -15,7 +15,7 @@
 	maximumInFlight = 8
 	writerInterval  = 100 * time.Millisecond
 	// answerTimeout is the time for which an operator waits for an answer before it sends the same change again, to
-	// another control machine; retryGrowth is added to it with each further retry.
+	// another control machine; retryGrowth is added to that time with each further retry.
 	answerTimeout  = time.Second
 	retryGrowth    = 200 * time.Millisecond
 	maximumRetries = 12
@@ -103,7 +103,8 @@
 	writers.inFlight = waiting
 }
 
-// isFinished reports whether a change needs no further action; it retries the change if it is time.
+// isFinished reports whether a change needs no further action; it retries an unanswered change whose timeout has
+// passed.
 func (writers *ConcurrentWriters) isFinished(pending *unansweredOrder) bool {
 	world := writers.world
 	answered := pending.order.isAnswered()
--- a/verify/simulation/conn.go
+++ b/verify/simulation/conn.go
@@ -42,9 +42,9 @@
 	inFlight     []packet
 	transferring bool
 	received     []byte
-	// receivedAt is when the oldest unread bytes arrived.
+	// receivedAt is the time at which the oldest unread bytes arrived.
 	receivedAt time.Time
-	// sentAt is when those bytes were written.
+	// sentAt is the time at which the oldest unread bytes were written.
 	sentAt   time.Time
 	finished bool
 	closed   bool
@@ -53,7 +53,7 @@
 	reader   *coroutine
 	// boundContext is the context that ends reads and writes when it ends; nil: none.
 	boundContext context.Context
-	// run is what a runner's end is serving, server the coroutine that serves it.
+	// run is the run that a runner's end is serving, server the coroutine that serves it.
 	run    *histories.Run
 	server *coroutine
 }
@@ -130,7 +130,8 @@
 	world.After(world.network.transitTime(), func() { peer.fail(errReset) })
 }
 
-// resetBothEnds resets both ends independently, each a transit time from now: before, while or after it writes.
+// resetBothEnds resets both ends independently, each after its own random transit time. The reset of an end may come
+// before, during or after a write of that end.
 func (conn *conn) resetBothEnds() {
 	world := conn.world
 	world.After(world.network.transitTime(), func() { conn.fail(errReset) })
@@ -261,7 +262,7 @@
 	return nil
 }
 
-// Bind ends reads and writes when a context ends; the user of the connection closes it then.
+// Bind ends reads and writes when a context ends; the caller closes the connection then.
 func (conn *conn) Bind(ctx context.Context) (release func() bool) {
 	conn.boundContext = ctx
 	return func() bool {
--- a/verify/simulation/control_scenario.go
+++ b/verify/simulation/control_scenario.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// bootstrapTime is the time that a new deployment gets to start before anything is done to it.
+	// bootstrapTime is the time for which a new deployment starts up before a scenario sends changes or injects faults.
 	bootstrapTime = 8 * time.Second
 )
 
--- a/verify/simulation/control_scenario_test.go
+++ b/verify/simulation/control_scenario_test.go
@@ -47,8 +47,9 @@
 
 func TestMostDaemonsDark(t *testing.T) { runScenarios(t, DaemonLossScenarios) }
 
-// A machine is lost at every moment of another one's repair, planned leave or replacement, in steps of 100 ms. With one
-// seed the steps are distributed over the ways of FirstLossNames; with more, each of them gets all steps.
+// Loses a second machine while a first one is being repaired, restarted as planned or replaced. The times of the second
+// loss differ by steps of 100 ms. With one seed the steps are distributed over the first losses in FirstLossNames; with
+// more seeds, each first loss is combined with all steps.
 func TestSecondLossAtEveryMoment(t *testing.T) {
 	if underRace {
 		t.Skip("not run under the race detector")
--- a/verify/simulation/core_process_test.go
+++ b/verify/simulation/core_process_test.go
@@ -50,7 +50,7 @@
 	host.core.decommission(func() { ended = true })
 	world.Run(shutdownGracePeriod + time.Second)
 	if !ended || host.Up() {
-		t.Errorf("ended %v, up %v", ended, host.Up())
+		t.Errorf("node ended %v, host up %v", ended, host.Up())
 	}
 }
 
@@ -64,11 +64,11 @@
 	storage.enqueue([]statemachine.Write{{}, {}})
 	storage.enqueue([]statemachine.Write{{}})
 	if storage.writing || len(storage.queued) != 3 {
-		t.Fatalf("writing %v, %d queued while the disk stalls", storage.writing, len(storage.queued))
+		t.Fatalf("a batch is being written %v, %d writes queued while the disk stalls", storage.writing, len(storage.queued))
 	}
 	storage.resume()
 	if !storage.writing || len(storage.queued) != 0 {
-		t.Errorf("writing %v, %d queued after the stall", storage.writing, len(storage.queued))
+		t.Errorf("a batch is being written %v, %d writes queued after the stall", storage.writing, len(storage.queued))
 	}
 }
 
@@ -100,6 +100,6 @@
 	storage.enqueue([]statemachine.Write{{}})
 	host.Kill()
 	if storage.writing || len(storage.queued) != 0 {
-		t.Errorf("writing %v, %d queued after the end", storage.writing, len(storage.queued))
+		t.Errorf("a batch is being written %v, %d writes queued after the end", storage.writing, len(storage.queued))
 	}
 }
--- a/verify/simulation/coroutine.go
+++ b/verify/simulation/coroutine.go
@@ -24,7 +24,7 @@
 	finished    bool
 	// isReady, if set, reports whether the condition that the coroutine is parked for holds.
 	isReady func() bool
-	// decidedAt is when this coroutine last learned something that decides its request: a decision of its scheduler, a
+	// decidedAt is the time of the last event that decides this coroutine's request: a decision of its scheduler, a
 	// runner's answer, or a failed connection.
 	decidedAt time.Time
 }
@@ -41,9 +41,9 @@
 
 // spawn starts a task in a host's process.
 func (coroutines *coroutines) spawn(host *Host, work func()) {
-	made := &coroutine{host: host, incarnation: host.incarnation}
-	made.next, made.stop = iter.Pull(func(yield func(struct{}) bool) {
-		made.yield = yield
+	created := &coroutine{host: host, incarnation: host.incarnation}
+	created.next, created.stop = iter.Pull(func(yield func(struct{}) bool) {
+		created.yield = yield
 		defer func() {
 			if cause := recover(); cause != nil && cause != any(processEnded{}) {
 				panic(cause)
@@ -51,8 +51,8 @@
 		}()
 		work()
 	})
-	host.coroutines = append(host.coroutines, made)
-	coroutines.wake(made)
+	host.coroutines = append(host.coroutines, created)
+	coroutines.wake(created)
 }
 
 // wake schedules a coroutine to resume, up to 60 µs later, or when its host wakes from a freeze.
--- a/verify/simulation/coroutine_test.go
+++ b/verify/simulation/coroutine_test.go
@@ -26,7 +26,7 @@
 	})
 	host.world.Run(3 * time.Second)
 	if want := []string{"slept", "woken"}; !slices.Equal(happened, want) {
-		t.Errorf("happened %v, want %v", happened, want)
+		t.Errorf("steps %v, want %v", happened, want)
 	}
 	if len(host.coroutines) != 0 || coroutines.current != nil {
 		t.Errorf("%d coroutines are left", len(host.coroutines))
--- a/verify/simulation/daemon_check.go
+++ b/verify/simulation/daemon_check.go
@@ -54,10 +54,10 @@
 		if order.Epoch <= epoch {
 			continue
 		}
-		late := check.checker.world.Now.Sub(order.Got)
-		if !check.mayIgnore(host, late, histories.SpecBound) {
+		elapsed := check.checker.world.Now.Sub(order.Got)
+		if !check.mayIgnore(host, elapsed, histories.SpecBound) {
 			check.checker.violation("%s awards under epoch %d, %v after %d was acknowledged", host.Address,
-				epoch, late, order.Epoch)
+				epoch, elapsed, order.Epoch)
 		}
 	}
 }
@@ -71,20 +71,21 @@
 		if !gone {
 			continue
 		}
-		late := world.Now.Sub(left)
-		check.checker.recordWorstCase("work to a leaving runner", late)
-		if late > histories.DrainingBound {
-			check.checker.violation("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, late)
+		elapsed := world.Now.Sub(left)
+		check.checker.recordWorstCase("work to a leaving runner", elapsed)
+		if elapsed > histories.DrainingBound {
+			check.checker.violation("%s still has runner %s, %v after it left", host.Address, runner.RunnerId, elapsed)
 		}
 	}
 }
 
-// mayIgnore reports whether a daemon may still schedule by its state before a change that was acknowledged late ago:
-// within bound in any case, and while it is isolated from the control machines, for as long as its settings allow.
-func (check *daemonCheck) mayIgnore(host *Host, late, bound time.Duration) bool {
+// mayIgnore reports whether a daemon may still schedule without a change when the given time has elapsed since its
+// acknowledgement: always within bound, and while the daemon is isolated from the control machines, for as long as its
+// settings allow.
+func (check *daemonCheck) mayIgnore(host *Host, elapsed, bound time.Duration) bool {
 	checker, world := check.checker, check.checker.world
-	if late <= bound {
-		checker.recordWorstCase("change ignored after the acknowledgement", late)
+	if elapsed <= bound {
+		checker.recordWorstCase("change ignored after the acknowledgement", elapsed)
 		return true
 	}
 	if world.IsolationLimit == 0 {
--- a/verify/simulation/daemon_check_test.go
+++ b/verify/simulation/daemon_check_test.go
@@ -15,7 +15,7 @@
 		checker.daemons.requireNoOlderEpoch(host, epoch)
 	}
 	if len(checker.Violations) > 0 {
-		t.Fatalf("without a step back: %v", checker.Violations)
+		t.Fatalf("violations without a return to an older epoch: %v", checker.Violations)
 	}
 	checker.daemons.requireNoOlderEpoch(host, 2)
 	if len(checker.Violations) != 1 || !strings.Contains(checker.Violations[0], "slipped back from epoch 3 to 2") {
--- a/verify/simulation/daemon_loss_scenarios.go
+++ b/verify/simulation/daemon_loss_scenarios.go
@@ -5,7 +5,7 @@
 const (
 	// lostDaemonShare is the fraction of the data daemons that is lost.
 	lostDaemonShare = 0.7
-	// daemonLossLength is how long they are away, unless they are removed permanently.
+	// daemonLossLength is the time for which the lost daemons are away, unless they are removed permanently.
 	daemonLossLength = 12 * time.Second
 	// daemonLossOperations is the offset of these operators' operation numbers, beyond those of the other operators.
 	daemonLossOperations = 5_000_000
--- a/verify/simulation/daemon_process.go
+++ b/verify/simulation/daemon_process.go
@@ -34,17 +34,17 @@
 // boot starts a data daemon as its process does.
 func (daemon *daemonProcess) boot() {
 	host, world := daemon.host, daemon.host.world
-	made, err := dataplane.New(daemon.environment(), daemon.settings())
+	plane, err := dataplane.New(daemon.environment(), daemon.settings())
 	if err != nil {
 		panic(err)
 	}
-	daemon.plane = made
-	made.WithController(func(machine *controller.Controller) { daemon.controller = machine })
+	daemon.plane = plane
+	plane.WithController(func(machine *controller.Controller) { daemon.controller = machine })
 	if world.Traffic != nil {
-		host.startRepeating(host.incarnation, dataplane.RebalanceInterval, made.Rebalance)
-		host.startRepeating(host.incarnation, dataplane.ProbeInterval, made.ProbeStale)
-		host.startRepeating(host.incarnation, dataplane.UnresponsiveProbeInterval, made.ProbeUnresponsive)
-		host.startRepeating(host.incarnation, dataplane.IndexAgingInterval, made.AgeIndex)
+		host.startRepeating(host.incarnation, dataplane.RebalanceInterval, plane.Rebalance)
+		host.startRepeating(host.incarnation, dataplane.ProbeInterval, plane.ProbeStale)
+		host.startRepeating(host.incarnation, dataplane.UnresponsiveProbeInterval, plane.ProbeUnresponsive)
+		host.startRepeating(host.incarnation, dataplane.IndexAgingInterval, plane.AgeIndex)
 	}
 	host.repeat(host.incarnation, tickInterval, func() {
 		daemon.plane.Step(func(now time.Time, machine *controller.Controller) { machine.Tick(now) })
--- a/verify/simulation/engine.go
+++ b/verify/simulation/engine.go
@@ -13,7 +13,7 @@
 
 	world *World
 	host  *Host
-	// id, service and weights are what it reports as its identity.
+	// id, service and weights are the identity that it reports.
 	id      string
 	service string
 	weights string
@@ -23,7 +23,7 @@
 	active int
 	runs   int
 	slots  *engineSlots
-	// prefillFree is when the prompts that it has accepted so far will have been read.
+	// prefillFree is the time at which it will have read all prompts that it has accepted so far.
 	prefillFree time.Time
 	cache       *emulator.Cache[string]
 	// reports are its recent load samples, the oldest first; it reports the oldest, profile.ReportAge late.
--- a/verify/simulation/engine_slots.go
+++ b/verify/simulation/engine_slots.go
@@ -5,7 +5,8 @@
 	coroutines *coroutines
 	// limit is the number of slots, used the number taken.
 	limit, used int
-	// waiting offers a free slot to each waiting request; it reports whether that takes the slot.
+	// waiting holds a function for each waiting request, which offers the request a free slot and reports whether the
+	// request takes it.
 	waiting []func() bool
 }
 
--- a/verify/simulation/engine_test.go
+++ b/verify/simulation/engine_test.go
@@ -120,7 +120,7 @@
 		}
 	}
 	if took["slow"] < 4*took["sound"] || took["late"] < took["sound"]+lateAnswer/2 {
-		t.Errorf("took %v", took)
+		t.Errorf("the answers took %v", took)
 	}
 }
 
@@ -132,7 +132,7 @@
 	use := func(name string, connection *conn) {
 		world.coroutines.spawn(host, func() {
 			if !slots.acquire(connection) {
-				happened = append(happened, name+" gave up")
+				happened = append(happened, name+" cancelled")
 				return
 			}
 			happened = append(happened, name)
@@ -148,8 +148,8 @@
 	reset.err = errReset
 	world.coroutines.wake(host.coroutines[1])
 	world.Run(5 * time.Second)
-	if want := []string{"first", "second gave up", "third"}; !slices.Equal(happened, want) {
-		t.Errorf("happened %v, want %v", happened, want)
+	if want := []string{"first", "second cancelled", "third"}; !slices.Equal(happened, want) {
+		t.Errorf("events %v, want %v", happened, want)
 	}
 	if slots.used != 0 || len(slots.waiting) != 0 {
 		t.Errorf("%d slots used, %d waiting in the end", slots.used, len(slots.waiting))
--- a/verify/simulation/event_loop_test.go
+++ b/verify/simulation/event_loop_test.go
@@ -21,7 +21,7 @@
 	count := 0
 	loop.run(2*time.Second, neverHalt, func() { count++ })
 	if want := []string{"first", "second", "third"}; !slices.Equal(happened, want) {
-		t.Errorf("happened %v, want %v", happened, want)
+		t.Errorf("events ran in the order %v, want %v", happened, want)
 	}
 	if count != 3 {
 		t.Errorf("afterEach was called %d times, want 3", count)
--- a/verify/simulation/fault_scheduler.go
+++ b/verify/simulation/fault_scheduler.go
@@ -23,8 +23,8 @@
 	end    time.Time
 	// unrepaired counts the faults after which the fleet has not been redundant again yet, active those not undone yet.
 	unrepaired, active int
-	// lastEnded is when a fault was last undone. A repair can't complete while another fault is active, so that its time
-	// counts from the end of the last one.
+	// lastEnded is the time at which a fault was last undone. A repair can't complete while another fault is active, so
+	// the time of each repair counts from lastEnded.
 	lastEnded time.Time
 	injected  []*injectedFault
 }
--- a/verify/simulation/fault_scheduler_test.go
+++ b/verify/simulation/fault_scheduler_test.go
@@ -148,11 +148,11 @@
 	frozen.up, frozen.frozen, running.up = true, true, true
 	for range 20 {
 		if host := world.injector.runner(); host != running {
-			t.Fatalf("drew %s", host.Address)
+			t.Fatalf("chose the runner %s", host.Address)
 		}
 	}
 	running.up = false
 	if host := world.injector.runner(); host != down && host != frozen && host != running {
-		t.Errorf("drew %v where none runs", host)
+		t.Errorf("chose %v where no runner runs", host)
 	}
 }
--- a/verify/simulation/faults_test.go
+++ b/verify/simulation/faults_test.go
@@ -75,11 +75,11 @@
 			host := world.Cores()[0]
 			undo := test.fault(world, host)
 			if got := stateOf(host); got != test.want {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("host state during the fault: %+v, want %+v", got, test.want)
 			}
 			undo()
 			if got := stateOf(host); got != healthy {
-				t.Errorf("%+v after undoing it, want %+v", got, healthy)
+				t.Errorf("host state after undoing the fault: %+v, want %+v", got, healthy)
 			}
 		})
 	}
--- a/verify/simulation/faulty_behavior.go
+++ b/verify/simulation/faulty_behavior.go
@@ -30,7 +30,7 @@
 		behavior.corruption == "" && behavior.slow < 2
 }
 
-// slowed returns how long the runner takes for work that takes a healthy one the given time.
+// slowed returns the duration of work that takes a healthy runner the given time.
 func (behavior *faultyBehavior) slowed(length time.Duration) time.Duration {
 	return length * time.Duration(max(1, behavior.slow))
 }
--- a/verify/simulation/fleet.go
+++ b/verify/simulation/fleet.go
@@ -8,7 +8,7 @@
 
 func newFleet() *fleet { return &fleet{byName: map[string]*Host{}} }
 
-// insert adds a host. A host with the address of an earlier one replaces that only in byName.
+// insert adds a host. A host with the address of an earlier host replaces the earlier one only in byName.
 func (fleet *fleet) insert(host *Host) {
 	fleet.Hosts = append(fleet.Hosts, host)
 	fleet.byName[host.Address] = host
--- a/verify/simulation/head_loss_test.go
+++ b/verify/simulation/head_loss_test.go
@@ -33,7 +33,7 @@
 	return [...]string{"before the loss", "without a head", "with half of the daemons", "after the return"}[period]
 }
 
-// lossRun is such a run with its counters.
+// lossRun is a run of TestHeadAndHalfOfTheDaemonsLost with its counters.
 type lossRun struct {
 	world    *World
 	lost     map[*Host]bool
--- a/verify/simulation/host.go
+++ b/verify/simulation/host.go
@@ -9,7 +9,8 @@
 // tickInterval is the interval at which the state machine of a control node or a data daemon ticks.
 const tickInterval = 50 * time.Millisecond
 
-// process is what a host runs. Apart from boot and end, its methods are called only in steps of the host's process.
+// process is a program that a host runs. Apart from boot and end, its methods are called only in steps of the host's
+// process.
 type process interface {
 	// boot starts it in the host's current incarnation.
 	boot()
@@ -17,8 +18,8 @@
 	afterStep()
 	// receive passes it a message from another host.
 	receive(envelope *wire.Envelope)
-	// connectionRefused notifies it that an address refused a connection; tried is when it sent the message, by its own
-	// clock.
+	// connectionRefused notifies it that an address refused a connection; tried is the time by its own clock at which it
+	// sent the message.
 	connectionRefused(address string, tried time.Time)
 	// end is called when the process ends, whether planned or not.
 	end()
@@ -30,7 +31,7 @@
 	world   *World
 	Address string
 	Zone    string
-	// process is what the machine runs; it is the one of the following three that is not nil.
+	// process is the process of the machine: the one of the next three fields that is not nil.
 	process process
 	core    *coreProcess
 	daemon  *daemonProcess
@@ -42,10 +43,10 @@
 	// incarnation counts the starts and the ends of the process.
 	incarnation int
 	up          bool
-	// frozen means that the process is stopped without having ended; backlog is the work that it does when it wakes.
+	// frozen means that the process is stopped without having ended; backlog is the work that it does on waking.
 	frozen  bool
 	backlog []func()
-	// wokenAt is when the process last woke from a freeze.
+	// wokenAt is the time at which the process last woke from a freeze.
 	wokenAt time.Time
 	// poweredOff means that the machine has no power: not even its network stack answers.
 	poweredOff bool
@@ -56,7 +57,7 @@
 	conns      []*conn
 	// processingDelay is the additional delay of each message that the process receives.
 	processingDelay time.Duration
-	// resetAt is when the machine's connections were last reset; messages in flight at that time are lost.
+	// resetAt is the time at which the machine's connections were last reset; messages in flight at that time are lost.
 	resetAt time.Time
 	// Sent is the number of bytes of messages that it has sent.
 	Sent uint64
--- a/verify/simulation/injected_faults_test.go
+++ b/verify/simulation/injected_faults_test.go
@@ -15,7 +15,7 @@
 	affected.record()
 	count := len(world.Traffic.History.Faults)
 	if count != len(world.Runners()) {
-		t.Fatalf("%d faults of %d runners", count, len(world.Runners()))
+		t.Fatalf("%d faults are recorded for %d runners", count, len(world.Runners()))
 	}
 	host := world.Runners()[0]
 	former := host.runner.engine.id
@@ -33,7 +33,7 @@
 	affected.end()
 	for _, fault := range world.Traffic.History.Faults {
 		if !fault.Until.Equal(world.Now) {
-			t.Errorf("%+v ends at %v", fault, fault.Until)
+			t.Errorf("fault %+v is recorded as ending at %v", fault, fault.Until)
 		}
 	}
 }
--- a/verify/simulation/isolation.go
+++ b/verify/simulation/isolation.go
@@ -27,8 +27,8 @@
 type isolationTracker struct {
 	world  *World
 	states map[*Host]*isolation
-	// hasOnlyMinority means that some control machines run, but none reaches a majority; minorityEndedAt is when that
-	// state last ended.
+	// hasOnlyMinority means that some control machines run, but none reaches a majority; minorityEndedAt is the time at
+	// which that state last ended.
 	hasOnlyMinority bool
 	minorityEndedAt time.Time
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// refreshMinority updates whether no majority of the control machines can agree on anything.
+// refreshMinority updates hasOnlyMinority and minorityEndedAt.
 func (tracker *isolationTracker) refreshMinority() {
 	running := tracker.runningCores()
 	hasOnlyMinority := len(running) > 0 && len(tracker.withQuorumAmong(running)) == 0
@@ -88,8 +88,8 @@
 	})
 }
 
-// isOnlyMinorityLeft reports whether some control machines run, but can't agree on anything, or could not up to
-// reconnectBound ago.
+// isOnlyMinorityLeft reports whether some control machines run but none reaches a majority, now or at a time within the
+// last reconnectBound.
 func (tracker *isolationTracker) isOnlyMinorityLeft() bool {
 	return tracker.hasOnlyMinority ||
 		!tracker.minorityEndedAt.IsZero() && tracker.world.Now.Sub(tracker.minorityEndedAt) <= reconnectBound
--- a/verify/simulation/latencies.go
+++ b/verify/simulation/latencies.go
@@ -31,7 +31,8 @@
 	// settlingTime is the time after its start, or after the end of its fault, from which a daemon should serve without a
 	// gap.
 	settlingTime = 3 * time.Second
-	// lostOrderTimeout is the time after which a change without an answer is counted as it is and the next one is sent.
+	// lostOrderTimeout is the time after which a change without an answer is recorded with the time that has passed, and
+	// the next change is sent.
 	lostOrderTimeout = 7 * time.Second
 	// latencyOperations is the offset of these operators' operation numbers, beyond those of the other operators.
 	latencyOperations = 2_000_000
@@ -129,13 +130,13 @@
 	}
 }
 
-// daemonWatch records how long daemons take to serve after their starts, and the gaps in their service while they have
-// no fault of their own.
+// daemonWatch records the times from daemons' starts until they serve, and the gaps in their service while they have no
+// fault of their own.
 type daemonWatch struct {
 	world *World
-	// paused is when a daemon stopped serving, starting when it was started.
+	// paused holds the times at which daemons stopped serving, starting the times at which they were started.
 	paused, starting map[*Host]time.Time
-	// lastFaultAt is when a daemon was last seen with a fault.
+	// lastFaultAt holds the time at which each daemon was last observed with a fault.
 	lastFaultAt  map[*Host]time.Time
 	incarnations map[*Host]int
 	gaps, starts []time.Duration
--- a/verify/simulation/latencies_test.go
+++ b/verify/simulation/latencies_test.go
@@ -84,14 +84,14 @@
 	}
 	accepted := len(world.Check.outcomes.acknowledged)
 	if len(watch.acks) == 0 || accepted < len(watch.acks) || accepted > len(watch.acks)+1 {
-		t.Fatalf("%d acknowledgements recorded of %d", len(watch.acks), accepted)
+		t.Fatalf("%d of %d acknowledgements are recorded", len(watch.acks), accepted)
 	}
 	before := len(watch.acks)
 	watch.sendNext()
 	watch.target.Freeze()
 	watch.sample()
 	if watch.order != nil && watch.order.isAnswered() || len(watch.acks) > before {
-		t.Errorf("%d acknowledgements after %d, though the machine that was asked is frozen", len(watch.acks), before)
+		t.Errorf("%d acknowledgements after %d, although the target of the change is frozen", len(watch.acks), before)
 	}
 }
 
--- a/verify/simulation/leaderless_test.go
+++ b/verify/simulation/leaderless_test.go
@@ -13,7 +13,7 @@
 	leaderlessGrowthBound = 1.25
 	// minimumLeaderless is the shortest period without a head over which a rate is meaningful.
 	minimumLeaderless = 500 * time.Millisecond
-	// maximumLeaderless is the period over which messages are counted if no head can follow.
+	// maximumLeaderless is the period over which messages are counted if no other head can take over.
 	maximumLeaderless = 5 * time.Second
 )
 
--- a/verify/simulation/network.go
+++ b/verify/simulation/network.go
@@ -15,14 +15,15 @@
 // network delivers messages between hosts: each arrives after a random delay, unless it is lost or its link is cut.
 type network struct {
 	world *World
-	// lastSent is when one host last sent to another over a connection, which stays open for idleConnectionLifetime.
+	// lastSent holds the time at which one host last sent to another over a connection, which stays open for
+	// idleConnectionLifetime.
 	lastSent map[link]time.Time
 	// Loss is the fraction of all messages that are lost.
 	Loss float64
 	// Delay is the shortest time that a message takes, Jitter the longest random addition to it.
 	Delay  time.Duration
 	Jitter time.Duration
-	// Messages, Bytes and CrossZoneBytes count what was sent, for measurements.
+	// Messages, Bytes and CrossZoneBytes count the messages and bytes sent, for measurements.
 	Messages, Bytes, CrossZoneBytes uint64
 	// Metrics, if set, is called for every message.
 	Metrics func(from, to *Host, kind string, size int)
@@ -92,7 +93,7 @@
 	})
 }
 
-// idleConnectionLifetime is how long an idle connection is kept open.
+// idleConnectionLifetime is the time for which an idle connection is kept open.
 const idleConnectionLifetime = time.Minute
 
 // closeConnections closes the connections of a process that has ended, as its machine's network stack does. Each peer
--- a/verify/simulation/operator_workloads_test.go
+++ b/verify/simulation/operator_workloads_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if resent == 0 || len(world.Check.outcomes.invalid) == 0 {
-		t.Errorf("%d sent again, %d invalid", resent, len(world.Check.outcomes.invalid))
+		t.Errorf("%d changes sent again, %d invalid changes", resent, len(world.Check.outcomes.invalid))
 	}
 	workload.Stop()
 	world.Run(repeatedWithin)
@@ -55,7 +55,7 @@
 		order := world.Check.Send(world.injector.head(), request)
 		world.Run(3 * time.Second)
 		if order.Outcome != proposal.OutcomeRefused {
-			t.Errorf("%s %s: outcome %s, status %d", request.Verb, request.Spec, order.Outcome, order.Status)
+			t.Errorf("invalid change %s %s: outcome %s, status %d", request.Verb, request.Spec, order.Outcome, order.Status)
 		}
 	}
 }
--- a/verify/simulation/operators.go
+++ b/verify/simulation/operators.go
@@ -103,7 +103,7 @@
 	return operators.order
 }
 
-// resend sends the newest change again, as an operator does whose first attempt got no clear answer.
+// resend sends the newest change again, as an operator does after an attempt whose outcome is unknown.
 func (operators *Operators) resend(host *Host) *Order {
 	if operators.last == nil {
 		return nil
--- a/verify/simulation/orders.go
+++ b/verify/simulation/orders.go
@@ -17,7 +17,8 @@
 type Order struct {
 	Operation string
 	Verb      string
-	// Base is the epoch that it is based on, AskedEpoch the one that it requests, where it names them.
+	// Base is the epoch that the change is based on, if HasBase is true; AskedEpoch is the epoch that it requests, if
+	// HasEpoch is true.
 	Base, AskedEpoch  uint64
 	HasBase, HasEpoch bool
 	Sent, Got         time.Time
@@ -82,7 +83,7 @@
 				return
 			}
 			order.Got, order.Outcome, order.Epoch, order.Status = world.Now, reply.Outcome, reply.Epoch, status
-			// Of an operation that was sent twice, one attempt may find no path to the head while the other does.
+			// If an operation was sent twice, one attempt may reach the head although the other found no path to it.
 			if status == http.StatusGatewayTimeout || order.Resent && status == http.StatusServiceUnavailable {
 				order.Outcome = proposal.OutcomeUnknown
 			}
--- a/verify/simulation/partition_scenarios.go
+++ b/verify/simulation/partition_scenarios.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// partitionLength is how long a control machine is cut off in PartitionScenarios.
+	// partitionLength is the time for which a control machine is cut off in PartitionScenarios.
 	partitionLength = 20 * time.Second
 	// shortIsolationLimit is an isolation limit of the data daemons that expires within a partition.
 	shortIsolationLimit = 6 * time.Second
@@ -58,7 +58,7 @@
 }
 
 // cutHeadRepeatedly cuts the head off from the other control machines again and again, until three seconds before the
-// end. It returns at about the time when the next head begins to act.
+// end. The head is often reachable again at about the time when its successor begins to act.
 func cutHeadRepeatedly(world *World) {
 	const longestCut, longestReturn = 3 * time.Second, time.Second
 	head, last := world.injector.head(), world.Now.Add(partitionLength-longestCut)
--- a/verify/simulation/propagation.go
+++ b/verify/simulation/propagation.go
@@ -16,8 +16,8 @@
 	// Half, Most and All are the times after the commit at which half, 99 % and all daemons had the change; Acknowledged
 	// is the time from sending it to the operator's answer.
 	Half, Most, All, Acknowledged time.Duration
-	// Messages, Bytes and CrossZoneBytes are what one daemon sent in an idle second; ChangeBytes is what the change added
-	// for each daemon, as the difference to idle traffic.
+	// Messages, Bytes and CrossZoneBytes are the numbers of messages and bytes per daemon and second without changes;
+	// ChangeBytes is the number of bytes per daemon that the change added to this idle traffic.
 	Messages, Bytes, CrossZoneBytes, ChangeBytes float64
 }
 
@@ -31,10 +31,10 @@
 	messages, bytes, crossZone := network.Messages, network.Bytes, network.CrossZoneBytes
 	const quiet = 4 * time.Second
 	world.Run(quiet)
-	per := float64(daemons) * quiet.Seconds()
-	propagation.Messages = float64(network.Messages-messages) / per
-	propagation.Bytes = float64(network.Bytes-bytes) / per
-	propagation.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / per
+	daemonSeconds := float64(daemons) * quiet.Seconds()
+	propagation.Messages = float64(network.Messages-messages) / daemonSeconds
+	propagation.Bytes = float64(network.Bytes-bytes) / daemonSeconds
+	propagation.CrossZoneBytes = float64(network.CrossZoneBytes-crossZone) / daemonSeconds
 	bytes = network.Bytes
 	order := world.Check.Send(world.Hosts[1],
 		&wire.OperatorRequest{Verb: proposal.VerbApply, Spec: manyRoutes(routes), HasBase: true, Operation: "change"})
@@ -47,7 +47,7 @@
 			committed = world.Now
 		}
 		for _, host := range world.Daemons() {
-			if _, had := arrived[host.Address]; !had && host.daemon.controller.Snapshot(host.localTime()).SpecEpoch == 1 {
+			if _, known := arrived[host.Address]; !known && host.daemon.controller.Snapshot(host.localTime()).SpecEpoch == 1 {
 				arrived[host.Address] = world.Now.Sub(committed)
 			}
 		}
--- a/verify/simulation/recovery.go
+++ b/verify/simulation/recovery.go
@@ -151,8 +151,8 @@
 }
 
 // whenRepaired calls a function once the fleet is fully redundant again: a deployment must tolerate one loss at a time,
-// and a loss lasts until it is repaired. faults returns when a fault last ended and whether one is active. It reports a
-// violation if none is active and the repair takes longer than repairBound.
+// and a loss lasts until it is repaired. faults returns the time at which a fault last ended and whether one is active.
+// whenRepaired reports a violation if no fault is active and the repair takes longer than repairBound.
 func (recovery *recoveryCheck) whenRepaired(faults func() (lastEnded time.Time, active bool), repaired func()) {
 	world := recovery.world
 	lastEnded, active := faults()
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// knownBound is the time within which a new runner must be known, knownBoundWithCuts that where partitions may last
-	// for 8.2 s, one after the other.
+	// knownBound is the time within which a new runner must be known, knownBoundWithCuts the bound where successive
+	// partitions may last for 8.2 s each.
 	knownBound         = 2 * time.Second
 	knownBoundWithCuts = 20 * time.Second
 )
@@ -99,12 +99,12 @@
 	}
 	const bytesOfLink = 10_000_000 / 8
 	none, _ := MeasureRegistry(1, 72, 0, time.Hour)
-	calm, release := MeasureRegistry(1, 72, 112, 500*time.Millisecond)
-	t.Logf("none %+v, calm %+v, release %+v", none, calm, release)
-	if calm.Core-none.Core > bytesOfLink/200 || calm.Daemon-none.Daemon > bytesOfLink/1000 {
-		t.Error("calm", calm.Core-none.Core, calm.Daemon-none.Daemon)
+	idle, replacing := MeasureRegistry(1, 72, 112, 500*time.Millisecond)
+	t.Logf("without runners %+v, without changes %+v, while runners are replaced %+v", none, idle, replacing)
+	if idle.Core-none.Core > bytesOfLink/200 || idle.Daemon-none.Daemon > bytesOfLink/1000 {
+		t.Error("bytes a second added by unchanged runners:", idle.Core-none.Core, idle.Daemon-none.Daemon)
 	}
-	if release.Core-none.Core > bytesOfLink/10 || release.Daemon-none.Daemon > bytesOfLink/100 {
-		t.Error("release", release.Core-none.Core, release.Daemon-none.Daemon)
+	if replacing.Core-none.Core > bytesOfLink/10 || replacing.Daemon-none.Daemon > bytesOfLink/100 {
+		t.Error("bytes a second added by replaced runners:", replacing.Core-none.Core, replacing.Daemon-none.Daemon)
 	}
 }
--- a/verify/simulation/registration_check.go
+++ b/verify/simulation/registration_check.go
@@ -68,11 +68,11 @@
 
 // requireDrainingUnused checks that a daemon that uses a draining runner may still ignore that it drains.
 func (check *registrationCheck) requireDrainingUnused(host *Host, incarnation *runnerIncarnation) {
-	checker, late := check.runners.world.Check, check.runners.world.Now.Sub(incarnation.leftAt)
-	checker.recordWorstCase("work to a runner that said it leaves", late)
-	if !checker.daemons.mayIgnore(host, late, drainingKnownBound) {
+	checker, elapsed := check.runners.world.Check, check.runners.world.Now.Sub(incarnation.leftAt)
+	checker.recordWorstCase("work to a runner that said it leaves", elapsed)
+	if !checker.daemons.mayIgnore(host, elapsed, drainingKnownBound) {
 		checker.violation("leaving-used: %s still uses %s, %v after its draining was acknowledged", host.Address,
-			incarnation.id, late)
+			incarnation.id, elapsed)
 	}
 }
 
--- a/verify/simulation/registry_cost.go
+++ b/verify/simulation/registry_cost.go
@@ -8,8 +8,8 @@
 	Core, Daemon, Messages float64
 }
 
-// MeasureRegistry starts a fleet of the given numbers of daemons and runners and measures what its processes send: in a
-// period without changes, and while a runner is replaced at a mean interval of every.
+// MeasureRegistry starts a fleet of the given numbers of daemons and runners and measures the messages and bytes that
+// its processes send: in a period without changes, and while a runner is replaced at a mean interval of every.
 func MeasureRegistry(seed int64, daemons, runners int, every time.Duration) (calm, release RegistryCost) {
 	world := newWideDeployment(seed, daemons, 1, func(world *World) { startRegisteringRunners(world, runners, wideZones) })
 	world.Run(30 * time.Second)
@@ -19,7 +19,7 @@
 	return calm, release
 }
 
-// measureCost runs the world for a duration and returns what was sent per second.
+// measureCost runs the world for a duration and returns the cost per second.
 func measureCost(world *World, length time.Duration) RegistryCost {
 	sum := func(hosts []*Host) (total uint64) {
 		for _, host := range hosts {
@@ -29,12 +29,12 @@
 	}
 	cores, daemons, messages := sum(world.Cores()), sum(world.Daemons()), world.network.Messages
 	world.Run(length)
-	per := func(now, before uint64, count int) float64 {
+	perSecond := func(now, before uint64, count int) float64 {
 		return float64(now-before) / float64(max(1, count)) / length.Seconds()
 	}
 	return RegistryCost{
-		Core:     per(sum(world.Cores()), cores, len(world.Cores())),
-		Daemon:   per(sum(world.Daemons()), daemons, len(world.Daemons())),
-		Messages: per(world.network.Messages, messages, len(world.Hosts)),
+		Core:     perSecond(sum(world.Cores()), cores, len(world.Cores())),
+		Daemon:   perSecond(sum(world.Daemons()), daemons, len(world.Daemons())),
+		Messages: perSecond(world.network.Messages, messages, len(world.Hosts)),
 	}
 }
--- a/verify/simulation/replica_check.go
+++ b/verify/simulation/replica_check.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// countCopies records on how many disks of its chain a head has the epoch that it may acknowledge now. It can't be
-// counted when the answer arrives: by then the chain may have changed.
+// countCopies records on how many disks of its chain a head has the epoch that it may acknowledge now. The copies can't
+// be counted later, when the answer arrives: by then the chain may have changed.
 func (check *replicaCheck) countCopies(head *Host) {
 	epoch, copies := head.core.node.Chain().Committed().SpecEpoch, 0
 	for _, host := range check.checker.world.Cores() {
--- a/verify/simulation/request_scenario.go
+++ b/verify/simulation/request_scenario.go
@@ -61,13 +61,13 @@
 		scheduleFaults(world, scenario.Length, scenario.Faults, scenario.AtOnce)
 	}
 	world.Run(scenario.Length + time.Millisecond)
-	// Requests must continue, or nobody could see whether service is back.
+	// Requests must continue: only their answers show whether service has recovered.
 	traffic.drafter.takeAway = 0
 	world.Run(recoveryBound)
 	operators.Stop()
 	world.recovery.requireService()
 	traffic.stopped = true
-	// The longest patience must have passed before a request counts as forgotten.
+	// A request counts as never answered only after the longest time limit has passed.
 	end := world.Now.Add(45 * time.Second)
 	for traffic.pendingClients() > 0 && world.Now.Before(end) && len(world.Check.Violations) == 0 {
 		world.Run(time.Second)
--- a/verify/simulation/rules.go
+++ b/verify/simulation/rules.go
@@ -37,7 +37,8 @@
 	scenario.Every, scenario.TakeAway = 800*time.Millisecond, 0.6
 }
 
-// changeSeldom sends changes so rarely that what one removes mostly stays away for longer than histories.ZoneBound.
+// changeSeldom sends changes so rarely that an entry that one of them removes is mostly missing for longer than
+// histories.ZoneBound.
 func changeSeldom(scenario *RequestScenario) { scenario.Every, scenario.TakeAway = 8*time.Second, 0.8 }
 
 // resendOften makes many clients send their requests again, to daemons of all zones, some without declaring it.
--- a/verify/simulation/runner_incarnation.go
+++ b/verify/simulation/runner_incarnation.go
@@ -37,12 +37,12 @@
 	running bool
 	// pendingCall is the number of the call that is not acknowledged yet; 0: none.
 	pendingCall uint64
-	// knownSince is when a call was first acknowledged, leftAt when it was acknowledged that the runner drains or has
-	// ended, and finishedAt when its process stopped, announced or not.
+	// knownSince is the time of the first acknowledgement of a call, leftAt that of the first acknowledgement that the
+	// runner drains or has ended, and finishedAt the time at which its process stopped, announced or not.
 	knownSince, leftAt, finishedAt time.Time
 }
 
-// isRegistered reports whether it runs, has been acknowledged, and does not drain.
+// isRegistered reports whether the incarnation runs, has been acknowledged, and does not drain.
 func (incarnation *runnerIncarnation) isRegistered() bool {
 	return incarnation.running && incarnation.state == registry.Ready && !incarnation.knownSince.IsZero()
 }
@@ -91,7 +91,7 @@
 		incarnation.recordAcknowledged(draining)
 	})
 	world := incarnation.runners.world
-	// A copy of the call may be delayed and reach a control machine that has heard nothing else of this incarnation.
+	// A copy of the call may be delayed and reach a control machine that has received nothing else about this incarnation.
 	if world.random.Intn(8) == 0 {
 		world.After(time.Duration(world.random.Int63n(int64(4*time.Second))), func() {
 			host := world.pick(world.Cores())
@@ -106,7 +106,8 @@
 	})
 }
 
-// recordAcknowledged records what an acknowledgement promises.
+// recordAcknowledged records an acknowledgement of a call: from now on daemons must list the runner or, if it drains,
+// stop using it.
 func (incarnation *runnerIncarnation) recordAcknowledged(draining bool) {
 	incarnation.runners.Acknowledged++
 	if incarnation.knownSince.IsZero() {
--- a/verify/simulation/second_loss_scenarios_test.go
+++ b/verify/simulation/second_loss_scenarios_test.go
@@ -41,7 +41,7 @@
 		{firstLossLength + catchUpTime, true, false},
 	} {
 		if scenario := SecondLossScenario("repair", test.wiped, test.after); scenario.ExceedsTolerance != test.want {
-			t.Errorf("after %v, wiped %v: fleeting %v", test.after, test.wiped, scenario.ExceedsTolerance)
+			t.Errorf("after %v, wiped %v: exceeds the tolerance %v", test.after, test.wiped, scenario.ExceedsTolerance)
 		}
 	}
 }
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// A deployment tolerates one fault at a time, repaired before the next, without an interruption longer than the users'
-// requirements allow.
+// A deployment tolerates one fault at a time if each is repaired before the next: service is not interrupted for longer
+// than the users' requirements allow.
 func TestSingleFaultsOnTheGuild(t *testing.T)   { runSeeds(t, Guild, 16, FaultNames(), 1) }
 func TestSingleFaultsOnTheFerries(t *testing.T) { runSeeds(t, Ferries, 16, FaultNames(), 1) }
 
-// As many machines as may lose their disks lose them right after a change was acknowledged, while all others lose their
-// power.
+// No acknowledged change is lost if, right after its acknowledgement, as many control machines as may lose their disks
+// lose them and all other machines lose their power.
 func TestDisksLostInTheDark(t *testing.T) {
 	t.Parallel()
 	for name, shape := range map[string]Shape{"guild": Guild, "ferries": Ferries, "grown": Grown, "narrow": Narrow} {
@@ -51,7 +51,8 @@
 	}
 }
 
-// Deployments with fewer disks than seeds are recommended, or with many disks in one zone.
+// Deployments with fewer disks than the recommended number of seeds, or with many disks in one zone, recover from each
+// of these faults.
 func TestFewDisksAndFewZones(t *testing.T) {
 	t.Parallel()
 	kinds := []string{
@@ -73,12 +74,12 @@
 // Several faults at once may interrupt service, but must violate no rule, and service comes back.
 func TestManyFaultsAtOnce(t *testing.T) { runSeeds(t, Guild, 12, FaultNames(), 3) }
 
-// Records that failed on a full disk kept postponing the rewrite of the state, so that the machine stayed unhealthy
-// when there was space again (found by seed 6 of the single faults).
+// Guards against a machine that stays unhealthy after its full disk has space again: each record that could not be
+// written postponed the rewrite of the state (found by seed 6 of the single faults).
 func TestFullDiskComesBack(t *testing.T) { runSeeds(t, Guild, 4, []string{"disk full"}, 1) }
 
-// If the head was wiped before a machine that had been away was back in the chain, the remaining machine waited for the
-// lost one forever (found by seed 16).
+// Guards against a chain that is never complete again: a machine was away, the head's disk was wiped before that
+// machine had rejoined the chain, and the remaining machine waited forever for the lost one (found by seed 16).
 func TestLastOfTheChainTeachesTheOthers(t *testing.T) {
 	runSeeds(t, Guild, 6, []string{"core wiped", "core link cut one way"}, 2)
 }
--- a/verify/simulation/spec_drafter.go
+++ b/verify/simulation/spec_drafter.go
@@ -26,39 +26,39 @@
 // spec returns a configuration for an operator to send, distinguished by its number. A fraction takeAway of them
 // removes something that requests may be waiting for: a route, a zone, the service or the weights.
 func (drafter *specDrafter) spec(number int) *config.Spec {
-	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
+	spec := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
 	takes := map[int]func(){
-		0: func() { made.Routes = made.Routes[1:] },
-		1: func() { made.Zones[drafter.random.Intn(len(made.Zones))].Closed = true },
-		2: func() { made.Backends[0].Services = []string{"another-service"} },
-		3: func() { made.Backends[0].Weights = "other-weights" },
+		0: func() { spec.Routes = spec.Routes[1:] },
+		1: func() { spec.Zones[drafter.random.Intn(len(spec.Zones))].Closed = true },
+		2: func() { spec.Backends[0].Services = []string{"another-service"} },
+		3: func() { spec.Backends[0].Weights = "other-weights" },
 	}
 	if drafter.random.Float64() < drafter.takeAway {
 		takes[drafter.random.Intn(len(takes))]()
 	}
-	return made
+	return spec
 }
 
 // draft returns an encoded configuration and keeps it for the checker of the history.
 func (drafter *specDrafter) draft(operation string, number int) []byte {
-	made := drafter.spec(number)
-	drafter.specs[operation] = made
-	return made.Encode()
+	spec := drafter.spec(number)
+	drafter.specs[operation] = spec
+	return spec.Encode()
 }
 
 // draftChange returns a change of named entries: it restores whatever an earlier configuration removed, or removes
 // something itself.
 func (drafter *specDrafter) draftChange(number int) *config.Change {
-	made := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
-	change := &config.Change{Upsert: config.Entries{Zones: made.Zones, Backends: made.Backends, Routes: made.Routes}}
+	spec := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
+	change := &config.Change{Upsert: config.Entries{Zones: spec.Zones, Backends: spec.Backends, Routes: spec.Routes}}
 	if drafter.random.Float64() >= drafter.takeAway {
 		return change
 	}
 	takes := []func(){
-		func() { change.Remove.Routes, change.Upsert.Routes = []string{made.Routes[0].Name}, made.Routes[1:] },
+		func() { change.Remove.Routes, change.Upsert.Routes = []string{spec.Routes[0].Name}, spec.Routes[1:] },
 		func() {
 			change.Upsert = config.Entries{
-				Zones: []config.Zone{{Name: made.Zones[drafter.random.Intn(len(made.Zones))].Name, Closed: true}},
+				Zones: []config.Zone{{Name: spec.Zones[drafter.random.Intn(len(spec.Zones))].Name, Closed: true}},
 			}
 		},
 		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
--- a/verify/simulation/traffic.go
+++ b/verify/simulation/traffic.go
@@ -116,15 +116,15 @@
 	if traffic.random.Float64() >= traffic.Undeclared {
 		drawn.Attempt, drawn.Term = 1, traffic.terms[zone]
 	}
-	one := traffic.sendRequest(drawn, zone, traffic.daemons.pick(zone))
+	sent := traffic.sendRequest(drawn, zone, traffic.daemons.pick(zone))
 	if traffic.random.Float64() < traffic.DisconnectsMidway {
-		one.disconnectsAfter = 1 + traffic.random.Intn(4)
+		sent.disconnectsAfter = 1 + traffic.random.Intn(4)
 	}
 	if traffic.Disconnects > 0 && traffic.random.Float64() < traffic.Disconnects {
-		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestDisconnect))), one.disconnect)
+		traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestDisconnect))), sent.disconnect)
 	}
 	if traffic.random.Float64() < traffic.Retries {
-		traffic.resend(drawn, one)
+		traffic.resend(drawn, sent)
 	}
 	if traffic.random.Float64() < traffic.RetriesElsewhere {
 		traffic.resendElsewhere(drawn, zone)
--- a/verify/simulation/traffic_test.go
+++ b/verify/simulation/traffic_test.go
@@ -27,18 +27,18 @@
 	}
 	picker.eligible["first"], picker.eligible["second"], picker.eligible["far"] = true, true, true
 	if counts := draw("a"); counts[first] < 400 || counts[second] < 400 || counts[far] != 0 {
-		t.Errorf("first %d, second %d, far %d", counts[first], counts[second], counts[far])
+		t.Errorf("picked from the zone: first %d, second %d, far %d", counts[first], counts[second], counts[far])
 	}
 	if counts := draw("c"); counts[first] < 200 || counts[second] < 200 || counts[far] < 200 {
-		t.Errorf("from another zone: first %d, second %d, far %d", counts[first], counts[second], counts[far])
+		t.Errorf("picked from another zone: first %d, second %d, far %d", counts[first], counts[second], counts[far])
 	}
 	picker.uneven = true
 	if counts := draw("a"); counts[first] < 800 || counts[second] == 0 {
-		t.Errorf("uneven: first %d, second %d", counts[first], counts[second])
+		t.Errorf("picked under uneven load: first %d, second %d", counts[first], counts[second])
 	}
 	picker.eligible["first"], picker.eligible["second"] = false, false
 	if counts := draw("a"); counts[far] != 1000 {
-		t.Errorf("without its own zone: far %d", counts[far])
+		t.Errorf("picked without an eligible daemon in the zone: far %d", counts[far])
 	}
 }
 
@@ -104,7 +104,7 @@
 			}
 		}
 		if count < int(200*part*0.8) || count > int(200*part*1.2) {
-			t.Errorf("%d of 200 take something away, want a part of %v", count, part)
+			t.Errorf("%d of 200 configurations remove something, want a fraction of %v", count, part)
 		}
 	}
 	if drafter.specs["operation"] == nil {
--- a/verify/simulation/world.go
+++ b/verify/simulation/world.go
@@ -6,7 +6,7 @@
 // (RunFaults, RunRequestScenario, RunControlScenario, RunRegistrationScenario) start a deployment and its workloads
 // (operators, concurrent writers, traffic), schedule faults, and require that the fleet recovers. The Checker reports
 // violated rules. All randomness is drawn from the world's seed and everything that happens is an event of its loop, so
-// that a change of the order of either changes every run.
+// a change in the order of random draws or of events changes every run.
 package simulation
 
 import (
@@ -23,7 +23,7 @@
 	defaultIsolationLimit = 5 * time.Minute
 )
 
-// World is a complete simulation, composed of the event loop, the hosts, and what connects them.
+// World is a complete simulation, composed of the event loop, the hosts, and the network that connects them.
 type World struct {
 	*eventLoop
 	*fleet
