--- a/verify/simulation/client.go
+++ b/verify/simulation/client.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maximumRefusals is the number of refused connections after which a client gives up.
+	// maximumRefusals is the number of refused connections after which a client's request fails.
 	maximumRefusals = 5
 	// latestRetry is the latest time after a client's first attempt at which it retries at another daemon.
 	latestRetry = 20 * time.Second
@@ -26,8 +26,7 @@
 }
 
 // resendElsewhere makes a client send its request once more to any daemon of any zone, up to latestRetry after its
-// first attempt. Which machines that daemon reaches by then, and which requests it still remembers, depends on the
-// seed.
+// first attempt. Which machines that daemon reaches by then, and which requests it still remembers, depend on the seed.
 func (traffic *Traffic) resendElsewhere(drawn loadtest.Drawn, zone string) {
 	daemons := traffic.world.Daemons()
 	traffic.world.After(time.Duration(traffic.random.Int63n(int64(latestRetry))), func() {
--- a/verify/simulation/closed_zone_test.go
+++ b/verify/simulation/closed_zone_test.go
@@ -9,7 +9,7 @@
 )
 
 // A zone that stays closed for longer than histories.ZoneBound gets no more requests, in a fleet without faults. The
-// rule scenario "closed zone" closes a zone for so long under some seeds only.
+// rule scenario "closed zone" closes a zone for that long only under some seeds.
 func TestClosedZoneIsLeft(t *testing.T) {
 	t.Parallel()
 	if underRace {
--- a/verify/simulation/operator_workloads.go
+++ b/verify/simulation/operator_workloads.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// retryChange sends changes until one is accepted or the deadline has passed, so that the check of the machines' return
-// has a change to check.
+// retryChange sends changes until one is accepted or the deadline has passed, so that the check of the recovery after
+// the machines' return has a change to examine.
 func (operators *Operators) retryChange(until time.Time) {
 	world := operators.world
 	var order *Order
--- a/verify/simulation/recording_test.go
+++ b/verify/simulation/recording_test.go
@@ -76,7 +76,7 @@
 	return world
 }
 
-// The callers' history is linearizable, whatever happens to the heads.
+// The callers' history is linearizable while control machines are cut off, frozen, killed, wiped or replaced.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	faults := []string{"core cut off", "core halved", "core link cut one way", "core mute", "core frozen", "head killed",
--- a/verify/simulation/registering_runners.go
+++ b/verify/simulation/registering_runners.go
@@ -7,7 +7,7 @@
 	"wardtray/coordination/registry"
 )
 
-// crashDetectionBound is the longest time until everybody knows of a runner that ended without notice.
+// crashDetectionBound is the longest time until all processes know that a runner has ended without notice.
 const crashDetectionBound = 20 * time.Second
 
 // RegisteringRunners are runners that register themselves with the control machines.
--- a/verify/simulation/registering_runners_test.go
+++ b/verify/simulation/registering_runners_test.go
@@ -8,7 +8,8 @@
 )
 
 // noCutFaults are faults that partition neither control machines nor daemons, isolatingFaults those that isolate
-// daemons from the control machines only. Daemons must keep every runner that calls while they last.
+// daemons from the control machines only. While these faults last, daemons must keep every runner that repeats its
+// registration.
 var (
 	noCutFaults = []string{
 		"core killed",
--- a/verify/simulation/registration_check.go
+++ b/verify/simulation/registration_check.go
@@ -13,8 +13,8 @@
 // registrationCheck compares the runners that daemons list with those that have registered.
 type registrationCheck struct {
 	runners *RegisteringRunners
-	// knownBound is the time after its first acknowledgement from which every daemon that schedules must list a runner
-	// that keeps calling; 0: not required, since control machines are partitioned.
+	// knownBound is the time after a runner's first acknowledgement from which every daemon that schedules must list the
+	// runner while it keeps calling; 0: not required, since control machines are partitioned.
 	knownBound time.Duration
 }
 
@@ -66,7 +66,7 @@
 	return true
 }
 
-// requireDrainingUnused checks that a daemon that uses a draining runner may still ignore that it drains.
+// requireDrainingUnused checks that a daemon that uses a draining runner may still ignore that the runner drains.
 func (check *registrationCheck) requireDrainingUnused(host *Host, incarnation *runnerIncarnation) {
 	checker, elapsed := check.runners.world.Check, check.runners.world.Now.Sub(incarnation.leftAt)
 	checker.recordWorstCase("work to a runner that said it leaves", elapsed)
--- a/verify/simulation/rules_test.go
+++ b/verify/simulation/rules_test.go
@@ -66,9 +66,9 @@
 	rule := RuleScenario{Faults: append(RunnerFaultNames(), FaultNames()...)}
 	first, second := runRuleScenario(t, 3, GuildPath, rule), runRuleScenario(t, 3, GuildPath, rule)
 	if first.Trace() != second.Trace() || first.Traffic.Summary() != second.Traffic.Summary() {
-		t.Fatalf("one seed gave two runs: %s; %s", first.Traffic.Summary(), second.Traffic.Summary())
+		t.Fatalf("one seed gave two different runs: %s; %s", first.Traffic.Summary(), second.Traffic.Summary())
 	}
 	if third := runRuleScenario(t, 4, GuildPath, rule); third.Trace() == first.Trace() {
-		t.Fatal("two seeds gave one run")
+		t.Fatal("two seeds gave the same run")
 	}
 }
--- a/verify/simulation/second_loss_scenarios.go
+++ b/verify/simulation/second_loss_scenarios.go
@@ -45,7 +45,8 @@
 
 // secondLoss is the loss of another machine while a first one is being removed or repaired.
 type secondLoss struct {
-	// first is the way in which the first machine is removed, after the time from its start to the second loss.
+	// first is the way in which the first machine is removed or repaired, after the time from the start of this to the
+	// second loss.
 	first string
 	after time.Duration
 	// wiped means that the second machine loses its disk.
--- a/verify/simulation/simulation_test.go
+++ b/verify/simulation/simulation_test.go
@@ -18,10 +18,10 @@
 	t.Parallel()
 	first, second := runFaults(t, 5, Guild, FaultNames(), 1), runFaults(t, 5, Guild, FaultNames(), 1)
 	if first.Trace() != second.Trace() {
-		t.Fatal("one seed gave two runs")
+		t.Fatal("one seed gave two different runs")
 	}
 	if third := runFaults(t, 6, Guild, FaultNames(), 1); third.Trace() == first.Trace() {
-		t.Fatal("two seeds gave one run")
+		t.Fatal("two seeds gave the same run")
 	}
 }
 
--- a/verify/simulation/spec_drafter.go
+++ b/verify/simulation/spec_drafter.go
@@ -13,7 +13,7 @@
 	random *rand.Rand
 	mix    loadtest.Mix
 	zones  []string
-	// takeAway is the fraction of them that remove something that requests need.
+	// takeAway is the fraction of the configurations and changes that remove something that requests need.
 	takeAway float64
 	// specs are the complete configurations by operation, for the checker of the history.
 	specs map[string]*config.Spec
@@ -27,14 +27,14 @@
 // removes something that requests may be waiting for: a route, a zone, the service or the weights.
 func (drafter *specDrafter) spec(number int) *config.Spec {
 	spec := drafter.mix.Spec(drafter.zones, fmt.Sprintf("marker-%d", number))
-	takes := map[int]func(){
+	removals := map[int]func(){
 		0: func() { spec.Routes = spec.Routes[1:] },
 		1: func() { spec.Zones[drafter.random.Intn(len(spec.Zones))].Closed = true },
 		2: func() { spec.Backends[0].Services = []string{"another-service"} },
 		3: func() { spec.Backends[0].Weights = "other-weights" },
 	}
 	if drafter.random.Float64() < drafter.takeAway {
-		takes[drafter.random.Intn(len(takes))]()
+		removals[drafter.random.Intn(len(removals))]()
 	}
 	return spec
 }
@@ -54,7 +54,7 @@
 	if drafter.random.Float64() >= drafter.takeAway {
 		return change
 	}
-	takes := []func(){
+	removals := []func(){
 		func() { change.Remove.Routes, change.Upsert.Routes = []string{spec.Routes[0].Name}, spec.Routes[1:] },
 		func() {
 			change.Upsert = config.Entries{
@@ -63,6 +63,6 @@
 		},
 		func() { change.Upsert.Backends[0].Services = []string{"another-service"} },
 	}
-	takes[drafter.random.Intn(len(takes))]()
+	removals[drafter.random.Intn(len(removals))]()
 	return change
 }
