--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -37,8 +37,8 @@
 	Since time.Time
 }
 
-// TermBefore returns the newest term that began before any request over a connection was sent, by the time at which the
-// connection was accepted; 0 if there is none.
+// TermBefore returns the newest known term that began before the first request over a connection was sent, or 0 if
+// there is none. connected is the time at which the connection was accepted.
 func (snapshot *Snapshot) TermBefore(connected time.Time) uint64 {
 	for index := len(snapshot.Terms) - 1; index >= 0; index-- {
 		if known := snapshot.Terms[index]; !connected.Before(known.Since) {
--- a/config/spec_test.go
+++ b/config/spec_test.go
@@ -148,11 +148,11 @@
 	}
 	bare := validWith(t, `"model":"m","weights":"w",`, ``)
 	if len(bare.Check()) > 0 || !bare.Backends[0].ServesModel("any") {
-		t.Fatalf("a pool without a model has problems, or does not serve every model: %v", bare.Check())
+		t.Fatalf("a backend without a model has problems, or does not serve every model: %v", bare.Check())
 	}
 	named := validWith(t, zonesKey, zonesKey).Backends[0]
 	if named.ServesModel("any") || !named.ServesModel("m") {
-		t.Fatal("a pool with a model serves another model, or not its own")
+		t.Fatal("a backend with a model serves another model, or not its own")
 	}
 	empty, err := Parse([]byte(`{"zones":[],"pools":[],"lanes":[]}`))
 	if err != nil || len(empty.Check()) > 0 {
