--- a/cmd/wtctl/session.go
+++ b/cmd/wtctl/session.go
@@ -19,7 +19,7 @@
 }
 
 // commands maps the full name of each command to the function that runs it. The function returns the exit code; if it
-// returns an error, the caller prints that and uses the error's own exit code (exitOf) instead.
+// returns an error, the caller prints the error and uses its exit code (exitOf) instead.
 type commands map[string]func() (code exitCode, err error)
 
 // register declares every command, in the order of the usage text.
--- a/cmd/wtctl/status_runners.go
+++ b/cmd/wtctl/status_runners.go
@@ -12,10 +12,10 @@
 	address, zone, service, state string
 	// load is the greatest load that any daemon reports.
 	load float64
-	// inFlight is the sum over the daemons.
+	// inFlight is the number of requests in progress, summed over the daemons.
 	inFlight, slots int
-	// usable counts the daemons that would send requests to the runner, daemons those that know it. reason is the
-	// reason that one of the others gives.
+	// usable counts the daemons that would send requests to the runner, daemons all daemons that know it. reason is why
+	// the runner is not usable, as one daemon reports it; empty if all can use it.
 	usable, daemons int
 	reason          string
 }
--- a/cmd/wtverify/capacity_test.go
+++ b/cmd/wtverify/capacity_test.go
@@ -16,7 +16,7 @@
 	"wardtray/proxy/dedup"
 )
 
-// A constant that is changed without the capacity page would leave the page's column "has" wrong.
+// Guards against a capacity page that states the old value of a constant after the constant was changed.
 func TestCapacityPageNamesTheBounds(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
