--- a/tools/ablation/main.go
+++ b/tools/ablation/main.go
@@ -1,6 +1,7 @@
-// Command ablation measures the benefit of each feature of the daemons. It runs days of sites with a benchmark program,
-// once with all features on and once for each feature with that one switched off, with the same seeds, and prints a
-// table of the differences. It runs no trial that has a report already, so that it can be stopped and resumed.
+// Command ablation measures the benefit of each feature of the daemons. It runs a benchmark program with each site
+// file, each day (a scenario of the benchmark) and each seed: once with all features on, and once for each feature with
+// only this feature switched off. It prints a table of the differences. It skips trials that already have a report, so
+// that it can be stopped and resumed.
 package main
 
 import (
