--- a/verify/histories/answer_rules.go
+++ b/verify/histories/answer_rules.go
@@ -90,7 +90,7 @@
 		}
 	},
 	"held-back": func(checker *Checker, attempt *ClientAttempt, report reportFunc) {
-		// A retry may be refused at any time for the outcome of the first attempt.
+		// A retry may be refused at any time because of the outcome of the first attempt.
 		if attempt.ConnectionLost || attempt.Done || attempt.ClientDisconnected || attempt.Resent ||
 			checker.history.excusedByFault(attempt.Daemon, attempt.Sent, attempt.Got) {
 			return
@@ -123,7 +123,7 @@
 	},
 }
 
-// lastEventAt returns when the last event of an answer, or the answer itself, was received.
+// lastEventAt returns the time at which the last event of an answer, or the answer itself, was received.
 func (attempt *ClientAttempt) lastEventAt() time.Time {
 	if attempt.Last.IsZero() {
 		return attempt.Got
@@ -150,8 +150,8 @@
 	return mayBeRepeated && attempt.Kind == "outcome_unknown" && len(checker.runs[attempt.Request]) == 0
 }
 
-// recordsWereLost reports whether daemons of every zone were killed, none earlier than DoubtBound and the last one at
-// most FirstDoubtBound before a request was sent.
+// recordsWereLost reports whether daemons of every zone were killed before the answer to a request: none earlier than
+// DoubtBound before the request was sent, and the last one no earlier than FirstDoubtBound before it was sent.
 func (checker *Checker) recordsWereLost(attempt *ClientAttempt) bool {
 	killed, isRecent := map[string]bool{}, false
 	for _, fault := range checker.history.Faults {
@@ -201,7 +201,8 @@
 	"not_serving":    true,
 }
 
-// overdue returns the time from when the cause of a request's final answer could be known to the answer.
+// overdue returns the delay of a request's final answer: the time between the moment at which the loss that caused it
+// could be known and the answer.
 func (checker *Checker) overdue(attempt *ClientAttempt) time.Duration {
 	known := attempt.Sent.Add(attempt.LatencyTarget)
 	for _, run := range checker.runs[attempt.Request] {
@@ -219,7 +220,7 @@
 			// A fault that ended before it could be detected shows only by the missing answer.
 			at = run.At.Add(2 * attempt.LatencyTarget)
 		}
-		// A repeatable request is retried at other runners within its latency target.
+		// An idempotent request is retried at other runners within its latency target.
 		if at.After(known) || attempt.AtMostOnce {
 			known = at
 		}
--- a/verify/histories/checker.go
+++ b/verify/histories/checker.go
@@ -23,8 +23,8 @@
 	Violations []Violation
 	// known holds the operations in effect and their epochs.
 	known map[string]uint64
-	// By request: runs that started, answers that are complete, and requests, which holds an answer's record from the
-	// time it is sent. atMostOnce holds the at-most-once requests.
+	// By the name of the request: runs holds the runs that started, answers the attempts with a complete answer, requests
+	// all attempts that were sent, and atMostOnce whether the request is an at-most-once request.
 	runs       map[string][]*Run
 	answers    map[string][]*ClientAttempt
 	requests   map[string][]*ClientAttempt
@@ -37,7 +37,7 @@
 	specs  specTimeline
 }
 
-// workedEpoch is an epoch under which a daemon has sent work, and when it first did.
+// workedEpoch is an epoch under which a daemon has sent work, and the time at which it first did.
 type workedEpoch struct {
 	epoch uint64
 	since time.Time
@@ -129,7 +129,7 @@
 	checker.apply(finalRules)
 }
 
-// bind returns rules about a kind of observation with their observation fixed.
+// bind returns the rules about one kind of observation as functions without that parameter, applied to observation.
 func bind[Observation any](
 	rules map[string]func(checker *Checker, observation Observation, report reportFunc),
 	observation Observation,
--- a/verify/histories/disconnect.go
+++ b/verify/histories/disconnect.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// sentAfterDisconnect returns how long after its client had disconnected a request was sent to its runner.
+// sentAfterDisconnect returns the time from the disconnect of a request's client until the request was sent to its
+// runner, or 0 if it was sent before the disconnect or is excused.
 //
-// If only its arrival is known, a request is excused that may have been sent in time and delayed on its way to a faulty
-// runner, for up to transitTime. A fault of the daemon excuses nothing: a daemon checks for a disconnect again when it
-// resumes from a freeze.
+// If only the arrival at a faulty runner is known, the request may have been sent in time and delayed on its way. Such
+// a request is excused if it arrived at most DisconnectBound+transitTime after the disconnect. A fault of the daemon
+// excuses nothing: a daemon checks for a disconnect again when it resumes from a freeze.
 func (checker *Checker) sentAfterDisconnect(run *Run, attempt *ClientAttempt) time.Duration {
 	sent := run.Sent
 	if sent.IsZero() {
--- a/verify/histories/faults.go
+++ b/verify/histories/faults.go
@@ -54,7 +54,7 @@
 	return Fault{}, false
 }
 
-// isolatedFor returns for how long, at a moment, a daemon has had no path to the control machines.
+// isolatedFor returns the time for which a daemon has had no path to the control machines at a moment; 0 if it has one.
 func (history *History) isolatedFor(daemon string, at time.Time) time.Duration {
 	for index := len(history.Isolations) - 1; index >= 0; index-- {
 		isolation := history.Isolations[index]
--- a/verify/histories/records.go
+++ b/verify/histories/records.go
@@ -8,7 +8,7 @@
 
 // Run is one arrival of a request at a runner.
 type Run struct {
-	// At is when the request reached the runner's machine.
+	// At is the time at which the request reached the runner's machine.
 	At      time.Time
 	Request string
 	Route   string
@@ -24,10 +24,11 @@
 	Epoch          uint64
 	// Started reports whether the runner executed the request; false if it rejected it.
 	Started bool
-	// Sent is when the daemon sent the request, if known. Canceled is when the daemon cancelled the run, at the latest
-	// when the end of its connection reached the runner; zero if that did not happen during the run.
+	// Sent is the time at which the daemon sent the request, zero if not known. Canceled is the time at which the daemon
+	// cancelled the run, at the latest the time at which the end of its connection reached the runner; zero if the run was
+	// not cancelled.
 	Sent, Canceled time.Time
-	// Finished is when the run ended; Complete reports that its last event was sent, after Events others.
+	// Finished is the time at which the run ended; Complete reports that its last event was sent, after Events others.
 	Finished time.Time
 	Complete bool
 	Events   int
@@ -63,8 +64,8 @@
 	Done, Error bool
 	// ConnectionLost reports that the connection broke without an answer, RequestSent that the request had been sent.
 	ConnectionLost, RequestSent bool
-	// ClientDisconnected reports that the client itself disconnected; DisconnectedAt is when its close reached the
-	// daemon's machine.
+	// ClientDisconnected reports that the client itself disconnected; DisconnectedAt is the time at which the end of its
+	// connection reached the daemon's machine.
 	ClientDisconnected bool
 	DisconnectedAt     time.Time
 	// CancelsOnDisconnect reports that on the request's route a run is cancelled when its client disconnects.
@@ -80,8 +81,8 @@
 	// header names.
 	Resumable    bool
 	HeaderRunner string
-	// Last is when the last event arrived. Started is when the daemon had received the complete request, and Deadline the
-	// request's deadline after Started; 0 for none.
+	// Last is the time at which the last event arrived. Started is the time at which the daemon had received the complete
+	// request, and Deadline the time that the request has from then on; 0 for no deadline.
 	Last, Started time.Time
 	Deadline      time.Duration
 }
@@ -116,8 +117,8 @@
 	HTTPStatus int
 }
 
-// Drain records that the platform began to list a runner as draining, or ceased to list it. Back is when it listed the
-// runner as before, if it did; a runner that has drained never returns under the same identity.
+// Drain records that the platform began to list a runner as draining, or ceased to list it. Back is the time at which
+// it listed the runner as before; zero if it did not. A runner that has drained never returns under the same identity.
 type Drain struct {
 	At, Back time.Time
 	Runner   string
@@ -143,7 +144,7 @@
 	From, Until time.Time
 }
 
-// OutageEnd records when all machines were back after an outage.
+// OutageEnd records the time at which all machines were back after an outage.
 type OutageEnd struct{ At time.Time }
 
 // CapacitySample is the actual capacity of the backend at a moment: the free slots and all slots, by zone, of the
--- a/verify/histories/rules.go
+++ b/verify/histories/rules.go
@@ -6,10 +6,10 @@
 
 // The bounds of the rules. Each includes an allowance for the accuracy of the observations.
 const (
-	// DrainingBound is how long a runner may receive work after it is listed as draining, SpecBound how long work may
-	// follow an outdated spec after the acknowledgement of its successor, ZoneBound how long a zone may receive work
-	// after its closing is acknowledged, and RecoveryBound how long the fleet may take to serve after all machines are
-	// back.
+	// The first four bounds are maximum times. DrainingBound: from the listing of a runner as draining until it receives
+	// no more work. SpecBound: from the acknowledgement of a spec until no work follows an older one. ZoneBound: from the
+	// acknowledgement of a zone's closing until the zone receives no more work. RecoveryBound: from the return of all
+	// machines until the fleet serves.
 	DrainingBound = 3 * time.Second
 	SpecBound     = 2 * time.Second
 	ZoneBound     = 5 * time.Second
@@ -21,24 +21,26 @@
 	// WarmUpAllowance is the number of requests that a cold runner may receive beyond its capacity: daemons that have not
 	// exchanged their loads yet may each send one.
 	WarmUpAllowance = 2
-	// OverdueBound is the maximum time from when a loss could be known to the final answer.
+	// OverdueBound is the maximum time between the moment at which a loss could be known and the final answer.
 	OverdueBound = 2 * time.Second
-	// DeadlineAllowance is how long after its deadline an answer may arrive, for the daemon's processing and the network.
+	// DeadlineAllowance is the maximum time by which an answer may arrive after its deadline, for the daemon's processing
+	// and the network.
 	// Clocks may deviate by one part in ClockErrorDivisor.
 	DeadlineAllowance = 100 * time.Millisecond
 	ClockErrorDivisor = 50
-	// faultExcusePeriod is how long after its end a fault excuses its consequences.
+	// faultExcusePeriod is the time after the end of a fault during which its consequences are excused.
 	faultExcusePeriod = 12 * time.Second
-	// DoubtBound is how long after a fault of a daemon a request may be refused as possibly executed.
+	// DoubtBound is the maximum time after a fault of a daemon at which a request may be refused as possibly executed.
 	DoubtBound = 13 * time.Minute
-	// FirstDoubtBound is the same bound for a client's first attempt, after daemons of every zone were killed: the time
-	// since the last of them was killed.
+	// FirstDoubtBound is the same bound for a client's first attempt after daemons of every zone were killed, counted from
+	// the last of these kills.
 	FirstDoubtBound = 1500 * time.Millisecond
 	// transitTime is the maximum time for which bytes may be in transit.
 	transitTime = 1500 * time.Millisecond
 	// resetTransitTime is the maximum time for which a connection reset may be in transit.
 	resetTransitTime = 100 * time.Millisecond
-	// DisconnectBound is how long after its client has disconnected a request may reach a runner, or still run there.
+	// DisconnectBound is the maximum time after a client's disconnect at which its request may reach a runner or still
+	// run.
 	DisconnectBound = 500 * time.Millisecond
 	// ReportStaleness is the maximum age of a daemon's knowledge of runners: reports are 0.7 s old, read four times a
 	// second and smoothed.
--- a/verify/histories/run_rules.go
+++ b/verify/histories/run_rules.go
@@ -120,7 +120,7 @@
 	return backend != nil && backend.Model == run.Model && backend.Weights == run.Weights
 }
 
-// drainingFor returns how long before a run its runner was listed as draining; 0 if it was not.
+// drainingFor returns the time from the listing of a run's runner as draining until the run; 0 if it was not listed so.
 func (checker *Checker) drainingFor(run *Run) time.Duration {
 	longest := time.Duration(0)
 	for _, drain := range checker.drains[run.Runner] {
--- a/verify/histories/spec_timeline.go
+++ b/verify/histories/spec_timeline.go
@@ -8,7 +8,8 @@
 	"wardtray/config"
 )
 
-// specVersion is a spec, and when it was sent and acknowledged; acknowledged is zero if its operator got no answer.
+// specVersion is a spec with the times at which it was sent and acknowledged; acknowledged is zero if its operator got
+// no answer.
 type specVersion struct {
 	catalog            *config.Catalog
 	sent, acknowledged time.Time
@@ -95,8 +96,9 @@
 	return &toggled
 }
 
-// between returns the specs under which daemons may have acted at some moment of a span of time: those sent by its end,
-// from the last one on that was acknowledged more than a bound before its begin.
+// between returns the specs under which daemons may have acted at some moment of a span of time. The oldest of them is
+// the last spec that was acknowledged more than bound before the span begins; the others are all later specs that were
+// sent by the end of the span.
 func (timeline *specTimeline) between(from, until time.Time, bound time.Duration) []specVersion {
 	oldest := 0
 	for index, version := range timeline.versions {
@@ -113,8 +115,8 @@
 	return possible
 }
 
-// outdatedFor returns for how long work at a moment had not been permitted: the time since the first acknowledgement of
-// a spec after the last one that permits it.
+// outdatedFor returns the time for which work had not been permitted at a moment: the time since the first
+// acknowledgement of a spec that is later than the last spec that permits the work; 0 if there is none.
 func (timeline *specTimeline) outdatedFor(at time.Time, permits func(catalog *config.Catalog) bool) time.Duration {
 	longest := time.Duration(0)
 	for _, version := range slices.Backward(timeline.versions) {
--- a/verify/histories/worst_cases.go
+++ b/verify/histories/worst_cases.go
@@ -17,7 +17,7 @@
 	Closed time.Duration
 	// Return is the longest time from the machines' return to the first complete answer.
 	Return time.Duration
-	// Overdue is the longest time from when a loss could be known to the final answer of a request.
+	// Overdue is the longest time between the moment at which a loss could be known and the final answer of a request.
 	Overdue time.Duration
 	// Concurrent is the greatest number of requests at a cold runner when it received another.
 	Concurrent int
