--- a/verify/linearizability/check.go
+++ b/verify/linearizability/check.go
@@ -98,13 +98,13 @@
 
 // callOperations returns the operators' calls that state something. However often a change was sent, it is accepted at
 // most once: its effect is one operation between the first transmission and the first evidence of the effect, and each
-// answer to a transmission is an observation of it. So a change without an answer adds no operation without an end. Of
-// observations with the same statement, only the decisive ones are kept.
+// answer to a transmission is an observation of it. So a change without an answer adds no operation that never
+// ends. Of observations with the same statement, only the decisive ones are kept.
 func (recording Recording) callOperations() []porcupine.Operation {
 	operations := make([]porcupine.Operation, 0, len(recording.Calls))
 	for _, change := range recording.effects() {
 		operation := change.operation(change.Caller, change)
-		// The change must come after the observations that began at the moment to which its start was moved.
+		// narrowSpan may have moved the change's start to that of a read, which must come before the change.
 		operation.Call++
 		operations = append(operations, operation)
 	}
--- a/verify/linearizability/decisive.go
+++ b/verify/linearizability/decisive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// statement is what an observation states about the configuration, independently of its time.
+// statement is the content of an observation of the configuration, without its time.
 type statement struct {
 	kind, operation, answer string
 	base, result            uint64
 	hasBase                 bool
 }
 
-// statement returns what a call states.
+// statement returns the statement of a call's answer.
 func (call Call) statement() statement {
 	stated := statement{kind: call.Kind, operation: call.Operation, answer: call.Answer}
 	if call.Answer == AnswerDone {
--- a/verify/linearizability/execution.go
+++ b/verify/linearizability/execution.go
@@ -10,7 +10,7 @@
 
 // execution is the state of one at-most-once request.
 type execution struct {
-	// hasRun reports whether the request ran, number through which client attempt.
+	// hasRun reports whether the request ran, number is the number of the client attempt through which it ran.
 	hasRun bool
 	number int
 	// refused is the number up to which no client attempt may run any more.
--- a/verify/linearizability/recording.go
+++ b/verify/linearizability/recording.go
@@ -37,7 +37,8 @@
 
 // The answers to operators' calls.
 const (
-	// AnswerDone means a read that returned an epoch, or a change that is accepted under an epoch, or the lookup of one.
+	// AnswerDone means a read that returned an epoch, a change that was accepted under an epoch, or a lookup that found
+	// such a change.
 	AnswerDone = "done"
 	// AnswerRefused means a change that was refused for its content, or a lookup that found nothing.
 	AnswerRefused = "refused"
@@ -56,7 +57,7 @@
 	Caller    int    `json:"caller"`
 	Kind      string `json:"kind"`
 	Operation string `json:"operation,omitempty"`
-	// Base and Epoch are those that a change names; HasBase and HasEpoch report whether it does.
+	// Base and Epoch are the epochs that a change names; HasBase and HasEpoch report whether it names them.
 	Base     uint64 `json:"base,omitempty"`
 	HasBase  bool   `json:"has_base,omitempty"`
 	Epoch    uint64 `json:"epoch,omitempty"`
@@ -105,7 +106,7 @@
 
 // writeFile creates a file, writes its contents and closes it.
 func writeFile(path string, write func(io.Writer) error) error {
-	file, err := os.Create(path) //nolint:gosec // The caller names the file.
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
