--- a/verify/modelcheck/actions.go
+++ b/verify/modelcheck/actions.go
@@ -88,8 +88,8 @@
 	return actions
 }
 
-// quiescent reports whether no message can be delivered and no write synced: what is outstanding is delayed by Hold or
-// belongs to a frozen machine.
+// quiescent reports whether no message can be delivered and no write synced: all outstanding messages and writes are
+// delayed by Hold or belong to a frozen machine.
 func (world *world) quiescent() bool {
 	for _, message := range world.network.inFlight {
 		if !world.byName[message.to].frozen {
@@ -332,6 +332,6 @@
 		world.checker.acknowledged(), recoveryTicks*tickLength, lost.nameOrNobody())
 }
 
-// settleTime is how long a prepared fleet runs before a search begins. It is no shorter than startupTime, so that
-// daemons count as reaching the control machines.
+// settleTime is the time for which a prepared fleet runs before a search begins. It is no shorter than startupTime, so
+// that daemons count as reaching the control machines.
 const settleTime = 2 * time.Second
--- a/verify/modelcheck/checker.go
+++ b/verify/modelcheck/checker.go
@@ -11,7 +11,8 @@
 	"wardtray/wire"
 )
 
-// checker records what one run has shown and the first violated property. The package documentation defines P1 to P5.
+// checker records the observations of one run and the first violated property. The package documentation defines P1 to
+// P5.
 type checker struct {
 	world *world
 	// violation describes the first property that did not hold; "" while all hold.
@@ -36,8 +37,8 @@
 	// reached a control machine.
 	servedEpoch    map[string]uint64
 	reachableSince map[string]time.Time
-	// responded holds the requests, by index, that have their response; epochAtRequest holds for those that wait for one
-	// the epoch that was acknowledged when they were sent.
+	// responded holds the requests that have their response, by index. epochAtRequest holds, for each request that has
+	// none yet, the greatest epoch that was acknowledged when it was sent.
 	responded      map[int]bool
 	epochAtRequest map[int]uint64
 }
@@ -157,7 +158,7 @@
 		}
 		for _, member := range view.Chain {
 			if epoch := host.node.Chain().Latest().SpecEpoch; member.Id == host.node.Self().Id && epoch < least {
-				checker.fail("P4", "%s joins in view %d with epoch %d, %d was acknowledged before view %d", host.name,
+				checker.fail("P4", "%s joins in view %d with epoch %d, although %d was acknowledged before view %d", host.name,
 					view.Epoch, epoch, least, view.Epoch-1)
 			}
 		}
@@ -187,21 +188,21 @@
 	}
 	chain := host.node.Chain()
 	if latest := chain.Latest().Sequence; latest < checker.committed {
-		checker.fail("P4", "%s leads with history up to %d, %d is committed", host.name, latest, checker.committed)
+		checker.fail("P4", "%s leads with history up to %d, although %d is committed", host.name, latest, checker.committed)
 	}
 	if epoch := chain.Committed().SpecEpoch; epoch < checker.acknowledged() {
-		checker.fail("P4", "%s leads by epoch %d, %d was acknowledged", host.name, epoch, checker.acknowledged())
+		checker.fail("P4", "%s leads under epoch %d, although %d was acknowledged", host.name, epoch, checker.acknowledged())
 	}
 }
 
-// checkLearnResponse checks what a machine is about to teach.
+// checkLearnResponse checks that the state that a machine is about to transfer has every acknowledged change.
 func (checker *checker) checkLearnResponse(host *host, envelope *wire.Envelope) {
 	answer := envelope.GetLearnResponse()
 	if answer == nil || answer.View < checker.newestView {
 		return
 	}
 	if answer.Document.GetSpecEpoch() < checker.acknowledged() {
-		checker.fail("P4", "%s teaches epoch %d in view %d, %d was acknowledged", host.name,
+		checker.fail("P4", "%s transfers epoch %d in view %d, although %d was acknowledged", host.name,
 			answer.Document.GetSpecEpoch(), answer.View, checker.acknowledged())
 	}
 }
@@ -251,7 +252,7 @@
 
 // checkServedEpoch checks that a daemon that reaches a control machine assigns no work under an epoch older than the
 // acknowledged one. A change is acknowledged only when no daemon can act under an older one. The exception is a daemon
-// that reached no control machine: it has the duration of a lease from when it reaches one again.
+// that reached no control machine: after it reaches one again, it may use the older epoch for the duration of a lease.
 func (checker *checker) checkServedEpoch(host *host, epoch uint64, reached time.Time) {
 	for _, operation := range sortedKeys(checker.accepted) {
 		since := checker.accepted[operation].At
@@ -267,8 +268,8 @@
 
 // recordReachability records since when a daemon has reached at least one control machine. A daemon that reaches none
 // may continue under its last configuration version for isolationLimit. A control machine that started less than
-// startupTime ago cannot yet know whether there is a head and does not count; see "Without any core" in
-// docs/control.md.
+// startupTime ago cannot yet know whether there is a head and does not count; see "Without any control
+// machine" in docs/control.md.
 func (checker *checker) recordReachability(daemon *host) {
 	for _, host := range checker.world.hosts {
 		if host.isControlNode && host.up && !host.frozen && checker.world.now.Sub(host.bootedAt) >= startupTime &&
@@ -358,7 +359,7 @@
 	}
 }
 
-// timesSent returns how often a scenario sends an operation.
+// timesSent returns the number of times that a scenario sends an operation.
 func (checker *checker) timesSent(operation string) int {
 	count := 0
 	for _, request := range checker.world.scenario.Requests {
--- a/verify/modelcheck/explore.go
+++ b/verify/modelcheck/explore.go
@@ -18,7 +18,7 @@
 // Result holds the statistics of a search and the violation that it found, if any.
 type Result struct {
 	// States counts the distinct states, Transitions the actions taken between them, Revisited the actions that led to a
-	// state seen before, and Runs how often the search restarted from the initial state.
+	// state seen before, and Runs the restarts of the search from the initial state.
 	States, Transitions, Revisited, Runs int
 	// Deepest is the greatest depth of a state in actions, Complete the depth up to which every order was tried.
 	Deepest, Complete int
@@ -180,7 +180,8 @@
 	return nil
 }
 
-// blackoutRedraws is how often the choice of an action is repeated while it is a blackout, which ends the run.
+// blackoutRedraws is the number of times that the random choice of an action is repeated if it is a blackout, so that
+// fewer runs end early: a blackout ends its run.
 const blackoutRedraws = 3
 
 func (explorer *explorer) choose(untried []Action) int {
--- a/verify/modelcheck/scenario.go
+++ b/verify/modelcheck/scenario.go
@@ -55,9 +55,9 @@
 	// tickLength is the duration of one Tick; one Wait is ticksPerWait of them.
 	tickLength   = 100 * time.Millisecond
 	ticksPerWait = 8
-	// startupTime is how long after its start a control machine can't know whether there is a head.
+	// startupTime is the time after its start in which a control machine can't know whether there is a head.
 	startupTime = 2 * time.Second
-	// isolationLimit is how long a daemon that reaches no control machine continues to serve, as in the product.
+	// isolationLimit is the time for which a daemon that reaches no control machine continues to serve, as in the product.
 	isolationLimit = 5 * time.Minute
 	// toleratedFaults is the number of disks that may be lost at the same time.
 	toleratedFaults = 1
