--- a/verify/placement/batch_runner.go
+++ b/verify/placement/batch_runner.go
@@ -131,10 +131,10 @@
 // advancePrompts records the prefilled tokens of each sequence, and returns the sequences that have thereby produced
 // their first token, in order of arrival.
 func advancePrompts(now time.Time, chunks map[*sequence]int) (started []*sequence) {
-	reading := slices.SortedFunc(maps.Keys(chunks),
+	prefilled := slices.SortedFunc(maps.Keys(chunks),
 		func(left, right *sequence) int { return left.arrival - right.arrival })
-	for _, sequence := range reading {
-		if sequence.readTokens(now, chunks[sequence]) {
+	for _, sequence := range prefilled {
+		if sequence.addPrefilled(now, chunks[sequence]) {
 			started = append(started, sequence)
 		}
 	}
--- a/verify/placement/batch_step.go
+++ b/verify/placement/batch_step.go
@@ -12,8 +12,8 @@
 	budget int
 	// length is the duration of the step on a runner without a slowdown.
 	length time.Duration
-	// decoding holds the sequences that produce a token, reading those whose prompts are not completely prefilled.
-	decoding, reading []*sequence
+	// decoding holds the sequences that produce a token, prefilling those whose prompts are not yet completely prefilled.
+	decoding, prefilling []*sequence
 	// chunks is the number of prompt tokens that the step prefills, by sequence.
 	chunks map[*sequence]int
 }
@@ -42,7 +42,7 @@
 	profile := step.runner.profile
 	for _, running := range step.runner.running {
 		if !running.decoding {
-			step.reading = append(step.reading, running)
+			step.prefilling = append(step.prefilling, running)
 			continue
 		}
 		step.decoding = append(step.decoding, running)
@@ -53,52 +53,52 @@
 
 // overtake admits and prefills the queued sequences that precede those whose prompts are partly prefilled.
 func (step *step) overtake() {
-	sort.SliceStable(step.reading,
-		func(left, right int) bool { return step.reading[left].before(step.reading[right]) })
+	sort.SliceStable(step.prefilling,
+		func(left, right int) bool { return step.prefilling[left].before(step.prefilling[right]) })
 	for admitted := true; admitted && step.queueIsNext(); {
-		admitted = step.admitAndRead() && step.budget > 0
+		admitted = step.admitAndPrefill() && step.budget > 0
 	}
 }
 
 // queueIsNext reports whether a queued sequence precedes all those whose prompts are partly prefilled.
 func (step *step) queueIsNext() bool {
 	queue := step.runner.queue
-	return len(queue) > 0 && (len(step.reading) == 0 || queue[0].before(step.reading[0]))
+	return len(queue) > 0 && (len(step.prefilling) == 0 || queue[0].before(step.prefilling[0]))
 }
 
 // fill uses the rest of the budget for prompts that are partly prefilled, then for queued sequences.
 func (step *step) fill() {
-	for _, sequence := range step.reading {
+	for _, sequence := range step.prefilling {
 		if step.budget > 0 && step.chunks[sequence] == 0 {
-			step.read(sequence)
+			step.prefill(sequence)
 		}
 	}
 	for admitted := true; admitted && step.budget > 0; {
-		admitted = step.admitAndRead()
+		admitted = step.admitAndPrefill()
 	}
 }
 
-// read plans the prefill of as many tokens of a prompt as the budget allows.
-func (step *step) read(sequence *sequence) {
-	chunk := min(step.budget, sequence.prompt-sequence.read)
+// prefill plans the prefill of as many tokens of a prompt as the budget allows.
+func (step *step) prefill(sequence *sequence) {
+	chunk := min(step.budget, sequence.prompt-sequence.prefilled)
 	if chunk <= 0 {
 		return
 	}
 	step.chunks[sequence] = chunk
 	step.budget -= chunk
 	profile := step.runner.profile
-	pairs := float64(chunk)*float64(sequence.read) + float64(chunk)*float64(chunk)/2
+	pairs := float64(chunk)*float64(sequence.prefilled) + float64(chunk)*float64(chunk)/2
 	step.length += scale(profile.PerToken, float64(chunk)) + scale(profile.PerPairs, pairs/1e6)
 }
 
-// admitAndRead admits the first queued sequence and plans its prefill; it reports whether a sequence was admitted.
-func (step *step) admitAndRead() bool {
+// admitAndPrefill admits the first queued sequence and plans its prefill; it reports whether a sequence was admitted.
+func (step *step) admitAndPrefill() bool {
 	admitted := step.runner.admit()
 	if admitted == nil {
 		return false
 	}
-	step.reading = append(step.reading, admitted)
-	step.read(admitted)
+	step.prefilling = append(step.prefilling, admitted)
+	step.prefill(admitted)
 	return true
 }
 
@@ -114,7 +114,7 @@
 	runner.queue = runner.queue[1:]
 	runner.running = append(runner.running, next)
 	next.cached = min(runner.cache.Use(next.keys, next.partTokens), next.prompt-1)
-	next.read = next.cached
+	next.prefilled = next.cached
 	return next
 }
 
--- a/verify/placement/sequence.go
+++ b/verify/placement/sequence.go
@@ -36,9 +36,9 @@
 	sequenceRequest
 	// arrival is the number of the request in order of acceptance.
 	arrival int
-	// read is the number of prompt tokens that were prefilled or cached, cached the number of those that were cached at
-	// admission, written the number of answer tokens.
-	read, cached, written int
+	// prefilled is the number of prompt tokens that were prefilled or cached, cached the number that were cached at
+	// admission, written the number of answer tokens produced so far.
+	prefilled, cached, written int
 	// decoding reports whether the prompt is completely prefilled.
 	decoding  bool
 	lastEvent time.Time
@@ -73,11 +73,11 @@
 	}
 }
 
-// readTokens records prefilled prompt tokens, and reports whether the sequence has thereby produced its first answer
+// addPrefilled records prefilled prompt tokens, and reports whether the sequence has thereby produced its first answer
 // token.
-func (sequence *sequence) readTokens(now time.Time, tokens int) (first bool) {
-	sequence.read += tokens
-	if sequence.read < sequence.prompt || sequence.ended {
+func (sequence *sequence) addPrefilled(now time.Time, tokens int) (first bool) {
+	sequence.prefilled += tokens
+	if sequence.prefilled < sequence.prompt || sequence.ended {
 		return false
 	}
 	if !sequence.decoding && sequence.written == 0 {
@@ -92,7 +92,7 @@
 // evict removes the sequence from memory: the next prefill includes the answer tokens produced so far.
 func (sequence *sequence) evict() {
 	sequence.prompt += sequence.written
-	sequence.read = 0
+	sequence.prefilled = 0
 	sequence.decoding = false
 }
 
