--- a/verify/histories/wrongful_refusals.go
+++ b/verify/histories/wrongful_refusals.go
@@ -7,7 +7,7 @@
 	"purse_spent":     ampleCapacity,
 	"waitlist_full":   ampleCapacity,
 	"no_fit_runner":   ampleCapacity,
-	"not_serving":     untouchedDaemon,
+	"not_serving":     faultlessDaemon,
 	"outcome_unknown": faultlessRunner,
 	"run_failed":      faultlessRunner,
 	"unknown_lane":    routeInSpec,
@@ -34,11 +34,11 @@
 	return ""
 }
 
-// untouchedDaemon detects a daemon that did not serve although neither it nor half of the daemons had a fault, so that
+// faultlessDaemon detects a daemon that did not serve although neither it nor half of the daemons had a fault, so that
 // the head or the other daemons could confirm its spec. While only a minority of the control machines is left, the spec
 // can't be confirmed, since the majority may have changed it elsewhere. While none is left, a daemon serves under the
 // spec that it has.
-func untouchedDaemon(checker *Checker, attempt *ClientAttempt) string {
+func faultlessDaemon(checker *Checker, attempt *ClientAttempt) string {
 	faulty := map[string]bool{}
 	for _, fault := range checker.history.Faults {
 		if fault.Daemon != "" && fault.excuses(attempt.Sent, attempt.Got) {
--- a/verify/histories/wrongful_refusals_test.go
+++ b/verify/histories/wrongful_refusals_test.go
@@ -31,7 +31,7 @@
 		}
 		attempt := &ClientAttempt{Daemon: "other", Sent: at(54), Got: at(55), Kind: "not_serving",
 			MinorityLeft: test.minorityLeft}
-		if why := untouchedDaemon(NewChecker(history, history.Final.Known), attempt); (why == "") != test.excused {
+		if why := faultlessDaemon(NewChecker(history, history.Final.Known), attempt); (why == "") != test.excused {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
--- a/verify/modelcheck/doc.go
+++ b/verify/modelcheck/doc.go
@@ -11,7 +11,7 @@
 //	P2 of two changes with the same base at most one is acknowledged, and no outcome is ever reversed
 //	P3 an acknowledged change survives the loss of one disk while all other machines lose power, at any moment
 //	P4 no machine leads, transfers state to another or joins the chain with less history than was acknowledged
-//	P5 each response reaches its own request, once, and an operation is entered once
+//	P5 each response reaches its own request, once, and an operation is entered in the history once
 //
 // and agreement: one document for each sequence number, one view for each epoch.
 //
