--- a/control/daemonlease/confirmer.go
+++ b/control/daemonlease/confirmer.go
@@ -29,8 +29,8 @@
 
 // Confirm reports whether the acceptor confirms to a daemon that it knows of nothing newer, and records the
 // confirmation. isMember states whether the daemon is in the newest known directory. An acceptor that has voted for the
-// next view neither confirms nor grants the head a lease in the current one: no daemon can get a majority of
-// confirmations in a view once the next one is chosen.
+// next view neither confirms to daemons nor grants the head a lease in the current view. So no daemon can get a
+// majority of confirmations in a view once the next view is chosen.
 func (confirmer *Confirmer) Confirm(now time.Time, address string, request *wire.DaemonLeaseRequest,
 	isMember bool) bool {
 	if !isMember || !confirmer.mayConfirm(request.View) {
--- a/control/daemonlease/delivery.go
+++ b/control/daemonlease/delivery.go
@@ -26,14 +26,14 @@
 	until   time.Time
 }
 
-// HandleRestart handles that the process started with a view read from its disk. Views that ended shortly before the
-// start are unknown, so the confirmations of unknown acceptors may still be relied on.
+// HandleRestart must be called if the process started with a view read from its disk. Views that ended shortly before
+// the start are unknown, so daemons may still rely on the confirmations of unknown acceptors.
 func (leases *Leases) HandleRestart(now time.Time) {
 	leases.previous = []previousAcceptors{{until: now.Add(leases.Length())}}
 }
 
-// Adopt handles that another view is agreed on. The acceptors of the previous view still count for as long as a daemon
-// may rely on their confirmations.
+// Adopt handles a newly agreed view. The acceptors of the previous view still count for as long as a daemon may rely on
+// their confirmations.
 func (leases *Leases) Adopt(now time.Time, current *wire.View) {
 	ended := leases.view
 	leases.view = current
@@ -61,10 +61,10 @@
 	leases.acceptorProgress.Report(acceptor, sequence, until)
 }
 
-// IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows it, and no
-// daemon without it can still hold a lease, whether granted by this head, by the previous head, or by the confirmations
-// of a majority of acceptors. Only daemons of the directory get leases, so it suffices that all of them are known to
-// have the change.
+// IsDelivered reports whether a committed change may be acknowledged: a majority of the acceptors knows that it is
+// committed, and no daemon without the change can still hold a lease, whether granted by this head, by the previous
+// head, or by the confirmations of a majority of acceptors. Only daemons of the directory get leases, so it suffices
+// that all of them are known to have the change.
 func (leases *Leases) IsDelivered(leader DeliveryContext, sequence uint64) bool {
 	document := leases.chain.Committed()
 	if document.Sequence < sequence || leader.Since.IsZero() {
@@ -82,8 +82,8 @@
 			leases.leasesExpired(leader.Now, sequence)
 }
 
-// majorityKnows reports whether a majority of the acceptors knows a sequence, so that from now on no majority confirms
-// an older one.
+// majorityKnows reports whether a majority of the acceptors knows that a sequence is committed, so that from now on no
+// majority confirms an older document.
 func (leases *Leases) majorityKnows(acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
@@ -108,8 +108,8 @@
 	return true
 }
 
-// majorityFenced reports whether a majority of some acceptors knows a sequence, and all confirmations of older ones by
-// this majority have expired.
+// majorityFenced reports whether a majority of some acceptors knows that a sequence is committed, and all confirmations
+// of older documents by this majority have expired.
 func (leases *Leases) majorityFenced(now time.Time, acceptors []*wire.Member, sequence uint64) bool {
 	count := 0
 	for _, acceptor := range acceptors {
@@ -120,21 +120,22 @@
 	return count >= view.Majority(len(acceptors))
 }
 
-// allDaemonsKnow reports whether every daemon that may hold a lease knows a sequence, or has ended since its commit.
+// allDaemonsKnow reports whether every daemon that may hold a lease has the document with a sequence or a newer one, or
+// has ended since the sequence was committed.
 func (leases *Leases) allDaemonsKnow(document *wire.Document, sequence uint64) bool {
 	committed, found := leases.commits[sequence]
 	return found && leases.allUpToDate(document, sequence, committed)
 }
 
-// previousLeasesExpired reports whether no daemon that does not know a sequence can still hold a lease of the previous
-// head. That head may have granted leases to every daemon of the directory, or of the previous one, until this term
-// began.
+// previousLeasesExpired reports whether no daemon whose document is older than a sequence can still hold a lease of the
+// previous head. That head may have granted leases to every daemon of the directory, or of the previous directory,
+// until this term began.
 func (leases *Leases) previousLeasesExpired(leader DeliveryContext, document *wire.Document, sequence uint64) bool {
 	return leader.Now.Sub(leader.Since) >= leases.Length() || leases.allUpToDate(document, sequence, leader.Since)
 }
 
-// leasesExpired reports whether no daemon that does not know a sequence can still hold a lease of this head. A lease
-// granted after the commit requires its daemon to have the change, so only older leases count.
+// leasesExpired reports whether no daemon whose document is older than a sequence can still hold a lease of this head.
+// A lease granted after the commit requires its daemon to have the change, so only older leases count.
 func (leases *Leases) leasesExpired(now time.Time, sequence uint64) bool {
 	if committed, found := leases.commits[sequence]; found && now.Sub(committed) >= leases.Length() {
 		return true
@@ -158,8 +159,8 @@
 	return true
 }
 
-// isUpToDate reports whether a daemon knows a sequence, or whether its process ended after a point in time: the next
-// process at its address serves no request before it has learned everything newer.
+// isUpToDate reports whether a daemon has the document with a sequence or a newer one, or its process ended after the
+// time since: the next process at its address serves no request before it has the newest document.
 func (leases *Leases) isUpToDate(address string, sequence uint64, since time.Time) bool {
 	known := leases.daemons[address]
 	return known != nil && (known.requests > 0 && known.sequence >= sequence || known.terminated.After(since))
--- a/control/daemonlease/holders.go
+++ b/control/daemonlease/holders.go
@@ -7,7 +7,7 @@
 	"wardtray/wire"
 )
 
-// clockTolerance is the fraction by which a time span that a daemon measures may be longer on the head's clock.
+// clockTolerance is the fraction by which a time span may be longer on the head's clock than on a daemon's.
 const clockTolerance = 0.05
 
 // Holders derives the state of the daemons that hold reservations from their lease requests.
@@ -67,7 +67,7 @@
 		known.reservations.GetEpoch() == epoch
 }
 
-// NewestEpoch returns the newest membership epoch under which any daemon reports to act.
+// NewestEpoch returns the newest epoch of a membership under which any daemon has reported that it acts.
 func (holders Holders) NewestEpoch() uint64 {
 	newest := uint64(0)
 	for _, known := range holders.leases.daemons {
@@ -76,8 +76,8 @@
 	return newest
 }
 
-// AllReserve returns two conditions. all: every daemon of a directory has been heard, and every daemon that requests
-// leases makes reservations. noException: no daemon has been heard that makes none.
+// AllReserve reports two conditions. noException: every daemon that has requested a lease makes reservations. all: this
+// holds, and every daemon of a directory has been heard.
 func (holders Holders) AllReserve(directory []*wire.Member) (all, noException bool) {
 	all, noException = true, true
 	for _, member := range directory {
--- a/control/daemonlease/leases.go
+++ b/control/daemonlease/leases.go
@@ -45,8 +45,8 @@
 	requests    int
 	incarnation uint64
 	draining    bool
-	// terminated is the time of the last connection attempt that its address refused: its process and its leases had
-	// ended before.
+	// terminated is the time of the last connection attempt that its address refused. A process listens until it ends, so
+	// the daemon's process and its leases had ended by then.
 	terminated time.Time
 	// reservations is its report as a holder of reservations; nil if it makes none.
 	reservations *wire.ReservationReport
@@ -129,7 +129,8 @@
 	if known.incarnation != request.Incarnation {
 		known.incarnation, known.lastGrant, known.requests = request.Incarnation, time.Time{}, 0
 	}
-	// A restarted daemon may have less than it reported before: its last report counts, not the greatest.
+	// A restarted daemon may have an older document than it reported before, so its last report counts, not the newest
+	// sequence that it has reported.
 	known.zone, known.http, known.sequence = request.Zone, request.Http, request.Sequence
 	known.reservations = request.Reservations
 	known.liveness.observe(now, request.Incarnation, request.Challenge)
@@ -138,16 +139,16 @@
 	return true
 }
 
-// Grant grants a lease to a daemon that requested one. The daemon must be in the directory: the next head waits for
-// every daemon of the directory, and so for all that may hold a lease of this head.
+// Grant grants a lease to a daemon that requested one. The daemon must be in the directory: before the next head
+// acknowledges a change, it waits for the leases of the daemons in the directory, but not for those of others.
 func (leases *Leases) Grant(now time.Time, address string, grant *wire.DaemonLeaseGrant) {
 	leases.daemons[address].lastGrant = now
 	grant.Granted, grant.Sequence = true, leases.chain.Committed().Sequence
 	grant.Milliseconds = uint32(leases.duration.Milliseconds())
 }
 
-// ConnectionRefused handles that an address refused a connection attempted at a given time. It reports whether this
-// shows that a daemon's process has ended.
+// ConnectionRefused handles a connection attempt, made at the time tried, that was refused at an address. It reports
+// whether this shows that a daemon's process has ended.
 func (leases *Leases) ConnectionRefused(address string, tried time.Time) bool {
 	known, document := leases.daemons[address], leases.chain.Committed()
 	isMember := membership.Contains(document.Directory, address) ||
@@ -237,7 +238,7 @@
 	var joining []*wire.Member
 	for address, known := range leases.daemons {
 		isActive := known.requests >= joinRequests && !known.draining && now.Sub(known.lastRequest) < leases.duration
-		// A daemon that makes reservations may come to hold them too, so it must first prove that it is alive.
+		// A daemon that makes reservations may be chosen to hold those of others, so it must first prove that it is alive.
 		isProven := known.reservations == nil || known.liveness.incarnation == known.incarnation
 		if !isListed[address] && isActive && isProven {
 			joining = append(joining, &wire.Member{Id: address, Address: address, Zone: known.zone, Http: known.http})
--- a/control/daemonlease/liveness.go
+++ b/control/daemonlease/liveness.go
@@ -6,17 +6,19 @@
 const maximumChallenges = 4
 
 // liveness identifies which of the successive processes at one address is alive. Requests of an ended process may still
-// arrive, so each incarnation is sent a challenge. When an incarnation is the first or another one to return its
-// challenge, the challenges of all others are discarded: only a live process can return one that was issued later.
+// arrive, so each incarnation is sent a challenge. The first incarnation to return its challenge counts as alive. When
+// another incarnation returns its challenge, it counts as alive instead, and the challenges of all others are
+// discarded: they are issued new ones, which only a live process can return.
 type liveness struct {
 	// challenges maps incarnations to their challenges.
 	challenges map[uint64]uint64
-	// incarnation is the one that last returned its challenge, at lastSeen; 0 if none has.
+	// incarnation is the incarnation that last returned its challenge, 0 if none has; lastSeen is the time of that.
 	incarnation uint64
 	lastSeen    time.Time
 }
 
-// observe handles a request of an incarnation that returns a challenge; 0 means that it returns none.
+// observe handles a request of an incarnation. challenge is the challenge that the request returns; 0 if it returns
+// none.
 func (liveness *liveness) observe(now time.Time, incarnation, challenge uint64) {
 	if challenge == 0 || liveness.challenges[incarnation] != challenge {
 		return
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -38,7 +38,7 @@
 }
 
 // HandleReport returns the reply to a daemon's report of the shares that it holds; nil if there is none to send. A
-// daemon that was granted no lease (isLeased) gets no share.
+// daemon gets shares only if it was granted a lease (isLeased).
 func (quotas *Quotas) HandleReport(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
