--- a/control/node/daemons.go
+++ b/control/node/daemons.go
@@ -31,7 +31,7 @@
 }
 
 // newDaemons returns the daemons' part of a machine that has just started. The nonce identifies its first request for
-// the leader's lease; clearedTerm is the one recorded on its disk.
+// the leader's lease; clearedTerm is the term that its disk records as cleared (leadership.Grantor).
 func newDaemons(now time.Time, members *members, nonce, clearedTerm uint64, random *rand.Rand) *daemons {
 	agent, history, outbox, addressOf := members.agent, members.chain, members.outbox, members.detector.AddressOf
 	settings, self := members.settings, members.self
--- a/control/node/dispatch.go
+++ b/control/node/dispatch.go
@@ -31,8 +31,8 @@
 		node.members.chain.HandleAlignment(now, envelope.Sender, body.ChainAck)
 	})
 	addHandler(table, func(_ time.Time, envelope *wire.Envelope, body *wire.Envelope_LearnRequest) {
-		// Every member before the tail has what the tail has, so in the tail's view all of it is committed. What a
-		// process learned in a view is valid only in that view.
+		// Every member of the chain has everything that the tail has, so under the tail's view the tail's complete history is
+		// committed. A process that learns the history under a view may join the chain only while that view is current.
 		node.members.chain.HandleLearnRequest(envelope.From, body.LearnRequest)
 	})
 	addHandler(table, func(now time.Time, _ *wire.Envelope, body *wire.Envelope_LearnResponse) {
--- a/control/node/members.go
+++ b/control/node/members.go
@@ -121,8 +121,8 @@
 	members.detector.Forget(now)
 }
 
-// hearsMajority reports whether a majority of the chain members and acceptors is alive to this machine, itself
-// included. Before the first view it reports whether it hears another machine or is the only founder.
+// hearsMajority reports whether this machine hears a majority of the chain members and acceptors; it counts itself if
+// it is one of them. Before the first view it reports whether it hears another machine or is the only founder.
 func (members *members) hearsMajority(now time.Time) bool {
 	if members.agent.Current().Epoch == 0 {
 		return len(members.settings.Founders) <= 1 || len(members.detector.Peers()) > 0
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -210,9 +210,9 @@
 	return node.requests.Submit(now, message, respond)
 }
 
-// Abandon removes a request whose operator no longer waits, without a response, so that it does not occupy a slot. A
-// change that it contains is still processed: if the operator sends it again, here or to another machine, the response
-// states the outcome.
+// Abandon removes a read whose operator no longer waits, without a response, so that it does not count towards the
+// bound of open requests. A change is not removed: if the operator sends it again, here or to another machine, the
+// response states the outcome.
 func (node *Node) Abandon(token string) { node.requests.Abandon(token) }
 
 // IsLeading reports whether this machine may act as head at this moment.
@@ -238,12 +238,12 @@
 // each change.
 func (node *Node) ChainLimit() int { return reconfiguration.ChainLimit(node.settings.Faults) }
 
-// Register handles a runner's call; respond is called once, within a second.
+// Register handles a runner's registration or heartbeat; respond is called once, within a second.
 func (node *Node) Register(now time.Time, runner *wire.Runner, respond func(outcome registry.Outcome)) {
 	node.registrar.Register(now, runner, respond)
 }
 
-// Deregister handles the end of a runner; respond is called once, within a second.
+// Deregister removes a runner from the registry; respond is called once, within a second.
 func (node *Node) Deregister(now time.Time, id string, respond func(outcome registry.Outcome)) {
 	node.registrar.Deregister(now, id, respond)
 }
--- a/control/proposal/change.go
+++ b/control/proposal/change.go
@@ -111,11 +111,12 @@
 	return refusal(code, change.latest.SpecEpoch, change.message.Operation, detail)
 }
 
-// refuse replies with a refusal. No copy of the request that arrives later is accepted.
+// refuse replies with a refusal, at once or, if that rests on an uncommitted configuration, after the commit. No copy
+// of the request that arrives after the reply is accepted.
 func (change *changeRequest) refuse(now time.Time, status int, reply Reply) {
 	proposals, message := change.proposals, change.message
-	// A configuration that is not committed yet may be lost with this head, and a copy of the request at the next head
-	// might then be accepted. Once the configuration is committed, no copy can be.
+	// While the latest configuration is uncommitted, it may be lost with this head, and the next head might then accept a
+	// copy of the request. Once it is committed, every head refuses the request.
 	isCommitted := change.latest.SpecEpoch == proposals.chain.Committed().SpecEpoch
 	if status != http.StatusServiceUnavailable && !isCommitted {
 		proposals.deferRequest(now, message)
--- a/control/proposal/proposals.go
+++ b/control/proposal/proposals.go
@@ -37,7 +37,8 @@
 // Proposals handles operators' requests at the head.
 type Proposals struct {
 	self string
-	// incarnation is that of this process. refusals is lost when the process ends.
+	// incarnation is that of this process. It identifies requests that were sent to an earlier incarnation, whose refusals
+	// are lost.
 	incarnation uint64
 	chain       *chain.Chain
 	outbox      *statemachine.Outbox
@@ -82,7 +83,7 @@
 	}
 }
 
-// Adopt handles that another view is agreed on. A process that is not its head drops the waiting requests. Each is
+// Adopt handles a newly agreed view. A process that is not the view's head drops its waiting requests. Each of them is
 // still open at its origin, which sends it to the new head; that head finds the change in its history or decides on it
 // again.
 func (proposals *Proposals) Adopt() {
--- a/control/proposal/requests.go
+++ b/control/proposal/requests.go
@@ -28,7 +28,7 @@
 	message  *wire.OperatorRequest
 	respond  func(status int, body []byte)
 	deadline time.Time
-	// lastSent is the time at which it was last sent, view the epoch of the view under which it was.
+	// lastSent is the time at which it was last sent, and view the epoch of the newest known view at that time.
 	lastSent time.Time
 	view     uint64
 	// recipients are the ids of the heads that may have decided on it.
@@ -141,8 +141,8 @@
 		requests.serve(now, open.message)
 		return
 	}
-	// A copy may be delayed for long. Only the incarnation to which it is sent knows whether it refused the request
-	// before.
+	// A copy may be delayed for long, and only the incarnation of the head to which it is sent knows whether it has
+	// refused the request before. So the copy names that incarnation, and a later one drops it.
 	incarnation, heard := requests.peers.Incarnation(head.Id)
 	if !heard {
 		return
