--- a/control/server/eventloop.go
+++ b/control/server/eventloop.go
@@ -42,7 +42,7 @@
 		}
 	}
 	server.decommission(ticker)
-	return apierror.Wrap(httpServer.Shutdown(), apierror.Internal, "closing the HTTP server")
+	return apierror.Wrap(httpServer.Shutdown(), apierror.Internal, "shutting down the HTTP server")
 }
 
 // decommission hands the node's roles over to other nodes. It returns when that is done or its timeout is over.
@@ -92,7 +92,7 @@
 	server.transport.Send(messages)
 	for _, write := range writes {
 		if !server.writes.Offer(write) {
-			// A disk with a full queue counts as failed: waiting for it here would block the complete node.
+			// A disk with a full queue counts as failed: waiting for it here would block every step of the node.
 			server.node.DiskFailed(time.Now())
 		}
 	}
--- a/control/server/http.go
+++ b/control/server/http.go
@@ -57,7 +57,7 @@
 	}
 	go func() {
 		if err := httpServer.Serve(listener); err != nil {
-			server.log.Error("the HTTP server failed; it serves no operators or runners until a restart, the node runs on",
+			server.log.Error("the HTTP server failed; requests at its address are not served until a restart",
 				"cause", err.Error())
 		}
 	}()
--- a/control/server/runners.go
+++ b/control/server/runners.go
@@ -104,8 +104,8 @@
 // RefuseDisconnectedHeartbeat refuses a runner's heartbeat whose caller has disconnected, as RefuseDisconnected does,
 // unless the heartbeat states that the runner is draining.
 //
-// A runner that got no response has called another process, or crashed, and handling its old heartbeat would count as a
-// sign of life. That a runner is draining stays true, however late the heartbeat is read.
+// A runner that got no response has called another process, or has crashed; handling its old heartbeat would make a
+// crashed runner appear alive. A draining runner stays draining, so such a heartbeat is true however late it is read.
 func RefuseDisconnectedHeartbeat(request *fasthttp.RequestCtx, runner *wire.Runner) bool {
 	return runner.State != registry.Draining && RefuseDisconnected(request)
 }
--- a/control/server/server.go
+++ b/control/server/server.go
@@ -110,7 +110,7 @@
 	return recovery, nil
 }
 
-// nodeSettings returns the settings of the node in a process's settings.
+// nodeSettings derives the node's settings from those of the process.
 func nodeSettings(settings *process.Settings) node.Settings {
 	return node.Settings{
 		Limits:          nodeLimits(settings),
@@ -155,7 +155,7 @@
 	server.step(func(now time.Time) { server.node.Receive(now, envelope) })
 }
 
-// connectionRefused handles that an address refused a connection attempted at a given time.
+// connectionRefused handles a connection attempt, made at the time tried, that was refused at an address.
 func (server *Server) connectionRefused(address string, tried time.Time) {
 	server.step(func(now time.Time) { server.node.ConnectionRefused(now, address, tried) })
 }
