--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -113,7 +113,7 @@
 		PackedSpec: directory.pack(document), Directory: document.Directory, Reservations: document.Reservations}
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(published)
 	if err != nil {
-		return // A committed document always encodes; otherwise daemons would still learn the next one.
+		return // A committed document always encodes. If one did not, daemons would still get the next one.
 	}
 	entry := &wire.GossipEntry{Key: gossip.DocumentKey, Epoch: document.Sequence, Value: value}
 	directory.gossip.Put(now, entry, gossip.Hops)
--- a/control/directory/replicas.go
+++ b/control/directory/replicas.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// syncTimeout is the time to wait for reservation replicas that are not synced. After it, a change is made even if it
-	// loses reservations that only they could have learned.
+	// syncTimeout is the time to wait for reservation replicas that are not synced. After that the membership is changed
+	// even if reservations are lost that only these replicas could still have received.
 	syncTimeout = 2 * time.Second
-	// formingTime is the minimum age of a membership at which no daemon can still act under an earlier one without
-	// reservations: a daemon that reaches no control machine may go on for that long without making any (config/process,
-	// without_core).
+	// formingTime is the age of a membership from which on no daemon can still serve without reservations under an earlier
+	// one: a daemon that reaches no control machine, and so does not learn of the membership, may serve for that long
+	// (config/process, without_core).
 	formingTime = 6 * time.Minute
 )
 
@@ -28,7 +28,7 @@
 	observed time.Time
 }
 
-// next returns the membership that replaces the document's; nil if that one stays.
+// next returns the membership that replaces the document's; nil if the document's membership stays in force.
 func (planner *replicaPlanner) next(leader daemonlease.DeliveryContext,
 	document *wire.Document) *wire.ReservationMembership {
 	current, holders := document.Reservations, planner.leases.Holders(leader)
--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -56,8 +56,8 @@
 	return &Detector{self: self, suspicion: suspicion, pause: pause, peers: map[string]*Peer{}, lastTick: now}
 }
 
-// Tick reports whether this process was paused since the last tick. If so, it could not receive heartbeats, which is no
-// evidence against its peers, so each of them counts as heard now.
+// Tick reports whether this process was paused since the last tick. If so, it could not receive heartbeats, so missing
+// ones do not show that peers have failed, and each of them counts as heard now.
 func (detector *Detector) Tick(now time.Time) (paused bool) {
 	paused = now.Sub(detector.lastTick) > detector.pause
 	if paused {
@@ -223,8 +223,8 @@
 	return false
 }
 
-// IsUnreachable reports whether a majority of the acceptors, each alive, does not hear a process and no other live
-// acceptor hears it. A process that was cut off itself finds no such majority when it returns, and so suspects nobody.
+// IsUnreachable reports whether no live acceptor hears a process and these live acceptors are a majority of all. A
+// process that returns after it was cut off itself sees no live majority at first, so it considers nobody unreachable.
 func (detector *Detector) IsUnreachable(now time.Time, id string, acceptors []*wire.Member) bool {
 	unreachable := 0
 	for _, acceptor := range acceptors {
--- a/control/leadership/leadership.go
+++ b/control/leadership/leadership.go
@@ -66,7 +66,8 @@
 	leadership.lastRequest = now
 	current := leadership.agent.Current()
 	request := &wire.LeaderLeaseRequest{View: current.Epoch, Nonce: leadership.lessee.Request(now, current.Epoch)}
-	// A head whose history is not committed yet does not know which changes an earlier head acknowledged.
+	// A head whose history is not committed yet does not know which changes an earlier head acknowledged, so it reports no
+	// committed sequence.
 	if leadership.IsLeading(now) {
 		request.Committed = leadership.chain.Committed().Sequence
 	}
