--- a/control/reconfiguration/acceptors.go
+++ b/control/reconfiguration/acceptors.go
@@ -7,13 +7,14 @@
 )
 
 // nextAcceptors returns the acceptors of the next view, and reports whether they change. It replaces acceptors that
-// lose their slots, removes one that stops and has no successor if that keeps a majority smaller, and adds acceptors if
-// there are too few. If none of this applies and one zone has a majority, it exchanges one acceptor to change that.
+// should lose their slots, removes one that was ordered to stop and has no successor if that lowers the majority, and
+// adds acceptors if there are too few. If none of this applies and one zone has a majority, it exchanges one acceptor
+// so that no zone has a majority.
 func (facts *Facts) nextAcceptors(chain []*wire.Member) (next []*wire.Member, changed bool) {
 	candidates := facts.acceptorCandidates(chain)
 	next, changed = facts.replaceAcceptors(&candidates)
-	if vacant := facts.vacantSlot(next); vacant != nil {
-		next, changed = membership.Without(next, vacant.Id), true
+	if removable := facts.removableAcceptor(next); removable != nil {
+		next, changed = membership.Without(next, removable.Id), true
 	}
 	for len(next) < facts.AcceptorCount() {
 		candidate := takeCandidate(&candidates, next)
@@ -62,10 +63,10 @@
 	return nil
 }
 
-// vacantSlot returns an acceptor that was ordered to stop and has no successor, if the number of acceptors is even: the
-// majority needs one vote less without it. If the number is odd, removing it would not lower the majority, so it keeps
-// the slot and can return to it. It returns nil if there is none.
-func (facts *Facts) vacantSlot(acceptors []*wire.Member) *wire.Member {
+// removableAcceptor returns an acceptor that was ordered to stop and has no successor, if the number of acceptors is
+// even: the majority needs one vote less without it. If the number is odd, removing the acceptor would not lower the
+// majority, so it keeps its slot and can return to it. removableAcceptor returns nil if there is no such acceptor.
+func (facts *Facts) removableAcceptor(acceptors []*wire.Member) *wire.Member {
 	if len(acceptors)%2 != 0 {
 		return nil
 	}
@@ -120,8 +121,8 @@
 	return hearing >= view.Majority(len(current.Acceptors))
 }
 
-// IsGrowing reports whether there are too few acceptors and a candidate that will be added. Until then the loss of
-// Faults disks could take a majority of the acceptors, so no change is acknowledged.
+// IsGrowing reports whether there are too few acceptors and a candidate that will be added. Until it is added, the loss
+// of Faults disks could take a majority of the acceptors, so no change is acknowledged.
 func (facts *Facts) IsGrowing() bool {
 	return len(facts.View.Acceptors) < facts.AcceptorCount() && len(facts.acceptorCandidates(facts.View.Chain)) > 0
 }
--- a/control/reconfiguration/chain.go
+++ b/control/reconfiguration/chain.go
@@ -47,9 +47,9 @@
 	return count
 }
 
-// copyCount returns the number of other members of the chain that hold everything that a given member holds. All
-// members before it do. A member behind it does once it has synced what the given member had when the view began, since
-// a change is committed in this view only when every member has it.
+// copyCount returns the number of other members of the chain that hold every committed change that a given member, the
+// holder, holds. All members before the holder do. A member behind it does once it has synced what the holder had
+// synced when the view began, since a later change is committed in this view only when every member has it.
 func (facts *Facts) copyCount(members []*wire.Member, holder *wire.Member) int {
 	copies, behind := 0, false
 	for _, member := range members {
--- a/control/reconfiguration/decommission.go
+++ b/control/reconfiguration/decommission.go
@@ -9,8 +9,8 @@
 	"wardtray/wire"
 )
 
-// decommissionDelay is the shortest time for which a process that was ordered to stop waits for views that others
-// proposed before they were notified.
+// decommissionDelay is the minimum time between the order to stop and the end of a process: a view that others proposed
+// before they learned of the order may still give the process a position.
 const decommissionDelay = 2 * failuredetector.HeartbeatInterval
 
 // Decommission tracks the planned stop of this process: others take over its positions before it stops.
@@ -33,7 +33,7 @@
 
 // IsComplete reports whether this process may stop: an agreed view contains it neither in the chain nor among the
 // acceptors, and the remaining members know that view and hold everything that is committed; or no process can take
-// over. Committed is the newest committed sequence that this process knows.
+// over. committed is the newest committed sequence that this process knows.
 func (decommission *Decommission) IsComplete(facts *Facts, committed uint64) bool {
 	current, self := facts.View, facts.Local.Member.Id
 	if current.Epoch == 0 {
--- a/control/reconfiguration/facts.go
+++ b/control/reconfiguration/facts.go
@@ -46,8 +46,8 @@
 // each change.
 func ChainLimit(faults int) int { return max(minimumChainLimit, 2*faults+1) }
 
-// MinReplicas returns the number of replicas that a change needs at least: one more than may be lost, but not more than
-// the chain ever had members. It never falls below the present value.
+// MinReplicas returns the minimum number of replicas of a committed change: one more than the disks that may be lost
+// (Faults), or the number of members if that is smaller. It never falls below the present value.
 func (facts *Facts) MinReplicas(present uint32, members int) uint32 {
 	return max(present, uint32(min(facts.Faults+1, members)))
 }
@@ -93,8 +93,8 @@
 	return peer != nil && !peer.Heartbeat.Incomplete
 }
 
-// progress returns the sequence that a member has synced, and the one it had synced when it adopted the current view.
-// Reported is false if the member has not reported them in this view.
+// progress returns the sequence that a member has synced, and the sequence that it had synced when it adopted the
+// current view (initial). reported is false if the member has not reported them in this view.
 func (facts *Facts) progress(id string) (synced, initial uint64, reported bool) {
 	if facts.isSelf(id) {
 		return facts.Local.Synced, facts.Local.InitialSynced, true
@@ -141,8 +141,8 @@
 	return count
 }
 
-// HearsMajority reports whether a majority of the chain members and acceptors is alive to this process, itself
-// included.
+// HearsMajority reports whether this process hears a majority of the chain members and acceptors; it counts itself if
+// it is one of them.
 func (facts *Facts) HearsMajority() bool {
 	members := map[string]bool{}
 	for _, member := range membership.Join(facts.View.Chain, facts.View.Acceptors) {
--- a/control/reconfiguration/planner.go
+++ b/control/reconfiguration/planner.go
@@ -13,9 +13,10 @@
 // link is a pair of neighbours in the chain.
 type link struct{ left, right string }
 
-// Planner derives the next view. Its only state is the time since when each broken link of the current chain is broken.
+// Planner derives the next view. Its only state is the time since which each broken link of the current chain has been
+// broken.
 type Planner struct {
-	// linkTimeout is the time for which one side of a link must not have heard the other before the later is excluded.
+	// linkTimeout is the time for which a link must have been broken before its later member is excluded.
 	linkTimeout time.Duration
 	brokenSince map[link]time.Time
 }
@@ -57,8 +58,9 @@
 		changed = true
 	}
 	next.MinReplicas = facts.MinReplicas(current.MinReplicas, facts.remainingCount(next.Chain))
-	// The remaining members hold everything that was acknowledged. A chain below its minimum accepts no changes, but
-	// processes that return learn the document from it. Waiting for a failed member instead could stop it forever.
+	// If the remaining members hold everything that was acknowledged, they form the chain, even one below its minimum:
+	// it accepts no changes, but processes that return learn the document from it. Waiting for a failed member instead
+	// could stop the chain forever.
 	if len(next.Chain) == 0 || !facts.holdAllCommitted(current.Chain, next.Chain) {
 		next.Chain, changed = current.Chain, false
 		if survivors := facts.survivors(); len(survivors) > 0 {
--- a/control/viewchange/proposer.go
+++ b/control/viewchange/proposer.go
@@ -59,7 +59,8 @@
 // IsFounding reports whether this process may take part in the first view.
 func (proposer *Proposer) IsFounding() bool { return proposer.settings.Founding }
 
-// MayVote reports whether this process is an acceptor of the next view.
+// MayVote reports whether this process votes on the next view: on the first one as a founder, on any other as an
+// acceptor of the current view.
 func (proposer *Proposer) MayVote() bool {
 	current := proposer.agent.Current()
 	return current.Epoch == 0 && proposer.settings.Founding && proposer.isFounder(proposer.self.Address) ||
@@ -132,7 +133,7 @@
 	}
 }
 
-// delay returns how long this acceptor waits for the live acceptors before it; zero for the first live one.
+// delay returns the time for which this acceptor waits for the live acceptors before it; zero for the first live one.
 func (proposer *Proposer) delay(facts *reconfiguration.Facts) time.Duration {
 	rank := time.Duration(0)
 	for _, acceptor := range facts.View.Acceptors {
