--- a/control/daemonlease/holders_test.go
+++ b/control/daemonlease/holders_test.go
@@ -120,7 +120,7 @@
 	holders := holdersAt(leases, start)
 	identity := holders.Candidates()[0].Identity
 	if !holders.IsSynced(identity, 3) || holders.IsSynced(identity, 4) || holders.NewestEpoch() != 3 {
-		t.Error("IsSynced or NewestEpoch differs from the report of epoch 3")
+		t.Error("IsSynced or NewestEpoch does not match the report of a synced replica in epoch 3")
 	}
 	identity.Incarnation++
 	if holders.IsSynced(identity, 3) {
--- a/control/failuredetector/detector_test.go
+++ b/control/failuredetector/detector_test.go
@@ -38,7 +38,7 @@
 		want  bool
 	}{{"a", time.Hour, true}, {"b", suspicion - 1, true}, {"b", suspicion, false}, {"c", 0, false}} {
 		if got := detector.IsAlive(start.Add(test.after), test.id); got != test.want {
-			t.Errorf("%s after %v: %v", test.id, test.after, got)
+			t.Errorf("%s after %v: alive %v", test.id, test.after, got)
 		}
 	}
 	if got := detector.Reachable(start); !reflect.DeepEqual(got, []string{"a", "b"}) {
@@ -66,7 +66,7 @@
 	for name, test := range map[string]struct {
 		address string
 		tried   time.Time
-		// heard is when the peer is heard again; zero if it is not.
+		// heard is the time at which the peer is heard again; zero if it is not.
 		heard                       time.Time
 		wantAlive, wantHeartbeatDue bool
 	}{
@@ -154,7 +154,7 @@
 		hear(t, detector, start, "b")
 		detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: test.heard})
 		if got := detector.IsReplaced(membertest.Member("b")); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: replaced %v", name, got)
 		}
 		if isKnown := detector.Peer("b") != nil; isKnown == test.want {
 			t.Errorf("%s: known %v", name, isKnown)
@@ -169,7 +169,7 @@
 		heartbeat := &wire.Heartbeat{Member: membertest.Member("b"), View: test.view, Synced: test.synced}
 		detector.HandleHeartbeat(start, "", heartbeat)
 		if got := detector.Peer("b").InitialSynced; got != test.want {
-			t.Errorf("view %d, synced %d: %d", test.view, test.synced, got)
+			t.Errorf("view %d, synced %d: initial sequence %d", test.view, test.synced, got)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 			hear(t, detector, start, id, reachable...)
 		}
 		if got := detector.IsUnreachable(start, "c", acceptors); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: unreachable %v", name, got)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		want  bool
 	}{{0, true}, {HeartbeatInterval - 1, false}, {HeartbeatInterval, true}} {
 		if got := detector.TakeHeartbeat(start.Add(test.after)); got != test.want {
-			t.Errorf("after %v: %v", test.after, got)
+			t.Errorf("after %v: heartbeat due %v", test.after, got)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	detector.HandleHeartbeat(start, "", &wire.Heartbeat{Member: &wire.Member{Id: "b", Address: "moved:1"}})
 	for id, want := range map[string]string{"a": "a:1", "b": "moved:1", "c": "c:1"} {
 		if got := detector.AddressOf(membertest.Member(id)); got != want {
-			t.Errorf("%s: %s", id, got)
+			t.Errorf("%s: address %s", id, got)
 		}
 	}
 }
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -39,7 +39,7 @@
 		want        bool
 	}{{"ab", "ba", true}, {"ab", "abc", false}, {"ab", "ac", false}, {"", "", true}} {
 		if got := SameSet(membertest.Members(test.left), membertest.Members(test.right)); got != test.want {
-			t.Errorf("%s and %s: %v", test.left, test.right, got)
+			t.Errorf("%s and %s: same set %v", test.left, test.right, got)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	} {
 		joined := Join(membertest.Members(test.first), membertest.Members(test.second), membertest.Members(test.third))
 		if got := membertest.IDs(joined); got != test.want {
-			t.Errorf("%+v: %s", test, got)
+			t.Errorf("%+v: joined list %s", test, got)
 		}
 	}
 }
@@ -64,10 +64,10 @@
 	}{{"ab", "a", true}, {"ab", "b", true}, {"ab", "c", false}, {"", "a", false}} {
 		list := membertest.Members(test.list)
 		if got := Contains(list, test.id); got != test.want {
-			t.Errorf("%s in %q: %v", test.id, test.list, got)
+			t.Errorf("%s in %q: contained %v", test.id, test.list, got)
 		}
 		if got := IsAcceptor(&wire.View{Acceptors: list}, test.id); got != test.want {
-			t.Errorf("%s among the acceptors %q: %v", test.id, test.list, got)
+			t.Errorf("%s among the acceptors %q: acceptor %v", test.id, test.list, got)
 		}
 	}
 }
--- a/control/node/fleet_test.go
+++ b/control/node/fleet_test.go
@@ -337,8 +337,8 @@
 	for _, copy := range operator.copies {
 		if copy.status >= 400 && copy.status < 500 {
 			fleet.describe()
-			fleet.t.Fatalf("%s, sent %d times, was refused: %d %+v", operator.request.Operation, len(operator.copies),
-				copy.status, copy.reply)
+			fleet.t.Fatalf("%s, sent %d times, was refused: status %d, reply %+v", operator.request.Operation,
+				len(operator.copies), copy.status, copy.reply)
 		}
 		if copy.status == 200 {
 			operator.number++
--- a/control/node/operator_test.go
+++ b/control/node/operator_test.go
@@ -156,7 +156,7 @@
 		got := lone.send(step.request)
 		if got.status != step.status || got.reply.Epoch != step.epoch ||
 			step.path != "" && (len(got.reply.Problems) != 1 || got.reply.Problems[0].Path != step.path) {
-			t.Errorf("%s: %d %+v", step.request.Operation, got.status, got.reply)
+			t.Errorf("%s: status %d, reply %+v", step.request.Operation, got.status, got.reply)
 		}
 	}
 	if got := lone.routes(t); got != "c" || lone.node.Chain().Committed().SpecEpoch != 900 {
@@ -178,12 +178,12 @@
 	} {
 		got := lone.send(change(path, 1, 0, content))
 		if got.status != 422 || len(got.reply.Problems) == 0 || got.reply.Problems[0].Path != path {
-			t.Errorf("%s: %d %+v", path, got.status, got.reply)
+			t.Errorf("%s: status %d, reply %+v", path, got.status, got.reply)
 		}
 	}
 	for name, content := range map[string]string{"no text": ``, "cut": `{"upsert":`, "unknown": `{"up":{}}`, "twice": `{"remove":{},"remove":{}}`, "unknown inside": `{"remove":{"lane":["a"]}}`} {
 		if got := lone.send(change(name, 1, 0, content)); got.status != 400 {
-			t.Errorf("%s: %d %+v", name, got.status, got.reply)
+			t.Errorf("%s: status %d, reply %+v", name, got.status, got.reply)
 		}
 	}
 	if got := lone.routes(t); got != "abc" || lone.node.Chain().Committed().SpecEpoch != 1 {
@@ -197,7 +197,7 @@
 	if err != nil || got.status != 200 || lone.routes(t) != "bcd" || decoded.Routes[0].Backend != "q" ||
 		decoded.Limits.BodyBytes != 5 ||
 		decoded.Routes[0].Value != 1 {
-		t.Fatalf("%d %+v %v %+v", got.status, got.reply, err, decoded)
+		t.Fatalf("status %d, reply %+v, error %v, configuration %+v", got.status, got.reply, err, decoded)
 	}
 }
 
@@ -217,7 +217,7 @@
 		t.Fatalf("answered before anything is on the disk: %d %d %d", pending.status, stale.status, invalid.status)
 	}
 	if read.status != 200 || read.reply.Epoch != 1 {
-		t.Fatalf("a read does not return the committed configuration: %d %+v", read.status, read.reply)
+		t.Fatalf("a read does not return the committed configuration: status %d, reply %+v", read.status, read.reply)
 	}
 	lone.stalled = false
 	lone.settle()
@@ -244,6 +244,6 @@
 	}
 	lone.run(lease.DaemonTTL + daemonlease.ClockMargin)
 	if changed.status != 200 {
-		t.Fatalf("the change was not acknowledged: %d %+v", changed.status, changed.reply)
+		t.Fatalf("the change was not acknowledged: status %d, reply %+v", changed.status, changed.reply)
 	}
 }
--- a/control/node/retry_test.go
+++ b/control/node/retry_test.go
@@ -187,7 +187,7 @@
 		return answer.status != 0 && answer.status < 500
 	})
 	if answer.status != 200 || answer.reply.Epoch != epoch {
-		fleet.t.Fatalf("%s: %d %+v", request.Operation, answer.status, answer.reply)
+		fleet.t.Fatalf("%s: status %d, reply %+v", request.Operation, answer.status, answer.reply)
 	}
 }
 
@@ -227,7 +227,7 @@
 	fleet.wantAccepted(others[1], request, 5)
 	for name, copy := range map[string]*response{"first": first, "second": second} {
 		if copy.status != 0 && copy.status != 200 && copy.status < 500 {
-			t.Errorf("the %s copy: %d %+v", name, copy.status, copy.reply)
+			t.Errorf("the %s copy: status %d, reply %+v", name, copy.status, copy.reply)
 		}
 	}
 }
@@ -239,11 +239,11 @@
 	lone := newLone()
 	first := apply("first", 0, 1, "a")
 	if got := lone.send(first); got.status != 200 {
-		t.Fatalf("%d %+v", got.status, got.reply)
+		t.Fatalf("status %d, reply %+v", got.status, got.reply)
 	}
 	for number := range uint64(chain.MaximumOutcomes + 3) {
 		if got := lone.send(apply(fmt.Sprint("o", number), number+1, number+2, "b")); got.status != 200 {
-			t.Fatalf("%d: %d %+v", number, got.status, got.reply)
+			t.Fatalf("request %d: status %d, reply %+v", number, got.status, got.reply)
 		}
 		// The lease has to be renewed from time to time.
 		if number%4 == 0 {
@@ -255,10 +255,10 @@
 		t.Fatalf("%d outcomes are retained, or the first one still is", len(document.Outcomes))
 	}
 	if got := lone.send(apply("o3", 4, 5, "b")); got.status != 200 || got.reply.Epoch != 5 {
-		t.Errorf("a copy of a request with a retained outcome: %d %+v", got.status, got.reply)
+		t.Errorf("a copy of a request with a retained outcome: status %d, reply %+v", got.status, got.reply)
 	}
 	if got := lone.send(first); got.status != 409 || lone.node.Chain().Latest() != document {
-		t.Errorf("a copy of a request with a discarded outcome: %d %+v", got.status, got.reply)
+		t.Errorf("a copy of a request with a discarded outcome: status %d, reply %+v", got.status, got.reply)
 	}
 }
 
@@ -274,7 +274,7 @@
 		Spec:      []byte(`{"upsert":{"lanes":[{"name":"b","pool":"q","patience":"1s"}]}}`),
 	}
 	if got := lone.send(refused); got.status != 422 {
-		t.Fatalf("%d %+v", got.status, got.reply)
+		t.Fatalf("status %d, reply %+v", got.status, got.reply)
 	}
 	late := &wire.OperatorRequest{}
 	*late = wire.OperatorRequest{
@@ -286,14 +286,14 @@
 	}
 	for number := range 3 * proposal.RefusalWindow {
 		if got := lone.send(apply(fmt.Sprint("stale", number), 0, 9, "c")); got.status != 409 {
-			t.Fatalf("%d %+v", got.status, got.reply)
+			t.Fatalf("status %d, reply %+v", got.status, got.reply)
 		}
 		if number%4 == 0 {
 			lone.run(50 * time.Millisecond)
 		}
 		if number == proposal.RefusalWindow/2 {
 			if got := lone.send(change("mended", 1, 2, `{"upsert":{"pools":[{"name":"q","services":["t"]}]}}`)); got.status != 200 {
-				t.Fatalf("%d %+v", got.status, got.reply)
+				t.Fatalf("status %d, reply %+v", got.status, got.reply)
 			}
 		}
 		if number%100 != 0 {
@@ -308,7 +308,7 @@
 	// The same change under another operation id is a new request.
 	again := &wire.OperatorRequest{Verb: refused.Verb, Operation: "again", Spec: refused.Spec}
 	if got := lone.send(again); got.status != 200 {
-		t.Fatalf("%d %+v", got.status, got.reply)
+		t.Fatalf("status %d, reply %+v", got.status, got.reply)
 	}
 }
 
@@ -340,7 +340,7 @@
 	refusal := fleet.send(origin, refused)
 	fleet.until("a refusal", 5*time.Second, answered(refusal))
 	if refusal.status != 422 || late == nil {
-		t.Fatalf("%d %+v", refusal.status, refusal.reply)
+		t.Fatalf("status %d, reply %+v", refusal.status, refusal.reply)
 	}
 	fleet.kill(head)
 	fleet.start(head)
@@ -348,7 +348,7 @@
 	mended := fleet.send(origin, change("mended", 1, 2, `{"upsert":{"pools":[{"name":"q","services":["t"]}]}}`))
 	fleet.until("an answer", 5*time.Second, answered(mended))
 	if mended.status != 200 {
-		t.Fatalf("%d %+v", mended.status, mended.reply)
+		t.Fatalf("status %d, reply %+v", mended.status, mended.reply)
 	}
 	head.node.Receive(fleet.now, late)
 	fleet.run(time.Second)
@@ -364,7 +364,7 @@
 	lone.send(apply("first", 0, 1, "a"))
 	stale := apply("stale", 0, 2, "b")
 	if got := lone.send(stale); got.status != 409 {
-		t.Fatalf("%d %+v", got.status, got.reply)
+		t.Fatalf("status %d, reply %+v", got.status, got.reply)
 	}
 	lone.node.Ready()
 	// The copy has another origin, so that the response is sent through the outbox.
--- a/control/proposal/refusals_test.go
+++ b/control/proposal/refusals_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if late, refused := refusals.observe("a/2/1"); late || refused {
-		t.Error("a new incarnation is judged by the window of the previous one")
+		t.Error("a request of a new incarnation counts as late by the window of the previous incarnation")
 	}
 	for incarnation := range 2 * maximumOrigins {
 		refusals.observe(fmt.Sprintf("b/%d/1", incarnation))
--- a/control/proposal/timeouts_test.go
+++ b/control/proposal/timeouts_test.go
@@ -21,7 +21,7 @@
 	}
 	for index, outer := range waits {
 		if outer.wait != outer.want {
-			t.Errorf("%s waits %v", outer.name, outer.wait)
+			t.Errorf("%s waits %v, which is not the documented time", outer.name, outer.wait)
 		}
 		if index == 0 {
 			continue
@@ -31,6 +31,6 @@
 		}
 	}
 	if resendInterval >= deferTimeout {
-		t.Errorf("a deferred request expires before its origin resends it, after %v", resendInterval)
+		t.Errorf("a deferred request expires before its origin resends it after %v", resendInterval)
 	}
 }
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -110,11 +110,11 @@
 	t.Parallel()
 	same := NewPlanner(suspicion).Plan(scenario{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
 	if same.HeadTerm != 2 || same.PreviousHead != nil {
-		t.Errorf("the same head: %v", same)
+		t.Errorf("the same head: next view %v", same)
 	}
 	other := NewPlanner(suspicion).Plan(scenario{chain: "cab", acceptors: "abc", alive: "b", minReplicas: 2}.facts(t))
 	if other.HeadTerm != 4 || other.PreviousHead.GetId() != "c" || other.PreviousTerm != 2 {
-		t.Errorf("another head: %v", other)
+		t.Errorf("another head: next view %v", other)
 	}
 }
 
@@ -133,7 +133,7 @@
 		test.scenario.heartbeats = notLearned
 		next := NewPlanner(suspicion).Plan(test.scenario.facts(t))
 		if got := membertest.IDs(next.GetLastWritableChain()); got != test.want {
-			t.Errorf("%s: %q, want %q", name, got, test.want)
+			t.Errorf("%s: last writable chain %q, want %q", name, got, test.want)
 		}
 	}
 }
@@ -151,12 +151,12 @@
 		facts.Now = start.Add(test.after)
 		next := planner.Plan(facts)
 		if got := membertest.IDs(next.GetChain()); got != test.want {
-			t.Errorf("after %v: %q, want %q", test.after, got, test.want)
+			t.Errorf("after %v: chain %q, want %q", test.after, got, test.want)
 		}
 	}
 	planner.Reset()
 	if planner.Plan(facts) != nil {
-		t.Error("Reset kept the time since when the link was broken")
+		t.Error("Reset kept the time since which the link has been broken")
 	}
 }
 
@@ -168,7 +168,7 @@
 	facts := scenario{chain: "ab", acceptors: "ab", alive: "bcd", minReplicas: 2,
 		heartbeats: map[string]*wire.Heartbeat{"c": inZone("c", "a"), "d": inZone("d", "z")}}.facts(t)
 	if joiner := facts.joiner(facts.View.Chain); joiner.GetId() != "d" {
-		t.Errorf("joiner %v", joiner)
+		t.Errorf("joiner %v, want d", joiner)
 	}
 }
 
@@ -180,7 +180,7 @@
 		t.Error("isSpread is wrong for two of three, two of two or one of three in one zone")
 	}
 	if got := membertest.IDs(spreadAcceptors(acceptors[:3], acceptors[3:])); got != "acd" {
-		t.Errorf("spread: %q", got)
+		t.Errorf("acceptors %q, want acd", got)
 	}
 	if got := spreadAcceptors(acceptors[:3], nil); got != nil {
 		t.Errorf("exchanged without a candidate: %v", got)
@@ -196,7 +196,7 @@
 		want    uint32
 	}{{0, 1, 1}, {0, 3, 2}, {2, 1, 2}, {1, 2, 2}} {
 		if got := facts.MinReplicas(test.present, test.members); got != test.want {
-			t.Errorf("%+v: %d", test, got)
+			t.Errorf("%+v: MinReplicas returned %d", test, got)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 		"the candidate is to stop": {scenario{chain: "ab", acceptors: "ab", alive: "bc", heartbeats: decommissioning}, false},
 	} {
 		if got := test.scenario.facts(t).IsGrowing(); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: growing %v", name, got)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 			t.Errorf("%s: only the first order must be accepted", name)
 		}
 		if got := decommission.IsComplete(facts, 9); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: complete %v", name, got)
 		}
 		facts.Now = start.Add(-1)
 		if decommission.IsComplete(facts, 9) {
@@ -270,17 +270,17 @@
 	} {
 		got := test.scenario.facts(t).Warnings()
 		if len(got) != len(test.want) {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: warnings %q", name, got)
 			continue
 		}
 		for index, part := range test.want {
 			if !strings.Contains(got[index], part) {
-				t.Errorf("%s: %q lacks %q", name, got[index], part)
+				t.Errorf("%s: warning %q lacks %q", name, got[index], part)
 			}
 		}
 	}
 	if got := (&Facts{View: &wire.View{}}).Warnings(); len(got) != 1 {
-		t.Errorf("without a view: %q", got)
+		t.Errorf("without a view: warnings %q, want one", got)
 	}
 }
 
@@ -288,7 +288,7 @@
 	t.Parallel()
 	for alive, want := range map[string]bool{"": false, "b": true, "bc": true} {
 		if got := (scenario{chain: "abc", acceptors: "abc", alive: alive}).facts(t).HearsMajority(); got != want {
-			t.Errorf("alive %q: %v", alive, got)
+			t.Errorf("alive %q: hears a majority %v", alive, got)
 		}
 	}
 }
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -80,7 +80,7 @@
 		fixture := newFixture(test.self, threeMembers(), nil)
 		fixture.hear(start.Add(test.after), test.peers, test.heartbeat)
 		if got := fixture.proposes(start.Add(test.after)); got != test.want {
-			t.Errorf("%s: got %v", name, got)
+			t.Errorf("%s: proposes %v", name, got)
 		}
 	}
 	second := newFixture("b", threeMembers(), nil)
@@ -132,7 +132,7 @@
 		fixture := newFixture(test.self, nil, nil, "a:1", "b:1", "c:1")
 		fixture.hear(test.now, test.peers, &wire.Heartbeat{Blank: test.blank})
 		if got := fixture.proposes(test.now); got != test.want {
-			t.Errorf("%s: got %v", name, got)
+			t.Errorf("%s: proposes %v", name, got)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		"founded by others":      {newFixture("a", nil, nil, "b:1"), false},
 	} {
 		if got := test.fixture.proposer.MayVote(); got != test.want {
-			t.Errorf("%s: got %v", name, got)
+			t.Errorf("%s: may vote %v", name, got)
 		}
 	}
 }
