--- a/dataplane/controller/controller.go
+++ b/dataplane/controller/controller.go
@@ -54,8 +54,8 @@
 	// ReservationsEnabled is set if at-most-once requests are reserved with other daemons, and this daemon holds
 	// reservations for others. It is not set where clients never send a request again under the same id.
 	ReservationsEnabled bool
-	// OnDispatched is called when another daemon of the zone reports an at-most-once request: with the request's key
-	// and whether the request was dropped without having been executed. It may be nil.
+	// OnDispatched is called when another daemon of the zone reports that it dispatched an at-most-once request with this
+	// key, or dropped it without having executed it (dropped). It may be nil.
 	OnDispatched func(now time.Time, key []byte, dropped bool)
 }
 
@@ -98,7 +98,7 @@
 	if settings.LeaseDuration == 0 {
 		settings.LeaseDuration = lease.DaemonTTL
 	}
-	// The order of these draws is part of a simulation's seed.
+	// The order of the random draws must stay the same, so that a simulation with the same seed repeats.
 	incarnation, firstNonce := random.Uint64(), uint64(random.Int63())
 	outbox := statemachine.NewOutbox()
 	self := &wire.PeerDescriptor{Address: settings.Address, Zone: settings.Zone}
@@ -120,7 +120,7 @@
 	controller.runnerList = newRunnerList(
 		settings.Zone, settings.Address, election.New(now, settings.Address), controller.gossip)
 	controller.quota = newQuotaReporter(settings.Quota, controller.configuration, controller.leases)
-	// With a separate source, reservations do not change the draws of the other parts.
+	// Reservations have a source of their own, so that they do not change the draws of the other parts.
 	reservationRandom := rand.New(rand.NewSource(int64(incarnation)))
 	controller.reservations = newReservations(now, settings, incarnation, controller.configuration, outbox,
 		reservationRandom, controller.reservationEnvironment())
--- a/dataplane/controller/controller_test.go
+++ b/dataplane/controller/controller_test.go
@@ -228,7 +228,7 @@
 		tickAndCollect(controller, now)
 	}
 	if !now.Before(controller.Until(now)) {
-		t.Fatal("the daemon is not isolated, so this test tests nothing")
+		t.Fatal("the daemon is not isolated, so the test checks nothing")
 	}
 	now = now.Add(5 * time.Second)
 	if now.Before(controller.Until(now)) {
--- a/dataplane/controller/leases_test.go
+++ b/dataplane/controller/leases_test.go
@@ -14,7 +14,8 @@
 	return created
 }
 
-// With a majority of n acceptors, the confirmed lease starts at the n-th latest of the requests that they confirmed.
+// If n acceptors are a majority, the confirmed lease starts at the n-th latest request that acceptors confirmed: before
+// that, no majority had confirmed.
 func TestConfirmedUntilCountsFromTheMajority(t *testing.T) {
 	current := newTestLeases()
 	for index, acceptor := range acceptors {
@@ -75,6 +76,6 @@
 		t.Errorf("lease until %v", until.Sub(started))
 	}
 	if !current.isHead("c0") || current.isHead("c1") || !current.isAcceptor("k1") || current.isAcceptor("c1") {
-		t.Error("isHead or isAcceptor is wrong for one of the members c0, c1 and k1")
+		t.Error("isHead or isAcceptor returns a wrong result for one of the members c0, c1 and k1")
 	}
 }
--- a/dataplane/controller/permission.go
+++ b/dataplane/controller/permission.go
@@ -8,8 +8,8 @@
 	isolationRounds = 3
 	// isolationRecheckInterval is the time for which an isolated daemon serves before it checks again that it is isolated.
 	isolationRecheckInterval = 200 * time.Millisecond
-	// suspensionThreshold is the pause between ticks from which on a process counts as suspended. It has sent no requests
-	// in that time.
+	// suspensionThreshold is the minimum pause between ticks after which a process counts as suspended. A suspended
+	// process has sent no requests, so missing responses do not show that it is isolated.
 	suspensionThreshold = 500 * time.Millisecond
 )
 
--- a/dataplane/controller/receive.go
+++ b/dataplane/controller/receive.go
@@ -76,8 +76,8 @@
 	controller.outbox.Send(envelope.From, &wire.Envelope{Body: body})
 }
 
-// handleRequestDispatched passes the report of an at-most-once request by a daemon of the zone to the settings'
-// function.
+// handleRequestDispatched passes the report of an at-most-once request to Settings.OnDispatched, if a daemon of this
+// zone sent it.
 func (controller *Controller) handleRequestDispatched(now time.Time, envelope *wire.Envelope) {
 	if controller.settings.OnDispatched != nil && envelope.Zone == controller.settings.Zone {
 		dispatched := envelope.GetRequestDispatched()
--- a/dataplane/controller/runnersync.go
+++ b/dataplane/controller/runnersync.go
@@ -25,9 +25,11 @@
 	since, last time.Time
 }
 
-// observe records such a lease, and reports whether they have arrived for disagreementTimeout, so that it counts.
+// observe records a lease whose sender has other runners. It reports whether the disagreement has lasted for
+// disagreementTimeout, so that the lease counts nevertheless.
 func (disagreement *disagreement) observe(now time.Time) bool {
-	// After a pause this is a new disagreement, because this daemon could not receive the other's runners in the pause.
+	// A lease after a pause begins a new disagreement, because this daemon could not receive the sender's runners in the
+	// pause.
 	if now.Sub(disagreement.last) > disagreementGap {
 		disagreement.since = now
 	}
@@ -119,8 +121,8 @@
 	if !runnerSync.registered || checksum == runnerSync.checksum() || now.Before(runnerSync.leases.until()) {
 		return true
 	}
-	// While many runners register at once, two checksums are seldom equal. It is sufficient to have received all of the
-	// other's runners within syncWindow.
+	// While many runners register at once, two checksums are seldom equal. It is sufficient that the other process has
+	// sent all of its runners within the last syncWindow.
 	if runnerSync.lastSource == from && now.Sub(runnerSync.lastSync) < syncWindow {
 		return true
 	}
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// A disagreement times out disagreementTimeout after its first lease; after a pause a new one begins.
+// A disagreement ends disagreementTimeout after its first lease. After a pause in the leases a new disagreement begins:
+// otherwise a daemon that returns from a partition would serve at once with outdated runners.
 func TestDisagreementObserve(t *testing.T) {
 	tested := &disagreement{}
 	now := started
--- a/dataplane/daemon/drain.go
+++ b/dataplane/daemon/drain.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// defaultFinishTime is the time for requests in flight to finish after the drain time, unless the setting Finish holds
-	// another one.
+	// defaultFinishTime is the time that requests in flight have to finish after the drain time, unless the setting Finish
+	// holds another time.
 	defaultFinishTime = 2 * time.Minute
-	// minimumShutdownTime is the minimum timeout of the server's shutdown, which applies if the time to finish is over.
+	// minimumShutdownTime is the timeout of the server's shutdown if less than that remains of the time to finish.
 	minimumShutdownTime = 200 * time.Millisecond
 )
 
-// drain stops the daemon gracefully. It fails readiness probes first, accepts requests for the drain time, in which the
-// platform notices that, finishes the requests in flight, and only then closes the server. The context must not be
-// done.
+// drain stops the daemon gracefully. It fails readiness probes but accepts requests for the drain time, so that the
+// platform notices and sends clients to other daemons. Then it finishes the requests in flight, and only after that
+// closes the server. The context must not be done.
 func (daemon *Daemon) drain(ctx context.Context, server *fasthttp.Server) error {
 	drainTime := daemon.settings.DrainTime()
 	daemon.log.Info("draining", slog.String("for", drainTime.String()))
--- a/dataplane/daemon/http.go
+++ b/dataplane/daemon/http.go
@@ -98,8 +98,8 @@
 		CloseOnShutdown:    true,
 	}
 	if daemon.adapter != nil {
-		// The headers Server and Date come from the runner. Each connection has a read buffer, so that the larger
-		// maximumHeaderSize would take too much memory.
+		// The headers Server and Date come from the runner. Each connection has a read buffer of its own, which would take
+		// too much memory with maximumHeaderSize.
 		server.Name = ""
 		server.NoDefaultServerHeader, server.NoDefaultDate, server.NoDefaultContentType = true, true, true
 		server.ReadBufferSize, server.MaxRequestBodySize = maximumAdaptedHeaderSize, maximumAdaptedBodySize
@@ -137,7 +137,7 @@
 	closable := &onceListener{Listener: listener}
 	go func() {
 		if err := server.Serve(closable); err != nil && !errors.Is(err, net.ErrClosed) {
-			daemon.log.Error("HTTP server failed; requests at its address are no longer served",
+			daemon.log.Error("the HTTP server failed; requests at its address are not served until a restart",
 				slog.String("address", address), slog.String("cause", err.Error()))
 		}
 	}()
--- a/dataplane/dataplane.go
+++ b/dataplane/dataplane.go
@@ -122,8 +122,8 @@
 			dispatched.RecordAnnounced(now, dedup.Key(key), dropped)
 		}
 	}
-	// The order of draws is part of a simulation's seed: the controller's source is seeded first, then that of each
-	// scheduler when it is created.
+	// The order of the random draws must stay the same, so that a simulation with the same seed repeats: the controller's
+	// source is seeded first, then that of each scheduler when it is created.
 	controllerRandom := rand.New(rand.NewSource(settings.Random.Int63()))
 	plane.controller = controller.New(now, settings.Settings, controllerRandom)
 	plane.snapshot.Store(&config.Snapshot{})
--- a/dataplane/prober.go
+++ b/dataplane/prober.go
@@ -19,7 +19,8 @@
 	inactivityThreshold = 200 * time.Millisecond
 	// livenessTimeout is the timeout of such a probe.
 	livenessTimeout = 250 * time.Millisecond
-	// smallFleet is the number of daemons up to which the freshness of reports is the codec's ReportTTL.
+	// smallFleet is the largest number of daemons with which a report stays fresh for the codec's ReportTTL; with more
+	// daemons it stays fresh for longer (freshness).
 	smallFleet = 12
 )
 
--- a/dataplane/readiness.go
+++ b/dataplane/readiness.go
@@ -13,8 +13,8 @@
 	plane.Step(func(_ time.Time, machine *controller.Controller) { machine.StartDraining() })
 }
 
-// Drained reports whether draining has lasted for at least the given time, in which the platform notices that the
-// daemon is not ready, and no request is in flight.
+// Drained reports whether no request is in flight and draining has lasted for at least length. In that time the
+// platform notices that the daemon is not ready.
 func (plane *Plane) Drained(length time.Duration) bool {
 	elapsed := plane.environment.Now().Sub(plane.drainStarted)
 	return elapsed >= length && plane.Handler.InFlight.Load() == 0
--- a/features/features.go
+++ b/features/features.go
@@ -54,7 +54,7 @@
 	QuotaPrefetch Feature = "tokens-ahead"
 )
 
-// All lists all features, in the order of docs/decisions.md.
+// All lists every feature, in the order of docs/decisions.md.
 var All = []Feature{
 	LoadReports,
 	SilenceProbes,
