--- a/control/daemonlease/confirmer_test.go
+++ b/control/daemonlease/confirmer_test.go
@@ -25,13 +25,13 @@
 		vote     *wire.AcceptorState
 		want     bool
 	}{
-		"up to date":              {"b", true, true, 3, 5, nil, true},
-		"the head was not heard":  {"b", false, true, 3, 5, nil, false},
-		"not in the directory":    {"b", true, false, 3, 5, nil, false},
-		"of another view":         {"b", true, true, 2, 5, nil, false},
-		"less than what is known": {"b", true, true, 3, 4, nil, false},
-		"no acceptor":             {"d", true, true, 3, 5, nil, false},
-		"voted for the next view": {"b", true, true, 3, 5, voted, false},
+		"up to date":                                  {"b", true, true, 3, 5, nil, true},
+		"the head was not heard":                      {"b", false, true, 3, 5, nil, false},
+		"not in the directory":                        {"b", true, false, 3, 5, nil, false},
+		"of another view":                             {"b", true, true, 2, 5, nil, false},
+		"an older document than the newest known one": {"b", true, true, 3, 4, nil, false},
+		"no acceptor":                                 {"d", true, true, 3, 5, nil, false},
+		"voted for the next view":                     {"b", true, true, 3, 5, voted, false},
 	} {
 		leases, outbox := newLeases("e")
 		agent := view.NewAgent(start, test.self, threeMembers(), test.vote, outbox, func(string) string { return "" },
--- a/control/daemonlease/delivery_test.go
+++ b/control/daemonlease/delivery_test.go
@@ -34,10 +34,10 @@
 		prepare   func(leases *Leases, leader *DeliveryContext)
 		want      bool
 	}{
-		"a majority of the acceptors knows": {"", func(leases *Leases, _ *DeliveryContext) {
+		"a majority of the acceptors knows the commit": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 		}, true},
-		"one acceptor knows": {"", func(leases *Leases, _ *DeliveryContext) { acceptorsKnow(leases, "a") }, false},
+		"one acceptor knows the commit": {"", func(leases *Leases, _ *DeliveryContext) { acceptorsKnow(leases, "a") }, false},
 		"this process has not led": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.Since = time.Time{}
@@ -46,48 +46,48 @@
 			acceptorsKnow(leases, "a", "b")
 			leader.View.Chain = membertest.Members("a")
 		}, false},
-		"the acceptors are still growing": {"", func(leases *Leases, leader *DeliveryContext) {
+		"an acceptor is still to be added": {"", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.IsGrowing = func() bool { return true }
 		}, false},
-		"a lease runs at a daemon that has less": {"d", func(leases *Leases, _ *DeliveryContext) {
+		"a daemon with an older document holds a lease": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start, 4)
 		}, false},
-		"the daemon with less has ended": {"d", func(leases *Leases, _ *DeliveryContext) {
+		"the daemon with the older document has ended": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start.Add(-2), 4)
 			leases.ConnectionRefused("d", start.Add(-1))
 		}, true},
-		"the lease with less has expired": {"d", func(leases *Leases, _ *DeliveryContext) {
+		"the lease of the daemon with the older document has expired": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			grant(leases, start.Add(-leaseLength), 4)
 		}, true},
-		"the lease was granted before the commit, long ago": {"d", func(leases *Leases, _ *DeliveryContext) {
+		"the commit is older than the duration of a lease": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leases.ObserveCommit(start.Add(-leaseLength), 5)
 			grant(leases, start, 4)
 		}, true},
-		"every daemon knows": {"d", func(leases *Leases, leader *DeliveryContext) {
+		"every daemon has the change": {"d", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leases.ObserveCommit(start, 5)
 			leader.Since = start
 			grant(leases, start, 5)
 		}, true},
-		"every daemon knows, a majority of the acceptors does not": {"d", func(leases *Leases, _ *DeliveryContext) {
+		"every daemon has the change, one acceptor knows the commit": {"d", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
 			leases.ObserveCommit(start, 5)
 			grant(leases, start, 5)
 		}, false},
-		"the head before may have granted a lease": {"d", func(leases *Leases, leader *DeliveryContext) {
+		"the previous head may have granted a lease": {"d", func(leases *Leases, leader *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			leader.Since = start
 		}, false},
-		"an acceptor's older confirmation runs": {"", func(leases *Leases, _ *DeliveryContext) {
+		"an acceptor's confirmation of an older document has not expired": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a")
 			leases.ObserveAcceptorProgress("b", 5, start.Add(1))
 		}, false},
-		"acceptors of the view before may have confirmed less": {"", func(leases *Leases, _ *DeliveryContext) {
+		"acceptors of the previous view may have confirmed an older document": {"", func(leases *Leases, _ *DeliveryContext) {
 			acceptorsKnow(leases, "a", "b")
 			next := threeMembers()
 			next.Epoch, next.Acceptors = 4, membertest.Members("abd")
--- a/control/daemonlease/holders_test.go
+++ b/control/daemonlease/holders_test.go
@@ -33,13 +33,13 @@
 		do   func(leases *Leases)
 		want int
 	}{
-		"alive":            {func(leases *Leases) { prove(leases, start, 7) }, 1},
-		"not proven":       {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 0)) }, 0},
-		"a wrong proof":    {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 99)) }, 0},
-		"makes none":       {func(leases *Leases) { grant(leases, start, 5) }, 0},
-		"silent for long":  {func(leases *Leases) { prove(leases, start.Add(-leaseDuration), 7) }, 0},
-		"has ended":        {refused(start.Add(1)), 0},
-		"is about to stop": {func(leases *Leases) { prove(leases, start, 7); drain(leases) }, 0},
+		"alive":             {func(leases *Leases) { prove(leases, start, 7) }, 1},
+		"not proven":        {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 0)) }, 0},
+		"a wrong challenge": {func(leases *Leases) { leases.HandleRequest(start, "d", holderRequest(7, 99)) }, 0},
+		"makes none":        {func(leases *Leases) { grant(leases, start, 5) }, 0},
+		"silent for long":   {func(leases *Leases) { prove(leases, start.Add(-leaseDuration), 7) }, 0},
+		"has ended":         {refused(start.Add(1)), 0},
+		"is about to stop":  {func(leases *Leases) { prove(leases, start, 7); drain(leases) }, 0},
 	} {
 		leases, _ := newLeases("d")
 		test.do(leases)
@@ -66,17 +66,17 @@
 		after time.Duration
 		want  bool
 	}{
-		"alive":                              {func(leases *Leases) { prove(leases, start, 7) }, 0, false},
-		"silent, and may still serve":        {func(leases *Leases) { prove(leases, start, 7) }, longest, false},
-		"silent for longer":                  {func(leases *Leases) { prove(leases, start, 7) }, longest + 1, true},
-		"never heard in this term":           {func(*Leases) {}, longest, false},
-		"never heard, for longer":            {func(*Leases) {}, longest + 1, true},
-		"another process is alive":           {func(leases *Leases) { prove(leases, start, 8) }, 0, true},
-		"another process without a proof":    {unprovenSuccessor, 0, false},
-		"a late request of the previous one": {lateRequest, 0, false},
-		"connection refused":                 {refused(start.Add(2)), 0, true},
-		"refused before it started":          {refusedBefore, 0, false},
-		"refused before this leader led":     {func(leases *Leases) { leases.ConnectionRefused("d", start) }, 0, false},
+		"alive":                               {func(leases *Leases) { prove(leases, start, 7) }, 0, false},
+		"silent, and may still serve":         {func(leases *Leases) { prove(leases, start, 7) }, longest, false},
+		"silent for longer":                   {func(leases *Leases) { prove(leases, start, 7) }, longest + 1, true},
+		"never heard in this term":            {func(*Leases) {}, longest, false},
+		"never heard, for longer":             {func(*Leases) {}, longest + 1, true},
+		"another process is alive":            {func(leases *Leases) { prove(leases, start, 8) }, 0, true},
+		"another process without a challenge": {unprovenSuccessor, 0, false},
+		"a late request of the previous one":  {lateRequest, 0, false},
+		"connection refused":                  {refused(start.Add(2)), 0, true},
+		"refused before it started":           {refusedBefore, 0, false},
+		"refused before this leader led":      {func(leases *Leases) { leases.ConnectionRefused("d", start) }, 0, false},
 	} {
 		leases, _ := newLeases("d")
 		test.do(leases)
@@ -136,9 +136,9 @@
 		all, noException         bool
 		allActUnder, anyReserves bool
 	}{
-		"all":         {"d", func(leases *Leases) { prove(leases, start, 7) }, true, true, true, true},
-		"one missing": {"de", func(leases *Leases) { prove(leases, start, 7) }, false, true, false, true},
-		"one does not": {"d", func(leases *Leases) {
+		"all reserve":          {"d", func(leases *Leases) { prove(leases, start, 7) }, true, true, true, true},
+		"one daemon not heard": {"de", func(leases *Leases) { prove(leases, start, 7) }, false, true, false, true},
+		"one daemon makes none": {"d", func(leases *Leases) {
 			prove(leases, start, 7)
 			leases.HandleRequest(start, "e", &wire.DaemonLeaseRequest{})
 		}, false, false, true, true},
--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -27,7 +27,7 @@
 	return &Quotas{tolerance: tolerance, shareDuration: shareDuration}
 }
 
-// Reset forgets every share at the start of a term; the daemons report the shares that they hold.
+// Reset discards all shares at the start of a term; after that the daemons report the shares that they hold.
 func (quotas *Quotas) Reset() { quotas.allocator = nil }
 
 // Release takes back the shares of a daemon whose process has ended.
--- a/control/daemonlease/quotas_test.go
+++ b/control/daemonlease/quotas_test.go
@@ -16,10 +16,10 @@
 		isLeased bool
 		want     *wire.QuotaGrant
 	}{
-		"without a lease":        {report, false, nil},
-		"with a lease":           {report, true, granted},
-		"an empty report":        {&wire.QuotaReport{}, true, nil},
-		"an empty one, no lease": {&wire.QuotaReport{}, false, nil},
+		"without a lease":           {report, false, nil},
+		"with a lease":              {report, true, granted},
+		"an empty report":           {&wire.QuotaReport{}, true, nil},
+		"an empty report, no lease": {&wire.QuotaReport{}, false, nil},
 	} {
 		quotas := NewQuotas(quota.Tolerance{}, leaseDuration)
 		got := quotas.HandleReport(start, &wire.Document{}, "d", test.report, test.isLeased)
--- a/control/node/cluster_test.go
+++ b/control/node/cluster_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// runUntil runs until a condition holds, and returns how long that took. It fails the test after the timeout.
+// runUntil runs until a condition holds, and returns the elapsed time. It fails the test after the timeout.
 func (fleet *fleet) runUntil(timeout time.Duration, event string, holds func() bool) time.Duration {
 	fleet.t.Helper()
 	started := fleet.now
--- a/control/proposal/requests_test.go
+++ b/control/proposal/requests_test.go
@@ -48,9 +48,9 @@
 		status uint32
 		want   int
 	}{
-		"a refusal by the only head": {[]string{"a"}, 409, 409},
-		"a refusal by one of two":    {[]string{"a", "b"}, 409, http.StatusGatewayTimeout},
-		"an acknowledgement by one":  {[]string{"a", "b"}, 200, 200},
+		"a refusal by the only head":       {[]string{"a"}, 409, 409},
+		"a refusal by one of two":          {[]string{"a", "b"}, 409, http.StatusGatewayTimeout},
+		"an acknowledgement by one of two": {[]string{"a", "b"}, 200, 200},
 	} {
 		fixture := newFixture("c", "ab")
 		token := fixture.submit(start, apply("o"))
--- a/control/proposal/timeouts_test.go
+++ b/control/proposal/timeouts_test.go
@@ -14,8 +14,8 @@
 		want time.Duration
 	}{
 		{"a deferred request at the head", deferTimeout, 2 * time.Second},
-		{"an entered change at the head", acknowledgeTimeout, 5 * time.Second},
-		{"a request where it came in", RequestTimeout, 6 * time.Second},
+		{"a submitted change at the head", acknowledgeTimeout, 5 * time.Second},
+		{"a request at the process that received it", RequestTimeout, 6 * time.Second},
 		{"a client", ClientTimeout, 9 * time.Second},
 		{"a connection", ConnectionTimeout, 10 * time.Second},
 	}
--- a/control/reconfiguration/reconfiguration_test.go
+++ b/control/reconfiguration/reconfiguration_test.go
@@ -125,9 +125,9 @@
 		scenario scenario
 		want     string
 	}{
-		"long enough": {scenario{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}, ""},
-		"falls below": {scenario{chain: "ac", acceptors: "abc", alive: "b", minReplicas: 2}, "ac"},
-		"was below and stays": {
+		"long enough":             {scenario{chain: "abc", acceptors: "abc", alive: "b", minReplicas: 2}, ""},
+		"falls below its minimum": {scenario{chain: "ac", acceptors: "abc", alive: "b", minReplicas: 2}, "ac"},
+		"was below its minimum and stays so": {
 			scenario{chain: "a", acceptors: "abc", alive: "bd", minReplicas: 3, lastWritable: "abc"}, "abc"},
 	} {
 		test.scenario.heartbeats = notLearned
--- a/control/server/helpers_test.go
+++ b/control/server/helpers_test.go
@@ -19,11 +19,11 @@
 const testTimeout = 10 * time.Second
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting until %s", what)
+			t.Fatalf("timed out waiting until %s", event)
 		}
 	}
 }
--- a/control/viewchange/proposer_test.go
+++ b/control/viewchange/proposer_test.go
@@ -122,12 +122,12 @@
 		now         time.Time
 		want        bool
 	}{
-		"one founder is missing":   {"a", "b", true, now, false},
-		"one founder is not blank": {"a", "bc", false, now, false},
-		"all founders are up":      {"a", "bc", true, now, true},
-		"not the first founder":    {"b", "ac", true, now, false},
-		"another, after the delay": {"b", "ac", true, start.Add(foundingDelay), true},
-		"not a founder":            {"d", "abc", true, now, false},
+		"one founder is missing":           {"a", "b", true, now, false},
+		"one founder is not blank":         {"a", "bc", false, now, false},
+		"all founders are up":              {"a", "bc", true, now, true},
+		"not the first founder":            {"b", "ac", true, now, false},
+		"another founder, after the delay": {"b", "ac", true, start.Add(foundingDelay), true},
+		"not a founder":                    {"d", "abc", true, now, false},
 	} {
 		fixture := newFixture(test.self, nil, nil, "a:1", "b:1", "c:1")
 		fixture.hear(test.now, test.peers, &wire.Heartbeat{Blank: test.blank})
--- a/dataplane/controller/permission_test.go
+++ b/dataplane/controller/permission_test.go
@@ -19,7 +19,7 @@
 	}{
 		"isolated":    {func(_ *permission) {}, isolatedUntil},
 		"never ready": {func(permission *permission) { permission.leases.ready = false }, time.Time{}},
-		"too few rounds": {
+		"too few unanswered rounds": {
 			func(permission *permission) { permission.unansweredRounds = isolationRounds - 1 },
 			started.Add(lease.DaemonTTL),
 		},
@@ -27,7 +27,7 @@
 			func(permission *permission) { permission.lastTick = now.Add(-suspensionThreshold) },
 			started.Add(lease.DaemonTTL),
 		},
-		"something newer": {
+		"a newer document is known": {
 			func(permission *permission) { permission.onNewerSequence(8) },
 			started.Add(lease.DaemonTTL),
 		},
@@ -35,7 +35,7 @@
 			func(permission *permission) { permission.isolationLimit = 0 },
 			started.Add(lease.DaemonTTL),
 		},
-		"at the end": {
+		"near the end of the isolation limit": {
 			func(permission *permission) { permission.isolationLimit = time.Second + isolationRecheckInterval/2 },
 			now.Add(isolationRecheckInterval / 2),
 		},
