--- a/control/failuredetector/detector.go
+++ b/control/failuredetector/detector.go
@@ -223,8 +223,9 @@
 	return false
 }
 
-// IsUnreachable reports whether no live acceptor hears a process and these live acceptors are a majority of all. A
-// process that returns after it was cut off itself sees no live majority at first, so it considers nobody unreachable.
+// IsUnreachable reports whether the live acceptors, without the process with the id itself, are a majority of all
+// acceptors and none of them hears that process. A process that was cut off itself sees no live majority when it
+// returns, so it considers nobody unreachable.
 func (detector *Detector) IsUnreachable(now time.Time, id string, acceptors []*wire.Member) bool {
 	unreachable := 0
 	for _, acceptor := range acceptors {
--- a/control/leadership/grantor.go
+++ b/control/leadership/grantor.go
@@ -21,7 +21,8 @@
 	clearedTerm uint64
 }
 
-// NewGrantor returns the acceptor's side of a process that starts now. The clearedTerm is the one recorded on its disk.
+// NewGrantor returns the acceptor's side of a process that starts now. clearedTerm is the cleared term that its disk
+// records.
 func NewGrantor(now time.Time, self string, agent *view.Agent, outbox *statemachine.Outbox, witness *lease.Witness,
 	clearedTerm uint64) *Grantor {
 	return &Grantor{self: self, agent: agent, outbox: outbox, witness: witness, clearedTerm: clearedTerm,
--- a/control/node/events.go
+++ b/control/node/events.go
@@ -26,7 +26,7 @@
 	daemons.learner.Tick(now, members.decommission.IsStarted())
 }
 
-// onCommit handles a commit of which this machine has just learned; sequence is the newest committed sequence.
+// onCommit handles the commit of a sequence, of which this machine has just learned.
 func (node *Node) onCommit(now time.Time, sequence uint64) {
 	node.counters.Commits++
 	daemons := node.daemons
--- a/control/node/node.go
+++ b/control/node/node.go
@@ -81,8 +81,8 @@
 	return node
 }
 
-// newProposals returns the two sides of operators' requests: the ones submitted here, and the head's decisions on
-// changes.
+// newProposals returns the two sides of operators' requests: the requests that operators submit at this machine, and
+// the head's decisions on changes.
 func newProposals(incarnation uint64, members *members, daemons *daemons) (*proposal.Requests, *proposal.Proposals) {
 	var proposals *proposal.Proposals
 	serve := func(now time.Time, message *wire.OperatorRequest) { proposals.Serve(now, message) }
--- a/control/reconfiguration/decommission.go
+++ b/control/reconfiguration/decommission.go
@@ -39,7 +39,7 @@
 	if current.Epoch == 0 {
 		return true
 	}
-	// A view proposed before the others were notified may still give it a position.
+	// A view proposed before the others were notified may still give this process a position.
 	if !decommission.IsStarted() || facts.Now.Sub(decommission.since) < decommissionDelay {
 		return false
 	}
@@ -52,7 +52,7 @@
 	return facts.isHandedOver(committed)
 }
 
-// isDispensable reports whether the other acceptors can agree on views without this one, or no process is left that
+// isDispensable reports whether the other acceptors can agree on views without this process, or no process is left that
 // would need a view.
 func (facts *Facts) isDispensable() bool {
 	remaining := 0
--- a/control/storage/recovery.go
+++ b/control/storage/recovery.go
@@ -64,7 +64,7 @@
 
 // RecoverWithin calls recoverOnce until it succeeds or fails for a reason other than the disk, or until timeout is
 // over, and returns the last result. It retries because a process that exits when its disk fails, for example because
-// it is full, is restarted anyway, and the restarts take time from the other processes of the machine.
+// the disk is full, is restarted anyway, and the restarts take time from the other processes of the machine.
 func RecoverWithin(timeout time.Duration, recoverOnce func() (Recovery, error)) (Recovery, error) {
 	for started := time.Now(); ; time.Sleep(retryInterval) {
 		recovery, err := recoverOnce()
--- a/control/timing/bounds.go
+++ b/control/timing/bounds.go
@@ -83,14 +83,14 @@
 }
 
 // AcceptorRepair returns the longest time until a machine that has just started replaces an acceptor that failed at the
-// same time or earlier: the others receive its heartbeat, it learns the view and reports it, and a new view is agreed
-// on.
+// same time or earlier: the other machines receive the new machine's heartbeat, the new machine learns the view and
+// reports it, and a view with the new machine is agreed on.
 func (bounds Bounds) AcceptorRepair() time.Duration {
 	return bounds.Detection() + 2*failuredetector.HeartbeatInterval + bounds.ViewChange()
 }
 
-// ReplicaRepair returns the longest time until that machine is also in the chain: after AcceptorRepair it learns the
-// document, and another view is agreed on.
+// ReplicaRepair returns the longest time until a machine that has just started is also in the chain: after
+// AcceptorRepair the machine learns the document, and another view is agreed on.
 func (bounds Bounds) ReplicaRepair() time.Duration {
 	return bounds.AcceptorRepair() + directory.LearnInterval + bounds.ViewChange()
 }
--- a/dataplane/controller/reservations.go
+++ b/dataplane/controller/reservations.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// startupSuspensionThreshold is the longest pause between ticks after which a process without a membership does not
-	// count as suspended.
+	// startupSuspensionThreshold is the pause between ticks above which a process that has no membership yet counts as
+	// suspended.
 	startupSuspensionThreshold = 200 * time.Millisecond
 	// acceptDelay is the longest time for which an established connection waits to be accepted by a running process, also
 	// right after a pause.
@@ -70,8 +70,8 @@
 
 // recordTerm records a term that this process adopts now, and the time Since: every connection that is accepted after
 // Since was established after the adoption. Since is acceptDelay from now, the longest time for which a connection
-// waits to be accepted. For the first term Since is zero, as no connection was established before the process started,
-// unless the process was suspended before it adopted the term.
+// waits to be accepted while the process runs. For the first term Since is zero, as no connection was established
+// before the process started, unless the process was suspended before it adopted the term.
 func (reservations *reservations) recordTerm(now time.Time, term uint64) {
 	known := config.KnownTerm{Term: term, Since: now.Add(acceptDelay)}
 	if len(reservations.terms) == 0 && !reservations.wasSuspended {
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -130,12 +130,12 @@
 		change     func(runnerSync *runnerSync)
 		accepted   bool
 	}{
-		"other runners":                 {true, func(_ *runnerSync) {}, false},
-		"no registry":                   {false, func(_ *runnerSync) {}, true},
-		"lease held":                    {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTTL) }, true},
-		"just received":                 {true, func(sync *runnerSync) { completeSync(sync, started, head) }, true},
-		"received from another process": {true, func(sync *runnerSync) { completeSync(sync, started, "other") }, false},
-		"received too long ago":         {true, func(sync *runnerSync) { completeSync(sync, started.Add(-syncWindow), head) }, false},
+		"other runners":     {true, func(_ *runnerSync) {}, false},
+		"no registry":       {false, func(_ *runnerSync) {}, true},
+		"lease held":        {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTTL) }, true},
+		"sent just now":     {true, func(sync *runnerSync) { updateAll(sync, started, head) }, true},
+		"sent by another":   {true, func(sync *runnerSync) { updateAll(sync, started, "other") }, false},
+		"sent too long ago": {true, func(sync *runnerSync) { updateAll(sync, started.Add(-syncWindow), head) }, false},
 	} {
 		exchange := registry.NewExchange(statemachine.NewOutbox())
 		random := rand.New(rand.NewSource(1))
@@ -147,7 +147,7 @@
 	}
 }
 
-// completeSync passes an update of a process that has no runners.
-func completeSync(sync *runnerSync, now time.Time, from string) {
+// updateAll passes an update of a process that has no runners.
+func updateAll(sync *runnerSync, now time.Time, from string) {
 	sync.handleUpdate(now, from, &wire.RunnerUpdate{Response: true})
 }
