--- a/control/daemonlease/quotas.go
+++ b/control/daemonlease/quotas.go
@@ -27,7 +27,7 @@
 	return &Quotas{tolerance: tolerance, shareDuration: shareDuration}
 }
 
-// Reset forgets every share at the start of a term; the daemons report the shares that they hold.
+// Reset discards all shares at the start of a term; after that the daemons report the shares that they hold.
 func (quotas *Quotas) Reset() { quotas.allocator = nil }
 
 // Release takes back the shares of a daemon whose process has ended.
@@ -38,7 +38,7 @@
 }
 
 // HandleReport returns the reply to a daemon's report of the shares that it holds; nil if there is none to send. A
-// daemon that was granted no lease (isLeased) gets no share.
+// daemon gets shares only if it was granted a lease (isLeased).
 func (quotas *Quotas) HandleReport(now time.Time, document *wire.Document, address string, report *wire.QuotaReport,
 	isLeased bool) *wire.QuotaGrant {
 	quotas.refresh(now, document)
--- a/control/proposal/timeouts_test.go
+++ b/control/proposal/timeouts_test.go
@@ -14,14 +14,14 @@
 		want time.Duration
 	}{
 		{"a deferred request at the head", deferTimeout, 2 * time.Second},
-		{"an entered change at the head", acknowledgeTimeout, 5 * time.Second},
-		{"a request where it came in", RequestTimeout, 6 * time.Second},
+		{"a submitted change at the head", acknowledgeTimeout, 5 * time.Second},
+		{"a request at the process that received it", RequestTimeout, 6 * time.Second},
 		{"a client", ClientTimeout, 9 * time.Second},
 		{"a connection", ConnectionTimeout, 10 * time.Second},
 	}
 	for index, outer := range waits {
 		if outer.wait != outer.want {
-			t.Errorf("%s waits %v", outer.name, outer.wait)
+			t.Errorf("%s waits %v, which is not the documented time", outer.name, outer.wait)
 		}
 		if index == 0 {
 			continue
@@ -31,6 +31,6 @@
 		}
 	}
 	if resendInterval >= deferTimeout {
-		t.Errorf("a deferred request expires before its origin resends it, after %v", resendInterval)
+		t.Errorf("a deferred request expires before its origin resends it after %v", resendInterval)
 	}
 }
--- a/control/reconfiguration/decommission.go
+++ b/control/reconfiguration/decommission.go
@@ -9,8 +9,8 @@
 	"wardtray/wire"
 )
 
-// decommissionDelay is the shortest time for which a process that was ordered to stop waits for views that others
-// proposed before they were notified.
+// decommissionDelay is the minimum time between the order to stop and the end of a process: a view that others proposed
+// before they learned of the order may still give the process a position.
 const decommissionDelay = 2 * failuredetector.HeartbeatInterval
 
 // Decommission tracks the planned stop of this process: others take over its positions before it stops.
@@ -33,13 +33,13 @@
 
 // IsComplete reports whether this process may stop: an agreed view contains it neither in the chain nor among the
 // acceptors, and the remaining members know that view and hold everything that is committed; or no process can take
-// over. Committed is the newest committed sequence that this process knows.
+// over. committed is the newest committed sequence that this process knows.
 func (decommission *Decommission) IsComplete(facts *Facts, committed uint64) bool {
 	current, self := facts.View, facts.Local.Member.Id
 	if current.Epoch == 0 {
 		return true
 	}
-	// A view proposed before the others were notified may still give it a position.
+	// A view proposed before the others were notified may still give this process a position.
 	if !decommission.IsStarted() || facts.Now.Sub(decommission.since) < decommissionDelay {
 		return false
 	}
@@ -52,7 +52,7 @@
 	return facts.isHandedOver(committed)
 }
 
-// isDispensable reports whether the other acceptors can agree on views without this one, or no process is left that
+// isDispensable reports whether the other acceptors can agree on views without this process, or no process is left that
 // would need a view.
 func (facts *Facts) isDispensable() bool {
 	remaining := 0
--- a/dataplane/controller/runnersync_test.go
+++ b/dataplane/controller/runnersync_test.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// A disagreement times out disagreementTimeout after its first lease; after a pause a new one begins.
+// A disagreement ends disagreementTimeout after its first lease. After a pause in the leases a new disagreement begins:
+// otherwise a daemon that returns from a partition would serve at once with outdated runners.
 func TestDisagreementObserve(t *testing.T) {
 	tested := &disagreement{}
 	now := started
@@ -129,12 +130,12 @@
 		change     func(runnerSync *runnerSync)
 		accepted   bool
 	}{
-		"other runners":        {true, func(_ *runnerSync) {}, false},
-		"no registry":          {false, func(_ *runnerSync) {}, true},
-		"lease held":           {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTTL) }, true},
-		"just learned":         {true, func(sync *runnerSync) { learnAll(sync, started, head) }, true},
-		"learned of another":   {true, func(sync *runnerSync) { learnAll(sync, started, "other") }, false},
-		"learned too long ago": {true, func(sync *runnerSync) { learnAll(sync, started.Add(-syncWindow), head) }, false},
+		"other runners":     {true, func(_ *runnerSync) {}, false},
+		"no registry":       {false, func(_ *runnerSync) {}, true},
+		"lease held":        {true, func(sync *runnerSync) { sync.leases.grant(started, lease.DaemonTTL) }, true},
+		"sent just now":     {true, func(sync *runnerSync) { updateAll(sync, started, head) }, true},
+		"sent by another":   {true, func(sync *runnerSync) { updateAll(sync, started, "other") }, false},
+		"sent too long ago": {true, func(sync *runnerSync) { updateAll(sync, started.Add(-syncWindow), head) }, false},
 	} {
 		exchange := registry.NewExchange(statemachine.NewOutbox())
 		random := rand.New(rand.NewSource(1))
@@ -146,7 +147,7 @@
 	}
 }
 
-// learnAll passes an update of a process that has no runners.
-func learnAll(sync *runnerSync, now time.Time, from string) {
+// updateAll passes an update of a process that has no runners.
+func updateAll(sync *runnerSync, now time.Time, from string) {
 	sync.handleUpdate(now, from, &wire.RunnerUpdate{Response: true})
 }
