--- a/coordination/lease/witness.go
+++ b/coordination/lease/witness.go
@@ -6,9 +6,9 @@
 const maximumConfirmations = 4096
 
 // Witness issues an acceptor's confirmations to daemons that can't reach the head. A confirmation states that the
-// acceptor knows of no committed sequence newer than the daemon's; confirmations by a majority of the acceptors replace
-// a lease from the head. The witness reports to the head the time for which daemons may still rely on confirmations of
-// older sequences.
+// acceptor knows of no committed sequence newer than that of the daemon's document; confirmations by a majority of the
+// acceptors replace a lease from the head. The witness reports to the head the time for which daemons may still rely on
+// confirmations of older sequences.
 type Witness struct {
 	// duration is the time for which a daemon relies on a confirmation.
 	duration time.Duration
@@ -56,9 +56,9 @@
 // Committed returns the newest sequence that is known to be committed.
 func (witness *Witness) Committed() uint64 { return witness.committed }
 
-// Confirm reports whether a confirmation may be issued to a daemon that has a sequence, and if so records it. stored is
-// the sequence that the acceptor's disk held when its process started: an earlier incarnation may have reported to the
-// head that it knows this sequence to be committed.
+// Confirm reports whether a confirmation may be issued to a daemon whose document has the given sequence, and if so
+// records it. stored is the sequence that the acceptor's disk held when its process started: an earlier incarnation may
+// have reported to the head that it knows this sequence to be committed.
 func (witness *Witness) Confirm(now time.Time, daemon string, sequence, stored uint64) bool {
 	witness.ObserveDaemon(daemon, sequence)
 	if !witness.informedByHead || sequence < max(witness.committed, stored) {
@@ -80,7 +80,8 @@
 	return len(witness.confirmations) < maximumConfirmations
 }
 
-// ObserveDaemon handles the observation that a daemon acts under a sequence, and so no longer under an older one.
+// ObserveDaemon handles a daemon's report of its document's sequence. A daemon with a newer document no longer relies
+// on a confirmation of an older sequence.
 func (witness *Witness) ObserveDaemon(daemon string, sequence uint64) {
 	if last, found := witness.confirmations[daemon]; found && sequence > last.sequence {
 		delete(witness.confirmations, daemon)
--- a/verify/simulation/registry_cost.go
+++ b/verify/simulation/registry_cost.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// RegistryCost is the average number of bytes that a control machine and a data daemon send in a second, and of
-// messages that any process sends.
+// RegistryCost holds averages per second: the bytes that one control machine sends (Core), the bytes that one data
+// daemon sends (Daemon), and the messages that one process of any kind sends (Messages).
 type RegistryCost struct {
 	Core, Daemon, Messages float64
 }
 
 // MeasureRegistry starts a fleet of the given numbers of daemons and runners and measures the messages and bytes that
-// its processes send: in a period without changes, and while a runner is replaced at a mean interval of every.
+// its processes send: first without changes (calm), then while runners are replaced (release). The parameter every is
+// the mean interval between replacements.
 func MeasureRegistry(seed int64, daemons, runners int, every time.Duration) (calm, release RegistryCost) {
 	world := newWideDeployment(seed, daemons, 1, func(world *World) { startRegisteringRunners(world, runners, wideZones) })
 	world.Run(30 * time.Second)
